--- a/node/src/records/tests.rs
+++ b/node/src/records/tests.rs
@@ -88,3 +88,53 @@
     assert_eq!(digest("{\"a\": 1, \"b\": 2}"), digest("{\"b\":2,\"a\":1}"));
     assert_ne!(digest("{\"a\": 1}"), digest("{\"a\": 2}"));
 }
+
+/// The text of each record in the folders of operators: it does not change.
+#[test]
+fn each_kind_of_record_is_written_to_its_golden_text_and_read_from_it() {
+    let by = r#"{"settings":"s","list":0,"program":"1"}"#;
+    let tried = |did, key: Option<&str>| Record::Try {
+        at: 5,
+        did,
+        txn: "a1".into(),
+        key: key.map(String::from),
+        class: "book".into(),
+        by: self::by(),
+    };
+    let text = |did: &str, key: &str| {
+        format!(r#"{{"e":"try","at":5,"did":"{did}","txn":"a1",{key}"class":"book","by":{by}}}"#)
+    };
+    for (record, golden) in [
+        (
+            Record::Began { at: 1, node: "n1".into(), by: self::by() },
+            format!(r#"{{"e":"began","at":1,"node":"n1","by":{by}}}"#),
+        ),
+        (tried(Decided::Run, Some("k")), text("run", r#""key":"k","#)),
+        (tried(Decided::Unrun, None), text("unrun", "")),
+        (tried(Decided::Served, None), text("served", "")),
+        (tried(Decided::Refused, None), text("refused", "")),
+        (tried(Decided::Failed, None), text("failed", "")),
+        (Record::Dropped { at: 7, count: 3 }, r#"{"e":"dropped","at":7,"count":3}"#.into()),
+        (Record::Ended { at: 9 }, r#"{"e":"ended","at":9}"#.into()),
+    ] {
+        assert_eq!(serde_json::to_string(&record).unwrap(), golden);
+        assert_eq!(serde_json::from_str::<Record>(&golden).unwrap(), record);
+    }
+}
+
+#[test]
+fn a_file_is_written_to_its_golden_text() {
+    let config = config("golden", 10_000, 8);
+    process(&config, 1, false);
+    let text = fs::read_to_string(config.folder.join("000000000001.log")).unwrap();
+    assert_eq!(text, GOLDEN_FILE);
+    assert_eq!(fs::read_to_string(config.folder.join("end")).unwrap(), GOLDEN_END);
+    fs::remove_dir_all(&config.folder).unwrap();
+}
+
+const GOLDEN_FILE: &str = r#"1 7fc25cfeabb86fb74c2051e4a73664fd {"e":"began","at":1,"node":"n1","by":{"settings":"s","list":0,"program":"1"}}
+2 d8ed9a0af9dc84642d432b3e44a63c7d {"e":"try","at":5,"did":"run","txn":"0","class":"quote","by":{"settings":"s","list":0,"program":"1"}}
+3 844adf0caffcd1b5ace847044491c76d {"e":"ended","at":9}
+"#;
+const GOLDEN_END: &str = r#"3 844adf0caffcd1b5ace847044491c76d
+"#;
--- a/node/src/remembered/record.rs
+++ b/node/src/remembered/record.rs
@@ -190,3 +190,6 @@
     let at = Duration::from_millis(head.get_u64());
     (magic == SEGMENT_MAGIC && head.get_u64() == sum).then_some(SegmentHead { seed, first, at })
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/node/tests/sockets/fixtures.rs
@@ -0,0 +1,140 @@
+//! What an earlier build left on its disk is read by this one, and means the same. The folders under
+//! `node/tests/fixtures/` and how they were made: see the README there.
+
+use crate::helper::*;
+use std::path::{Path, PathBuf};
+
+/// When the result store and the votes were written, in Unix milliseconds: the program reads them as if it were started
+/// right then, so that nothing in them has run out, whatever the date is.
+const WRITTEN_MS: u64 = 1_796_189_503_000;
+
+/// Keys of the fixtures are remembered for most of a day.
+fn with_long_windows(config: &str) -> String {
+    config.replace("\"window\": 120000000", "\"window\": 86000000000")
+}
+
+fn fixture(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
+}
+
+/// A copy of a fixture for one test, as the program writes to its folder.
+fn copy_of(name: &str) -> PathBuf {
+    let copy = file(name, "").with_extension("d");
+    std::fs::create_dir(&copy).unwrap();
+    for entry in std::fs::read_dir(fixture(name)).unwrap() {
+        let path = entry.unwrap().path();
+        std::fs::copy(&path, copy.join(path.file_name().unwrap())).unwrap();
+    }
+    copy
+}
+
+/// The program with its clock at the time of the fixtures, with one operators' file.
+fn start_at_the_time_of_the_fixtures(option: &str, text: &str, vm: &Server) -> Node {
+    let config = with_long_windows(&config(&format!(r#""ops": "127.0.0.1:0", "vm": "{}","#, vm.address)));
+    let (config, uwsgi) = (file("config.json", &config), file("uwsgi.toml", UWSGI));
+    let operators_file = file("operators.toml", text);
+    let [config, uwsgi, operators_file] =
+        [&config, &uwsgi, &operators_file].map(|path| path.to_str().unwrap());
+    let mut command = oakwind(&["serve", "--config", config, "--uwsgi", uwsgi, option, operators_file]);
+    let offset = i128::from(WRITTEN_MS) - i128::from(now_ms());
+    command.env("OAKWIND_REHEARSED_CLOCK", format!("0:{offset}"));
+    let mut node = Node::of(command);
+    node.serves();
+    node
+}
+
+/// A booking by uwsgi, whose caller names no time: JSON-RPC requests carry the time of the test's own clock.
+fn book(address: std::net::SocketAddr, key: &str, body: &str) -> Peer {
+    let mut client = Peer::connect(address);
+    client.say(packet(&[("PATH_INFO", "/book"), ("HTTP_IDEMPOTENCY_KEY", key)], body));
+    client
+}
+
+/// What every repeat of the bookings in a fixture is to get, but for the one whose first try never ran.
+fn repeats_get_what_the_first_tries_got(front: std::net::SocketAddr) {
+    for (key, body, status, result) in [
+        ("ended", "body", "200", "job 5"),
+        ("over uwsgi", "another body", "200", "job 6"),
+        ("began", "body", "500", ""),
+        ("failed", "body", "500", ""),
+        ("ended", "not its body", "400", ""),
+    ] {
+        let answer = book(front, key, body).rest();
+        assert!(answer.starts_with(&format!("HTTP/1.1 {status} ")), "{key}: {answer}");
+        assert!(answer.ends_with(result), "{key}: {answer}");
+    }
+}
+
+#[test]
+fn a_result_store_of_an_earlier_build_answers_repeats_from_their_first_results() {
+    let vm = Server::new();
+    let text = format!("folder = '{}'\nfile_mb = 4\n", copy_of("remembered").display());
+    let mut node = start_at_the_time_of_the_fixtures("--remembered", &text, &vm);
+    let _link = vm.interpreter("0");
+    node.logs("remembered: 5 keys are known from before");
+    node.logs("health is good");
+    let front = node.uwsgi();
+    repeats_get_what_the_first_tries_got(front);
+    // That it never ran is not on the disk, only that it may have begun.
+    assert!(book(front, "freed", "body").rest().starts_with("HTTP/1.1 500 "));
+    let stats = call(node.ops(), "GET /ops/stats");
+    for line in ["svc_remembered_damaged 0\n", "svc_remembered_noise_bytes 0\n"] {
+        assert!(stats.contains(line), "{stats}");
+    }
+}
+
+#[test]
+fn votes_of_an_earlier_build_are_relied_on_and_answer_repeats() {
+    let vm = Server::new();
+    let text = format!(
+        "name = 'n1'\nlisten = '127.0.7.21:0'\nprobe_ms = 100\nfolder = '{}'\nfile_mb = 4\n\
+         [list]\nnumber = 1\nwindow_ms = 86400000\n\
+         [[list.member]]\nname = 'n1'\naddress = '127.0.7.21:7101'\nzone = 'z1'\n",
+        copy_of("votes").display()
+    );
+    let mut node = start_at_the_time_of_the_fixtures("--fleet", &text, &vm);
+    let mut link = vm.interpreter("0");
+    node.logs("remembered: 4 keys are known from before");
+    node.logs("fleet: a majority is heard, bookings run");
+    node.logs("health is good");
+    let front = node.uwsgi();
+    repeats_get_what_the_first_tries_got(front);
+    let mut freed = book(front, "freed", "body");
+    let (id, class, body) = link.apply();
+    assert_eq!((class.as_str(), body.as_str()), ("book", "body"), "the one key that never ran runs");
+    link.value(1, &id, "done", "job 7");
+    assert!(freed.rest().ends_with("job 7"));
+    let stats = call(node.ops(), "GET /ops/stats");
+    for line in ["svc_fleet_sound 1\n", "svc_fleet_outdated 0\n", "svc_fleet_conflicts 0\n"] {
+        assert!(stats.contains(line), "{stats}");
+    }
+}
+
+/// What a command says of the decisions in the fixture, and whether nothing was wrong or missing.
+fn asked(arguments: &[&str]) -> (bool, String) {
+    let folder = fixture("records");
+    let output = output(&[&["fleet"], arguments, &["--json", folder.to_str().unwrap()]].concat());
+    assert!(output.stderr.is_empty(), "{}", String::from_utf8_lossy(&output.stderr));
+    (output.status.success(), String::from_utf8(output.stdout).unwrap())
+}
+
+/// The text that the build of the fixtures printed.
+fn golden(name: &str) -> String {
+    std::fs::read_to_string(fixture(name)).unwrap()
+}
+
+#[test]
+fn an_audit_of_decisions_of_an_earlier_build_says_the_same() {
+    let (clean, said) = asked(&["audit", "--spread-ms", "0"]);
+    assert!(!clean, "a key ran again once its process was gone");
+    assert_eq!(said, golden("audit.json"));
+}
+
+#[test]
+fn decisions_of_an_earlier_build_on_a_try_and_on_a_key_are_explained_the_same() {
+    for (about, name) in [("a2", "explain-try.json"), ("k", "explain-key.json")] {
+        let (found, said) = asked(&["explain", about]);
+        assert!(found);
+        assert_eq!(said, golden(name), "{about}");
+    }
+}
--- a/node/tests/sockets/main.rs
+++ b/node/tests/sockets/main.rs
@@ -3,6 +3,7 @@
 mod cli;
 mod cut_off;
 mod endings;
+mod fixtures;
 mod fleet;
 mod floods;
 mod helper;
