--- a/node/src/handover/tests.rs
+++ b/node/src/handover/tests.rs
@@ -1,5 +1,7 @@
 use super::*;
 
+mod golden;
+
 #[test]
 fn records_arrive_as_they_were_sent_whatever_bytes_they_hold() {
     let record_of = |fate| KeyRecord {
--- /dev/null
+++ b/node/src/handover/tests/golden.rs
@@ -0,0 +1,216 @@
+//! The exact bytes that two processes of a node exchange during an upgrade in place. One of the two is an older
+//! release, so these bytes and the name of the socket stay as they are whatever the code calls them.
+
+use super::super::*;
+use crate::exchange::{self, CoreEnds, Input};
+
+/// A line, then as many bytes as it announces; `\r\n` ends both.
+const OPEN: &str = "4b455920312031373634353736303030313233206f70656e203220320d0a6b310d0a";
+const DONE: &str = "4b4559203230203137363435373630303031323420646f6e65203420380d0a0d0a20ff72000d0a0d0a";
+const FAILED: &str = "4b4559203330302031373634353736303030313235206661696c6564203420340d0a6b6579330d0a";
+const FREE: &str =
+    "4b4559206666666666666666666666666666666620313736343537363030303132362066726565203020300d0a0d0a";
+const TAKE: &str = "54414b450d0a";
+const PASSED: &str = "5041535345440d0a";
+const SEED: &str = "5345454420666564636261393837363534333231300d0a";
+const ALL: &str = "414c4c0d0a";
+/// `SEED`, `KEY`, `KEY`, `ALL`: what the old process tells at first.
+fn whole_table() -> String {
+    [SEED, OPEN, DONE, ALL].concat()
+}
+
+const THE_SEED: u64 = 0xfedc_ba98_7654_3210;
+
+fn record_of(key: &'static [u8], body: u64, millis: u64, fate: Fate) -> KeyRecord {
+    KeyRecord { key: Bytes::from_static(key), body, until: Duration::from_millis(millis), fate }
+}
+
+fn open() -> KeyRecord {
+    record_of(b"k1", 0x1, 1_764_576_000_123, Fate::Open)
+}
+
+fn done() -> KeyRecord {
+    record_of(b"\r\n \xff", 0x20, 1_764_576_000_124, Fate::Done(Bytes::from_static(b"r\x00\r\n")))
+}
+
+fn failed() -> KeyRecord {
+    record_of(b"key3", 0x300, 1_764_576_000_125, Fate::Failed)
+}
+
+fn free() -> KeyRecord {
+    record_of(b"", u64::MAX, 1_764_576_000_126, Fate::NeverRan)
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn bytes(hex: &str) -> Vec<u8> {
+    (0..hex.len()).step_by(2).map(|at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap()).collect()
+}
+
+fn run(test: impl std::future::Future<Output = ()>) {
+    tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap().block_on(test)
+}
+
+fn socket(name: &str) -> PathBuf {
+    let path = std::env::temp_dir().join(format!("oakwind-golden-{}-{name}.sock", std::process::id()));
+    let _ = std::fs::remove_file(&path);
+    path
+}
+
+/// Reads exactly as many bytes as are expected.
+async fn read(stream: &mut UnixStream, expected: &str) -> String {
+    let mut read = vec![0; expected.len() / 2];
+    stream.read_exact(&mut read).await.unwrap();
+    hex(&read)
+}
+
+async fn next(core: &mut CoreEnds) -> Input {
+    core.inbox.recv().await.unwrap()
+}
+
+#[test]
+fn each_kind_of_record_has_these_bytes() {
+    for (record, expected) in [(open(), OPEN), (done(), DONE), (failed(), FAILED), (free(), FREE)] {
+        let mut output = BytesMut::new();
+        put_record(&mut output, &record);
+        assert_eq!(hex(&output), expected, "{record:?}");
+    }
+}
+
+#[test]
+fn these_bytes_are_read_as_each_kind_of_record() {
+    let all = [OPEN, DONE, FAILED, FREE].concat();
+    let mut input = BytesMut::from(&bytes(&all)[..]);
+    for expected in [open(), done(), failed(), free()] {
+        let message = lines::take(&mut input, |words| words.next() == Some(b"KEY")).unwrap().unwrap();
+        assert_eq!(record(&message).unwrap(), expected);
+    }
+    assert!(input.is_empty());
+}
+
+#[test]
+fn a_result_that_is_too_long_for_a_message_is_sent_as_a_failure() {
+    // The key and the result have 256 KiB together at the most.
+    let longest = vec![b'r'; 256 * 1024 - 2];
+    let mut output = BytesMut::new();
+    put_record(&mut output, &record_of(b"k1", 1, 123, Fate::Done(longest.clone().into())));
+    assert!(hex(&output).starts_with(&hex(b"KEY 1 123 done 2 262144\r\nk1rr")));
+    assert_eq!(output.len(), b"KEY 1 123 done 2 262144\r\n".len() + 256 * 1024 + 2);
+    output.clear();
+    put_record(&mut output, &record_of(b"k1", 1, 123, Fate::Done([&longest[..], b"r"].concat().into())));
+    assert_eq!(hex(&output), hex(b"KEY 1 123 failed 2 2\r\nk1\r\n"));
+}
+
+#[test]
+fn the_digest_of_a_body_is_the_same_in_every_release() {
+    assert_eq!(format!("{:x}", crate::fate::digest(THE_SEED, b"a body")), "368d9b8f0942b73b");
+    assert_eq!(format!("{:x}", crate::fate::digest(0, b"")), "d1fba762150c532c");
+}
+
+#[test]
+fn the_socket_has_this_name() {
+    // As it is anyway.
+    std::env::set_var("TMPDIR", std::env::temp_dir());
+    let name =
+        |listen: &str| place(listen.parse().unwrap()).map(|place| place.file_name().unwrap().to_owned());
+    assert_eq!(name("127.0.3.1:4100").unwrap(), "oakwind-127.0.3.1_4100.sock");
+    assert_eq!(name("[::1]:4100").unwrap(), "oakwind-___1__4100.sock");
+    assert_eq!(name("127.0.3.1:0"), None);
+}
+
+#[test]
+fn the_old_process_answers_take_with_its_whole_table_and_tells_ends_after_it() {
+    run(async {
+        let (exchange, mut core, _backends) = exchange::new(false, false);
+        let path = socket("old");
+        let listener = UnixListener::bind(&path).unwrap();
+        let old = hand_over(&listener, &exchange);
+        let new = async {
+            let mut new = UnixStream::connect(&path).await.unwrap();
+            new.write_all(&bytes(TAKE)).await.unwrap();
+            let Input::HandOver(tell) = next(&mut core).await else { panic!() };
+            tell.send(Estate { seed: THE_SEED, keys: vec![open(), done()] }).await.unwrap();
+            assert_eq!(read(&mut new, &whole_table()).await, whole_table());
+            tell.send(Estate { seed: 0, keys: vec![failed()] }).await.unwrap();
+            tell.send(Estate { seed: 0, keys: vec![free()] }).await.unwrap();
+            assert_eq!(read(&mut new, &[FAILED, FREE].concat()).await, [FAILED, FREE].concat());
+            new.write_all(&bytes(PASSED)).await.unwrap();
+            (new, tell)
+        };
+        let (heir, _kept_open) = tokio::join!(old, new);
+        assert!(matches!(heir, Heir::Passed));
+        std::fs::remove_file(path).unwrap();
+    });
+}
+
+#[test]
+fn the_old_process_takes_no_other_first_message_and_hears_a_successor_end() {
+    run(async {
+        let (exchange, mut core, _backends) = exchange::new(false, false);
+        let path = socket("first");
+        let listener = UnixListener::bind(&path).unwrap();
+        let new = async {
+            let mut new = UnixStream::connect(&path).await.unwrap();
+            new.write_all(&bytes(PASSED)).await.unwrap();
+        };
+        assert!(matches!(tokio::join!(hand_over(&listener, &exchange), new).0, Heir::Asked));
+        let new = async {
+            let mut new = UnixStream::connect(&path).await.unwrap();
+            new.write_all(&bytes(TAKE)).await.unwrap();
+            let Input::HandOver(tell) = next(&mut core).await else { panic!() };
+            tell
+        };
+        assert!(matches!(tokio::join!(hand_over(&listener, &exchange), new).0, Heir::Ended));
+        std::fs::remove_file(path).unwrap();
+    });
+}
+
+#[test]
+fn the_new_process_says_take_learns_the_table_and_ends_and_says_when_it_has_passed_on() {
+    run(async {
+        let (exchange, mut core, _backends) = exchange::new(true, false);
+        let path = socket("new");
+        let listener = UnixListener::bind(&path).unwrap();
+        let new = inherit(path.clone(), exchange);
+        let old = async {
+            let (mut old, _) = listener.accept().await.unwrap();
+            assert_eq!(read(&mut old, TAKE).await, TAKE);
+            old.write_all(&bytes(&whole_table())).await.unwrap();
+            let Input::Inherit(estate) = next(&mut core).await else { panic!() };
+            assert_eq!((estate.seed, estate.keys), (THE_SEED, vec![open(), done()]));
+            core.state.send_modify(|state| state.inheriting = false);
+            old.write_all(&bytes(FAILED)).await.unwrap();
+            let Input::Inherit(estate) = next(&mut core).await else { panic!() };
+            assert_eq!(estate.keys, [failed()]);
+            core.state.send_modify(|state| state.handed = true);
+            assert_eq!(read(&mut old, PASSED).await, PASSED);
+            old.write_all(&bytes(FREE)).await.unwrap();
+            let Input::Inherit(estate) = next(&mut core).await else { panic!() };
+            assert_eq!(estate.keys, [free()]);
+            drop(old);
+            assert!(matches!(next(&mut core).await, Input::InheritanceOver));
+        };
+        tokio::join!(new, old);
+        std::fs::remove_file(path).unwrap();
+    });
+}
+
+#[test]
+fn an_empty_table_is_handed_over_as_well() {
+    run(async {
+        let (exchange, mut core, _backends) = exchange::new(true, false);
+        let path = socket("empty");
+        let listener = UnixListener::bind(&path).unwrap();
+        let old = async {
+            let (mut old, _) = listener.accept().await.unwrap();
+            old.write_all(&bytes(&[SEED, ALL].concat())).await.unwrap();
+            let Input::Inherit(estate) = next(&mut core).await else { panic!() };
+            assert_eq!((estate.seed, estate.keys), (THE_SEED, vec![]));
+            core.state.send_modify(|state| state.inheriting = false);
+        };
+        tokio::join!(inherit(path.clone(), exchange), old);
+        std::fs::remove_file(path).unwrap();
+    });
+}
