--- a/node/src/lines/tests.rs
+++ b/node/src/lines/tests.rs
@@ -14,3 +14,12 @@
     assert!(take(&mut BytesMut::from(&b"no return\n"[..]), value).is_err());
     assert!(take(&mut BytesMut::from(&b"VALUE 99999999999999999999\r\n"[..]), value).is_err());
 }
+
+#[test]
+fn what_is_written_is_words_a_length_and_as_many_bytes() {
+    let mut output = BytesMut::new();
+    put(&mut output, &[b"STUB", b"a2", b"3"], None);
+    put(&mut output, &[b"APPLY", b"a1", b"book"], Some(b"re\r\nl"));
+    put(&mut output, &[b"RESOLVE", b"a1"], Some(b""));
+    assert_eq!(&output[..], b"STUB a2 3\r\nAPPLY a1 book 5\r\nre\r\nl\r\nRESOLVE a1 0\r\n\r\n");
+}
--- a/node/tests/sockets/main.rs
+++ b/node/tests/sockets/main.rs
@@ -5,6 +5,7 @@
 mod endings;
 mod fleet;
 mod floods;
+mod golden;
 mod helper;
 mod jsonrpc;
 mod links;
