--- a/node/src/peers/frame/tests.rs
+++ b/node/src/peers/frame/tests.rs
@@ -1,3 +1,5 @@
+mod golden;
+
 use super::*;
 use bytes::Bytes;
 use oakwind_fleet::frame::{Blocker, Hello, Page, Sound, Why};
