--- a/src/lib.rs
+++ b/admission/src/lib.rs
@@ -5,7 +5,7 @@
 //!
 //! ```
 //! use std::time::Duration;
-//! use swiftwinch::{Action, Admission, Arrival, ClassId, Event, RequestId, Settings};
+//! use oakwind_admission::{Action, Admission, Arrival, ClassId, Event, RequestId, Settings};
 //!
 //! let settings = Settings { cores: 4, ..Settings::default() };
 //! let start = Duration::from_secs(100);
--- a/tests/guards.rs
+++ b/admission/tests/guards.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use swiftwinch::*;
+use oakwind_admission::*;
 
 fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
--- a/tests/ledger.rs
+++ b/admission/tests/ledger.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use swiftwinch::*;
+use oakwind_admission::*;
 
 struct Dice(u64);
 
--- a/tests/ramp.rs
+++ b/admission/tests/ramp.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
 
-use swiftwinch::*;
+use oakwind_admission::*;
 
 const STEP: f64 = 0.005;
 /// Over which the crowd on the cores is averaged.
--- a/tests/rate.rs
+++ b/admission/tests/rate.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use swiftwinch::*;
+use oakwind_admission::*;
 
 /// A server on which every request takes the same time, stepped in 50 ms.
 struct Bench {
--- a/examples/common/mod.rs
+++ b/examples/common/mod.rs
@@ -4,7 +4,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-use oakwind_rig::clock::unix_now;
+use oakwind_fault_harness::clock::unix_now;
 
 /// Asks with so many open at a time until so many are answered, with keys from one on. Returns when each was asked and how
 /// long it took, and how many were served.
@@ -56,12 +56,12 @@
         }
         let words: Vec<&str> = line.split_whitespace().collect();
         let said = match words[..] {
-            ["CONNECT", ..] => oakwind_rig::wire::banner(false, 100_000),
-            ["TOP", tag] => oakwind_rig::wire::tops(tag, &[0.5, 1.0, 0.1, 3.0]),
+            ["CONNECT", ..] => oakwind_fault_harness::wire::banner(false, 100_000),
+            ["TOP", tag] => oakwind_fault_harness::wire::tops(tag, &[0.5, 1.0, 0.1, 3.0]),
             ["APPLY", id, _, length] => {
                 io::copy(&mut input.by_ref().take(length.parse().unwrap_or(0) + 2), &mut io::sink())?;
                 notice += 1;
-                oakwind_rig::wire::value(notice, id, "done", 1, result)
+                oakwind_fault_harness::wire::value(notice, id, "done", 1, result)
             }
             _ => continue,
         };
--- a/examples/replicated.rs
+++ b/examples/replicated.rs
@@ -17,7 +17,7 @@
 use std::time::{Duration, Instant};
 
 use common::{ask, interpret};
-use oakwind_rig::process::Program;
+use oakwind_fault_harness::process::Program;
 
 /// Turns, and requests of one measurement by how many are open at a time. Many come first: what is let in follows what was
 /// done of late, so a burst after a trickle is turned away in part.
--- a/rig/src/main.rs
+++ b/fault-harness/src/main.rs
@@ -5,15 +5,15 @@
 use std::process::ExitCode;
 
 use argh::FromArgs;
-use oakwind_rig::experiment::{self, Job};
-use oakwind_rig::floor::floor;
-use oakwind_rig::history::History;
-use oakwind_rig::machine::Programs;
-use oakwind_rig::plan::plan;
-use oakwind_rig::predict::predict;
-use oakwind_rig::report::{self, Outcome};
-use oakwind_rig::scenario::Scenario;
-use oakwind_rig::{charts, mutant, play};
+use oakwind_fault_harness::experiment::{self, Job};
+use oakwind_fault_harness::floor::floor;
+use oakwind_fault_harness::history::History;
+use oakwind_fault_harness::machine::Programs;
+use oakwind_fault_harness::plan::plan;
+use oakwind_fault_harness::predict::predict;
+use oakwind_fault_harness::report::{self, Outcome};
+use oakwind_fault_harness::scenario::Scenario;
+use oakwind_fault_harness::{charts, mutant, play};
 
 /// Starts fleets of the real program, puts faults between them, and says which rule broke.
 #[derive(FromArgs)]
@@ -183,7 +183,7 @@
         Ok(0) => ExitCode::SUCCESS,
         Ok(_) => ExitCode::FAILURE,
         Err(problem) => {
-            eprintln!("oakwind-rig: {problem}");
+            eprintln!("oakwind-fault-harness: {problem}");
             ExitCode::FAILURE
         }
     }
@@ -203,7 +203,7 @@
 fn read(path: &Path, changes: &[(String, String)]) -> Result<Scenario, String> {
     Scenario::read(path, changes).map_err(|mistakes| {
         let lines: Vec<String> = mistakes.iter().map(|line| format!("{}: {line}", path.display())).collect();
-        lines.join("\noakwind-rig: ")
+        lines.join("\noakwind-fault-harness: ")
     })
 }
 
--- a/rig/src/play.rs
+++ b/fault-harness/src/play.rs
@@ -601,7 +601,11 @@
             Some(out) => (out.to_path_buf(), true),
             None => {
                 let number = own_number();
-                (std::env::temp_dir().join(format!("oakwind-rig-{}-{number}", std::process::id())), false)
+                (
+                    std::env::temp_dir()
+                        .join(format!("oakwind-fault-harness-{}-{number}", std::process::id())),
+                    false,
+                )
             }
         };
         std::fs::create_dir_all(&path)?;
--- a/rig/tests/mutants.rs
+++ b/fault-harness/tests/mutants.rs
@@ -2,10 +2,10 @@
 
 use std::path::PathBuf;
 
-use oakwind_rig::check::{check, Rule, Verdict};
-use oakwind_rig::machine::{Build, Programs};
-use oakwind_rig::play::{play, Options};
-use oakwind_rig::scenario::Scenario;
+use oakwind_fault_harness::check::{check, Rule, Verdict};
+use oakwind_fault_harness::machine::{Build, Programs};
+use oakwind_fault_harness::play::{play, Options};
+use oakwind_fault_harness::scenario::Scenario;
 
 /// Deadlines are long and the load is small: no verdict hangs on the machine's speed.
 const SCENARIO: &str = "name = 'mutants'\nseconds = 2\n[fleet]\nnodes = 3\n[rules]\nslack_ms = 4000\n\
@@ -15,7 +15,7 @@
     [fronts]\ncount = 2\nretries = 0\nclient_retries = 0\nlist_late_ms = [0, 0]\n";
 
 fn build(mutant: &str) -> Build {
-    let path = PathBuf::from(env!("CARGO_BIN_EXE_oakwind-rig"));
+    let path = PathBuf::from(env!("CARGO_BIN_EXE_oakwind-fault-harness"));
     Build { path, arguments: vec!["--mutant".into(), mutant.into()] }
 }
 
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -6,11 +6,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use oakwind_admission::{Class, Effect};
 use oakwind_fleet::list::{List, Member, NodeId, Plain};
+use oakwind_settings::Parsed;
 use serde::Deserialize;
 use serde_json::value::{RawValue, Value};
-use swiftwinch::{Class, Effect};
-use swiftwinch_settings::Parsed;
 
 /// What is wrong with a configuration, in one line that names the key.
 #[derive(Debug, PartialEq, Eq)]
@@ -205,7 +205,7 @@
         let mut json = serde_json::Deserializer::from_str(text);
         let raw: Raw = serde_path_to_error::deserialize(&mut json).map_err(|e| BadConfig(named(&e)))?;
         json.end().map_err(|e| BadConfig(e.to_string()))?;
-        let settings = match swiftwinch_settings::parse(raw.settings.get()) {
+        let settings = match oakwind_settings::parse(raw.settings.get()) {
             Ok(settings) => settings,
             Err(e) => return bad(e.to_string()),
         };
--- a/node/src/core.rs
+++ b/node/src/core.rs
@@ -10,12 +10,12 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use oakwind_fleet::audit::Decided;
-use swiftwinch::{
+use oakwind_admission::{
     Action, Admission, Arrival, CallerId, ClassId, Effect, Event, Gauges, Outcome as Ended, RequestId,
     Settings, TenantId, TimerId,
 };
-use swiftwinch_settings::Parsed;
+use oakwind_fleet::audit::Decided;
+use oakwind_settings::Parsed;
 use tokio::sync::mpsc;
 
 use crate::clock::{self, Unix};
@@ -336,7 +336,7 @@
             Input::Hold(held) => self.update(|state| state.held = held),
             Input::Report(Report::Up { cold }) => self.start(cold),
             Input::Report(Report::Gauges(values)) => {
-                let gauges = swiftwinch_settings::gauges(&self.settings.gauges, &values);
+                let gauges = oakwind_settings::gauges(&self.settings.gauges, &values);
                 self.gauges = (clock::now(), gauges);
             }
             Input::Report(Report::Ended(txn, end)) => self.run_ended(&txn, end),
--- a/node/src/core/keys.rs
+++ b/node/src/core/keys.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use swiftwinch::RequestId;
+use oakwind_admission::RequestId;
 
 use crate::clock::Unix;
 use crate::fate::{digest, Fate, Kept, Key, LONGEST_RESULT, READ_LATE};
--- a/node/src/exchange.rs
+++ b/node/src/exchange.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use swiftwinch_settings::Parsed;
+use oakwind_settings::Parsed;
 use tokio::sync::{mpsc, watch};
 
 use crate::clock::Unix;
--- a/node/src/keeper.rs
+++ b/node/src/keeper.rs
@@ -7,9 +7,9 @@
 use std::time::Duration;
 
 use bytes::Bytes;
+use oakwind_admission::RequestId;
 use oakwind_fleet::claims::Said;
 use oakwind_fleet::record::Fate;
-use swiftwinch::RequestId;
 
 use crate::clock::Unix;
 use crate::exchange::Request;
--- a/node/src/names.rs
+++ b/node/src/names.rs
@@ -4,8 +4,8 @@
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
 
-use swiftwinch::{Class, Effect};
-use swiftwinch_settings::Parsed;
+use oakwind_admission::{Class, Effect};
+use oakwind_settings::Parsed;
 
 use crate::clock::Unix;
 
--- a/node/src/names/tests.rs
+++ b/node/src/names/tests.rs
@@ -7,7 +7,7 @@
             r#"{{"services": [{{"name": "{name}", "slo": 1, "deadline": 2, "effect": "by_key"}}],
             "specifics": {{"cores": 2, "memoryKb": 64.5}}, "safety": {{"drainGrace": 8, "fallMultiple": 3}}}}"#
         );
-        swiftwinch_settings::parse(&text).unwrap()
+        oakwind_settings::parse(&text).unwrap()
     };
     let names = Names::new(parsed("book"));
     let at = Duration::from_secs(100);
--- a/node/src/peers/mod.rs
+++ b/node/src/peers/mod.rs
@@ -12,6 +12,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
+use oakwind_admission::RequestId;
 use oakwind_fleet::claims::{Said, Token, Wanted};
 use oakwind_fleet::copies::{Change, Link};
 use oakwind_fleet::frame::{Frame, Hello, Why};
@@ -20,7 +21,6 @@
 use oakwind_fleet::record::{ClaimId, Fate};
 use oakwind_fleet::Time;
 use sha2::{Digest, Sha256};
-use swiftwinch::RequestId;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
--- a/node/src/remembered/mod.rs
+++ b/node/src/remembered/mod.rs
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use swiftwinch::RequestId;
+use oakwind_admission::RequestId;
 use tokio::sync::mpsc;
 
 use crate::clock::{self, Unix};
--- a/node/tests/plays/mod.rs
+++ b/node/tests/plays/mod.rs
@@ -2,15 +2,15 @@
 
 use std::path::{Path, PathBuf};
 
-use oakwind_rig::check::{check, Verdict};
-use oakwind_rig::history::History;
-use oakwind_rig::machine::{Build, Programs};
-use oakwind_rig::play::{play, Options};
-use oakwind_rig::scenario::Scenario;
+use oakwind_fault_harness::check::{check, Verdict};
+use oakwind_fault_harness::history::History;
+use oakwind_fault_harness::machine::{Build, Programs};
+use oakwind_fault_harness::play::{play, Options};
+use oakwind_fault_harness::scenario::Scenario;
 
 /// Plays a scenario with these keys changed. No rule may break.
 pub fn keeps_the_rules(name: &str, changes: &[&[(&str, &str)]]) -> (History, Verdict) {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join(format!("../rig/scenarios/{name}.toml"));
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join(format!("../fault-harness/scenarios/{name}.toml"));
     let changes = changes.iter().copied().flatten();
     let changes: Vec<(String, String)> =
         changes.map(|(key, value)| (key.to_string(), value.to_string())).collect();
--- a/node/tests/recovery.rs
+++ b/node/tests/recovery.rs
@@ -6,8 +6,8 @@
 
 use std::collections::{BTreeSet, HashMap};
 
-use oakwind_rig::check::Verdict;
-use oakwind_rig::history::{Event, History};
+use oakwind_fault_harness::check::Verdict;
+use oakwind_fault_harness::history::{Event, History};
 
 const WINDOW_MS: f64 = 3000.0;
 
--- a/node/tests/replication.rs
+++ b/node/tests/replication.rs
@@ -5,7 +5,7 @@
 
 use std::collections::HashMap;
 
-use oakwind_rig::history::{Event, Kind};
+use oakwind_fault_harness::history::{Event, Kind};
 
 /// Plays the scenario with five nodes in three zones and these faults, one after the other. Nodes are fresh when it
 /// begins, so that it takes a window before bookings run; several faults share that time.
--- a/node/tests/sockets/golden.rs
+++ b/node/tests/sockets/golden.rs
@@ -20,7 +20,7 @@
             continue;
         }
         let words: Vec<&str> = line.trim_end().split(' ').collect();
-        let body = match oakwind_rig::wire::body_length(&words) {
+        let body = match oakwind_fault_harness::wire::body_length(&words) {
             Some(length) => String::from_utf8(link.bytes(length + 2)).unwrap(),
             None => String::new(),
         };
@@ -184,7 +184,7 @@
     // Another call or none may come over the connection before: it is the connection that breaks.
     drop((call, index));
     assert_eq!(raw_command(&mut link), "STUB a2 3\r\n");
-    client.say(oakwind_rig::wire::withdraw(2));
+    client.say(oakwind_fault_harness::wire::withdraw(2));
     assert_eq!(raw_command(&mut link), "BREAK a2\r\n");
     drop(link);
     let mut link = vm.accept();
--- a/node/tests/sockets/helper.rs
+++ b/node/tests/sockets/helper.rs
@@ -9,9 +9,9 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::time::{Duration, Instant};
 
-use oakwind_rig::process::{Program, Signal, Usage};
-pub use oakwind_rig::wire::DRAINING;
-use oakwind_rig::wire::{self, STATUS};
+use oakwind_fault_harness::process::{Program, Signal, Usage};
+pub use oakwind_fault_harness::wire::DRAINING;
+use oakwind_fault_harness::wire::{self, STATUS};
 
 pub const GUARD: Duration = Duration::from_secs(60);
 
@@ -31,7 +31,7 @@
   "tenants": [{"name": "acme", "quotaPerS": 100.0}], "servers": 1, "tick": 4000}"#;
 
 pub fn now_ms() -> u64 {
-    oakwind_rig::clock::unix_now().as_millis() as u64
+    oakwind_fault_harness::clock::unix_now().as_millis() as u64
 }
 
 /// A file for one test, in cargo's own folder.
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -6,8 +6,8 @@
 use std::fmt;
 use std::time::Duration;
 
+use oakwind_admission::{Class, Dependency, Effect, Gauges, Preemption, Settings, Signal};
 use serde::Deserialize;
-use swiftwinch::{Class, Dependency, Effect, Gauges, Preemption, Settings, Signal};
 
 /// What is wrong with the text; names the key.
 #[derive(Debug, PartialEq, Eq)]
--- a/adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -8,7 +8,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-use swiftwinch::{Action, Admission, Event};
+use oakwind_admission::{Action, Admission, Event};
 use wire::{Malformed, Record, Reply};
 
 /// A backend with the events of the batch in hand.
@@ -42,7 +42,7 @@
                 Record::Reminder(timer, values) => {
                     let backend = named(at)?;
                     let names = self.backends.get(&backend).map_or(&[][..], |b| &b.gauges);
-                    let gauges = swiftwinch_settings::gauges(names, &values);
+                    let gauges = oakwind_settings::gauges(names, &values);
                     self.tell(backend, Event::Timer(timer, gauges))?;
                 }
             }
@@ -79,7 +79,7 @@
 }
 
 fn start(seed: u64, text: &str, now: Duration) -> Result<Backend, Malformed> {
-    let parsed = swiftwinch_settings::parse(text).map_err(|e| Malformed(e.to_string()))?;
+    let parsed = oakwind_settings::parse(text).map_err(|e| Malformed(e.to_string()))?;
     let (admission, gauges) = (Admission::new(parsed.settings, seed, now), parsed.gauges);
     Ok(Backend { admission, gauges, events: Vec::new(), touched: true })
 }
@@ -99,7 +99,7 @@
     match serve(&mut input, &mut io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(problem) => {
-            eprintln!("swiftwinch-adapter: {problem}");
+            eprintln!("oakwind-simulator-adapter: {problem}");
             ExitCode::FAILURE
         }
     }
--- a/adapter/src/wire.rs
+++ b/simulator-adapter/src/wire.rs
@@ -4,7 +4,7 @@
 use std::io::{self, Read};
 use std::time::Duration;
 
-use swiftwinch::{Action, Arrival, CallerId, ClassId, Event, Outcome, RequestId, TenantId, TimerId};
+use oakwind_admission::{Action, Arrival, CallerId, ClassId, Event, Outcome, RequestId, TenantId, TimerId};
 
 /// Longest batch accepted; the simulator's are megabytes at most.
 const MAX_FRAME: usize = 1 << 28;
