--- a/fleet/src/lists.rs
+++ b/fleet/src/active_configs.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use crate::list::{List, NodeId};
+use crate::membership_config::{List, NodeId};
 use crate::Time;
 
 /// Lists that may be about at once; a further one has to wait until the oldest is over.
@@ -186,7 +186,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::list::tests::{id, list, plain};
+    use crate::membership_config::tests::{id, list, plain};
     use std::time::Duration;
 
     fn at(seconds: u64) -> Time {
--- a/fleet/src/audit.rs
+++ b/fleet/src/audit.rs
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::chain::Break;
+use crate::hash_chain::Break;
 
 /// By which versions something was decided.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -478,7 +478,7 @@
         assert!(report.nodes[0].unfinished == 1 && report.is_clean());
         let dropped = journal("n1", vec![began.clone(), Record::Dropped { at: 2, count: 7 }]);
         assert_eq!(audit(&[dropped], &TERMS).nodes[0].dropped, 7);
-        let broken = Break { line: 3, what: crate::chain::Wrong::Changed };
+        let broken = Break { line: 3, what: crate::hash_chain::Wrong::Changed };
         let hurt = Journal { breaks: vec![("1.log".into(), broken)], ..journal("n1", vec![began]) };
         let report = audit(&[hurt], &TERMS);
         assert_eq!(report.nodes[0].breaks, ["1.log, line 3: not as it was written"]);
--- a/fleet/src/claims.rs
+++ b/fleet/src/claim_coordinator.rs
@@ -5,11 +5,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use crate::copies::millis;
-use crate::frame::{own, Asked, Blocker, Frame, Why};
-use crate::list::NodeId;
-use crate::lists::Lists;
-use crate::record::{Body, ClaimId, End, Fate, Key};
+use crate::active_configs::Lists;
+use crate::key_state::{Body, ClaimId, End, Fate, Key};
+use crate::membership_config::NodeId;
+use crate::message::{own, Asked, Blocker, Frame, Why};
+use crate::replica_table::millis;
 use crate::{Time, READ_LATE};
 
 /// Claims under way, and ends that not every copy has confirmed.
@@ -446,7 +446,7 @@
 
 impl Claim {
     fn goes_by(&mut self, lists: &Lists) {
-        let of = |list: &std::sync::Arc<crate::list::List>| {
+        let of = |list: &std::sync::Arc<crate::membership_config::List>| {
             (list.number(), list.holders(&self.key), list.majority())
         };
         self.lists = lists.about().iter().map(of).collect();
@@ -573,7 +573,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::list::tests::{at, id, list};
+    use crate::membership_config::tests::{at, id, list};
     use bytes::Bytes;
     use std::sync::Arc;
 
--- a/fleet/src/members.rs
+++ b/fleet/src/failure_detector.rs
@@ -10,9 +10,9 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use crate::copies::Link;
-use crate::frame::{Frame, Rumor, Standing};
-use crate::list::NodeId;
+use crate::membership_config::NodeId;
+use crate::message::{Frame, Rumor, Standing};
+use crate::replica_table::Link;
 use crate::Time;
 
 /// Others that are asked to ask one that did not answer.
--- a/fleet/src/record.rs
+++ b/fleet/src/key_state.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-use crate::list::NodeId;
+use crate::membership_config::NodeId;
 
 /// The key of a request.
 pub type Key = Bytes;
--- a/fleet/src/lib.rs
+++ b/fleet/src/lib.rs
@@ -1,9 +1,9 @@
 //! What a fleet of nodes decides together, so that a keyed request runs once among all of them: who holds copies of a
-//! key ([`list`], [`lists`]), what a copy answers ([`copies`], [`record`]), whether a run may begin and when its result is
-//! safe ([`claims`]), who is heard ([`members`]), whether what a node kept is the last that was known of it ([`marks`]), and
-//! what it has to learn when it comes back ([`catchup`]),
-//! in which stages that is ([`way`]).
-//! [`node`] puts them together. Apart from that, [`audit`] says what the records of all nodes tell, and [`chain`] whether they
+//! key ([`membership_config`], [`active_configs`]), what a copy answers ([`replica_table`], [`key_state`]), whether a run may begin and when its result is
+//! safe ([`claim_coordinator`]), who is heard ([`failure_detector`]), whether what a node kept is the last that was known of it ([`staleness`]), and
+//! what it has to learn when it comes back ([`state_transfer`]),
+//! in which stages that is ([`recovery_stages`]).
+//! [`replica_node`] puts them together. Apart from that, [`audit`] says what the records of all nodes tell, and [`hash_chain`] whether they
 //! are as they were written.
 //!
 //! There is no clock, socket, thread or random source here: time and events come in, actions go out, and random numbers
@@ -11,19 +11,19 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+pub mod active_configs;
 pub mod audit;
-pub mod catchup;
-pub mod chain;
-pub mod claims;
-pub mod copies;
-pub mod frame;
-pub mod list;
-pub mod lists;
-pub mod marks;
-pub mod members;
-pub mod node;
-pub mod record;
-pub mod way;
+pub mod claim_coordinator;
+pub mod failure_detector;
+pub mod hash_chain;
+pub mod key_state;
+pub mod membership_config;
+pub mod message;
+pub mod recovery_stages;
+pub mod replica_node;
+pub mod replica_table;
+pub mod staleness;
+pub mod state_transfer;
 
 use std::time::Duration;
 
--- a/fleet/src/frame.rs
+++ b/fleet/src/message.rs
@@ -4,9 +4,9 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-use crate::list::{NodeId, Plain};
-use crate::marks::Mark;
-use crate::record::{Body, ClaimId, End, Key};
+use crate::key_state::{Body, ClaimId, End, Key};
+use crate::membership_config::{NodeId, Plain};
+use crate::staleness::Mark;
 
 /// Kinds of frames that this build knows; later ones have higher numbers.
 pub const KINDS: u32 = 22;
--- a/fleet/src/node.rs
+++ b/fleet/src/replica_node.rs
@@ -6,16 +6,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::catchup::{Catchup, Donor};
-use crate::claims::{Claims, Do, Said, Token, Wanted};
-use crate::copies::{millis, Change, Copies, Link, Outcome};
-use crate::frame::{Copied, Frame, Hello, Page, Standing, Why};
-use crate::list::{List, NodeId};
-use crate::lists::{Lists, Offer};
-use crate::marks::{Mark, Marks};
-use crate::members::{Counts, Members, Say};
-use crate::record::{ClaimId, End, Fate, Key};
-use crate::way::{Allows, Seen, Stage, Step, Way};
+use crate::active_configs::{Lists, Offer};
+use crate::claim_coordinator::{Claims, Do, Said, Token, Wanted};
+use crate::failure_detector::{Counts, Members, Say};
+use crate::key_state::{ClaimId, End, Fate, Key};
+use crate::membership_config::{List, NodeId};
+use crate::message::{Copied, Frame, Hello, Page, Standing, Why};
+use crate::recovery_stages::{Allows, Seen, Stage, Step, Way};
+use crate::replica_table::{millis, Change, Copies, Link, Outcome};
+use crate::staleness::{Mark, Marks};
+use crate::state_transfer::{Catchup, Donor};
 use crate::Time;
 
 /// The link of a node with itself.
@@ -883,7 +883,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::list::tests::{at, id, list, plain};
+    use crate::membership_config::tests::{at, id, list, plain};
     use bytes::Bytes;
 
     fn settings(n: usize, life: u64, kept: bool) -> Settings {
@@ -1217,7 +1217,7 @@
         }
         place.wait(200);
         let mut out = Vec::new();
-        let asked = crate::frame::Asked {
+        let asked = crate::message::Asked {
             claim: ClaimId { node: id(1), life: 1, number: 1 },
             key: "k".into(),
             body: 1,
--- a/fleet/src/copies.rs
+++ b/fleet/src/replica_table.rs
@@ -5,10 +5,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::frame::{own, Asked, Blocker, Copied, Frame, Page, Position, Sound, Why};
-use crate::list::{List, NodeId};
-use crate::lists::Lists;
-use crate::record::{ClaimId, End, Fate, Key, Known};
+use crate::active_configs::Lists;
+use crate::key_state::{ClaimId, End, Fate, Key, Known};
+use crate::membership_config::{List, NodeId};
+use crate::message::{own, Asked, Blocker, Copied, Frame, Page, Position, Sound, Why};
 use crate::{Time, LONGEST_RESULT, READ_LATE};
 
 /// Memory that an entry takes beside its key and its result, by a generous estimate.
@@ -489,7 +489,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::list::tests::{at, id, list};
+    use crate::membership_config::tests::{at, id, list};
     use bytes::Bytes;
     use std::sync::Arc;
     use Fate;
--- a/fleet/src/marks.rs
+++ b/fleet/src/staleness.rs
@@ -9,7 +9,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::list::NodeId;
+use crate::membership_config::NodeId;
 
 /// What a node kept may end so many seconds before the last that others heard of it: it is written down once a second, and
 /// seconds are whole.
--- a/fleet/src/catchup.rs
+++ b/fleet/src/state_transfer.rs
@@ -10,9 +10,9 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::copies::Link;
-use crate::frame::{Copied, Frame, Page, Position, Sound};
-use crate::list::NodeId;
+use crate::membership_config::NodeId;
+use crate::message::{Copied, Frame, Page, Position, Sound};
+use crate::replica_table::Link;
 use crate::Time;
 
 /// Donors that are asked at a time.
--- a/fleet/tests/golden.rs
+++ b/fleet/tests/golden.rs
@@ -8,13 +8,13 @@
 
 use bytes::Bytes;
 use oakwind_fleet::audit::{Decided, Record, Versions};
-use oakwind_fleet::chain::{read, Chain};
-use oakwind_fleet::frame::{
+use oakwind_fleet::hash_chain::{read, Chain};
+use oakwind_fleet::key_state::{ClaimId, End, Fate};
+use oakwind_fleet::membership_config::{List, Member, NodeId, Plain};
+use oakwind_fleet::message::{
     Asked, Blocker, Copied, Frame, Hello, Page, Position, Rumor, Sound, Standing, Why, KINDS,
 };
-use oakwind_fleet::list::{List, Member, NodeId, Plain};
-use oakwind_fleet::marks::Mark;
-use oakwind_fleet::record::{ClaimId, End, Fate};
+use oakwind_fleet::staleness::Mark;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
--- a/fleet/tests/lists/mod.rs
+++ b/fleet/tests/lists/mod.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use oakwind_fleet::list::{List, Member, Plain};
+use oakwind_fleet::membership_config::{List, Member, Plain};
 
 /// The name of a node.
 pub fn name(n: usize) -> String {
--- a/fleet/tests/model.rs
+++ b/fleet/tests/model.rs
@@ -11,12 +11,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use oakwind_fleet::claims::{Claims, Do, Said, Token, Wanted};
-use oakwind_fleet::copies::{Copies, Outcome};
-use oakwind_fleet::frame::{Frame, Sound};
-use oakwind_fleet::list::{List, NodeId};
-use oakwind_fleet::lists::Lists;
-use oakwind_fleet::record::{Fate, Key};
+use oakwind_fleet::active_configs::Lists;
+use oakwind_fleet::claim_coordinator::{Claims, Do, Said, Token, Wanted};
+use oakwind_fleet::key_state::{Fate, Key};
+use oakwind_fleet::membership_config::{List, NodeId};
+use oakwind_fleet::message::{Frame, Sound};
+use oakwind_fleet::replica_table::{Copies, Outcome};
 use oakwind_fleet::Time;
 use stateright::{Checker, Model, Property};
 
--- a/fleet/tests/sim.rs
+++ b/fleet/tests/sim.rs
@@ -9,12 +9,12 @@
 use std::time::Duration;
 
 use lists::{list, name};
-use oakwind_fleet::claims::{Said, Token, Wanted};
-use oakwind_fleet::frame::{Copied, Frame};
-use oakwind_fleet::list::{List, NodeId};
-use oakwind_fleet::marks::Mark;
-use oakwind_fleet::node::{Action, Event, Fleet, Kept, Note, Settings, TICK};
-use oakwind_fleet::record::{ClaimId, Fate, Key};
+use oakwind_fleet::claim_coordinator::{Said, Token, Wanted};
+use oakwind_fleet::key_state::{ClaimId, Fate, Key};
+use oakwind_fleet::membership_config::{List, NodeId};
+use oakwind_fleet::message::{Copied, Frame};
+use oakwind_fleet::replica_node::{Action, Event, Fleet, Kept, Note, Settings, TICK};
+use oakwind_fleet::staleness::Mark;
 use oakwind_fleet::Time;
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
--- a/node/src/operators.rs
+++ b/node/src/admin.rs
@@ -14,13 +14,13 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
+use crate::class_registry::Names;
 use crate::clock;
 use crate::exchange::Exchange;
-use crate::fronts::guests::{Guest, Standing, OWED};
-use crate::fronts::part;
+use crate::frontend::connection_limiter::{Guest, Standing, OWED};
+use crate::frontend::part;
 use crate::http::{call, response, MAX_HEAD};
 use crate::log;
-use crate::names::Names;
 
 /// Connections of operators at a time. Where one more comes, one that has asked nothing yet goes.
 pub const ROOM: usize = 16;
--- a/node/src/backends/index.rs
+++ b/node/src/backend/index.rs
@@ -14,7 +14,7 @@
 use crate::clock::{self, Unix};
 use crate::config::Links;
 use crate::exchange::{CallEnd, Request};
-use crate::lines::{self, put, Link};
+use crate::line_codec::{self, put, Link};
 use crate::log;
 use crate::sockets;
 
@@ -85,7 +85,8 @@
         put(&mut link.output, &[b"GET", txn, left.as_bytes()], Some(body));
         let mut begun = None;
         loop {
-            while let Some(message) = lines::take(&mut link.input, |words| words.nth(1) == Some(b"HIT"))? {
+            while let Some(message) = line_codec::take(&mut link.input, |words| words.nth(1) == Some(b"HIT"))?
+            {
                 let end = match (&message.word(1)[..], &message.body) {
                     (b"HIT", Some(reply)) => CallEnd::Ok(reply.clone()),
                     (b"SHED", _) => CallEnd::Refused,
@@ -107,7 +108,7 @@
             tokio::select! {
                 turned = link.turn() => turned?,
                 () = clock::until(whole_by) => {
-                    return if begun.is_some() { Err(lines::stalled()) } else { Ok(CallEnd::TimedOut) };
+                    return if begun.is_some() { Err(line_codec::stalled()) } else { Ok(CallEnd::TimedOut) };
                 }
             }
         }
--- a/node/src/backends/interpreter.rs
+++ b/node/src/backend/interpreter.rs
@@ -9,12 +9,12 @@
 use bytes::{BufMut, Bytes, BytesMut};
 use tokio::sync::{mpsc, watch};
 
+use crate::class_registry::Names;
 use crate::clock::{self, Unix};
 use crate::config::Links;
 use crate::exchange::{End, Exchange, Report, Request, RunCommand};
-use crate::lines::{self, put, Link, Message};
+use crate::line_codec::{self, put, Link, Message};
 use crate::log;
-use crate::names::Names;
 use crate::sockets;
 
 /// Between two attempts at a link; one that held for longer is made anew at once.
@@ -113,7 +113,7 @@
         link.output.put_slice(format!("CONNECT {}\r\n", self.read).as_bytes());
         let (mut synced, mut begun) = (false, None);
         loop {
-            while let Some(message) = lines::take(&mut link.input, has_body)? {
+            while let Some(message) = line_codec::take(&mut link.input, has_body)? {
                 begun = None;
                 if self.heard(message, &mut link.output).await? {
                     synced = true;
@@ -130,7 +130,7 @@
             let room = link.has_room();
             tokio::select! {
                 turned = link.turn() => turned?,
-                () = stalled => return Err(lines::stalled()),
+                () = stalled => return Err(line_codec::stalled()),
                 // Runs and the numbers of notices carry on over the link to the new address.
                 Ok(()) = self.links.changed() => return Ok(Over::Address),
                 command = self.commands.recv(), if room => {
--- a/node/src/backends/uwsgi.rs
+++ b/node/src/backend/uwsgi.rs
@@ -13,12 +13,12 @@
 use tokio::sync::{mpsc, watch};
 
 use super::{Callee, UnderWay};
+use crate::class_registry::Names;
 use crate::clock::{self, Unix};
 use crate::config::Links;
 use crate::exchange::{CallEnd, End, Exchange, Report, Request, RunCommand};
 use crate::http::{MAX_FIELDS, MAX_HEAD};
 use crate::log;
-use crate::names::Names;
 use crate::sockets;
 use crate::uwsgi::packet;
 
--- a/node/src/commands.rs
+++ b/node/src/commands.rs
@@ -6,7 +6,7 @@
 use oakwind_fleet::audit::{audit, explain, Decided, Journal, Record, Report, Terms};
 use serde::Serialize;
 
-use crate::records;
+use crate::decision_log;
 
 /// Look into the records of a fleet's nodes.
 #[derive(FromArgs)]
@@ -74,7 +74,8 @@
     if folders.is_empty() {
         return Err("name at least one folder of records".into());
     }
-    let read = |folder: &PathBuf| records::read(folder).map_err(|e| format!("{}: {e}", folder.display()));
+    let read =
+        |folder: &PathBuf| decision_log::read(folder).map_err(|e| format!("{}: {e}", folder.display()));
     folders.iter().map(read).collect()
 }
 
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use oakwind_admission::{Class, Effect};
-use oakwind_fleet::list::{List, Member, NodeId, Plain};
+use oakwind_fleet::membership_config::{List, Member, NodeId, Plain};
 use oakwind_settings::Parsed;
 use serde::Deserialize;
 use serde_json::value::{RawValue, Value};
--- a/node/src/records.rs
+++ b/node/src/decision_log.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 use oakwind_fleet::audit::{Decided, Journal, Record, Versions};
-use oakwind_fleet::chain::{self, Break, Chain, Wrong};
+use oakwind_fleet::hash_chain::{self, Break, Chain, Wrong};
 use serde_json::Value;
 use sha2::{Digest, Sha256};
 
@@ -222,7 +222,7 @@
         let mut chain = Chain::default();
         if let Some((first, last)) = files(&config.folder)?.pop_last() {
             chain = Chain::before(first);
-            chain::read(&String::from_utf8_lossy(&fs::read(last)?), &mut chain);
+            hash_chain::read(&String::from_utf8_lossy(&fs::read(last)?), &mut chain);
         }
         Ok(Files {
             folder: config.folder.clone(),
@@ -283,7 +283,7 @@
     for path in all.into_values() {
         let file = path.file_name().map(|name| name.to_string_lossy().into_owned()).unwrap_or_default();
         let text = String::from_utf8_lossy(&fs::read(&path)?).into_owned();
-        let read = chain::read(&text, &mut chain);
+        let read = hash_chain::read(&text, &mut chain);
         for (_, line) in read.records {
             // A later build may know other records.
             let Ok(record) = serde_json::from_str::<Record>(line) else { continue };
--- a/node/src/core.rs
+++ b/node/src/dispatcher.rs
@@ -1,7 +1,7 @@
 //! Drives the decisions: gathers what happened in one wake-up into one call of [`Admission::handle`], carries
 //! out its actions, and keeps the table of requests, the table of keys and the timers. It knows no wire.
 
-mod keys;
+mod idempotency;
 
 use std::cell::Cell;
 use std::cmp::Reverse;
@@ -19,15 +19,15 @@
 use tokio::sync::mpsc;
 
 use crate::clock::{self, Unix};
+use crate::decision_log::{self, Recorder};
 use crate::exchange::{
     CallCommand, CallEnd, Claim, CoreEnds, End, Estate, Input, Outcome, Report, Request, RunCommand, State,
     Ticket,
 };
-use crate::fate::{digest, Fate, Kept, Key, KeyRecord};
-use crate::keeper::{Keeper, Run, Word};
 use crate::log;
-use crate::records::{self, Recorder};
-use keys::{Keys, Linked};
+use crate::outcome::{digest, Fate, Kept, Key, KeyRecord};
+use crate::run_gate::{Keeper, Run, Word};
+use idempotency::{Keys, Linked};
 
 /// The gauges are asked for this long before the timer that they go with, as the answer takes a moment.
 const GAUGE_LEAD: Duration = Duration::from_millis(5);
@@ -190,7 +190,7 @@
 
     /// Gives a request its outcome, and records that.
     fn turn(&self, request: &Request, ticket: Ticket, outcome: Outcome) {
-        self.recorded(records::decided(&outcome), request);
+        self.recorded(decision_log::decided(&outcome), request);
         ticket.answer(outcome);
     }
 
--- a/node/src/core/keys.rs
+++ b/node/src/dispatcher/idempotency.rs
@@ -8,7 +8,7 @@
 use oakwind_admission::RequestId;
 
 use crate::clock::Unix;
-use crate::fate::{digest, Fate, Kept, Key, LONGEST_RESULT, READ_LATE};
+use crate::outcome::{digest, Fate, Kept, Key, LONGEST_RESULT, READ_LATE};
 
 /// Memory that a remembered key takes, by a generous estimate, beside its result.
 const ENTRY_BYTES: usize = 512;
--- a/node/src/exchange.rs
+++ b/node/src/exchange.rs
@@ -11,9 +11,9 @@
 use tokio::sync::{mpsc, watch};
 
 use crate::clock::Unix;
-use crate::fate::KeyRecord;
-pub use crate::fate::{End, Outcome};
-use crate::figures::Figures;
+use crate::metrics::Figures;
+use crate::outcome::KeyRecord;
+pub use crate::outcome::{End, Outcome};
 
 /// Inputs that may wait for the core; who has more to say waits with it.
 const INBOX: usize = 1024;
--- a/node/src/fronts/jsonrpc.rs
+++ b/node/src/frontend/jsonrpc.rs
@@ -15,13 +15,13 @@
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, watch};
 
-use super::guests::{Guest, Standing, OWED};
-use super::unread::Unread;
+use super::connection_limiter::{Guest, Standing, OWED};
+use super::write_backlog::Unread;
 use super::{booked, part};
+use crate::class_registry::Names;
 use crate::clock::{self, Unix};
 use crate::exchange::{Claim, Exchange, Outcome, Request, State, Ticket};
 use crate::log;
-use crate::names::Names;
 
 /// Requests that may be open on one connection.
 const MAX_OPEN: usize = 32;
--- a/node/src/fronts/mod.rs
+++ b/node/src/frontend/mod.rs
@@ -1,9 +1,9 @@
 //! The server side: what clients speak to.
 
-pub mod guests;
+pub mod connection_limiter;
 pub mod jsonrpc;
-mod unread;
 pub mod uwsgi;
+mod write_backlog;
 
 use std::io;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use tokio::net::TcpStream;
 
 use crate::clock;
-use guests::{Guest, Standing};
+use connection_limiter::{Guest, Standing};
 
 /// How long, and how often, a connection is read from after its last answer.
 const PARTING: Duration = Duration::from_secs(2);
--- a/node/src/fronts/uwsgi.rs
+++ b/node/src/frontend/uwsgi.rs
@@ -19,13 +19,13 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 
-use super::guests::{Guest, Standing, OWED};
+use super::connection_limiter::{Guest, Standing, OWED};
 use super::{booked, part};
+use crate::class_registry::Names;
 use crate::clock::{self, Unix};
 use crate::exchange::{Exchange, Outcome, Request, Ticket};
 use crate::http;
 use crate::log;
-use crate::names::Names;
 use crate::uwsgi::{Head, Vars, HEAD};
 
 /// The most bytes of variables and of body.
--- a/node/src/handover.rs
+++ b/node/src/handover.rs
@@ -24,9 +24,9 @@
 
 use crate::clock::{self, Unix};
 use crate::exchange::{Estate, Exchange};
-use crate::fate::{Fate, KeyRecord};
-use crate::lines::{self, put, Message, MAX_BODY};
+use crate::line_codec::{self, put, Message, MAX_BODY};
 use crate::log;
+use crate::outcome::{Fate, KeyRecord};
 
 /// The old process owes its table this long after it was asked, and the new one its word after it connected.
 const OWED: Duration = Duration::from_secs(2);
@@ -69,7 +69,7 @@
     let (mut state, owed) = (exchange.state(), clock::now() + OWED);
     let (mut passed, mut told) = (false, false);
     loop {
-        while let Some(message) = lines::take(&mut input, |words| words.next() == Some(b"KEY"))? {
+        while let Some(message) = line_codec::take(&mut input, |words| words.next() == Some(b"KEY"))? {
             match &message.word(0)[..] {
                 b"SEED" => estate.seed = seed(&message)?,
                 b"KEY" => estate.keys.push(record(&message)?),
@@ -88,7 +88,7 @@
                 _ => {}
             },
             passed_on = state.wait_for(|state| state.handed), if !passed => passed = passed_on.is_ok(),
-            () = clock::until(owed), if !whole => return Err(lines::stalled()),
+            () = clock::until(owed), if !whole => return Err(line_codec::stalled()),
         }
         if passed && !std::mem::replace(&mut told, passed) {
             old.write_all(b"PASSED\r\n").await?;
@@ -171,7 +171,7 @@
     }
 }
 
-fn seed(message: &Message) -> Result<u64, lines::Nonsense> {
+fn seed(message: &Message) -> Result<u64, line_codec::Nonsense> {
     let word = message.word(1);
     let text = std::str::from_utf8(&word).ok();
     text.and_then(|text| u64::from_str_radix(text, 16).ok()).ok_or_else(|| message.nonsense())
@@ -190,7 +190,7 @@
     put(output, &[b"KEY", head.as_bytes()], Some(&[key, result].concat()));
 }
 
-fn record(message: &Message) -> Result<KeyRecord, lines::Nonsense> {
+fn record(message: &Message) -> Result<KeyRecord, line_codec::Nonsense> {
     let rest = message.body.clone().unwrap_or_default();
     let end = Some(message.number(4)?).filter(|end| *end <= rest.len()).ok_or_else(|| message.nonsense())?;
     let fate = match &message.word(3)[..] {
--- a/node/src/handover/tests.rs
+++ b/node/src/handover/tests.rs
@@ -13,13 +13,13 @@
     for fate in [Fate::Open, Fate::Done("x\r\n".into()), Fate::Failed, Fate::NeverRan] {
         let (sent, mut buffer) = (record_of(fate), BytesMut::new());
         put_record(&mut buffer, &sent);
-        let message = lines::take(&mut buffer, |words| words.next() == Some(b"KEY")).unwrap().unwrap();
+        let message = line_codec::take(&mut buffer, |words| words.next() == Some(b"KEY")).unwrap().unwrap();
         assert_eq!(record(&message).unwrap(), sent);
     }
     let mut buffer = BytesMut::new();
     put_record(&mut buffer, &record_of(Fate::Done(vec![0; MAX_BODY].into())));
-    let message = lines::take(&mut buffer, |_| true).unwrap().unwrap();
+    let message = line_codec::take(&mut buffer, |_| true).unwrap().unwrap();
     assert_eq!(record(&message).unwrap().fate, Fate::Failed);
     let mut wrong = BytesMut::from(&b"KEY 1 2 open 9 1\r\nx\r\n"[..]);
-    assert!(record(&lines::take(&mut wrong, |_| true).unwrap().unwrap()).is_err());
+    assert!(record(&line_codec::take(&mut wrong, |_| true).unwrap().unwrap()).is_err());
 }
--- a/node/src/handover/tests/golden.rs
+++ b/node/src/handover/tests/golden.rs
@@ -84,7 +84,7 @@
     let all = [OPEN, DONE, FAILED, FREE].concat();
     let mut input = BytesMut::from(&bytes(&all)[..]);
     for expected in [open(), done(), failed(), free()] {
-        let message = lines::take(&mut input, |words| words.next() == Some(b"KEY")).unwrap().unwrap();
+        let message = line_codec::take(&mut input, |words| words.next() == Some(b"KEY")).unwrap().unwrap();
         assert_eq!(record(&message).unwrap(), expected);
     }
     assert!(input.is_empty());
@@ -105,8 +105,8 @@
 
 #[test]
 fn the_digest_of_a_body_is_the_same_in_every_release() {
-    assert_eq!(format!("{:x}", crate::fate::digest(THE_SEED, b"a body")), "368d9b8f0942b73b");
-    assert_eq!(format!("{:x}", crate::fate::digest(0, b"")), "d1fba762150c532c");
+    assert_eq!(format!("{:x}", crate::outcome::digest(THE_SEED, b"a body")), "368d9b8f0942b73b");
+    assert_eq!(format!("{:x}", crate::outcome::digest(0, b"")), "d1fba762150c532c");
 }
 
 #[test]
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -2,27 +2,27 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod backends;
+mod admin;
+mod backend;
+mod class_registry;
 mod clock;
 mod commands;
 mod config;
-mod core;
+mod decision_log;
+mod dispatcher;
 mod exchange;
-mod fate;
-mod figures;
-mod fronts;
+mod frontend;
 mod handover;
+mod heartbeat;
 mod http;
-mod keeper;
-mod lines;
+mod line_codec;
 mod log;
-mod membership;
-mod names;
-mod operators;
+mod metrics;
+mod outcome;
 mod peers;
-mod records;
-mod remembered;
-mod serve;
+mod result_store;
+mod run_gate;
+mod server;
 mod sockets;
 mod uwsgi;
 mod vrrp;
@@ -100,7 +100,7 @@
     let arguments: Arguments = argh::from_env();
     let done = match arguments.command {
         Command::Serve(Serve { config, uwsgi, remembered, fleet, records }) => {
-            serve::serve(&Files { config, uwsgi, remembered, fleet, records }).map(|()| true)
+            server::serve(&Files { config, uwsgi, remembered, fleet, records }).map(|()| true)
         }
         Command::Check(Check { config, uwsgi, remembered, fleet, records }) => {
             let checked = Files { config, uwsgi, remembered, fleet, records }.read_for_start();
--- a/node/src/figures.rs
+++ b/node/src/metrics.rs
@@ -3,7 +3,7 @@
 use std::cell::{Cell, RefCell};
 use std::fmt::Write;
 
-use crate::fate::Outcome;
+use crate::outcome::Outcome;
 
 /// Every name begins with this.
 const PREFIX: &str = "svc";
--- a/node/src/peers/links.rs
+++ b/node/src/peers/links.rs
@@ -9,15 +9,15 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use oakwind_fleet::copies::Link;
-use oakwind_fleet::frame::Frame;
-use oakwind_fleet::list::NodeId;
+use oakwind_fleet::membership_config::NodeId;
+use oakwind_fleet::message::Frame;
+use oakwind_fleet::replica_table::Link;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, Notify};
 use tokio::task::spawn_local;
 
-use super::frame::{put, take, Taken, MAGIC};
+use super::message_codec::{put, take, Taken, MAGIC};
 use crate::clock::{self, Unix};
 use crate::{log, sockets};
 
--- a/node/src/peers/links/tests.rs
+++ b/node/src/peers/links/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use bytes::Bytes;
-use oakwind_fleet::frame::Hello;
-use oakwind_fleet::record::{ClaimId, End, Fate};
+use oakwind_fleet::key_state::{ClaimId, End, Fate};
+use oakwind_fleet::message::Hello;
 use tokio::net::TcpListener;
 use tokio::task::LocalSet;
 
--- a/node/src/peers/frame.rs
+++ b/node/src/peers/message_codec.rs
@@ -2,9 +2,9 @@
 //! nonsense and ends the link; a kind that this build does not know is skipped.
 
 use bytes::{Buf, BufMut, BytesMut};
-use oakwind_fleet::frame::{Frame, KINDS};
+use oakwind_fleet::message::{Frame, KINDS};
 
-use crate::fate::digest;
+use crate::outcome::digest;
 
 /// What every link begins with, each way: the protocol and its version.
 pub const MAGIC: &[u8; 8] = b"OAKPEER1";
--- a/node/src/peers/frame/tests.rs
+++ b/node/src/peers/message_codec/tests.rs
@@ -2,10 +2,10 @@
 
 use super::*;
 use bytes::Bytes;
-use oakwind_fleet::frame::{Blocker, Hello, Page, Sound, Why};
-use oakwind_fleet::list::NodeId;
-use oakwind_fleet::marks::Mark;
-use oakwind_fleet::record::{ClaimId, End, Fate};
+use oakwind_fleet::key_state::{ClaimId, End, Fate};
+use oakwind_fleet::membership_config::NodeId;
+use oakwind_fleet::message::{Blocker, Hello, Page, Sound, Why};
+use oakwind_fleet::staleness::Mark;
 
 fn claim() -> ClaimId {
     ClaimId { node: NodeId(1), life: 2, number: 3 }
--- a/node/src/peers/mod.rs
+++ b/node/src/peers/mod.rs
@@ -1,9 +1,9 @@
 //! Talk among the nodes of a fleet: what the decisions of `oakwind-fleet` say goes out on links, what comes in goes to
 //! them, and what they tell a try goes to the keeper. No decision is made here.
 
-mod folder;
-pub mod frame;
 pub mod links;
+pub mod message_codec;
+mod vote_store;
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -13,12 +13,12 @@
 
 use bytes::Bytes;
 use oakwind_admission::RequestId;
-use oakwind_fleet::claims::{Said, Token, Wanted};
-use oakwind_fleet::copies::{Change, Link};
-use oakwind_fleet::frame::{Frame, Hello, Why};
-use oakwind_fleet::list::NodeId;
-use oakwind_fleet::node::{Action, Event, Figures, Fleet, Note, Settings, TICK};
-use oakwind_fleet::record::{ClaimId, Fate};
+use oakwind_fleet::claim_coordinator::{Said, Token, Wanted};
+use oakwind_fleet::key_state::{ClaimId, Fate};
+use oakwind_fleet::membership_config::NodeId;
+use oakwind_fleet::message::{Frame, Hello, Why};
+use oakwind_fleet::replica_node::{Action, Event, Figures, Fleet, Note, Settings, TICK};
+use oakwind_fleet::replica_table::{Change, Link};
 use oakwind_fleet::Time;
 use sha2::{Digest, Sha256};
 use tokio::net::{TcpListener, TcpStream};
@@ -27,11 +27,11 @@
 use crate::clock::{self, Unix};
 use crate::config::Fleet as Config;
 use crate::exchange::Exchange;
-use crate::remembered::record::{Record, State};
-use crate::remembered::{Remembrance, Told};
+use crate::result_store::record::{Record, State};
+use crate::result_store::{Remembrance, Told};
 use crate::{log, sockets};
-use folder::{Marker, Opened};
 use links::{Heard, Links};
+use vote_store::{Marker, Opened};
 
 /// What may wait for the peers, and what they may have to tell; who finds no room is turned away.
 const WAITING: usize = 4096;
@@ -231,7 +231,7 @@
         let address = driver.config.listen;
         let listener = sockets::listen(address, false);
         driver.listener = Some(listener.map_err(|e| format!("fleet file, listen: {address}: {e}"))?);
-        driver.opened = folder::open(&driver.config)?;
+        driver.opened = vote_store::open(&driver.config)?;
     }
     Ok((Peers { orders, told, clock, shown }, driver))
 }
@@ -259,7 +259,7 @@
             if !self.begins().await {
                 return;
             }
-            self.opened = folder::open_soon(&self.config).await;
+            self.opened = vote_store::open_soon(&self.config).await;
         }
         let Driver { config, clock, seed, mut orders, tell, shown, mut listener, opened, exchange } = self;
         let (mut folder, kept) = opened.unzip();
@@ -341,7 +341,7 @@
                     talk.marker.iter_mut().for_each(Marker::rest);
                 }
                 Some(Event::Resume(_)) if folder.is_none() => {
-                    folder = folder::open_soon(&config).await.map(|(folder, _)| folder);
+                    folder = vote_store::open_soon(&config).await.map(|(folder, _)| folder);
                 }
                 _ => {}
             }
--- a/node/src/peers/folder.rs
+++ b/node/src/peers/vote_store.rs
@@ -5,17 +5,17 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use oakwind_fleet::frame::Copied;
-use oakwind_fleet::marks::Mark;
-use oakwind_fleet::node::Kept;
-use oakwind_fleet::record::ClaimId;
+use oakwind_fleet::key_state::ClaimId;
+use oakwind_fleet::message::Copied;
+use oakwind_fleet::replica_node::Kept;
+use oakwind_fleet::staleness::Mark;
 use oakwind_fleet::READ_LATE;
 
 use crate::clock;
 use crate::config::Fleet as Config;
-use crate::fate::Fate;
 use crate::log;
-use crate::remembered::Remembrance;
+use crate::outcome::Fate;
+use crate::result_store::Remembrance;
 
 /// Between two attempts to open a folder that another process still has, and how long they go on.
 const AGAIN: Duration = Duration::from_millis(10);
--- a/node/src/remembered/folder.rs
+++ b/node/src/result_store/folder.rs
@@ -7,12 +7,12 @@
 
 use bytes::{Bytes, BytesMut};
 
-use super::ledger::{needed, Ledger, Limits, Step};
 use super::record::{self, Found, Record, SegmentHead, State, SEGMENT_HEAD};
 use super::recovery::{recover, Recovered, Segment};
+use super::segment_index::{needed, Ledger, Limits, Step};
 use crate::clock::Unix;
-use crate::fate::LONGEST_RESULT;
 use crate::log;
+use crate::outcome::LONGEST_RESULT;
 
 const LOCK: &str = "lock";
 const SEED: &str = "seed";
--- a/node/src/remembered/folder/tests.rs
+++ b/node/src/result_store/folder/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::fate::Fate;
+use crate::outcome::Fate;
 use std::cell::Cell;
 use std::collections::HashMap;
 use std::rc::Rc;
--- a/node/src/remembered/mod.rs
+++ b/node/src/result_store/mod.rs
@@ -5,9 +5,9 @@
 //! disk, so it has a thread of its own; records that come meanwhile share the next wait.
 
 pub mod folder;
-pub mod ledger;
 pub mod record;
 pub mod recovery;
+pub mod segment_index;
 
 use std::io;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -22,9 +22,9 @@
 use crate::config::Remembered;
 use crate::log;
 use folder::{Folder, System};
-use ledger::Limits;
 use record::Record;
 use recovery::{Doubts, Recovered};
+use segment_index::Limits;
 
 /// Records that may wait for the disk, and answers about them; what finds no room is not kept.
 const WAITING: usize = 4096;
--- a/node/src/remembered/record.rs
+++ b/node/src/result_store/record.rs
@@ -8,7 +8,7 @@
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
 use crate::clock::{millis, Unix};
-use crate::fate::digest;
+use crate::outcome::digest;
 
 /// Bytes before a record's key.
 pub const HEAD: usize = 60;
--- a/node/src/remembered/recovery.rs
+++ b/node/src/result_store/recovery.rs
@@ -8,10 +8,10 @@
 
 use bytes::Bytes;
 
-use super::ledger::{Ledger, Limits};
 use super::record::{self, Found, Record, State, SEGMENT_HEAD};
+use super::segment_index::{Ledger, Limits};
 use crate::clock::Unix;
-use crate::fate::{digest, Fate, KeyRecord};
+use crate::outcome::{digest, Fate, KeyRecord};
 
 /// A segment as it was read.
 pub struct Segment {
--- a/node/src/remembered/ledger.rs
+++ b/node/src/result_store/segment_index.rs
@@ -10,7 +10,7 @@
 
 use super::record::{Record, State, HEAD};
 use crate::clock::Unix;
-use crate::fate::{LONGEST_RESULT, READ_LATE};
+use crate::outcome::{LONGEST_RESULT, READ_LATE};
 
 /// The hard bounds of a folder.
 #[derive(Debug, Clone, Copy, PartialEq)]
--- a/node/src/keeper.rs
+++ b/node/src/run_gate.rs
@@ -8,16 +8,16 @@
 
 use bytes::Bytes;
 use oakwind_admission::RequestId;
-use oakwind_fleet::claims::Said;
-use oakwind_fleet::record::Fate;
+use oakwind_fleet::claim_coordinator::Said;
+use oakwind_fleet::key_state::Fate;
 
 use crate::clock::Unix;
 use crate::exchange::Request;
-use crate::fate::{End, Kept, Key, KeyRecord};
-use crate::figures::Figures;
+use crate::metrics::Figures;
+use crate::outcome::{End, Kept, Key, KeyRecord};
 use crate::peers::{Asked, Peers};
-use crate::remembered::record::{Record, State};
-use crate::remembered::{Remembrance, Told};
+use crate::result_store::record::{Record, State};
+use crate::result_store::{Remembrance, Told};
 
 /// The run of a try that holds a key.
 #[derive(Debug, Clone)]
--- a/node/src/serve.rs
+++ b/node/src/server.rs
@@ -7,28 +7,28 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use oakwind_fleet::node::Event;
+use oakwind_fleet::replica_node::Event;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::sync::{mpsc, watch};
 use tokio::task::{spawn_local, LocalSet};
 
-use crate::backends::call;
-use crate::backends::index::Index;
-use crate::backends::interpreter::Interpreter;
-use crate::backends::uwsgi::{self as client, Servers};
+use crate::admin::{self, Office};
+use crate::backend::call;
+use crate::backend::index::Index;
+use crate::backend::interpreter::Interpreter;
+use crate::backend::uwsgi::{self as client, Servers};
+use crate::class_registry::Names;
 use crate::config::{Config, Files, Links, Told};
-use crate::core::Core;
+use crate::decision_log::{digest_of, Recorder};
+use crate::dispatcher::Core;
 use crate::exchange::{self, Estate, Exchange};
-use crate::fronts::guests::{Guest, Guests};
-use crate::fronts::uwsgi::{self, Front, Ids};
-use crate::fronts::{self, jsonrpc};
-use crate::keeper::Keeper;
-use crate::names::Names;
-use crate::operators::{self, Office};
-use crate::records::{digest_of, Recorder};
-use crate::remembered::Remembrance;
-use crate::{clock, handover, log, membership, peers, sockets, vrrp};
+use crate::frontend::connection_limiter::{Guest, Guests};
+use crate::frontend::uwsgi::{self, Front, Ids};
+use crate::frontend::{self, jsonrpc};
+use crate::result_store::Remembrance;
+use crate::run_gate::Keeper;
+use crate::{clock, handover, heartbeat, log, peers, sockets, vrrp};
 
 /// Between two attempts to open a listener.
 const REBIND: Duration = Duration::from_millis(100);
@@ -65,11 +65,11 @@
         let listener = bind("ops", ops, false)?;
         log!("operators call at {}", address(&listener));
         let office = Rc::new(Office { exchange: exchange.clone(), names: names.clone() });
-        let answer = move |stream, guest| operators::serve(stream, guest, office.clone());
-        spawn_local(accept(listener, std::future::pending(), Guests::new(operators::ROOM), answer));
+        let answer = move |stream, guest| admin::serve(stream, guest, office.clone());
+        spawn_local(accept(listener, std::future::pending(), Guests::new(admin::ROOM), answer));
     }
     let linked = fleet.as_ref().map_or(0, |fleet| fleet.links);
-    let own = RESERVED + linked + if config.ops.is_some() { operators::ROOM } else { 0 };
+    let own = RESERVED + linked + if config.ops.is_some() { admin::ROOM } else { 0 };
     let Room { platform, second, backends: each } =
         Room::new(config.sockets.saturating_sub(own), uwsgi.is_some());
     let (platform, second) = (Guests::new(platform), Guests::new(second));
@@ -148,7 +148,7 @@
             let listening = Listening { what: "uwsgi", listen, shared, active };
             spawn_local(listening.keep(first, exchange.clone(), second.clone(), serve));
         }
-        spawn_local(membership::report(config.name.clone(), links, exchange.clone()));
+        spawn_local(heartbeat::report(config.name.clone(), links, exchange.clone()));
         if let Some(place) = &place {
             if upgrade {
                 spawn_local(handover::inherit(place.clone(), exchange.clone()));
@@ -398,7 +398,7 @@
         Some(guest) => drop(spawn_local(serve(stream, guest))),
         None => {
             log!("a connection was closed at once: every other one is busy");
-            spawn_local(fronts::turn_away(stream));
+            spawn_local(frontend::turn_away(stream));
         }
     };
     loop {
--- a/node/tests/sockets/fleet.rs
+++ b/node/tests/sockets/fleet.rs
@@ -1,9 +1,9 @@
 //! Nodes that talk, one at a time or a few: what operators set, what the program says, and what a peer may send it.
 
 use crate::helper::*;
-use oakwind_fleet::frame::{Asked, Frame, Hello, KINDS};
-use oakwind_fleet::list::NodeId;
-use oakwind_fleet::record::ClaimId;
+use oakwind_fleet::key_state::ClaimId;
+use oakwind_fleet::membership_config::NodeId;
+use oakwind_fleet::message::{Asked, Frame, Hello, KINDS};
 use siphasher::sip::SipHasher13;
 use std::hash::Hasher;
 use std::io::{Read, Write};
