--- a/admission/src/admission.rs
+++ b/admission/src/admission.rs
@@ -79,7 +79,7 @@
 #[derive(Debug, Default)]
 struct Request {
     class: usize,
-    kb: f64,
+    memory_kb: f64,
     arrived: f64,
     aim_at: f64,
     due: f64,
@@ -100,7 +100,7 @@
 /// What is known of a class from its requests.
 #[derive(Debug, Default, Clone)]
 struct ClassStats {
-    hint: Mean,
+    cost_hint: Mean,
     on_cores: Mean,
 }
 
@@ -388,15 +388,15 @@
 
     fn describe(&mut self, arrival: &Arrival, class: usize) -> Request {
         let settings = &self.settings.classes[class];
-        let size = self.stats[class].size(arrival.hint);
+        let size = self.stats[class].size(arrival.cost_hint);
         let arrived = self.now - arrival.age.as_secs_f64();
         let patience = if self.settings.passes_patience { arrival.patience } else { None };
         let due = patience.map_or(arrived + settings.deadline.as_secs_f64(), |p| self.now + p.as_secs_f64());
         let due = due.max(self.now).min(self.stop_at.unwrap_or(f64::INFINITY));
-        let stretch = settings.aim_stretch * arrival.hint.unwrap_or_default().as_secs_f64();
+        let stretch = settings.aim_stretch * arrival.cost_hint.unwrap_or_default().as_secs_f64();
         Request {
             class,
-            kb: arrival.kb.max(0.0),
+            memory_kb: arrival.memory_kb.max(0.0),
             arrived,
             aim_at: (arrived + settings.aim.as_secs_f64() + stretch).min(due),
             due,
@@ -485,7 +485,7 @@
         let Some(request) = self.requests.get(&id) else { return false };
         let keyed = self.settings.classes[request.class].effect == Effect::Keyed;
         let entry = if keyed { self.settings.entry_kb } else { 0.0 };
-        let running = request.kb * (self.settings.run_factor - 1.0).max(0.0);
+        let running = request.memory_kb * (self.settings.run_factor - 1.0).max(0.0);
         request.arrived <= self.last_arrival_run
             && !self.hung
             && request.due > self.now
@@ -704,9 +704,9 @@
         let factor = self.settings.run_factor.max(1.0);
         let requests = self.requests.values().map(|r| {
             if matches!(r.phase, Phase::Held | Phase::Joining) {
-                r.kb
+                r.memory_kb
             } else {
-                r.kb * factor
+                r.memory_kb * factor
             }
         });
         requests.sum::<f64>() + self.entries.len() as f64 * self.settings.entry_kb
@@ -889,7 +889,7 @@
             let before = self.requests.values().filter(|r| at_call(r) && r.value >= request.value);
             let calls_full = request.may_call && before.count() >= call_bound;
             let Some(request) = self.requests.get_mut(&id) else { continue };
-            let more = request.kb * (factor - 1.0);
+            let more = request.memory_kb * (factor - 1.0);
             if used + more > self.settings.memory_kb * MEMORY || calls_full {
                 continue;
             }
@@ -1015,10 +1015,10 @@
 
 impl ClassStats {
     /// A request's size beside the class's mean, from its hint.
-    fn size(&mut self, hint: Option<Duration>) -> f64 {
-        let Some(hint) = hint.map(|h| h.as_secs_f64()).filter(|h| *h > 0.0) else { return 1.0 };
-        self.hint.add(hint, BLEND);
-        (hint / self.hint.value).clamp(0.2, 5.0)
+    fn size(&mut self, cost_hint: Option<Duration>) -> f64 {
+        let Some(cost_hint) = cost_hint.map(|h| h.as_secs_f64()).filter(|h| *h > 0.0) else { return 1.0 };
+        self.cost_hint.add(cost_hint, BLEND);
+        (cost_hint / self.cost_hint.value).clamp(0.2, 5.0)
     }
 }
 
--- a/admission/src/interface.rs
+++ b/admission/src/interface.rs
@@ -215,9 +215,9 @@
     /// Its tenant.
     pub tenant: TenantId,
     /// A rough hint of its work, as time on a standard core.
-    pub hint: Option<Duration>,
+    pub cost_hint: Option<Duration>,
     /// Its memory while held.
-    pub kb: f64,
+    pub memory_kb: f64,
     /// How long ago it reached the machine.
     pub age: Duration,
     /// Its place from 0 to 1, see [`Signal::Level`].
@@ -236,8 +236,8 @@
             repeats: None,
             class,
             tenant: TenantId(0),
-            hint: None,
-            kb: 1.0,
+            cost_hint: None,
+            memory_kb: 1.0,
             age: Duration::ZERO,
             rank: 0.5,
             caller: CallerId(0),
--- a/admission/tests/ledger.rs
+++ b/admission/tests/ledger.rs
@@ -39,7 +39,7 @@
 struct Try {
     class: usize,
     effect: u32,
-    kb: f64,
+    memory_kb: f64,
     arrived: u64,
     due: u64,
     state: State,
@@ -189,13 +189,13 @@
         let deadline = self.settings.classes[class].deadline.as_micros() as u64;
         let patience = 200_000 + self.dice.below(deadline);
         let due = if self.settings.passes_patience { self.now + patience } else { arrived + deadline };
-        let kb = 1.0 + self.dice.below(30) as f64;
+        let memory_kb = 1.0 + self.dice.below(30) as f64;
         self.tries.insert(
             id,
             Try {
                 class,
                 effect,
-                kb,
+                memory_kb,
                 arrived,
                 due: due.max(self.now),
                 state: State::Held,
@@ -212,8 +212,8 @@
         self.events.push(Event::Arrived(Arrival {
             repeats,
             tenant: TenantId(self.dice.below(3) as u16),
-            hint: (self.dice.chance(50) && self.hints).then(|| ms(1 + self.dice.below(500))),
-            kb,
+            cost_hint: (self.dice.chance(50) && self.hints).then(|| ms(1 + self.dice.below(500))),
+            memory_kb,
             age: Duration::from_micros(age),
             rank: self.dice.below(100) as f64 / 100.0,
             patience: Some(Duration::from_micros(patience)),
@@ -464,8 +464,8 @@
         for (id, t) in &self.tries {
             match t.state {
                 State::Over => {}
-                State::Held | State::Joining => memory += t.kb,
-                _ => memory += t.kb * factor,
+                State::Held | State::Joining => memory += t.memory_kb,
+                _ => memory += t.memory_kb * factor,
             }
             running += f64::from(u8::from(t.state == State::Running));
             calling += f64::from(u8::from(t.state == State::Calling));
--- a/fleet/src/active_configs.rs
+++ b/fleet/src/active_configs.rs
@@ -4,11 +4,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use crate::membership_config::{List, NodeId};
+use crate::membership_config::{MembershipConfig, NodeId};
 use crate::Time;
 
 /// Lists that may be about at once; a further one has to wait until the oldest is over.
-pub const MOST_ABOUT: usize = 4;
+pub const MAX_ACTIVE_CONFIGS: usize = 4;
 
 /// What became of a list that was offered.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -23,9 +23,9 @@
 
 /// The lists that are about, and who has taken which.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Lists {
+pub struct ActiveConfigs {
     /// By number; never empty.
-    about: Vec<Arc<List>>,
+    about: Vec<Arc<MembershipConfig>>,
     /// The highest number that each node has been heard with.
     heard: BTreeMap<NodeId, u64>,
     /// When the oldest is over.
@@ -37,10 +37,10 @@
     me: NodeId,
 }
 
-impl Lists {
+impl ActiveConfigs {
     /// A node that knows of one list.
-    pub fn new(me: NodeId, list: Arc<List>) -> Lists {
-        Lists {
+    pub fn new(me: NodeId, list: Arc<MembershipConfig>) -> ActiveConfigs {
+        ActiveConfigs {
             heard: BTreeMap::new(),
             over_at: None,
             over: 0,
@@ -51,12 +51,12 @@
     }
 
     /// The one that holds: the newest.
-    pub fn newest(&self) -> &Arc<List> {
+    pub fn newest(&self) -> &Arc<MembershipConfig> {
         &self.about[self.about.len() - 1]
     }
 
     /// All that are about, the oldest first.
-    pub fn about(&self) -> &[Arc<List>] {
+    pub fn about(&self) -> &[Arc<MembershipConfig>] {
         &self.about
     }
 
@@ -105,7 +105,7 @@
     }
 
     /// A list of the operators'.
-    pub fn offer(&mut self, list: Arc<List>) -> Offer {
+    pub fn offer(&mut self, list: Arc<MembershipConfig>) -> Offer {
         let (number, newest) = (list.number(), self.newest().number());
         if number < newest {
             return Offer::TurnedDown(format!("list.number: {number} is lower than {newest}, which holds"));
@@ -123,9 +123,9 @@
                 "list.number: {number} is the number of the list that holds, and that one says something else"
             ));
         }
-        if self.about.len() >= MOST_ABOUT {
+        if self.about.len() >= MAX_ACTIVE_CONFIGS {
             return Offer::TurnedDown(format!(
-                "list.number: {MOST_ABOUT} lists are about; wait until {} is over",
+                "list.number: {MAX_ACTIVE_CONFIGS} lists are about; wait until {} is over",
                 self.about[0].number()
             ));
         }
@@ -137,8 +137,8 @@
     }
 
     /// A list that a peer goes by: claims need a majority in it too from now on. Returns whether it was news.
-    pub fn learn(&mut self, list: Arc<List>) -> bool {
-        if !self.lacks(list.number()) || self.about.len() >= MOST_ABOUT {
+    pub fn learn(&mut self, list: Arc<MembershipConfig>) -> bool {
+        if !self.lacks(list.number()) || self.about.len() >= MAX_ACTIVE_CONFIGS {
             return false;
         }
         self.learnt.insert(list.number());
@@ -166,12 +166,12 @@
     /// Lets go of a list that is over; returns its number.
     pub fn tick(&mut self, now: Time) -> Option<u64> {
         let oldest = self.about[0].clone();
-        if self.about.len() < 2 || oldest.most_copies_among(&self.behind()) >= oldest.majority() {
+        if self.about.len() < 2 || oldest.most_copies_among(&self.behind()) >= oldest.quorum() {
             self.over_at = None;
             return None;
         }
         // Until then something may be remembered that only this list's copies know.
-        let over_at = *self.over_at.get_or_insert(now + oldest.window() + crate::READ_LATE);
+        let over_at = *self.over_at.get_or_insert(now + oldest.window() + crate::LATE_READ_GRACE);
         if now < over_at {
             return None;
         }
@@ -193,8 +193,8 @@
         Duration::from_secs(seconds)
     }
 
-    fn lists() -> Lists {
-        Lists::new(id(1), Arc::new(list(1, &[1, 2, 3, 4], 1)))
+    fn lists() -> ActiveConfigs {
+        ActiveConfigs::new(id(1), Arc::new(list(1, &[1, 2, 3, 4], 1)))
     }
 
     #[test]
@@ -207,7 +207,7 @@
         assert!(down(lists.offer(Arc::new(list(2, &[1, 2, 3, 4], 1)))));
         let mut other = plain(3, &[1, 2, 3, 4, 5], 1);
         other.members[0].address.set_port(1);
-        assert!(down(lists.offer(Arc::new(List::new(other).unwrap()))));
+        assert!(down(lists.offer(Arc::new(MembershipConfig::new(other).unwrap()))));
         assert!(matches!(lists.offer(Arc::new(list(4, &[1, 2, 3], 1))), Offer::TurnedDown(_)));
         assert_eq!(lists.numbers(), [1, 3]);
     }
@@ -244,7 +244,7 @@
         assert_eq!(lists.numbers(), [1, 2, 3]);
         let mut seen_from_here = plain(3, &[1, 2, 3, 4, 5], 1);
         seen_from_here.members[0].address.set_port(1);
-        let seen_from_here = Arc::new(List::new(seen_from_here).unwrap());
+        let seen_from_here = Arc::new(MembershipConfig::new(seen_from_here).unwrap());
         assert_eq!(lists.offer(seen_from_here.clone()), Offer::Taken, "the operators' addresses hold");
         assert_eq!(lists.newest(), &seen_from_here);
         assert!(matches!(lists.offer(Arc::new(list(3, &[1, 2, 3, 4, 5], 1))), Offer::TurnedDown(_)));
--- a/fleet/src/audit.rs
+++ b/fleet/src/audit.rs
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::hash_chain::Break;
+use crate::hash_chain::ChainBreak;
 
 /// By which versions something was decided.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -22,7 +22,7 @@
 /// What was decided of a try.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Decided {
+pub enum Decision {
     /// Its run begins.
     Run,
     /// That run provably never began.
@@ -53,7 +53,7 @@
         /// When, in Unix milliseconds.
         at: u64,
         /// What.
-        did: Decided,
+        did: Decision,
         /// The try.
         txn: String,
         /// Its key, in classes that must not run twice.
@@ -106,7 +106,7 @@
     /// Its records, in order.
     pub records: Vec<Record>,
     /// Where the chain is broken: the file, and what is wrong in it.
-    pub breaks: Vec<(String, Break)>,
+    pub breaks: Vec<(String, ChainBreak)>,
 }
 
 /// What kind of version.
@@ -116,7 +116,7 @@
     /// Settings.
     Settings,
     /// Lists of the fleet.
-    List,
+    MembershipConfig,
     /// Builds of the program.
     Program,
 }
@@ -159,7 +159,7 @@
 
 /// A key that ran more than once.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct Twice {
+pub struct DuplicateRun {
     /// The key.
     pub key: String,
     /// The runs: when, where and for which try.
@@ -193,7 +193,7 @@
     /// Who went on with an old version for longer than was allowed.
     pub stragglers: Vec<Straggler>,
     /// Keys that ran more than once.
-    pub twice: Vec<Twice>,
+    pub twice: Vec<DuplicateRun>,
     /// Tries that were turned away though they had run.
     pub refused_and_ran: Vec<String>,
 }
@@ -211,7 +211,7 @@
 
 /// How an audit looks.
 #[derive(Debug, Clone, Copy)]
-pub struct Terms {
+pub struct AuditOptions {
     /// From when, in Unix milliseconds.
     pub from: u64,
     /// Until when.
@@ -225,13 +225,13 @@
 fn named(by: &Versions) -> [(Kind, String); 3] {
     [
         (Kind::Settings, by.settings.clone()),
-        (Kind::List, by.list.to_string()),
+        (Kind::MembershipConfig, by.list.to_string()),
         (Kind::Program, by.program.clone()),
     ]
 }
 
 /// Looks through the records of all nodes.
-pub fn audit(journals: &[Journal], terms: &Terms) -> Report {
+pub fn audit(journals: &[Journal], terms: &AuditOptions) -> Report {
     let within = |record: &&Record| (terms.from..=terms.until).contains(&record.at());
     let versions = versions(journals, &within);
     let mut stragglers: Vec<Straggler> =
@@ -295,7 +295,7 @@
 fn stragglers(
     journal: &Journal,
     versions: &[Version],
-    terms: &Terms,
+    terms: &AuditOptions,
     within: &impl Fn(&&Record) -> bool,
 ) -> Vec<Straggler> {
     let mut late: BTreeMap<(Kind, String), Straggler> = BTreeMap::new();
@@ -337,36 +337,36 @@
 
 fn runs(
     journals: &[Journal],
-    terms: &Terms,
+    terms: &AuditOptions,
     within: &impl Fn(&&Record) -> bool,
-) -> (Vec<Twice>, Vec<String>) {
+) -> (Vec<DuplicateRun>, Vec<String>) {
     let mut by_key: BTreeMap<&str, Vec<(u64, String, String)>> = BTreeMap::new();
     let (mut ran, mut refused) = (BTreeSet::new(), Vec::new());
     for journal in journals {
         for record in journal.records.iter().filter(within) {
             let Record::Try { at, did, txn, key, .. } = record else { continue };
             match did {
-                Decided::Run => {
+                Decision::Run => {
                     ran.insert((journal.node.as_str(), txn.as_str()));
                     if let Some(key) = key {
                         by_key.entry(key).or_default().push((*at, journal.node.clone(), txn.clone()));
                     }
                 }
-                Decided::Unrun => {
+                Decision::Unrun => {
                     ran.remove(&(journal.node.as_str(), txn.as_str()));
                     if let Some(runs) = key.as_deref().and_then(|key| by_key.get_mut(key)) {
                         runs.retain(|(_, node, run)| *node != journal.node || run != txn);
                     }
                 }
-                Decided::Refused => refused.push((journal.node.as_str(), txn.as_str())),
-                Decided::Served | Decided::Failed => {}
+                Decision::Refused => refused.push((journal.node.as_str(), txn.as_str())),
+                Decision::Served | Decision::Failed => {}
             }
         }
     }
     let twice = by_key.into_iter().filter_map(|(key, mut runs)| {
         runs.sort();
         let again = runs.windows(2).any(|two| two[1].0 - two[0].0 < terms.window_ms);
-        again.then(|| Twice { key: key.into(), runs })
+        again.then(|| DuplicateRun { key: key.into(), runs })
     });
     let refused = refused.into_iter().filter(|of| ran.contains(of));
     (twice.collect(), refused.map(|(node, txn)| format!("{txn} at {node}")).collect())
@@ -392,13 +392,13 @@
 mod tests {
     use super::*;
 
-    const TERMS: Terms = Terms { from: 0, until: u64::MAX, spread_ms: 2000, window_ms: 10_000 };
+    const TERMS: AuditOptions = AuditOptions { from: 0, until: u64::MAX, spread_ms: 2000, window_ms: 10_000 };
 
     fn by(settings: &str, list: u64) -> Versions {
         Versions { settings: settings.into(), list, program: "1".into() }
     }
 
-    fn decided(at: u64, did: Decided, txn: &str, key: Option<&str>, by: Versions) -> Record {
+    fn decided(at: u64, did: Decision, txn: &str, key: Option<&str>, by: Versions) -> Record {
         Record::Try { at, did, txn: txn.into(), key: key.map(Into::into), class: "book".into(), by }
     }
 
@@ -407,7 +407,7 @@
     }
 
     fn run(at: u64, txn: &str, by: Versions) -> Record {
-        decided(at, Decided::Run, txn, None, by)
+        decided(at, Decision::Run, txn, None, by)
     }
 
     #[test]
@@ -446,16 +446,17 @@
         };
         assert_eq!(report.stragglers, [straggler("n2", 4000, 2, true), straggler("n3", 8000, 1, false)]);
         assert!(!report.is_clean());
-        let patient = audit(&[journal("n1", vec![])], &Terms { spread_ms: 10_000, ..TERMS });
+        let patient = audit(&[journal("n1", vec![])], &AuditOptions { spread_ms: 10_000, ..TERMS });
         assert!(patient.is_clean() && patient.nodes[0].span.is_none());
     }
 
     #[test]
     fn a_key_that_ran_twice_in_its_window_and_a_try_that_was_refused_after_its_run_are_told() {
-        let key = |at, txn| decided(at, Decided::Run, txn, Some("k"), by("s", 1));
+        let key = |at, txn| decided(at, Decision::Run, txn, Some("k"), by("s", 1));
         let one =
-            journal("n1", vec![key(100, "a"), decided(200, Decided::Refused, "a", Some("k"), by("s", 1))]);
-        let two = journal("n2", vec![key(5000, "b"), decided(6000, Decided::Refused, "z", None, by("s", 1))]);
+            journal("n1", vec![key(100, "a"), decided(200, Decision::Refused, "a", Some("k"), by("s", 1))]);
+        let two =
+            journal("n2", vec![key(5000, "b"), decided(6000, Decision::Refused, "z", None, by("s", 1))]);
         let report = audit(&[one.clone(), two], &TERMS);
         assert_eq!(report.twice[0].runs, [(100, "n1".into(), "a".into()), (5000, "n2".into(), "b".into())]);
         assert_eq!(report.refused_and_ran, ["a at n1"]);
@@ -464,7 +465,7 @@
         let unrun = |at, txn, did| decided(at, did, txn, Some("k"), by("s", 1));
         let never = journal(
             "n2",
-            vec![key(5000, "b"), unrun(5001, "b", Decided::Unrun), unrun(5002, "b", Decided::Refused)],
+            vec![key(5000, "b"), unrun(5001, "b", Decision::Unrun), unrun(5002, "b", Decision::Refused)],
         );
         let report = audit(&[one, never], &TERMS);
         assert!(report.twice.is_empty() && report.refused_and_ran.len() == 1, "no server took it");
@@ -478,7 +479,7 @@
         assert!(report.nodes[0].unfinished == 1 && report.is_clean());
         let dropped = journal("n1", vec![began.clone(), Record::Dropped { at: 2, count: 7 }]);
         assert_eq!(audit(&[dropped], &TERMS).nodes[0].dropped, 7);
-        let broken = Break { line: 3, what: crate::hash_chain::Wrong::Changed };
+        let broken = ChainBreak { line: 3, what: crate::hash_chain::ChainError::Changed };
         let hurt = Journal { breaks: vec![("1.log".into(), broken)], ..journal("n1", vec![began]) };
         let report = audit(&[hurt], &TERMS);
         assert_eq!(report.nodes[0].breaks, ["1.log, line 3: not as it was written"]);
@@ -488,8 +489,8 @@
     #[test]
     fn what_became_of_a_try_or_a_key_is_told_over_all_nodes_in_order() {
         let key = |at, did, txn| decided(at, did, txn, Some("k"), by("s", 1));
-        let one = journal("n1", vec![key(100, Decided::Run, "a"), key(300, Decided::Served, "a")]);
-        let two = journal("n2", vec![key(200, Decided::Refused, "b"), run(250, "c", by("s", 1))]);
+        let one = journal("n1", vec![key(100, Decision::Run, "a"), key(300, Decision::Served, "a")]);
+        let two = journal("n2", vec![key(200, Decision::Refused, "b"), run(250, "c", by("s", 1))]);
         let journals = [one, two];
         let told = |about| explain(&journals, about).iter().map(|(n, r)| (*n, r.at())).collect::<Vec<_>>();
         assert_eq!(told("k"), [("n1", 100), ("n2", 200), ("n1", 300)]);
@@ -501,7 +502,7 @@
     fn records_are_read_as_they_were_written() {
         let records = [
             Record::Began { at: 1, node: "n1".into(), by: by("s", 3) },
-            decided(2, Decided::Refused, "a", None, by("s", 3)),
+            decided(2, Decision::Refused, "a", None, by("s", 3)),
             Record::Dropped { at: 3, count: 9 },
             Record::Ended { at: 4 },
         ];
--- a/fleet/src/claim_coordinator.rs
+++ b/fleet/src/claim_coordinator.rs
@@ -5,15 +5,15 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use crate::active_configs::Lists;
-use crate::key_state::{Body, ClaimId, End, Fate, Key};
+use crate::active_configs::ActiveConfigs;
+use crate::key_state::{BodyDigest, ClaimId, CompletedRun, Key, RunResult};
 use crate::membership_config::NodeId;
-use crate::message::{own, Asked, Blocker, Frame, Why};
+use crate::message::{own, ClaimRequest, ConflictingClaim, Message, RejectReason};
 use crate::replica_table::millis;
-use crate::{Time, READ_LATE};
+use crate::{Time, LATE_READ_GRACE};
 
 /// Claims under way, and ends that not every copy has confirmed.
-pub const MOST_CLAIMS: usize = 8192;
+pub const MAX_CLAIMS: usize = 8192;
 /// Once a majority holds an end, the other copies are told of it for so long.
 const TOLD_FOR: Duration = Duration::from_secs(10);
 /// A question without an answer is asked again after this, then after twice as long, and so on up to the last.
@@ -27,42 +27,42 @@
 
 /// A try of this node, as it is numbered there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Token(pub u64);
+pub struct AttemptId(pub u64);
 
 /// What a try is told.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub enum Said {
+pub enum ClaimOutcome {
     /// Its run may begin.
     Granted,
     /// Its run must not begin, and nothing is known to have begun.
-    Turned(Why),
+    Rejected(RejectReason),
     /// Another try's run may have begun; what becomes of it is told next.
-    Elsewhere,
+    RunningElsewhere,
     /// What became of another try's run.
-    Became(Fate),
+    RemoteOutcome(RunResult),
     /// Its key is that of another body.
-    Mismatch,
+    BodyMismatch,
     /// What became of another try's run is not known in time.
     Unknown,
     /// Whether a majority holds the result of its run.
-    Held(bool),
+    Replicated(bool),
 }
 
 /// A claim as a try asks for it.
 #[derive(Debug, Clone)]
-pub struct Wanted {
+pub struct RunRequest {
     /// The try.
-    pub token: Token,
+    pub token: AttemptId,
     /// Its key.
     pub key: Key,
     /// The digest of its body.
-    pub body: Body,
+    pub body: BodyDigest,
     /// How long the key is remembered.
     pub until: Time,
     /// When its request came, on this node's clock and in Unix milliseconds.
-    pub door: (Time, u64),
+    pub received_at: (Time, u64),
     /// When its caller stops waiting.
-    pub due: Time,
+    pub deadline: Time,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -70,10 +70,10 @@
     Open,
     /// In this life of the copy.
     Granted(u64),
-    Blocked(Blocker, Time),
+    Blocked(ConflictingClaim, Time),
     Free,
-    Unsure(Why),
-    Kept,
+    Unsure(RejectReason),
+    RestoredState,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -83,19 +83,19 @@
     /// It waits for what becomes of another claim.
     Waiting,
     Ending {
-        fate: Fate,
+        fate: RunResult,
         told: bool,
     },
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Claim {
-    token: Token,
+    token: AttemptId,
     id: ClaimId,
     key: Key,
-    body: Body,
+    body: BodyDigest,
     until: Time,
-    door: (Time, u64),
+    received_at: (Time, u64),
     place: u32,
     /// When nothing more is hoped for.
     hope: Time,
@@ -113,27 +113,27 @@
 
 /// What is to be done.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Do {
+pub enum ClaimAction {
     /// Say this to a node.
-    Send(NodeId, Frame),
+    Send(NodeId, Message),
     /// Tell this to a try.
-    Tell(Token, Said),
+    Tell(AttemptId, ClaimOutcome),
 }
 
 /// All claims of this node.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Claims {
+pub struct ClaimCoordinator {
     me: NodeId,
-    life: u64,
+    incarnation: u64,
     next: u64,
     claims: BTreeMap<ClaimId, Claim>,
-    by_token: BTreeMap<Token, ClaimId>,
+    by_token: BTreeMap<AttemptId, ClaimId>,
 }
 
-impl Claims {
+impl ClaimCoordinator {
     /// No claims yet, in this life of the node.
-    pub fn new(me: NodeId, life: u64) -> Claims {
-        Claims { me, life, next: 1, claims: BTreeMap::new(), by_token: BTreeMap::new() }
+    pub fn new(me: NodeId, incarnation: u64) -> ClaimCoordinator {
+        ClaimCoordinator { me, incarnation, next: 1, claims: BTreeMap::new(), by_token: BTreeMap::new() }
     }
 
     /// Claims that are not over.
@@ -142,28 +142,28 @@
     }
 
     /// Further claims are of another life; those of now go on.
-    pub fn lives_as(&mut self, life: u64) {
-        self.life = life;
+    pub fn set_incarnation(&mut self, incarnation: u64) {
+        self.incarnation = incarnation;
     }
 
     fn new_id(&mut self) -> ClaimId {
-        let id = ClaimId { node: self.me, life: self.life, number: self.next };
+        let id = ClaimId { node: self.me, incarnation: self.incarnation, number: self.next };
         self.next += 1;
         id
     }
 
     /// Asks for a claim.
-    pub fn want(&mut self, now: Time, wanted: Wanted, lists: &Lists, out: &mut Vec<Do>) {
-        let Wanted { token, key, body, until, door, due } = wanted;
-        if self.claims.len() >= MOST_CLAIMS {
+    pub fn want(&mut self, now: Time, wanted: RunRequest, lists: &ActiveConfigs, out: &mut Vec<ClaimAction>) {
+        let RunRequest { token, key, body, until, received_at, deadline } = wanted;
+        if self.claims.len() >= MAX_CLAIMS {
             // The oldest end that a majority holds is told to nobody any more.
             let Some(held) = self.claims.values().find(|claim| claim.held_at.is_some()).map(|claim| claim.id)
             else {
-                return out.push(Do::Tell(token, Said::Turned(Why::Full)));
+                return out.push(ClaimAction::Tell(token, ClaimOutcome::Rejected(RejectReason::Full)));
             };
             self.forget(held);
         }
-        let left = due.saturating_sub(now);
+        let left = deadline.saturating_sub(now);
         let mut claim = Claim {
             token,
             id: self.new_id(),
@@ -171,9 +171,9 @@
             key: own(&key),
             body,
             until,
-            door,
+            received_at,
             place: lists.newest().place(self.me).map_or(u32::MAX, |place| place as u32),
-            hope: due.saturating_sub(MARGIN.min(left / 4)),
+            hope: deadline.saturating_sub(MARGIN.min(left / 4)),
             lists: Vec::new(),
             answers: BTreeMap::new(),
             lives: BTreeMap::new(),
@@ -189,7 +189,7 @@
     }
 
     /// A list has come or gone: what has not been granted is asked for anew, under the lists of now.
-    pub fn relist(&mut self, now: Time, lists: &Lists, out: &mut Vec<Do>) {
+    pub fn relist(&mut self, now: Time, lists: &ActiveConfigs, out: &mut Vec<ClaimAction>) {
         let asking: Vec<ClaimId> =
             self.claims.values().filter(|claim| claim.stage == Stage::Asking).map(|claim| claim.id).collect();
         for id in asking {
@@ -205,10 +205,10 @@
     }
 
     /// The run of a try has ended.
-    pub fn ended(&mut self, now: Time, token: Token, fate: Fate, out: &mut Vec<Do>) {
+    pub fn ended(&mut self, now: Time, token: AttemptId, fate: RunResult, out: &mut Vec<ClaimAction>) {
         let claim = self.by_token.get(&token).and_then(|id| self.claims.get_mut(id));
         let Some(claim) = claim.filter(|claim| claim.stage == Stage::Granted) else {
-            return out.push(Do::Tell(token, Said::Held(false)));
+            return out.push(ClaimAction::Tell(token, ClaimOutcome::Replicated(false)));
         };
         claim.stage = Stage::Ending { fate, told: false };
         claim.reopen();
@@ -217,7 +217,7 @@
     }
 
     /// The run of a try never began and never will.
-    pub fn release(&mut self, token: Token, out: &mut Vec<Do>) {
+    pub fn release(&mut self, token: AttemptId, out: &mut Vec<ClaimAction>) {
         if let Some(claim) = self.by_token.remove(&token).and_then(|id| self.claims.remove(&id)) {
             if !matches!(claim.stage, Stage::Ending { .. }) {
                 claim.release(out);
@@ -226,21 +226,28 @@
     }
 
     /// A copy, in this life of it, has answered.
-    pub fn answered(&mut self, now: Time, from: NodeId, life: u64, frame: Frame, out: &mut Vec<Do>) {
+    pub fn answered(
+        &mut self,
+        now: Time,
+        from: NodeId,
+        incarnation: u64,
+        frame: Message,
+        out: &mut Vec<ClaimAction>,
+    ) {
         let (id, answer, lives) = match frame {
-            Frame::Granted { claim, lives } => (claim, Answer::Granted(life), lives),
-            Frame::Blocked { claim, by } => (claim, Answer::Blocked(by, now), Vec::new()),
+            Message::Granted { claim, lives } => (claim, Answer::Granted(incarnation), lives),
+            Message::Blocked { claim, by } => (claim, Answer::Blocked(by, now), Vec::new()),
             // It says which list this node lacks, and is asked again under that one.
-            Frame::Unsure { why: Why::Lists, .. } => return,
-            Frame::Unsure { claim, why } => (claim, Answer::Unsure(why), Vec::new()),
-            Frame::Free { claim } => (claim, Answer::Free, Vec::new()),
-            Frame::Kept { claim, kept: true } => (claim, Answer::Kept, Vec::new()),
+            Message::Unsure { why: RejectReason::ActiveConfigs, .. } => return,
+            Message::Unsure { claim, why } => (claim, Answer::Unsure(why), Vec::new()),
+            Message::Free { claim } => (claim, Answer::Free, Vec::new()),
+            Message::Kept { claim, kept: true } => (claim, Answer::RestoredState, Vec::new()),
             _ => return,
         };
         let Some(claim) = self.claims.get_mut(&id) else { return };
         let fits = match &answer {
             Answer::Granted(_) => claim.stage == Stage::Asking,
-            Answer::Kept => matches!(claim.stage, Stage::Ending { .. }),
+            Answer::RestoredState => matches!(claim.stage, Stage::Ending { .. }),
             Answer::Free => claim.stage == Stage::Waiting,
             Answer::Blocked(..) | Answer::Unsure(_) => matches!(claim.stage, Stage::Asking | Stage::Waiting),
             Answer::Open => false,
@@ -248,47 +255,49 @@
         if !fits || !claim.answers.contains_key(&from) {
             return;
         }
-        for (node, life) in lives.into_iter().chain([(from, life)]) {
+        for (node, incarnation) in lives.into_iter().chain([(from, incarnation)]) {
             let known = claim.lives.entry(node).or_default();
-            *known = life.max(*known);
+            *known = incarnation.max(*known);
         }
         claim.answers.insert(from, answer);
         self.judge(now, id, out);
     }
 
     /// A copy can't be reached.
-    pub fn unreached(&mut self, now: Time, node: NodeId, out: &mut Vec<Do>) {
+    pub fn unreached(&mut self, now: Time, node: NodeId, out: &mut Vec<ClaimAction>) {
         let open =
             |claim: &&Claim| claim.stage == Stage::Asking && claim.answers.get(&node) == Some(&Answer::Open);
         let open: Vec<ClaimId> = self.claims.values().filter(open).map(|claim| claim.id).collect();
         for id in open {
             if let Some(claim) = self.claims.get_mut(&id) {
-                claim.answers.insert(node, Answer::Unsure(Why::Unreached));
+                claim.answers.insert(node, Answer::Unsure(RejectReason::Unreached));
             }
             self.judge(now, id, out);
         }
     }
 
     /// A link to a copy broke, with what was on it: what it owes is asked again.
-    pub fn broken(&mut self, now: Time, node: NodeId, out: &mut Vec<Do>) {
+    pub fn broken(&mut self, now: Time, node: NodeId, out: &mut Vec<ClaimAction>) {
         for claim in self.claims.values() {
             if claim.answers.get(&node) == Some(&Answer::Open) {
-                out.extend(claim.question(now).map(|frame| Do::Send(node, frame)));
+                out.extend(claim.question(now).map(|frame| ClaimAction::Send(node, frame)));
             }
         }
     }
 
     /// Time passes. Copies of which this is true are hardly there.
-    pub fn tick(&mut self, now: Time, lost: impl Fn(NodeId) -> bool, out: &mut Vec<Do>) {
-        let due = |claim: &&Claim| {
+    pub fn tick(&mut self, now: Time, lost: impl Fn(NodeId) -> bool, out: &mut Vec<ClaimAction>) {
+        let deadline = |claim: &&Claim| {
             let runs = claim.stage == Stage::Granted;
             let hopes = !runs && !matches!(claim.stage, Stage::Ending { told: true, .. });
-            (!runs && now >= claim.again_at) || (hopes && now >= claim.hope) || now >= claim.until + READ_LATE
+            (!runs && now >= claim.again_at)
+                || (hopes && now >= claim.hope)
+                || now >= claim.until + LATE_READ_GRACE
         };
-        let due: Vec<ClaimId> = self.claims.values().filter(due).map(|claim| claim.id).collect();
-        for id in due {
+        let deadline: Vec<ClaimId> = self.claims.values().filter(deadline).map(|claim| claim.id).collect();
+        for id in deadline {
             let Some(claim) = self.claims.get_mut(&id) else { continue };
-            if now >= claim.until + READ_LATE {
+            if now >= claim.until + LATE_READ_GRACE {
                 self.forget(id);
                 continue;
             }
@@ -308,7 +317,7 @@
                 for (node, answer) in claim.answers.iter_mut().filter(|(_, answer)| **answer == Answer::Open)
                 {
                     if lost(*node) {
-                        *answer = Answer::Unsure(Why::Unreached);
+                        *answer = Answer::Unsure(RejectReason::Unreached);
                     }
                 }
                 // What stood in its way may be gone by now.
@@ -329,7 +338,7 @@
     }
 
     /// The time of a try is up; returns whether its claim is over.
-    fn give_up(&mut self, id: ClaimId, out: &mut Vec<Do>) -> bool {
+    fn give_up(&mut self, id: ClaimId, out: &mut Vec<ClaimAction>) -> bool {
         let Some(claim) = self.claims.get_mut(&id) else { return true };
         match claim.stage {
             Stage::Granted => false,
@@ -341,13 +350,14 @@
             Stage::Asking => {
                 let begun = claim.answers.values().any(|answer| matches!(answer, Answer::Blocked(..)));
                 claim.release(out);
-                let said = if begun { Said::Unknown } else { Said::Turned(Why::Late) };
-                out.push(Do::Tell(claim.token, said));
+                let said =
+                    if begun { ClaimOutcome::Unknown } else { ClaimOutcome::Rejected(RejectReason::Late) };
+                out.push(ClaimAction::Tell(claim.token, said));
                 self.forget(id);
                 true
             }
             Stage::Waiting => {
-                out.push(Do::Tell(claim.token, Said::Unknown));
+                out.push(ClaimAction::Tell(claim.token, ClaimOutcome::Unknown));
                 self.forget(id);
                 true
             }
@@ -363,13 +373,13 @@
     }
 
     /// All that is not granted yet is given up: this node has slept, and may go by what is out of date.
-    pub fn woke(&mut self, out: &mut Vec<Do>) {
+    pub fn woke(&mut self, out: &mut Vec<ClaimAction>) {
         let waits: Vec<ClaimId> =
             self.claims.values().filter(|claim| claim.stage == Stage::Asking).map(|c| c.id).collect();
         for id in waits {
             if let Some(claim) = self.claims.get(&id) {
                 claim.release(out);
-                out.push(Do::Tell(claim.token, Said::Turned(Why::Unheard)));
+                out.push(ClaimAction::Tell(claim.token, ClaimOutcome::Rejected(RejectReason::Unheard)));
             }
             self.forget(id);
         }
@@ -377,35 +387,46 @@
 
     /// What became of a claim of this node, as a copy asks: the answer, if there is one yet. `beside` if a process of an
     /// earlier life may still be there.
-    pub fn what(&self, now: Time, key: &Key, claim: ClaimId, body: Body, beside: bool) -> Option<Frame> {
+    pub fn what(
+        &self,
+        now: Time,
+        key: &Key,
+        claim: ClaimId,
+        body: BodyDigest,
+        beside: bool,
+    ) -> Option<Message> {
         if let Some(known) = self.claims.get(&claim) {
             return match known.stage {
                 Stage::Ending { .. } => known.question(now),
-                Stage::Waiting => Some(Frame::Release { key: key.clone(), claim }),
+                Stage::Waiting => Some(Message::Release { key: key.clone(), claim }),
                 Stage::Asking | Stage::Granted => None,
             };
         }
-        if claim.life == self.life {
+        if claim.incarnation == self.incarnation {
             // A run that has ended is known here until a majority holds its end: this one never began.
-            return Some(Frame::Release { key: key.clone(), claim });
+            return Some(Message::Release { key: key.clone(), claim });
         }
         // Whoever knew what became of it is gone. Any end that is still told stands above this one.
-        let gone = End::of_the_gone(claim, body);
-        (claim.life < self.life && !beside).then(|| Frame::Ended { key: key.clone(), keep_ms: 0, end: gone })
+        let gone = CompletedRun::of_the_gone(claim, body);
+        (claim.incarnation < self.incarnation && !beside).then(|| Message::Ended {
+            key: key.clone(),
+            keep_ms: 0,
+            end: gone,
+        })
     }
 
     /// Draws the conclusion from the answers so far.
-    fn judge(&mut self, now: Time, id: ClaimId, out: &mut Vec<Do>) {
+    fn judge(&mut self, now: Time, id: ClaimId, out: &mut Vec<ClaimAction>) {
         let Some(claim) = self.claims.get_mut(&id) else { return };
         let token = claim.token;
         match claim.stage {
             Stage::Granted => {}
             Stage::Ending { .. } => {
-                if claim.in_each_list(|node| claim.answers.get(node) == Some(&Answer::Kept)) {
+                if claim.in_each_list(|node| claim.answers.get(node) == Some(&Answer::RestoredState)) {
                     claim.held_at.get_or_insert(now);
                     claim.tells_held(true, out);
                 }
-                if claim.answers.values().all(|answer| *answer == Answer::Kept) {
+                if claim.answers.values().all(|answer| *answer == Answer::RestoredState) {
                     self.forget(id);
                 }
             }
@@ -415,20 +436,20 @@
                 match verdict {
                     Verdict::Granted => {
                         claim.stage = Stage::Granted;
-                        out.push(Do::Tell(token, Said::Granted));
+                        out.push(ClaimAction::Tell(token, ClaimOutcome::Granted));
                     }
-                    Verdict::Elsewhere if waits => {}
-                    Verdict::Elsewhere => {
+                    Verdict::RunningElsewhere if waits => {}
+                    Verdict::RunningElsewhere => {
                         claim.release(out);
                         claim.stage = Stage::Waiting;
                         (claim.again, claim.again_at) = (ASKS, now + ASKS);
-                        out.push(Do::Tell(token, Said::Elsewhere));
+                        out.push(ClaimAction::Tell(token, ClaimOutcome::RunningElsewhere));
                     }
                     Verdict::Over(said) => {
                         if !waits {
                             claim.release(out);
                         }
-                        out.push(Do::Tell(token, said));
+                        out.push(ClaimAction::Tell(token, said));
                         self.forget(id);
                     }
                 }
@@ -440,19 +461,19 @@
 enum Verdict {
     Granted,
     /// Another claim stands in the way, whose end is not known yet.
-    Elsewhere,
-    Over(Said),
+    RunningElsewhere,
+    Over(ClaimOutcome),
 }
 
 impl Claim {
-    fn goes_by(&mut self, lists: &Lists) {
-        let of = |list: &std::sync::Arc<crate::membership_config::List>| {
-            (list.number(), list.holders(&self.key), list.majority())
+    fn goes_by(&mut self, lists: &ActiveConfigs) {
+        let of = |list: &std::sync::Arc<crate::membership_config::MembershipConfig>| {
+            (list.number(), list.replicas_of(&self.key), list.quorum())
         };
         self.lists = lists.about().iter().map(of).collect();
-        let holders: BTreeSet<NodeId> =
-            self.lists.iter().flat_map(|(_, holders, _)| holders).copied().collect();
-        self.answers = holders.into_iter().map(|node| (node, Answer::Open)).collect();
+        let replicas_of: BTreeSet<NodeId> =
+            self.lists.iter().flat_map(|(_, replicas_of, _)| replicas_of).copied().collect();
+        self.answers = replicas_of.into_iter().map(|node| (node, Answer::Open)).collect();
     }
 
     fn reopen(&mut self) {
@@ -460,30 +481,34 @@
     }
 
     /// What a copy is asked at this stage.
-    fn question(&self, now: Time) -> Option<Frame> {
+    fn question(&self, now: Time) -> Option<Message> {
         let keep_ms = millis(self.until.saturating_sub(now));
         let key = self.key.clone();
         match &self.stage {
             Stage::Asking => {
                 let lists = self.lists.iter().map(|(number, ..)| *number).collect();
-                Some(Frame::Claim(Asked { claim: self.id, key, body: self.body, keep_ms, lists }))
+                Some(Message::Claim(ClaimRequest { claim: self.id, key, body: self.body, keep_ms, lists }))
             }
-            Stage::Waiting => Some(Frame::Ask { claim: self.id, key }),
+            Stage::Waiting => Some(Message::Ask { claim: self.id, key }),
             Stage::Ending { fate, .. } => {
-                let (door, place, claim, body) = (self.door.1, self.place, self.id, self.body);
-                Some(Frame::Ended { key, keep_ms, end: End { door, place, claim, fate: fate.clone(), body } })
+                let (received_at, place, claim, body) = (self.received_at.1, self.place, self.id, self.body);
+                Some(Message::Ended {
+                    key,
+                    keep_ms,
+                    end: CompletedRun { received_at, place, claim, fate: fate.clone(), body },
+                })
             }
             Stage::Granted => None,
         }
     }
 
-    fn ask(&mut self, now: Time, skip: impl Fn(NodeId) -> bool, out: &mut Vec<Do>) {
+    fn ask(&mut self, now: Time, skip: impl Fn(NodeId) -> bool, out: &mut Vec<ClaimAction>) {
         let Some(question) = self.question(now) else { return };
         let open = self.answers.iter().filter(|(node, answer)| **answer == Answer::Open && !skip(**node));
-        out.extend(open.map(|(node, _)| Do::Send(*node, question.clone())));
+        out.extend(open.map(|(node, _)| ClaimAction::Send(*node, question.clone())));
     }
 
-    fn again(&mut self, now: Time, skip: impl Fn(NodeId) -> bool, out: &mut Vec<Do>) {
+    fn again(&mut self, now: Time, skip: impl Fn(NodeId) -> bool, out: &mut Vec<ClaimAction>) {
         self.ask(now, skip, out);
         self.again_at = now + self.again;
         if self.stage != Stage::Waiting {
@@ -491,34 +516,34 @@
         }
     }
 
-    fn release(&self, out: &mut Vec<Do>) {
-        let frame = Frame::Release { key: self.key.clone(), claim: self.id };
-        out.extend(self.answers.keys().map(|node| Do::Send(*node, frame.clone())));
+    fn release(&self, out: &mut Vec<ClaimAction>) {
+        let frame = Message::Release { key: self.key.clone(), claim: self.id };
+        out.extend(self.answers.keys().map(|node| ClaimAction::Send(*node, frame.clone())));
     }
 
     /// Tells its try, once, whether a majority holds its end.
-    fn tells_held(&mut self, held: bool, out: &mut Vec<Do>) {
+    fn tells_held(&mut self, held: bool, out: &mut Vec<ClaimAction>) {
         if let Stage::Ending { told: told @ false, .. } = &mut self.stage {
             *told = true;
-            out.push(Do::Tell(self.token, Said::Held(held)));
+            out.push(ClaimAction::Tell(self.token, ClaimOutcome::Replicated(held)));
         }
     }
 
     /// Whether a majority of the copies is like that, in each list.
     fn in_each_list(&self, like: impl Fn(&NodeId) -> bool) -> bool {
-        let majority = |(_, holders, majority): &(u64, Vec<NodeId>, usize)| {
-            holders.iter().filter(|node| like(node)).count() >= *majority
+        let quorum = |(_, replicas_of, quorum): &(u64, Vec<NodeId>, usize)| {
+            replicas_of.iter().filter(|node| like(node)).count() >= *quorum
         };
-        self.lists.iter().all(majority)
+        self.lists.iter().all(quorum)
     }
 
     /// Whether this copy's grant counts: it is of the copy's latest life that any copy knows.
     fn grants(&self, node: &NodeId) -> bool {
-        matches!(self.answers.get(node), Some(Answer::Granted(life)) if self.lives.get(node) == Some(life))
+        matches!(self.answers.get(node), Some(Answer::Granted(incarnation)) if self.lives.get(node) == Some(incarnation))
     }
 
     fn verdict(&self) -> Option<Verdict> {
-        let blocked: Vec<(&Blocker, Time)> = self
+        let blocked: Vec<(&ConflictingClaim, Time)> = self
             .answers
             .values()
             .filter_map(|answer| match answer {
@@ -527,20 +552,24 @@
             })
             .collect();
         // One whose window was surely over when this request came is not this request.
-        let past = |(by, at): &&(&Blocker, Time)| {
-            by.past_ms > 0 && self.door.0 > at.saturating_sub(Duration::from_millis(by.past_ms))
+        let past = |(by, at): &&(&ConflictingClaim, Time)| {
+            by.past_ms > 0 && self.received_at.0 > at.saturating_sub(Duration::from_millis(by.past_ms))
         };
         if blocked.iter().any(|blocker| past(&blocker)) {
-            return Some(Verdict::Over(Said::Turned(Why::Past)));
+            return Some(Verdict::Over(ClaimOutcome::Rejected(RejectReason::Past)));
         }
         if let Some((by, end)) = blocked.iter().find_map(|(by, _)| Some((by, by.ended.as_ref()?))) {
-            let said = if by.body == self.body { Said::Became(end.fate.clone()) } else { Said::Mismatch };
+            let said = if by.body == self.body {
+                ClaimOutcome::RemoteOutcome(end.fate.clone())
+            } else {
+                ClaimOutcome::BodyMismatch
+            };
             return Some(Verdict::Over(said));
         }
         let answered = |node: &NodeId, answer: &Answer| self.answers.get(node) == Some(answer);
         if self.stage == Stage::Waiting {
             let free = self.in_each_list(|node| answered(node, &Answer::Free));
-            return free.then_some(Verdict::Over(Said::Turned(Why::Freed)));
+            return free.then_some(Verdict::Over(ClaimOutcome::Rejected(RejectReason::Freed)));
         }
         if self.in_each_list(|node| self.grants(node)) {
             return Some(Verdict::Granted);
@@ -554,19 +583,23 @@
                 _ => None,
             });
             // A grant of a life that is over is as good as none.
-            return Some(Verdict::Over(Said::Turned(why.unwrap_or(Why::Returning))));
+            return Some(Verdict::Over(ClaimOutcome::Rejected(why.unwrap_or(RejectReason::Returning))));
         };
         // Where several tries have a part of the copies each, the lowest claim goes on asking and the others give way.
         let by_first = |node: &&NodeId| matches!(self.answers.get(node), Some(Answer::Blocked(by, _)) if by.claim == first);
         let has_majority = self
             .lists
             .iter()
-            .any(|(_, holders, majority)| holders.iter().filter(by_first).count() >= *majority);
+            .any(|(_, replicas_of, quorum)| replicas_of.iter().filter(by_first).count() >= *quorum);
         if self.id < first && !has_majority {
             return None;
         }
         let (by, _) = blocked.iter().find(|(by, _)| by.claim == first)?;
-        Some(if by.body == self.body { Verdict::Elsewhere } else { Verdict::Over(Said::Mismatch) })
+        Some(if by.body == self.body {
+            Verdict::RunningElsewhere
+        } else {
+            Verdict::Over(ClaimOutcome::BodyMismatch)
+        })
     }
 }
 
@@ -577,24 +610,31 @@
     use bytes::Bytes;
     use std::sync::Arc;
 
-    fn lists() -> Lists {
-        Lists::new(id(1), Arc::new(list(1, &[1, 2, 3], 1)))
+    fn lists() -> ActiveConfigs {
+        ActiveConfigs::new(id(1), Arc::new(list(1, &[1, 2, 3], 1)))
     }
 
-    fn wanted(token: u64) -> Wanted {
+    fn wanted(token: u64) -> RunRequest {
         let key = Bytes::from("k");
-        Wanted { token: Token(token), key, body: 5, until: at(10_000), door: (at(0), 1), due: at(2_000) }
+        RunRequest {
+            token: AttemptId(token),
+            key,
+            body: 5,
+            until: at(10_000),
+            received_at: (at(0), 1),
+            deadline: at(2_000),
+        }
     }
 
     struct Place {
-        claims: Claims,
-        lists: Lists,
-        out: Vec<Do>,
+        claims: ClaimCoordinator,
+        lists: ActiveConfigs,
+        out: Vec<ClaimAction>,
     }
 
     impl Place {
         fn new() -> Place {
-            let (mut claims, lists, mut out) = (Claims::new(id(1), 4), lists(), Vec::new());
+            let (mut claims, lists, mut out) = (ClaimCoordinator::new(id(1), 4), lists(), Vec::new());
             claims.want(at(0), wanted(1), &lists, &mut out);
             assert_eq!(out.len(), 3, "every copy is asked: {out:?}");
             out.clear();
@@ -602,54 +642,60 @@
         }
 
         fn id(&self) -> ClaimId {
-            ClaimId { node: id(1), life: 4, number: 1 }
+            ClaimId { node: id(1), incarnation: 4, number: 1 }
         }
 
-        fn told(&mut self) -> Vec<Said> {
+        fn told(&mut self) -> Vec<ClaimOutcome> {
             let told = self.out.drain(..).filter_map(|done| match done {
-                Do::Tell(_, said) => Some(said),
-                Do::Send(..) => None,
+                ClaimAction::Tell(_, said) => Some(said),
+                ClaimAction::Send(..) => None,
             });
             told.collect()
         }
 
-        fn grant(&mut self, from: usize, life: u64, lives: Vec<(NodeId, u64)>) -> Vec<Said> {
-            let frame = Frame::Granted { claim: self.id(), lives };
-            self.claims.answered(at(1), id(from), life, frame, &mut self.out);
+        fn grant(&mut self, from: usize, incarnation: u64, lives: Vec<(NodeId, u64)>) -> Vec<ClaimOutcome> {
+            let frame = Message::Granted { claim: self.id(), lives };
+            self.claims.answered(at(1), id(from), incarnation, frame, &mut self.out);
             self.told()
         }
 
-        fn block(&mut self, from: usize, by: ClaimId, ended: Option<&'static str>) -> Vec<Said> {
-            let fate = |result| Fate::Done(Bytes::from(result));
-            let ended = ended.map(|result| End { door: 0, place: 0, claim: by, fate: fate(result), body: 5 });
-            let by = Blocker { claim: by, body: 5, ended, past_ms: 0 };
-            let frame = Frame::Blocked { claim: self.id(), by };
+        fn block(&mut self, from: usize, by: ClaimId, ended: Option<&'static str>) -> Vec<ClaimOutcome> {
+            let fate = |result| RunResult::Succeeded(Bytes::from(result));
+            let ended = ended.map(|result| CompletedRun {
+                received_at: 0,
+                place: 0,
+                claim: by,
+                fate: fate(result),
+                body: 5,
+            });
+            let by = ConflictingClaim { claim: by, body: 5, ended, past_ms: 0 };
+            let frame = Message::Blocked { claim: self.id(), by };
             self.claims.answered(at(1), id(from), 1, frame, &mut self.out);
             self.told()
         }
 
-        fn unsure(&mut self, from: usize) -> Vec<Said> {
-            let frame = Frame::Unsure { claim: self.id(), why: Why::Returning };
+        fn unsure(&mut self, from: usize) -> Vec<ClaimOutcome> {
+            let frame = Message::Unsure { claim: self.id(), why: RejectReason::Returning };
             self.claims.answered(at(1), id(from), 1, frame, &mut self.out);
             self.told()
         }
     }
 
     fn other(number: u64) -> ClaimId {
-        ClaimId { node: NodeId(u64::MAX), life: 1, number }
+        ClaimId { node: NodeId(u64::MAX), incarnation: 1, number }
     }
 
     #[test]
     fn a_majority_lets_a_run_begin_and_a_majority_lets_its_result_leave() {
         let mut place = Place::new();
         assert_eq!(place.grant(2, 1, vec![]), []);
-        assert_eq!(place.grant(3, 1, vec![]), [Said::Granted]);
-        place.claims.ended(at(5), Token(1), Fate::Done("job".into()), &mut place.out);
+        assert_eq!(place.grant(3, 1, vec![]), [ClaimOutcome::Granted]);
+        place.claims.ended(at(5), AttemptId(1), RunResult::Succeeded("job".into()), &mut place.out);
         assert_eq!(place.out.len(), 3, "every copy is told");
         place.out.clear();
         let claim = place.id();
-        for (from, said) in [(1, vec![]), (2, vec![Said::Held(true)]), (3, vec![])] {
-            place.claims.answered(at(6), id(from), 1, Frame::Kept { claim, kept: true }, &mut place.out);
+        for (from, said) in [(1, vec![]), (2, vec![ClaimOutcome::Replicated(true)]), (3, vec![])] {
+            place.claims.answered(at(6), id(from), 1, Message::Kept { claim, kept: true }, &mut place.out);
             assert_eq!(place.told(), said);
         }
         assert_eq!(place.claims.count(), 0);
@@ -660,15 +706,18 @@
         let mut place = Place::new();
         assert_eq!(place.grant(2, 1, vec![]), []);
         assert_eq!(place.grant(3, 1, vec![(id(2), 2)]), [], "the second has lost its state since");
-        assert_eq!(place.grant(2, 2, vec![]), [Said::Granted]);
+        assert_eq!(place.grant(2, 2, vec![]), [ClaimOutcome::Granted]);
     }
 
     #[test]
     fn who_can_not_get_a_majority_waits_for_the_run_in_its_way_and_gets_what_became_of_it() {
         let mut place = Place::new();
         assert_eq!(place.block(2, other(1), None), []);
-        assert_eq!(place.block(3, other(1), None), [Said::Elsewhere]);
-        assert_eq!(place.block(3, other(1), Some("job")), [Said::Became(Fate::Done("job".into()))]);
+        assert_eq!(place.block(3, other(1), None), [ClaimOutcome::RunningElsewhere]);
+        assert_eq!(
+            place.block(3, other(1), Some("job")),
+            [ClaimOutcome::RemoteOutcome(RunResult::Succeeded("job".into()))]
+        );
         assert_eq!(place.claims.count(), 0);
     }
 
@@ -676,14 +725,17 @@
     fn an_end_is_believed_whoever_tells_it_and_a_mismatch_is_told() {
         let mut place = Place::new();
         place.grant(2, 1, vec![]);
-        assert_eq!(place.block(3, other(1), Some("job")), [Said::Became(Fate::Done("job".into()))]);
+        assert_eq!(
+            place.block(3, other(1), Some("job")),
+            [ClaimOutcome::RemoteOutcome(RunResult::Succeeded("job".into()))]
+        );
         let mut place = Place::new();
-        let by = Blocker { claim: other(1), body: 6, ended: None, past_ms: 0 };
+        let by = ConflictingClaim { claim: other(1), body: 6, ended: None, past_ms: 0 };
         for from in [2, 3] {
-            let frame = Frame::Blocked { claim: place.id(), by: by.clone() };
+            let frame = Message::Blocked { claim: place.id(), by: by.clone() };
             place.claims.answered(at(1), id(from), 1, frame, &mut place.out);
         }
-        assert_eq!(place.told(), [Said::Mismatch]);
+        assert_eq!(place.told(), [ClaimOutcome::BodyMismatch]);
     }
 
     #[test]
@@ -692,10 +744,16 @@
         assert_eq!(place.grant(1, 1, vec![]), []);
         assert_eq!(place.unsure(2), []);
         place.claims.unreached(at(1), id(3), &mut place.out);
-        let released =
-            place.out.iter().filter(|done| matches!(done, Do::Send(_, Frame::Release { .. }))).count();
+        let released = place
+            .out
+            .iter()
+            .filter(|done| matches!(done, ClaimAction::Send(_, Message::Release { .. })))
+            .count();
         assert_eq!(released, 3);
-        assert!(matches!(place.told()[..], [Said::Turned(Why::Returning | Why::Unreached)]));
+        assert!(matches!(
+            place.told()[..],
+            [ClaimOutcome::Rejected(RejectReason::Returning | RejectReason::Unreached)]
+        ));
     }
 
     #[test]
@@ -705,14 +763,18 @@
         place.claims.unreached(at(1), id(3), &mut place.out);
         assert_eq!(place.block(2, other(1), None), [], "this one is lower");
         place.claims.tick(at(60), |_| false, &mut place.out);
-        assert!(matches!(place.out[..], [Do::Send(to, Frame::Claim(_))] if to == id(2)), "{:?}", place.out);
+        assert!(
+            matches!(place.out[..], [ClaimAction::Send(to, Message::Claim(_))] if to == id(2)),
+            "{:?}",
+            place.out
+        );
         place.out.clear();
-        assert_eq!(place.grant(2, 1, vec![]), [Said::Granted]);
+        assert_eq!(place.grant(2, 1, vec![]), [ClaimOutcome::Granted]);
         let mut place = Place::new();
         place.grant(1, 1, vec![]);
         place.claims.unreached(at(1), id(3), &mut place.out);
-        let low = ClaimId { node: NodeId(0), life: 1, number: 1 };
-        assert_eq!(place.block(2, low, None), [Said::Elsewhere]);
+        let low = ClaimId { node: NodeId(0), incarnation: 1, number: 1 };
+        assert_eq!(place.block(2, low, None), [ClaimOutcome::RunningElsewhere]);
     }
 
     #[test]
@@ -721,18 +783,18 @@
         place.claims.tick(at(1_749), |_| false, &mut place.out);
         assert_eq!(place.told(), []);
         place.claims.tick(at(1_750), |_| false, &mut place.out);
-        assert_eq!(place.told(), [Said::Turned(Why::Late)]);
+        assert_eq!(place.told(), [ClaimOutcome::Rejected(RejectReason::Late)]);
         let mut place = Place::new();
         place.block(2, other(1), None);
         place.block(3, other(1), None);
         place.claims.tick(at(1_750), |_| false, &mut place.out);
-        assert_eq!(place.told(), [Said::Unknown]);
+        assert_eq!(place.told(), [ClaimOutcome::Unknown]);
         let mut place = Place::new();
         place.grant(2, 1, vec![]);
         place.grant(3, 1, vec![]);
-        place.claims.ended(at(5), Token(1), Fate::Done("job".into()), &mut place.out);
+        place.claims.ended(at(5), AttemptId(1), RunResult::Succeeded("job".into()), &mut place.out);
         place.claims.tick(at(1_750), |_| false, &mut place.out);
-        assert_eq!(place.told(), [Said::Held(false)]);
+        assert_eq!(place.told(), [ClaimOutcome::Replicated(false)]);
         assert_eq!(place.claims.count(), 1, "the copies are still owed the result");
         place.claims.tick(at(18_000), |_| false, &mut place.out);
         assert_eq!(place.claims.count(), 0);
@@ -743,16 +805,19 @@
         let mut place = Place::new();
         place.grant(1, 1, vec![]);
         place.grant(2, 1, vec![]);
-        place.claims.ended(at(5), Token(1), Fate::Done("job".into()), &mut place.out);
+        place.claims.ended(at(5), AttemptId(1), RunResult::Succeeded("job".into()), &mut place.out);
         let claim = place.id();
         for from in [1, 2] {
-            place.claims.answered(at(6), id(from), 1, Frame::Kept { claim, kept: true }, &mut place.out);
+            place.claims.answered(at(6), id(from), 1, Message::Kept { claim, kept: true }, &mut place.out);
         }
         place.out.clear();
         place.claims.tick(at(60), |node| node == id(3), &mut place.out);
         assert_eq!(place.out, []);
         place.claims.tick(at(200), |_| false, &mut place.out);
-        assert!(matches!(place.out[..], [Do::Send(to, Frame::Ended { .. })] if to == id(3)), "it is back");
+        assert!(
+            matches!(place.out[..], [ClaimAction::Send(to, Message::Ended { .. })] if to == id(3)),
+            "it is back"
+        );
     }
 
     #[test]
@@ -761,8 +826,8 @@
         place.block(2, other(1), None);
         place.block(3, other(1), None);
         let claim = place.id();
-        for (from, said) in [(2, vec![]), (1, vec![Said::Turned(Why::Freed)])] {
-            place.claims.answered(at(2), id(from), 1, Frame::Free { claim }, &mut place.out);
+        for (from, said) in [(2, vec![]), (1, vec![ClaimOutcome::Rejected(RejectReason::Freed)])] {
+            place.claims.answered(at(2), id(from), 1, Message::Free { claim }, &mut place.out);
             assert_eq!(place.told(), said);
         }
     }
@@ -777,7 +842,7 @@
             .out
             .drain(..)
             .filter_map(|done| match done {
-                Do::Send(to, Frame::Claim(asked)) => Some((to, asked.claim.number, asked.lists)),
+                ClaimAction::Send(to, Message::Claim(asked)) => Some((to, asked.claim.number, asked.lists)),
                 _ => None,
             })
             .collect();
@@ -785,10 +850,10 @@
         assert!(asked.iter().all(|(_, number, lists)| (*number, &lists[..]) == (2, &[1, 2][..])));
         let claim = ClaimId { number: 2, ..place.id() };
         for (from, granted) in [(1, false), (3, false), (4, true)] {
-            let frame = Frame::Granted { claim, lives: vec![] };
+            let frame = Message::Granted { claim, lives: vec![] };
             place.claims.answered(at(3), id(from), 1, frame, &mut place.out);
             assert_eq!(
-                place.told() == [Said::Granted],
+                place.told() == [ClaimOutcome::Granted],
                 granted,
                 "1 and 3 are a majority of the first list alone"
             );
@@ -801,19 +866,22 @@
         let (claim, key) = (place.id(), Bytes::from("k"));
         assert_eq!(place.claims.what(at(1), &key, claim, 5, false), None, "it may begin yet");
         let unknown = ClaimId { number: 9, ..claim };
-        assert!(matches!(place.claims.what(at(1), &key, unknown, 5, false), Some(Frame::Release { .. })));
-        let before = ClaimId { life: 3, ..claim };
+        assert!(matches!(place.claims.what(at(1), &key, unknown, 5, false), Some(Message::Release { .. })));
+        let before = ClaimId { incarnation: 3, ..claim };
         assert_eq!(
             place.claims.what(at(1), &key, before, 5, true),
             None,
             "the process before may still run it"
         );
         let gone = place.claims.what(at(1), &key, before, 5, false);
-        assert!(matches!(gone, Some(Frame::Ended { end: End { fate: Fate::Failed, .. }, .. })));
+        assert!(matches!(
+            gone,
+            Some(Message::Ended { end: CompletedRun { fate: RunResult::Failed, .. }, .. })
+        ));
         place.grant(2, 1, vec![]);
         place.grant(3, 1, vec![]);
         assert_eq!(place.claims.what(at(1), &key, claim, 5, false), None, "it runs");
-        place.claims.ended(at(2), Token(1), Fate::Failed, &mut place.out);
-        assert!(matches!(place.claims.what(at(3), &key, claim, 5, false), Some(Frame::Ended { .. })));
+        place.claims.ended(at(2), AttemptId(1), RunResult::Failed, &mut place.out);
+        assert!(matches!(place.claims.what(at(3), &key, claim, 5, false), Some(Message::Ended { .. })));
     }
 }
--- a/fleet/src/failure_detector.rs
+++ b/fleet/src/failure_detector.rs
@@ -11,8 +11,8 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::membership_config::NodeId;
-use crate::message::{Frame, Rumor, Standing};
-use crate::replica_table::Link;
+use crate::message::{GossipUpdate, Liveness, Message};
+use crate::replica_table::LinkId;
 use crate::Time;
 
 /// Others that are asked to ask one that did not answer.
@@ -35,7 +35,7 @@
 #[derive(Debug, Clone)]
 struct State {
     age: (u64, u32),
-    standing: Standing,
+    standing: Liveness,
     /// When a suspect is lost.
     lost_at: Time,
 }
@@ -50,11 +50,11 @@
 
 /// What is to be said.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Say {
+pub enum Outbound {
     /// To a node.
-    To(NodeId, Frame),
+    To(NodeId, Message),
     /// On the link that a question came by.
-    On(Link, Frame),
+    On(LinkId, Message),
 }
 
 /// How many members stand how.
@@ -70,7 +70,7 @@
 
 /// All members but this one.
 #[derive(Debug, Clone)]
-pub struct Members {
+pub struct FailureDetector {
     me: NodeId,
     rng: ChaCha8Rng,
     period: Duration,
@@ -81,11 +81,11 @@
     next_probe: Time,
     /// When the first suspect is lost, or earlier.
     next_lost: Time,
-    rumors: Vec<(Rumor, u32)>,
+    rumors: Vec<(GossipUpdate, u32)>,
     age: (u64, u32),
     seq: u64,
     /// Pings passed on: ours, the asker's, its link, whom.
-    passed: VecDeque<(u64, u64, Link, NodeId)>,
+    passed: VecDeque<(u64, u64, LinkId, NodeId)>,
     /// Answers to pings before this one may be from before a sleep.
     awake_from: u64,
     /// How long this life has lasted, as probes tell it.
@@ -95,10 +95,10 @@
     greeted_at: Time,
 }
 
-impl Members {
+impl FailureDetector {
     /// A node in this life that has heard nobody yet. The seed draws whom it probes.
-    pub fn new(me: NodeId, life: u64, seed: u64, period: Duration) -> Members {
-        Members {
+    pub fn new(me: NodeId, incarnation: u64, seed: u64, period: Duration) -> FailureDetector {
+        FailureDetector {
             me,
             rng: ChaCha8Rng::seed_from_u64(seed ^ me.0),
             period,
@@ -108,7 +108,7 @@
             next_probe: Time::ZERO,
             next_lost: Time::MAX,
             rumors: Vec::new(),
-            age: (life, 0),
+            age: (incarnation, 0),
             seq: 1,
             passed: VecDeque::new(),
             awake_from: 1,
@@ -124,7 +124,7 @@
         self.states.retain(|node, _| nodes.contains(node));
         for node in nodes.iter().filter(|node| **node != self.me) {
             // Not heard yet.
-            let unheard = State { age: (0, 0), standing: Standing::Lost, lost_at: Time::ZERO };
+            let unheard = State { age: (0, 0), standing: Liveness::Lost, lost_at: Time::ZERO };
             if !self.states.contains_key(node) {
                 self.states.insert(*node, unheard);
                 self.to_greet.push(*node);
@@ -140,8 +140,8 @@
     }
 
     /// This node's life has another number.
-    pub fn lives_as(&mut self, life: u64) {
-        self.age = (life, 0);
+    pub fn set_incarnation(&mut self, incarnation: u64) {
+        self.age = (incarnation, 0);
     }
 
     /// Nothing that was heard before counts any more.
@@ -151,7 +151,7 @@
         self.probe = None;
         self.to_greet = self.states.keys().copied().collect();
         for state in self.states.values_mut() {
-            state.standing = Standing::Lost;
+            state.standing = Liveness::Lost;
         }
     }
 
@@ -161,8 +161,8 @@
     }
 
     /// How a member stands.
-    pub fn standing(&self, node: NodeId) -> Standing {
-        self.states.get(&node).map_or(Standing::Lost, |state| state.standing)
+    pub fn standing(&self, node: NodeId) -> Liveness {
+        self.states.get(&node).map_or(Liveness::Lost, |state| state.standing)
     }
 
     /// How many stand how.
@@ -170,31 +170,31 @@
         let mut counts = Counts::default();
         for state in self.states.values() {
             match state.standing {
-                Standing::Alive => counts.alive += 1,
-                Standing::Suspect => counts.suspect += 1,
-                Standing::Lost => counts.lost += 1,
+                Liveness::Alive => counts.alive += 1,
+                Liveness::Suspect => counts.suspect += 1,
+                Liveness::Lost => counts.lost += 1,
             }
         }
         counts
     }
 
     /// A node has spoken, in this life of it.
-    pub fn speaks(&mut self, node: NodeId, life: u64) {
-        if let Some(state) = self.states.get_mut(&node).filter(|state| state.age.0 <= life) {
-            state.age = state.age.max((life, 0));
-            state.standing = Standing::Alive;
+    pub fn speaks(&mut self, node: NodeId, incarnation: u64) {
+        if let Some(state) = self.states.get_mut(&node).filter(|state| state.age.0 <= incarnation) {
+            state.age = state.age.max((incarnation, 0));
+            state.standing = Liveness::Alive;
         }
     }
 
     /// Takes in what a member says of others; returns what it is answered.
-    pub fn told(&mut self, now: Time, link: Link, from: NodeId, frame: Frame, out: &mut Vec<Say>) {
+    pub fn told(&mut self, now: Time, link: LinkId, from: NodeId, frame: Message, out: &mut Vec<Outbound>) {
         match frame {
-            Frame::Ping { seq, rumors, .. } => {
+            Message::Ping { seq, rumors, .. } => {
                 self.learn(now, rumors);
                 let rumors = self.word();
-                out.push(Say::On(link, Frame::Ack { seq, seconds: self.seconds, rumors }));
+                out.push(Outbound::On(link, Message::Ack { seq, seconds: self.seconds, rumors }));
             }
-            Frame::Ack { seq, rumors, .. } => {
+            Message::Ack { seq, rumors, .. } => {
                 self.learn(now, rumors);
                 if seq >= self.awake_from {
                     self.heard.insert(from);
@@ -202,23 +202,23 @@
                 if let Some(place) = self.passed.iter().position(|(ours, ..)| *ours == seq) {
                     let (_, theirs, link, target) = self.passed[place];
                     self.passed.remove(place);
-                    out.push(Say::On(link, Frame::AckFor { seq: theirs, target }));
+                    out.push(Outbound::On(link, Message::AckFor { seq: theirs, target }));
                 }
                 self.answered(from, seq);
             }
-            Frame::PingFor { seq, target } if self.states.contains_key(&target) => {
+            Message::PingFor { seq, target } if self.states.contains_key(&target) => {
                 let ours = self.next_seq();
                 self.passed.push_back((ours, seq, link, target));
                 if self.passed.len() > PASSED {
                     self.passed.pop_front();
                 }
                 let rumors = self.word();
-                out.push(Say::To(target, Frame::Ping { seq: ours, seconds: self.seconds, rumors }));
+                out.push(Outbound::To(target, Message::Ping { seq: ours, seconds: self.seconds, rumors }));
             }
-            Frame::AckFor { seq, target } => {
+            Message::AckFor { seq, target } => {
                 if self.probe.as_ref().is_some_and(|probe| probe.seq == seq) {
                     if let Some(state) = self.states.get_mut(&target) {
-                        state.standing = Standing::Alive;
+                        state.standing = Liveness::Alive;
                     }
                 }
                 self.answered(target, seq);
@@ -234,7 +234,7 @@
     }
 
     /// A node can't be reached directly.
-    pub fn unreached(&mut self, node: NodeId, out: &mut Vec<Say>) {
+    pub fn unreached(&mut self, node: NodeId, out: &mut Vec<Outbound>) {
         if self.probe.as_ref().is_some_and(|probe| probe.target == node && !probe.helped) {
             self.ask_others(out);
         }
@@ -246,14 +246,14 @@
     }
 
     /// Time passes.
-    pub fn tick(&mut self, now: Time, level: bool, out: &mut Vec<Say>) {
+    pub fn tick(&mut self, now: Time, level: bool, out: &mut Vec<Outbound>) {
         self.greet(now, level, out);
         if now >= self.next_lost {
             let lost =
-                |(_, state): &(&NodeId, &State)| state.standing == Standing::Suspect && now >= state.lost_at;
+                |(_, state): &(&NodeId, &State)| state.standing == Liveness::Suspect && now >= state.lost_at;
             let lost: Vec<NodeId> = self.states.iter().filter(lost).map(|(node, _)| *node).collect();
-            lost.into_iter().for_each(|node| self.stands(node, Standing::Lost, now));
-            let suspects = self.states.values().filter(|state| state.standing == Standing::Suspect);
+            lost.into_iter().for_each(|node| self.stands(node, Liveness::Lost, now));
+            let suspects = self.states.values().filter(|state| state.standing == Liveness::Suspect);
             self.next_lost = suspects.map(|state| state.lost_at).min().unwrap_or(Time::MAX);
         }
         if let Some(probe) = &self.probe {
@@ -265,8 +265,8 @@
             return;
         }
         if let Some(probe) = self.probe.take() {
-            if self.standing(probe.target) == Standing::Alive {
-                self.stands(probe.target, Standing::Suspect, now);
+            if self.standing(probe.target) == Liveness::Alive {
+                self.stands(probe.target, Liveness::Suspect, now);
             }
         }
         self.next_probe = now + self.period;
@@ -278,12 +278,12 @@
             let seq = self.next_seq();
             self.probe = Some(Probe { target, seq, sent: now, helped: false });
             let rumors = self.word();
-            out.push(Say::To(target, Frame::Ping { seq, seconds: self.seconds, rumors }));
+            out.push(Outbound::To(target, Message::Ping { seq, seconds: self.seconds, rumors }));
         }
     }
 
     /// Who starts or wakes up asks everyone, some at a time, and again until it has heard enough.
-    fn greet(&mut self, now: Time, level: bool, out: &mut Vec<Say>) {
+    fn greet(&mut self, now: Time, level: bool, out: &mut Vec<Outbound>) {
         if !level && self.to_greet.is_empty() && now >= self.greeted_at + GREETS_AGAIN {
             let unheard = self.states.keys().filter(|node| !self.heard.contains(node));
             self.to_greet = unheard.copied().collect();
@@ -293,37 +293,37 @@
             let Some(node) = self.to_greet.pop() else { break };
             self.greeted_at = now;
             let seq = self.next_seq();
-            out.push(Say::To(node, Frame::Ping { seq, seconds: self.seconds, rumors: Vec::new() }));
+            out.push(Outbound::To(node, Message::Ping { seq, seconds: self.seconds, rumors: Vec::new() }));
         }
     }
 
-    fn ask_others(&mut self, out: &mut Vec<Say>) {
+    fn ask_others(&mut self, out: &mut Vec<Outbound>) {
         let Some(probe) = &mut self.probe else { return };
         probe.helped = true;
         let (target, seq) = (probe.target, probe.seq);
-        let alive = |(node, state): &(&NodeId, &State)| state.standing == Standing::Alive && **node != target;
+        let alive = |(node, state): &(&NodeId, &State)| state.standing == Liveness::Alive && **node != target;
         let mut others: Vec<NodeId> = self.states.iter().filter(alive).map(|(node, _)| *node).collect();
         let (chosen, _) = others.partial_shuffle(&mut self.rng, HELPERS);
-        out.extend(chosen.iter().map(|helper| Say::To(*helper, Frame::PingFor { seq, target })));
+        out.extend(chosen.iter().map(|helper| Outbound::To(*helper, Message::PingFor { seq, target })));
     }
 
-    fn stands(&mut self, node: NodeId, standing: Standing, now: Time) {
+    fn stands(&mut self, node: NodeId, standing: Liveness, now: Time) {
         let lost_at = now + self.period * SUSPECTED_FOR;
         let Some(state) = self.states.get_mut(&node) else { return };
         (state.standing, state.lost_at) = (standing, lost_at);
         self.next_lost = self.next_lost.min(lost_at);
-        let rumor = Rumor { node, age: state.age, standing };
+        let rumor = GossipUpdate { node, age: state.age, standing };
         self.pass_on(rumor);
     }
 
-    fn pass_on(&mut self, rumor: Rumor) {
+    fn pass_on(&mut self, rumor: GossipUpdate) {
         self.rumors.retain(|(known, _)| known.node != rumor.node);
         let times = PASSED_ON * (usize::BITS - self.states.len().leading_zeros()).max(1);
         self.rumors.push((rumor, times));
     }
 
     /// What is passed on with the next message: the freshest word.
-    fn word(&mut self) -> Vec<Rumor> {
+    fn word(&mut self) -> Vec<GossipUpdate> {
         self.rumors.sort_by_key(|(_, left)| std::cmp::Reverse(*left));
         let told = self.rumors.iter_mut().take(RUMORS).map(|(rumor, left)| {
             *left -= 1;
@@ -334,13 +334,13 @@
         told
     }
 
-    fn learn(&mut self, now: Time, rumors: Vec<Rumor>) {
+    fn learn(&mut self, now: Time, rumors: Vec<GossipUpdate>) {
         for rumor in rumors.into_iter().take(RUMORS) {
             if rumor.node == self.me {
                 // It is alive, and says so under a higher number.
-                if rumor.standing != Standing::Alive && rumor.age >= self.age && rumor.age.0 == self.age.0 {
+                if rumor.standing != Liveness::Alive && rumor.age >= self.age && rumor.age.0 == self.age.0 {
                     self.age.1 = rumor.age.1.saturating_add(1);
-                    self.pass_on(Rumor { node: self.me, age: self.age, standing: Standing::Alive });
+                    self.pass_on(GossipUpdate { node: self.me, age: self.age, standing: Liveness::Alive });
                 }
                 continue;
             }
@@ -348,7 +348,7 @@
             let newer = rumor.age > state.age || (rumor.age == state.age && rumor.standing > state.standing);
             // One that is heard here is not lost on the word of others; it is suspected, until it answers or does not.
             let standing = match (rumor.standing, state.standing) {
-                (Standing::Lost, Standing::Alive) => Standing::Suspect,
+                (Liveness::Lost, Liveness::Alive) => Liveness::Suspect,
                 (standing, _) => standing,
             };
             if newer {
@@ -376,21 +376,21 @@
         NodeId(n)
     }
 
-    fn members(me: u64, count: u64) -> Members {
-        let mut members = Members::new(id(me), 1, 7, PERIOD);
+    fn members(me: u64, count: u64) -> FailureDetector {
+        let mut members = FailureDetector::new(id(me), 1, 7, PERIOD);
         members.are(&(1..=count).map(id).collect());
         members
     }
 
-    fn pings(out: &[Say]) -> Vec<NodeId> {
+    fn pings(out: &[Outbound]) -> Vec<NodeId> {
         out.iter()
-            .filter_map(|say| if let Say::To(to, Frame::Ping { .. }) = say { Some(*to) } else { None })
+            .filter_map(|say| if let Outbound::To(to, Message::Ping { .. }) = say { Some(*to) } else { None })
             .collect()
     }
 
-    fn seq_to(out: &[Say], node: NodeId) -> u64 {
+    fn seq_to(out: &[Outbound], node: NodeId) -> u64 {
         let found = out.iter().rev().find_map(|say| match say {
-            Say::To(to, Frame::Ping { seq, .. }) if *to == node => Some(*seq),
+            Outbound::To(to, Message::Ping { seq, .. }) if *to == node => Some(*seq),
             _ => None,
         });
         found.unwrap()
@@ -406,7 +406,7 @@
             at(1),
             1,
             id(2),
-            Frame::Ack { seq: seq_to(&out, id(2)), seconds: 0, rumors: vec![] },
+            Message::Ack { seq: seq_to(&out, id(2)), seconds: 0, rumors: vec![] },
             &mut out,
         );
         assert_eq!(*members.heard(), [id(2)].into());
@@ -421,7 +421,7 @@
         members.tick(at(0), false, &mut out);
         let old = seq_to(&out, id(2));
         members.woke();
-        members.told(at(1), 1, id(2), Frame::Ack { seq: old, seconds: 0, rumors: vec![] }, &mut out);
+        members.told(at(1), 1, id(2), Message::Ack { seq: old, seconds: 0, rumors: vec![] }, &mut out);
         assert!(members.heard().is_empty());
         out.clear();
         members.tick(at(2), false, &mut out);
@@ -429,14 +429,14 @@
             at(3),
             1,
             id(2),
-            Frame::Ack { seq: seq_to(&out, id(2)), seconds: 0, rumors: vec![] },
+            Message::Ack { seq: seq_to(&out, id(2)), seconds: 0, rumors: vec![] },
             &mut out,
         );
         assert_eq!(*members.heard(), [id(2)].into());
     }
 
     /// Two of four are alive here; the third does not answer its probe.
-    fn suspecting() -> (Members, NodeId, Time) {
+    fn suspecting() -> (FailureDetector, NodeId, Time) {
         let (mut members, mut out) = (members(1, 4), Vec::new());
         for node in [2, 3, 4] {
             members.speaks(id(node), 1);
@@ -447,10 +447,10 @@
         members.tick(at(400), true, &mut out);
         let helpers = out
             .iter()
-            .filter(|say| matches!(say, Say::To(_, Frame::PingFor { target: t, .. }) if *t == target));
+            .filter(|say| matches!(say, Outbound::To(_, Message::PingFor { target: t, .. }) if *t == target));
         assert_eq!(helpers.count(), 2, "the others are asked to ask: {out:?}");
         members.tick(at(1000), true, &mut out);
-        assert_eq!(members.standing(target), Standing::Suspect);
+        assert_eq!(members.standing(target), Liveness::Suspect);
         (members, target, at(1000))
     }
 
@@ -459,12 +459,12 @@
         let (mut members, target, then) = suspecting();
         let mut out = Vec::new();
         members.tick(then + at(3_999), true, &mut out);
-        assert_ne!(members.standing(target), Standing::Lost);
+        assert_ne!(members.standing(target), Liveness::Lost);
         members.tick(then + at(4_000), true, &mut out);
-        assert_eq!(members.standing(target), Standing::Lost);
+        assert_eq!(members.standing(target), Liveness::Lost);
         assert_eq!(members.counts().lost, 1);
         members.speaks(target, 1);
-        assert_eq!(members.standing(target), Standing::Alive, "it speaks for itself");
+        assert_eq!(members.standing(target), Liveness::Alive, "it speaks for itself");
     }
 
     #[test]
@@ -475,51 +475,51 @@
         let target = *pings(&out).last().unwrap();
         let seq = seq_to(&out, target);
         members.tick(at(400), true, &mut out);
-        members.told(at(500), 1, id(9), Frame::AckFor { seq, target }, &mut out);
+        members.told(at(500), 1, id(9), Message::AckFor { seq, target }, &mut out);
         members.tick(at(1000), true, &mut out);
-        assert_eq!(members.standing(target), Standing::Alive);
+        assert_eq!(members.standing(target), Liveness::Alive);
     }
 
     #[test]
     fn one_that_asks_for_another_hears_of_it_by_the_link_it_asked_on() {
         let (mut members, mut out) = (members(1, 4), Vec::new());
-        members.told(at(0), 77, id(2), Frame::PingFor { seq: 5, target: id(3) }, &mut out);
+        members.told(at(0), 77, id(2), Message::PingFor { seq: 5, target: id(3) }, &mut out);
         let seq = seq_to(&out, id(3));
-        members.told(at(1), 78, id(3), Frame::Ack { seq, seconds: 0, rumors: vec![] }, &mut out);
-        assert!(out.contains(&Say::On(77, Frame::AckFor { seq: 5, target: id(3) })));
+        members.told(at(1), 78, id(3), Message::Ack { seq, seconds: 0, rumors: vec![] }, &mut out);
+        assert!(out.contains(&Outbound::On(77, Message::AckFor { seq: 5, target: id(3) })));
         out.clear();
-        members.told(at(0), 77, id(2), Frame::PingFor { seq: 5, target: id(9) }, &mut out);
+        members.told(at(0), 77, id(2), Message::PingFor { seq: 5, target: id(9) }, &mut out);
         assert!(out.is_empty(), "nobody it knows");
     }
 
     #[test]
     fn who_is_wrongly_suspected_says_so_under_a_higher_number_and_is_believed() {
         let (mut members, mut out) = (members(1, 4), Vec::new());
-        let rumor = |node, age, standing| Rumor { node: id(node), age, standing };
-        let suspect = rumor(1, (1, 0), Standing::Suspect);
-        members.told(at(0), 1, id(2), Frame::Ping { seq: 1, seconds: 0, rumors: vec![suspect] }, &mut out);
-        let said = rumor(1, (1, 1), Standing::Alive);
-        assert_eq!(out, [Say::On(1, Frame::Ack { seq: 1, seconds: 0, rumors: vec![said] })]);
+        let rumor = |node, age, standing| GossipUpdate { node: id(node), age, standing };
+        let suspect = rumor(1, (1, 0), Liveness::Suspect);
+        members.told(at(0), 1, id(2), Message::Ping { seq: 1, seconds: 0, rumors: vec![suspect] }, &mut out);
+        let said = rumor(1, (1, 1), Liveness::Alive);
+        assert_eq!(out, [Outbound::On(1, Message::Ack { seq: 1, seconds: 0, rumors: vec![said] })]);
         let mut other = self::members(2, 4);
-        let hears = |other: &mut Members, rumor| {
+        let hears = |other: &mut FailureDetector, rumor| {
             other.told(
                 at(0),
                 1,
                 id(3),
-                Frame::Ping { seq: 1, seconds: 0, rumors: vec![rumor] },
+                Message::Ping { seq: 1, seconds: 0, rumors: vec![rumor] },
                 &mut Vec::new(),
             );
             other.standing(id(1))
         };
         other.speaks(id(1), 1);
         assert_eq!(
-            hears(&mut other, rumor(1, (1, 0), Standing::Lost)),
-            Standing::Suspect,
+            hears(&mut other, rumor(1, (1, 0), Liveness::Lost)),
+            Liveness::Suspect,
             "it is heard here"
         );
-        assert_eq!(hears(&mut other, said), Standing::Alive);
-        assert_eq!(hears(&mut other, suspect), Standing::Alive, "that is older");
-        assert_eq!(hears(&mut other, rumor(1, (1, 1), Standing::Suspect)), Standing::Suspect);
+        assert_eq!(hears(&mut other, said), Liveness::Alive);
+        assert_eq!(hears(&mut other, suspect), Liveness::Alive, "that is older");
+        assert_eq!(hears(&mut other, rumor(1, (1, 1), Liveness::Suspect)), Liveness::Suspect);
     }
 
     #[test]
@@ -527,7 +527,7 @@
         let mut members = members(1, 100);
         for node in 2..=40 {
             members.speaks(id(node), 1);
-            members.stands(id(node), Standing::Suspect, at(0));
+            members.stands(id(node), Liveness::Suspect, at(0));
         }
         let mut told = 0;
         for _ in 0..1000 {
--- a/fleet/src/hash_chain.rs
+++ b/fleet/src/hash_chain.rs
@@ -25,16 +25,16 @@
 
 /// Where a chain is broken.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Break {
+pub struct ChainBreak {
     /// The line of the text, from 1.
     pub line: usize,
     /// What is wrong there.
-    pub what: Wrong,
+    pub what: ChainError,
 }
 
 /// What is wrong with a line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Wrong {
+pub enum ChainError {
     /// It is no record.
     Unreadable,
     /// Records are missing before it, or stand elsewhere: this number was due, and that one came.
@@ -47,15 +47,15 @@
     Cut(u64),
 }
 
-impl fmt::Display for Break {
+impl fmt::Display for ChainBreak {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "line {}: ", self.line)?;
         match self.what {
-            Wrong::Unreadable => write!(f, "no record"),
-            Wrong::Missing(due, came) => write!(f, "record {came} where {due} was due"),
-            Wrong::Changed => write!(f, "not as it was written"),
-            Wrong::Cut(due) => write!(f, "records are gone from the end: {due} was the last"),
-            Wrong::Unfinished => write!(f, "not whole, as a process that ends in the middle leaves it"),
+            ChainError::Unreadable => write!(f, "no record"),
+            ChainError::Missing(due, came) => write!(f, "record {came} where {due} was due"),
+            ChainError::Changed => write!(f, "not as it was written"),
+            ChainError::Cut(due) => write!(f, "records are gone from the end: {due} was the last"),
+            ChainError::Unfinished => write!(f, "not whole, as a process that ends in the middle leaves it"),
         }
     }
 }
@@ -107,19 +107,19 @@
 
     /// Takes in a line that was read; its record, and what is wrong with it. After something wrong the chain goes on from
     /// what the line says, so that each fault is told once.
-    fn take<'a>(&mut self, line: &'a str) -> (Option<&'a str>, Option<Wrong>) {
+    fn take<'a>(&mut self, line: &'a str) -> (Option<&'a str>, Option<ChainError>) {
         let mut words = line.splitn(3, ' ');
         let parts = (words.next().and_then(|word| word.parse::<u64>().ok()), words.next(), words.next());
         let (Some(number), Some(digest), Some(record)) = parts else {
-            return (None, Some(Wrong::Unreadable));
+            return (None, Some(ChainError::Unreadable));
         };
-        let Some(said) = Chain::after(number, digest) else { return (None, Some(Wrong::Unreadable)) };
+        let Some(said) = Chain::after(number, digest) else { return (None, Some(ChainError::Unreadable)) };
         let as_written = self.open || self.digest(number, record) == said.last;
         let plain = number.to_string().len() == line.find(' ').unwrap_or(0);
         let wrong = if number != self.number + 1 {
-            Some(Wrong::Missing(self.number + 1, number))
+            Some(ChainError::Missing(self.number + 1, number))
         } else {
-            (!as_written || !plain).then_some(Wrong::Changed)
+            (!as_written || !plain).then_some(ChainError::Changed)
         };
         *self = said;
         (Some(record), wrong)
@@ -132,17 +132,17 @@
     /// All records that could be read, with their numbers.
     pub records: Vec<(u64, &'a str)>,
     /// Where the chain is broken.
-    pub breaks: Vec<Break>,
+    pub breaks: Vec<ChainBreak>,
 }
 
 /// Reads a text that goes on behind a chain's end, and takes the chain to the text's end.
 pub fn read<'a>(text: &'a str, chain: &mut Chain) -> Read<'a> {
     let mut read = Read::default();
     for (i, line) in text.split_inclusive('\n').enumerate() {
-        let mut tell = |what| read.breaks.push(Break { line: i + 1, what });
+        let mut tell = |what| read.breaks.push(ChainBreak { line: i + 1, what });
         let Some(line) = line.strip_suffix('\n') else {
             // What was there goes on in the next file, or is missed in it.
-            tell(Wrong::Unfinished);
+            tell(ChainError::Unfinished);
             continue;
         };
         let (record, wrong) = chain.take(line);
@@ -166,7 +166,7 @@
 
     const THREE: [&str; 4] = ["{\"a\":1}", "{\"b\":\"x y\"}", "{}", "{\"c\":[1,2]}"];
 
-    fn breaks(text: &str) -> Vec<Break> {
+    fn breaks(text: &str) -> Vec<ChainBreak> {
         read(text, &mut Chain::default()).breaks
     }
 
@@ -214,7 +214,7 @@
             let found = breaks(&text[..at]);
             let between = text.as_bytes()[at - 1] == b'\n';
             assert_eq!(found.is_empty(), between, "{at}: {found:?}");
-            assert!(between || found[0].what == Wrong::Unfinished);
+            assert!(between || found[0].what == ChainError::Unfinished);
             // Where more files come behind it, that shows too.
             let mut chain = Chain::default();
             read(&text[..at], &mut chain);
@@ -236,6 +236,6 @@
         }
         let other = sealed(&["{\"a\":2}", "{\"b\":2}", "{}", "{}"]);
         let foreign = format!("{}{}{}", lines[0], other.split_inclusive('\n').nth(1).unwrap(), lines[2]);
-        assert_eq!(breaks(&foreign)[0], Break { line: 2, what: Wrong::Changed });
+        assert_eq!(breaks(&foreign)[0], ChainBreak { line: 2, what: ChainError::Changed });
     }
 }
--- a/fleet/src/key_state.rs
+++ b/fleet/src/key_state.rs
@@ -16,7 +16,7 @@
 pub type Key = Bytes;
 
 /// A digest of a request's body that nobody can make another body for.
-pub type Body = u128;
+pub type BodyDigest = u128;
 
 /// One try's claim on a key: no other claim, of any node at any time, has the same.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -24,76 +24,76 @@
     /// The node that makes it.
     pub node: NodeId,
     /// Which life of that node.
-    pub life: u64,
+    pub incarnation: u64,
     /// Its number in that life.
     pub number: u64,
 }
 
 /// How a run ended.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Fate {
+pub enum RunResult {
     /// With this result.
-    Done(Bytes),
+    Succeeded(Bytes),
     /// It failed and may have had its effect, or nobody knows what became of it.
     Failed,
 }
 
-impl Fate {
+impl RunResult {
     /// What its result takes.
     pub fn bytes(&self) -> usize {
         match self {
-            Fate::Done(result) => result.len(),
-            Fate::Failed => 0,
+            RunResult::Succeeded(result) => result.len(),
+            RunResult::Failed => 0,
         }
     }
 }
 
 /// The end of a run.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct End {
+pub struct CompletedRun {
     /// When its request came to its node, in Unix milliseconds.
-    pub door: u64,
+    pub received_at: u64,
     /// Its node's place in the list.
     pub place: u32,
     /// The claim that it ran by.
     pub claim: ClaimId,
     /// How it ended.
-    pub fate: Fate,
+    pub fate: RunResult,
     /// The digest of its body.
-    pub body: Body,
+    pub body: BodyDigest,
 }
 
-impl End {
+impl CompletedRun {
     /// The end of a claim whose node has lost all knowledge of it: whether it ran is not known, so it counts as failed.
     /// Any end that a run told of itself stands above it.
-    pub fn of_the_gone(claim: ClaimId, body: Body) -> End {
-        End { door: u64::MAX, place: u32::MAX, claim, fate: Fate::Failed, body }
+    pub fn of_the_gone(claim: ClaimId, body: BodyDigest) -> CompletedRun {
+        CompletedRun { received_at: u64::MAX, place: u32::MAX, claim, fate: RunResult::Failed, body }
     }
 
     fn is_of_the_gone(&self) -> bool {
-        self.door == u64::MAX
+        self.received_at == u64::MAX
     }
 }
 
 /// What is known of a key.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
-pub struct Known {
+pub struct KeyState {
     /// Claims that may have begun, with the digests of their bodies. Empty once a run has ended.
-    pub begun: BTreeMap<ClaimId, Body>,
+    pub begun: BTreeMap<ClaimId, BodyDigest>,
     /// The end that stands.
-    pub ended: Option<End>,
+    pub ended: Option<CompletedRun>,
 }
 
-impl Known {
+impl KeyState {
     /// Takes in what another copy knows. Returns both ends where two runs have ended: the one that stands, and the other.
-    pub fn join(&mut self, other: Known) -> Option<(End, End)> {
+    pub fn merge(&mut self, other: KeyState) -> Option<(CompletedRun, CompletedRun)> {
         let mut conflict = None;
         self.ended = match (self.ended.take(), other.ended) {
             (Some(one), Some(two)) => {
                 // The order of the fields is that of the rule; a result stands above a failure of the same run.
                 let (stands, falls) = if one <= two { (one, two) } else { (two, one) };
-                let told_more =
-                    falls.fate == Fate::Failed && (stands.claim == falls.claim || falls.is_of_the_gone());
+                let told_more = falls.fate == RunResult::Failed
+                    && (stands.claim == falls.claim || falls.is_of_the_gone());
                 if stands != falls && !told_more {
                     conflict = Some((stands.clone(), falls));
                 }
@@ -124,32 +124,34 @@
     use super::*;
 
     fn claim(number: u64) -> ClaimId {
-        ClaimId { node: NodeId(number % 3), life: 1, number }
+        ClaimId { node: NodeId(number % 3), incarnation: 1, number }
     }
 
-    fn end(door: u64, number: u64, fate: Fate) -> End {
-        End { door, place: number as u32 % 3, claim: claim(number), fate, body: 1 }
+    fn end(received_at: u64, number: u64, fate: RunResult) -> CompletedRun {
+        CompletedRun { received_at, place: number as u32 % 3, claim: claim(number), fate, body: 1 }
     }
 
-    fn all() -> Vec<Known> {
-        let begun =
-            |numbers: &[u64]| Known { begun: numbers.iter().map(|n| (claim(*n), 1)).collect(), ended: None };
-        let ended = |end| Known { ended: Some(end), ..Known::default() };
+    fn all() -> Vec<KeyState> {
+        let begun = |numbers: &[u64]| KeyState {
+            begun: numbers.iter().map(|n| (claim(*n), 1)).collect(),
+            ended: None,
+        };
+        let ended = |end| KeyState { ended: Some(end), ..KeyState::default() };
         vec![
-            Known::default(),
+            KeyState::default(),
             begun(&[1]),
             begun(&[2]),
             begun(&[1, 2]),
-            ended(end(5, 1, Fate::Done("a".into()))),
-            ended(end(5, 1, Fate::Failed)),
-            ended(end(5, 2, Fate::Done("b".into()))),
-            ended(end(4, 3, Fate::Done("c".into()))),
+            ended(end(5, 1, RunResult::Succeeded("a".into()))),
+            ended(end(5, 1, RunResult::Failed)),
+            ended(end(5, 2, RunResult::Succeeded("b".into()))),
+            ended(end(4, 3, RunResult::Succeeded("c".into()))),
         ]
     }
 
-    fn join(a: &Known, b: &Known) -> Known {
+    fn join(a: &KeyState, b: &KeyState) -> KeyState {
         let mut joined = a.clone();
-        joined.join(b.clone());
+        joined.merge(b.clone());
         joined
     }
 
@@ -177,14 +179,15 @@
     fn of_two_ends_the_earliest_run_stands_and_both_are_told() {
         let known = all();
         let mut joined = known[6].clone();
-        let (stands, falls) = joined.join(known[7].clone()).unwrap();
-        assert_eq!((stands.door, falls.door), (4, 5));
+        let (stands, falls) = joined.merge(known[7].clone()).unwrap();
+        assert_eq!((stands.received_at, falls.received_at), (4, 5));
         assert_eq!(joined.ended, Some(stands));
         let mut one = known[5].clone();
-        assert_eq!(one.join(known[4].clone()), None, "of one run a result says more than a failure");
+        assert_eq!(one.merge(known[4].clone()), None, "of one run a result says more than a failure");
         assert_eq!(one, known[4]);
-        let mut gone = Known { ended: Some(End::of_the_gone(claim(9), 1)), ..Known::default() };
-        assert_eq!(gone.join(known[6].clone()), None, "that one may never have run");
+        let mut gone =
+            KeyState { ended: Some(CompletedRun::of_the_gone(claim(9), 1)), ..KeyState::default() };
+        assert_eq!(gone.merge(known[6].clone()), None, "that one may never have run");
         assert_eq!(gone, known[6]);
     }
 }
--- a/fleet/src/lib.rs
+++ b/fleet/src/lib.rs
@@ -32,7 +32,7 @@
 
 /// A key that has run out is kept this much longer for tries that were read late: those that came to the machine in its
 /// time are still linked to it.
-pub const READ_LATE: Duration = Duration::from_secs(8);
+pub const LATE_READ_GRACE: Duration = Duration::from_secs(8);
 
 /// The longest result that is kept, in bytes; one that is longer counts as failed for later tries.
-pub const LONGEST_RESULT: usize = 64 * 1024;
+pub const MAX_RESULT_BYTES: usize = 64 * 1024;
--- a/fleet/src/membership_config.rs
+++ b/fleet/src/membership_config.rs
@@ -11,11 +11,11 @@
 use siphasher::sip::SipHasher13;
 
 /// Nodes that a list may have.
-pub const MOST_MEMBERS: usize = 1000;
+pub const MAX_MEMBERS: usize = 1000;
 /// Copies that a key may have.
-pub const MOST_COPIES: usize = 9;
+pub const MAX_REPLICAS: usize = 9;
 /// The longest name of a node or a zone, in bytes.
-const LONGEST_NAME: usize = 64;
+const MAX_NAME_BYTES: usize = 64;
 
 /// A node, by a digest of its name: the same on every node and in every build.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -54,7 +54,7 @@
 
 /// A list as it is written and sent, not checked yet.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Plain {
+pub struct MembershipSpec {
     /// Its number.
     pub number: u64,
     /// Copies of each key.
@@ -67,38 +67,38 @@
 
 /// A list that holds together.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct List {
-    plain: Plain,
+pub struct MembershipConfig {
+    plain: MembershipSpec,
     ids: Vec<NodeId>,
     zones: Vec<usize>,
     zone_count: usize,
     digest: u64,
 }
 
-impl List {
+impl MembershipConfig {
     /// Checks a list.
     ///
     /// # Errors
     ///
     /// One line that names the key at fault.
-    pub fn new(plain: Plain) -> Result<List, String> {
+    pub fn new(plain: MembershipSpec) -> Result<MembershipConfig, String> {
         if plain.number == 0 {
             return Err("list.number: 1 or more".into());
         }
-        if !(1..=MOST_MEMBERS).contains(&plain.members.len()) {
-            return Err(format!("list.members: 1 to {MOST_MEMBERS} nodes"));
+        if !(1..=MAX_MEMBERS).contains(&plain.members.len()) {
+            return Err(format!("list.members: 1 to {MAX_MEMBERS} nodes"));
         }
-        if !(1..=MOST_COPIES).contains(&plain.copies) {
-            return Err(format!("list.copies: 1 to {MOST_COPIES}"));
+        if !(1..=MAX_REPLICAS).contains(&plain.copies) {
+            return Err(format!("list.copies: 1 to {MAX_REPLICAS}"));
         }
         if plain.window.is_zero() || plain.window > Duration::from_secs(86_400) {
             return Err("list.window_ms: above 0 and at most a day".into());
         }
         let mut ids = BTreeSet::new();
         for (i, member) in plain.members.iter().enumerate() {
-            let named = |text: &str| !text.is_empty() && text.len() <= LONGEST_NAME;
+            let named = |text: &str| !text.is_empty() && text.len() <= MAX_NAME_BYTES;
             if !named(&member.name) || !named(&member.zone) {
-                return Err(format!("list.members[{i}]: name and zone need 1 to {LONGEST_NAME} bytes"));
+                return Err(format!("list.members[{i}]: name and zone need 1 to {MAX_NAME_BYTES} bytes"));
             }
             if !ids.insert(NodeId::of(&member.name)) {
                 return Err(format!("list.members[{i}].name: {:?} is there twice", member.name));
@@ -115,7 +115,7 @@
         for member in &plain.members {
             text += &format!("\n{:?} {:?}", member.name, member.zone);
         }
-        Ok(List {
+        Ok(MembershipConfig {
             ids: plain.members.iter().map(|member| NodeId::of(&member.name)).collect(),
             zone_count: numbers.len(),
             zones,
@@ -135,7 +135,7 @@
     }
 
     /// What it says, as it was written.
-    pub fn plain(&self) -> &Plain {
+    pub fn plain(&self) -> &MembershipSpec {
         &self.plain
     }
 
@@ -165,12 +165,12 @@
     }
 
     /// So many of a key's copies are a majority.
-    pub fn majority(&self) -> usize {
+    pub fn quorum(&self) -> usize {
         self.copies() / 2 + 1
     }
 
     /// The nodes that hold copies of a key, the first choice first.
-    pub fn holders(&self, key: &[u8]) -> Vec<NodeId> {
+    pub fn replicas_of(&self, key: &[u8]) -> Vec<NodeId> {
         let key = spread(digest(3, key));
         let score = |i: usize| (spread(self.ids[i].0 ^ key), i);
         // The best of each zone, and then, where there are fewer zones than copies, the best of the others.
@@ -209,7 +209,7 @@
     /// # Errors
     ///
     /// The reason, in one line.
-    pub fn may_follow(&self, before: &List) -> Result<(), String> {
+    pub fn may_follow(&self, before: &MembershipConfig) -> Result<(), String> {
         let moved = |member: &&Member| {
             let now = self.member(NodeId::of(&member.name));
             now.is_none_or(|now| now.address != member.address)
@@ -217,7 +217,7 @@
         let lost: Vec<&Member> = before.plain.members.iter().filter(moved).collect();
         let ids = lost.iter().map(|member| NodeId::of(&member.name)).collect();
         let most = before.most_copies_among(&ids);
-        if most < before.majority() {
+        if most < before.quorum() {
             return Ok(());
         }
         let names: Vec<&str> = lost.iter().map(|member| member.name.as_str()).take(5).collect();
@@ -246,17 +246,17 @@
     }
 
     /// n1, n2 and so on, dealt out to so many zones.
-    pub(crate) fn plain(number: u64, nodes: &[usize], zones: usize) -> Plain {
+    pub(crate) fn plain(number: u64, nodes: &[usize], zones: usize) -> MembershipSpec {
         let members = nodes.iter().map(|n| Member {
             name: format!("n{n}"),
             address: SocketAddr::from(([127, 0, 0, 1], 7000 + *n as u16)),
             zone: format!("z{}", n % zones),
         });
-        Plain { number, copies: 3, window: Duration::from_secs(10), members: members.collect() }
+        MembershipSpec { number, copies: 3, window: Duration::from_secs(10), members: members.collect() }
     }
 
-    pub(crate) fn list(number: u64, nodes: &[usize], zones: usize) -> List {
-        List::new(plain(number, nodes, zones)).unwrap()
+    pub(crate) fn list(number: u64, nodes: &[usize], zones: usize) -> MembershipConfig {
+        MembershipConfig::new(plain(number, nodes, zones)).unwrap()
     }
 
     fn twelve() -> Vec<usize> {
@@ -268,11 +268,11 @@
         let list = list(1, &twelve(), 3);
         let mut counts: BTreeMap<NodeId, usize> = BTreeMap::new();
         for n in 0..3000_u32 {
-            let holders = list.holders(&n.to_be_bytes());
+            let replicas_of = list.replicas_of(&n.to_be_bytes());
             let zones: BTreeSet<&str> =
-                holders.iter().map(|id| list.member(*id).unwrap().zone.as_str()).collect();
-            assert_eq!((holders.len(), zones.len()), (3, 3));
-            holders.into_iter().for_each(|id| *counts.entry(id).or_default() += 1);
+                replicas_of.iter().map(|id| list.member(*id).unwrap().zone.as_str()).collect();
+            assert_eq!((replicas_of.len(), zones.len()), (3, 3));
+            replicas_of.into_iter().for_each(|id| *counts.entry(id).or_default() += 1);
         }
         assert!(counts.values().all(|count| (600..900).contains(count)), "{counts:?}");
     }
@@ -281,19 +281,19 @@
     fn fewer_zones_than_copies_are_all_used_and_fewer_nodes_as_well() {
         let two = list(1, &twelve(), 2);
         for n in 0..100_u32 {
-            let holders = two.holders(&n.to_be_bytes());
+            let replicas_of = two.replicas_of(&n.to_be_bytes());
             let zones: BTreeSet<&str> =
-                holders.iter().map(|id| two.member(*id).unwrap().zone.as_str()).collect();
-            assert_eq!((holders.len(), zones.len()), (3, 2));
+                replicas_of.iter().map(|id| two.member(*id).unwrap().zone.as_str()).collect();
+            assert_eq!((replicas_of.len(), zones.len()), (3, 2));
         }
         let small = list(1, &[1, 2], 1);
-        assert_eq!((small.holders(b"k").len(), small.majority()), (2, 2));
+        assert_eq!((small.replicas_of(b"k").len(), small.quorum()), (2, 2));
     }
 
     #[test]
     fn one_more_node_moves_few_copies() {
         let (before, after) = (list(1, &twelve(), 1), list(2, &(1..=13).collect::<Vec<_>>(), 1));
-        let moved = |n: &u32| before.holders(&n.to_be_bytes()) != after.holders(&n.to_be_bytes());
+        let moved = |n: &u32| before.replicas_of(&n.to_be_bytes()) != after.replicas_of(&n.to_be_bytes());
         let moved = (0..1300_u32).filter(moved).count();
         assert!((200..400).contains(&moved), "three in thirteen: {moved}");
     }
@@ -311,9 +311,12 @@
         assert!(turned.contains("n1, n2 (2 in all)") && turned.contains("2 of their 3 copies"), "{turned}");
         let mut moved = plain(2, &twelve(), 3);
         moved.members[0].address.set_port(1);
-        assert!(List::new(moved.clone()).unwrap().may_follow(&before).is_ok());
+        assert!(MembershipConfig::new(moved.clone()).unwrap().may_follow(&before).is_ok());
         moved.members[1].address.set_port(1);
-        assert!(List::new(moved).unwrap().may_follow(&before).is_err(), "two other nodes under old names");
+        assert!(
+            MembershipConfig::new(moved).unwrap().may_follow(&before).is_err(),
+            "two other nodes under old names"
+        );
     }
 
     #[test]
@@ -323,7 +326,7 @@
             for gone in [&[1, 2][..], &[1, 5, 9], &[2, 3, 4, 8, 12]] {
                 let ids: BTreeSet<NodeId> = gone.iter().map(|n| NodeId::of(&format!("n{n}"))).collect();
                 let among =
-                    |n: u32| list.holders(&n.to_be_bytes()).iter().filter(|id| ids.contains(id)).count();
+                    |n: u32| list.replicas_of(&n.to_be_bytes()).iter().filter(|id| ids.contains(id)).count();
                 let most = (0..20_000).map(among).max().unwrap();
                 assert_eq!(most, list.most_copies_among(&ids), "{zones} zones, {gone:?}");
             }
@@ -332,10 +335,10 @@
 
     #[test]
     fn lists_that_do_not_hold_together_are_turned_down_with_the_key() {
-        let wrong = |change: fn(&mut Plain)| {
+        let wrong = |change: fn(&mut MembershipSpec)| {
             let mut plain = plain(1, &[1, 2, 3], 1);
             change(&mut plain);
-            List::new(plain).unwrap_err()
+            MembershipConfig::new(plain).unwrap_err()
         };
         assert!(wrong(|plain| plain.number = 0).starts_with("list.number"));
         assert!(wrong(|plain| plain.copies = 0).starts_with("list.copies"));
@@ -350,8 +353,8 @@
         let mut plain = plain(1, &[1, 2, 3], 1);
         let digest = list(1, &[1, 2, 3], 1).digest();
         plain.members[0].address.set_port(1);
-        assert_eq!(List::new(plain.clone()).unwrap().digest(), digest);
+        assert_eq!(MembershipConfig::new(plain.clone()).unwrap().digest(), digest);
         plain.members[0].zone = "other".into();
-        assert_ne!(List::new(plain).unwrap().digest(), digest);
+        assert_ne!(MembershipConfig::new(plain).unwrap().digest(), digest);
     }
 }
--- a/fleet/src/message.rs
+++ b/fleet/src/message.rs
@@ -4,12 +4,12 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-use crate::key_state::{Body, ClaimId, End, Key};
-use crate::membership_config::{NodeId, Plain};
-use crate::staleness::Mark;
+use crate::key_state::{BodyDigest, ClaimId, CompletedRun, Key};
+use crate::membership_config::{MembershipSpec, NodeId};
+use crate::staleness::StatePosition;
 
 /// Kinds of frames that this build knows; later ones have higher numbers.
-pub const KINDS: u32 = 22;
+pub const MESSAGE_KINDS: u32 = 22;
 
 /// Who a node is, and what it goes by.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -19,7 +19,7 @@
     /// Whom it means to reach.
     pub to: NodeId,
     /// Which life of it this is; a later one has a higher number.
-    pub life: u64,
+    pub incarnation: u64,
     /// The numbers and digests of the lists that are about there, the newest last.
     pub lists: Vec<(u64, u64)>,
     /// Lists up to this number are over, as this node knows.
@@ -29,18 +29,18 @@
     /// How long this life has lasted.
     pub seconds: u64,
     /// Where what it goes on from ends: what it kept of an earlier life, if it did.
-    pub kept: Option<Mark>,
+    pub kept: Option<StatePosition>,
 }
 
 /// A claim as a copy is asked for it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Asked {
+pub struct ClaimRequest {
     /// The claim.
     pub claim: ClaimId,
     /// The key.
     pub key: Key,
     /// The digest of the request's body.
-    pub body: Body,
+    pub body: BodyDigest,
     /// How much longer the key is remembered, in milliseconds.
     pub keep_ms: u64,
     /// The numbers of the lists that it needs majorities in.
@@ -49,20 +49,20 @@
 
 /// What stands in the way of a claim.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Blocker {
+pub struct ConflictingClaim {
     /// The claim that has begun, or ended.
     pub claim: ClaimId,
     /// The digest of its body.
-    pub body: Body,
+    pub body: BodyDigest,
     /// How it ended, if it has.
-    pub ended: Option<End>,
+    pub ended: Option<CompletedRun>,
     /// How long its window has been over, in milliseconds.
     pub past_ms: u64,
 }
 
 /// Why a copy can't say.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Why {
+pub enum RejectReason {
     /// It came back without its state and has neither caught up nor waited for a window.
     Returning,
     /// It has not heard a majority since it started or woke up.
@@ -72,7 +72,7 @@
     /// Another process has its name.
     Superseded,
     /// It knows of other lists than those that the claim is made under.
-    Lists,
+    ActiveConfigs,
     /// It has another list of the same number.
     Contradicted,
     /// It could not keep its word on its disk.
@@ -91,18 +91,18 @@
 
 /// Word of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Rumor {
+pub struct GossipUpdate {
     /// Whom it is about.
     pub node: NodeId,
     /// Its life and, in that, how often it has had to say that it is alive.
     pub age: (u64, u32),
     /// How it stands.
-    pub standing: Standing,
+    pub standing: Liveness,
 }
 
 /// How a member stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Standing {
+pub enum Liveness {
     /// It is heard.
     Alive,
     /// It did not answer.
@@ -113,42 +113,42 @@
 
 /// A place in a donor's table.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Position {
+pub struct TablePosition {
     /// Which life of the donor.
-    pub life: u64,
+    pub incarnation: u64,
     /// When the entry runs out there, in nanoseconds.
     pub until_ns: u64,
     /// The entry's key.
     pub key: Key,
 }
 
-impl Position {
+impl TablePosition {
     /// Behind everything in the table of this life of a donor.
-    pub fn end(life: u64) -> Position {
-        Position { life, until_ns: 0, key: Key::new() }
+    pub fn end(incarnation: u64) -> TablePosition {
+        TablePosition { incarnation, until_ns: 0, key: Key::new() }
     }
 }
 
 /// What a donor knows of one key.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Copied {
+pub struct ReplicaRecord {
     /// The key.
     pub key: Key,
     /// How much longer it is remembered, in milliseconds.
     pub keep_ms: u64,
     /// Claims that may have begun.
-    pub begun: Vec<(ClaimId, Body)>,
+    pub begun: Vec<(ClaimId, BodyDigest)>,
     /// The end that stands.
-    pub ended: Option<End>,
+    pub ended: Option<CompletedRun>,
 }
 
 /// How far a copy's votes can be relied on.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Sound {
+pub enum Completeness {
     /// For all keys.
-    Whole,
+    Complete,
     /// For those whose other copies are enough of these, which it has caught up with.
-    By(Vec<NodeId>),
+    CompleteWith(Vec<NodeId>),
 }
 
 /// A part of a donor's table.
@@ -157,30 +157,30 @@
     /// The round that it was asked in.
     pub round: u32,
     /// What the donor knows, the newest windows first.
-    pub records: Vec<Copied>,
+    pub records: Vec<ReplicaRecord>,
     /// Where the next part begins; none at the end.
-    pub next: Option<Position>,
+    pub next: Option<TablePosition>,
     /// How far the donor's own votes can be relied on.
-    pub sound: Sound,
+    pub sound: Completeness,
 }
 
 /// What one node says to another.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Frame {
+pub enum Message {
     /// Who speaks; the first on every link, and again when something in it changes.
     Hello(Hello),
     /// The one that spoke has an earlier life than this one, which is known.
     Superseded {
         /// That life.
-        life: u64,
+        incarnation: u64,
     },
     /// Asks for a list.
-    AskList {
+    AskMembershipConfig {
         /// Its number.
         number: u64,
     },
     /// A list.
-    ListIs(Plain),
+    MembershipConfig(MembershipSpec),
     /// Asks whether one is there.
     Ping {
         /// Which one.
@@ -188,7 +188,7 @@
         /// How long the sender's life has lasted, in seconds.
         seconds: u64,
         /// Word of others.
-        rumors: Vec<Rumor>,
+        rumors: Vec<GossipUpdate>,
     },
     /// One is there.
     Ack {
@@ -197,7 +197,7 @@
         /// How long the sender's life has lasted, in seconds.
         seconds: u64,
         /// Word of others.
-        rumors: Vec<Rumor>,
+        rumors: Vec<GossipUpdate>,
     },
     /// Asks to ask another.
     PingFor {
@@ -214,7 +214,7 @@
         target: NodeId,
     },
     /// Asks for a claim.
-    Claim(Asked),
+    Claim(ClaimRequest),
     /// Yours.
     Granted {
         /// The claim.
@@ -227,14 +227,14 @@
         /// The claim that was asked for.
         claim: ClaimId,
         /// What stands in its way.
-        by: Blocker,
+        by: ConflictingClaim,
     },
     /// Can't say.
     Unsure {
         /// The claim that was asked for.
         claim: ClaimId,
         /// Why.
-        why: Why,
+        why: RejectReason,
     },
     /// A run has ended.
     Ended {
@@ -243,7 +243,7 @@
         /// How much longer it is remembered, in milliseconds.
         keep_ms: u64,
         /// Its end.
-        end: End,
+        end: CompletedRun,
     },
     /// An end is kept, or can't be.
     Kept {
@@ -278,14 +278,14 @@
         /// The claim.
         claim: ClaimId,
         /// The digest of its body.
-        body: Body,
+        body: BodyDigest,
     },
     /// Asks for a part of the table.
     Pull {
         /// Which round of asking this is.
         round: u32,
         /// Where the part begins; none for the first.
-        from: Option<Position>,
+        from: Option<TablePosition>,
     },
     /// A part of the table.
     Page(Page),
@@ -299,27 +299,27 @@
     /// What the one that spoke has kept is not the last that was known of it.
     Outdated {
         /// What was.
-        known: Mark,
+        known: StatePosition,
     },
 }
 
-impl Frame {
+impl Message {
     /// Whether it answers a frame of the other side's, and so goes back on the link that that came by.
     pub fn answers(&self) -> bool {
         matches!(
             self,
-            Frame::Superseded { .. }
-                | Frame::ListIs(_)
-                | Frame::Ack { .. }
-                | Frame::AckFor { .. }
-                | Frame::Granted { .. }
-                | Frame::Blocked { .. }
-                | Frame::Unsure { .. }
-                | Frame::Kept { .. }
-                | Frame::Free { .. }
-                | Frame::Page(_)
-                | Frame::Away { .. }
-                | Frame::Outdated { .. }
+            Message::Superseded { .. }
+                | Message::MembershipConfig(_)
+                | Message::Ack { .. }
+                | Message::AckFor { .. }
+                | Message::Granted { .. }
+                | Message::Blocked { .. }
+                | Message::Unsure { .. }
+                | Message::Kept { .. }
+                | Message::Free { .. }
+                | Message::Page(_)
+                | Message::Away { .. }
+                | Message::Outdated { .. }
         )
     }
 }
--- a/fleet/src/recovery_stages.rs
+++ b/fleet/src/recovery_stages.rs
@@ -49,7 +49,7 @@
 
 /// How the node stands, as far as its stage goes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Seen {
+pub struct Conditions {
     /// Something runs requests.
     pub runs: bool,
     /// A majority of the list is heard.
@@ -62,7 +62,7 @@
 
 /// Why a stage has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Why {
+pub enum TransitionReason {
     /// What it waited for has come.
     Done,
     /// It has not come, and its time is up.
@@ -73,26 +73,26 @@
 
 /// A change of stage.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Step {
+pub struct Transition {
     /// From this one.
     pub from: Stage,
     /// To this one.
     pub to: Stage,
     /// Why.
-    pub why: Why,
+    pub why: TransitionReason,
     /// How long it was in the one before.
     pub after: Duration,
 }
 
-impl fmt::Display for Step {
+impl fmt::Display for Transition {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Step { from, to, why, after } = self;
+        let Transition { from, to, why, after } = self;
         let why = match (why, from) {
-            (Why::Done, _) => "",
-            (Why::Overdue, Stage::Starting) => ", though no majority is heard",
-            (Why::Overdue, Stage::CatchingUp) => ", though not all that was missed is known",
-            (Why::Overdue, _) => ", though its cores still say that they are cold",
-            (Why::Lost, _) => ", as what that needs was lost",
+            (TransitionReason::Done, _) => "",
+            (TransitionReason::Overdue, Stage::Starting) => ", though no majority is heard",
+            (TransitionReason::Overdue, Stage::CatchingUp) => ", though not all that was missed is known",
+            (TransitionReason::Overdue, _) => ", though its cores still say that they are cold",
+            (TransitionReason::Lost, _) => ", as what that needs was lost",
         };
         write!(f, "{to}, after {} ms of {from}{why}", after.as_millis())
     }
@@ -100,7 +100,7 @@
 
 /// What a stage allows.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Allows {
+pub struct Permissions {
     /// It reports itself to the membership service and answers health checks as good, so that front ends come. Who fell
     /// back goes on: what is safe to repeat runs.
     pub clients: bool,
@@ -110,18 +110,18 @@
 
 /// The way back of one node.
 #[derive(Debug, Clone)]
-pub struct Way {
+pub struct RecoveryStages {
     stage: Stage,
     since: Time,
-    before: Option<Seen>,
+    before: Option<Conditions>,
     /// It has been past the first stage: front ends know it.
     known: bool,
 }
 
-impl Way {
+impl RecoveryStages {
     /// A node that starts now.
-    pub fn new(now: Time) -> Way {
-        Way { stage: Stage::Starting, since: now, before: None, known: false }
+    pub fn new(now: Time) -> RecoveryStages {
+        RecoveryStages { stage: Stage::Starting, since: now, before: None, known: false }
     }
 
     /// The stage that it is in.
@@ -140,18 +140,18 @@
     }
 
     /// What the stage allows.
-    pub fn allows(&self) -> Allows {
+    pub fn allows(&self) -> Permissions {
         // While its cores are slow, so is the process beside them.
         let gives = if self.stage == Stage::Warming { 0.5 } else { 1.0 };
-        Allows { clients: self.known, gives }
+        Permissions { clients: self.known, gives }
     }
 
     /// Time passes, and the node stands so; one step at the most.
-    pub fn tick(&mut self, now: Time, seen: Seen) -> Option<Step> {
+    pub fn tick(&mut self, now: Time, seen: Conditions) -> Option<Transition> {
         let before = self.before.replace(seen);
         let to = self.falls_back(now, before.as_ref(), &seen);
         if let Some(to) = to {
-            return Some(self.go(now, to, Why::Lost));
+            return Some(self.go(now, to, TransitionReason::Lost));
         }
         let done = match self.stage {
             Stage::Starting => seen.runs && seen.level,
@@ -162,17 +162,17 @@
         // Without what runs requests there is nothing to go on to; the platform sees to that.
         let overdue = self.ends().is_some_and(|ends| now >= ends) && seen.runs;
         let why = match (done, overdue) {
-            (true, _) => Why::Done,
-            (false, true) => Why::Overdue,
+            (true, _) => TransitionReason::Done,
+            (false, true) => TransitionReason::Overdue,
             (false, false) => return None,
         };
         Some(self.go(now, self.stage.next(), why))
     }
 
     /// What an earlier stage had and is no longer there sends it back to that.
-    fn falls_back(&self, now: Time, before: Option<&Seen>, seen: &Seen) -> Option<Stage> {
+    fn falls_back(&self, now: Time, before: Option<&Conditions>, seen: &Conditions) -> Option<Stage> {
         let before = before?;
-        let cold = |seen: &Seen| seen.warm_at.filter(|at| now < *at);
+        let cold = |seen: &Conditions| seen.warm_at.filter(|at| now < *at);
         let lost = if before.level && !seen.level {
             Stage::Starting
         } else if before.caught_up && !seen.caught_up {
@@ -185,11 +185,11 @@
         (lost < self.stage).then_some(lost)
     }
 
-    fn go(&mut self, now: Time, to: Stage, why: Why) -> Step {
+    fn go(&mut self, now: Time, to: Stage, why: TransitionReason) -> Transition {
         let (from, after) = (self.stage, now.saturating_sub(self.since));
         (self.stage, self.since) = (to, now);
         self.known |= to > Stage::Starting;
-        Step { from, to, why, after }
+        Transition { from, to, why, after }
     }
 }
 
@@ -199,7 +199,7 @@
     use rand::{Rng, SeedableRng};
     use rand_chacha::ChaCha8Rng;
 
-    const COLD: Seen = Seen { runs: false, level: false, caught_up: false, warm_at: None };
+    const COLD: Conditions = Conditions { runs: false, level: false, caught_up: false, warm_at: None };
     const WARM_AFTER: Duration = Duration::from_secs(8);
 
     fn at(millis: u64) -> Time {
@@ -207,38 +207,38 @@
     }
 
     /// Goes on until nothing more follows; the steps.
-    fn steps(way: &mut Way, now: Time, seen: Seen) -> Vec<(Stage, Why)> {
+    fn steps(way: &mut RecoveryStages, now: Time, seen: Conditions) -> Vec<(Stage, TransitionReason)> {
         std::iter::from_fn(|| way.tick(now, seen)).map(|step| (step.to, step.why)).collect()
     }
 
     #[test]
     fn a_return_goes_through_every_stage_as_what_each_waits_for_comes() {
-        let mut way = Way::new(at(0));
+        let mut way = RecoveryStages::new(at(0));
         assert!(!way.allows().clients);
         assert_eq!(steps(&mut way, at(10), COLD), []);
-        let mut seen = Seen { level: true, ..COLD };
+        let mut seen = Conditions { level: true, ..COLD };
         assert_eq!(steps(&mut way, at(20), seen), [], "nothing runs requests");
         (seen.runs, seen.warm_at) = (true, Some(at(8000)));
-        assert_eq!(steps(&mut way, at(30), seen), [(Stage::CatchingUp, Why::Done)]);
+        assert_eq!(steps(&mut way, at(30), seen), [(Stage::CatchingUp, TransitionReason::Done)]);
         assert!(way.allows().clients);
         seen.caught_up = true;
-        assert_eq!(steps(&mut way, at(40), seen), [(Stage::Warming, Why::Done)]);
+        assert_eq!(steps(&mut way, at(40), seen), [(Stage::Warming, TransitionReason::Done)]);
         assert!(way.allows().gives < 1.0);
         assert_eq!(steps(&mut way, at(7_999), seen), []);
-        assert_eq!(steps(&mut way, at(8_000), seen), [(Stage::Full, Why::Done)]);
+        assert_eq!(steps(&mut way, at(8_000), seen), [(Stage::Full, TransitionReason::Done)]);
         assert_eq!(way.ends(), None);
     }
 
     #[test]
     fn a_stage_whose_wait_is_for_nothing_ends_by_its_time_and_says_so() {
-        let mut way = Way::new(at(0));
-        let seen = Seen { runs: true, warm_at: Some(at(1_000_000)), ..COLD };
+        let mut way = RecoveryStages::new(at(0));
+        let seen = Conditions { runs: true, warm_at: Some(at(1_000_000)), ..COLD };
         assert_eq!(steps(&mut way, at(4_999), seen), []);
         let mut told = Vec::new();
         for now in (5_000..90_000).step_by(50) {
             told.extend(way.tick(at(now), seen).map(|step| (now, step.to, step.why)));
         }
-        let overdue = |now, stage| (now, stage, Why::Overdue);
+        let overdue = |now, stage| (now, stage, TransitionReason::Overdue);
         let wanted = [
             overdue(5_000, Stage::CatchingUp),
             overdue(10_000, Stage::Warming),
@@ -249,23 +249,27 @@
 
     #[test]
     fn what_is_lost_on_the_way_sends_it_back_to_where_it_is_needed() {
-        let there = Seen { runs: true, level: true, caught_up: true, warm_at: None };
-        let mut way = Way::new(at(0));
+        let there = Conditions { runs: true, level: true, caught_up: true, warm_at: None };
+        let mut way = RecoveryStages::new(at(0));
         assert_eq!(steps(&mut way, at(0), there).len(), 3);
-        let cold = Seen { warm_at: Some(at(9_000)), ..there };
-        assert_eq!(steps(&mut way, at(1_000), cold), [(Stage::Warming, Why::Lost)], "its cores started anew");
-        let behind = Seen { caught_up: false, ..cold };
-        assert_eq!(steps(&mut way, at(2_000), behind), [(Stage::CatchingUp, Why::Lost)]);
-        let unheard = Seen { level: false, ..behind };
-        assert_eq!(steps(&mut way, at(3_000), unheard), [(Stage::Starting, Why::Lost)]);
+        let cold = Conditions { warm_at: Some(at(9_000)), ..there };
+        assert_eq!(
+            steps(&mut way, at(1_000), cold),
+            [(Stage::Warming, TransitionReason::Lost)],
+            "its cores started anew"
+        );
+        let behind = Conditions { caught_up: false, ..cold };
+        assert_eq!(steps(&mut way, at(2_000), behind), [(Stage::CatchingUp, TransitionReason::Lost)]);
+        let unheard = Conditions { level: false, ..behind };
+        assert_eq!(steps(&mut way, at(3_000), unheard), [(Stage::Starting, TransitionReason::Lost)]);
         assert!(way.allows().clients, "who is known stays");
         assert_eq!(steps(&mut way, at(4_000), there).len(), 3, "and back again: it is warm");
     }
 
     #[test]
     fn who_went_on_without_a_majority_is_not_sent_back_for_not_having_one() {
-        let mut way = Way::new(at(0));
-        let alone = Seen { runs: true, caught_up: true, ..COLD };
+        let mut way = RecoveryStages::new(at(0));
+        let alone = Conditions { runs: true, caught_up: true, ..COLD };
         steps(&mut way, at(0), alone);
         steps(&mut way, at(5_000), alone);
         assert_eq!((way.stage(), steps(&mut way, at(60_000), alone)), (Stage::Full, vec![]));
@@ -278,7 +282,7 @@
         for seed in 0..300 {
             let mut rng = ChaCha8Rng::seed_from_u64(seed);
             let (mut now, mut seen) = (at(0), COLD);
-            let mut way = Way::new(now);
+            let mut way = RecoveryStages::new(now);
             let mut entered = now;
             for _ in 0..400 {
                 now += at(rng.random_range(1..400));
@@ -291,7 +295,11 @@
                 }
                 while let Some(step) = way.tick(now, seen) {
                     assert!(step.to == step.from.next() || step.to < step.from, "seed {seed}: {step:?}");
-                    assert_eq!(step.why == Why::Lost, step.to < step.from, "seed {seed}: {step:?}");
+                    assert_eq!(
+                        step.why == TransitionReason::Lost,
+                        step.to < step.from,
+                        "seed {seed}: {step:?}"
+                    );
                     entered = now;
                 }
                 let most = WARMING + at(400);
--- a/fleet/src/replica_table.rs
+++ b/fleet/src/replica_table.rs
@@ -5,11 +5,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::active_configs::Lists;
-use crate::key_state::{ClaimId, End, Fate, Key, Known};
-use crate::membership_config::{List, NodeId};
-use crate::message::{own, Asked, Blocker, Copied, Frame, Page, Position, Sound, Why};
-use crate::{Time, LONGEST_RESULT, READ_LATE};
+use crate::active_configs::ActiveConfigs;
+use crate::key_state::{ClaimId, CompletedRun, Key, KeyState, RunResult};
+use crate::membership_config::{MembershipConfig, NodeId};
+use crate::message::{
+    own, ClaimRequest, Completeness, ConflictingClaim, Message, Page, RejectReason, ReplicaRecord,
+    TablePosition,
+};
+use crate::{Time, LATE_READ_GRACE, MAX_RESULT_BYTES};
 
 /// Memory that an entry takes beside its key and its result, by a generous estimate.
 pub const ENTRY_BYTES: usize = 512;
@@ -24,22 +27,22 @@
 const PAGE_LOOKS: usize = 512;
 
 /// Where an answer goes: the link that the question came by.
-pub type Link = u64;
+pub type LinkId = u64;
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Entry {
     until: Time,
     /// The claim that this copy has granted.
     vote: Option<ClaimId>,
-    known: Known,
-    waiting: Vec<(Link, ClaimId)>,
+    known: KeyState,
+    waiting: Vec<(LinkId, ClaimId)>,
     asked: Option<Time>,
 }
 
 impl Entry {
     fn bytes(&self, key: &Key) -> usize {
         // What is open has its room set aside for the longest result.
-        let result = if self.known.ended.is_some() { self.known.bytes() } else { LONGEST_RESULT };
+        let result = if self.known.ended.is_some() { self.known.bytes() } else { MAX_RESULT_BYTES };
         ENTRY_BYTES + key.len() + result
     }
 }
@@ -48,9 +51,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum Soundness {
     /// Nothing is missing.
-    Whole,
+    Complete,
     /// Its state was lost before then; it has caught up with these since.
-    Since(Time, BTreeMap<NodeId, Sound>),
+    Since(Time, BTreeMap<NodeId, Completeness>),
 }
 
 /// What has changed and is to be written down before the answer leaves.
@@ -59,27 +62,27 @@
     /// The key.
     pub key: Key,
     /// What is known of it now, with this copy's own vote; none if it is free.
-    pub now: Option<Copied>,
+    pub now: Option<ReplicaRecord>,
 }
 
 /// What a frame comes to.
 #[derive(Debug, Default)]
 pub struct Outcome {
     /// Answers by the link that they go to.
-    pub answers: Vec<(Link, Frame)>,
+    pub answers: Vec<(LinkId, Message)>,
     /// Questions to nodes.
-    pub questions: Vec<(NodeId, Frame)>,
+    pub questions: Vec<(NodeId, Message)>,
     /// The key of which something is to be written down first.
     pub change: Option<Key>,
     /// Two runs of a key that have both ended: the one that stands, and the other.
-    pub conflict: Option<(End, End)>,
+    pub conflict: Option<(CompletedRun, CompletedRun)>,
 }
 
 /// The table.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Copies {
+pub struct ReplicaTable {
     me: NodeId,
-    life: u64,
+    incarnation: u64,
     table: BTreeMap<Key, Entry>,
     /// By when they run out.
     order: BTreeSet<(Time, Key)>,
@@ -98,18 +101,18 @@
     u64::try_from(time.as_nanos()).unwrap_or(u64::MAX)
 }
 
-impl Copies {
+impl ReplicaTable {
     /// The table of a node that begins this life with what it kept of the last one, or without its state.
-    pub fn new(me: NodeId, life: u64, most_bytes: usize, kept: bool, now: Time) -> Copies {
-        Copies {
+    pub fn new(me: NodeId, incarnation: u64, most_bytes: usize, kept: bool, now: Time) -> ReplicaTable {
+        ReplicaTable {
             me,
-            life,
+            incarnation,
             table: BTreeMap::new(),
             order: BTreeSet::new(),
             bytes: 0,
             most_bytes,
             lives: BTreeMap::new(),
-            soundness: if kept { Soundness::Whole } else { Soundness::Since(now, BTreeMap::new()) },
+            soundness: if kept { Soundness::Complete } else { Soundness::Since(now, BTreeMap::new()) },
         }
     }
 
@@ -119,29 +122,30 @@
     }
 
     /// It begins another life without its state. What it knows of others' lives stays true.
-    pub fn begin_anew(&mut self, life: u64, now: Time) {
+    pub fn begin_anew(&mut self, incarnation: u64, now: Time) {
         let lives = std::mem::take(&mut self.lives);
-        *self = Copies { lives, ..Copies::new(self.me, life, self.most_bytes, false, now) };
+        *self =
+            ReplicaTable { lives, ..ReplicaTable::new(self.me, incarnation, self.most_bytes, false, now) };
     }
 
     /// Its life has another number; nothing was granted in the one before.
-    pub fn lives_as(&mut self, life: u64) {
-        self.life = life;
+    pub fn set_incarnation(&mut self, incarnation: u64) {
+        self.incarnation = incarnation;
     }
 
     /// A node is known to be in this life. Grants of an earlier one count no more.
-    pub fn lives(&mut self, node: NodeId, life: u64) {
+    pub fn lives(&mut self, node: NodeId, incarnation: u64) {
         let known = self.lives.entry(node).or_default();
-        *known = life.max(*known);
+        *known = incarnation.max(*known);
     }
 
     /// The latest life of a node that is known.
-    pub fn life_of(&self, node: NodeId) -> u64 {
+    pub fn incarnation_of(&self, node: NodeId) -> u64 {
         self.lives.get(&node).copied().unwrap_or(0)
     }
 
     /// All that this donor knows has been taken in, and so far its own votes could be relied on.
-    pub fn caught_up(&mut self, donor: NodeId, sound: Sound) {
+    pub fn caught_up(&mut self, donor: NodeId, sound: Completeness) {
         if let Soundness::Since(_, caught) = &mut self.soundness {
             caught.insert(donor, sound);
         }
@@ -149,62 +153,65 @@
 
     /// How far its votes can be relied on, as it tells others. Only donors that lacked nothing themselves count: guards
     /// against nodes that all lost their state and vouch for each other.
-    pub fn sound(&self, lists: &Lists) -> Sound {
-        let Soundness::Since(_, caught) = &self.soundness else { return Sound::Whole };
-        let whole: Vec<NodeId> =
-            caught.iter().filter(|(_, sound)| **sound == Sound::Whole).map(|(donor, _)| *donor).collect();
+    pub fn sound(&self, lists: &ActiveConfigs) -> Completeness {
+        let Soundness::Since(_, caught) = &self.soundness else { return Completeness::Complete };
+        let whole: Vec<NodeId> = caught
+            .iter()
+            .filter(|(_, sound)| **sound == Completeness::Complete)
+            .map(|(donor, _)| *donor)
+            .collect();
         if lists.everyone().iter().all(|node| *node == self.me || whole.contains(node)) {
-            return Sound::Whole;
+            return Completeness::Complete;
         }
-        Sound::By(whole)
+        Completeness::CompleteWith(whole)
     }
 
     /// Whether its votes can be relied on for every key.
     pub fn is_whole(&self) -> bool {
-        self.soundness == Soundness::Whole
+        self.soundness == Soundness::Complete
     }
 
     /// Whether nothing that was lost matters any more from now on, because every other node has told all that it knew.
-    pub fn has_caught_up(&mut self, lists: &Lists) -> bool {
-        let now_whole = !self.is_whole() && self.sound(lists) == Sound::Whole;
+    pub fn has_caught_up(&mut self, lists: &ActiveConfigs) -> bool {
+        let now_whole = !self.is_whole() && self.sound(lists) == Completeness::Complete;
         if now_whole {
-            self.soundness = Soundness::Whole;
+            self.soundness = Soundness::Complete;
         }
         now_whole
     }
 
     /// Whether its votes can be relied on for a key: it has its state, or a window has passed since it lost that, or of
     /// any majority that it was in before at least one other is among those that it has caught up with.
-    pub fn sound_for(&self, key: &[u8], lists: &Lists) -> bool {
+    pub fn sound_for(&self, key: &[u8], lists: &ActiveConfigs) -> bool {
         let Soundness::Since(_, caught) = &self.soundness else { return true };
-        let enough = |list: &List, of: NodeId, has: &dyn Fn(NodeId) -> bool| {
-            let holders = list.holders(key);
-            let others = holders.iter().filter(|other| **other != of && has(**other)).count();
-            !holders.contains(&of) || others > list.copies() - list.majority()
+        let enough = |list: &MembershipConfig, of: NodeId, has: &dyn Fn(NodeId) -> bool| {
+            let replicas_of = list.replicas_of(key);
+            let others = replicas_of.iter().filter(|other| **other != of && has(**other)).count();
+            !replicas_of.contains(&of) || others > list.copies() - list.quorum()
         };
         lists.about().iter().all(|list| {
             enough(list, self.me, &|donor| match caught.get(&donor) {
-                Some(Sound::Whole) => true,
-                Some(Sound::By(by)) => enough(list, donor, &|other| by.contains(&other)),
+                Some(Completeness::Complete) => true,
+                Some(Completeness::CompleteWith(by)) => enough(list, donor, &|other| by.contains(&other)),
                 None => false,
             })
         })
     }
 
     /// How long it takes at the most until nothing that was lost matters any more; none if nothing was.
-    pub fn waits(&self, now: Time, lists: &Lists) -> Option<Duration> {
+    pub fn waits(&self, now: Time, lists: &ActiveConfigs) -> Option<Duration> {
         let window = lists.about().iter().map(|list| list.window()).max().unwrap_or_default();
         match &self.soundness {
-            Soundness::Whole => None,
-            Soundness::Since(since, _) => Some((*since + window + READ_LATE).saturating_sub(now)),
+            Soundness::Complete => None,
+            Soundness::Since(since, _) => Some((*since + window + LATE_READ_GRACE).saturating_sub(now)),
         }
     }
 
     /// Time passes: what has run out goes, and after a window nothing that was lost matters any more; whether that is so
     /// from now on.
-    pub fn tick(&mut self, now: Time, lists: &Lists) -> bool {
+    pub fn tick(&mut self, now: Time, lists: &ActiveConfigs) -> bool {
         while let Some((until, key)) = self.order.first().cloned() {
-            if now < until + READ_LATE {
+            if now < until + LATE_READ_GRACE {
                 break;
             }
             self.order.remove(&(until, key.clone()));
@@ -214,7 +221,7 @@
         }
         let over = self.waits(now, lists).is_some_and(|left| left.is_zero());
         if over {
-            self.soundness = Soundness::Whole;
+            self.soundness = Soundness::Complete;
         }
         over
     }
@@ -230,7 +237,7 @@
             // It outlives the buffer that it was read into.
             None => (
                 own(key),
-                Entry { until, vote: None, known: Known::default(), waiting: Vec::new(), asked: None },
+                Entry { until, vote: None, known: KeyState::default(), waiting: Vec::new(), asked: None },
             ),
         };
         entry.until = entry.until.max(until);
@@ -244,13 +251,13 @@
     }
 
     fn full(&self, key: &Key) -> bool {
-        self.bytes + ENTRY_BYTES + key.len() + LONGEST_RESULT > self.most_bytes
+        self.bytes + ENTRY_BYTES + key.len() + MAX_RESULT_BYTES > self.most_bytes
     }
 
     /// Whether a donor has told all that it knows since this node lost its state, or nothing was lost.
     pub fn sound_by(&self, donor: NodeId) -> bool {
         match &self.soundness {
-            Soundness::Whole => true,
+            Soundness::Complete => true,
             Soundness::Since(_, caught) => caught.contains_key(&donor),
         }
     }
@@ -262,12 +269,12 @@
     }
 
     /// Answers a claim.
-    pub fn claim(&mut self, now: Time, link: Link, asked: &Asked, lists: &Lists) -> Outcome {
+    pub fn claim(&mut self, now: Time, link: LinkId, asked: &ClaimRequest, lists: &ActiveConfigs) -> Outcome {
         let mut outcome = Outcome::default();
         let claim = asked.claim;
         // Guards against a claim that a majority of another list's copies would not know of.
         if lists.about().iter().any(|list| !asked.lists.contains(&list.number())) {
-            outcome.answers.push((link, Frame::Unsure { claim, why: Why::Lists }));
+            outcome.answers.push((link, Message::Unsure { claim, why: RejectReason::ActiveConfigs }));
             return outcome;
         }
         if let Some(answer) = self.blocked(now, link, claim, &asked.key, &mut outcome) {
@@ -277,14 +284,14 @@
         let voted = self.table.get(&asked.key).is_some_and(|entry| entry.vote == Some(claim));
         if !voted {
             let unsure = if !self.sound_for(&asked.key, lists) {
-                Some(Why::Returning)
+                Some(RejectReason::Returning)
             } else if !self.table.contains_key(&asked.key) && self.full(&asked.key) {
-                Some(Why::Full)
+                Some(RejectReason::Full)
             } else {
                 None
             };
             if let Some(why) = unsure {
-                outcome.answers.push((link, Frame::Unsure { claim, why }));
+                outcome.answers.push((link, Message::Unsure { claim, why }));
                 return outcome;
             }
             let until = now + Duration::from_millis(asked.keep_ms);
@@ -294,10 +301,10 @@
             });
             outcome.change = Some(asked.key.clone());
         }
-        let others = lists.about().iter().flat_map(|list| list.holders(&asked.key));
+        let others = lists.about().iter().flat_map(|list| list.replicas_of(&asked.key));
         let others: BTreeSet<NodeId> = others.filter(|node| *node != self.me).collect();
         let lives = others.iter().filter_map(|node| Some((*node, *self.lives.get(node)?))).collect();
-        outcome.answers.push((link, Frame::Granted { claim, lives }));
+        outcome.answers.push((link, Message::Granted { claim, lives }));
         outcome
     }
 
@@ -305,16 +312,16 @@
     fn blocked(
         &mut self,
         now: Time,
-        link: Link,
+        link: LinkId,
         claim: ClaimId,
         key: &Key,
         outcome: &mut Outcome,
-    ) -> Option<Frame> {
+    ) -> Option<Message> {
         let entry = self.table.get_mut(key)?;
         let past_ms = millis(now.saturating_sub(entry.until));
         if let Some(end) = &entry.known.ended {
-            let by = Blocker { claim: end.claim, body: end.body, ended: Some(end.clone()), past_ms };
-            return Some(Frame::Blocked { claim, by });
+            let by = ConflictingClaim { claim: end.claim, body: end.body, ended: Some(end.clone()), past_ms };
+            return Some(Message::Blocked { claim, by });
         }
         let others = || entry.known.begun.iter().filter(|(begun, _)| **begun != claim);
         let first = others().find(|(begun, _)| Some(**begun) == entry.vote).or_else(|| others().next());
@@ -324,46 +331,57 @@
         }
         if entry.asked.is_none_or(|asked| now >= asked + ASKED_EVERY) {
             entry.asked = Some(now);
-            outcome.questions.push((begun.node, Frame::What { key: key.clone(), claim: begun, body }));
+            outcome.questions.push((begun.node, Message::What { key: key.clone(), claim: begun, body }));
         }
-        Some(Frame::Blocked { claim, by: Blocker { claim: begun, body, ended: None, past_ms } })
+        Some(Message::Blocked { claim, by: ConflictingClaim { claim: begun, body, ended: None, past_ms } })
     }
 
     /// Answers a try that only asks.
-    pub fn ask(&mut self, now: Time, link: Link, claim: ClaimId, key: &Key, lists: &Lists) -> Outcome {
+    pub fn ask(
+        &mut self,
+        now: Time,
+        link: LinkId,
+        claim: ClaimId,
+        key: &Key,
+        lists: &ActiveConfigs,
+    ) -> Outcome {
         let mut outcome = Outcome::default();
         let answer = match self.blocked(now, link, claim, key, &mut outcome) {
             Some(answer) => answer,
-            None if self.sound_for(key, lists) => Frame::Free { claim },
-            None => Frame::Unsure { claim, why: Why::Returning },
+            None if self.sound_for(key, lists) => Message::Free { claim },
+            None => Message::Unsure { claim, why: RejectReason::Returning },
         };
         outcome.answers.push((link, answer));
         outcome
     }
 
     /// Takes in how a run ended, and tells those that wait for it. One that this copy did not grant may find no room.
-    pub fn ended(&mut self, now: Time, link: Link, key: &Key, keep_ms: u64, end: End) -> Outcome {
+    pub fn ended(&mut self, now: Time, link: LinkId, key: &Key, keep_ms: u64, end: CompletedRun) -> Outcome {
         let mut outcome = Outcome::default();
         let claim = end.claim;
         let kept = self.table.contains_key(key) || !self.full(key);
         if kept {
             let until = now + Duration::from_millis(keep_ms);
-            let end = End { fate: owned(end.fate), ..end };
+            let end = CompletedRun { fate: owned(end.fate), ..end };
             let (conflict, waiting, stands) = self.change(key, until, |entry| {
-                let conflict = entry.known.join(Known { ended: Some(end), ..Known::default() });
+                let conflict = entry.known.merge(KeyState { ended: Some(end), ..KeyState::default() });
                 (conflict, std::mem::take(&mut entry.waiting), entry.known.ended.clone())
             });
             outcome.conflict = conflict;
             outcome.change = Some(key.clone());
             for (link, waits) in waiting {
                 if let Some(end) = &stands {
-                    let by =
-                        Blocker { claim: end.claim, body: end.body, ended: Some(end.clone()), past_ms: 0 };
-                    outcome.answers.push((link, Frame::Blocked { claim: waits, by }));
+                    let by = ConflictingClaim {
+                        claim: end.claim,
+                        body: end.body,
+                        ended: Some(end.clone()),
+                        past_ms: 0,
+                    };
+                    outcome.answers.push((link, Message::Blocked { claim: waits, by }));
                 }
             }
         }
-        outcome.answers.push((link, Frame::Kept { claim, kept }));
+        outcome.answers.push((link, Message::Kept { claim, kept }));
         outcome
     }
 
@@ -384,7 +402,7 @@
             }
         });
         outcome.change = Some(key.clone());
-        outcome.answers = waiting.into_iter().map(|(link, claim)| (link, Frame::Free { claim })).collect();
+        outcome.answers = waiting.into_iter().map(|(link, claim)| (link, Message::Free { claim })).collect();
         outcome
     }
 
@@ -395,11 +413,11 @@
         now: Time,
         of: NodeId,
         round: u32,
-        from: Option<&Position>,
-        lists: &Lists,
+        from: Option<&TablePosition>,
+        lists: &ActiveConfigs,
     ) -> (Page, usize) {
         // Where it was in another life of this table means nothing.
-        let from = from.filter(|from| from.life == self.life);
+        let from = from.filter(|from| from.incarnation == self.incarnation);
         let end = from.map(|from| (Duration::from_nanos(from.until_ns), from.key.clone()));
         let range = match end {
             Some(end) => self.order.range(..end),
@@ -411,8 +429,11 @@
                 break;
             }
             // The next one begins behind this one.
-            next = Some((looked, Position { life: self.life, until_ns: nanos(*until), key: key.clone() }));
-            let holds = |list: &Arc<List>| list.holders(key).contains(&of);
+            next = Some((
+                looked,
+                TablePosition { incarnation: self.incarnation, until_ns: nanos(*until), key: key.clone() },
+            ));
+            let holds = |list: &Arc<MembershipConfig>| list.replicas_of(key).contains(&of);
             let Some(entry) = self.table.get(key).filter(|_| lists.about().iter().any(holds)) else {
                 continue;
             };
@@ -427,27 +448,31 @@
     }
 
     /// Takes in what a donor knows; false if there was no room for all of it. Returns conflicts, if any.
-    pub fn learn(&mut self, now: Time, records: Vec<Copied>) -> (bool, Vec<(End, End)>) {
+    pub fn learn(
+        &mut self,
+        now: Time,
+        records: Vec<ReplicaRecord>,
+    ) -> (bool, Vec<(CompletedRun, CompletedRun)>) {
         let (mut all, mut conflicts) = (true, Vec::new());
-        for Copied { key, keep_ms, begun, ended } in records {
+        for ReplicaRecord { key, keep_ms, begun, ended } in records {
             all &= begun.len() <= MOST_BEGUN;
             let begun: BTreeMap<_, _> = begun.into_iter().take(MOST_BEGUN).collect();
-            let result = ended.as_ref().map_or(LONGEST_RESULT, |end| end.fate.bytes());
+            let result = ended.as_ref().map_or(MAX_RESULT_BYTES, |end| end.fate.bytes());
             let room = self.bytes + ENTRY_BYTES + key.len() + result <= self.most_bytes;
             if !room && !self.table.contains_key(&key) {
                 all = false;
                 continue;
             }
-            let ended = ended.map(|end| End { fate: owned(end.fate), ..end });
+            let ended = ended.map(|end| CompletedRun { fate: owned(end.fate), ..end });
             let until = now + Duration::from_millis(keep_ms);
-            let conflict = self.change(&key, until, |entry| entry.known.join(Known { begun, ended }));
+            let conflict = self.change(&key, until, |entry| entry.known.merge(KeyState { begun, ended }));
             conflicts.extend(conflict);
         }
         (all, conflicts)
     }
 
     /// Takes in what this node itself wrote down in its last life.
-    pub fn restore(&mut self, now: Time, records: Vec<(Option<ClaimId>, Copied)>) {
+    pub fn restore(&mut self, now: Time, records: Vec<(Option<ClaimId>, ReplicaRecord)>) {
         for (vote, record) in records {
             let key = record.key.clone();
             // Room was there when it was written.
@@ -464,21 +489,23 @@
     }
 
     /// What this copy knows of a key.
-    pub fn known(&self, key: &[u8]) -> Option<&Known> {
+    pub fn known(&self, key: &[u8]) -> Option<&KeyState> {
         self.table.get(key).map(|entry| &entry.known)
     }
 }
 
 /// A result outlives the buffer that it was read into; one that is too long counts as failed for later tries.
-fn owned(fate: Fate) -> Fate {
+fn owned(fate: RunResult) -> RunResult {
     match fate {
-        Fate::Done(result) if result.len() <= LONGEST_RESULT => Fate::Done(own(&result)),
-        _ => Fate::Failed,
+        RunResult::Succeeded(result) if result.len() <= MAX_RESULT_BYTES => {
+            RunResult::Succeeded(own(&result))
+        }
+        _ => RunResult::Failed,
     }
 }
 
-fn copied(key: &Key, entry: &Entry, now: Time) -> Copied {
-    Copied {
+fn copied(key: &Key, entry: &Entry, now: Time) -> ReplicaRecord {
+    ReplicaRecord {
         key: key.clone(),
         keep_ms: millis(entry.until.saturating_sub(now)),
         begun: entry.known.begun.iter().map(|(claim, body)| (*claim, *body)).collect(),
@@ -492,36 +519,36 @@
     use crate::membership_config::tests::{at, id, list};
     use bytes::Bytes;
     use std::sync::Arc;
-    use Fate;
+    use RunResult;
 
-    fn lists() -> Lists {
-        Lists::new(id(1), Arc::new(list(1, &[1, 2, 3], 1)))
+    fn lists() -> ActiveConfigs {
+        ActiveConfigs::new(id(1), Arc::new(list(1, &[1, 2, 3], 1)))
     }
 
-    fn copies(kept: bool) -> Copies {
-        Copies::new(id(1), 7, 1 << 20, kept, at(0))
+    fn copies(kept: bool) -> ReplicaTable {
+        ReplicaTable::new(id(1), 7, 1 << 20, kept, at(0))
     }
 
     fn claim(number: u64) -> ClaimId {
-        ClaimId { node: id(2), life: 1, number }
+        ClaimId { node: id(2), incarnation: 1, number }
     }
 
-    fn asked(number: u64, key: &'static str) -> Asked {
-        Asked { claim: claim(number), key: Bytes::from(key), body: 5, keep_ms: 10_000, lists: vec![1] }
+    fn asked(number: u64, key: &'static str) -> ClaimRequest {
+        ClaimRequest { claim: claim(number), key: Bytes::from(key), body: 5, keep_ms: 10_000, lists: vec![1] }
     }
 
-    fn answer(outcome: &Outcome) -> &Frame {
+    fn answer(outcome: &Outcome) -> &Message {
         assert_eq!(outcome.answers.len(), 1);
         &outcome.answers[0].1
     }
 
-    fn end(number: u64, result: &'static str) -> End {
-        let fate = Fate::Done(Bytes::from(result));
-        End { door: 1, place: 1, claim: claim(number), fate, body: 5 }
+    fn end(number: u64, result: &'static str) -> CompletedRun {
+        let fate = RunResult::Succeeded(Bytes::from(result));
+        CompletedRun { received_at: 1, place: 1, claim: claim(number), fate, body: 5 }
     }
 
     fn granted(outcome: &Outcome) -> bool {
-        matches!(answer(outcome), Frame::Granted { .. })
+        matches!(answer(outcome), Message::Granted { .. })
     }
 
     #[test]
@@ -533,9 +560,9 @@
         assert!(granted(&again) && again.change.is_none());
         let other = copies.claim(at(2), 2, &asked(2, "k"), &lists);
         assert!(
-            matches!(answer(&other), Frame::Blocked { by, .. } if by.claim == claim(1) && by.ended.is_none())
+            matches!(answer(&other), Message::Blocked { by, .. } if by.claim == claim(1) && by.ended.is_none())
         );
-        assert!(matches!(other.questions[..], [(node, Frame::What { .. })] if node == id(2)));
+        assert!(matches!(other.questions[..], [(node, Message::What { .. })] if node == id(2)));
         assert!(granted(&copies.claim(at(3), 1, &asked(3, "l"), &lists)), "another key");
     }
 
@@ -545,9 +572,9 @@
         copies.claim(at(0), 1, &asked(1, "k"), &lists);
         copies.claim(at(1), 2, &asked(2, "k"), &lists);
         let ended = copies.ended(at(2), 1, &"k".into(), 9_000, end(1, "job"));
-        let done = |frame: &Frame| matches!(frame, Frame::Blocked { claim: waits, by } if *waits == claim(2) && by.ended == Some(end(1, "job")));
+        let done = |frame: &Message| matches!(frame, Message::Blocked { claim: waits, by } if *waits == claim(2) && by.ended == Some(end(1, "job")));
         assert!(ended.answers.iter().any(|(link, frame)| *link == 2 && done(frame)));
-        assert!(ended.answers.contains(&(1, Frame::Kept { claim: claim(1), kept: true })));
+        assert!(ended.answers.contains(&(1, Message::Kept { claim: claim(1), kept: true })));
         assert!(done(answer(&copies.claim(at(3), 3, &asked(2, "k"), &lists))));
     }
 
@@ -558,7 +585,7 @@
         copies.claim(at(1), 2, &asked(2, "k"), &lists);
         assert!(copies.release(at(2), &"k".into(), claim(9)).answers.is_empty(), "that one it does not know");
         let freed = copies.release(at(2), &"k".into(), claim(1));
-        assert_eq!(freed.answers, [(2, Frame::Free { claim: claim(2) })]);
+        assert_eq!(freed.answers, [(2, Message::Free { claim: claim(2) })]);
         let written = copies.change_of(&freed.change.unwrap(), at(2));
         assert_eq!(written, Change { key: "k".into(), now: None });
         assert_eq!(copies.size(), (0, 0));
@@ -568,18 +595,28 @@
     #[test]
     fn without_its_state_a_copy_grants_nothing_until_it_has_caught_up_or_a_window_has_passed() {
         let (mut copies, lists) = (copies(false), lists());
-        let unsure = |outcome: &Outcome| matches!(answer(outcome), Frame::Unsure { why: Why::Returning, .. });
+        let unsure = |outcome: &Outcome| {
+            matches!(answer(outcome), Message::Unsure { why: RejectReason::Returning, .. })
+        };
         assert!(unsure(&copies.claim(at(0), 1, &asked(1, "k"), &lists)));
-        copies.caught_up(id(2), Sound::Whole);
+        copies.caught_up(id(2), Completeness::Complete);
         assert!(unsure(&copies.claim(at(1), 1, &asked(1, "k"), &lists)), "the other may know of a run");
-        copies.caught_up(id(3), Sound::By(vec![id(1)]));
+        copies.caught_up(id(3), Completeness::CompleteWith(vec![id(1)]));
         assert!(unsure(&copies.claim(at(1), 1, &asked(1, "k"), &lists)), "that one lacks something itself");
-        copies.caught_up(id(3), Sound::By(vec![id(1), id(2)]));
+        copies.caught_up(id(3), Completeness::CompleteWith(vec![id(1), id(2)]));
         assert!(granted(&copies.claim(at(2), 1, &asked(1, "k"), &lists)));
         assert!(!copies.has_caught_up(&lists), "for every key it lacks the word of the third");
-        assert_eq!(copies.sound(&lists), Sound::By(vec![id(2)]), "who lacked something vouches for nobody");
-        copies.caught_up(id(3), Sound::Whole);
-        assert!(copies.has_caught_up(&lists) && copies.sound(&lists) == Sound::Whole && copies.is_whole());
+        assert_eq!(
+            copies.sound(&lists),
+            Completeness::CompleteWith(vec![id(2)]),
+            "who lacked something vouches for nobody"
+        );
+        copies.caught_up(id(3), Completeness::Complete);
+        assert!(
+            copies.has_caught_up(&lists)
+                && copies.sound(&lists) == Completeness::Complete
+                && copies.is_whole()
+        );
         let mut copies = self::copies(false);
         assert!(!copies.tick(at(17_999), &lists) && copies.tick(at(18_000), &lists));
         assert!(granted(&copies.claim(at(18_000), 1, &asked(1, "k"), &lists)));
@@ -588,11 +625,12 @@
     #[test]
     fn what_a_donor_knows_blocks_every_claim_but_its_own() {
         let (mut copies, lists) = (copies(false), lists());
-        let known = Copied { key: "k".into(), keep_ms: 5_000, begun: vec![(claim(1), 5)], ended: None };
+        let known =
+            ReplicaRecord { key: "k".into(), keep_ms: 5_000, begun: vec![(claim(1), 5)], ended: None };
         assert_eq!(copies.learn(at(0), vec![known]), (true, vec![]));
-        copies.caught_up(id(2), Sound::Whole);
-        copies.caught_up(id(3), Sound::Whole);
-        assert!(matches!(answer(&copies.claim(at(1), 1, &asked(2, "k"), &lists)), Frame::Blocked { .. }));
+        copies.caught_up(id(2), Completeness::Complete);
+        copies.caught_up(id(3), Completeness::Complete);
+        assert!(matches!(answer(&copies.claim(at(1), 1, &asked(2, "k"), &lists)), Message::Blocked { .. }));
         assert!(granted(&copies.claim(at(1), 1, &asked(1, "k"), &lists)));
     }
 
@@ -601,22 +639,23 @@
         let (mut copies, mut lists) = (copies(true), lists());
         copies.lives(id(3), 9);
         let first = copies.claim(at(0), 1, &asked(1, "k"), &lists);
-        assert_eq!(*answer(&first), Frame::Granted { claim: claim(1), lives: vec![(id(3), 9)] });
+        assert_eq!(*answer(&first), Message::Granted { claim: claim(1), lives: vec![(id(3), 9)] });
         lists.offer(Arc::new(list(2, &[1, 2, 3, 4], 1)));
         let stale = copies.claim(at(0), 1, &asked(2, "l"), &lists);
-        assert!(matches!(answer(&stale), Frame::Unsure { why: Why::Lists, .. }));
-        let both = Asked { lists: vec![1, 2], ..asked(2, "l") };
+        assert!(matches!(answer(&stale), Message::Unsure { why: RejectReason::ActiveConfigs, .. }));
+        let both = ClaimRequest { lists: vec![1, 2], ..asked(2, "l") };
         assert!(granted(&copies.claim(at(0), 1, &both, &lists)));
     }
 
     #[test]
     fn at_its_bound_it_turns_new_keys_down_and_forgets_none_early() {
         let lists = lists();
-        let mut copies = Copies::new(id(1), 7, 3 * LONGEST_RESULT + 5 * ENTRY_BYTES, true, at(0));
+        let mut copies = ReplicaTable::new(id(1), 7, 3 * MAX_RESULT_BYTES + 5 * ENTRY_BYTES, true, at(0));
         for (number, key) in [(1, "a"), (2, "b"), (3, "c")] {
             assert!(granted(&copies.claim(at(0), 1, &asked(number, key), &lists)));
         }
-        let full = |outcome: &Outcome| matches!(answer(outcome), Frame::Unsure { why: Why::Full, .. });
+        let full =
+            |outcome: &Outcome| matches!(answer(outcome), Message::Unsure { why: RejectReason::Full, .. });
         assert!(full(&copies.claim(at(1), 1, &asked(4, "d"), &lists)));
         assert!(granted(&copies.claim(at(1), 1, &asked(1, "a"), &lists)), "old ones go on");
         copies.ended(at(2), 1, &"a".into(), 9_000, end(1, "short"));
@@ -630,11 +669,11 @@
     #[test]
     fn pages_give_all_that_a_node_holds_the_newest_first_and_go_on_where_they_were() {
         let (mut copies, lists) = (copies(true), lists());
-        let mut copies_of_2 = Copies::new(id(2), 3, 64 << 20, false, at(0));
+        let mut copies_of_2 = ReplicaTable::new(id(2), 3, 64 << 20, false, at(0));
         copies.most_bytes = 64 << 20;
         for n in 0..2000_u64 {
             let key = Bytes::from(format!("{n:04}"));
-            copies.claim(at(n), 1, &Asked { key: key.clone(), ..asked(n, "") }, &lists);
+            copies.claim(at(n), 1, &ClaimRequest { key: key.clone(), ..asked(n, "") }, &lists);
             copies.ended(at(n), 1, &key, 10_000, end(n, "job"));
         }
         let (mut from, mut pages, mut newest) = (None, 0, String::new());
@@ -647,13 +686,13 @@
             copies_of_2.learn(at(2000), page.records);
             from = page.next;
             if from.is_none() {
-                assert_eq!(page.sound, Sound::Whole);
+                assert_eq!(page.sound, Completeness::Complete);
                 break;
             }
         }
         assert_eq!((copies_of_2.size().0, newest.as_str()), (2000, "1999"));
         assert!(pages > 3);
-        let stale = Position { life: 1, until_ns: 0, key: Bytes::new() };
+        let stale = TablePosition { incarnation: 1, until_ns: 0, key: Bytes::new() };
         assert!(!copies.page(at(2000), id(2), 1, Some(&stale), &lists).0.records.is_empty());
         assert!(copies.page(at(2000), id(9), 1, None, &lists).0.records.is_empty(), "it holds no copies");
     }
@@ -663,7 +702,7 @@
         let (mut copies, lists) = (copies(true), lists());
         let key = copies.claim(at(0), 1, &asked(1, "k"), &lists).change.unwrap();
         let written = copies.change_of(&key, at(0));
-        let mut next = Copies::new(id(1), 8, 1 << 20, true, at(0));
+        let mut next = ReplicaTable::new(id(1), 8, 1 << 20, true, at(0));
         next.restore(at(0), vec![(copies.vote(b"k"), written.now.unwrap())]);
         assert!(granted(&next.claim(at(1), 1, &asked(1, "k"), &lists)));
         assert!(!granted(&next.claim(at(1), 1, &asked(2, "k"), &lists)));
--- a/fleet/src/staleness.rs
+++ b/fleet/src/staleness.rs
@@ -17,38 +17,38 @@
 
 /// A point in the lives of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Mark {
+pub struct StatePosition {
     /// The number of the life.
-    pub life: u64,
+    pub incarnation: u64,
     /// How long that had lasted, in seconds.
     pub seconds: u64,
 }
 
-impl Mark {
+impl StatePosition {
     /// Whether what ends here lacks something that was known there.
-    pub fn is_outdated_by(&self, known: &Mark) -> bool {
-        (self.life, self.seconds.saturating_add(TOLERANCE)) < (known.life, known.seconds)
+    pub fn is_outdated_by(&self, known: &StatePosition) -> bool {
+        (self.incarnation, self.seconds.saturating_add(TOLERANCE)) < (known.incarnation, known.seconds)
     }
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Known {
-    now: Mark,
-    before: Option<Mark>,
+struct KeyState {
+    now: StatePosition,
+    before: Option<StatePosition>,
 }
 
 /// The last that is known of each node.
 #[derive(Debug, Clone, Default)]
-pub struct Marks {
-    known: BTreeMap<NodeId, Known>,
+pub struct StalenessTracker {
+    known: BTreeMap<NodeId, KeyState>,
 }
 
-impl Marks {
+impl StalenessTracker {
     /// A node was at this point of its lives.
-    pub fn heard(&mut self, node: NodeId, mark: Mark) {
-        let known = self.known.entry(node).or_insert(Known { now: mark, before: None });
-        if mark.life > known.now.life {
-            *known = Known { now: mark, before: Some(known.now) };
+    pub fn heard(&mut self, node: NodeId, mark: StatePosition) {
+        let known = self.known.entry(node).or_insert(KeyState { now: mark, before: None });
+        if mark.incarnation > known.now.incarnation {
+            *known = KeyState { now: mark, before: Some(known.now) };
         } else {
             known.now = known.now.max(mark);
         }
@@ -56,9 +56,9 @@
 
     /// A node in this life goes on from what it kept. Returns the last that was known of it before this life, if that is
     /// later.
-    pub fn outdates(&self, node: NodeId, life: u64, kept: Mark) -> Option<Mark> {
+    pub fn outdates(&self, node: NodeId, incarnation: u64, kept: StatePosition) -> Option<StatePosition> {
         let known = self.known.get(&node)?;
-        let last = if known.now.life < life { Some(known.now) } else { known.before };
+        let last = if known.now.incarnation < incarnation { Some(known.now) } else { known.before };
         last.filter(|last| kept.is_outdated_by(last))
     }
 
@@ -74,13 +74,13 @@
 
     const NODE: NodeId = NodeId(1);
 
-    fn mark(life: u64, seconds: u64) -> Mark {
-        Mark { life, seconds }
+    fn mark(incarnation: u64, seconds: u64) -> StatePosition {
+        StatePosition { incarnation, seconds }
     }
 
     #[test]
     fn what_ends_before_the_last_that_was_heard_is_outdated() {
-        let mut marks = Marks::default();
+        let mut marks = StalenessTracker::default();
         assert_eq!(marks.outdates(NODE, 5, mark(1, 0)), None, "nothing is known of it");
         marks.heard(NODE, mark(5, 40));
         assert_eq!(marks.outdates(NODE, 6, mark(5, 38)), None, "it was killed before it wrote that down");
@@ -91,7 +91,7 @@
 
     #[test]
     fn the_life_under_way_says_nothing_of_what_was_kept_before_it() {
-        let mut marks = Marks::default();
+        let mut marks = StalenessTracker::default();
         marks.heard(NODE, mark(5, 40));
         marks.heard(NODE, mark(6, 0));
         marks.heard(NODE, mark(6, 100));
@@ -105,7 +105,7 @@
 
     #[test]
     fn nodes_that_are_on_no_list_are_forgotten() {
-        let mut marks = Marks::default();
+        let mut marks = StalenessTracker::default();
         marks.heard(NODE, mark(5, 40));
         marks.keep(|_| false);
         assert_eq!(marks.outdates(NODE, 6, mark(1, 0)), None);
--- a/fleet/src/state_transfer.rs
+++ b/fleet/src/state_transfer.rs
@@ -11,8 +11,8 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::membership_config::NodeId;
-use crate::message::{Copied, Frame, Page, Position, Sound};
-use crate::replica_table::Link;
+use crate::message::{Completeness, Message, Page, ReplicaRecord, TablePosition};
+use crate::replica_table::LinkId;
 use crate::Time;
 
 /// Donors that are asked at a time.
@@ -36,17 +36,17 @@
 
 /// So much a second, with so much in hand at the most.
 #[derive(Debug, Clone)]
-pub struct Bucket {
+pub struct TokenBucket {
     rate: f64,
     most: f64,
     level: f64,
     at: Time,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// A full one.
-    pub fn new(rate: u64, most: u64, now: Time) -> Bucket {
-        Bucket { rate: rate as f64, most: most as f64, level: most as f64, at: now }
+    pub fn new(rate: u64, most: u64, now: Time) -> TokenBucket {
+        TokenBucket { rate: rate as f64, most: most as f64, level: most as f64, at: now }
     }
 
     /// Whether something is left.
@@ -70,7 +70,7 @@
 
 /// What a page takes on a link, about.
 pub fn weight(page: &Page) -> usize {
-    let each = |record: &Copied| {
+    let each = |record: &ReplicaRecord| {
         let result = record.ended.as_ref().map_or(0, |end| 64 + end.fate.bytes());
         16 + record.key.len() + record.begun.len() * 40 + result
     };
@@ -80,11 +80,11 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Progress {
     /// It is to be asked from here on.
-    Wanted(Option<Position>),
+    RunRequest(Option<TablePosition>),
     /// It was asked then, from here on.
-    Asked(Time, Option<Position>),
+    ClaimRequest(Time, Option<TablePosition>),
     /// It is to be asked from here on, but not before then.
-    Later(Time, Option<Position>),
+    Later(Time, Option<TablePosition>),
     /// It has told all, and lacked something itself; it may say then whether it still does.
     Lacked(Time),
     /// It was asked then whether it still does.
@@ -101,31 +101,32 @@
 
 /// What a node asks of others.
 #[derive(Debug, Clone)]
-pub struct Catchup {
+pub struct StateTransfer {
     round: u32,
     /// In the order in which they are asked.
     donors: Vec<(NodeId, Progress)>,
     /// Those that owe something.
     left: usize,
-    bucket: Bucket,
+    bucket: TokenBucket,
     /// When the first donor that lacked something may be asked for its word.
     next_word: Time,
-    words: Bucket,
+    words: TokenBucket,
     rng: ChaCha8Rng,
 }
 
-impl Catchup {
+impl StateTransfer {
     /// Nothing is to be asked. The seed draws whom it asks first.
-    pub fn new(rate: u64, seed: u64, now: Time) -> Catchup {
+    pub fn new(rate: u64, seed: u64, now: Time) -> StateTransfer {
         let rng = ChaCha8Rng::seed_from_u64(seed);
-        let (bucket, words) = (Bucket::new(rate, rate, now), Bucket::new(WORDS_PER_S, WORDS_PER_S, now));
-        Catchup { round: 0, donors: Vec::new(), left: 0, bucket, next_word: Time::ZERO, words, rng }
+        let (bucket, words) =
+            (TokenBucket::new(rate, rate, now), TokenBucket::new(WORDS_PER_S, WORDS_PER_S, now));
+        StateTransfer { round: 0, donors: Vec::new(), left: 0, bucket, next_word: Time::ZERO, words, rng }
     }
 
     /// Asks all of these from the beginning.
     pub fn begin(&mut self, donors: &BTreeSet<NodeId>) {
         self.round += 1;
-        self.donors = donors.iter().map(|donor| (*donor, Progress::Wanted(None))).collect();
+        self.donors = donors.iter().map(|donor| (*donor, Progress::RunRequest(None))).collect();
         self.donors.shuffle(&mut self.rng);
         self.count();
     }
@@ -133,7 +134,7 @@
     /// Asks one more, or one again.
     pub fn also(&mut self, donor: NodeId) {
         self.donors.retain(|(known, _)| *known != donor);
-        self.donors.push((donor, Progress::Wanted(None)));
+        self.donors.push((donor, Progress::RunRequest(None)));
         self.count();
     }
 
@@ -169,7 +170,7 @@
         now: Time,
         whole: bool,
         heard: impl Fn(NodeId) -> Option<u64>,
-        out: &mut Vec<(NodeId, Frame)>,
+        out: &mut Vec<(NodeId, Message)>,
     ) {
         if self.left == 0 && (whole || now < self.next_word) {
             return;
@@ -177,10 +178,12 @@
         let mut asked = 0;
         for (_, progress) in &mut self.donors {
             match progress {
-                Progress::Asked(at, from) if now >= *at + OWED => *progress = Progress::Wanted(from.take()),
-                Progress::Later(at, from) if now >= *at => *progress = Progress::Wanted(from.take()),
+                Progress::ClaimRequest(at, from) if now >= *at + OWED => {
+                    *progress = Progress::RunRequest(from.take())
+                }
+                Progress::Later(at, from) if now >= *at => *progress = Progress::RunRequest(from.take()),
                 Progress::Word(at) if now >= *at + OWED => *progress = Progress::Lacked(now),
-                Progress::Asked(..) | Progress::Word(_) => asked += 1,
+                Progress::ClaimRequest(..) | Progress::Word(_) => asked += 1,
                 _ => {}
             }
         }
@@ -191,22 +194,22 @@
                 break;
             }
             let word = match progress {
-                Progress::Wanted(_) => false,
+                Progress::RunRequest(_) => false,
                 Progress::Lacked(at) if !whole && now >= *at && self.words.has(now) => true,
                 _ => continue,
             };
-            let Some(life) = heard(*donor) else { continue };
+            let Some(incarnation) = heard(*donor) else { continue };
             let (from, next) = match progress {
-                Progress::Wanted(from) if !word => {
+                Progress::RunRequest(from) if !word => {
                     let from = from.take();
-                    (from.clone(), Progress::Asked(now, from))
+                    (from.clone(), Progress::ClaimRequest(now, from))
                 }
                 _ => {
                     self.words.take(1);
-                    (Some(Position::end(life)), Progress::Word(now))
+                    (Some(TablePosition::end(incarnation)), Progress::Word(now))
                 }
             };
-            out.push((*donor, Frame::Pull { round, from }));
+            out.push((*donor, Message::Pull { round, from }));
             *progress = next;
             asked += 1;
         }
@@ -221,19 +224,24 @@
     fn asked(&mut self, donor: NodeId, round: u32) -> Option<&mut Progress> {
         let progress =
             self.donors.iter_mut().find(|(known, _)| *known == donor).map(|(_, progress)| progress);
-        let open = |progress: &Progress| matches!(progress, Progress::Asked(..) | Progress::Word(_));
+        let open = |progress: &Progress| matches!(progress, Progress::ClaimRequest(..) | Progress::Word(_));
         progress.filter(|progress| round == self.round && open(progress))
     }
 
     /// A donor has given a page. Returns its records, and how sound the donor is if that was the last; none if the page
     /// was not asked for.
-    pub fn given(&mut self, now: Time, from: NodeId, page: Page) -> Option<(Vec<Copied>, Option<Sound>)> {
+    pub fn given(
+        &mut self,
+        now: Time,
+        from: NodeId,
+        page: Page,
+    ) -> Option<(Vec<ReplicaRecord>, Option<Completeness>)> {
         let weight = weight(&page);
         let again = now + AGAIN.mul_f64(1.0 + self.rng.random::<f64>());
         let progress = self.asked(from, page.round)?;
         *progress = match page.next {
-            Some(next) => Progress::Wanted(Some(next)),
-            None if page.sound == Sound::Whole => Progress::Done,
+            Some(next) => Progress::RunRequest(Some(next)),
+            None if page.sound == Completeness::Complete => Progress::Done,
             None => Progress::Lacked(again),
         };
         let last = !progress.owes();
@@ -248,7 +256,7 @@
         let back = now + for_.mul_f64(1.0 + self.rng.random::<f64>()).min(OWED);
         if let Some(progress) = self.asked(from, round) {
             *progress = match progress {
-                Progress::Asked(_, position) => Progress::Later(back, position.take()),
+                Progress::ClaimRequest(_, position) => Progress::Later(back, position.take()),
                 _ => Progress::Lacked(back),
             };
             self.next_word = self.next_word.min(back);
@@ -257,13 +265,13 @@
 }
 
 /// One that asks: its link, the node, the round and where its part begins.
-type Asker = (Link, NodeId, u32, Option<Position>);
+type Asker = (LinkId, NodeId, u32, Option<TablePosition>);
 
 /// What a node gives to others.
 #[derive(Debug, Clone)]
 pub struct Donor {
-    bytes: Bucket,
-    looks: Bucket,
+    bytes: TokenBucket,
+    looks: TokenBucket,
     /// One question of each at the most, of those with a ticket.
     askers: VecDeque<Asker>,
     /// Those that it gives to, and when each last asked.
@@ -276,8 +284,8 @@
     /// Nobody has asked.
     pub fn new(rate: u64, now: Time) -> Donor {
         Donor {
-            bytes: Bucket::new(rate, rate, now),
-            looks: Bucket::new(LOOKS_PER_S, LOOKS_AT_ONCE, now),
+            bytes: TokenBucket::new(rate, rate, now),
+            looks: TokenBucket::new(LOOKS_PER_S, LOOKS_AT_ONCE, now),
             askers: VecDeque::new(),
             tickets: BTreeMap::new(),
             away: BTreeMap::new(),
@@ -293,10 +301,10 @@
     pub fn asked(
         &mut self,
         now: Time,
-        link: Link,
+        link: LinkId,
         node: NodeId,
         round: u32,
-        from: Option<Position>,
+        from: Option<TablePosition>,
     ) -> Option<Duration> {
         self.askers.retain(|(_, other, ..)| *other != node);
         self.tickets.retain(|_, at| now < *at + OWED);
@@ -340,23 +348,24 @@
     }
 
     fn page(round: u32, next: Option<u64>, bytes: usize) -> Page {
-        let record = Copied { key: Bytes::from(vec![0; bytes]), keep_ms: 1, begun: vec![], ended: None };
-        let next = next.map(|until_ns| Position { life: 1, until_ns, key: Bytes::new() });
-        Page { round, records: vec![record], next, sound: Sound::Whole }
+        let record =
+            ReplicaRecord { key: Bytes::from(vec![0; bytes]), keep_ms: 1, begun: vec![], ended: None };
+        let next = next.map(|until_ns| TablePosition { incarnation: 1, until_ns, key: Bytes::new() });
+        Page { round, records: vec![record], next, sound: Completeness::Complete }
     }
 
-    fn catchup(rate: u64, donors: u64) -> Catchup {
-        let mut catchup = Catchup::new(rate, 1, at(0));
+    fn catchup(rate: u64, donors: u64) -> StateTransfer {
+        let mut catchup = StateTransfer::new(rate, 1, at(0));
         catchup.begin(&(1..=donors).map(NodeId).collect());
         catchup
     }
 
     /// Who is asked now, from where; the third is not heard.
-    fn asked(catchup: &mut Catchup, now: Time) -> Vec<(u64, Option<u64>)> {
+    fn asked(catchup: &mut StateTransfer, now: Time) -> Vec<(u64, Option<u64>)> {
         let mut out = Vec::new();
         catchup.tick(now, false, |node| (node != NodeId(3)).then_some(1), &mut out);
         let from = |frame| match frame {
-            Frame::Pull { from, .. } => from.map(|from: Position| from.until_ns),
+            Message::Pull { from, .. } => from.map(|from: TablePosition| from.until_ns),
             _ => unreachable!(),
         };
         out.into_iter().map(|(node, frame)| (node.0, from(frame))).collect()
@@ -371,7 +380,10 @@
         let (records, last) = catchup.given(at(1), NodeId(one), page(1, Some(9), 10)).unwrap();
         assert_eq!((records.len(), last), (1, None));
         assert_eq!(asked(&mut catchup, at(1)), [(one, Some(9))]);
-        assert_eq!(catchup.given(at(1), NodeId(one), page(1, None, 10)).unwrap().1, Some(Sound::Whole));
+        assert_eq!(
+            catchup.given(at(1), NodeId(one), page(1, None, 10)).unwrap().1,
+            Some(Completeness::Complete)
+        );
         assert!(matches!(asked(&mut catchup, at(2))[..], [(next, None)] if !first.contains(&next)));
         assert!(catchup.given(at(2), NodeId(one), page(1, None, 10)).is_none(), "it was not asked");
         assert!(catchup.given(at(2), NodeId(other), page(7, None, 10)).is_none(), "nor in that round");
@@ -381,7 +393,7 @@
     #[test]
     fn whom_a_node_asks_first_is_its_own_draw() {
         let first = |seed| {
-            let mut catchup = Catchup::new(1 << 20, seed, at(0));
+            let mut catchup = StateTransfer::new(1 << 20, seed, at(0));
             catchup.begin(&(10..110).map(NodeId).collect());
             asked(&mut catchup, at(0))[0].0
         };
@@ -404,8 +416,11 @@
     fn a_donor_that_lacked_something_is_asked_again_for_its_word_alone() {
         let mut catchup = catchup(1 << 20, 1);
         asked(&mut catchup, at(0));
-        let lacking = Page { sound: Sound::By(vec![]), ..page(1, None, 10) };
-        assert_eq!(catchup.given(at(0), NodeId(1), lacking).unwrap().1, Some(Sound::By(vec![])));
+        let lacking = Page { sound: Completeness::CompleteWith(vec![]), ..page(1, None, 10) };
+        assert_eq!(
+            catchup.given(at(0), NodeId(1), lacking).unwrap().1,
+            Some(Completeness::CompleteWith(vec![]))
+        );
         assert_eq!((catchup.left(), asked(&mut catchup, at(999))), (0, vec![]));
         assert_eq!(asked(&mut catchup, at(2000)), [(1, Some(0))], "from the end of its table");
         catchup.given(at(2001), NodeId(1), page(1, None, 0));
@@ -415,7 +430,7 @@
     #[test]
     fn who_is_sent_away_comes_back_later_and_not_with_the_others() {
         let back = |seed| {
-            let mut catchup = Catchup::new(1 << 20, seed, at(0));
+            let mut catchup = StateTransfer::new(1 << 20, seed, at(0));
             catchup.begin(&[NodeId(1)].into());
             asked(&mut catchup, at(0));
             catchup.sent_away(at(0), NodeId(1), 1, at(100));
