--- a/fleet/tests/golden.rs
+++ b/fleet/tests/golden.rs
@@ -7,14 +7,15 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use oakwind_fleet::audit::{Decided, Record, Versions};
+use oakwind_fleet::audit::{Decision, Record, Versions};
 use oakwind_fleet::hash_chain::{read, Chain};
-use oakwind_fleet::key_state::{ClaimId, End, Fate};
-use oakwind_fleet::membership_config::{List, Member, NodeId, Plain};
+use oakwind_fleet::key_state::{ClaimId, CompletedRun, RunResult};
+use oakwind_fleet::membership_config::{Member, MembershipConfig, MembershipSpec, NodeId};
 use oakwind_fleet::message::{
-    Asked, Blocker, Copied, Frame, Hello, Page, Position, Rumor, Sound, Standing, Why, KINDS,
+    ClaimRequest, Completeness, ConflictingClaim, GossipUpdate, Hello, Liveness, Message, Page, RejectReason,
+    ReplicaRecord, TablePosition, MESSAGE_KINDS,
 };
-use oakwind_fleet::staleness::Mark;
+use oakwind_fleet::staleness::StatePosition;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
@@ -40,49 +41,58 @@
 const KEY: Bytes = Bytes::from_static(b"key");
 
 fn claim() -> ClaimId {
-    ClaimId { node: NodeId(1001), life: 1002, number: 1003 }
+    ClaimId { node: NodeId(1001), incarnation: 1002, number: 1003 }
 }
 
 fn other_claim() -> ClaimId {
-    ClaimId { node: NodeId(1004), life: 1005, number: 1006 }
+    ClaimId { node: NodeId(1004), incarnation: 1005, number: 1006 }
 }
 
-fn end(fate: Fate) -> End {
-    End { door: 1007, place: 1008, claim: other_claim(), fate, body: 1009 }
+fn end(fate: RunResult) -> CompletedRun {
+    CompletedRun { received_at: 1007, place: 1008, claim: other_claim(), fate, body: 1009 }
 }
 
-fn done() -> Fate {
-    Fate::Done(Bytes::from_static(b"result"))
+fn done() -> RunResult {
+    RunResult::Succeeded(Bytes::from_static(b"result"))
 }
 
-fn rumors() -> Vec<Rumor> {
-    let rumor = |node, life, count, standing| Rumor { node: NodeId(node), age: (life, count), standing };
+fn rumors() -> Vec<GossipUpdate> {
+    let rumor = |node, incarnation, count, standing| GossipUpdate {
+        node: NodeId(node),
+        age: (incarnation, count),
+        standing,
+    };
     vec![
-        rumor(1010, 1011, 1012, Standing::Alive),
-        rumor(1013, 1014, 1015, Standing::Suspect),
-        rumor(1016, 1017, 1018, Standing::Lost),
+        rumor(1010, 1011, 1012, Liveness::Alive),
+        rumor(1013, 1014, 1015, Liveness::Suspect),
+        rumor(1016, 1017, 1018, Liveness::Lost),
     ]
 }
 
-fn position() -> Position {
-    Position { life: 1019, until_ns: 1020, key: Bytes::from_static(b"from") }
+fn position() -> TablePosition {
+    TablePosition { incarnation: 1019, until_ns: 1020, key: Bytes::from_static(b"from") }
 }
 
-fn open_record() -> Copied {
-    Copied { key: KEY, keep_ms: 1021, begun: vec![(claim(), 1022), (other_claim(), 1023)], ended: None }
+fn open_record() -> ReplicaRecord {
+    ReplicaRecord {
+        key: KEY,
+        keep_ms: 1021,
+        begun: vec![(claim(), 1022), (other_claim(), 1023)],
+        ended: None,
+    }
 }
 
-fn ended_record(fate: Fate) -> Copied {
-    Copied { key: KEY, keep_ms: 1024, begun: vec![], ended: Some(end(fate)) }
+fn ended_record(fate: RunResult) -> ReplicaRecord {
+    ReplicaRecord { key: KEY, keep_ms: 1024, begun: vec![], ended: Some(end(fate)) }
 }
 
-fn list_as_sent() -> Plain {
+fn list_as_sent() -> MembershipSpec {
     let member = |name: &str, address: &str, zone: &str| Member {
         name: name.into(),
         address: address.parse().unwrap(),
         zone: zone.into(),
     };
-    Plain {
+    MembershipSpec {
         number: 1025,
         copies: 2,
         window: Duration::new(1026, 1027),
@@ -99,129 +109,137 @@
     let hello = Hello {
         name: "n1".into(),
         to: NodeId(u64::MAX),
-        life: 1031,
+        incarnation: 1031,
         lists: vec![(1032, 1033), (1034, 1035)],
         over: 1036,
         cut: true,
         seconds: 1037,
-        kept: Some(Mark { life: 1038, seconds: 1039 }),
+        kept: Some(StatePosition { incarnation: 1038, seconds: 1039 }),
     };
     assert_golden(
-        &Frame::Hello(hello.clone()),
+        &Message::Hello(hello.clone()),
         "00026e31ffffffffffffffffff01870802880889088a088b088c08018d08018e088f08",
     );
     let fresh = Hello { cut: false, kept: None, lists: vec![], ..hello };
-    assert_golden(&Frame::Hello(fresh), "00026e31ffffffffffffffffff018708008c08008d0800");
-    assert_golden(&Frame::Superseded { life: 1040 }, "019008");
-    assert_golden(&Frame::Outdated { known: Mark { life: 1041, seconds: 1042 } }, "1591089208");
+    assert_golden(&Message::Hello(fresh), "00026e31ffffffffffffffffff018708008c08008d0800");
+    assert_golden(&Message::Superseded { incarnation: 1040 }, "019008");
+    assert_golden(
+        &Message::Outdated { known: StatePosition { incarnation: 1041, seconds: 1042 } },
+        "1591089208",
+    );
 }
 
 #[test]
 fn messages_about_membership_lists_keep_their_bytes() {
-    assert_golden(&Frame::AskList { number: 1043 }, "029308");
-    assert_golden(&Frame::ListIs(list_as_sent()), "038108028208830803026e31007f00000184080465617374026e32010000000000000000000000000000000185080477657374026e33007f00000386080465617374");
+    assert_golden(&Message::AskMembershipConfig { number: 1043 }, "029308");
+    assert_golden(&Message::MembershipConfig(list_as_sent()), "038108028208830803026e31007f00000184080465617374026e32010000000000000000000000000000000185080477657374026e33007f00000386080465617374");
 }
 
 #[test]
 fn probes_keep_their_bytes() {
     assert_golden(
-        &Frame::Ping { seq: 1044, seconds: 1045, rumors: rumors() },
+        &Message::Ping { seq: 1044, seconds: 1045, rumors: rumors() },
         "049408950803f207f307f40700f507f607f70701f807f907fa0702",
     );
     assert_golden(
-        &Frame::Ack { seq: 1046, seconds: 1047, rumors: rumors() },
+        &Message::Ack { seq: 1046, seconds: 1047, rumors: rumors() },
         "059608970803f207f307f40700f507f607f70701f807f907fa0702",
     );
-    assert_golden(&Frame::PingFor { seq: 1048, target: NodeId(1049) }, "0698089908");
-    assert_golden(&Frame::AckFor { seq: 1050, target: NodeId(1051) }, "079a089b08");
+    assert_golden(&Message::PingFor { seq: 1048, target: NodeId(1049) }, "0698089908");
+    assert_golden(&Message::AckFor { seq: 1050, target: NodeId(1051) }, "079a089b08");
 }
 
 #[test]
 fn claims_and_their_answers_keep_their_bytes() {
-    let asked =
-        Asked { claim: claim(), key: KEY, body: u128::MAX - 1, keep_ms: 1052, lists: vec![1053, 1054] };
+    let asked = ClaimRequest {
+        claim: claim(),
+        key: KEY,
+        body: u128::MAX - 1,
+        keep_ms: 1052,
+        lists: vec![1053, 1054],
+    };
     assert_golden(
-        &Frame::Claim(asked),
+        &Message::Claim(asked),
         "08e907ea07eb07036b6579feffffffffffffffffffffffffffffffffff039c08029d089e08",
     );
     let lives = vec![(NodeId(1055), 1056), (NodeId(1057), 1058)];
-    assert_golden(&Frame::Granted { claim: claim(), lives }, "09e907ea07eb07029f08a008a108a208");
-    let open = Blocker { claim: other_claim(), body: 1059, ended: None, past_ms: 1060 };
+    assert_golden(&Message::Granted { claim: claim(), lives }, "09e907ea07eb07029f08a008a108a208");
+    let open = ConflictingClaim { claim: other_claim(), body: 1059, ended: None, past_ms: 1060 };
     assert_golden(
-        &Frame::Blocked { claim: claim(), by: open.clone() },
+        &Message::Blocked { claim: claim(), by: open.clone() },
         "0ae907ea07eb07ec07ed07ee07a30800a408",
     );
-    let done = Blocker { ended: Some(end(done())), ..open.clone() };
+    let done = ConflictingClaim { ended: Some(end(done())), ..open.clone() };
     assert_golden(
-        &Frame::Blocked { claim: claim(), by: done },
+        &Message::Blocked { claim: claim(), by: done },
         "0ae907ea07eb07ec07ed07ee07a30801ef07f007ec07ed07ee070006726573756c74f107a408",
     );
-    let failed = Blocker { ended: Some(end(Fate::Failed)), ..open };
+    let failed = ConflictingClaim { ended: Some(end(RunResult::Failed)), ..open };
     assert_golden(
-        &Frame::Blocked { claim: claim(), by: failed },
+        &Message::Blocked { claim: claim(), by: failed },
         "0ae907ea07eb07ec07ed07ee07a30801ef07f007ec07ed07ee0701f107a408",
     );
-    assert_golden(&Frame::Release { key: KEY, claim: claim() }, "0e036b6579e907ea07eb07");
-    assert_golden(&Frame::Ask { claim: claim(), key: KEY }, "0fe907ea07eb07036b6579");
-    assert_golden(&Frame::Free { claim: claim() }, "10e907ea07eb07");
-    assert_golden(&Frame::What { key: KEY, claim: claim(), body: 1061 }, "11036b6579e907ea07eb07a508");
+    assert_golden(&Message::Release { key: KEY, claim: claim() }, "0e036b6579e907ea07eb07");
+    assert_golden(&Message::Ask { claim: claim(), key: KEY }, "0fe907ea07eb07036b6579");
+    assert_golden(&Message::Free { claim: claim() }, "10e907ea07eb07");
+    assert_golden(&Message::What { key: KEY, claim: claim(), body: 1061 }, "11036b6579e907ea07eb07a508");
 }
 
 #[test]
 fn each_reason_why_a_copy_can_not_say_keeps_its_byte() {
     let reasons = [
-        (Why::Returning, "00"),
-        (Why::Unheard, "01"),
-        (Why::Full, "02"),
-        (Why::Superseded, "03"),
-        (Why::Lists, "04"),
-        (Why::Contradicted, "05"),
-        (Why::Unkept, "06"),
-        (Why::Unreached, "07"),
-        (Why::Unlisted, "08"),
-        (Why::Late, "09"),
-        (Why::Past, "0a"),
-        (Why::Freed, "0b"),
+        (RejectReason::Returning, "00"),
+        (RejectReason::Unheard, "01"),
+        (RejectReason::Full, "02"),
+        (RejectReason::Superseded, "03"),
+        (RejectReason::ActiveConfigs, "04"),
+        (RejectReason::Contradicted, "05"),
+        (RejectReason::Unkept, "06"),
+        (RejectReason::Unreached, "07"),
+        (RejectReason::Unlisted, "08"),
+        (RejectReason::Late, "09"),
+        (RejectReason::Past, "0a"),
+        (RejectReason::Freed, "0b"),
     ];
     for (why, byte) in reasons {
         assert_golden(&why, byte);
-        assert_golden(&Frame::Unsure { claim: claim(), why }, &format!("0be907ea07eb07{byte}"));
+        assert_golden(&Message::Unsure { claim: claim(), why }, &format!("0be907ea07eb07{byte}"));
     }
 }
 
 #[test]
 fn results_of_runs_keep_their_bytes() {
     assert_golden(
-        &Frame::Ended { key: KEY, keep_ms: 1062, end: end(done()) },
+        &Message::Ended { key: KEY, keep_ms: 1062, end: end(done()) },
         "0c036b6579a608ef07f007ec07ed07ee070006726573756c74f107",
     );
     assert_golden(
-        &Frame::Ended { key: KEY, keep_ms: 1063, end: end(Fate::Failed) },
+        &Message::Ended { key: KEY, keep_ms: 1063, end: end(RunResult::Failed) },
         "0c036b6579a708ef07f007ec07ed07ee0701f107",
     );
-    assert_golden(&Frame::Kept { claim: claim(), kept: true }, "0de907ea07eb0701");
-    assert_golden(&Frame::Kept { claim: claim(), kept: false }, "0de907ea07eb0700");
+    assert_golden(&Message::Kept { claim: claim(), kept: true }, "0de907ea07eb0701");
+    assert_golden(&Message::Kept { claim: claim(), kept: false }, "0de907ea07eb0700");
 }
 
 #[test]
 fn parts_of_a_table_keep_their_bytes() {
-    assert_golden(&Frame::Pull { round: 1064, from: None }, "12a80800");
-    assert_golden(&Frame::Pull { round: 1065, from: Some(position()) }, "12a90801fb07fc070466726f6d");
+    assert_golden(&Message::Pull { round: 1064, from: None }, "12a80800");
+    assert_golden(&Message::Pull { round: 1065, from: Some(position()) }, "12a90801fb07fc070466726f6d");
     let first = Page {
         round: 1066,
         records: vec![open_record(), ended_record(done())],
         next: Some(position()),
-        sound: Sound::By(vec![NodeId(1067), NodeId(1068)]),
+        sound: Completeness::CompleteWith(vec![NodeId(1067), NodeId(1068)]),
     };
-    assert_golden(&Frame::Page(first), "13aa0802036b6579fd0702e907ea07eb07fe07ec07ed07ee07ff0700036b657980080001ef07f007ec07ed07ee070006726573756c74f10701fb07fc070466726f6d0102ab08ac08");
-    let last = Page { round: 1069, records: vec![], next: None, sound: Sound::Whole };
-    assert_golden(&Frame::Page(last), "13ad08000000");
-    assert_golden(&Frame::Away { round: 1070, after_ms: 1071 }, "14ae08af08");
+    assert_golden(&Message::Page(first), "13aa0802036b6579fd0702e907ea07eb07fe07ec07ed07ee07ff0700036b657980080001ef07f007ec07ed07ee070006726573756c74f10701fb07fc070466726f6d0102ab08ac08");
+    let last = Page { round: 1069, records: vec![], next: None, sound: Completeness::Complete };
+    assert_golden(&Message::Page(last), "13ad08000000");
+    assert_golden(&Message::Away { round: 1070, after_ms: 1071 }, "14ae08af08");
 }
 
 #[test]
 fn there_are_as_many_kinds_of_messages_as_before() {
-    assert_eq!(KINDS, 22);
+    assert_eq!(MESSAGE_KINDS, 22);
 }
 
 /// What a node writes to its disk of a key: its own vote, and what it knows.
@@ -236,7 +254,7 @@
         "01e907ea07eb07036b657980080001ef07f007ec07ed07ee070006726573756c74f107",
     );
     assert_golden(
-        &(None::<ClaimId>, ended_record(Fate::Failed)),
+        &(None::<ClaimId>, ended_record(RunResult::Failed)),
         "00036b657980080001ef07f007ec07ed07ee0701f107",
     );
 }
@@ -245,7 +263,7 @@
     Versions { settings: "digest".into(), list: 1072, program: "1.2.3".into() }
 }
 
-fn decision(did: Decided, key: Option<&str>) -> Record {
+fn decision(did: Decision, key: Option<&str>) -> Record {
     Record::Try {
         at: 1073,
         did,
@@ -267,11 +285,11 @@
             Record::Began { at: 1074, node: "n1".into(), by: versions() },
             format!(r#"{{"e":"began","at":1074,"node":"n1",{by}}}"#),
         ),
-        (decision(Decided::Run, Some("key")), tried("run", r#""key":"key","#)),
-        (decision(Decided::Unrun, None), tried("unrun", "")),
-        (decision(Decided::Served, None), tried("served", "")),
-        (decision(Decided::Refused, None), tried("refused", "")),
-        (decision(Decided::Failed, None), tried("failed", "")),
+        (decision(Decision::Run, Some("key")), tried("run", r#""key":"key","#)),
+        (decision(Decision::Unrun, None), tried("unrun", "")),
+        (decision(Decision::Served, None), tried("served", "")),
+        (decision(Decision::Refused, None), tried("refused", "")),
+        (decision(Decision::Failed, None), tried("failed", "")),
         (Record::Dropped { at: 1075, count: 1076 }, r#"{"e":"dropped","at":1075,"count":1076}"#.into()),
         (Record::Ended { at: 1077 }, r#"{"e":"ended","at":1077}"#.into()),
     ];
@@ -295,7 +313,7 @@
 #[test]
 fn digests_that_nodes_share_keep_their_values() {
     assert_eq!(format!("{:x}", NodeId::of("n1").0), "705db633e061d248");
-    let list = List::new(list_as_sent()).unwrap();
+    let list = MembershipConfig::new(list_as_sent()).unwrap();
     assert_eq!(format!("{:x}", list.digest()), "51d764d4bed1f886");
     let members: Vec<Member> = (0..9)
         .map(|n| Member {
@@ -306,15 +324,21 @@
         .collect();
     let names: BTreeMap<NodeId, String> =
         members.iter().map(|member| (NodeId::of(&member.name), member.name.clone())).collect();
-    let list = List::new(Plain { number: 1, copies: 3, window: Duration::from_secs(10), members }).unwrap();
-    let holders: Vec<String> = (0..8)
+    let list = MembershipConfig::new(MembershipSpec {
+        number: 1,
+        copies: 3,
+        window: Duration::from_secs(10),
+        members,
+    })
+    .unwrap();
+    let replicas_of: Vec<String> = (0..8)
         .map(|n| {
-            let holders = list.holders(format!("key{n}").as_bytes());
-            holders.iter().map(|id| names[id].as_str()).collect::<Vec<_>>().join(" ")
+            let replicas_of = list.replicas_of(format!("key{n}").as_bytes());
+            replicas_of.iter().map(|id| names[id].as_str()).collect::<Vec<_>>().join(" ")
         })
         .collect();
     assert_eq!(
-        holders.join(", "),
+        replicas_of.join(", "),
         "n2 n1 n3, n7 n5 n6, n8 n2 n3, n2 n5 n0, n8 n3 n2, n7 n4 n2, n5 n0 n3, n5 n0 n3"
     );
 }
--- a/fleet/tests/model.rs
+++ b/fleet/tests/model.rs
@@ -11,12 +11,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use oakwind_fleet::active_configs::Lists;
-use oakwind_fleet::claim_coordinator::{Claims, Do, Said, Token, Wanted};
-use oakwind_fleet::key_state::{Fate, Key};
-use oakwind_fleet::membership_config::{List, NodeId};
-use oakwind_fleet::message::{Frame, Sound};
-use oakwind_fleet::replica_table::{Copies, Outcome};
+use oakwind_fleet::active_configs::ActiveConfigs;
+use oakwind_fleet::claim_coordinator::{AttemptId, ClaimAction, ClaimCoordinator, ClaimOutcome, RunRequest};
+use oakwind_fleet::key_state::{Key, RunResult};
+use oakwind_fleet::membership_config::{MembershipConfig, NodeId};
+use oakwind_fleet::message::{Completeness, Message};
+use oakwind_fleet::replica_table::{Outcome, ReplicaTable};
 use oakwind_fleet::Time;
 use stateright::{Checker, Model, Property};
 
@@ -54,11 +54,11 @@
 struct Node(usize);
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-struct Message {
+struct Envelope {
     from: Node,
-    life: u64,
+    incarnation: u64,
     to: Node,
-    frame: Frame,
+    frame: Message,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -76,11 +76,11 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct State {
-    copies: Vec<Copies>,
-    lists: Vec<Lists>,
+    copies: Vec<ReplicaTable>,
+    lists: Vec<ActiveConfigs>,
     lives: Vec<u64>,
-    claims: Vec<Claims>,
-    net: BTreeSet<Message>,
+    claims: Vec<ClaimCoordinator>,
+    net: BTreeSet<Envelope>,
     tries: Vec<Try>,
     /// Runs that have begun, by try.
     runs: Vec<u32>,
@@ -93,8 +93,8 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum Act {
     Begin(usize),
-    Deliver(Box<Message>),
-    End(usize),
+    Deliver(Box<Envelope>),
+    CompletedRun(usize),
     TimeUp(usize),
     Restart(Node),
     Pull(Node, Node),
@@ -103,8 +103,8 @@
 
 /// A step of the way to where the looking begins.
 #[derive(Debug, Clone, Copy)]
-enum Step {
-    Do(fn() -> Act),
+enum Transition {
+    ClaimAction(fn() -> Act),
     /// The claim of a try reaches a copy.
     Claim(usize, usize),
     /// The grant of a copy reaches the try's node.
@@ -116,7 +116,7 @@
 struct System {
     mutant: Option<Mutant>,
     /// The way to where the looking begins.
-    way: &'static [Step],
+    way: &'static [Transition],
     /// Whether a restart, and a change of the list, may come.
     restart: bool,
     change: bool,
@@ -126,7 +126,7 @@
     NodeId::of(&lists::name(node.0))
 }
 
-fn list(number: u64, nodes: &[usize]) -> Arc<List> {
+fn list(number: u64, nodes: &[usize]) -> Arc<MembershipConfig> {
     lists::list(number, nodes, 1, Duration::from_secs(10))
 }
 
@@ -138,81 +138,81 @@
         (0..NODES).map(Node).find(|node| id(*node) == of).unwrap()
     }
 
-    fn carry_out(&self, state: &mut State, node: Node, does: Vec<Do>) {
+    fn carry_out(&self, state: &mut State, node: Node, does: Vec<ClaimAction>) {
         for done in does {
             match done {
-                Do::Send(to, frame) => {
-                    let (life, to) = (state.lives[node.0], self.node(to));
-                    state.net.insert(Message { from: node, life, to, frame });
+                ClaimAction::Send(to, frame) => {
+                    let (incarnation, to) = (state.lives[node.0], self.node(to));
+                    state.net.insert(Envelope { from: node, incarnation, to, frame });
                 }
-                Do::Tell(Token(n), said) => self.told(state, n as usize, said),
+                ClaimAction::Tell(AttemptId(n), said) => self.told(state, n as usize, said),
             }
         }
     }
 
-    fn told(&self, state: &mut State, n: usize, said: Said) {
+    fn told(&self, state: &mut State, n: usize, said: ClaimOutcome) {
         let taken = &mut state.tries[n];
         match (said, *taken) {
-            (Said::Granted, Try::Asks) => {
+            (ClaimOutcome::Granted, Try::Asks) => {
                 *taken = Try::Runs;
                 state.runs[n] += 1;
             }
-            (Said::Turned(_), Try::Asks) => *taken = Try::Refused,
-            (Said::Became(fate), Try::Asks) => *taken = Try::Became(fate != Fate::Failed),
-            (Said::Unknown | Said::Mismatch, Try::Asks) => *taken = Try::Failed,
-            (Said::Held(true), Try::Tells) => *taken = Try::Served,
-            (Said::Held(false), Try::Tells) => *taken = Try::Failed,
+            (ClaimOutcome::Rejected(_), Try::Asks) => *taken = Try::Refused,
+            (ClaimOutcome::RemoteOutcome(fate), Try::Asks) => *taken = Try::Became(fate != RunResult::Failed),
+            (ClaimOutcome::Unknown | ClaimOutcome::BodyMismatch, Try::Asks) => *taken = Try::Failed,
+            (ClaimOutcome::Replicated(true), Try::Tells) => *taken = Try::Served,
+            (ClaimOutcome::Replicated(false), Try::Tells) => *taken = Try::Failed,
             _ => {}
         }
     }
 
     fn outcome(&self, state: &mut State, node: Node, outcome: Outcome) {
-        let life = state.lives[node.0];
+        let incarnation = state.lives[node.0];
         for (link, frame) in outcome.answers {
-            state.net.insert(Message { from: node, life, to: Node(link as usize - 1), frame });
+            state.net.insert(Envelope { from: node, incarnation, to: Node(link as usize - 1), frame });
         }
         for (to, frame) in outcome.questions {
             let to = self.node(to);
-            state.net.insert(Message { from: node, life, to, frame });
+            state.net.insert(Envelope { from: node, incarnation, to, frame });
         }
     }
 
     /// Goes one step of the way.
-    fn step(&self, state: &State, step: Step) -> State {
+    fn step(&self, state: &State, step: Transition) -> State {
         let next = |state: &State, act| self.next_state(state, act).expect("a step that leads somewhere");
-        let sent = |state: &State, from: usize, to: usize, fits: fn(&Frame) -> bool| {
+        let sent = |state: &State, from: usize, to: usize, fits: fn(&Message) -> bool| {
             let message = state.net.iter().find(|m| m.from.0 == from && m.to.0 == to && fits(&m.frame));
             Act::Deliver(Box::new(message.expect("a message that was sent").clone()))
         };
         match step {
-            Step::Do(act) => next(state, act()),
-            Step::Claim(from, to) => {
-                next(state, sent(state, from, to, |frame| matches!(frame, Frame::Claim(_))))
+            Transition::ClaimAction(act) => next(state, act()),
+            Transition::Claim(from, to) => {
+                next(state, sent(state, from, to, |frame| matches!(frame, Message::Claim(_))))
             }
-            Step::Grant(from, to) => {
-                next(state, sent(state, from, to, |frame| matches!(frame, Frame::Granted { .. })))
+            Transition::Grant(from, to) => {
+                next(state, sent(state, from, to, |frame| matches!(frame, Message::Granted { .. })))
             }
-            Step::Caught(who, donor) => {
+            Transition::Caught(who, donor) => {
                 let asked = next(state, Act::Pull(Node(who), Node(donor)));
-                let given = sent(&asked, who, donor, |frame| matches!(frame, Frame::Pull { .. }));
+                let given = sent(&asked, who, donor, |frame| matches!(frame, Message::Pull { .. }));
                 let given = next(&asked, given);
-                let page = sent(&given, donor, who, |frame| matches!(frame, Frame::Page(_)));
+                let page = sent(&given, donor, who, |frame| matches!(frame, Message::Page(_)));
                 next(&given, page)
             }
         }
     }
 
-    fn deliver(&self, state: &mut State, message: Message) {
-        let Message { from, life, to, frame } = message;
+    fn deliver(&self, state: &mut State, message: Envelope) {
+        let Envelope { from, incarnation, to, frame } = message;
         let n = to.0;
         // A link is greeted with the life of who speaks.
         if from != to {
-            state.copies[n].lives(id(from), life);
+            state.copies[n].lives(id(from), incarnation);
         }
         let link = from.0 as u64 + 1;
         let mut does = Vec::new();
         match frame {
-            Frame::Claim(asked) => {
+            Message::Claim(asked) => {
                 if self.mutant == Some(Mutant::VotesChange) {
                     if let Some(vote) = state.copies[n].vote(&KEY) {
                         state.copies[n].release(NOW, &KEY, vote);
@@ -222,65 +222,66 @@
                     Some(Mutant::NewestListAlone) => {
                         let newest =
                             if asked.lists.contains(&2) { list(2, &[0, 1, 3]) } else { list(1, &[0, 1, 2]) };
-                        Lists::new(id(to), newest)
+                        ActiveConfigs::new(id(to), newest)
                     }
                     _ => state.lists[n].clone(),
                 };
                 let outcome = state.copies[n].claim(NOW, link, &asked, &lists);
                 self.outcome(state, to, outcome);
             }
-            Frame::Ask { claim, key } => {
+            Message::Ask { claim, key } => {
                 let lists = state.lists[n].clone();
                 let outcome = state.copies[n].ask(NOW, link, claim, &key, &lists);
                 self.outcome(state, to, outcome);
             }
-            Frame::Ended { key, keep_ms, end } => {
+            Message::Ended { key, keep_ms, end } => {
                 let outcome = state.copies[n].ended(NOW, link, &key, keep_ms, end);
                 self.outcome(state, to, outcome);
             }
-            Frame::Release { key, claim } => {
+            Message::Release { key, claim } => {
                 let outcome = state.copies[n].release(NOW, &key, claim);
                 self.outcome(state, to, outcome);
             }
-            Frame::What { key, claim, body } if n < TRIES => {
+            Message::What { key, claim, body } if n < TRIES => {
                 if let Some(frame) = state.claims[n].what(NOW, &key, claim, body, false) {
-                    let life = state.lives[n];
-                    state.net.insert(Message { from: to, life, to: from, frame });
+                    let incarnation = state.lives[n];
+                    state.net.insert(Envelope { from: to, incarnation, to: from, frame });
                 }
             }
-            Frame::Pull { round, from: position } => {
+            Message::Pull { round, from: position } => {
                 let (page, _) =
                     state.copies[n].page(NOW, id(from), round, position.as_ref(), &state.lists[n]);
-                let (life, frame) = (state.lives[n], Frame::Page(page));
-                state.net.insert(Message { from: to, life, to: from, frame });
+                let (incarnation, frame) = (state.lives[n], Message::Page(page));
+                state.net.insert(Envelope { from: to, incarnation, to: from, frame });
             }
             // The round is the life that asked: a page for an earlier one means nothing.
-            Frame::Page(page) if u64::from(page.round) == state.lives[n] => {
+            Message::Page(page) if u64::from(page.round) == state.lives[n] => {
                 state.copies[n].learn(NOW, page.records);
                 state.copies[n].caught_up(id(from), page.sound);
                 if self.mutant == Some(Mutant::CatchesUpWithOne) {
-                    (0..NODES).for_each(|other| state.copies[n].caught_up(id(Node(other)), Sound::Whole));
+                    (0..NODES)
+                        .for_each(|other| state.copies[n].caught_up(id(Node(other)), Completeness::Complete));
                 }
             }
             answer if n < TRIES && answer.answers() => {
                 let answer = match (self.mutant, answer) {
-                    (Some(Mutant::UnknownIsGranted), Frame::Unsure { claim, .. }) => {
-                        Frame::Granted { claim, lives: vec![] }
+                    (Some(Mutant::UnknownIsGranted), Message::Unsure { claim, .. }) => {
+                        Message::Granted { claim, lives: vec![] }
                     }
-                    (Some(Mutant::OldLivesCount), Frame::Granted { claim, .. }) => {
-                        Frame::Granted { claim, lives: vec![] }
+                    (Some(Mutant::OldLivesCount), Message::Granted { claim, .. }) => {
+                        Message::Granted { claim, lives: vec![] }
                     }
                     (_, answer) => answer,
                 };
-                let life = if self.mutant == Some(Mutant::OldLivesCount) { 1 } else { life };
+                let incarnation = if self.mutant == Some(Mutant::OldLivesCount) { 1 } else { incarnation };
                 let enough = matches!(
                     (self.mutant, &answer),
-                    (Some(Mutant::OneGrant), Frame::Granted { .. })
-                        | (Some(Mutant::OneHolds), Frame::Kept { .. })
+                    (Some(Mutant::OneGrant), Message::Granted { .. })
+                        | (Some(Mutant::OneHolds), Message::Kept { .. })
                 );
                 let all: Vec<Node> = if enough { (0..NODES).map(Node).collect() } else { vec![from] };
                 for from in all {
-                    state.claims[n].answered(NOW, id(from), life, answer.clone(), &mut does);
+                    state.claims[n].answered(NOW, id(from), incarnation, answer.clone(), &mut does);
                 }
                 self.carry_out(state, to, does);
             }
@@ -296,16 +297,17 @@
     fn init_states(&self) -> Vec<State> {
         let nodes = || (0..NODES).map(Node);
         let one = list(1, &[0, 1, 2]);
-        let mut lists: Vec<Lists> = nodes().map(|node| Lists::new(id(node), one.clone())).collect();
+        let mut lists: Vec<ActiveConfigs> =
+            nodes().map(|node| ActiveConfigs::new(id(node), one.clone())).collect();
         // The new node has heard a majority, and so knows of both.
         lists[3].offer(list(2, &[0, 1, 3]));
         // It can't know that it has never voted.
-        let copies = nodes().map(|node| Copies::new(id(node), 1, 1 << 20, node.0 != 3, Time::ZERO));
+        let copies = nodes().map(|node| ReplicaTable::new(id(node), 1, 1 << 20, node.0 != 3, Time::ZERO));
         let first = State {
             copies: copies.collect(),
             lists,
             lives: vec![1; NODES],
-            claims: (0..TRIES).map(|n| Claims::new(id(Node(n)), 1)).collect(),
+            claims: (0..TRIES).map(|n| ClaimCoordinator::new(id(Node(n)), 1)).collect(),
             net: BTreeSet::new(),
             tries: vec![Try::Before; TRIES],
             runs: vec![0; TRIES],
@@ -320,7 +322,7 @@
         for (n, taken) in state.tries.iter().enumerate() {
             match taken {
                 Try::Before => actions.push(Act::Begin(n)),
-                Try::Runs if !state.restarted[n] => actions.push(Act::End(n)),
+                Try::Runs if !state.restarted[n] => actions.push(Act::CompletedRun(n)),
                 _ => {}
             }
             let open = matches!(taken, Try::Asks | Try::Tells | Try::Runs);
@@ -348,29 +350,29 @@
         match action {
             Act::Begin(n) => {
                 state.tries[n] = Try::Asks;
-                let wanted = Wanted {
-                    token: Token(n as u64),
+                let wanted = RunRequest {
+                    token: AttemptId(n as u64),
                     key: KEY,
                     body: 1,
                     until: DUE,
-                    door: (NOW, n as u64),
-                    due: DUE,
+                    received_at: (NOW, n as u64),
+                    deadline: DUE,
                 };
                 state.claims[n].want(NOW, wanted, &state.lists[n], &mut does);
                 self.carry_out(&mut state, Node(n), does);
             }
             Act::Deliver(message) => self.deliver(&mut state, *message),
-            Act::End(n) => {
+            Act::CompletedRun(n) => {
                 // One whose time is up has had its answer.
                 state.tries[n] = if state.overdue[n] { Try::Failed } else { Try::Tells };
-                let fate = Fate::Done(Key::from_static(b"job"));
-                state.claims[n].ended(NOW, Token(n as u64), fate, &mut does);
+                let fate = RunResult::Succeeded(Key::from_static(b"job"));
+                state.claims[n].ended(NOW, AttemptId(n as u64), fate, &mut does);
                 self.carry_out(&mut state, Node(n), does);
             }
             Act::TimeUp(n) => {
                 state.overdue[n] = true;
                 if self.mutant == Some(Mutant::GivesUpWhatRuns) && state.tries[n] == Try::Runs {
-                    state.claims[n].release(Token(n as u64), &mut does);
+                    state.claims[n].release(AttemptId(n as u64), &mut does);
                     state.tries[n] = Try::Failed;
                 } else if self.mutant != Some(Mutant::WaitsOn) {
                     state.claims[n].tick(DUE, |_| false, &mut does);
@@ -383,25 +385,25 @@
                 state.lives[n] += 1;
                 state.restarted[n] = true;
                 let kept = self.mutant == Some(Mutant::VotesWithoutState);
-                state.copies[n] = Copies::new(id(node), state.lives[n], 1 << 20, kept, NOW);
+                state.copies[n] = ReplicaTable::new(id(node), state.lives[n], 1 << 20, kept, NOW);
                 if n < TRIES {
                     // Nobody is left to answer.
-                    state.claims[n] = Claims::new(id(node), state.lives[n]);
+                    state.claims[n] = ClaimCoordinator::new(id(node), state.lives[n]);
                     if state.tries[n] != Try::Before {
                         state.tries[n] = Try::Failed;
                     }
                 }
             }
             Act::Pull(node, donor) => {
-                let life = state.lives[node.0];
-                let frame = Frame::Pull { round: life as u32, from: None };
-                state.net.insert(Message { from: node, life, to: donor, frame });
+                let incarnation = state.lives[node.0];
+                let frame = Message::Pull { round: incarnation as u32, from: None };
+                state.net.insert(Envelope { from: node, incarnation, to: donor, frame });
             }
             Act::Take(node) => {
                 let n = node.0;
                 state.lists[n].offer(list(2, &[0, 1, 3]));
                 if self.mutant == Some(Mutant::NewestListAlone) {
-                    state.lists[n] = Lists::new(id(node), list(2, &[0, 1, 3]));
+                    state.lists[n] = ActiveConfigs::new(id(node), list(2, &[0, 1, 3]));
                 }
                 if n < TRIES {
                     state.claims[n].relist(NOW, &state.lists[n], &mut does);
@@ -419,7 +421,8 @@
                 state.tries.iter().zip(&state.runs).all(|(taken, runs)| *taken != Try::Refused || *runs == 0)
             }),
             Property::<Self>::always("a majority holds what is served", |_, state| {
-                let holds = |copies: &&Copies| copies.known(&KEY).is_some_and(|known| known.ended.is_some());
+                let holds =
+                    |copies: &&ReplicaTable| copies.known(&KEY).is_some_and(|known| known.ended.is_some());
                 let held = state.copies.iter().filter(holds).count();
                 !state.tries.contains(&Try::Served) || held + state.restarts as usize >= 2
             }),
@@ -481,12 +484,23 @@
 }
 
 /// The first try runs, by the grants of the first two copies.
-const RUNS: [Step; 5] =
-    [Step::Do(|| Act::Begin(0)), Step::Claim(0, 0), Step::Claim(0, 1), Step::Grant(0, 0), Step::Grant(1, 0)];
-const RESTARTED: Step = Step::Do(|| Act::Restart(Node(1)));
+const RUNS: [Transition; 5] = [
+    Transition::ClaimAction(|| Act::Begin(0)),
+    Transition::Claim(0, 0),
+    Transition::Claim(0, 1),
+    Transition::Grant(0, 0),
+    Transition::Grant(1, 0),
+];
+const RESTARTED: Transition = Transition::ClaimAction(|| Act::Restart(Node(1)));
 
 /// With the rule left out a state breaks the promise; with it none does, on the same way and as far.
-fn found(mutant: Mutant, way: &'static [Step], (restart, change): (bool, bool), depth: usize, rule: &str) {
+fn found(
+    mutant: Mutant,
+    way: &'static [Transition],
+    (restart, change): (bool, bool),
+    depth: usize,
+    rule: &str,
+) {
     let broken_with = broken(System { mutant: Some(mutant), way, restart, change }, depth);
     assert!(broken_with.contains(&rule), "{mutant:?}: {broken_with:?}");
     let broken_without = broken(System { mutant: None, way, restart, change }, depth);
@@ -504,29 +518,29 @@
 
 #[test]
 fn promise_1_a_copy_without_its_state_votes_only_when_it_has_caught_up_with_enough() {
-    const WAY: [Step; 7] = {
+    const WAY: [Transition; 7] = {
         let [a, b, c, d, e] = RUNS;
-        [a, b, c, d, e, RESTARTED, Step::Do(|| Act::Begin(1))]
+        [a, b, c, d, e, RESTARTED, Transition::ClaimAction(|| Act::Begin(1))]
     };
     found(Mutant::VotesWithoutState, &WAY, (true, false), 6, TWICE);
-    const CAUGHT: [Step; 8] = {
+    const CAUGHT: [Transition; 8] = {
         let [a, b, c, d, e, f, g] = WAY;
-        [a, b, c, d, e, f, g, Step::Caught(1, 2)]
+        [a, b, c, d, e, f, g, Transition::Caught(1, 2)]
     };
     found(Mutant::CatchesUpWithOne, &CAUGHT, (true, false), 6, TWICE);
     // The first copy's grant is on its way when it loses its state.
-    const LATE: [Step; 11] = [
-        Step::Do(|| Act::Begin(0)),
-        Step::Claim(0, 1),
+    const LATE: [Transition; 11] = [
+        Transition::ClaimAction(|| Act::Begin(0)),
+        Transition::Claim(0, 1),
         RESTARTED,
-        Step::Caught(1, 0),
-        Step::Caught(1, 2),
-        Step::Do(|| Act::Begin(1)),
-        Step::Claim(1, 1),
-        Step::Claim(1, 2),
-        Step::Grant(1, 1),
-        Step::Grant(2, 1),
-        Step::Claim(0, 0),
+        Transition::Caught(1, 0),
+        Transition::Caught(1, 2),
+        Transition::ClaimAction(|| Act::Begin(1)),
+        Transition::Claim(1, 1),
+        Transition::Claim(1, 2),
+        Transition::Grant(1, 1),
+        Transition::Grant(2, 1),
+        Transition::Claim(0, 0),
     ];
     found(Mutant::OldLivesCount, &LATE, (true, false), 5, TWICE);
 }
@@ -538,9 +552,9 @@
 
 #[test]
 fn promise_2_who_can_not_say_has_not_granted() {
-    const WAY: [Step; 7] = {
+    const WAY: [Transition; 7] = {
         let [a, b, c, d, e] = RUNS;
-        [a, b, c, d, e, RESTARTED, Step::Do(|| Act::Begin(1))]
+        [a, b, c, d, e, RESTARTED, Transition::ClaimAction(|| Act::Begin(1))]
     };
     found(Mutant::UnknownIsGranted, &WAY, (true, false), 6, TWICE);
 }
@@ -553,15 +567,15 @@
 #[test]
 fn promise_5_an_old_list_is_not_forgotten_while_others_go_by_it() {
     // The new node has caught up with the copies that the second list names besides it.
-    const WAY: [Step; 8] = [
-        Step::Caught(3, 0),
-        Step::Caught(3, 1),
-        Step::Do(|| Act::Begin(1)),
-        Step::Claim(1, 1),
-        Step::Claim(1, 2),
-        Step::Grant(1, 1),
-        Step::Grant(2, 1),
-        Step::Do(|| Act::Take(Node(0))),
+    const WAY: [Transition; 8] = [
+        Transition::Caught(3, 0),
+        Transition::Caught(3, 1),
+        Transition::ClaimAction(|| Act::Begin(1)),
+        Transition::Claim(1, 1),
+        Transition::Claim(1, 2),
+        Transition::Grant(1, 1),
+        Transition::Grant(2, 1),
+        Transition::ClaimAction(|| Act::Take(Node(0))),
     ];
     found(Mutant::NewestListAlone, &WAY, (false, true), 7, TWICE);
 }
--- a/fleet/tests/sim.rs
+++ b/fleet/tests/sim.rs
@@ -9,12 +9,12 @@
 use std::time::Duration;
 
 use lists::{list, name};
-use oakwind_fleet::claim_coordinator::{Said, Token, Wanted};
-use oakwind_fleet::key_state::{ClaimId, Fate, Key};
-use oakwind_fleet::membership_config::{List, NodeId};
-use oakwind_fleet::message::{Copied, Frame};
-use oakwind_fleet::replica_node::{Action, Event, Fleet, Kept, Note, Settings, TICK};
-use oakwind_fleet::staleness::Mark;
+use oakwind_fleet::claim_coordinator::{AttemptId, ClaimOutcome, RunRequest};
+use oakwind_fleet::key_state::{ClaimId, Key, RunResult};
+use oakwind_fleet::membership_config::{MembershipConfig, NodeId};
+use oakwind_fleet::message::{Message, ReplicaRecord};
+use oakwind_fleet::replica_node::{Action, Event, Notification, ReplicaNode, RestoredState, Settings, TICK};
+use oakwind_fleet::staleness::StatePosition;
 use oakwind_fleet::Time;
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
@@ -33,7 +33,7 @@
     /// A try of a key comes.
     Try(usize),
     /// The run of a token is over.
-    RunOver(Token),
+    RunOver(AttemptId),
     Kill {
         down: Duration,
         disk: Disk,
@@ -44,7 +44,7 @@
         zone: usize,
         until: Time,
     },
-    Offer(Arc<List>),
+    Offer(Arc<MembershipConfig>),
     /// Its disk is copied.
     Copy,
 }
@@ -52,7 +52,7 @@
 /// What a node that was killed finds on its disk, if it has one.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Disk {
-    Kept,
+    RestoredState,
     Lost,
     /// A copy that was made a while ago.
     Old,
@@ -61,8 +61,8 @@
 /// What is on a disk: what was kept of each key, until when that is of use, and where it ends.
 #[derive(Debug, Clone, Default)]
 struct Written {
-    keys: BTreeMap<Key, (Option<ClaimId>, Copied, Time)>,
-    until: Option<Mark>,
+    keys: BTreeMap<Key, (Option<ClaimId>, ReplicaRecord, Time)>,
+    until: Option<StatePosition>,
 }
 
 struct Happening {
@@ -92,7 +92,7 @@
 }
 
 struct Machine {
-    fleet: Option<Fleet>,
+    fleet: Option<ReplicaNode>,
     process: u64,
     asleep_until: Time,
     disk: Written,
@@ -129,7 +129,7 @@
     queue: BinaryHeap<Reverse<Happening>>,
     machines: Vec<Machine>,
     index: HashMap<NodeId, usize>,
-    list: Arc<List>,
+    list: Arc<MembershipConfig>,
     zones: usize,
     weather: Weather,
     /// Zones that are cut off, until then.
@@ -187,13 +187,13 @@
         let records = machine.disk.keys.values().filter(|(.., until)| *until > now);
         let records = records.map(|(vote, copied, until)| {
             let keep_ms = (*until - now).as_millis() as u64 + 1;
-            (*vote, Copied { keep_ms, ..copied.clone() })
+            (*vote, ReplicaRecord { keep_ms, ..copied.clone() })
         });
-        let until = machine.disk.until.unwrap_or(Mark { life: 0, seconds: 0 });
-        let kept = Kept { records: records.collect(), until };
+        let until = machine.disk.until.unwrap_or(StatePosition { incarnation: 0, seconds: 0 });
+        let kept = RestoredState { records: records.collect(), until };
         let settings = Settings {
             name: name(node),
-            life: machine.process,
+            incarnation: machine.process,
             seed: node as u64,
             bytes: 32 << 20,
             bytes_per_s: 16 << 20,
@@ -201,7 +201,7 @@
             kept: (machine.durable || first).then_some(kept),
             durable: machine.durable,
         };
-        let fleet = Fleet::new(settings, list, now);
+        let fleet = ReplicaNode::new(settings, list, now);
         machine.disk.until = Some(fleet.mark());
         machine.fleet = Some(fleet);
         self.at(now, node, What::Tick);
@@ -216,9 +216,9 @@
         a != b && (self.cut.contains_key(&a) || self.cut.contains_key(&b))
     }
 
-    fn carry(&mut self, from: usize, to: usize, to_process: Option<u64>, frame: Frame) {
+    fn carry(&mut self, from: usize, to: usize, to_process: Option<u64>, frame: Message) {
         self.seen.frames += 1;
-        if matches!(frame, Frame::Page(_)) {
+        if matches!(frame, Message::Page(_)) {
             *self.seen.pages.entry((from, self.now.as_millis() / 100)).or_default() += 1;
         }
         if self.apart(from, to) || self.rng.random::<f64>() < self.weather.loss {
@@ -226,7 +226,7 @@
         }
         let (low, high) = self.weather.delay;
         let link = (self.machines[from].process << 16) | (from as u64 + 1);
-        let life = self.machines[from].process;
+        let incarnation = self.machines[from].process;
         let copies = if self.rng.random::<f64>() < self.weather.double { 2 } else { 1 };
         for _ in 0..copies {
             let mut delay = ms(self.rng.random_range(low..=high));
@@ -240,7 +240,8 @@
                 return;
             }
             self.number += 1;
-            let event = Event::Heard { link, from: NodeId::of(&name(from)), life, frame: frame.clone() };
+            let event =
+                Event::Heard { link, from: NodeId::of(&name(from)), incarnation, frame: frame.clone() };
             let process = to_process.unwrap_or(self.machines[to].process);
             let (number, what) = (self.number, What::Event(event));
             self.queue.push(Reverse(Happening { at, number, node: to, process, what }));
@@ -275,13 +276,13 @@
                     self.at(at, node, What::Event(Event::Stored(number, true)));
                 }
                 Action::Greet => self.greet(node),
-                Action::Note(Note::Conflict(..)) => self.seen.conflicts += 1,
-                Action::Note(Note::Outdated(..)) => {
+                Action::Notify(Notification::Conflict(..)) => self.seen.conflicts += 1,
+                Action::Notify(Notification::Outdated(..)) => {
                     self.seen.outdated += 1;
                     // What is on its disk counts no more.
                     self.machines[node].disk = Written::default();
                 }
-                Action::Note(_) | Action::Allow(_) => {}
+                Action::Notify(_) | Action::Allow(_) => {}
             }
         }
     }
@@ -289,22 +290,22 @@
     /// Who has just started, or has other lists, greets everyone.
     fn greet(&mut self, node: usize) {
         let Some(fleet) = &self.machines[node].fleet else { return };
-        let hellos: Vec<(usize, Frame)> = fleet
+        let hellos: Vec<(usize, Message)> = fleet
             .lists()
             .everyone()
             .into_iter()
             .filter(|to| *to != fleet.me())
-            .map(|to| (self.index[&to], Frame::Hello(fleet.hello(to))))
+            .map(|to| (self.index[&to], Message::Hello(fleet.hello(to))))
             .collect();
         hellos.into_iter().for_each(|(to, hello)| self.carry(node, to, None, hello));
     }
 
-    fn told(&mut self, node: usize, token: Token, said: Said) {
+    fn told(&mut self, node: usize, token: AttemptId, said: ClaimOutcome) {
         let Some((key, ran)) = self.seen.tries.get_mut(&token.0) else { return };
         let key = *key;
         let name = match &said {
-            Said::Granted => "granted",
-            Said::Turned(why) => {
+            ClaimOutcome::Granted => "granted",
+            ClaimOutcome::Rejected(why) => {
                 if *ran {
                     self.seen
                         .wrong
@@ -312,22 +313,22 @@
                 }
                 &format!("turned {why:?}")
             }
-            Said::Elsewhere => "elsewhere",
-            Said::Became(Fate::Done(result)) => {
+            ClaimOutcome::RunningElsewhere => "elsewhere",
+            ClaimOutcome::RemoteOutcome(RunResult::Succeeded(result)) => {
                 let made = format!("job of {key}");
                 if *result != made.as_bytes() || !self.seen.runs.contains_key(&key) {
                     self.seen.wrong.push(format!("key {key} got a result that no run made"));
                 }
                 "became"
             }
-            Said::Became(Fate::Failed) => "failed",
-            Said::Mismatch => "mismatch",
-            Said::Unknown => "unknown",
-            Said::Held(true) => "held",
-            Said::Held(false) => "unheld",
+            ClaimOutcome::RemoteOutcome(RunResult::Failed) => "failed",
+            ClaimOutcome::BodyMismatch => "mismatch",
+            ClaimOutcome::Unknown => "unknown",
+            ClaimOutcome::Replicated(true) => "held",
+            ClaimOutcome::Replicated(false) => "unheld",
         };
         *self.seen.ended.entry(name.to_string()).or_default() += 1;
-        if said == Said::Granted {
+        if said == ClaimOutcome::Granted {
             *ran = true;
             let runs = self.seen.runs.entry(key).or_default();
             if let Some((first, by)) = runs.last() {
@@ -376,7 +377,7 @@
                 What::Tick => {
                     self.event(node, Event::Tick);
                     let machine = &mut self.machines[node];
-                    machine.disk.until = machine.fleet.as_ref().map(Fleet::mark);
+                    machine.disk.until = machine.fleet.as_ref().map(ReplicaNode::mark);
                     if self.machines[node].fleet.is_some() {
                         let first = self.now;
                         self.at(first + TICK, node, What::Tick);
@@ -386,14 +387,14 @@
                 What::Try(key) => self.try_key(node, key),
                 What::RunOver(token) => {
                     let key = self.seen.tries[&token.0].0;
-                    let fate = Fate::Done(Key::from(format!("job of {key}")));
+                    let fate = RunResult::Succeeded(Key::from(format!("job of {key}")));
                     self.event(node, Event::Ended(token, fate));
                 }
                 What::Kill { down, disk } => {
                     machine.fleet = None;
                     machine.asleep_until = Time::ZERO;
                     match disk {
-                        Disk::Kept => {}
+                        Disk::RestoredState => {}
                         Disk::Lost => {
                             machine.disk = Written::default();
                             // Its disk is gone with what was on it: it can't know what it had granted.
@@ -416,7 +417,7 @@
                         self.cut.remove(&zone);
                     }
                 }
-                What::Offer(list) => self.event(node, Event::List(list)),
+                What::Offer(list) => self.event(node, Event::Membership(list)),
                 What::Copy => machine.copy = machine.disk.clone(),
             }
         }
@@ -427,13 +428,13 @@
         self.tokens += 1;
         let token = self.tokens;
         self.seen.tries.insert(token, (key, false));
-        let wanted = Wanted {
-            token: Token(token),
+        let wanted = RunRequest {
+            token: AttemptId(token),
             key: Key::from(format!("key {key}")),
             body: 1,
             until: self.now + WINDOW,
-            door: (self.now, self.now.as_millis() as u64),
-            due: self.now + PATIENCE,
+            received_at: (self.now, self.now.as_millis() as u64),
+            deadline: self.now + PATIENCE,
         };
         self.event(node, Event::Want(wanted));
     }
@@ -470,7 +471,7 @@
     for _ in 0..(nodes / 4).min(24) {
         let node = sim.rng.random_range(0..nodes);
         let at = from + over.mul_f64(sim.rng.random());
-        let disk = [Disk::Kept, Disk::Lost, Disk::Old][sim.rng.random_range(0..3)];
+        let disk = [Disk::RestoredState, Disk::Lost, Disk::Old][sim.rng.random_range(0..3)];
         let down = ms(sim.rng.random_range(50..2000));
         if disk == Disk::Old && durable {
             let made = at.saturating_sub(ms(sim.rng.random_range(3500..9000)));
@@ -600,11 +601,11 @@
     while sound.is_none() && sim.now < up + ms(30_000) {
         let next = sim.now + ms(10);
         sim.play(next);
-        let all = |holds: fn(&Fleet) -> bool| {
+        let all = |holds: fn(&ReplicaNode) -> bool| {
             struck.iter().all(|node| sim.machines[*node].fleet.as_ref().is_some_and(holds))
         };
         caught_up = caught_up.or(all(|fleet| fleet.behind() == 0).then(|| sim.now - up));
-        sound = sound.or(all(Fleet::is_sound).then(|| sim.now - up));
+        sound = sound.or(all(ReplicaNode::is_sound).then(|| sim.now - up));
     }
     assert!(sim.seen.wrong.is_empty(), "{:#?}", sim.seen.wrong);
     let given =
--- a/node/src/admin.rs
+++ b/node/src/admin.rs
@@ -14,10 +14,10 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-use crate::class_registry::Names;
+use crate::class_registry::ClassRegistry;
 use crate::clock;
 use crate::exchange::Exchange;
-use crate::frontend::connection_limiter::{Guest, Standing, OWED};
+use crate::frontend::connection_limiter::{ConnectionGuard, Standing, OWED};
 use crate::frontend::part;
 use crate::http::{call, response, MAX_HEAD};
 use crate::log;
@@ -28,22 +28,22 @@
 const TEXT: &str = "Content-Type: text/plain; charset=utf-8\r\n";
 
 /// What every connection of operators shares.
-pub struct Office {
+pub struct AdminServer {
     /// The way to the core.
     pub exchange: Exchange,
     /// The names that figures go by.
-    pub names: Rc<Names>,
+    pub names: Rc<ClassRegistry>,
 }
 
 /// Serves one connection to its end.
-pub async fn serve(mut stream: TcpStream, guest: Guest, office: Rc<Office>) {
+pub async fn serve(mut stream: TcpStream, guest: ConnectionGuard, office: Rc<AdminServer>) {
     // Who leaves early is owed nothing more.
     if let Err(e) = talk(&mut stream, &guest, &office).await {
         log!("operators: a connection ended early: {e}");
     }
 }
 
-async fn talk(stream: &mut TcpStream, guest: &Guest, office: &Office) -> io::Result<()> {
+async fn talk(stream: &mut TcpStream, guest: &ConnectionGuard, office: &AdminServer) -> io::Result<()> {
     let mut input = BytesMut::with_capacity(1024);
     let owed = clock::now() + OWED;
     let answer = loop {
@@ -69,11 +69,11 @@
     part(stream, guest).await
 }
 
-impl Office {
+impl AdminServer {
     async fn answer(&self, method: &str, path: &str) -> Bytes {
         match (method, path) {
             ("GET", "/ops/readiness") => {
-                let ready = self.exchange.state().borrow().serves();
+                let ready = self.exchange.state().borrow().is_serving();
                 if ready {
                     plain(200, "OK", "ready\n")
                 } else {
@@ -92,9 +92,9 @@
 
     /// Says yes once health checks are answered that way.
     async fn send_away(&self, away: bool) -> Bytes {
-        self.exchange.send_away(away).await;
+        self.exchange.set_maintenance(away).await;
         let mut state = self.exchange.state();
-        let heard = state.wait_for(|state| state.away == away).await;
+        let heard = state.wait_for(|state| state.maintenance == away).await;
         drop(heard);
         log!("operators: {}", if away { "front ends are sent away" } else { "front ends may come again" });
         plain(200, "OK", if away { "draining\n" } else { "serving\n" })
--- a/node/src/backend/index.rs
+++ b/node/src/backend/index.rs
@@ -13,7 +13,7 @@
 use super::Callee;
 use crate::clock::{self, Unix};
 use crate::config::Links;
-use crate::exchange::{CallEnd, Request};
+use crate::exchange::{CallOutcome, Request};
 use crate::line_codec::{self, put, Link};
 use crate::log;
 use crate::sockets;
@@ -68,8 +68,8 @@
         idle.push(Idle { link, address, since: clock::now(), last });
     }
 
-    async fn ask(&self, txn: &Bytes, body: &[u8], until: Unix) -> io::Result<CallEnd> {
-        let Some(address) = self.links.borrow().index else { return Ok(CallEnd::Unreachable) };
+    async fn ask(&self, txn: &Bytes, body: &[u8], until: Unix) -> io::Result<CallOutcome> {
+        let Some(address) = self.links.borrow().index else { return Ok(CallOutcome::Unreachable) };
         let mut link = match self.kept(txn) {
             Some(link) => link,
             None => match sockets::connect(address, until).await {
@@ -77,7 +77,7 @@
                 // A refused connection proves that the call never ran, and so does one that was never made.
                 Err(e) => {
                     log!("index: no connection: {e}");
-                    return Ok(CallEnd::Unreachable);
+                    return Ok(CallOutcome::Unreachable);
                 }
             },
         };
@@ -88,11 +88,11 @@
             while let Some(message) = line_codec::take(&mut link.input, |words| words.nth(1) == Some(b"HIT"))?
             {
                 let end = match (&message.word(1)[..], &message.body) {
-                    (b"HIT", Some(reply)) => CallEnd::Ok(reply.clone()),
-                    (b"SHED", _) => CallEnd::Refused,
-                    (b"BROKEN", _) => CallEnd::Failed,
-                    (b"SLOW", _) => CallEnd::TimedOut,
-                    (b"NOBODY", _) => CallEnd::Unreachable,
+                    (b"HIT", Some(reply)) => CallOutcome::Ok(reply.clone()),
+                    (b"SHED", _) => CallOutcome::Refused,
+                    (b"BROKEN", _) => CallOutcome::Failed,
+                    (b"SLOW", _) => CallOutcome::TimedOut,
+                    (b"NOBODY", _) => CallOutcome::Unreachable,
                     _ => return Err(message.nonsense().into()),
                 };
                 // A reply to another call is nobody's here.
@@ -108,7 +108,7 @@
             tokio::select! {
                 turned = link.turn() => turned?,
                 () = clock::until(whole_by) => {
-                    return if begun.is_some() { Err(line_codec::stalled()) } else { Ok(CallEnd::TimedOut) };
+                    return if begun.is_some() { Err(line_codec::stalled()) } else { Ok(CallOutcome::TimedOut) };
                 }
             }
         }
@@ -116,11 +116,11 @@
 }
 
 impl Callee for Index {
-    async fn call(self: Rc<Self>, request: Rc<Request>, body: Bytes, until: Unix) -> CallEnd {
+    async fn call(self: Rc<Self>, request: Rc<Request>, body: Bytes, until: Unix) -> CallOutcome {
         let ended = self.ask(&request.txn, &body, until).await;
         ended.unwrap_or_else(|e| {
             log!("index: a connection was lost with the call on it: {e}");
-            CallEnd::CutOff
+            CallOutcome::CutOff
         })
     }
 
--- a/node/src/backend/interpreter.rs
+++ b/node/src/backend/interpreter.rs
@@ -9,10 +9,10 @@
 use bytes::{BufMut, Bytes, BytesMut};
 use tokio::sync::{mpsc, watch};
 
-use crate::class_registry::Names;
+use crate::class_registry::ClassRegistry;
 use crate::clock::{self, Unix};
 use crate::config::Links;
-use crate::exchange::{End, Exchange, Report, Request, RunCommand};
+use crate::exchange::{BackendEvent, Completion, Exchange, Request, RunCommand};
 use crate::line_codec::{self, put, Link, Message};
 use crate::log;
 use crate::sockets;
@@ -55,7 +55,7 @@
     links: watch::Receiver<Links>,
     exchange: Exchange,
     commands: mpsc::Receiver<RunCommand>,
-    names: Rc<Names>,
+    names: Rc<ClassRegistry>,
     runs: BTreeMap<Bytes, Run>,
     /// The last notice that was read.
     read: u64,
@@ -68,7 +68,7 @@
         links: watch::Receiver<Links>,
         exchange: Exchange,
         commands: mpsc::Receiver<RunCommand>,
-        names: Rc<Names>,
+        names: Rc<ClassRegistry>,
     ) -> Self {
         Interpreter { links, exchange, commands, names, runs: BTreeMap::new(), read: 0, started: None }
     }
@@ -149,7 +149,7 @@
         match &message.word(0)[..] {
             b"BANNER" => self.banner(&message, output).await?,
             b"TOPS" if message.word(1) == FENCE => return Ok(true),
-            b"TOPS" => self.exchange.report(Report::Gauges(message.numbers(2)?)).await,
+            b"TOPS" => self.exchange.report(BackendEvent::Gauges(message.numbers(2)?)).await,
             b"VALUE" | b"AWAIT" | b"TRACE" => {
                 let notice: u64 = message.number(1)?;
                 if notice > self.read {
@@ -162,7 +162,7 @@
                 log!("interpreter: not carried out: {command:?} {txn:?}");
                 // What was not carried out never ran, and its caller is owed an answer all the same.
                 if command == "APPLY" && self.runs.remove(&txn).is_some() {
-                    self.exchange.report(Report::Ended(txn, End::NeverRan)).await;
+                    self.exchange.report(BackendEvent::Ended(txn, Completion::NeverStarted)).await;
                 }
             }
             _ => return Err(message.nonsense().into()),
@@ -184,14 +184,14 @@
             log!("interpreter: it started anew, {} runs are lost", self.runs.len());
             self.read = 0;
             for txn in std::mem::take(&mut self.runs).into_keys() {
-                self.exchange.report(Report::Ended(txn, End::Crashed)).await;
+                self.exchange.report(BackendEvent::Ended(txn, Completion::Failed)).await;
             }
         }
         self.started = Some(started);
         output.put_slice(b"TOP ");
         output.put_slice(FENCE);
         output.put_slice(b"\r\n");
-        self.exchange.report(Report::Up { cold }).await;
+        self.exchange.report(BackendEvent::Up { cold }).await;
         Ok(())
     }
 
@@ -201,20 +201,20 @@
         match &message.word(0)[..] {
             b"VALUE" => {
                 let end = match &message.word(3)[..] {
-                    b"done" => End::Done(body),
-                    b"crashed" => End::Crashed,
-                    b"aborted" => End::Aborted,
-                    b"stale" => End::Stale,
+                    b"done" => Completion::Succeeded(body),
+                    b"crashed" => Completion::Failed,
+                    b"aborted" => Completion::Cancelled,
+                    b"stale" => Completion::Skipped,
                     _ => return Err(message.nonsense().into()),
                 };
                 self.runs.remove(&txn);
-                self.exchange.report(Report::Ended(txn, end)).await;
+                self.exchange.report(BackendEvent::Ended(txn, end)).await;
             }
             b"AWAIT" => {
                 if let Some(run) = self.runs.get_mut(&txn) {
                     (run.awaits, run.goes_on) = (notice, None);
                 }
-                self.exchange.report(Report::CallNeeded(txn, body)).await;
+                self.exchange.report(BackendEvent::CallNeeded(txn, body)).await;
             }
             _ => {}
         }
--- a/node/src/backend/mod.rs
+++ b/node/src/backend/mod.rs
@@ -15,7 +15,7 @@
 use tokio::task::{AbortHandle, JoinSet};
 
 use crate::clock::{self, Unix};
-use crate::exchange::{CallCommand, CallEnd, Exchange, Report, Request};
+use crate::exchange::{BackendEvent, CallCommand, CallOutcome, Exchange, Request};
 
 /// Without calls for this long, what was kept for them is looked at.
 const TIDY: Duration = Duration::from_secs(1);
@@ -77,7 +77,12 @@
 /// What takes calls.
 pub trait Callee {
     /// Makes a call and waits for its end, until then at the latest.
-    fn call(self: Rc<Self>, request: Rc<Request>, body: Bytes, until: Unix) -> impl Future<Output = CallEnd>;
+    fn call(
+        self: Rc<Self>,
+        request: Rc<Request>,
+        body: Bytes,
+        until: Unix,
+    ) -> impl Future<Output = CallOutcome>;
 
     /// Lets go of what is of no more use; asked now and then.
     fn tidy(&self) {}
@@ -97,11 +102,11 @@
                 None => return,
                 Some(CallCommand::Call { request, body, until }) => {
                     let called = callee.clone().call(request.clone(), body, until);
-                    under_way.begin(request.txn.clone(), until, called, CallEnd::Unreachable);
+                    under_way.begin(request.txn.clone(), until, called, CallOutcome::Unreachable);
                 }
                 Some(CallCommand::GiveUp(txn)) => drop(under_way.give_up(&txn)),
             },
-            (txn, end) = under_way.next() => exchange.report(Report::CallEnded(txn, end)).await,
+            (txn, end) = under_way.next() => exchange.report(BackendEvent::CallEnded(txn, end)).await,
             () = clock::until(clock::now() + TIDY) => callee.tidy(),
         }
     }
--- a/node/src/backend/uwsgi.rs
+++ b/node/src/backend/uwsgi.rs
@@ -13,10 +13,10 @@
 use tokio::sync::{mpsc, watch};
 
 use super::{Callee, UnderWay};
-use crate::class_registry::Names;
+use crate::class_registry::ClassRegistry;
 use crate::clock::{self, Unix};
 use crate::config::Links;
-use crate::exchange::{CallEnd, End, Exchange, Report, Request, RunCommand};
+use crate::exchange::{BackendEvent, CallOutcome, Completion, Exchange, Request, RunCommand};
 use crate::http::{MAX_FIELDS, MAX_HEAD};
 use crate::log;
 use crate::sockets;
@@ -52,12 +52,12 @@
     links: watch::Receiver<Links>,
     pick: Pick,
     next: Cell<usize>,
-    names: Rc<Names>,
+    names: Rc<ClassRegistry>,
 }
 
 impl Servers {
     /// The servers at the addresses of the day; classes and tenants go by their names in the settings.
-    pub fn new(links: watch::Receiver<Links>, pick: Pick, names: Rc<Names>) -> Rc<Self> {
+    pub fn new(links: watch::Receiver<Links>, pick: Pick, names: Rc<ClassRegistry>) -> Rc<Self> {
         Rc::new(Servers { links, pick, next: Cell::new(0), names })
     }
 
@@ -187,19 +187,19 @@
     connections: usize,
 ) {
     let mut under_way = UnderWay::new(connections);
-    exchange.report(Report::Up { cold: false }).await;
+    exchange.report(BackendEvent::Up { cold: false }).await;
     loop {
         tokio::select! {
             command = commands.recv() => match command {
                 None => return,
                 Some(RunCommand::Run(request)) => {
-                    let (txn, body, until) = (request.txn.clone(), request.body.clone(), request.due + LATE);
+                    let (txn, body, until) = (request.txn.clone(), request.body.clone(), request.deadline + LATE);
                     let asked = servers.clone().ask(request, body, until);
                     under_way.begin(txn, until, asked, Asked::Unreachable);
                 }
                 Some(RunCommand::Stop(txn)) => {
                     if under_way.give_up(&txn) {
-                        exchange.report(Report::Ended(txn, End::Aborted)).await;
+                        exchange.report(BackendEvent::Ended(txn, Completion::Cancelled)).await;
                     }
                 }
                 // These servers make their own calls, and nobody measures their cores.
@@ -207,25 +207,25 @@
             },
             (txn, asked) = under_way.next() => {
                 let end = match asked {
-                    Asked::Done(result) => End::Done(result),
-                    Asked::Refused | Asked::Unreachable => End::NeverRan,
-                    Asked::TimedOut | Asked::Failed | Asked::CutOff => End::Crashed,
+                    Asked::Done(result) => Completion::Succeeded(result),
+                    Asked::Refused | Asked::Unreachable => Completion::NeverStarted,
+                    Asked::TimedOut | Asked::Failed | Asked::CutOff => Completion::Failed,
                 };
-                exchange.report(Report::Ended(txn, end)).await;
+                exchange.report(BackendEvent::Ended(txn, end)).await;
             }
         }
     }
 }
 
 impl Callee for Servers {
-    async fn call(self: Rc<Self>, request: Rc<Request>, body: Bytes, until: Unix) -> CallEnd {
+    async fn call(self: Rc<Self>, request: Rc<Request>, body: Bytes, until: Unix) -> CallOutcome {
         match self.ask(request, body, until).await {
-            Asked::Done(reply) => CallEnd::Ok(reply),
-            Asked::Refused => CallEnd::Refused,
-            Asked::TimedOut => CallEnd::TimedOut,
-            Asked::Failed => CallEnd::Failed,
-            Asked::CutOff => CallEnd::CutOff,
-            Asked::Unreachable => CallEnd::Unreachable,
+            Asked::Done(reply) => CallOutcome::Ok(reply),
+            Asked::Refused => CallOutcome::Refused,
+            Asked::TimedOut => CallOutcome::TimedOut,
+            Asked::Failed => CallOutcome::Failed,
+            Asked::CutOff => CallOutcome::CutOff,
+            Asked::Unreachable => CallOutcome::Unreachable,
         }
     }
 }
--- a/node/src/class_registry.rs
+++ b/node/src/class_registry.rs
@@ -14,16 +14,16 @@
 
 /// The names and habits in the settings that hold now.
 #[derive(Debug)]
-pub struct Names {
+pub struct ClassRegistry {
     known: RefCell<Parsed>,
     /// When the settings that hold now came.
     since: Cell<Unix>,
 }
 
-impl Names {
+impl ClassRegistry {
     /// The names in these settings.
     pub fn new(settings: Parsed) -> Self {
-        Names { known: RefCell::new(settings), since: Cell::default() }
+        ClassRegistry { known: RefCell::new(settings), since: Cell::default() }
     }
 
     /// The settings that hold now.
@@ -65,7 +65,7 @@
     }
 
     /// How long the callers of a class wait altogether.
-    fn deadline(&self, class: u16) -> Duration {
+    fn class_deadline(&self, class: u16) -> Duration {
         self.habit(class, |class| class.deadline).unwrap_or_default()
     }
 
@@ -75,15 +75,15 @@
 
     /// When a request's caller stops waiting: when it says, but no later than any caller of its class would.
     /// Guards the hold against requests that would stay in it for ever, and sums of times against overflow.
-    pub fn due(&self, class: u16, now: Unix, wanted: Option<Unix>) -> Unix {
-        let latest = now + self.deadline(class);
+    pub fn request_deadline(&self, class: u16, now: Unix, wanted: Option<Unix>) -> Unix {
+        let latest = now + self.class_deadline(class);
         wanted.map_or(latest, |wanted| wanted.min(latest))
     }
 
     /// A request's hint of its work, within reason. Guards the mean of the hints, and so everyone's estimates,
     /// against one absurd hint.
-    pub fn hint(&self, class: u16, hint: Duration) -> Duration {
-        hint.min(self.deadline(class))
+    pub fn cost_hint(&self, class: u16, cost_hint: Duration) -> Duration {
+        cost_hint.min(self.class_deadline(class))
     }
 
     /// The position of a tenant. One that the settings no longer have keeps it: its clients may not know yet.
--- a/node/src/class_registry/tests.rs
+++ b/node/src/class_registry/tests.rs
@@ -9,7 +9,7 @@
         );
         oakwind_settings::parse(&text).unwrap()
     };
-    let names = Names::new(parsed("book"));
+    let names = ClassRegistry::new(parsed("book"));
     let at = Duration::from_secs(100);
     names.follow(names.settings().followed_by(parsed("reserve")).unwrap(), at);
     assert_eq!((names.class("book", at), names.class("reserve", at)), (Some(0), Some(1)));
--- a/node/src/commands.rs
+++ b/node/src/commands.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 
 use argh::FromArgs;
-use oakwind_fleet::audit::{audit, explain, Decided, Journal, Record, Report, Terms};
+use oakwind_fleet::audit::{audit, explain, AuditOptions, Decision, Journal, Record, Report};
 use serde::Serialize;
 
 use crate::decision_log;
@@ -81,7 +81,7 @@
 
 fn audited(asked: &Audit) -> Result<bool, String> {
     let Audit { from, until, spread_ms, window_ms, .. } = *asked;
-    let report = audit(&journals(&asked.folders)?, &Terms { from, until, spread_ms, window_ms });
+    let report = audit(&journals(&asked.folders)?, &AuditOptions { from, until, spread_ms, window_ms });
     if asked.json {
         println!("{}", json(&report)?);
     } else {
@@ -164,11 +164,11 @@
     let rows = told.iter().filter_map(|(node, record)| {
         let Record::Try { at, did, txn, key, class, by } = record else { return None };
         let did = match did {
-            Decided::Run => "runs",
-            Decided::Unrun => "never ran",
-            Decided::Served => "served",
-            Decided::Refused => "refused",
-            Decided::Failed => "failed",
+            Decision::Run => "runs",
+            Decision::Unrun => "never ran",
+            Decision::Served => "served",
+            Decision::Refused => "refused",
+            Decision::Failed => "failed",
         };
         let list = if by.list == 0 { "-".into() } else { by.list.to_string() };
         let key = key.clone().unwrap_or_else(|| "-".into());
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use oakwind_admission::{Class, Effect};
-use oakwind_fleet::membership_config::{List, Member, NodeId, Plain};
+use oakwind_fleet::membership_config::{Member, MembershipConfig, MembershipSpec, NodeId};
 use oakwind_settings::Parsed;
 use serde::Deserialize;
 use serde_json::value::{RawValue, Value};
@@ -521,7 +521,7 @@
     /// Where what this node has granted outlasts the process, if anywhere.
     pub folder: Option<Remembered>,
     /// The numbered list.
-    pub list: Arc<List>,
+    pub list: Arc<MembershipConfig>,
 }
 
 #[derive(Deserialize)]
@@ -605,13 +605,13 @@
             let address = address(&format!("fleet file, list.member[{i}].address"), &member.address)?;
             Ok(Member { name: member.name, address, zone: member.zone })
         });
-        let plain = Plain {
+        let plain = MembershipSpec {
             number: raw.list.number,
             copies: raw.list.copies,
             window: Duration::from_millis(raw.list.window_ms),
             members: members.collect::<Result<_, BadConfig>>()?,
         };
-        let list = List::new(plain).map_err(|e| BadConfig(format!("fleet file, {e}")))?;
+        let list = MembershipConfig::new(plain).map_err(|e| BadConfig(format!("fleet file, {e}")))?;
         Ok(Fleet {
             listen: address("fleet file, listen", &raw.listen)?,
             bytes: raw.memory_mb * 1024 * 1024,
--- a/node/src/decision_log.rs
+++ b/node/src/decision_log.rs
@@ -12,14 +12,14 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-use oakwind_fleet::audit::{Decided, Journal, Record, Versions};
-use oakwind_fleet::hash_chain::{self, Break, Chain, Wrong};
+use oakwind_fleet::audit::{Decision, Journal, Record, Versions};
+use oakwind_fleet::hash_chain::{self, Chain, ChainBreak, ChainError};
 use serde_json::Value;
 use sha2::{Digest, Sha256};
 
 use crate::clock;
 use crate::config::Records as Config;
-use crate::exchange::{Outcome, Request};
+use crate::exchange::{Request, RequestOutcome};
 use crate::log;
 
 /// Records that may wait for the disk; more are dropped.
@@ -63,11 +63,11 @@
 }
 
 /// What an answer says of what was decided.
-pub fn decided(outcome: &Outcome) -> Decided {
+pub fn decided(outcome: &RequestOutcome) -> Decision {
     match outcome {
-        Outcome::Served(_) => Decided::Served,
-        Outcome::Refused { .. } => Decided::Refused,
-        Outcome::Failed { .. } | Outcome::Mismatched => Decided::Failed,
+        RequestOutcome::Served(_) => Decision::Served,
+        RequestOutcome::Rejected { .. } => Decision::Refused,
+        RequestOutcome::Failed { .. } | RequestOutcome::BodyMismatch => Decision::Failed,
     }
 }
 
@@ -129,7 +129,7 @@
     }
 
     /// Something was decided of a try; the key is given in classes that must not run twice.
-    pub fn tried(&self, did: Decided, request: &Request, key: Option<&[u8]>, class: &str) {
+    pub fn tried(&self, did: Decision, request: &Request, key: Option<&[u8]>, class: &str) {
         let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
         let record = Record::Try {
             at: clock::millis(clock::now()),
@@ -293,14 +293,14 @@
             journal.records.push(record);
         }
         // One that was being written when its process ended is no edit: what comes behind it goes on before it.
-        let edits = read.breaks.into_iter().filter(|broken| broken.what != Wrong::Unfinished);
+        let edits = read.breaks.into_iter().filter(|broken| broken.what != ChainError::Unfinished);
         journal.breaks.extend(edits.map(|broken| (file.clone(), broken)));
     }
     let end = fs::read_to_string(folder.join(END)).ok();
     let end = end.as_deref().and_then(|text| text.split(' ').next()?.parse::<u64>().ok());
     if let Some(due) = end.filter(|end| *end > chain.end().0) {
-        let what = Wrong::Cut(due);
-        journal.breaks.push((END.into(), Break { line: 1, what }));
+        let what = ChainError::Cut(due);
+        journal.breaks.push((END.into(), ChainBreak { line: 1, what }));
     }
     Ok(journal)
 }
--- a/node/src/decision_log/tests.rs
+++ b/node/src/decision_log/tests.rs
@@ -11,7 +11,7 @@
 }
 
 fn tried(txn: String) -> Record {
-    Record::Try { at: 5, did: Decided::Run, txn, key: None, class: "quote".into(), by: by() }
+    Record::Try { at: 5, did: Decision::Run, txn, key: None, class: "quote".into(), by: by() }
 }
 
 /// A process that writes so many records, and may be killed behind them.
--- a/node/src/dispatcher.rs
+++ b/node/src/dispatcher.rs
@@ -11,22 +11,22 @@
 
 use bytes::Bytes;
 use oakwind_admission::{
-    Action, Admission, Arrival, CallerId, ClassId, Effect, Event, Gauges, Outcome as Ended, RequestId,
+    Action, Admission, Arrival, CallerId, ClassId, Effect, Event, Gauges, Outcome as RunOutcome, RequestId,
     Settings, TenantId, TimerId,
 };
-use oakwind_fleet::audit::Decided;
+use oakwind_fleet::audit::Decision;
 use oakwind_settings::Parsed;
 use tokio::sync::mpsc;
 
 use crate::clock::{self, Unix};
 use crate::decision_log::{self, Recorder};
 use crate::exchange::{
-    CallCommand, CallEnd, Claim, CoreEnds, End, Estate, Input, Outcome, Report, Request, RunCommand, State,
-    Ticket,
+    BackendEvent, CallCommand, CallOutcome, Completion, DispatcherEndpoints, DispatcherEvent, HandoverState,
+    NodeStatus, Request, RequestOutcome, Responder, RunCommand, SubmissionId,
 };
 use crate::log;
-use crate::outcome::{digest, Fate, Kept, Key, KeyRecord};
-use crate::run_gate::{Keeper, Run, Word};
+use crate::outcome::{digest, IdempotencyRecord, Key, RunState, StoredOutcome};
+use crate::run_gate::{Run, RunGate, Word};
 use idempotency::{Keys, Linked};
 
 /// The gauges are asked for this long before the timer that they go with, as the answer takes a moment.
@@ -45,7 +45,7 @@
 
 /// The process that takes over from this one.
 struct Heir {
-    tell: mpsc::Sender<Estate>,
+    tell: mpsc::Sender<HandoverState>,
     /// When it gets the table of keys.
     at: Unix,
     told: bool,
@@ -62,9 +62,9 @@
 struct Try {
     id: RequestId,
     request: Rc<Request>,
-    claim: Claim,
+    claim: SubmissionId,
     /// The right to answer; used up by the answer, void when the caller has gone.
-    ticket: Option<Ticket>,
+    responder: Option<Responder>,
     phase: Phase,
 }
 
@@ -93,8 +93,8 @@
 }
 
 /// The core of a node.
-pub struct Core {
-    ends: CoreEnds,
+pub struct Dispatcher {
+    ends: DispatcherEndpoints,
     settings: Parsed,
     seed: u64,
     admission: Option<Admission>,
@@ -105,7 +105,7 @@
     /// The events of the batch that is being gathered.
     events: Vec<Event>,
     /// Tries of keys that already have one in this batch, and all that came after them.
-    deferred: VecDeque<Input>,
+    deferred: VecDeque<DispatcherEvent>,
     actions: Vec<Action>,
     timers: BinaryHeap<Reverse<(Unix, TimerId)>>,
     gauges: (Unix, Gauges),
@@ -115,12 +115,12 @@
     heir: Option<Heir>,
     /// Tries with keys, while it is not known which keys the process before this one has run. As bounded as
     /// connections and what may be open on them.
-    held_back: Vec<(Rc<Request>, Claim, Ticket)>,
+    held_back: Vec<(Rc<Request>, SubmissionId, Responder)>,
     /// Ends of runs of the process before this one that are being kept, by the try that holds the key here. As bounded as
     /// keys.
-    to_keep: HashMap<RequestId, KeyRecord>,
+    to_keep: HashMap<RequestId, IdempotencyRecord>,
     /// What keeps keys beyond this process, as far as operators' files say so.
-    keeper: Keeper,
+    keeper: RunGate,
     /// Requests turned away without a decision.
     turned: Cell<u64>,
     /// How far time had jumped ahead when that was last looked at.
@@ -129,11 +129,11 @@
     records: Option<Recorder>,
 }
 
-impl Core {
+impl Dispatcher {
     /// A core that makes its decisions by these settings once something can run requests.
     /// Kept results take so many bytes at the most.
-    pub fn new(ends: CoreEnds, settings: Parsed, seed: u64, results: usize) -> Self {
-        Core {
+    pub fn new(ends: DispatcherEndpoints, settings: Parsed, seed: u64, results: usize) -> Self {
+        Dispatcher {
             ends,
             settings,
             seed,
@@ -152,7 +152,7 @@
             heir: None,
             held_back: Vec::new(),
             to_keep: HashMap::new(),
-            keeper: Keeper::default(),
+            keeper: RunGate::default(),
             turned: Cell::new(0),
             jumped: Duration::ZERO,
             records: None,
@@ -161,7 +161,7 @@
 
     /// Keys are kept beyond the process from now on, as far as anything keeps them, and this is what the ones before it
     /// left. None while the process before still has it.
-    pub fn keep(&mut self, keeper: Keeper, left: Option<Estate>) {
+    pub fn keep(&mut self, keeper: RunGate, left: Option<HandoverState>) {
         keeper.counts(&self.ends.figures);
         self.keeper = keeper;
         if self.keeper.keeps() {
@@ -181,7 +181,7 @@
     }
 
     /// Records what was decided of a try, where that is wanted, by the versions of the moment.
-    fn recorded(&self, did: Decided, request: &Request) {
+    fn recorded(&self, did: Decision, request: &Request) {
         let Some(records) = &self.records else { return };
         records.list(self.keeper.list());
         let class = self.settings.classes.get(usize::from(request.class)).map_or("", String::as_str);
@@ -189,9 +189,9 @@
     }
 
     /// Gives a request its outcome, and records that.
-    fn turn(&self, request: &Request, ticket: Ticket, outcome: Outcome) {
+    fn turn(&self, request: &Request, responder: Responder, outcome: RequestOutcome) {
         self.recorded(decision_log::decided(&outcome), request);
-        ticket.answer(outcome);
+        responder.answer(outcome);
     }
 
     /// Serves until every other end of the exchange is gone.
@@ -219,9 +219,9 @@
     fn next_wake(&self) -> Unix {
         let timer = self.timers.peek().map(|Reverse((at, _))| *at);
         let timer = timer.map(|at| if self.gauges_asked { at } else { at.saturating_sub(GAUGE_LEAD) });
-        let closing = self.closing_at().filter(|_| self.ends.state.borrow().open);
+        let closing = self.closing_at().filter(|_| self.ends.state.borrow().accepting);
         let heir = self.heir.as_ref().filter(|heir| !heir.told).map(|heir| heir.at);
-        let held_back = self.held_back.iter().map(|held| held.0.due.saturating_sub(OVERDUE)).min();
+        let held_back = self.held_back.iter().map(|held| held.0.deadline.saturating_sub(OVERDUE)).min();
         [timer, closing, heir, held_back]
             .into_iter()
             .flatten()
@@ -255,9 +255,9 @@
         let open = self.closing_at().is_none_or(|at| now < at);
         let leaving = self.ends.state.borrow().draining.is_some();
         // A new process waits for what becomes of runs with keys, though their clients have gone.
-        let owed = |t: &Try| t.ticket.is_some() || (self.heir.is_some() && self.keys.holds(t.id));
+        let owed = |t: &Try| t.responder.is_some() || (self.heir.is_some() && self.keys.holds(t.id));
         let answered = leaving && !self.tries.values().any(owed);
-        self.update(|state| (state.open, state.answered) = (open, answered));
+        self.update(|state| (state.accepting, state.drained) = (open, answered));
     }
 
     /// Keys stay remembered for as long as they would have, however the system's clock is set.
@@ -270,7 +270,7 @@
         }
     }
 
-    fn update(&self, change: impl FnOnce(&mut State)) {
+    fn update(&self, change: impl FnOnce(&mut NodeStatus)) {
         self.ends.state.send_if_modified(|state| {
             let before = state.clone();
             change(state);
@@ -296,16 +296,18 @@
         }
     }
 
-    fn take_in(&mut self, input: Input) {
+    fn take_in(&mut self, input: DispatcherEvent) {
         if !self.deferred.is_empty() {
             self.deferred.push_back(input);
             return;
         }
         match input {
-            Input::Submitted(request, claim, ticket) => self.submitted(request, claim, ticket),
-            Input::Gone(claim) => self.gone(&claim),
-            Input::Drain(stop) => self.drain(stop),
-            Input::Retune(settings, digest) => {
+            DispatcherEvent::Submitted(request, claim, responder) => {
+                self.submitted(request, claim, responder)
+            }
+            DispatcherEvent::Cancelled(claim) => self.gone(&claim),
+            DispatcherEvent::Drain(stop) => self.drain(stop),
+            DispatcherEvent::Reconfigure(settings, digest) => {
                 // What has come by now is decided by the settings that it came under.
                 self.decide(clock::now());
                 self.settings = *settings;
@@ -314,34 +316,34 @@
                     admission.retune(decided_by(&self.settings));
                 }
             }
-            Input::HandOver(tell) => {
+            DispatcherEvent::HandOver(tell) => {
                 let at = clock::now() + CROSSING;
                 self.heir = Some(Heir { tell, at, told: false });
-                self.update(|state| state.handed = true);
+                self.update(|state| state.handed_over = true);
             }
-            Input::HeirGone => {
+            DispatcherEvent::SuccessorLost => {
                 self.heir = None;
                 self.keeper.take_over(true);
                 // One that is to leave takes no clients again.
-                self.update(|state| state.handed &= state.draining.is_some());
+                self.update(|state| state.handed_over &= state.draining.is_some());
             }
-            Input::Inherit(estate) => self.inherit(estate),
-            Input::InheritanceOver => {
+            DispatcherEvent::StateReceived(estate) => self.inherit(estate),
+            DispatcherEvent::PredecessorDone => {
                 self.inheritance_over();
                 self.inherited();
                 self.keeper.alone();
-                self.update(|state| state.succeeds = false);
+                self.update(|state| state.predecessor_alive = false);
             }
-            Input::Away(away) => self.update(|state| state.away = away),
-            Input::Hold(held) => self.update(|state| state.held = held),
-            Input::Report(Report::Up { cold }) => self.start(cold),
-            Input::Report(Report::Gauges(values)) => {
+            DispatcherEvent::SetMaintenance(away) => self.update(|state| state.maintenance = away),
+            DispatcherEvent::SetRecovering(held) => self.update(|state| state.recovering = held),
+            DispatcherEvent::Backend(BackendEvent::Up { cold }) => self.start(cold),
+            DispatcherEvent::Backend(BackendEvent::Gauges(values)) => {
                 let gauges = oakwind_settings::gauges(&self.settings.gauges, &values);
                 self.gauges = (clock::now(), gauges);
             }
-            Input::Report(Report::Ended(txn, end)) => self.run_ended(&txn, end),
-            Input::Report(Report::CallNeeded(txn, body)) => self.call_needed(&txn, body),
-            Input::Report(Report::CallEnded(txn, end)) => self.call_ended(&txn, end),
+            DispatcherEvent::Backend(BackendEvent::Ended(txn, end)) => self.run_ended(&txn, end),
+            DispatcherEvent::Backend(BackendEvent::CallNeeded(txn, body)) => self.call_needed(&txn, body),
+            DispatcherEvent::Backend(BackendEvent::CallEnded(txn, end)) => self.call_ended(&txn, end),
         }
     }
 
@@ -358,80 +360,81 @@
         }
     }
 
-    fn submitted(&mut self, request: Rc<Request>, claim: Claim, ticket: Ticket) {
+    fn submitted(&mut self, request: Rc<Request>, claim: SubmissionId, responder: Responder) {
         // Guards against an id that is used twice while it is open: the links could not tell the two apart.
         if self.by_txn.contains_key(&request.txn) {
             log!("request {:?} came again while it is open", request.txn);
-            return self.turn(&request, ticket, Outcome::Failed { overdue: false });
+            return self.turn(&request, responder, RequestOutcome::Failed { timed_out: false });
         }
         let now = clock::now();
         let key = self.key_of(&request);
         if self.admission.is_none() {
             // Guards a request that has run against a refusal, which would say that it has not.
-            let kept = key.as_ref().filter(|_| !self.ends.state.borrow().inheriting);
+            let kept = key.as_ref().filter(|_| !self.ends.state.borrow().awaiting_state);
             let outcome = kept.and_then(|key| self.known_before(key, &request, now));
-            return self.turn(&request, ticket, outcome.unwrap_or_else(|| self.not_now()));
+            return self.turn(&request, responder, outcome.unwrap_or_else(|| self.not_now()));
         }
-        if key.is_some() && self.ends.state.borrow().inheriting {
-            return self.held_back.push((request, claim, ticket));
+        if key.is_some() && self.ends.state.borrow().awaiting_state {
+            return self.held_back.push((request, claim, responder));
         }
         // Guards against a second run of what a damaged record may have told of.
         if key.as_ref().is_some_and(|key| self.in_doubt(key, now)) {
             log!("request {:?} has a key that may have run: what tells of it is damaged", request.txn);
-            return self.turn(&request, ticket, Outcome::Failed { overdue: false });
+            return self.turn(&request, responder, RequestOutcome::Failed { timed_out: false });
         }
         // Guards against a run here and one in the process that took over, which would not know of this key.
         if key.as_ref().is_some_and(|key| self.heir_told() && !self.keys.knows(key)) {
-            return self.turn(&request, ticket, self.not_now());
+            return self.turn(&request, responder, self.not_now());
         }
         if key.as_ref().is_some_and(|key| self.keys.full() && !self.keys.knows(key)) {
             log!("no room to remember one more key");
-            return self.turn(&request, ticket, self.not_now());
+            return self.turn(&request, responder, self.not_now());
         }
         // Guards against two tries of one key in one batch: the second is linked to what became of the first.
         if key.as_ref().is_some_and(|key| self.keys.in_batch(key)) {
-            return self.deferred.push_back(Input::Submitted(request, claim, ticket));
-        }
-        let repeats =
-            match key.map_or(Linked::First, |key| self.keys.arrived(key, &request.body, request.door)) {
-                Linked::First => None,
-                Linked::To(prior) => Some(prior),
-                Linked::Elsewhere => {
-                    log!("request {:?} came with the key of another body", request.txn);
-                    return self.turn(&request, ticket, Outcome::Mismatched);
-                }
-            };
+            return self.deferred.push_back(DispatcherEvent::Submitted(request, claim, responder));
+        }
+        let repeats = match key
+            .map_or(Linked::First, |key| self.keys.arrived(key, &request.body, request.received_at))
+        {
+            Linked::First => None,
+            Linked::To(prior) => Some(prior),
+            Linked::Elsewhere => {
+                log!("request {:?} came with the key of another body", request.txn);
+                return self.turn(&request, responder, RequestOutcome::BodyMismatch);
+            }
+        };
         let id = self.new_id();
         self.events.push(Event::Arrived(Arrival {
             id,
             repeats,
             class: ClassId(request.class),
             tenant: TenantId(request.tenant),
-            hint: request.hint,
-            kb: request.kb,
-            age: now.saturating_sub(request.door),
+            cost_hint: request.cost_hint,
+            memory_kb: request.memory_kb,
+            age: now.saturating_sub(request.received_at),
             rank: request.rank,
             caller: CallerId(request.caller),
-            patience: Some(request.due.saturating_sub(now)),
+            patience: Some(request.deadline.saturating_sub(now)),
         }));
         self.by_txn.insert(request.txn.clone(), id);
-        self.tries.insert(id, Try { id, request, claim, ticket: Some(ticket), phase: Phase::Held });
+        self.tries.insert(id, Try { id, request, claim, responder: Some(responder), phase: Phase::Held });
     }
 
     /// What a request gets that came before anything can run here, if its key is known from an earlier process.
-    fn known_before(&self, key: &Key, request: &Request, now: Unix) -> Option<Outcome> {
+    fn known_before(&self, key: &Key, request: &Request, now: Unix) -> Option<RequestOutcome> {
         if self.in_doubt(key, now) {
-            return Some(Outcome::Failed { overdue: false });
+            return Some(RequestOutcome::Failed { timed_out: false });
         }
-        Some(self.outcome_of(&self.keys.kept(key, &request.body, request.door)?))
+        Some(self.outcome_of(&self.keys.kept(key, &request.body, request.received_at)?))
     }
 
     /// What a try gets that another try of its key stands for.
-    fn outcome_of(&self, kept: &Kept) -> Outcome {
+    fn outcome_of(&self, kept: &StoredOutcome) -> RequestOutcome {
         match kept {
-            Kept::Done(result) => Outcome::Served(result.clone()),
-            Kept::Failed => Outcome::Failed { overdue: false },
-            Kept::NeverRan => self.not_now(),
+            StoredOutcome::Succeeded(result) => RequestOutcome::Served(result.clone()),
+            StoredOutcome::Failed => RequestOutcome::Failed { timed_out: false },
+            StoredOutcome::NeverStarted => self.not_now(),
         }
     }
 
@@ -441,8 +444,8 @@
     }
 
     /// Takes in what earlier processes left. What began and has no end has failed.
-    fn recall(&mut self, records: Vec<KeyRecord>) {
-        for KeyRecord { key, body, until, fate } in records {
+    fn recall(&mut self, records: Vec<IdempotencyRecord>) {
+        for IdempotencyRecord { key, body, until, fate } in records {
             let id = self.new_id();
             self.keys.inherit(key, (body, until, fate), id);
         }
@@ -455,7 +458,7 @@
             self.inherit_key(record, false);
         }
         let joiners = self.keys.inheritance_over();
-        self.all_join_ended(joiners, &Kept::Failed);
+        self.all_join_ended(joiners, &StoredOutcome::Failed);
     }
 
     /// The keeper has something to say.
@@ -464,15 +467,16 @@
             Word::Begin(id, kept) => self.may_begin(id, kept),
             Word::Ended(id, end) => match self.to_keep.remove(&id) {
                 Some(record) => {
-                    let fate = if let End::Done(_) = end { record.fate } else { Fate::Failed };
-                    self.inherit_key(KeyRecord { fate, ..record }, false);
+                    let fate =
+                        if let Completion::Succeeded(_) = end { record.fate } else { RunState::Failed };
+                    self.inherit_key(IdempotencyRecord { fate, ..record }, false);
                 }
                 None => self.run_over(id, end),
             },
             Word::Elsewhere(id) => self.elsewhere(id),
             Word::Became(id, kept) => self.became(id, kept),
-            Word::Unknown(id) => self.unknown(id, Outcome::Failed { overdue: true }),
-            Word::Mismatch(id) => self.unknown(id, Outcome::Mismatched),
+            Word::Unknown(id) => self.unknown(id, RequestOutcome::Failed { timed_out: true }),
+            Word::Mismatch(id) => self.unknown(id, RequestOutcome::BodyMismatch),
             Word::Recalled(records) => self.recall(records),
         }
     }
@@ -482,12 +486,12 @@
         let Some(taken) = self.tries.get_mut(&id) else { return };
         if let Phase::Running { since } = std::mem::replace(&mut taken.phase, Phase::Elsewhere) {
             let took = clock::now().saturating_sub(since);
-            self.events.push(Event::Finished { id, outcome: Ended::Moot, took });
+            self.events.push(Event::Finished { id, outcome: RunOutcome::Moot, took });
         }
     }
 
     /// What became of another node's run of a try's key.
-    fn became(&mut self, id: RequestId, kept: Kept) {
+    fn became(&mut self, id: RequestId, kept: StoredOutcome) {
         self.elsewhere(id);
         self.answer(id, self.outcome_of(&kept));
         self.keep_fate(id, &kept);
@@ -496,11 +500,11 @@
     }
 
     /// It is not known what became of a try's key. The next try asks again.
-    fn unknown(&mut self, id: RequestId, answer: Outcome) {
+    fn unknown(&mut self, id: RequestId, answer: RequestOutcome) {
         self.elsewhere(id);
         self.answer(id, answer);
         let joiners = self.keys.abandon(id);
-        self.all_join_ended(joiners, &Kept::Failed);
+        self.all_join_ended(joiners, &StoredOutcome::Failed);
         self.forget(id);
     }
 
@@ -508,14 +512,14 @@
     fn may_begin(&mut self, id: RequestId, kept: bool) {
         let Some(taken) = self.tries.get(&id) else { return };
         let request = taken.request.clone();
-        if kept && taken.ticket.is_some() {
+        if kept && taken.responder.is_some() {
             return self.hand_to_run(request);
         }
         if kept {
             // Its caller has had an answer, or has gone, so nobody waits for the run.
-            self.keep_fate(id, &Kept::NeverRan);
+            self.keep_fate(id, &StoredOutcome::NeverStarted);
         }
-        self.run_ended(&request.txn, End::NeverRan);
+        self.run_ended(&request.txn, Completion::NeverStarted);
     }
 
     /// The run of a try that holds a key, as the keeper is asked about it.
@@ -526,7 +530,7 @@
     }
 
     /// Has it kept how a run ended that nobody here waits for.
-    fn keep_fate(&mut self, id: RequestId, kept: &Kept) {
+    fn keep_fate(&mut self, id: RequestId, kept: &StoredOutcome) {
         if let Some(run) = self.run_of(id) {
             self.keeper.over(run, kept);
         }
@@ -539,8 +543,8 @@
     }
 
     /// Takes in what the process before this one knows. The first of it is its whole table.
-    fn inherit(&mut self, estate: Estate) {
-        let first = self.ends.state.borrow().inheriting;
+    fn inherit(&mut self, estate: HandoverState) {
+        let first = self.ends.state.borrow().awaiting_state;
         if first {
             self.keys.digests_with(estate.seed);
             log!("handover: {} keys are known from the process before", estate.keys.len());
@@ -548,8 +552,8 @@
         for record in estate.keys {
             // What it tells at first is kept already. Later ends are kept before anybody hears of them.
             let ended = match &record.fate {
-                Fate::Done(result) if !first => Some(Kept::Done(result.clone())),
-                Fate::Failed if !first => Some(Kept::Failed),
+                RunState::Succeeded(result) if !first => Some(StoredOutcome::Succeeded(result.clone())),
+                RunState::Failed if !first => Some(StoredOutcome::Failed),
                 _ => None,
             };
             let run = self.keys.holder(&record.key).and_then(|holder| self.run_of(holder));
@@ -567,7 +571,7 @@
     }
 
     /// What the process before this one knows of a key is known here; `keeps` if it is to be kept as well.
-    fn inherit_key(&mut self, KeyRecord { key, body, until, fate }: KeyRecord, keeps: bool) {
+    fn inherit_key(&mut self, IdempotencyRecord { key, body, until, fate }: IdempotencyRecord, keeps: bool) {
         let id = self.new_id();
         if let Some((joiners, kept)) = self.keys.inherit(key.clone(), (body, until, fate), id) {
             if let Some(holder) = self.keys.holder(&key).filter(|_| keeps) {
@@ -579,21 +583,24 @@
 
     /// Requests with keys are decided on from now on.
     fn inherited(&mut self) {
-        self.update(|state| state.inheriting = false);
+        self.update(|state| state.awaiting_state = false);
         let held_back = std::mem::take(&mut self.held_back).into_iter();
-        self.deferred
-            .extend(held_back.map(|(request, claim, ticket)| Input::Submitted(request, claim, ticket)));
+        self.deferred.extend(
+            held_back
+                .map(|(request, claim, responder)| DispatcherEvent::Submitted(request, claim, responder)),
+        );
     }
 
     /// Turns away what is held back and can wait no longer, or will not be decided on any more. Guards its answer
     /// against a process before this one that is slow to tell, or never does.
     fn turn_held_back(&mut self, now: Unix) {
         let leaving = self.ends.state.borrow().draining.is_some();
-        let over = |held: &(Rc<Request>, Claim, Ticket)| leaving || now + OVERDUE >= held.0.due;
+        let over =
+            |held: &(Rc<Request>, SubmissionId, Responder)| leaving || now + OVERDUE >= held.0.deadline;
         let (over, waits) = std::mem::take(&mut self.held_back).into_iter().partition(over);
         self.held_back = waits;
         let over: Vec<_> = over;
-        over.into_iter().for_each(|(request, _, ticket)| self.turn(&request, ticket, self.not_now()));
+        over.into_iter().for_each(|(request, _, responder)| self.turn(&request, responder, self.not_now()));
     }
 
     fn heir_told(&self) -> bool {
@@ -606,8 +613,9 @@
         heir.told = true;
         self.let_go();
         let (seed, all) = self.keys.all();
-        let keys = all.map(|(key, body, until, fate)| KeyRecord { key: key.clone(), body, until, fate });
-        let estate = Estate { seed, keys: keys.collect() };
+        let keys =
+            all.map(|(key, body, until, fate)| IdempotencyRecord { key: key.clone(), body, until, fate });
+        let estate = HandoverState { seed, keys: keys.collect() };
         self.tell_heir(estate);
     }
 
@@ -619,15 +627,15 @@
     }
 
     /// Tells the process that took over what became of the run of a try, if that holds a key.
-    fn tell_heir_of(&mut self, id: RequestId, fate: Fate) {
+    fn tell_heir_of(&mut self, id: RequestId, fate: RunState) {
         if !self.heir_told() {
             return;
         }
         let Some((key, body, until)) = self.keys.held_by(id) else { return };
-        self.tell_heir(Estate { seed: 0, keys: vec![KeyRecord { key, body, until, fate }] });
+        self.tell_heir(HandoverState { seed: 0, keys: vec![IdempotencyRecord { key, body, until, fate }] });
     }
 
-    fn tell_heir(&mut self, estate: Estate) {
+    fn tell_heir(&mut self, estate: HandoverState) {
         let told = self.heir.as_ref().is_some_and(|heir| heir.tell.try_send(estate).is_ok());
         if !told {
             log!("handover: the new process hears nothing more");
@@ -637,12 +645,12 @@
 
     /// Turns a request away where no decision is made of it: nothing runs requests yet, or nothing took it. The advice
     /// differs each time, and from node to node: guards against all coming back in the same moment.
-    fn not_now(&self) -> Outcome {
+    fn not_now(&self) -> RequestOutcome {
         let settings = &self.settings.settings;
         let turned = self.turned.replace(self.turned.get() + 1);
         let spread = 0.5 + (digest(self.seed, &turned.to_be_bytes()) >> 11) as f64 / (1_u64 << 53) as f64;
         let advice = || settings.max_retry_after.mul_f64(UNDECIDED * spread);
-        Outcome::Refused { retry_after: settings.retry_after.then(advice), stay: false }
+        RequestOutcome::Rejected { retry_after: settings.retry_after.then(advice), give_up: false }
     }
 
     /// The key of a request whose class must not run twice.
@@ -651,11 +659,11 @@
         request.key.clone().filter(|_| class.effect == Effect::Keyed)
     }
 
-    fn gone(&mut self, claim: &Claim) {
+    fn gone(&mut self, claim: &SubmissionId) {
         self.held_back.retain(|(_, held, _)| held != claim);
         let Some(&id) = self.by_txn.get(&claim.txn) else { return };
         let Some(taken) = self.tries.get_mut(&id).filter(|taken| taken.claim == *claim) else { return };
-        if taken.ticket.take().is_some() {
+        if taken.responder.take().is_some() {
             self.events.push(Event::Abandoned(id));
         }
     }
@@ -663,16 +671,16 @@
     fn drain(&mut self, stop: Unix) {
         let now = clock::now();
         // What is not known by the stop will not be: guards what was read against having no answer then.
-        let late = |t: &&Try| t.phase == Phase::Elsewhere && t.request.due + OVERDUE >= stop;
+        let late = |t: &&Try| t.phase == Phase::Elsewhere && t.request.deadline + OVERDUE >= stop;
         let late: Vec<RequestId> = self.tries.values().filter(late).map(|t| t.id).collect();
-        late.into_iter().for_each(|id| self.unknown(id, Outcome::Failed { overdue: false }));
+        late.into_iter().for_each(|id| self.unknown(id, RequestOutcome::Failed { timed_out: false }));
         if self.ends.state.borrow().draining.is_none() {
             self.events.push(Event::Drain(stop.saturating_sub(now)));
             self.update(|state| state.draining = Some((stop, now)));
         }
     }
 
-    fn run_ended(&mut self, txn: &Bytes, end: End) {
+    fn run_ended(&mut self, txn: &Bytes, end: Completion) {
         let Some(&id) = self.by_txn.get(txn) else {
             return log!("run of {txn:?} ended, which is not in hand");
         };
@@ -680,7 +688,7 @@
         if matches!(taken.phase, Phase::Held | Phase::Joining { .. } | Phase::Elsewhere) {
             return log!("run of {txn:?} ended, which never began");
         }
-        if end == End::NeverRan {
+        if end == Completion::NeverStarted {
             self.keeper.never_ran(id);
             return self.run_over(id, end);
         }
@@ -692,7 +700,7 @@
     }
 
     /// How a run ended is known for sure.
-    fn run_over(&mut self, id: RequestId, end: End) {
+    fn run_over(&mut self, id: RequestId, end: Completion) {
         let now = clock::now();
         let Some(taken) = self.tries.get(&id) else { return };
         let (txn, request) = (taken.request.txn.clone(), taken.request.clone());
@@ -704,19 +712,25 @@
                 since
             }
         };
-        if end == End::NeverRan {
-            self.recorded(Decided::Unrun, &request);
+        if end == Completion::NeverStarted {
+            self.recorded(Decision::Unrun, &request);
         }
         let (outcome, answer, kept) = match end {
-            End::Done(result) => {
+            Completion::Succeeded(result) => {
                 // Kept results outlive the buffer that they were read into.
                 let kept = if self.keys.holds(id) { Bytes::copy_from_slice(&result) } else { Bytes::new() };
-                (Ended::Ok, Outcome::Served(result), Kept::Done(kept))
+                (RunOutcome::Ok, RequestOutcome::Served(result), StoredOutcome::Succeeded(kept))
+            }
+            Completion::Failed => {
+                (RunOutcome::Error, RequestOutcome::Failed { timed_out: false }, StoredOutcome::Failed)
+            }
+            Completion::Cancelled => {
+                (RunOutcome::Stopped, RequestOutcome::Failed { timed_out: false }, StoredOutcome::Failed)
+            }
+            Completion::Skipped => {
+                (RunOutcome::Moot, RequestOutcome::Failed { timed_out: false }, StoredOutcome::Failed)
             }
-            End::Crashed => (Ended::Error, Outcome::Failed { overdue: false }, Kept::Failed),
-            End::Aborted => (Ended::Stopped, Outcome::Failed { overdue: false }, Kept::Failed),
-            End::Stale => (Ended::Moot, Outcome::Failed { overdue: false }, Kept::Failed),
-            End::NeverRan => (Ended::Refused, self.not_now(), Kept::NeverRan),
+            Completion::NeverStarted => (RunOutcome::Refused, self.not_now(), StoredOutcome::NeverStarted),
         };
         self.answer(id, answer);
         self.events.push(Event::Finished { id, outcome, took: now.saturating_sub(since) });
@@ -725,25 +739,25 @@
     }
 
     /// It is known what became of a try's key: whoever waits for that is told.
-    fn key_ended(&mut self, id: RequestId, kept: &Kept) {
+    fn key_ended(&mut self, id: RequestId, kept: &StoredOutcome) {
         self.tell_heir_of(id, kept.fate());
         let joiners = self.keys.ended(id, kept.clone());
         self.all_join_ended(joiners, kept);
     }
 
-    fn all_join_ended(&mut self, joiners: Vec<RequestId>, kept: &Kept) {
+    fn all_join_ended(&mut self, joiners: Vec<RequestId>, kept: &StoredOutcome) {
         let now = clock::now();
         joiners.into_iter().for_each(|joiner| self.join_ended(joiner, kept, now));
     }
 
     /// Serves a joined try with what became of the try that ran.
-    fn join_ended(&mut self, id: RequestId, kept: &Kept, now: Unix) {
+    fn join_ended(&mut self, id: RequestId, kept: &StoredOutcome, now: Unix) {
         let Some(Try { phase: Phase::Joining { since }, .. }) = self.tries.get(&id) else { return };
         let took = now.saturating_sub(*since);
         let outcome = match kept {
-            Kept::Done(_) => Ended::Ok,
-            Kept::Failed => Ended::Error,
-            Kept::NeverRan => Ended::Refused,
+            StoredOutcome::Succeeded(_) => RunOutcome::Ok,
+            StoredOutcome::Failed => RunOutcome::Error,
+            StoredOutcome::NeverStarted => RunOutcome::Refused,
         };
         self.answer(id, self.outcome_of(kept));
         self.events.push(Event::Finished { id, outcome, took });
@@ -761,23 +775,23 @@
         }
     }
 
-    fn call_ended(&mut self, txn: &Bytes, end: CallEnd) {
+    fn call_ended(&mut self, txn: &Bytes, end: CallOutcome) {
         let Some(&id) = self.by_txn.get(txn) else { return };
         let Some(taken) = self.tries.get_mut(&id) else { return };
         let Phase::Calling { since, called, body } = &taken.phase else { return };
         let (since, took, body) = (*since, clock::now().saturating_sub(*called), body.clone());
         let outcome = match end {
-            CallEnd::Ok(reply) => {
+            CallOutcome::Ok(reply) => {
                 taken.phase = Phase::Running { since };
                 self.command_run(RunCommand::Resolve(txn.clone(), reply));
-                self.events.push(Event::CallReturned { id, outcome: Ended::Ok, took });
+                self.events.push(Event::CallReturned { id, outcome: RunOutcome::Ok, took });
                 return;
             }
-            CallEnd::Failed => Ended::Error,
-            CallEnd::Refused => Ended::Refused,
-            CallEnd::TimedOut => Ended::TimedOut,
-            CallEnd::Unreachable => Ended::Unreachable,
-            CallEnd::CutOff => Ended::CutOff,
+            CallOutcome::Failed => RunOutcome::Error,
+            CallOutcome::Refused => RunOutcome::Refused,
+            CallOutcome::TimedOut => RunOutcome::TimedOut,
+            CallOutcome::Unreachable => RunOutcome::Unreachable,
+            CallOutcome::CutOff => RunOutcome::CutOff,
         };
         taken.phase = Phase::AtCall { since, body };
         self.events.push(Event::CallReturned { id, outcome, took });
@@ -811,16 +825,16 @@
         match action {
             Action::Run(id) => self.start_run(id, now),
             Action::Pause(id) => self.with_txn(id, |core, txn| core.command_run(RunCommand::Stop(txn))),
-            Action::Refuse { id, retry_after, stay } => {
+            Action::Refuse { id, retry_after, stay: give_up } => {
                 // Guards the promise in a refusal against a try that has begun or has joined one that has.
                 let held = self.tries.get(&id).is_some_and(|t| t.phase == Phase::Held);
-                let refused = Outcome::Refused { retry_after, stay };
-                self.answer(id, if held { refused } else { Outcome::Failed { overdue: false } });
+                let refused = RequestOutcome::Rejected { retry_after, give_up };
+                self.answer(id, if held { refused } else { RequestOutcome::Failed { timed_out: false } });
                 self.end_unless_running(id);
             }
             Action::Fail(id) => {
-                let due = self.tries.get(&id).map_or(now, |t| t.request.due);
-                self.answer(id, Outcome::Failed { overdue: now + OVERDUE >= due });
+                let deadline = self.tries.get(&id).map_or(now, |t| t.request.deadline);
+                self.answer(id, RequestOutcome::Failed { timed_out: now + OVERDUE >= deadline });
                 self.end_unless_running(id);
             }
             Action::Join(id) => self.join(id, now),
@@ -831,7 +845,7 @@
                 }
             }
             Action::Forget(id) => {
-                self.tell_heir_of(id, Fate::NeverRan);
+                self.tell_heir_of(id, RunState::NeverStarted);
                 self.keys.forget(id);
             }
             Action::Call(id, within) => self.call(id, now, now + within),
@@ -843,12 +857,12 @@
                 }
             }
             Action::SetHealth { good, .. } => {
-                if self.ends.state.borrow().good != Some(good) {
+                if self.ends.state.borrow().health != Some(good) {
                     log!("health is {}", if good { "good" } else { "bad" });
                 }
-                self.update(|state| state.good = Some(good));
+                self.update(|state| state.health = Some(good));
             }
-            Action::IdleLimit(limit) => self.update(|state| state.idle = Some(limit)),
+            Action::IdleLimit(limit) => self.update(|state| state.idle_timeout = Some(limit)),
             Action::SetTimer(timer, after) => self.timers.push(Reverse((now + after, timer))),
             // Neither wire has a place for a free value, and the settings forbid it where there is none.
             Action::Advertise(_) => {}
@@ -870,8 +884,8 @@
         // Guards against a second run of one effect, whatever asks for it.
         if key.is_some_and(|key| !self.keys.may_run(&key, id)) {
             log!("try {:?} of a key that has run is not run", taken.request.txn);
-            self.answer(id, Outcome::Failed { overdue: false });
-            self.events.push(Event::Finished { id, outcome: Ended::Error, took: Duration::ZERO });
+            self.answer(id, RequestOutcome::Failed { timed_out: false });
+            self.events.push(Event::Finished { id, outcome: RunOutcome::Error, took: Duration::ZERO });
             return self.forget(id);
         }
         let Some(taken) = self.tries.get_mut(&id) else { return };
@@ -880,7 +894,7 @@
         let run = self.run_of(id);
         match self.keeper.may_begin(run) {
             Some(true) => self.hand_to_run(request),
-            Some(false) => self.run_ended(&request.txn, End::NeverRan),
+            Some(false) => self.run_ended(&request.txn, Completion::NeverStarted),
             // The keeper tells.
             None => {}
         }
@@ -889,9 +903,9 @@
     fn hand_to_run(&mut self, request: Rc<Request>) {
         if self.ends.runs.try_send(RunCommand::Run(request.clone())).is_err() {
             log!("no room for one more command to what runs requests");
-            return self.run_ended(&request.txn, End::NeverRan);
+            return self.run_ended(&request.txn, Completion::NeverStarted);
         }
-        self.recorded(Decided::Run, &request);
+        self.recorded(Decision::Run, &request);
         self.ends.figures.sent(request.class);
     }
 
@@ -899,7 +913,7 @@
         let Some(taken) = self.tries.get_mut(&id) else { return };
         taken.phase = Phase::Joining { since: now };
         let key = self.tries.get(&id).and_then(|t| self.key_of(&t.request));
-        if let Some(kept) = key.map_or(Some(Kept::Failed), |key| self.keys.join(&key, id)) {
+        if let Some(kept) = key.map_or(Some(StoredOutcome::Failed), |key| self.keys.join(&key, id)) {
             self.join_ended(id, &kept, now);
         }
     }
@@ -914,11 +928,11 @@
     }
 
     /// Gives a request its outcome, if it still lacks one and its caller is there.
-    fn answer(&mut self, id: RequestId, outcome: Outcome) {
+    fn answer(&mut self, id: RequestId, outcome: RequestOutcome) {
         let Some(taken) = self.tries.get_mut(&id) else { return };
-        if let Some(ticket) = taken.ticket.take() {
+        if let Some(responder) = taken.responder.take() {
             let request = taken.request.clone();
-            self.turn(&request, ticket, outcome);
+            self.turn(&request, responder, outcome);
         }
     }
 
@@ -949,7 +963,7 @@
         if self.ends.calls.try_send(command).is_err() {
             log!("no room for one more command to what makes calls");
             if let Some(txn) = made {
-                self.call_ended(&txn, CallEnd::Unreachable);
+                self.call_ended(&txn, CallOutcome::Unreachable);
             }
         }
     }
--- a/node/src/dispatcher/idempotency.rs
+++ b/node/src/dispatcher/idempotency.rs
@@ -8,7 +8,7 @@
 use oakwind_admission::RequestId;
 
 use crate::clock::Unix;
-use crate::outcome::{digest, Fate, Kept, Key, LONGEST_RESULT, READ_LATE};
+use crate::outcome::{digest, Key, RunState, StoredOutcome, LATE_READ_GRACE, MAX_RESULT_BYTES};
 
 /// Memory that a remembered key takes, by a generous estimate, beside its result.
 const ENTRY_BYTES: usize = 512;
@@ -25,15 +25,15 @@
     ran: Option<RequestId>,
     /// The process before this one ran it.
     elsewhere: bool,
-    kept: Option<Kept>,
+    kept: Option<StoredOutcome>,
     joiners: Vec<RequestId>,
 }
 
 impl Entry {
     /// Whether a try that came then is a new request: its time is up and nothing of it runs. Guards against a second
     /// run beside a first one that takes longer than its key is remembered.
-    fn is_over(&self, door: Unix) -> bool {
-        door > self.until && !self.runs()
+    fn is_over(&self, received_at: Unix) -> bool {
+        received_at > self.until && !self.runs()
     }
 
     /// It was begun, and its end is not known.
@@ -41,13 +41,13 @@
         self.ran.is_some() && self.kept.is_none()
     }
 
-    fn fate(&self) -> Fate {
-        self.kept.as_ref().map_or(Fate::Open, Kept::fate)
+    fn fate(&self) -> RunState {
+        self.kept.as_ref().map_or(RunState::Pending, StoredOutcome::fate)
     }
 
     /// What its result takes.
     fn bytes(&self) -> usize {
-        if let Some(Kept::Done(result)) = &self.kept {
+        if let Some(StoredOutcome::Succeeded(result)) = &self.kept {
             result.len()
         } else {
             0
@@ -104,7 +104,7 @@
 
     /// How bodies are digested, and all keys: the digest of the body, how long each is remembered and what
     /// became of its run.
-    pub fn all(&self) -> (u64, impl Iterator<Item = (&Key, u64, Unix, Fate)>) {
+    pub fn all(&self) -> (u64, impl Iterator<Item = (&Key, u64, Unix, RunState)>) {
         (self.seed, self.entries.iter().map(|(key, entry)| (key, entry.body, entry.until, entry.fate())))
     }
 
@@ -119,11 +119,11 @@
     pub fn inherit(
         &mut self,
         key: Key,
-        (body, until, fate): (u64, Unix, Fate),
+        (body, until, fate): (u64, Unix, RunState),
         id: RequestId,
-    ) -> Option<(Vec<RequestId>, Kept)> {
+    ) -> Option<(Vec<RequestId>, StoredOutcome)> {
         if !self.entries.contains_key(&key) {
-            if fate == Fate::NeverRan {
+            if fate == RunState::NeverStarted {
                 return None;
             }
             let entry = Entry {
@@ -141,10 +141,10 @@
         }
         let entry = self.entries.get(&key)?;
         let kept = match fate {
-            Fate::Open => return None,
-            Fate::Done(result) => Kept::Done(result),
-            Fate::Failed => Kept::Failed,
-            Fate::NeverRan => Kept::NeverRan,
+            RunState::Pending => return None,
+            RunState::Succeeded(result) => StoredOutcome::Succeeded(result),
+            RunState::Failed => StoredOutcome::Failed,
+            RunState::NeverStarted => StoredOutcome::NeverStarted,
         };
         // One that this process took over runs here now.
         if !entry.elsewhere || entry.kept.is_some() {
@@ -158,7 +158,7 @@
     pub fn inheritance_over(&mut self) -> Vec<RequestId> {
         let open = |entry: &&Entry| entry.elsewhere && entry.kept.is_none();
         let lost: Vec<RequestId> = self.entries.values().filter(open).filter_map(|entry| entry.ran).collect();
-        lost.into_iter().flat_map(|id| self.ended(id, Kept::Failed)).collect()
+        lost.into_iter().flat_map(|id| self.ended(id, StoredOutcome::Failed)).collect()
     }
 
     /// Whether a try of this key came in the batch that is being gathered.
@@ -171,9 +171,9 @@
         self.batch.clear();
     }
 
-    /// A try with this body came to the machine at `door`.
-    pub fn arrived(&mut self, key: Key, body: &[u8], door: Unix) -> Linked {
-        let prior = self.entries.get(&key).map(|e| (e.holder, e.is_over(door), e.body));
+    /// A try with this body came to the machine at `received_at`.
+    pub fn arrived(&mut self, key: Key, body: &[u8], received_at: Unix) -> Linked {
+        let prior = self.entries.get(&key).map(|e| (e.holder, e.is_over(received_at), e.body));
         let linked = match prior {
             Some((holder, true, _)) => {
                 self.forget(holder);
@@ -224,14 +224,16 @@
     /// Whether there is no room for one more key. Guards the memory of the process: a key can't be forgotten before
     /// its time.
     pub fn full(&self) -> bool {
-        let to_come = if self.lasting { self.bytes + (self.open + 1) * LONGEST_RESULT } else { 0 };
+        let to_come = if self.lasting { self.bytes + (self.open + 1) * MAX_RESULT_BYTES } else { 0 };
         self.entries.len() >= (self.most_bytes / ENTRY_BYTES).max(FEWEST) || to_come > self.most_bytes
     }
 
     /// What is kept of the run of this key, if that has ended and the key is that of this body.
-    pub fn kept(&self, key: &Key, body: &[u8], door: Unix) -> Option<Kept> {
-        let entry =
-            self.entries.get(key).filter(|entry| door <= entry.until && entry.body == self.digest(body))?;
+    pub fn kept(&self, key: &Key, body: &[u8], received_at: Unix) -> Option<StoredOutcome> {
+        let entry = self
+            .entries
+            .get(key)
+            .filter(|entry| received_at <= entry.until && entry.body == self.digest(body))?;
         entry.kept.clone()
     }
 
@@ -265,8 +267,8 @@
     }
 
     /// The try waits for what becomes of its key's run; returns that if it is known.
-    pub fn join(&mut self, key: &Key, id: RequestId) -> Option<Kept> {
-        let Some(entry) = self.entries.get_mut(key) else { return Some(Kept::Failed) };
+    pub fn join(&mut self, key: &Key, id: RequestId) -> Option<StoredOutcome> {
+        let Some(entry) = self.entries.get_mut(key) else { return Some(StoredOutcome::Failed) };
         if entry.kept.is_none() {
             entry.joiners.push(id);
         }
@@ -275,16 +277,16 @@
 
     /// The run of a try is over; returns the tries that waited for that. A run that never began frees its
     /// key, so that a further try may run.
-    pub fn ended(&mut self, id: RequestId, kept: Kept) -> Vec<RequestId> {
+    pub fn ended(&mut self, id: RequestId, kept: StoredOutcome) -> Vec<RequestId> {
         let Some(key) = self.held.get(&id) else { return Vec::new() };
         let Some(entry) = self.entries.get_mut(key) else { return Vec::new() };
         let joiners = std::mem::take(&mut entry.joiners);
-        if kept == Kept::NeverRan {
+        if kept == StoredOutcome::NeverStarted {
             self.forget(id);
             return joiners;
         }
-        let too_long = |kept: &Kept| matches!(kept, Kept::Done(result) if result.len() > LONGEST_RESULT);
-        let kept = if self.lasting && too_long(&kept) { Kept::Failed } else { kept };
+        let too_long = |kept: &StoredOutcome| matches!(kept, StoredOutcome::Succeeded(result) if result.len() > MAX_RESULT_BYTES);
+        let kept = if self.lasting && too_long(&kept) { StoredOutcome::Failed } else { kept };
         self.open -= usize::from(entry.kept.is_none());
         self.bytes -= entry.bytes();
         entry.kept = Some(kept);
@@ -295,7 +297,7 @@
             let Some(oldest) = self.results.pop_front() else { break };
             if let Some(entry) = self.entries.get_mut(&oldest) {
                 self.bytes -= entry.bytes();
-                entry.kept = entry.kept.take().map(|_| Kept::Failed);
+                entry.kept = entry.kept.take().map(|_| StoredOutcome::Failed);
             }
         }
         joiners
@@ -323,7 +325,7 @@
         self.swept = now;
         let Keys { held, bytes, entries, results, open, .. } = self;
         entries.retain(|_, entry| {
-            let stays = now < entry.until + READ_LATE || entry.runs();
+            let stays = now < entry.until + LATE_READ_GRACE || entry.runs();
             if !stays {
                 held.remove(&entry.holder);
                 *bytes -= entry.bytes();
--- a/node/src/dispatcher/idempotency/tests.rs
+++ b/node/src/dispatcher/idempotency/tests.rs
@@ -37,7 +37,7 @@
     assert!(keys.may_run(&key(), A));
     assert!(!keys.may_run(&key(), B));
     assert_eq!(keys.join(&key(), B), None);
-    let kept = Kept::Done(Bytes::from_static(b"job"));
+    let kept = StoredOutcome::Succeeded(Bytes::from_static(b"job"));
     assert_eq!(keys.ended(A, kept.clone()), [B]);
     assert_eq!(keys.join(&key(), B), Some(kept));
 }
@@ -56,14 +56,14 @@
 
 #[test]
 fn in_a_lasting_table_no_result_goes_early_and_each_open_run_has_its_room() {
-    let mut keys = Keys::new(3 * LONGEST_RESULT).lasting();
+    let mut keys = Keys::new(3 * MAX_RESULT_BYTES).lasting();
     let key = |n: u32| Bytes::from(n.to_be_bytes().to_vec());
     for n in 0..3 {
         assert!(!keys.full());
         keys.remember(key(n), b"x", RequestId(n), at(117));
     }
     assert!(keys.full());
-    let longest = Kept::Done(vec![0; LONGEST_RESULT].into());
+    let longest = StoredOutcome::Succeeded(vec![0; MAX_RESULT_BYTES].into());
     for n in 0..3 {
         keys.ended(RequestId(n), longest.clone());
     }
@@ -71,15 +71,15 @@
     keys.sweep(at(126));
     assert!(!keys.full());
     keys.remember(key(4), b"x", A, at(140));
-    keys.ended(A, Kept::Done(vec![0; LONGEST_RESULT + 1].into()));
-    assert_eq!(keys.kept(&key(4), b"x", at(130)), Some(Kept::Failed), "too long to be kept");
+    keys.ended(A, StoredOutcome::Succeeded(vec![0; MAX_RESULT_BYTES + 1].into()));
+    assert_eq!(keys.kept(&key(4), b"x", at(130)), Some(StoredOutcome::Failed), "too long to be kept");
 }
 
 #[test]
 fn a_run_that_never_began_frees_its_key() {
     let mut keys = keys();
     assert!(keys.may_run(&key(), A));
-    assert_eq!(keys.ended(A, Kept::NeverRan), []);
+    assert_eq!(keys.ended(A, StoredOutcome::NeverStarted), []);
     assert_eq!(keys.arrived(key(), b"x", at(101)), Linked::First);
     assert!(keys.may_run(&key(), B));
 }
@@ -102,7 +102,7 @@
     keys.jumped(Duration::from_secs(3600));
     keys.sweep(at(3716));
     assert_eq!(keys.arrived(key(), b"b", at(3716)), Linked::To(A));
-    keys.sweep(at(3717) + READ_LATE);
+    keys.sweep(at(3717) + LATE_READ_GRACE);
     assert!(!keys.knows(&key()));
 }
 
@@ -118,12 +118,12 @@
 #[test]
 fn the_oldest_results_go_when_there_is_no_room_but_not_that_they_ran() {
     let mut keys = keys();
-    let kept = |bytes| Kept::Done(Bytes::from_static(bytes));
+    let kept = |bytes| StoredOutcome::Succeeded(Bytes::from_static(bytes));
     assert_eq!(keys.ended(A, kept(b"seven b")), []);
     let other = Bytes::from_static(b"l");
     keys.remember(other.clone(), b"x", B, at(117));
     assert_eq!(keys.ended(B, kept(b"four")), []);
-    assert_eq!(keys.join(&key(), B), Some(Kept::Failed));
+    assert_eq!(keys.join(&key(), B), Some(StoredOutcome::Failed));
     assert_eq!(keys.join(&other, A), Some(kept(b"four")));
     keys.sweep(at(126));
     assert_eq!((keys.bytes, keys.results.len()), (0, 0));
@@ -136,7 +136,7 @@
     keys.sweep(at(300));
     assert_eq!(keys.arrived(key(), b"x", at(300)), Linked::To(A), "it may still have its effect");
     assert_eq!(keys.join(&key(), B), None);
-    assert_eq!(keys.ended(A, Kept::Failed), [B]);
+    assert_eq!(keys.ended(A, StoredOutcome::Failed), [B]);
     assert_eq!(keys.arrived(key(), b"x", at(301)), Linked::First);
     keys.sweep(at(302));
     assert!(!keys.knows(&key()));
--- a/node/src/exchange.rs
+++ b/node/src/exchange.rs
@@ -12,8 +12,8 @@
 
 use crate::clock::Unix;
 use crate::metrics::Figures;
-use crate::outcome::KeyRecord;
-pub use crate::outcome::{End, Outcome};
+use crate::outcome::IdempotencyRecord;
+pub use crate::outcome::{Completion, RequestOutcome};
 
 /// Inputs that may wait for the core; who has more to say waits with it.
 const INBOX: usize = 1024;
@@ -34,15 +34,15 @@
     /// Who sent it, by number.
     pub caller: u32,
     /// The work to expect.
-    pub hint: Option<Duration>,
+    pub cost_hint: Option<Duration>,
     /// Memory booked for it while it is held, in KB.
-    pub kb: f64,
+    pub memory_kb: f64,
     /// Its rank, from 0 to under 1.
     pub rank: f64,
     /// When it came to the machine.
-    pub door: Unix,
+    pub received_at: Unix,
     /// When its caller stops waiting.
-    pub due: Unix,
+    pub deadline: Unix,
     /// Its body, as it came.
     pub body: Bytes,
 }
@@ -50,21 +50,25 @@
 /// The right to give one request its outcome. Answering uses it up, so no request is answered twice, and the
 /// room for the answer is set aside beforehand, so answering never waits.
 #[derive(Debug)]
-pub struct Ticket {
+pub struct Responder {
     tag: u64,
-    room: Option<mpsc::OwnedPermit<(u64, Outcome)>>,
+    room: Option<mpsc::OwnedPermit<(u64, RequestOutcome)>>,
     /// Where the answer is counted, and for which class; set when the request is submitted.
     counted: Option<(Rc<Figures>, u16)>,
 }
 
-impl Ticket {
+impl Responder {
     /// A ticket on the answers' queue, or none while as many are out as the queue holds.
-    pub fn new(answers: &mpsc::Sender<(u64, Outcome)>, tag: u64) -> Option<Self> {
-        answers.clone().try_reserve_owned().ok().map(|room| Ticket { tag, room: Some(room), counted: None })
+    pub fn new(answers: &mpsc::Sender<(u64, RequestOutcome)>, tag: u64) -> Option<Self> {
+        answers.clone().try_reserve_owned().ok().map(|room| Responder {
+            tag,
+            room: Some(room),
+            counted: None,
+        })
     }
 
     /// Gives the outcome.
-    pub fn answer(mut self, outcome: Outcome) {
+    pub fn answer(mut self, outcome: RequestOutcome) {
         if let Some((figures, class)) = &self.counted {
             figures.answered(*class, &outcome);
         }
@@ -74,7 +78,7 @@
     }
 }
 
-impl Drop for Ticket {
+impl Drop for Responder {
     /// However a request ends, it has ended once.
     fn drop(&mut self) {
         if let Some((figures, _)) = &self.counted {
@@ -86,7 +90,7 @@
 /// One submission of a request, for the front that made it to give up. Guards a request against who submits
 /// its id a second time: the id alone would not tell the two apart.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Claim {
+pub struct SubmissionId {
     /// The request's id on the links.
     pub txn: Bytes,
     number: u64,
@@ -94,43 +98,43 @@
 
 /// What a process hands to the next: at first the whole table of keys, then what changes in it.
 #[derive(Debug, Default)]
-pub struct Estate {
+pub struct HandoverState {
     /// How bodies are digested.
     pub seed: u64,
     /// The keys.
-    pub keys: Vec<KeyRecord>,
+    pub keys: Vec<IdempotencyRecord>,
 }
 
 /// What the core is told.
 #[derive(Debug)]
-pub enum Input {
+pub enum DispatcherEvent {
     /// A front read a request.
-    Submitted(Rc<Request>, Claim, Ticket),
+    Submitted(Rc<Request>, SubmissionId, Responder),
     /// The caller of this submission has gone; its ticket is void.
-    Gone(Claim),
+    Cancelled(SubmissionId),
     /// A backend reports.
-    Report(Report),
+    Backend(BackendEvent),
     /// The notice to leave: the process is stopped at the given time.
     Drain(Unix),
     /// Operators send front ends away, or let them come again.
-    Away(bool),
+    SetMaintenance(bool),
     /// The way back of this node holds front ends off, or lets them come.
-    Hold(bool),
+    SetRecovering(bool),
     /// Other settings hold from now on, which follow the ones before; and the digest that they go by in records.
-    Retune(Box<Parsed>, String),
+    Reconfigure(Box<Parsed>, String),
     /// A new process takes over; it is told here what this one knows.
-    HandOver(mpsc::Sender<Estate>),
+    HandOver(mpsc::Sender<HandoverState>),
     /// That process has gone.
-    HeirGone,
+    SuccessorLost,
     /// What the process before this one knew, or what has changed in that.
-    Inherit(Estate),
+    StateReceived(HandoverState),
     /// The process before this one tells nothing more.
-    InheritanceOver,
+    PredecessorDone,
 }
 
 /// How a call ended.
 #[derive(Debug, Clone, PartialEq)]
-pub enum CallEnd {
+pub enum CallOutcome {
     /// With a reply.
     Ok(Bytes),
     /// It failed and may have had its effect.
@@ -147,18 +151,18 @@
 
 /// What backends report.
 #[derive(Debug)]
-pub enum Report {
+pub enum BackendEvent {
     /// What runs requests is up; `cold` if it has only just started.
     Up {
         /// It was fresh at its start.
         cold: bool,
     },
     /// A run ended.
-    Ended(Bytes, End),
+    Ended(Bytes, Completion),
     /// A run waits for a call with this body.
     CallNeeded(Bytes, Bytes),
     /// A call ended.
-    CallEnded(Bytes, CallEnd),
+    CallEnded(Bytes, CallOutcome),
     /// The gauges, in the order of the settings.
     Gauges(Vec<f64>),
 }
@@ -196,79 +200,79 @@
 
 /// What the core tells everyone.
 #[derive(Debug, Clone, PartialEq)]
-pub struct State {
+pub struct NodeStatus {
     /// What the decisions say of this node's health; unset until they have begun.
-    pub good: Option<bool>,
+    pub health: Option<bool>,
     /// Operators send front ends away.
-    pub away: bool,
+    pub maintenance: bool,
     /// This node is on its way back and not far enough for front ends.
-    pub held: bool,
+    pub recovering: bool,
     /// What runs requests started cold, and is warm from then on.
     pub warm_at: Option<Unix>,
     /// Connections idle for this long are closed; unset until the decisions have begun.
-    pub idle: Option<Duration>,
+    pub idle_timeout: Option<Duration>,
     /// The notice to leave has come: when the process is stopped, and when the notice came.
     pub draining: Option<(Unix, Unix)>,
     /// A new process serves who comes now; this one answers what it has read.
-    pub handed: bool,
+    pub handed_over: bool,
     /// What the process before knew is still to come.
-    pub inheriting: bool,
+    pub awaiting_state: bool,
     /// The process before is still there.
-    pub succeeds: bool,
+    pub predecessor_alive: bool,
     /// Requests that arrive are still read.
-    pub open: bool,
+    pub accepting: bool,
     /// After the notice to leave: all requests in hand have their answers.
-    pub answered: bool,
+    pub drained: bool,
 }
 
-impl State {
+impl NodeStatus {
     /// What health checks hear.
     pub fn healthy(&self) -> bool {
-        self.good == Some(true) && !self.away && !self.held
+        self.health == Some(true) && !self.maintenance && !self.recovering
     }
 
     /// Whether requests can be served: the decisions have begun with all that the process before knew, and
     /// nothing makes this one leave.
-    pub fn serves(&self) -> bool {
-        self.good.is_some() && !self.inheriting && !self.handed && self.draining.is_none()
+    pub fn is_serving(&self) -> bool {
+        self.health.is_some() && !self.awaiting_state && !self.handed_over && self.draining.is_none()
     }
 
     /// Whether two processes are this node now.
-    pub fn shares(&self) -> bool {
-        self.handed || self.succeeds
+    pub fn shares_node(&self) -> bool {
+        self.handed_over || self.predecessor_alive
     }
 
     /// Whether new connections are taken.
-    pub fn takes_clients(&self) -> bool {
-        self.open && !self.handed
+    pub fn accepts_clients(&self) -> bool {
+        self.accepting && !self.handed_over
     }
 }
 
 /// The fronts' and backends' handle on the core.
 #[derive(Clone)]
 pub struct Exchange {
-    inbox: mpsc::Sender<Input>,
-    state: watch::Receiver<State>,
+    inbox: mpsc::Sender<DispatcherEvent>,
+    state: watch::Receiver<NodeStatus>,
     figures: Rc<Figures>,
     submitted: Rc<Cell<u64>>,
 }
 
 /// The core's ends of the exchange.
-pub struct CoreEnds {
+pub struct DispatcherEndpoints {
     /// What it is told.
-    pub inbox: mpsc::Receiver<Input>,
+    pub inbox: mpsc::Receiver<DispatcherEvent>,
     /// Commands to what runs requests.
     pub runs: mpsc::Sender<RunCommand>,
     /// Commands to what makes calls.
     pub calls: mpsc::Sender<CallCommand>,
     /// What everyone may see.
-    pub state: watch::Sender<State>,
+    pub state: watch::Sender<NodeStatus>,
     /// Where runs are counted.
     pub figures: Rc<Figures>,
 }
 
 /// The backends' ends of the exchange.
-pub struct BackendEnds {
+pub struct BackendEndpoints {
     /// Commands to what runs requests.
     pub runs: mpsc::Receiver<RunCommand>,
     /// Commands to what makes calls.
@@ -277,93 +281,93 @@
 
 /// A new exchange: the handle, the core's ends and the backends' ends. `inheriting`: a process before this one
 /// is to tell what it knows. `held`: front ends are to come later.
-pub fn new(inheriting: bool, held: bool) -> (Exchange, CoreEnds, BackendEnds) {
+pub fn new(awaiting_state: bool, recovering: bool) -> (Exchange, DispatcherEndpoints, BackendEndpoints) {
     let (inbox, core_inbox) = mpsc::channel(INBOX);
     let (runs, backend_runs) = mpsc::channel(COMMANDS);
     let (calls, backend_calls) = mpsc::channel(COMMANDS);
-    let state = State {
-        good: None,
-        away: false,
-        held,
+    let state = NodeStatus {
+        health: None,
+        maintenance: false,
+        recovering,
         warm_at: None,
-        idle: None,
+        idle_timeout: None,
         draining: None,
-        handed: false,
-        inheriting,
-        succeeds: inheriting,
-        open: true,
-        answered: false,
+        handed_over: false,
+        awaiting_state,
+        predecessor_alive: awaiting_state,
+        accepting: true,
+        drained: false,
     };
     let (state, seen) = watch::channel(state);
     let figures = Rc::new(Figures::default());
-    let core = CoreEnds { inbox: core_inbox, runs, calls, state, figures: figures.clone() };
+    let core = DispatcherEndpoints { inbox: core_inbox, runs, calls, state, figures: figures.clone() };
     let submitted = Rc::default();
     (
         Exchange { inbox, state: seen, figures, submitted },
         core,
-        BackendEnds { runs: backend_runs, calls: backend_calls },
+        BackendEndpoints { runs: backend_runs, calls: backend_calls },
     )
 }
 
 impl Exchange {
     /// Hands a request to the core; its outcome comes by the ticket.
-    pub async fn submit(&self, request: Request, mut ticket: Ticket) -> Claim {
+    pub async fn submit(&self, request: Request, mut responder: Responder) -> SubmissionId {
         self.figures.taken();
-        ticket.counted = Some((self.figures.clone(), request.class));
-        let claim = Claim { txn: request.txn.clone(), number: self.submitted.get() };
+        responder.counted = Some((self.figures.clone(), request.class));
+        let claim = SubmissionId { txn: request.txn.clone(), number: self.submitted.get() };
         self.submitted.set(claim.number + 1);
-        self.tell(Input::Submitted(Rc::new(request), claim.clone(), ticket)).await;
+        self.tell(DispatcherEvent::Submitted(Rc::new(request), claim.clone(), responder)).await;
         claim
     }
 
     /// The caller has gone and no answer is owed.
-    pub async fn gone(&self, claim: Claim) {
-        self.tell(Input::Gone(claim)).await;
+    pub async fn cancelled(&self, claim: SubmissionId) {
+        self.tell(DispatcherEvent::Cancelled(claim)).await;
     }
 
     /// A backend's report.
-    pub async fn report(&self, report: Report) {
-        self.tell(Input::Report(report)).await;
+    pub async fn report(&self, report: BackendEvent) {
+        self.tell(DispatcherEvent::Backend(report)).await;
     }
 
     /// The notice to leave.
     pub async fn drain(&self, stop: Unix) {
-        self.tell(Input::Drain(stop)).await;
+        self.tell(DispatcherEvent::Drain(stop)).await;
     }
 
     /// Operators send front ends away, or let them come again.
-    pub async fn send_away(&self, away: bool) {
-        self.tell(Input::Away(away)).await;
+    pub async fn set_maintenance(&self, away: bool) {
+        self.tell(DispatcherEvent::SetMaintenance(away)).await;
     }
 
     /// The way back of this node holds front ends off, or lets them come.
-    pub async fn hold(&self, held: bool) {
-        self.tell(Input::Hold(held)).await;
+    pub async fn set_recovering(&self, held: bool) {
+        self.tell(DispatcherEvent::SetRecovering(held)).await;
     }
 
     /// Other settings hold from now on, which follow the ones before.
-    pub async fn retune(&self, settings: Parsed, digest: String) {
-        self.tell(Input::Retune(Box::new(settings), digest)).await;
+    pub async fn reconfigure(&self, settings: Parsed, digest: String) {
+        self.tell(DispatcherEvent::Reconfigure(Box::new(settings), digest)).await;
     }
 
     /// A new process takes over, and is told there what this one knows.
-    pub async fn hand_over(&self, tell: mpsc::Sender<Estate>) {
-        self.tell(Input::HandOver(tell)).await;
+    pub async fn hand_over(&self, tell: mpsc::Sender<HandoverState>) {
+        self.tell(DispatcherEvent::HandOver(tell)).await;
     }
 
     /// The process that took over has gone.
-    pub async fn heir_gone(&self) {
-        self.tell(Input::HeirGone).await;
+    pub async fn successor_lost(&self) {
+        self.tell(DispatcherEvent::SuccessorLost).await;
     }
 
     /// What the process before this one knew.
-    pub async fn inherit(&self, estate: Estate) {
-        self.tell(Input::Inherit(estate)).await;
+    pub async fn receive_state(&self, estate: HandoverState) {
+        self.tell(DispatcherEvent::StateReceived(estate)).await;
     }
 
     /// The process before this one tells nothing more.
-    pub async fn inheritance_over(&self) {
-        self.tell(Input::InheritanceOver).await;
+    pub async fn predecessor_done(&self) {
+        self.tell(DispatcherEvent::PredecessorDone).await;
     }
 
     /// What this process has done.
@@ -372,11 +376,11 @@
     }
 
     /// What the core tells everyone.
-    pub fn state(&self) -> watch::Receiver<State> {
+    pub fn state(&self) -> watch::Receiver<NodeStatus> {
         self.state.clone()
     }
 
-    async fn tell(&self, input: Input) {
+    async fn tell(&self, input: DispatcherEvent) {
         // The core ends only with the process, so what can't be told then is owed to nobody.
         let _ = self.inbox.send(input).await;
     }
--- a/node/src/frontend/connection_limiter.rs
+++ b/node/src/frontend/connection_limiter.rs
@@ -35,7 +35,7 @@
 }
 
 /// The connections of one front.
-pub struct Guests {
+pub struct ConnectionLimiter {
     room: usize,
     /// Another process of this node has half of the room.
     shared: Cell<bool>,
@@ -46,23 +46,29 @@
 }
 
 /// A connection's seat, free again when this is dropped.
-pub struct Guest {
-    guests: Rc<Guests>,
+pub struct ConnectionGuard {
+    guests: Rc<ConnectionLimiter>,
     number: u64,
     leave: Rc<Notify>,
 }
 
-impl Guests {
+impl ConnectionLimiter {
     /// Room for so many connections.
     pub fn new(room: usize) -> Rc<Self> {
         let seats = RefCell::default();
-        Rc::new(Guests { room, shared: Cell::new(false), seats, next: Cell::new(0), changed: Notify::new() })
+        Rc::new(ConnectionLimiter {
+            room,
+            shared: Cell::new(false),
+            seats,
+            next: Cell::new(0),
+            changed: Notify::new(),
+        })
     }
 
     /// Seats one more connection. Where there is no room, a stranger or else the one idle for longest goes for
     /// it; nothing where all are busy. Guards front ends against being shut out by those who hold connections
     /// and ask nothing.
-    pub fn seat(self: &Rc<Self>) -> Option<Guest> {
+    pub fn seat(self: &Rc<Self>) -> Option<ConnectionGuard> {
         if self.taken() >= self.room() && !self.one_leaves() {
             return None;
         }
@@ -71,7 +77,7 @@
         self.next.set(number + 1);
         let (standing, since) = (Standing::Stranger, clock::now());
         seats.insert(number, Seat { standing, since, leave: leave.clone(), leaving: false });
-        Some(Guest { guests: self.clone(), number, leave })
+        Some(ConnectionGuard { guests: self.clone(), number, leave })
     }
 
     /// Shares the room with another process of this node, or has it alone. Guards the descriptors, which are
@@ -118,7 +124,7 @@
     }
 }
 
-impl Guest {
+impl ConnectionGuard {
     /// The connection shows this of itself from now on.
     pub fn is(&self, standing: Standing) {
         if let Some(seat) = self.guests.seats.borrow_mut().get_mut(&self.number) {
@@ -144,7 +150,7 @@
     }
 }
 
-impl Drop for Guest {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.guests.seats.borrow_mut().remove(&self.number);
         self.guests.changed.notify_waiters();
--- a/node/src/frontend/connection_limiter/tests.rs
+++ b/node/src/frontend/connection_limiter/tests.rs
@@ -1,14 +1,14 @@
 use super::*;
 use futures_util::FutureExt;
 
-fn asked(guest: &Guest) -> bool {
+fn asked(guest: &ConnectionGuard) -> bool {
     guest.asked_to_leave().now_or_never().is_some()
 }
 
 #[test]
 fn two_processes_of_a_node_have_half_of_the_room_each() {
-    let guests = Guests::new(4);
-    let seats: Vec<Guest> = (0..4).map(|_| guests.seat().unwrap()).collect();
+    let guests = ConnectionLimiter::new(4);
+    let seats: Vec<ConnectionGuard> = (0..4).map(|_| guests.seat().unwrap()).collect();
     seats[..3].iter().for_each(|seat| seat.is(Standing::Busy));
     guests.share(true);
     assert_eq!(
@@ -28,8 +28,8 @@
 
 #[test]
 fn strangers_go_before_idle_ones_and_busy_ones_stay() {
-    let guests = Guests::new(3);
-    let seats: Vec<Guest> = (0..3).map(|_| guests.seat().unwrap()).collect();
+    let guests = ConnectionLimiter::new(3);
+    let seats: Vec<ConnectionGuard> = (0..3).map(|_| guests.seat().unwrap()).collect();
     seats[0].is(Standing::Busy);
     seats[1].is(Standing::Idle);
     let fourth = guests.seat().unwrap();
@@ -52,7 +52,7 @@
 
 #[test]
 fn who_does_not_read_its_answers_goes_after_idle_ones_and_is_waited_for_at_the_end() {
-    let guests = Guests::new(2);
+    let guests = ConnectionLimiter::new(2);
     let seats = [guests.seat().unwrap(), guests.seat().unwrap()];
     seats[0].is(Standing::Answered);
     seats[1].is(Standing::Idle);
--- a/node/src/frontend/jsonrpc.rs
+++ b/node/src/frontend/jsonrpc.rs
@@ -15,12 +15,12 @@
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, watch};
 
-use super::connection_limiter::{Guest, Standing, OWED};
-use super::write_backlog::Unread;
+use super::connection_limiter::{ConnectionGuard, Standing, OWED};
+use super::write_backlog::WriteBacklog;
 use super::{booked, part};
-use crate::class_registry::Names;
+use crate::class_registry::ClassRegistry;
 use crate::clock::{self, Unix};
-use crate::exchange::{Claim, Exchange, Outcome, Request, State, Ticket};
+use crate::exchange::{Exchange, NodeStatus, Request, RequestOutcome, Responder, SubmissionId};
 use crate::log;
 
 /// Requests that may be open on one connection.
@@ -66,7 +66,8 @@
 struct Params<'a> {
     #[serde(borrow)]
     txn: Cow<'a, str>,
-    door: f64,
+    #[serde(rename = "door")]
+    received_at: f64,
     #[serde(default)]
     lb: u32,
     #[serde(borrow, default)]
@@ -101,29 +102,29 @@
 struct Open {
     /// The id as it came.
     id: Bytes,
-    claim: Claim,
+    claim: SubmissionId,
 }
 
 /// One connection of a front end.
 struct Connection {
     exchange: Exchange,
-    names: Rc<Names>,
-    state: watch::Receiver<State>,
-    answers: mpsc::Sender<(u64, Outcome)>,
+    names: Rc<ClassRegistry>,
+    state: watch::Receiver<NodeStatus>,
+    answers: mpsc::Sender<(u64, RequestOutcome)>,
     open: HashMap<u64, Open>,
     next_tag: u64,
     output: BytesMut,
     /// The peer was told to send nothing new here.
     told: Option<Unix>,
     used: Unix,
-    guest: Guest,
+    guest: ConnectionGuard,
     /// A request or a check on it could be served.
     known: bool,
     /// When the message that has begun, or the first one, is to be whole.
     owed: Option<Unix>,
     /// Messages of late, in a row, that could not be served.
     unserved: u32,
-    unread: Unread,
+    unread: WriteBacklog,
     /// Close once everything is answered and written, unless one more request comes before that.
     leaving: bool,
     /// Close then, and read nothing more.
@@ -131,7 +132,12 @@
 }
 
 /// Serves one connection to its end.
-pub async fn serve(mut stream: TcpStream, guest: Guest, exchange: Exchange, names: Rc<Names>) {
+pub async fn serve(
+    mut stream: TcpStream,
+    guest: ConnectionGuard,
+    exchange: Exchange,
+    names: Rc<ClassRegistry>,
+) {
     // What was withdrawn may keep its place in the queue for a moment longer than it is open.
     let (answers, outcomes) = mpsc::channel(2 * MAX_OPEN);
     let (state, now) = (exchange.state(), clock::now());
@@ -149,14 +155,14 @@
         known: false,
         owed: Some(now + OWED),
         unserved: 0,
-        unread: Unread::default(),
+        unread: WriteBacklog::default(),
         leaving: false,
         deaf: false,
     };
     // Whatever ended the connection, nobody waits any more for what is still open on it.
     let ended = connection.talk(&mut stream, outcomes).await;
     for open in std::mem::take(&mut connection.open).into_values() {
-        connection.exchange.gone(open.claim).await;
+        connection.exchange.cancelled(open.claim).await;
     }
     if ended.is_ok() {
         // It is closed either way.
@@ -168,7 +174,7 @@
     async fn talk(
         &mut self,
         stream: &mut TcpStream,
-        mut outcomes: mpsc::Receiver<(u64, Outcome)>,
+        mut outcomes: mpsc::Receiver<(u64, RequestOutcome)>,
     ) -> io::Result<()> {
         let (mut reader, mut writer) = stream.split();
         let (mut input, mut asked_again) = (BytesMut::new(), false);
@@ -176,7 +182,7 @@
         loop {
             let draining = {
                 let state = self.state.borrow();
-                state.handed || (state.draining.is_some() && !(born_draining && state.open))
+                state.handed_over || (state.draining.is_some() && !(born_draining && state.accepting))
             };
             if draining && self.told.is_none() {
                 self.tell_to_leave();
@@ -260,7 +266,7 @@
     /// When this connection has been idle for too long.
     fn idle_until(&self) -> Unix {
         let from = self.told.map_or(self.used, |told| told.max(self.used));
-        let limit = if self.told.is_some() { Some(LINGER) } else { self.state.borrow().idle };
+        let limit = if self.told.is_some() { Some(LINGER) } else { self.state.borrow().idle_timeout };
         // While a message is owed, that has a time of its own.
         let quiet = self.open.is_empty() && self.output.is_empty() && self.owed.is_none();
         from + limit.filter(|_| quiet).unwrap_or(Duration::from_secs(3600))
@@ -424,7 +430,7 @@
         }
         // Guards the table of keys against a clock that runs ahead: what came later than an entry ended is new.
         let now = clock::now();
-        let door = millis(params.door)?.min(now);
+        let received_at = millis(params.received_at)?.min(now);
         let tenant = self.names.tenant(&params.team);
         if tenant.is_none() && !params.team.is_empty() {
             return wrong("no such team");
@@ -442,11 +448,15 @@
             tenant: tenant.unwrap_or(0),
             key,
             caller: params.lb,
-            hint: params.cpu.map(millis).transpose()?.map(|hint| self.names.hint(class, hint)),
-            kb: params.ram,
+            cost_hint: params
+                .cpu
+                .map(millis)
+                .transpose()?
+                .map(|cost_hint| self.names.cost_hint(class, cost_hint)),
+            memory_kb: params.ram,
             rank: params.standing,
-            door,
-            due: self.names.due(class, now, Some(door.saturating_add(limit))),
+            received_at,
+            deadline: self.names.request_deadline(class, now, Some(received_at.saturating_add(limit))),
             body: body.into(),
         })
     }
@@ -454,12 +464,12 @@
     async fn submit(&mut self, id: Bytes, request: Request) -> Result<(), (Bytes, Problem)> {
         let tag = self.next_tag;
         self.next_tag += 1;
-        let ticket = Ticket::new(&self.answers, tag).filter(|_| self.open.len() < MAX_OPEN);
-        let Some(ticket) = ticket else {
+        let responder = Responder::new(&self.answers, tag).filter(|_| self.open.len() < MAX_OPEN);
+        let Some(responder) = responder else {
             return Err((id, (INVALID_REQUEST, "32 requests are open here")));
         };
         self.known = true;
-        let claim = self.exchange.submit(request, ticket).await;
+        let claim = self.exchange.submit(request, responder).await;
         self.open.insert(tag, Open { id, claim });
         Ok(())
     }
@@ -472,32 +482,36 @@
         // What was answered meanwhile is no longer open.
         let Some(tag) = self.open.iter().find(|(_, open)| meant(open)).map(|(tag, _)| *tag) else { return };
         if let Some(open) = self.open.remove(&tag) {
-            self.exchange.gone(open.claim).await;
+            self.exchange.cancelled(open.claim).await;
         }
     }
 
-    fn answer(&mut self, tag: u64, outcome: Outcome) {
+    fn answer(&mut self, tag: u64, outcome: RequestOutcome) {
         // What was withdrawn meanwhile is owed no answer.
         let Some(open) = self.open.remove(&tag) else { return };
         self.used = clock::now();
         match outcome {
-            Outcome::Served(result) => put_result(&mut self.output, &open.id, |out| {
+            RequestOutcome::Served(result) => put_result(&mut self.output, &open.id, |out| {
                 out.put_slice(b"{\"content\":\"");
                 out.put_slice(BASE64.encode(&result).as_bytes());
                 out.put_slice(b"\"}");
             }),
-            Outcome::Refused { retry_after, stay } => self.put_refusal(&open.id, retry_after, stay),
-            Outcome::Failed { overdue: false } => self.put_error(&open.id, FAILED, "failed", ""),
-            Outcome::Failed { overdue: true } => self.put_error(&open.id, OVERDUE, "out of time", ""),
-            Outcome::Mismatched => {
+            RequestOutcome::Rejected { retry_after, give_up } => {
+                self.put_refusal(&open.id, retry_after, give_up)
+            }
+            RequestOutcome::Failed { timed_out: false } => self.put_error(&open.id, FAILED, "failed", ""),
+            RequestOutcome::Failed { timed_out: true } => {
+                self.put_error(&open.id, OVERDUE, "out of time", "")
+            }
+            RequestOutcome::BodyMismatch => {
                 self.put_error(&open.id, INVALID_PARAMS, "unique is the key of another body", "");
             }
         }
     }
 
-    fn put_refusal(&mut self, id: &[u8], retry_after: Option<Duration>, stay: bool) {
+    fn put_refusal(&mut self, id: &[u8], retry_after: Option<Duration>, give_up: bool) {
         let later = retry_after.map(|after| format!("\"later\":{}", after.as_millis().max(1)));
-        let fields = [later, stay.then(|| "\"giveup\":1".to_string())];
+        let fields = [later, give_up.then(|| "\"giveup\":1".to_string())];
         let fields = fields.into_iter().flatten().collect::<Vec<_>>().join(",");
         let data = if fields.is_empty() { String::new() } else { format!(",\"data\":{{{fields}}}") };
         self.put_error(id, REFUSED, "not now", &data);
--- a/node/src/frontend/mod.rs
+++ b/node/src/frontend/mod.rs
@@ -13,7 +13,7 @@
 use tokio::net::TcpStream;
 
 use crate::clock;
-use connection_limiter::{Guest, Standing};
+use connection_limiter::{ConnectionGuard, Standing};
 
 /// How long, and how often, a connection is read from after its last answer.
 const PARTING: Duration = Duration::from_secs(2);
@@ -22,7 +22,7 @@
 /// Ends a connection so that its last answer arrives: closed over unread bytes, the system would reset it. What its
 /// client goes on to send is read and dropped, as no answer could follow, until the client closes too: for a moment and
 /// no further, and only while there is room.
-pub async fn part(stream: &mut TcpStream, guest: &Guest) -> io::Result<()> {
+pub async fn part(stream: &mut TcpStream, guest: &ConnectionGuard) -> io::Result<()> {
     guest.is(Standing::Stranger);
     let until = clock::now() + PARTING;
     let needed = async {
@@ -64,6 +64,6 @@
 }
 
 /// Whether so many KB may be booked for a request. Guards the sum of what is booked.
-fn booked(kb: f64) -> bool {
-    kb > 0.0 && kb < 2_000.0
+fn booked(memory_kb: f64) -> bool {
+    memory_kb > 0.0 && memory_kb < 2_000.0
 }
--- a/node/src/frontend/uwsgi.rs
+++ b/node/src/frontend/uwsgi.rs
@@ -19,11 +19,11 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 
-use super::connection_limiter::{Guest, Standing, OWED};
+use super::connection_limiter::{ConnectionGuard, Standing, OWED};
 use super::{booked, part};
-use crate::class_registry::Names;
+use crate::class_registry::ClassRegistry;
 use crate::clock::{self, Unix};
-use crate::exchange::{Exchange, Outcome, Request, Ticket};
+use crate::exchange::{Exchange, Request, RequestOutcome, Responder};
 use crate::http;
 use crate::log;
 use crate::uwsgi::{Head, Vars, HEAD};
@@ -59,7 +59,7 @@
     /// The way to the core.
     pub exchange: Exchange,
     /// The names in the settings.
-    pub names: Rc<Names>,
+    pub names: Rc<ClassRegistry>,
     /// Ids for requests, which come without any.
     pub ids: Ids,
 }
@@ -84,14 +84,14 @@
 }
 
 /// Serves one connection to its end.
-pub async fn serve(mut stream: TcpStream, guest: Guest, front: Rc<Front>) {
+pub async fn serve(mut stream: TcpStream, guest: ConnectionGuard, front: Rc<Front>) {
     // What breaks a connection owes its client nothing more.
     if let Err(e) = talk(&mut stream, &guest, &front).await {
         log!("uwsgi: a connection ended early: {e}");
     }
 }
 
-async fn talk(stream: &mut TcpStream, guest: &Guest, front: &Front) -> io::Result<()> {
+async fn talk(stream: &mut TcpStream, guest: &ConnectionGuard, front: &Front) -> io::Result<()> {
     let mut input = BytesMut::with_capacity(4096);
     let read = tokio::select! {
         read = read_request(stream, &mut input) => read?,
@@ -184,9 +184,9 @@
             None => u16::MAX,
         };
         let deadline = number(vars, "HTTP_X_DEADLINE")?.map(Duration::from_millis);
-        let hint = number(vars, "HTTP_X_COST")?.map(Duration::from_millis);
-        let kb = number(vars, "HTTP_X_RAM")?.map_or(USUAL_KB, |kb| kb as f64);
-        if !booked(kb) {
+        let cost_hint = number(vars, "HTTP_X_COST")?.map(Duration::from_millis);
+        let memory_kb = number(vars, "HTTP_X_RAM")?.map_or(USUAL_KB, |memory_kb| memory_kb as f64);
+        if !booked(memory_kb) {
             return Err(Problem::BadRequest("HTTP_X_RAM is above 0 and under 2000"));
         }
         Ok(Asked::Run(Request {
@@ -195,11 +195,11 @@
             tenant,
             key: key.cloned(),
             caller: CALLER,
-            hint: hint.map(|hint| self.names.hint(class, hint)),
-            kb,
+            cost_hint: cost_hint.map(|cost_hint| self.names.cost_hint(class, cost_hint)),
+            memory_kb,
             rank: 0.5,
-            door: now,
-            due: self.names.due(class, now, deadline),
+            received_at: now,
+            deadline: self.names.request_deadline(class, now, deadline),
             body,
         }))
     }
@@ -211,35 +211,43 @@
 }
 
 /// Submits the request and waits for its outcome; none is owed to a client that has gone.
-async fn outcome(stream: &mut TcpStream, front: &Front, request: Request) -> io::Result<Option<Outcome>> {
+async fn outcome(
+    stream: &mut TcpStream,
+    front: &Front,
+    request: Request,
+) -> io::Result<Option<RequestOutcome>> {
     let (answers, mut outcomes) = mpsc::channel(1);
-    let Some(ticket) = Ticket::new(&answers, 0) else { return Ok(None) };
-    let claim = front.exchange.submit(request, ticket).await;
+    let Some(responder) = Responder::new(&answers, 0) else { return Ok(None) };
+    let claim = front.exchange.submit(request, responder).await;
     let mut beyond = [0; 1024];
     loop {
         tokio::select! {
             answered = outcomes.recv() => return Ok(answered.map(|(_, outcome)| outcome)),
             read = stream.read(&mut beyond) => if read.as_ref().map_or(true, |n| *n == 0) {
-                front.exchange.gone(claim).await;
+                front.exchange.cancelled(claim).await;
                 return read.map(|_| None);
             },
         }
     }
 }
 
-fn answer(outcome: &Outcome) -> Bytes {
+fn answer(outcome: &RequestOutcome) -> Bytes {
     match outcome {
-        Outcome::Served(result) => response(200, "OK", "", result),
-        Outcome::Refused { retry_after, stay } => {
+        RequestOutcome::Served(result) => response(200, "OK", "", result),
+        RequestOutcome::Rejected { retry_after, give_up } => {
             // Whole seconds, rounded up: coming back early would be refused again.
             let seconds = retry_after.map_or(1, |after| after.as_millis().div_ceil(1000).max(1));
-            let stay = if *stay { "X-Give-Up: 1\r\n" } else { "" };
-            let fields = format!("Retry-After: {seconds}\r\n{stay}");
+            let give_up = if *give_up { "X-Give-Up: 1\r\n" } else { "" };
+            let fields = format!("Retry-After: {seconds}\r\n{give_up}");
             response(503, "Service Unavailable", &fields, b"not now\n")
         }
-        Outcome::Failed { overdue: false } => response(500, "Internal Server Error", "", b"failed\n"),
-        Outcome::Failed { overdue: true } => response(504, "Gateway Timeout", "", b"out of time\n"),
-        Outcome::Mismatched => response(400, "Bad Request", "", b"the key is that of another body\n"),
+        RequestOutcome::Failed { timed_out: false } => {
+            response(500, "Internal Server Error", "", b"failed\n")
+        }
+        RequestOutcome::Failed { timed_out: true } => response(504, "Gateway Timeout", "", b"out of time\n"),
+        RequestOutcome::BodyMismatch => {
+            response(400, "Bad Request", "", b"the key is that of another body\n")
+        }
     }
 }
 
--- a/node/src/frontend/write_backlog.rs
+++ b/node/src/frontend/write_backlog.rs
@@ -10,14 +10,14 @@
 
 /// What one connection has to write.
 #[derive(Debug, Default)]
-pub struct Unread {
+pub struct WriteBacklog {
     /// Bytes that the system has taken.
     written: u64,
     /// So many are to be taken by then.
     owed: Option<(u64, Unix)>,
 }
 
-impl Unread {
+impl WriteBacklog {
     /// The system took so many bytes.
     pub fn wrote(&mut self, bytes: usize) {
         self.written += bytes as u64;
--- a/node/src/frontend/write_backlog/tests.rs
+++ b/node/src/frontend/write_backlog/tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn what_waits_is_owed_by_a_time_that_small_writes_do_not_put_off() {
-    let mut unread = Unread::default();
+    let mut unread = WriteBacklog::default();
     assert_eq!(unread.until(0, START), None);
     assert_eq!(unread.until(100, START), Some(START + UNREAD));
     // A byte now and then, while more comes to wait.
@@ -17,7 +17,7 @@
 
 #[test]
 fn what_came_later_is_owed_once_what_waited_before_it_is_written() {
-    let mut unread = Unread::default();
+    let mut unread = WriteBacklog::default();
     unread.until(100, START);
     unread.wrote(100);
     let later = START + Duration::from_secs(3);
--- a/node/src/handover.rs
+++ b/node/src/handover.rs
@@ -23,10 +23,10 @@
 use tokio::sync::mpsc;
 
 use crate::clock::{self, Unix};
-use crate::exchange::{Estate, Exchange};
+use crate::exchange::{Exchange, HandoverState};
 use crate::line_codec::{self, put, Message, MAX_BODY};
 use crate::log;
-use crate::outcome::{Fate, KeyRecord};
+use crate::outcome::{IdempotencyRecord, RunState};
 
 /// The old process owes its table this long after it was asked, and the new one its word after it connected.
 const OWED: Duration = Duration::from_secs(2);
@@ -59,13 +59,13 @@
         Ok(()) => log!("handover: the process before has ended"),
         Err(e) => log!("handover: not all is known of the process before: {e}"),
     }
-    exchange.inheritance_over().await;
+    exchange.predecessor_done().await;
 }
 
 /// Learns what the old process knows, until it ends.
 async fn learn(old: &mut UnixStream, exchange: &Exchange) -> io::Result<()> {
     old.write_all(b"TAKE\r\n").await?;
-    let (mut input, mut estate, mut whole) = (BytesMut::new(), Estate::default(), false);
+    let (mut input, mut estate, mut whole) = (BytesMut::new(), HandoverState::default(), false);
     let (mut state, owed) = (exchange.state(), clock::now() + OWED);
     let (mut passed, mut told) = (false, false);
     loop {
@@ -77,9 +77,9 @@
                 _ => return Err(message.nonsense().into()),
             }
         }
-        if whole && (!estate.keys.is_empty() || exchange.state().borrow().inheriting) {
+        if whole && (!estate.keys.is_empty() || exchange.state().borrow().awaiting_state) {
             let keys = std::mem::take(&mut estate.keys);
-            exchange.inherit(Estate { seed: estate.seed, keys }).await;
+            exchange.receive_state(HandoverState { seed: estate.seed, keys }).await;
         }
         tokio::select! {
             read = old.read_buf(&mut input) => match read? {
@@ -87,7 +87,7 @@
                 0 => return Err(io::ErrorKind::UnexpectedEof.into()),
                 _ => {}
             },
-            passed_on = state.wait_for(|state| state.handed), if !passed => passed = passed_on.is_ok(),
+            passed_on = state.wait_for(|state| state.handed_over), if !passed => passed = passed_on.is_ok(),
             () = clock::until(owed), if !whole => return Err(line_codec::stalled()),
         }
         if passed && !std::mem::replace(&mut told, passed) {
@@ -115,7 +115,7 @@
         }
         // Guards clients against a new process that fails: this one serves on.
         log!("handover: the new process has ended");
-        exchange.heir_gone().await;
+        exchange.successor_lost().await;
     }
 }
 
@@ -151,7 +151,7 @@
     loop {
         tokio::select! {
             estate = told.recv() => {
-                let Some(Estate { seed, keys }) = estate else { return Heir::Ended };
+                let Some(HandoverState { seed, keys }) = estate else { return Heir::Ended };
                 if first {
                     put(&mut output, &[b"SEED", format!("{seed:x}").as_bytes()], None);
                 }
@@ -177,37 +177,41 @@
     text.and_then(|text| u64::from_str_radix(text, 16).ok()).ok_or_else(|| message.nonsense())
 }
 
-fn put_record(output: &mut BytesMut, record: &KeyRecord) {
-    let KeyRecord { key, body, until, fate } = record;
+fn put_record(output: &mut BytesMut, record: &IdempotencyRecord) {
+    let IdempotencyRecord { key, body, until, fate } = record;
     let (word, result) = match fate {
-        Fate::Open => ("open", &[][..]),
-        Fate::Done(result) if key.len() + result.len() <= MAX_BODY => ("done", &result[..]),
+        RunState::Pending => ("open", &[][..]),
+        RunState::Succeeded(result) if key.len() + result.len() <= MAX_BODY => ("done", &result[..]),
         // Too long for a line: that it has run must be known all the same.
-        Fate::Done(_) | Fate::Failed => ("failed", &[][..]),
-        Fate::NeverRan => ("free", &[][..]),
+        RunState::Succeeded(_) | RunState::Failed => ("failed", &[][..]),
+        RunState::NeverStarted => ("free", &[][..]),
     };
     let head = format!("{body:x} {} {word} {}", until.as_millis(), key.len());
     put(output, &[b"KEY", head.as_bytes()], Some(&[key, result].concat()));
 }
 
-fn record(message: &Message) -> Result<KeyRecord, line_codec::Nonsense> {
+fn record(message: &Message) -> Result<IdempotencyRecord, line_codec::Nonsense> {
     let rest = message.body.clone().unwrap_or_default();
     let end = Some(message.number(4)?).filter(|end| *end <= rest.len()).ok_or_else(|| message.nonsense())?;
     let fate = match &message.word(3)[..] {
-        b"open" => Fate::Open,
-        b"done" => Fate::Done(rest.slice(end..)),
-        b"failed" => Fate::Failed,
-        b"free" => Fate::NeverRan,
+        b"open" => RunState::Pending,
+        b"done" => RunState::Succeeded(rest.slice(end..)),
+        b"failed" => RunState::Failed,
+        b"free" => RunState::NeverStarted,
         _ => return Err(message.nonsense()),
     };
     let until: Unix = Duration::from_millis(message.number(2)?);
     // Kept results outlive the buffer that they were read into.
     let copied = |slice: &[u8]| Bytes::copy_from_slice(slice);
-    Ok(KeyRecord {
+    Ok(IdempotencyRecord {
         key: copied(&rest[..end]),
         body: seed(message)?,
         until,
-        fate: if let Fate::Done(result) = fate { Fate::Done(copied(&result)) } else { fate },
+        fate: if let RunState::Succeeded(result) = fate {
+            RunState::Succeeded(copied(&result))
+        } else {
+            fate
+        },
     })
 }
 
--- a/node/src/handover/tests/golden.rs
+++ b/node/src/handover/tests/golden.rs
@@ -2,7 +2,7 @@
 //! release, so these bytes and the name of the socket stay as they are whatever the code calls them.
 
 use super::super::*;
-use crate::exchange::{self, CoreEnds, Input};
+use crate::exchange::{self, DispatcherEndpoints, DispatcherEvent};
 
 /// A line, then as many bytes as it announces; `\r\n` ends both.
 const OPEN: &str = "4b455920312031373634353736303030313233206f70656e203220320d0a6b310d0a";
@@ -21,24 +21,24 @@
 
 const THE_SEED: u64 = 0xfedc_ba98_7654_3210;
 
-fn record_of(key: &'static [u8], body: u64, millis: u64, fate: Fate) -> KeyRecord {
-    KeyRecord { key: Bytes::from_static(key), body, until: Duration::from_millis(millis), fate }
+fn record_of(key: &'static [u8], body: u64, millis: u64, fate: RunState) -> IdempotencyRecord {
+    IdempotencyRecord { key: Bytes::from_static(key), body, until: Duration::from_millis(millis), fate }
 }
 
-fn open() -> KeyRecord {
-    record_of(b"k1", 0x1, 1_764_576_000_123, Fate::Open)
+fn open() -> IdempotencyRecord {
+    record_of(b"k1", 0x1, 1_764_576_000_123, RunState::Pending)
 }
 
-fn done() -> KeyRecord {
-    record_of(b"\r\n \xff", 0x20, 1_764_576_000_124, Fate::Done(Bytes::from_static(b"r\x00\r\n")))
+fn done() -> IdempotencyRecord {
+    record_of(b"\r\n \xff", 0x20, 1_764_576_000_124, RunState::Succeeded(Bytes::from_static(b"r\x00\r\n")))
 }
 
-fn failed() -> KeyRecord {
-    record_of(b"key3", 0x300, 1_764_576_000_125, Fate::Failed)
+fn failed() -> IdempotencyRecord {
+    record_of(b"key3", 0x300, 1_764_576_000_125, RunState::Failed)
 }
 
-fn free() -> KeyRecord {
-    record_of(b"", u64::MAX, 1_764_576_000_126, Fate::NeverRan)
+fn free() -> IdempotencyRecord {
+    record_of(b"", u64::MAX, 1_764_576_000_126, RunState::NeverStarted)
 }
 
 fn hex(bytes: &[u8]) -> String {
@@ -66,7 +66,7 @@
     hex(&read)
 }
 
-async fn next(core: &mut CoreEnds) -> Input {
+async fn next(core: &mut DispatcherEndpoints) -> DispatcherEvent {
     core.inbox.recv().await.unwrap()
 }
 
@@ -95,11 +95,14 @@
     // The key and the result have 256 KiB together at the most.
     let longest = vec![b'r'; 256 * 1024 - 2];
     let mut output = BytesMut::new();
-    put_record(&mut output, &record_of(b"k1", 1, 123, Fate::Done(longest.clone().into())));
+    put_record(&mut output, &record_of(b"k1", 1, 123, RunState::Succeeded(longest.clone().into())));
     assert!(hex(&output).starts_with(&hex(b"KEY 1 123 done 2 262144\r\nk1rr")));
     assert_eq!(output.len(), b"KEY 1 123 done 2 262144\r\n".len() + 256 * 1024 + 2);
     output.clear();
-    put_record(&mut output, &record_of(b"k1", 1, 123, Fate::Done([&longest[..], b"r"].concat().into())));
+    put_record(
+        &mut output,
+        &record_of(b"k1", 1, 123, RunState::Succeeded([&longest[..], b"r"].concat().into())),
+    );
     assert_eq!(hex(&output), hex(b"KEY 1 123 failed 2 2\r\nk1\r\n"));
 }
 
@@ -130,11 +133,11 @@
         let new = async {
             let mut new = UnixStream::connect(&path).await.unwrap();
             new.write_all(&bytes(TAKE)).await.unwrap();
-            let Input::HandOver(tell) = next(&mut core).await else { panic!() };
-            tell.send(Estate { seed: THE_SEED, keys: vec![open(), done()] }).await.unwrap();
+            let DispatcherEvent::HandOver(tell) = next(&mut core).await else { panic!() };
+            tell.send(HandoverState { seed: THE_SEED, keys: vec![open(), done()] }).await.unwrap();
             assert_eq!(read(&mut new, &whole_table()).await, whole_table());
-            tell.send(Estate { seed: 0, keys: vec![failed()] }).await.unwrap();
-            tell.send(Estate { seed: 0, keys: vec![free()] }).await.unwrap();
+            tell.send(HandoverState { seed: 0, keys: vec![failed()] }).await.unwrap();
+            tell.send(HandoverState { seed: 0, keys: vec![free()] }).await.unwrap();
             assert_eq!(read(&mut new, &[FAILED, FREE].concat()).await, [FAILED, FREE].concat());
             new.write_all(&bytes(PASSED)).await.unwrap();
             (new, tell)
@@ -159,7 +162,7 @@
         let new = async {
             let mut new = UnixStream::connect(&path).await.unwrap();
             new.write_all(&bytes(TAKE)).await.unwrap();
-            let Input::HandOver(tell) = next(&mut core).await else { panic!() };
+            let DispatcherEvent::HandOver(tell) = next(&mut core).await else { panic!() };
             tell
         };
         assert!(matches!(tokio::join!(hand_over(&listener, &exchange), new).0, Heir::Ended));
@@ -178,19 +181,19 @@
             let (mut old, _) = listener.accept().await.unwrap();
             assert_eq!(read(&mut old, TAKE).await, TAKE);
             old.write_all(&bytes(&whole_table())).await.unwrap();
-            let Input::Inherit(estate) = next(&mut core).await else { panic!() };
+            let DispatcherEvent::StateReceived(estate) = next(&mut core).await else { panic!() };
             assert_eq!((estate.seed, estate.keys), (THE_SEED, vec![open(), done()]));
-            core.state.send_modify(|state| state.inheriting = false);
+            core.state.send_modify(|state| state.awaiting_state = false);
             old.write_all(&bytes(FAILED)).await.unwrap();
-            let Input::Inherit(estate) = next(&mut core).await else { panic!() };
+            let DispatcherEvent::StateReceived(estate) = next(&mut core).await else { panic!() };
             assert_eq!(estate.keys, [failed()]);
-            core.state.send_modify(|state| state.handed = true);
+            core.state.send_modify(|state| state.handed_over = true);
             assert_eq!(read(&mut old, PASSED).await, PASSED);
             old.write_all(&bytes(FREE)).await.unwrap();
-            let Input::Inherit(estate) = next(&mut core).await else { panic!() };
+            let DispatcherEvent::StateReceived(estate) = next(&mut core).await else { panic!() };
             assert_eq!(estate.keys, [free()]);
             drop(old);
-            assert!(matches!(next(&mut core).await, Input::InheritanceOver));
+            assert!(matches!(next(&mut core).await, DispatcherEvent::PredecessorDone));
         };
         tokio::join!(new, old);
         std::fs::remove_file(path).unwrap();
@@ -206,9 +209,9 @@
         let old = async {
             let (mut old, _) = listener.accept().await.unwrap();
             old.write_all(&bytes(&[SEED, ALL].concat())).await.unwrap();
-            let Input::Inherit(estate) = next(&mut core).await else { panic!() };
+            let DispatcherEvent::StateReceived(estate) = next(&mut core).await else { panic!() };
             assert_eq!((estate.seed, estate.keys), (THE_SEED, vec![]));
-            core.state.send_modify(|state| state.inheriting = false);
+            core.state.send_modify(|state| state.awaiting_state = false);
         };
         tokio::join!(inherit(path.clone(), exchange), old);
         std::fs::remove_file(path).unwrap();
--- a/node/src/heartbeat.rs
+++ b/node/src/heartbeat.rs
@@ -24,18 +24,18 @@
         let Some(service) = links.borrow_and_update().members else { return };
         let (leaving, handed, held) = {
             let state = state.borrow_and_update();
-            (state.draining.is_some(), state.handed, state.held)
+            (state.draining.is_some(), state.handed_over, state.recovering)
         };
         if handed {
             // The new process reports under the same name.
-            if state.wait_for(|state| !state.handed).await.is_err() {
+            if state.wait_for(|state| !state.handed_over).await.is_err() {
                 return;
             }
             continue;
         }
         if held && !leaving {
             // Front ends find it once it is far enough on its way back.
-            if state.wait_for(|state| !state.held || state.draining.is_some()).await.is_err() {
+            if state.wait_for(|state| !state.recovering || state.draining.is_some()).await.is_err() {
                 return;
             }
             continue;
@@ -52,7 +52,7 @@
             () = clock::until(next) => {}
             // The service at a new address hears at once.
             Ok(()) = links.changed() => {}
-            _ = state.wait_for(|state| state.draining.is_some() || state.handed) => {}
+            _ = state.wait_for(|state| state.draining.is_some() || state.handed_over) => {}
         }
     }
 }
--- a/node/src/metrics.rs
+++ b/node/src/metrics.rs
@@ -3,7 +3,7 @@
 use std::cell::{Cell, RefCell};
 use std::fmt::Write;
 
-use crate::outcome::Outcome;
+use crate::outcome::RequestOutcome;
 
 /// Every name begins with this.
 const PREFIX: &str = "svc";
@@ -50,11 +50,11 @@
     }
 
     /// A request got its answer.
-    pub fn answered(&self, class: u16, outcome: &Outcome) {
+    pub fn answered(&self, class: u16, outcome: &RequestOutcome) {
         self.count(class, |counts| match outcome {
-            Outcome::Served(_) => counts.answered += 1,
-            Outcome::Refused { .. } => counts.deferred += 1,
-            Outcome::Failed { .. } | Outcome::Mismatched => counts.errored += 1,
+            RequestOutcome::Served(_) => counts.answered += 1,
+            RequestOutcome::Rejected { .. } => counts.deferred += 1,
+            RequestOutcome::Failed { .. } | RequestOutcome::BodyMismatch => counts.errored += 1,
         });
     }
 
--- a/node/src/outcome.rs
+++ b/node/src/outcome.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 /// How much longer a key that has run out is kept, and the longest result that is: the same for all that keeps them.
-pub use oakwind_fleet::{LONGEST_RESULT, READ_LATE};
+pub use oakwind_fleet::{LATE_READ_GRACE, MAX_RESULT_BYTES};
 use siphasher::sip::SipHasher13;
 
 use crate::clock::Unix;
@@ -17,56 +17,56 @@
 
 /// The one final answer to a request.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Outcome {
+pub enum RequestOutcome {
     /// Served, with the result that a run made.
     Served(Bytes),
     /// Turned away: this try never ran.
-    Refused {
+    Rejected {
         /// How long the caller should stay away.
         retry_after: Option<Duration>,
         /// The wish that it be tried nowhere else.
-        stay: bool,
+        give_up: bool,
     },
     /// Failed; nothing is promised.
     Failed {
         /// Because its time ran out.
-        overdue: bool,
+        timed_out: bool,
     },
     /// Its key is that of a request with another body; nothing ran for it.
-    Mismatched,
+    BodyMismatch,
 }
 
 /// How a run ended.
 #[derive(Debug, Clone, PartialEq)]
-pub enum End {
+pub enum Completion {
     /// With a result.
-    Done(Bytes),
+    Succeeded(Bytes),
     /// It failed.
-    Crashed,
+    Failed,
     /// It was stopped, or ended at a call because its request was over.
-    Aborted,
+    Cancelled,
     /// Nothing was started, because the request was over.
-    Stale,
+    Skipped,
     /// It provably never began: no server took it.
-    NeverRan,
+    NeverStarted,
 }
 
 /// What became of the run of a key, as far as one process tells the next.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Fate {
+pub enum RunState {
     /// It runs, or may yet.
-    Open,
+    Pending,
     /// It ended with this result.
-    Done(Bytes),
+    Succeeded(Bytes),
     /// It failed and may have had its effect.
     Failed,
     /// It provably never began, so the key is free.
-    NeverRan,
+    NeverStarted,
 }
 
 /// A remembered key, as one process hands it to the next.
 #[derive(Debug, Clone, PartialEq)]
-pub struct KeyRecord {
+pub struct IdempotencyRecord {
     /// The key.
     pub key: Bytes,
     /// The digest of the body that its tries carry.
@@ -74,27 +74,27 @@
     /// How long it is remembered.
     pub until: Unix,
     /// What became of its run.
-    pub fate: Fate,
+    pub fate: RunState,
 }
 
 /// What is kept of a run that is over.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Kept {
+pub enum StoredOutcome {
     /// Its result.
-    Done(Bytes),
+    Succeeded(Bytes),
     /// It failed and may have had its effect.
     Failed,
     /// It provably never began.
-    NeverRan,
+    NeverStarted,
 }
 
-impl Kept {
+impl StoredOutcome {
     /// The same as one process tells it to the next.
-    pub fn fate(&self) -> Fate {
+    pub fn fate(&self) -> RunState {
         match self {
-            Kept::Done(result) => Fate::Done(result.clone()),
-            Kept::Failed => Fate::Failed,
-            Kept::NeverRan => Fate::NeverRan,
+            StoredOutcome::Succeeded(result) => RunState::Succeeded(result.clone()),
+            StoredOutcome::Failed => RunState::Failed,
+            StoredOutcome::NeverStarted => RunState::NeverStarted,
         }
     }
 }
--- a/node/src/peers/links.rs
+++ b/node/src/peers/links.rs
@@ -10,8 +10,8 @@
 
 use bytes::BytesMut;
 use oakwind_fleet::membership_config::NodeId;
-use oakwind_fleet::message::Frame;
-use oakwind_fleet::replica_table::Link;
+use oakwind_fleet::message::Message;
+use oakwind_fleet::replica_table::LinkId;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, Notify};
@@ -33,9 +33,9 @@
 #[derive(Debug)]
 pub enum Heard {
     /// A frame came.
-    Frame(Link, Frame),
+    Message(LinkId, Message),
     /// It is gone.
-    Gone(Link),
+    Gone(LinkId),
 }
 
 /// What links have done.
@@ -88,9 +88,9 @@
 
 /// All links of this node.
 pub struct Links {
-    next: Link,
-    known: HashMap<Link, Known>,
-    dialled: HashMap<NodeId, Link>,
+    next: LinkId,
+    known: HashMap<LinkId, Known>,
+    dialled: HashMap<NodeId, LinkId>,
     trouble: HashMap<NodeId, Trouble>,
     /// Those whose last link was cut, who are told so by the next.
     cut: HashSet<NodeId>,
@@ -129,8 +129,8 @@
         &mut self,
         to: NodeId,
         address: impl FnOnce() -> Option<SocketAddr>,
-        hello: impl FnOnce() -> Frame,
-        frame: &Frame,
+        hello: impl FnOnce() -> Message,
+        frame: &Message,
     ) -> Result<(), Unreached> {
         let link = match self.dialled.get(&to) {
             Some(link) => *link,
@@ -145,7 +145,7 @@
                 let link = self.start(Some((to, address)), None);
                 self.dialled.insert(to, link);
                 let mut hello = hello();
-                if let Frame::Hello(hello) = &mut hello {
+                if let Message::Hello(hello) = &mut hello {
                     hello.cut = self.cut.remove(&to);
                 }
                 self.write(link, &hello);
@@ -184,7 +184,7 @@
         self.start(None, Some(stream));
     }
 
-    fn start(&mut self, dial: Option<(NodeId, SocketAddr)>, stream: Option<TcpStream>) -> Link {
+    fn start(&mut self, dial: Option<(NodeId, SocketAddr)>, stream: Option<TcpStream>) -> LinkId {
         let link = self.next;
         self.next += 1;
         let mut output = BytesMut::with_capacity(4096);
@@ -219,7 +219,7 @@
     }
 
     /// Says something on a link; nothing if it is gone.
-    pub fn write(&mut self, link: Link, frame: &Frame) {
+    pub fn write(&mut self, link: LinkId, frame: &Message) {
         let Some(known) = self.known.get_mut(&link) else { return };
         known.used = clock::now();
         let mut output = known.pipe.output.borrow_mut();
@@ -238,7 +238,7 @@
     }
 
     /// Ends a link.
-    pub fn end(&mut self, link: Link) {
+    pub fn end(&mut self, link: LinkId) {
         if let Some(known) = self.known.get(&link) {
             known.pipe.over.set(true);
             known.pipe.wake.notify_one();
@@ -247,44 +247,44 @@
 
     /// Ends all links that peers have dialled.
     pub fn end_accepted(&mut self) {
-        let accepted: Vec<Link> =
+        let accepted: Vec<LinkId> =
             self.known.iter().filter(|(_, known)| known.dialled.is_none()).map(|(link, _)| *link).collect();
         accepted.into_iter().for_each(|link| self.end(link));
     }
 
     /// Who is at the other end of a link, once it has greeted.
-    pub fn peer(&self, link: Link) -> Option<(NodeId, u64)> {
+    pub fn peer(&self, link: LinkId) -> Option<(NodeId, u64)> {
         self.known.get(&link)?.peer
     }
 
     /// Whom this node has dialled on a link.
-    pub fn dialled(&self, link: Link) -> Option<NodeId> {
+    pub fn dialled(&self, link: LinkId) -> Option<NodeId> {
         self.known.get(&link)?.dialled
     }
 
     /// The other end has greeted.
-    pub fn greeted(&mut self, link: Link, node: NodeId, life: u64) {
+    pub fn greeted(&mut self, link: LinkId, node: NodeId, incarnation: u64) {
         let Some(known) = self.known.get_mut(&link) else { return };
-        (known.peer, known.used) = (Some((node, life)), clock::now());
+        (known.peer, known.used) = (Some((node, incarnation)), clock::now());
         if known.dialled.is_some() {
             self.trouble.remove(&node);
             return;
         }
         // A peer that dials anew has given up the link that it had, whatever has become of that.
-        let same = |known: &Known| known.dialled.is_none() && known.peer == Some((node, life));
+        let same = |known: &Known| known.dialled.is_none() && known.peer == Some((node, incarnation));
         let before = self.known.iter().filter(|(other, known)| **other != link && same(known));
-        let before: Vec<Link> = before.map(|(other, _)| *other).collect();
+        let before: Vec<LinkId> = before.map(|(other, _)| *other).collect();
         before.into_iter().for_each(|other| self.end(other));
     }
 
     /// Links whose other ends have greeted, or were dialled, with who they are.
-    pub fn all(&self) -> Vec<(Link, NodeId)> {
+    pub fn all(&self) -> Vec<(LinkId, NodeId)> {
         let who = |known: &Known| known.dialled.or(known.peer.map(|(node, _)| node));
         self.known.iter().filter_map(|(link, known)| Some((*link, who(known)?))).collect()
     }
 
     /// A link is gone. Returns the node that it was dialled to, and whether that had greeted.
-    pub fn gone(&mut self, link: Link) -> Option<(NodeId, bool)> {
+    pub fn gone(&mut self, link: LinkId) -> Option<(NodeId, bool)> {
         let known = self.known.remove(&link)?;
         let node = known.dialled?;
         if self.dialled.get(&node) == Some(&link) {
@@ -308,7 +308,7 @@
 
 /// Reads and writes frames until either end is done.
 async fn talk(
-    link: Link,
+    link: LinkId,
     mut stream: TcpStream,
     pipe: &Pipe,
     tell: &mpsc::Sender<Heard>,
@@ -333,9 +333,9 @@
         }
         while let Some(taken) = if greeted { take(&mut input).map_err(nonsense)? } else { None } {
             match taken {
-                Taken::Frame(frame) => {
+                Taken::Message(frame) => {
                     add(&traffic.frames_in, 1);
-                    if tell.send(Heard::Frame(link, frame)).await.is_err() {
+                    if tell.send(Heard::Message(link, frame)).await.is_err() {
                         return Ok(());
                     }
                 }
--- a/node/src/peers/links/tests.rs
+++ b/node/src/peers/links/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use bytes::Bytes;
-use oakwind_fleet::key_state::{ClaimId, End, Fate};
+use oakwind_fleet::key_state::{ClaimId, CompletedRun, RunResult};
 use oakwind_fleet::message::Hello;
 use tokio::net::TcpListener;
 use tokio::task::LocalSet;
@@ -12,17 +12,17 @@
 
 const PEER: NodeId = NodeId(2);
 
-fn hello() -> Frame {
+fn hello() -> Message {
     let name = "n1".into();
     let (lists, seconds, kept) = (vec![], 0, None);
-    Frame::Hello(Hello { name, to: PEER, life: 1, lists, over: 0, cut: false, seconds, kept })
+    Message::Hello(Hello { name, to: PEER, incarnation: 1, lists, over: 0, cut: false, seconds, kept })
 }
 
-fn large() -> Frame {
-    let claim = ClaimId { node: NodeId(1), life: 1, number: 1 };
-    let fate = Fate::Done(Bytes::from(vec![7; 60_000]));
-    let end = End { door: 1, place: 0, claim, fate, body: 1 };
-    Frame::Ended { key: "k".into(), keep_ms: 1, end }
+fn large() -> Message {
+    let claim = ClaimId { node: NodeId(1), incarnation: 1, number: 1 };
+    let fate = RunResult::Succeeded(Bytes::from(vec![7; 60_000]));
+    let end = CompletedRun { received_at: 1, place: 0, claim, fate, body: 1 };
+    Message::Ended { key: "k".into(), keep_ms: 1, end }
 }
 
 #[test]
@@ -56,7 +56,7 @@
                 }
             }
         };
-        assert!(matches!(greeting, Taken::Frame(Frame::Hello(Hello { cut: true, .. }))), "{greeting:?}");
+        assert!(matches!(greeting, Taken::Message(Message::Hello(Hello { cut: true, .. }))), "{greeting:?}");
     });
 }
 
--- a/node/src/peers/message_codec.rs
+++ b/node/src/peers/message_codec.rs
@@ -2,7 +2,7 @@
 //! nonsense and ends the link; a kind that this build does not know is skipped.
 
 use bytes::{Buf, BufMut, BytesMut};
-use oakwind_fleet::message::{Frame, KINDS};
+use oakwind_fleet::message::{Message, MESSAGE_KINDS};
 
 use crate::outcome::digest;
 
@@ -19,7 +19,7 @@
 #[derive(Debug, PartialEq)]
 pub enum Taken {
     /// A frame.
-    Frame(Frame),
+    Message(Message),
     /// One of a later build.
     Later,
 }
@@ -29,7 +29,7 @@
 }
 
 /// Appends a frame.
-pub fn put(output: &mut BytesMut, frame: &Frame) {
+pub fn put(output: &mut BytesMut, frame: &Message) {
     // Everything in a frame can be written.
     let bytes = postcard::to_allocvec(frame).unwrap_or_default();
     output.reserve(HEAD + bytes.len());
@@ -60,12 +60,12 @@
     let Ok((kind, _)) = postcard::take_from_bytes::<u32>(&bytes) else {
         return Err("a frame without a kind");
     };
-    if kind >= KINDS {
+    if kind >= MESSAGE_KINDS {
         return Ok(Some(Taken::Later));
     }
     // A later build may have put more behind it.
     match postcard::take_from_bytes(&bytes) {
-        Ok((frame, _)) => Ok(Some(Taken::Frame(frame))),
+        Ok((frame, _)) => Ok(Some(Taken::Message(frame))),
         Err(_) => Err("a frame that can't be read"),
     }
 }
--- a/node/src/peers/message_codec/tests.rs
+++ b/node/src/peers/message_codec/tests.rs
@@ -2,35 +2,35 @@
 
 use super::*;
 use bytes::Bytes;
-use oakwind_fleet::key_state::{ClaimId, End, Fate};
+use oakwind_fleet::key_state::{ClaimId, CompletedRun, RunResult};
 use oakwind_fleet::membership_config::NodeId;
-use oakwind_fleet::message::{Blocker, Hello, Page, Sound, Why};
-use oakwind_fleet::staleness::Mark;
+use oakwind_fleet::message::{Completeness, ConflictingClaim, Hello, Page, RejectReason};
+use oakwind_fleet::staleness::StatePosition;
 
 fn claim() -> ClaimId {
-    ClaimId { node: NodeId(1), life: 2, number: 3 }
+    ClaimId { node: NodeId(1), incarnation: 2, number: 3 }
 }
 
-fn frames() -> Vec<Frame> {
-    let fate = Fate::Done(Bytes::from_static(b"\0job"));
-    let end = End { door: 1, place: 0, claim: claim(), fate, body: u128::MAX };
-    let by = Blocker { claim: claim(), body: 1, ended: Some(end.clone()), past_ms: 0 };
+fn frames() -> Vec<Message> {
+    let fate = RunResult::Succeeded(Bytes::from_static(b"\0job"));
+    let end = CompletedRun { received_at: 1, place: 0, claim: claim(), fate, body: u128::MAX };
+    let by = ConflictingClaim { claim: claim(), body: 1, ended: Some(end.clone()), past_ms: 0 };
     vec![
-        Frame::Hello(Hello {
+        Message::Hello(Hello {
             name: "n1".into(),
             to: NodeId(2),
-            life: 7,
+            incarnation: 7,
             lists: vec![(1, 2)],
             over: 0,
             cut: false,
             seconds: 9,
-            kept: Some(Mark { life: 6, seconds: 40 }),
+            kept: Some(StatePosition { incarnation: 6, seconds: 40 }),
         }),
-        Frame::Blocked { claim: claim(), by },
-        Frame::Unsure { claim: claim(), why: Why::Returning },
-        Frame::Ended { key: "k".into(), keep_ms: 5, end },
-        Frame::Page(Page { round: 1, records: vec![], next: None, sound: Sound::Whole }),
-        Frame::Outdated { known: Mark { life: 6, seconds: 50 } },
+        Message::Blocked { claim: claim(), by },
+        Message::Unsure { claim: claim(), why: RejectReason::Returning },
+        Message::Ended { key: "k".into(), keep_ms: 5, end },
+        Message::Page(Page { round: 1, records: vec![], next: None, sound: Completeness::Complete }),
+        Message::Outdated { known: StatePosition { incarnation: 6, seconds: 50 } },
     ]
 }
 
@@ -48,7 +48,7 @@
         while let Some(taken) = take(&mut buffer).unwrap() {
             got.push(taken);
         }
-        assert_eq!(got, frames().into_iter().map(Taken::Frame).collect::<Vec<_>>());
+        assert_eq!(got, frames().into_iter().map(Taken::Message).collect::<Vec<_>>());
     }
 }
 
@@ -56,7 +56,7 @@
 fn the_last_kind_that_is_known_is_the_last_there_is() {
     let last = frames().pop().unwrap();
     let bytes = postcard::to_allocvec(&last).unwrap();
-    assert_eq!(postcard::take_from_bytes::<u32>(&bytes).unwrap().0, KINDS - 1);
+    assert_eq!(postcard::take_from_bytes::<u32>(&bytes).unwrap().0, MESSAGE_KINDS - 1);
 }
 
 /// A frame of these bytes whose check is right.
@@ -70,11 +70,11 @@
 
 #[test]
 fn what_a_later_build_adds_is_skipped() {
-    let later = postcard::to_allocvec(&(KINDS + 3, "whatever")).unwrap();
+    let later = postcard::to_allocvec(&(MESSAGE_KINDS + 3, "whatever")).unwrap();
     assert_eq!(take(&mut framed(&later)), Ok(Some(Taken::Later)));
-    let mut longer = postcard::to_allocvec(&Frame::Free { claim: claim() }).unwrap();
+    let mut longer = postcard::to_allocvec(&Message::Free { claim: claim() }).unwrap();
     longer.extend_from_slice(b"a new field");
-    assert_eq!(take(&mut framed(&longer)), Ok(Some(Taken::Frame(Frame::Free { claim: claim() }))));
+    assert_eq!(take(&mut framed(&longer)), Ok(Some(Taken::Message(Message::Free { claim: claim() }))));
 }
 
 #[test]
