--- a/node/src/peers/mod.rs
+++ b/node/src/peers/mod.rs
@@ -13,12 +13,12 @@
 
 use bytes::Bytes;
 use oakwind_admission::RequestId;
-use oakwind_fleet::claim_coordinator::{Said, Token, Wanted};
-use oakwind_fleet::key_state::{ClaimId, Fate};
+use oakwind_fleet::claim_coordinator::{AttemptId, ClaimOutcome, RunRequest};
+use oakwind_fleet::key_state::{ClaimId, RunResult};
 use oakwind_fleet::membership_config::NodeId;
-use oakwind_fleet::message::{Frame, Hello, Why};
-use oakwind_fleet::replica_node::{Action, Event, Figures, Fleet, Note, Settings, TICK};
-use oakwind_fleet::replica_table::{Change, Link};
+use oakwind_fleet::message::{Hello, Message, RejectReason};
+use oakwind_fleet::replica_node::{Action, Event, Notification, ReplicaMetrics, ReplicaNode, Settings, TICK};
+use oakwind_fleet::replica_table::{Change, LinkId};
 use oakwind_fleet::Time;
 use sha2::{Digest, Sha256};
 use tokio::net::{TcpListener, TcpStream};
@@ -28,7 +28,7 @@
 use crate::config::Fleet as Config;
 use crate::exchange::Exchange;
 use crate::result_store::record::{Record, State};
-use crate::result_store::{Remembrance, Told};
+use crate::result_store::{ResultStore, Told};
 use crate::{log, sockets};
 use links::{Heard, Links};
 use vote_store::{Marker, Opened};
@@ -72,15 +72,15 @@
     /// How long the key is remembered.
     pub until: Unix,
     /// When its request came.
-    pub door: Unix,
+    pub received_at: Unix,
     /// When its caller stops waiting.
-    pub due: Unix,
+    pub deadline: Unix,
 }
 
 /// What operators see of it.
 #[derive(Debug, Default)]
 pub struct Shown {
-    figures: Cell<Figures>,
+    figures: Cell<ReplicaMetrics>,
     /// The number of the list that it goes by.
     pub list: Cell<u64>,
     others: RefCell<Vec<(&'static str, u64)>>,
@@ -114,7 +114,7 @@
 /// The keeper's part in it.
 pub struct Peers {
     orders: mpsc::Sender<Event>,
-    told: mpsc::Receiver<(RequestId, Said)>,
+    told: mpsc::Receiver<(RequestId, ClaimOutcome)>,
     clock: Steady,
     /// What operators see.
     pub shown: Rc<Shown>,
@@ -124,19 +124,19 @@
     /// Asks for a claim; false if there is no room to ask.
     pub fn want(&self, asked: &Asked) -> bool {
         let digest = Sha256::digest(asked.body);
-        let wanted = Wanted {
+        let wanted = RunRequest {
             token: token(asked.id),
             key: asked.key.clone(),
             body: digest.iter().take(16).fold(0, |all, byte| all << 8 | u128::from(*byte)),
             until: self.clock.of(asked.until),
-            door: (self.clock.of(asked.door), clock::millis(asked.door)),
-            due: self.clock.of(asked.due),
+            received_at: (self.clock.of(asked.received_at), clock::millis(asked.received_at)),
+            deadline: self.clock.of(asked.deadline),
         };
         self.order(Event::Want(wanted))
     }
 
     /// A run has ended; false if there is no room to tell.
-    pub fn ended(&self, id: RequestId, fate: Fate) -> bool {
+    pub fn ended(&self, id: RequestId, fate: RunResult) -> bool {
         self.order(Event::Ended(token(id), fate))
     }
 
@@ -152,7 +152,7 @@
 
     /// This process begins, or goes on, as the other one has let go or is gone.
     pub fn resume(&self) {
-        self.order(Event::Resume(life()));
+        self.order(Event::Resume(incarnation()));
     }
 
     /// Whether a process before this one may still run what it began.
@@ -174,7 +174,7 @@
     }
 
     /// The next that they have to say.
-    pub async fn told(&mut self) -> (RequestId, Said) {
+    pub async fn told(&mut self) -> (RequestId, ClaimOutcome) {
         match self.told.recv().await {
             Some(told) => told,
             None => std::future::pending().await,
@@ -182,11 +182,11 @@
     }
 }
 
-fn token(id: RequestId) -> Token {
-    Token(u64::from(id.0))
+fn token(id: RequestId) -> AttemptId {
+    AttemptId(u64::from(id.0))
 }
 
-fn life() -> u64 {
+fn incarnation() -> u64 {
     u64::try_from(clock::now().as_micros()).unwrap_or(u64::MAX)
 }
 
@@ -196,7 +196,7 @@
     clock: Steady,
     seed: u64,
     orders: mpsc::Receiver<Event>,
-    tell: mpsc::Sender<(RequestId, Said)>,
+    tell: mpsc::Sender<(RequestId, ClaimOutcome)>,
     shown: Rc<Shown>,
     /// Open before the task runs, unless a process before this one still has it.
     listener: Option<TcpListener>,
@@ -243,7 +243,7 @@
             match self.orders.recv().await {
                 Some(Event::Resume(_)) => return true,
                 Some(Event::Want(wanted)) => {
-                    let said = Said::Turned(Why::Unheard);
+                    let said = ClaimOutcome::Rejected(RejectReason::Unheard);
                     // The keeper ends only with the process.
                     let _ = self.tell.send((request(wanted.token), said)).await;
                 }
@@ -265,7 +265,7 @@
         let (mut folder, kept) = opened.unzip();
         let settings = Settings {
             name: config.name.clone(),
-            life: life(),
+            incarnation: incarnation(),
             seed,
             bytes: config.bytes,
             bytes_per_s: config.bytes_per_s,
@@ -278,7 +278,7 @@
             config.folder.as_ref().map(|folder| Marker::new(&folder.folder, settings.kept.is_some()));
         let state = exchange.state();
         let mut talk = Talk {
-            fleet: Fleet::new(settings, config.list.clone(), clock.now()),
+            fleet: ReplicaNode::new(settings, config.list.clone(), clock.now()),
             links: Links::new(config.links / 2, heard),
             clock,
             marker,
@@ -308,7 +308,7 @@
                     // Before anybody hears of it.
                     talk.marks();
                     let state = state.borrow();
-                    if state.good.is_some() && !std::mem::replace(&mut runs, true) {
+                    if state.health.is_some() && !std::mem::replace(&mut runs, true) {
                         Some(Event::Cores(state.warm_at.map(|at| clock.of(at))))
                     } else {
                         Some(Event::Tick)
@@ -353,13 +353,13 @@
                 let _ = tell.send((id, said)).await;
             }
             if let Some(held) = talk.hold.take() {
-                exchange.hold(held).await;
+                exchange.set_recovering(held).await;
             }
         }
     }
 }
 
-fn request(token: Token) -> RequestId {
+fn request(token: AttemptId) -> RequestId {
     RequestId(u32::try_from(token.0).unwrap_or(0))
 }
 
@@ -370,7 +370,7 @@
     }
 }
 
-async fn written(folder: &mut Option<Remembrance>) -> Told {
+async fn written(folder: &mut Option<ResultStore>) -> Told {
     match folder {
         Some(folder) => folder.told().await,
         None => std::future::pending().await,
@@ -379,7 +379,7 @@
 
 /// The decisions and the links.
 struct Talk {
-    fleet: Fleet,
+    fleet: ReplicaNode,
     links: Links,
     clock: Steady,
     /// What says in the folder whether that can be relied on.
@@ -387,7 +387,7 @@
     /// What follows from what was done.
     later: VecDeque<Event>,
     /// What tries are to be told.
-    unsaid: VecDeque<(RequestId, Said)>,
+    unsaid: VecDeque<(RequestId, ClaimOutcome)>,
     /// Whether peers may connect here.
     listens: bool,
     /// Whether front ends are to be held off, where that has changed.
@@ -398,16 +398,16 @@
     /// What a link has to tell, as the decisions take it.
     fn heard(&mut self, heard: Heard) -> Option<Event> {
         match heard {
-            Heard::Frame(link, frame) => {
-                if let Frame::Hello(hello) = &frame {
+            Heard::Message(link, frame) => {
+                if let Message::Hello(hello) = &frame {
                     self.greeted(link, hello)?;
                 }
-                let Some((from, life)) = self.links.peer(link) else {
+                let Some((from, incarnation)) = self.links.peer(link) else {
                     log!("fleet: a link has ended with nonsense: it did not greet");
                     self.links.end(link);
                     return None;
                 };
-                Some(Event::Heard { link, from, life, frame })
+                Some(Event::Heard { link, from, incarnation, frame })
             }
             Heard::Gone(link) => match self.links.gone(link)? {
                 (node, true) => Some(Event::Broken(node)),
@@ -417,7 +417,7 @@
     }
 
     /// The other end of a link says who it is; none if that can't be.
-    fn greeted(&mut self, link: Link, hello: &Hello) -> Option<()> {
+    fn greeted(&mut self, link: LinkId, hello: &Hello) -> Option<()> {
         let node = NodeId::of(&hello.name);
         let newest = self.fleet.lists().newest().number();
         let known = self.fleet.lists().everyone().contains(&node)
@@ -430,15 +430,15 @@
             return None;
         }
         let first = self.links.peer(link).is_none();
-        self.links.greeted(link, node, hello.life);
+        self.links.greeted(link, node, hello.incarnation);
         if first && self.links.dialled(link).is_none() {
-            let hello = Frame::Hello(self.fleet.hello(node));
+            let hello = Message::Hello(self.fleet.hello(node));
             self.links.write(link, &hello);
         }
         Some(())
     }
 
-    fn take(&mut self, event: Event, folder: &Option<Remembrance>) {
+    fn take(&mut self, event: Event, folder: &Option<ResultStore>) {
         match &event {
             Event::Retire => {
                 self.listens = false;
@@ -457,14 +457,14 @@
         }
     }
 
-    fn act(&mut self, action: Action, folder: &Option<Remembrance>) {
+    fn act(&mut self, action: Action, folder: &Option<ResultStore>) {
         match action {
             Action::Send(to, frame) => {
                 let Talk { fleet, links, .. } = self;
                 let lists = fleet.lists();
                 let address =
                     || lists.about().iter().rev().find_map(|list| list.member(to).map(|m| m.address));
-                let sent = links.send(to, address, || Frame::Hello(fleet.hello(to)), &frame);
+                let sent = links.send(to, address, || Message::Hello(fleet.hello(to)), &frame);
                 // Once is enough for all that is said to it in one go.
                 let told = |event: &Event| matches!(event, Event::Unreached(node) if *node == to);
                 if sent.is_err() && !self.later.iter().any(told) {
@@ -476,25 +476,25 @@
             Action::Store(number, change, vote) => self.store(number, change, vote, folder),
             Action::Greet => {
                 for (link, node) in self.links.all() {
-                    let hello = Frame::Hello(self.fleet.hello(node));
+                    let hello = Message::Hello(self.fleet.hello(node));
                     self.links.write(link, &hello);
                 }
                 let everyone = self.fleet.lists().everyone();
                 self.links.keep(|node| everyone.contains(&node));
             }
             Action::Allow(allows) => self.hold = Some(!allows.clients),
-            Action::Note(note) => {
+            Action::Notify(note) => {
                 let mark = self.fleet.mark();
                 if let Some(marker) = &mut self.marker {
                     match note {
-                        Note::Sound(_) => marker.holds(mark),
-                        Note::Outdated(..) => marker.void(),
+                        Notification::Complete(_) => marker.holds(mark),
+                        Notification::Outdated(..) => marker.void(),
                         _ => {}
                     }
                 }
                 match note {
                     // Each at a place of its own: guards the others against being left out of the log.
-                    Note::Stage(step) => log!("fleet: the way back: {step}"),
+                    Notification::Stage(step) => log!("fleet: the way back: {step}"),
                     note => log!("fleet: {note}"),
                 }
             }
@@ -508,7 +508,7 @@
     }
 
     /// Has the folder keep what is known of a key; where it can't, what waits for that is told so.
-    fn store(&mut self, number: u64, change: Change, vote: Option<ClaimId>, folder: &Option<Remembrance>) {
+    fn store(&mut self, number: u64, change: Change, vote: Option<ClaimId>, folder: &Option<ResultStore>) {
         let recorder = folder.as_ref().and_then(|folder| folder.recorder.as_ref());
         let (state, result, keep) = match &change.now {
             Some(copied) => {
--- a/node/src/peers/vote_store.rs
+++ b/node/src/peers/vote_store.rs
@@ -6,16 +6,16 @@
 use std::time::Duration;
 
 use oakwind_fleet::key_state::ClaimId;
-use oakwind_fleet::message::Copied;
-use oakwind_fleet::replica_node::Kept;
-use oakwind_fleet::staleness::Mark;
-use oakwind_fleet::READ_LATE;
+use oakwind_fleet::message::ReplicaRecord;
+use oakwind_fleet::replica_node::RestoredState;
+use oakwind_fleet::staleness::StatePosition;
+use oakwind_fleet::LATE_READ_GRACE;
 
 use crate::clock;
 use crate::config::Fleet as Config;
 use crate::log;
-use crate::outcome::Fate;
-use crate::result_store::Remembrance;
+use crate::outcome::RunState;
+use crate::result_store::ResultStore;
 
 /// Between two attempts to open a folder that another process still has, and how long they go on.
 const AGAIN: Duration = Duration::from_millis(10);
@@ -25,7 +25,7 @@
 const UNFINISHED: &str = "sound-new";
 
 /// A folder, and what it kept if that can be relied on.
-pub type Opened = (Remembrance, Option<Kept>);
+pub type Opened = (ResultStore, Option<RestoredState>);
 
 /// Opens the folder and takes in what the last process left, if that can be relied on. None where there is no folder.
 ///
@@ -35,19 +35,19 @@
 pub fn open(config: &Config) -> Result<Option<Opened>, String> {
     let Some(remembered) = config.folder.clone() else { return Ok(None) };
     let mut marker = Marker::new(&remembered.folder, true);
-    let mut folder = Remembrance::closed(remembered, config.list.window() + READ_LATE);
+    let mut folder = ResultStore::closed(remembered, config.list.window() + LATE_READ_GRACE);
     let recovered = folder.open().map_err(|e| format!("fleet file: {e}"))?;
     let whole = recovered.damage == Default::default() && recovered.back.is_zero();
     let now = clock::now();
     let records = recovered.keys.iter().map(|record| {
-        let Fate::Done(bytes) = &record.fate else { return None };
-        let (vote, copied) = postcard::from_bytes::<(Option<ClaimId>, Copied)>(bytes).ok()?;
+        let RunState::Succeeded(bytes) = &record.fate else { return None };
+        let (vote, copied) = postcard::from_bytes::<(Option<ClaimId>, ReplicaRecord)>(bytes).ok()?;
         let keep_ms = clock::millis(record.until.saturating_sub(now));
-        Some((vote, Copied { keep_ms, ..copied }))
+        Some((vote, ReplicaRecord { keep_ms, ..copied }))
     });
     let records: Option<Vec<_>> = records.collect();
     let marked = marker.read();
-    let kept = records.zip(marked).filter(|_| whole).map(|(records, until)| Kept { records, until });
+    let kept = records.zip(marked).filter(|_| whole).map(|(records, until)| RestoredState { records, until });
     if kept.is_none() && marked.is_some() {
         log!("fleet: what is in the folder can't be relied on, and counts as lost");
         // Otherwise the next start would rely on what this one does not.
@@ -76,7 +76,7 @@
     folder: PathBuf,
     /// Whether it does.
     valid: bool,
-    written: Option<Mark>,
+    written: Option<StatePosition>,
 }
 
 impl Marker {
@@ -86,26 +86,26 @@
     }
 
     /// How far the last process reached; none if nothing can be relied on.
-    fn read(&self) -> Option<Mark> {
+    fn read(&self) -> Option<StatePosition> {
         let text = fs::read_to_string(self.folder.join(MARKER)).ok()?;
-        let (life, seconds) = text.trim_end().split_once(' ')?;
-        Some(Mark { life: life.parse().ok()?, seconds: seconds.parse().ok()? })
+        let (incarnation, seconds) = text.trim_end().split_once(' ')?;
+        Some(StatePosition { incarnation: incarnation.parse().ok()?, seconds: seconds.parse().ok()? })
     }
 
     /// What is in the folder can be relied on from now on.
-    pub fn holds(&mut self, mark: Mark) {
+    pub fn holds(&mut self, mark: StatePosition) {
         self.valid = true;
         self.reaches(mark);
     }
 
     /// This process is here in its lives; written when that has changed. It need not outlast the machine: where it does not,
     /// others know better, or nobody is left who does.
-    pub fn reaches(&mut self, mark: Mark) {
+    pub fn reaches(&mut self, mark: StatePosition) {
         if !self.valid || self.written == Some(mark) {
             return;
         }
         let unfinished = self.folder.join(UNFINISHED);
-        let written = fs::write(&unfinished, format!("{} {}\n", mark.life, mark.seconds))
+        let written = fs::write(&unfinished, format!("{} {}\n", mark.incarnation, mark.seconds))
             .and_then(|()| fs::rename(&unfinished, self.folder.join(MARKER)));
         match written {
             Ok(()) => self.written = Some(mark),
--- a/node/src/peers/vote_store/tests.rs
+++ b/node/src/peers/vote_store/tests.rs
@@ -4,7 +4,7 @@
 fn a_marker_tells_the_next_process_how_far_the_last_one_reached() {
     let folder = std::env::temp_dir().join(format!("oakwind-marker-{}", std::process::id()));
     fs::create_dir_all(&folder).unwrap();
-    let mark = |seconds| Mark { life: 1_764_000_000_000_000, seconds };
+    let mark = |seconds| StatePosition { incarnation: 1_764_000_000_000_000, seconds };
     let mut marker = Marker::new(&folder, false);
     marker.reaches(mark(1));
     assert_eq!(marker.read(), None, "nothing in it can be relied on yet");
--- a/node/src/result_store/folder.rs
+++ b/node/src/result_store/folder.rs
@@ -12,7 +12,7 @@
 use super::segment_index::{needed, Ledger, Limits, Step};
 use crate::clock::Unix;
 use crate::log;
-use crate::outcome::LONGEST_RESULT;
+use crate::outcome::MAX_RESULT_BYTES;
 
 const LOCK: &str = "lock";
 const SEED: &str = "seed";
@@ -116,7 +116,7 @@
         }
         let mut pending = 0;
         let mut fit = |record: &mut Record| {
-            if record.result.len() > LONGEST_RESULT {
+            if record.result.len() > MAX_RESULT_BYTES {
                 (record.state, record.result) = (State::Failed, Bytes::new());
             }
             let fits = self.ledger.has_room(record, pending);
--- a/node/src/result_store/folder/tests.rs
+++ b/node/src/result_store/folder/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::outcome::Fate;
+use crate::outcome::RunState;
 use std::cell::Cell;
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -103,7 +103,7 @@
     // The seed is known from the segments as well.
     std::fs::write(place.0.join(SEED), b"noise").unwrap();
     let (_folder, learnt) = place.open(System, at(2));
-    assert_eq!(learnt.keys[0].fate, Fate::Done(vec![7; 9].into()));
+    assert_eq!(learnt.keys[0].fate, RunState::Succeeded(vec![7; 9].into()));
     assert_eq!(learnt.damage, Default::default());
 }
 
@@ -121,7 +121,7 @@
     }
     assert!(begun.len() > 20);
     for key in &begun {
-        assert_eq!(folder.write(vec![record(key, State::Done, LONGEST_RESULT, at(1))], at(1)), [true]);
+        assert_eq!(folder.write(vec![record(key, State::Done, MAX_RESULT_BYTES, at(1))], at(1)), [true]);
         assert!(place.bytes() <= LIMITS.file);
     }
     assert_eq!(folder.write(vec![record("more", State::Begun, 0, at(2))], at(2)), [false]);
@@ -133,9 +133,9 @@
     assert_eq!(folder.write(vec![record("more", State::Begun, 0, late)], late), [true]);
     assert_eq!(folder.size().0, 1);
     // A result that is too long counts as failed for later tries.
-    folder.write(vec![record("more", State::Done, LONGEST_RESULT + 1, late)], late);
+    folder.write(vec![record("more", State::Done, MAX_RESULT_BYTES + 1, late)], late);
     drop(folder);
-    assert_eq!(place.open(System, late).1.keys[0].fate, Fate::Failed);
+    assert_eq!(place.open(System, late).1.keys[0].fate, RunState::Failed);
 }
 
 /// Life after life ends by a disk that fails at some moment, in writing, rotating or compacting. What was kept for
@@ -159,9 +159,9 @@
             for (key, (record, more)) in &kept {
                 let found = learnt.keys.iter().find(|record| record.key == key).map(|found| &found.fate);
                 let as_kept = match record.state {
-                    State::Begun => Some(Fate::Open),
-                    State::Done => Some(Fate::Done(record.result.clone())),
-                    State::Failed => Some(Fate::Failed),
+                    State::Begun => Some(RunState::Pending),
+                    State::Done => Some(RunState::Succeeded(record.result.clone())),
+                    State::Failed => Some(RunState::Failed),
                     State::Freed => None,
                 };
                 assert!(found == as_kept.as_ref() || *more, "seed {seed}: {key:?} is not {:?}", record.state);
--- a/node/src/result_store/mod.rs
+++ b/node/src/result_store/mod.rs
@@ -95,7 +95,7 @@
 }
 
 /// The keeper's part in it.
-pub struct Remembrance {
+pub struct ResultStore {
     remembered: Remembered,
     longest: Duration,
     /// None while another process of this node has the folder.
@@ -109,10 +109,10 @@
     pub tally: Arc<Tally>,
 }
 
-impl Remembrance {
+impl ResultStore {
     /// That of a node whose folder another process of it still has.
     pub fn closed(remembered: Remembered, longest: Duration) -> Self {
-        Remembrance {
+        ResultStore {
             remembered,
             longest,
             recorder: None,
--- a/node/src/result_store/recovery.rs
+++ b/node/src/result_store/recovery.rs
@@ -11,7 +11,7 @@
 use super::record::{self, Found, Record, State, SEGMENT_HEAD};
 use super::segment_index::{Ledger, Limits};
 use crate::clock::Unix;
-use crate::outcome::{digest, Fate, KeyRecord};
+use crate::outcome::{digest, IdempotencyRecord, RunState};
 
 /// A segment as it was read.
 pub struct Segment {
@@ -65,7 +65,7 @@
     /// How bodies are digested.
     pub seed: u64,
     /// The keys that are known.
-    pub keys: Vec<KeyRecord>,
+    pub keys: Vec<IdempotencyRecord>,
     /// Those that may have run all the same.
     pub doubts: Doubts,
     /// What was skipped.
@@ -153,13 +153,13 @@
     ledger.recovered(back, learnt.doubts.over());
     for (key, record) in known {
         let fate = match record.state {
-            State::Begun => Fate::Open,
-            State::Done => Fate::Done(record.result),
-            State::Failed => Fate::Failed,
+            State::Begun => RunState::Pending,
+            State::Done => RunState::Succeeded(record.result),
+            State::Failed => RunState::Failed,
             State::Freed => continue,
         };
         // What a damaged record said of the key came after this one, or is no more than this one says.
-        learnt.keys.push(KeyRecord { key, body: record.body, until: of_now(record.until), fate });
+        learnt.keys.push(IdempotencyRecord { key, body: record.body, until: of_now(record.until), fate });
     }
     // What may have been lost at the end leaves a gap: the next start is to know of it too.
     learnt.next = expected.unwrap_or(0).saturating_add(u64::from(torn));
--- a/node/src/result_store/recovery/tests.rs
+++ b/node/src/result_store/recovery/tests.rs
@@ -49,16 +49,16 @@
     recover(SEED, segments, LIMITS, LONGEST, now).1
 }
 
-fn fate<'a>(learnt: &'a Recovered, key: &[u8]) -> Option<&'a Fate> {
+fn fate<'a>(learnt: &'a Recovered, key: &[u8]) -> Option<&'a RunState> {
     learnt.keys.iter().find(|record| record.key == key).map(|record| &record.fate)
 }
 
 #[test]
 fn a_whole_journal_tells_the_last_word_on_each_key() {
     let learnt = recovered(&journal().0, at(108));
-    assert_eq!(fate(&learnt, b"aaa"), Some(&Fate::Done("result".into())));
-    assert_eq!(fate(&learnt, b"bb"), Some(&Fate::Open));
-    assert_eq!(fate(&learnt, b"c"), Some(&Fate::Failed));
+    assert_eq!(fate(&learnt, b"aaa"), Some(&RunState::Succeeded("result".into())));
+    assert_eq!(fate(&learnt, b"bb"), Some(&RunState::Pending));
+    assert_eq!(fate(&learnt, b"c"), Some(&RunState::Failed));
     assert_eq!(fate(&learnt, b"dddd"), None);
     assert_eq!((learnt.damage, learnt.next), (Damage::default(), 17));
     assert!(!learnt.doubts.doubts(b"other", at(108)));
@@ -79,9 +79,9 @@
         let known = fate(&learnt, key);
         if !hit(last.1, &last.2) {
             let as_told = match last.0.state {
-                State::Done => Fate::Done(last.0.result.clone()),
-                State::Begun => Fate::Open,
-                _ => Fate::Failed,
+                State::Done => RunState::Succeeded(last.0.result.clone()),
+                State::Begun => RunState::Pending,
+                _ => RunState::Failed,
             };
             assert_eq!(known, Some(&as_told), "{what}: {key:?}");
         } else if told || !hurt {
--- a/node/src/result_store/segment_index.rs
+++ b/node/src/result_store/segment_index.rs
@@ -10,7 +10,7 @@
 
 use super::record::{Record, State, HEAD};
 use crate::clock::Unix;
-use crate::outcome::{LONGEST_RESULT, READ_LATE};
+use crate::outcome::{LATE_READ_GRACE, MAX_RESULT_BYTES};
 
 /// The hard bounds of a folder.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -81,7 +81,7 @@
 
 /// The most that the end of a run takes.
 fn end_of(key: &Bytes) -> u64 {
-    (HEAD + key.len() + LONGEST_RESULT) as u64
+    (HEAD + key.len() + MAX_RESULT_BYTES) as u64
 }
 
 impl Ledger {
@@ -181,7 +181,7 @@
     pub fn step(&mut self, now: Unix) -> Option<Step> {
         if now >= self.swept + Duration::from_secs(1) {
             self.swept = now;
-            let over = |place: &Place| now >= place.until + READ_LATE;
+            let over = |place: &Place| now >= place.until + LATE_READ_GRACE;
             let over = self.places.iter().filter(|(_, place)| over(place)).map(|(key, _)| key.clone());
             over.collect::<Vec<Bytes>>().iter().for_each(|key| self.drop_key(key));
         }
--- a/node/src/run_gate.rs
+++ b/node/src/run_gate.rs
@@ -8,16 +8,16 @@
 
 use bytes::Bytes;
 use oakwind_admission::RequestId;
-use oakwind_fleet::claim_coordinator::Said;
-use oakwind_fleet::key_state::Fate;
+use oakwind_fleet::claim_coordinator::ClaimOutcome;
+use oakwind_fleet::key_state::RunResult;
 
 use crate::clock::Unix;
 use crate::exchange::Request;
 use crate::metrics::Figures;
-use crate::outcome::{End, Kept, Key, KeyRecord};
+use crate::outcome::{Completion, IdempotencyRecord, Key, StoredOutcome};
 use crate::peers::{Asked, Peers};
 use crate::result_store::record::{Record, State};
-use crate::result_store::{Remembrance, Told};
+use crate::result_store::{ResultStore, Told};
 
 /// The run of a try that holds a key.
 #[derive(Debug, Clone)]
@@ -42,15 +42,15 @@
     /// It must not begin, as another node may run its key; what becomes of that follows.
     Elsewhere(RequestId),
     /// What became of another node's run of its key; it must not begin.
-    Became(RequestId, Kept),
+    Became(RequestId, StoredOutcome),
     /// What became of another node's run of its key is not known in time, or its own result is held by too few.
     Unknown(RequestId),
     /// Its key is that of another body.
     Mismatch(RequestId),
     /// How this try's run has ended, as it is kept.
-    Ended(RequestId, End),
+    Ended(RequestId, Completion),
     /// What earlier processes left.
-    Recalled(Vec<KeyRecord>),
+    Recalled(Vec<IdempotencyRecord>),
 }
 
 /// What one of those behind the seam says of a question.
@@ -66,7 +66,7 @@
 #[derive(Debug)]
 struct Waiting {
     /// How its run ended, if it is that.
-    end: Option<End>,
+    end: Option<Completion>,
     folder: Answer,
     peers: Answer,
     run: Run,
@@ -74,17 +74,17 @@
 
 /// All that keeps keys beyond the process, if anything does.
 #[derive(Default)]
-pub struct Keeper {
-    folder: Option<Remembrance>,
+pub struct RunGate {
+    folder: Option<ResultStore>,
     peers: Option<Peers>,
     /// What waits, by the try. As bounded as runs.
     waiting: HashMap<RequestId, Waiting>,
 }
 
-impl Keeper {
+impl RunGate {
     /// A keeper with a folder, peers, both or neither.
-    pub fn new(folder: Option<Remembrance>, peers: Option<Peers>) -> Self {
-        Keeper { folder, peers, waiting: HashMap::new() }
+    pub fn new(folder: Option<ResultStore>, peers: Option<Peers>) -> Self {
+        RunGate { folder, peers, waiting: HashMap::new() }
     }
 
     /// Has the figures show what is kept.
@@ -154,8 +154,9 @@
             (None, _) => Answer::Yes,
             (Some(peers), Some(request)) if folder != Answer::No => {
                 let (id, key, until) = (run.id, run.key.clone(), run.until);
-                let (body, door, due) = (&request.body[..], request.door, request.due);
-                if peers.want(&Asked { id, key, body, until, door, due }) {
+                let (body, received_at, deadline) =
+                    (&request.body[..], request.received_at, request.deadline);
+                if peers.want(&Asked { id, key, body, until, received_at, deadline }) {
                     Answer::Open
                 } else {
                     Answer::No
@@ -175,22 +176,22 @@
     }
 
     /// A run has ended; returns how, as it is kept, unless that is told later.
-    pub fn ended(&mut self, run: Option<Run>, end: End) -> Option<End> {
+    pub fn ended(&mut self, run: Option<Run>, end: Completion) -> Option<Completion> {
         let Some(run) = run.filter(|_| self.keeps()) else { return Some(end) };
         // It outlives the buffer that it was read into.
         let (state, result) = match &end {
-            End::Done(result) => (State::Done, Bytes::copy_from_slice(result)),
+            Completion::Succeeded(result) => (State::Done, Bytes::copy_from_slice(result)),
             _ => (State::Failed, Bytes::new()),
         };
         let folder = self.asked_folder(&run, state, result.clone());
         let peers = match &self.peers {
             None => Answer::Yes,
             Some(peers) => match &end {
-                End::Done(_) if peers.ended(run.id, Fate::Done(result)) => Answer::Open,
-                End::Done(_) => Answer::No,
+                Completion::Succeeded(_) if peers.ended(run.id, RunResult::Succeeded(result)) => Answer::Open,
+                Completion::Succeeded(_) => Answer::No,
                 _ => {
                     // Nobody waits for that: a failure promises nothing.
-                    peers.ended(run.id, Fate::Failed);
+                    peers.ended(run.id, RunResult::Failed);
                     Answer::Yes
                 }
             },
@@ -199,7 +200,7 @@
             self.waiting.insert(run.id, Waiting { end: Some(end), folder, peers, run });
             return None;
         }
-        Some(if folder == Answer::No || peers == Answer::No { End::Crashed } else { end })
+        Some(if folder == Answer::No || peers == Answer::No { Completion::Failed } else { end })
     }
 
     /// A run never began and never will.
@@ -210,11 +211,13 @@
     }
 
     /// Keeps how a run of the process before this one ended; true if it tells when that is kept.
-    pub fn ended_before(&mut self, run: Run, kept: &Kept) -> bool {
+    pub fn ended_before(&mut self, run: Run, kept: &StoredOutcome) -> bool {
         let (end, state, result) = match kept {
-            Kept::Done(result) => (End::Done(result.clone()), State::Done, result.clone()),
-            Kept::Failed => (End::Crashed, State::Failed, Bytes::new()),
-            Kept::NeverRan => return false,
+            StoredOutcome::Succeeded(result) => {
+                (Completion::Succeeded(result.clone()), State::Done, result.clone())
+            }
+            StoredOutcome::Failed => (Completion::Failed, State::Failed, Bytes::new()),
+            StoredOutcome::NeverStarted => return false,
         };
         let open = self.asked_folder(&run, state, result) == Answer::Open;
         if open {
@@ -225,11 +228,11 @@
     }
 
     /// Keeps what became of a run that nobody waits for.
-    pub fn over(&mut self, run: Run, kept: &Kept) {
+    pub fn over(&mut self, run: Run, kept: &StoredOutcome) {
         match kept {
-            Kept::Done(result) => self.record(&run, State::Done, result.clone()),
-            Kept::Failed => self.record(&run, State::Failed, Bytes::new()),
-            Kept::NeverRan => {
+            StoredOutcome::Succeeded(result) => self.record(&run, State::Done, result.clone()),
+            StoredOutcome::Failed => self.record(&run, State::Failed, Bytes::new()),
+            StoredOutcome::NeverStarted => {
                 self.never_ran(run.id);
                 self.record(&run, State::Freed, Bytes::new())
             }
@@ -255,7 +258,7 @@
     /// The next that it has to say; never where nothing is kept.
     pub async fn told(&mut self) -> Word {
         loop {
-            let Keeper { folder, peers, .. } = self;
+            let RunGate { folder, peers, .. } = self;
             let of_folder = async {
                 match folder {
                     Some(folder) => folder.told().await,
@@ -294,39 +297,39 @@
         }
     }
 
-    fn of_peers(&mut self, id: RequestId, said: Said) -> Option<Word> {
-        let begins = |keeper: &Keeper| keeper.waiting.get(&id).is_some_and(|waiting| waiting.end.is_none());
+    fn of_peers(&mut self, id: RequestId, said: ClaimOutcome) -> Option<Word> {
+        let begins = |keeper: &RunGate| keeper.waiting.get(&id).is_some_and(|waiting| waiting.end.is_none());
         match said {
-            Said::Granted | Said::Turned(_) if begins(self) => {
+            ClaimOutcome::Granted | ClaimOutcome::Rejected(_) if begins(self) => {
                 let waiting = self.waiting.get_mut(&id)?;
-                waiting.peers = if said == Said::Granted { Answer::Yes } else { Answer::No };
+                waiting.peers = if said == ClaimOutcome::Granted { Answer::Yes } else { Answer::No };
                 self.settled(id)
             }
             // That it waits for another node's run is known already.
-            Said::Turned(_) => Some(Word::Became(id, Kept::NeverRan)),
-            Said::Granted => None,
-            Said::Held(held) => {
+            ClaimOutcome::Rejected(_) => Some(Word::Became(id, StoredOutcome::NeverStarted)),
+            ClaimOutcome::Granted => None,
+            ClaimOutcome::Replicated(held) => {
                 let waiting = self.waiting.get_mut(&id).filter(|waiting| waiting.end.is_some())?;
                 waiting.peers = if held { Answer::Yes } else { Answer::No };
                 self.settled(id)
             }
-            Said::Elsewhere => {
+            ClaimOutcome::RunningElsewhere => {
                 self.not_begun(id);
                 Some(Word::Elsewhere(id))
             }
-            Said::Became(fate) => {
+            ClaimOutcome::RemoteOutcome(fate) => {
                 self.not_begun(id);
                 let kept = match fate {
-                    Fate::Done(result) => Kept::Done(result),
-                    Fate::Failed => Kept::Failed,
+                    RunResult::Succeeded(result) => StoredOutcome::Succeeded(result),
+                    RunResult::Failed => StoredOutcome::Failed,
                 };
                 Some(Word::Became(id, kept))
             }
-            Said::Unknown => {
+            ClaimOutcome::Unknown => {
                 self.not_begun(id);
                 Some(Word::Unknown(id))
             }
-            Said::Mismatch => {
+            ClaimOutcome::BodyMismatch => {
                 self.not_begun(id);
                 Some(Word::Mismatch(id))
             }
@@ -360,7 +363,7 @@
                 Some(Word::Begin(id, !refused))
             }
             Some(_) if peers == Answer::No => Some(Word::Unknown(id)),
-            Some(_) if folder == Answer::No => Some(Word::Ended(id, End::Crashed)),
+            Some(_) if folder == Answer::No => Some(Word::Ended(id, Completion::Failed)),
             Some(end) => Some(Word::Ended(id, end)),
         }
     }
--- a/node/src/server.rs
+++ b/node/src/server.rs
@@ -13,21 +13,21 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::{spawn_local, LocalSet};
 
-use crate::admin::{self, Office};
+use crate::admin::{self, AdminServer};
 use crate::backend::call;
 use crate::backend::index::Index;
 use crate::backend::interpreter::Interpreter;
 use crate::backend::uwsgi::{self as client, Servers};
-use crate::class_registry::Names;
+use crate::class_registry::ClassRegistry;
 use crate::config::{Config, Files, Links, Told};
 use crate::decision_log::{digest_of, Recorder};
-use crate::dispatcher::Core;
-use crate::exchange::{self, Estate, Exchange};
-use crate::frontend::connection_limiter::{Guest, Guests};
+use crate::dispatcher::Dispatcher;
+use crate::exchange::{self, Exchange, HandoverState};
+use crate::frontend::connection_limiter::{ConnectionGuard, ConnectionLimiter};
 use crate::frontend::uwsgi::{self, Front, Ids};
 use crate::frontend::{self, jsonrpc};
-use crate::result_store::Remembrance;
-use crate::run_gate::Keeper;
+use crate::result_store::ResultStore;
+use crate::run_gate::RunGate;
 use crate::{clock, handover, heartbeat, log, peers, sockets, vrrp};
 
 /// Between two attempts to open a listener.
@@ -60,19 +60,19 @@
     let (changed, links) = watch::channel(config.links.clone());
     // With a folder that a next process finds it by, both may listen at once.
     let shared = place.is_some();
-    let names = Rc::new(Names::new(config.settings.clone()));
+    let names = Rc::new(ClassRegistry::new(config.settings.clone()));
     if let Some(ops) = config.ops {
         let listener = bind("ops", ops, false)?;
         log!("operators call at {}", address(&listener));
-        let office = Rc::new(Office { exchange: exchange.clone(), names: names.clone() });
+        let office = Rc::new(AdminServer { exchange: exchange.clone(), names: names.clone() });
         let answer = move |stream, guest| admin::serve(stream, guest, office.clone());
-        spawn_local(accept(listener, std::future::pending(), Guests::new(admin::ROOM), answer));
+        spawn_local(accept(listener, std::future::pending(), ConnectionLimiter::new(admin::ROOM), answer));
     }
     let linked = fleet.as_ref().map_or(0, |fleet| fleet.links);
     let own = RESERVED + linked + if config.ops.is_some() { admin::ROOM } else { 0 };
     let Room { platform, second, backends: each } =
         Room::new(config.sockets.saturating_sub(own), uwsgi.is_some());
-    let (platform, second) = (Guests::new(platform), Guests::new(second));
+    let (platform, second) = (ConnectionLimiter::new(platform), ConnectionLimiter::new(second));
     let (told, active) = watch::channel(false);
     if let Some(vrrp) = uwsgi.as_ref().and_then(|uwsgi| uwsgi.vrrp.as_ref()) {
         let socket = vrrp::bind(vrrp).await.map_err(|e| format!("vrrp.listen: {}: {e}", vrrp.listen))?;
@@ -94,14 +94,14 @@
         let servers = Servers::new(links.clone(), |links| &links.calls, names.clone());
         spawn_local(call(servers, exchange.clone(), backends.calls, each));
     }
-    let mut core = Core::new(core, config.settings.clone(), config.seed, config.memory / RESULTS);
+    let mut core = Dispatcher::new(core, config.settings.clone(), config.seed, config.memory / RESULTS);
     let (mut folder, mut left) = (None, None);
     if let Some(remembered) = remembered {
-        let mut remembrance = Remembrance::closed(remembered, config.longest());
+        let mut remembrance = ResultStore::closed(remembered, config.longest());
         // The process before has the folder until it has handed over.
         if !upgrade {
             let recovered = remembrance.open()?;
-            left = Some(Estate { seed: recovered.seed, keys: recovered.keys });
+            left = Some(HandoverState { seed: recovered.seed, keys: recovered.keys });
         }
         folder = Some(remembrance);
     }
@@ -112,7 +112,7 @@
         peers = Some(asked);
         spawn_local(driver.run());
     }
-    core.keep(Keeper::new(folder, peers), left);
+    core.keep(RunGate::new(folder, peers), left);
     if let Some(records) = records {
         core.record(Recorder::start(&records, &config.name, digest_of(&config.written["settings"]))?);
     }
@@ -132,7 +132,7 @@
         if upgrade {
             // Nothing comes here before it can be served. One that is to leave before that takes nothing over.
             let mut state = exchange.state();
-            let up = state.wait_for(|state| state.good.is_some() && state.draining.is_none()).await.is_ok();
+            let up = state.wait_for(|state| state.health.is_some() && state.draining.is_none()).await.is_ok();
             if up {
                 log!("handover: takes over");
             }
@@ -152,7 +152,7 @@
         if let Some(place) = &place {
             if upgrade {
                 spawn_local(handover::inherit(place.clone(), exchange.clone()));
-                if exchange.state().wait_for(|state| !state.inheriting).await.is_ok() {
+                if exchange.state().wait_for(|state| !state.awaiting_state).await.is_ok() {
                     log!("handover: has taken over");
                 }
             }
@@ -201,12 +201,12 @@
 }
 
 /// Leaves half of the fronts' room to the other process, while there is one.
-async fn share(exchange: &Exchange, fronts: [&Guests; 2]) {
+async fn share(exchange: &Exchange, fronts: [&ConnectionLimiter; 2]) {
     let mut state = exchange.state();
     loop {
-        let shares = state.borrow_and_update().shares();
+        let shares = state.borrow_and_update().shares_node();
         fronts.iter().for_each(|guests| guests.share(shares));
-        if state.wait_for(|state| state.shares() != shares).await.is_err() {
+        if state.wait_for(|state| state.shares_node() != shares).await.is_err() {
             std::future::pending::<()>().await;
         }
     }
@@ -219,13 +219,13 @@
     mut hangup: Signal,
     begun: &Config,
     links: watch::Sender<Links>,
-    names: &Names,
+    names: &ClassRegistry,
     exchange: &Exchange,
     lists: Option<mpsc::Sender<Event>>,
 ) {
     let mut newest = None;
     let mut state = exchange.state();
-    let mut succeeds = state.borrow().succeeds;
+    let mut succeeds = state.borrow().predecessor_alive;
     loop {
         let told = tokio::select! {
             heard = hangup.recv() => match heard {
@@ -233,7 +233,7 @@
                 None => std::future::pending().await,
             },
             // Guards against a hang-up that only the process before heard: the files are looked at again.
-            _ = state.wait_for(|state| !state.succeeds), if succeeds => {
+            _ = state.wait_for(|state| !state.predecessor_alive), if succeeds => {
                 succeeds = false;
                 false
             }
@@ -268,13 +268,13 @@
         if retuned {
             // The decisions know a class before any front does.
             let digest = digest_of(&new.written["settings"]);
-            exchange.retune(settings.clone(), digest).await;
+            exchange.reconfigure(settings.clone(), digest).await;
             names.follow(settings, clock::now());
         }
         newest = Some(new);
         // Whether it is taken is decided where the lists are, by its number.
         if let (Some(lists), Some(fleet)) = (&lists, fleet) {
-            if lists.try_send(Event::List(fleet.list)).is_err() {
+            if lists.try_send(Event::Membership(fleet.list)).is_err() {
                 log!("not reloaded: no room to tell of another list");
             }
         }
@@ -316,18 +316,22 @@
         mut self,
         mut first: Option<TcpListener>,
         exchange: Exchange,
-        guests: Rc<Guests>,
-        serve: impl Fn(TcpStream, Guest) -> F,
+        guests: Rc<ConnectionLimiter>,
+        serve: impl Fn(TcpStream, ConnectionGuard) -> F,
     ) {
         let mut state = exchange.state();
         let what = self.what;
         loop {
             // The state lasts as long as the process.
-            if state.wait_for(|state| !state.handed || !state.open).await.map_or(true, |state| !state.open) {
+            if state
+                .wait_for(|state| !state.handed_over || !state.accepting)
+                .await
+                .map_or(true, |state| !state.accepting)
+            {
                 return;
             }
             tokio::select! {
-                _ = state.wait_for(|state| !state.takes_clients()) => continue,
+                _ = state.wait_for(|state| !state.accepts_clients()) => continue,
                 became = self.active.wait_for(|active| *active) => if became.is_err() { return },
             }
             let listener = match first.take() {
@@ -342,7 +346,7 @@
             log!("{what} is served at {}", address(&listener));
             let until = async {
                 tokio::select! {
-                    _ = state.wait_for(|state| !state.takes_clients()) => {}
+                    _ = state.wait_for(|state| !state.accepts_clients()) => {}
                     // An error means that there is no virtual router to lose the role.
                     Ok(_) = self.active.wait_for(|active| !*active) => {}
                 }
@@ -370,13 +374,13 @@
 async fn drained(exchange: &Exchange, stop: clock::Unix, closed: impl Future, paid: impl Future) {
     let (mut over, mut late) = (exchange.state(), exchange.state());
     let over = async {
-        let answered = over.wait_for(|state| !state.takes_clients() && state.answered).await;
+        let answered = over.wait_for(|state| !state.accepts_clients() && state.drained).await;
         drop(answered);
         closed.await;
     };
     let late = async {
         clock::until(stop.saturating_sub(MARGIN)).await;
-        let answered = late.wait_for(|state| state.answered).await;
+        let answered = late.wait_for(|state| state.drained).await;
         drop(answered);
         paid.await;
     };
@@ -390,8 +394,8 @@
 async fn accept<F: Future<Output = ()> + 'static>(
     listener: TcpListener,
     until: impl Future<Output = ()>,
-    guests: Rc<Guests>,
-    serve: impl Fn(TcpStream, Guest) -> F,
+    guests: Rc<ConnectionLimiter>,
+    serve: impl Fn(TcpStream, ConnectionGuard) -> F,
 ) {
     tokio::pin!(until);
     let start = |stream| match guests.seat() {
--- a/node/tests/sockets/fleet.rs
+++ b/node/tests/sockets/fleet.rs
@@ -3,7 +3,7 @@
 use crate::helper::*;
 use oakwind_fleet::key_state::ClaimId;
 use oakwind_fleet::membership_config::NodeId;
-use oakwind_fleet::message::{Asked, Frame, Hello, KINDS};
+use oakwind_fleet::message::{ClaimRequest, Hello, Message, MESSAGE_KINDS};
 use siphasher::sip::SipHasher13;
 use std::hash::Hasher;
 use std::io::{Read, Write};
@@ -167,7 +167,7 @@
 }
 
 /// The next frame from the program.
-fn next_frame(peer: &mut TcpStream) -> Frame {
+fn next_frame(peer: &mut TcpStream) -> Message {
     let mut head = [0; 8];
     peer.read_exact(&mut head).unwrap();
     let mut bytes = vec![0; u32::from_be_bytes([head[0], head[1], head[2], head[3]]) as usize];
@@ -181,26 +181,34 @@
     let (mut node, _vm) = fleet.start(1, &[1], "");
     node.logs("fleet: has what it needs to vote, 0 keys are known");
     let (me, to) = (NodeId::of("n2"), NodeId::of("n1"));
-    let bytes = |frame: &Frame| postcard::to_allocvec(frame).unwrap();
+    let bytes = |frame: &Message| postcard::to_allocvec(frame).unwrap();
     let name = "n2".into();
     let (seconds, kept) = (0, None);
-    let hello =
-        Frame::Hello(Hello { name, to, life: 5, lists: vec![(2, 0)], over: 0, cut: false, seconds, kept });
-    let claim = ClaimId { node: me, life: 5, number: 1 };
-    let asked = Asked { claim, key: "k".into(), body: 1, keep_ms: 3000, lists: vec![1, 2] };
-    let later = postcard::to_allocvec(&(KINDS + 1, "of a later build")).unwrap();
+    let hello = Message::Hello(Hello {
+        name,
+        to,
+        incarnation: 5,
+        lists: vec![(2, 0)],
+        over: 0,
+        cut: false,
+        seconds,
+        kept,
+    });
+    let claim = ClaimId { node: me, incarnation: 5, number: 1 };
+    let asked = ClaimRequest { claim, key: "k".into(), body: 1, keep_ms: 3000, lists: vec![1, 2] };
+    let later = postcard::to_allocvec(&(MESSAGE_KINDS + 1, "of a later build")).unwrap();
     let all = [
         b"OAKPEER1".to_vec(),
         framed(bytes(&hello), b"a new field"),
         framed(later, b""),
-        framed(bytes(&Frame::Claim(asked)), b"another"),
+        framed(bytes(&Message::Claim(asked)), b"another"),
     ];
     let mut peer = peer(fleet.address(1), &all.concat());
     peer.set_read_timeout(Some(GUARD)).unwrap();
     let mut magic = [0; 8];
     peer.read_exact(&mut magic).unwrap();
-    assert!(matches!(next_frame(&mut peer), Frame::Hello(hello) if hello.name == "n1"));
-    assert_eq!(next_frame(&mut peer), Frame::Granted { claim, lives: vec![] });
+    assert!(matches!(next_frame(&mut peer), Message::Hello(hello) if hello.name == "n1"));
+    assert_eq!(next_frame(&mut peer), Message::Granted { claim, lives: vec![] });
     shows(&mut node, &["svc_fleet_later_frames 1\n", "svc_fleet_nonsense 0\n"]);
 }
 
--- a/simulator-adapter/src/wire.rs
+++ b/simulator-adapter/src/wire.rs
@@ -147,10 +147,10 @@
             0 => None,
             prior => Some(RequestId(prior)),
         };
-        let hint = self.micros()?;
+        let cost_hint = self.micros()?;
         let tenant = TenantId(self.u16()?);
         let class = ClassId(self.u16()?);
-        let kb = self.f32()?.into();
+        let memory_kb = self.f32()?.into();
         let marks = self.u8()?;
         let _path_key = self.u64()?;
         let age = self.micros()?;
@@ -162,8 +162,8 @@
             repeats,
             class,
             tenant,
-            hint: (marks & 1 != 0).then_some(hint),
-            kb,
+            cost_hint: (marks & 1 != 0).then_some(cost_hint),
+            memory_kb,
             age,
             rank,
             caller,
--- a/simulator-adapter/src/wire/tests.rs
+++ b/simulator-adapter/src/wire/tests.rs
@@ -22,8 +22,8 @@
     };
     assert_eq!(arrival.id, RequestId(0x5d3a91c4));
     assert_eq!(arrival.repeats, Some(RequestId(0x0e6f2b19)));
-    assert_eq!(arrival.hint, Some(Duration::from_micros(12_000)));
-    assert_eq!(arrival.kb, 24.5);
+    assert_eq!(arrival.cost_hint, Some(Duration::from_micros(12_000)));
+    assert_eq!(arrival.memory_kb, 24.5);
     assert_eq!(arrival.age, Duration::from_micros(1850));
     assert_eq!(arrival.rank, 0.625);
     assert_eq!(arrival.caller, CallerId(17));
