--- a/admission/src/admission.rs
+++ b/admission/src/admission.rs
@@ -81,8 +81,8 @@
     class: usize,
     memory_kb: f64,
     arrived: f64,
-    aim_at: f64,
-    due: f64,
+    objective_at: f64,
+    deadline: f64,
     /// Its hint over the class's mean hint.
     size: f64,
     /// Worth for a unit of work.
@@ -90,10 +90,10 @@
     may_call: bool,
     phase: Phase,
     answered: bool,
-    began: f64,
-    call_began: f64,
-    call_made: f64,
-    at_calls: f64,
+    started_at: f64,
+    call_needed_at: f64,
+    call_sent_at: f64,
+    time_at_calls: f64,
     calls_failed: u32,
 }
 
@@ -260,9 +260,9 @@
     }
 
     /// Requests whose calls are over within the latency target, at the pace of late and a chance error.
-    fn carried(&self, aim: f64) -> f64 {
+    fn carried(&self, latency_objective: f64) -> f64 {
         let ended = self.ended.len() as f64;
-        (ended + ended.sqrt()) / WINDOW * TARGET * aim
+        (ended + ended.sqrt()) / WINDOW * TARGET * latency_objective
     }
 
     fn may_start(&self, now: f64, in_hand: f64) -> bool {
@@ -312,7 +312,7 @@
 
     /// New settings hold from now on; what was learnt, what is in hand and the permitted rate stay. Classes
     /// and tenants keep their positions: new ones come after them, and those left out at the end stay.
-    pub fn retune(&mut self, mut settings: Settings) {
+    pub fn reconfigure(&mut self, mut settings: Settings) {
         let (known, quotas) = (settings.classes.len(), settings.tenant_quotas.len());
         settings.classes.extend(self.settings.classes.drain(..).skip(known));
         settings.tenant_quotas.extend(self.settings.tenant_quotas.drain(..).skip(quotas));
@@ -324,8 +324,8 @@
             self.calls = Calls { share, span, linger, limit: share, ..std::mem::take(&mut self.calls) };
         }
         // Whether the server was cold at its start, and how it warms, is no matter of tuning.
-        let Settings { cold, cold_share, warm_after, .. } = self.settings;
-        self.settings = Settings { cold, cold_share, warm_after, ..settings };
+        let Settings { cold, cold_speed, warm_up_time, .. } = self.settings;
+        self.settings = Settings { cold, cold_speed, warm_up_time, ..settings };
     }
 
     /// Takes in what happened at `now` and appends what is to be done, at first the opening actions.
@@ -343,7 +343,7 @@
                 Event::Finished { id, outcome, took } => self.finish(*id, *outcome, *took),
                 Event::CallNeeded(id) => self.call_needed(*id),
                 Event::CallReturned { id, outcome, took } => self.call_returned(*id, *outcome, *took),
-                Event::Abandoned(id) => self.let_go(*id, out),
+                Event::Cancelled(id) => self.let_go(*id, out),
                 Event::Drain(left) => self.drain(*left, out),
                 Event::Timer(_, gauges) => self.tick(gauges, out),
             }
@@ -381,7 +381,7 @@
         self.recent.truncate(RANKED);
         if !admitted {
             self.end_unrun(id, out);
-        } else if self.settings.classes[class].effect == Effect::Keyed {
+        } else if self.settings.classes[class].effect == Effect::IdempotencyKey {
             self.remember(id, out);
         }
     }
@@ -390,16 +390,17 @@
         let settings = &self.settings.classes[class];
         let size = self.stats[class].size(arrival.cost_hint);
         let arrived = self.now - arrival.age.as_secs_f64();
-        let patience = if self.settings.passes_patience { arrival.patience } else { None };
-        let due = patience.map_or(arrived + settings.deadline.as_secs_f64(), |p| self.now + p.as_secs_f64());
-        let due = due.max(self.now).min(self.stop_at.unwrap_or(f64::INFINITY));
-        let stretch = settings.aim_stretch * arrival.cost_hint.unwrap_or_default().as_secs_f64();
+        let time_left = if self.settings.sends_deadline { arrival.time_left } else { None };
+        let deadline =
+            time_left.map_or(arrived + settings.deadline.as_secs_f64(), |p| self.now + p.as_secs_f64());
+        let deadline = deadline.max(self.now).min(self.stop_at.unwrap_or(f64::INFINITY));
+        let stretch = settings.objective_stretch * arrival.cost_hint.unwrap_or_default().as_secs_f64();
         Request {
             class,
             memory_kb: arrival.memory_kb.max(0.0),
             arrived,
-            aim_at: (arrived + settings.aim.as_secs_f64() + stretch).min(due),
-            due,
+            objective_at: (arrived + settings.latency_objective.as_secs_f64() + stretch).min(deadline),
+            deadline,
             size,
             value: self.value(class, arrival.tenant),
             may_call: settings.calls && self.settings.dependency != Dependency::Off,
@@ -411,13 +412,13 @@
     fn value(&self, class: usize, tenant: TenantId) -> f64 {
         let settings = &self.settings.classes[class];
         let mean = self.stats[class].on_cores.get().unwrap_or(1.0);
-        let work = if self.settings.worth_by_work { 1.0 } else { mean };
+        let work = if self.settings.weight_by_work { 1.0 } else { mean };
         let tenant = usize::from(tenant.0);
         let quota = self.settings.tenant_quotas.get(tenant).copied().unwrap_or(0.0);
         let servers = f64::from(self.settings.servers.max(1));
         let sent = self.arrivals.get(tenant + 1).map_or(0.0, |rate| rate * servers);
         let within = if quota > 0.0 && sent > quota { quota / sent } else { 1.0 };
-        settings.worth / work.max(1e-3) * (within + (1.0 - within) * self.settings.over_quota_worth)
+        settings.weight / work.max(1e-3) * (within + (1.0 - within) * self.settings.over_quota_weight)
     }
 
     fn count(&mut self, tenant: TenantId) {
@@ -449,8 +450,8 @@
         }
         let held = self.requests.get(&prior).is_some_and(|p| p.phase == Phase::Held);
         match self.settings.classes[class].effect {
-            Effect::Keyed => Some(prior),
-            Effect::Repeatable if !self.settings.fresh.is_zero() && !held => Some(prior),
+            Effect::IdempotencyKey => Some(prior),
+            Effect::Idempotent if !self.settings.response_reuse.is_zero() && !held => Some(prior),
             _ => None,
         }
     }
@@ -458,13 +459,13 @@
     /// A repeat takes the place of a try still held, which its caller has left, and joins one that has
     /// begun: guards against two runs of one effect, whatever made the caller come again.
     fn take_repeat(&mut self, id: RequestId, prior: RequestId, out: &mut Vec<Action>) {
-        let held = self.requests.get(&prior).filter(|p| p.phase == Phase::Held).map(|p| p.aim_at);
+        let held = self.requests.get(&prior).filter(|p| p.phase == Phase::Held).map(|p| p.objective_at);
         let room = self.memory_used() <= self.settings.memory_kb * MEMORY;
         let last_arrival_run = self.last_arrival_run;
         let Some(request) = self.requests.get_mut(&id) else { return };
         match held {
-            Some(aim_at) if room && request.arrived <= last_arrival_run => {
-                request.aim_at = request.aim_at.min(aim_at);
+            Some(objective_at) if room && request.arrived <= last_arrival_run => {
+                request.objective_at = request.objective_at.min(objective_at);
                 self.entries.remove(&prior);
                 self.remember(id, out);
                 self.refuse(prior, true, out);
@@ -474,7 +475,7 @@
             Some(_) => self.end_unrun(id, out),
             None if room => {
                 request.phase = Phase::Joining;
-                out.push(Action::Join(id));
+                out.push(Action::Coalesce(id));
             }
             None => self.fail(id, out),
         }
@@ -483,12 +484,12 @@
     /// Room in time and memory for one more held request.
     fn may_hold(&self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
-        let keyed = self.settings.classes[request.class].effect == Effect::Keyed;
-        let entry = if keyed { self.settings.entry_kb } else { 0.0 };
-        let running = request.memory_kb * (self.settings.run_factor - 1.0).max(0.0);
+        let keyed = self.settings.classes[request.class].effect == Effect::IdempotencyKey;
+        let entry = if keyed { self.settings.key_memory_kb } else { 0.0 };
+        let running = request.memory_kb * (self.settings.running_memory_factor - 1.0).max(0.0);
         request.arrived <= self.last_arrival_run
             && !self.hung
-            && request.due > self.now
+            && request.deadline > self.now
             && self.memory_used() + entry + running <= self.settings.memory_kb * MEMORY
     }
 
@@ -536,8 +537,8 @@
     }
 
     fn of_aim(&self, request: &Request) -> f64 {
-        let aim = self.settings.classes[request.class].aim.as_secs_f64();
-        (self.now - request.arrived) / aim.max(1e-3)
+        let latency_objective = self.settings.classes[request.class].latency_objective.as_secs_f64();
+        (self.now - request.arrived) / latency_objective.max(1e-3)
     }
 
     /// Once a window: penalties or latency above target cut the rate, half use lets it rise. The first
@@ -581,7 +582,7 @@
     }
 
     fn finish(&mut self, id: RequestId, outcome: Outcome, took: Duration) {
-        if outcome == Outcome::Refused {
+        if outcome == Outcome::Rejected {
             // It never began: that shows nothing of the cores, and frees its key.
             self.entries.remove(&id);
             self.requests.remove(&id);
@@ -590,14 +591,14 @@
         self.progressed_at = self.now;
         let Some(request) = self.requests.get_mut(&id) else { return };
         if request.phase == Phase::Calling {
-            let (stood, took) = (self.now - request.call_began, self.now - request.call_made);
+            let (stood, took) = (self.now - request.call_needed_at, self.now - request.call_sent_at);
             self.calls.ended(self.now, took, stood, true, true);
         }
         let Some(request) = self.requests.remove(&id) else { return };
         if outcome != Outcome::Ok || request.phase == Phase::Joining {
             return;
         }
-        let on_cores = (took.as_secs_f64() - request.at_calls).max(0.001) / request.size;
+        let on_cores = (took.as_secs_f64() - request.time_at_calls).max(0.001) / request.size;
         self.stats[request.class].on_cores.add(on_cores, BLEND);
         if !request.answered {
             self.handled += 1.0;
@@ -608,8 +609,8 @@
     /// Turns a held request away for good.
     fn end_unrun(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let alone = self.stop_at.is_some() || self.hung || self.warmth() < 1.0;
-        let stay = !alone && (self.flooded() || self.walked_upon());
-        self.refuse(id, stay, out);
+        let give_up = !alone && (self.flooded() || self.walked_upon());
+        self.refuse(id, give_up, out);
         self.leave_hold(id, out);
     }
 
@@ -617,15 +618,15 @@
         self.requests.remove(&id);
         self.unrun.insert(id, None);
         if self.entries.remove(&id).is_some() {
-            out.push(Action::Forget(id));
+            out.push(Action::ReleaseKey(id));
         }
     }
 
-    fn refuse(&mut self, id: RequestId, stay: bool, out: &mut Vec<Action>) {
+    fn refuse(&mut self, id: RequestId, give_up: bool, out: &mut Vec<Action>) {
         let longest = self.settings.max_retry_after.as_secs_f64();
         let spread = 0.5 + 0.5 * self.draw();
         let retry_after = self.settings.retry_after.then(|| seconds(longest * spread * self.shed.max(0.1)));
-        out.push(Action::Refuse { id, retry_after, stay });
+        out.push(Action::Reject { id, retry_after, give_up });
     }
 
     /// Fails what has begun; it leaves the cores unless its effect may be half done.
@@ -637,7 +638,7 @@
     fn let_go(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.answered = true;
-        let safe = self.settings.classes[request.class].effect == Effect::Repeatable;
+        let safe = self.settings.classes[request.class].effect == Effect::Idempotent;
         match request.phase {
             Phase::Held => self.leave_hold(id, out),
             Phase::Joining => drop(self.requests.remove(&id)),
@@ -653,10 +654,11 @@
     /// cores, a hang, a silent call.
     fn guard_due_times(&mut self, out: &mut Vec<Action>) {
         let horizon = self.now + PERIOD;
-        let over = |r: &Request| !r.answered && (r.due <= horizon || self.given_up(r));
-        let due = self.requests.iter().filter(|(_, r)| over(r));
-        let due: Vec<(RequestId, bool)> = due.map(|(&id, r)| (id, r.phase == Phase::Held)).collect();
-        for (id, held) in due {
+        let over = |r: &Request| !r.answered && (r.deadline <= horizon || self.given_up(r));
+        let deadline = self.requests.iter().filter(|(_, r)| over(r));
+        let deadline: Vec<(RequestId, bool)> =
+            deadline.map(|(&id, r)| (id, r.phase == Phase::Held)).collect();
+        for (id, held) in deadline {
             match held {
                 true => self.end_unrun(id, out),
                 false => self.fail(id, out),
@@ -669,11 +671,11 @@
         let class = &self.settings.classes[request.class];
         let may_end = match request.phase {
             Phase::Held => true,
-            Phase::NeedsCall | Phase::Calling => class.effect == Effect::Repeatable,
+            Phase::NeedsCall | Phase::Calling => class.effect == Effect::Idempotent,
             Phase::Joining | Phase::Running => false,
         };
         let hung = self.hung && request.phase == Phase::Held;
-        hung || (may_end && class.late_worth <= 0.0 && self.now > request.aim_at)
+        hung || (may_end && class.late_weight <= 0.0 && self.now > request.objective_at)
     }
 
     fn drain(&mut self, left: Duration, out: &mut Vec<Action>) {
@@ -684,8 +686,8 @@
         let grace = self.settings.drain_grace.saturating_sub(self.settings.tick);
         self.last_arrival_run = self.now + grace.as_secs_f64();
         for request in self.requests.values_mut() {
-            request.due = request.due.min(stop);
-            request.aim_at = request.aim_at.min(request.due);
+            request.deadline = request.deadline.min(stop);
+            request.objective_at = request.objective_at.min(request.deadline);
         }
         out.push(Action::SetHealth { good: false, cheap: true });
     }
@@ -694,14 +696,14 @@
     fn remember(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let window = self.settings.classes[request.class].window.as_secs_f64();
-        let keep = window.max(request.due - self.now) + 2.0 * PERIOD;
+        let keep = window.max(request.deadline - self.now) + 2.0 * PERIOD;
         self.entries.insert(id, self.now + keep);
-        out.push(Action::Remember(id, seconds(keep)));
+        out.push(Action::RetainKey(id, seconds(keep)));
     }
 
     /// What held and started requests and keys take.
     fn memory_used(&self) -> f64 {
-        let factor = self.settings.run_factor.max(1.0);
+        let factor = self.settings.running_memory_factor.max(1.0);
         let requests = self.requests.values().map(|r| {
             if matches!(r.phase, Phase::Held | Phase::Joining) {
                 r.memory_kb
@@ -709,19 +711,19 @@
                 r.memory_kb * factor
             }
         });
-        requests.sum::<f64>() + self.entries.len() as f64 * self.settings.entry_kb
+        requests.sum::<f64>() + self.entries.len() as f64 * self.settings.key_memory_kb
     }
 
     fn call_needed(&mut self, id: RequestId) {
         self.progressed_at = self.now;
         if let Some(request) = self.requests.get_mut(&id) {
             request.phase = Phase::NeedsCall;
-            request.call_began = self.now;
+            request.call_needed_at = self.now;
         }
     }
 
     fn call_returned(&mut self, id: RequestId, outcome: Outcome, took: Duration) {
-        if outcome == Outcome::Refused {
+        if outcome == Outcome::Rejected {
             self.penalised_until = self.now + WINDOW;
         }
         let Some(request) = self.requests.get_mut(&id) else { return };
@@ -729,17 +731,17 @@
             return;
         }
         let class = &self.settings.classes[request.class];
-        let stood = self.now - request.call_began;
+        let stood = self.now - request.call_needed_at;
         let took = took.as_secs_f64();
-        let slow = took > SLOW_CALL * class.aim.as_secs_f64() || outcome == Outcome::Refused;
+        let slow = took > SLOW_CALL * class.latency_objective.as_secs_f64() || outcome == Outcome::Rejected;
         if outcome == Outcome::Ok {
             self.calls.usual.add(took, BLEND / 2.0);
             request.phase = Phase::Running;
-            request.at_calls += self.now - request.call_began;
+            request.time_at_calls += self.now - request.call_needed_at;
         } else {
-            let never_ran = matches!(outcome, Outcome::Refused | Outcome::Unreachable);
+            let never_ran = matches!(outcome, Outcome::Rejected | Outcome::Unreachable);
             request.phase = Phase::NeedsCall;
-            request.calls_failed += if never_ran || class.effect == Effect::Repeatable { 1 } else { 100 };
+            request.calls_failed += if never_ran || class.effect == Effect::Idempotent { 1 } else { 100 };
         }
         self.calls.ended(self.now, took, stood, slow, outcome == Outcome::TimedOut);
     }
@@ -750,29 +752,30 @@
         let mut calling = self.calls.settle(now, self.in_phase(Phase::Calling) as f64);
         let full = self.at_call() >= self.call_bound();
         let waiting = self.requests.iter().filter(|(_, r)| r.phase == Phase::NeedsCall && !r.answered);
-        let mut waiting: Vec<_> = waiting.map(|(&id, r)| (id, r.value, r.aim_at)).collect();
+        let mut waiting: Vec<_> = waiting.map(|(&id, r)| (id, r.value, r.objective_at)).collect();
         waiting.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.2.total_cmp(&b.2)));
         for (id, ..) in waiting {
             let Some(request) = self.requests.get(&id) else { continue };
             let class = &self.settings.classes[request.class];
-            let late = full && class.effect == Effect::Repeatable && now > request.aim_at;
-            let left = request.aim_at - now - self.estimate(request).unwrap_or(0.0) * HEADROOM;
-            let hopeless = now < request.aim_at && left < self.calls.usual.value;
-            let skips = class.skip_worth > 0.0 && (full || request.calls_failed > 0 || hopeless);
+            let late = full && class.effect == Effect::Idempotent && now > request.objective_at;
+            let left = request.objective_at - now - self.estimate(request).unwrap_or(0.0) * HEADROOM;
+            let hopeless = now < request.objective_at && left < self.calls.usual.value;
+            let skips = class.skip_weight > 0.0 && (full || request.calls_failed > 0 || hopeless);
             let fails = late || request.calls_failed > 2;
-            let bound = if class.skip_worth > 0.0 && left > 0.0 { left } else { request.due - now - PERIOD };
+            let bound =
+                if class.skip_weight > 0.0 && left > 0.0 { left } else { request.deadline - now - PERIOD };
             let within = bound.min(self.calls.longest()).max(0.001);
             let Some(request) = self.requests.get_mut(&id) else { continue };
             if skips {
                 request.phase = Phase::Running;
-                request.at_calls += now - request.call_began;
+                request.time_at_calls += now - request.call_needed_at;
                 out.push(Action::SkipCall(id));
             } else if fails {
                 self.fail(id, out);
             } else if self.calls.may_start(now, calling) {
                 calling += 1.0;
                 request.phase = Phase::Calling;
-                request.call_made = now;
+                request.call_sent_at = now;
                 out.push(Action::Call(id, seconds(within)));
             }
         }
@@ -791,11 +794,12 @@
             return (self.crowd() - cores).max(cores) as usize;
         }
         let most = 2.0 * cores;
-        let aims = self.settings.classes.iter().filter(|c| c.calls).map(|c| c.aim.as_secs_f64());
-        let aim = aims.fold(f64::INFINITY, f64::min);
+        let aims =
+            self.settings.classes.iter().filter(|c| c.calls).map(|c| c.latency_objective.as_secs_f64());
+        let latency_objective = aims.fold(f64::INFINITY, f64::min);
         let stood = self.calls.ended.iter().map(|c| c.1).sum::<f64>();
-        let slow = stood > SLOW_CALL * aim * self.calls.ended.len() as f64;
-        (if slow { self.calls.carried(aim).clamp(1.0, most) } else { most }) as usize
+        let slow = stood > SLOW_CALL * latency_objective * self.calls.ended.len() as f64;
+        (if slow { self.calls.carried(latency_objective).clamp(1.0, most) } else { most }) as usize
     }
 
     /// While the calls are at their bound, a request that will call needs fewer than that bound of
@@ -805,7 +809,8 @@
             self.calls.full_until = self.now + WINDOW;
         }
         let Some(request) = self.requests.get(&id) else { return false };
-        let bound = self.calls.carried(self.settings.classes[request.class].aim.as_secs_f64()).max(1.0);
+        let bound =
+            self.calls.carried(self.settings.classes[request.class].latency_objective.as_secs_f64()).max(1.0);
         let before = |r: &&Request| r.may_call && !r.answered && r.value >= request.value;
         self.now >= self.calls.full_until
             || !request.may_call
@@ -818,13 +823,13 @@
         if !settings.cold {
             return 1.0;
         }
-        let part = (self.now - self.born) / settings.warm_after.as_secs_f64().max(1e-3);
-        (settings.cold_share + (1.0 - settings.cold_share) * part).clamp(0.0, 1.0)
+        let part = (self.now - self.born) / settings.warm_up_time.as_secs_f64().max(1e-3);
+        (settings.cold_speed + (1.0 - settings.cold_speed) * part).clamp(0.0, 1.0)
     }
 
     /// Requests on the cores that the server survives, less a margin; fewer while cold.
     fn crowd(&self) -> f64 {
-        let each = 1.0 + (self.settings.crowd_per_core - 1.0).max(0.0) * self.warmth();
+        let each = 1.0 + (self.settings.max_concurrency_per_core - 1.0).max(0.0) * self.warmth();
         (f64::from(self.settings.cores.max(1)) * each * CROWD).max(1.0)
     }
 
@@ -836,7 +841,8 @@
     /// where a line stands, whatever made it; the less worthy wait, and are dropped rather than late.
     fn queue(&self) -> Vec<RequestId> {
         let held = self.requests.iter().filter(|(_, r)| r.phase == Phase::Held);
-        let mut held: Vec<_> = held.map(|(&id, r)| (id, r.aim_at, (2.0 * r.value.log2()).round())).collect();
+        let mut held: Vec<_> =
+            held.map(|(&id, r)| (id, r.objective_at, (2.0 * r.value.log2()).round())).collect();
         held.sort_by(|a, b| b.2.total_cmp(&a.2).then(a.1.total_cmp(&b.1)).then(a.0.cmp(&b.0)));
         held.into_iter().map(|(id, ..)| id).collect()
     }
@@ -848,19 +854,20 @@
     fn drop_hopeless(&mut self, out: &mut Vec<Action>) {
         let line = self.queue();
         let left = |r: &Request| {
-            self.estimate(r).map_or(0.0, |e| (e - (self.now - r.began - r.at_calls)).max(e * HEADROOM))
+            self.estimate(r)
+                .map_or(0.0, |e| (e - (self.now - r.started_at - r.time_at_calls)).max(e * HEADROOM))
         };
         let mut ahead: f64 = self.requests.values().filter(|r| r.phase == Phase::Running).map(left).sum();
         let mut kept: Vec<(RequestId, f64, f64)> = Vec::new();
         for id in line {
             let Some(request) = self.requests.get(&id) else { continue };
             let Some(work) = self.estimate(request) else { continue };
-            let (aim_at, value) = (request.aim_at, request.value);
+            let (objective_at, value) = (request.objective_at, request.value);
             kept.push((id, work, value));
             ahead += work;
             while !kept.is_empty()
                 && (ahead > work || !self.latencies.is_empty())
-                && self.now + (ahead - work) / (self.bound + self.off_cores) + work * HEADROOM > aim_at
+                && self.now + (ahead - work) / (self.bound + self.off_cores) + work * HEADROOM > objective_at
             {
                 let worst = (0..kept.len()).min_by(|&a, &b| kept[a].2.total_cmp(&kept[b].2));
                 let (victim, freed, _) = kept.remove(worst.unwrap_or(0));
@@ -879,7 +886,7 @@
         let at_call = |r: &Request| matches!(r.phase, Phase::NeedsCall | Phase::Calling);
         let crowd = self.crowd() - self.at_call() as f64;
         let call_bound = self.call_bound();
-        let factor = self.settings.run_factor.max(1.0);
+        let factor = self.settings.running_memory_factor.max(1.0);
         let mut used = self.memory_used();
         for id in self.queue() {
             if on_cores + 1.0 > self.bound + self.off_cores || on_cores + 1.0 > crowd {
@@ -895,7 +902,7 @@
             }
             used += more;
             on_cores += 1.0;
-            request.began = self.now;
+            request.started_at = self.now;
             request.phase = Phase::Running;
             out.push(Action::Run(id));
         }
--- a/admission/src/interface.rs
+++ b/admission/src/interface.rs
@@ -27,20 +27,20 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Effect {
     /// Running it again does no harm.
-    Repeatable,
+    Idempotent,
     /// Repeats within the window must join the first run.
-    Keyed,
+    IdempotencyKey,
     /// Must never run twice; callers repeat it only when it provably never ran.
-    Once,
+    AtMostOnce,
 }
 
 /// One class of requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
     /// An answer within this time of the first try earns full worth.
-    pub aim: Duration,
+    pub latency_objective: Duration,
     /// The aim grows by this many times the request's own work, never past the deadline.
-    pub aim_stretch: f64,
+    pub objective_stretch: f64,
     /// How long a client waits altogether.
     pub deadline: Duration,
     /// How often it may have its effect.
@@ -48,27 +48,27 @@
     /// For keyed classes: how long after arriving a request may come again.
     pub window: Duration,
     /// What one request is worth.
-    pub worth: f64,
+    pub weight: f64,
     /// The part of the worth still earned between aim and deadline.
-    pub late_worth: f64,
+    pub late_weight: f64,
     /// Its requests may call what lies below.
     pub calls: bool,
     /// The part of the worth earned when a call is left out; 0 forbids leaving it out.
-    pub skip_worth: f64,
+    pub skip_weight: f64,
 }
 
 impl Default for Class {
     fn default() -> Self {
         Class {
-            aim: Duration::from_secs(1),
-            aim_stretch: 0.0,
+            latency_objective: Duration::from_secs(1),
+            objective_stretch: 0.0,
             deadline: Duration::from_secs(5),
-            effect: Effect::Repeatable,
+            effect: Effect::Idempotent,
             window: Duration::from_secs(5),
-            worth: 1.0,
-            late_worth: 0.0,
+            weight: 1.0,
+            late_weight: 0.0,
             calls: false,
-            skip_worth: 0.0,
+            skip_weight: 0.0,
         }
     }
 }
@@ -127,9 +127,9 @@
     /// For each tenant, the requests a second over all servers that fit in its share.
     pub tenant_quotas: Vec<f64>,
     /// What a request beyond its tenant's share is worth, as a part of its class's worth.
-    pub over_quota_worth: f64,
+    pub over_quota_weight: f64,
     /// Worth counts for each unit of work, not for each request.
-    pub worth_by_work: bool,
+    pub weight_by_work: bool,
     /// Servers in this tier at the start, this one included.
     pub servers: u32,
     /// Callers of this tier at the start.
@@ -139,9 +139,9 @@
     /// Memory for held and running requests and remembered keys.
     pub memory_kb: f64,
     /// Memory of a running or paused request, as a multiple of the same request held.
-    pub run_factor: f64,
+    pub running_memory_factor: f64,
     /// Memory of one remembered key.
-    pub entry_kb: f64,
+    pub key_memory_kb: f64,
     /// What lies below.
     pub dependency: Dependency,
     /// What can be done to running work.
@@ -149,15 +149,15 @@
     /// What callers do with the advertised value.
     pub signal: Signal,
     /// The answer to a read may be used for others this long; zero means never.
-    pub fresh: Duration,
+    pub response_reuse: Duration,
     /// The server has only just started and is cold.
     pub cold: bool,
     /// A cold server starts at no less than this part of its speed.
-    pub cold_share: f64,
+    pub cold_speed: f64,
     /// It is warm after this long at most.
-    pub warm_after: Duration,
+    pub warm_up_time: Duration,
     /// Arrivals say how long their caller still waits.
-    pub passes_patience: bool,
+    pub sends_deadline: bool,
     /// Callers close connections idle for this long.
     pub idle: Duration,
     /// Refusals may carry a retry-after.
@@ -167,7 +167,7 @@
     /// Nothing that arrives this long after the notice to leave may run.
     pub drain_grace: Duration,
     /// Requests a core that a warm server survives on its cores; kept at every moment, whatever the span.
-    pub crowd_per_core: f64,
+    pub max_concurrency_per_core: f64,
     /// The shortest gap between two calls of `handle`.
     pub tick: Duration,
 }
@@ -177,27 +177,27 @@
         Settings {
             classes: vec![Class::default()],
             tenant_quotas: Vec::new(),
-            over_quota_worth: 1.0,
-            worth_by_work: false,
+            over_quota_weight: 1.0,
+            weight_by_work: false,
             servers: 1,
             callers: 1,
             cores: 1,
             memory_kb: 1_000_000.0,
-            run_factor: 1.0,
-            entry_kb: 0.0,
+            running_memory_factor: 1.0,
+            key_memory_kb: 0.0,
             dependency: Dependency::Off,
             preemption: Preemption::Off,
             signal: Signal::Off,
-            fresh: Duration::ZERO,
+            response_reuse: Duration::ZERO,
             cold: false,
-            cold_share: 1.0,
-            warm_after: Duration::ZERO,
-            passes_patience: false,
+            cold_speed: 1.0,
+            warm_up_time: Duration::ZERO,
+            sends_deadline: false,
             idle: Duration::from_secs(30),
             retry_after: true,
             max_retry_after: Duration::from_secs(1),
             drain_grace: Duration::from_secs(1),
-            crowd_per_core: 4.0,
+            max_concurrency_per_core: 4.0,
             tick: Duration::from_millis(1),
         }
     }
@@ -225,7 +225,7 @@
     /// The caller it came from.
     pub caller: CallerId,
     /// How long the caller still waits, if it says.
-    pub patience: Option<Duration>,
+    pub time_left: Option<Duration>,
 }
 
 impl Arrival {
@@ -241,7 +241,7 @@
             age: Duration::ZERO,
             rank: 0.5,
             caller: CallerId(0),
-            patience: None,
+            time_left: None,
         }
     }
 }
@@ -254,7 +254,7 @@
     /// It failed and may have had its effect.
     Error,
     /// A call, or a run, was refused without being seen.
-    Refused,
+    Rejected,
     /// A call was given up on and may have had its effect.
     TimedOut,
     /// A call could not reach what lies below.
@@ -262,9 +262,9 @@
     /// A call was cut off and may have had its effect.
     CutOff,
     /// A run was stopped, or ended at a call because it was already answered or its caller gone.
-    Stopped,
+    Cancelled,
     /// Nothing was started, because the request was already over.
-    Moot,
+    Skipped,
 }
 
 /// What the server measures of itself, where it measures it.
@@ -302,7 +302,7 @@
         took: Duration,
     },
     /// The caller is known gone; no answer is owed.
-    Abandoned(RequestId),
+    Cancelled(RequestId),
     /// Notice to leave; the server is stopped after this long.
     Drain(Duration),
     /// A timer is due.
@@ -317,22 +317,22 @@
     /// Stop running work (see [`Preemption`]); does not answer it.
     Pause(RequestId),
     /// Final answer: turned away, this try never ran.
-    Refuse {
+    Reject {
         /// The request.
         id: RequestId,
         /// How long the caller should keep away.
         retry_after: Option<Duration>,
         /// Ask the caller not to try elsewhere.
-        stay: bool,
+        give_up: bool,
     },
     /// Final answer: failed, nothing is promised.
     Fail(RequestId),
     /// Answer a held request from the request it repeats.
-    Join(RequestId),
+    Coalesce(RequestId),
     /// Remember the request, or renew its entry, for this long.
-    Remember(RequestId, Duration),
+    RetainKey(RequestId, Duration),
     /// Forget the request's entry.
-    Forget(RequestId),
+    ReleaseKey(RequestId),
     /// Make the call that a request waits for, given up after this long.
     Call(RequestId, Duration),
     /// Carry on without the call.
--- a/admission/tests/guards.rs
+++ b/admission/tests/guards.rs
@@ -33,8 +33,8 @@
 }
 
 fn keyed() -> Settings {
-    let class = Class { effect: Effect::Keyed, deadline: ms(3000), ..Class::default() };
-    Settings { classes: vec![class], entry_kb: 1.0, ..Settings::default() }
+    let class = Class { effect: Effect::IdempotencyKey, deadline: ms(3000), ..Class::default() };
+    Settings { classes: vec![class], key_memory_kb: 1.0, ..Settings::default() }
 }
 
 fn is_run(action: &Action, id: u32) -> bool {
@@ -61,7 +61,7 @@
     let answers = tell(&mut admission, 60_000, &[timer()]);
     assert!(answers.contains(&Action::Fail(RequestId(1))), "it ran, so it is failed");
     for id in 2..=5 {
-        let refused = |a: &Action| matches!(a, Action::Refuse { id: r, .. } if *r == RequestId(id));
+        let refused = |a: &Action| matches!(a, Action::Reject { id: r, .. } if *r == RequestId(id));
         assert_eq!(answers.iter().filter(|a| refused(a)).count(), 1);
     }
 }
@@ -70,7 +70,7 @@
 fn a_key_is_remembered_before_its_run_and_for_its_whole_window() {
     let mut admission = opened(keyed());
     let actions = tell(&mut admission, 0, &[arrived(1)]);
-    let kept = actions.iter().position(|a| matches!(a, Action::Remember(RequestId(1), k) if *k >= ms(5000)));
+    let kept = actions.iter().position(|a| matches!(a, Action::RetainKey(RequestId(1), k) if *k >= ms(5000)));
     let run = actions.iter().position(|a| is_run(a, 1));
     assert!(kept.is_some() && kept < run);
 }
@@ -80,7 +80,7 @@
     let mut admission = opened(keyed());
     tell(&mut admission, 0, &[arrived(1)]);
     let actions = tell(&mut admission, 10, &[repeat(2, 1)]);
-    assert_eq!(actions, vec![Action::Join(RequestId(2))]);
+    assert_eq!(actions, vec![Action::Coalesce(RequestId(2))]);
 }
 
 #[test]
@@ -89,7 +89,7 @@
     let actions = tell(&mut admission, 0, &[arrived(1), repeat(2, 1)]);
     let runs: Vec<_> = actions.iter().filter(|a| matches!(a, Action::Run(_))).collect();
     assert_eq!(runs, [&Action::Run(RequestId(2))]);
-    assert!(actions.iter().any(|a| matches!(a, Action::Refuse { id: RequestId(1), .. })));
+    assert!(actions.iter().any(|a| matches!(a, Action::Reject { id: RequestId(1), .. })));
 }
 
 #[test]
@@ -97,9 +97,9 @@
     let mut admission = opened(keyed());
     tell(&mut admission, 0, &[arrived(1), arrived(2)]);
     let actions = tell(&mut admission, 5, &[repeat(3, 2)]);
-    assert!(actions.iter().any(|a| matches!(a, Action::Refuse { id: RequestId(2), .. })));
-    assert!(actions.iter().any(|a| matches!(a, Action::Remember(RequestId(3), _))));
-    tell(&mut admission, 10, &[Event::Abandoned(RequestId(2))]);
+    assert!(actions.iter().any(|a| matches!(a, Action::Reject { id: RequestId(2), .. })));
+    assert!(actions.iter().any(|a| matches!(a, Action::RetainKey(RequestId(3), _))));
+    tell(&mut admission, 10, &[Event::Cancelled(RequestId(2))]);
     let done = Event::Finished { id: RequestId(1), outcome: Outcome::Ok, took: ms(15) };
     let actions = tell(&mut admission, 15, &[done]);
     assert!(actions.iter().any(|a| is_run(a, 3)));
@@ -119,9 +119,9 @@
 
 #[test]
 fn several_keys_in_one_batch_fit_the_memory_together() {
-    let mut admission = opened(Settings { entry_kb: 50.0, memory_kb: 160.0, ..keyed() });
+    let mut admission = opened(Settings { key_memory_kb: 50.0, memory_kb: 160.0, ..keyed() });
     let actions = tell(&mut admission, 0, &[arrived(1), arrived(2), arrived(3), arrived(4)]);
-    let kept = actions.iter().filter(|a| matches!(a, Action::Remember(..))).count();
+    let kept = actions.iter().filter(|a| matches!(a, Action::RetainKey(..))).count();
     assert!((1..=2).contains(&kept), "{kept} entries of 50 kB in 160 kB");
 }
 
@@ -132,7 +132,7 @@
     let notice = tell(&mut admission, 10, &[Event::Drain(ms(3000))]);
     assert!(notice.contains(&Action::SetHealth { good: false, cheap: true }));
     let actions = tell(&mut admission, 1100, &[arrived(2)]);
-    assert!(matches!(actions[0], Action::Refuse { id: RequestId(2), stay: false, .. }));
+    assert!(matches!(actions[0], Action::Reject { id: RequestId(2), give_up: false, .. }));
     let all: Vec<_> = (23..60).flat_map(|step| tell(&mut admission, 50 * step, &[timer()])).collect();
     assert!(all.contains(&Action::Fail(RequestId(1))));
 }
@@ -141,10 +141,10 @@
 fn a_cold_server_starts_fewer_than_its_warm_crowd() {
     let cold = Settings {
         cores: 4,
-        crowd_per_core: 1.2,
+        max_concurrency_per_core: 1.2,
         cold: true,
-        cold_share: 0.2,
-        warm_after: ms(10_000),
+        cold_speed: 0.2,
+        warm_up_time: ms(10_000),
         ..Settings::default()
     };
     let mut admission = opened(cold);
@@ -155,7 +155,8 @@
 
 #[test]
 fn a_share_below_one_call_leaves_gaps_between_calls() {
-    let class = Class { calls: true, aim: ms(20_000), deadline: ms(60_000), ..Class::default() };
+    let class =
+        Class { calls: true, latency_objective: ms(20_000), deadline: ms(60_000), ..Class::default() };
     let dependency = Dependency::Shared { share: 0.4, span: ms(5000), linger: ms(200) };
     let mut admission =
         opened(Settings { classes: vec![class], dependency, cores: 8, ..Settings::default() });
@@ -186,7 +187,7 @@
     let strange = [
         Event::CallNeeded(id),
         Event::CallReturned { id, outcome: Outcome::Ok, took: ms(1) },
-        Event::Abandoned(id),
+        Event::Cancelled(id),
         Event::Finished { id, outcome: Outcome::Ok, took: ms(1) },
     ];
     assert_eq!(tell(&mut admission, 5, &strange), Vec::new());
@@ -194,7 +195,7 @@
 
 #[test]
 fn zero_settings_neither_panic_nor_leave_a_request_unanswered() {
-    let class = Class { aim: ms(0), deadline: ms(0), window: ms(0), ..Class::default() };
+    let class = Class { latency_objective: ms(0), deadline: ms(0), window: ms(0), ..Class::default() };
     let empty = Settings {
         classes: vec![class],
         tenant_quotas: vec![0.0],
@@ -202,22 +203,22 @@
         callers: 0,
         cores: 0,
         memory_kb: 0.5,
-        run_factor: 0.0,
+        running_memory_factor: 0.0,
         signal: Signal::Credit,
         dependency: Dependency::Shared { share: 0.0, span: ms(0), linger: ms(0) },
         cold: true,
-        crowd_per_core: 0.0,
+        max_concurrency_per_core: 0.0,
         ..Settings::default()
     };
     let mut admission = opened(empty);
     let unknown = Event::Arrived(Arrival::new(RequestId(2), ClassId(9)));
     let actions = tell(&mut admission, 1, &[arrived(1), unknown, timer()]);
-    assert_eq!(actions.iter().filter(|a| matches!(a, Action::Refuse { .. })).count(), 2);
+    assert_eq!(actions.iter().filter(|a| matches!(a, Action::Reject { .. })).count(), 2);
 }
 
 #[test]
 fn a_call_may_be_left_out_where_that_still_earns_something() {
-    let class = Class { calls: true, skip_worth: 0.5, ..Class::default() };
+    let class = Class { calls: true, skip_weight: 0.5, ..Class::default() };
     let mut admission =
         opened(Settings { classes: vec![class], dependency: Dependency::Tier, ..Settings::default() });
     tell(&mut admission, 0, &[arrived(1)]);
@@ -230,7 +231,7 @@
 fn a_third_try_in_the_batch_that_lost_the_first_follows_the_second() {
     let mut admission = opened(Settings { cores: 2, ..keyed() });
     tell(&mut admission, 0, &[arrived(1), arrived(2), arrived(3)]);
-    tell(&mut admission, 10, &[repeat(4, 3), Event::Abandoned(RequestId(3)), repeat(5, 3)]);
+    tell(&mut admission, 10, &[repeat(4, 3), Event::Cancelled(RequestId(3)), repeat(5, 3)]);
     let done = [1, 2].map(|id| Event::Finished { id: RequestId(id), outcome: Outcome::Ok, took: ms(10) });
     let actions = tell(&mut admission, 15, &done);
     let runs: Vec<_> = actions.iter().filter(|a| matches!(a, Action::Run(_))).collect();
@@ -278,7 +279,7 @@
 
 #[test]
 fn one_quick_first_run_is_not_taken_for_the_usual_one() {
-    let class = Class { aim: ms(2000), deadline: ms(20_000), ..Class::default() };
+    let class = Class { latency_objective: ms(2000), deadline: ms(20_000), ..Class::default() };
     let mut admission = opened(Settings { classes: vec![class], ..Settings::default() });
     tell(&mut admission, 0, &[arrived(1)]);
     tell(&mut admission, 1, &[Event::Finished { id: RequestId(1), outcome: Outcome::Ok, took: ms(1) }]);
@@ -287,12 +288,12 @@
     tell(&mut admission, 3000, &[arrived(3)]);
     // Two behind one that runs: by the mean of both runs the last cannot begin in time.
     let actions = tell(&mut admission, 3001, &[arrived(4), arrived(5), arrived(6), arrived(7)]);
-    assert!(actions.iter().any(|a| matches!(a, Action::Refuse { .. })), "{actions:?}");
+    assert!(actions.iter().any(|a| matches!(a, Action::Reject { .. })), "{actions:?}");
 }
 
 #[test]
 fn a_share_below_one_call_is_kept_whatever_calls_take() {
-    let class = Class { calls: true, aim: ms(3000), deadline: ms(20_000), ..Class::default() };
+    let class = Class { calls: true, latency_objective: ms(3000), deadline: ms(20_000), ..Class::default() };
     let (share, span) = (0.3, 5.0);
     let dependency = Dependency::Shared { share, span: ms(5000), linger: ms(200) };
     let settings = Settings { classes: vec![class], dependency, cores: 2, ..Settings::default() };
@@ -333,7 +334,7 @@
 
 /// The most calls out at once while each takes `takes` ms, after a few seconds of them.
 fn calls_out_when_each_takes(takes: u64) -> usize {
-    let class = Class { calls: true, aim: ms(2000), deadline: ms(60_000), ..Class::default() };
+    let class = Class { calls: true, latency_objective: ms(2000), deadline: ms(60_000), ..Class::default() };
     let dependency = Dependency::Shared { share: 6.0, span: ms(5000), linger: ms(200) };
     let mut admission =
         opened(Settings { classes: vec![class], dependency, cores: 8, ..Settings::default() });
@@ -373,8 +374,9 @@
 
 #[test]
 fn a_memory_full_of_held_requests_still_lets_them_run() {
-    let class = Class { aim: ms(60_000), deadline: ms(60_000), ..Class::default() };
-    let settings = Settings { classes: vec![class], memory_kb: 20.0, run_factor: 4.0, ..Settings::default() };
+    let class = Class { latency_objective: ms(60_000), deadline: ms(60_000), ..Class::default() };
+    let settings =
+        Settings { classes: vec![class], memory_kb: 20.0, running_memory_factor: 4.0, ..Settings::default() };
     let mut admission = opened(settings);
     let all: Vec<_> = (1..=40).map(arrived).collect();
     let mut actions = tell(&mut admission, 0, &all);
@@ -401,12 +403,12 @@
 
 #[test]
 fn a_tier_below_is_not_starved_by_a_bound_meant_for_a_shared_dependency() {
-    let class = Class { calls: true, skip_worth: 0.3, deadline: ms(9000), ..Class::default() };
+    let class = Class { calls: true, skip_weight: 0.3, deadline: ms(9000), ..Class::default() };
     let mut admission = opened(Settings {
-        classes: vec![Class { aim: ms(4000), ..class }],
+        classes: vec![Class { latency_objective: ms(4000), ..class }],
         dependency: Dependency::Tier,
         cores: 2,
-        crowd_per_core: 8.0,
+        max_concurrency_per_core: 8.0,
         ..Settings::default()
     });
     for id in 1..=6 {
@@ -449,20 +451,20 @@
 
 #[test]
 fn what_is_given_up_on_is_answered_at_once_and_told_when_to_come_back() {
-    let class = Class { calls: true, aim: ms(1000), deadline: ms(60_000), ..Class::default() };
+    let class = Class { calls: true, latency_objective: ms(1000), deadline: ms(60_000), ..Class::default() };
     let mut admission =
         opened(Settings { classes: vec![class], dependency: Dependency::Tier, ..Settings::default() });
     tell(&mut admission, 0, &[arrived(1)]);
     tell(&mut admission, 10, &[Event::CallNeeded(RequestId(1)), arrived(2), arrived(3)]);
     let answers: Vec<_> = (1..40).flat_map(|n| tell(&mut admission, 50 * n, &[timer()])).collect();
     assert!(answers.contains(&Action::Fail(RequestId(1))), "it stood at a call past its aim");
-    let refused = |a: &&Action| matches!(a, Action::Refuse { id: RequestId(3), retry_after: Some(_), .. });
+    let refused = |a: &&Action| matches!(a, Action::Reject { id: RequestId(3), retry_after: Some(_), .. });
     assert_eq!(answers.iter().filter(refused).count(), 1, "held past its aim, without an estimate");
 }
 
 #[test]
 fn what_is_worth_far_more_runs_first_though_its_aim_is_later() {
-    let worthy = Class { worth: 10.0, aim: ms(2000), ..Class::default() };
+    let worthy = Class { weight: 10.0, latency_objective: ms(2000), ..Class::default() };
     let mut admission = opened(Settings { classes: vec![Class::default(), worthy], ..Settings::default() });
     tell(&mut admission, 0, &[arrived(1)]);
     let late = Event::Arrived(Arrival::new(RequestId(4), ClassId(1)));
@@ -474,8 +476,13 @@
 
 #[test]
 fn a_call_that_may_be_left_out_does_not_outlast_the_aim() {
-    let class =
-        Class { calls: true, skip_worth: 0.3, aim: ms(2000), deadline: ms(20_000), ..Class::default() };
+    let class = Class {
+        calls: true,
+        skip_weight: 0.3,
+        latency_objective: ms(2000),
+        deadline: ms(20_000),
+        ..Class::default()
+    };
     let mut admission =
         opened(Settings { classes: vec![class], dependency: Dependency::Tier, ..Settings::default() });
     tell(&mut admission, 0, &[arrived(1)]);
@@ -487,7 +494,7 @@
 
 #[test]
 fn a_standstill_seen_before_is_allowed_for_at_the_end_of_a_drain() {
-    let class = Class { aim: ms(9000), deadline: ms(60_000), ..Class::default() };
+    let class = Class { latency_objective: ms(9000), deadline: ms(60_000), ..Class::default() };
     let mut admission = opened(Settings { classes: vec![class], ..Settings::default() });
     tell(&mut admission, 50, &[timer(), arrived(1)]);
     tell(&mut admission, 700, &[timer(), Event::Drain(ms(4000))]);
@@ -498,7 +505,7 @@
 
 #[test]
 fn calls_that_are_turned_away_narrow_the_calls_in_hand() {
-    let class = Class { calls: true, aim: ms(4000), deadline: ms(60_000), ..Class::default() };
+    let class = Class { calls: true, latency_objective: ms(4000), deadline: ms(60_000), ..Class::default() };
     let dependency = Dependency::Shared { share: 12.0, span: ms(5000), linger: ms(200) };
     let mut admission =
         opened(Settings { classes: vec![class], dependency, cores: 8, ..Settings::default() });
@@ -511,7 +518,7 @@
             1 => ids.iter().map(|&id| Event::CallNeeded(RequestId(id))).collect(),
             _ => Vec::from_iter(ids.iter().map(|&id| Event::CallReturned {
                 id: RequestId(id),
-                outcome: Outcome::Refused,
+                outcome: Outcome::Rejected,
                 took: ms(1),
             })),
         };
@@ -523,7 +530,7 @@
 
 #[test]
 fn a_server_on_which_nothing_ends_says_so_refuses_the_rest_and_recovers() {
-    let class = Class { aim: ms(9000), deadline: ms(60_000), ..Class::default() };
+    let class = Class { latency_objective: ms(9000), deadline: ms(60_000), ..Class::default() };
     let mut admission = opened(Settings { classes: vec![class], ..Settings::default() });
     let mut id = 0;
     for n in 1..=60 {
@@ -534,16 +541,20 @@
     let hung: Vec<_> = (61..90).flat_map(|n| tell(&mut admission, 50 * n, &[timer()])).collect();
     assert!(hung.contains(&Action::SetHealth { good: false, cheap: true }), "{hung:?}");
     let refused = tell(&mut admission, 4500, &[arrived(1000)]);
-    assert!(refused.iter().any(|a| matches!(a, Action::Refuse { stay: false, .. })), "a neighbour may help");
+    assert!(
+        refused.iter().any(|a| matches!(a, Action::Reject { give_up: false, .. })),
+        "a neighbour may help"
+    );
     let done = Event::Finished { id: RequestId(id), outcome: Outcome::Ok, took: ms(1500) };
     let after = tell(&mut admission, 4550, &[done, timer(), arrived(1001)]);
     assert!(after.contains(&Action::SetHealth { good: true, cheap: true }));
-    assert!(!after.iter().any(|a| matches!(a, Action::Refuse { .. })), "it recovers at once");
+    assert!(!after.iter().any(|a| matches!(a, Action::Reject { .. })), "it recovers at once");
 }
 
 #[test]
 fn a_server_that_was_slow_tries_again_though_it_expects_too_long_a_run() {
-    let class = Class { aim: ms(300), deadline: ms(1200), late_worth: 0.2, ..Class::default() };
+    let class =
+        Class { latency_objective: ms(300), deadline: ms(1200), late_weight: 0.2, ..Class::default() };
     let mut admission = opened(Settings { classes: vec![class], cores: 2, ..Settings::default() });
     let mut at = 0;
     let mut once = |id: u32, took: u64| {
@@ -559,12 +570,12 @@
     assert!((1..=20).all(|id| once(id, 900)), "each alone, at cores that are slow");
     assert!((21..=60).all(|id| once(id, 50)), "and once they are quick again");
     let line: Vec<Event> = (100..106).map(arrived).collect();
-    assert!(!tell(&mut admission, 180_000, &line).iter().any(|a| matches!(a, Action::Refuse { .. })));
+    assert!(!tell(&mut admission, 180_000, &line).iter().any(|a| matches!(a, Action::Reject { .. })));
 }
 
 #[test]
 fn after_a_long_standstill_the_permitted_rate_is_found_anew() {
-    let class = Class { aim: ms(200), deadline: ms(1000), ..Class::default() };
+    let class = Class { latency_objective: ms(200), deadline: ms(1000), ..Class::default() };
     let mut admission = opened(Settings { classes: vec![class], ..Settings::default() });
     for n in 1..=200 {
         let done = Event::Finished { id: RequestId(n - 1), outcome: Outcome::Ok, took: ms(40) };
@@ -576,16 +587,16 @@
     tell(&mut admission, 10_000 + 30_000, &[timer()]);
     assert!(before.is_some() && admission.permitted_rate().is_none());
     let first = tell(&mut admission, 10_000 + 30_050, &[arrived(1000), arrived(1001), timer()]);
-    assert!(!first.iter().any(|action| matches!(action, Action::Refuse { .. })), "as at a start: {first:?}");
+    assert!(!first.iter().any(|action| matches!(action, Action::Reject { .. })), "as at a start: {first:?}");
 }
 
 #[test]
 fn settings_that_make_no_sense_and_a_jumping_clock_leave_nothing_unanswered() {
     let zero = Duration::ZERO;
     let class = Class {
-        aim: zero,
+        latency_objective: zero,
         deadline: ms(500),
-        worth: 0.0,
+        weight: 0.0,
         calls: true,
         window: zero,
         ..keyed().classes[0].clone()
@@ -600,13 +611,13 @@
             servers: 0,
             callers: 0,
             cores: 0,
-            crowd_per_core: 0.0,
+            max_concurrency_per_core: 0.0,
             memory_kb,
             dependency,
             idle: zero,
             max_retry_after: zero,
             cold: true,
-            cold_share: 0.0,
+            cold_speed: 0.0,
             signal: Signal::Credit,
             ..Settings::default()
         });
@@ -616,13 +627,13 @@
             let mut events = vec![timer(), arrived(id), Event::CallNeeded(RequestId(id - 1))];
             events.push(Event::Finished { id: RequestId(9999), outcome: Outcome::Ok, took: zero });
             for action in tell(&mut admission, now, &events) {
-                if let Action::Refuse { id, .. } | Action::Fail(id) = action {
+                if let Action::Reject { id, .. } | Action::Fail(id) = action {
                     assert!(answered.insert(id), "{id:?} answered twice");
                 }
             }
         }
         tell(&mut admission, now, &[Event::Drain(zero)]).iter().for_each(|action| {
-            if let Action::Refuse { id, .. } | Action::Fail(id) = action {
+            if let Action::Reject { id, .. } | Action::Fail(id) = action {
                 assert!(answered.insert(*id), "{id:?} answered twice");
             }
         });
@@ -637,7 +648,7 @@
         let actions = tell(&mut admission, u64::from(id), &[arrived(id)]);
         assert!(actions.iter().any(|a| is_run(a, id)), "{id}: {actions:?}");
         let (id, took) = (RequestId(id), ms(1));
-        tell(&mut admission, 60, &[Event::Finished { id, outcome: Outcome::Refused, took }]);
+        tell(&mut admission, 60, &[Event::Finished { id, outcome: Outcome::Rejected, took }]);
     }
 }
 
@@ -647,13 +658,13 @@
     tell(&mut admission, 0, &[arrived(1), arrived(2)]);
     let second = |id| Event::Arrived(Arrival::new(RequestId(id), ClassId(1)));
     let unknown = tell(&mut admission, 1, &[second(3)]);
-    assert!(unknown.iter().any(|a| matches!(a, Action::Refuse { id: RequestId(3), .. })));
+    assert!(unknown.iter().any(|a| matches!(a, Action::Reject { id: RequestId(3), .. })));
     let classes = vec![keyed().classes[0].clone(), Class::default()];
-    admission.retune(Settings { classes, cores: 2, ..keyed() });
+    admission.reconfigure(Settings { classes, cores: 2, ..keyed() });
     // A list that is shorter takes no position away from what is in hand.
-    admission.retune(Settings { classes: keyed().classes, cores: 2, ..keyed() });
+    admission.reconfigure(Settings { classes: keyed().classes, cores: 2, ..keyed() });
     let actions = tell(&mut admission, 5, &[repeat(4, 1), second(5)]);
-    assert!(actions.contains(&Action::Join(RequestId(4))), "the key of 1 is still known");
+    assert!(actions.contains(&Action::Coalesce(RequestId(4))), "the key of 1 is still known");
     let done = |id| Event::Finished { id: RequestId(id), outcome: Outcome::Ok, took: ms(15) };
     let mut runs = actions;
     runs.extend((1..=2).flat_map(|id| tell(&mut admission, 20 * u64::from(id), &[done(id)])));
--- a/admission/tests/ledger.rs
+++ b/admission/tests/ledger.rs
@@ -41,7 +41,7 @@
     effect: u32,
     memory_kb: f64,
     arrived: u64,
-    due: u64,
+    deadline: u64,
     state: State,
     answers: u32,
     ever_run: bool,
@@ -50,7 +50,7 @@
     call_may_have_run: bool,
     ends_at: u64,
     calls_left: u32,
-    began: u64,
+    started_at: u64,
 }
 
 /// What the server does while the module decides.
@@ -84,11 +84,11 @@
 }
 
 fn settings(dice: &mut Dice) -> Settings {
-    let effects = [Effect::Repeatable, Effect::Keyed, Effect::Once];
+    let effects = [Effect::Idempotent, Effect::IdempotencyKey, Effect::AtMostOnce];
     // Half of the days have deadlines of any length from half a second to a minute.
     let wide = dice.chance(50);
     let class = |dice: &mut Dice| Class {
-        aim: if wide {
+        latency_objective: if wide {
             ms(100) * 200_f64.powf(dice.below(100) as f64 / 100.0) as u32
         } else {
             ms(300 + dice.below(2000))
@@ -100,10 +100,10 @@
         },
         effect: effects[dice.below(3) as usize],
         window: ms(500 + dice.below(6000)),
-        worth: 1.0 + dice.below(5) as f64,
-        late_worth: if dice.chance(50) { 0.2 } else { 0.0 },
+        weight: 1.0 + dice.below(5) as f64,
+        late_weight: if dice.chance(50) { 0.2 } else { 0.0 },
         calls: dice.chance(50),
-        skip_worth: if dice.chance(30) { 0.5 } else { 0.0 },
+        skip_weight: if dice.chance(30) { 0.5 } else { 0.0 },
         ..Class::default()
     };
     let classes = (0..1 + dice.below(4)).map(|_| class(dice)).collect();
@@ -121,18 +121,18 @@
         preemption: [Preemption::Off, Preemption::Drop, Preemption::Pause][pick],
         signal: [Signal::Off, Signal::Level, Signal::Credit, Signal::Weight][dice.below(4) as usize],
         tenant_quotas: if dice.chance(50) { vec![3.0, 9.0] } else { Vec::new() },
-        over_quota_worth: 0.1,
-        worth_by_work: dice.chance(50),
-        fresh: if dice.chance(20) { ms(1000) } else { Duration::ZERO },
+        over_quota_weight: 0.1,
+        weight_by_work: dice.chance(50),
+        response_reuse: if dice.chance(20) { ms(1000) } else { Duration::ZERO },
         cores: 1 + dice.below(8) as u32,
         memory_kb: 200.0 + dice.below(5000) as f64,
-        run_factor: 1.0 + dice.below(16) as f64,
-        entry_kb: dice.below(40) as f64,
+        running_memory_factor: 1.0 + dice.below(16) as f64,
+        key_memory_kb: dice.below(40) as f64,
         cold: dice.chance(40),
-        cold_share: 0.2,
-        warm_after: ms(9000),
-        passes_patience: dice.chance(50),
-        crowd_per_core: 2.0 + dice.below(7) as f64,
+        cold_speed: 0.2,
+        warm_up_time: ms(9000),
+        sends_deadline: dice.chance(50),
+        max_concurrency_per_core: 2.0 + dice.below(7) as f64,
         retry_after: dice.chance(70),
         servers: 1 + dice.below(12) as u32,
         callers: dice.below(6) as u32,
@@ -177,7 +177,7 @@
         let id = RequestId(self.next_id);
         self.next_id += 1;
         let class = self.dice.below(self.settings.classes.len() as u64) as usize;
-        let keyed = self.settings.classes[class].effect == Effect::Keyed;
+        let keyed = self.settings.classes[class].effect == Effect::IdempotencyKey;
         let mut effect = self.next_id;
         if keyed && self.dice.chance(50) {
             let same = self.tries.values().filter(|t| t.class == class).map(|t| t.effect).next_back();
@@ -187,8 +187,8 @@
         let arrived = self.now - age;
         let repeats = if keyed { self.known_try(effect, arrived) } else { None };
         let deadline = self.settings.classes[class].deadline.as_micros() as u64;
-        let patience = 200_000 + self.dice.below(deadline);
-        let due = if self.settings.passes_patience { self.now + patience } else { arrived + deadline };
+        let time_left = 200_000 + self.dice.below(deadline);
+        let deadline = if self.settings.sends_deadline { self.now + time_left } else { arrived + deadline };
         let memory_kb = 1.0 + self.dice.below(30) as f64;
         self.tries.insert(
             id,
@@ -197,7 +197,7 @@
                 effect,
                 memory_kb,
                 arrived,
-                due: due.max(self.now),
+                deadline: deadline.max(self.now),
                 state: State::Held,
                 answers: 0,
                 ever_run: false,
@@ -206,7 +206,7 @@
                 call_may_have_run: false,
                 ends_at: 0,
                 calls_left: self.dice.below(3) as u32,
-                began: 0,
+                started_at: 0,
             },
         );
         self.events.push(Event::Arrived(Arrival {
@@ -216,7 +216,7 @@
             memory_kb,
             age: Duration::from_micros(age),
             rank: self.dice.below(100) as f64 / 100.0,
-            patience: Some(Duration::from_micros(patience)),
+            time_left: Some(Duration::from_micros(time_left)),
             ..Arrival::new(id, ClassId(class as u16))
         }));
     }
@@ -246,14 +246,14 @@
             let now = self.now;
             let over = |t: &Try| t.answers > 0 || t.gone;
             let Some(t) = self.tries.get_mut(&id) else { continue };
-            let took = Duration::from_micros(now.saturating_sub(t.began));
+            let took = Duration::from_micros(now.saturating_sub(t.started_at));
             match t.state {
                 State::Running if hung || now < t.ends_at => {}
                 State::Running if t.calls_left > 0 && self.settings.classes[t.class].calls => {
                     t.calls_left -= 1;
                     if over(t) {
                         t.state = State::Over;
-                        self.events.push(Event::Finished { id, outcome: Outcome::Stopped, took });
+                        self.events.push(Event::Finished { id, outcome: Outcome::Cancelled, took });
                     } else {
                         t.state = State::Stalled;
                         self.events.push(Event::CallNeeded(id));
@@ -268,7 +268,7 @@
                 State::Calling if roll < 8 => {
                     let outcome = match self.dice.below(8) {
                         0 => Outcome::Error,
-                        1 => Outcome::Refused,
+                        1 => Outcome::Rejected,
                         2 => Outcome::TimedOut,
                         3 => Outcome::Unreachable,
                         4 => Outcome::CutOff,
@@ -310,7 +310,7 @@
             return;
         }
         t.gone = true;
-        self.events.push(Event::Abandoned(id));
+        self.events.push(Event::Cancelled(id));
         match t.state {
             State::Held | State::Paused | State::Joining => t.state = State::Over,
             State::Stalled | State::Calling => self.end_at_call(id),
@@ -324,44 +324,44 @@
             self.lingering.push(self.now + 200_000);
         }
         t.state = State::Over;
-        self.events.push(Event::Finished { id, outcome: Outcome::Stopped, took: Duration::ZERO });
+        self.events.push(Event::Finished { id, outcome: Outcome::Cancelled, took: Duration::ZERO });
     }
 
     fn obey(&mut self, action: &Action, later: &mut Vec<RequestId>) {
         match *action {
             Action::Run(id) => self.run(id),
-            Action::Refuse { id, .. } => self.refuse(id),
+            Action::Reject { id, .. } => self.refuse(id),
             Action::Fail(id) => {
                 self.answer(id);
                 later.push(id);
             }
-            Action::Join(id) => {
+            Action::Coalesce(id) => {
                 let t = self.tries.get_mut(&id).expect("known");
                 assert!(t.prior.is_some(), "joined what repeats nothing");
                 if t.state == State::Held {
                     t.state = State::Joining;
                 }
             }
-            Action::Remember(id, keep) => {
+            Action::RetainKey(id, keep) => {
                 let effect = self.tries[&id].effect;
-                if self.class(id).effect == Effect::Keyed {
+                if self.class(id).effect == Effect::IdempotencyKey {
                     self.table.insert(effect, (id, self.now + keep.as_micros() as u64));
                 }
             }
-            Action::Forget(id) => self.table.retain(|_, entry| entry.0 != id),
+            Action::ReleaseKey(id) => self.table.retain(|_, entry| entry.0 != id),
             Action::Call(id, _) => {
                 let class = self.class(id).effect;
                 let t = self.tries.get_mut(&id).expect("known");
                 if t.state == State::Stalled {
                     assert!(
-                        !t.call_may_have_run || class == Effect::Repeatable,
+                        !t.call_may_have_run || class == Effect::Idempotent,
                         "repeated a call that may have run"
                     );
                     t.state = State::Calling;
                 }
             }
             Action::SkipCall(id) => {
-                assert!(self.class(id).skip_worth > 0.0);
+                assert!(self.class(id).skip_weight > 0.0);
                 let ends_at = self.now + 50_000;
                 let t = self.tries.get_mut(&id).expect("known");
                 if t.state == State::Stalled {
@@ -381,7 +381,7 @@
                         (false, false) => State::Paused,
                     };
                     let took = Duration::ZERO;
-                    self.events.push(Event::Finished { id, outcome: Outcome::Stopped, took });
+                    self.events.push(Event::Finished { id, outcome: Outcome::Cancelled, took });
                 }
             }
             Action::SetTimer(timer, span) => self.timers.push((self.now + span.as_micros() as u64, timer)),
@@ -398,7 +398,7 @@
         let class = self.class(id).clone();
         let t = &self.tries[&id];
         if t.state == State::Over {
-            self.events.push(Event::Finished { id, outcome: Outcome::Moot, took: Duration::ZERO });
+            self.events.push(Event::Finished { id, outcome: Outcome::Skipped, took: Duration::ZERO });
             return;
         }
         if !matches!(t.state, State::Held | State::Paused) {
@@ -408,10 +408,10 @@
             let grace = self.settings.drain_grace.as_micros() as u64;
             assert!(t.arrived <= notice + grace, "ran what arrived after the grace");
         }
-        if t.state == State::Held && class.effect != Effect::Repeatable {
+        if t.state == State::Held && class.effect != Effect::Idempotent {
             assert!(!t.ever_run, "ran an effect again after a drop");
         }
-        if class.effect == Effect::Keyed && t.state == State::Held {
+        if class.effect == Effect::IdempotencyKey && t.state == State::Held {
             let window = class.window.as_micros() as u64;
             let twice = self.tries.iter().any(|(other, o)| {
                 *other != id && o.effect == t.effect && o.ever_run && t.arrived <= o.arrived + window
@@ -422,12 +422,12 @@
         let t = self.tries.get_mut(&id).expect("known");
         t.state = State::Running;
         t.ever_run = true;
-        t.began = now;
+        t.started_at = now;
         t.ends_at = now + length;
     }
 
     fn refuse(&mut self, id: RequestId) {
-        let repeatable = self.class(id).effect == Effect::Repeatable;
+        let repeatable = self.class(id).effect == Effect::Idempotent;
         assert!(repeatable || !self.tries[&id].ever_run, "refused what had run");
         self.answer(id);
         let t = self.tries.get_mut(&id).expect("known");
@@ -457,9 +457,9 @@
     }
 
     fn check(&mut self, step: f64) {
-        let factor = self.settings.run_factor;
+        let factor = self.settings.running_memory_factor;
         let mut memory =
-            self.table.values().filter(|e| e.1 > self.now).count() as f64 * self.settings.entry_kb;
+            self.table.values().filter(|e| e.1 > self.now).count() as f64 * self.settings.key_memory_kb;
         let (mut running, mut calling) = (0.0, 0.0);
         for (id, t) in &self.tries {
             match t.state {
@@ -470,7 +470,7 @@
             running += f64::from(u8::from(t.state == State::Running));
             calling += f64::from(u8::from(t.state == State::Calling));
             let owed = t.answers == 0 && !t.gone;
-            assert!(!owed || self.now <= t.due + SLACK, "{id:?} lost in state {:?}", t.state);
+            assert!(!owed || self.now <= t.deadline + SLACK, "{id:?} lost in state {:?}", t.state);
         }
         assert!(memory <= self.settings.memory_kb, "memory {memory} of {}", self.settings.memory_kb);
         let now = self.now;
@@ -481,12 +481,12 @@
         let crowd = fade(self.crowd_span);
         self.crowd = self.crowd * crowd + running * (1.0 - crowd);
         let warmth = if settings.cold {
-            let part = (self.now - 1_000_000) as f64 / settings.warm_after.as_micros() as f64;
-            (settings.cold_share + (1.0 - settings.cold_share) * part).min(1.0)
+            let part = (self.now - 1_000_000) as f64 / settings.warm_up_time.as_micros() as f64;
+            (settings.cold_speed + (1.0 - settings.cold_speed) * part).min(1.0)
         } else {
             1.0
         };
-        let survives = f64::from(settings.cores) * (1.0 + (settings.crowd_per_core - 1.0) * warmth);
+        let survives = f64::from(settings.cores) * (1.0 + (settings.max_concurrency_per_core - 1.0) * warmth);
         assert!(self.crowd <= survives, "{} on the cores of {survives}", self.crowd);
         if let Dependency::Shared { share, span, .. } = settings.dependency {
             let kept = fade(span);
@@ -497,10 +497,10 @@
 
     fn collect_timers(&mut self) {
         let now = self.now;
-        let due: Vec<_> = self.timers.iter().filter(|t| t.0 <= now).map(|t| t.1).collect();
+        let deadline: Vec<_> = self.timers.iter().filter(|t| t.0 <= now).map(|t| t.1).collect();
         self.timers.retain(|t| t.0 > now);
         let gauges = self.gauges;
-        self.events.extend(due.into_iter().map(|timer| Event::Timer(timer, gauges)));
+        self.events.extend(deadline.into_iter().map(|timer| Event::Timer(timer, gauges)));
     }
 
     fn play(&mut self) {
@@ -526,7 +526,7 @@
             if stands && self.now > standstill {
                 // The process stands still and is not blamed for what was due meanwhile.
                 (stands, step) = (false, 400_000);
-                self.tries.values_mut().for_each(|t| t.due = t.due.max(self.now + step));
+                self.tries.values_mut().for_each(|t| t.deadline = t.deadline.max(self.now + step));
             }
             self.check(step as f64 / 1e6);
             self.now += step;
--- a/admission/tests/ramp.rs
+++ b/admission/tests/ramp.rs
@@ -32,7 +32,7 @@
     /// The work that each run still has; what stands at a call is on no core.
     running: BTreeMap<RequestId, f64>,
     calling: BTreeMap<RequestId, f64>,
-    began: HashMap<RequestId, f64>,
+    started_at: HashMap<RequestId, f64>,
     events: Vec<Event>,
     timer_at: f64,
     /// The crowd on the cores, a step each, and its sum.
@@ -47,16 +47,17 @@
 
 impl Server {
     fn new(cold: bool, callers: u32, seed: u64) -> Server {
-        let class = Class { aim: secs(1.4), deadline: secs(3.6), calls: !cold, ..Class::default() };
+        let class =
+            Class { latency_objective: secs(1.4), deadline: secs(3.6), calls: !cold, ..Class::default() };
         let settings = Settings {
             classes: vec![class],
             cores: CORES as u32,
-            crowd_per_core: FALLS_AT,
+            max_concurrency_per_core: FALLS_AT,
             cold,
-            cold_share: if cold { COLD_SHARE } else { 1.0 },
-            warm_after: secs(WARM_AFTER),
+            cold_speed: if cold { COLD_SHARE } else { 1.0 },
+            warm_up_time: secs(WARM_AFTER),
             dependency: if cold { Dependency::Off } else { Dependency::Tier },
-            passes_patience: true,
+            sends_deadline: true,
             callers,
             ..Settings::default()
         };
@@ -65,7 +66,7 @@
             cold,
             running: BTreeMap::new(),
             calling: BTreeMap::new(),
-            began: HashMap::new(),
+            started_at: HashMap::new(),
             events: Vec::new(),
             timer_at: 0.0,
             crowd: VecDeque::new(),
@@ -84,10 +85,10 @@
         }
     }
 
-    fn arrives(&mut self, id: RequestId, caller: u32, patience: f64) {
+    fn arrives(&mut self, id: RequestId, caller: u32, time_left: f64) {
         let arrival = Arrival {
             caller: CallerId(caller),
-            patience: Some(secs(patience)),
+            time_left: Some(secs(time_left)),
             ..Arrival::new(id, ClassId(0))
         };
         self.events.push(Event::Arrived(arrival));
@@ -102,7 +103,7 @@
             self.running.insert(id, left);
             if left <= 0.0 {
                 self.running.remove(&id);
-                let took = secs(now - self.began[&id]);
+                let took = secs(now - self.started_at[&id]);
                 self.events.push(Event::Finished { id, outcome: Outcome::Ok, took });
             } else if !self.cold && left <= WORK / 2.0 && !self.calling.contains_key(&id) {
                 self.running.remove(&id);
@@ -121,12 +122,16 @@
             match action {
                 Action::Run(id) => {
                     self.running.insert(*id, WORK);
-                    self.began.insert(*id, now);
+                    self.started_at.insert(*id, now);
                     self.begun.push_back(now);
                 }
                 Action::SetTimer(_, after) => self.timer_at = now + after.as_secs_f64(),
                 Action::Fail(id) if self.calling.remove(id).is_some() => {
-                    self.events.push(Event::Finished { id: *id, outcome: Outcome::Stopped, took: secs(1.0) });
+                    self.events.push(Event::Finished {
+                        id: *id,
+                        outcome: Outcome::Cancelled,
+                        took: secs(1.0),
+                    });
                 }
                 _ => {}
             }
@@ -182,7 +187,7 @@
             let done =
                 before.into_iter().filter(|id| !server.running.contains_key(id)).map(|id| (id, Outcome::Ok));
             let decided = actions.iter().filter_map(|action| match action {
-                Action::Refuse { id, .. } => Some((*id, Outcome::Refused)),
+                Action::Reject { id, .. } => Some((*id, Outcome::Rejected)),
                 Action::Fail(id) => Some((*id, Outcome::Error)),
                 _ => None,
             });
--- a/admission/tests/rate.rs
+++ b/admission/tests/rate.rs
@@ -59,7 +59,7 @@
         for action in actions {
             match action {
                 Action::Run(id) => self.ends.push((now + took, id, outcome)),
-                Action::Refuse { id, .. } => self.refused.push(id),
+                Action::Reject { id, .. } => self.refused.push(id),
                 Action::Advertise(value) => self.advertised = Some(value),
                 _ => {}
             }
@@ -179,7 +179,7 @@
     bench.admission.handle(bench.now, &[Event::CallNeeded(id)], &mut actions);
     assert!(actions.iter().any(|a| matches!(a, Action::Call(..))));
     let took = Duration::from_millis(1);
-    let refused = Event::CallReturned { id, outcome: Outcome::Refused, took };
+    let refused = Event::CallReturned { id, outcome: Outcome::Rejected, took };
     bench.admission.handle(bench.now, &[refused], &mut actions);
     bench.run(41, 1, 100);
     assert!(bench.rate() < before, "{} is not below {before}", bench.rate());
@@ -225,7 +225,11 @@
 
 #[test]
 fn at_a_few_requests_a_second_overload_cuts_it_to_what_the_cores_do_and_no_further() {
-    let class = Class { aim: Duration::from_secs(2), deadline: Duration::from_secs(8), ..Class::default() };
+    let class = Class {
+        latency_objective: Duration::from_secs(2),
+        deadline: Duration::from_secs(8),
+        ..Class::default()
+    };
     let mut bench = Bench::new(Settings { cores: 2, classes: vec![class], ..settings() });
     uneven(&mut bench, 30, 3, 500);
     uneven(&mut bench, 60, 9, 500);
@@ -249,7 +253,11 @@
 
 #[test]
 fn many_servers_that_recover_together_do_not_swing() {
-    let class = Class { aim: Duration::from_secs(2), deadline: Duration::from_secs(6), ..Class::default() };
+    let class = Class {
+        latency_objective: Duration::from_secs(2),
+        deadline: Duration::from_secs(6),
+        ..Class::default()
+    };
     let settings = Settings { cores: 2, servers: 50, classes: vec![class], ..settings() };
     let mut fleet: Vec<Bench> = (1..=50).map(|seed| Bench::seeded(settings.clone(), seed * 77)).collect();
     let mut dice = 11u64;
@@ -299,7 +307,7 @@
 
 #[test]
 fn a_bucket_of_a_few_tokens_still_lets_the_worthiest_in_first() {
-    let worthy = Class { worth: 10.0, ..Class::default() };
+    let worthy = Class { weight: 10.0, ..Class::default() };
     let calls = Class { calls: true, ..Class::default() };
     let mut bench = Bench::new(Settings {
         classes: vec![calls, worthy],
@@ -316,10 +324,10 @@
         bench.admission.handle(bench.now, events, &mut actions);
         actions
     };
-    tell(&[Event::CallReturned { id: RequestId(9), outcome: Outcome::Refused, took: Duration::ZERO }]);
+    tell(&[Event::CallReturned { id: RequestId(9), outcome: Outcome::Rejected, took: Duration::ZERO }]);
     let flood: Vec<_> =
         (1000..1030).map(|id| Event::Arrived(Arrival::new(RequestId(id), ClassId(0)))).collect();
-    let refused = |actions: &[Action]| actions.iter().filter(|a| matches!(a, Action::Refuse { .. })).count();
+    let refused = |actions: &[Action]| actions.iter().filter(|a| matches!(a, Action::Reject { .. })).count();
     assert!(refused(&tell(&flood)) >= 25, "the bucket is empty");
     let worthiest = [2000, 2001, 2002].map(|id| Event::Arrived(Arrival::new(RequestId(id), ClassId(1))));
     assert_eq!(refused(&tell(&worthiest)), 0);
@@ -328,5 +336,5 @@
         (3000..3020).map(|id| Event::Arrived(Arrival::new(RequestId(id), ClassId(1)))).collect();
     let answers = tell(&more);
     assert!(refused(&answers) > 0);
-    assert!(!answers.iter().any(|a| matches!(a, Action::Refuse { stay: false, .. })), "{answers:?}");
+    assert!(!answers.iter().any(|a| matches!(a, Action::Reject { give_up: false, .. })), "{answers:?}");
 }
--- a/node/src/backend/index.rs
+++ b/node/src/backend/index.rs
@@ -89,7 +89,7 @@
             {
                 let end = match (&message.word(1)[..], &message.body) {
                     (b"HIT", Some(reply)) => CallOutcome::Ok(reply.clone()),
-                    (b"SHED", _) => CallOutcome::Refused,
+                    (b"SHED", _) => CallOutcome::Rejected,
                     (b"BROKEN", _) => CallOutcome::Failed,
                     (b"SLOW", _) => CallOutcome::TimedOut,
                     (b"NOBODY", _) => CallOutcome::Unreachable,
--- a/node/src/backend/uwsgi.rs
+++ b/node/src/backend/uwsgi.rs
@@ -221,7 +221,7 @@
     async fn call(self: Rc<Self>, request: Rc<Request>, body: Bytes, until: Unix) -> CallOutcome {
         match self.ask(request, body, until).await {
             Asked::Done(reply) => CallOutcome::Ok(reply),
-            Asked::Refused => CallOutcome::Refused,
+            Asked::Refused => CallOutcome::Rejected,
             Asked::TimedOut => CallOutcome::TimedOut,
             Asked::Failed => CallOutcome::Failed,
             Asked::CutOff => CallOutcome::CutOff,
--- a/node/src/class_registry.rs
+++ b/node/src/class_registry.rs
@@ -61,7 +61,7 @@
 
     /// Whether the requests of a class carry a key.
     pub fn keyed(&self, class: u16) -> bool {
-        self.habit(class, |class| class.effect == Effect::Keyed).unwrap_or(false)
+        self.habit(class, |class| class.effect == Effect::IdempotencyKey).unwrap_or(false)
     }
 
     /// How long the callers of a class wait altogether.
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -216,7 +216,7 @@
             return bad(format!("settings.services[{i}].deadline: 0 is no time to answer in"));
         }
         // Guards against keys that would be forgotten while their tries still come.
-        let forgets = |class: &Class| class.effect == Effect::Keyed && class.window.is_zero();
+        let forgets = |class: &Class| class.effect == Effect::IdempotencyKey && class.window.is_zero();
         if let Some(i) = settings.settings.classes.iter().position(forgets) {
             return bad(format!("settings.services[{i}].window: missing or 0, and its keys may come again"));
         }
--- a/node/src/dispatcher.rs
+++ b/node/src/dispatcher.rs
@@ -55,7 +55,7 @@
 /// are remembered in this process, whose table of them has a bound of its own. Guards writes against being refused
 /// for memory that is free.
 fn decided_by(settings: &Parsed) -> Settings {
-    Settings { entry_kb: 0.0, ..settings.settings.clone() }
+    Settings { key_memory_kb: 0.0, ..settings.settings.clone() }
 }
 
 /// One try of a request, from its reading until it is answered and nothing of it runs.
@@ -313,7 +313,7 @@
                 self.settings = *settings;
                 self.records.iter().for_each(|records| records.settings(digest.clone()));
                 if let Some(admission) = &mut self.admission {
-                    admission.retune(decided_by(&self.settings));
+                    admission.reconfigure(decided_by(&self.settings));
                 }
             }
             DispatcherEvent::HandOver(tell) => {
@@ -351,7 +351,7 @@
     fn start(&mut self, cold: bool) {
         if self.admission.is_none() {
             let (settings, now) = (Settings { cold, ..decided_by(&self.settings) }, clock::now());
-            let warm_at = cold.then_some(now + settings.warm_after);
+            let warm_at = cold.then_some(now + settings.warm_up_time);
             self.admission = Some(Admission::new(settings, self.seed, now));
             self.update(|state| state.warm_at = warm_at);
             if let Some((stop, _)) = self.ends.state.borrow().draining {
@@ -415,7 +415,7 @@
             age: now.saturating_sub(request.received_at),
             rank: request.rank,
             caller: CallerId(request.caller),
-            patience: Some(request.deadline.saturating_sub(now)),
+            time_left: Some(request.deadline.saturating_sub(now)),
         }));
         self.by_txn.insert(request.txn.clone(), id);
         self.tries.insert(id, Try { id, request, claim, responder: Some(responder), phase: Phase::Held });
@@ -486,7 +486,7 @@
         let Some(taken) = self.tries.get_mut(&id) else { return };
         if let Phase::Running { since } = std::mem::replace(&mut taken.phase, Phase::Elsewhere) {
             let took = clock::now().saturating_sub(since);
-            self.events.push(Event::Finished { id, outcome: RunOutcome::Moot, took });
+            self.events.push(Event::Finished { id, outcome: RunOutcome::Skipped, took });
         }
     }
 
@@ -656,7 +656,7 @@
     /// The key of a request whose class must not run twice.
     fn key_of(&self, request: &Request) -> Option<Key> {
         let class = self.settings.settings.classes.get(usize::from(request.class))?;
-        request.key.clone().filter(|_| class.effect == Effect::Keyed)
+        request.key.clone().filter(|_| class.effect == Effect::IdempotencyKey)
     }
 
     fn gone(&mut self, claim: &SubmissionId) {
@@ -664,7 +664,7 @@
         let Some(&id) = self.by_txn.get(&claim.txn) else { return };
         let Some(taken) = self.tries.get_mut(&id).filter(|taken| taken.claim == *claim) else { return };
         if taken.responder.take().is_some() {
-            self.events.push(Event::Abandoned(id));
+            self.events.push(Event::Cancelled(id));
         }
     }
 
@@ -725,12 +725,12 @@
                 (RunOutcome::Error, RequestOutcome::Failed { timed_out: false }, StoredOutcome::Failed)
             }
             Completion::Cancelled => {
-                (RunOutcome::Stopped, RequestOutcome::Failed { timed_out: false }, StoredOutcome::Failed)
+                (RunOutcome::Cancelled, RequestOutcome::Failed { timed_out: false }, StoredOutcome::Failed)
             }
             Completion::Skipped => {
-                (RunOutcome::Moot, RequestOutcome::Failed { timed_out: false }, StoredOutcome::Failed)
+                (RunOutcome::Skipped, RequestOutcome::Failed { timed_out: false }, StoredOutcome::Failed)
             }
-            Completion::NeverStarted => (RunOutcome::Refused, self.not_now(), StoredOutcome::NeverStarted),
+            Completion::NeverStarted => (RunOutcome::Rejected, self.not_now(), StoredOutcome::NeverStarted),
         };
         self.answer(id, answer);
         self.events.push(Event::Finished { id, outcome, took: now.saturating_sub(since) });
@@ -757,7 +757,7 @@
         let outcome = match kept {
             StoredOutcome::Succeeded(_) => RunOutcome::Ok,
             StoredOutcome::Failed => RunOutcome::Error,
-            StoredOutcome::NeverStarted => RunOutcome::Refused,
+            StoredOutcome::NeverStarted => RunOutcome::Rejected,
         };
         self.answer(id, self.outcome_of(kept));
         self.events.push(Event::Finished { id, outcome, took });
@@ -788,7 +788,7 @@
                 return;
             }
             CallOutcome::Failed => RunOutcome::Error,
-            CallOutcome::Refused => RunOutcome::Refused,
+            CallOutcome::Rejected => RunOutcome::Rejected,
             CallOutcome::TimedOut => RunOutcome::TimedOut,
             CallOutcome::Unreachable => RunOutcome::Unreachable,
             CallOutcome::CutOff => RunOutcome::CutOff,
@@ -812,7 +812,7 @@
         }
         self.actions = actions;
         for event in &events {
-            if let Event::Abandoned(id) = event {
+            if let Event::Cancelled(id) = event {
                 let over = |t: &Try| matches!(t.phase, Phase::Held | Phase::Joining { .. });
                 if self.tries.get(id).is_some_and(over) {
                     self.forget(*id);
@@ -825,7 +825,7 @@
         match action {
             Action::Run(id) => self.start_run(id, now),
             Action::Pause(id) => self.with_txn(id, |core, txn| core.command_run(RunCommand::Stop(txn))),
-            Action::Refuse { id, retry_after, stay: give_up } => {
+            Action::Reject { id, retry_after, give_up } => {
                 // Guards the promise in a refusal against a try that has begun or has joined one that has.
                 let held = self.tries.get(&id).is_some_and(|t| t.phase == Phase::Held);
                 let refused = RequestOutcome::Rejected { retry_after, give_up };
@@ -837,14 +837,14 @@
                 self.answer(id, RequestOutcome::Failed { timed_out: now + OVERDUE >= deadline });
                 self.end_unless_running(id);
             }
-            Action::Join(id) => self.join(id, now),
-            Action::Remember(id, keep) => {
+            Action::Coalesce(id) => self.join(id, now),
+            Action::RetainKey(id, keep) => {
                 let Some(request) = self.tries.get(&id).map(|t| t.request.clone()) else { return };
                 if let Some(key) = self.key_of(&request) {
                     self.keys.remember(key, &request.body, id, now + keep);
                 }
             }
-            Action::Forget(id) => {
+            Action::ReleaseKey(id) => {
                 self.tell_heir_of(id, RunState::NeverStarted);
                 self.keys.forget(id);
             }
--- a/node/src/exchange.rs
+++ b/node/src/exchange.rs
@@ -140,7 +140,7 @@
     /// It failed and may have had its effect.
     Failed,
     /// Turned away: it never ran.
-    Refused,
+    Rejected,
     /// It ran out of time and may have had its effect.
     TimedOut,
     /// Nobody was reached: it never ran.
--- a/settings/src/tests.rs
+++ b/settings/src/tests.rs
@@ -11,7 +11,7 @@
     let settings = parse(SMALL).unwrap().settings;
     assert_eq!(settings.cores, 2);
     assert_eq!(settings.signal, Signal::Level);
-    assert_eq!(settings.classes[0].effect, Effect::Keyed);
+    assert_eq!(settings.classes[0].effect, Effect::IdempotencyKey);
     assert!(settings.classes[0].calls);
     assert!(matches!(settings.dependency, Dependency::Shared { share, .. } if share == 0.5));
 }
@@ -31,14 +31,14 @@
         let mut parsed = parse(SMALL).unwrap();
         parsed.classes = names.map(String::from).to_vec();
         parsed.settings.classes = vec![parsed.settings.classes[0].clone(); 2];
-        parsed.settings.classes[1].worth = 7.0;
+        parsed.settings.classes[1].weight = 7.0;
         parsed
     };
     let followed = named(["a", "b"]).followed_by(named(["c", "a"])).unwrap();
     assert_eq!(followed.classes, ["a", "b", "c"]);
     assert_eq!(followed.retired_classes, [1]);
-    let worths: Vec<f64> = followed.settings.classes.iter().map(|class| class.worth).collect();
-    assert_eq!(worths, [7.0, 7.0, 1.0]);
+    let weights: Vec<f64> = followed.settings.classes.iter().map(|class| class.weight).collect();
+    assert_eq!(weights, [7.0, 7.0, 1.0]);
     let back = followed.followed_by(named(["b", "x"])).unwrap();
     assert_eq!((back.classes.len(), back.retired_classes), (4, vec![0, 2]));
 }
--- a/simulator-adapter/src/wire.rs
+++ b/simulator-adapter/src/wire.rs
@@ -131,12 +131,12 @@
         Ok(match self.u16()? {
             1 => Outcome::Ok,
             2 => Outcome::Error,
-            3 => Outcome::Refused,
+            3 => Outcome::Rejected,
             4 => Outcome::TimedOut,
             5 => Outcome::Unreachable,
             6 => Outcome::CutOff,
-            7 => Outcome::Stopped,
-            8 => Outcome::Moot,
+            7 => Outcome::Cancelled,
+            8 => Outcome::Skipped,
             other => return malformed(format!("unknown outcome {other}")),
         })
     }
@@ -156,7 +156,7 @@
         let age = self.micros()?;
         let rank = self.f32()?.into();
         let caller = CallerId(self.u32()?);
-        let patience = self.micros()?;
+        let time_left = self.micros()?;
         Ok(Arrival {
             id,
             repeats,
@@ -167,7 +167,7 @@
             age,
             rank,
             caller,
-            patience: (!patience.is_zero()).then_some(patience),
+            time_left: (!time_left.is_zero()).then_some(time_left),
         })
     }
 
@@ -194,7 +194,7 @@
                 took: self.micros()?,
             }),
             5 => Record::Event(Event::Drain(self.micros()?)),
-            6 => Record::Event(Event::Abandoned(self.id()?)),
+            6 => Record::Event(Event::Cancelled(self.id()?)),
             7 => {
                 let handle = TimerId(self.u32()?);
                 let n = self.u8()?;
@@ -258,14 +258,14 @@
         match *action {
             Action::IdleLimit(keep) => self.record(64).extend(micros(keep)),
             Action::Run(id) => drop(self.request(65, id)),
-            Action::Remember(id, keep) => self.request(66, id).extend(micros(keep)),
-            Action::Join(id) => drop(self.request(68, id)),
+            Action::RetainKey(id, keep) => self.request(66, id).extend(micros(keep)),
+            Action::Coalesce(id) => drop(self.request(68, id)),
             Action::Fail(id) => drop(self.request(69, id)),
             Action::SkipCall(id) => drop(self.request(71, id)),
-            Action::Refuse { id, retry_after, stay } => {
+            Action::Reject { id, retry_after, give_up } => {
                 let body = self.request(72, id);
                 body.extend(micros(retry_after.unwrap_or_default()));
-                body.push(stay.into());
+                body.push(give_up.into());
             }
             Action::Advertise(value) => {
                 self.record(73).extend((value as f32).to_le_bytes());
@@ -280,7 +280,7 @@
             }
             Action::Pause(id) => drop(self.request(77, id)),
             Action::Call(id, within) => self.request(78, id).extend(micros(within)),
-            Action::Forget(id) => drop(self.request(79, id)),
+            Action::ReleaseKey(id) => drop(self.request(79, id)),
         }
     }
 
--- a/simulator-adapter/src/wire/tests.rs
+++ b/simulator-adapter/src/wire/tests.rs
@@ -27,8 +27,8 @@
     assert_eq!(arrival.age, Duration::from_micros(1850));
     assert_eq!(arrival.rank, 0.625);
     assert_eq!(arrival.caller, CallerId(17));
-    assert_eq!(arrival.patience, Some(Duration::from_micros(240_000)));
-    assert_eq!(batch.records[4], Record::Event(Event::Abandoned(RequestId(0x0e6f2b19))));
+    assert_eq!(arrival.time_left, Some(Duration::from_micros(240_000)));
+    assert_eq!(batch.records[4], Record::Event(Event::Cancelled(RequestId(0x0e6f2b19))));
 }
 
 #[test]
@@ -70,10 +70,10 @@
         &[
             Action::SetTimer(TimerId(77), Duration::from_micros(500_000)),
             Action::Advertise(0.25),
-            Action::Refuse {
+            Action::Reject {
                 id: RequestId(0x0e6f2b19),
                 retry_after: Some(Duration::from_micros(250_000)),
-                stay: true,
+                give_up: true,
             },
         ],
     );
