--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -6,11 +6,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use oakwind_fleet::list::{List, Member, NodeId, Plain};
+use oakwind_admission::{Class, Effect};
+use oakwind_fleet::membership_config::{Member, MembershipConfig, MembershipSpec, NodeId};
+use oakwind_settings::Parsed;
 use serde::Deserialize;
 use serde_json::value::{RawValue, Value};
-use swiftwinch::{Class, Effect};
-use swiftwinch_settings::Parsed;
 
 /// What is wrong with a configuration, in one line that names the key.
 #[derive(Debug, PartialEq, Eq)]
@@ -205,7 +205,7 @@
         let mut json = serde_json::Deserializer::from_str(text);
         let raw: Raw = serde_path_to_error::deserialize(&mut json).map_err(|e| BadConfig(named(&e)))?;
         json.end().map_err(|e| BadConfig(e.to_string()))?;
-        let settings = match swiftwinch_settings::parse(raw.settings.get()) {
+        let settings = match oakwind_settings::parse(raw.settings.get()) {
             Ok(settings) => settings,
             Err(e) => return bad(e.to_string()),
         };
@@ -216,7 +216,7 @@
             return bad(format!("settings.services[{i}].deadline: 0 is no time to answer in"));
         }
         // Guards against keys that would be forgotten while their tries still come.
-        let forgets = |class: &Class| class.effect == Effect::Keyed && class.window.is_zero();
+        let forgets = |class: &Class| class.effect == Effect::IdempotencyKey && class.window.is_zero();
         if let Some(i) = settings.settings.classes.iter().position(forgets) {
             return bad(format!("settings.services[{i}].window: missing or 0, and its keys may come again"));
         }
@@ -521,7 +521,7 @@
     /// Where what this node has granted outlasts the process, if anywhere.
     pub folder: Option<Remembered>,
     /// The numbered list.
-    pub list: Arc<List>,
+    pub list: Arc<MembershipConfig>,
 }
 
 #[derive(Deserialize)]
@@ -605,13 +605,13 @@
             let address = address(&format!("fleet file, list.member[{i}].address"), &member.address)?;
             Ok(Member { name: member.name, address, zone: member.zone })
         });
-        let plain = Plain {
+        let plain = MembershipSpec {
             number: raw.list.number,
             copies: raw.list.copies,
             window: Duration::from_millis(raw.list.window_ms),
             members: members.collect::<Result<_, BadConfig>>()?,
         };
-        let list = List::new(plain).map_err(|e| BadConfig(format!("fleet file, {e}")))?;
+        let list = MembershipConfig::new(plain).map_err(|e| BadConfig(format!("fleet file, {e}")))?;
         Ok(Fleet {
             listen: address("fleet file, listen", &raw.listen)?,
             bytes: raw.memory_mb * 1024 * 1024,
--- a/node/src/remembered/mod.rs
+++ b/node/src/result_store/mod.rs
@@ -5,9 +5,9 @@
 //! disk, so it has a thread of its own; records that come meanwhile share the next wait.
 
 pub mod folder;
-pub mod ledger;
 pub mod record;
 pub mod recovery;
+pub mod segment_index;
 
 use std::io;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -15,16 +15,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use swiftwinch::RequestId;
+use oakwind_admission::RequestId;
 use tokio::sync::mpsc;
 
 use crate::clock::{self, Unix};
 use crate::config::Remembered;
 use crate::log;
 use folder::{Folder, System};
-use ledger::Limits;
 use record::Record;
 use recovery::{Doubts, Recovered};
+use segment_index::Limits;
 
 /// Records that may wait for the disk, and answers about them; what finds no room is not kept.
 const WAITING: usize = 4096;
@@ -95,7 +95,7 @@
 }
 
 /// The keeper's part in it.
-pub struct Remembrance {
+pub struct ResultStore {
     remembered: Remembered,
     longest: Duration,
     /// None while another process of this node has the folder.
@@ -109,10 +109,10 @@
     pub tally: Arc<Tally>,
 }
 
-impl Remembrance {
+impl ResultStore {
     /// That of a node whose folder another process of it still has.
     pub fn closed(remembered: Remembered, longest: Duration) -> Self {
-        Remembrance {
+        ResultStore {
             remembered,
             longest,
             recorder: None,
--- a/node/tests/sockets/main.rs
+++ b/node/tests/sockets/main.rs
@@ -6,6 +6,7 @@
 mod fixtures;
 mod fleet;
 mod floods;
+mod golden;
 mod helper;
 mod jsonrpc;
 mod links;
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -6,8 +6,8 @@
 use std::fmt;
 use std::time::Duration;
 
+use oakwind_admission::{Class, Dependency, Effect, Gauges, Preemption, Settings, Signal};
 use serde::Deserialize;
-use swiftwinch::{Class, Dependency, Effect, Gauges, Preemption, Settings, Signal};
 
 /// What is wrong with the text; names the key.
 #[derive(Debug, PartialEq, Eq)]
@@ -209,27 +209,27 @@
     let settings = Settings {
         classes,
         tenant_quotas: params.tenants.iter().map(|t| t.quota_per_s).collect(),
-        over_quota_worth: params.over_share_worth,
-        worth_by_work: params.counted_by == "work",
+        over_quota_weight: params.over_share_worth,
+        weight_by_work: params.counted_by == "work",
         servers: params.servers,
         callers: specifics.callers,
         cores: specifics.cores,
         memory_kb: specifics.memory_kb,
-        run_factor: specifics.run_factor,
-        entry_kb: specifics.entry_kb,
+        running_memory_factor: specifics.run_factor,
+        key_memory_kb: specifics.entry_kb,
         dependency: dependency(specifics)?,
         preemption: preemption(&specifics.preemption)?,
         signal: signal(&specifics.signal)?,
-        fresh: Duration::from_micros(specifics.fresh),
+        response_reuse: Duration::from_micros(specifics.fresh),
         cold: specifics.just_started,
-        cold_share: params.safety.cold_share,
-        warm_after: Duration::from_micros(params.safety.warm_after),
-        passes_patience: specifics.passes_deadline,
+        cold_speed: params.safety.cold_share,
+        warm_up_time: Duration::from_micros(params.safety.warm_after),
+        sends_deadline: specifics.passes_deadline,
         idle: Duration::from_micros(specifics.idle),
         retry_after: params.limits.retry_after,
         max_retry_after: Duration::from_micros(params.limits.max_retry_after),
         drain_grace: Duration::from_micros(params.safety.drain_grace),
-        crowd_per_core: params.safety.fall_multiple,
+        max_concurrency_per_core: params.safety.fall_multiple,
         tick: Duration::from_micros(params.tick),
     };
     Ok(Parsed {
@@ -244,20 +244,20 @@
 
 fn class(service: &Service, position: usize, specifics: &Specifics) -> Result<Class, BadSettings> {
     Ok(Class {
-        aim: Duration::from_micros(service.slo),
-        aim_stretch: service.aim_stretch,
+        latency_objective: Duration::from_micros(service.slo),
+        objective_stretch: service.aim_stretch,
         deadline: Duration::from_micros(service.deadline),
         effect: match service.effect.as_str() {
-            "repeatable" => Effect::Repeatable,
-            "by_key" => Effect::Keyed,
-            "once" => Effect::Once,
+            "repeatable" => Effect::Idempotent,
+            "by_key" => Effect::IdempotencyKey,
+            "once" => Effect::AtMostOnce,
             other => return unknown("effect", other),
         },
         window: Duration::from_micros(service.window),
-        worth: service.worth,
-        late_worth: service.late_worth,
+        weight: service.worth,
+        late_weight: service.late_worth,
         calls: specifics.class_calls.get(position).copied().unwrap_or(false),
-        skip_worth: specifics.class_skip_worth.get(position).copied().unwrap_or(0.0),
+        skip_weight: specifics.class_skip_worth.get(position).copied().unwrap_or(0.0),
     })
 }
 
--- a/adapter/src/wire.rs
+++ b/simulator-adapter/src/wire.rs
@@ -4,7 +4,7 @@
 use std::io::{self, Read};
 use std::time::Duration;
 
-use swiftwinch::{Action, Arrival, CallerId, ClassId, Event, Outcome, RequestId, TenantId, TimerId};
+use oakwind_admission::{Action, Arrival, CallerId, ClassId, Event, Outcome, RequestId, TenantId, TimerId};
 
 /// Longest batch accepted; the simulator's are megabytes at most.
 const MAX_FRAME: usize = 1 << 28;
@@ -131,12 +131,12 @@
         Ok(match self.u16()? {
             1 => Outcome::Ok,
             2 => Outcome::Error,
-            3 => Outcome::Refused,
+            3 => Outcome::Rejected,
             4 => Outcome::TimedOut,
             5 => Outcome::Unreachable,
             6 => Outcome::CutOff,
-            7 => Outcome::Stopped,
-            8 => Outcome::Moot,
+            7 => Outcome::Cancelled,
+            8 => Outcome::Skipped,
             other => return malformed(format!("unknown outcome {other}")),
         })
     }
@@ -147,27 +147,27 @@
             0 => None,
             prior => Some(RequestId(prior)),
         };
-        let hint = self.micros()?;
+        let cost_hint = self.micros()?;
         let tenant = TenantId(self.u16()?);
         let class = ClassId(self.u16()?);
-        let kb = self.f32()?.into();
+        let memory_kb = self.f32()?.into();
         let marks = self.u8()?;
         let _path_key = self.u64()?;
         let age = self.micros()?;
         let rank = self.f32()?.into();
         let caller = CallerId(self.u32()?);
-        let patience = self.micros()?;
+        let time_left = self.micros()?;
         Ok(Arrival {
             id,
             repeats,
             class,
             tenant,
-            hint: (marks & 1 != 0).then_some(hint),
-            kb,
+            cost_hint: (marks & 1 != 0).then_some(cost_hint),
+            memory_kb,
             age,
             rank,
             caller,
-            patience: (!patience.is_zero()).then_some(patience),
+            time_left: (!time_left.is_zero()).then_some(time_left),
         })
     }
 
@@ -194,7 +194,7 @@
                 took: self.micros()?,
             }),
             5 => Record::Event(Event::Drain(self.micros()?)),
-            6 => Record::Event(Event::Abandoned(self.id()?)),
+            6 => Record::Event(Event::Cancelled(self.id()?)),
             7 => {
                 let handle = TimerId(self.u32()?);
                 let n = self.u8()?;
@@ -258,14 +258,14 @@
         match *action {
             Action::IdleLimit(keep) => self.record(64).extend(micros(keep)),
             Action::Run(id) => drop(self.request(65, id)),
-            Action::Remember(id, keep) => self.request(66, id).extend(micros(keep)),
-            Action::Join(id) => drop(self.request(68, id)),
+            Action::RetainKey(id, keep) => self.request(66, id).extend(micros(keep)),
+            Action::Coalesce(id) => drop(self.request(68, id)),
             Action::Fail(id) => drop(self.request(69, id)),
             Action::SkipCall(id) => drop(self.request(71, id)),
-            Action::Refuse { id, retry_after, stay } => {
+            Action::Reject { id, retry_after, give_up } => {
                 let body = self.request(72, id);
                 body.extend(micros(retry_after.unwrap_or_default()));
-                body.push(stay.into());
+                body.push(give_up.into());
             }
             Action::Advertise(value) => {
                 self.record(73).extend((value as f32).to_le_bytes());
@@ -280,7 +280,7 @@
             }
             Action::Pause(id) => drop(self.request(77, id)),
             Action::Call(id, within) => self.request(78, id).extend(micros(within)),
-            Action::Forget(id) => drop(self.request(79, id)),
+            Action::ReleaseKey(id) => drop(self.request(79, id)),
         }
     }
 
