--- a/node/src/backend/index.rs
+++ b/node/src/backend/index.rs
@@ -12,7 +12,7 @@
 
 use super::Callee;
 use crate::clock::{self, Unix};
-use crate::config::Links;
+use crate::config::UpstreamAddresses;
 use crate::exchange::{CallOutcome, Request};
 use crate::line_codec::{self, put, Link};
 use crate::log;
@@ -38,7 +38,7 @@
 
 /// The client side of the index.
 pub struct Index {
-    links: watch::Receiver<Links>,
+    links: watch::Receiver<UpstreamAddresses>,
     /// The last one used comes last.
     idle: RefCell<Vec<Idle>>,
     most_idle: usize,
@@ -47,7 +47,7 @@
 impl Index {
     /// The index at the address of the day; without one, no call reaches anybody. So many connections at the
     /// most are kept idle.
-    pub fn new(links: watch::Receiver<Links>, most_idle: usize) -> Rc<Self> {
+    pub fn new(links: watch::Receiver<UpstreamAddresses>, most_idle: usize) -> Rc<Self> {
         Rc::new(Index { links, idle: RefCell::default(), most_idle })
     }
 
--- a/node/src/backend/interpreter.rs
+++ b/node/src/backend/interpreter.rs
@@ -11,7 +11,7 @@
 
 use crate::class_registry::ClassRegistry;
 use crate::clock::{self, Unix};
-use crate::config::Links;
+use crate::config::UpstreamAddresses;
 use crate::exchange::{BackendEvent, Completion, Exchange, Request, RunCommand};
 use crate::line_codec::{self, put, Link, Message};
 use crate::log;
@@ -52,7 +52,7 @@
 
 /// The client side of the interpreter.
 pub struct Interpreter {
-    links: watch::Receiver<Links>,
+    links: watch::Receiver<UpstreamAddresses>,
     exchange: Exchange,
     commands: mpsc::Receiver<RunCommand>,
     names: Rc<ClassRegistry>,
@@ -65,7 +65,7 @@
 impl Interpreter {
     /// The link to the interpreter at the address of the day, where classes go by their names.
     pub fn new(
-        links: watch::Receiver<Links>,
+        links: watch::Receiver<UpstreamAddresses>,
         exchange: Exchange,
         commands: mpsc::Receiver<RunCommand>,
         names: Rc<ClassRegistry>,
@@ -76,7 +76,7 @@
     /// Holds the link for as long as there are commands to come.
     pub async fn run(mut self) {
         loop {
-            let Some(address) = self.links.borrow_and_update().vm else { return };
+            let Some(address) = self.links.borrow_and_update().interpreter else { return };
             let begun = clock::now();
             match self.unlinked(sockets::connect(address, begun + CONNECTS)).await {
                 Some(Some(Ok(stream))) => match self.linked(Link::new(stream)).await {
--- a/node/src/backend/uwsgi.rs
+++ b/node/src/backend/uwsgi.rs
@@ -15,7 +15,7 @@
 use super::{Callee, UnderWay};
 use crate::class_registry::ClassRegistry;
 use crate::clock::{self, Unix};
-use crate::config::Links;
+use crate::config::UpstreamAddresses;
 use crate::exchange::{BackendEvent, CallOutcome, Completion, Exchange, Request, RunCommand};
 use crate::http::{MAX_FIELDS, MAX_HEAD};
 use crate::log;
@@ -45,11 +45,11 @@
 }
 
 /// Which of a node's links servers are taken from.
-pub type Pick = fn(&Links) -> &Vec<SocketAddr>;
+pub type Pick = fn(&UpstreamAddresses) -> &Vec<SocketAddr>;
 
 /// Servers that stand in for each other, and the names that they are told.
 pub struct Servers {
-    links: watch::Receiver<Links>,
+    links: watch::Receiver<UpstreamAddresses>,
     pick: Pick,
     next: Cell<usize>,
     names: Rc<ClassRegistry>,
@@ -57,7 +57,7 @@
 
 impl Servers {
     /// The servers at the addresses of the day; classes and tenants go by their names in the settings.
-    pub fn new(links: watch::Receiver<Links>, pick: Pick, names: Rc<ClassRegistry>) -> Rc<Self> {
+    pub fn new(links: watch::Receiver<UpstreamAddresses>, pick: Pick, names: Rc<ClassRegistry>) -> Rc<Self> {
         Rc::new(Servers { links, pick, next: Cell::new(0), names })
     }
 
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -14,9 +14,9 @@
 
 /// What is wrong with a configuration, in one line that names the key.
 #[derive(Debug, PartialEq, Eq)]
-pub struct BadConfig(pub String);
+pub struct ConfigError(pub String);
 
-impl fmt::Display for BadConfig {
+impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         // Parsers put excerpts on lines of their own; the log gets one line.
         f.write_str(self.0.lines().next().unwrap_or_default())
@@ -31,36 +31,36 @@
     }
 }
 
-fn bad<T>(what: impl Into<String>) -> Result<T, BadConfig> {
-    Err(BadConfig(what.into()))
+fn bad<T>(what: impl Into<String>) -> Result<T, ConfigError> {
+    Err(ConfigError(what.into()))
 }
 
 /// Whom the node connects to: the part of a configuration that a reload changes.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Links {
+pub struct UpstreamAddresses {
     /// The interpreter, unless uwsgi servers run everything.
-    pub vm: Option<SocketAddr>,
+    pub interpreter: Option<SocketAddr>,
     /// The membership service, if there is one.
-    pub members: Option<SocketAddr>,
+    pub membership_service: Option<SocketAddr>,
     /// The index; the last tier has none.
     pub index: Option<SocketAddr>,
     /// uwsgi servers that run requests, in place of the interpreter.
-    pub runs: Vec<SocketAddr>,
+    pub uwsgi_run_servers: Vec<SocketAddr>,
     /// uwsgi servers that take the calls to the tier below, in place of the index.
-    pub calls: Vec<SocketAddr>,
+    pub uwsgi_call_servers: Vec<SocketAddr>,
 }
 
-impl Links {
+impl UpstreamAddresses {
     /// The key that says of these links what a node that began with the others can't take over while it runs:
     /// what kind of peer does a job, or that there is one.
-    pub fn unlike(&self, begun: &Links) -> Option<&'static str> {
-        let kinds = |links: &Links| {
+    pub fn first_incompatible_key(&self, begun: &UpstreamAddresses) -> Option<&'static str> {
+        let kinds = |addresses: &UpstreamAddresses| {
             [
-                ("runs", links.runs.is_empty()),
-                ("vm", links.vm.is_none()),
-                ("calls", links.calls.is_empty()),
-                ("index", links.index.is_none()),
-                ("members", links.members.is_none()),
+                ("runs", addresses.uwsgi_run_servers.is_empty()),
+                ("vm", addresses.interpreter.is_none()),
+                ("calls", addresses.uwsgi_call_servers.is_empty()),
+                ("index", addresses.index.is_none()),
+                ("members", addresses.membership_service.is_none()),
             ]
         };
         kinds(self).into_iter().zip(kinds(begun)).find(|(new, old)| new != old).map(|(new, _)| new.0)
@@ -69,7 +69,7 @@
 
 /// The files that a node is told by, read at its start and at each reload.
 #[derive(Debug)]
-pub struct Files {
+pub struct ConfigFiles {
     /// The platform's JSON; by default the file that `BALANCER_CONFIG` names.
     pub config: Option<PathBuf>,
     /// The file that switches the uwsgi front on.
@@ -84,42 +84,43 @@
 
 /// All that a node is told.
 #[derive(Debug)]
-pub struct Told {
+pub struct Configuration {
     /// The platform's configuration.
-    pub config: Config,
+    pub config: NodeConfig,
     /// The uwsgi front.
-    pub uwsgi: Option<Uwsgi>,
+    pub uwsgi: Option<UwsgiConfig>,
     /// Where keys and results outlast the process.
-    pub remembered: Option<Remembered>,
+    pub remembered: Option<ResultStoreConfig>,
     /// The fleet.
-    pub fleet: Option<Fleet>,
+    pub fleet: Option<FleetConfig>,
     /// Where what is decided is recorded.
-    pub records: Option<Records>,
+    pub records: Option<DecisionLogConfig>,
 }
 
-impl Files {
+impl ConfigFiles {
     /// Reads and checks all there is.
-    pub fn read(&self) -> Result<Told, BadConfig> {
+    pub fn load(&self) -> Result<Configuration, ConfigError> {
         let named = self.config.clone().or_else(|| std::env::var_os("BALANCER_CONFIG").map(PathBuf::from));
         let Some(path) = named else {
             return bad("no configuration: name one with --config or BALANCER_CONFIG");
         };
-        let mut config = Config::read(&path)?;
-        let uwsgi = self.uwsgi.as_deref().map(Uwsgi::read).transpose()?;
+        let mut config = NodeConfig::read(&path)?;
+        let uwsgi = self.uwsgi.as_deref().map(UwsgiConfig::read).transpose()?;
         if let Some(uwsgi) = &uwsgi {
-            (config.links.runs, config.links.calls) = (uwsgi.runs.clone(), uwsgi.calls.clone());
+            (config.upstreams.uwsgi_run_servers, config.upstreams.uwsgi_call_servers) =
+                (uwsgi.run_servers.clone(), uwsgi.call_servers.clone());
         }
-        if config.links.vm.is_none() && config.links.runs.is_empty() {
+        if config.upstreams.interpreter.is_none() && config.upstreams.uwsgi_run_servers.is_empty() {
             return bad("vm: missing, and no uwsgi servers run the requests in its place");
         }
-        let remembered = self.remembered.as_deref().map(Remembered::read).transpose()?;
-        let fleet = self.fleet.as_deref().map(Fleet::read).transpose()?;
+        let remembered = self.remembered.as_deref().map(ResultStoreConfig::read).transpose()?;
+        let fleet = self.fleet.as_deref().map(FleetConfig::read).transpose()?;
         if let Some(fleet) = &fleet {
-            let longest = config.longest();
-            if fleet.list.window() < longest {
+            let max_idempotency_window = config.max_idempotency_window();
+            if fleet.list.window() < max_idempotency_window {
                 return bad(format!(
                     "fleet file, list.window_ms: {} at least, as the settings remember keys for that long",
-                    longest.as_millis()
+                    max_idempotency_window.as_millis()
                 ));
             }
             if fleet.links > config.sockets / 2 {
@@ -129,13 +130,13 @@
                 ));
             }
         }
-        let records = self.records.as_deref().map(Records::read).transpose()?;
-        Ok(Told { config, uwsgi, remembered, fleet, records })
+        let records = self.records.as_deref().map(DecisionLogConfig::read).transpose()?;
+        Ok(Configuration { config, uwsgi, remembered, fleet, records })
     }
 
     /// The same for a start: a node has to be on the list that it begins with.
-    pub fn read_for_start(&self) -> Result<Told, BadConfig> {
-        let told = self.read()?;
+    pub fn load_for_startup(&self) -> Result<Configuration, ConfigError> {
+        let told = self.load()?;
         if let Some(fleet) = &told.fleet {
             if fleet.list.place(NodeId::of(&fleet.name)).is_none() {
                 return bad(format!("fleet file, name: {:?} is not on the list", fleet.name));
@@ -147,7 +148,7 @@
 
 /// The platform's configuration.
 #[derive(Debug)]
-pub struct Config {
+pub struct NodeConfig {
     /// The node's name.
     pub name: String,
     /// Where front ends connect.
@@ -155,7 +156,7 @@
     /// Where operators call, if they do.
     pub ops: Option<SocketAddr>,
     /// Whom the node connects to.
-    pub links: Links,
+    pub upstreams: UpstreamAddresses,
     /// Seed of the random numbers.
     pub seed: u64,
     /// How long after the notice to leave the process is stopped.
@@ -199,12 +200,12 @@
     }
 }
 
-impl Config {
+impl NodeConfig {
     /// Reads the platform's JSON.
-    pub fn parse(text: &str) -> Result<Self, BadConfig> {
+    pub fn parse(text: &str) -> Result<Self, ConfigError> {
         let mut json = serde_json::Deserializer::from_str(text);
-        let raw: Raw = serde_path_to_error::deserialize(&mut json).map_err(|e| BadConfig(named(&e)))?;
-        json.end().map_err(|e| BadConfig(e.to_string()))?;
+        let raw: Raw = serde_path_to_error::deserialize(&mut json).map_err(|e| ConfigError(named(&e)))?;
+        json.end().map_err(|e| ConfigError(e.to_string()))?;
         let settings = match oakwind_settings::parse(raw.settings.get()) {
             Ok(settings) => settings,
             Err(e) => return bad(e.to_string()),
@@ -220,22 +221,22 @@
         if let Some(i) = settings.settings.classes.iter().position(forgets) {
             return bad(format!("settings.services[{i}].window: missing or 0, and its keys may come again"));
         }
-        let written = serde_json::from_str(text).map_err(|e| BadConfig(e.to_string()))?;
+        let written = serde_json::from_str(text).map_err(|e| ConfigError(e.to_string()))?;
         let Ok(seed) = u64::from_str_radix(&raw.seed, 16) else {
             return bad(format!("seed: {:?} is not hexadecimal", raw.seed));
         };
         if raw.limits.sockets < 32 {
             return bad(format!("limits.sockets: {} is too few, 32 at least", raw.limits.sockets));
         }
-        Ok(Config {
+        Ok(NodeConfig {
             listen: address("listen", &raw.listen)?,
             ops: raw.ops.as_deref().map(|a| address("ops", a)).transpose()?,
-            links: Links {
-                vm: raw.vm.as_deref().map(|a| address("vm", a)).transpose()?,
-                members: raw.members.as_deref().map(|a| address("members", a)).transpose()?,
+            upstreams: UpstreamAddresses {
+                interpreter: raw.vm.as_deref().map(|a| address("vm", a)).transpose()?,
+                membership_service: raw.members.as_deref().map(|a| address("members", a)).transpose()?,
                 index: raw.index.as_deref().map(|a| address("index", a)).transpose()?,
-                runs: Vec::new(),
-                calls: Vec::new(),
+                uwsgi_run_servers: Vec::new(),
+                uwsgi_call_servers: Vec::new(),
             },
             name: raw.name,
             seed,
@@ -248,21 +249,22 @@
     }
 
     /// The longest that any key is remembered, with some to spare.
-    pub fn longest(&self) -> Duration {
+    pub fn max_idempotency_window(&self) -> Duration {
         let classes = self.settings.settings.classes.iter();
-        let longest = classes.map(|class| class.window.max(class.deadline)).max().unwrap_or_default();
-        longest + Duration::from_secs(1)
+        let max_idempotency_window =
+            classes.map(|class| class.window.max(class.deadline)).max().unwrap_or_default();
+        max_idempotency_window + Duration::from_secs(1)
     }
 
     /// The first key of `before` that this lacks. Guards a node that runs against a file that is not whole: what
     /// is left out would be taken for its default. Of the members of a list, those keys are needed that each had.
-    pub fn lacks(&self, before: &Config) -> Option<String> {
+    pub fn first_missing_key(&self, before: &NodeConfig) -> Option<String> {
         lacking(&before.written, &self.written).into_iter().next()
     }
 
     /// Reads the file.
-    pub fn read(path: &Path) -> Result<Self, BadConfig> {
-        Config::parse(&text_of(path)?)
+    pub fn read(path: &Path) -> Result<Self, ConfigError> {
+        NodeConfig::parse(&text_of(path)?)
     }
 }
 
@@ -275,50 +277,50 @@
     };
     match (before, now) {
         (Value::Object(before), Value::Object(now)) => {
-            let lacks = |(key, old): (&String, &Value)| match now.get(key) {
+            let first_missing_key = |(key, old): (&String, &Value)| match now.get(key) {
                 Some(new) => within(key, lacking(old, new)),
                 None => vec![key.clone()],
             };
-            before.iter().flat_map(lacks).collect()
+            before.iter().flat_map(first_missing_key).collect()
         }
         (Value::Array(before), Value::Array(now)) => {
-            let lacks = |(i, new): (usize, &Value)| {
+            let first_missing_key = |(i, new): (usize, &Value)| {
                 let beside_each = before.iter().map(|old| lacking(old, new));
                 let all =
                     beside_each.reduce(|all, one| all.into_iter().filter(|key| one.contains(key)).collect());
                 within(&i.to_string(), all.unwrap_or_default())
             };
-            now.iter().enumerate().flat_map(lacks).collect()
+            now.iter().enumerate().flat_map(first_missing_key).collect()
         }
         (Value::Object(_) | Value::Array(_), _) => vec![String::new()],
         _ => Vec::new(),
     }
 }
 
-fn text_of(path: &Path) -> Result<String, BadConfig> {
-    std::fs::read_to_string(path).map_err(|e| BadConfig(format!("{}: {e}", path.display())))
+fn text_of(path: &Path) -> Result<String, ConfigError> {
+    std::fs::read_to_string(path).map_err(|e| ConfigError(format!("{}: {e}", path.display())))
 }
 
-fn address(key: &str, text: &str) -> Result<SocketAddr, BadConfig> {
+fn address(key: &str, text: &str) -> Result<SocketAddr, ConfigError> {
     text.parse().or_else(|_| bad(format!("{key}: {text:?} is not an address with a port")))
 }
 
 /// The uwsgi front, its servers and its virtual router.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Uwsgi {
+pub struct UwsgiConfig {
     /// Where uwsgi clients connect.
     pub listen: SocketAddr,
     /// uwsgi servers that run requests, in place of the interpreter.
-    pub runs: Vec<SocketAddr>,
+    pub run_servers: Vec<SocketAddr>,
     /// uwsgi servers that take the calls to the tier below, in place of the index.
-    pub calls: Vec<SocketAddr>,
+    pub call_servers: Vec<SocketAddr>,
     /// Unless it is there, the listener is always open.
-    pub vrrp: Option<Vrrp>,
+    pub vrrp: Option<VrrpConfig>,
 }
 
 /// The virtual router that guards the uwsgi listener.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Vrrp {
+pub struct VrrpConfig {
     /// Its number, 1 to 255.
     pub vrid: u8,
     /// 1 to 254, or 255 for the owner of the address.
@@ -374,36 +376,36 @@
 }
 
 /// Reads an operators' file in TOML; what is wrong with it is told with its line and key.
-fn operators_file<'a, T: Deserialize<'a>>(what: &str, text: &'a str) -> Result<T, BadConfig> {
+fn operators_file<'a, T: Deserialize<'a>>(what: &str, text: &'a str) -> Result<T, ConfigError> {
     let wrong = |key: String, e: &toml::de::Error| {
         let at = e.span().map_or(0, |span| text[..span.start.min(text.len())].lines().count().max(1));
-        BadConfig(format!("{what} file, line {at}{key}: {}", e.message()))
+        ConfigError(format!("{what} file, line {at}{key}: {}", e.message()))
     };
     let table = toml::Deserializer::parse(text).map_err(|e| wrong(String::new(), &e))?;
     serde_path_to_error::deserialize(table).map_err(|e| wrong(format!(", {}", e.path()), e.inner()))
 }
 
-impl Uwsgi {
+impl UwsgiConfig {
     /// Reads the text of a uwsgi file.
-    pub fn parse(text: &str) -> Result<Self, BadConfig> {
+    pub fn parse(text: &str) -> Result<Self, ConfigError> {
         let raw: RawUwsgi = operators_file("uwsgi", text)?;
-        Ok(Uwsgi {
+        Ok(UwsgiConfig {
             listen: address("listen", &raw.listen)?,
-            runs: addresses("runs", &raw.runs)?,
-            calls: addresses("calls", &raw.calls)?,
-            vrrp: raw.vrrp.map(Vrrp::from_raw).transpose()?,
+            run_servers: addresses("runs", &raw.runs)?,
+            call_servers: addresses("calls", &raw.calls)?,
+            vrrp: raw.vrrp.map(VrrpConfig::from_raw).transpose()?,
         })
     }
 
     /// Reads the file.
-    pub fn read(path: &Path) -> Result<Self, BadConfig> {
-        Uwsgi::parse(&text_of(path)?)
+    pub fn read(path: &Path) -> Result<Self, ConfigError> {
+        UwsgiConfig::parse(&text_of(path)?)
     }
 }
 
 /// Where keys and results outlast the process.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Remembered {
+pub struct ResultStoreConfig {
     /// A folder that lasts, of this node alone.
     pub folder: PathBuf,
     /// Bytes that it may take.
@@ -430,9 +432,9 @@
     1024
 }
 
-impl Remembered {
+impl ResultStoreConfig {
     /// Reads the text of a file.
-    pub fn parse(text: &str) -> Result<Self, BadConfig> {
+    pub fn parse(text: &str) -> Result<Self, ConfigError> {
         let RawRemembered { folder, file_mb, batch } = operators_file("remembered", text)?;
         if !folder.is_absolute() {
             return bad(format!("folder: {}: an absolute path is needed", folder.display()));
@@ -443,18 +445,18 @@
         if !(1..=4096).contains(&batch) {
             return bad("batch: 1 to 4096 are possible");
         }
-        Ok(Remembered { folder, file: file_mb * 1024 * 1024, batch })
+        Ok(ResultStoreConfig { folder, file: file_mb * 1024 * 1024, batch })
     }
 
     /// Reads the file.
-    pub fn read(path: &Path) -> Result<Self, BadConfig> {
-        Remembered::parse(&text_of(path)?)
+    pub fn read(path: &Path) -> Result<Self, ConfigError> {
+        ResultStoreConfig::parse(&text_of(path)?)
     }
 }
 
 /// Where what is decided is recorded.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Records {
+pub struct DecisionLogConfig {
     /// A folder of this node alone.
     pub folder: PathBuf,
     /// Bytes of a file, about.
@@ -481,9 +483,9 @@
     8
 }
 
-impl Records {
+impl DecisionLogConfig {
     /// Reads the text of a file.
-    pub fn parse(text: &str) -> Result<Self, BadConfig> {
+    pub fn parse(text: &str) -> Result<Self, ConfigError> {
         let RawRecords { folder, file_mb, files } = operators_file("records", text)?;
         if !folder.is_absolute() {
             return bad(format!("records file, folder: {}: an absolute path is needed", folder.display()));
@@ -494,18 +496,18 @@
         if !(2..=1000).contains(&files) {
             return bad("records file, files: 2 to 1000 are possible");
         }
-        Ok(Records { folder, file: file_mb * 1024 * 1024, files })
+        Ok(DecisionLogConfig { folder, file: file_mb * 1024 * 1024, files })
     }
 
     /// Reads the file.
-    pub fn read(path: &Path) -> Result<Self, BadConfig> {
-        Records::parse(&text_of(path)?)
+    pub fn read(path: &Path) -> Result<Self, ConfigError> {
+        DecisionLogConfig::parse(&text_of(path)?)
     }
 }
 
 /// The fleet that a node is one of.
 #[derive(Debug, Clone)]
-pub struct Fleet {
+pub struct FleetConfig {
     /// This node's name on the list.
     pub name: String,
     /// Where peers connect.
@@ -519,7 +521,7 @@
     /// Between two probes.
     pub probe: Duration,
     /// Where what this node has granted outlasts the process, if anywhere.
-    pub folder: Option<Remembered>,
+    pub folder: Option<ResultStoreConfig>,
     /// The numbered list.
     pub list: Arc<MembershipConfig>,
 }
@@ -587,9 +589,9 @@
     "here".into()
 }
 
-impl Fleet {
+impl FleetConfig {
     /// Reads the text of a fleet file.
-    pub fn parse(text: &str) -> Result<Self, BadConfig> {
+    pub fn parse(text: &str) -> Result<Self, ConfigError> {
         let raw: RawFleet = operators_file("fleet", text)?;
         let must = |holds: bool, what: &str| if holds { Ok(()) } else { bad(format!("fleet file, {what}")) };
         must((1..=65_536).contains(&raw.memory_mb), "memory_mb: 1 to 65536 are possible")?;
@@ -609,16 +611,16 @@
             number: raw.list.number,
             copies: raw.list.copies,
             window: Duration::from_millis(raw.list.window_ms),
-            members: members.collect::<Result<_, BadConfig>>()?,
+            members: members.collect::<Result<_, ConfigError>>()?,
         };
-        let list = MembershipConfig::new(plain).map_err(|e| BadConfig(format!("fleet file, {e}")))?;
-        Ok(Fleet {
+        let list = MembershipConfig::new(plain).map_err(|e| ConfigError(format!("fleet file, {e}")))?;
+        Ok(FleetConfig {
             listen: address("fleet file, listen", &raw.listen)?,
             bytes: raw.memory_mb * 1024 * 1024,
             links: raw.links,
             bytes_per_s: raw.kb_per_s * 1000,
             probe: Duration::from_millis(raw.probe_ms),
-            folder: raw.folder.map(|folder| Remembered {
+            folder: raw.folder.map(|folder| ResultStoreConfig {
                 folder,
                 file: raw.file_mb * 1024 * 1024,
                 batch: usual_batch(),
@@ -629,13 +631,13 @@
     }
 
     /// Reads the file.
-    pub fn read(path: &Path) -> Result<Self, BadConfig> {
-        Fleet::parse(&text_of(path)?)
+    pub fn read(path: &Path) -> Result<Self, ConfigError> {
+        FleetConfig::parse(&text_of(path)?)
     }
 }
 
-impl Vrrp {
-    fn from_raw(raw: RawVrrp) -> Result<Self, BadConfig> {
+impl VrrpConfig {
+    fn from_raw(raw: RawVrrp) -> Result<Self, ConfigError> {
         if raw.vrid == 0 {
             return bad("vrrp.vrid: 0 is not a virtual router, 1 to 255 are");
         }
@@ -648,7 +650,7 @@
         if raw.addresses.is_empty() || raw.addresses.len() > 255 {
             return bad("vrrp.addresses: 1 to 255 are needed");
         }
-        Ok(Vrrp {
+        Ok(VrrpConfig {
             vrid: raw.vrid,
             priority: raw.priority,
             interval: Duration::from_millis(raw.interval_ms),
@@ -660,7 +662,7 @@
     }
 }
 
-fn addresses(key: &str, texts: &[String]) -> Result<Vec<SocketAddr>, BadConfig> {
+fn addresses(key: &str, texts: &[String]) -> Result<Vec<SocketAddr>, ConfigError> {
     texts.iter().map(|text| address(key, text)).collect()
 }
 
--- a/node/src/config/tests.rs
+++ b/node/src/config/tests.rs
@@ -6,13 +6,13 @@
 
 fn problem(from: &str, to: &str) -> String {
     assert!(SMALL.contains(from));
-    Config::parse(&SMALL.replace(from, to)).unwrap_err().to_string()
+    NodeConfig::parse(&SMALL.replace(from, to)).unwrap_err().to_string()
 }
 
 #[test]
 fn a_small_configuration_is_enough() {
-    let config = Config::parse(SMALL).unwrap();
-    assert_eq!((config.seed, config.sockets, config.links.vm), (0x8c1f, 1024, None));
+    let config = NodeConfig::parse(SMALL).unwrap();
+    assert_eq!((config.seed, config.sockets, config.upstreams.interpreter), (0x8c1f, 1024, None));
     assert_eq!(config.settings.classes, ["quote"]);
 }
 
@@ -49,8 +49,8 @@
     );
     let lacks = |from: &str, to: &str| {
         assert!(before.contains(from));
-        let now = Config::parse(&before.replace(from, to)).unwrap();
-        now.lacks(&Config::parse(&before).unwrap())
+        let now = NodeConfig::parse(&before.replace(from, to)).unwrap();
+        now.first_missing_key(&NodeConfig::parse(&before).unwrap())
     };
     assert_eq!(lacks("quote", "price"), None);
     assert_eq!(lacks(r#", "tenants": []"#, ""), Some("settings.tenants".into()));
@@ -61,7 +61,7 @@
 #[test]
 fn a_remembered_file_says_what_is_wrong_with_it() {
     let good = "folder = '/var/lib/oakwind'\nfile_mb = 8\n";
-    assert_eq!(Remembered::parse(good).unwrap().batch, 1024);
+    assert_eq!(ResultStoreConfig::parse(good).unwrap().batch, 1024);
     for (from, to, key) in [
         ("folder = '/var/lib/oakwind'", "", "folder"),
         ("'/var", "'var", "folder"),
@@ -69,7 +69,7 @@
         ("8", "8\nbatch = 0", "batch"),
         ("8", "8\nsurprise = 1", "surprise"),
     ] {
-        let line = Remembered::parse(&good.replace(from, to)).unwrap_err().to_string();
+        let line = ResultStoreConfig::parse(&good.replace(from, to)).unwrap_err().to_string();
         assert!(line.contains(key) && !line.contains('\n'), "{line:?} names {key}");
     }
 }
@@ -78,7 +78,7 @@
 fn a_uwsgi_file_says_what_is_wrong_with_it() {
     let good = "listen = '127.0.0.1:0'\n[vrrp]\nvrid = 7\naddresses = ['127.0.1.1']\n\
                 listen = '127.0.0.1:0'\npeers = []\n";
-    assert_eq!(Uwsgi::parse(good).unwrap().vrrp.unwrap().priority, 100);
+    assert_eq!(UwsgiConfig::parse(good).unwrap().vrrp.unwrap().priority, 100);
     for (from, to, key) in [
         ("vrid = 7", "vrid = 0", "vrrp.vrid"),
         ("vrid = 7", "", "vrid"),
@@ -87,7 +87,7 @@
         ("peers = []", "peers = 3", "vrrp.peers"),
         ("[vrrp]", "surprise = 1\n[vrrp]", "surprise"),
     ] {
-        let line = Uwsgi::parse(&good.replace(from, to)).unwrap_err().to_string();
+        let line = UwsgiConfig::parse(&good.replace(from, to)).unwrap_err().to_string();
         assert!(line.contains(key), "{line:?} names {key}");
     }
 }
--- a/node/src/decision_log.rs
+++ b/node/src/decision_log.rs
@@ -18,7 +18,7 @@
 use sha2::{Digest, Sha256};
 
 use crate::clock;
-use crate::config::Records as Config;
+use crate::config::DecisionLogConfig as Config;
 use crate::exchange::{Request, RequestOutcome};
 use crate::log;
 
@@ -38,15 +38,15 @@
 
 /// What operators see of it.
 #[derive(Debug, Default)]
-pub struct Tally {
+pub struct DecisionLogMetrics {
     written: AtomicU64,
     dropped: AtomicU64,
     bytes: AtomicU64,
 }
 
-impl Tally {
+impl DecisionLogMetrics {
     /// All of them by name.
-    pub fn all(&self) -> Vec<(&'static str, u64)> {
+    pub fn values(&self) -> Vec<(&'static str, u64)> {
         let figures = [
             ("records_written", &self.written),
             ("records_dropped", &self.dropped),
@@ -57,13 +57,13 @@
 }
 
 /// The digest by which settings are told apart: the same wherever they say the same.
-pub fn digest_of(settings: &Value) -> String {
+pub fn settings_digest(settings: &Value) -> String {
     let digest = Sha256::digest(settings.to_string().as_bytes());
     digest.iter().take(8).map(|byte| format!("{byte:02x}")).collect()
 }
 
 /// What an answer says of what was decided.
-pub fn decided(outcome: &RequestOutcome) -> Decision {
+pub fn decision_of(outcome: &RequestOutcome) -> Decision {
     match outcome {
         RequestOutcome::Served(_) => Decision::Served,
         RequestOutcome::Rejected { .. } => Decision::Refused,
@@ -72,7 +72,7 @@
 }
 
 /// The way to the thread that writes.
-pub struct Recorder {
+pub struct DecisionLog {
     orders: Option<SyncSender<Record>>,
     thread: Option<JoinHandle<()>>,
     by: RefCell<Versions>,
@@ -81,26 +81,27 @@
     /// The process ends: a folder that is not open by now is not waited for.
     over: Arc<AtomicBool>,
     /// What operators see.
-    pub tally: Arc<Tally>,
+    pub metrics: Arc<DecisionLogMetrics>,
 }
 
-impl Recorder {
+impl DecisionLog {
     /// Begins to record what this node decides by these settings.
     ///
     /// # Errors
     ///
     /// One line that names the key in the file.
-    pub fn start(config: &Config, node: &str, settings: String) -> Result<Recorder, String> {
+    pub fn start(config: &Config, node: &str, settings: String) -> Result<DecisionLog, String> {
         let problem = |e: io::Error| format!("records file, folder: {}: {e}", config.folder.display());
         // A process before this one may still have it: that is waited for, by the thread.
         let lock = File::options().write(true).create(true).truncate(false).open(config.folder.join(LOCK));
         let lock = lock.map_err(problem)?;
         let by = Versions { settings, list: 0, program: env!("CARGO_PKG_VERSION").into() };
         let (orders, waiting) = sync_channel(WAITING);
-        let (missed, tally) = (Arc::<AtomicU64>::default(), Arc::<Tally>::default());
+        let (missed, metrics) = (Arc::<AtomicU64>::default(), Arc::<DecisionLogMetrics>::default());
         let began = Record::Began { at: clock::millis(clock::now()), node: node.into(), by: by.clone() };
         let over = Arc::<AtomicBool>::default();
-        let (config, missing, counted, ends) = (config.clone(), missed.clone(), tally.clone(), over.clone());
+        let (config, missing, counted, ends) =
+            (config.clone(), missed.clone(), metrics.clone(), over.clone());
         let thread = std::thread::Builder::new().name("records".into()).spawn(move || {
             let opened = wait_for(&lock, &ends);
             let written = opened.and_then(|opened| match opened {
@@ -113,23 +114,23 @@
         });
         let thread = thread.map_err(|e| format!("no thread for the records: {e}"))?;
         let by = RefCell::new(by);
-        Ok(Recorder { orders: Some(orders), thread: Some(thread), by, missed, over, tally })
+        Ok(DecisionLog { orders: Some(orders), thread: Some(thread), by, missed, over, metrics })
     }
 
     /// Other settings hold from now on.
-    pub fn settings(&self, digest: String) {
+    pub fn set_settings_digest(&self, digest: String) {
         self.by.borrow_mut().settings = digest;
     }
 
     /// The fleet goes by this list.
-    pub fn list(&self, number: u64) {
+    pub fn set_membership_version(&self, number: u64) {
         if self.by.borrow().list != number {
             self.by.borrow_mut().list = number;
         }
     }
 
     /// Something was decided of a try; the key is given in classes that must not run twice.
-    pub fn tried(&self, did: Decision, request: &Request, key: Option<&[u8]>, class: &str) {
+    pub fn record(&self, did: Decision, request: &Request, key: Option<&[u8]>, class: &str) {
         let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
         let record = Record::Try {
             at: clock::millis(clock::now()),
@@ -141,12 +142,12 @@
         };
         if self.orders.as_ref().is_none_or(|orders| orders.try_send(record).is_err()) {
             self.missed.fetch_add(1, Ordering::Relaxed);
-            self.tally.dropped.fetch_add(1, Ordering::Relaxed);
+            self.metrics.dropped.fetch_add(1, Ordering::Relaxed);
         }
     }
 }
 
-impl Drop for Recorder {
+impl Drop for DecisionLog {
     /// What waits is written before the process ends; a disk that stands still then is left alone by the platform's stop.
     fn drop(&mut self) {
         self.orders = None;
@@ -176,10 +177,10 @@
     began: Record,
     orders: &Receiver<Record>,
     missed: &AtomicU64,
-    tally: &Tally,
+    metrics: &DecisionLogMetrics,
 ) -> io::Result<()> {
     let mut files = Files::open(config)?;
-    files.append(&[began], tally)?;
+    files.append(&[began], metrics)?;
     while let Ok(first) = orders.recv() {
         let mut batch = vec![first];
         batch.extend(orders.try_iter().take(BATCH));
@@ -187,9 +188,9 @@
         if count > 0 {
             batch.push(Record::Dropped { at: clock::millis(clock::now()), count });
         }
-        files.append(&batch, tally)?;
+        files.append(&batch, metrics)?;
     }
-    files.append(&[Record::Ended { at: clock::millis(clock::now()) }], tally)
+    files.append(&[Record::Ended { at: clock::millis(clock::now()) }], metrics)
 }
 
 /// The files of a folder, the oldest first, by the number of their first record.
@@ -234,7 +235,7 @@
         })
     }
 
-    fn append(&mut self, records: &[Record], tally: &Tally) -> io::Result<()> {
+    fn append(&mut self, records: &[Record], metrics: &DecisionLogMetrics) -> io::Result<()> {
         let (first, mut text) = (self.chain.end().0 + 1, String::new());
         for record in records {
             // Everything in a record can be written.
@@ -252,8 +253,8 @@
         let unfinished = self.folder.join(UNFINISHED);
         fs::write(&unfinished, format!("{number} {digest}\n"))?;
         fs::rename(&unfinished, self.folder.join(END))?;
-        tally.written.fetch_add(records.len() as u64, Ordering::Relaxed);
-        tally.bytes.fetch_add(text.len() as u64, Ordering::Relaxed);
+        metrics.written.fetch_add(records.len() as u64, Ordering::Relaxed);
+        metrics.bytes.fetch_add(text.len() as u64, Ordering::Relaxed);
         Ok(())
     }
 
--- a/node/src/decision_log/tests.rs
+++ b/node/src/decision_log/tests.rs
@@ -17,13 +17,13 @@
 /// A process that writes so many records, and may be killed behind them.
 fn process(config: &Config, count: usize, killed: bool) {
     let mut files = Files::open(config).unwrap();
-    let tally = Tally::default();
-    files.append(&[Record::Began { at: 1, node: "n1".into(), by: by() }], &tally).unwrap();
+    let metrics = DecisionLogMetrics::default();
+    files.append(&[Record::Began { at: 1, node: "n1".into(), by: by() }], &metrics).unwrap();
     for i in 0..count {
-        files.append(&[tried(format!("{i:x}"))], &tally).unwrap();
+        files.append(&[tried(format!("{i:x}"))], &metrics).unwrap();
     }
     if !killed {
-        files.append(&[Record::Ended { at: 9 }], &tally).unwrap();
+        files.append(&[Record::Ended { at: 9 }], &metrics).unwrap();
     }
 }
 
@@ -84,7 +84,7 @@
 
 #[test]
 fn settings_that_say_the_same_have_the_same_digest_however_they_are_written() {
-    let digest = |text: &str| digest_of(&serde_json::from_str(text).unwrap());
+    let digest = |text: &str| settings_digest(&serde_json::from_str(text).unwrap());
     assert_eq!(digest("{\"a\": 1, \"b\": 2}"), digest("{\"b\":2,\"a\":1}"));
     assert_ne!(digest("{\"a\": 1}"), digest("{\"a\": 2}"));
 }
--- a/node/src/dispatcher.rs
+++ b/node/src/dispatcher.rs
@@ -19,7 +19,7 @@
 use tokio::sync::mpsc;
 
 use crate::clock::{self, Unix};
-use crate::decision_log::{self, Recorder};
+use crate::decision_log::{self, DecisionLog};
 use crate::exchange::{
     BackendEvent, CallCommand, CallOutcome, Completion, DispatcherEndpoints, DispatcherEvent, HandoverState,
     NodeStatus, Request, RequestOutcome, Responder, RunCommand, SubmissionId,
@@ -126,7 +126,7 @@
     /// How far time had jumped ahead when that was last looked at.
     jumped: Duration,
     /// Records of what is decided, if operators want them.
-    records: Option<Recorder>,
+    records: Option<DecisionLog>,
 }
 
 impl Dispatcher {
@@ -174,23 +174,23 @@
     }
 
     /// What is decided from now on is recorded.
-    pub fn record(&mut self, records: Recorder) {
-        let tally = records.tally.clone();
-        self.ends.figures.also(Box::new(move || tally.all()));
+    pub fn record(&mut self, records: DecisionLog) {
+        let metrics = records.metrics.clone();
+        self.ends.figures.also(Box::new(move || metrics.values()));
         self.records = Some(records);
     }
 
     /// Records what was decided of a try, where that is wanted, by the versions of the moment.
     fn recorded(&self, did: Decision, request: &Request) {
         let Some(records) = &self.records else { return };
-        records.list(self.keeper.list());
+        records.set_membership_version(self.keeper.list());
         let class = self.settings.classes.get(usize::from(request.class)).map_or("", String::as_str);
-        records.tried(did, request, self.key_of(request).as_deref(), class);
+        records.record(did, request, self.key_of(request).as_deref(), class);
     }
 
     /// Gives a request its outcome, and records that.
     fn turn(&self, request: &Request, responder: Responder, outcome: RequestOutcome) {
-        self.recorded(decision_log::decided(&outcome), request);
+        self.recorded(decision_log::decision_of(&outcome), request);
         responder.answer(outcome);
     }
 
@@ -311,7 +311,7 @@
                 // What has come by now is decided by the settings that it came under.
                 self.decide(clock::now());
                 self.settings = *settings;
-                self.records.iter().for_each(|records| records.settings(digest.clone()));
+                self.records.iter().for_each(|records| records.set_settings_digest(digest.clone()));
                 if let Some(admission) = &mut self.admission {
                     admission.reconfigure(decided_by(&self.settings));
                 }
--- a/node/src/heartbeat.rs
+++ b/node/src/heartbeat.rs
@@ -8,7 +8,7 @@
 use tokio::sync::watch;
 
 use crate::clock;
-use crate::config::Links;
+use crate::config::UpstreamAddresses;
 use crate::exchange::Exchange;
 use crate::log;
 
@@ -17,11 +17,11 @@
 const EVERY: Duration = Duration::from_millis(300);
 
 /// Reports until the notice to leave, with a last word then, so that the list drops the node soon.
-pub async fn report(name: String, mut links: watch::Receiver<Links>, exchange: Exchange) {
+pub async fn report(name: String, mut links: watch::Receiver<UpstreamAddresses>, exchange: Exchange) {
     let mut state = exchange.state();
     let mut socket = None;
     loop {
-        let Some(service) = links.borrow_and_update().members else { return };
+        let Some(service) = links.borrow_and_update().membership_service else { return };
         let (leaving, handed, held) = {
             let state = state.borrow_and_update();
             (state.draining.is_some(), state.handed_over, state.recovering)
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -31,7 +31,7 @@
 use std::process::ExitCode;
 
 use argh::FromArgs;
-use config::Files;
+use config::ConfigFiles;
 
 /// A dispatch node for JSON-RPC and uwsgi clients.
 #[derive(FromArgs)]
@@ -100,10 +100,10 @@
     let arguments: Arguments = argh::from_env();
     let done = match arguments.command {
         Command::Serve(Serve { config, uwsgi, remembered, fleet, records }) => {
-            server::serve(&Files { config, uwsgi, remembered, fleet, records }).map(|()| true)
+            server::serve(&ConfigFiles { config, uwsgi, remembered, fleet, records }).map(|()| true)
         }
         Command::Check(Check { config, uwsgi, remembered, fleet, records }) => {
-            let checked = Files { config, uwsgi, remembered, fleet, records }.read_for_start();
+            let checked = ConfigFiles { config, uwsgi, remembered, fleet, records }.load_for_startup();
             let told = checked.map(|told| println!("{}: can be served", told.config.name));
             told.map(|()| true).map_err(|e| e.to_string())
         }
--- a/node/src/peers/mod.rs
+++ b/node/src/peers/mod.rs
@@ -25,10 +25,10 @@
 use tokio::sync::mpsc;
 
 use crate::clock::{self, Unix};
-use crate::config::Fleet as Config;
+use crate::config::FleetConfig as Config;
 use crate::exchange::Exchange;
-use crate::result_store::record::{Record, State};
-use crate::result_store::{ResultStore, Told};
+use crate::result_store::record::{Record, RecordState};
+use crate::result_store::{ResultStore, StoreEvent};
 use crate::{log, sockets};
 use links::{Heard, Links};
 use vote_store::{Marker, Opened};
@@ -62,7 +62,7 @@
 }
 
 /// A run as the peers are asked about it.
-pub struct Asked<'a> {
+pub struct KeyedRun<'a> {
     /// The try.
     pub id: RequestId,
     /// Its key.
@@ -79,16 +79,16 @@
 
 /// What operators see of it.
 #[derive(Debug, Default)]
-pub struct Shown {
+pub struct PeerMetrics {
     figures: Cell<ReplicaMetrics>,
     /// The number of the list that it goes by.
-    pub list: Cell<u64>,
+    pub membership_version: Cell<u64>,
     others: RefCell<Vec<(&'static str, u64)>>,
 }
 
-impl Shown {
+impl PeerMetrics {
     /// All figures by name.
-    pub fn all(&self) -> Vec<(&'static str, u64)> {
+    pub fn values(&self) -> Vec<(&'static str, u64)> {
         let figures = self.figures.get();
         let mut all = vec![
             ("fleet_granted", figures.granted),
@@ -117,12 +117,12 @@
     told: mpsc::Receiver<(RequestId, ClaimOutcome)>,
     clock: Steady,
     /// What operators see.
-    pub shown: Rc<Shown>,
+    pub metrics: Rc<PeerMetrics>,
 }
 
 impl Peers {
     /// Asks for a claim; false if there is no room to ask.
-    pub fn want(&self, asked: &Asked) -> bool {
+    pub fn request_claim(&self, asked: &KeyedRun) -> bool {
         let digest = Sha256::digest(asked.body);
         let wanted = RunRequest {
             token: token(asked.id),
@@ -136,12 +136,12 @@
     }
 
     /// A run has ended; false if there is no room to tell.
-    pub fn ended(&self, id: RequestId, fate: RunResult) -> bool {
+    pub fn run_finished(&self, id: RequestId, fate: RunResult) -> bool {
         self.order(Event::Ended(token(id), fate))
     }
 
     /// A run never began.
-    pub fn never_ran(&self, id: RequestId) -> bool {
+    pub fn run_never_started(&self, id: RequestId) -> bool {
         self.order(Event::Release(token(id)))
     }
 
@@ -156,7 +156,7 @@
     }
 
     /// Whether a process before this one may still run what it began.
-    pub fn beside(&self, beside: bool) {
+    pub fn set_predecessor_running(&self, beside: bool) {
         self.order(Event::Beside(beside));
     }
 
@@ -174,7 +174,7 @@
     }
 
     /// The next that they have to say.
-    pub async fn told(&mut self) -> (RequestId, ClaimOutcome) {
+    pub async fn next_outcome(&mut self) -> (RequestId, ClaimOutcome) {
         match self.told.recv().await {
             Some(told) => told,
             None => std::future::pending().await,
@@ -197,7 +197,7 @@
     seed: u64,
     orders: mpsc::Receiver<Event>,
     tell: mpsc::Sender<(RequestId, ClaimOutcome)>,
-    shown: Rc<Shown>,
+    metrics: Rc<PeerMetrics>,
     /// Open before the task runs, unless a process before this one still has it.
     listener: Option<TcpListener>,
     /// The folder, if there is one and it is open.
@@ -215,13 +215,13 @@
     let (orders, ordered) = mpsc::channel(WAITING);
     let (tell, told) = mpsc::channel(WAITING);
     let clock = Steady { begun: Instant::now() };
-    let shown = Rc::<Shown>::default();
+    let metrics = Rc::<PeerMetrics>::default();
     let mut driver = Driver {
         clock,
         seed,
         orders: ordered,
         tell,
-        shown: shown.clone(),
+        metrics: metrics.clone(),
         listener: None,
         opened: None,
         config,
@@ -233,7 +233,7 @@
         driver.listener = Some(listener.map_err(|e| format!("fleet file, listen: {address}: {e}"))?);
         driver.opened = vote_store::open(&driver.config)?;
     }
-    Ok((Peers { orders, told, clock, shown }, driver))
+    Ok((Peers { orders, told, clock, metrics }, driver))
 }
 
 impl Driver {
@@ -261,7 +261,7 @@
             }
             self.opened = vote_store::open_soon(&self.config).await;
         }
-        let Driver { config, clock, seed, mut orders, tell, shown, mut listener, opened, exchange } = self;
+        let Driver { config, clock, seed, mut orders, tell, metrics, mut listener, opened, exchange } = self;
         let (mut folder, kept) = opened.unzip();
         let settings = Settings {
             name: config.name.clone(),
@@ -304,7 +304,7 @@
                         // The process before this one may hold the address for a moment.
                         listener = sockets::listen(config.listen, false).ok();
                     }
-                    talk.show(&shown);
+                    talk.show(&metrics);
                     // Before anybody hears of it.
                     talk.marks();
                     let state = state.borrow();
@@ -320,8 +320,8 @@
                 },
                 Some(heard) = inbox.recv() => talk.heard(heard),
                 told = written(&mut folder) => match told {
-                    Told::Written(number, kept) => Some(Event::Stored(u64::from(number.0), kept)),
-                    Told::Opened(_) => None,
+                    StoreEvent::Written(number, kept) => Some(Event::Stored(u64::from(number.0), kept)),
+                    StoreEvent::Opened(_) => None,
                 },
                 accepted = accept(&listener) => {
                     match accepted {
@@ -370,9 +370,9 @@
     }
 }
 
-async fn written(folder: &mut Option<ResultStore>) -> Told {
+async fn written(folder: &mut Option<ResultStore>) -> StoreEvent {
     match folder {
-        Some(folder) => folder.told().await,
+        Some(folder) => folder.next_event().await,
         None => std::future::pending().await,
     }
 }
@@ -509,17 +509,25 @@
 
     /// Has the folder keep what is known of a key; where it can't, what waits for that is told so.
     fn store(&mut self, number: u64, change: Change, vote: Option<ClaimId>, folder: &Option<ResultStore>) {
-        let recorder = folder.as_ref().and_then(|folder| folder.recorder.as_ref());
+        let recorder = folder.as_ref().and_then(|folder| folder.writer.as_ref());
         let (state, result, keep) = match &change.now {
             Some(copied) => {
                 // Everything in it can be written.
                 let bytes = postcard::to_allocvec(&(vote, copied)).unwrap_or_default();
-                (State::Done, Bytes::from(bytes), Duration::from_millis(copied.keep_ms))
+                (RecordState::Succeeded, Bytes::from(bytes), Duration::from_millis(copied.keep_ms))
             }
-            None => (State::Freed, Bytes::new(), Duration::ZERO),
+            None => (RecordState::NeverStarted, Bytes::new(), Duration::ZERO),
         };
         let until = clock::now() + keep;
-        let record = Record { number: 0, at: Duration::ZERO, until, body: 0, state, key: change.key, result };
+        let record = Record {
+            number: 0,
+            written_at: Duration::ZERO,
+            expires_at: until,
+            body_digest: 0,
+            state,
+            key: change.key,
+            result,
+        };
         // The number comes back as it went: so many are never under way.
         let wrapped = RequestId((number & u64::from(u32::MAX)) as u32);
         if !recorder.is_some_and(|recorder| recorder.write(wrapped, record)) {
@@ -527,12 +535,12 @@
         }
     }
 
-    fn show(&self, shown: &Shown) {
-        shown.figures.set(self.fleet.figures());
-        shown.list.set(self.fleet.lists().newest().number());
+    fn show(&self, metrics: &PeerMetrics) {
+        metrics.figures.set(self.fleet.figures());
+        metrics.membership_version.set(self.fleet.lists().newest().number());
         let (counts, traffic) = (self.fleet.counts(), &self.links.traffic);
         let (keys, bytes) = self.fleet.copies().size();
-        let mut others = shown.others.borrow_mut();
+        let mut others = metrics.others.borrow_mut();
         others.clear();
         others.extend([
             ("fleet_list", self.fleet.lists().newest().number()),
--- a/node/src/peers/vote_store.rs
+++ b/node/src/peers/vote_store.rs
@@ -12,7 +12,7 @@
 use oakwind_fleet::LATE_READ_GRACE;
 
 use crate::clock;
-use crate::config::Fleet as Config;
+use crate::config::FleetConfig as Config;
 use crate::log;
 use crate::outcome::RunState;
 use crate::result_store::ResultStore;
@@ -37,7 +37,7 @@
     let mut marker = Marker::new(&remembered.folder, true);
     let mut folder = ResultStore::closed(remembered, config.list.window() + LATE_READ_GRACE);
     let recovered = folder.open().map_err(|e| format!("fleet file: {e}"))?;
-    let whole = recovered.damage == Default::default() && recovered.back.is_zero();
+    let whole = recovered.damage == Default::default() && recovered.clock_setback.is_zero();
     let now = clock::now();
     let records = recovered.keys.iter().map(|record| {
         let RunState::Succeeded(bytes) = &record.fate else { return None };
--- a/node/src/result_store/folder.rs
+++ b/node/src/result_store/folder.rs
@@ -7,9 +7,9 @@
 
 use bytes::{Bytes, BytesMut};
 
-use super::record::{self, Found, Record, SegmentHead, State, SEGMENT_HEAD};
-use super::recovery::{recover, Recovered, Segment};
-use super::segment_index::{needed, Ledger, Limits, Step};
+use super::record::{self, Found, Record, RecordState, SegmentHead, SEGMENT_HEAD};
+use super::recovery::{recover, RecoveredState, Segment};
+use super::segment_index::{needed, Limits, SegmentIndex, Step};
 use crate::clock::Unix;
 use crate::log;
 use crate::outcome::MAX_RESULT_BYTES;
@@ -51,18 +51,18 @@
 }
 
 /// The folder, which is this process's alone while it is open.
-pub struct Folder<D: Disk = System> {
+pub struct SegmentLog<D: Disk = System> {
     path: PathBuf,
     disk: D,
     _lock: File,
     seed: u64,
-    ledger: Ledger,
+    ledger: SegmentIndex,
     /// The segment that records go to; a new one is begun where there is none.
     last: Option<File>,
     next: u64,
 }
 
-impl<D: Disk> Folder<D> {
+impl<D: Disk> SegmentLog<D> {
     /// Opens it, with what it remembers. A folder that another process has open is an error of the kind
     /// `WouldBlock`.
     pub fn open(
@@ -71,7 +71,7 @@
         limits: Limits,
         longest: Duration,
         now: Unix,
-    ) -> io::Result<(Self, Recovered)> {
+    ) -> io::Result<(Self, RecoveredState)> {
         let lock = File::options().write(true).create(true).truncate(false).open(path.join(LOCK))?;
         lock.try_lock().map_err(|e| match e {
             TryLockError::WouldBlock => {
@@ -88,7 +88,7 @@
         let seed = told.map_or_else(fresh_seed, |head| head.seed);
         if kept.is_none() {
             let mut bytes = BytesMut::new();
-            record::put_segment_head(SegmentHead { seed, first: 0, at: now }, &mut bytes);
+            record::put_segment_head(SegmentHead { seed, first: 0, written_at: now }, &mut bytes);
             match disk.remove(&path.join(SEED)) {
                 Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(e),
                 _ => disk.create(&path.join(SEED), &bytes)?,
@@ -104,7 +104,7 @@
         });
         let (ledger, learnt) = recover(seed, segments, limits, longest, now);
         let next = learnt.next;
-        let mut folder = Folder { path: path.into(), disk, _lock: lock, seed, ledger, last: None, next };
+        let mut folder = SegmentLog { path: path.into(), disk, _lock: lock, seed, ledger, last: None, next };
         folder.rotate(now)?;
         Ok((folder, learnt))
     }
@@ -117,12 +117,12 @@
         let mut pending = 0;
         let mut fit = |record: &mut Record| {
             if record.result.len() > MAX_RESULT_BYTES {
-                (record.state, record.result) = (State::Failed, Bytes::new());
+                (record.state, record.result) = (RecordState::Failed, Bytes::new());
             }
             let fits = self.ledger.has_room(record, pending);
             if fits {
                 pending += needed(record);
-                (record.number, record.at) = (self.next, now);
+                (record.number, record.written_at) = (self.next, now);
                 self.next += 1;
             }
             fits
@@ -177,7 +177,10 @@
 
     fn rotate(&mut self, now: Unix) -> io::Result<()> {
         let (number, mut head) = (self.ledger.next_segment(), BytesMut::new());
-        record::put_segment_head(SegmentHead { seed: self.seed, first: self.next, at: now }, &mut head);
+        record::put_segment_head(
+            SegmentHead { seed: self.seed, first: self.next, written_at: now },
+            &mut head,
+        );
         self.last = None;
         self.last = Some(self.disk.create(&name(&self.path, number), &head)?);
         self.ledger.opened(number, SEGMENT_HEAD as u64);
--- a/node/src/result_store/folder/tests.rs
+++ b/node/src/result_store/folder/tests.rs
@@ -20,8 +20,8 @@
         Place(path)
     }
 
-    fn open<D: Disk>(&self, disk: D, now: Unix) -> (Folder<D>, Recovered) {
-        Folder::open(&self.0, disk, LIMITS, LONGEST, now).unwrap()
+    fn open<D: Disk>(&self, disk: D, now: Unix) -> (SegmentLog<D>, RecoveredState) {
+        SegmentLog::open(&self.0, disk, LIMITS, LONGEST, now).unwrap()
     }
 
     fn bytes(&self) -> u64 {
@@ -81,10 +81,10 @@
     }
 }
 
-fn record(key: &str, state: State, result: usize, now: Unix) -> Record {
-    let until = now + Duration::from_secs(10);
+fn record(key: &str, state: RecordState, result: usize, now: Unix) -> Record {
+    let expires_at = now + Duration::from_secs(10);
     let (key, result) = (Bytes::copy_from_slice(key.as_bytes()), Bytes::from(vec![7; result]));
-    Record { number: 0, at: now, until, body: 1, state, key, result }
+    Record { number: 0, written_at: now, expires_at, body_digest: 1, state, key, result }
 }
 
 fn at(millis: u64) -> Unix {
@@ -95,9 +95,10 @@
 fn one_process_has_a_folder_and_the_next_finds_what_it_left() {
     let place = Place::new();
     let (mut folder, _) = place.open(System, at(0));
-    let again = Folder::open(&place.0, System, LIMITS, LONGEST, at(0));
+    let again = SegmentLog::open(&place.0, System, LIMITS, LONGEST, at(0));
     assert_eq!(again.err().unwrap().kind(), io::ErrorKind::WouldBlock);
-    let records = vec![record("k", State::Begun, 0, at(0)), record("k", State::Done, 9, at(1))];
+    let records =
+        vec![record("k", RecordState::Started, 0, at(0)), record("k", RecordState::Succeeded, 9, at(1))];
     assert_eq!(folder.write(records, at(1)), [true, true]);
     drop(folder);
     // The seed is known from the segments as well.
@@ -114,26 +115,29 @@
     let mut begun = Vec::new();
     for n in 0.. {
         let key = format!("key {n}");
-        if !folder.write(vec![record(&key, State::Begun, 0, at(0))], at(0))[0] {
+        if !folder.write(vec![record(&key, RecordState::Started, 0, at(0))], at(0))[0] {
             break;
         }
         begun.push(key);
     }
     assert!(begun.len() > 20);
     for key in &begun {
-        assert_eq!(folder.write(vec![record(key, State::Done, MAX_RESULT_BYTES, at(1))], at(1)), [true]);
+        assert_eq!(
+            folder.write(vec![record(key, RecordState::Succeeded, MAX_RESULT_BYTES, at(1))], at(1)),
+            [true]
+        );
         assert!(place.bytes() <= LIMITS.file);
     }
-    assert_eq!(folder.write(vec![record("more", State::Begun, 0, at(2))], at(2)), [false]);
+    assert_eq!(folder.write(vec![record("more", RecordState::Started, 0, at(2))], at(2)), [false]);
     // Nothing was dropped to make room.
     drop(folder);
     let (mut folder, learnt) = place.open(System, at(3));
     assert_eq!(learnt.keys.len(), begun.len());
     let late = at(30_000);
-    assert_eq!(folder.write(vec![record("more", State::Begun, 0, late)], late), [true]);
+    assert_eq!(folder.write(vec![record("more", RecordState::Started, 0, late)], late), [true]);
     assert_eq!(folder.size().0, 1);
     // A result that is too long counts as failed for later tries.
-    folder.write(vec![record("more", State::Done, MAX_RESULT_BYTES + 1, late)], late);
+    folder.write(vec![record("more", RecordState::Succeeded, MAX_RESULT_BYTES + 1, late)], late);
     drop(folder);
     assert_eq!(place.open(System, late).1.keys[0].fate, RunState::Failed);
 }
@@ -159,38 +163,47 @@
             for (key, (record, more)) in &kept {
                 let found = learnt.keys.iter().find(|record| record.key == key).map(|found| &found.fate);
                 let as_kept = match record.state {
-                    State::Begun => Some(RunState::Pending),
-                    State::Done => Some(RunState::Succeeded(record.result.clone())),
-                    State::Failed => Some(RunState::Failed),
-                    State::Freed => None,
+                    RecordState::Started => Some(RunState::Pending),
+                    RecordState::Succeeded => Some(RunState::Succeeded(record.result.clone())),
+                    RecordState::Failed => Some(RunState::Failed),
+                    RecordState::NeverStarted => None,
                 };
                 assert!(found == as_kept.as_ref() || *more, "seed {seed}: {key:?} is not {:?}", record.state);
-                assert!(found.is_some() || record.state == State::Freed, "seed {seed}: {key:?} looks unrun");
+                assert!(
+                    found.is_some() || record.state == RecordState::NeverStarted,
+                    "seed {seed}: {key:?} looks unrun"
+                );
             }
             left.set(100 + draw(100) as u32);
             for _ in 0..150 {
                 now += 200;
-                kept.retain(|_, (record, _)| at(now) < record.until);
+                kept.retain(|_, (record, _)| at(now) < record.expires_at);
                 let mut batch: Vec<Record> = Vec::new();
                 for _ in 0..=draw(3) {
-                    let open = kept.values().filter(|(record, more)| record.state == State::Begun && !more);
+                    let open =
+                        kept.values().filter(|(record, more)| record.state == RecordState::Started && !more);
                     let mut open: Vec<&Record> = open.map(|(record, _)| record).collect();
                     open.retain(|open| !batch.iter().any(|record| record.key == open.key));
                     open.sort_by_key(|record| record.number);
                     batch.push(match open.first().filter(|_| draw(3) > 0) {
                         Some(begun) => {
-                            let state =
-                                [State::Done, State::Done, State::Failed, State::Freed][draw(4) as usize];
-                            let result = if state == State::Done { draw(60_000) as usize } else { 0 };
+                            let state = [
+                                RecordState::Succeeded,
+                                RecordState::Succeeded,
+                                RecordState::Failed,
+                                RecordState::NeverStarted,
+                            ][draw(4) as usize];
+                            let result =
+                                if state == RecordState::Succeeded { draw(60_000) as usize } else { 0 };
                             Record { state, result: vec![7; result].into(), ..(*begun).clone() }
                         }
                         None => {
                             number += 1;
-                            let until = at(now + if draw(8) == 0 { 60_000 } else { 1_000 });
+                            let expires_at = at(now + if draw(8) == 0 { 60_000 } else { 1_000 });
                             Record {
                                 number,
-                                until,
-                                ..record(&format!("key {number}"), State::Begun, 0, at(now))
+                                expires_at,
+                                ..record(&format!("key {number}"), RecordState::Started, 0, at(now))
                             }
                         }
                     });
@@ -199,7 +212,7 @@
                 for (record, told) in batch.into_iter().zip(told) {
                     if told {
                         kept.insert(record.key.clone(), (record, false));
-                    } else if record.state == State::Freed {
+                    } else if record.state == RecordState::NeverStarted {
                         kept.remove(&record.key);
                     } else if let Some((_, more)) = kept.get_mut(&record.key) {
                         *more = true;
@@ -210,7 +223,10 @@
             if draw(2) == 0 {
                 // The disk comes back in the same life.
                 left.set(u32::MAX);
-                assert_eq!(folder.write(vec![record("back", State::Begun, 0, at(now))], at(now)).len(), 1);
+                assert_eq!(
+                    folder.write(vec![record("back", RecordState::Started, 0, at(now))], at(now)).len(),
+                    1
+                );
             }
         }
     }
--- a/node/src/result_store/mod.rs
+++ b/node/src/result_store/mod.rs
@@ -19,11 +19,11 @@
 use tokio::sync::mpsc;
 
 use crate::clock::{self, Unix};
-use crate::config::Remembered;
+use crate::config::ResultStoreConfig;
 use crate::log;
-use folder::{Folder, System};
+use folder::{SegmentLog, System};
 use record::Record;
-use recovery::{Doubts, Recovered};
+use recovery::{RecoveredState, UncertainKeys};
 use segment_index::Limits;
 
 /// Records that may wait for the disk, and answers about them; what finds no room is not kept.
@@ -34,7 +34,7 @@
 
 /// What operators see of it.
 #[derive(Debug, Default)]
-pub struct Tally {
+pub struct StoreMetrics {
     /// Keys that are remembered.
     pub keys: AtomicU64,
     /// Bytes of the folder.
@@ -51,9 +51,9 @@
     pub noise: AtomicU64,
 }
 
-impl Tally {
+impl StoreMetrics {
     /// All of them by name.
-    pub fn all(&self) -> Vec<(&'static str, u64)> {
+    pub fn values(&self) -> Vec<(&'static str, u64)> {
         let figures = [
             ("remembered_keys", &self.keys),
             ("remembered_bytes", &self.bytes),
@@ -69,26 +69,26 @@
 
 /// What the thread tells of a record, or of the folder.
 #[derive(Debug)]
-pub enum Told {
+pub enum StoreEvent {
     /// Whether the record of this try is kept for sure.
     Written(RequestId, bool),
     /// The folder that another process had is open now, and this is in it.
-    Opened(Recovered),
+    Opened(RecoveredState),
 }
 
 /// The way to the thread; once this is dropped the thread writes what it was given and closes the folder.
-pub struct Recorder {
+pub struct StoreWriter {
     orders: SyncSender<(RequestId, Record)>,
-    tally: Arc<Tally>,
+    metrics: Arc<StoreMetrics>,
 }
 
-impl Recorder {
+impl StoreWriter {
     /// Hands a record to the disk; false if that can't take it.
     pub fn write(&self, id: RequestId, record: Record) -> bool {
         let taken = self.orders.try_send((id, record)).is_ok();
         if !taken {
             log!("remembered: the disk does not keep up");
-            self.tally.refused.fetch_add(1, Ordering::Relaxed);
+            self.metrics.refused.fetch_add(1, Ordering::Relaxed);
         }
         taken
     }
@@ -96,55 +96,55 @@
 
 /// The keeper's part in it.
 pub struct ResultStore {
-    remembered: Remembered,
+    remembered: ResultStoreConfig,
     longest: Duration,
     /// None while another process of this node has the folder.
-    pub recorder: Option<Recorder>,
-    told: Option<mpsc::Receiver<Told>>,
+    pub writer: Option<StoreWriter>,
+    told: Option<mpsc::Receiver<StoreEvent>>,
     /// Whether what is in the folder once it is open is news.
-    pub recalls: bool,
+    pub loads_keys: bool,
     /// Keys that may have run, as far as damage to the folder tells.
-    pub doubts: Doubts,
+    pub uncertain_keys: UncertainKeys,
     /// What operators see.
-    pub tally: Arc<Tally>,
+    pub metrics: Arc<StoreMetrics>,
 }
 
 impl ResultStore {
     /// That of a node whose folder another process of it still has.
-    pub fn closed(remembered: Remembered, longest: Duration) -> Self {
+    pub fn closed(remembered: ResultStoreConfig, longest: Duration) -> Self {
         ResultStore {
             remembered,
             longest,
-            recorder: None,
+            writer: None,
             told: None,
-            recalls: false,
-            doubts: Doubts::default(),
-            tally: Arc::default(),
+            loads_keys: false,
+            uncertain_keys: UncertainKeys::default(),
+            metrics: Arc::default(),
         }
     }
 
     /// Opens the folder, and tells what is in it; the error names the key in the file.
-    pub fn open(&mut self) -> Result<Recovered, String> {
+    pub fn open(&mut self) -> Result<RecoveredState, String> {
         let (folder, mut recovered) = open(&self.remembered, self.longest, clock::now())?;
-        found(&recovered, &self.tally);
-        self.doubts = std::mem::take(&mut recovered.doubts);
-        let started = spawn(self.tally.clone(), self.remembered.batch, move |_| Some(folder));
-        let (recorder, told) = started.map_err(|e| format!("no thread for the folder: {e}"))?;
-        (self.recorder, self.told) = (Some(recorder), Some(told));
+        found(&recovered, &self.metrics);
+        self.uncertain_keys = std::mem::take(&mut recovered.uncertain_keys);
+        let started = spawn(self.metrics.clone(), self.remembered.batch, move |_| Some(folder));
+        let (writer, told) = started.map_err(|e| format!("no thread for the folder: {e}"))?;
+        (self.writer, self.told) = (Some(writer), Some(told));
         Ok(recovered)
     }
 
     /// Opens the folder once the process that has it lets go of it.
-    pub fn take_over(&mut self, recalls: bool) {
-        self.recalls = recalls;
-        match take_over(self.remembered.clone(), self.longest, self.tally.clone()) {
-            Ok((recorder, told)) => (self.recorder, self.told) = (Some(recorder), Some(told)),
+    pub fn open_after_predecessor(&mut self, loads_keys: bool) {
+        self.loads_keys = loads_keys;
+        match take_over(self.remembered.clone(), self.longest, self.metrics.clone()) {
+            Ok((writer, told)) => (self.writer, self.told) = (Some(writer), Some(told)),
             Err(e) => log!("remembered: no thread for the folder: {e}"),
         }
     }
 
     /// The next that the folder tells; never while it is not open here.
-    pub async fn told(&mut self) -> Told {
+    pub async fn next_event(&mut self) -> StoreEvent {
         let told = match &mut self.told {
             Some(told) => told.recv().await,
             None => None,
@@ -158,18 +158,22 @@
 }
 
 /// Opens the folder of a node; the error names the key in its file.
-fn open(remembered: &Remembered, longest: Duration, now: Unix) -> Result<(Folder, Recovered), String> {
+fn open(
+    remembered: &ResultStoreConfig,
+    longest: Duration,
+    now: Unix,
+) -> Result<(SegmentLog, RecoveredState), String> {
     let limits = Limits { file: remembered.file };
-    let opened = Folder::open(&remembered.folder, System, limits, longest, now);
+    let opened = SegmentLog::open(&remembered.folder, System, limits, longest, now);
     opened.map_err(|e| format!("remembered file, folder: {}: {e}", remembered.folder.display()))
 }
 
 /// Says what was found in a folder.
-fn found(recovered: &Recovered, tally: &Tally) {
+fn found(recovered: &RecoveredState, metrics: &StoreMetrics) {
     log!("remembered: {} keys are known from before", recovered.keys.len());
     let damage = recovered.damage;
-    tally.damaged.store(damage.hurt + damage.missing, Ordering::Relaxed);
-    tally.noise.store(damage.noise, Ordering::Relaxed);
+    metrics.damaged.store(damage.hurt + damage.missing, Ordering::Relaxed);
+    metrics.noise.store(damage.noise, Ordering::Relaxed);
     if damage != Default::default() {
         log!(
             "remembered: damage: {} records can't be read, {} are missing, {} bytes are no record's",
@@ -178,25 +182,25 @@
             damage.noise
         );
     }
-    if !recovered.back.is_zero() {
-        log!("remembered: the clock has gone back by {:?}, times count from now", recovered.back);
+    if !recovered.clock_setback.is_zero() {
+        log!("remembered: the clock has gone back by {:?}, times count from now", recovered.clock_setback);
     }
 }
 
 /// Starts the thread for a folder that another process has open still, and tells what is in it once that is over.
 fn take_over(
-    remembered: Remembered,
+    remembered: ResultStoreConfig,
     longest: Duration,
-    tally: Arc<Tally>,
-) -> io::Result<(Recorder, mpsc::Receiver<Told>)> {
+    metrics: Arc<StoreMetrics>,
+) -> io::Result<(StoreWriter, mpsc::Receiver<StoreEvent>)> {
     let (batch, until) = (remembered.batch, clock::now() + OWED);
-    let seen = tally.clone();
-    spawn(tally, batch, move |told| loop {
+    let seen = metrics.clone();
+    spawn(metrics, batch, move |told| loop {
         match open(&remembered, longest, clock::now()) {
             Ok((folder, recovered)) => {
                 found(&recovered, &seen);
                 // Nobody listens any more only if the process ends.
-                let _ = told.blocking_send(Told::Opened(recovered));
+                let _ = told.blocking_send(StoreEvent::Opened(recovered));
                 return Some(folder);
             }
             Err(e) if clock::now() >= until => {
@@ -209,47 +213,47 @@
 }
 
 fn spawn(
-    tally: Arc<Tally>,
+    metrics: Arc<StoreMetrics>,
     batch: usize,
-    folder: impl FnOnce(&mpsc::Sender<Told>) -> Option<Folder> + Send + 'static,
-) -> io::Result<(Recorder, mpsc::Receiver<Told>)> {
+    folder: impl FnOnce(&mpsc::Sender<StoreEvent>) -> Option<SegmentLog> + Send + 'static,
+) -> io::Result<(StoreWriter, mpsc::Receiver<StoreEvent>)> {
     let (orders, ordered) = sync_channel(WAITING);
     let (tell, told) = mpsc::channel(WAITING);
-    let seen = tally.clone();
+    let seen = metrics.clone();
     std::thread::Builder::new().name("remembered".into()).spawn(move || {
         let folder = folder(&tell);
         work(folder, &ordered, &tell, batch, &seen);
     })?;
-    Ok((Recorder { orders, tally }, told))
+    Ok((StoreWriter { orders, metrics }, told))
 }
 
 /// Writes what comes until nobody is left to give more. Without a folder nothing is kept.
 fn work(
-    mut folder: Option<Folder>,
+    mut folder: Option<SegmentLog>,
     ordered: &Receiver<(RequestId, Record)>,
-    tell: &mpsc::Sender<Told>,
+    tell: &mpsc::Sender<StoreEvent>,
     batch: usize,
-    tally: &Tally,
+    metrics: &StoreMetrics,
 ) {
     while let Ok(first) = ordered.recv() {
         let more = std::iter::from_fn(|| ordered.try_recv().ok());
         let (ids, records): (Vec<_>, Vec<_>) = std::iter::once(first).chain(more.take(batch - 1)).unzip();
         let kept = match &mut folder {
             Some(folder) => {
-                tally.syncs.fetch_add(1, Ordering::Relaxed);
+                metrics.syncs.fetch_add(1, Ordering::Relaxed);
                 folder.write(records, clock::now())
             }
             None => vec![false; ids.len()],
         };
         let written = kept.iter().filter(|kept| **kept).count() as u64;
-        tally.written.fetch_add(written, Ordering::Relaxed);
-        tally.refused.fetch_add(kept.len() as u64 - written, Ordering::Relaxed);
-        if let Some((keys, bytes)) = folder.as_ref().map(Folder::size) {
-            tally.keys.store(keys as u64, Ordering::Relaxed);
-            tally.bytes.store(bytes, Ordering::Relaxed);
+        metrics.written.fetch_add(written, Ordering::Relaxed);
+        metrics.refused.fetch_add(kept.len() as u64 - written, Ordering::Relaxed);
+        if let Some((keys, bytes)) = folder.as_ref().map(SegmentLog::size) {
+            metrics.keys.store(keys as u64, Ordering::Relaxed);
+            metrics.bytes.store(bytes, Ordering::Relaxed);
         }
         for (id, kept) in ids.into_iter().zip(kept) {
-            if tell.blocking_send(Told::Written(id, kept)).is_err() {
+            if tell.blocking_send(StoreEvent::Written(id, kept)).is_err() {
                 break;
             }
         }
--- a/node/src/result_store/record.rs
+++ b/node/src/result_store/record.rs
@@ -19,15 +19,15 @@
 
 /// What a record says of its key's run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum State {
+pub enum RecordState {
     /// It may have begun.
-    Begun = 1,
+    Started = 1,
     /// It ended with the result.
-    Done = 2,
+    Succeeded = 2,
     /// It failed and may have had its effect.
     Failed = 3,
     /// It provably never began: the key is free.
-    Freed = 4,
+    NeverStarted = 4,
 }
 
 /// One record.
@@ -36,13 +36,13 @@
     /// Its number in the folder, without gaps.
     pub number: u64,
     /// When it was written.
-    pub at: Unix,
+    pub written_at: Unix,
     /// How long its key is remembered.
-    pub until: Unix,
+    pub expires_at: Unix,
     /// The digest of the body that the key's tries carry.
-    pub body: u64,
+    pub body_digest: u64,
     /// What it says.
-    pub state: State,
+    pub state: RecordState,
     /// The key.
     pub key: Bytes,
     /// The result, if the run is done.
@@ -65,9 +65,9 @@
         let mut head = BytesMut::with_capacity(HEAD);
         head.put_u64(self.number);
         head.put_u64(digest(seed, &self.key));
-        head.put_u64(self.body);
-        head.put_u64(millis(self.until));
-        head.put_u64(millis(self.at));
+        head.put_u64(self.body_digest);
+        head.put_u64(millis(self.expires_at));
+        head.put_u64(millis(self.written_at));
         head.put_u16(self.state as u16);
         // Fronts bound keys, and what is kept of results is bounded far below this.
         head.put_u16(u16::try_from(self.key.len()).unwrap_or(u16::MAX));
@@ -88,11 +88,11 @@
     /// The digest of its key.
     pub key: u64,
     /// When it was written.
-    pub at: Unix,
+    pub written_at: Unix,
     /// How long its key is remembered.
-    pub until: Unix,
-    body: u64,
-    state: State,
+    pub expires_at: Unix,
+    body_digest: u64,
+    state: RecordState,
     key_len: usize,
     len: usize,
     check: u32,
@@ -104,18 +104,29 @@
         if head.get_u32() != MAGIC || head.get_u32() != check(seed, head) {
             return None;
         }
-        let (number, key, body) = (head.get_u64(), head.get_u64(), head.get_u64());
-        let (until, at) = (Duration::from_millis(head.get_u64()), Duration::from_millis(head.get_u64()));
+        let (number, key, body_digest) = (head.get_u64(), head.get_u64(), head.get_u64());
+        let (expires_at, written_at) =
+            (Duration::from_millis(head.get_u64()), Duration::from_millis(head.get_u64()));
         let state = match head.get_u16() {
-            1 => State::Begun,
-            2 => State::Done,
-            3 => State::Failed,
-            4 => State::Freed,
+            1 => RecordState::Started,
+            2 => RecordState::Succeeded,
+            3 => RecordState::Failed,
+            4 => RecordState::NeverStarted,
             _ => return None,
         };
         let key_len = usize::from(head.get_u16());
         let len = key_len.saturating_add(head.get_u32() as usize);
-        Some(Head { number, key, at, until, body, state, key_len, len, check: head.get_u32() })
+        Some(Head {
+            number,
+            key,
+            written_at,
+            expires_at,
+            body_digest,
+            state,
+            key_len,
+            len,
+            check: head.get_u32(),
+        })
     }
 }
 
@@ -149,8 +160,16 @@
         if rest.is_some() {
             let (key, result) =
                 (bytes.slice(from..from + head.key_len), bytes.slice(from + head.key_len..to));
-            let Head { number, until, body, state, .. } = head;
-            found.push(Found::Whole(Record { number, at: head.at, until, body, state, key, result }));
+            let Head { number, expires_at, body_digest, state, .. } = head;
+            found.push(Found::Whole(Record {
+                number,
+                written_at: head.written_at,
+                expires_at,
+                body_digest,
+                state,
+                key,
+                result,
+            }));
             at = to;
         } else {
             found.push(Found::Hurt(head));
@@ -168,7 +187,7 @@
     /// The number of the first record in it.
     pub first: u64,
     /// When it was begun.
-    pub at: Unix,
+    pub written_at: Unix,
 }
 
 /// Appends a segment's head.
@@ -177,7 +196,7 @@
     out.put_u64(SEGMENT_MAGIC);
     out.put_u64(head.seed);
     out.put_u64(head.first);
-    out.put_u64(millis(head.at));
+    out.put_u64(millis(head.written_at));
     let sum = digest(0, &out[start..]);
     out.put_u64(sum);
 }
@@ -187,8 +206,8 @@
     let mut head = bytes.get(..SEGMENT_HEAD)?;
     let sum = digest(0, &head[..SEGMENT_HEAD - 8]);
     let (magic, seed, first) = (head.get_u64(), head.get_u64(), head.get_u64());
-    let at = Duration::from_millis(head.get_u64());
-    (magic == SEGMENT_MAGIC && head.get_u64() == sum).then_some(SegmentHead { seed, first, at })
+    let written_at = Duration::from_millis(head.get_u64());
+    (magic == SEGMENT_MAGIC && head.get_u64() == sum).then_some(SegmentHead { seed, first, written_at })
 }
 
 #[cfg(test)]
--- a/node/src/result_store/record/tests.rs
+++ b/node/src/result_store/record/tests.rs
@@ -11,12 +11,12 @@
     digits.chunks(2).map(|pair| pair[0] << 4 | pair[1]).collect::<Vec<u8>>().into()
 }
 
-fn record(state: State, result: &'static [u8]) -> Record {
+fn record(state: RecordState, result: &'static [u8]) -> Record {
     Record {
         number: 0x0a0b,
-        at: Duration::from_millis(1_796_189_334_822),
-        until: Duration::from_millis(1_796_275_334_922),
-        body: 0xf0f1_f2f3_f4f5_f6f7,
+        written_at: Duration::from_millis(1_796_189_334_822),
+        expires_at: Duration::from_millis(1_796_275_334_922),
+        body_digest: 0xf0f1_f2f3_f4f5_f6f7,
         state,
         key: Bytes::from_static(b"key"),
         result: Bytes::from_static(result),
@@ -27,10 +27,10 @@
 #[test]
 fn each_kind_of_record_is_written_to_its_golden_bytes_and_read_from_them() {
     for (record, golden) in [
-        (record(State::Begun, b""), "4f414b528d9f1fae0000000000000a0bc5bf435d0888477af0f1f2f3f4f5f6f7000001a23a5a6f0a000001a2353a2d260001000300000000ffacae956b6579"),
-        (record(State::Done, b"\0job\xff"), "4f414b52b04d05b70000000000000a0bc5bf435d0888477af0f1f2f3f4f5f6f7000001a23a5a6f0a000001a2353a2d2600020003000000050b16a2b16b6579006a6f62ff"),
-        (record(State::Failed, b""), "4f414b52341d41870000000000000a0bc5bf435d0888477af0f1f2f3f4f5f6f7000001a23a5a6f0a000001a2353a2d260003000300000000ffacae956b6579"),
-        (record(State::Freed, b""), "4f414b522a2392570000000000000a0bc5bf435d0888477af0f1f2f3f4f5f6f7000001a23a5a6f0a000001a2353a2d260004000300000000ffacae956b6579"),
+        (record(RecordState::Started, b""), "4f414b528d9f1fae0000000000000a0bc5bf435d0888477af0f1f2f3f4f5f6f7000001a23a5a6f0a000001a2353a2d260001000300000000ffacae956b6579"),
+        (record(RecordState::Succeeded, b"\0job\xff"), "4f414b52b04d05b70000000000000a0bc5bf435d0888477af0f1f2f3f4f5f6f7000001a23a5a6f0a000001a2353a2d2600020003000000050b16a2b16b6579006a6f62ff"),
+        (record(RecordState::Failed, b""), "4f414b52341d41870000000000000a0bc5bf435d0888477af0f1f2f3f4f5f6f7000001a23a5a6f0a000001a2353a2d260003000300000000ffacae956b6579"),
+        (record(RecordState::NeverStarted, b""), "4f414b522a2392570000000000000a0bc5bf435d0888477af0f1f2f3f4f5f6f7000001a23a5a6f0a000001a2353a2d260004000300000000ffacae956b6579"),
     ] {
         let mut written = BytesMut::new();
         record.put(SEED, &mut written);
@@ -42,7 +42,8 @@
 #[test]
 fn the_head_of_a_segment_is_written_to_its_golden_bytes_and_read_from_them() {
     let golden = "4f414b57494e440101020304050607080000000000000a0b000001a2353a2d264d3aba2a26104250";
-    let head = SegmentHead { seed: SEED, first: 0x0a0b, at: Duration::from_millis(1_796_189_334_822) };
+    let head =
+        SegmentHead { seed: SEED, first: 0x0a0b, written_at: Duration::from_millis(1_796_189_334_822) };
     let mut written = BytesMut::new();
     put_segment_head(head, &mut written);
     assert_eq!(hex(&written), golden);
--- a/node/src/result_store/recovery.rs
+++ b/node/src/result_store/recovery.rs
@@ -8,8 +8,8 @@
 
 use bytes::Bytes;
 
-use super::record::{self, Found, Record, State, SEGMENT_HEAD};
-use super::segment_index::{Ledger, Limits};
+use super::record::{self, Found, Record, RecordState, SEGMENT_HEAD};
+use super::segment_index::{Limits, SegmentIndex};
 use crate::clock::Unix;
 use crate::outcome::{digest, IdempotencyRecord, RunState};
 
@@ -23,7 +23,7 @@
 
 /// Keys of which it is not known whether they ran.
 #[derive(Debug, Default, PartialEq)]
-pub struct Doubts {
+pub struct UncertainKeys {
     /// By the digest of the key, until when.
     keys: HashMap<u64, Unix>,
     /// All keys that are not known, until then.
@@ -31,15 +31,15 @@
     seed: u64,
 }
 
-impl Doubts {
+impl UncertainKeys {
     /// Whether a key that is not known may have run. A key in doubt is in doubt for all of its time.
-    pub fn doubts(&self, key: &[u8], now: Unix) -> bool {
+    pub fn contains(&self, key: &[u8], now: Unix) -> bool {
         now < self.all
             || (!self.keys.is_empty() && self.keys.get(&digest(self.seed, key)).is_some_and(|at| now < *at))
     }
 
     /// When nothing is in doubt any more.
-    pub fn over(&self) -> Unix {
+    pub fn resolved_at(&self) -> Unix {
         self.keys.values().copied().fold(self.all, Unix::max)
     }
 }
@@ -61,17 +61,17 @@
 
 /// What a start learns.
 #[derive(Debug, Default)]
-pub struct Recovered {
+pub struct RecoveredState {
     /// How bodies are digested.
     pub seed: u64,
     /// The keys that are known.
     pub keys: Vec<IdempotencyRecord>,
     /// Those that may have run all the same.
-    pub doubts: Doubts,
+    pub uncertain_keys: UncertainKeys,
     /// What was skipped.
     pub damage: Damage,
     /// How far the clock has gone back since the last record.
-    pub back: Duration,
+    pub clock_setback: Duration,
     /// The number of the next record.
     pub next: u64,
 }
@@ -83,9 +83,13 @@
     limits: Limits,
     longest: Duration,
     now: Unix,
-) -> (Ledger, Recovered) {
-    let mut learnt = Recovered { seed, doubts: Doubts { seed, ..Doubts::default() }, ..Recovered::default() };
-    let mut ledger = Ledger::new(limits);
+) -> (SegmentIndex, RecoveredState) {
+    let mut learnt = RecoveredState {
+        seed,
+        uncertain_keys: UncertainKeys { seed, ..UncertainKeys::default() },
+        ..RecoveredState::default()
+    };
+    let mut ledger = SegmentIndex::new(limits);
     let mut known: HashMap<Bytes, Record> = HashMap::new();
     let (mut expected, mut torn, mut blind) = (None, false, false);
     let (mut newest, mut longest) = (Duration::ZERO, longest);
@@ -111,27 +115,27 @@
             expected = Some(expected.unwrap_or(0).max(number.saturating_add(records)));
             missing
         };
-        let mut missing = head.map_or(0, |head| came(head.first, 0, Some(head.at)));
+        let mut missing = head.map_or(0, |head| came(head.first, 0, Some(head.written_at)));
         // Without a segment's head, what is before the first record is as unknown as what is behind the last.
         torn = head.is_none() && bytes.len() < SEGMENT_HEAD;
         for found in found {
             torn = matches!(found, Found::Noise(_));
             match found {
                 Found::Whole(record) => {
-                    missing += came(record.number, 1, Some(record.at));
-                    newest = newest.max(record.at);
-                    longest = longest.max(record.until.saturating_sub(record.at));
+                    missing += came(record.number, 1, Some(record.written_at));
+                    newest = newest.max(record.written_at);
+                    longest = longest.max(record.expires_at.saturating_sub(record.written_at));
                     ledger.wrote(&record);
                     // It outlives the segment that it was read from.
                     let (key, result) = (copied(&record.key), copied(&record.result));
                     known.insert(key.clone(), Record { key, result, ..record });
                 }
                 Found::Hurt(head) => {
-                    missing += came(head.number, 1, Some(head.at));
-                    newest = newest.max(head.at);
-                    longest = longest.max(head.until.saturating_sub(head.at));
+                    missing += came(head.number, 1, Some(head.written_at));
+                    newest = newest.max(head.written_at);
+                    longest = longest.max(head.expires_at.saturating_sub(head.written_at));
                     learnt.damage.hurt += 1;
-                    hurt.push((head.key, head.until));
+                    hurt.push((head.key, head.expires_at));
                 }
                 Found::Noise(bytes) => learnt.damage.noise += bytes as u64,
             }
@@ -140,26 +144,31 @@
     }
     // Guards the room against entries that would stay for as long as the clock went back: what is left of their time
     // counts from now.
-    learnt.back = newest.saturating_sub(now);
-    let back = learnt.back;
-    let of_now = |time: Unix| time.saturating_sub(back);
+    learnt.clock_setback = newest.saturating_sub(now);
+    let clock_setback = learnt.clock_setback;
+    let of_now = |time: Unix| time.saturating_sub(clock_setback);
     let written_by = |gap: Option<Unix>| gap.map_or(now, of_now).min(now);
     let gaps = gaps.into_iter().chain(torn.then_some(None));
-    learnt.doubts.all = gaps.map(|gap| written_by(gap) + longest).max().unwrap_or_default();
+    learnt.uncertain_keys.all = gaps.map(|gap| written_by(gap) + longest).max().unwrap_or_default();
     for (key, until) in hurt {
-        let doubted = learnt.doubts.keys.entry(key).or_default();
+        let doubted = learnt.uncertain_keys.keys.entry(key).or_default();
         *doubted = (*doubted).max(of_now(until));
     }
-    ledger.recovered(back, learnt.doubts.over());
+    ledger.recovered(clock_setback, learnt.uncertain_keys.resolved_at());
     for (key, record) in known {
         let fate = match record.state {
-            State::Begun => RunState::Pending,
-            State::Done => RunState::Succeeded(record.result),
-            State::Failed => RunState::Failed,
-            State::Freed => continue,
+            RecordState::Started => RunState::Pending,
+            RecordState::Succeeded => RunState::Succeeded(record.result),
+            RecordState::Failed => RunState::Failed,
+            RecordState::NeverStarted => continue,
         };
         // What a damaged record said of the key came after this one, or is no more than this one says.
-        learnt.keys.push(IdempotencyRecord { key, body: record.body, until: of_now(record.until), fate });
+        learnt.keys.push(IdempotencyRecord {
+            key,
+            body: record.body_digest,
+            until: of_now(record.expires_at),
+            fate,
+        });
     }
     // What may have been lost at the end leaves a gap: the next start is to know of it too.
     learnt.next = expected.unwrap_or(0).saturating_add(u64::from(torn));
--- a/node/src/result_store/recovery/tests.rs
+++ b/node/src/result_store/recovery/tests.rs
@@ -19,37 +19,37 @@
     let mut segments = vec![BytesMut::new(), BytesMut::new()];
     let (a, b, c, d) = ("aaa", "bb", "c", "dddd");
     let said = [
-        (a, State::Begun, ""),
-        (b, State::Begun, ""),
-        (a, State::Done, "result"),
-        (c, State::Begun, ""),
-        (d, State::Begun, ""),
-        (d, State::Freed, ""),
-        (c, State::Failed, ""),
+        (a, RecordState::Started, ""),
+        (b, RecordState::Started, ""),
+        (a, RecordState::Succeeded, "result"),
+        (c, RecordState::Started, ""),
+        (d, RecordState::Started, ""),
+        (d, RecordState::NeverStarted, ""),
+        (c, RecordState::Failed, ""),
     ];
     for (number, (key, state, result)) in (10..).zip(said) {
         let which = usize::from(number >= 14);
         let bytes = &mut segments[which];
         if bytes.is_empty() {
-            put_segment_head(SegmentHead { seed: SEED, first: number, at: at(90 + number) }, bytes);
+            put_segment_head(SegmentHead { seed: SEED, first: number, written_at: at(90 + number) }, bytes);
         }
-        let (body, from) = (u64::from(key.as_bytes()[0]), bytes.len());
+        let (body_digest, from) = (u64::from(key.as_bytes()[0]), bytes.len());
         let (key, result) = (Bytes::from(key), Bytes::from(result));
-        let (at, until) = (at(90 + number), at(107 + number));
-        let record = Record { number, at, until, body, state, key, result };
+        let (written_at, expires_at) = (at(90 + number), at(107 + number));
+        let record = Record { number, written_at, expires_at, body_digest, state, key, result };
         record.put(SEED, bytes);
         records.push((record, which, from..bytes.len()));
     }
     (segments, records)
 }
 
-fn recovered(segments: &[BytesMut], now: Unix) -> Recovered {
+fn recovered(segments: &[BytesMut], now: Unix) -> RecoveredState {
     let segments =
         (1..).zip(segments).map(|(number, bytes)| Segment { number, bytes: bytes.clone().freeze() });
     recover(SEED, segments, LIMITS, LONGEST, now).1
 }
 
-fn fate<'a>(learnt: &'a Recovered, key: &[u8]) -> Option<&'a RunState> {
+fn fate<'a>(learnt: &'a RecoveredState, key: &[u8]) -> Option<&'a RunState> {
     learnt.keys.iter().find(|record| record.key == key).map(|record| &record.fate)
 }
 
@@ -61,7 +61,7 @@
     assert_eq!(fate(&learnt, b"c"), Some(&RunState::Failed));
     assert_eq!(fate(&learnt, b"dddd"), None);
     assert_eq!((learnt.damage, learnt.next), (Damage::default(), 17));
-    assert!(!learnt.doubts.doubts(b"other", at(108)));
+    assert!(!learnt.uncertain_keys.contains(b"other", at(108)));
 }
 
 /// What the damage leaves must be as it was acknowledged, and nothing that ran may look as if it had not.
@@ -79,13 +79,16 @@
         let known = fate(&learnt, key);
         if !hit(last.1, &last.2) {
             let as_told = match last.0.state {
-                State::Done => RunState::Succeeded(last.0.result.clone()),
-                State::Begun => RunState::Pending,
+                RecordState::Succeeded => RunState::Succeeded(last.0.result.clone()),
+                RecordState::Started => RunState::Pending,
                 _ => RunState::Failed,
             };
             assert_eq!(known, Some(&as_told), "{what}: {key:?}");
         } else if told || !hurt {
-            assert!(known.is_some() || learnt.doubts.doubts(key, at(108)), "{what}: {key:?} looks unrun");
+            assert!(
+                known.is_some() || learnt.uncertain_keys.contains(key, at(108)),
+                "{what}: {key:?} looks unrun"
+            );
         }
     }
 }
@@ -126,26 +129,29 @@
     let middle = SEGMENT_HEAD + 2 * HEAD;
     segments[0][SEGMENT_HEAD + 8..middle].fill(0);
     let learnt = recovered(&segments, at(108));
-    assert!(learnt.damage.missing > 0 && learnt.doubts.doubts(b"lost", at(108)));
-    assert!(!learnt.doubts.doubts(b"lost", learnt.doubts.over()));
-    assert!(learnt.doubts.over() <= at(102) + LONGEST, "the record after it tells when it was written");
+    assert!(learnt.damage.missing > 0 && learnt.uncertain_keys.contains(b"lost", at(108)));
+    assert!(!learnt.uncertain_keys.contains(b"lost", learnt.uncertain_keys.resolved_at()));
+    assert!(
+        learnt.uncertain_keys.resolved_at() <= at(102) + LONGEST,
+        "the record after it tells when it was written"
+    );
     // A torn end: what a next life writes leaves a gap, so that the one after it is in doubt as well.
     let (mut segments, _) = journal();
     let length = segments[1].len() - HEAD - 10;
     segments[1].truncate(length);
     let learnt = recovered(&segments, at(108));
-    assert!(learnt.doubts.doubts(b"lost", at(108 + 16)));
+    assert!(learnt.uncertain_keys.contains(b"lost", at(108 + 16)));
     let mut next = BytesMut::new();
-    put_segment_head(SegmentHead { seed: SEED, first: learnt.next, at: at(108) }, &mut next);
+    put_segment_head(SegmentHead { seed: SEED, first: learnt.next, written_at: at(108) }, &mut next);
     segments.push(next);
-    assert!(recovered(&segments, at(109)).doubts.doubts(b"lost", at(108 + 16)));
-    assert!(!recovered(&segments, at(109)).doubts.doubts(b"lost", at(108 + 18)));
+    assert!(recovered(&segments, at(109)).uncertain_keys.contains(b"lost", at(108 + 16)));
+    assert!(!recovered(&segments, at(109)).uncertain_keys.contains(b"lost", at(108 + 18)));
 }
 
 #[test]
 fn where_the_clock_went_back_what_is_left_of_a_keys_time_counts_from_now() {
     let learnt = recovered(&journal().0, at(50));
-    assert_eq!(learnt.back, at(106 - 50));
+    assert_eq!(learnt.clock_setback, at(106 - 50));
     // Its end was recorded at 102 s and is kept until 119 s, thirteen seconds after the last record.
     let until = learnt.keys.iter().find(|record| record.key == b"aaa"[..]).unwrap().until;
     assert_eq!(until, at(50 + 13));
@@ -156,17 +162,18 @@
     let mut inner = BytesMut::new();
     let fake = Record {
         number: 5,
-        at: at(100),
-        until: at(117),
-        body: 1,
-        state: State::Begun,
+        written_at: at(100),
+        expires_at: at(117),
+        body_digest: 1,
+        state: RecordState::Started,
         key: "forged".into(),
         result: Bytes::new(),
     };
     fake.put(SEED + 1, &mut inner);
     let mut bytes = BytesMut::new();
-    put_segment_head(SegmentHead { seed: SEED, first: 5, at: at(100) }, &mut bytes);
-    Record { key: "k".into(), state: State::Done, result: inner.freeze(), ..fake }.put(SEED, &mut bytes);
+    put_segment_head(SegmentHead { seed: SEED, first: 5, written_at: at(100) }, &mut bytes);
+    Record { key: "k".into(), state: RecordState::Succeeded, result: inner.freeze(), ..fake }
+        .put(SEED, &mut bytes);
     bytes[SEGMENT_HEAD] ^= 1;
     assert_eq!(fate(&recovered(&[bytes], at(101)), b"forged"), None);
 }
--- a/node/src/result_store/segment_index.rs
+++ b/node/src/result_store/segment_index.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 
-use super::record::{Record, State, HEAD};
+use super::record::{Record, RecordState, HEAD};
 use crate::clock::Unix;
 use crate::outcome::{LATE_READ_GRACE, MAX_RESULT_BYTES};
 
@@ -56,13 +56,13 @@
     segment: u64,
     number: u64,
     bytes: u64,
-    until: Unix,
+    expires_at: Unix,
     open: bool,
 }
 
 /// The books of a folder.
 #[derive(Debug)]
-pub struct Ledger {
+pub struct SegmentIndex {
     limits: Limits,
     segments: VecDeque<Segment>,
     places: HashMap<Bytes, Place>,
@@ -76,7 +76,7 @@
 
 /// What a record takes, with what it sets aside.
 pub fn needed(record: &Record) -> u64 {
-    record.bytes() as u64 + if record.state == State::Begun { end_of(&record.key) } else { 0 }
+    record.bytes() as u64 + if record.state == RecordState::Started { end_of(&record.key) } else { 0 }
 }
 
 /// The most that the end of a run takes.
@@ -84,10 +84,10 @@
     (HEAD + key.len() + MAX_RESULT_BYTES) as u64
 }
 
-impl Ledger {
+impl SegmentIndex {
     /// The books of an empty folder.
     pub fn new(limits: Limits) -> Self {
-        Ledger {
+        SegmentIndex {
             limits,
             segments: VecDeque::new(),
             places: HashMap::new(),
@@ -108,12 +108,12 @@
         let Some(segment) = self.segments.back_mut() else { return };
         let number = segment.number;
         segment.live += 1;
-        let open = record.state == State::Begun;
+        let open = record.state == RecordState::Started;
         let place = Place {
             segment: number,
             number: record.number,
             bytes: record.bytes() as u64,
-            until: record.until,
+            expires_at: record.expires_at,
             open,
         };
         self.live += place.bytes;
@@ -123,7 +123,7 @@
         if let Some(before) = self.places.insert(key.clone(), place) {
             self.leave(&key, &before);
         }
-        if record.state == State::Freed {
+        if record.state == RecordState::NeverStarted {
             self.drop_key(&key);
         }
     }
@@ -151,11 +151,11 @@
 
     /// After a start: the clock has gone back by so much, and until `held` segments are kept for what is damaged. Of
     /// what had begun no end will come, so none has room set aside.
-    pub fn recovered(&mut self, back: Duration, held: Unix) {
+    pub fn recovered(&mut self, clock_setback: Duration, held: Unix) {
         self.held = held;
         self.reserved = 0;
         for place in self.places.values_mut() {
-            place.until = place.until.saturating_sub(back);
+            place.expires_at = place.expires_at.saturating_sub(clock_setback);
             place.open = false;
         }
     }
@@ -164,7 +164,7 @@
     /// have their room, and the bound.
     /// So many bytes are as good as written.
     pub fn has_room(&self, record: &Record, pending: u64) -> bool {
-        if record.state != State::Begun {
+        if record.state != RecordState::Started {
             return true;
         }
         let more = pending + needed(record);
@@ -181,7 +181,7 @@
     pub fn step(&mut self, now: Unix) -> Option<Step> {
         if now >= self.swept + Duration::from_secs(1) {
             self.swept = now;
-            let over = |place: &Place| now >= place.until + LATE_READ_GRACE;
+            let over = |place: &Place| now >= place.expires_at + LATE_READ_GRACE;
             let over = self.places.iter().filter(|(_, place)| over(place)).map(|(key, _)| key.clone());
             over.collect::<Vec<Bytes>>().iter().for_each(|key| self.drop_key(key));
         }
--- a/node/src/run_gate.rs
+++ b/node/src/run_gate.rs
@@ -15,9 +15,9 @@
 use crate::exchange::Request;
 use crate::metrics::Figures;
 use crate::outcome::{Completion, IdempotencyRecord, Key, StoredOutcome};
-use crate::peers::{Asked, Peers};
-use crate::result_store::record::{Record, State};
-use crate::result_store::{ResultStore, Told};
+use crate::peers::{KeyedRun, Peers};
+use crate::result_store::record::{Record, RecordState};
+use crate::result_store::{ResultStore, StoreEvent};
 
 /// The run of a try that holds a key.
 #[derive(Debug, Clone)]
@@ -90,12 +90,12 @@
     /// Has the figures show what is kept.
     pub fn counts(&self, figures: &Figures) {
         if let Some(folder) = &self.folder {
-            let tally = folder.tally.clone();
-            figures.also(Box::new(move || tally.all()));
+            let metrics = folder.metrics.clone();
+            figures.also(Box::new(move || metrics.values()));
         }
         if let Some(peers) = &self.peers {
-            let shown = peers.shown.clone();
-            figures.also(Box::new(move || shown.all()));
+            let metrics = peers.metrics.clone();
+            figures.also(Box::new(move || metrics.values()));
         }
     }
 
@@ -106,22 +106,22 @@
 
     /// The number of the list that the fleet goes by; 0 without one.
     pub fn list(&self) -> u64 {
-        self.peers.as_ref().map_or(0, |peers| peers.shown.list.get())
+        self.peers.as_ref().map_or(0, |peers| peers.metrics.membership_version.get())
     }
 
     /// Whether a key that is not known may have run, as far as damage tells.
     pub fn doubts(&self, key: &[u8], now: Unix) -> bool {
-        self.folder.as_ref().is_some_and(|folder| folder.doubts.doubts(key, now))
+        self.folder.as_ref().is_some_and(|folder| folder.uncertain_keys.contains(key, now))
     }
 
-    /// Takes over from another process of this node, once that lets go; `recalls` if what it left is news.
-    pub fn take_over(&mut self, recalls: bool) {
+    /// Takes over from another process of this node, once that lets go; `loads_keys` if what it left is news.
+    pub fn take_over(&mut self, loads_keys: bool) {
         if let Some(folder) = &mut self.folder {
-            folder.take_over(recalls);
+            folder.open_after_predecessor(loads_keys);
         }
         if let Some(peers) = &self.peers {
             peers.resume();
-            peers.beside(!recalls);
+            peers.set_predecessor_running(!loads_keys);
         }
     }
 
@@ -129,17 +129,17 @@
     pub fn alone(&self) {
         if let Some(peers) = &self.peers {
             peers.resume();
-            peers.beside(false);
+            peers.set_predecessor_running(false);
         }
     }
 
     /// Leaves all to another process of this node. These runs may still begin here.
     pub fn let_go(&mut self, held: Vec<Run>) {
         for run in &held {
-            self.record(run, State::Begun, Bytes::new());
+            self.record(run, RecordState::Started, Bytes::new());
         }
         if let Some(folder) = &mut self.folder {
-            folder.recorder = None;
+            folder.writer = None;
         }
         if let Some(peers) = &self.peers {
             peers.retire();
@@ -149,14 +149,14 @@
     /// Whether a run may begin; none if that is told later. A try without a key may.
     pub fn may_begin(&mut self, run: Option<Run>) -> Option<bool> {
         let Some(run) = run.filter(|_| self.keeps()) else { return Some(true) };
-        let folder = self.asked_folder(&run, State::Begun, Bytes::new());
+        let folder = self.asked_folder(&run, RecordState::Started, Bytes::new());
         let peers = match (&self.peers, &run.request) {
             (None, _) => Answer::Yes,
             (Some(peers), Some(request)) if folder != Answer::No => {
                 let (id, key, until) = (run.id, run.key.clone(), run.until);
                 let (body, received_at, deadline) =
                     (&request.body[..], request.received_at, request.deadline);
-                if peers.want(&Asked { id, key, body, until, received_at, deadline }) {
+                if peers.request_claim(&KeyedRun { id, key, body, until, received_at, deadline }) {
                     Answer::Open
                 } else {
                     Answer::No
@@ -165,7 +165,7 @@
             _ => Answer::No,
         };
         if folder == Answer::Open && peers == Answer::No {
-            self.record(&run, State::Freed, Bytes::new());
+            self.record(&run, RecordState::NeverStarted, Bytes::new());
             return Some(false);
         }
         if folder == Answer::Open || peers == Answer::Open {
@@ -180,18 +180,20 @@
         let Some(run) = run.filter(|_| self.keeps()) else { return Some(end) };
         // It outlives the buffer that it was read into.
         let (state, result) = match &end {
-            Completion::Succeeded(result) => (State::Done, Bytes::copy_from_slice(result)),
-            _ => (State::Failed, Bytes::new()),
+            Completion::Succeeded(result) => (RecordState::Succeeded, Bytes::copy_from_slice(result)),
+            _ => (RecordState::Failed, Bytes::new()),
         };
         let folder = self.asked_folder(&run, state, result.clone());
         let peers = match &self.peers {
             None => Answer::Yes,
             Some(peers) => match &end {
-                Completion::Succeeded(_) if peers.ended(run.id, RunResult::Succeeded(result)) => Answer::Open,
+                Completion::Succeeded(_) if peers.run_finished(run.id, RunResult::Succeeded(result)) => {
+                    Answer::Open
+                }
                 Completion::Succeeded(_) => Answer::No,
                 _ => {
                     // Nobody waits for that: a failure promises nothing.
-                    peers.ended(run.id, RunResult::Failed);
+                    peers.run_finished(run.id, RunResult::Failed);
                     Answer::Yes
                 }
             },
@@ -206,7 +208,7 @@
     /// A run never began and never will.
     pub fn never_ran(&mut self, id: RequestId) {
         if let Some(peers) = &self.peers {
-            peers.never_ran(id);
+            peers.run_never_started(id);
         }
     }
 
@@ -214,9 +216,9 @@
     pub fn ended_before(&mut self, run: Run, kept: &StoredOutcome) -> bool {
         let (end, state, result) = match kept {
             StoredOutcome::Succeeded(result) => {
-                (Completion::Succeeded(result.clone()), State::Done, result.clone())
+                (Completion::Succeeded(result.clone()), RecordState::Succeeded, result.clone())
             }
-            StoredOutcome::Failed => (Completion::Failed, State::Failed, Bytes::new()),
+            StoredOutcome::Failed => (Completion::Failed, RecordState::Failed, Bytes::new()),
             StoredOutcome::NeverStarted => return false,
         };
         let open = self.asked_folder(&run, state, result) == Answer::Open;
@@ -230,16 +232,16 @@
     /// Keeps what became of a run that nobody waits for.
     pub fn over(&mut self, run: Run, kept: &StoredOutcome) {
         match kept {
-            StoredOutcome::Succeeded(result) => self.record(&run, State::Done, result.clone()),
-            StoredOutcome::Failed => self.record(&run, State::Failed, Bytes::new()),
+            StoredOutcome::Succeeded(result) => self.record(&run, RecordState::Succeeded, result.clone()),
+            StoredOutcome::Failed => self.record(&run, RecordState::Failed, Bytes::new()),
             StoredOutcome::NeverStarted => {
                 self.never_ran(run.id);
-                self.record(&run, State::Freed, Bytes::new())
+                self.record(&run, RecordState::NeverStarted, Bytes::new())
             }
         };
     }
 
-    fn asked_folder(&self, run: &Run, state: State, result: Bytes) -> Answer {
+    fn asked_folder(&self, run: &Run, state: RecordState, result: Bytes) -> Answer {
         match self.record(run, state, result) {
             Some(true) => Answer::Open,
             Some(false) => Answer::No,
@@ -248,11 +250,22 @@
     }
 
     /// Hands a record to the folder: whether the disk takes it, or none where there is none, or another process has it.
-    fn record(&self, run: &Run, state: State, result: Bytes) -> Option<bool> {
-        let recorder = self.folder.as_ref()?.recorder.as_ref()?;
+    fn record(&self, run: &Run, state: RecordState, result: Bytes) -> Option<bool> {
+        let writer = self.folder.as_ref()?.writer.as_ref()?;
         let Run { id, body, until, .. } = *run;
         let key = run.key.clone();
-        Some(recorder.write(id, Record { number: 0, at: Duration::ZERO, until, body, state, key, result }))
+        Some(writer.write(
+            id,
+            Record {
+                number: 0,
+                written_at: Duration::ZERO,
+                expires_at: until,
+                body_digest: body,
+                state,
+                key,
+                result,
+            },
+        ))
     }
 
     /// The next that it has to say; never where nothing is kept.
@@ -261,13 +274,13 @@
             let RunGate { folder, peers, .. } = self;
             let of_folder = async {
                 match folder {
-                    Some(folder) => folder.told().await,
+                    Some(folder) => folder.next_event().await,
                     None => std::future::pending().await,
                 }
             };
             let of_peers = async {
                 match peers {
-                    Some(peers) => peers.told().await,
+                    Some(peers) => peers.next_outcome().await,
                     None => std::future::pending().await,
                 }
             };
@@ -281,18 +294,18 @@
         }
     }
 
-    fn of_folder(&mut self, told: Told) -> Option<Word> {
+    fn of_folder(&mut self, told: StoreEvent) -> Option<Word> {
         match told {
-            Told::Written(id, kept) => {
+            StoreEvent::Written(id, kept) => {
                 let waiting = self.waiting.get_mut(&id).filter(|waiting| waiting.folder == Answer::Open)?;
                 waiting.folder = if kept { Answer::Yes } else { Answer::No };
                 self.settled(id)
             }
-            Told::Opened(recovered) => {
+            StoreEvent::Opened(recovered) => {
                 let folder = self.folder.as_mut()?;
-                folder.doubts = recovered.doubts;
+                folder.uncertain_keys = recovered.uncertain_keys;
                 // Otherwise the process before has told all this, and more of late.
-                folder.recalls.then_some(Word::Recalled(recovered.keys))
+                folder.loads_keys.then_some(Word::Recalled(recovered.keys))
             }
         }
     }
@@ -339,7 +352,7 @@
     /// A try that waited to begin does not: the folder is told that its key is free here.
     fn not_begun(&mut self, id: RequestId) {
         if let Some(waiting) = self.waiting.remove(&id) {
-            self.record(&waiting.run, State::Freed, Bytes::new());
+            self.record(&waiting.run, RecordState::NeverStarted, Bytes::new());
         }
     }
 
@@ -355,7 +368,7 @@
         match end {
             None => {
                 if refused && folder != Answer::No {
-                    self.record(&run, State::Freed, Bytes::new());
+                    self.record(&run, RecordState::NeverStarted, Bytes::new());
                 }
                 if refused && peers != Answer::No {
                     self.never_ran(id);
--- a/node/src/server.rs
+++ b/node/src/server.rs
@@ -19,8 +19,8 @@
 use crate::backend::interpreter::Interpreter;
 use crate::backend::uwsgi::{self as client, Servers};
 use crate::class_registry::ClassRegistry;
-use crate::config::{Config, Files, Links, Told};
-use crate::decision_log::{digest_of, Recorder};
+use crate::config::{ConfigFiles, Configuration, NodeConfig, UpstreamAddresses};
+use crate::decision_log::{settings_digest, DecisionLog};
 use crate::dispatcher::Dispatcher;
 use crate::exchange::{self, Exchange, HandoverState};
 use crate::frontend::connection_limiter::{ConnectionGuard, ConnectionLimiter};
@@ -40,8 +40,8 @@
 const MARGIN: Duration = Duration::from_millis(100);
 
 /// Serves until the notice to leave, then drains.
-pub fn serve(files: &Files) -> Result<(), String> {
-    let told = files.read_for_start().map_err(|e| e.to_string())?;
+pub fn serve(files: &ConfigFiles) -> Result<(), String> {
+    let told = files.load_for_startup().map_err(|e| e.to_string())?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -49,15 +49,15 @@
     runtime.block_on(LocalSet::new().run_until(run(files, told)))
 }
 
-async fn run(files: &Files, told: Told) -> Result<(), String> {
-    let Told { config, uwsgi, remembered, fleet, records } = told;
+async fn run(files: &ConfigFiles, told: Configuration) -> Result<(), String> {
+    let Configuration { config, uwsgi, remembered, fleet, records } = told;
     // Comes first: a signal that nobody hears yet would end the process.
     let (notice, hangup) = signals().map_err(|e| format!("no signals: {e}"))?;
     let place = handover::place(config.listen);
     let upgrade = handover::serves_already(place.as_deref()).await;
     // One that takes over is where the process before it was.
     let (exchange, core, backends) = exchange::new(upgrade, fleet.is_some() && !upgrade);
-    let (changed, links) = watch::channel(config.links.clone());
+    let (changed, links) = watch::channel(config.upstreams.clone());
     // With a folder that a next process finds it by, both may listen at once.
     let shared = place.is_some();
     let names = Rc::new(ClassRegistry::new(config.settings.clone()));
@@ -79,25 +79,25 @@
         spawn_local(vrrp::run(vrrp.clone(), socket, told, exchange.clone()));
     }
     let begun = links.borrow().clone();
-    if begun.runs.is_empty() {
+    if begun.uwsgi_run_servers.is_empty() {
         let names = names.clone();
         spawn_local(Interpreter::new(links.clone(), exchange.clone(), backends.runs, names).run());
     } else {
-        let servers = Servers::new(links.clone(), |links| &links.runs, names.clone());
+        let servers = Servers::new(links.clone(), |upstreams| &upstreams.uwsgi_run_servers, names.clone());
         spawn_local(client::run(servers, exchange.clone(), backends.runs, each));
     }
-    if begun.calls.is_empty() {
+    if begun.uwsgi_call_servers.is_empty() {
         let idle = each / 4;
         let index = Index::new(links.clone(), idle);
         spawn_local(call(index, exchange.clone(), backends.calls, each - idle));
     } else {
-        let servers = Servers::new(links.clone(), |links| &links.calls, names.clone());
+        let servers = Servers::new(links.clone(), |upstreams| &upstreams.uwsgi_call_servers, names.clone());
         spawn_local(call(servers, exchange.clone(), backends.calls, each));
     }
     let mut core = Dispatcher::new(core, config.settings.clone(), config.seed, config.memory / RESULTS);
     let (mut folder, mut left) = (None, None);
     if let Some(remembered) = remembered {
-        let mut remembrance = ResultStore::closed(remembered, config.longest());
+        let mut remembrance = ResultStore::closed(remembered, config.max_idempotency_window());
         // The process before has the folder until it has handed over.
         if !upgrade {
             let recovered = remembrance.open()?;
@@ -114,7 +114,11 @@
     }
     core.keep(RunGate::new(folder, peers), left);
     if let Some(records) = records {
-        core.record(Recorder::start(&records, &config.name, digest_of(&config.written["settings"]))?);
+        core.record(DecisionLog::start(
+            &records,
+            &config.name,
+            settings_digest(&config.written["settings"]),
+        )?);
     }
     spawn_local(core.run());
     let front = {
@@ -215,10 +219,10 @@
 /// Reads the files again at each hang-up. A bad file changes nothing; of a good one the links and the settings
 /// are taken over.
 async fn reloads(
-    files: &Files,
+    files: &ConfigFiles,
     mut hangup: Signal,
-    begun: &Config,
-    links: watch::Sender<Links>,
+    begun: &NodeConfig,
+    links: watch::Sender<UpstreamAddresses>,
     names: &ClassRegistry,
     exchange: &Exchange,
     lists: Option<mpsc::Sender<Event>>,
@@ -239,20 +243,21 @@
             }
         };
         let before = newest.as_ref().unwrap_or(begun);
-        let taken =
-            files.read().map_err(|e| e.to_string()).and_then(|Told { config: new, fleet, .. }| {
-                if let Some(key) = new.links.unlike(&before.links) {
+        let taken = files.load().map_err(|e| e.to_string()).and_then(
+            |Configuration { config: new, fleet, .. }| {
+                if let Some(key) = new.upstreams.first_incompatible_key(&before.upstreams) {
                     return Err(format!(
                         "{key}: what does this job, or that anything does, changes with a restart only"
                     ));
                 }
-                if let Some(key) = new.lacks(before) {
+                if let Some(key) = new.first_missing_key(before) {
                     return Err(format!("{key}: missing, the configuration before had it"));
                 }
                 let settings =
                     names.settings().followed_by(new.settings.clone()).map_err(|e| e.to_string())?;
                 Ok((new, settings, fleet))
-            });
+            },
+        );
         if told {
             exchange.figures().reloaded(taken.is_ok());
         }
@@ -263,11 +268,12 @@
                 continue;
             }
         };
-        let moved = links.send_if_modified(|links| std::mem::replace(links, new.links.clone()) != new.links);
+        let moved =
+            links.send_if_modified(|links| std::mem::replace(links, new.upstreams.clone()) != new.upstreams);
         let retuned = settings != names.settings();
         if retuned {
             // The decisions know a class before any front does.
-            let digest = digest_of(&new.written["settings"]);
+            let digest = settings_digest(&new.written["settings"]);
             exchange.reconfigure(settings.clone(), digest).await;
             names.follow(settings, clock::now());
         }
--- a/node/src/vrrp.rs
+++ b/node/src/vrrp.rs
@@ -10,7 +10,7 @@
 use tokio::sync::watch;
 
 use crate::clock;
-use crate::config::Vrrp;
+use crate::config::VrrpConfig;
 use crate::exchange::Exchange;
 use crate::log;
 use machine::{Event, Output, Parameters, Role, Router};
@@ -20,12 +20,12 @@
 const MAX_DATAGRAM: usize = 2048;
 
 /// Binds the socket that advertisements come in on.
-pub async fn bind(config: &Vrrp) -> io::Result<UdpSocket> {
+pub async fn bind(config: &VrrpConfig) -> io::Result<UdpSocket> {
     UdpSocket::bind(config.listen).await
 }
 
 /// Plays the virtual router until the notice to leave; `active` follows whether it has the role.
-pub async fn run(config: Vrrp, socket: UdpSocket, active: watch::Sender<bool>, exchange: Exchange) {
+pub async fn run(config: VrrpConfig, socket: UdpSocket, active: watch::Sender<bool>, exchange: Exchange) {
     let local = match config.listen.ip() {
         IpAddr::V4(address) => address,
         IpAddr::V6(_) => Ipv4Addr::UNSPECIFIED,
@@ -72,7 +72,7 @@
 }
 
 /// What a datagram says, if it is an advertisement of this virtual router from one of its peers.
-fn heard(config: &Vrrp, datagram: &[u8], from: SocketAddr) -> Option<Event> {
+fn heard(config: &VrrpConfig, datagram: &[u8], from: SocketAddr) -> Option<Event> {
     if !config.peers.iter().any(|peer| peer.ip() == from.ip()) {
         log!("vrrp {}: dropped what {from} sent, which is no peer", config.vrid);
         return None;
