--- a/node/src/backend/index.rs
+++ b/node/src/backend/index.rs
@@ -14,7 +14,7 @@
 use crate::clock::{self, Unix};
 use crate::config::Links;
 use crate::exchange::{CallOutcome, Request};
-use crate::line_codec::{self, put, Link};
+use crate::line_codec::{self, encode, LineConnection};
 use crate::log;
 use crate::sockets;
 
@@ -28,7 +28,7 @@
 
 /// A connection with no call on it.
 struct Idle {
-    link: Link,
+    link: LineConnection,
     address: SocketAddr,
     since: Unix,
     /// The request of the call before. Another call for it goes elsewhere: guards it against a second copy of
@@ -52,14 +52,14 @@
     }
 
     /// A connection that can be used again, if there is one.
-    fn kept(&self, txn: &Bytes) -> Option<Link> {
+    fn kept(&self, txn: &Bytes) -> Option<LineConnection> {
         self.tidy();
         let mut idle = self.idle.borrow_mut();
         let fits = idle.iter().rposition(|kept| kept.last != txn)?;
         Some(idle.remove(fits).link)
     }
 
-    fn keep(&self, link: Link, address: SocketAddr, last: Bytes) {
+    fn keep(&self, link: LineConnection, address: SocketAddr, last: Bytes) {
         let mut idle = self.idle.borrow_mut();
         // What comes beside a reply belongs to no call.
         if !link.input.is_empty() || idle.len() >= self.most_idle {
@@ -73,7 +73,7 @@
         let mut link = match self.kept(txn) {
             Some(link) => link,
             None => match sockets::connect(address, until).await {
-                Ok(stream) => Link::new(stream),
+                Ok(stream) => LineConnection::new(stream),
                 // A refused connection proves that the call never ran, and so does one that was never made.
                 Err(e) => {
                     log!("index: no connection: {e}");
@@ -82,33 +82,34 @@
             },
         };
         let left = until.saturating_sub(clock::now()).as_millis().max(1).to_string();
-        put(&mut link.output, &[b"GET", txn, left.as_bytes()], Some(body));
+        encode(&mut link.output, &[b"GET", txn, left.as_bytes()], Some(body));
         let mut begun = None;
         loop {
-            while let Some(message) = line_codec::take(&mut link.input, |words| words.nth(1) == Some(b"HIT"))?
+            while let Some(message) =
+                line_codec::decode(&mut link.input, |words| words.nth(1) == Some(b"HIT"))?
             {
-                let end = match (&message.word(1)[..], &message.body) {
+                let end = match (&message.field(1)[..], &message.body) {
                     (b"HIT", Some(reply)) => CallOutcome::Ok(reply.clone()),
                     (b"SHED", _) => CallOutcome::Refused,
                     (b"BROKEN", _) => CallOutcome::Failed,
                     (b"SLOW", _) => CallOutcome::TimedOut,
                     (b"NOBODY", _) => CallOutcome::Unreachable,
-                    _ => return Err(message.nonsense().into()),
+                    _ => return Err(message.protocol_error().into()),
                 };
                 // A reply to another call is nobody's here.
-                if message.word(0) == txn {
+                if message.field(0) == txn {
                     self.keep(link, address, txn.clone());
                     return Ok(end);
                 }
-                log!("index: a reply to {:?}, which is not called for here", message.word(0));
+                log!("index: a reply to {:?}, which is not called for here", message.field(0));
                 begun = None;
             }
             begun = if link.input.is_empty() { None } else { begun.or_else(|| Some(clock::now())) };
             let whole_by = begun.map_or(until + SILENT, |begun| (begun + STALLED).min(until + SILENT));
             tokio::select! {
-                turned = link.turn() => turned?,
+                turned = link.transfer() => turned?,
                 () = clock::until(whole_by) => {
-                    return if begun.is_some() { Err(line_codec::stalled()) } else { Ok(CallOutcome::TimedOut) };
+                    return if begun.is_some() { Err(line_codec::ProtocolError::Incomplete.into()) } else { Ok(CallOutcome::TimedOut) };
                 }
             }
         }
@@ -128,6 +129,6 @@
         let oldest = clock::now().saturating_sub(IDLE);
         let address = self.links.borrow().index;
         let fresh = |kept: &Idle| kept.since > oldest && Some(kept.address) == address;
-        self.idle.borrow_mut().retain(|kept| fresh(kept) && kept.link.silent());
+        self.idle.borrow_mut().retain(|kept| fresh(kept) && kept.link.is_idle());
     }
 }
--- a/node/src/backend/interpreter.rs
+++ b/node/src/backend/interpreter.rs
@@ -13,7 +13,7 @@
 use crate::clock::{self, Unix};
 use crate::config::Links;
 use crate::exchange::{BackendEvent, Completion, Exchange, Request, RunCommand};
-use crate::line_codec::{self, put, Link, Message};
+use crate::line_codec::{self, encode, LineConnection, Message};
 use crate::log;
 use crate::sockets;
 
@@ -79,7 +79,7 @@
             let Some(address) = self.links.borrow_and_update().vm else { return };
             let begun = clock::now();
             match self.unlinked(sockets::connect(address, begun + CONNECTS)).await {
-                Some(Some(Ok(stream))) => match self.linked(Link::new(stream)).await {
+                Some(Some(Ok(stream))) => match self.linked(LineConnection::new(stream)).await {
                     Ok(Over::Commands) => return,
                     Ok(Over::Address) => continue,
                     Err(e) => log!("interpreter: link lost: {e}"),
@@ -109,11 +109,11 @@
         }
     }
 
-    async fn linked(&mut self, mut link: Link) -> io::Result<Over> {
+    async fn linked(&mut self, mut link: LineConnection) -> io::Result<Over> {
         link.output.put_slice(format!("CONNECT {}\r\n", self.read).as_bytes());
         let (mut synced, mut begun) = (false, None);
         loop {
-            while let Some(message) = line_codec::take(&mut link.input, has_body)? {
+            while let Some(message) = line_codec::decode(&mut link.input, has_body)? {
                 begun = None;
                 if self.heard(message, &mut link.output).await? {
                     synced = true;
@@ -127,10 +127,10 @@
                     None => std::future::pending().await,
                 }
             };
-            let room = link.has_room();
+            let room = link.has_write_capacity();
             tokio::select! {
-                turned = link.turn() => turned?,
-                () = stalled => return Err(line_codec::stalled()),
+                turned = link.transfer() => turned?,
+                () = stalled => return Err(line_codec::ProtocolError::Incomplete.into()),
                 // Runs and the numbers of notices carry on over the link to the new address.
                 Ok(()) = self.links.changed() => return Ok(Over::Address),
                 command = self.commands.recv(), if room => {
@@ -146,39 +146,39 @@
 
     /// Takes a message in. True when all notices from before this link have been read.
     async fn heard(&mut self, message: Message, output: &mut BytesMut) -> io::Result<bool> {
-        match &message.word(0)[..] {
+        match &message.field(0)[..] {
             b"BANNER" => self.banner(&message, output).await?,
-            b"TOPS" if message.word(1) == FENCE => return Ok(true),
-            b"TOPS" => self.exchange.report(BackendEvent::Gauges(message.numbers(2)?)).await,
+            b"TOPS" if message.field(1) == FENCE => return Ok(true),
+            b"TOPS" => self.exchange.report(BackendEvent::Gauges(message.numeric_fields(2)?)).await,
             b"VALUE" | b"AWAIT" | b"TRACE" => {
-                let notice: u64 = message.number(1)?;
+                let notice: u64 = message.numeric_field(1)?;
                 if notice > self.read {
                     self.read = notice;
                     self.noticed(notice, message).await?;
                 }
             }
             b"ERROR" => {
-                let (command, txn) = (message.word(1), message.word(2));
+                let (command, txn) = (message.field(1), message.field(2));
                 log!("interpreter: not carried out: {command:?} {txn:?}");
                 // What was not carried out never ran, and its caller is owed an answer all the same.
                 if command == "APPLY" && self.runs.remove(&txn).is_some() {
                     self.exchange.report(BackendEvent::Ended(txn, Completion::NeverStarted)).await;
                 }
             }
-            _ => return Err(message.nonsense().into()),
+            _ => return Err(message.protocol_error().into()),
         }
         Ok(false)
     }
 
     async fn banner(&mut self, message: &Message, output: &mut BytesMut) -> io::Result<()> {
-        let cold = match &message.word(1)[..] {
+        let cold = match &message.field(1)[..] {
             b"fresh" => true,
             b"seasoned" => false,
-            _ => return Err(message.nonsense().into()),
+            _ => return Err(message.protocol_error().into()),
         };
         // Guards runs against a clock that was set ahead meanwhile: the start stays where it was.
         let started =
-            clock::now().saturating_sub(clock::jumped() + Duration::from_millis(message.number(2)?));
+            clock::now().saturating_sub(clock::jumped() + Duration::from_millis(message.numeric_field(2)?));
         if self.started.is_some_and(|known| started > known + RESTARTED) {
             // Guards against running again what an earlier life of the interpreter may have run.
             log!("interpreter: it started anew, {} runs are lost", self.runs.len());
@@ -196,16 +196,16 @@
     }
 
     async fn noticed(&mut self, notice: u64, message: Message) -> io::Result<()> {
-        let txn = message.word(2);
+        let txn = message.field(2);
         let body = message.body.clone().unwrap_or_default();
-        match &message.word(0)[..] {
+        match &message.field(0)[..] {
             b"VALUE" => {
-                let end = match &message.word(3)[..] {
+                let end = match &message.field(3)[..] {
                     b"done" => Completion::Succeeded(body),
                     b"crashed" => Completion::Failed,
                     b"aborted" => Completion::Cancelled,
                     b"stale" => Completion::Skipped,
-                    _ => return Err(message.nonsense().into()),
+                    _ => return Err(message.protocol_error().into()),
                 };
                 self.runs.remove(&txn);
                 self.exchange.report(BackendEvent::Ended(txn, end)).await;
@@ -267,21 +267,21 @@
 
     fn apply(&self, txn: &Bytes, output: &mut BytesMut) {
         let Some(run) = self.runs.get(txn) else { return };
-        let class = self.names.of_class(run.request.class);
-        put(output, &[b"APPLY", txn, class.as_bytes()], Some(&run.request.body));
+        let class = self.names.class_name(run.request.class);
+        encode(output, &[b"APPLY", txn, class.as_bytes()], Some(&run.request.body));
     }
 
     fn stop(&self, txn: &Bytes, output: &mut BytesMut) {
         if self.runs.get(txn).is_some_and(|run| run.stopped) {
-            put(output, &[b"BREAK", txn], None);
+            encode(output, &[b"BREAK", txn], None);
         }
     }
 
     fn go_on(&self, txn: &Bytes, output: &mut BytesMut) {
         let Some(run) = self.runs.get(txn) else { return };
         match &run.goes_on {
-            Some(GoesOn::Reply(reply)) => put(output, &[b"RESOLVE", txn], Some(reply)),
-            Some(GoesOn::Without) => put(output, &[b"STUB", txn, run.awaits.to_string().as_bytes()], None),
+            Some(GoesOn::Reply(reply)) => encode(output, &[b"RESOLVE", txn], Some(reply)),
+            Some(GoesOn::Without) => encode(output, &[b"STUB", txn, run.awaits.to_string().as_bytes()], None),
             None => {}
         }
     }
--- a/node/src/backend/uwsgi.rs
+++ b/node/src/backend/uwsgi.rs
@@ -92,8 +92,8 @@
     }
 
     fn packet(&self, request: &Request, length: usize, until: Unix) -> Option<BytesMut> {
-        let class = self.names.of_class(request.class);
-        let tenant = self.names.of_tenant(request.tenant);
+        let class = self.names.class_name(request.class);
+        let tenant = self.names.tenant_name(request.tenant);
         let (path, length) = (format!("/{class}"), length.to_string());
         let deadline = until.as_millis().to_string();
         let mut vars: Vec<(&str, &[u8])> = vec![
--- a/node/src/class_registry.rs
+++ b/node/src/class_registry.rs
@@ -32,35 +32,35 @@
     }
 
     /// Other settings hold from now on, which follow the ones before.
-    pub fn follow(&self, settings: Parsed, now: Unix) {
+    pub fn replace_settings(&self, settings: Parsed, now: Unix) {
         self.since.set(now);
         *self.known.borrow_mut() = settings;
     }
 
     /// The names of all classes, by position.
-    pub fn classes(&self) -> Vec<String> {
+    pub fn class_names(&self) -> Vec<String> {
         self.known.borrow().classes.clone()
     }
 
     /// The position of a class that requests may have now.
-    pub fn class(&self, name: &str, now: Unix) -> Option<u16> {
+    pub fn class_index(&self, name: &str, now: Unix) -> Option<u16> {
         let known = self.known.borrow();
         let crossing = now < self.since.get() + CROSSING;
         position(&known.classes, if crossing { &[] } else { &known.retired_classes }, name)
     }
 
     /// The name of a class.
-    pub fn of_class(&self, class: u16) -> String {
+    pub fn class_name(&self, class: u16) -> String {
         self.known.borrow().classes.get(usize::from(class)).cloned().unwrap_or_default()
     }
 
     /// The name of a tenant, if it is one.
-    pub fn of_tenant(&self, tenant: u16) -> Option<String> {
+    pub fn tenant_name(&self, tenant: u16) -> Option<String> {
         self.known.borrow().tenants.get(usize::from(tenant)).cloned()
     }
 
     /// Whether the requests of a class carry a key.
-    pub fn keyed(&self, class: u16) -> bool {
+    pub fn is_keyed(&self, class: u16) -> bool {
         self.habit(class, |class| class.effect == Effect::Keyed).unwrap_or(false)
     }
 
@@ -82,12 +82,12 @@
 
     /// A request's hint of its work, within reason. Guards the mean of the hints, and so everyone's estimates,
     /// against one absurd hint.
-    pub fn cost_hint(&self, class: u16, cost_hint: Duration) -> Duration {
+    pub fn bounded_cost_hint(&self, class: u16, cost_hint: Duration) -> Duration {
         cost_hint.min(self.class_deadline(class))
     }
 
     /// The position of a tenant. One that the settings no longer have keeps it: its clients may not know yet.
-    pub fn tenant(&self, name: &str) -> Option<u16> {
+    pub fn tenant_index(&self, name: &str) -> Option<u16> {
         position(&self.known.borrow().tenants, &[], name)
     }
 }
--- a/node/src/dispatcher.rs
+++ b/node/src/dispatcher.rs
@@ -162,7 +162,7 @@
     /// Keys are kept beyond the process from now on, as far as anything keeps them, and this is what the ones before it
     /// left. None while the process before still has it.
     pub fn keep(&mut self, keeper: RunGate, left: Option<HandoverState>) {
-        keeper.counts(&self.ends.figures);
+        keeper.counts(&self.ends.metrics);
         self.keeper = keeper;
         if self.keeper.keeps() {
             self.keys = std::mem::take(&mut self.keys).lasting();
@@ -176,7 +176,7 @@
     /// What is decided from now on is recorded.
     pub fn record(&mut self, records: Recorder) {
         let tally = records.tally.clone();
-        self.ends.figures.also(Box::new(move || tally.all()));
+        self.ends.metrics.register(Box::new(move || tally.all()));
         self.records = Some(records);
     }
 
@@ -906,7 +906,7 @@
             return self.run_ended(&request.txn, Completion::NeverStarted);
         }
         self.recorded(Decision::Run, &request);
-        self.ends.figures.sent(request.class);
+        self.ends.metrics.run_dispatched(request.class);
     }
 
     fn join(&mut self, id: RequestId, now: Unix) {
--- a/node/src/exchange.rs
+++ b/node/src/exchange.rs
@@ -11,7 +11,7 @@
 use tokio::sync::{mpsc, watch};
 
 use crate::clock::Unix;
-use crate::metrics::Figures;
+use crate::metrics::Metrics;
 use crate::outcome::IdempotencyRecord;
 pub use crate::outcome::{Completion, RequestOutcome};
 
@@ -54,7 +54,7 @@
     tag: u64,
     room: Option<mpsc::OwnedPermit<(u64, RequestOutcome)>>,
     /// Where the answer is counted, and for which class; set when the request is submitted.
-    counted: Option<(Rc<Figures>, u16)>,
+    counted: Option<(Rc<Metrics>, u16)>,
 }
 
 impl Responder {
@@ -69,8 +69,8 @@
 
     /// Gives the outcome.
     pub fn answer(mut self, outcome: RequestOutcome) {
-        if let Some((figures, class)) = &self.counted {
-            figures.answered(*class, &outcome);
+        if let Some((metrics, class)) = &self.counted {
+            metrics.request_answered(*class, &outcome);
         }
         if let Some(room) = self.room.take() {
             room.send((self.tag, outcome));
@@ -81,8 +81,8 @@
 impl Drop for Responder {
     /// However a request ends, it has ended once.
     fn drop(&mut self) {
-        if let Some((figures, _)) = &self.counted {
-            figures.ended();
+        if let Some((metrics, _)) = &self.counted {
+            metrics.request_finished();
         }
     }
 }
@@ -253,7 +253,7 @@
 pub struct Exchange {
     inbox: mpsc::Sender<DispatcherEvent>,
     state: watch::Receiver<NodeStatus>,
-    figures: Rc<Figures>,
+    metrics: Rc<Metrics>,
     submitted: Rc<Cell<u64>>,
 }
 
@@ -268,7 +268,7 @@
     /// What everyone may see.
     pub state: watch::Sender<NodeStatus>,
     /// Where runs are counted.
-    pub figures: Rc<Figures>,
+    pub metrics: Rc<Metrics>,
 }
 
 /// The backends' ends of the exchange.
@@ -299,11 +299,11 @@
         drained: false,
     };
     let (state, seen) = watch::channel(state);
-    let figures = Rc::new(Figures::default());
-    let core = DispatcherEndpoints { inbox: core_inbox, runs, calls, state, figures: figures.clone() };
+    let metrics = Rc::new(Metrics::default());
+    let core = DispatcherEndpoints { inbox: core_inbox, runs, calls, state, metrics: metrics.clone() };
     let submitted = Rc::default();
     (
-        Exchange { inbox, state: seen, figures, submitted },
+        Exchange { inbox, state: seen, metrics, submitted },
         core,
         BackendEndpoints { runs: backend_runs, calls: backend_calls },
     )
@@ -312,8 +312,8 @@
 impl Exchange {
     /// Hands a request to the core; its outcome comes by the ticket.
     pub async fn submit(&self, request: Request, mut responder: Responder) -> SubmissionId {
-        self.figures.taken();
-        responder.counted = Some((self.figures.clone(), request.class));
+        self.metrics.request_started();
+        responder.counted = Some((self.metrics.clone(), request.class));
         let claim = SubmissionId { txn: request.txn.clone(), number: self.submitted.get() };
         self.submitted.set(claim.number + 1);
         self.tell(DispatcherEvent::Submitted(Rc::new(request), claim.clone(), responder)).await;
@@ -371,8 +371,8 @@
     }
 
     /// What this process has done.
-    pub fn figures(&self) -> &Figures {
-        &self.figures
+    pub fn metrics(&self) -> &Metrics {
+        &self.metrics
     }
 
     /// What the core tells everyone.
--- a/node/src/frontend/jsonrpc.rs
+++ b/node/src/frontend/jsonrpc.rs
@@ -387,7 +387,7 @@
                 Ok(())
             }
             class => {
-                let Some(class) = self.names.class(class, clock::now()) else {
+                let Some(class) = self.names.class_index(class, clock::now()) else {
                     return Err(named((METHOD_NOT_FOUND, "no such method")));
                 };
                 // Without an id there is nothing to answer to, so nothing is begun, and the client hears why.
@@ -413,7 +413,7 @@
         let millis =
             |ms: f64| Duration::try_from_secs_f64(ms / 1e3).map_err(|_| (INVALID_PARAMS, "no such time"));
         let wrong = |what| Err((INVALID_PARAMS, what));
-        let keyed = self.names.keyed(class);
+        let keyed = self.names.is_keyed(class);
         let key = params.unique.as_ref().filter(|_| keyed).map(slice);
         if keyed && key.as_ref().is_none_or(|key| !(1..=MAX_KEY).contains(&key.len())) {
             return wrong("a request of this class names its unique key");
@@ -431,7 +431,7 @@
         // Guards the table of keys against a clock that runs ahead: what came later than an entry ended is new.
         let now = clock::now();
         let received_at = millis(params.received_at)?.min(now);
-        let tenant = self.names.tenant(&params.team);
+        let tenant = self.names.tenant_index(&params.team);
         if tenant.is_none() && !params.team.is_empty() {
             return wrong("no such team");
         }
@@ -452,7 +452,7 @@
                 .cpu
                 .map(millis)
                 .transpose()?
-                .map(|cost_hint| self.names.cost_hint(class, cost_hint)),
+                .map(|cost_hint| self.names.bounded_cost_hint(class, cost_hint)),
             memory_kb: params.ram,
             rank: params.standing,
             received_at,
--- a/node/src/frontend/uwsgi.rs
+++ b/node/src/frontend/uwsgi.rs
@@ -166,20 +166,21 @@
     fn asked(&self, vars: &Vars, body: Bytes, now: Unix) -> Result<Asked, Problem> {
         let path = vars.text("PATH_INFO").ok_or(Problem::BadRequest("PATH_INFO is missing"))?;
         let name = path.strip_prefix('/').unwrap_or(path);
-        let class = match (self.names.class(name, now), name) {
+        let class = match (self.names.class_index(name, now), name) {
             (Some(class), _) => class,
             (None, "status") => return Ok(Asked::Status),
             (None, _) => return Err(Problem::NotFound),
         };
-        let key = vars.get("HTTP_IDEMPOTENCY_KEY").filter(|key| !key.is_empty() && self.names.keyed(class));
-        if self.names.keyed(class) && key.is_none() {
+        let key =
+            vars.get("HTTP_IDEMPOTENCY_KEY").filter(|key| !key.is_empty() && self.names.is_keyed(class));
+        if self.names.is_keyed(class) && key.is_none() {
             return Err(Problem::BadRequest("a request of this class needs an Idempotency-Key"));
         }
         if key.is_some_and(|key| key.len() > MAX_KEY) {
             return Err(Problem::BadRequest("the key is too long"));
         }
         let tenant = match vars.text("HTTP_X_TENANT") {
-            Some(name) => self.names.tenant(name).ok_or(Problem::BadRequest("no such tenant"))?,
+            Some(name) => self.names.tenant_index(name).ok_or(Problem::BadRequest("no such tenant"))?,
             // No position in the list, so it counts to no share.
             None => u16::MAX,
         };
@@ -195,7 +196,7 @@
             tenant,
             key: key.cloned(),
             caller: CALLER,
-            cost_hint: cost_hint.map(|cost_hint| self.names.cost_hint(class, cost_hint)),
+            cost_hint: cost_hint.map(|cost_hint| self.names.bounded_cost_hint(class, cost_hint)),
             memory_kb,
             rank: 0.5,
             received_at: now,
--- a/node/src/handover.rs
+++ b/node/src/handover.rs
@@ -24,7 +24,7 @@
 
 use crate::clock::{self, Unix};
 use crate::exchange::{Exchange, HandoverState};
-use crate::line_codec::{self, put, Message, MAX_BODY};
+use crate::line_codec::{self, encode, Message, MAX_BODY};
 use crate::log;
 use crate::outcome::{IdempotencyRecord, RunState};
 
@@ -69,12 +69,12 @@
     let (mut state, owed) = (exchange.state(), clock::now() + OWED);
     let (mut passed, mut told) = (false, false);
     loop {
-        while let Some(message) = line_codec::take(&mut input, |words| words.next() == Some(b"KEY"))? {
-            match &message.word(0)[..] {
+        while let Some(message) = line_codec::decode(&mut input, |words| words.next() == Some(b"KEY"))? {
+            match &message.field(0)[..] {
                 b"SEED" => estate.seed = seed(&message)?,
                 b"KEY" => estate.keys.push(record(&message)?),
                 b"ALL" => whole = true,
-                _ => return Err(message.nonsense().into()),
+                _ => return Err(message.protocol_error().into()),
             }
         }
         if whole && (!estate.keys.is_empty() || exchange.state().borrow().awaiting_state) {
@@ -88,7 +88,7 @@
                 _ => {}
             },
             passed_on = state.wait_for(|state| state.handed_over), if !passed => passed = passed_on.is_ok(),
-            () = clock::until(owed), if !whole => return Err(line_codec::stalled()),
+            () = clock::until(owed), if !whole => return Err(line_codec::ProtocolError::Incomplete.into()),
         }
         if passed && !std::mem::replace(&mut told, passed) {
             old.write_all(b"PASSED\r\n").await?;
@@ -153,11 +153,11 @@
             estate = told.recv() => {
                 let Some(HandoverState { seed, keys }) = estate else { return Heir::Ended };
                 if first {
-                    put(&mut output, &[b"SEED", format!("{seed:x}").as_bytes()], None);
+                    encode(&mut output, &[b"SEED", format!("{seed:x}").as_bytes()], None);
                 }
                 keys.iter().for_each(|key| put_record(&mut output, key));
                 if std::mem::take(&mut first) {
-                    put(&mut output, &[b"ALL"], None);
+                    encode(&mut output, &[b"ALL"], None);
                 }
                 if let Err(e) = heir.write_all_buf(&mut output).await {
                     log!("handover: the new process is not reached: {e}");
@@ -171,10 +171,10 @@
     }
 }
 
-fn seed(message: &Message) -> Result<u64, line_codec::Nonsense> {
-    let word = message.word(1);
+fn seed(message: &Message) -> Result<u64, line_codec::ProtocolError> {
+    let word = message.field(1);
     let text = std::str::from_utf8(&word).ok();
-    text.and_then(|text| u64::from_str_radix(text, 16).ok()).ok_or_else(|| message.nonsense())
+    text.and_then(|text| u64::from_str_radix(text, 16).ok()).ok_or_else(|| message.protocol_error())
 }
 
 fn put_record(output: &mut BytesMut, record: &IdempotencyRecord) {
@@ -187,20 +187,22 @@
         RunState::NeverStarted => ("free", &[][..]),
     };
     let head = format!("{body:x} {} {word} {}", until.as_millis(), key.len());
-    put(output, &[b"KEY", head.as_bytes()], Some(&[key, result].concat()));
+    encode(output, &[b"KEY", head.as_bytes()], Some(&[key, result].concat()));
 }
 
-fn record(message: &Message) -> Result<IdempotencyRecord, line_codec::Nonsense> {
+fn record(message: &Message) -> Result<IdempotencyRecord, line_codec::ProtocolError> {
     let rest = message.body.clone().unwrap_or_default();
-    let end = Some(message.number(4)?).filter(|end| *end <= rest.len()).ok_or_else(|| message.nonsense())?;
-    let fate = match &message.word(3)[..] {
+    let end = Some(message.numeric_field(4)?)
+        .filter(|end| *end <= rest.len())
+        .ok_or_else(|| message.protocol_error())?;
+    let fate = match &message.field(3)[..] {
         b"open" => RunState::Pending,
         b"done" => RunState::Succeeded(rest.slice(end..)),
         b"failed" => RunState::Failed,
         b"free" => RunState::NeverStarted,
-        _ => return Err(message.nonsense()),
+        _ => return Err(message.protocol_error()),
     };
-    let until: Unix = Duration::from_millis(message.number(2)?);
+    let until: Unix = Duration::from_millis(message.numeric_field(2)?);
     // Kept results outlive the buffer that they were read into.
     let copied = |slice: &[u8]| Bytes::copy_from_slice(slice);
     Ok(IdempotencyRecord {
--- a/node/src/handover/tests.rs
+++ b/node/src/handover/tests.rs
@@ -15,13 +15,13 @@
     {
         let (sent, mut buffer) = (record_of(fate), BytesMut::new());
         put_record(&mut buffer, &sent);
-        let message = line_codec::take(&mut buffer, |words| words.next() == Some(b"KEY")).unwrap().unwrap();
+        let message = line_codec::decode(&mut buffer, |words| words.next() == Some(b"KEY")).unwrap().unwrap();
         assert_eq!(record(&message).unwrap(), sent);
     }
     let mut buffer = BytesMut::new();
     put_record(&mut buffer, &record_of(RunState::Succeeded(vec![0; MAX_BODY].into())));
-    let message = line_codec::take(&mut buffer, |_| true).unwrap().unwrap();
+    let message = line_codec::decode(&mut buffer, |_| true).unwrap().unwrap();
     assert_eq!(record(&message).unwrap().fate, RunState::Failed);
     let mut wrong = BytesMut::from(&b"KEY 1 2 open 9 1\r\nx\r\n"[..]);
-    assert!(record(&line_codec::take(&mut wrong, |_| true).unwrap().unwrap()).is_err());
+    assert!(record(&line_codec::decode(&mut wrong, |_| true).unwrap().unwrap()).is_err());
 }
--- a/node/src/handover/tests/golden.rs
+++ b/node/src/handover/tests/golden.rs
@@ -84,7 +84,7 @@
     let all = [OPEN, DONE, FAILED, FREE].concat();
     let mut input = BytesMut::from(&bytes(&all)[..]);
     for expected in [open(), done(), failed(), free()] {
-        let message = line_codec::take(&mut input, |words| words.next() == Some(b"KEY")).unwrap().unwrap();
+        let message = line_codec::decode(&mut input, |words| words.next() == Some(b"KEY")).unwrap().unwrap();
         assert_eq!(record(&message).unwrap(), expected);
     }
     assert!(input.is_empty());
--- a/node/src/line_codec.rs
+++ b/node/src/line_codec.rs
@@ -1,161 +1,213 @@
-//! Lines of words ending in CR LF, some followed by as many bytes as their last word says and a CR LF.
+//! The line protocol of the interpreter, the index and the upgrade handover.
+//!
+//! A message is one line of fields, separated by single spaces and ended by CR LF. Some kinds of message carry a body:
+//! their last field is its length in bytes, and the body follows, ended by CR LF as well. Lines and bodies are bounded,
+//! so that a faulty peer can't fill the memory.
 
 use std::io::{self, Write};
+use std::str::FromStr;
 
 use bytes::{BufMut, Bytes, BytesMut};
+use thiserror::Error;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Longest line and longest body; what is longer is nonsense.
-const MAX_LINE: usize = 16 * 1024;
+/// Longest line, in bytes.
+const MAX_LINE_BYTES: usize = 16 * 1024;
+/// Longest body, in bytes.
 pub const MAX_BODY: usize = 256 * 1024;
-/// Bytes that may wait to be written before nothing more is taken on.
-const MAX_UNWRITTEN: usize = 1024 * 1024;
-
-/// What a peer sent that the protocol does not know.
-#[derive(Debug)]
-pub struct Nonsense(pub String);
-
-impl From<Nonsense> for io::Error {
-    fn from(nonsense: Nonsense) -> Self {
-        io::Error::new(io::ErrorKind::InvalidData, nonsense.0)
-    }
+/// Bytes that may wait to be written before no more commands are accepted.
+const MAX_UNWRITTEN_BYTES: usize = 1024 * 1024;
+/// Initial capacity of a connection's read buffer, in bytes.
+const READ_BUFFER_BYTES: usize = 64 * 1024;
+/// Free space that is kept in the read buffer for each read, in bytes.
+const READ_CHUNK_BYTES: usize = 16 * 1024;
+/// Bytes of an unknown line that an error message shows.
+const SHOWN_LINE_BYTES: usize = 80;
+/// Ends a line and a body.
+const CRLF: &[u8] = b"\r\n";
+
+/// What a peer sent that the protocol does not allow.
+#[derive(Debug, Error)]
+pub enum ProtocolError {
+    /// More than [`MAX_LINE_BYTES`] came without a line end.
+    #[error("line without an end after {MAX_LINE_BYTES} bytes")]
+    UnterminatedLine,
+    /// A line ends in LF alone, or is longer than [`MAX_LINE_BYTES`].
+    #[error("line does not end in CR LF, or is longer than {MAX_LINE_BYTES} bytes")]
+    MalformedLine,
+    /// The last field of a line with a body is no length, or one over [`MAX_BODY`].
+    #[error("body length is not a number up to {MAX_BODY}")]
+    BadLength,
+    /// CR LF does not follow after as many bytes as the line states.
+    #[error("body is not as long as its line states")]
+    LengthMismatch,
+    /// A message has begun and was not completed in time.
+    #[error("message not completed in time")]
+    Incomplete,
+    /// No message of the protocol looks like this line.
+    #[error("unexpected message: \"{0}\"")]
+    Unexpected(String),
 }
 
-/// The error where a message has begun and does not end.
-pub fn stalled() -> io::Error {
-    Nonsense("a message without an end".into()).into()
+impl From<ProtocolError> for io::Error {
+    fn from(error: ProtocolError) -> Self {
+        io::Error::new(io::ErrorKind::InvalidData, error)
+    }
 }
 
-/// A line's words and the bytes after it; all are slices of what was read.
+/// A decoded message; its parts are slices of the buffer that it was read into.
 #[derive(Debug, PartialEq)]
 pub struct Message {
     line: Bytes,
-    /// The bytes after the line, if its kind has any.
+    /// The body, for kinds of message that carry one.
     pub body: Option<Bytes>,
 }
 
 impl Message {
-    /// The word at a position.
-    pub fn word(&self, position: usize) -> Bytes {
-        let word = words(&self.line).nth(position).unwrap_or_default();
-        self.line.slice_ref(word)
+    /// The field at a position; empty if there are fewer.
+    pub fn field(&self, position: usize) -> Bytes {
+        let field = fields(&self.line).nth(position).unwrap_or_default();
+        self.line.slice_ref(field)
     }
 
-    /// The number at a position.
-    pub fn number<T: std::str::FromStr>(&self, position: usize) -> Result<T, Nonsense> {
-        let word = self.word(position);
-        number(&word).ok_or_else(|| self.nonsense())
+    /// The field at a position as a number.
+    ///
+    /// # Errors
+    ///
+    /// Where the field is missing or is no such number.
+    pub fn numeric_field<T: FromStr>(&self, position: usize) -> Result<T, ProtocolError> {
+        parse_number(&self.field(position)).ok_or_else(|| self.protocol_error())
     }
 
-    /// The words from a position on, as numbers.
-    pub fn numbers(&self, from: usize) -> Result<Vec<f64>, Nonsense> {
-        words(&self.line).skip(from).map(|w| number(w).ok_or_else(|| self.nonsense())).collect()
+    /// All fields from a position on as numbers.
+    ///
+    /// # Errors
+    ///
+    /// Where one of them is no number.
+    pub fn numeric_fields(&self, from: usize) -> Result<Vec<f64>, ProtocolError> {
+        fields(&self.line)
+            .skip(from)
+            .map(|field| parse_number(field).ok_or_else(|| self.protocol_error()))
+            .collect()
     }
 
-    /// This message as nonsense.
-    pub fn nonsense(&self) -> Nonsense {
-        Nonsense(format!(
-            "not in the protocol: {:?}",
-            &self.line[..self.line.len().min(80)].escape_ascii().to_string()
-        ))
+    /// The error that shows this message as one that was not expected.
+    pub fn protocol_error(&self) -> ProtocolError {
+        let shown = &self.line[..self.line.len().min(SHOWN_LINE_BYTES)];
+        ProtocolError::Unexpected(shown.escape_ascii().to_string())
     }
 }
 
-fn words(line: &[u8]) -> impl Iterator<Item = &[u8]> {
-    line.split(|b| *b == b' ')
+fn fields(line: &[u8]) -> impl Iterator<Item = &[u8]> {
+    line.split(|byte| *byte == b' ')
 }
 
-fn number<T: std::str::FromStr>(word: &[u8]) -> Option<T> {
-    std::str::from_utf8(word).ok()?.parse().ok()
+fn parse_number<T: FromStr>(field: &[u8]) -> Option<T> {
+    std::str::from_utf8(field).ok()?.parse().ok()
 }
 
-/// Takes the next whole message off the buffer. `has_body` tells by its words whether bytes follow a line.
-pub fn take(
+/// Removes the next complete message from the buffer and returns it; none while it is still incomplete. `has_body`
+/// tells from a line's fields whether a body follows.
+///
+/// # Errors
+///
+/// Where the buffer does not begin with a message of the protocol. The connection can't be used any more.
+pub fn decode(
     buffer: &mut BytesMut,
     has_body: impl FnOnce(&mut dyn Iterator<Item = &[u8]>) -> bool,
-) -> Result<Option<Message>, Nonsense> {
-    let Some(end) = buffer.iter().position(|b| *b == b'\n') else {
-        return if buffer.len() > MAX_LINE {
-            Err(Nonsense("a line without an end".into()))
-        } else {
-            Ok(None)
-        };
+) -> Result<Option<Message>, ProtocolError> {
+    let Some(line_end) = buffer.iter().position(|byte| *byte == b'\n') else {
+        let too_long = buffer.len() > MAX_LINE_BYTES;
+        return if too_long { Err(ProtocolError::UnterminatedLine) } else { Ok(None) };
     };
-    let line = &buffer[..end];
-    let Some(line) = line.strip_suffix(b"\r").filter(|l| l.len() <= MAX_LINE) else {
-        return Err(Nonsense("a line that does not end in CR LF, or is too long".into()));
+    let line = &buffer[..line_end];
+    let Some(line) = line.strip_suffix(b"\r").filter(|line| line.len() <= MAX_LINE_BYTES) else {
+        return Err(ProtocolError::MalformedLine);
     };
-    if !has_body(&mut words(line)) {
-        let line = buffer.split_to(end + 1).freeze().slice(..end - 1);
+    if !has_body(&mut fields(line)) {
+        let line = buffer.split_to(line_end + 1).freeze().slice(..line_end - 1);
         return Ok(Some(Message { line, body: None }));
     }
-    let Some(length) = words(line).last().and_then(number::<usize>).filter(|l| *l <= MAX_BODY) else {
-        return Err(Nonsense("a length that is none, or too long".into()));
-    };
-    let total = end + 1 + length + 2;
-    if buffer.len() < total {
-        buffer.reserve(total - buffer.len());
+    let length = fields(line).last().and_then(parse_number::<usize>);
+    let length = length.filter(|length| *length <= MAX_BODY).ok_or(ProtocolError::BadLength)?;
+    decode_body(buffer, line_end, length)
+}
+
+/// The rest of [`decode`] for a message whose body has this length.
+fn decode_body(
+    buffer: &mut BytesMut,
+    line_end: usize,
+    length: usize,
+) -> Result<Option<Message>, ProtocolError> {
+    let body_start = line_end + 1;
+    let body_end = body_start + length;
+    let message_end = body_end + CRLF.len();
+    if buffer.len() < message_end {
+        buffer.reserve(message_end - buffer.len());
         return Ok(None);
     }
-    if &buffer[total - 2..total] != b"\r\n" {
-        return Err(Nonsense("bytes of another length than stated".into()));
+    if &buffer[body_end..message_end] != CRLF {
+        return Err(ProtocolError::LengthMismatch);
     }
-    let whole = buffer.split_to(total).freeze();
-    let body = whole.slice(end + 1..total - 2);
-    Ok(Some(Message { line: whole.slice(..end - 1), body: Some(body) }))
+    let message = buffer.split_to(message_end).freeze();
+    let body = message.slice(body_start..body_end);
+    Ok(Some(Message { line: message.slice(..line_end - 1), body: Some(body) }))
 }
 
-/// Writes a line of words, and the bytes that it announces.
-pub fn put(output: &mut BytesMut, words: &[&[u8]], body: Option<&[u8]>) {
-    for (i, word) in words.iter().enumerate() {
-        if i > 0 {
+/// Appends a message with these fields; with a body its length is added as the last field.
+pub fn encode(output: &mut BytesMut, fields: &[&[u8]], body: Option<&[u8]>) {
+    for (position, field) in fields.iter().enumerate() {
+        if position > 0 {
             output.put_u8(b' ');
         }
-        output.put_slice(word);
+        output.put_slice(field);
     }
     if let Some(body) = body {
         // Writing to memory does not fail.
         let _ = write!(output.writer(), " {}\r\n", body.len());
         output.put_slice(body);
     }
-    output.put_slice(b"\r\n");
+    output.put_slice(CRLF);
 }
 
-/// A link: what was read and not yet understood, and what is still to be written.
+/// A connection with buffers for what was read but not decoded, and for what is still to be written.
 #[derive(Debug)]
-pub struct Link {
+pub struct LineConnection {
     stream: TcpStream,
-    /// What was read.
+    /// Bytes that were read and not decoded yet.
     pub input: BytesMut,
-    /// What is to be written.
+    /// Bytes that are still to be written.
     pub output: BytesMut,
 }
 
-impl Link {
-    /// A link on a new connection.
+impl LineConnection {
+    /// Wraps a new connection.
     pub fn new(stream: TcpStream) -> Self {
-        Link { stream, input: BytesMut::with_capacity(64 * 1024), output: BytesMut::new() }
+        LineConnection { stream, input: BytesMut::with_capacity(READ_BUFFER_BYTES), output: BytesMut::new() }
     }
 
-    /// Whether nothing has come and the peer has not closed, as far as is known without waiting.
-    pub fn silent(&self) -> bool {
-        let nothing = self.stream.try_read(&mut [0]);
-        self.input.is_empty() && nothing.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
+    /// Whether the connection is open and nothing has arrived on it, as far as is known without waiting.
+    pub fn is_idle(&self) -> bool {
+        let read = self.stream.try_read(&mut [0]);
+        self.input.is_empty() && read.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Room for more output.
-    pub fn has_room(&self) -> bool {
-        self.output.len() < MAX_UNWRITTEN
+    /// Whether more may be added to the output.
+    pub fn has_write_capacity(&self) -> bool {
+        self.output.len() < MAX_UNWRITTEN_BYTES
     }
 
-    /// Reads and writes whatever is possible; returns once something was read, or all was written. Safe to
-    /// cancel.
-    pub async fn turn(&mut self) -> io::Result<()> {
-        let Link { stream, input, output } = self;
+    /// Reads and writes until something was read. Cancelling it loses no byte.
+    ///
+    /// # Errors
+    ///
+    /// Where the connection fails, or the peer has closed it.
+    pub async fn transfer(&mut self) -> io::Result<()> {
+        let LineConnection { stream, input, output } = self;
         let (mut reader, mut writer) = stream.split();
         loop {
-            input.reserve(16 * 1024);
+            input.reserve(READ_CHUNK_BYTES);
             tokio::select! {
                 read = reader.read_buf(input) => {
                     return if read? == 0 { Err(io::ErrorKind::UnexpectedEof.into()) } else { Ok(()) };
--- a/node/src/line_codec/tests.rs
+++ b/node/src/line_codec/tests.rs
@@ -4,22 +4,22 @@
 fn messages_come_off_whole_and_nonsense_is_named() {
     let value = |words: &mut dyn Iterator<Item = &[u8]>| words.next() == Some(b"VALUE");
     let mut buffer = BytesMut::from(&b"TRACE 1 x y\r\nVALUE 2 a done 7 3\r\n\r\nz\r\nVALUE 3 "[..]);
-    let first = take(&mut buffer, value).unwrap().unwrap();
-    assert_eq!((first.word(0), first.body.as_deref()), (Bytes::from("TRACE"), None));
-    let second = take(&mut buffer, value).unwrap().unwrap();
-    assert_eq!((second.number::<u64>(1).unwrap(), second.body.as_deref()), (2, Some(&b"\r\nz"[..])));
-    assert_eq!(take(&mut buffer, value).unwrap(), None);
+    let first = decode(&mut buffer, value).unwrap().unwrap();
+    assert_eq!((first.field(0), first.body.as_deref()), (Bytes::from("TRACE"), None));
+    let second = decode(&mut buffer, value).unwrap().unwrap();
+    assert_eq!((second.numeric_field::<u64>(1).unwrap(), second.body.as_deref()), (2, Some(&b"\r\nz"[..])));
+    assert_eq!(decode(&mut buffer, value).unwrap(), None);
     buffer.extend_from_slice(b"a done 7 3\r\nabcde");
-    assert!(take(&mut buffer, value).is_err());
-    assert!(take(&mut BytesMut::from(&b"no return\n"[..]), value).is_err());
-    assert!(take(&mut BytesMut::from(&b"VALUE 99999999999999999999\r\n"[..]), value).is_err());
+    assert!(decode(&mut buffer, value).is_err());
+    assert!(decode(&mut BytesMut::from(&b"no return\n"[..]), value).is_err());
+    assert!(decode(&mut BytesMut::from(&b"VALUE 99999999999999999999\r\n"[..]), value).is_err());
 }
 
 #[test]
 fn what_is_written_is_words_a_length_and_as_many_bytes() {
     let mut output = BytesMut::new();
-    put(&mut output, &[b"STUB", b"a2", b"3"], None);
-    put(&mut output, &[b"APPLY", b"a1", b"book"], Some(b"re\r\nl"));
-    put(&mut output, &[b"RESOLVE", b"a1"], Some(b""));
+    encode(&mut output, &[b"STUB", b"a2", b"3"], None);
+    encode(&mut output, &[b"APPLY", b"a1", b"book"], Some(b"re\r\nl"));
+    encode(&mut output, &[b"RESOLVE", b"a1"], Some(b""));
     assert_eq!(&output[..], b"STUB a2 3\r\nAPPLY a1 book 5\r\nre\r\nl\r\nRESOLVE a1 0\r\n\r\n");
 }
--- a/node/src/metrics.rs
+++ b/node/src/metrics.rs
@@ -19,38 +19,38 @@
 
 /// The figures of a process, all from 0 at its start.
 #[derive(Debug, Default)]
-pub struct Figures {
+pub struct Metrics {
     /// By the position of the class.
     classes: RefCell<Vec<Counts>>,
     current: Cell<u64>,
     loaded: Cell<u64>,
     invalid: Cell<u64>,
     /// What others count, by name.
-    others: RefCell<Vec<Others>>,
+    others: RefCell<Vec<ExternalMetrics>>,
 }
 
 /// Figures that another part keeps, by name.
-pub struct Others(Box<dyn Fn() -> Vec<(&'static str, u64)>>);
+pub struct ExternalMetrics(Box<dyn Fn() -> Vec<(&'static str, u64)>>);
 
-impl std::fmt::Debug for Others {
+impl std::fmt::Debug for ExternalMetrics {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_list().entries((self.0)()).finish()
     }
 }
 
-impl Figures {
+impl Metrics {
     /// A request was taken on; it counts as current until it has ended.
-    pub fn taken(&self) {
+    pub fn request_started(&self) {
         self.current.set(self.current.get() + 1);
     }
 
     /// A request has ended: by its answer, or because its client has left.
-    pub fn ended(&self) {
+    pub fn request_finished(&self) {
         self.current.set(self.current.get().saturating_sub(1));
     }
 
     /// A request got its answer.
-    pub fn answered(&self, class: u16, outcome: &RequestOutcome) {
+    pub fn request_answered(&self, class: u16, outcome: &RequestOutcome) {
         self.count(class, |counts| match outcome {
             RequestOutcome::Served(_) => counts.answered += 1,
             RequestOutcome::Rejected { .. } => counts.deferred += 1,
@@ -59,19 +59,19 @@
     }
 
     /// A run was handed to what runs requests.
-    pub fn sent(&self, class: u16) {
+    pub fn run_dispatched(&self, class: u16) {
         self.count(class, |counts| counts.sends += 1);
     }
 
     /// A file was taken, or turned down, at SIGHUP.
-    pub fn reloaded(&self, taken: bool) {
+    pub fn configuration_reloaded(&self, taken: bool) {
         let counted = if taken { &self.loaded } else { &self.invalid };
         counted.set(counted.get() + 1);
     }
 
     /// Shows what another part counts too.
-    pub fn also(&self, others: Box<dyn Fn() -> Vec<(&'static str, u64)>>) {
-        self.others.borrow_mut().push(Others(others));
+    pub fn register(&self, others: Box<dyn Fn() -> Vec<(&'static str, u64)>>) {
+        self.others.borrow_mut().push(ExternalMetrics(others));
     }
 
     fn count(&self, class: u16, change: impl FnOnce(&mut Counts)) {
@@ -83,7 +83,7 @@
     }
 
     /// All figures as text, a line each, for classes of these names.
-    pub fn text(&self, names: &[String]) -> String {
+    pub fn render(&self, names: &[String]) -> String {
         let mut text = String::new();
         let mut line = |name: &str, class: Option<&String>, value: u64| {
             let group = class.map_or(String::new(), |class| format!("{{group=\"{class}\"}}"));
--- a/node/src/run_gate.rs
+++ b/node/src/run_gate.rs
@@ -13,7 +13,7 @@
 
 use crate::clock::Unix;
 use crate::exchange::Request;
-use crate::metrics::Figures;
+use crate::metrics::Metrics;
 use crate::outcome::{Completion, IdempotencyRecord, Key, StoredOutcome};
 use crate::peers::{Asked, Peers};
 use crate::result_store::record::{Record, State};
@@ -88,14 +88,14 @@
     }
 
     /// Has the figures show what is kept.
-    pub fn counts(&self, figures: &Figures) {
+    pub fn counts(&self, metrics: &Metrics) {
         if let Some(folder) = &self.folder {
             let tally = folder.tally.clone();
-            figures.also(Box::new(move || tally.all()));
+            metrics.register(Box::new(move || tally.all()));
         }
         if let Some(peers) = &self.peers {
             let shown = peers.shown.clone();
-            figures.also(Box::new(move || shown.all()));
+            metrics.register(Box::new(move || shown.all()));
         }
     }
 
--- a/node/src/server.rs
+++ b/node/src/server.rs
@@ -254,7 +254,7 @@
                 Ok((new, settings, fleet))
             });
         if told {
-            exchange.figures().reloaded(taken.is_ok());
+            exchange.metrics().configuration_reloaded(taken.is_ok());
         }
         let (new, settings, fleet) = match taken {
             Ok(taken) => taken,
@@ -269,7 +269,7 @@
             // The decisions know a class before any front does.
             let digest = digest_of(&new.written["settings"]);
             exchange.reconfigure(settings.clone(), digest).await;
-            names.follow(settings, clock::now());
+            names.replace_settings(settings, clock::now());
         }
         newest = Some(new);
         // Whether it is taken is decided where the lists are, by its number.
