--- a/node/src/admin.rs
+++ b/node/src/admin.rs
@@ -73,14 +73,14 @@
     async fn answer(&self, method: &str, path: &str) -> Bytes {
         match (method, path) {
             ("GET", "/ops/readiness") => {
-                let ready = self.exchange.state().borrow().is_serving();
+                let ready = self.exchange.status().borrow().is_serving();
                 if ready {
                     plain(200, "OK", "ready\n")
                 } else {
                     plain(503, "Service Unavailable", "not ready\n")
                 }
             }
-            ("GET", "/ops/stats") => plain(200, "OK", &self.exchange.figures().text(&self.names.classes())),
+            ("GET", "/ops/stats") => plain(200, "OK", &self.exchange.metrics().text(&self.names.classes())),
             ("PUT", "/ops/drain/start") => self.send_away(true).await,
             ("PUT", "/ops/drain/stop") => self.send_away(false).await,
             (_, "/ops/readiness" | "/ops/stats" | "/ops/drain/start" | "/ops/drain/stop") => {
@@ -93,7 +93,7 @@
     /// Says yes once health checks are answered that way.
     async fn send_away(&self, away: bool) -> Bytes {
         self.exchange.set_maintenance(away).await;
-        let mut state = self.exchange.state();
+        let mut state = self.exchange.status();
         let heard = state.wait_for(|state| state.maintenance == away).await;
         drop(heard);
         log!("operators: {}", if away { "front ends are sent away" } else { "front ends may come again" });
--- a/node/src/dispatcher.rs
+++ b/node/src/dispatcher.rs
@@ -25,7 +25,7 @@
     NodeStatus, Request, RequestOutcome, Responder, RunCommand, SubmissionId,
 };
 use crate::log;
-use crate::outcome::{digest, IdempotencyRecord, Key, RunState, StoredOutcome};
+use crate::outcome::{digest, IdempotencyKey, IdempotencyRecord, RunState, StoredOutcome};
 use crate::run_gate::{Run, RunGate, Word};
 use idempotency::{Keys, Linked};
 
@@ -168,8 +168,8 @@
             self.keys = std::mem::take(&mut self.keys).lasting();
         }
         if let Some(left) = left {
-            self.keys.digests_with(left.seed);
-            self.recall(left.keys);
+            self.keys.digests_with(left.digest_seed);
+            self.recall(left.records);
         }
     }
 
@@ -422,7 +422,7 @@
     }
 
     /// What a request gets that came before anything can run here, if its key is known from an earlier process.
-    fn known_before(&self, key: &Key, request: &Request, now: Unix) -> Option<RequestOutcome> {
+    fn known_before(&self, key: &IdempotencyKey, request: &Request, now: Unix) -> Option<RequestOutcome> {
         if self.in_doubt(key, now) {
             return Some(RequestOutcome::Failed { timed_out: false });
         }
@@ -439,13 +439,13 @@
     }
 
     /// Whether a key that is not known may have run, as far as damage to what was kept tells.
-    fn in_doubt(&self, key: &Key, now: Unix) -> bool {
+    fn in_doubt(&self, key: &IdempotencyKey, now: Unix) -> bool {
         !self.keys.knows(key) && self.keeper.doubts(key, now)
     }
 
     /// Takes in what earlier processes left. What began and has no end has failed.
     fn recall(&mut self, records: Vec<IdempotencyRecord>) {
-        for IdempotencyRecord { key, body, until, fate } in records {
+        for IdempotencyRecord { key, body_digest: body, expires_at: until, state: fate } in records {
             let id = self.new_id();
             self.keys.inherit(key, (body, until, fate), id);
         }
@@ -468,8 +468,8 @@
             Word::Ended(id, end) => match self.to_keep.remove(&id) {
                 Some(record) => {
                     let fate =
-                        if let Completion::Succeeded(_) = end { record.fate } else { RunState::Failed };
-                    self.inherit_key(IdempotencyRecord { fate, ..record }, false);
+                        if let Completion::Succeeded(_) = end { record.state } else { RunState::Failed };
+                    self.inherit_key(IdempotencyRecord { state: fate, ..record }, false);
                 }
                 None => self.run_over(id, end),
             },
@@ -546,12 +546,12 @@
     fn inherit(&mut self, estate: HandoverState) {
         let first = self.ends.state.borrow().awaiting_state;
         if first {
-            self.keys.digests_with(estate.seed);
-            log!("handover: {} keys are known from the process before", estate.keys.len());
+            self.keys.digests_with(estate.digest_seed);
+            log!("handover: {} keys are known from the process before", estate.records.len());
         }
-        for record in estate.keys {
+        for record in estate.records {
             // What it tells at first is kept already. Later ends are kept before anybody hears of them.
-            let ended = match &record.fate {
+            let ended = match &record.state {
                 RunState::Succeeded(result) if !first => Some(StoredOutcome::Succeeded(result.clone())),
                 RunState::Failed if !first => Some(StoredOutcome::Failed),
                 _ => None,
@@ -571,7 +571,11 @@
     }
 
     /// What the process before this one knows of a key is known here; `keeps` if it is to be kept as well.
-    fn inherit_key(&mut self, IdempotencyRecord { key, body, until, fate }: IdempotencyRecord, keeps: bool) {
+    fn inherit_key(
+        &mut self,
+        IdempotencyRecord { key, body_digest: body, expires_at: until, state: fate }: IdempotencyRecord,
+        keeps: bool,
+    ) {
         let id = self.new_id();
         if let Some((joiners, kept)) = self.keys.inherit(key.clone(), (body, until, fate), id) {
             if let Some(holder) = self.keys.holder(&key).filter(|_| keeps) {
@@ -613,9 +617,13 @@
         heir.told = true;
         self.let_go();
         let (seed, all) = self.keys.all();
-        let keys =
-            all.map(|(key, body, until, fate)| IdempotencyRecord { key: key.clone(), body, until, fate });
-        let estate = HandoverState { seed, keys: keys.collect() };
+        let keys = all.map(|(key, body, until, fate)| IdempotencyRecord {
+            key: key.clone(),
+            body_digest: body,
+            expires_at: until,
+            state: fate,
+        });
+        let estate = HandoverState { digest_seed: seed, records: keys.collect() };
         self.tell_heir(estate);
     }
 
@@ -632,7 +640,10 @@
             return;
         }
         let Some((key, body, until)) = self.keys.held_by(id) else { return };
-        self.tell_heir(HandoverState { seed: 0, keys: vec![IdempotencyRecord { key, body, until, fate }] });
+        self.tell_heir(HandoverState {
+            digest_seed: 0,
+            records: vec![IdempotencyRecord { key, body_digest: body, expires_at: until, state: fate }],
+        });
     }
 
     fn tell_heir(&mut self, estate: HandoverState) {
@@ -654,7 +665,7 @@
     }
 
     /// The key of a request whose class must not run twice.
-    fn key_of(&self, request: &Request) -> Option<Key> {
+    fn key_of(&self, request: &Request) -> Option<IdempotencyKey> {
         let class = self.settings.settings.classes.get(usize::from(request.class))?;
         request.key.clone().filter(|_| class.effect == Effect::Keyed)
     }
--- a/node/src/dispatcher/idempotency.rs
+++ b/node/src/dispatcher/idempotency.rs
@@ -8,7 +8,7 @@
 use oakwind_admission::RequestId;
 
 use crate::clock::Unix;
-use crate::outcome::{digest, Key, RunState, StoredOutcome, LATE_READ_GRACE, MAX_RESULT_BYTES};
+use crate::outcome::{digest, IdempotencyKey, RunState, StoredOutcome, LATE_READ_GRACE, MAX_RESULT_BYTES};
 
 /// Memory that a remembered key takes, by a generous estimate, beside its result.
 const ENTRY_BYTES: usize = 512;
@@ -71,13 +71,13 @@
 pub struct Keys {
     /// Bodies are digested with this, in a way that no client can foresee.
     seed: u64,
-    entries: HashMap<Key, Entry>,
+    entries: HashMap<IdempotencyKey, Entry>,
     /// The key that each holder holds.
-    held: HashMap<RequestId, Key>,
-    batch: HashSet<Key>,
+    held: HashMap<RequestId, IdempotencyKey>,
+    batch: HashSet<IdempotencyKey>,
     swept: Unix,
     /// Keys with results, the oldest first, and what those take. Some may have been forgotten since.
-    results: VecDeque<Key>,
+    results: VecDeque<IdempotencyKey>,
     bytes: usize,
     most_bytes: usize,
     /// No result is dropped before its time, and those to come have their room set aside.
@@ -104,7 +104,7 @@
 
     /// How bodies are digested, and all keys: the digest of the body, how long each is remembered and what
     /// became of its run.
-    pub fn all(&self) -> (u64, impl Iterator<Item = (&Key, u64, Unix, RunState)>) {
+    pub fn all(&self) -> (u64, impl Iterator<Item = (&IdempotencyKey, u64, Unix, RunState)>) {
         (self.seed, self.entries.iter().map(|(key, entry)| (key, entry.body, entry.until, entry.fate())))
     }
 
@@ -118,7 +118,7 @@
     /// Returns the tries that waited for what became of its run, and that.
     pub fn inherit(
         &mut self,
-        key: Key,
+        key: IdempotencyKey,
         (body, until, fate): (u64, Unix, RunState),
         id: RequestId,
     ) -> Option<(Vec<RequestId>, StoredOutcome)> {
@@ -162,7 +162,7 @@
     }
 
     /// Whether a try of this key came in the batch that is being gathered.
-    pub fn in_batch(&self, key: &Key) -> bool {
+    pub fn in_batch(&self, key: &IdempotencyKey) -> bool {
         self.batch.contains(key)
     }
 
@@ -172,7 +172,7 @@
     }
 
     /// A try with this body came to the machine at `received_at`.
-    pub fn arrived(&mut self, key: Key, body: &[u8], received_at: Unix) -> Linked {
+    pub fn arrived(&mut self, key: IdempotencyKey, body: &[u8], received_at: Unix) -> Linked {
         let prior = self.entries.get(&key).map(|e| (e.holder, e.is_over(received_at), e.body));
         let linked = match prior {
             Some((holder, true, _)) => {
@@ -188,7 +188,7 @@
     }
 
     /// The try holds the key until then; the key passes to it from one that held it before.
-    pub fn remember(&mut self, key: Key, body: &[u8], id: RequestId, until: Unix) {
+    pub fn remember(&mut self, key: IdempotencyKey, body: &[u8], id: RequestId, until: Unix) {
         // A key outlives the buffer that it was read into.
         let key = Bytes::copy_from_slice(&key);
         match self.entries.get_mut(&key) {
@@ -229,7 +229,7 @@
     }
 
     /// What is kept of the run of this key, if that has ended and the key is that of this body.
-    pub fn kept(&self, key: &Key, body: &[u8], received_at: Unix) -> Option<StoredOutcome> {
+    pub fn kept(&self, key: &IdempotencyKey, body: &[u8], received_at: Unix) -> Option<StoredOutcome> {
         let entry = self
             .entries
             .get(key)
@@ -238,17 +238,17 @@
     }
 
     /// The try that holds this key.
-    pub fn holder(&self, key: &Key) -> Option<RequestId> {
+    pub fn holder(&self, key: &IdempotencyKey) -> Option<RequestId> {
         self.entries.get(key).map(|entry| entry.holder)
     }
 
     /// Whether anything is remembered of this key.
-    pub fn knows(&self, key: &Key) -> bool {
+    pub fn knows(&self, key: &IdempotencyKey) -> bool {
         self.entries.contains_key(key)
     }
 
     /// The key that this try holds, the digest of its body and how long it is remembered.
-    pub fn held_by(&self, id: RequestId) -> Option<(Key, u64, Unix)> {
+    pub fn held_by(&self, id: RequestId) -> Option<(IdempotencyKey, u64, Unix)> {
         let key = self.held.get(&id)?;
         self.entries.get(key).map(|entry| (key.clone(), entry.body, entry.until))
     }
@@ -259,7 +259,7 @@
     }
 
     /// Whether this try may run: no other try of its key has. It counts as run from now on.
-    pub fn may_run(&mut self, key: &Key, id: RequestId) -> bool {
+    pub fn may_run(&mut self, key: &IdempotencyKey, id: RequestId) -> bool {
         let Some(entry) = self.entries.get_mut(key) else { return true };
         let may = entry.ran.is_none_or(|ran| ran == id);
         entry.ran = entry.ran.or(Some(id));
@@ -267,7 +267,7 @@
     }
 
     /// The try waits for what becomes of its key's run; returns that if it is known.
-    pub fn join(&mut self, key: &Key, id: RequestId) -> Option<StoredOutcome> {
+    pub fn join(&mut self, key: &IdempotencyKey, id: RequestId) -> Option<StoredOutcome> {
         let Some(entry) = self.entries.get_mut(key) else { return Some(StoredOutcome::Failed) };
         if entry.kept.is_none() {
             entry.joiners.push(id);
--- a/node/src/dispatcher/idempotency/tests.rs
+++ b/node/src/dispatcher/idempotency/tests.rs
@@ -7,7 +7,7 @@
     Duration::from_secs(seconds)
 }
 
-fn key() -> Key {
+fn key() -> IdempotencyKey {
     Bytes::from_static(b"k")
 }
 
--- a/node/src/exchange.rs
+++ b/node/src/exchange.rs
@@ -100,9 +100,9 @@
 #[derive(Debug, Default)]
 pub struct HandoverState {
     /// How bodies are digested.
-    pub seed: u64,
+    pub digest_seed: u64,
     /// The keys.
-    pub keys: Vec<IdempotencyRecord>,
+    pub records: Vec<IdempotencyRecord>,
 }
 
 /// What the core is told.
@@ -371,12 +371,12 @@
     }
 
     /// What this process has done.
-    pub fn figures(&self) -> &Figures {
+    pub fn metrics(&self) -> &Figures {
         &self.figures
     }
 
     /// What the core tells everyone.
-    pub fn state(&self) -> watch::Receiver<NodeStatus> {
+    pub fn status(&self) -> watch::Receiver<NodeStatus> {
         self.state.clone()
     }
 
--- a/node/src/frontend/jsonrpc.rs
+++ b/node/src/frontend/jsonrpc.rs
@@ -140,7 +140,7 @@
 ) {
     // What was withdrawn may keep its place in the queue for a moment longer than it is open.
     let (answers, outcomes) = mpsc::channel(2 * MAX_OPEN);
-    let (state, now) = (exchange.state(), clock::now());
+    let (state, now) = (exchange.status(), clock::now());
     let mut connection = Connection {
         exchange,
         names,
--- a/node/src/frontend/uwsgi.rs
+++ b/node/src/frontend/uwsgi.rs
@@ -102,7 +102,7 @@
     };
     guest.is(Standing::Busy);
     let response = match read.and_then(|(vars, body)| front.asked(&vars, body, clock::now())) {
-        Ok(Asked::Status) if front.exchange.state().borrow().healthy() => response(200, "OK", "", b"up\n"),
+        Ok(Asked::Status) if front.exchange.status().borrow().healthy() => response(200, "OK", "", b"up\n"),
         Ok(Asked::Status) => response(503, "Service Unavailable", "Retry-After: 1\r\n", b"down\n"),
         Ok(Asked::Run(request)) => match outcome(stream, front, request).await? {
             Some(outcome) => answer(&outcome),
--- a/node/src/handover.rs
+++ b/node/src/handover.rs
@@ -66,20 +66,20 @@
 async fn learn(old: &mut UnixStream, exchange: &Exchange) -> io::Result<()> {
     old.write_all(b"TAKE\r\n").await?;
     let (mut input, mut estate, mut whole) = (BytesMut::new(), HandoverState::default(), false);
-    let (mut state, owed) = (exchange.state(), clock::now() + OWED);
+    let (mut state, owed) = (exchange.status(), clock::now() + OWED);
     let (mut passed, mut told) = (false, false);
     loop {
         while let Some(message) = line_codec::take(&mut input, |words| words.next() == Some(b"KEY"))? {
             match &message.word(0)[..] {
-                b"SEED" => estate.seed = seed(&message)?,
-                b"KEY" => estate.keys.push(record(&message)?),
+                b"SEED" => estate.digest_seed = seed(&message)?,
+                b"KEY" => estate.records.push(record(&message)?),
                 b"ALL" => whole = true,
                 _ => return Err(message.nonsense().into()),
             }
         }
-        if whole && (!estate.keys.is_empty() || exchange.state().borrow().awaiting_state) {
-            let keys = std::mem::take(&mut estate.keys);
-            exchange.receive_state(HandoverState { seed: estate.seed, keys }).await;
+        if whole && (!estate.records.is_empty() || exchange.status().borrow().awaiting_state) {
+            let keys = std::mem::take(&mut estate.records);
+            exchange.receive_state(HandoverState { digest_seed: estate.digest_seed, records: keys }).await;
         }
         tokio::select! {
             read = old.read_buf(&mut input) => match read? {
@@ -151,7 +151,7 @@
     loop {
         tokio::select! {
             estate = told.recv() => {
-                let Some(HandoverState { seed, keys }) = estate else { return Heir::Ended };
+                let Some(HandoverState { digest_seed: seed, records: keys }) = estate else { return Heir::Ended };
                 if first {
                     put(&mut output, &[b"SEED", format!("{seed:x}").as_bytes()], None);
                 }
@@ -178,7 +178,7 @@
 }
 
 fn put_record(output: &mut BytesMut, record: &IdempotencyRecord) {
-    let IdempotencyRecord { key, body, until, fate } = record;
+    let IdempotencyRecord { key, body_digest: body, expires_at: until, state: fate } = record;
     let (word, result) = match fate {
         RunState::Pending => ("open", &[][..]),
         RunState::Succeeded(result) if key.len() + result.len() <= MAX_BODY => ("done", &result[..]),
@@ -205,9 +205,9 @@
     let copied = |slice: &[u8]| Bytes::copy_from_slice(slice);
     Ok(IdempotencyRecord {
         key: copied(&rest[..end]),
-        body: seed(message)?,
-        until,
-        fate: if let RunState::Succeeded(result) = fate {
+        body_digest: seed(message)?,
+        expires_at: until,
+        state: if let RunState::Succeeded(result) = fate {
             RunState::Succeeded(copied(&result))
         } else {
             fate
--- a/node/src/handover/tests/golden.rs
+++ b/node/src/handover/tests/golden.rs
@@ -22,7 +22,12 @@
 const THE_SEED: u64 = 0xfedc_ba98_7654_3210;
 
 fn record_of(key: &'static [u8], body: u64, millis: u64, fate: RunState) -> IdempotencyRecord {
-    IdempotencyRecord { key: Bytes::from_static(key), body, until: Duration::from_millis(millis), fate }
+    IdempotencyRecord {
+        key: Bytes::from_static(key),
+        body_digest: body,
+        expires_at: Duration::from_millis(millis),
+        state: fate,
+    }
 }
 
 fn open() -> IdempotencyRecord {
@@ -134,10 +139,10 @@
             let mut new = UnixStream::connect(&path).await.unwrap();
             new.write_all(&bytes(TAKE)).await.unwrap();
             let DispatcherEvent::HandOver(tell) = next(&mut core).await else { panic!() };
-            tell.send(HandoverState { seed: THE_SEED, keys: vec![open(), done()] }).await.unwrap();
+            tell.send(HandoverState { digest_seed: THE_SEED, records: vec![open(), done()] }).await.unwrap();
             assert_eq!(read(&mut new, &whole_table()).await, whole_table());
-            tell.send(HandoverState { seed: 0, keys: vec![failed()] }).await.unwrap();
-            tell.send(HandoverState { seed: 0, keys: vec![free()] }).await.unwrap();
+            tell.send(HandoverState { digest_seed: 0, records: vec![failed()] }).await.unwrap();
+            tell.send(HandoverState { digest_seed: 0, records: vec![free()] }).await.unwrap();
             assert_eq!(read(&mut new, &[FAILED, FREE].concat()).await, [FAILED, FREE].concat());
             new.write_all(&bytes(PASSED)).await.unwrap();
             (new, tell)
@@ -181,17 +186,17 @@
             let (mut old, _) = listener.accept().await.unwrap();
             assert_eq!(read(&mut old, TAKE).await, TAKE);
             old.write_all(&bytes(&whole_table())).await.unwrap();
-            let DispatcherEvent::StateReceived(estate) = next(&mut core).await else { panic!() };
-            assert_eq!((estate.seed, estate.keys), (THE_SEED, vec![open(), done()]));
+            let DispatcherEvent::StateReceived(state) = next(&mut core).await else { panic!() };
+            assert_eq!((state.digest_seed, state.records), (THE_SEED, vec![open(), done()]));
             core.state.send_modify(|state| state.awaiting_state = false);
             old.write_all(&bytes(FAILED)).await.unwrap();
-            let DispatcherEvent::StateReceived(estate) = next(&mut core).await else { panic!() };
-            assert_eq!(estate.keys, [failed()]);
+            let DispatcherEvent::StateReceived(state) = next(&mut core).await else { panic!() };
+            assert_eq!(state.records, [failed()]);
             core.state.send_modify(|state| state.handed_over = true);
             assert_eq!(read(&mut old, PASSED).await, PASSED);
             old.write_all(&bytes(FREE)).await.unwrap();
-            let DispatcherEvent::StateReceived(estate) = next(&mut core).await else { panic!() };
-            assert_eq!(estate.keys, [free()]);
+            let DispatcherEvent::StateReceived(state) = next(&mut core).await else { panic!() };
+            assert_eq!(state.records, [free()]);
             drop(old);
             assert!(matches!(next(&mut core).await, DispatcherEvent::PredecessorDone));
         };
@@ -209,8 +214,8 @@
         let old = async {
             let (mut old, _) = listener.accept().await.unwrap();
             old.write_all(&bytes(&[SEED, ALL].concat())).await.unwrap();
-            let DispatcherEvent::StateReceived(estate) = next(&mut core).await else { panic!() };
-            assert_eq!((estate.seed, estate.keys), (THE_SEED, vec![]));
+            let DispatcherEvent::StateReceived(state) = next(&mut core).await else { panic!() };
+            assert_eq!((state.digest_seed, state.records), (THE_SEED, vec![]));
             core.state.send_modify(|state| state.awaiting_state = false);
         };
         tokio::join!(inherit(path.clone(), exchange), old);
--- a/node/src/heartbeat.rs
+++ b/node/src/heartbeat.rs
@@ -18,7 +18,7 @@
 
 /// Reports until the notice to leave, with a last word then, so that the list drops the node soon.
 pub async fn report(name: String, mut links: watch::Receiver<Links>, exchange: Exchange) {
-    let mut state = exchange.state();
+    let mut state = exchange.status();
     let mut socket = None;
     loop {
         let Some(service) = links.borrow_and_update().members else { return };
--- a/node/src/outcome.rs
+++ b/node/src/outcome.rs
@@ -13,7 +13,7 @@
 
 /// A key names one request, whichever class its tries come in: guards a request against a second run where its
 /// class gets another name between two of them.
-pub type Key = Bytes;
+pub type IdempotencyKey = Bytes;
 
 /// The one final answer to a request.
 #[derive(Debug, Clone, PartialEq)]
@@ -68,13 +68,13 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct IdempotencyRecord {
     /// The key.
-    pub key: Bytes,
+    pub key: IdempotencyKey,
     /// The digest of the body that its tries carry.
-    pub body: u64,
+    pub body_digest: u64,
     /// How long it is remembered.
-    pub until: Unix,
+    pub expires_at: Unix,
     /// What became of its run.
-    pub fate: RunState,
+    pub state: RunState,
 }
 
 /// What is kept of a run that is over.
--- a/node/src/peers/mod.rs
+++ b/node/src/peers/mod.rs
@@ -276,7 +276,7 @@
         let (heard, mut inbox) = mpsc::channel(INBOX);
         let marker =
             config.folder.as_ref().map(|folder| Marker::new(&folder.folder, settings.kept.is_some()));
-        let state = exchange.state();
+        let state = exchange.status();
         let mut talk = Talk {
             fleet: ReplicaNode::new(settings, config.list.clone(), clock.now()),
             links: Links::new(config.links / 2, heard),
--- a/node/src/peers/vote_store.rs
+++ b/node/src/peers/vote_store.rs
@@ -40,9 +40,9 @@
     let whole = recovered.damage == Default::default() && recovered.back.is_zero();
     let now = clock::now();
     let records = recovered.keys.iter().map(|record| {
-        let RunState::Succeeded(bytes) = &record.fate else { return None };
+        let RunState::Succeeded(bytes) = &record.state else { return None };
         let (vote, copied) = postcard::from_bytes::<(Option<ClaimId>, ReplicaRecord)>(bytes).ok()?;
-        let keep_ms = clock::millis(record.until.saturating_sub(now));
+        let keep_ms = clock::millis(record.expires_at.saturating_sub(now));
         Some((vote, ReplicaRecord { keep_ms, ..copied }))
     });
     let records: Option<Vec<_>> = records.collect();
--- a/node/src/result_store/folder/tests.rs
+++ b/node/src/result_store/folder/tests.rs
@@ -103,7 +103,7 @@
     // The seed is known from the segments as well.
     std::fs::write(place.0.join(SEED), b"noise").unwrap();
     let (_folder, learnt) = place.open(System, at(2));
-    assert_eq!(learnt.keys[0].fate, RunState::Succeeded(vec![7; 9].into()));
+    assert_eq!(learnt.keys[0].state, RunState::Succeeded(vec![7; 9].into()));
     assert_eq!(learnt.damage, Default::default());
 }
 
@@ -135,7 +135,7 @@
     // A result that is too long counts as failed for later tries.
     folder.write(vec![record("more", State::Done, MAX_RESULT_BYTES + 1, late)], late);
     drop(folder);
-    assert_eq!(place.open(System, late).1.keys[0].fate, RunState::Failed);
+    assert_eq!(place.open(System, late).1.keys[0].state, RunState::Failed);
 }
 
 /// Life after life ends by a disk that fails at some moment, in writing, rotating or compacting. What was kept for
@@ -157,7 +157,7 @@
             let disk = Failing { left: left.clone(), part: draw(300) as usize };
             let (mut folder, learnt) = place.open(disk, at(now));
             for (key, (record, more)) in &kept {
-                let found = learnt.keys.iter().find(|record| record.key == key).map(|found| &found.fate);
+                let found = learnt.keys.iter().find(|record| record.key == key).map(|found| &found.state);
                 let as_kept = match record.state {
                     State::Begun => Some(RunState::Pending),
                     State::Done => Some(RunState::Succeeded(record.result.clone())),
--- a/node/src/result_store/recovery.rs
+++ b/node/src/result_store/recovery.rs
@@ -159,7 +159,12 @@
             State::Freed => continue,
         };
         // What a damaged record said of the key came after this one, or is no more than this one says.
-        learnt.keys.push(IdempotencyRecord { key, body: record.body, until: of_now(record.until), fate });
+        learnt.keys.push(IdempotencyRecord {
+            key,
+            body_digest: record.body,
+            expires_at: of_now(record.until),
+            state: fate,
+        });
     }
     // What may have been lost at the end leaves a gap: the next start is to know of it too.
     learnt.next = expected.unwrap_or(0).saturating_add(u64::from(torn));
--- a/node/src/result_store/recovery/tests.rs
+++ b/node/src/result_store/recovery/tests.rs
@@ -50,7 +50,7 @@
 }
 
 fn fate<'a>(learnt: &'a Recovered, key: &[u8]) -> Option<&'a RunState> {
-    learnt.keys.iter().find(|record| record.key == key).map(|record| &record.fate)
+    learnt.keys.iter().find(|record| record.key == key).map(|record| &record.state)
 }
 
 #[test]
@@ -147,7 +147,7 @@
     let learnt = recovered(&journal().0, at(50));
     assert_eq!(learnt.back, at(106 - 50));
     // Its end was recorded at 102 s and is kept until 119 s, thirteen seconds after the last record.
-    let until = learnt.keys.iter().find(|record| record.key == b"aaa"[..]).unwrap().until;
+    let until = learnt.keys.iter().find(|record| record.key == b"aaa"[..]).unwrap().expires_at;
     assert_eq!(until, at(50 + 13));
 }
 
--- a/node/src/run_gate.rs
+++ b/node/src/run_gate.rs
@@ -14,7 +14,7 @@
 use crate::clock::Unix;
 use crate::exchange::Request;
 use crate::metrics::Figures;
-use crate::outcome::{Completion, IdempotencyRecord, Key, StoredOutcome};
+use crate::outcome::{Completion, IdempotencyKey, IdempotencyRecord, StoredOutcome};
 use crate::peers::{Asked, Peers};
 use crate::result_store::record::{Record, State};
 use crate::result_store::{ResultStore, Told};
@@ -27,7 +27,7 @@
     /// Its request; none where another process of this node had it.
     pub request: Option<Rc<Request>>,
     /// Its key.
-    pub key: Key,
+    pub key: IdempotencyKey,
     /// The digest of its body.
     pub body: u64,
     /// How long the key is remembered.
--- a/node/src/server.rs
+++ b/node/src/server.rs
@@ -101,7 +101,7 @@
         // The process before has the folder until it has handed over.
         if !upgrade {
             let recovered = remembrance.open()?;
-            left = Some(HandoverState { seed: recovered.seed, keys: recovered.keys });
+            left = Some(HandoverState { digest_seed: recovered.seed, records: recovered.keys });
         }
         folder = Some(remembrance);
     }
@@ -131,7 +131,7 @@
     let serving = async {
         if upgrade {
             // Nothing comes here before it can be served. One that is to leave before that takes nothing over.
-            let mut state = exchange.state();
+            let mut state = exchange.status();
             let up = state.wait_for(|state| state.health.is_some() && state.draining.is_none()).await.is_ok();
             if up {
                 log!("handover: takes over");
@@ -152,7 +152,7 @@
         if let Some(place) = &place {
             if upgrade {
                 spawn_local(handover::inherit(place.clone(), exchange.clone()));
-                if exchange.state().wait_for(|state| !state.awaiting_state).await.is_ok() {
+                if exchange.status().wait_for(|state| !state.awaiting_state).await.is_ok() {
                     log!("handover: has taken over");
                 }
             }
@@ -202,7 +202,7 @@
 
 /// Leaves half of the fronts' room to the other process, while there is one.
 async fn share(exchange: &Exchange, fronts: [&ConnectionLimiter; 2]) {
-    let mut state = exchange.state();
+    let mut state = exchange.status();
     loop {
         let shares = state.borrow_and_update().shares_node();
         fronts.iter().for_each(|guests| guests.share(shares));
@@ -224,7 +224,7 @@
     lists: Option<mpsc::Sender<Event>>,
 ) {
     let mut newest = None;
-    let mut state = exchange.state();
+    let mut state = exchange.status();
     let mut succeeds = state.borrow().predecessor_alive;
     loop {
         let told = tokio::select! {
@@ -254,7 +254,7 @@
                 Ok((new, settings, fleet))
             });
         if told {
-            exchange.figures().reloaded(taken.is_ok());
+            exchange.metrics().reloaded(taken.is_ok());
         }
         let (new, settings, fleet) = match taken {
             Ok(taken) => taken,
@@ -319,7 +319,7 @@
         guests: Rc<ConnectionLimiter>,
         serve: impl Fn(TcpStream, ConnectionGuard) -> F,
     ) {
-        let mut state = exchange.state();
+        let mut state = exchange.status();
         let what = self.what;
         loop {
             // The state lasts as long as the process.
@@ -372,7 +372,7 @@
 /// Waits until nothing more comes in, all that was read is answered and every connection is closed; or until the time is
 /// up and every client has its answers. Guards those against an end of its own accord that comes before the stop.
 async fn drained(exchange: &Exchange, stop: clock::Unix, closed: impl Future, paid: impl Future) {
-    let (mut over, mut late) = (exchange.state(), exchange.state());
+    let (mut over, mut late) = (exchange.status(), exchange.status());
     let over = async {
         let answered = over.wait_for(|state| !state.accepts_clients() && state.drained).await;
         drop(answered);
--- a/node/src/vrrp.rs
+++ b/node/src/vrrp.rs
@@ -39,7 +39,7 @@
         local,
     };
     let mut router = Router::new(parameters);
-    let mut state = exchange.state();
+    let mut state = exchange.status();
     let mut buffer = [0; MAX_DATAGRAM];
     let mut event = Some(Event::Startup);
     loop {
