--- a/node/src/dispatcher.rs
+++ b/node/src/dispatcher.rs
@@ -25,7 +25,7 @@
     NodeStatus, Request, RequestOutcome, Responder, RunCommand, SubmissionId,
 };
 use crate::log;
-use crate::outcome::{digest, IdempotencyRecord, Key, RunState, StoredOutcome};
+use crate::outcome::{digest, IdempotencyKey, IdempotencyRecord, RunState, StoredOutcome};
 use crate::run_gate::{Run, RunGate, Word};
 use idempotency::{Keys, Linked};
 
@@ -55,7 +55,7 @@
 /// are remembered in this process, whose table of them has a bound of its own. Guards writes against being refused
 /// for memory that is free.
 fn decided_by(settings: &Parsed) -> Settings {
-    Settings { entry_kb: 0.0, ..settings.settings.clone() }
+    Settings { key_memory_kb: 0.0, ..settings.settings.clone() }
 }
 
 /// One try of a request, from its reading until it is answered and nothing of it runs.
@@ -168,8 +168,8 @@
             self.keys = std::mem::take(&mut self.keys).lasting();
         }
         if let Some(left) = left {
-            self.keys.digests_with(left.seed);
-            self.recall(left.keys);
+            self.keys.digests_with(left.digest_seed);
+            self.recall(left.records);
         }
     }
 
@@ -313,7 +313,7 @@
                 self.settings = *settings;
                 self.records.iter().for_each(|records| records.settings(digest.clone()));
                 if let Some(admission) = &mut self.admission {
-                    admission.retune(decided_by(&self.settings));
+                    admission.reconfigure(decided_by(&self.settings));
                 }
             }
             DispatcherEvent::HandOver(tell) => {
@@ -351,7 +351,7 @@
     fn start(&mut self, cold: bool) {
         if self.admission.is_none() {
             let (settings, now) = (Settings { cold, ..decided_by(&self.settings) }, clock::now());
-            let warm_at = cold.then_some(now + settings.warm_after);
+            let warm_at = cold.then_some(now + settings.warm_up_time);
             self.admission = Some(Admission::new(settings, self.seed, now));
             self.update(|state| state.warm_at = warm_at);
             if let Some((stop, _)) = self.ends.state.borrow().draining {
@@ -415,14 +415,14 @@
             age: now.saturating_sub(request.received_at),
             rank: request.rank,
             caller: CallerId(request.caller),
-            patience: Some(request.deadline.saturating_sub(now)),
+            time_left: Some(request.deadline.saturating_sub(now)),
         }));
         self.by_txn.insert(request.txn.clone(), id);
         self.tries.insert(id, Try { id, request, claim, responder: Some(responder), phase: Phase::Held });
     }
 
     /// What a request gets that came before anything can run here, if its key is known from an earlier process.
-    fn known_before(&self, key: &Key, request: &Request, now: Unix) -> Option<RequestOutcome> {
+    fn known_before(&self, key: &IdempotencyKey, request: &Request, now: Unix) -> Option<RequestOutcome> {
         if self.in_doubt(key, now) {
             return Some(RequestOutcome::Failed { timed_out: false });
         }
@@ -439,13 +439,13 @@
     }
 
     /// Whether a key that is not known may have run, as far as damage to what was kept tells.
-    fn in_doubt(&self, key: &Key, now: Unix) -> bool {
+    fn in_doubt(&self, key: &IdempotencyKey, now: Unix) -> bool {
         !self.keys.knows(key) && self.keeper.doubts(key, now)
     }
 
     /// Takes in what earlier processes left. What began and has no end has failed.
     fn recall(&mut self, records: Vec<IdempotencyRecord>) {
-        for IdempotencyRecord { key, body, until, fate } in records {
+        for IdempotencyRecord { key, body_digest: body, expires_at: until, state: fate } in records {
             let id = self.new_id();
             self.keys.inherit(key, (body, until, fate), id);
         }
@@ -468,8 +468,8 @@
             Word::Ended(id, end) => match self.to_keep.remove(&id) {
                 Some(record) => {
                     let fate =
-                        if let Completion::Succeeded(_) = end { record.fate } else { RunState::Failed };
-                    self.inherit_key(IdempotencyRecord { fate, ..record }, false);
+                        if let Completion::Succeeded(_) = end { record.state } else { RunState::Failed };
+                    self.inherit_key(IdempotencyRecord { state: fate, ..record }, false);
                 }
                 None => self.run_over(id, end),
             },
@@ -486,7 +486,7 @@
         let Some(taken) = self.tries.get_mut(&id) else { return };
         if let Phase::Running { since } = std::mem::replace(&mut taken.phase, Phase::Elsewhere) {
             let took = clock::now().saturating_sub(since);
-            self.events.push(Event::Finished { id, outcome: RunOutcome::Moot, took });
+            self.events.push(Event::Finished { id, outcome: RunOutcome::Skipped, took });
         }
     }
 
@@ -546,12 +546,12 @@
     fn inherit(&mut self, estate: HandoverState) {
         let first = self.ends.state.borrow().awaiting_state;
         if first {
-            self.keys.digests_with(estate.seed);
-            log!("handover: {} keys are known from the process before", estate.keys.len());
+            self.keys.digests_with(estate.digest_seed);
+            log!("handover: {} keys are known from the process before", estate.records.len());
         }
-        for record in estate.keys {
+        for record in estate.records {
             // What it tells at first is kept already. Later ends are kept before anybody hears of them.
-            let ended = match &record.fate {
+            let ended = match &record.state {
                 RunState::Succeeded(result) if !first => Some(StoredOutcome::Succeeded(result.clone())),
                 RunState::Failed if !first => Some(StoredOutcome::Failed),
                 _ => None,
@@ -571,7 +571,11 @@
     }
 
     /// What the process before this one knows of a key is known here; `keeps` if it is to be kept as well.
-    fn inherit_key(&mut self, IdempotencyRecord { key, body, until, fate }: IdempotencyRecord, keeps: bool) {
+    fn inherit_key(
+        &mut self,
+        IdempotencyRecord { key, body_digest: body, expires_at: until, state: fate }: IdempotencyRecord,
+        keeps: bool,
+    ) {
         let id = self.new_id();
         if let Some((joiners, kept)) = self.keys.inherit(key.clone(), (body, until, fate), id) {
             if let Some(holder) = self.keys.holder(&key).filter(|_| keeps) {
@@ -613,9 +617,13 @@
         heir.told = true;
         self.let_go();
         let (seed, all) = self.keys.all();
-        let keys =
-            all.map(|(key, body, until, fate)| IdempotencyRecord { key: key.clone(), body, until, fate });
-        let estate = HandoverState { seed, keys: keys.collect() };
+        let keys = all.map(|(key, body, until, fate)| IdempotencyRecord {
+            key: key.clone(),
+            body_digest: body,
+            expires_at: until,
+            state: fate,
+        });
+        let estate = HandoverState { digest_seed: seed, records: keys.collect() };
         self.tell_heir(estate);
     }
 
@@ -632,7 +640,10 @@
             return;
         }
         let Some((key, body, until)) = self.keys.held_by(id) else { return };
-        self.tell_heir(HandoverState { seed: 0, keys: vec![IdempotencyRecord { key, body, until, fate }] });
+        self.tell_heir(HandoverState {
+            digest_seed: 0,
+            records: vec![IdempotencyRecord { key, body_digest: body, expires_at: until, state: fate }],
+        });
     }
 
     fn tell_heir(&mut self, estate: HandoverState) {
@@ -654,9 +665,9 @@
     }
 
     /// The key of a request whose class must not run twice.
-    fn key_of(&self, request: &Request) -> Option<Key> {
+    fn key_of(&self, request: &Request) -> Option<IdempotencyKey> {
         let class = self.settings.settings.classes.get(usize::from(request.class))?;
-        request.key.clone().filter(|_| class.effect == Effect::Keyed)
+        request.key.clone().filter(|_| class.effect == Effect::IdempotencyKey)
     }
 
     fn gone(&mut self, claim: &SubmissionId) {
@@ -664,7 +675,7 @@
         let Some(&id) = self.by_txn.get(&claim.txn) else { return };
         let Some(taken) = self.tries.get_mut(&id).filter(|taken| taken.claim == *claim) else { return };
         if taken.responder.take().is_some() {
-            self.events.push(Event::Abandoned(id));
+            self.events.push(Event::Cancelled(id));
         }
     }
 
@@ -725,12 +736,12 @@
                 (RunOutcome::Error, RequestOutcome::Failed { timed_out: false }, StoredOutcome::Failed)
             }
             Completion::Cancelled => {
-                (RunOutcome::Stopped, RequestOutcome::Failed { timed_out: false }, StoredOutcome::Failed)
+                (RunOutcome::Cancelled, RequestOutcome::Failed { timed_out: false }, StoredOutcome::Failed)
             }
             Completion::Skipped => {
-                (RunOutcome::Moot, RequestOutcome::Failed { timed_out: false }, StoredOutcome::Failed)
+                (RunOutcome::Skipped, RequestOutcome::Failed { timed_out: false }, StoredOutcome::Failed)
             }
-            Completion::NeverStarted => (RunOutcome::Refused, self.not_now(), StoredOutcome::NeverStarted),
+            Completion::NeverStarted => (RunOutcome::Rejected, self.not_now(), StoredOutcome::NeverStarted),
         };
         self.answer(id, answer);
         self.events.push(Event::Finished { id, outcome, took: now.saturating_sub(since) });
@@ -757,7 +768,7 @@
         let outcome = match kept {
             StoredOutcome::Succeeded(_) => RunOutcome::Ok,
             StoredOutcome::Failed => RunOutcome::Error,
-            StoredOutcome::NeverStarted => RunOutcome::Refused,
+            StoredOutcome::NeverStarted => RunOutcome::Rejected,
         };
         self.answer(id, self.outcome_of(kept));
         self.events.push(Event::Finished { id, outcome, took });
@@ -788,7 +799,7 @@
                 return;
             }
             CallOutcome::Failed => RunOutcome::Error,
-            CallOutcome::Refused => RunOutcome::Refused,
+            CallOutcome::Rejected => RunOutcome::Rejected,
             CallOutcome::TimedOut => RunOutcome::TimedOut,
             CallOutcome::Unreachable => RunOutcome::Unreachable,
             CallOutcome::CutOff => RunOutcome::CutOff,
@@ -812,7 +823,7 @@
         }
         self.actions = actions;
         for event in &events {
-            if let Event::Abandoned(id) = event {
+            if let Event::Cancelled(id) = event {
                 let over = |t: &Try| matches!(t.phase, Phase::Held | Phase::Joining { .. });
                 if self.tries.get(id).is_some_and(over) {
                     self.forget(*id);
@@ -825,7 +836,7 @@
         match action {
             Action::Run(id) => self.start_run(id, now),
             Action::Pause(id) => self.with_txn(id, |core, txn| core.command_run(RunCommand::Stop(txn))),
-            Action::Refuse { id, retry_after, stay: give_up } => {
+            Action::Reject { id, retry_after, give_up } => {
                 // Guards the promise in a refusal against a try that has begun or has joined one that has.
                 let held = self.tries.get(&id).is_some_and(|t| t.phase == Phase::Held);
                 let refused = RequestOutcome::Rejected { retry_after, give_up };
@@ -837,14 +848,14 @@
                 self.answer(id, RequestOutcome::Failed { timed_out: now + OVERDUE >= deadline });
                 self.end_unless_running(id);
             }
-            Action::Join(id) => self.join(id, now),
-            Action::Remember(id, keep) => {
+            Action::Coalesce(id) => self.join(id, now),
+            Action::RetainKey(id, keep) => {
                 let Some(request) = self.tries.get(&id).map(|t| t.request.clone()) else { return };
                 if let Some(key) = self.key_of(&request) {
                     self.keys.remember(key, &request.body, id, now + keep);
                 }
             }
-            Action::Forget(id) => {
+            Action::ReleaseKey(id) => {
                 self.tell_heir_of(id, RunState::NeverStarted);
                 self.keys.forget(id);
             }
--- a/node/src/exchange.rs
+++ b/node/src/exchange.rs
@@ -100,9 +100,9 @@
 #[derive(Debug, Default)]
 pub struct HandoverState {
     /// How bodies are digested.
-    pub seed: u64,
+    pub digest_seed: u64,
     /// The keys.
-    pub keys: Vec<IdempotencyRecord>,
+    pub records: Vec<IdempotencyRecord>,
 }
 
 /// What the core is told.
@@ -140,7 +140,7 @@
     /// It failed and may have had its effect.
     Failed,
     /// Turned away: it never ran.
-    Refused,
+    Rejected,
     /// It ran out of time and may have had its effect.
     TimedOut,
     /// Nobody was reached: it never ran.
@@ -376,7 +376,7 @@
     }
 
     /// What the core tells everyone.
-    pub fn state(&self) -> watch::Receiver<NodeStatus> {
+    pub fn status(&self) -> watch::Receiver<NodeStatus> {
         self.state.clone()
     }
 
