--- a/node/src/result_store/recovery.rs
+++ b/node/src/result_store/recovery.rs
@@ -165,9 +165,9 @@
         // What a damaged record said of the key came after this one, or is no more than this one says.
         learnt.keys.push(IdempotencyRecord {
             key,
-            body: record.body_digest,
-            until: of_now(record.expires_at),
-            fate,
+            body_digest: record.body_digest,
+            expires_at: of_now(record.expires_at),
+            state: fate,
         });
     }
     // What may have been lost at the end leaves a gap: the next start is to know of it too.
--- a/node/src/run_gate.rs
+++ b/node/src/run_gate.rs
@@ -13,8 +13,8 @@
 
 use crate::clock::Unix;
 use crate::exchange::Request;
-use crate::metrics::Figures;
-use crate::outcome::{Completion, IdempotencyRecord, Key, StoredOutcome};
+use crate::metrics::Metrics;
+use crate::outcome::{Completion, IdempotencyKey, IdempotencyRecord, StoredOutcome};
 use crate::peers::{KeyedRun, Peers};
 use crate::result_store::record::{Record, RecordState};
 use crate::result_store::{ResultStore, StoreEvent};
@@ -27,7 +27,7 @@
     /// Its request; none where another process of this node had it.
     pub request: Option<Rc<Request>>,
     /// Its key.
-    pub key: Key,
+    pub key: IdempotencyKey,
     /// The digest of its body.
     pub body: u64,
     /// How long the key is remembered.
@@ -88,14 +88,14 @@
     }
 
     /// Has the figures show what is kept.
-    pub fn counts(&self, figures: &Figures) {
+    pub fn counts(&self, metrics: &Metrics) {
         if let Some(folder) = &self.folder {
-            let metrics = folder.metrics.clone();
-            figures.also(Box::new(move || metrics.values()));
+            let stored = folder.metrics.clone();
+            metrics.register(Box::new(move || stored.values()));
         }
         if let Some(peers) = &self.peers {
-            let metrics = peers.metrics.clone();
-            figures.also(Box::new(move || metrics.values()));
+            let exchanged = peers.metrics.clone();
+            metrics.register(Box::new(move || exchanged.values()));
         }
     }
 
