--- a/fleet/src/audit.rs
+++ b/fleet/src/audit.rs
@@ -115,7 +115,8 @@
 pub enum Kind {
     /// Settings.
     Settings,
-    /// Lists of the fleet.
+    /// Membership configurations of the fleet.
+    #[serde(rename = "list")]
     MembershipConfig,
     /// Builds of the program.
     Program,
--- a/node/src/commands.rs
+++ b/node/src/commands.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 
 use argh::FromArgs;
-use oakwind_fleet::audit::{audit, explain, AuditOptions, Decision, Journal, Record, Report};
+use oakwind_fleet::audit::{audit, explain, AuditOptions, Decision, Journal, Kind, Record, Report};
 use serde::Serialize;
 
 use crate::decision_log;
@@ -113,7 +113,7 @@
         report.versions.iter().map(|version| {
             let replaced = version.replaced.as_ref().map_or("-".into(), |(at, by)| format!("{at} by {by}"));
             [
-                format!("{:?}", version.kind).to_lowercase(),
+                kind_name(version.kind).to_lowercase(),
                 version.id.clone(),
                 version.first.0.to_string(),
                 version.first.1.clone(),
@@ -126,8 +126,12 @@
     for late in &report.stragglers {
         let now = if late.is_level { "level since" } else { "and has not come round" };
         text += &format!(
-            "\n{} went on with {:?} {} for {} ms after it was replaced: {} decisions, {now}",
-            late.node, late.kind, late.id, late.for_ms, late.decisions
+            "\n{} went on with {} {} for {} ms after it was replaced: {} decisions, {now}",
+            late.node,
+            kind_name(late.kind),
+            late.id,
+            late.for_ms,
+            late.decisions
         );
     }
     for twice in &report.twice {
@@ -141,6 +145,15 @@
     text + if report.is_clean() { "\nnothing is wrong\n" } else { "\nsomething is wrong\n" }
 }
 
+/// What the commands call a kind of version, whatever its name in the code.
+fn kind_name(kind: Kind) -> &'static str {
+    match kind {
+        Kind::Settings => "Settings",
+        Kind::MembershipConfig => "List",
+        Kind::Program => "Program",
+    }
+}
+
 /// Rows under their headings, each column as wide as it has to be.
 fn table<const N: usize>(heads: &[&str; N], rows: impl Iterator<Item = [String; N]>) -> String {
     let rows: Vec<[String; N]> = rows.collect();
