--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -409,9 +409,9 @@
     /// A folder that lasts, of this node alone.
     pub folder: PathBuf,
     /// Bytes that it may take.
-    pub file: u64,
+    pub max_bytes: u64,
     /// Records that may share one wait for the disk.
-    pub batch: usize,
+    pub max_batch: usize,
 }
 
 #[derive(Deserialize)]
@@ -445,7 +445,7 @@
         if !(1..=4096).contains(&batch) {
             return bad("batch: 1 to 4096 are possible");
         }
-        Ok(ResultStoreConfig { folder, file: file_mb * 1024 * 1024, batch })
+        Ok(ResultStoreConfig { folder, max_bytes: file_mb * 1024 * 1024, max_batch: batch })
     }
 
     /// Reads the file.
@@ -622,8 +622,8 @@
             probe: Duration::from_millis(raw.probe_ms),
             folder: raw.folder.map(|folder| ResultStoreConfig {
                 folder,
-                file: raw.file_mb * 1024 * 1024,
-                batch: usual_batch(),
+                max_bytes: raw.file_mb * 1024 * 1024,
+                max_batch: usual_batch(),
             }),
             name: raw.name,
             list: Arc::new(list),
--- a/node/src/config/tests.rs
+++ b/node/src/config/tests.rs
@@ -61,7 +61,7 @@
 #[test]
 fn a_remembered_file_says_what_is_wrong_with_it() {
     let good = "folder = '/var/lib/oakwind'\nfile_mb = 8\n";
-    assert_eq!(ResultStoreConfig::parse(good).unwrap().batch, 1024);
+    assert_eq!(ResultStoreConfig::parse(good).unwrap().max_batch, 1024);
     for (from, to, key) in [
         ("folder = '/var/lib/oakwind'", "", "folder"),
         ("'/var", "'var", "folder"),
--- a/node/src/peers/mod.rs
+++ b/node/src/peers/mod.rs
@@ -320,7 +320,7 @@
                 },
                 Some(heard) = inbox.recv() => talk.heard(heard),
                 told = written(&mut folder) => match told {
-                    StoreEvent::Written(number, kept) => Some(Event::Stored(u64::from(number.0), kept)),
+                    StoreEvent::Written { request, durable } => Some(Event::Stored(u64::from(request.0), durable)),
                     StoreEvent::Opened(_) => None,
                 },
                 accepted = accept(&listener) => {
@@ -519,15 +519,7 @@
             None => (RecordState::NeverStarted, Bytes::new(), Duration::ZERO),
         };
         let until = clock::now() + keep;
-        let record = Record {
-            number: 0,
-            written_at: Duration::ZERO,
-            expires_at: until,
-            body_digest: 0,
-            state,
-            key: change.key,
-            result,
-        };
+        let record = Record::new(change.key, 0, until, state, result);
         // The number comes back as it went: so many are never under way.
         let wrapped = RequestId((number & u64::from(u32::MAX)) as u32);
         if !recorder.is_some_and(|recorder| recorder.write(wrapped, record)) {
--- a/node/src/peers/vote_store.rs
+++ b/node/src/peers/vote_store.rs
@@ -36,7 +36,7 @@
     let Some(remembered) = config.folder.clone() else { return Ok(None) };
     let mut marker = Marker::new(&remembered.folder, true);
     let mut folder = ResultStore::closed(remembered, config.list.window() + LATE_READ_GRACE);
-    let recovered = folder.open().map_err(|e| format!("fleet file: {e}"))?;
+    let recovered = folder.open().map_err(|e| format!("fleet file, {e}"))?;
     let whole = recovered.damage == Default::default() && recovered.clock_setback.is_zero();
     let now = clock::now();
     let records = recovered.keys.iter().map(|record| {
--- a/node/src/result_store/record/tests.rs
+++ b/node/src/result_store/record/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::result_store::segment::{scan, ScanItem};
 
 const SEED: u64 = 0x0102_0304_0506_0708;
 
@@ -23,29 +24,18 @@
     }
 }
 
-/// The bytes that folders of operators hold: they do not change.
+/// The bytes in the folders of operators, which must not change.
 #[test]
-fn each_kind_of_record_is_written_to_its_golden_bytes_and_read_from_them() {
+fn each_record_state_encodes_to_its_golden_bytes_and_decodes_from_them() {
     for (record, golden) in [
         (record(RecordState::Started, b""), "4f414b528d9f1fae0000000000000a0bc5bf435d0888477af0f1f2f3f4f5f6f7000001a23a5a6f0a000001a2353a2d260001000300000000ffacae956b6579"),
         (record(RecordState::Succeeded, b"\0job\xff"), "4f414b52b04d05b70000000000000a0bc5bf435d0888477af0f1f2f3f4f5f6f7000001a23a5a6f0a000001a2353a2d2600020003000000050b16a2b16b6579006a6f62ff"),
         (record(RecordState::Failed, b""), "4f414b52341d41870000000000000a0bc5bf435d0888477af0f1f2f3f4f5f6f7000001a23a5a6f0a000001a2353a2d260003000300000000ffacae956b6579"),
         (record(RecordState::NeverStarted, b""), "4f414b522a2392570000000000000a0bc5bf435d0888477af0f1f2f3f4f5f6f7000001a23a5a6f0a000001a2353a2d260004000300000000ffacae956b6579"),
     ] {
-        let mut written = BytesMut::new();
-        record.put(SEED, &mut written);
-        assert_eq!(hex(&written), golden, "{:?}", record.state);
-        assert_eq!(find(SEED, &bytes(golden)), [Found::Whole(record)]);
+        let mut encoded = BytesMut::new();
+        record.encode(SEED, &mut encoded);
+        assert_eq!(hex(&encoded), golden, "{:?}", record.state);
+        assert_eq!(scan(SEED, &bytes(golden)), [ScanItem::Intact(record)]);
     }
 }
-
-#[test]
-fn the_head_of_a_segment_is_written_to_its_golden_bytes_and_read_from_them() {
-    let golden = "4f414b57494e440101020304050607080000000000000a0b000001a2353a2d264d3aba2a26104250";
-    let head =
-        SegmentHead { seed: SEED, first: 0x0a0b, written_at: Duration::from_millis(1_796_189_334_822) };
-    let mut written = BytesMut::new();
-    put_segment_head(head, &mut written);
-    assert_eq!(hex(&written), golden);
-    assert_eq!(segment_head(&bytes(golden)), Some(head));
-}
--- a/node/src/result_store/recovery.rs
+++ b/node/src/result_store/recovery.rs
@@ -1,178 +1,272 @@
-//! What a start learns from the folder's bytes, whole or damaged: which keys are known, and of which it is in doubt
+//! What a start learns from the bytes of the segments, intact or damaged: which keys are known, and of which it is uncertain
 //! whether they ran. No I/O.
 //!
-//! Records are numbered without gaps, so a missing number tells that a record is lost. What is in doubt counts as run.
+//! Records are numbered without gaps, so a missing number shows that a record was lost. A key whose record may have been
+//! lost counts as one that ran.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use bytes::Bytes;
 
-use super::record::{self, Found, Record, RecordState, SEGMENT_HEAD};
+use super::record::{Record, RecordHeader, RecordState};
+use super::segment::{scan, ScanItem, SegmentHeader, SEGMENT_HEADER_BYTES};
 use super::segment_index::{Limits, SegmentIndex};
 use crate::clock::Unix;
 use crate::outcome::{digest, IdempotencyRecord, RunState};
 
 /// A segment as it was read.
-pub struct Segment {
-    /// Its number, from its name.
-    pub number: u64,
+pub(crate) struct Segment {
+    /// Its number, from its file name.
+    pub(crate) number: u64,
     /// All its bytes.
-    pub bytes: Bytes,
+    pub(crate) bytes: Bytes,
 }
 
-/// Keys of which it is not known whether they ran.
+/// Keys of which it is uncertain whether they ran.
 #[derive(Debug, Default, PartialEq)]
-pub struct UncertainKeys {
-    /// By the digest of the key, until when.
-    keys: HashMap<u64, Unix>,
-    /// All keys that are not known, until then.
-    all: Unix,
+pub(crate) struct UncertainKeys {
+    /// Until when each is uncertain, by the digest of the key.
+    by_digest: HashMap<u64, Unix>,
+    /// Until then every key that is not known is uncertain.
+    all_until: Unix,
     seed: u64,
 }
 
 impl UncertainKeys {
-    /// Whether a key that is not known may have run. A key in doubt is in doubt for all of its time.
-    pub fn contains(&self, key: &[u8], now: Unix) -> bool {
-        now < self.all
-            || (!self.keys.is_empty() && self.keys.get(&digest(self.seed, key)).is_some_and(|at| now < *at))
+    /// Whether a key that is not known may have run.
+    pub(crate) fn contains(&self, key: &[u8], now: Unix) -> bool {
+        if now < self.all_until {
+            return true;
+        }
+        // Spares the digest where nothing was damaged, which is nearly always.
+        if self.by_digest.is_empty() {
+            return false;
+        }
+        self.by_digest.get(&digest(self.seed, key)).is_some_and(|until| now < *until)
     }
 
-    /// When nothing is in doubt any more.
-    pub fn resolved_at(&self) -> Unix {
-        self.keys.values().copied().fold(self.all, Unix::max)
+    /// When no key is uncertain any more.
+    pub(crate) fn resolved_at(&self) -> Unix {
+        self.by_digest.values().copied().fold(self.all_until, Unix::max)
+    }
+
+    fn add(&mut self, key_digest: u64, until: Unix) {
+        let entry = self.by_digest.entry(key_digest).or_default();
+        *entry = (*entry).max(until);
     }
 }
 
 /// What was not as it was written.
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
-pub struct Damage {
-    /// Records whose key can't be read.
-    pub hurt: u64,
-    /// Records that are missing, as far as their numbers tell.
-    pub missing: u64,
-    /// Bytes that are no record's.
-    pub noise: u64,
-}
-
-fn copied(slice: &Bytes) -> Bytes {
-    Bytes::copy_from_slice(slice)
+pub(crate) struct Damage {
+    /// Records whose key or result cannot be read.
+    pub(crate) unreadable: u64,
+    /// Records that are missing, as far as the numbers show.
+    pub(crate) missing: u64,
+    /// Bytes that belong to no record.
+    pub(crate) unrecognized_bytes: u64,
 }
 
 /// What a start learns.
 #[derive(Debug, Default)]
-pub struct RecoveredState {
-    /// How bodies are digested.
-    pub seed: u64,
-    /// The keys that are known.
-    pub keys: Vec<IdempotencyRecord>,
-    /// Those that may have run all the same.
-    pub uncertain_keys: UncertainKeys,
+pub(crate) struct RecoveredState {
+    /// The seed of the digests of keys and bodies.
+    pub(crate) seed: u64,
+    /// The keys that are known, with what became of their runs.
+    pub(crate) keys: Vec<IdempotencyRecord>,
+    /// The keys that may have run all the same.
+    pub(crate) uncertain_keys: UncertainKeys,
     /// What was skipped.
-    pub damage: Damage,
-    /// How far the clock has gone back since the last record.
-    pub clock_setback: Duration,
+    pub(crate) damage: Damage,
+    /// How far the clock was set back since the last record.
+    pub(crate) clock_setback: Duration,
     /// The number of the next record.
-    pub next: u64,
+    pub(crate) next_record: u64,
 }
 
-/// Learns what the segments tell, in their order, at `now`. No key is remembered for longer than `longest`.
-pub fn recover(
+/// Learns what the segments hold, in the order of their numbers, at `now`. No key is uncertain for longer than
+/// `max_window`, unless a record was kept for longer.
+pub(crate) fn recover(
     seed: u64,
     segments: impl Iterator<Item = Segment>,
     limits: Limits,
-    longest: Duration,
+    max_window: Duration,
     now: Unix,
 ) -> (SegmentIndex, RecoveredState) {
-    let mut learnt = RecoveredState {
-        seed,
-        uncertain_keys: UncertainKeys { seed, ..UncertainKeys::default() },
-        ..RecoveredState::default()
-    };
-    let mut ledger = SegmentIndex::new(limits);
-    let mut known: HashMap<Bytes, Record> = HashMap::new();
-    let (mut expected, mut torn, mut blind) = (None, false, false);
-    let (mut newest, mut longest) = (Duration::ZERO, longest);
-    // When what is missing was written at the latest, or none if that is only known to be before now.
-    let mut gaps: Vec<Option<Unix>> = Vec::new();
-    let mut hurt: Vec<(u64, Unix)> = Vec::new();
-    for Segment { number, bytes } in segments {
-        let head = record::segment_head(&bytes);
-        learnt.damage.noise += if head.is_none() { bytes.len().min(SEGMENT_HEAD) as u64 } else { 0 };
-        ledger.opened(number, bytes.len() as u64);
-        let found = record::find(seed, &bytes.slice(bytes.len().min(SEGMENT_HEAD)..));
-        // Where the oldest segment does not tell its first number, only a record at its very start shows that none is
-        // missing before it.
-        blind |=
-            expected.is_none() && head.is_none() && matches!(found.first(), None | Some(Found::Noise(_)));
-        // What comes next begins with this number; returns how many are missing before it.
-        let mut came = |number: u64, records: u64, at: Option<Unix>| {
-            let missing = expected.map_or(0, |expected| number.saturating_sub(expected));
-            if missing > 0 || std::mem::take(&mut blind) {
-                gaps.push(at);
+    let mut recovery = Recovery::new(seed, limits, max_window);
+    for segment in segments {
+        recovery.read_segment(&segment);
+    }
+    recovery.finish(now)
+}
+
+/// When a lost record was written at the latest.
+#[derive(Debug, Clone, Copy)]
+enum LostBefore {
+    /// The record behind it was written then.
+    NextRecord(Unix),
+    /// Nothing is behind it.
+    Restart,
+}
+
+/// A recovery under way.
+struct Recovery {
+    seed: u64,
+    index: SegmentIndex,
+    damage: Damage,
+    /// The last record of each key.
+    last_records: HashMap<Bytes, Record>,
+    /// Digests of the keys of records that cannot be read, and until when these were to be remembered.
+    unreadable: Vec<(u64, Unix)>,
+    /// Where records are missing.
+    gaps: Vec<LostBefore>,
+    /// The number of the next record if none is missing.
+    expected: Option<u64>,
+    /// Records may be missing before the first one that is found.
+    unknown_start: bool,
+    /// The end of the last segment may have held more.
+    torn_end: bool,
+    newest: Unix,
+    max_window: Duration,
+}
+
+impl Recovery {
+    fn new(seed: u64, limits: Limits, max_window: Duration) -> Self {
+        Recovery {
+            seed,
+            index: SegmentIndex::new(limits),
+            damage: Damage::default(),
+            last_records: HashMap::new(),
+            unreadable: Vec::new(),
+            gaps: Vec::new(),
+            expected: None,
+            unknown_start: false,
+            torn_end: false,
+            newest: Duration::ZERO,
+            max_window,
+        }
+    }
+
+    fn read_segment(&mut self, segment: &Segment) {
+        let bytes = &segment.bytes;
+        self.index.add_segment(segment.number, bytes.len() as u64);
+        let header_len = bytes.len().min(SEGMENT_HEADER_BYTES);
+        let items = scan(self.seed, &bytes.slice(header_len..));
+        match SegmentHeader::decode(bytes) {
+            Some(header) => {
+                self.observe_number(header.first_record, 0, LostBefore::NextRecord(header.created_at));
+                self.torn_end = false;
             }
-            // A number comes again where a write failed and was made good.
-            expected = Some(expected.unwrap_or(0).max(number.saturating_add(records)));
-            missing
-        };
-        let mut missing = head.map_or(0, |head| came(head.first, 0, Some(head.written_at)));
-        // Without a segment's head, what is before the first record is as unknown as what is behind the last.
-        torn = head.is_none() && bytes.len() < SEGMENT_HEAD;
-        for found in found {
-            torn = matches!(found, Found::Noise(_));
-            match found {
-                Found::Whole(record) => {
-                    missing += came(record.number, 1, Some(record.written_at));
-                    newest = newest.max(record.written_at);
-                    longest = longest.max(record.expires_at.saturating_sub(record.written_at));
-                    ledger.wrote(&record);
-                    // It outlives the segment that it was read from.
-                    let (key, result) = (copied(&record.key), copied(&record.result));
-                    known.insert(key.clone(), Record { key, result, ..record });
-                }
-                Found::Hurt(head) => {
-                    missing += came(head.number, 1, Some(head.written_at));
-                    newest = newest.max(head.written_at);
-                    longest = longest.max(head.expires_at.saturating_sub(head.written_at));
-                    learnt.damage.hurt += 1;
-                    hurt.push((head.key, head.expires_at));
-                }
-                Found::Noise(bytes) => learnt.damage.noise += bytes as u64,
+            None => {
+                self.damage.unrecognized_bytes += header_len as u64;
+                // Where the oldest segment does not tell its first number, only a record at its very start shows that none
+                // is missing before it.
+                let starts_with_record = !matches!(items.first(), None | Some(ScanItem::Unrecognized(_)));
+                self.unknown_start |= self.expected.is_none() && !starts_with_record;
+                // Without the header, what is before the first record is as unknown as what is behind the last.
+                self.torn_end = bytes.len() < SEGMENT_HEADER_BYTES;
             }
         }
-        learnt.damage.missing += missing;
+        for item in items {
+            self.read_item(item);
+        }
     }
-    // Guards the room against entries that would stay for as long as the clock went back: what is left of their time
-    // counts from now.
-    learnt.clock_setback = newest.saturating_sub(now);
-    let clock_setback = learnt.clock_setback;
-    let of_now = |time: Unix| time.saturating_sub(clock_setback);
-    let written_by = |gap: Option<Unix>| gap.map_or(now, of_now).min(now);
-    let gaps = gaps.into_iter().chain(torn.then_some(None));
-    learnt.uncertain_keys.all = gaps.map(|gap| written_by(gap) + longest).max().unwrap_or_default();
-    for (key, until) in hurt {
-        let doubted = learnt.uncertain_keys.keys.entry(key).or_default();
-        *doubted = (*doubted).max(of_now(until));
+
+    fn read_item(&mut self, item: ScanItem) {
+        self.torn_end = matches!(item, ScanItem::Unrecognized(_));
+        match item {
+            ScanItem::Intact(record) => self.read_record(&record),
+            ScanItem::DamagedPayload(header) => self.read_damaged(&header),
+            ScanItem::Unrecognized(len) => self.damage.unrecognized_bytes += len as u64,
+        }
+    }
+
+    fn read_record(&mut self, record: &Record) {
+        self.observe_number(record.number, 1, LostBefore::NextRecord(record.written_at));
+        self.observe_times(record.written_at, record.expires_at);
+        self.index.add_record(record);
+        // Key and result outlive the segment that they were read from.
+        let key = Bytes::copy_from_slice(&record.key);
+        let result = Bytes::copy_from_slice(&record.result);
+        self.last_records.insert(key.clone(), Record { key, result, ..*record });
+    }
+
+    fn read_damaged(&mut self, header: &RecordHeader) {
+        self.observe_number(header.number, 1, LostBefore::NextRecord(header.written_at));
+        self.observe_times(header.written_at, header.expires_at);
+        self.damage.unreadable += 1;
+        self.unreadable.push((header.key_digest, header.expires_at));
     }
-    ledger.recovered(clock_setback, learnt.uncertain_keys.resolved_at());
-    for (key, record) in known {
-        let fate = match record.state {
-            RecordState::Started => RunState::Pending,
-            RecordState::Succeeded => RunState::Succeeded(record.result),
-            RecordState::Failed => RunState::Failed,
-            RecordState::NeverStarted => continue,
+
+    /// So many records begin with this number: notices how many are missing before them.
+    fn observe_number(&mut self, number: u64, records: u64, lost_before: LostBefore) {
+        let missing = self.expected.map_or(0, |expected| number.saturating_sub(expected));
+        let unknown_start = std::mem::take(&mut self.unknown_start);
+        if missing > 0 || unknown_start {
+            self.gaps.push(lost_before);
+        }
+        // A number comes again where a write failed and was repeated.
+        self.expected = Some(self.expected.unwrap_or(0).max(number.saturating_add(records)));
+        self.damage.missing += missing;
+    }
+
+    fn observe_times(&mut self, written_at: Unix, expires_at: Unix) {
+        self.newest = self.newest.max(written_at);
+        self.max_window = self.max_window.max(expires_at.saturating_sub(written_at));
+    }
+
+    fn finish(mut self, now: Unix) -> (SegmentIndex, RecoveredState) {
+        // If the clock was set back, what remains of each key's time counts from now: otherwise entries would stay for as
+        // long as the clock went back, and fill the store.
+        let clock_setback = self.newest.saturating_sub(now);
+        let uncertain_keys = self.uncertain_keys(clock_setback, now);
+        self.index.finish_recovery(clock_setback, uncertain_keys.resolved_at());
+        // What may have been lost at the end leaves a gap, so that the next start knows of it too.
+        let next_record = self.expected.unwrap_or(0).saturating_add(u64::from(self.torn_end));
+        let known = self.last_records.into_values();
+        let recovered = RecoveredState {
+            seed: self.seed,
+            // What a damaged record said about a known key came later, or is no more than this one says.
+            keys: known.filter_map(|record| idempotency_record(record, clock_setback)).collect(),
+            uncertain_keys,
+            damage: self.damage,
+            clock_setback,
+            next_record,
         };
-        // What a damaged record said of the key came after this one, or is no more than this one says.
-        learnt.keys.push(IdempotencyRecord {
-            key,
-            body_digest: record.body_digest,
-            expires_at: of_now(record.expires_at),
-            state: fate,
-        });
+        (self.index, recovered)
     }
-    // What may have been lost at the end leaves a gap: the next start is to know of it too.
-    learnt.next = expected.unwrap_or(0).saturating_add(u64::from(torn));
-    (ledger, learnt)
+
+    fn uncertain_keys(&self, clock_setback: Duration, now: Unix) -> UncertainKeys {
+        let written_by = |gap: &LostBefore| match gap {
+            LostBefore::NextRecord(at) => at.saturating_sub(clock_setback).min(now),
+            LostBefore::Restart => now,
+        };
+        let torn_end = self.torn_end.then_some(&LostBefore::Restart);
+        let gaps = self.gaps.iter().chain(torn_end);
+        let all_until = gaps.map(|gap| written_by(gap) + self.max_window).max().unwrap_or_default();
+        let mut uncertain = UncertainKeys { by_digest: HashMap::new(), all_until, seed: self.seed };
+        for (key_digest, expires_at) in &self.unreadable {
+            uncertain.add(*key_digest, expires_at.saturating_sub(clock_setback));
+        }
+        uncertain
+    }
+}
+
+/// What a record says about its key; none if the key is free.
+fn idempotency_record(record: Record, clock_setback: Duration) -> Option<IdempotencyRecord> {
+    let state = match record.state {
+        RecordState::Started => RunState::Pending,
+        RecordState::Succeeded => RunState::Succeeded(record.result),
+        RecordState::Failed => RunState::Failed,
+        RecordState::NeverStarted => return None,
+    };
+    Some(IdempotencyRecord {
+        key: record.key,
+        body_digest: record.body_digest,
+        expires_at: record.expires_at.saturating_sub(clock_setback),
+        state,
+    })
 }
 
 #[cfg(test)]
--- a/node/src/result_store/recovery/tests.rs
+++ b/node/src/result_store/recovery/tests.rs
@@ -1,24 +1,33 @@
-use super::super::record::{put_segment_head, SegmentHead, HEAD};
 use super::*;
+use crate::result_store::record::HEADER_BYTES;
 use bytes::BytesMut;
+use std::ops::Range;
 
 const SEED: u64 = 7;
-const LIMITS: Limits = Limits { file: 1 << 22 };
-const LONGEST: Duration = Duration::from_secs(17);
+const LIMITS: Limits = Limits { max_bytes: 1 << 22 };
+const MAX_WINDOW: Duration = Duration::from_secs(17);
 
 fn at(seconds: u64) -> Unix {
     Duration::from_secs(seconds)
 }
 
-/// A record and where it is: the segment and the bytes in it.
-type Placed = (Record, usize, std::ops::Range<usize>);
+fn put_header(first_record: u64, created_at: Unix, output: &mut BytesMut) {
+    SegmentHeader { seed: SEED, first_record, created_at }.encode(output);
+}
+
+/// A record and where it is.
+struct Placed {
+    record: Record,
+    segment: usize,
+    range: Range<usize>,
+}
 
 /// Records that were acknowledged one after the other, a second apart, in two segments.
-fn journal() -> (Vec<BytesMut>, Vec<Placed>) {
+fn written_segments() -> (Vec<BytesMut>, Vec<Placed>) {
     let mut records = Vec::new();
     let mut segments = vec![BytesMut::new(), BytesMut::new()];
     let (a, b, c, d) = ("aaa", "bb", "c", "dddd");
-    let said = [
+    let states = [
         (a, RecordState::Started, ""),
         (b, RecordState::Started, ""),
         (a, RecordState::Succeeded, "result"),
@@ -27,18 +36,18 @@
         (d, RecordState::NeverStarted, ""),
         (c, RecordState::Failed, ""),
     ];
-    for (number, (key, state, result)) in (10..).zip(said) {
-        let which = usize::from(number >= 14);
-        let bytes = &mut segments[which];
+    for (number, (key, state, result)) in (10..).zip(states) {
+        let segment = usize::from(number >= 14);
+        let bytes = &mut segments[segment];
         if bytes.is_empty() {
-            put_segment_head(SegmentHead { seed: SEED, first: number, written_at: at(90 + number) }, bytes);
+            put_header(number, at(90 + number), bytes);
         }
-        let (body_digest, from) = (u64::from(key.as_bytes()[0]), bytes.len());
+        let (body_digest, start) = (u64::from(key.as_bytes()[0]), bytes.len());
         let (key, result) = (Bytes::from(key), Bytes::from(result));
         let (written_at, expires_at) = (at(90 + number), at(107 + number));
         let record = Record { number, written_at, expires_at, body_digest, state, key, result };
-        record.put(SEED, bytes);
-        records.push((record, which, from..bytes.len()));
+        record.encode(SEED, bytes);
+        records.push(Placed { record, segment, range: start..bytes.len() });
     }
     (segments, records)
 }
@@ -46,119 +55,126 @@
 fn recovered(segments: &[BytesMut], now: Unix) -> RecoveredState {
     let segments =
         (1..).zip(segments).map(|(number, bytes)| Segment { number, bytes: bytes.clone().freeze() });
-    recover(SEED, segments, LIMITS, LONGEST, now).1
+    recover(SEED, segments, LIMITS, MAX_WINDOW, now).1
 }
 
-fn fate<'a>(learnt: &'a RecoveredState, key: &[u8]) -> Option<&'a RunState> {
-    learnt.keys.iter().find(|record| record.key == key).map(|record| &record.state)
+fn state_of<'a>(recovered: &'a RecoveredState, key: &[u8]) -> Option<&'a RunState> {
+    recovered.keys.iter().find(|record| record.key == key).map(|record| &record.state)
 }
 
 #[test]
-fn a_whole_journal_tells_the_last_word_on_each_key() {
-    let learnt = recovered(&journal().0, at(108));
-    assert_eq!(fate(&learnt, b"aaa"), Some(&RunState::Succeeded("result".into())));
-    assert_eq!(fate(&learnt, b"bb"), Some(&RunState::Pending));
-    assert_eq!(fate(&learnt, b"c"), Some(&RunState::Failed));
-    assert_eq!(fate(&learnt, b"dddd"), None);
-    assert_eq!((learnt.damage, learnt.next), (Damage::default(), 17));
-    assert!(!learnt.uncertain_keys.contains(b"other", at(108)));
+fn intact_segments_give_the_last_state_of_each_key() {
+    let state = recovered(&written_segments().0, at(108));
+    assert_eq!(state_of(&state, b"aaa"), Some(&RunState::Succeeded("result".into())));
+    assert_eq!(state_of(&state, b"bb"), Some(&RunState::Pending));
+    assert_eq!(state_of(&state, b"c"), Some(&RunState::Failed));
+    assert_eq!(state_of(&state, b"dddd"), None);
+    assert_eq!((state.damage, state.next_record), (Damage::default(), 17));
+    assert!(!state.uncertain_keys.contains(b"other", at(108)));
+}
+
+/// Which bytes are damaged, and whether that shows.
+struct Damaged<'a> {
+    hits: &'a dyn Fn(usize, &Range<usize>) -> bool,
+    is_detectable: bool,
+    description: String,
 }
 
 /// What the damage leaves must be as it was acknowledged, and nothing that ran may look as if it had not.
-fn holds(
-    segments: &[BytesMut],
-    hit: impl Fn(usize, &std::ops::Range<usize>) -> bool,
-    told: bool,
-    what: &str,
-) {
-    let (learnt, records) = (recovered(segments, at(108)), journal().1);
+fn assert_recovers(segments: &[BytesMut], damaged: &Damaged) {
+    let Damaged { hits, is_detectable, description } = damaged;
+    let (recovered, records) = (recovered(segments, at(108)), written_segments().1);
     for key in [&b"aaa"[..], b"bb", b"c"] {
-        let of_key = records.iter().filter(|(record, ..)| record.key == key);
-        let hurt = of_key.clone().any(|(_, which, range)| hit(*which, range));
+        let of_key = records.iter().filter(|placed| placed.record.key == key);
+        let is_damaged = of_key.clone().any(|placed| hits(placed.segment, &placed.range));
         let last = of_key.last().unwrap();
-        let known = fate(&learnt, key);
-        if !hit(last.1, &last.2) {
-            let as_told = match last.0.state {
-                RecordState::Succeeded => RunState::Succeeded(last.0.result.clone()),
+        let known = state_of(&recovered, key);
+        if !hits(last.segment, &last.range) {
+            let acknowledged = match last.record.state {
+                RecordState::Succeeded => RunState::Succeeded(last.record.result.clone()),
                 RecordState::Started => RunState::Pending,
                 _ => RunState::Failed,
             };
-            assert_eq!(known, Some(&as_told), "{what}: {key:?}");
-        } else if told || !hurt {
-            assert!(
-                known.is_some() || learnt.uncertain_keys.contains(key, at(108)),
-                "{what}: {key:?} looks unrun"
-            );
+            assert_eq!(known, Some(&acknowledged), "{description}: {key:?}");
+        } else if *is_detectable || !is_damaged {
+            let may_have_run = known.is_some() || recovered.uncertain_keys.contains(key, at(108));
+            assert!(may_have_run, "{description}: {key:?} looks as if it had not run");
         }
     }
 }
 
 #[test]
-fn no_corrupt_byte_makes_what_ran_look_unrun_nor_touches_what_lies_outside_it() {
+fn a_corrupt_byte_neither_hides_a_run_nor_changes_records_outside_it() {
     for which in 0..2 {
-        for offset in 0..journal().0[which].len() {
+        for offset in 0..written_segments().0[which].len() {
             for flip in [0xff, 1, 0x80] {
-                let mut segments = journal().0;
+                let mut segments = written_segments().0;
                 segments[which][offset] ^= flip;
-                let hit =
-                    |segment, range: &std::ops::Range<usize>| segment == which && range.contains(&offset);
-                holds(&segments, hit, true, &format!("segment {which}, byte {offset} ^ {flip}"));
+                let damaged = Damaged {
+                    hits: &|segment, range| segment == which && range.contains(&offset),
+                    is_detectable: true,
+                    description: format!("segment {which}, byte {offset} ^ {flip}"),
+                };
+                assert_recovers(&segments, &damaged);
             }
         }
     }
 }
 
 #[test]
-fn no_cut_makes_what_ran_look_unrun_nor_touches_what_lies_before_it() {
+fn a_truncation_neither_hides_a_run_nor_changes_records_before_it() {
     for which in 0..2 {
-        for length in 0..journal().0[which].len() {
-            let (mut segments, records) = journal();
+        for length in 0..written_segments().0[which].len() {
+            let (mut segments, records) = written_segments();
             segments[which].truncate(length);
             // Between two records of the last segment a cut leaves no trace.
-            let ends = records.iter().any(|(_, segment, range)| *segment == 1 && range.end == length);
-            let told = which == 0 || !(ends || length == SEGMENT_HEAD);
-            let hit = |segment, range: &std::ops::Range<usize>| segment == which && range.end > length;
-            holds(&segments, hit, told, &format!("segment {which} cut to {length}"));
+            let ends = records.iter().any(|placed| placed.segment == 1 && placed.range.end == length);
+            let damaged = Damaged {
+                hits: &|segment, range| segment == which && range.end > length,
+                is_detectable: which == 0 || !(ends || length == SEGMENT_HEADER_BYTES),
+                description: format!("segment {which} cut to {length}"),
+            };
+            assert_recovers(&segments, &damaged);
         }
     }
 }
 
 #[test]
-fn doubts_end_with_the_time_of_what_is_missing_and_outlast_one_more_start() {
-    let (mut segments, _) = journal();
-    let middle = SEGMENT_HEAD + 2 * HEAD;
-    segments[0][SEGMENT_HEAD + 8..middle].fill(0);
-    let learnt = recovered(&segments, at(108));
-    assert!(learnt.damage.missing > 0 && learnt.uncertain_keys.contains(b"lost", at(108)));
-    assert!(!learnt.uncertain_keys.contains(b"lost", learnt.uncertain_keys.resolved_at()));
+fn uncertainty_ends_with_the_time_of_the_missing_records_and_outlasts_one_more_start() {
+    let (mut segments, _) = written_segments();
+    let middle = SEGMENT_HEADER_BYTES + 2 * HEADER_BYTES;
+    segments[0][SEGMENT_HEADER_BYTES + 8..middle].fill(0);
+    let state = recovered(&segments, at(108));
+    assert!(state.damage.missing > 0 && state.uncertain_keys.contains(b"lost", at(108)));
+    assert!(!state.uncertain_keys.contains(b"lost", state.uncertain_keys.resolved_at()));
     assert!(
-        learnt.uncertain_keys.resolved_at() <= at(102) + LONGEST,
+        state.uncertain_keys.resolved_at() <= at(102) + MAX_WINDOW,
         "the record after it tells when it was written"
     );
-    // A torn end: what a next life writes leaves a gap, so that the one after it is in doubt as well.
-    let (mut segments, _) = journal();
-    let length = segments[1].len() - HEAD - 10;
+    // A torn end: what the next process writes leaves a gap, so that the process after it is uncertain as well.
+    let (mut segments, _) = written_segments();
+    let length = segments[1].len() - HEADER_BYTES - 10;
     segments[1].truncate(length);
-    let learnt = recovered(&segments, at(108));
-    assert!(learnt.uncertain_keys.contains(b"lost", at(108 + 16)));
+    let state = recovered(&segments, at(108));
+    assert!(state.uncertain_keys.contains(b"lost", at(108 + 16)));
     let mut next = BytesMut::new();
-    put_segment_head(SegmentHead { seed: SEED, first: learnt.next, written_at: at(108) }, &mut next);
+    put_header(state.next_record, at(108), &mut next);
     segments.push(next);
     assert!(recovered(&segments, at(109)).uncertain_keys.contains(b"lost", at(108 + 16)));
     assert!(!recovered(&segments, at(109)).uncertain_keys.contains(b"lost", at(108 + 18)));
 }
 
 #[test]
-fn where_the_clock_went_back_what_is_left_of_a_keys_time_counts_from_now() {
-    let learnt = recovered(&journal().0, at(50));
-    assert_eq!(learnt.clock_setback, at(106 - 50));
+fn after_a_clock_setback_the_rest_of_a_keys_time_counts_from_now() {
+    let state = recovered(&written_segments().0, at(50));
+    assert_eq!(state.clock_setback, at(106 - 50));
     // Its end was recorded at 102 s and is kept until 119 s, thirteen seconds after the last record.
-    let until = learnt.keys.iter().find(|record| record.key == b"aaa"[..]).unwrap().expires_at;
+    let until = state.keys.iter().find(|record| record.key == b"aaa"[..]).unwrap().expires_at;
     assert_eq!(until, at(50 + 13));
 }
 
 #[test]
-fn nothing_in_a_key_or_a_result_passes_for_a_record() {
+fn a_record_forged_inside_a_result_is_not_recovered() {
     let mut inner = BytesMut::new();
     let fake = Record {
         number: 5,
@@ -169,11 +185,11 @@
         key: "forged".into(),
         result: Bytes::new(),
     };
-    fake.put(SEED + 1, &mut inner);
+    fake.encode(SEED + 1, &mut inner);
     let mut bytes = BytesMut::new();
-    put_segment_head(SegmentHead { seed: SEED, first: 5, written_at: at(100) }, &mut bytes);
+    put_header(5, at(100), &mut bytes);
     Record { key: "k".into(), state: RecordState::Succeeded, result: inner.freeze(), ..fake }
-        .put(SEED, &mut bytes);
-    bytes[SEGMENT_HEAD] ^= 1;
-    assert_eq!(fate(&recovered(&[bytes], at(101)), b"forged"), None);
+        .encode(SEED, &mut bytes);
+    bytes[SEGMENT_HEADER_BYTES] ^= 1;
+    assert_eq!(state_of(&recovered(&[bytes], at(101)), b"forged"), None);
 }
--- /dev/null
+++ b/node/src/result_store/segment.rs
@@ -0,0 +1,116 @@
+//! The byte format of a segment file: a header, then records. Finds the intact records among damaged bytes.
+
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+use bytes::{Buf, BufMut, Bytes, BytesMut};
+
+use super::record::{Record, RecordHeader, RECORD_MAGIC};
+use crate::clock::{millis, Unix};
+use crate::outcome::digest;
+
+/// Bytes of a segment before its first record.
+pub(crate) const SEGMENT_HEADER_BYTES: usize = 40;
+const SEGMENT_MAGIC: u64 = 0x4f41_4b57_494e_4401;
+/// Bytes at the end of a segment header that hold its checksum.
+const CHECKSUM_BYTES: usize = 8;
+/// The checksum of a segment header has no seed, as the header is where the seed is read from.
+const CHECKSUM_SEED: u64 = 0;
+const FILE_PREFIX: &str = "keys-";
+const FILE_SUFFIX: &str = ".log";
+
+/// The header of a segment.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub(crate) struct SegmentHeader {
+    /// The seed of the store, repeated in every segment so that damage in one place does not lose it.
+    pub(crate) seed: u64,
+    /// The number of the first record in the segment.
+    pub(crate) first_record: u64,
+    /// When the segment was created.
+    pub(crate) created_at: Unix,
+}
+
+impl SegmentHeader {
+    /// Appends its encoding.
+    pub(crate) fn encode(self, output: &mut BytesMut) {
+        let start = output.len();
+        output.put_u64(SEGMENT_MAGIC);
+        output.put_u64(self.seed);
+        output.put_u64(self.first_record);
+        output.put_u64(millis(self.created_at));
+        let checksum = digest(CHECKSUM_SEED, &output[start..]);
+        output.put_u64(checksum);
+    }
+
+    /// Decodes the header at the start of these bytes, if it is intact.
+    pub(crate) fn decode(bytes: &[u8]) -> Option<SegmentHeader> {
+        let mut header = bytes.get(..SEGMENT_HEADER_BYTES)?;
+        let checksum = digest(CHECKSUM_SEED, &header[..SEGMENT_HEADER_BYTES - CHECKSUM_BYTES]);
+        let magic = header.get_u64();
+        let seed = header.get_u64();
+        let first_record = header.get_u64();
+        let created_at = Duration::from_millis(header.get_u64());
+        let intact = magic == SEGMENT_MAGIC && header.get_u64() == checksum;
+        intact.then_some(SegmentHeader { seed, first_record, created_at })
+    }
+}
+
+/// What the scan of a segment finds, in the order of its bytes.
+#[derive(Debug, PartialEq)]
+pub(crate) enum ScanItem {
+    /// A record as it was written.
+    Intact(Record),
+    /// A record whose key or result is damaged.
+    DamagedPayload(RecordHeader),
+    /// So many bytes that belong to no record.
+    Unrecognized(usize),
+}
+
+/// Scans the bytes behind a segment's header.
+pub(crate) fn scan(seed: u64, bytes: &Bytes) -> Vec<ScanItem> {
+    let mut items = Vec::new();
+    let mut position = 0;
+    while position < bytes.len() {
+        let rest = bytes.slice(position..);
+        let (item, len) = match RecordHeader::decode(seed, &rest) {
+            None => {
+                let len = next_header(seed, &rest, 1);
+                (ScanItem::Unrecognized(len), len)
+            }
+            Some(header) => match header.decode_payload(seed, &rest) {
+                Some(record) => (ScanItem::Intact(record), header.record_len()),
+                // The length in the header may be that of a payload that was cut off: the next record can follow anywhere.
+                None => {
+                    let len = next_header(seed, &rest, super::record::HEADER_BYTES);
+                    (ScanItem::DamagedPayload(header), len)
+                }
+            },
+        };
+        items.push(item);
+        position += len;
+    }
+    items
+}
+
+/// The offset of the first intact record header at or behind `from`, or the end of the bytes.
+fn next_header(seed: u64, bytes: &[u8], from: usize) -> usize {
+    let magic = RECORD_MAGIC.to_be_bytes();
+    (from..bytes.len())
+        .filter(|offset| bytes[*offset..].starts_with(&magic))
+        .find(|offset| RecordHeader::decode(seed, &bytes[*offset..]).is_some())
+        .unwrap_or(bytes.len())
+}
+
+/// The path of a segment file.
+pub(crate) fn segment_path(folder: &Path, number: u64) -> PathBuf {
+    folder.join(format!("{FILE_PREFIX}{number:016x}{FILE_SUFFIX}"))
+}
+
+/// The number of the segment that a file name stands for, if it is one.
+pub(crate) fn segment_number(file_name: &str) -> Option<u64> {
+    let digits = file_name.strip_prefix(FILE_PREFIX)?.strip_suffix(FILE_SUFFIX)?;
+    u64::from_str_radix(digits, 16).ok()
+}
+
+#[cfg(test)]
+mod tests;
--- a/node/src/result_store/segment_index.rs
+++ b/node/src/result_store/segment_index.rs
@@ -1,222 +1,249 @@
-//! What the folder holds, and what is to be done with it: whether one more key has room, when a segment is full, and
-//! which one goes next. Decisions alone, no I/O.
+//! Accounts for what the segments hold and decides what is to be done with them: whether one more key has capacity, when a
+//! segment is full and which one goes next. No I/O.
 //!
-//! Segments go in the order in which they came, so a record never outlives a later one of its key.
+//! Segments go in the order in which they were created, so a record never outlives a later one of its key.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
 use bytes::Bytes;
 
-use super::record::{Record, RecordState, HEAD};
+use super::record::{Record, RecordState, HEADER_BYTES};
 use crate::clock::Unix;
 use crate::outcome::{LATE_READ_GRACE, MAX_RESULT_BYTES};
 
-/// The hard bounds of a folder.
+/// A segment is full at this part of the whole store.
+const SEGMENTS_PER_STORE: u64 = 16;
+/// Keys take up to this part of the store; the rest is left to compaction.
+const LIVE_SHARE: u64 = 2;
+/// How often expired keys are looked for.
+const EXPIRY_SCAN_INTERVAL: Duration = Duration::from_secs(1);
+
+/// The hard limits of a store.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Limits {
-    /// Bytes of all segments.
-    pub file: u64,
+pub(crate) struct Limits {
+    /// Bytes of all segments together.
+    pub(crate) max_bytes: u64,
 }
 
 impl Limits {
-    /// A segment takes no more records once it has this length.
-    fn segment(self) -> u64 {
-        self.file / 16
+    /// A segment that has this length takes no more records.
+    fn segment_bytes(self) -> u64 {
+        self.max_bytes / SEGMENTS_PER_STORE
     }
 
-    /// Beyond this the oldest segment is written anew, without what is of no more use.
-    fn crowded(self) -> u64 {
-        self.file / 4 * 3
+    /// Above this length the oldest segment is compacted: three quarters of the limit.
+    fn compaction_threshold(self) -> u64 {
+        self.max_bytes / 4 * 3
     }
 }
 
 /// What is to be done before the next record is written.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Step {
+pub(crate) enum MaintenanceStep {
     /// Begin a new segment.
     Rotate,
-    /// Remove this segment: nothing in it is of use.
-    Retire(u64),
-    /// Write again what is of use in this segment, which can go then.
+    /// Remove the segment of this number: none of its records is current.
+    Remove(u64),
+    /// Write the current records of the segment of this number again, then remove it.
     Compact(u64),
 }
 
+/// A segment as the index knows it.
 #[derive(Debug)]
-struct Segment {
+struct SegmentEntry {
     number: u64,
     bytes: u64,
-    /// Records in it that are the last word on their key.
-    live: u64,
+    /// Records in it that are the last of their key.
+    current_records: u64,
 }
 
-/// Where the last word on a key is.
+/// Where the last record of a key is.
 #[derive(Debug)]
-struct Place {
+struct RecordLocation {
     segment: u64,
-    number: u64,
+    record: u64,
     bytes: u64,
     expires_at: Unix,
-    open: bool,
+    /// Whether capacity is reserved for the end of the key's run.
+    reserves_completion: bool,
 }
 
-/// The books of a folder.
+/// The index of all segments and of the last record of each key.
 #[derive(Debug)]
-pub struct SegmentIndex {
+pub(crate) struct SegmentIndex {
     limits: Limits,
-    segments: VecDeque<Segment>,
-    places: HashMap<Bytes, Place>,
-    /// Bytes of the last words, and those set aside for the ends of what has begun.
-    live: u64,
-    reserved: u64,
-    swept: Unix,
-    /// No segment goes before then: what is damaged in them may still be of use.
-    held: Unix,
-}
-
-/// What a record takes, with what it sets aside.
-pub fn needed(record: &Record) -> u64 {
-    record.bytes() as u64 + if record.state == RecordState::Started { end_of(&record.key) } else { 0 }
-}
-
-/// The most that the end of a run takes.
-fn end_of(key: &Bytes) -> u64 {
-    (HEAD + key.len() + MAX_RESULT_BYTES) as u64
+    segments: VecDeque<SegmentEntry>,
+    locations: HashMap<Bytes, RecordLocation>,
+    /// Bytes of the last records of all keys.
+    current_bytes: u64,
+    /// Bytes reserved for the ends of runs that have started.
+    reserved_bytes: u64,
+    last_expiry_scan: Unix,
+    /// No segment is removed before then: its damaged records may be needed by one more start.
+    retained_until: Unix,
 }
 
 impl SegmentIndex {
-    /// The books of an empty folder.
-    pub fn new(limits: Limits) -> Self {
+    /// The index of an empty store.
+    pub(crate) fn new(limits: Limits) -> Self {
         SegmentIndex {
             limits,
             segments: VecDeque::new(),
-            places: HashMap::new(),
-            live: 0,
-            reserved: 0,
-            swept: Duration::ZERO,
-            held: Duration::ZERO,
+            locations: HashMap::new(),
+            current_bytes: 0,
+            reserved_bytes: 0,
+            last_expiry_scan: Duration::ZERO,
+            retained_until: Duration::ZERO,
         }
     }
 
-    /// A segment of so many bytes follows the ones before.
-    pub fn opened(&mut self, number: u64, bytes: u64) {
-        self.segments.push_back(Segment { number, bytes, live: 0 });
+    /// A segment of so many bytes follows those before.
+    pub(crate) fn add_segment(&mut self, number: u64, bytes: u64) {
+        self.segments.push_back(SegmentEntry { number, bytes, current_records: 0 });
     }
 
-    /// This record is in the last segment.
-    pub fn wrote(&mut self, record: &Record) {
+    /// The last segment grew by so many bytes.
+    pub(crate) fn grow_last_segment(&mut self, bytes: u64) {
+        if let Some(segment) = self.segments.back_mut() {
+            segment.bytes += bytes;
+        }
+    }
+
+    /// This record is in the last segment and is the last of its key.
+    pub(crate) fn add_record(&mut self, record: &Record) {
         let Some(segment) = self.segments.back_mut() else { return };
-        let number = segment.number;
-        segment.live += 1;
-        let open = record.state == RecordState::Started;
-        let place = Place {
-            segment: number,
-            number: record.number,
-            bytes: record.bytes() as u64,
+        segment.current_records += 1;
+        let location = RecordLocation {
+            segment: segment.number,
+            record: record.number,
+            bytes: record.encoded_len() as u64,
             expires_at: record.expires_at,
-            open,
+            reserves_completion: record.state == RecordState::Started,
         };
-        self.live += place.bytes;
-        self.reserved += if open { end_of(&record.key) } else { 0 };
-        // The key outlives the buffer that it came in.
+        self.current_bytes += location.bytes;
+        self.reserved_bytes += reserved_for(&record.key, location.reserves_completion);
+        // The key outlives the buffer that it was read into.
         let key = Bytes::copy_from_slice(&record.key);
-        if let Some(before) = self.places.insert(key.clone(), place) {
-            self.leave(&key, &before);
+        if let Some(previous) = self.locations.insert(key.clone(), location) {
+            self.release(&key, &previous);
         }
         if record.state == RecordState::NeverStarted {
-            self.drop_key(&key);
-        }
-    }
-
-    /// The last segment grew.
-    pub fn appended(&mut self, bytes: u64) {
-        if let Some(segment) = self.segments.back_mut() {
-            segment.bytes += bytes;
+            self.remove_key(&key);
         }
     }
 
-    fn leave(&mut self, key: &Bytes, place: &Place) {
-        self.live -= place.bytes;
-        self.reserved -= if place.open { end_of(key) } else { 0 };
-        if let Some(segment) = self.segments.iter_mut().find(|segment| segment.number == place.segment) {
-            segment.live -= 1;
+    /// Gives back what a record that is no longer the last of its key took.
+    fn release(&mut self, key: &Bytes, location: &RecordLocation) {
+        self.current_bytes -= location.bytes;
+        self.reserved_bytes -= reserved_for(key, location.reserves_completion);
+        let segment = self.segments.iter_mut().find(|segment| segment.number == location.segment);
+        if let Some(segment) = segment {
+            segment.current_records -= 1;
         }
     }
 
-    fn drop_key(&mut self, key: &Bytes) {
-        if let Some(place) = self.places.remove(key) {
-            self.leave(key, &place);
+    fn remove_key(&mut self, key: &Bytes) {
+        if let Some(location) = self.locations.remove(key) {
+            self.release(key, &location);
         }
     }
 
-    /// After a start: the clock has gone back by so much, and until `held` segments are kept for what is damaged. Of
-    /// what had begun no end will come, so none has room set aside.
-    pub fn recovered(&mut self, clock_setback: Duration, held: Unix) {
-        self.held = held;
-        self.reserved = 0;
-        for place in self.places.values_mut() {
-            place.expires_at = place.expires_at.saturating_sub(clock_setback);
-            place.open = false;
+    /// Finishes recovery: the clock was set back by `clock_setback`, and segments are kept until `retained_until` for the
+    /// sake of their damaged records. Runs that had started will report no end, so nothing is reserved for one.
+    pub(crate) fn finish_recovery(&mut self, clock_setback: Duration, retained_until: Unix) {
+        self.retained_until = retained_until;
+        self.reserved_bytes = 0;
+        for location in self.locations.values_mut() {
+            location.expires_at = location.expires_at.saturating_sub(clock_setback);
+            location.reserves_completion = false;
         }
     }
 
-    /// Whether this may be written. The beginning of a run needs room for its end too: guards the ends, which always
-    /// have their room, and the bound.
-    /// So many bytes are as good as written.
-    pub fn has_room(&self, record: &Record, pending: u64) -> bool {
+    /// Whether this record may be written after `pending` bytes that were accepted but are not written yet. The end of a
+    /// run is always accepted, as its capacity was reserved when the run started.
+    pub(crate) fn has_capacity(&self, record: &Record, pending: u64) -> bool {
         if record.state != RecordState::Started {
             return true;
         }
-        let more = pending + needed(record);
-        self.live + self.reserved + more <= self.limits.file / 2
-            && self.bytes() + self.reserved + more + self.limits.segment() <= self.limits.file
+        let required = pending + required_bytes(record);
+        let current = self.current_bytes + self.reserved_bytes + required;
+        let stored = self.bytes() + self.reserved_bytes + required;
+        current <= self.limits.max_bytes / LIVE_SHARE
+            && stored + self.limits.segment_bytes() <= self.limits.max_bytes
     }
 
-    /// Whether this record is the last word on its key.
-    pub fn is_live(&self, record: &Record) -> bool {
-        self.places.get(&record.key).is_some_and(|place| place.number == record.number)
+    /// Whether this record is the last of its key.
+    pub(crate) fn is_current(&self, record: &Record) -> bool {
+        self.locations.get(&record.key).is_some_and(|location| location.record == record.number)
     }
 
-    /// What is to be done at `now` before the next record, if anything.
-    pub fn step(&mut self, now: Unix) -> Option<Step> {
-        if now >= self.swept + Duration::from_secs(1) {
-            self.swept = now;
-            let over = |place: &Place| now >= place.expires_at + LATE_READ_GRACE;
-            let over = self.places.iter().filter(|(_, place)| over(place)).map(|(key, _)| key.clone());
-            over.collect::<Vec<Bytes>>().iter().for_each(|key| self.drop_key(key));
+    /// What is to be done at `now` before the next record is written, if anything.
+    pub(crate) fn next_step(&mut self, now: Unix) -> Option<MaintenanceStep> {
+        if now >= self.last_expiry_scan + EXPIRY_SCAN_INTERVAL {
+            self.last_expiry_scan = now;
+            self.remove_expired_keys(now);
+        }
+        let newest = self.segments.back()?;
+        if newest.bytes >= self.limits.segment_bytes() {
+            return Some(MaintenanceStep::Rotate);
         }
-        let last = self.segments.back()?;
-        if last.bytes >= self.limits.segment() {
-            return Some(Step::Rotate);
+        let oldest = self.segments.front()?;
+        if oldest.number == newest.number || now < self.retained_until {
+            return None;
         }
-        let oldest =
-            self.segments.front().filter(|oldest| oldest.number != last.number && now >= self.held)?;
-        if oldest.live == 0 {
-            return Some(Step::Retire(oldest.number));
+        if oldest.current_records == 0 {
+            return Some(MaintenanceStep::Remove(oldest.number));
+        }
+        self.needs_compaction().then_some(MaintenanceStep::Compact(oldest.number))
+    }
+
+    fn remove_expired_keys(&mut self, now: Unix) {
+        let expired = |location: &RecordLocation| now >= location.expires_at + LATE_READ_GRACE;
+        let expired = self.locations.iter().filter(|(_, location)| expired(location));
+        let keys: Vec<Bytes> = expired.map(|(key, _)| key.clone()).collect();
+        for key in keys {
+            self.remove_key(&key);
         }
-        // Guards against going round for ever where nearly all is of use.
-        let useless = self.bytes().saturating_sub(self.live);
-        let crowded = self.bytes() > self.limits.crowded() && useless > 2 * self.limits.segment();
-        crowded.then_some(Step::Compact(oldest.number))
     }
 
-    /// A segment was removed.
-    pub fn retired(&mut self, number: u64) {
+    /// Whether compaction frees enough: where nearly every record is current it would only move them round and round.
+    fn needs_compaction(&self) -> bool {
+        let obsolete = self.bytes().saturating_sub(self.current_bytes);
+        self.bytes() > self.limits.compaction_threshold() && obsolete > 2 * self.limits.segment_bytes()
+    }
+
+    /// The segment of this number was removed.
+    pub(crate) fn remove_segment(&mut self, number: u64) {
         self.segments.retain(|segment| segment.number != number);
     }
 
     /// The number for a new segment.
-    pub fn next_segment(&self) -> u64 {
+    pub(crate) fn next_segment_number(&self) -> u64 {
         self.segments.back().map_or(1, |segment| segment.number + 1)
     }
 
     /// Bytes of all segments.
-    pub fn bytes(&self) -> u64 {
+    pub(crate) fn bytes(&self) -> u64 {
         self.segments.iter().map(|segment| segment.bytes).sum()
     }
 
-    /// Keys that are remembered.
-    pub fn keys(&self) -> usize {
-        self.places.len()
+    /// The number of keys that are remembered.
+    pub(crate) fn key_count(&self) -> usize {
+        self.locations.len()
+    }
+}
+
+/// The bytes that a record takes, with what it reserves for the end of its run.
+pub(crate) fn required_bytes(record: &Record) -> u64 {
+    record.encoded_len() as u64 + reserved_for(&record.key, record.state == RecordState::Started)
+}
+
+/// The bytes of the largest record of a run's end, if they are reserved.
+fn reserved_for(key: &Bytes, reserves_completion: bool) -> u64 {
+    if reserves_completion {
+        (HEADER_BYTES + key.len() + MAX_RESULT_BYTES) as u64
+    } else {
+        0
     }
 }
--- a/node/src/result_store/segment_log.rs
+++ b/node/src/result_store/segment_log.rs
@@ -1,247 +1,261 @@
-//! The folder that lasts: a lock, the seed, and the segments of the journal. It does what the ledger decides.
+//! The folder of a result store: a lock file, a file with the seed and the segments of a log. Does the I/O that the
+//! [`SegmentIndex`] decides on; no record is reported as stored before it is durable.
 
 use std::fs::{File, TryLockError};
-use std::io::{self, Read, Write};
+use std::io::{self, Read};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
 
-use super::record::{self, Found, Record, RecordState, SegmentHead, SEGMENT_HEAD};
+use super::disk::{Disk, SystemDisk};
+use super::record::{Record, RecordState};
 use super::recovery::{recover, RecoveredState, Segment};
-use super::segment_index::{needed, Limits, SegmentIndex, Step};
+use super::segment::{scan, segment_number, segment_path, ScanItem, SegmentHeader, SEGMENT_HEADER_BYTES};
+use super::segment_index::{required_bytes, Limits, MaintenanceStep, SegmentIndex};
 use crate::clock::Unix;
 use crate::log;
 use crate::outcome::MAX_RESULT_BYTES;
 
-const LOCK: &str = "lock";
-const SEED: &str = "seed";
-
-/// What the folder needs of a disk; tests put one in its place that fails.
-pub trait Disk {
-    /// Makes a new file with these bytes, durably.
-    fn create(&mut self, path: &Path, bytes: &[u8]) -> io::Result<File>;
-    /// Appends bytes, durably.
-    fn append(&mut self, file: &mut File, bytes: &[u8]) -> io::Result<()>;
-    /// Removes a file.
-    fn remove(&mut self, path: &Path) -> io::Result<()>;
-}
-
-/// The system's.
-pub struct System;
-
-impl Disk for System {
-    fn create(&mut self, path: &Path, bytes: &[u8]) -> io::Result<File> {
-        let mut file = File::options().append(true).create_new(true).open(path)?;
-        file.write_all(bytes)?;
-        file.sync_all()?;
-        // The name is durable only with its folder.
-        path.parent().map_or(Ok(()), |folder| File::open(folder)?.sync_all())?;
-        Ok(file)
-    }
-
-    fn append(&mut self, file: &mut File, bytes: &[u8]) -> io::Result<()> {
-        file.write_all(bytes)?;
-        file.sync_data()
-    }
+/// Locked by the process that has the folder open.
+const LOCK_FILE: &str = "lock";
+/// Holds a segment header for the sake of the seed in it.
+const SEED_FILE: &str = "seed";
 
-    fn remove(&mut self, path: &Path) -> io::Result<()> {
-        std::fs::remove_file(path)
-    }
-}
-
-/// The folder, which is this process's alone while it is open.
-pub struct SegmentLog<D: Disk = System> {
+/// The log of one folder, which belongs to this process alone while it is open.
+pub(crate) struct SegmentLog<D: Disk = SystemDisk> {
     path: PathBuf,
     disk: D,
+    /// Released when the log is dropped.
     _lock: File,
     seed: u64,
-    ledger: SegmentIndex,
-    /// The segment that records go to; a new one is begun where there is none.
-    last: Option<File>,
-    next: u64,
+    index: SegmentIndex,
+    /// The segment that records are appended to; a new one is created where there is none.
+    active_segment: Option<File>,
+    next_record: u64,
 }
 
 impl<D: Disk> SegmentLog<D> {
-    /// Opens it, with what it remembers. A folder that another process has open is an error of the kind
-    /// `WouldBlock`.
-    pub fn open(
+    /// Opens a folder and recovers what is in it. No key counts as remembered for longer than `max_window`, unless a
+    /// record says so.
+    ///
+    /// # Errors
+    ///
+    /// The kind is `WouldBlock` if another process has the folder open.
+    pub(crate) fn open(
         path: &Path,
         mut disk: D,
         limits: Limits,
-        longest: Duration,
+        max_window: Duration,
         now: Unix,
     ) -> io::Result<(Self, RecoveredState)> {
-        let lock = File::options().write(true).create(true).truncate(false).open(path.join(LOCK))?;
-        lock.try_lock().map_err(|e| match e {
-            TryLockError::WouldBlock => {
-                io::Error::new(io::ErrorKind::WouldBlock, "another process has it open")
-            }
-            TryLockError::Error(e) => e,
-        })?;
-        let numbers = numbers(path)?;
-        let head =
-            |path: &Path| read(path, SEGMENT_HEAD as u64).ok().and_then(|bytes| record::segment_head(&bytes));
-        let kept = head(&path.join(SEED));
-        // The seed is in every segment as well: guards it against damage in any one place.
-        let told = kept.or_else(|| numbers.iter().find_map(|number| head(&name(path, *number))));
-        let seed = told.map_or_else(fresh_seed, |head| head.seed);
-        if kept.is_none() {
-            let mut bytes = BytesMut::new();
-            record::put_segment_head(SegmentHead { seed, first: 0, written_at: now }, &mut bytes);
-            match disk.remove(&path.join(SEED)) {
-                Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(e),
-                _ => disk.create(&path.join(SEED), &bytes)?,
-            };
-        }
-        let segments = numbers.into_iter().map(|number| {
-            let bytes = read(&name(path, number), limits.file).unwrap_or_else(|e| {
-                // It counts as damaged: guards the start against one bad file.
-                log!("remembered: segment {number} can't be read: {e}");
-                Vec::new()
-            });
-            Segment { number, bytes: bytes.into() }
-        });
-        let (ledger, learnt) = recover(seed, segments, limits, longest, now);
-        let next = learnt.next;
-        let mut folder = SegmentLog { path: path.into(), disk, _lock: lock, seed, ledger, last: None, next };
-        folder.rotate(now)?;
-        Ok((folder, learnt))
+        let lock = lock_folder(path)?;
+        let numbers = segment_numbers(path)?;
+        let seed = open_seed(path, &numbers, &mut disk, now)?;
+        let segments = numbers.into_iter().map(|number| read_segment(path, number, limits));
+        let (index, recovered) = recover(seed, segments, limits, max_window, now);
+        let mut log = SegmentLog {
+            path: path.into(),
+            disk,
+            _lock: lock,
+            seed,
+            index,
+            active_segment: None,
+            next_record: recovered.next_record,
+        };
+        log.rotate(now)?;
+        Ok((log, recovered))
     }
 
-    /// Writes what has room, with one wait for the disk, and tells of each whether it is kept for sure.
-    pub fn write(&mut self, mut records: Vec<Record>, now: Unix) -> Vec<bool> {
-        if let Err(e) = self.tidy(now) {
-            log!("remembered: the folder is not tidied: {e}");
+    /// Writes the records for which there is capacity, with one wait for the disk. Returns for each whether it is durable.
+    pub(crate) fn write(&mut self, mut records: Vec<Record>, now: Unix) -> Vec<bool> {
+        if let Err(e) = self.maintain(now) {
+            log!("result store: maintenance failed: error={e}");
         }
         let mut pending = 0;
-        let mut fit = |record: &mut Record| {
-            if record.result.len() > MAX_RESULT_BYTES {
-                (record.state, record.result) = (RecordState::Failed, Bytes::new());
-            }
-            let fits = self.ledger.has_room(record, pending);
-            if fits {
-                pending += needed(record);
-                (record.number, record.written_at) = (self.next, now);
-                self.next += 1;
-            }
-            fits
-        };
-        let fits: Vec<bool> = records.iter_mut().map(&mut fit).collect();
-        let kept: Vec<&Record> =
-            records.iter().zip(&fits).filter(|(_, fits)| **fits).map(|(r, _)| r).collect();
-        if let Err(e) = self.append(&kept) {
-            log!("remembered: {} records are not kept: {e}", kept.len());
-            return vec![false; fits.len()];
+        let accepted: Vec<bool> =
+            records.iter_mut().map(|record| self.accept(record, &mut pending, now)).collect();
+        let to_write: Vec<&Record> = records
+            .iter()
+            .zip(&accepted)
+            .filter(|(_, accepted)| **accepted)
+            .map(|(record, _)| record)
+            .collect();
+        if let Err(e) = self.append(&to_write) {
+            log!("result store: append failed: records={} error={e}", to_write.len());
+            return vec![false; accepted.len()];
         }
-        fits
+        accepted
     }
 
-    fn append(&mut self, records: &[&Record]) -> io::Result<()> {
-        if records.is_empty() {
-            return Ok(());
+    /// Numbers a record if there is capacity for it behind `pending` bytes, which it is added to.
+    fn accept(&mut self, record: &mut Record, pending: &mut u64, now: Unix) -> bool {
+        if record.result.len() > MAX_RESULT_BYTES {
+            // It was delivered once; later attempts get 'failed'.
+            (record.state, record.result) = (RecordState::Failed, Bytes::new());
         }
+        if !self.index.has_capacity(record, *pending) {
+            return false;
+        }
+        *pending += required_bytes(record);
+        (record.number, record.written_at) = (self.next_record, now);
+        self.next_record += 1;
+        true
+    }
+
+    /// Appends numbered records to the active segment.
+    fn append(&mut self, records: &[&Record]) -> io::Result<()> {
+        let Some(first) = records.first() else { return Ok(()) };
         let mut bytes = BytesMut::new();
-        records.iter().for_each(|record| record.put(self.seed, &mut bytes));
-        // After an error nothing is known of the segment's end: the next record goes to a new one, under the numbers
-        // that were not used.
-        let first = records.first().map_or(self.next, |record| record.number);
-        let Some(file) = &mut self.last else {
-            self.next = first;
-            return Err(io::Error::other("no segment could be begun"));
+        for record in records {
+            record.encode(self.seed, &mut bytes);
+        }
+        // After an error the end of the segment is unknown: the next record goes to a new one, under the numbers that
+        // were not used.
+        let Some(segment) = &mut self.active_segment else {
+            self.next_record = first.number;
+            return Err(io::Error::other("no segment could be created"));
         };
-        // Also what was written in part is there.
-        self.ledger.appended(bytes.len() as u64);
-        self.disk.append(file, &bytes).inspect_err(|_| {
-            self.last = None;
-            self.next = first;
-        })?;
-        records.iter().for_each(|record| self.ledger.wrote(record));
+        // Also what was written in part takes space.
+        self.index.grow_last_segment(bytes.len() as u64);
+        if let Err(e) = self.disk.append(segment, &bytes) {
+            self.active_segment = None;
+            self.next_record = first.number;
+            return Err(e);
+        }
+        for record in records {
+            self.index.add_record(record);
+        }
         Ok(())
     }
 
-    /// Does what the ledger asks for.
-    fn tidy(&mut self, now: Unix) -> io::Result<()> {
-        if self.last.is_none() {
+    /// Does what the index asks for.
+    fn maintain(&mut self, now: Unix) -> io::Result<()> {
+        if self.active_segment.is_none() {
             self.rotate(now)?;
         }
-        while let Some(step) = self.ledger.step(now) {
+        while let Some(step) = self.index.next_step(now) {
             match step {
-                Step::Rotate => self.rotate(now)?,
-                Step::Retire(number) => self.retire(number)?,
-                Step::Compact(number) => self.compact(number)?,
+                MaintenanceStep::Rotate => self.rotate(now)?,
+                MaintenanceStep::Remove(number) => self.remove_segment(number)?,
+                MaintenanceStep::Compact(number) => self.compact(number)?,
             }
         }
         Ok(())
     }
 
+    /// Creates a segment, which is the active one from then on.
     fn rotate(&mut self, now: Unix) -> io::Result<()> {
-        let (number, mut head) = (self.ledger.next_segment(), BytesMut::new());
-        record::put_segment_head(
-            SegmentHead { seed: self.seed, first: self.next, written_at: now },
-            &mut head,
-        );
-        self.last = None;
-        self.last = Some(self.disk.create(&name(&self.path, number), &head)?);
-        self.ledger.opened(number, SEGMENT_HEAD as u64);
+        let number = self.index.next_segment_number();
+        let header = SegmentHeader { seed: self.seed, first_record: self.next_record, created_at: now };
+        let mut bytes = BytesMut::new();
+        header.encode(&mut bytes);
+        self.active_segment = None;
+        self.active_segment = Some(self.disk.create(&segment_path(&self.path, number), &bytes)?);
+        self.index.add_segment(number, SEGMENT_HEADER_BYTES as u64);
         Ok(())
     }
 
-    fn retire(&mut self, number: u64) -> io::Result<()> {
-        match self.disk.remove(&name(&self.path, number)) {
-            Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(e),
-            _ => self.ledger.retired(number),
-        }
+    fn remove_segment(&mut self, number: u64) -> io::Result<()> {
+        remove_if_present(&mut self.disk, &segment_path(&self.path, number))?;
+        self.index.remove_segment(number);
         Ok(())
     }
 
-    /// Writes again, durably, what is of use in the oldest segment; only then does that go. Cut off anywhere, this
+    /// Writes the current records of the oldest segment again, durably, and only then removes it: a crash at any moment
     /// leaves each record at least once.
     fn compact(&mut self, number: u64) -> io::Result<()> {
-        let bytes = Bytes::from(read(&name(&self.path, number), u64::MAX)?);
-        let found = record::find(self.seed, &bytes.slice(bytes.len().min(SEGMENT_HEAD)..));
-        let mut live = Vec::new();
-        for found in found {
-            let Found::Whole(mut record) = found else { continue };
-            if self.ledger.is_live(&record) {
-                record.number = self.next;
-                self.next += 1;
-                live.push(record);
+        let bytes = Bytes::from(read_file(&segment_path(&self.path, number), u64::MAX)?);
+        let mut current = Vec::new();
+        for item in scan(self.seed, &bytes.slice(bytes.len().min(SEGMENT_HEADER_BYTES)..)) {
+            let ScanItem::Intact(mut record) = item else { continue };
+            if self.index.is_current(&record) {
+                record.number = self.next_record;
+                self.next_record += 1;
+                current.push(record);
             }
         }
-        self.append(&live.iter().collect::<Vec<_>>())?;
-        self.retire(number)
+        self.append(&current.iter().collect::<Vec<_>>())?;
+        self.remove_segment(number)
     }
 
-    /// Keys that are remembered, and bytes of all segments.
-    pub fn size(&self) -> (usize, u64) {
-        (self.ledger.keys(), self.ledger.bytes())
+    /// The number of keys that are remembered.
+    pub(crate) fn key_count(&self) -> usize {
+        self.index.key_count()
+    }
+
+    /// Bytes of all segments.
+    pub(crate) fn bytes(&self) -> u64 {
+        self.index.bytes()
     }
 }
 
-fn name(folder: &Path, number: u64) -> PathBuf {
-    folder.join(format!("keys-{number:016x}.log"))
+/// Locks the folder for this process.
+fn lock_folder(path: &Path) -> io::Result<File> {
+    let lock = File::options().write(true).create(true).truncate(false).open(path.join(LOCK_FILE))?;
+    match lock.try_lock() {
+        Ok(()) => Ok(lock),
+        Err(TryLockError::WouldBlock) => {
+            Err(io::Error::new(io::ErrorKind::WouldBlock, "another process has it open"))
+        }
+        Err(TryLockError::Error(e)) => Err(e),
+    }
 }
 
-/// The numbers of the segments in a folder, in their order.
-fn numbers(folder: &Path) -> io::Result<Vec<u64>> {
+/// Reads the seed, from a segment if its own file is damaged, and writes that file again then. A store without any gets a
+/// new seed.
+fn open_seed(path: &Path, segments: &[u64], disk: &mut impl Disk, now: Unix) -> io::Result<u64> {
+    let seed_path = path.join(SEED_FILE);
+    if let Some(header) = read_header(&seed_path) {
+        return Ok(header.seed);
+    }
+    let from_segment = segments.iter().find_map(|number| read_header(&segment_path(path, *number)));
+    let seed = from_segment.map_or_else(random_seed, |header| header.seed);
+    let mut bytes = BytesMut::new();
+    SegmentHeader { seed, first_record: 0, created_at: now }.encode(&mut bytes);
+    remove_if_present(disk, &seed_path)?;
+    disk.create(&seed_path, &bytes)?;
+    Ok(seed)
+}
+
+fn read_header(path: &Path) -> Option<SegmentHeader> {
+    let bytes = read_file(path, SEGMENT_HEADER_BYTES as u64).ok()?;
+    SegmentHeader::decode(&bytes)
+}
+
+/// Reads a segment. One that cannot be read counts as damaged, so that one bad file does not prevent the start.
+fn read_segment(folder: &Path, number: u64, limits: Limits) -> Segment {
+    let bytes = read_file(&segment_path(folder, number), limits.max_bytes).unwrap_or_else(|e| {
+        log!("result store: segment not readable: segment={number} error={e}");
+        Vec::new()
+    });
+    Segment { number, bytes: bytes.into() }
+}
+
+/// The numbers of the segments in a folder, in ascending order.
+fn segment_numbers(folder: &Path) -> io::Result<Vec<u64>> {
     let mut numbers = Vec::new();
     for entry in std::fs::read_dir(folder)? {
-        let name = entry?.file_name();
-        let number = name.to_str().and_then(|name| name.strip_prefix("keys-")?.strip_suffix(".log"));
-        numbers.extend(number.and_then(|number| u64::from_str_radix(number, 16).ok()));
+        numbers.extend(entry?.file_name().to_str().and_then(segment_number));
     }
     numbers.sort_unstable();
     Ok(numbers)
 }
 
-fn read(path: &Path, most: u64) -> io::Result<Vec<u8>> {
+fn read_file(path: &Path, max_bytes: u64) -> io::Result<Vec<u8>> {
     let mut bytes = Vec::new();
-    File::open(path)?.take(most).read_to_end(&mut bytes).map(|_| bytes)
+    File::open(path)?.take(max_bytes).read_to_end(&mut bytes).map(|_| bytes)
+}
+
+fn remove_if_present(disk: &mut impl Disk, path: &Path) -> io::Result<()> {
+    match disk.remove(path) {
+        Err(e) if e.kind() != io::ErrorKind::NotFound => Err(e),
+        _ => Ok(()),
+    }
 }
 
-/// A seed that no client can foresee.
-fn fresh_seed() -> u64 {
+/// A seed that no client can predict.
+fn random_seed() -> u64 {
     use std::hash::{BuildHasher, RandomState};
     RandomState::new().hash_one(())
 }
--- a/node/src/run_gate.rs
+++ b/node/src/run_gate.rs
@@ -4,7 +4,6 @@
 
 use std::collections::HashMap;
 use std::rc::Rc;
-use std::time::Duration;
 
 use bytes::Bytes;
 use oakwind_admission::RequestId;
@@ -254,18 +253,7 @@
         let writer = self.folder.as_ref()?.writer.as_ref()?;
         let Run { id, body, until, .. } = *run;
         let key = run.key.clone();
-        Some(writer.write(
-            id,
-            Record {
-                number: 0,
-                written_at: Duration::ZERO,
-                expires_at: until,
-                body_digest: body,
-                state,
-                key,
-                result,
-            },
-        ))
+        Some(writer.write(id, Record::new(key, body, until, state, result)))
     }
 
     /// The next that it has to say; never where nothing is kept.
@@ -296,7 +284,7 @@
 
     fn of_folder(&mut self, told: StoreEvent) -> Option<Word> {
         match told {
-            StoreEvent::Written(id, kept) => {
+            StoreEvent::Written { request: id, durable: kept } => {
                 let waiting = self.waiting.get_mut(&id).filter(|waiting| waiting.folder == Answer::Open)?;
                 waiting.folder = if kept { Answer::Yes } else { Answer::No };
                 self.settled(id)
--- a/node/src/server.rs
+++ b/node/src/server.rs
@@ -100,7 +100,7 @@
         let mut remembrance = ResultStore::closed(remembered, config.max_idempotency_window());
         // The process before has the folder until it has handed over.
         if !upgrade {
-            let recovered = remembrance.open()?;
+            let recovered = remembrance.open().map_err(|e| format!("remembered file, {e}"))?;
             left = Some(HandoverState { digest_seed: recovered.seed, records: recovered.keys });
         }
         folder = Some(remembrance);
--- a/node/tests/sockets/fixtures.rs
+++ b/node/tests/sockets/fixtures.rs
@@ -71,7 +71,7 @@
     let text = format!("folder = '{}'\nfile_mb = 4\n", copy_of("remembered").display());
     let mut node = start_at_the_time_of_the_fixtures("--remembered", &text, &vm);
     let _link = vm.interpreter("0");
-    node.logs("remembered: 5 keys are known from before");
+    node.logs("result store: recovered: keys=5");
     node.logs("health is good");
     let front = node.uwsgi();
     repeats_get_what_the_first_tries_got(front);
@@ -94,7 +94,7 @@
     );
     let mut node = start_at_the_time_of_the_fixtures("--fleet", &text, &vm);
     let mut link = vm.interpreter("0");
-    node.logs("remembered: 4 keys are known from before");
+    node.logs("result store: recovered: keys=4");
     node.logs("fleet: a majority is heard, bookings run");
     node.logs("health is good");
     let front = node.uwsgi();
--- a/node/tests/sockets/remembered.rs
+++ b/node/tests/sockets/remembered.rs
@@ -63,7 +63,7 @@
     // Before anything can run here as well.
     let vm = Server::new();
     let mut node = memory.spawn(&vm, None);
-    node.logs("remembered: 3 keys are known from before");
+    node.logs("result store: recovered: keys=3");
     let mut client = node.client();
     client.request(1, "b1", Some("ended"), LONG);
     assert_eq!(client.line(), result);
@@ -289,7 +289,7 @@
     bytes[second] ^= 1;
     std::fs::write(&segment, bytes).unwrap();
     let (mut node, _vm) = memory.start();
-    node.logs("remembered: damage: 2 records can't be read, 0 are missing, 0 bytes are no record's");
+    node.logs("result store: damaged: unreadable_records=2 missing_records=0 unrecognized_bytes=0");
     let mut client = node.client();
     client.request(1, "b1", Some("hurt"), LONG);
     assert!(client.line().contains("-32000"), "it may have run");
@@ -339,7 +339,7 @@
     assert!(!runs.lock().unwrap().contains_key("body 200"), "it did not run");
     assert!(ask(201, "quote", None).contains("\"result\""));
     assert!(ask(1, "book", Some("k1")).contains("\"result\""), "what is known is served");
-    node.logs("remembered: the folder is not tidied");
+    node.logs("result store: maintenance failed");
     std::fs::create_dir(&memory.folder).unwrap();
     assert!(ask(203, "book", Some("fresh")).contains("\"result\""));
     assert!(first > 1);
