--- a/admission/src/admission.rs
+++ b/admission/src/admission.rs
@@ -148,7 +148,7 @@
     random: u64,
     now: f64,
     opened: bool,
-    started_at_boot: f64,
+    booted_at: f64,
     requests: BTreeMap<RequestId, Request>,
     /// Ended unrun in the batch under way, and the repeats that took their places.
     ended_unrun: BTreeMap<RequestId, Option<RequestId>>,
@@ -158,19 +158,19 @@
     /// Arrivals a second of late: all, then for each tenant; and all while little was refused.
     arrival_rates: Vec<f64>,
     arrival_rates_at: f64,
-    usual_rate: Mean,
+    usual_arrivals: Mean,
     /// Latencies of late: when, as a part of the class's aim, and whether the class calls.
-    latency_samples: VecDeque<LatencySample>,
+    latencies: VecDeque<LatencySample>,
     rate: Option<f64>,
     tokens: f64,
     filled_at: f64,
     /// The window under way, and the requests that it has handled.
-    window_started_at: f64,
+    window_start: f64,
     handled: f64,
     penalized_until: f64,
-    concurrency_limit: f64,
+    run_limit: f64,
     shed_level: f64,
-    recent_arrivals: VecDeque<RecentArrival>,
+    recent: VecDeque<RecentArrival>,
     advertised: Option<f64>,
     calls: Calls,
     /// All is answered by then in a drain.
@@ -179,11 +179,11 @@
     longest_stall: f64,
     last_timer_at: f64,
     /// When something last left the cores, and whether nothing has for too long.
-    last_progress_at: f64,
+    progress_at: f64,
     stalled: bool,
-    last_runnable_arrival: f64,
+    last_runnable: f64,
     /// Running requests that the gauge does not see on the cores: they wait for disk.
-    waiting_off_cpu: f64,
+    off_cpu: f64,
     connections: Connections,
     /// The part of what wants the cores that is not runs: reading, checks and new connections.
     overhead: Mean,
@@ -212,7 +212,7 @@
         Connections { limit, returning_fraction, ..Connections::default() }
     }
 
-    fn last_seen(&mut self, caller: CallerId, now: f64, idle: f64) {
+    fn request_from(&mut self, caller: CallerId, now: f64, idle: f64) {
         let before = self.last_seen.insert(caller, now);
         let returned = before.is_some_and(|at| now - at <= idle);
         self.returning_fraction.add(if returned { 1.0 } else { 0.0 }, MEAN_WEIGHT / 2.0);
@@ -221,21 +221,14 @@
     /// The idle limit falls with the square of the part of all callers that returns: that much less often is
     /// a kept connection used, and so many more are kept. In a flood it grows instead: a full table turns
     /// callers away for nothing, where each read would cost a handshake; spare cores open the door again.
-    fn revise(
-        &mut self,
-        now: f64,
-        idle: f64,
-        callers: f64,
-        reading_overloaded: bool,
-        spare: bool,
-    ) -> Option<f64> {
+    fn revise(&mut self, now: f64, idle: f64, callers: f64, read_overload: bool, spare: bool) -> Option<f64> {
         self.last_seen.retain(|_, at| now - *at <= idle);
         let part = self.returning_fraction.average * (self.last_seen.len() as f64 / callers).min(1.0);
         let closing = if spare { MEAN_WEIGHT } else { MEAN_WEIGHT * TIMER_PERIOD / RATE_WINDOW };
-        self.min_limit =
-            if reading_overloaded { idle } else { (self.min_limit * (1.0 - closing)).max(TIMER_PERIOD) };
-        let wanted =
-            (idle * part.powi(2)).max(if self.min_limit > 1.0 { self.min_limit } else { TIMER_PERIOD });
+        let relaxed = (self.min_limit * (1.0 - closing)).max(TIMER_PERIOD);
+        self.min_limit = if read_overload { idle } else { relaxed };
+        let least = if self.min_limit > 1.0 { self.min_limit } else { TIMER_PERIOD };
+        let wanted = (idle * part.powi(2)).max(least);
         let moved = (wanted - self.limit).abs() > 0.2 * self.limit;
         moved.then(|| self.limit = wanted).map(|()| wanted)
     }
@@ -262,7 +255,7 @@
     /// The calls were at their bound until now or shortly before.
     full_until: f64,
     /// How long calls that worked took.
-    usual_rate: Mean,
+    typical: Mean,
 }
 
 impl Calls {
@@ -318,16 +311,16 @@
         Admission {
             random: seed | 1,
             now,
-            started_at_boot: now,
+            booted_at: now,
             last_timer_at: now,
             filled_at: now,
             arrival_rates_at: now,
             calls: Calls::new(&settings.dependency, now),
-            window_started_at: now,
-            concurrency_limit: cores,
+            window_start: now,
+            run_limit: cores,
             overhead: Mean { average: 0.0, readings: MIN_SAMPLES },
             connections: Connections::new(settings.idle.as_secs_f64()),
-            last_runnable_arrival: f64::INFINITY,
+            last_runnable: f64::INFINITY,
             class_stats: vec![ClassStats::default(); settings.classes.len()],
             arrival_rates: vec![0.0; settings.tenant_quotas.len() + 1],
             settings,
@@ -393,7 +386,7 @@
             return self.reject(id, true, out);
         }
         self.count_arrival(arrival.tenant);
-        self.connections.last_seen(arrival.caller, self.now, self.settings.idle.as_secs_f64());
+        self.connections.request_from(arrival.caller, self.now, self.settings.idle.as_secs_f64());
         let request = self.new_request(arrival, class);
         let priority = request.priority;
         let repeat = self.original_attempt(class, arrival.repeats);
@@ -401,15 +394,9 @@
         if let Some(prior) = repeat {
             return self.handle_repeat(id, prior, out);
         }
-        let admitted = self.can_queue(id) && self.call_capacity_available(id) && self.take_token(priority);
-        self.recent_arrivals.push_front(RecentArrival {
-            id,
-            at: self.now,
-            rank: arrival.rank,
-            priority,
-            admitted,
-        });
-        self.recent_arrivals.truncate(RECENT_ARRIVALS);
+        let admitted = self.can_queue(id) && self.can_add_call(id) && self.take_token(priority);
+        self.recent.push_front(RecentArrival { id, at: self.now, rank: arrival.rank, priority, admitted });
+        self.recent.truncate(RECENT_ARRIVALS);
         if !admitted {
             self.reject_queued(id, out);
         } else if self.settings.classes[class].effect == Effect::IdempotencyKey {
@@ -422,8 +409,8 @@
         let relative_cost = self.class_stats[class].relative_cost(arrival.cost_hint);
         let arrived = self.now - arrival.age.as_secs_f64();
         let time_left = if self.settings.sends_deadline { arrival.time_left } else { None };
-        let deadline =
-            time_left.map_or(arrived + settings.deadline.as_secs_f64(), |p| self.now + p.as_secs_f64());
+        let latest = arrived + settings.deadline.as_secs_f64();
+        let deadline = time_left.map_or(latest, |left| self.now + left.as_secs_f64());
         let deadline = deadline.max(self.now).min(self.stop_at.unwrap_or(f64::INFINITY));
         let stretch = settings.objective_stretch * arrival.cost_hint.unwrap_or_default().as_secs_f64();
         Request {
@@ -465,12 +452,12 @@
 
     /// All arrivals a second of late, in the first seconds too.
     fn arrival_rate(&self) -> f64 {
-        self.arrival_rates[0] / (1.0 - (-(self.now - self.started_at_boot) / TENANT_SPAN).exp()).max(0.01)
+        self.arrival_rates[0] / (1.0 - (-(self.now - self.booted_at) / TENANT_SPAN).exp()).max(0.01)
     }
 
     /// More comes than did while little was refused: others refuse too, and their refusals walk here.
-    fn receives_spillover(&self) -> bool {
-        self.arrival_rate() > SPILLOVER_FACTOR * self.usual_rate.average
+    fn spillover(&self) -> bool {
+        self.arrival_rate() > SPILLOVER_FACTOR * self.usual_arrivals.average
     }
 
     /// The try that this one must or may join: for one lost in this batch, what took its place, if anything.
@@ -492,10 +479,10 @@
     fn handle_repeat(&mut self, id: RequestId, prior: RequestId, out: &mut Vec<Action>) {
         let held = self.requests.get(&prior).filter(|p| p.phase == Phase::Queued).map(|p| p.objective_at);
         let room = self.memory_used() <= self.settings.memory_kb * USED_MEMORY;
-        let last_runnable_arrival = self.last_runnable_arrival;
+        let last_runnable = self.last_runnable;
         let Some(request) = self.requests.get_mut(&id) else { return };
         match held {
-            Some(objective_at) if room && request.arrived <= last_runnable_arrival => {
+            Some(objective_at) if room && request.arrived <= last_runnable => {
                 request.objective_at = request.objective_at.min(objective_at);
                 self.key_expiry.remove(&prior);
                 self.retain_key(id, out);
@@ -518,7 +505,7 @@
         let keyed = self.settings.classes[request.class].effect == Effect::IdempotencyKey;
         let entry = if keyed { self.settings.key_memory_kb } else { 0.0 };
         let running = request.memory_kb * (self.settings.running_memory_factor - 1.0).max(0.0);
-        request.arrived <= self.last_runnable_arrival
+        request.arrived <= self.last_runnable
             && !self.stalled
             && request.deadline > self.now
             && self.memory_used() + entry + running <= self.settings.memory_kb * USED_MEMORY
@@ -532,8 +519,8 @@
         let depth = rate.max(1.0);
         self.tokens = (self.tokens + rate * (self.now - self.filled_at)).min(depth);
         self.filled_at = self.now;
-        let (priority_rank, debt) = (self.priority_rank(priority), MIN_SAMPLES.sqrt());
-        let needed = 1.0 + (depth - 1.0) * BUCKET_RESERVE * (1.0 - priority_rank) - debt * priority_rank;
+        let (rank, debt) = (self.priority_rank(priority), MIN_SAMPLES.sqrt());
+        let needed = 1.0 + (depth - 1.0) * BUCKET_RESERVE * (1.0 - rank) - debt * rank;
         let admitted = self.tokens >= needed || !self.overloaded();
         self.tokens = (self.tokens - if admitted { 1.0 } else { 0.0 }).max(-debt);
         admitted
@@ -545,8 +532,8 @@
 
     /// The part of recent arrivals that were worth less.
     fn priority_rank(&self, priority: f64) -> f64 {
-        let below = self.recent_arrivals.iter().filter(|s| s.priority < priority).count() as f64;
-        below / (self.recent_arrivals.len().max(1) as f64)
+        let below = self.recent.iter().filter(|s| s.priority < priority).count() as f64;
+        below / (self.recent.len().max(1) as f64)
     }
 
     fn overloaded(&self) -> bool {
@@ -560,67 +547,61 @@
     /// it stands. Exception: while calls are at their bound, which holds back what calls, that is left out.
     fn mean_latency(&self) -> f64 {
         let own = self.now < self.calls.full_until;
-        let recent_arrivals = self
-            .latency_samples
-            .iter()
-            .filter(|sample| !(own && sample.may_call))
-            .map(|sample| sample.of_objective);
+        let recent = self.latencies.iter().filter(|s| !(own && s.may_call)).map(|s| s.of_objective);
         let counts = |r: &&Request| !r.answered && r.phase != Phase::Coalesced && !(own && r.may_call);
-        let standing = self
-            .requests
-            .values()
-            .filter(counts)
-            .map(|r| self.fraction_of_objective(r))
-            .filter(|p| *p > LATENCY_TARGET);
-        let (sum, n) = recent_arrivals.chain(standing).fold((0.0, 0.0), |(s, n), part| (s + part, n + 1.0));
+        let waiting = self.requests.values().filter(counts).map(|r| self.objective_used(r));
+        let standing = waiting.filter(|part| *part > LATENCY_TARGET);
+        let (sum, n) = recent.chain(standing).fold((0.0, 0.0), |(s, n), part| (s + part, n + 1.0));
         sum / f64::max(n, 1.0)
     }
 
-    fn fraction_of_objective(&self, request: &Request) -> f64 {
-        let latency_objective = self.settings.classes[request.class].latency_objective.as_secs_f64();
-        (self.now - request.arrived) / latency_objective.max(1e-3)
+    fn objective_of(&self, class: usize) -> f64 {
+        self.settings.classes[class].latency_objective.as_secs_f64()
+    }
+
+    fn objective_used(&self, request: &Request) -> f64 {
+        (self.now - request.arrived) / self.objective_of(request.class).max(1e-3)
     }
 
     /// Once a window: penalties or latency above target cut the rate, half use lets it rise. The first
     /// one seeds it, lasting until enough was handled. What was handled counts with its chance error, so
     /// small servers are not cut to what a handful of requests happened to be.
     fn revise(&mut self) {
-        let span = self.now - self.window_started_at;
+        let span = self.now - self.window_start;
         if span < RATE_WINDOW || (self.rate.is_none() && self.handled < MIN_SAMPLES) {
             return;
         }
         let handled = (self.handled + self.handled.sqrt()) / span;
         if self.rejected_fraction() <= 0.1 {
-            self.usual_rate.add(self.arrival_rate(), 0.2);
+            self.usual_arrivals.add(self.arrival_rate(), 0.2);
         }
-        let penalised = self.penalized_until > self.window_started_at + RATE_WINDOW;
+        let penalized = self.penalized_until > self.window_start + RATE_WINDOW;
+        let slow = self.mean_latency() > LATENCY_TARGET;
         self.rate = match self.rate {
             None => (self.handled >= MIN_SAMPLES).then_some(handled),
-            Some(rate) if penalised => Some(RATE_CUT * handled.min(rate).max(rate * MIN_RATE_KEPT)),
-            Some(rate) if self.mean_latency() > LATENCY_TARGET => {
-                Some(RATE_CUT * handled.max(rate * MIN_RATE_KEPT))
-            }
-            Some(rate) if 2.0 * handled >= rate => Some(rate + RATE_RISE * self.capacity_per_second()),
+            Some(rate) if penalized => Some(RATE_CUT * handled.min(rate).max(rate * MIN_RATE_KEPT)),
+            Some(rate) if slow => Some(RATE_CUT * handled.max(rate * MIN_RATE_KEPT)),
+            Some(rate) if 2.0 * handled >= rate => Some(rate + RATE_RISE * self.capacity()),
             Some(rate) => Some(rate),
         };
-        (self.window_started_at, self.handled) = (self.now, 0.0);
+        (self.window_start, self.handled) = (self.now, 0.0);
     }
 
     /// What was learnt of the load is out of date: as at a start, the bucket is loose and a window seeds it.
     fn reset_load_estimates(&mut self) {
         (self.rate, self.tokens, self.handled, self.shed_level) = (None, 0.0, 0.0, 0.0);
-        (self.window_started_at, self.filled_at, self.arrival_rates_at) = (self.now, self.now, self.now);
+        (self.window_start, self.filled_at, self.arrival_rates_at) = (self.now, self.now, self.now);
         (self.penalized_until, self.calls.full_until) = (0.0, 0.0);
-        self.usual_rate = Mean::default();
-        self.recent_arrivals.clear();
+        self.usual_arrivals = Mean::default();
+        self.recent.clear();
         self.arrival_rates.iter_mut().for_each(|rate| *rate = 0.0);
     }
 
     /// Requests a second that the cores could do, by what requests took of late.
-    fn capacity_per_second(&self) -> f64 {
+    fn capacity(&self) -> f64 {
         let known: Vec<f64> = self.class_stats.iter().filter_map(|s| s.on_cores.get()).collect();
         let mean = known.iter().sum::<f64>() / known.len().max(1) as f64;
-        f64::from(self.settings.cores.max(1)) / mean.max(0.01)
+        self.cores() / mean.max(0.01)
     }
 
     fn run_finished(&mut self, id: RequestId, outcome: Outcome, took: Duration) {
@@ -630,7 +611,7 @@
             self.requests.remove(&id);
             return;
         }
-        self.last_progress_at = self.now;
+        self.progress_at = self.now;
         let Some(request) = self.requests.get_mut(&id) else { return };
         if request.phase == Phase::Calling {
             let (stood, took) = (self.now - request.call_needed_at, self.now - request.call_sent_at);
@@ -644,19 +625,16 @@
         self.class_stats[request.class].on_cores.add(on_cores, MEAN_WEIGHT);
         if !request.answered {
             self.handled += 1.0;
-            let of_objective = self.fraction_of_objective(&request);
-            self.latency_samples.push_back(LatencySample {
-                at: self.now,
-                of_objective,
-                may_call: request.may_call,
-            });
+            let of_objective = self.objective_used(&request);
+            let (at, may_call) = (self.now, request.may_call);
+            self.latencies.push_back(LatencySample { at, of_objective, may_call });
         }
     }
 
     /// Turns a held request away for good.
     fn reject_queued(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let alone = self.stop_at.is_some() || self.stalled || self.warm_up_fraction() < 1.0;
-        let give_up = !alone && (self.reading_overloaded() || self.receives_spillover());
+        let alone = self.stop_at.is_some() || self.stalled || self.warm_fraction() < 1.0;
+        let give_up = !alone && (self.read_overload() || self.spillover());
         self.reject(id, give_up, out);
         self.remove_queued(id, out);
     }
@@ -670,10 +648,9 @@
     }
 
     fn reject(&mut self, id: RequestId, give_up: bool, out: &mut Vec<Action>) {
-        let max_call_time = self.settings.max_retry_after.as_secs_f64();
         let spread = 0.5 + 0.5 * self.random_fraction();
-        let retry_after =
-            self.settings.retry_after.then(|| seconds(max_call_time * spread * self.shed_level.max(0.1)));
+        let wait = self.settings.max_retry_after.as_secs_f64() * spread * self.shed_level.max(0.1);
+        let retry_after = self.settings.retry_after.then(|| seconds(wait));
         out.push(Action::Reject { id, retry_after, give_up });
     }
 
@@ -703,11 +680,10 @@
     fn enforce_deadlines(&mut self, out: &mut Vec<Action>) {
         let horizon = self.now + TIMER_PERIOD;
         let over = |r: &Request| !r.answered && (r.deadline <= horizon || self.is_unmeetable(r));
-        let deadline = self.requests.iter().filter(|(_, r)| over(r));
-        let deadline: Vec<(RequestId, bool)> =
-            deadline.map(|(&id, r)| (id, r.phase == Phase::Queued)).collect();
-        for (id, held) in deadline {
-            match held {
+        let ending = self.requests.iter().filter(|(_, r)| over(r));
+        let ending: Vec<_> = ending.map(|(&id, r)| (id, r.phase == Phase::Queued)).collect();
+        for (id, queued) in ending {
+            match queued {
                 true => self.reject_queued(id, out),
                 false => self.fail(id, out),
             }
@@ -732,7 +708,7 @@
         let stop = self.now + left - margin.min(left / 2.0);
         self.stop_at = Some(stop);
         let grace = self.settings.drain_grace.saturating_sub(self.settings.tick);
-        self.last_runnable_arrival = self.now + grace.as_secs_f64();
+        self.last_runnable = self.now + grace.as_secs_f64();
         for request in self.requests.values_mut() {
             request.deadline = request.deadline.min(stop);
             request.objective_at = request.objective_at.min(request.deadline);
@@ -752,18 +728,14 @@
     /// What held and started requests and keys take.
     fn memory_used(&self) -> f64 {
         let factor = self.settings.running_memory_factor.max(1.0);
-        let requests = self.requests.values().map(|r| {
-            if matches!(r.phase, Phase::Queued | Phase::Coalesced) {
-                r.memory_kb
-            } else {
-                r.memory_kb * factor
-            }
-        });
+        let waits = |r: &Request| matches!(r.phase, Phase::Queued | Phase::Coalesced);
+        let memory = |r: &Request| if waits(r) { r.memory_kb } else { r.memory_kb * factor };
+        let requests = self.requests.values().map(memory);
         requests.sum::<f64>() + self.key_expiry.len() as f64 * self.settings.key_memory_kb
     }
 
     fn call_needed(&mut self, id: RequestId) {
-        self.last_progress_at = self.now;
+        self.progress_at = self.now;
         if let Some(request) = self.requests.get_mut(&id) {
             request.phase = Phase::AwaitingCall;
             request.call_needed_at = self.now;
@@ -784,7 +756,7 @@
         let slow =
             took > SLOW_CALL_FRACTION * class.latency_objective.as_secs_f64() || outcome == Outcome::Rejected;
         if outcome == Outcome::Ok {
-            self.calls.usual_rate.add(took, MEAN_WEIGHT / 2.0);
+            self.calls.typical.add(took, MEAN_WEIGHT / 2.0);
             request.phase = Phase::Running;
             request.time_at_calls += self.now - request.call_needed_at;
         } else {
@@ -799,7 +771,7 @@
     fn start_calls(&mut self, out: &mut Vec<Action>) {
         let now = self.now;
         let mut calling = self.calls.settle(now, self.count_in(Phase::Calling) as f64);
-        let full = self.requests_at_calls() >= self.call_concurrency_limit();
+        let full = self.at_calls() >= self.max_at_calls();
         let waiting = self.requests.iter().filter(|(_, r)| r.phase == Phase::AwaitingCall && !r.answered);
         let mut waiting: Vec<_> = waiting.map(|(&id, r)| (id, r.priority, r.objective_at)).collect();
         waiting.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.2.total_cmp(&b.2)));
@@ -807,17 +779,14 @@
             let Some(request) = self.requests.get(&id) else { continue };
             let class = &self.settings.classes[request.class];
             let late = full && class.effect == Effect::Idempotent && now > request.objective_at;
-            let left =
-                request.objective_at - now - self.estimated_work(request).unwrap_or(0.0) * REMAINING_WORK;
-            let hopeless = now < request.objective_at && left < self.calls.usual_rate.average;
-            let skips = class.skip_weight > 0.0 && (full || request.calls_failed > 0 || hopeless);
+            let work = self.estimated_work(request).unwrap_or(0.0) * REMAINING_WORK;
+            let left = request.objective_at - now - work;
+            let unmeetable = now < request.objective_at && left < self.calls.typical.average;
+            let skips = class.skip_weight > 0.0 && (full || request.calls_failed > 0 || unmeetable);
             let fails = late || request.calls_failed > 2;
-            let concurrency_limit = if class.skip_weight > 0.0 && left > 0.0 {
-                left
-            } else {
-                request.deadline - now - TIMER_PERIOD
-            };
-            let within = concurrency_limit.min(self.calls.max_call_time()).max(0.001);
+            let until_deadline = request.deadline - now - TIMER_PERIOD;
+            let timeout = if class.skip_weight > 0.0 && left > 0.0 { left } else { until_deadline };
+            let timeout = timeout.min(self.calls.max_call_time()).max(0.001);
             let Some(request) = self.requests.get_mut(&id) else { continue };
             if skips {
                 request.phase = Phase::Running;
@@ -829,63 +798,64 @@
                 calling += 1.0;
                 request.phase = Phase::Calling;
                 request.call_sent_at = now;
-                out.push(Action::Call(id, seconds(within)));
+                out.push(Action::Call(id, seconds(timeout)));
             }
         }
     }
 
-    fn requests_at_calls(&self) -> usize {
+    fn at_calls(&self) -> usize {
         self.count_in(Phase::AwaitingCall) + self.count_in(Phase::Calling)
     }
 
     /// Requests that may stand at calls: twice the cores while calls are quick; once they are slow, as many
     /// as the calls of late would carry off within the latency target. A tier guards itself, so there only
     /// the crowd that would come back from it counts.
-    fn call_concurrency_limit(&self) -> usize {
-        let cores = f64::from(self.settings.cores.max(1));
+    fn max_at_calls(&self) -> usize {
+        let cores = self.cores();
         if self.settings.dependency == Dependency::Tier {
-            return (self.max_concurrency() - cores).max(cores) as usize;
+            return (self.max_running() - cores).max(cores) as usize;
         }
         let most = 2.0 * cores;
-        let aims =
-            self.settings.classes.iter().filter(|c| c.calls).map(|c| c.latency_objective.as_secs_f64());
-        let latency_objective = aims.fold(f64::INFINITY, f64::min);
+        let calling = self.settings.classes.iter().filter(|class| class.calls);
+        let objectives = calling.map(|class| class.latency_objective.as_secs_f64());
+        let objective = objectives.fold(f64::INFINITY, f64::min);
         let stood = self.calls.ended.iter().map(|call| call.waited).sum::<f64>();
-        let slow = stood > SLOW_CALL_FRACTION * latency_objective * self.calls.ended.len() as f64;
-        (if slow { self.calls.completable(latency_objective).clamp(1.0, most) } else { most }) as usize
+        let slow = stood > SLOW_CALL_FRACTION * objective * self.calls.ended.len() as f64;
+        (if slow { self.calls.completable(objective).clamp(1.0, most) } else { most }) as usize
     }
 
     /// While the calls are at their bound, a request that will call needs fewer than that bound of
     /// its worth or more before it. Guards against a dependency that slows, whatever the cause.
-    fn call_capacity_available(&mut self, id: RequestId) -> bool {
-        if self.requests_at_calls() >= self.call_concurrency_limit() {
+    fn can_add_call(&mut self, id: RequestId) -> bool {
+        if self.at_calls() >= self.max_at_calls() {
             self.calls.full_until = self.now + RATE_WINDOW;
         }
         let Some(request) = self.requests.get(&id) else { return false };
-        let concurrency_limit = self
-            .calls
-            .completable(self.settings.classes[request.class].latency_objective.as_secs_f64())
-            .max(1.0);
+        let bound = self.calls.completable(self.objective_of(request.class)).max(1.0);
         let before = |r: &&Request| r.may_call && !r.answered && r.priority >= request.priority;
         self.now >= self.calls.full_until
             || !request.may_call
-            || self.requests.values().filter(before).count() as f64 <= concurrency_limit
+            || self.requests.values().filter(before).count() as f64 <= bound
     }
 
     /// The part of its speed that the server surely has: it warms no slower than in even steps.
-    fn warm_up_fraction(&self) -> f64 {
+    fn warm_fraction(&self) -> f64 {
         let settings = &self.settings;
         if !settings.cold {
             return 1.0;
         }
-        let part = (self.now - self.started_at_boot) / settings.warm_up_time.as_secs_f64().max(1e-3);
+        let part = (self.now - self.booted_at) / settings.warm_up_time.as_secs_f64().max(1e-3);
         (settings.cold_speed + (1.0 - settings.cold_speed) * part).clamp(0.0, 1.0)
     }
 
+    fn cores(&self) -> f64 {
+        f64::from(self.settings.cores.max(1))
+    }
+
     /// Requests on the cores that the server survives, less a margin; fewer while cold.
-    fn max_concurrency(&self) -> f64 {
-        let each = 1.0 + (self.settings.max_concurrency_per_core - 1.0).max(0.0) * self.warm_up_fraction();
-        (f64::from(self.settings.cores.max(1)) * each * USED_CAPACITY).max(1.0)
+    fn max_running(&self) -> f64 {
+        let each = 1.0 + (self.settings.max_concurrency_per_core - 1.0).max(0.0) * self.warm_fraction();
+        (self.cores() * each * USED_CAPACITY).max(1.0)
     }
 
     fn estimated_work(&self, request: &Request) -> Option<f64> {
@@ -896,8 +866,8 @@
     /// where a line stands, whatever made it; the less worthy wait, and are dropped rather than late.
     fn queue_order(&self) -> Vec<RequestId> {
         let held = self.requests.iter().filter(|(_, r)| r.phase == Phase::Queued);
-        let mut held: Vec<_> =
-            held.map(|(&id, r)| (id, r.objective_at, (2.0 * r.priority.log2()).round())).collect();
+        let step = |r: &Request| (2.0 * r.priority.log2()).round();
+        let mut held: Vec<_> = held.map(|(&id, r)| (id, r.objective_at, step(r))).collect();
         held.sort_by(|a, b| b.2.total_cmp(&a.2).then(a.1.total_cmp(&b.1)).then(a.0.cmp(&b.0)));
         held.into_iter().map(|(id, ..)| id).collect()
     }
@@ -908,10 +878,9 @@
     /// nothing would ever correct.
     fn shed_unmeetable(&mut self, out: &mut Vec<Action>) {
         let line = self.queue_order();
-        let left = |r: &Request| {
-            self.estimated_work(r)
-                .map_or(0.0, |e| (e - (self.now - r.started_at - r.time_at_calls)).max(e * REMAINING_WORK))
-        };
+        let on_cores = |r: &Request| self.now - r.started_at - r.time_at_calls;
+        let remaining = |r: &Request, work: f64| (work - on_cores(r)).max(work * REMAINING_WORK);
+        let left = |r: &Request| self.estimated_work(r).map_or(0.0, |work| remaining(r, work));
         let mut ahead: f64 = self.requests.values().filter(|r| r.phase == Phase::Running).map(left).sum();
         let mut kept: Vec<(RequestId, f64, f64)> = Vec::new();
         for id in line {
@@ -921,16 +890,14 @@
             kept.push((id, work, priority));
             ahead += work;
             while !kept.is_empty()
-                && (ahead > work || !self.latency_samples.is_empty())
-                && self.now
-                    + (ahead - work) / (self.concurrency_limit + self.waiting_off_cpu)
-                    + work * REMAINING_WORK
+                && (ahead > work || !self.latencies.is_empty())
+                && self.now + (ahead - work) / (self.run_limit + self.off_cpu) + work * REMAINING_WORK
                     > objective_at
             {
                 let worst = (0..kept.len()).min_by(|&a, &b| kept[a].2.total_cmp(&kept[b].2));
                 let (victim, freed, _) = kept.remove(worst.unwrap_or(0));
                 ahead -= freed;
-                self.recent_arrivals.iter_mut().filter(|s| s.id == victim).for_each(|s| s.admitted = false);
+                self.recent.iter_mut().filter(|s| s.id == victim).for_each(|s| s.admitted = false);
                 self.reject_queued(victim, out);
                 if victim == id {
                     break;
@@ -941,21 +908,18 @@
 
     fn start_runs(&mut self, out: &mut Vec<Action>) {
         let mut on_cores = self.count_in(Phase::Running) as f64;
-        let requests_at_calls = |r: &Request| matches!(r.phase, Phase::AwaitingCall | Phase::Calling);
-        let max_concurrency = self.max_concurrency() - self.requests_at_calls() as f64;
-        let call_concurrency_limit = self.call_concurrency_limit();
+        let at_calls = |r: &Request| matches!(r.phase, Phase::AwaitingCall | Phase::Calling);
+        let max_running = self.max_running() - self.at_calls() as f64;
+        let max_at_calls = self.max_at_calls();
         let factor = self.settings.running_memory_factor.max(1.0);
         let mut used = self.memory_used();
         for id in self.queue_order() {
-            if on_cores + 1.0 > self.concurrency_limit + self.waiting_off_cpu
-                || on_cores + 1.0 > max_concurrency
-            {
+            if on_cores + 1.0 > self.run_limit + self.off_cpu || on_cores + 1.0 > max_running {
                 break;
             }
             let Some(request) = self.requests.get(&id) else { continue };
-            let before =
-                self.requests.values().filter(|r| requests_at_calls(r) && r.priority >= request.priority);
-            let calls_full = request.may_call && before.count() >= call_concurrency_limit;
+            let before = self.requests.values().filter(|r| at_calls(r) && r.priority >= request.priority);
+            let calls_full = request.may_call && before.count() >= max_at_calls;
             let Some(request) = self.requests.get_mut(&id) else { continue };
             let more = request.memory_kb * (factor - 1.0);
             if used + more > self.settings.memory_kb * USED_MEMORY || calls_full {
@@ -978,19 +942,18 @@
         self.last_timer_at = now;
         self.detect_stall(out);
         self.key_expiry.retain(|_, until| *until > now);
-        self.latency_samples.retain(|sample| sample.at >= now - RATE_WINDOW);
+        self.latencies.retain(|sample| sample.at >= now - RATE_WINDOW);
         self.calls.ended.retain(|call| call.at >= now - RATE_WINDOW);
         let runnable = gauges.runnable.unwrap_or(0.0);
         let other = (runnable - self.count_in(Phase::Running) as f64).max(0.0);
         self.overhead.add(other / runnable.max(1.0), MEAN_WEIGHT / 2.0);
         self.revise();
         let (idle, callers) = (self.settings.idle.as_secs_f64(), f64::from(self.settings.callers.max(1)));
-        let (reading_overloaded, spare) =
-            (self.reading_overloaded(), gauges.busy.is_some_and(|b| b < BUSY_LOW));
-        if let Some(limit) = self.connections.revise(now, idle, callers, reading_overloaded, spare) {
+        let (read_overload, spare) = (self.read_overload(), gauges.busy.is_some_and(|b| b < BUSY_LOW));
+        if let Some(limit) = self.connections.revise(now, idle, callers, read_overload, spare) {
             out.push(Action::IdleLimit(seconds(limit)));
         }
-        self.adjust_concurrency_limit(gauges);
+        self.adjust_run_limit(gauges);
         self.update_signal(out);
         out.push(Action::SetTimer(TimerId(0), seconds(TIMER_PERIOD)));
     }
@@ -999,28 +962,28 @@
     /// and what has not begun is refused, until something ends. Guards against a hang and against cores full
     /// of far too long runs.
     fn detect_stall(&mut self, out: &mut Vec<Action>) {
-        let idle = self.count_in(Phase::Running) as f64 <= self.waiting_off_cpu;
-        self.last_progress_at = if idle { self.now } else { self.last_progress_at };
-        let mean = f64::from(self.settings.cores.max(1)) / self.capacity_per_second();
-        let stalled = self.rate.is_some() && self.now - self.last_progress_at > STALL_RUNS * mean;
+        let idle = self.count_in(Phase::Running) as f64 <= self.off_cpu;
+        self.progress_at = if idle { self.now } else { self.progress_at };
+        let mean = self.cores() / self.capacity();
+        let stalled = self.rate.is_some() && self.now - self.progress_at > STALL_RUNS * mean;
         if std::mem::replace(&mut self.stalled, stalled) != stalled && self.stop_at.is_none() {
             out.push(Action::SetHealth { good: !stalled, cheap: true });
         }
     }
 
     /// The running bound grows while cores idle and work waits, and shrinks when too much wants the cores.
-    fn adjust_concurrency_limit(&mut self, gauges: &Gauges) {
-        let cores = f64::from(self.settings.cores.max(1));
+    fn adjust_run_limit(&mut self, gauges: &Gauges) {
+        let cores = self.cores();
         let waits = self.count_in(Phase::Queued) > 0;
         let runnable = gauges.runnable.unwrap_or(cores);
         let running = self.count_in(Phase::Running) as f64;
-        self.waiting_off_cpu = (running - gauges.runnable.unwrap_or(running)).max(0.0);
+        self.off_cpu = (running - gauges.runnable.unwrap_or(running)).max(0.0);
         if runnable > cores * RUNNABLE_HIGH {
-            self.concurrency_limit -= 0.25;
+            self.run_limit -= 0.25;
         } else if waits && runnable < cores && gauges.busy.is_none_or(|busy| busy < BUSY_LOW) {
-            self.concurrency_limit += 0.25;
+            self.run_limit += 0.25;
         }
-        self.concurrency_limit = self.concurrency_limit.clamp(cores, self.max_concurrency().max(cores));
+        self.run_limit = self.run_limit.clamp(cores, self.max_running().max(cores));
     }
 
     /// The keep-away signal follows what is refused, as reading costs cores: in small steps, so that callers
@@ -1031,15 +994,13 @@
             _ => self.rejected_fraction(),
         };
         let up = 10.0 * SIGNAL_STEP * (wanted - self.shed_level).max(0.0);
-        self.shed_level =
-            (self.shed_level + up - SIGNAL_STEP * if up > 0.0 { 0.0 } else { 1.0 }).clamp(0.0, 0.95);
+        let down = if up > 0.0 { 0.0 } else { SIGNAL_STEP };
+        self.shed_level = (self.shed_level + up - down).clamp(0.0, 0.95);
         let value = match self.settings.signal {
             Signal::Off => return,
             Signal::Level => self.shed_level,
             Signal::Weight => 1.0 - self.shed_level,
-            Signal::Credit => {
-                self.concurrency_limit * f64::from(self.settings.callers.max(1)).powf(-self.shed_level)
-            }
+            Signal::Credit => self.run_limit * f64::from(self.settings.callers.max(1)).powf(-self.shed_level),
         };
         if self.advertised.is_none_or(|advertised| (advertised - value).abs() > 0.01 * advertised.max(0.1)) {
             self.advertised = Some(value);
@@ -1047,18 +1008,18 @@
         }
     }
 
-    fn reading_overloaded(&self) -> bool {
+    fn read_overload(&self) -> bool {
         self.overhead.average > READING_HIGH
     }
 
     fn recent_window(&self) -> impl Iterator<Item = &RecentArrival> {
-        self.recent_arrivals.iter().filter(|s| s.at > self.now - RATE_WINDOW)
+        self.recent.iter().filter(|s| s.at > self.now - RATE_WINDOW)
     }
 
     /// The part of recent arrivals that was refused; a handful of arrivals says little.
     fn rejected_fraction(&self) -> f64 {
-        self.recent_window().filter(|s| !s.admitted).count() as f64
-            / self.recent_window().count().max(8) as f64
+        let rejected = self.recent_window().filter(|s| !s.admitted).count() as f64;
+        rejected / self.recent_window().count().max(8) as f64
     }
 
     /// The rank below which refusals outweigh admissions among recent arrivals. Without a flood it never
@@ -1066,14 +1027,14 @@
     fn signal_level(&self) -> f64 {
         let mut ranked: Vec<_> = self.recent_window().map(|s| (s.rank, s.admitted)).collect();
         ranked.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let reading_overloaded = self.reading_overloaded();
-        let weight = if reading_overloaded { ADMITTED_WEIGHT_READING } else { ADMITTED_WEIGHT };
+        let read_overload = self.read_overload();
+        let weight = if read_overload { ADMITTED_WEIGHT_READING } else { ADMITTED_WEIGHT };
         let (mut best, mut best_rank, mut sum) = (0.0, 0.0, 0.0);
         for (rank, admitted) in ranked {
             sum += if admitted { -weight } else { 1.0 };
             if sum > best {
                 (best, best_rank) = (sum, rank);
-            } else if !reading_overloaded && sum < best - 2.0 * weight {
+            } else if !read_overload && sum < best - 2.0 * weight {
                 break;
             }
         }
