--- a/node/src/peers/vote_store/tests.rs
+++ b/node/src/peers/vote_store/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use bytes::Bytes;
-use oakwind_fleet::membership_config::NodeId;
 use oakwind_fleet::key_state::{CompletedRun, RunResult};
+use oakwind_fleet::membership_config::NodeId;
 
 #[test]
 fn a_marker_tells_the_next_process_how_far_the_last_one_reached() {
@@ -29,9 +29,14 @@
 /// The bytes of a vote in the folders of operators: they do not change.
 #[test]
 fn each_kind_of_vote_is_written_to_its_golden_bytes_and_read_from_them() {
-    let claim = ClaimId { node: NodeId(0x0102_0304_0506_0708), incarnation: 1_796_189_499_690_723, number: 3 };
-    let copied =
-        |begun: Vec<_>, ended: Option<CompletedRun>| ReplicaRecord { key: "key".into(), keep_ms: 1500, begun, ended };
+    let claim =
+        ClaimId { node: NodeId(0x0102_0304_0506_0708), incarnation: 1_796_189_499_690_723, number: 3 };
+    let copied = |begun: Vec<_>, ended: Option<CompletedRun>| ReplicaRecord {
+        key: "key".into(),
+        keep_ms: 1500,
+        begun,
+        ended,
+    };
     let end = |fate| CompletedRun { received_at: 1_796_189_499_694, place: 1, claim, fate, body: u128::MAX };
     let done = end(RunResult::Succeeded(Bytes::from_static(b"\0job")));
     for (vote, golden) in [
