--- /dev/null
+++ b/node/src/dispatcher/calls.rs
@@ -0,0 +1,82 @@
+//! Calls that runs make to the tier below.
+
+use bytes::Bytes;
+use oakwind_admission::{Event, Outcome as AdmissionOutcome, RequestId};
+
+use super::attempts::Phase;
+use super::Dispatcher;
+use crate::clock::{self, Unix};
+use crate::exchange::{CallCommand, CallOutcome, RunCommand};
+use crate::log;
+
+impl Dispatcher {
+    /// A run waits for a call: the admission module decides whether it is made.
+    pub(super) fn call_needed(&mut self, txn: &Bytes, body: Bytes) {
+        let Some(id) = self.attempts.id_of(txn) else {
+            return log!("dispatcher: a call is needed for an attempt that is not open: txn={txn:?}");
+        };
+        let Some(attempt) = self.attempts.get_mut(id) else { return };
+        if let Phase::Running { started_at } = attempt.phase {
+            attempt.phase = Phase::AwaitingCall { started_at, body };
+            self.admission_events.push(Event::CallNeeded(id));
+        }
+    }
+
+    /// Makes the call that a run waits for, and gives it up at `until`.
+    pub(super) fn start_call(&mut self, id: RequestId, now: Unix, until: Unix) {
+        let Some(attempt) = self.attempts.get_mut(id) else { return };
+        let Phase::AwaitingCall { started_at, body } = &attempt.phase else { return };
+        let (started_at, body) = (*started_at, body.clone());
+        let request = attempt.request.clone();
+        attempt.phase = Phase::Calling { started_at, called_at: now, body: body.clone() };
+        self.send_call_command(CallCommand::Call { request, body, until });
+    }
+
+    /// Lets a run go on without the call that it waits for.
+    pub(super) fn skip_call(&mut self, id: RequestId) {
+        let Some(attempt) = self.attempts.get_mut(id) else { return };
+        if let Phase::AwaitingCall { started_at, .. } = attempt.phase {
+            attempt.phase = Phase::Running { started_at };
+            let txn = attempt.request.txn.clone();
+            self.send_run_command(RunCommand::Skip(txn));
+        }
+    }
+
+    /// A call has ended. The run gets a reply; of every other outcome the admission module decides what follows.
+    pub(super) fn call_ended(&mut self, txn: &Bytes, call_outcome: CallOutcome) {
+        let Some(id) = self.attempts.id_of(txn) else { return };
+        let Some(attempt) = self.attempts.get_mut(id) else { return };
+        let Phase::Calling { started_at, called_at, body } = &attempt.phase else { return };
+        let (started_at, body) = (*started_at, body.clone());
+        let took = clock::now().saturating_sub(*called_at);
+        let outcome = match call_outcome {
+            CallOutcome::Ok(reply) => {
+                attempt.phase = Phase::Running { started_at };
+                self.send_run_command(RunCommand::Resolve(txn.clone(), reply));
+                self.admission_events.push(Event::CallReturned { id, outcome: AdmissionOutcome::Ok, took });
+                return;
+            }
+            CallOutcome::Failed => AdmissionOutcome::Error,
+            CallOutcome::Refused => AdmissionOutcome::Refused,
+            CallOutcome::TimedOut => AdmissionOutcome::TimedOut,
+            CallOutcome::Unreachable => AdmissionOutcome::Unreachable,
+            CallOutcome::CutOff => AdmissionOutcome::CutOff,
+        };
+        attempt.phase = Phase::AwaitingCall { started_at, body };
+        self.admission_events.push(Event::CallReturned { id, outcome, took });
+    }
+
+    /// Sends a command to the backend that makes calls. A call that finds no room in the queue counts as unreachable.
+    pub(super) fn send_call_command(&mut self, command: CallCommand) {
+        let called_txn = match &command {
+            CallCommand::Call { request, .. } => Some(request.txn.clone()),
+            CallCommand::GiveUp(_) => None,
+        };
+        if self.endpoints.calls.try_send(command).is_err() {
+            log!("dispatcher: the queue of call commands is full");
+            if let Some(txn) = called_txn {
+                self.call_ended(&txn, CallOutcome::Unreachable);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/node/src/dispatcher/handover.rs
@@ -0,0 +1,225 @@
+//! The dispatcher's part in an upgrade in place: what it takes over from the predecessor process and what it transfers to
+//! its successor. `crate::handover` is the link between the two processes.
+//!
+//! While both processes live, no key runs twice: the predecessor rejects keys that it does not know once it has
+//! transferred its table, and the successor withholds attempts with keys until it has that table.
+
+use std::collections::HashMap;
+use std::time::Duration;
+
+use oakwind_admission::RequestId;
+use tokio::sync::mpsc;
+
+use super::attempts::Phase;
+use super::idempotency::HeldKey;
+use super::{Dispatcher, TIMEOUT_MARGIN};
+use crate::clock::{self, Unix};
+use crate::exchange::{DispatcherEvent, HandoverState, Submission};
+use crate::log;
+use crate::outcome::{Completion, IdempotencyRecord, RunState, StoredOutcome};
+use crate::run_gate::KeyedRun;
+
+/// The idempotency table is transferred this long after clients are told to connect to the successor. Requests that they
+/// sent before they heard of it still run here.
+const TRANSFER_DELAY: Duration = Duration::from_millis(100);
+
+/// What the dispatcher keeps for a handover, in either direction.
+#[derive(Default)]
+pub(super) struct Handover {
+    /// The process that takes over from this one.
+    pub(super) successor: Option<Successor>,
+    /// Attempts with keys that came before the predecessor's table. As many as connections allow at most.
+    pub(super) withheld: Vec<Submission>,
+    /// The predecessor's records with an outcome that is being stored, by the attempt that holds the key here.
+    storing: HashMap<RequestId, IdempotencyRecord>,
+}
+
+impl Handover {
+    /// When something is to be done for the handover.
+    pub(super) fn next_wake(&self) -> Option<Unix> {
+        let transfer = self.successor.as_ref().filter(|successor| !successor.transferred);
+        let transfer_at = transfer.map(|successor| successor.transfer_at);
+        let deadlines = self.withheld.iter().map(|withheld| withheld.request.deadline);
+        let reject_at = deadlines.map(|deadline| deadline.saturating_sub(TIMEOUT_MARGIN)).min();
+        transfer_at.into_iter().chain(reject_at).min()
+    }
+}
+
+/// The process that takes over from this one.
+pub(super) struct Successor {
+    updates: mpsc::Sender<HandoverState>,
+    /// When it gets the idempotency table.
+    transfer_at: Unix,
+    transferred: bool,
+}
+
+/// The predecessor's side: this process hands over.
+impl Dispatcher {
+    /// A successor takes over: clients are sent to it, and it gets the idempotency table soon.
+    pub(super) fn begin_handover(&mut self, updates: mpsc::Sender<HandoverState>) {
+        let transfer_at = clock::now() + TRANSFER_DELAY;
+        self.handover.successor = Some(Successor { updates, transfer_at, transferred: false });
+        self.update_status(|status| status.handed_over = true);
+    }
+
+    /// The successor has ended before this process: this one serves on, unless it is to leave itself.
+    pub(super) fn successor_lost(&mut self) {
+        self.handover.successor = None;
+        self.run_gate.take_over(true);
+        self.update_status(|status| status.handed_over &= status.draining.is_some());
+    }
+
+    /// Whether the successor has the idempotency table, so that no key may be added here.
+    pub(super) fn state_is_transferred(&self) -> bool {
+        self.handover.successor.as_ref().is_some_and(|successor| successor.transferred)
+    }
+
+    /// Transfers the idempotency table to the successor once that is due.
+    pub(super) fn transfer_state(&mut self, now: Unix) {
+        let Some(successor) = &mut self.handover.successor else { return };
+        if successor.transferred || now < successor.transfer_at {
+            return;
+        }
+        successor.transferred = true;
+        self.release_stores();
+        self.send_to_successor(self.idempotency.snapshot());
+    }
+
+    /// Leaves the stores to the successor. Queued attempts may still run here, so their keys are stored as started.
+    fn release_stores(&mut self) {
+        let queued = self.attempts.iter().filter(|attempt| attempt.phase == Phase::Queued);
+        let runs: Vec<KeyedRun> = queued.filter_map(|attempt| self.keyed_run(attempt.id)).collect();
+        self.run_gate.hand_over(&runs);
+    }
+
+    /// Reports the state of a run to the successor, if the attempt holds a key.
+    pub(super) fn report_to_successor(&mut self, id: RequestId, state: RunState) {
+        if !self.state_is_transferred() {
+            return;
+        }
+        let Some(HeldKey { key, body_digest, expires_at }) = self.idempotency.held_by(id) else { return };
+        let record = IdempotencyRecord { key, body_digest, expires_at, state };
+        self.send_to_successor(HandoverState { digest_seed: 0, records: vec![record] });
+    }
+
+    fn send_to_successor(&mut self, state: HandoverState) {
+        let Some(successor) = &self.handover.successor else { return };
+        if successor.updates.try_send(state).is_err() {
+            log!("handover: the successor can't be told anything more");
+            self.handover.successor = None;
+        }
+    }
+}
+
+/// The successor's side: this process takes over.
+impl Dispatcher {
+    /// Takes in what the predecessor reports: its whole table at first, then the outcomes of its runs.
+    pub(super) fn receive_state(&mut self, state: HandoverState) {
+        let is_whole_table = self.status().awaiting_state;
+        if is_whole_table {
+            self.idempotency.set_digest_seed(state.digest_seed);
+            log!("handover: {} keys are known from the predecessor", state.records.len());
+        }
+        for record in state.records {
+            if is_whole_table {
+                // The predecessor has stored all this.
+                self.import_record(record, false);
+            } else if let Some(holder) = self.start_storing(&record) {
+                self.handover.storing.insert(holder, record);
+            } else {
+                self.import_record(record, true);
+            }
+        }
+        if is_whole_table {
+            self.run_gate.take_over(false);
+        }
+        self.admit_withheld();
+    }
+
+    /// Starts to store the outcome of a predecessor's run, so that nobody hears of it before it is stored. Returns the
+    /// key's holder if the run gate reports later, `None` if there is nothing to wait for.
+    fn start_storing(&mut self, record: &IdempotencyRecord) -> Option<RequestId> {
+        if !self.run_gate.is_durable() {
+            return None;
+        }
+        let outcome = StoredOutcome::from_run_state(record.state.clone())?;
+        let holder = self.idempotency.holder(&record.key)?;
+        let run = self.keyed_run(holder)?;
+        self.run_gate.predecessor_run_completed(run, &outcome).then_some(holder)
+    }
+
+    /// Imports a record whose outcome has been stored, or could not be: then the run counts as failed. Returns whether
+    /// this was the run of a predecessor.
+    pub(super) fn import_stored(&mut self, holder: RequestId, completion: &Completion) -> bool {
+        let Some(mut record) = self.handover.storing.remove(&holder) else { return false };
+        if !matches!(completion, Completion::Succeeded(_)) {
+            record.state = RunState::Failed;
+        }
+        self.import_record(record, false);
+        true
+    }
+
+    /// Adds what the predecessor knows of a key to the idempotency table, and stores its outcome if `store` is set.
+    fn import_record(&mut self, record: IdempotencyRecord, store: bool) {
+        let key = record.key.clone();
+        let id = self.attempts.allocate_id();
+        let Some(imported) = self.idempotency.import(record, id) else { return };
+        if let Some(holder) = self.idempotency.holder(&key).filter(|_| store) {
+            self.store_outcome(holder, &imported.outcome);
+        }
+        self.complete_waiters(imported.waiters, &imported.outcome);
+    }
+
+    /// Takes in what the stores had from earlier processes. What started there and has no outcome has failed.
+    pub(super) fn import_recovered(&mut self, records: Vec<IdempotencyRecord>) {
+        for record in records {
+            let id = self.attempts.allocate_id();
+            self.idempotency.import(record, id);
+        }
+        self.fail_predecessor_runs();
+    }
+
+    /// The predecessor reports nothing more.
+    pub(super) fn predecessor_done(&mut self) {
+        self.fail_predecessor_runs();
+        self.admit_withheld();
+        self.run_gate.predecessor_ended();
+        self.update_status(|status| status.predecessor_alive = false);
+    }
+
+    /// Counts all runs of earlier processes without an outcome as failed.
+    fn fail_predecessor_runs(&mut self) {
+        for record in std::mem::take(&mut self.handover.storing).into_values() {
+            self.import_record(record, false);
+        }
+        let waiters = self.idempotency.fail_predecessor_runs();
+        self.complete_waiters(waiters, &StoredOutcome::Failed);
+    }
+
+    /// Holds an attempt with a key back until the predecessor's table is known.
+    pub(super) fn withhold(&mut self, submission: Submission) {
+        self.handover.withheld.push(submission);
+    }
+
+    /// Attempts with keys are decided about from now on.
+    fn admit_withheld(&mut self) {
+        self.update_status(|status| status.awaiting_state = false);
+        let withheld = std::mem::take(&mut self.handover.withheld);
+        self.deferred.extend(withheld.into_iter().map(DispatcherEvent::Submitted));
+    }
+
+    /// Rejects withheld attempts that can wait no longer, or all of them once this process is to leave. They are
+    /// answered in time even if the predecessor never reports its table.
+    pub(super) fn reject_expired_withheld(&mut self, now: Unix) {
+        let is_draining = self.status().draining.is_some();
+        let has_expired =
+            |withheld: &Submission| is_draining || now + TIMEOUT_MARGIN >= withheld.request.deadline;
+        let withheld = std::mem::take(&mut self.handover.withheld);
+        let (expired, waiting): (Vec<_>, Vec<_>) = withheld.into_iter().partition(has_expired);
+        self.handover.withheld = waiting;
+        for submission in expired {
+            let outcome = self.undecided_rejection();
+            self.answer_submission(submission, outcome);
+        }
+    }
+}
--- a/node/src/dispatcher/idempotency.rs
+++ b/node/src/dispatcher/idempotency.rs
@@ -1,4 +1,7 @@
-//! The table of keys: which try of a key holds it, what became of its run, and which tries wait for that.
+//! The idempotency table: which attempt holds a key, what its run came to, and which attempts wait for that.
+//!
+//! At most one attempt of a key is allowed to run until the key expires. Results take a bounded amount of memory:
+//! without a durable store the oldest results are dropped first, while the fact that the key has run is kept.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::hash::{BuildHasher, RandomState};
@@ -8,333 +11,384 @@
 use oakwind_admission::RequestId;
 
 use crate::clock::Unix;
-use crate::outcome::{digest, IdempotencyKey, RunState, StoredOutcome, LATE_READ_GRACE, MAX_RESULT_BYTES};
+use crate::exchange::HandoverState;
+use crate::outcome::{
+    digest, IdempotencyKey, IdempotencyRecord, RunState, StoredOutcome, LATE_READ_GRACE, MAX_RESULT_BYTES,
+};
 
-/// Memory that a remembered key takes, by a generous estimate, beside its result.
+/// Estimated memory that one entry takes beside its result, in bytes; rather too high than too low.
 const ENTRY_BYTES: usize = 512;
-/// So many keys may be remembered in any process.
-const FEWEST: usize = 1000;
+/// Every process has capacity for this many keys, however little memory it is given.
+const MIN_CAPACITY: usize = 1000;
+/// Expired entries are removed at most this often.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
+/// What is known of one key.
 #[derive(Debug)]
 struct Entry {
+    /// The attempt that the key belongs to at present.
     holder: RequestId,
-    /// A digest of the body that all tries of the key carry.
-    body: u64,
-    until: Unix,
-    /// The try that was run, if any has been.
-    ran: Option<RequestId>,
-    /// The process before this one ran it.
-    elsewhere: bool,
-    kept: Option<StoredOutcome>,
-    joiners: Vec<RequestId>,
+    /// Digest of the body that all attempts of the key carry.
+    body_digest: u64,
+    expires_at: Unix,
+    /// The attempt that was run, if any.
+    run_by: Option<RequestId>,
+    /// The run belongs to the predecessor process.
+    run_by_predecessor: bool,
+    outcome: Option<StoredOutcome>,
+    /// Attempts that wait for the outcome.
+    waiters: Vec<RequestId>,
 }
 
 impl Entry {
-    /// Whether a try that came then is a new request: its time is up and nothing of it runs. Guards against a second
-    /// run beside a first one that takes longer than its key is remembered.
-    fn is_over(&self, received_at: Unix) -> bool {
-        received_at > self.until && !self.runs()
+    /// Whether an attempt received at that time is a new request: the key has expired and no run of it is under way.
+    /// A run that takes longer than its key lasts must not get a second one beside it.
+    fn has_expired(&self, received_at: Unix) -> bool {
+        received_at > self.expires_at && !self.is_running()
     }
 
-    /// It was begun, and its end is not known.
-    fn runs(&self) -> bool {
-        self.ran.is_some() && self.kept.is_none()
+    /// Whether a run was started and its outcome is not known.
+    fn is_running(&self) -> bool {
+        self.run_by.is_some() && self.outcome.is_none()
     }
 
-    fn fate(&self) -> RunState {
-        self.kept.as_ref().map_or(RunState::Pending, StoredOutcome::fate)
+    fn run_state(&self) -> RunState {
+        self.outcome.as_ref().map_or(RunState::Pending, RunState::from)
     }
 
-    /// What its result takes.
-    fn bytes(&self) -> usize {
-        if let Some(StoredOutcome::Succeeded(result)) = &self.kept {
+    fn result_bytes(&self) -> usize {
+        if let Some(StoredOutcome::Succeeded(result)) = &self.outcome {
             result.len()
         } else {
             0
         }
     }
+
+    fn to_record(&self, key: &IdempotencyKey) -> IdempotencyRecord {
+        IdempotencyRecord {
+            key: key.clone(),
+            body_digest: self.body_digest,
+            expires_at: self.expires_at,
+            state: self.run_state(),
+        }
+    }
 }
 
-/// What a try's key says of it.
+/// How an attempt relates to what is known of its key.
 #[derive(Debug, PartialEq)]
-pub enum Linked {
-    /// It is the first try, as far as is remembered.
-    First,
-    /// It repeats this one.
-    To(RequestId),
-    /// The key is that of a request with another body. Guards a client against the result of another's request.
-    Elsewhere,
+pub(crate) enum KeyMatch {
+    /// The key is not known, so this is its first attempt.
+    New,
+    /// The attempt repeats this one.
+    RepeatOf(RequestId),
+    /// The key is known with another body. A client must not get the result of another request.
+    BodyMismatch,
 }
 
-/// All keys that are remembered.
+/// A key that an attempt holds.
+#[derive(Debug, Clone, PartialEq)]
+pub(crate) struct HeldKey {
+    /// The key.
+    pub(crate) key: IdempotencyKey,
+    /// Digest of the body that its attempts carry.
+    pub(crate) body_digest: u64,
+    /// When the key expires.
+    pub(crate) expires_at: Unix,
+}
+
+/// The outcome of a run of the predecessor process, and the attempts here that waited for it.
+#[derive(Debug, PartialEq)]
+pub(crate) struct ImportedOutcome {
+    /// Attempts that waited.
+    pub(crate) waiters: Vec<RequestId>,
+    /// What they waited for.
+    pub(crate) outcome: StoredOutcome,
+}
+
+/// All keys that have not expired.
 #[derive(Debug, Default)]
-pub struct Keys {
-    /// Bodies are digested with this, in a way that no client can foresee.
-    seed: u64,
+pub(crate) struct IdempotencyTable {
+    /// Seeds the digests of bodies, so that no client can construct a collision.
+    digest_seed: u64,
     entries: HashMap<IdempotencyKey, Entry>,
-    /// The key that each holder holds.
-    held: HashMap<RequestId, IdempotencyKey>,
-    batch: HashSet<IdempotencyKey>,
-    swept: Unix,
-    /// Keys with results, the oldest first, and what those take. Some may have been forgotten since.
-    results: VecDeque<IdempotencyKey>,
-    bytes: usize,
-    most_bytes: usize,
-    /// No result is dropped before its time, and those to come have their room set aside.
-    lasting: bool,
-    /// Keys whose runs have not ended.
-    open: usize,
+    /// The key of each holder.
+    key_by_holder: HashMap<RequestId, IdempotencyKey>,
+    /// Keys with an attempt in the batch that is being gathered.
+    batch_keys: HashSet<IdempotencyKey>,
+    last_swept_at: Unix,
+    /// Keys with outcomes, the oldest first. Some may have been removed since.
+    keys_with_outcome: VecDeque<IdempotencyKey>,
+    /// Memory that results take at present.
+    result_bytes: usize,
+    max_result_bytes: usize,
+    /// No result is dropped before its key expires, and memory is reserved for the results to come.
+    durable: bool,
+    /// Keys without an outcome.
+    pending_count: usize,
 }
 
-impl Keys {
-    /// An empty table whose results take so many bytes at the most, and whose keys about as many.
-    pub fn new(most_bytes: usize) -> Self {
-        Keys { seed: RandomState::new().hash_one(()), most_bytes, ..Keys::default() }
+impl IdempotencyTable {
+    /// An empty table whose results take `max_result_bytes` at most, and whose keys about as much.
+    pub(crate) fn new(max_result_bytes: usize) -> Self {
+        let digest_seed = RandomState::new().hash_one(());
+        IdempotencyTable { digest_seed, max_result_bytes, ..IdempotencyTable::default() }
     }
 
-    /// The same in every build: the digest may come from another process.
-    fn digest(&self, body: &[u8]) -> u64 {
-        digest(self.seed, body)
+    /// The same table, with results that stay for as long as their keys.
+    pub(crate) fn into_durable(self) -> Self {
+        IdempotencyTable { durable: true, ..self }
     }
 
-    /// The same table, whose results stay for as long as their keys.
-    pub fn lasting(self) -> Self {
-        Keys { lasting: true, ..self }
+    /// Digests bodies with a given seed, so that digests from another process match. The table must be empty.
+    pub(crate) fn set_digest_seed(&mut self, seed: u64) {
+        debug_assert!(self.entries.is_empty());
+        self.digest_seed = seed;
     }
 
-    /// How bodies are digested, and all keys: the digest of the body, how long each is remembered and what
-    /// became of its run.
-    pub fn all(&self) -> (u64, impl Iterator<Item = (&IdempotencyKey, u64, Unix, RunState)>) {
-        (self.seed, self.entries.iter().map(|(key, entry)| (key, entry.body, entry.until, entry.fate())))
+    fn digest(&self, body: &[u8]) -> u64 {
+        digest(self.digest_seed, body)
     }
 
-    /// From now on bodies are digested as the process before this one did. Nothing may be remembered yet.
-    pub fn digests_with(&mut self, seed: u64) {
-        debug_assert!(self.entries.is_empty());
-        self.seed = seed;
+    /// The whole table, as it is transferred to a successor process.
+    pub(crate) fn snapshot(&self) -> HandoverState {
+        HandoverState {
+            digest_seed: self.digest_seed,
+            records: self.entries.iter().map(|(key, entry)| entry.to_record(key)).collect(),
+        }
     }
 
-    /// Takes in what the process before this one knows of a key, under the number `id` if it is a new one.
-    /// Returns the tries that waited for what became of its run, and that.
-    pub fn inherit(
-        &mut self,
-        key: IdempotencyKey,
-        (body, until, fate): (u64, Unix, RunState),
-        id: RequestId,
-    ) -> Option<(Vec<RequestId>, StoredOutcome)> {
+    /// Takes in a record of another process, under the number `id` if its key is new here. Returns the outcome if the
+    /// record brought one.
+    pub(crate) fn import(&mut self, record: IdempotencyRecord, id: RequestId) -> Option<ImportedOutcome> {
+        let IdempotencyRecord { key, body_digest, expires_at, state } = record;
         if !self.entries.contains_key(&key) {
-            if fate == RunState::NeverStarted {
+            if state == RunState::NeverStarted {
                 return None;
             }
             let entry = Entry {
                 holder: id,
-                body,
-                until,
-                ran: Some(id),
-                elsewhere: true,
-                kept: None,
-                joiners: vec![],
+                body_digest,
+                expires_at,
+                run_by: Some(id),
+                run_by_predecessor: true,
+                outcome: None,
+                waiters: vec![],
             };
-            self.entries.insert(key.clone(), entry);
-            self.open += 1;
-            self.held.insert(id, key.clone());
+            self.insert(key.clone(), entry);
         }
         let entry = self.entries.get(&key)?;
-        let kept = match fate {
-            RunState::Pending => return None,
-            RunState::Succeeded(result) => StoredOutcome::Succeeded(result),
-            RunState::Failed => StoredOutcome::Failed,
-            RunState::NeverStarted => StoredOutcome::NeverStarted,
-        };
-        // One that this process took over runs here now.
-        if !entry.elsewhere || entry.kept.is_some() {
+        let outcome = StoredOutcome::from_run_state(state)?;
+        // A key that passed to an attempt of this process runs here now.
+        if !entry.run_by_predecessor || entry.outcome.is_some() {
             return None;
         }
-        Some((self.ended(entry.ran?, kept.clone()), kept))
+        let waiters = self.complete(entry.run_by?, outcome.clone());
+        Some(ImportedOutcome { waiters, outcome })
     }
 
-    /// The process before this one tells nothing more: what it may have run has failed. Returns the tries that
-    /// waited for that.
-    pub fn inheritance_over(&mut self) -> Vec<RequestId> {
-        let open = |entry: &&Entry| entry.elsewhere && entry.kept.is_none();
-        let lost: Vec<RequestId> = self.entries.values().filter(open).filter_map(|entry| entry.ran).collect();
-        lost.into_iter().flat_map(|id| self.ended(id, StoredOutcome::Failed)).collect()
+    /// Counts the predecessor's runs without an outcome as failed, as it reports nothing more. Returns the attempts
+    /// that waited for them.
+    pub(crate) fn fail_predecessor_runs(&mut self) -> Vec<RequestId> {
+        let is_lost = |entry: &&Entry| entry.run_by_predecessor && entry.outcome.is_none();
+        let lost: Vec<RequestId> =
+            self.entries.values().filter(is_lost).filter_map(|entry| entry.run_by).collect();
+        lost.into_iter().flat_map(|id| self.complete(id, StoredOutcome::Failed)).collect()
     }
 
-    /// Whether a try of this key came in the batch that is being gathered.
-    pub fn in_batch(&self, key: &IdempotencyKey) -> bool {
-        self.batch.contains(key)
+    /// Whether an attempt of this key came in the batch that is being gathered.
+    pub(crate) fn is_in_batch(&self, key: &IdempotencyKey) -> bool {
+        self.batch_keys.contains(key)
     }
 
     /// The batch has been decided.
-    pub fn batch_over(&mut self) {
-        self.batch.clear();
+    pub(crate) fn end_batch(&mut self) {
+        self.batch_keys.clear();
     }
 
-    /// A try with this body came to the machine at `received_at`.
-    pub fn arrived(&mut self, key: IdempotencyKey, body: &[u8], received_at: Unix) -> Linked {
-        let prior = self.entries.get(&key).map(|e| (e.holder, e.is_over(received_at), e.body));
-        let linked = match prior {
+    /// Relates an attempt with this body, which the machine received at `received_at`, to what is known of its key.
+    pub(crate) fn match_attempt(&mut self, key: IdempotencyKey, body: &[u8], received_at: Unix) -> KeyMatch {
+        let known = self.entries.get(&key);
+        let known = known.map(|entry| (entry.holder, entry.has_expired(received_at), entry.body_digest));
+        let matched = match known {
             Some((holder, true, _)) => {
-                self.forget(holder);
-                Linked::First
+                self.release(holder);
+                KeyMatch::New
             }
-            Some((_, _, digest)) if digest != self.digest(body) => return Linked::Elsewhere,
-            Some((holder, ..)) => Linked::To(holder),
-            None => Linked::First,
+            Some((_, _, body_digest)) if body_digest != self.digest(body) => return KeyMatch::BodyMismatch,
+            Some((holder, ..)) => KeyMatch::RepeatOf(holder),
+            None => KeyMatch::New,
         };
-        self.batch.insert(key);
-        linked
+        self.batch_keys.insert(key);
+        matched
     }
 
-    /// The try holds the key until then; the key passes to it from one that held it before.
-    pub fn remember(&mut self, key: IdempotencyKey, body: &[u8], id: RequestId, until: Unix) {
-        // A key outlives the buffer that it was read into.
-        let key = Bytes::copy_from_slice(&key);
+    /// Makes an attempt the holder of a key until it expires. An earlier holder loses the key.
+    pub(crate) fn assign(&mut self, key: &IdempotencyKey, body: &[u8], holder: RequestId, expires_at: Unix) {
+        // The entry outlives the buffer that the key was read into.
+        let key = Bytes::copy_from_slice(key);
         match self.entries.get_mut(&key) {
             Some(entry) => {
-                self.held.remove(&entry.holder);
-                (entry.holder, entry.until) = (id, until);
+                self.key_by_holder.remove(&entry.holder);
+                entry.holder = holder;
+                entry.expires_at = expires_at;
+                self.key_by_holder.insert(holder, key);
             }
             None => {
-                let body = self.digest(body);
                 let entry = Entry {
-                    holder: id,
-                    body,
-                    until,
-                    ran: None,
-                    elsewhere: false,
-                    kept: None,
-                    joiners: vec![],
+                    holder,
+                    body_digest: self.digest(body),
+                    expires_at,
+                    run_by: None,
+                    run_by_predecessor: false,
+                    outcome: None,
+                    waiters: vec![],
                 };
-                self.entries.insert(key.clone(), entry);
-                self.open += 1;
+                self.insert(key, entry);
             }
         }
-        self.held.insert(id, key);
     }
 
-    /// The try gives up its key.
-    pub fn forget(&mut self, id: RequestId) {
-        let entry = self.held.remove(&id).and_then(|key| self.entries.remove(&key));
-        self.open -= usize::from(entry.as_ref().is_some_and(|entry| entry.kept.is_none()));
-        self.bytes -= entry.map_or(0, |entry| entry.bytes());
+    /// Adds an entry without an outcome for a key that is not in the table.
+    fn insert(&mut self, key: IdempotencyKey, entry: Entry) {
+        self.key_by_holder.insert(entry.holder, key.clone());
+        self.entries.insert(key, entry);
+        self.pending_count += 1;
+    }
+
+    /// Removes the key that an attempt holds.
+    pub(crate) fn release(&mut self, id: RequestId) {
+        let entry = self.key_by_holder.remove(&id).and_then(|key| self.entries.remove(&key));
+        if let Some(entry) = entry {
+            self.pending_count -= usize::from(entry.outcome.is_none());
+            self.result_bytes -= entry.result_bytes();
+        }
     }
 
-    /// Whether there is no room for one more key. Guards the memory of the process: a key can't be forgotten before
-    /// its time.
-    pub fn full(&self) -> bool {
-        let to_come = if self.lasting { self.bytes + (self.open + 1) * MAX_RESULT_BYTES } else { 0 };
-        self.entries.len() >= (self.most_bytes / ENTRY_BYTES).max(FEWEST) || to_come > self.most_bytes
+    /// Whether there is no capacity for one more key. A key can't be dropped before it expires, so memory is bounded
+    /// by taking no more.
+    pub(crate) fn is_full(&self) -> bool {
+        let reserved =
+            if self.durable { self.result_bytes + (self.pending_count + 1) * MAX_RESULT_BYTES } else { 0 };
+        let capacity = (self.max_result_bytes / ENTRY_BYTES).max(MIN_CAPACITY);
+        self.entries.len() >= capacity || reserved > self.max_result_bytes
     }
 
-    /// What is kept of the run of this key, if that has ended and the key is that of this body.
-    pub fn kept(&self, key: &IdempotencyKey, body: &[u8], received_at: Unix) -> Option<StoredOutcome> {
-        let entry = self
-            .entries
-            .get(key)
-            .filter(|entry| received_at <= entry.until && entry.body == self.digest(body))?;
-        entry.kept.clone()
+    /// The outcome of the key's run, if it is known and the key is that of this body.
+    pub(crate) fn outcome(
+        &self,
+        key: &IdempotencyKey,
+        body: &[u8],
+        received_at: Unix,
+    ) -> Option<StoredOutcome> {
+        let entry = self.entries.get(key)?;
+        let matches = received_at <= entry.expires_at && entry.body_digest == self.digest(body);
+        entry.outcome.clone().filter(|_| matches)
     }
 
-    /// The try that holds this key.
-    pub fn holder(&self, key: &IdempotencyKey) -> Option<RequestId> {
+    /// The attempt that holds this key.
+    pub(crate) fn holder(&self, key: &IdempotencyKey) -> Option<RequestId> {
         self.entries.get(key).map(|entry| entry.holder)
     }
 
-    /// Whether anything is remembered of this key.
-    pub fn knows(&self, key: &IdempotencyKey) -> bool {
+    /// Whether anything is known of this key.
+    pub(crate) fn contains(&self, key: &IdempotencyKey) -> bool {
         self.entries.contains_key(key)
     }
 
-    /// The key that this try holds, the digest of its body and how long it is remembered.
-    pub fn held_by(&self, id: RequestId) -> Option<(IdempotencyKey, u64, Unix)> {
-        let key = self.held.get(&id)?;
-        self.entries.get(key).map(|entry| (key.clone(), entry.body, entry.until))
+    /// The key that this attempt holds.
+    pub(crate) fn held_by(&self, id: RequestId) -> Option<HeldKey> {
+        let key = self.key_by_holder.get(&id)?;
+        let entry = self.entries.get(key)?;
+        Some(HeldKey { key: key.clone(), body_digest: entry.body_digest, expires_at: entry.expires_at })
     }
 
-    /// Whether what becomes of this try's run will be kept.
-    pub fn holds(&self, id: RequestId) -> bool {
-        self.held.contains_key(&id)
+    /// Whether this attempt holds a key, so that the outcome of its run is stored.
+    pub(crate) fn is_holder(&self, id: RequestId) -> bool {
+        self.key_by_holder.contains_key(&id)
     }
 
-    /// Whether this try may run: no other try of its key has. It counts as run from now on.
-    pub fn may_run(&mut self, key: &IdempotencyKey, id: RequestId) -> bool {
+    /// Whether this attempt may run, as no other attempt of its key has. From then on it counts as run.
+    pub(crate) fn try_start(&mut self, key: &IdempotencyKey, id: RequestId) -> bool {
         let Some(entry) = self.entries.get_mut(key) else { return true };
-        let may = entry.ran.is_none_or(|ran| ran == id);
-        entry.ran = entry.ran.or(Some(id));
-        may
+        *entry.run_by.get_or_insert(id) == id
     }
 
-    /// The try waits for what becomes of its key's run; returns that if it is known.
-    pub fn join(&mut self, key: &IdempotencyKey, id: RequestId) -> Option<StoredOutcome> {
+    /// Makes an attempt wait for the outcome of its key's run. Returns the outcome if it is known already.
+    pub(crate) fn wait_for_outcome(&mut self, key: &IdempotencyKey, id: RequestId) -> Option<StoredOutcome> {
         let Some(entry) = self.entries.get_mut(key) else { return Some(StoredOutcome::Failed) };
-        if entry.kept.is_none() {
-            entry.joiners.push(id);
+        if entry.outcome.is_none() {
+            entry.waiters.push(id);
         }
-        entry.kept.clone()
+        entry.outcome.clone()
     }
 
-    /// The run of a try is over; returns the tries that waited for that. A run that never began frees its
-    /// key, so that a further try may run.
-    pub fn ended(&mut self, id: RequestId, kept: StoredOutcome) -> Vec<RequestId> {
-        let Some(key) = self.held.get(&id) else { return Vec::new() };
+    /// Stores the outcome of an attempt's run and returns the attempts that waited for it. A run that never started
+    /// frees its key, so that another attempt may run.
+    pub(crate) fn complete(&mut self, id: RequestId, outcome: StoredOutcome) -> Vec<RequestId> {
+        let Some(key) = self.key_by_holder.get(&id) else { return Vec::new() };
         let Some(entry) = self.entries.get_mut(key) else { return Vec::new() };
-        let joiners = std::mem::take(&mut entry.joiners);
-        if kept == StoredOutcome::NeverStarted {
-            self.forget(id);
-            return joiners;
+        let waiters = std::mem::take(&mut entry.waiters);
+        if outcome == StoredOutcome::NeverStarted {
+            self.release(id);
+            return waiters;
         }
-        let too_long = |kept: &StoredOutcome| matches!(kept, StoredOutcome::Succeeded(result) if result.len() > MAX_RESULT_BYTES);
-        let kept = if self.lasting && too_long(&kept) { StoredOutcome::Failed } else { kept };
-        self.open -= usize::from(entry.kept.is_none());
-        self.bytes -= entry.bytes();
-        entry.kept = Some(kept);
-        self.bytes += entry.bytes();
-        self.results.push_back(key.clone());
-        // Guards the memory of the process: of the oldest results only that there was a run is still known.
-        while self.bytes > self.most_bytes {
-            let Some(oldest) = self.results.pop_front() else { break };
+        let outcome = match outcome {
+            StoredOutcome::Succeeded(result) if self.durable && result.len() > MAX_RESULT_BYTES => {
+                StoredOutcome::Failed
+            }
+            outcome => outcome,
+        };
+        self.pending_count -= usize::from(entry.outcome.is_none());
+        self.result_bytes -= entry.result_bytes();
+        entry.outcome = Some(outcome);
+        self.result_bytes += entry.result_bytes();
+        self.keys_with_outcome.push_back(key.clone());
+        self.drop_oldest_results();
+        waiters
+    }
+
+    /// Keeps results within their bound of memory: of the oldest ones only the fact that they ran stays.
+    fn drop_oldest_results(&mut self) {
+        while self.result_bytes > self.max_result_bytes {
+            let Some(oldest) = self.keys_with_outcome.pop_front() else { break };
             if let Some(entry) = self.entries.get_mut(&oldest) {
-                self.bytes -= entry.bytes();
-                entry.kept = entry.kept.take().map(|_| StoredOutcome::Failed);
+                self.result_bytes -= entry.result_bytes();
+                entry.outcome = entry.outcome.take().map(|_| StoredOutcome::Failed);
             }
         }
-        joiners
     }
 
-    /// It is not known what became of a try's key: nothing of it is remembered here. Returns the tries that waited.
-    pub fn abandon(&mut self, id: RequestId) -> Vec<RequestId> {
-        let entry = self.held.get(&id).and_then(|key| self.entries.get_mut(key));
-        let joiners = entry.map(|entry| std::mem::take(&mut entry.joiners)).unwrap_or_default();
-        self.forget(id);
-        joiners
+    /// Removes the key of an attempt whose outcome can't be known. Returns the attempts that waited for it.
+    pub(crate) fn abandon(&mut self, id: RequestId) -> Vec<RequestId> {
+        let entry = self.key_by_holder.get(&id).and_then(|key| self.entries.get_mut(key));
+        let waiters = entry.map(|entry| std::mem::take(&mut entry.waiters)).unwrap_or_default();
+        self.release(id);
+        waiters
     }
 
-    /// Time has jumped ahead by so much: what is remembered stays for as long as it would have without that. Guards
-    /// against a second run of a key that was forgotten because the clock was set.
-    pub fn jumped(&mut self, by: Duration) {
-        self.entries.values_mut().for_each(|entry| entry.until += by);
+    /// Extends all keys after the clock jumped ahead, so that none expires early and runs a second time.
+    pub(crate) fn extend_all(&mut self, by: Duration) {
+        self.entries.values_mut().for_each(|entry| entry.expires_at += by);
     }
 
-    /// Drops entries that have run out, now and then.
-    pub fn sweep(&mut self, now: Unix) {
-        if now < self.swept + Duration::from_secs(1) {
+    /// Removes expired entries, at most once per [`SWEEP_INTERVAL`].
+    pub(crate) fn sweep(&mut self, now: Unix) {
+        if now < self.last_swept_at + SWEEP_INTERVAL {
             return;
         }
-        self.swept = now;
-        let Keys { held, bytes, entries, results, open, .. } = self;
+        self.last_swept_at = now;
+        let IdempotencyTable { key_by_holder, result_bytes, entries, pending_count, .. } = self;
         entries.retain(|_, entry| {
-            let stays = now < entry.until + LATE_READ_GRACE || entry.runs();
+            let stays = now < entry.expires_at + LATE_READ_GRACE || entry.is_running();
             if !stays {
-                held.remove(&entry.holder);
-                *bytes -= entry.bytes();
-                *open -= usize::from(entry.kept.is_none());
+                key_by_holder.remove(&entry.holder);
+                *result_bytes -= entry.result_bytes();
+                *pending_count -= usize::from(entry.outcome.is_none());
             }
             stays
         });
-        while results.front().is_some_and(|key| !entries.contains_key(key)) {
-            results.pop_front();
+        while self.keys_with_outcome.front().is_some_and(|key| !self.entries.contains_key(key)) {
+            self.keys_with_outcome.pop_front();
         }
     }
 }
--- /dev/null
+++ b/node/src/dispatcher/timers.rs
@@ -0,0 +1,67 @@
+//! Timers of the admission module, and the gauges that each firing timer reports to it.
+
+use std::cmp::Reverse;
+use std::collections::BinaryHeap;
+use std::time::Duration;
+
+use oakwind_admission::{Event, Gauges, TimerId};
+
+use crate::clock::Unix;
+
+/// Gauges are requested this long before the timer that reports them fires, as the backend takes a moment to answer.
+const GAUGE_REQUEST_LEAD: Duration = Duration::from_millis(5);
+/// Gauges older than this are reported as unknown.
+const MAX_GAUGE_AGE: Duration = Duration::from_millis(500);
+
+/// The pending timers and the latest gauges.
+#[derive(Default)]
+pub(super) struct Timers {
+    pending: BinaryHeap<Reverse<(Unix, TimerId)>>,
+    gauges: Gauges,
+    gauges_read_at: Unix,
+    gauges_requested: bool,
+}
+
+impl Timers {
+    /// Has a timer fire at a point in time.
+    pub(super) fn schedule(&mut self, at: Unix, timer: TimerId) {
+        self.pending.push(Reverse((at, timer)));
+    }
+
+    /// When the next timer fires or gauges are to be requested for it, whichever comes first.
+    pub(super) fn next_wake(&self) -> Option<Unix> {
+        let at = self.next_firing()?;
+        Some(if self.gauges_requested { at } else { at.saturating_sub(GAUGE_REQUEST_LEAD) })
+    }
+
+    /// Whether the backend is to be asked for its gauges now. Returns true once for each time that timers fire.
+    pub(super) fn should_request_gauges(&mut self, now: Unix) -> bool {
+        let is_near = self.next_firing().is_some_and(|at| at <= now + GAUGE_REQUEST_LEAD);
+        let request = is_near && !self.gauges_requested;
+        self.gauges_requested |= request;
+        request
+    }
+
+    /// Takes in gauges that were read now.
+    pub(super) fn set_gauges(&mut self, now: Unix, gauges: Gauges) {
+        self.gauges = gauges;
+        self.gauges_read_at = now;
+    }
+
+    /// Removes the timers that have fired by now and returns their events, the earliest first.
+    pub(super) fn pop_fired(&mut self, now: Unix) -> Vec<Event> {
+        let is_fresh = self.gauges_read_at + MAX_GAUGE_AGE >= now;
+        let gauges = if is_fresh { self.gauges } else { Gauges::default() };
+        let mut fired = Vec::new();
+        while self.next_firing().is_some_and(|at| at <= now) {
+            let Some(Reverse((_, timer))) = self.pending.pop() else { break };
+            self.gauges_requested = false;
+            fired.push(Event::Timer(timer, gauges));
+        }
+        fired
+    }
+
+    fn next_firing(&self) -> Option<Unix> {
+        self.pending.peek().map(|Reverse((at, _))| *at)
+    }
+}
--- /dev/null
+++ b/node/src/exchange/request.rs
@@ -0,0 +1,107 @@
+//! Requests and the right to answer them.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use bytes::Bytes;
+use tokio::sync::mpsc;
+
+use crate::clock::Unix;
+use crate::metrics::Figures;
+use crate::outcome::{IdempotencyKey, RequestOutcome};
+
+/// One attempt of a request, as a frontend read it.
+#[derive(Debug, Clone)]
+pub(crate) struct Request {
+    /// The transaction id on all connections, new with every attempt.
+    pub(crate) txn: Bytes,
+    /// Position of its class in the settings.
+    pub(crate) class: u16,
+    /// Position of its tenant in the settings.
+    pub(crate) tenant: u16,
+    /// In keyed classes: the same for all attempts of one request.
+    pub(crate) key: Option<IdempotencyKey>,
+    /// Number of the client that sent it.
+    pub(crate) caller: u32,
+    /// The work to expect, as time on one core.
+    pub(crate) cost_hint: Option<Duration>,
+    /// Memory booked for it while it is open, in KB.
+    pub(crate) memory_kb: f64,
+    /// Its rank, from 0 to under 1.
+    pub(crate) rank: f64,
+    /// When it reached this machine.
+    pub(crate) received_at: Unix,
+    /// When its client stops waiting.
+    pub(crate) deadline: Unix,
+    /// Its body, as it was read.
+    pub(crate) body: Bytes,
+}
+
+/// Identifies one submission, so that its frontend can cancel it. The transaction id alone is not enough, as a client
+/// may submit the same one a second time.
+#[derive(Debug, Clone, PartialEq)]
+pub(crate) struct SubmissionId {
+    /// The request's transaction id.
+    pub(crate) txn: Bytes,
+    sequence: u64,
+}
+
+impl SubmissionId {
+    /// The submission of a transaction id that comes `sequence`th on this exchange.
+    pub(super) fn new(txn: Bytes, sequence: u64) -> Self {
+        SubmissionId { txn, sequence }
+    }
+}
+
+/// A request with the right to answer it.
+#[derive(Debug)]
+pub(crate) struct Submission {
+    /// The request.
+    pub(crate) request: Rc<Request>,
+    /// By what its frontend cancels it.
+    pub(crate) id: SubmissionId,
+    /// The right to answer it.
+    pub(crate) responder: Responder,
+}
+
+/// The right to give one request its outcome. Answering consumes it, so no request is answered twice. The answer has a
+/// place in the queue reserved from the start, so answering never waits.
+#[derive(Debug)]
+pub(crate) struct Responder {
+    tag: u64,
+    permit: Option<mpsc::OwnedPermit<(u64, RequestOutcome)>>,
+    /// Where the answer is counted, and for which class; set when the request is submitted.
+    counters: Option<(Rc<Figures>, u16)>,
+}
+
+impl Responder {
+    /// A responder that sends `tag` and the outcome to this queue, or `None` while the queue has no place to reserve.
+    pub(crate) fn new(answers: &mpsc::Sender<(u64, RequestOutcome)>, tag: u64) -> Option<Self> {
+        let permit = answers.clone().try_reserve_owned().ok()?;
+        Some(Responder { tag, permit: Some(permit), counters: None })
+    }
+
+    /// Counts the answer for a class.
+    pub(super) fn count_in(&mut self, metrics: Rc<Figures>, class: u16) {
+        self.counters = Some((metrics, class));
+    }
+
+    /// Gives the request its outcome.
+    pub(crate) fn answer(mut self, outcome: RequestOutcome) {
+        if let Some((metrics, class)) = &self.counters {
+            metrics.answered(*class, &outcome);
+        }
+        if let Some(permit) = self.permit.take() {
+            permit.send((self.tag, outcome));
+        }
+    }
+}
+
+impl Drop for Responder {
+    /// Counts the request as ended, whether it was answered or cancelled.
+    fn drop(&mut self) {
+        if let Some((metrics, _)) = &self.counters {
+            metrics.ended();
+        }
+    }
+}
--- a/node/src/handover/tests/golden.rs
+++ b/node/src/handover/tests/golden.rs
@@ -2,7 +2,7 @@
 //! release, so these bytes and the name of the socket stay as they are whatever the code calls them.
 
 use super::super::*;
-use crate::exchange::{self, DispatcherEndpoints, DispatcherEvent};
+use crate::exchange::{self, DispatcherEndpoints, DispatcherEvent, Endpoints};
 
 /// A line, then as many bytes as it announces; `\r\n` ends both.
 const OPEN: &str = "4b455920312031373634353736303030313233206f70656e203220320d0a6b310d0a";
@@ -72,7 +72,7 @@
 }
 
 async fn next(core: &mut DispatcherEndpoints) -> DispatcherEvent {
-    core.inbox.recv().await.unwrap()
+    core.events.recv().await.unwrap()
 }
 
 #[test]
@@ -131,7 +131,7 @@
 #[test]
 fn the_old_process_answers_take_with_its_whole_table_and_tells_ends_after_it() {
     run(async {
-        let (exchange, mut core, _backends) = exchange::new(false, false);
+        let Endpoints { exchange, dispatcher: mut core, backend: _backend } = exchange::new(false, false);
         let path = socket("old");
         let listener = UnixListener::bind(&path).unwrap();
         let old = hand_over(&listener, &exchange);
@@ -156,7 +156,7 @@
 #[test]
 fn the_old_process_takes_no_other_first_message_and_hears_a_successor_end() {
     run(async {
-        let (exchange, mut core, _backends) = exchange::new(false, false);
+        let Endpoints { exchange, dispatcher: mut core, backend: _backend } = exchange::new(false, false);
         let path = socket("first");
         let listener = UnixListener::bind(&path).unwrap();
         let new = async {
@@ -178,7 +178,7 @@
 #[test]
 fn the_new_process_says_take_learns_the_table_and_ends_and_says_when_it_has_passed_on() {
     run(async {
-        let (exchange, mut core, _backends) = exchange::new(true, false);
+        let Endpoints { exchange, dispatcher: mut core, backend: _backend } = exchange::new(true, false);
         let path = socket("new");
         let listener = UnixListener::bind(&path).unwrap();
         let new = inherit(path.clone(), exchange);
@@ -188,11 +188,11 @@
             old.write_all(&bytes(&whole_table())).await.unwrap();
             let DispatcherEvent::StateReceived(state) = next(&mut core).await else { panic!() };
             assert_eq!((state.digest_seed, state.records), (THE_SEED, vec![open(), done()]));
-            core.state.send_modify(|state| state.awaiting_state = false);
+            core.status.send_modify(|state| state.awaiting_state = false);
             old.write_all(&bytes(FAILED)).await.unwrap();
             let DispatcherEvent::StateReceived(state) = next(&mut core).await else { panic!() };
             assert_eq!(state.records, [failed()]);
-            core.state.send_modify(|state| state.handed_over = true);
+            core.status.send_modify(|state| state.handed_over = true);
             assert_eq!(read(&mut old, PASSED).await, PASSED);
             old.write_all(&bytes(FREE)).await.unwrap();
             let DispatcherEvent::StateReceived(state) = next(&mut core).await else { panic!() };
@@ -208,7 +208,7 @@
 #[test]
 fn an_empty_table_is_handed_over_as_well() {
     run(async {
-        let (exchange, mut core, _backends) = exchange::new(true, false);
+        let Endpoints { exchange, dispatcher: mut core, backend: _backend } = exchange::new(true, false);
         let path = socket("empty");
         let listener = UnixListener::bind(&path).unwrap();
         let old = async {
@@ -216,7 +216,7 @@
             old.write_all(&bytes(&[SEED, ALL].concat())).await.unwrap();
             let DispatcherEvent::StateReceived(state) = next(&mut core).await else { panic!() };
             assert_eq!((state.digest_seed, state.records), (THE_SEED, vec![]));
-            core.state.send_modify(|state| state.awaiting_state = false);
+            core.status.send_modify(|state| state.awaiting_state = false);
         };
         tokio::join!(inherit(path.clone(), exchange), old);
         std::fs::remove_file(path).unwrap();
--- a/node/src/outcome.rs
+++ b/node/src/outcome.rs
@@ -1,106 +1,118 @@
-//! What becomes of requests, runs and keys: the types that the core, the fronts, the backends and all that keeps keys
-//! share. It knows none of them.
+//! What requests, runs and idempotency keys come to: the types that the dispatcher, the frontends, the backends and the
+//! stores share. This module depends on none of them.
 
 use std::hash::Hasher;
 use std::time::Duration;
 
 use bytes::Bytes;
-/// How much longer a key that has run out is kept, and the longest result that is: the same for all that keeps them.
-pub use oakwind_fleet::{LATE_READ_GRACE, MAX_RESULT_BYTES};
+/// How long an expired key is kept for attempts that are read late, and the longest result that is stored, in bytes: the
+/// same for every store.
+pub(crate) use oakwind_fleet::{LATE_READ_GRACE, MAX_RESULT_BYTES};
 use siphasher::sip::SipHasher13;
 
 use crate::clock::Unix;
 
-/// A key names one request, whichever class its tries come in: guards a request against a second run where its
-/// class gets another name between two of them.
-pub type IdempotencyKey = Bytes;
+/// Names one request across all its attempts and all classes. The class is no part of it, as a class may be renamed
+/// between two attempts and the request must not run a second time.
+pub(crate) type IdempotencyKey = Bytes;
 
 /// The one final answer to a request.
 #[derive(Debug, Clone, PartialEq)]
-pub enum RequestOutcome {
-    /// Served, with the result that a run made.
+pub(crate) enum RequestOutcome {
+    /// Served, with the result of a run.
     Served(Bytes),
-    /// Turned away: this try never ran.
+    /// Rejected: this attempt never ran.
     Rejected {
-        /// How long the caller should stay away.
+        /// How long the caller should wait before it tries again.
         retry_after: Option<Duration>,
-        /// The wish that it be tried nowhere else.
+        /// The caller is asked not to try another node.
         give_up: bool,
     },
-    /// Failed; nothing is promised.
+    /// Failed; it may have had its effect.
     Failed {
-        /// Because its time ran out.
+        /// The request ran out of time.
         timed_out: bool,
     },
-    /// Its key is that of a request with another body; nothing ran for it.
+    /// Its key came with another body before; nothing ran for it.
     BodyMismatch,
 }
 
 /// How a run ended.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Completion {
+pub(crate) enum Completion {
     /// With a result.
     Succeeded(Bytes),
-    /// It failed.
+    /// With an error; it may have had its effect.
     Failed,
-    /// It was stopped, or ended at a call because its request was over.
+    /// It was stopped, or ended at a call, because its request was over.
     Cancelled,
-    /// Nothing was started, because the request was over.
+    /// The backend started nothing, because the request was over.
     Skipped,
-    /// It provably never began: no server took it.
+    /// It provably never started: no server accepted it.
     NeverStarted,
 }
 
-/// What became of the run of a key, as far as one process tells the next.
+/// The state of a key's run, as one process reports it to the next.
 #[derive(Debug, Clone, PartialEq)]
-pub enum RunState {
-    /// It runs, or may yet.
+pub(crate) enum RunState {
+    /// It runs, or may still start.
     Pending,
     /// It ended with this result.
     Succeeded(Bytes),
     /// It failed and may have had its effect.
     Failed,
-    /// It provably never began, so the key is free.
+    /// It provably never started, so the key is free.
     NeverStarted,
 }
 
-/// A remembered key, as one process hands it to the next.
+impl From<&StoredOutcome> for RunState {
+    fn from(outcome: &StoredOutcome) -> Self {
+        match outcome {
+            StoredOutcome::Succeeded(result) => RunState::Succeeded(result.clone()),
+            StoredOutcome::Failed => RunState::Failed,
+            StoredOutcome::NeverStarted => RunState::NeverStarted,
+        }
+    }
+}
+
+/// All that one process tells another, or a store, of a key.
 #[derive(Debug, Clone, PartialEq)]
-pub struct IdempotencyRecord {
+pub(crate) struct IdempotencyRecord {
     /// The key.
-    pub key: IdempotencyKey,
-    /// The digest of the body that its tries carry.
-    pub body_digest: u64,
-    /// How long it is remembered.
-    pub expires_at: Unix,
-    /// What became of its run.
-    pub state: RunState,
+    pub(crate) key: IdempotencyKey,
+    /// Digest of the body that its attempts carry.
+    pub(crate) body_digest: u64,
+    /// When the key expires.
+    pub(crate) expires_at: Unix,
+    /// The state of its run.
+    pub(crate) state: RunState,
 }
 
-/// What is kept of a run that is over.
+/// What is stored of a run that is over.
 #[derive(Debug, Clone, PartialEq)]
-pub enum StoredOutcome {
+pub(crate) enum StoredOutcome {
     /// Its result.
     Succeeded(Bytes),
     /// It failed and may have had its effect.
     Failed,
-    /// It provably never began.
+    /// It provably never started.
     NeverStarted,
 }
 
 impl StoredOutcome {
-    /// The same as one process tells it to the next.
-    pub fn fate(&self) -> RunState {
-        match self {
-            StoredOutcome::Succeeded(result) => RunState::Succeeded(result.clone()),
-            StoredOutcome::Failed => RunState::Failed,
-            StoredOutcome::NeverStarted => RunState::NeverStarted,
+    /// The outcome in a reported state, or `None` while the run is pending.
+    pub(crate) fn from_run_state(state: RunState) -> Option<Self> {
+        match state {
+            RunState::Pending => None,
+            RunState::Succeeded(result) => Some(StoredOutcome::Succeeded(result)),
+            RunState::Failed => Some(StoredOutcome::Failed),
+            RunState::NeverStarted => Some(StoredOutcome::NeverStarted),
         }
     }
 }
 
-/// The digest of a key or a body, the same in every build.
-pub fn digest(seed: u64, bytes: &[u8]) -> u64 {
+/// The digest of a key or a body. Processes exchange digests, so it is the same in every release.
+pub(crate) fn digest(seed: u64, bytes: &[u8]) -> u64 {
     let mut hasher = SipHasher13::new_with_keys(seed, 0);
     hasher.write(bytes);
     hasher.finish()
--- a/node/src/run_gate.rs
+++ b/node/src/run_gate.rs
@@ -1,8 +1,12 @@
-//! The one seam between the core and what keeps keys beyond its process: may this run begin, this run has ended. Behind
-//! it stand the folder and the peers, either, both or neither; the core does not know which. Where nothing does, everything
-//! may begin and ends at once.
+//! The run gate: the one seam between the dispatcher and everything that keeps idempotency keys beyond this process. The
+//! dispatcher asks it whether a run may start, and reports to it that a run has ended.
+//!
+//! Behind it stand the result store on disk and the peer nodes: either, both or neither. A run starts only once each of
+//! them has recorded that, and its end is reported only once each has stored it. Without either everything is granted
+//! at once.
+
+mod pending;
 
-use std::collections::HashMap;
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -18,353 +22,372 @@
 use crate::peers::{Asked, Peers};
 use crate::result_store::record::{Record, State};
 use crate::result_store::{ResultStore, Told};
+use pending::{PendingRun, PendingRuns, Vote};
 
-/// The run of a try that holds a key.
+/// The run of an attempt that holds a key.
 #[derive(Debug, Clone)]
-pub struct Run {
-    /// The try.
-    pub id: RequestId,
+pub(crate) struct KeyedRun {
+    /// The attempt.
+    pub(crate) id: RequestId,
     /// Its request; none where another process of this node had it.
-    pub request: Option<Rc<Request>>,
+    pub(crate) request: Option<Rc<Request>>,
     /// Its key.
-    pub key: IdempotencyKey,
-    /// The digest of its body.
-    pub body: u64,
-    /// How long the key is remembered.
-    pub until: Unix,
+    pub(crate) key: IdempotencyKey,
+    /// Digest of its body.
+    pub(crate) body_digest: u64,
+    /// When the key expires.
+    pub(crate) expires_at: Unix,
 }
 
-/// What the keeper has to say, when it was not known at once.
-#[derive(Debug)]
-pub enum Word {
-    /// Whether this try's run begins; unless it does, it never did.
-    Begin(RequestId, bool),
-    /// It must not begin, as another node may run its key; what becomes of that follows.
-    Elsewhere(RequestId),
-    /// What became of another node's run of its key; it must not begin.
-    Became(RequestId, StoredOutcome),
-    /// What became of another node's run of its key is not known in time, or its own result is held by too few.
-    Unknown(RequestId),
-    /// Its key is that of another body.
-    Mismatch(RequestId),
-    /// How this try's run has ended, as it is kept.
-    Ended(RequestId, Completion),
-    /// What earlier processes left.
-    Recalled(Vec<IdempotencyRecord>),
-}
-
-/// What one of those behind the seam says of a question.
+/// Whether a run may start.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Answer {
-    /// It is not there, or was not asked.
-    Yes,
-    Open,
-    No,
+pub(crate) enum Authorization {
+    /// It may.
+    Granted,
+    /// It may not, and never will.
+    Denied,
+    /// A [`GateEvent`] follows.
+    Pending,
 }
 
-/// What a try waits for.
+/// What the run gate reports later, as it could not be known at once.
 #[derive(Debug)]
-struct Waiting {
-    /// How its run ended, if it is that.
-    end: Option<Completion>,
-    folder: Answer,
-    peers: Answer,
-    run: Run,
+pub(crate) enum GateEvent {
+    /// Whether the run of an attempt may start.
+    Authorized {
+        /// The attempt.
+        id: RequestId,
+        /// If not, the run has never started.
+        granted: bool,
+    },
+    /// The run must not start, as another node may run its key. The outcome of that follows.
+    RunningElsewhere(RequestId),
+    /// The outcome of another node's run of the key; the run must not start.
+    RemoteOutcome(RequestId, StoredOutcome),
+    /// The outcome of another node's run is not known in time, or too few replicas have the result of the own run.
+    OutcomeUnknown(RequestId),
+    /// The key came with another body before.
+    BodyMismatch(RequestId),
+    /// The run has ended so, and that is stored.
+    Completed(RequestId, Completion),
+    /// What the store had from earlier processes.
+    Recovered(Vec<IdempotencyRecord>),
 }
 
-/// All that keeps keys beyond the process, if anything does.
+/// Everything that keeps keys beyond the process, if anything does.
 #[derive(Default)]
-pub struct RunGate {
-    folder: Option<ResultStore>,
+pub(crate) struct RunGate {
+    store: Option<ResultStore>,
     peers: Option<Peers>,
-    /// What waits, by the try. As bounded as runs.
-    waiting: HashMap<RequestId, Waiting>,
+    /// Runs that wait for the store or the peers. As many as there are runs, at most.
+    pending: PendingRuns,
 }
 
 impl RunGate {
-    /// A keeper with a folder, peers, both or neither.
-    pub fn new(folder: Option<ResultStore>, peers: Option<Peers>) -> Self {
-        RunGate { folder, peers, waiting: HashMap::new() }
+    /// A run gate with a store, peers, both or neither.
+    pub(crate) fn new(store: Option<ResultStore>, peers: Option<Peers>) -> Self {
+        RunGate { store, peers, pending: PendingRuns::default() }
     }
 
-    /// Has the figures show what is kept.
-    pub fn counts(&self, figures: &Figures) {
-        if let Some(folder) = &self.folder {
-            let tally = folder.tally.clone();
-            figures.also(Box::new(move || tally.all()));
+    /// Adds the figures of the store and the peers to the metrics.
+    pub(crate) fn register_metrics(&self, metrics: &Figures) {
+        if let Some(store) = &self.store {
+            let tally = store.tally.clone();
+            metrics.also(Box::new(move || tally.all()));
         }
         if let Some(peers) = &self.peers {
             let shown = peers.shown.clone();
-            figures.also(Box::new(move || shown.all()));
+            metrics.also(Box::new(move || shown.all()));
         }
     }
 
-    /// Whether anything is kept beyond the process, and so results for as long as their keys.
-    pub fn keeps(&self) -> bool {
-        self.folder.is_some() || self.peers.is_some()
+    /// Whether keys outlast the process, and results are kept for as long as their keys.
+    pub(crate) fn is_durable(&self) -> bool {
+        self.store.is_some() || self.peers.is_some()
     }
 
-    /// The number of the list that the fleet goes by; 0 without one.
-    pub fn list(&self) -> u64 {
+    /// The version of the membership configuration; 0 without peers.
+    pub(crate) fn membership_version(&self) -> u64 {
         self.peers.as_ref().map_or(0, |peers| peers.shown.list.get())
     }
 
-    /// Whether a key that is not known may have run, as far as damage tells.
-    pub fn doubts(&self, key: &[u8], now: Unix) -> bool {
-        self.folder.as_ref().is_some_and(|folder| folder.doubts.doubts(key, now))
+    /// Whether a key that is not known may have run, as its record in the store may be damaged.
+    pub(crate) fn may_have_run(&self, key: &[u8], now: Unix) -> bool {
+        self.store.as_ref().is_some_and(|store| store.doubts.doubts(key, now))
     }
 
-    /// Takes over from another process of this node, once that lets go; `recalls` if what it left is news.
-    pub fn take_over(&mut self, recalls: bool) {
-        if let Some(folder) = &mut self.folder {
-            folder.take_over(recalls);
+    /// Takes over from another process of this node, once that releases the store. With `recover`, what it left there
+    /// is reported as [`GateEvent::Recovered`]; otherwise it has been transferred by other means.
+    pub(crate) fn take_over(&mut self, recover: bool) {
+        if let Some(store) = &mut self.store {
+            store.take_over(recover);
         }
         if let Some(peers) = &self.peers {
             peers.resume();
-            peers.beside(!recalls);
+            peers.beside(!recover);
         }
     }
 
-    /// The process before this one is gone, whether or not it let go of anything.
-    pub fn alone(&self) {
+    /// The predecessor process has ended, whether or not it released anything.
+    pub(crate) fn predecessor_ended(&self) {
         if let Some(peers) = &self.peers {
             peers.resume();
             peers.beside(false);
         }
     }
 
-    /// Leaves all to another process of this node. These runs may still begin here.
-    pub fn let_go(&mut self, held: Vec<Run>) {
-        for run in &held {
-            self.record(run, State::Begun, Bytes::new());
+    /// Leaves the store and the peers to the successor process. These runs may still start here.
+    pub(crate) fn hand_over(&mut self, runs: &[KeyedRun]) {
+        for run in runs {
+            self.write(run, State::Begun, Bytes::new());
         }
-        if let Some(folder) = &mut self.folder {
-            folder.recorder = None;
+        if let Some(store) = &mut self.store {
+            store.recorder = None;
         }
         if let Some(peers) = &self.peers {
             peers.retire();
         }
     }
 
-    /// Whether a run may begin; none if that is told later. A try without a key may.
-    pub fn may_begin(&mut self, run: Option<Run>) -> Option<bool> {
-        let Some(run) = run.filter(|_| self.keeps()) else { return Some(true) };
-        let folder = self.asked_folder(&run, State::Begun, Bytes::new());
-        let peers = match (&self.peers, &run.request) {
-            (None, _) => Answer::Yes,
-            (Some(peers), Some(request)) if folder != Answer::No => {
-                let (id, key, until) = (run.id, run.key.clone(), run.until);
-                let (body, received_at, deadline) =
-                    (&request.body[..], request.received_at, request.deadline);
-                if peers.want(&Asked { id, key, body, until, received_at, deadline }) {
-                    Answer::Open
-                } else {
-                    Answer::No
-                }
-            }
-            _ => Answer::No,
-        };
-        if folder == Answer::Open && peers == Answer::No {
-            self.record(&run, State::Freed, Bytes::new());
-            return Some(false);
+    /// Asks whether a run may start. An attempt without a key always may.
+    pub(crate) fn authorize_run(&mut self, run: Option<KeyedRun>) -> Authorization {
+        let Some(run) = run.filter(|_| self.is_durable()) else { return Authorization::Granted };
+        let store = self.write(&run, State::Begun, Bytes::new());
+        let peers = if store == Vote::No { Vote::No } else { self.claim(&run) };
+        if store == Vote::Pending && peers == Vote::No {
+            self.write(&run, State::Freed, Bytes::new());
+            return Authorization::Denied;
         }
-        if folder == Answer::Open || peers == Answer::Open {
-            self.waiting.insert(run.id, Waiting { end: None, folder, peers, run });
-            return None;
+        match store.and(peers) {
+            Vote::Yes => Authorization::Granted,
+            Vote::No => Authorization::Denied,
+            Vote::Pending => {
+                self.pending.insert(PendingRun { run, completion: None, store, peers });
+                Authorization::Pending
+            }
         }
-        Some(folder != Answer::No && peers != Answer::No)
     }
 
-    /// A run has ended; returns how, as it is kept, unless that is told later.
-    pub fn ended(&mut self, run: Option<Run>, end: Completion) -> Option<Completion> {
-        let Some(run) = run.filter(|_| self.keeps()) else { return Some(end) };
-        // It outlives the buffer that it was read into.
-        let (state, result) = match &end {
-            Completion::Succeeded(result) => (State::Done, Bytes::copy_from_slice(result)),
-            _ => (State::Failed, Bytes::new()),
-        };
-        let folder = self.asked_folder(&run, state, result.clone());
-        let peers = match &self.peers {
-            None => Answer::Yes,
-            Some(peers) => match &end {
-                Completion::Succeeded(_) if peers.ended(run.id, RunResult::Succeeded(result)) => Answer::Open,
-                Completion::Succeeded(_) => Answer::No,
-                _ => {
-                    // Nobody waits for that: a failure promises nothing.
-                    peers.ended(run.id, RunResult::Failed);
-                    Answer::Yes
-                }
-            },
-        };
-        if folder == Answer::Open || peers == Answer::Open {
-            self.waiting.insert(run.id, Waiting { end: Some(end), folder, peers, run });
-            return None;
+    /// Asks the peers to grant a run.
+    fn claim(&self, run: &KeyedRun) -> Vote {
+        let Some(peers) = &self.peers else { return Vote::Yes };
+        let Some(request) = &run.request else { return Vote::No };
+        let asked = peers.want(&Asked {
+            id: run.id,
+            key: run.key.clone(),
+            body: &request.body[..],
+            until: run.expires_at,
+            received_at: request.received_at,
+            deadline: request.deadline,
+        });
+        if asked {
+            Vote::Pending
+        } else {
+            Vote::No
         }
-        Some(if folder == Answer::No || peers == Answer::No { Completion::Failed } else { end })
     }
 
-    /// A run never began and never will.
-    pub fn never_ran(&mut self, id: RequestId) {
-        if let Some(peers) = &self.peers {
-            peers.never_ran(id);
+    /// Stores how a run has ended. Returns the completion that may be reported, or `None` if a
+    /// [`GateEvent::Completed`] or [`GateEvent::OutcomeUnknown`] follows.
+    pub(crate) fn run_completed(
+        &mut self,
+        run: Option<KeyedRun>,
+        completion: Completion,
+    ) -> Option<Completion> {
+        let Some(run) = run.filter(|_| self.is_durable()) else { return Some(completion) };
+        let outcome = match &completion {
+            // What is stored outlives the buffer that the result was read into.
+            Completion::Succeeded(result) => StoredOutcome::Succeeded(Bytes::copy_from_slice(result)),
+            _ => StoredOutcome::Failed,
+        };
+        let store = self.write_outcome(&run, &outcome);
+        let peers = self.replicate(run.id, outcome);
+        match store.and(peers) {
+            Vote::Yes => Some(completion),
+            Vote::No => Some(Completion::Failed),
+            Vote::Pending => {
+                self.pending.insert(PendingRun { run, completion: Some(completion), store, peers });
+                None
+            }
         }
     }
 
-    /// Keeps how a run of the process before this one ended; true if it tells when that is kept.
-    pub fn ended_before(&mut self, run: Run, kept: &StoredOutcome) -> bool {
-        let (end, state, result) = match kept {
+    /// Has the peers keep the outcome of a run.
+    fn replicate(&self, id: RequestId, outcome: StoredOutcome) -> Vote {
+        let Some(peers) = &self.peers else { return Vote::Yes };
+        match outcome {
             StoredOutcome::Succeeded(result) => {
-                (Completion::Succeeded(result.clone()), State::Done, result.clone())
+                if peers.ended(id, RunResult::Succeeded(result)) {
+                    Vote::Pending
+                } else {
+                    Vote::No
+                }
+            }
+            StoredOutcome::Failed | StoredOutcome::NeverStarted => {
+                // Nobody waits for that, as a failure promises nothing.
+                peers.ended(id, RunResult::Failed);
+                Vote::Yes
             }
-            StoredOutcome::Failed => (Completion::Failed, State::Failed, Bytes::new()),
+        }
+    }
+
+    /// Stores how a run of the predecessor process ended. Returns true if a [`GateEvent::Completed`] follows.
+    pub(crate) fn predecessor_run_completed(&mut self, run: KeyedRun, outcome: &StoredOutcome) -> bool {
+        let completion = match outcome {
+            StoredOutcome::Succeeded(result) => Completion::Succeeded(result.clone()),
+            StoredOutcome::Failed => Completion::Failed,
             StoredOutcome::NeverStarted => return false,
         };
-        let open = self.asked_folder(&run, state, result) == Answer::Open;
-        if open {
-            let waiting = Waiting { end: Some(end), folder: Answer::Open, peers: Answer::Yes, run };
-            self.waiting.insert(waiting.run.id, waiting);
+        let store = self.write_outcome(&run, outcome);
+        if store != Vote::Pending {
+            return false;
         }
-        open
+        self.pending.insert(PendingRun { run, completion: Some(completion), store, peers: Vote::Yes });
+        true
     }
 
-    /// Keeps what became of a run that nobody waits for.
-    pub fn over(&mut self, run: Run, kept: &StoredOutcome) {
-        match kept {
-            StoredOutcome::Succeeded(result) => self.record(&run, State::Done, result.clone()),
-            StoredOutcome::Failed => self.record(&run, State::Failed, Bytes::new()),
-            StoredOutcome::NeverStarted => {
-                self.never_ran(run.id);
-                self.record(&run, State::Freed, Bytes::new())
-            }
-        };
+    /// A run never started and never will.
+    pub(crate) fn run_never_started(&mut self, id: RequestId) {
+        if let Some(peers) = &self.peers {
+            peers.never_ran(id);
+        }
+    }
+
+    /// Stores the outcome of a run for which nobody waits.
+    pub(crate) fn store_outcome(&mut self, run: &KeyedRun, outcome: &StoredOutcome) {
+        if *outcome == StoredOutcome::NeverStarted {
+            self.run_never_started(run.id);
+        }
+        self.write_outcome(run, outcome);
     }
 
-    fn asked_folder(&self, run: &Run, state: State, result: Bytes) -> Answer {
-        match self.record(run, state, result) {
-            Some(true) => Answer::Open,
-            Some(false) => Answer::No,
-            None => Answer::Yes,
+    /// Writes the outcome of a run to the store.
+    fn write_outcome(&self, run: &KeyedRun, outcome: &StoredOutcome) -> Vote {
+        match outcome {
+            StoredOutcome::Succeeded(result) => self.write(run, State::Done, result.clone()),
+            StoredOutcome::Failed => self.write(run, State::Failed, Bytes::new()),
+            StoredOutcome::NeverStarted => self.write(run, State::Freed, Bytes::new()),
         }
     }
 
-    /// Hands a record to the folder: whether the disk takes it, or none where there is none, or another process has it.
-    fn record(&self, run: &Run, state: State, result: Bytes) -> Option<bool> {
-        let recorder = self.folder.as_ref()?.recorder.as_ref()?;
-        let Run { id, body, until, .. } = *run;
+    /// Writes a record to the store. Without a store, or while another process has it, there is nothing to wait for.
+    fn write(&self, run: &KeyedRun, state: State, result: Bytes) -> Vote {
+        let recorder = self.store.as_ref().and_then(|store| store.recorder.as_ref());
+        let Some(recorder) = recorder else { return Vote::Yes };
+        let KeyedRun { id, body_digest: body, expires_at: until, .. } = *run;
         let key = run.key.clone();
-        Some(recorder.write(id, Record { number: 0, at: Duration::ZERO, until, body, state, key, result }))
+        let record = Record { number: 0, at: Duration::ZERO, until, body, state, key, result };
+        if recorder.write(id, record) {
+            Vote::Pending
+        } else {
+            Vote::No
+        }
     }
 
-    /// The next that it has to say; never where nothing is kept.
-    pub async fn told(&mut self) -> Word {
+    /// The next event. It never comes where nothing is kept beyond the process.
+    pub(crate) async fn next_event(&mut self) -> GateEvent {
         loop {
-            let RunGate { folder, peers, .. } = self;
-            let of_folder = async {
-                match folder {
-                    Some(folder) => folder.told().await,
+            let RunGate { store, peers, .. } = self;
+            let store_event = async {
+                match store {
+                    Some(store) => store.told().await,
                     None => std::future::pending().await,
                 }
             };
-            let of_peers = async {
+            let claim_outcome = async {
                 match peers {
                     Some(peers) => peers.told().await,
                     None => std::future::pending().await,
                 }
             };
-            let word = tokio::select! {
-                told = of_folder => self.of_folder(told),
-                (id, said) = of_peers => self.of_peers(id, said),
+            let event = tokio::select! {
+                event = store_event => self.on_store_event(event),
+                (id, outcome) = claim_outcome => self.on_claim_outcome(id, outcome),
             };
-            if let Some(word) = word {
-                return word;
+            if let Some(event) = event {
+                return event;
             }
         }
     }
 
-    fn of_folder(&mut self, told: Told) -> Option<Word> {
-        match told {
-            Told::Written(id, kept) => {
-                let waiting = self.waiting.get_mut(&id).filter(|waiting| waiting.folder == Answer::Open)?;
-                waiting.folder = if kept { Answer::Yes } else { Answer::No };
-                self.settled(id)
+    fn on_store_event(&mut self, event: Told) -> Option<GateEvent> {
+        match event {
+            Told::Written(id, written) => {
+                self.pending.waiting_for_store(id)?.store = Vote::of(written);
+                self.resolve(id)
             }
             Told::Opened(recovered) => {
-                let folder = self.folder.as_mut()?;
-                folder.doubts = recovered.doubts;
-                // Otherwise the process before has told all this, and more of late.
-                folder.recalls.then_some(Word::Recalled(recovered.keys))
+                let store = self.store.as_mut()?;
+                store.doubts = recovered.doubts;
+                // Otherwise the predecessor has transferred all this, and more of late.
+                store.recalls.then_some(GateEvent::Recovered(recovered.keys))
             }
         }
     }
 
-    fn of_peers(&mut self, id: RequestId, said: ClaimOutcome) -> Option<Word> {
-        let begins = |keeper: &RunGate| keeper.waiting.get(&id).is_some_and(|waiting| waiting.end.is_none());
-        match said {
-            ClaimOutcome::Granted | ClaimOutcome::Rejected(_) if begins(self) => {
-                let waiting = self.waiting.get_mut(&id)?;
-                waiting.peers = if said == ClaimOutcome::Granted { Answer::Yes } else { Answer::No };
-                self.settled(id)
+    fn on_claim_outcome(&mut self, id: RequestId, outcome: ClaimOutcome) -> Option<GateEvent> {
+        match outcome {
+            ClaimOutcome::Granted | ClaimOutcome::Rejected(_)
+                if self.pending.waiting_to_start(id).is_some() =>
+            {
+                self.pending.waiting_to_start(id)?.peers = Vote::of(outcome == ClaimOutcome::Granted);
+                self.resolve(id)
             }
-            // That it waits for another node's run is known already.
-            ClaimOutcome::Rejected(_) => Some(Word::Became(id, StoredOutcome::NeverStarted)),
+            // The dispatcher knows already that it waits for another node's run.
+            ClaimOutcome::Rejected(_) => Some(GateEvent::RemoteOutcome(id, StoredOutcome::NeverStarted)),
             ClaimOutcome::Granted => None,
-            ClaimOutcome::Replicated(held) => {
-                let waiting = self.waiting.get_mut(&id).filter(|waiting| waiting.end.is_some())?;
-                waiting.peers = if held { Answer::Yes } else { Answer::No };
-                self.settled(id)
+            ClaimOutcome::Replicated(replicated) => {
+                self.pending.waiting_to_complete(id)?.peers = Vote::of(replicated);
+                self.resolve(id)
             }
             ClaimOutcome::RunningElsewhere => {
-                self.not_begun(id);
-                Some(Word::Elsewhere(id))
+                self.cancel_start(id);
+                Some(GateEvent::RunningElsewhere(id))
             }
-            ClaimOutcome::RemoteOutcome(fate) => {
-                self.not_begun(id);
-                let kept = match fate {
+            ClaimOutcome::RemoteOutcome(result) => {
+                self.cancel_start(id);
+                let outcome = match result {
                     RunResult::Succeeded(result) => StoredOutcome::Succeeded(result),
                     RunResult::Failed => StoredOutcome::Failed,
                 };
-                Some(Word::Became(id, kept))
+                Some(GateEvent::RemoteOutcome(id, outcome))
             }
             ClaimOutcome::Unknown => {
-                self.not_begun(id);
-                Some(Word::Unknown(id))
+                self.cancel_start(id);
+                Some(GateEvent::OutcomeUnknown(id))
             }
             ClaimOutcome::BodyMismatch => {
-                self.not_begun(id);
-                Some(Word::Mismatch(id))
+                self.cancel_start(id);
+                Some(GateEvent::BodyMismatch(id))
             }
         }
     }
 
-    /// A try that waited to begin does not: the folder is told that its key is free here.
-    fn not_begun(&mut self, id: RequestId) {
-        if let Some(waiting) = self.waiting.remove(&id) {
-            self.record(&waiting.run, State::Freed, Bytes::new());
+    /// A run that waited does not start here: the store is told that its key is free.
+    fn cancel_start(&mut self, id: RequestId) {
+        if let Some(run) = self.pending.remove(id) {
+            self.write(&run, State::Freed, Bytes::new());
         }
     }
 
-    /// What a try hears once nothing is open any more, or one of them has said no.
-    fn settled(&mut self, id: RequestId) -> Option<Word> {
-        let waiting = self.waiting.get(&id)?;
-        let (folder, peers) = (waiting.folder, waiting.peers);
-        let refused = folder == Answer::No || peers == Answer::No;
-        if !refused && (folder == Answer::Open || peers == Answer::Open) {
-            return None;
-        }
-        let Waiting { end, run, .. } = self.waiting.remove(&id)?;
-        match end {
-            None => {
-                if refused && folder != Answer::No {
-                    self.record(&run, State::Freed, Bytes::new());
-                }
-                if refused && peers != Answer::No {
-                    self.never_ran(id);
-                }
-                Some(Word::Begin(id, !refused))
+    /// The event of a run for which nothing is pending any more, or which has been denied.
+    fn resolve(&mut self, id: RequestId) -> Option<GateEvent> {
+        let resolved = self.pending.remove_resolved(id)?;
+        let denied = resolved.is_denied();
+        let PendingRun { run, completion, store, peers } = resolved;
+        let Some(completion) = completion else {
+            if denied && store != Vote::No {
+                self.write(&run, State::Freed, Bytes::new());
             }
-            Some(_) if peers == Answer::No => Some(Word::Unknown(id)),
-            Some(_) if folder == Answer::No => Some(Word::Ended(id, Completion::Failed)),
-            Some(end) => Some(Word::Ended(id, end)),
-        }
+            if denied && peers != Vote::No {
+                self.run_never_started(id);
+            }
+            return Some(GateEvent::Authorized { id, granted: !denied });
+        };
+        Some(match (store, peers) {
+            (_, Vote::No) => GateEvent::OutcomeUnknown(id),
+            (Vote::No, _) => GateEvent::Completed(id, Completion::Failed),
+            _ => GateEvent::Completed(id, completion),
+        })
     }
 }
--- a/node/src/server.rs
+++ b/node/src/server.rs
@@ -22,7 +22,7 @@
 use crate::config::{Config, Files, Links, Told};
 use crate::decision_log::{digest_of, Recorder};
 use crate::dispatcher::Dispatcher;
-use crate::exchange::{self, Exchange, HandoverState};
+use crate::exchange::{self, Endpoints, Exchange, HandoverState};
 use crate::frontend::connection_limiter::{ConnectionGuard, ConnectionLimiter};
 use crate::frontend::uwsgi::{self, Front, Ids};
 use crate::frontend::{self, jsonrpc};
@@ -56,7 +56,8 @@
     let place = handover::place(config.listen);
     let upgrade = handover::serves_already(place.as_deref()).await;
     // One that takes over is where the process before it was.
-    let (exchange, core, backends) = exchange::new(upgrade, fleet.is_some() && !upgrade);
+    let Endpoints { exchange, dispatcher: dispatcher_endpoints, backend: backends } =
+        exchange::new(upgrade, fleet.is_some() && !upgrade);
     let (changed, links) = watch::channel(config.links.clone());
     // With a folder that a next process finds it by, both may listen at once.
     let shared = place.is_some();
@@ -94,7 +95,8 @@
         let servers = Servers::new(links.clone(), |links| &links.calls, names.clone());
         spawn_local(call(servers, exchange.clone(), backends.calls, each));
     }
-    let mut core = Dispatcher::new(core, config.settings.clone(), config.seed, config.memory / RESULTS);
+    let mut dispatcher =
+        Dispatcher::new(dispatcher_endpoints, config.settings.clone(), config.seed, config.memory / RESULTS);
     let (mut folder, mut left) = (None, None);
     if let Some(remembered) = remembered {
         let mut remembrance = ResultStore::closed(remembered, config.longest());
@@ -112,11 +114,15 @@
         peers = Some(asked);
         spawn_local(driver.run());
     }
-    core.keep(RunGate::new(folder, peers), left);
+    dispatcher.set_run_gate(RunGate::new(folder, peers), left);
     if let Some(records) = records {
-        core.record(Recorder::start(&records, &config.name, digest_of(&config.written["settings"]))?);
+        dispatcher.set_decision_log(Recorder::start(
+            &records,
+            &config.name,
+            digest_of(&config.written["settings"]),
+        )?);
     }
-    spawn_local(core.run());
+    spawn_local(dispatcher.run());
     let front = {
         let (exchange, names) = (exchange.clone(), names.clone());
         move |stream, guest| jsonrpc::serve(stream, guest, exchange.clone(), names.clone())
--- a/node/tests/sockets/endings.rs
+++ b/node/tests/sockets/endings.rs
@@ -133,7 +133,7 @@
     assert!(client.line().contains("-32011"), "it has not run, and its caller waits no longer");
     client.request(2, "a2", Some("known"), LONG);
     before.write_all(b"SEED 1\r\nKEY 1 99999999999999 done 5 8\r\nknownjob\r\nALL\r\n").unwrap();
-    node.logs("handover: 1 keys are known from the process before");
+    node.logs("handover: 1 keys are known from the predecessor");
     // What was held back is decided on now: this key came with another body.
     assert!(client.line().contains("-32602"));
     client.request(3, "a3", Some("fresh"), LONG);
