--- /dev/null
+++ b/node/src/handover/message.rs
@@ -0,0 +1,86 @@
+//! The lines that the two processes exchange.
+
+use std::time::Duration;
+
+use bytes::{Bytes, BytesMut};
+
+use crate::line_codec::{self, put, Message, Nonsense, MAX_BODY};
+use crate::outcome::{IdempotencyRecord, RunState};
+
+/// The successor's request to take over.
+pub(super) const TAKE_OVER: &[u8] = b"TAKE\r\n";
+/// The successor has been succeeded itself.
+pub(super) const SUPERSEDED: &[u8] = b"PASSED\r\n";
+
+/// What the predecessor sends.
+#[derive(Debug, PartialEq)]
+pub(super) enum PredecessorMessage {
+    /// The seed of body digests.
+    DigestSeed(u64),
+    /// What is known of a key.
+    Record(IdempotencyRecord),
+    /// All keys have been sent.
+    TableComplete,
+}
+
+/// Removes the next complete message from the input, if there is one. The error holds a line that is not understood.
+pub(super) fn decode(input: &mut BytesMut) -> Result<Option<PredecessorMessage>, Nonsense> {
+    let Some(message) = line_codec::take(input, |words| words.next() == Some(b"KEY"))? else {
+        return Ok(None);
+    };
+    let decoded = match &message.word(0)[..] {
+        b"SEED" => PredecessorMessage::DigestSeed(hexadecimal(&message)?),
+        b"KEY" => PredecessorMessage::Record(decode_record(&message)?),
+        b"ALL" => PredecessorMessage::TableComplete,
+        _ => return Err(message.nonsense()),
+    };
+    Ok(Some(decoded))
+}
+
+/// The hexadecimal number that follows the kind of a message.
+fn hexadecimal(message: &Message) -> Result<u64, Nonsense> {
+    let word = message.word(1);
+    let text = std::str::from_utf8(&word).ok();
+    text.and_then(|text| u64::from_str_radix(text, 16).ok()).ok_or_else(|| message.nonsense())
+}
+
+fn decode_record(message: &Message) -> Result<IdempotencyRecord, Nonsense> {
+    let key_and_result = message.body.clone().unwrap_or_default();
+    let key_length: usize = message.number(4)?;
+    if key_length > key_and_result.len() {
+        return Err(message.nonsense());
+    }
+    // What is stored outlives the buffer that it was read into.
+    let key = Bytes::copy_from_slice(&key_and_result[..key_length]);
+    let state = match &message.word(3)[..] {
+        b"open" => RunState::Pending,
+        b"done" => RunState::Succeeded(Bytes::copy_from_slice(&key_and_result[key_length..])),
+        b"failed" => RunState::Failed,
+        b"free" => RunState::NeverStarted,
+        _ => return Err(message.nonsense()),
+    };
+    let expires_at = Duration::from_millis(message.number(2)?);
+    Ok(IdempotencyRecord { key, body_digest: hexadecimal(message)?, expires_at, state })
+}
+
+/// Appends a message to the output.
+pub(super) fn encode(output: &mut BytesMut, message: &PredecessorMessage) {
+    match message {
+        PredecessorMessage::DigestSeed(seed) => put(output, &[b"SEED", format!("{seed:x}").as_bytes()], None),
+        PredecessorMessage::Record(record) => encode_record(output, record),
+        PredecessorMessage::TableComplete => put(output, &[b"ALL"], None),
+    }
+}
+
+fn encode_record(output: &mut BytesMut, record: &IdempotencyRecord) {
+    let IdempotencyRecord { key, body_digest, expires_at, state } = record;
+    let (word, result) = match state {
+        RunState::Pending => ("open", &[][..]),
+        RunState::Succeeded(result) if key.len() + result.len() <= MAX_BODY => ("done", &result[..]),
+        // The result is too long for a message, but that the key has run must be known.
+        RunState::Succeeded(_) | RunState::Failed => ("failed", &[][..]),
+        RunState::NeverStarted => ("free", &[][..]),
+    };
+    let head = format!("{body_digest:x} {} {word} {}", expires_at.as_millis(), key.len());
+    put(output, &[b"KEY", head.as_bytes()], Some(&[key, result].concat()));
+}
--- a/node/src/handover/tests.rs
+++ b/node/src/handover/tests.rs
@@ -1,27 +1,32 @@
-use super::*;
+use bytes::{Bytes, BytesMut};
+use std::time::Duration;
+
+use super::message::{decode, encode, PredecessorMessage};
+use crate::line_codec::MAX_BODY;
+use crate::outcome::{IdempotencyRecord, RunState};
 
 mod golden;
 
-#[test]
-fn records_arrive_as_they_were_sent_whatever_bytes_they_hold() {
-    let record_of = |fate| IdempotencyRecord {
+fn record_with(state: RunState) -> PredecessorMessage {
+    PredecessorMessage::Record(IdempotencyRecord {
         key: Bytes::from_static(b"\r\n \xff"),
         body_digest: u64::MAX,
         expires_at: Duration::from_millis(1_764_576_000_123),
-        state: fate,
-    };
-    for fate in
+        state,
+    })
+}
+
+#[test]
+fn records_are_decoded_as_they_were_encoded_whatever_bytes_they_hold() {
+    for state in
         [RunState::Pending, RunState::Succeeded("x\r\n".into()), RunState::Failed, RunState::NeverStarted]
     {
-        let (sent, mut buffer) = (record_of(fate), BytesMut::new());
-        put_record(&mut buffer, &sent);
-        let message = line_codec::take(&mut buffer, |words| words.next() == Some(b"KEY")).unwrap().unwrap();
-        assert_eq!(record(&message).unwrap(), sent);
+        let (sent, mut buffer) = (record_with(state), BytesMut::new());
+        encode(&mut buffer, &sent);
+        assert_eq!(decode(&mut buffer).unwrap(), Some(sent));
     }
     let mut buffer = BytesMut::new();
-    put_record(&mut buffer, &record_of(RunState::Succeeded(vec![0; MAX_BODY].into())));
-    let message = line_codec::take(&mut buffer, |_| true).unwrap().unwrap();
-    assert_eq!(record(&message).unwrap().state, RunState::Failed);
-    let mut wrong = BytesMut::from(&b"KEY 1 2 open 9 1\r\nx\r\n"[..]);
-    assert!(record(&line_codec::take(&mut wrong, |_| true).unwrap().unwrap()).is_err());
+    encode(&mut buffer, &record_with(RunState::Succeeded(vec![0; MAX_BODY].into())));
+    assert_eq!(decode(&mut buffer).unwrap(), Some(record_with(RunState::Failed)));
+    assert!(decode(&mut BytesMut::from(&b"KEY 1 2 open 9 1\r\nx\r\n"[..])).is_err());
 }
--- a/node/src/handover/tests/golden.rs
+++ b/node/src/handover/tests/golden.rs
@@ -1,8 +1,18 @@
 //! The exact bytes that two processes of a node exchange during an upgrade in place. One of the two is an older
 //! release, so these bytes and the name of the socket stay as they are whatever the code calls them.
 
-use super::super::*;
-use crate::exchange::{self, DispatcherEndpoints, DispatcherEvent, Endpoints};
+use std::path::PathBuf;
+use std::time::Duration;
+
+use bytes::{Bytes, BytesMut};
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{UnixListener, UnixStream};
+
+use crate::exchange::{self, DispatcherEndpoints, DispatcherEvent, Endpoints, HandoverState};
+use crate::handover::message::{decode, encode, PredecessorMessage};
+use crate::handover::predecessor::{hand_over, HandoverOutcome};
+use crate::handover::{socket_path, take_over};
+use crate::outcome::{IdempotencyRecord, RunState};
 
 /// A line, then as many bytes as it announces; `\r\n` ends both.
 const OPEN: &str = "4b455920312031373634353736303030313233206f70656e203220320d0a6b310d0a";
@@ -14,7 +24,7 @@
 const PASSED: &str = "5041535345440d0a";
 const SEED: &str = "5345454420666564636261393837363534333231300d0a";
 const ALL: &str = "414c4c0d0a";
-/// `SEED`, `KEY`, `KEY`, `ALL`: what the old process tells at first.
+/// `SEED`, `KEY`, `KEY`, `ALL`: what the predecessor sends at first.
 fn whole_table() -> String {
     [SEED, OPEN, DONE, ALL].concat()
 }
@@ -71,15 +81,15 @@
     hex(&read)
 }
 
-async fn next(core: &mut DispatcherEndpoints) -> DispatcherEvent {
-    core.events.recv().await.unwrap()
+async fn next(dispatcher: &mut DispatcherEndpoints) -> DispatcherEvent {
+    dispatcher.events.recv().await.unwrap()
 }
 
 #[test]
 fn each_kind_of_record_has_these_bytes() {
     for (record, expected) in [(open(), OPEN), (done(), DONE), (failed(), FAILED), (free(), FREE)] {
         let mut output = BytesMut::new();
-        put_record(&mut output, &record);
+        encode(&mut output, &PredecessorMessage::Record(record.clone()));
         assert_eq!(hex(&output), expected, "{record:?}");
     }
 }
@@ -89,24 +99,31 @@
     let all = [OPEN, DONE, FAILED, FREE].concat();
     let mut input = BytesMut::from(&bytes(&all)[..]);
     for expected in [open(), done(), failed(), free()] {
-        let message = line_codec::take(&mut input, |words| words.next() == Some(b"KEY")).unwrap().unwrap();
-        assert_eq!(record(&message).unwrap(), expected);
+        assert_eq!(decode(&mut input).unwrap().unwrap(), PredecessorMessage::Record(expected));
     }
     assert!(input.is_empty());
 }
 
 #[test]
-fn a_result_that_is_too_long_for_a_message_is_sent_as_a_failure() {
+fn a_result_too_long_for_a_message_is_sent_as_a_failure() {
     // The key and the result have 256 KiB together at the most.
     let longest = vec![b'r'; 256 * 1024 - 2];
     let mut output = BytesMut::new();
-    put_record(&mut output, &record_of(b"k1", 1, 123, RunState::Succeeded(longest.clone().into())));
+    encode(
+        &mut output,
+        &PredecessorMessage::Record(record_of(b"k1", 1, 123, RunState::Succeeded(longest.clone().into()))),
+    );
     assert!(hex(&output).starts_with(&hex(b"KEY 1 123 done 2 262144\r\nk1rr")));
     assert_eq!(output.len(), b"KEY 1 123 done 2 262144\r\n".len() + 256 * 1024 + 2);
     output.clear();
-    put_record(
+    encode(
         &mut output,
-        &record_of(b"k1", 1, 123, RunState::Succeeded([&longest[..], b"r"].concat().into())),
+        &PredecessorMessage::Record(record_of(
+            b"k1",
+            1,
+            123,
+            RunState::Succeeded([&longest[..], b"r"].concat().into()),
+        )),
     );
     assert_eq!(hex(&output), hex(b"KEY 1 123 failed 2 2\r\nk1\r\n"));
 }
@@ -119,86 +136,89 @@
 
 #[test]
 fn the_socket_has_this_name() {
-    // As it is anyway.
+    // The value that it has anyway, in case it is not set.
     std::env::set_var("TMPDIR", std::env::temp_dir());
     let name =
-        |listen: &str| place(listen.parse().unwrap()).map(|place| place.file_name().unwrap().to_owned());
+        |listen: &str| socket_path(listen.parse().unwrap()).map(|path| path.file_name().unwrap().to_owned());
     assert_eq!(name("127.0.3.1:4100").unwrap(), "oakwind-127.0.3.1_4100.sock");
     assert_eq!(name("[::1]:4100").unwrap(), "oakwind-___1__4100.sock");
     assert_eq!(name("127.0.3.1:0"), None);
 }
 
 #[test]
-fn the_old_process_answers_take_with_its_whole_table_and_tells_ends_after_it() {
+fn the_predecessor_answers_take_with_its_whole_table_and_reports_outcomes_after_it() {
     run(async {
-        let Endpoints { exchange, dispatcher: mut core, backend: _backend } = exchange::new(false, false);
+        let Endpoints { exchange, mut dispatcher, backend: _backend } = exchange::new(false, false);
         let path = socket("old");
         let listener = UnixListener::bind(&path).unwrap();
         let old = hand_over(&listener, &exchange);
         let new = async {
             let mut new = UnixStream::connect(&path).await.unwrap();
             new.write_all(&bytes(TAKE)).await.unwrap();
-            let DispatcherEvent::HandOver(tell) = next(&mut core).await else { panic!() };
-            tell.send(HandoverState { digest_seed: THE_SEED, records: vec![open(), done()] }).await.unwrap();
+            let DispatcherEvent::HandOver(updates) = next(&mut dispatcher).await else { panic!() };
+            updates
+                .send(HandoverState { digest_seed: THE_SEED, records: vec![open(), done()] })
+                .await
+                .unwrap();
             assert_eq!(read(&mut new, &whole_table()).await, whole_table());
-            tell.send(HandoverState { digest_seed: 0, records: vec![failed()] }).await.unwrap();
-            tell.send(HandoverState { digest_seed: 0, records: vec![free()] }).await.unwrap();
+            updates.send(HandoverState { digest_seed: 0, records: vec![failed()] }).await.unwrap();
+            updates.send(HandoverState { digest_seed: 0, records: vec![free()] }).await.unwrap();
             assert_eq!(read(&mut new, &[FAILED, FREE].concat()).await, [FAILED, FREE].concat());
             new.write_all(&bytes(PASSED)).await.unwrap();
-            (new, tell)
+            (new, updates)
         };
-        let (heir, _kept_open) = tokio::join!(old, new);
-        assert!(matches!(heir, Heir::Passed));
+        let (outcome, _kept_open) = tokio::join!(old, new);
+        assert_eq!(outcome, HandoverOutcome::Superseded);
         std::fs::remove_file(path).unwrap();
     });
 }
 
 #[test]
-fn the_old_process_takes_no_other_first_message_and_hears_a_successor_end() {
+fn the_predecessor_accepts_no_other_first_message_and_notices_that_a_successor_ends() {
     run(async {
-        let Endpoints { exchange, dispatcher: mut core, backend: _backend } = exchange::new(false, false);
+        let Endpoints { exchange, mut dispatcher, backend: _backend } = exchange::new(false, false);
         let path = socket("first");
         let listener = UnixListener::bind(&path).unwrap();
         let new = async {
             let mut new = UnixStream::connect(&path).await.unwrap();
             new.write_all(&bytes(PASSED)).await.unwrap();
         };
-        assert!(matches!(tokio::join!(hand_over(&listener, &exchange), new).0, Heir::Asked));
+        assert_eq!(tokio::join!(hand_over(&listener, &exchange), new).0, HandoverOutcome::NotRequested);
         let new = async {
             let mut new = UnixStream::connect(&path).await.unwrap();
             new.write_all(&bytes(TAKE)).await.unwrap();
-            let DispatcherEvent::HandOver(tell) = next(&mut core).await else { panic!() };
-            tell
+            let DispatcherEvent::HandOver(updates) = next(&mut dispatcher).await else { panic!() };
+            updates
         };
-        assert!(matches!(tokio::join!(hand_over(&listener, &exchange), new).0, Heir::Ended));
+        assert_eq!(tokio::join!(hand_over(&listener, &exchange), new).0, HandoverOutcome::SuccessorEnded);
         std::fs::remove_file(path).unwrap();
     });
 }
 
 #[test]
-fn the_new_process_says_take_learns_the_table_and_ends_and_says_when_it_has_passed_on() {
+fn the_successor_sends_take_receives_the_table_and_outcomes_and_says_when_it_is_superseded() {
     run(async {
-        let Endpoints { exchange, dispatcher: mut core, backend: _backend } = exchange::new(true, false);
+        let Endpoints { exchange, mut dispatcher, backend: _backend } = exchange::new(true, false);
         let path = socket("new");
         let listener = UnixListener::bind(&path).unwrap();
-        let new = inherit(path.clone(), exchange);
+        let new = take_over(path.clone(), exchange);
         let old = async {
             let (mut old, _) = listener.accept().await.unwrap();
             assert_eq!(read(&mut old, TAKE).await, TAKE);
             old.write_all(&bytes(&whole_table())).await.unwrap();
-            let DispatcherEvent::StateReceived(state) = next(&mut core).await else { panic!() };
+            let DispatcherEvent::StateReceived(state) = next(&mut dispatcher).await else { panic!() };
             assert_eq!((state.digest_seed, state.records), (THE_SEED, vec![open(), done()]));
-            core.status.send_modify(|state| state.awaiting_state = false);
+            dispatcher.status.send_modify(|status| status.awaiting_state = false);
             old.write_all(&bytes(FAILED)).await.unwrap();
-            let DispatcherEvent::StateReceived(state) = next(&mut core).await else { panic!() };
+            let DispatcherEvent::StateReceived(state) = next(&mut dispatcher).await else { panic!() };
             assert_eq!(state.records, [failed()]);
-            core.status.send_modify(|state| state.handed_over = true);
+            dispatcher.status.send_modify(|status| status.handed_over = true);
             assert_eq!(read(&mut old, PASSED).await, PASSED);
             old.write_all(&bytes(FREE)).await.unwrap();
-            let DispatcherEvent::StateReceived(state) = next(&mut core).await else { panic!() };
+            let DispatcherEvent::StateReceived(state) = next(&mut dispatcher).await else { panic!() };
             assert_eq!(state.records, [free()]);
             drop(old);
-            assert!(matches!(next(&mut core).await, DispatcherEvent::PredecessorDone));
+            assert!(matches!(next(&mut dispatcher).await, DispatcherEvent::PredecessorDone));
         };
         tokio::join!(new, old);
         std::fs::remove_file(path).unwrap();
@@ -206,19 +226,19 @@
 }
 
 #[test]
-fn an_empty_table_is_handed_over_as_well() {
+fn an_empty_table_is_transferred_as_well() {
     run(async {
-        let Endpoints { exchange, dispatcher: mut core, backend: _backend } = exchange::new(true, false);
+        let Endpoints { exchange, mut dispatcher, backend: _backend } = exchange::new(true, false);
         let path = socket("empty");
         let listener = UnixListener::bind(&path).unwrap();
         let old = async {
             let (mut old, _) = listener.accept().await.unwrap();
             old.write_all(&bytes(&[SEED, ALL].concat())).await.unwrap();
-            let DispatcherEvent::StateReceived(state) = next(&mut core).await else { panic!() };
+            let DispatcherEvent::StateReceived(state) = next(&mut dispatcher).await else { panic!() };
             assert_eq!((state.digest_seed, state.records), (THE_SEED, vec![]));
-            core.status.send_modify(|state| state.awaiting_state = false);
+            dispatcher.status.send_modify(|status| status.awaiting_state = false);
         };
-        tokio::join!(inherit(path.clone(), exchange), old);
+        tokio::join!(take_over(path.clone(), exchange), old);
         std::fs::remove_file(path).unwrap();
     });
 }
--- a/node/src/server.rs
+++ b/node/src/server.rs
@@ -53,8 +53,8 @@
     let Told { config, uwsgi, remembered, fleet, records } = told;
     // Comes first: a signal that nobody hears yet would end the process.
     let (notice, hangup) = signals().map_err(|e| format!("no signals: {e}"))?;
-    let place = handover::place(config.listen);
-    let upgrade = handover::serves_already(place.as_deref()).await;
+    let place = handover::socket_path(config.listen);
+    let upgrade = handover::has_predecessor(place.as_deref()).await;
     // One that takes over is where the process before it was.
     let Endpoints { exchange, dispatcher: dispatcher_endpoints, backend: backends } =
         exchange::new(upgrade, fleet.is_some() && !upgrade);
@@ -157,12 +157,12 @@
         spawn_local(heartbeat::report(config.name.clone(), links, exchange.clone()));
         if let Some(place) = &place {
             if upgrade {
-                spawn_local(handover::inherit(place.clone(), exchange.clone()));
+                spawn_local(handover::take_over(place.clone(), exchange.clone()));
                 if exchange.status().wait_for(|state| !state.awaiting_state).await.is_ok() {
                     log!("handover: has taken over");
                 }
             }
-            handover::bequeath(place, exchange.clone()).await;
+            handover::serve_successors(place, exchange.clone()).await;
         }
         std::future::pending::<Result<Infallible, String>>().await
     };
