--- a/node/src/backend/uwsgi.rs
+++ b/node/src/backend/uwsgi.rs
@@ -92,8 +92,8 @@
     }
 
     fn packet(&self, request: &Request, length: usize, until: Unix) -> Option<BytesMut> {
-        let class = self.names.of_class(request.class);
-        let tenant = self.names.of_tenant(request.tenant);
+        let class = self.names.class_name(request.class);
+        let tenant = self.names.tenant_name(request.tenant);
         let (path, length) = (format!("/{class}"), length.to_string());
         let deadline = until.as_millis().to_string();
         let mut vars: Vec<(&str, &[u8])> = vec![
@@ -221,7 +221,7 @@
     async fn call(self: Rc<Self>, request: Rc<Request>, body: Bytes, until: Unix) -> CallOutcome {
         match self.ask(request, body, until).await {
             Asked::Done(reply) => CallOutcome::Ok(reply),
-            Asked::Refused => CallOutcome::Refused,
+            Asked::Refused => CallOutcome::Rejected,
             Asked::TimedOut => CallOutcome::TimedOut,
             Asked::Failed => CallOutcome::Failed,
             Asked::CutOff => CallOutcome::CutOff,
--- a/node/src/dispatcher.rs
+++ b/node/src/dispatcher.rs
@@ -45,7 +45,7 @@
 /// The settings of the admission module. Its memory is the interpreter's, where requests are booked. Keys are kept in
 /// this process, whose table has a bound of its own, so they are booked with nothing there.
 fn admission_settings(settings: &Parsed) -> Settings {
-    Settings { entry_kb: 0.0, ..settings.settings.clone() }
+    Settings { key_memory_kb: 0.0, ..settings.settings.clone() }
 }
 
 /// Drives the admission module and carries out its actions.
@@ -122,7 +122,7 @@
     /// Records decisions in this log from now on.
     pub(crate) fn set_decision_log(&mut self, decision_log: Recorder) {
         let tally = decision_log.tally.clone();
-        self.endpoints.metrics.also(Box::new(move || tally.all()));
+        self.endpoints.metrics.register(Box::new(move || tally.all()));
         self.decision_log = Some(decision_log);
     }
 
@@ -249,7 +249,7 @@
             return;
         }
         let (settings, now) = (Settings { cold, ..admission_settings(&self.settings) }, clock::now());
-        let warm_at = cold.then_some(now + settings.warm_after);
+        let warm_at = cold.then_some(now + settings.warm_up_time);
         self.admission = Some(Admission::new(settings, self.seed, now));
         self.update_status(|status| status.warm_at = warm_at);
         let draining = self.status().draining;
@@ -266,7 +266,7 @@
             decision_log.settings(digest.to_owned());
         }
         if let Some(admission) = &mut self.admission {
-            admission.retune(admission_settings(&self.settings));
+            admission.reconfigure(admission_settings(&self.settings));
         }
     }
 
--- a/node/src/dispatcher/actions.rs
+++ b/node/src/dispatcher/actions.rs
@@ -28,7 +28,7 @@
         }
         self.actions = actions;
         for event in &events {
-            if let Event::Abandoned(id) = event {
+            if let Event::Cancelled(id) = event {
                 self.remove_unless_started(*id);
             }
         }
@@ -38,11 +38,11 @@
         match action {
             Action::Run(id) => self.start_run(id, now),
             Action::Pause(id) => self.stop_run(id),
-            Action::Refuse { id, retry_after, stay } => self.reject(id, retry_after, stay),
+            Action::Reject { id, retry_after, give_up } => self.reject(id, retry_after, give_up),
             Action::Fail(id) => self.fail(id, now),
-            Action::Join(id) => self.wait_for_attempt(id, now),
-            Action::Remember(id, window) => self.assign_key(id, now + window),
-            Action::Forget(id) => {
+            Action::Coalesce(id) => self.wait_for_attempt(id, now),
+            Action::RetainKey(id, window) => self.assign_key(id, now + window),
+            Action::ReleaseKey(id) => {
                 self.report_to_successor(id, RunState::NeverStarted);
                 self.idempotency.release(id);
             }
--- a/node/src/dispatcher/calls.rs
+++ b/node/src/dispatcher/calls.rs
@@ -57,7 +57,7 @@
                 return;
             }
             CallOutcome::Failed => AdmissionOutcome::Error,
-            CallOutcome::Refused => AdmissionOutcome::Refused,
+            CallOutcome::Rejected => AdmissionOutcome::Rejected,
             CallOutcome::TimedOut => AdmissionOutcome::TimedOut,
             CallOutcome::Unreachable => AdmissionOutcome::Unreachable,
             CallOutcome::CutOff => AdmissionOutcome::CutOff,
--- a/node/src/dispatcher/runs.rs
+++ b/node/src/dispatcher/runs.rs
@@ -50,7 +50,7 @@
             return self.run_ended(&request.txn, Completion::NeverStarted);
         }
         self.log_decision(Decision::Run, &request);
-        self.endpoints.metrics.sent(request.class);
+        self.endpoints.metrics.run_dispatched(request.class);
     }
 
     /// Sends a command other than a run to the backend that runs requests.
@@ -99,10 +99,10 @@
                 (AdmissionOutcome::Ok, RequestOutcome::Served(result), stored)
             }
             Completion::Failed => (AdmissionOutcome::Error, failed, StoredOutcome::Failed),
-            Completion::Cancelled => (AdmissionOutcome::Stopped, failed, StoredOutcome::Failed),
-            Completion::Skipped => (AdmissionOutcome::Moot, failed, StoredOutcome::Failed),
+            Completion::Cancelled => (AdmissionOutcome::Cancelled, failed, StoredOutcome::Failed),
+            Completion::Skipped => (AdmissionOutcome::Skipped, failed, StoredOutcome::Failed),
             Completion::NeverStarted => {
-                (AdmissionOutcome::Refused, self.undecided_rejection(), StoredOutcome::NeverStarted)
+                (AdmissionOutcome::Rejected, self.undecided_rejection(), StoredOutcome::NeverStarted)
             }
         };
         self.answer_attempt(id, answer);
@@ -155,7 +155,7 @@
         let outcome = match stored {
             StoredOutcome::Succeeded(_) => AdmissionOutcome::Ok,
             StoredOutcome::Failed => AdmissionOutcome::Error,
-            StoredOutcome::NeverStarted => AdmissionOutcome::Refused,
+            StoredOutcome::NeverStarted => AdmissionOutcome::Rejected,
         };
         self.answer_attempt(id, self.outcome_for_repeat(stored));
         self.admission_events.push(Event::Finished { id, outcome, took: now.saturating_sub(since) });
@@ -202,7 +202,7 @@
         let Some(attempt) = self.attempts.get_mut(id) else { return };
         if let Phase::Running { started_at } = std::mem::replace(&mut attempt.phase, Phase::RunningRemotely) {
             let took = clock::now().saturating_sub(started_at);
-            self.admission_events.push(Event::Finished { id, outcome: AdmissionOutcome::Moot, took });
+            self.admission_events.push(Event::Finished { id, outcome: AdmissionOutcome::Skipped, took });
         }
     }
 
--- a/node/src/dispatcher/submission.rs
+++ b/node/src/dispatcher/submission.rs
@@ -93,7 +93,7 @@
             age: now.saturating_sub(request.received_at),
             rank: request.rank,
             caller: CallerId(request.caller),
-            patience: Some(request.deadline.saturating_sub(now)),
+            time_left: Some(request.deadline.saturating_sub(now)),
         }));
         let responder = Some(responder);
         self.attempts.insert(Attempt { id, request, submission_id, responder, phase: Phase::Queued });
@@ -147,7 +147,7 @@
     /// The key of a request, if its class must not run twice.
     pub(super) fn key_of(&self, request: &Request) -> Option<IdempotencyKey> {
         let class = self.settings.settings.classes.get(usize::from(request.class))?;
-        request.key.clone().filter(|_| class.effect == Effect::Keyed)
+        request.key.clone().filter(|_| class.effect == Effect::IdempotencyKey)
     }
 
     /// The client of a submission has gone, so no answer is owed to it.
@@ -156,7 +156,7 @@
         let Some(id) = self.attempts.id_of(&submission_id.txn) else { return };
         let Some(attempt) = self.attempts.get_mut(id) else { return };
         if attempt.submission_id == *submission_id && attempt.responder.take().is_some() {
-            self.admission_events.push(Event::Abandoned(id));
+            self.admission_events.push(Event::Cancelled(id));
         }
     }
 
--- a/node/src/exchange.rs
+++ b/node/src/exchange.rs
@@ -14,7 +14,7 @@
 use tokio::sync::{mpsc, watch};
 
 use crate::clock::Unix;
-use crate::metrics::Figures;
+use crate::metrics::Metrics;
 pub(crate) use crate::outcome::{Completion, RequestOutcome};
 pub(crate) use command::{CallCommand, RunCommand};
 pub(crate) use event::{BackendEvent, CallOutcome, DispatcherEvent, HandoverState};
@@ -31,7 +31,7 @@
 pub(crate) struct Exchange {
     events: mpsc::Sender<DispatcherEvent>,
     status: watch::Receiver<NodeStatus>,
-    metrics: Rc<Figures>,
+    metrics: Rc<Metrics>,
     /// How many requests have been submitted.
     submitted: Rc<Cell<u64>>,
 }
@@ -47,7 +47,7 @@
     /// What is published of the node.
     pub(crate) status: watch::Sender<NodeStatus>,
     /// Counters of requests and runs.
-    pub(crate) metrics: Rc<Figures>,
+    pub(crate) metrics: Rc<Metrics>,
 }
 
 /// The backends' ends of the exchange.
@@ -75,7 +75,7 @@
     let (runs, backend_runs) = mpsc::channel(COMMAND_QUEUE_CAPACITY);
     let (calls, backend_calls) = mpsc::channel(COMMAND_QUEUE_CAPACITY);
     let (published, status) = watch::channel(NodeStatus::new(awaiting_state, recovering));
-    let metrics = Rc::new(Figures::default());
+    let metrics = Rc::new(Metrics::default());
     let dispatcher = DispatcherEndpoints {
         events: dispatcher_events,
         runs,
@@ -93,7 +93,7 @@
 impl Exchange {
     /// Submits a request; its outcome comes by the responder.
     pub(crate) async fn submit(&self, request: Request, mut responder: Responder) -> SubmissionId {
-        self.metrics.taken();
+        self.metrics.request_started();
         responder.count_in(self.metrics.clone(), request.class);
         let sequence = self.submitted.replace(self.submitted.get() + 1);
         let id = SubmissionId::new(request.txn.clone(), sequence);
@@ -153,7 +153,7 @@
     }
 
     /// Counters of what this process has done.
-    pub(crate) fn metrics(&self) -> &Figures {
+    pub(crate) fn metrics(&self) -> &Metrics {
         &self.metrics
     }
 
--- a/node/src/exchange/event.rs
+++ b/node/src/exchange/event.rs
@@ -74,8 +74,8 @@
     Ok(Bytes),
     /// It failed and may have had its effect.
     Failed,
-    /// It was refused: it never ran.
-    Refused,
+    /// It was rejected: it never ran.
+    Rejected,
     /// It ran out of time and may have had its effect.
     TimedOut,
     /// Nobody was reached: it never ran.
--- a/node/src/exchange/request.rs
+++ b/node/src/exchange/request.rs
@@ -7,7 +7,7 @@
 use tokio::sync::mpsc;
 
 use crate::clock::Unix;
-use crate::metrics::Figures;
+use crate::metrics::Metrics;
 use crate::outcome::{IdempotencyKey, RequestOutcome};
 
 /// One attempt of a request, as a frontend read it.
@@ -71,7 +71,7 @@
     tag: u64,
     permit: Option<mpsc::OwnedPermit<(u64, RequestOutcome)>>,
     /// Where the answer is counted, and for which class; set when the request is submitted.
-    counters: Option<(Rc<Figures>, u16)>,
+    counters: Option<(Rc<Metrics>, u16)>,
 }
 
 impl Responder {
@@ -82,14 +82,14 @@
     }
 
     /// Counts the answer for a class.
-    pub(super) fn count_in(&mut self, metrics: Rc<Figures>, class: u16) {
+    pub(super) fn count_in(&mut self, metrics: Rc<Metrics>, class: u16) {
         self.counters = Some((metrics, class));
     }
 
     /// Gives the request its outcome.
     pub(crate) fn answer(mut self, outcome: RequestOutcome) {
         if let Some((metrics, class)) = &self.counters {
-            metrics.answered(*class, &outcome);
+            metrics.request_answered(*class, &outcome);
         }
         if let Some(permit) = self.permit.take() {
             permit.send((self.tag, outcome));
@@ -101,7 +101,7 @@
     /// Counts the request as ended, whether it was answered or cancelled.
     fn drop(&mut self) {
         if let Some((metrics, _)) = &self.counters {
-            metrics.ended();
+            metrics.request_finished();
         }
     }
 }
--- a/node/src/handover/successor.rs
+++ b/node/src/handover/successor.rs
@@ -11,7 +11,7 @@
 use super::REPLY_TIMEOUT;
 use crate::clock;
 use crate::exchange::{Exchange, HandoverState};
-use crate::line_codec::{self, Nonsense};
+use crate::line_codec::ProtocolError;
 use crate::log;
 
 /// Takes over, and passes on to the dispatcher what the predecessor knows and goes on to report. Returns once the
@@ -36,7 +36,7 @@
 }
 
 impl Received {
-    fn decode(&mut self, input: &mut BytesMut) -> Result<(), Nonsense> {
+    fn decode(&mut self, input: &mut BytesMut) -> Result<(), ProtocolError> {
         while let Some(message) = message::decode(input)? {
             match message {
                 PredecessorMessage::DigestSeed(seed) => self.state.digest_seed = seed,
@@ -81,7 +81,7 @@
                 is_superseded = handed_over.is_ok();
             }
             () = clock::until(table_deadline), if !received.table_complete => {
-                return Err(line_codec::stalled());
+                return Err(ProtocolError::Incomplete.into());
             }
         }
         if is_superseded && !superseded_sent {
--- a/node/src/run_gate.rs
+++ b/node/src/run_gate.rs
@@ -17,7 +17,7 @@
 
 use crate::clock::Unix;
 use crate::exchange::Request;
-use crate::metrics::Figures;
+use crate::metrics::Metrics;
 use crate::outcome::{Completion, IdempotencyKey, IdempotencyRecord, StoredOutcome};
 use crate::peers::{Asked, Peers};
 use crate::result_store::record::{Record, State};
@@ -90,14 +90,14 @@
     }
 
     /// Adds the figures of the store and the peers to the metrics.
-    pub(crate) fn register_metrics(&self, metrics: &Figures) {
+    pub(crate) fn register_metrics(&self, metrics: &Metrics) {
         if let Some(store) = &self.store {
             let tally = store.tally.clone();
-            metrics.also(Box::new(move || tally.all()));
+            metrics.register(Box::new(move || tally.all()));
         }
         if let Some(peers) = &self.peers {
             let shown = peers.shown.clone();
-            metrics.also(Box::new(move || shown.all()));
+            metrics.register(Box::new(move || shown.all()));
         }
     }
 
