--- a/node/src/peers/mod.rs
+++ b/node/src/peers/mod.rs
@@ -62,7 +62,7 @@
 }
 
 /// A run as the peers are asked about it.
-pub struct KeyedRun<'a> {
+pub struct RunClaim<'a> {
     /// The try.
     pub id: RequestId,
     /// Its key.
@@ -70,7 +70,7 @@
     /// Its body.
     pub body: &'a [u8],
     /// How long the key is remembered.
-    pub until: Unix,
+    pub expires_at: Unix,
     /// When its request came.
     pub received_at: Unix,
     /// When its caller stops waiting.
@@ -122,13 +122,13 @@
 
 impl Peers {
     /// Asks for a claim; false if there is no room to ask.
-    pub fn request_claim(&self, asked: &KeyedRun) -> bool {
+    pub fn request_claim(&self, asked: &RunClaim) -> bool {
         let digest = Sha256::digest(asked.body);
         let wanted = RunRequest {
             token: token(asked.id),
             key: asked.key.clone(),
             body: digest.iter().take(16).fold(0, |all, byte| all << 8 | u128::from(*byte)),
-            until: self.clock.of(asked.until),
+            until: self.clock.of(asked.expires_at),
             received_at: (self.clock.of(asked.received_at), clock::millis(asked.received_at)),
             deadline: self.clock.of(asked.deadline),
         };
--- a/node/src/server.rs
+++ b/node/src/server.rs
@@ -22,7 +22,7 @@
 use crate::config::{ConfigFiles, Configuration, NodeConfig, UpstreamAddresses};
 use crate::decision_log::{settings_digest, DecisionLog};
 use crate::dispatcher::Dispatcher;
-use crate::exchange::{self, Exchange, HandoverState};
+use crate::exchange::{self, Endpoints, Exchange, HandoverState};
 use crate::frontend::connection_limiter::{ConnectionGuard, ConnectionLimiter};
 use crate::frontend::uwsgi::{self, Front, Ids};
 use crate::frontend::{self, jsonrpc};
@@ -53,10 +53,11 @@
     let Configuration { config, uwsgi, remembered, fleet, records } = told;
     // Comes first: a signal that nobody hears yet would end the process.
     let (notice, hangup) = signals().map_err(|e| format!("no signals: {e}"))?;
-    let place = handover::place(config.listen);
-    let upgrade = handover::serves_already(place.as_deref()).await;
+    let place = handover::socket_path(config.listen);
+    let upgrade = handover::has_predecessor(place.as_deref()).await;
     // One that takes over is where the process before it was.
-    let (exchange, core, backends) = exchange::new(upgrade, fleet.is_some() && !upgrade);
+    let Endpoints { exchange, dispatcher: dispatcher_endpoints, backend: backends } =
+        exchange::new(upgrade, fleet.is_some() && !upgrade);
     let (changed, links) = watch::channel(config.upstreams.clone());
     // With a folder that a next process finds it by, both may listen at once.
     let shared = place.is_some();
@@ -94,7 +95,8 @@
         let servers = Servers::new(links.clone(), |upstreams| &upstreams.uwsgi_call_servers, names.clone());
         spawn_local(call(servers, exchange.clone(), backends.calls, each));
     }
-    let mut core = Dispatcher::new(core, config.settings.clone(), config.seed, config.memory / RESULTS);
+    let mut dispatcher =
+        Dispatcher::new(dispatcher_endpoints, config.settings.clone(), config.seed, config.memory / RESULTS);
     let (mut folder, mut left) = (None, None);
     if let Some(remembered) = remembered {
         let mut remembrance = ResultStore::closed(remembered, config.max_idempotency_window());
@@ -112,15 +114,15 @@
         peers = Some(asked);
         spawn_local(driver.run());
     }
-    core.keep(RunGate::new(folder, peers), left);
+    dispatcher.set_run_gate(RunGate::new(folder, peers), left);
     if let Some(records) = records {
-        core.record(DecisionLog::start(
+        dispatcher.set_decision_log(DecisionLog::start(
             &records,
             &config.name,
             settings_digest(&config.written["settings"]),
         )?);
     }
-    spawn_local(core.run());
+    spawn_local(dispatcher.run());
     let front = {
         let (exchange, names) = (exchange.clone(), names.clone());
         move |stream, guest| jsonrpc::serve(stream, guest, exchange.clone(), names.clone())
@@ -155,12 +157,12 @@
         spawn_local(heartbeat::report(config.name.clone(), links, exchange.clone()));
         if let Some(place) = &place {
             if upgrade {
-                spawn_local(handover::inherit(place.clone(), exchange.clone()));
+                spawn_local(handover::take_over(place.clone(), exchange.clone()));
                 if exchange.status().wait_for(|state| !state.awaiting_state).await.is_ok() {
                     log!("handover: has taken over");
                 }
             }
-            handover::bequeath(place, exchange.clone()).await;
+            handover::serve_successors(place, exchange.clone()).await;
         }
         std::future::pending::<Result<Infallible, String>>().await
     };
