--- a/node/src/peers/links.rs
+++ b/node/src/peers/links.rs
@@ -1,358 +1,309 @@
-//! Links with peers: one that this node dials for its own questions, and those that peers dial for theirs; answers come
-//! back on the same link. What waits to be written on one is bounded; a peer that is slower loses its link.
+//! The table of links with peers. A node dials one link to each peer for its own requests and accepts one from each for
+//! theirs; a response travels on the link of its request.
+//!
+//! Guarantees: the number of links is bounded each way, and so are the bytes that wait to be written on one. A peer that
+//! reads more slowly than it is sent to loses its link, and the next link tells it so.
 
-use std::cell::{Cell, RefCell};
+use std::cell::Cell;
 use std::collections::{HashMap, HashSet};
-use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
-use bytes::BytesMut;
 use oakwind_fleet::membership_config::NodeId;
 use oakwind_fleet::message::Message;
 use oakwind_fleet::replica_table::LinkId;
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
-use tokio::sync::{mpsc, Notify};
-use tokio::task::spawn_local;
+use tokio::sync::mpsc;
 
-use super::message_codec::{put, take, Taken, MAGIC};
+use super::connection::{Connection, Origin, OutputQueue, IDENTIFICATION_TIMEOUT};
 use crate::clock::{self, Unix};
-use crate::{log, sockets};
+use crate::log;
 
 /// Bytes that may wait to be written on a link.
-const QUEUE: usize = 1024 * 1024;
-/// Who is dialled, or dials, owes its greeting for so long.
-const OWED: Duration = Duration::from_secs(1);
-/// After a failure a peer is not dialled again for so long, twice as long after the next, up to the last.
-const BACKOFF: Duration = Duration::from_millis(50);
-const BACKOFF_LAST: Duration = Duration::from_secs(1);
+const MAX_OUTPUT_BYTES: usize = 1024 * 1024;
+/// A peer is not dialed again for so long after a failure, and for twice as long after each further one.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
+/// The longest that a peer is not dialed.
+const MAX_BACKOFF: Duration = Duration::from_secs(1);
+/// Failures beyond this do not lengthen the backoff, whose computation they might overflow.
+const MAX_COUNTED_FAILURES: u32 = 10;
 
-/// What a link has to tell.
+/// What a link reports.
 #[derive(Debug)]
-pub enum Heard {
-    /// A frame came.
-    Message(LinkId, Message),
-    /// It is gone.
-    Gone(LinkId),
+pub(crate) enum LinkEvent {
+    /// A message arrived.
+    Received(LinkId, Message),
+    /// The link is closed; all that it received was reported.
+    Closed(LinkId),
 }
 
-/// What links have done.
+/// Counters of all links.
 #[derive(Debug, Default)]
-pub struct Traffic {
-    /// Frames that came and went, and their bytes.
-    pub frames_in: Cell<u64>,
-    /// Frames that went.
-    pub frames_out: Cell<u64>,
-    /// Bytes that came.
-    pub bytes_in: Cell<u64>,
-    /// Bytes that went.
-    pub bytes_out: Cell<u64>,
-    /// Links that were cut because the peer was too slow.
-    pub cut: Cell<u64>,
-    /// Links that ended with nonsense.
-    pub nonsense: Cell<u64>,
-    /// Frames of kinds that only a later build knows.
-    pub later: Cell<u64>,
+pub(crate) struct LinkMetrics {
+    /// Messages received.
+    pub(crate) messages_received: Cell<u64>,
+    /// Messages sent.
+    pub(crate) messages_sent: Cell<u64>,
+    /// Bytes received.
+    pub(crate) bytes_received: Cell<u64>,
+    /// Bytes sent.
+    pub(crate) bytes_sent: Cell<u64>,
+    /// Links that were closed because the peer read too slowly.
+    pub(crate) overflows: Cell<u64>,
+    /// Links that were closed because the peer sent bytes that are no message.
+    pub(crate) protocol_errors: Cell<u64>,
+    /// Messages of kinds that only a later build knows.
+    pub(crate) unknown_kinds: Cell<u64>,
 }
 
-fn add(to: &Cell<u64>, number: usize) {
-    to.set(to.get() + number as u64);
+/// Adds to a counter.
+pub(super) fn count(counter: &Cell<u64>, amount: usize) {
+    counter.set(counter.get() + amount as u64);
 }
 
-/// One link, as its task and the others see it.
-struct Pipe {
-    output: RefCell<BytesMut>,
-    wake: Notify,
-    /// It is to end.
-    over: Cell<bool>,
+/// The process at the other end of a link.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) struct RemoteProcess {
+    /// The node.
+    pub(crate) node: NodeId,
+    /// The incarnation of the node that the process is.
+    pub(crate) incarnation: u64,
 }
 
-/// A link by its number.
-struct Known {
-    pipe: Rc<Pipe>,
-    /// Who is at the other end, and in which life, once it has greeted.
-    peer: Option<(NodeId, u64)>,
-    /// Whom this node has dialled.
-    dialled: Option<NodeId>,
-    used: Unix,
+/// A link that was closed, if this node had dialed it.
+#[derive(Debug, PartialEq, Eq)]
+pub(crate) struct ClosedLink {
+    /// The node that was dialed.
+    pub(crate) node: NodeId,
+    /// Whether that had identified itself.
+    pub(crate) was_identified: bool,
 }
 
-/// How dialling a peer went of late.
+/// The peer cannot be sent anything now.
+#[derive(Debug, PartialEq, Eq, thiserror::Error)]
+#[error("the peer cannot be reached now")]
+pub(crate) struct PeerUnreachable;
+
+/// A link of the table.
+struct LinkState {
+    output: Rc<OutputQueue>,
+    /// The process at the other end, once it has identified itself.
+    remote: Option<RemoteProcess>,
+    /// The node that this node dialed; none if the link was accepted.
+    dialed: Option<NodeId>,
+    last_used: Unix,
+}
+
+/// Why a peer is not dialed for a while.
 #[derive(Default)]
-struct Trouble {
+struct DialBackoff {
     failures: u32,
     not_before: Unix,
 }
 
 /// All links of this node.
-pub struct Links {
-    next: LinkId,
-    known: HashMap<LinkId, Known>,
-    dialled: HashMap<NodeId, LinkId>,
-    trouble: HashMap<NodeId, Trouble>,
-    /// Those whose last link was cut, who are told so by the next.
-    cut: HashSet<NodeId>,
-    most: usize,
-    tell: mpsc::Sender<Heard>,
-    /// What was done.
-    pub traffic: Rc<Traffic>,
+pub(crate) struct LinkTable {
+    next_id: LinkId,
+    links: HashMap<LinkId, LinkState>,
+    dialed: HashMap<NodeId, LinkId>,
+    backoffs: HashMap<NodeId, DialBackoff>,
+    /// Peers whose last link overflowed, which their next link tells them.
+    overflowed: HashSet<NodeId>,
+    /// Limit of the links each way.
+    max_links: usize,
+    events: mpsc::Sender<LinkEvent>,
+    /// Counters of all links.
+    pub(crate) metrics: Rc<LinkMetrics>,
 }
 
-/// Why nothing can be said to a peer now.
-#[derive(Debug, PartialEq)]
-pub struct Unreached;
-
-impl Links {
-    /// No links yet; at the most so many each way.
-    pub fn new(most: usize, tell: mpsc::Sender<Heard>) -> Links {
-        Links {
-            next: 1,
-            known: HashMap::new(),
-            dialled: HashMap::new(),
-            trouble: HashMap::new(),
-            cut: HashSet::new(),
-            most,
-            tell,
-            traffic: Rc::default(),
+impl LinkTable {
+    /// A table without links, for at most `max_links` each way.
+    pub(crate) fn new(max_links: usize, events: mpsc::Sender<LinkEvent>) -> LinkTable {
+        LinkTable {
+            next_id: 1,
+            links: HashMap::new(),
+            dialed: HashMap::new(),
+            backoffs: HashMap::new(),
+            overflowed: HashSet::new(),
+            max_links,
+            events,
+            metrics: Rc::default(),
         }
     }
 
-    /// How many there are.
-    pub fn count(&self) -> usize {
-        self.known.len()
+    /// The number of links.
+    pub(crate) fn len(&self) -> usize {
+        self.links.len()
     }
 
-    /// Says something to a node, on the link that it was dialled by; dials it at this address if there is none.
-    pub fn send(
+    /// Sends a message to a node on the link that was dialed to it. Dials `address` if there is no link, with `hello` as the
+    /// first message.
+    ///
+    /// # Errors
+    ///
+    /// If there is no link, and none can be dialed now.
+    pub(crate) fn send(
         &mut self,
-        to: NodeId,
+        node: NodeId,
         address: impl FnOnce() -> Option<SocketAddr>,
         hello: impl FnOnce() -> Message,
-        frame: &Message,
-    ) -> Result<(), Unreached> {
-        let link = match self.dialled.get(&to) {
+        message: &Message,
+    ) -> Result<(), PeerUnreachable> {
+        let link = match self.dialed.get(&node) {
             Some(link) => *link,
-            None => {
-                let now = clock::now();
-                if self.trouble.get(&to).is_some_and(|trouble| now < trouble.not_before)
-                    || !self.make_room(now)
-                {
-                    return Err(Unreached);
-                }
-                let address = address().ok_or(Unreached)?;
-                let link = self.start(Some((to, address)), None);
-                self.dialled.insert(to, link);
-                let mut hello = hello();
-                if let Message::Hello(hello) = &mut hello {
-                    hello.cut = self.cut.remove(&to);
-                }
-                self.write(link, &hello);
-                link
-            }
+            None => self.dial(node, address, hello)?,
         };
-        self.write(link, frame);
+        self.send_on(link, message);
         Ok(())
     }
 
-    /// Whether one more may be dialled; the one that was not used for longest makes room.
-    fn make_room(&mut self, now: Unix) -> bool {
-        if self.dialled.len() < self.most {
+    fn dial(
+        &mut self,
+        node: NodeId,
+        address: impl FnOnce() -> Option<SocketAddr>,
+        hello: impl FnOnce() -> Message,
+    ) -> Result<LinkId, PeerUnreachable> {
+        let now = clock::now();
+        let backs_off = self.backoffs.get(&node).is_some_and(|backoff| now < backoff.not_before);
+        if backs_off || !self.has_capacity_to_dial(now) {
+            return Err(PeerUnreachable);
+        }
+        let address = address().ok_or(PeerUnreachable)?;
+        let link = self.open(Origin::Dial(address), Some(node));
+        self.dialed.insert(node, link);
+        let mut hello = hello();
+        if let Message::Hello(hello) = &mut hello {
+            hello.cut = self.overflowed.remove(&node);
+        }
+        self.send_on(link, &hello);
+        Ok(link)
+    }
+
+    /// Whether one more link may be dialed; at the limit the least recently used one is closed, unless that was used just
+    /// now.
+    fn has_capacity_to_dial(&mut self, now: Unix) -> bool {
+        if self.dialed.len() < self.max_links {
             return true;
         }
-        let idle =
-            self.dialled.iter().filter_map(|(node, link)| Some((self.known.get(link)?.used, *node, *link)));
-        let Some((used, node, link)) = idle.min() else { return false };
-        if now < used + OWED {
+        let last_used = |link: &LinkId| Some(self.links.get(link)?.last_used);
+        let links = self.dialed.iter().filter_map(|(node, link)| Some((last_used(link)?, *node, *link)));
+        let Some((last_used, node, link)) = links.min() else { return false };
+        if now < last_used + IDENTIFICATION_TIMEOUT {
             return false;
         }
-        self.dialled.remove(&node);
-        self.end(link);
+        self.dialed.remove(&node);
+        self.close(link);
         true
     }
 
-    /// Takes a link that a peer has dialled; where there are too many, the one that was not used for longest goes.
-    pub fn accept(&mut self, stream: TcpStream) {
+    /// Adds a connection that a peer has dialed; at the limit the least recently used one is closed.
+    pub(crate) fn accept(&mut self, stream: TcpStream) {
         let accepted =
-            || self.known.iter().filter(|(_, known)| known.dialled.is_none() && !known.pipe.over.get());
-        if accepted().count() >= self.most {
-            if let Some(link) = accepted().min_by_key(|(_, known)| known.used).map(|(link, _)| *link) {
-                self.end(link);
-            }
+            || self.links.iter().filter(|(_, state)| state.dialed.is_none() && !state.output.is_closing());
+        if accepted().count() >= self.max_links {
+            let oldest = accepted().min_by_key(|(_, state)| state.last_used).map(|(link, _)| *link);
+            oldest.into_iter().for_each(|link| self.close(link));
         }
-        self.start(None, Some(stream));
+        self.open(Origin::Accepted(stream), None);
     }
 
-    fn start(&mut self, dial: Option<(NodeId, SocketAddr)>, stream: Option<TcpStream>) -> LinkId {
-        let link = self.next;
-        self.next += 1;
-        let mut output = BytesMut::with_capacity(4096);
-        output.extend_from_slice(MAGIC);
-        let pipe =
-            Rc::new(Pipe { output: RefCell::new(output), wake: Notify::new(), over: Cell::new(false) });
-        let dialled = dial.map(|(node, _)| node);
-        let known = Known { pipe: pipe.clone(), peer: None, dialled, used: clock::now() };
-        self.known.insert(link, known);
-        let (tell, traffic) = (self.tell.clone(), self.traffic.clone());
-        spawn_local(async move {
-            let talk = async {
-                let stream = match (stream, dial) {
-                    (Some(stream), _) => stream,
-                    (None, Some((_, address))) => sockets::connect(address, clock::now() + OWED).await?,
-                    (None, None) => return Ok(()),
-                };
-                talk(link, stream, &pipe, &tell, &traffic).await
-            };
-            match talk.await {
-                Err(e) if e.kind() == io::ErrorKind::InvalidData => {
-                    add(&traffic.nonsense, 1);
-                    log!("fleet: a link has ended with nonsense: {e}");
-                }
-                // A link may end at any time, and who is at the other end is missed by what it owes.
-                _ => {}
-            }
-            // Nobody listens any more only if the process ends.
-            let _ = tell.send(Heard::Gone(link)).await;
-        });
+    fn open(&mut self, origin: Origin, dialed: Option<NodeId>) -> LinkId {
+        let link = self.next_id;
+        self.next_id += 1;
+        let output = OutputQueue::new();
+        let state = LinkState { output: output.clone(), remote: None, dialed, last_used: clock::now() };
+        self.links.insert(link, state);
+        let (events, metrics) = (self.events.clone(), self.metrics.clone());
+        Connection { link, output, events, metrics }.spawn(origin);
         link
     }
 
-    /// Says something on a link; nothing if it is gone.
-    pub fn write(&mut self, link: LinkId, frame: &Message) {
-        let Some(known) = self.known.get_mut(&link) else { return };
-        known.used = clock::now();
-        let mut output = known.pipe.output.borrow_mut();
-        let before = output.len();
-        put(&mut output, frame);
-        add(&self.traffic.frames_out, 1);
-        add(&self.traffic.bytes_out, output.len() - before);
-        if output.len() > QUEUE {
-            drop(output);
-            log!("fleet: a link was cut: its peer is too slow");
-            add(&self.traffic.cut, 1);
-            self.cut.extend(known.dialled);
-            return self.end(link);
+    /// Sends a message on a link, unless that is closed.
+    pub(crate) fn send_on(&mut self, link: LinkId, message: &Message) {
+        let Some(state) = self.links.get_mut(&link) else { return };
+        state.last_used = clock::now();
+        let queued = state.output.push(message);
+        count(&self.metrics.messages_sent, 1);
+        count(&self.metrics.bytes_sent, queued.message_bytes);
+        if queued.waiting_bytes > MAX_OUTPUT_BYTES {
+            log!("fleet: link closed, its peer reads too slowly: waiting_bytes={}", queued.waiting_bytes);
+            count(&self.metrics.overflows, 1);
+            self.overflowed.extend(state.dialed);
+            self.close(link);
         }
-        known.pipe.wake.notify_one();
     }
 
-    /// Ends a link.
-    pub fn end(&mut self, link: LinkId) {
-        if let Some(known) = self.known.get(&link) {
-            known.pipe.over.set(true);
-            known.pipe.wake.notify_one();
+    /// Closes a link; a [`LinkEvent::Closed`] follows.
+    pub(crate) fn close(&mut self, link: LinkId) {
+        if let Some(state) = self.links.get(&link) {
+            state.output.close();
         }
     }
 
-    /// Ends all links that peers have dialled.
-    pub fn end_accepted(&mut self) {
-        let accepted: Vec<LinkId> =
-            self.known.iter().filter(|(_, known)| known.dialled.is_none()).map(|(link, _)| *link).collect();
-        accepted.into_iter().for_each(|link| self.end(link));
+    /// Closes all links that peers have dialed.
+    pub(crate) fn close_accepted(&mut self) {
+        for state in self.links.values().filter(|state| state.dialed.is_none()) {
+            state.output.close();
+        }
     }
 
-    /// Who is at the other end of a link, once it has greeted.
-    pub fn peer(&self, link: LinkId) -> Option<(NodeId, u64)> {
-        self.known.get(&link)?.peer
+    /// The process at the other end of a link, once it has identified itself.
+    pub(crate) fn remote(&self, link: LinkId) -> Option<RemoteProcess> {
+        self.links.get(&link)?.remote
     }
 
-    /// Whom this node has dialled on a link.
-    pub fn dialled(&self, link: LinkId) -> Option<NodeId> {
-        self.known.get(&link)?.dialled
+    /// The node that this node dialed on a link.
+    pub(crate) fn dialed_node(&self, link: LinkId) -> Option<NodeId> {
+        self.links.get(&link)?.dialed
     }
 
-    /// The other end has greeted.
-    pub fn greeted(&mut self, link: LinkId, node: NodeId, incarnation: u64) {
-        let Some(known) = self.known.get_mut(&link) else { return };
-        (known.peer, known.used) = (Some((node, incarnation)), clock::now());
-        if known.dialled.is_some() {
-            self.trouble.remove(&node);
+    /// The process at the other end of a link has identified itself.
+    pub(crate) fn identify(&mut self, link: LinkId, remote: RemoteProcess) {
+        let Some(state) = self.links.get_mut(&link) else { return };
+        (state.remote, state.last_used) = (Some(remote), clock::now());
+        if state.dialed.is_some() {
+            self.backoffs.remove(&remote.node);
             return;
         }
-        // A peer that dials anew has given up the link that it had, whatever has become of that.
-        let same = |known: &Known| known.dialled.is_none() && known.peer == Some((node, incarnation));
-        let before = self.known.iter().filter(|(other, known)| **other != link && same(known));
-        let before: Vec<LinkId> = before.map(|(other, _)| *other).collect();
-        before.into_iter().for_each(|other| self.end(other));
+        // A process that dials again has given up the link that it had, whatever has become of that.
+        for (other, state) in &self.links {
+            if *other != link && state.dialed.is_none() && state.remote == Some(remote) {
+                state.output.close();
+            }
+        }
     }
 
-    /// Links whose other ends have greeted, or were dialled, with who they are.
-    pub fn all(&self) -> Vec<(LinkId, NodeId)> {
-        let who = |known: &Known| known.dialled.or(known.peer.map(|(node, _)| node));
-        self.known.iter().filter_map(|(link, known)| Some((*link, who(known)?))).collect()
+    /// The links whose other ends are known, with the nodes there.
+    pub(crate) fn known_nodes(&self) -> Vec<(LinkId, NodeId)> {
+        let node = |state: &LinkState| state.dialed.or(state.remote.map(|remote| remote.node));
+        self.links.iter().filter_map(|(link, state)| Some((*link, node(state)?))).collect()
     }
 
-    /// A link is gone. Returns the node that it was dialled to, and whether that had greeted.
-    pub fn gone(&mut self, link: LinkId) -> Option<(NodeId, bool)> {
-        let known = self.known.remove(&link)?;
-        let node = known.dialled?;
-        if self.dialled.get(&node) == Some(&link) {
-            self.dialled.remove(&node);
+    /// Removes a link that is closed; returns what it was if this node had dialed it.
+    pub(crate) fn remove(&mut self, link: LinkId) -> Option<ClosedLink> {
+        let state = self.links.remove(&link)?;
+        let node = state.dialed?;
+        if self.dialed.get(&node) == Some(&link) {
+            self.dialed.remove(&node);
         }
-        if known.peer.is_none() {
-            let trouble = self.trouble.entry(node).or_default();
-            trouble.failures = (trouble.failures + 1).min(10);
-            let wait = (BACKOFF * 2_u32.pow(trouble.failures - 1)).min(BACKOFF_LAST);
-            trouble.not_before = clock::now() + wait;
+        if state.remote.is_none() {
+            self.back_off(node);
         }
-        Some((node, known.peer.is_some()))
+        Some(ClosedLink { node, was_identified: state.remote.is_some() })
     }
 
-    /// Only these nodes are known any more.
-    pub fn keep(&mut self, is_known: impl Fn(NodeId) -> bool) {
-        self.trouble.retain(|node, _| is_known(*node));
-        self.cut.retain(|node| is_known(*node));
+    fn back_off(&mut self, node: NodeId) {
+        let backoff = self.backoffs.entry(node).or_default();
+        backoff.failures = (backoff.failures + 1).min(MAX_COUNTED_FAILURES);
+        let delay = (INITIAL_BACKOFF * 2_u32.pow(backoff.failures - 1)).min(MAX_BACKOFF);
+        backoff.not_before = clock::now() + delay;
     }
-}
 
-/// Reads and writes frames until either end is done.
-async fn talk(
-    link: LinkId,
-    mut stream: TcpStream,
-    pipe: &Pipe,
-    tell: &mpsc::Sender<Heard>,
-    traffic: &Traffic,
-) -> io::Result<()> {
-    let nonsense = |what: &str| io::Error::new(io::ErrorKind::InvalidData, what.to_string());
-    let (mut input, mut writing) = (BytesMut::with_capacity(16 * 1024), BytesMut::new());
-    let (mut greeted, owed) = (false, clock::now() + OWED);
-    let (mut reader, mut writer) = stream.split();
-    loop {
-        if pipe.over.get() {
-            return Ok(());
-        }
-        if writing.is_empty() {
-            writing = pipe.output.borrow_mut().split();
-        }
-        if !greeted && input.len() >= MAGIC.len() {
-            if input.split_to(MAGIC.len()) != MAGIC[..] {
-                return Err(nonsense("it does not begin as a peer does"));
-            }
-            greeted = true;
-        }
-        while let Some(taken) = if greeted { take(&mut input).map_err(nonsense)? } else { None } {
-            match taken {
-                Taken::Message(frame) => {
-                    add(&traffic.frames_in, 1);
-                    if tell.send(Heard::Message(link, frame)).await.is_err() {
-                        return Ok(());
-                    }
-                }
-                Taken::Later => add(&traffic.later, 1),
-            }
-        }
-        tokio::select! {
-            read = reader.read_buf(&mut input) => match read? {
-                0 => return Ok(()),
-                read => add(&traffic.bytes_in, read),
-            },
-            written = writer.write_buf(&mut writing), if !writing.is_empty() => if written? == 0 {
-                return Err(io::ErrorKind::WriteZero.into());
-            },
-            () = pipe.wake.notified() => {}
-            () = clock::until(owed), if !greeted => return Err(io::ErrorKind::TimedOut.into()),
-        }
+    /// Forgets how dialing went for all but these nodes.
+    pub(crate) fn retain_nodes(&mut self, is_member: impl Fn(NodeId) -> bool) {
+        self.backoffs.retain(|node, _| is_member(*node));
+        self.overflowed.retain(|node| is_member(*node));
     }
 }
 
--- a/node/src/peers/links/tests.rs
+++ b/node/src/peers/links/tests.rs
@@ -1,7 +1,9 @@
 use super::*;
-use bytes::Bytes;
+use crate::peers::message_codec::{decode, Decoded, PREAMBLE};
+use bytes::{Bytes, BytesMut};
 use oakwind_fleet::key_state::{ClaimId, CompletedRun, RunResult};
 use oakwind_fleet::message::Hello;
+use tokio::io::AsyncReadExt;
 use tokio::net::TcpListener;
 use tokio::task::LocalSet;
 
@@ -26,47 +28,47 @@
 }
 
 #[test]
-fn a_peer_that_does_not_read_loses_its_link_and_is_told_so_by_the_next() {
+fn a_peer_that_does_not_read_loses_its_link_and_the_next_link_says_so() {
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
-        let (tell, mut told) = mpsc::channel(64);
-        let mut links = Links::new(4, tell);
+        let (event_sender, mut events) = mpsc::channel(64);
+        let mut links = LinkTable::new(4, event_sender);
         links.send(PEER, || Some(address), hello, &large()).unwrap();
         let (silent, _) = listener.accept().await.unwrap();
-        while links.traffic.cut.get() == 0 {
+        while links.metrics.overflows.get() == 0 {
             links.send(PEER, || Some(address), hello, &large()).unwrap();
-            // The link's task writes what the system takes.
+            // The link's task writes what the system accepts.
             tokio::task::yield_now().await;
         }
-        let Some(Heard::Gone(link)) = told.recv().await else { panic!("the link is gone") };
-        assert_eq!(links.gone(link), Some((PEER, false)));
+        let Some(LinkEvent::Closed(link)) = events.recv().await else { panic!("the link is closed") };
+        assert_eq!(links.remove(link), Some(ClosedLink { node: PEER, was_identified: false }));
         drop(silent);
-        // Until then a peer that was never heard is left alone.
-        assert_eq!(links.send(PEER, || Some(address), hello, &large()), Err(Unreached));
-        clock::until(clock::now() + BACKOFF).await;
+        // A peer that never identified itself is not dialed again at once.
+        assert_eq!(links.send(PEER, || Some(address), hello, &large()), Err(PeerUnreachable));
+        clock::until(clock::now() + INITIAL_BACKOFF).await;
         links.send(PEER, || Some(address), hello, &large()).unwrap();
         let (mut next, _) = listener.accept().await.unwrap();
         let mut bytes = BytesMut::with_capacity(64 * 1024);
-        let greeting = loop {
+        let first = loop {
             next.read_buf(&mut bytes).await.unwrap();
-            if bytes.len() > MAGIC.len() {
-                if let Some(frame) = take(&mut bytes.split_off(MAGIC.len())).unwrap() {
-                    break frame;
+            if bytes.len() > PREAMBLE.len() {
+                if let Some(message) = decode(&mut bytes.split_off(PREAMBLE.len())).unwrap() {
+                    break message;
                 }
             }
         };
-        assert!(matches!(greeting, Taken::Message(Message::Hello(Hello { cut: true, .. }))), "{greeting:?}");
+        assert!(matches!(first, Decoded::Message(Message::Hello(Hello { cut: true, .. }))), "{first:?}");
     });
 }
 
 #[test]
-fn where_there_are_too_many_links_the_one_not_used_for_longest_goes() {
+fn at_the_limit_the_least_recently_used_link_is_closed() {
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
-        let (tell, mut told) = mpsc::channel(64);
-        let mut links = Links::new(2, tell);
+        let (event_sender, mut events) = mpsc::channel(64);
+        let mut links = LinkTable::new(2, event_sender);
         let mut peers = Vec::new();
         for _ in 0..3 {
             peers.push(TcpStream::connect(address).await.unwrap());
@@ -74,8 +76,8 @@
             // Their times differ.
             clock::until(clock::now() + Duration::from_millis(2)).await;
         }
-        let Some(Heard::Gone(first)) = told.recv().await else { panic!("one goes") };
-        assert_eq!((first, links.gone(first)), (1, None));
-        assert_eq!(links.count(), 2);
+        let Some(LinkEvent::Closed(first)) = events.recv().await else { panic!("one is closed") };
+        assert_eq!((first, links.remove(first)), (1, None));
+        assert_eq!(links.len(), 2);
     });
 }
--- a/node/src/peers/message_codec/tests.rs
+++ b/node/src/peers/message_codec/tests.rs
@@ -11,7 +11,7 @@
     ClaimId { node: NodeId(1), incarnation: 2, number: 3 }
 }
 
-fn frames() -> Vec<Message> {
+fn messages() -> Vec<Message> {
     let fate = RunResult::Succeeded(Bytes::from_static(b"\0job"));
     let end = CompletedRun { received_at: 1, place: 0, claim: claim(), fate, body: u128::MAX };
     let by = ConflictingClaim { claim: claim(), body: 1, ended: Some(end.clone()), past_ms: 0 };
@@ -35,65 +35,65 @@
 }
 
 #[test]
-fn frames_come_off_as_they_were_put_however_they_are_cut() {
+fn messages_are_decoded_as_they_were_encoded_however_they_are_split() {
     let mut whole = BytesMut::new();
-    frames().iter().for_each(|frame| put(&mut whole, frame));
+    messages().iter().for_each(|message| encode(&mut whole, message));
     for cut in 0..whole.len() {
         let mut buffer = BytesMut::from(&whole[..cut]);
-        let mut got = Vec::new();
-        while let Some(taken) = take(&mut buffer).unwrap() {
-            got.push(taken);
+        let mut decoded = Vec::new();
+        while let Some(next) = decode(&mut buffer).unwrap() {
+            decoded.push(next);
         }
         buffer.extend_from_slice(&whole[cut..]);
-        while let Some(taken) = take(&mut buffer).unwrap() {
-            got.push(taken);
+        while let Some(next) = decode(&mut buffer).unwrap() {
+            decoded.push(next);
         }
-        assert_eq!(got, frames().into_iter().map(Taken::Message).collect::<Vec<_>>());
+        assert_eq!(decoded, messages().into_iter().map(Decoded::Message).collect::<Vec<_>>());
     }
 }
 
 #[test]
-fn the_last_kind_that_is_known_is_the_last_there_is() {
-    let last = frames().pop().unwrap();
+fn the_number_of_message_kinds_is_that_of_the_last_kind() {
+    let last = messages().pop().unwrap();
     let bytes = postcard::to_allocvec(&last).unwrap();
     assert_eq!(postcard::take_from_bytes::<u32>(&bytes).unwrap().0, MESSAGE_KINDS - 1);
 }
 
-/// A frame of these bytes whose check is right.
+/// These bytes as a message with the right length and checksum.
 fn framed(bytes: &[u8]) -> BytesMut {
     let mut buffer = BytesMut::new();
     buffer.put_u32(bytes.len() as u32);
-    buffer.put_u32(check(bytes));
+    buffer.put_u32(checksum(bytes));
     buffer.put_slice(bytes);
     buffer
 }
 
 #[test]
-fn what_a_later_build_adds_is_skipped() {
+fn kinds_and_fields_of_a_later_build_are_skipped() {
     let later = postcard::to_allocvec(&(MESSAGE_KINDS + 3, "whatever")).unwrap();
-    assert_eq!(take(&mut framed(&later)), Ok(Some(Taken::Later)));
+    assert_eq!(decode(&mut framed(&later)), Ok(Some(Decoded::UnknownKind)));
     let mut longer = postcard::to_allocvec(&Message::Free { claim: claim() }).unwrap();
     longer.extend_from_slice(b"a new field");
-    assert_eq!(take(&mut framed(&longer)), Ok(Some(Taken::Message(Message::Free { claim: claim() }))));
+    assert_eq!(decode(&mut framed(&longer)), Ok(Some(Decoded::Message(Message::Free { claim: claim() }))));
 }
 
 #[test]
-fn nonsense_is_told_and_never_panics() {
-    assert!(take(&mut BytesMut::from(&b"GET / HTTP/1.1\r\n"[..])).is_err());
-    assert!(take(&mut framed(b"")).is_err());
+fn malformed_bytes_are_an_error_and_never_a_panic() {
+    assert!(decode(&mut BytesMut::from(&b"GET / HTTP/1.1\r\n"[..])).is_err());
+    assert!(decode(&mut framed(b"")).is_err());
     let mut whole = BytesMut::new();
-    put(&mut whole, &frames()[1]);
+    encode(&mut whole, &messages()[1]);
     for at in 0..whole.len() {
         for bit in 0..8 {
-            let mut hurt = whole.clone();
-            hurt[at] ^= 1 << bit;
-            let taken = take(&mut hurt);
-            assert!(!matches!(taken, Ok(Some(_))), "byte {at}, bit {bit}: {taken:?}");
+            let mut damaged = whole.clone();
+            damaged[at] ^= 1 << bit;
+            let result = decode(&mut damaged);
+            assert!(!matches!(result, Ok(Some(_))), "byte {at}, bit {bit}: {result:?}");
         }
     }
     for length in 0..64 {
-        // A frame cut short inside, with a check that is right.
-        let bytes = postcard::to_allocvec(&frames()[3]).unwrap();
-        let _ = take(&mut framed(&bytes[..length.min(bytes.len() - 1)]));
+        // A message that was cut short, with the right checksum.
+        let bytes = postcard::to_allocvec(&messages()[3]).unwrap();
+        let _ = decode(&mut framed(&bytes[..length.min(bytes.len() - 1)]));
     }
 }
--- a/node/src/peers/mod.rs
+++ b/node/src/peers/mod.rs
@@ -1,6 +1,8 @@
 //! Talk among the nodes of a fleet: what the decisions of `oakwind-fleet` say goes out on links, what comes in goes to
 //! them, and what they tell a try goes to the keeper. No decision is made here.
 
+mod completeness_marker;
+mod connection;
 pub mod links;
 pub mod message_codec;
 mod vote_store;
@@ -27,11 +29,11 @@
 use crate::clock::{self, Unix};
 use crate::config::FleetConfig as Config;
 use crate::exchange::Exchange;
-use crate::result_store::record::{Record, RecordState};
 use crate::result_store::{ResultStore, StoreEvent};
 use crate::{log, sockets};
-use links::{Heard, Links};
-use vote_store::{Marker, Opened};
+use completeness_marker::CompletenessMarker;
+use links::{ClosedLink, LinkEvent, LinkTable, RemoteProcess};
+use vote_store::OpenVoteStore;
 
 /// What may wait for the peers, and what they may have to tell; who finds no room is turned away.
 const WAITING: usize = 4096;
@@ -201,7 +203,7 @@
     /// Open before the task runs, unless a process before this one still has it.
     listener: Option<TcpListener>,
     /// The folder, if there is one and it is open.
-    opened: Option<Opened>,
+    opened: Option<OpenVoteStore>,
     /// Where it learns that something runs requests, and tells whether front ends may come.
     exchange: Exchange,
 }
@@ -231,7 +233,7 @@
         let address = driver.config.listen;
         let listener = sockets::listen(address, false);
         driver.listener = Some(listener.map_err(|e| format!("fleet file, listen: {address}: {e}"))?);
-        driver.opened = vote_store::open(&driver.config)?;
+        driver.opened = vote_store::open(&driver.config).map_err(|e| format!("fleet file, {e}"))?;
     }
     Ok((Peers { orders, told, clock, metrics }, driver))
 }
@@ -259,10 +261,13 @@
             if !self.begins().await {
                 return;
             }
-            self.opened = vote_store::open_soon(&self.config).await;
+            self.opened = vote_store::open_with_retries(&self.config).await;
         }
         let Driver { config, clock, seed, mut orders, tell, metrics, mut listener, opened, exchange } = self;
-        let (mut folder, kept) = opened.unzip();
+        let (mut folder, kept) = match opened {
+            Some(opened) => (Some(opened.store), opened.restored),
+            None => (None, None),
+        };
         let settings = Settings {
             name: config.name.clone(),
             incarnation: incarnation(),
@@ -270,16 +275,18 @@
             bytes: config.bytes,
             bytes_per_s: config.bytes_per_s,
             probe: config.probe,
-            kept: kept.flatten(),
+            kept,
             durable: folder.is_some(),
         };
         let (heard, mut inbox) = mpsc::channel(INBOX);
-        let marker =
-            config.folder.as_ref().map(|folder| Marker::new(&folder.folder, settings.kept.is_some()));
+        let marker = config
+            .folder
+            .as_ref()
+            .map(|folder| CompletenessMarker::new(&folder.folder, settings.kept.is_some()));
         let state = exchange.status();
         let mut talk = Talk {
             fleet: ReplicaNode::new(settings, config.list.clone(), clock.now()),
-            links: Links::new(config.links / 2, heard),
+            links: LinkTable::new(config.links / 2, heard),
             clock,
             marker,
             later: VecDeque::new(),
@@ -338,10 +345,10 @@
                 // The process that takes over has it next.
                 Some(Event::Retire) => {
                     folder = None;
-                    talk.marker.iter_mut().for_each(Marker::rest);
+                    talk.marker.iter_mut().for_each(CompletenessMarker::release);
                 }
                 Some(Event::Resume(_)) if folder.is_none() => {
-                    folder = vote_store::open_soon(&config).await.map(|(folder, _)| folder);
+                    folder = vote_store::open_with_retries(&config).await.map(|opened| opened.store);
                 }
                 _ => {}
             }
@@ -380,10 +387,10 @@
 /// The decisions and the links.
 struct Talk {
     fleet: ReplicaNode,
-    links: Links,
+    links: LinkTable,
     clock: Steady,
     /// What says in the folder whether that can be relied on.
-    marker: Option<Marker>,
+    marker: Option<CompletenessMarker>,
     /// What follows from what was done.
     later: VecDeque<Event>,
     /// What tries are to be told.
@@ -396,22 +403,24 @@
 
 impl Talk {
     /// What a link has to tell, as the decisions take it.
-    fn heard(&mut self, heard: Heard) -> Option<Event> {
+    fn heard(&mut self, heard: LinkEvent) -> Option<Event> {
         match heard {
-            Heard::Message(link, frame) => {
+            LinkEvent::Received(link, frame) => {
                 if let Message::Hello(hello) = &frame {
                     self.greeted(link, hello)?;
                 }
-                let Some((from, incarnation)) = self.links.peer(link) else {
-                    log!("fleet: a link has ended with nonsense: it did not greet");
-                    self.links.end(link);
+                let Some(RemoteProcess { node: from, incarnation }) = self.links.remote(link) else {
+                    log!(
+                        "fleet: link closed, its peer sent invalid data: error=the first message is no hello"
+                    );
+                    self.links.close(link);
                     return None;
                 };
                 Some(Event::Heard { link, from, incarnation, frame })
             }
-            Heard::Gone(link) => match self.links.gone(link)? {
-                (node, true) => Some(Event::Broken(node)),
-                (node, false) => Some(Event::Unreached(node)),
+            LinkEvent::Closed(link) => match self.links.remove(link)? {
+                ClosedLink { node, was_identified: true } => Some(Event::Broken(node)),
+                ClosedLink { node, was_identified: false } => Some(Event::Unreached(node)),
             },
         }
     }
@@ -423,17 +432,17 @@
         let known = self.fleet.lists().everyone().contains(&node)
             || hello.lists.last().is_some_and(|(number, _)| *number > newest);
         let meant = hello.to == self.fleet.me() && node != self.fleet.me();
-        let dialled = self.links.dialled(link).is_none_or(|dialled| dialled == node);
+        let dialled = self.links.dialed_node(link).is_none_or(|dialled| dialled == node);
         if !known || !meant || !dialled {
             log!("fleet: a link was closed: {:?} is not on the list, or means another node", hello.name);
-            self.links.end(link);
+            self.links.close(link);
             return None;
         }
-        let first = self.links.peer(link).is_none();
-        self.links.greeted(link, node, hello.incarnation);
-        if first && self.links.dialled(link).is_none() {
+        let first = self.links.remote(link).is_none();
+        self.links.identify(link, RemoteProcess { node, incarnation: hello.incarnation });
+        if first && self.links.dialed_node(link).is_none() {
             let hello = Message::Hello(self.fleet.hello(node));
-            self.links.write(link, &hello);
+            self.links.send_on(link, &hello);
         }
         Some(())
     }
@@ -442,7 +451,7 @@
         match &event {
             Event::Retire => {
                 self.listens = false;
-                self.links.end_accepted();
+                self.links.close_accepted();
             }
             Event::Resume(_) => self.listens = true,
             _ => {}
@@ -471,24 +480,24 @@
                     self.later.push_back(Event::Unreached(to));
                 }
             }
-            Action::Answer(link, frame) => self.links.write(link, &frame),
+            Action::Answer(link, frame) => self.links.send_on(link, &frame),
             Action::Tell(token, said) => self.unsaid.push_back((request(token), said)),
             Action::Store(number, change, vote) => self.store(number, change, vote, folder),
             Action::Greet => {
-                for (link, node) in self.links.all() {
+                for (link, node) in self.links.known_nodes() {
                     let hello = Message::Hello(self.fleet.hello(node));
-                    self.links.write(link, &hello);
+                    self.links.send_on(link, &hello);
                 }
                 let everyone = self.fleet.lists().everyone();
-                self.links.keep(|node| everyone.contains(&node));
+                self.links.retain_nodes(|node| everyone.contains(&node));
             }
             Action::Allow(allows) => self.hold = Some(!allows.clients),
             Action::Notify(note) => {
                 let mark = self.fleet.mark();
                 if let Some(marker) = &mut self.marker {
                     match note {
-                        Notification::Complete(_) => marker.holds(mark),
-                        Notification::Outdated(..) => marker.void(),
+                        Notification::Complete(_) => marker.set_complete(mark),
+                        Notification::Outdated(..) => marker.invalidate(),
                         _ => {}
                     }
                 }
@@ -504,25 +513,16 @@
     /// Has the folder say how far it reaches.
     fn marks(&mut self) {
         let mark = self.fleet.mark();
-        self.marker.iter_mut().for_each(|marker| marker.reaches(mark));
+        self.marker.iter_mut().for_each(|marker| marker.advance(mark));
     }
 
-    /// Has the folder keep what is known of a key; where it can't, what waits for that is told so.
+    /// Stores what is known of a key; where that can't be, what waits for it is told so.
     fn store(&mut self, number: u64, change: Change, vote: Option<ClaimId>, folder: &Option<ResultStore>) {
-        let recorder = folder.as_ref().and_then(|folder| folder.writer.as_ref());
-        let (state, result, keep) = match &change.now {
-            Some(copied) => {
-                // Everything in it can be written.
-                let bytes = postcard::to_allocvec(&(vote, copied)).unwrap_or_default();
-                (RecordState::Succeeded, Bytes::from(bytes), Duration::from_millis(copied.keep_ms))
-            }
-            None => (RecordState::NeverStarted, Bytes::new(), Duration::ZERO),
-        };
-        let until = clock::now() + keep;
-        let record = Record::new(change.key, 0, until, state, result);
+        let writer = folder.as_ref().and_then(|folder| folder.writer.as_ref());
+        let record = vote_store::vote_record(change.key, vote, change.now.as_ref());
         // The number comes back as it went: so many are never under way.
         let wrapped = RequestId((number & u64::from(u32::MAX)) as u32);
-        if !recorder.is_some_and(|recorder| recorder.write(wrapped, record)) {
+        if !writer.is_some_and(|writer| writer.write(wrapped, record)) {
             self.later.push_back(Event::Stored(number, false));
         }
     }
@@ -530,7 +530,7 @@
     fn show(&self, metrics: &PeerMetrics) {
         metrics.figures.set(self.fleet.figures());
         metrics.membership_version.set(self.fleet.lists().newest().number());
-        let (counts, traffic) = (self.fleet.counts(), &self.links.traffic);
+        let (counts, traffic) = (self.fleet.counts(), &self.links.metrics);
         let (keys, bytes) = self.fleet.copies().size();
         let mut others = metrics.others.borrow_mut();
         others.clear();
@@ -548,14 +548,14 @@
             ("fleet_open", self.fleet.open() as u64),
             ("fleet_keys", keys as u64),
             ("fleet_bytes", bytes as u64),
-            ("fleet_links", self.links.count() as u64),
-            ("fleet_links_cut", traffic.cut.get()),
-            ("fleet_nonsense", traffic.nonsense.get()),
-            ("fleet_later_frames", traffic.later.get()),
-            ("fleet_frames_in", traffic.frames_in.get()),
-            ("fleet_frames_out", traffic.frames_out.get()),
-            ("fleet_bytes_in", traffic.bytes_in.get()),
-            ("fleet_bytes_out", traffic.bytes_out.get()),
+            ("fleet_links", self.links.len() as u64),
+            ("fleet_links_cut", traffic.overflows.get()),
+            ("fleet_nonsense", traffic.protocol_errors.get()),
+            ("fleet_later_frames", traffic.unknown_kinds.get()),
+            ("fleet_frames_in", traffic.messages_received.get()),
+            ("fleet_frames_out", traffic.messages_sent.get()),
+            ("fleet_bytes_in", traffic.bytes_received.get()),
+            ("fleet_bytes_out", traffic.bytes_sent.get()),
         ]);
     }
 }
--- a/node/src/peers/vote_store.rs
+++ b/node/src/peers/vote_store.rs
@@ -1,129 +1,105 @@
-//! The folder of what this node has granted: what the last process left in it, and the marker that says whether, and how
-//! far, that can be relied on.
+//! The durable votes of this node: what the last process left in the folder, and whether that can be relied on.
+//!
+//! Votes are kept by the journal of the result store, as results of their keys.
 
-use std::fs;
-use std::path::{Path, PathBuf};
 use std::time::Duration;
 
+use bytes::Bytes;
 use oakwind_fleet::key_state::ClaimId;
 use oakwind_fleet::message::ReplicaRecord;
 use oakwind_fleet::replica_node::RestoredState;
-use oakwind_fleet::staleness::StatePosition;
 use oakwind_fleet::LATE_READ_GRACE;
 
-use crate::clock;
-use crate::config::FleetConfig as Config;
+use super::completeness_marker::CompletenessMarker;
+use crate::clock::{self, Unix};
+use crate::config::FleetConfig;
 use crate::log;
-use crate::outcome::RunState;
-use crate::result_store::ResultStore;
+use crate::outcome::{IdempotencyRecord, RunState};
+use crate::result_store::record::{Record, RecordState};
+use crate::result_store::recovery::{Damage, RecoveredState};
+use crate::result_store::{ResultStore, StoreError};
 
-/// Between two attempts to open a folder that another process still has, and how long they go on.
-const AGAIN: Duration = Duration::from_millis(10);
-const OWED: Duration = Duration::from_secs(2);
-/// The marker, and what it is called while it is written.
-const MARKER: &str = "sound";
-const UNFINISHED: &str = "sound-new";
+/// Between two attempts to open a folder that the predecessor of this process still has open.
+const OPEN_RETRY_INTERVAL: Duration = Duration::from_millis(10);
+/// How long such a folder is waited for.
+const OPEN_TIMEOUT: Duration = Duration::from_secs(2);
+/// Votes carry the digest of the body themselves.
+const NO_BODY_DIGEST: u64 = 0;
 
-/// A folder, and what it kept if that can be relied on.
-pub type Opened = (ResultStore, Option<RestoredState>);
+/// What is stored of a key: the claim that this replica has granted, and what it knows of the key. The order of the fields
+/// is that of their encoding.
+type StoredVote = (Option<ClaimId>, ReplicaRecord);
 
-/// Opens the folder and takes in what the last process left, if that can be relied on. None where there is no folder.
+/// An open folder.
+pub(crate) struct OpenVoteStore {
+    /// The store.
+    pub(crate) store: ResultStore,
+    /// What the last process left, if that can be relied on.
+    pub(crate) restored: Option<RestoredState>,
+}
+
+/// Opens the folder of votes; none if the configuration names no folder.
 ///
 /// # Errors
 ///
-/// One line that names the key in the file.
-pub fn open(config: &Config) -> Result<Option<Opened>, String> {
-    let Some(remembered) = config.folder.clone() else { return Ok(None) };
-    let mut marker = Marker::new(&remembered.folder, true);
-    let mut folder = ResultStore::closed(remembered, config.list.window() + LATE_READ_GRACE);
-    let recovered = folder.open().map_err(|e| format!("fleet file, {e}"))?;
-    let whole = recovered.damage == Default::default() && recovered.clock_setback.is_zero();
-    let now = clock::now();
-    let records = recovered.keys.iter().map(|record| {
-        let RunState::Succeeded(bytes) = &record.state else { return None };
-        let (vote, copied) = postcard::from_bytes::<(Option<ClaimId>, ReplicaRecord)>(bytes).ok()?;
-        let keep_ms = clock::millis(record.expires_at.saturating_sub(now));
-        Some((vote, ReplicaRecord { keep_ms, ..copied }))
-    });
-    let records: Option<Vec<_>> = records.collect();
-    let marked = marker.read();
-    let kept = records.zip(marked).filter(|_| whole).map(|(records, until)| RestoredState { records, until });
-    if kept.is_none() && marked.is_some() {
-        log!("fleet: what is in the folder can't be relied on, and counts as lost");
+/// If the folder cannot be used.
+pub(crate) fn open(config: &FleetConfig) -> Result<Option<OpenVoteStore>, StoreError> {
+    let Some(store_config) = config.folder.clone() else { return Ok(None) };
+    let mut marker = CompletenessMarker::new(&store_config.folder, true);
+    let mut store = ResultStore::closed(store_config, config.list.window() + LATE_READ_GRACE);
+    let recovered = store.open()?;
+    let position = marker.read();
+    let restored = position.zip(decode_votes(&recovered, clock::now()));
+    let restored = restored.map(|(until, records)| RestoredState { records, until });
+    if restored.is_none() && position.is_some() {
+        log!("fleet: the vote store is damaged or incomplete and counts as lost");
         // Otherwise the next start would rely on what this one does not.
-        marker.void();
+        marker.invalidate();
     }
-    Ok(Some((folder, kept)))
+    Ok(Some(OpenVoteStore { store, restored }))
 }
 
-/// The same where another process of this node may have it for a moment more.
-pub async fn open_soon(config: &Config) -> Option<Opened> {
-    let by = clock::now() + OWED;
+/// Opens a folder that another process of this node may have open for a moment more.
+pub(crate) async fn open_with_retries(config: &FleetConfig) -> Option<OpenVoteStore> {
+    let give_up_at = clock::now() + OPEN_TIMEOUT;
     loop {
         match open(config) {
             Ok(opened) => return opened,
-            Err(e) if clock::now() >= by => {
-                log!("{e}");
+            Err(e) if clock::now() >= give_up_at => {
+                log!("fleet: vote store not opened: {e}");
                 return None;
             }
-            Err(_) => clock::until(clock::now() + AGAIN).await,
+            Err(_) => clock::until(clock::now() + OPEN_RETRY_INTERVAL).await,
         }
     }
 }
 
-/// Says in the folder that what is in it can be relied on, and up to which point of the node's lives.
-pub struct Marker {
-    folder: PathBuf,
-    /// Whether it does.
-    valid: bool,
-    written: Option<StatePosition>,
-}
-
-impl Marker {
-    /// The marker of a folder; `valid` if what that holds is relied on.
-    pub fn new(folder: &Path, valid: bool) -> Marker {
-        Marker { folder: folder.into(), valid, written: None }
-    }
-
-    /// How far the last process reached; none if nothing can be relied on.
-    fn read(&self) -> Option<StatePosition> {
-        let text = fs::read_to_string(self.folder.join(MARKER)).ok()?;
-        let (incarnation, seconds) = text.trim_end().split_once(' ')?;
-        Some(StatePosition { incarnation: incarnation.parse().ok()?, seconds: seconds.parse().ok()? })
-    }
-
-    /// What is in the folder can be relied on from now on.
-    pub fn holds(&mut self, mark: StatePosition) {
-        self.valid = true;
-        self.reaches(mark);
-    }
-
-    /// This process is here in its lives; written when that has changed. It need not outlast the machine: where it does not,
-    /// others know better, or nobody is left who does.
-    pub fn reaches(&mut self, mark: StatePosition) {
-        if !self.valid || self.written == Some(mark) {
-            return;
-        }
-        let unfinished = self.folder.join(UNFINISHED);
-        let written = fs::write(&unfinished, format!("{} {}\n", mark.incarnation, mark.seconds))
-            .and_then(|()| fs::rename(&unfinished, self.folder.join(MARKER)));
-        match written {
-            Ok(()) => self.written = Some(mark),
-            Err(e) => log!("fleet: the folder does not say that it can be relied on: {e}"),
-        }
+/// All votes of a folder; none if anything in it was damaged, or is from the future.
+fn decode_votes(recovered: &RecoveredState, now: Unix) -> Option<Vec<StoredVote>> {
+    if recovered.damage != Damage::default() || !recovered.clock_setback.is_zero() {
+        return None;
     }
+    recovered.keys.iter().map(|record| decode_vote(record, now)).collect()
+}
 
-    /// Nothing in the folder can be relied on any more.
-    pub fn void(&mut self) {
-        self.valid = false;
-        // Where it can't be removed, the next start finds out as this one did.
-        let _ = fs::remove_file(self.folder.join(MARKER));
-    }
+/// The vote of a stored record, with what is left of its time at `now`.
+fn decode_vote(record: &IdempotencyRecord, now: Unix) -> Option<StoredVote> {
+    let RunState::Succeeded(bytes) = &record.state else { return None };
+    let (vote, replica) = postcard::from_bytes::<StoredVote>(bytes).ok()?;
+    let keep_ms = clock::millis(record.expires_at.saturating_sub(now));
+    Some((vote, ReplicaRecord { keep_ms, ..replica }))
+}
 
-    /// Another process has the folder from now on.
-    pub fn rest(&mut self) {
-        self.valid = false;
-    }
+/// The record that stores the vote for a key and what is known of it; one that frees the key if nothing is known.
+pub(crate) fn vote_record(key: Bytes, vote: Option<ClaimId>, replica: Option<&ReplicaRecord>) -> Record {
+    let now = clock::now();
+    let Some(replica) = replica else {
+        return Record::new(key, NO_BODY_DIGEST, now, RecordState::NeverStarted, Bytes::new());
+    };
+    // Every vote can be serialized.
+    let bytes = postcard::to_allocvec(&(vote, replica)).unwrap_or_default();
+    let expires_at = now + Duration::from_millis(replica.keep_ms);
+    Record::new(key, NO_BODY_DIGEST, expires_at, RecordState::Succeeded, bytes.into())
 }
 
 #[cfg(test)]
--- a/node/tests/sockets/fleet.rs
+++ b/node/tests/sockets/fleet.rs
@@ -137,17 +137,17 @@
 }
 
 #[test]
-fn nonsense_ends_a_link_and_is_logged_and_the_fleet_goes_on() {
+fn invalid_data_closes_a_link_is_logged_and_the_fleet_goes_on() {
     let fleet = Fleet::new("127.0.7.3");
     let (mut node, _vm) = fleet.start(1, &[1], "");
     let at = fleet.address(1);
-    for nonsense in [
+    for invalid in [
         &b"GET / HTTP/1.1\r\n\r\n"[..],
         b"OAKPEER1\0\0\0\x04\0\0\0\0haha",
         b"OAKPEER1\xff\xff\xff\xff\0\0\0\0",
     ] {
-        ends(peer(at, nonsense));
-        node.logs("fleet: a link has ended with nonsense");
+        ends(peer(at, invalid));
+        node.logs("fleet: link closed, its peer sent invalid data");
     }
     // Silence ends as well.
     ends(peer(at, b"OAK"));
