--- a/fault-harness/src/charts.rs
+++ b/fault-harness/src/charts.rs
@@ -167,37 +167,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_chart_has_its_curves_and_its_bands() {
-        let seconds: Vec<Second> = (0..20)
-            .map(|i| Second {
-                asked: 10,
-                in_time: i,
-                asked_worth: 10.0,
-                served_worth: i as f64,
-                ..Second::default()
-            })
-            .collect();
-        let bands = [Band { text: "kill".into(), from: 5.0, until: 7.0 }];
-        let curves = [
-            Curve { name: "asked", colour: GREY, of: |s| s.asked as f64 },
-            Curve { name: "in time", colour: BLUE, of: |s| s.in_time as f64 },
-        ];
-        let svg = draw("Requests", &seconds, &bands, &curves).unwrap();
-        assert!(svg.starts_with("<svg") && svg.contains("Requests") && svg.contains("in time"));
-        assert!(svg.contains("#EBE0C8"), "the band");
-        assert!(svg.matches("<polyline").count() >= 2, "the curves");
-    }
-
-    #[test]
-    fn a_table_is_drawn_and_one_that_is_none_is_told() {
-        let svg = of_table("Pages", "nodes,pages in 100 ms,in all\n12,8,56\n300,143,900\n").unwrap();
-        assert!(svg.contains("pages in 100 ms") && svg.contains("nodes"));
-        assert!(of_table("x", "nodes\n1\n").is_err() && of_table("x", "").is_err());
-        assert!(of_table("x", "a,b\n1,x\n").unwrap_err().contains("\"x\""));
-        assert!(of_table("x", "a,b\n1\n").unwrap_err().contains("1 cells"));
-    }
-}
+mod tests;
--- /dev/null
+++ b/fault-harness/src/check/tests.rs
@@ -0,0 +1,240 @@
+use super::*;
+use crate::history::{ClassTerms, Seen};
+
+fn terms(once: Once) -> Terms {
+    let class = |name: &str, window| ClassTerms {
+        name: name.into(),
+        aim: 500.0,
+        deadline: 1000.0,
+        window,
+        worth: 1.0,
+        late_worth: 0.0,
+        skip_worth: 0.0,
+    };
+    Terms {
+        scenario: "x".into(),
+        seed: 1,
+        seconds: 10.0,
+        nodes: 2,
+        classes: vec![class("quote", 0.0), class("book", 5000.0)],
+        once,
+        slack: 150.0,
+        drain_grace: 2000.0,
+        sockets: 100,
+        memory_kb: 1000,
+        two_active: 500.0,
+    }
+}
+
+fn asked(n: usize, class: usize, repeats: Option<usize>) -> Event {
+    Event::Asked { n, class, repeats }
+}
+
+fn wrote(txn: u64, n: usize, node: usize, due: Ms) -> Event {
+    Event::Wrote { txn, n, node, front: 0, due }
+}
+
+fn ended(txn: u64, node: usize, result: &str) -> Event {
+    Event::Ended { txn, node, result: Some(result.into()) }
+}
+
+fn served(txn: u64, result: &str) -> Event {
+    Event::Answered { txn, kind: Kind::Served(result.into()) }
+}
+
+fn refused(txn: u64) -> Event {
+    Event::Answered { txn, kind: Kind::Refused { later: None, giveup: false } }
+}
+
+fn broken_in(once: Once, events: Vec<(Ms, Event)>) -> Vec<Rule> {
+    let mut seen: Vec<Seen> = events.into_iter().map(|(t, what)| Seen { t, what }).collect();
+    seen.push(Seen { t: 20_000.0, what: Event::Fault { text: String::new(), until: 0.0 } });
+    let verdict = check(&History { terms: terms(once), seen });
+    verdict.breaches.into_iter().map(|breach| breach.rule).collect()
+}
+
+fn broken(events: Vec<(Ms, Event)>) -> Vec<Rule> {
+    broken_in(Once::Node, events)
+}
+
+/// A booking that is served as it should be.
+fn booked() -> Vec<(Ms, Event)> {
+    vec![
+        (0.0, asked(0, 1, None)),
+        (0.0, wrote(1, 0, 0, 1000.0)),
+        (1.0, Event::Began { txn: 1, node: 0 }),
+        (50.0, ended(1, 0, "r1")),
+        (51.0, served(1, "r1")),
+    ]
+}
+
+fn then(more: Vec<(Ms, Event)>) -> Vec<(Ms, Event)> {
+    booked().into_iter().chain(more).collect()
+}
+
+#[test]
+fn what_keeps_the_rules_breaks_none() {
+    assert_eq!(broken(booked()), []);
+    // A repeat gets the first one's result; another after the window runs again.
+    let repeat = vec![
+        (100.0, asked(1, 1, Some(0))),
+        (100.0, wrote(2, 1, 0, 1100.0)),
+        (101.0, served(2, "r1")),
+        (9000.0, asked(2, 1, Some(0))),
+        (9000.0, wrote(3, 2, 0, 10_000.0)),
+        (9001.0, Event::Began { txn: 3, node: 0 }),
+        (9050.0, ended(3, 0, "r3")),
+        (9051.0, served(3, "r3")),
+    ];
+    assert_eq!(broken(then(repeat)), []);
+}
+
+#[test]
+fn a_request_without_an_answer_in_time_is_lost_unless_the_rig_was_in_the_way() {
+    let open = |more: Vec<(Ms, Event)>| {
+        let begin = vec![(0.0, asked(0, 0, None)), (0.0, wrote(1, 0, 0, 1000.0))];
+        broken(begin.into_iter().chain(more).collect())
+    };
+    assert_eq!(open(vec![]), [Rule::Lost]);
+    assert_eq!(open(vec![(1200.0, refused(1))]), [Rule::Lost], "too late");
+    assert_eq!(open(vec![(1100.0, refused(1))]), []);
+    assert_eq!(open(vec![(900.0, Event::Withdrew { txn: 1 })]), []);
+    assert_eq!(open(vec![(500.0, Event::Down { node: 0, way: Way::Killed })]), []);
+    assert_eq!(open(vec![(500.0, Event::Down { node: 0, way: Way::Left })]), [Rule::Lost], "it left");
+    assert_eq!(
+        open(vec![(500.0, Event::Down { node: 1, way: Way::Killed })]),
+        [Rule::Lost],
+        "another node's end is none"
+    );
+    assert_eq!(
+        open(vec![
+            (500.0, Event::Still { node: 0, still: true }),
+            (600.0, Event::Still { node: 0, still: false })
+        ]),
+        []
+    );
+    let disturbed = |front| {
+        vec![
+            (10.0, Event::Disturbed { node: 0, front, on: true }),
+            (20.0, Event::Disturbed { node: 0, front, on: false }),
+        ]
+    };
+    assert_eq!((open(disturbed(Some(0))), open(disturbed(None))), (vec![], vec![]));
+    assert_eq!(open(disturbed(Some(1))), [Rule::Lost]);
+    assert_eq!(open(vec![(700.0, Event::Late { by: 100.0 })]), []);
+    for (why, broken) in [(Drop::Crossed, 0), (Drop::Fresh, 0), (Drop::Used, 1)] {
+        assert_eq!(open(vec![(5.0, Event::Dropped { txn: 1, why })]).len(), broken, "{why:?}");
+    }
+    let ran =
+        vec![(4.0, Event::Began { txn: 1, node: 0 }), (5.0, Event::Dropped { txn: 1, why: Drop::Fresh })];
+    assert_eq!(open(ran), [Rule::Lost], "it ran");
+    assert_eq!(
+        open(vec![(5.0, refused(1)), (6.0, Event::Stray { node: 0, txn: None, text: "noise".into() })]),
+        [Rule::Lost]
+    );
+}
+
+#[test]
+fn a_second_answer_is_told_wherever_it_comes() {
+    assert_eq!(broken(then(vec![(60.0, served(1, "r1"))])), [Rule::AnsweredTwice]);
+    let stray = Event::Stray { node: 0, txn: Some(1), text: String::new() };
+    assert_eq!(broken(then(vec![(60.0, stray)])), [Rule::AnsweredTwice]);
+}
+
+#[test]
+fn a_key_that_runs_again_at_its_node_is_told_also_after_a_restart_but_not_after_its_memory_was_lost() {
+    let again = |before: Vec<(Ms, Event)>, node: usize| {
+        let run = vec![
+            (300.0, asked(1, 1, Some(0))),
+            (300.0, wrote(2, 1, node, 1300.0)),
+            (301.0, Event::Began { txn: 2, node }),
+            (350.0, ended(2, node, "r2")),
+            (351.0, served(2, "r2")),
+        ];
+        before.into_iter().chain(run).collect::<Vec<_>>()
+    };
+    assert_eq!(broken(then(again(vec![], 0))), [Rule::RunTwice]);
+    let restart = || {
+        vec![(100.0, Event::Down { node: 0, way: Way::Killed }), (200.0, Event::Up { node: 0, cold: true })]
+    };
+    assert_eq!(broken(then(again(restart(), 0))), [Rule::RunTwice]);
+    let lost = restart().into_iter().chain([(150.0, Event::Wiped { node: 0 })]).collect();
+    assert_eq!(broken(then(again(lost, 0))), []);
+    assert_eq!(broken(then(again(vec![], 1))), []);
+    assert_eq!(broken_in(Once::Fleet, then(again(vec![], 1))), [Rule::RunTwiceInFleet]);
+}
+
+#[test]
+fn a_refusal_of_what_ran_or_runs_later_is_told() {
+    let begin = || vec![(0.0, asked(0, 0, None)), (0.0, wrote(1, 0, 0, 1000.0))];
+    let with = |more: Vec<(Ms, Event)>| broken(begin().into_iter().chain(more).collect());
+    assert_eq!(with(vec![(1.0, Event::Began { txn: 1, node: 0 }), (9.0, refused(1))]), [Rule::RefusedAndRan]);
+    assert_eq!(with(vec![(1.0, refused(1)), (9.0, Event::Began { txn: 1, node: 0 })]), [Rule::RefusedAndRan]);
+}
+
+#[test]
+fn what_comes_too_long_after_the_notice_to_leave_must_not_run() {
+    let run = |at: Ms| {
+        broken(vec![
+            (0.0, Event::Notice { node: 0 }),
+            (at, asked(0, 0, None)),
+            (at, wrote(1, 0, 0, at + 1000.0)),
+            (at + 1.0, Event::Began { txn: 1, node: 0 }),
+            (at + 2.0, ended(1, 0, "r")),
+            (at + 3.0, served(1, "r")),
+        ])
+    };
+    assert_eq!(run(1900.0), []);
+    assert_eq!(run(2500.0), [Rule::RunAfterNotice]);
+}
+
+#[test]
+fn a_result_that_no_run_of_the_key_made_is_told() {
+    let mut other = booked();
+    other[4].1 = served(1, "r9");
+    assert_eq!(broken(other), [Rule::ForeignResult]);
+    let elsewhere =
+        vec![(100.0, asked(1, 1, Some(0))), (100.0, wrote(2, 1, 1, 1100.0)), (101.0, served(2, "r1"))];
+    assert_eq!(broken(then(elsewhere.clone())), [Rule::ForeignResult], "another node's");
+    assert_eq!(broken_in(Once::Fleet, then(elsewhere)), [], "the fleet's is as good");
+    let kept = vec![
+        (60.0, Event::Wiped { node: 0 }),
+        (100.0, asked(1, 1, Some(0))),
+        (100.0, wrote(2, 1, 0, 1100.0)),
+        (101.0, served(2, "r1")),
+    ];
+    assert_eq!(broken(then(kept)), [], "a folder that was cut may still have it");
+}
+
+#[test]
+fn two_with_the_role_of_one_router_are_told_unless_they_could_not_hear_each_other() {
+    let role = |node, active| Event::Role { node, active };
+    let two = |more: Vec<(Ms, Event)>| {
+        let begin = vec![(0.0, role(0, true)), (100.0, role(1, true))];
+        broken(begin.into_iter().chain(more).collect())
+    };
+    assert_eq!(two(vec![]), [Rule::TwoActive]);
+    assert_eq!(two(vec![(500.0, role(1, false))]), []);
+    assert_eq!(two(vec![(500.0, Event::Down { node: 0, way: Way::Killed })]), []);
+    let apart = || vec![(200.0, Event::Peers { on: true }), (9000.0, Event::Peers { on: false })];
+    assert_eq!(two(apart()), [Rule::TwoActive], "still two long after they hear each other again");
+    assert_eq!(two(apart().into_iter().chain([(9300.0, role(1, false))]).collect()), []);
+    assert_eq!(two(vec![(200.0, Event::Still { node: 0, still: true })]), []);
+}
+
+#[test]
+fn limits_crashes_and_spoilt_commands_are_told() {
+    let sample = |rss_kb, files| Event::Sample { node: 0, rss_kb, files, cpu_ms: 1 };
+    assert_eq!(broken(vec![(1.0, sample(900, 90))]), []);
+    assert_eq!(
+        broken(vec![(1.0, sample(1100, 90)), (2.0, sample(1200, 90))]),
+        [Rule::LimitPassed],
+        "told once"
+    );
+    assert_eq!(broken(vec![(1.0, sample(900, 101))]), [Rule::LimitPassed]);
+    assert_eq!(broken(vec![(1.0, Event::Fell { node: 0, text: "x".into() })]), [Rule::LimitPassed]);
+    assert_eq!(broken(vec![(1.0, Event::Down { node: 0, way: Way::Overstayed })]), [Rule::LimitPassed]);
+    assert_eq!(broken(vec![(1.0, Event::Down { node: 0, way: Way::Crashed("1".into()) })]), [Rule::Crashed]);
+    assert_eq!(broken(vec![(1.0, Event::Spoilt { node: 0, text: "x".into() })]), [Rule::Spoilt]);
+    assert_eq!(broken(vec![(1.0, Event::Began { txn: 7, node: 0 })]), [Rule::Spoilt], "never written");
+}
--- a/fault-harness/src/predict.rs
+++ b/fault-harness/src/predict.rs
@@ -488,46 +488,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::check::check;
-    use crate::figures::figures;
-
-    fn scenario(load: f64, more: &str) -> Scenario {
-        let text = format!(
-            "name = 'x'\nseconds = 20\n[fleet]\nnodes = 4\n[[class]]\nname = 'quote'\nshare = 3\nwork_ms = 20\ncv = 0.0\naim_ms = 400\ndeadline_ms = 900\n[[class]]\nname = 'book'\nshare = 1\nwork_ms = 40\nkeyed = true\nwindow_ms = 9000\naim_ms = 400\ndeadline_ms = 900\n[load]\nload = {load}\nrepeats = 0.3\n{more}"
-        );
-        Scenario::parse(&text, &[]).unwrap()
-    }
-
-    #[test]
-    fn a_calm_fleet_serves_all_and_keeps_the_rules() {
-        let history = predict(&scenario(0.3, ""), None);
-        assert_eq!(check(&history).breaches, []);
-        let figures = figures(&history);
-        assert!(
-            figures.served > 0.99 && (figures.median_ms - 20.0).abs() < 5.0,
-            "{} {}",
-            figures.served,
-            figures.median_ms
-        );
-    }
-
-    #[test]
-    fn one_seed_gives_one_history() {
-        let scenario = scenario(0.9, "[[fault]]\nat_s = 5\nwhat = 'kill'\npart = 0.5\ndown_s = 1.0\n");
-        assert_eq!(predict(&scenario, Some(3)), predict(&scenario, Some(3)));
-        assert_ne!(predict(&scenario, Some(3)), predict(&scenario, Some(4)));
-    }
-
-    #[test]
-    fn overload_is_refused_and_a_killed_half_is_missed_until_it_is_warm() {
-        let over = figures(&predict(&scenario(1.6, ""), None));
-        assert!(over.served < 0.9 && over.parts[2] > 0.05, "{:?}", over.parts);
-        let history =
-            predict(&scenario(0.9, "[[fault]]\nat_s = 5\nwhat = 'kill'\npart = 0.5\ndown_s = 1.0\n"), None);
-        assert_eq!(check(&history).breaches, []);
-        let back = figures(&history).back.unwrap();
-        assert!(back.least < 0.9 && back.from_start.is_some_and(|s| s > 1.0), "{back:?}");
-    }
-}
+mod tests;
