--- a/fleet/src/audit.rs
+++ b/fleet/src/audit.rs
@@ -115,7 +115,7 @@
 pub enum Kind {
     /// Settings.
     Settings,
-    /// Membership configurations of the fleet.
+    /// Membership configurations.
     #[serde(rename = "list")]
     MembershipConfig,
     /// Builds of the program.
--- a/node/src/peers/mod.rs
+++ b/node/src/peers/mod.rs
@@ -64,7 +64,7 @@
 }
 
 /// A run as the peers are asked about it.
-pub struct RunClaim<'a> {
+pub struct ClaimParameters<'a> {
     /// The try.
     pub id: RequestId,
     /// Its key.
@@ -124,7 +124,7 @@
 
 impl Peers {
     /// Asks for a claim; false if there is no room to ask.
-    pub fn request_claim(&self, asked: &RunClaim) -> bool {
+    pub fn request_claim(&self, asked: &ClaimParameters) -> bool {
         let digest = Sha256::digest(asked.body);
         let wanted = RunRequest {
             token: token(asked.id),
--- a/node/src/run_gate.rs
+++ b/node/src/run_gate.rs
@@ -18,7 +18,7 @@
 use crate::exchange::Request;
 use crate::metrics::Metrics;
 use crate::outcome::{Completion, IdempotencyKey, IdempotencyRecord, StoredOutcome};
-use crate::peers::{Peers, RunClaim};
+use crate::peers::{ClaimParameters, Peers};
 use crate::result_store::record::{Record, RecordState};
 use crate::result_store::{ResultStore, StoreEvent};
 use pending::{PendingRun, PendingRuns, Vote};
@@ -171,7 +171,7 @@
     fn claim(&self, run: &KeyedRun) -> Vote {
         let Some(peers) = &self.peers else { return Vote::Yes };
         let Some(request) = &run.request else { return Vote::No };
-        let asked = peers.request_claim(&RunClaim {
+        let asked = peers.request_claim(&ClaimParameters {
             id: run.id,
             key: run.key.clone(),
             body: &request.body[..],
