--- /dev/null
+++ b/node/src/config/missing_keys.rs
@@ -0,0 +1,37 @@
+//! Compares two JSON documents by the keys that they have.
+
+use serde_json::value::Value;
+
+/// The keys of `before` that `after` lacks, each as a path with dots. Of the members of a list, a key counts as missing if
+/// each member had it before.
+pub(super) fn missing_keys(before: &Value, after: &Value) -> Vec<String> {
+    match (before, after) {
+        (Value::Object(before), Value::Object(after)) => {
+            let missing = before.iter().flat_map(|(key, old)| match after.get(key) {
+                Some(new) => below(key, missing_keys(old, new)),
+                None => vec![key.clone()],
+            });
+            missing.collect()
+        }
+        (Value::Array(before), Value::Array(after)) => {
+            let members = after.iter().enumerate();
+            members.flat_map(|(i, new)| below(&i.to_string(), missing_beside_each(before, new))).collect()
+        }
+        (Value::Object(_) | Value::Array(_), _) => vec![String::new()],
+        _ => Vec::new(),
+    }
+}
+
+/// The keys that each of the old members of a list had and the new one lacks.
+fn missing_beside_each(before: &[Value], new: &Value) -> Vec<String> {
+    let beside_each = before.iter().map(|old| missing_keys(old, new));
+    let common =
+        beside_each.reduce(|common, one| common.into_iter().filter(|key| one.contains(key)).collect());
+    common.unwrap_or_default()
+}
+
+/// Puts a key before paths; an empty path stands for the key itself.
+fn below(key: &str, paths: Vec<String>) -> Vec<String> {
+    let join = |path: String| if path.is_empty() { key.to_string() } else { format!("{key}.{path}") };
+    paths.into_iter().map(join).collect()
+}
--- /dev/null
+++ b/node/src/config/node.rs
@@ -0,0 +1,183 @@
+//! The platform's configuration file, in JSON.
+
+use std::net::SocketAddr;
+use std::path::Path;
+use std::time::Duration;
+
+use oakwind_admission::{Class, Effect};
+use oakwind_settings::Parsed;
+use serde::Deserialize;
+use serde_json::value::{RawValue, Value};
+
+use super::error::{first_line, ConfigError};
+use super::missing_keys::missing_keys;
+use super::parse::{parse_address, read_text, MEBIBYTE};
+use super::upstreams::UpstreamAddresses;
+
+/// The fewest descriptors that a node can work with.
+const MIN_DESCRIPTORS: usize = 32;
+const DEFAULT_DESCRIPTORS: usize = 1024;
+const DEFAULT_MEMORY_MB: usize = 192;
+/// Keys are remembered for so much longer than the settings say, as clocks of callers differ.
+const WINDOW_MARGIN: Duration = Duration::from_secs(1);
+
+/// The platform's configuration.
+#[derive(Debug)]
+pub(crate) struct NodeConfig {
+    /// The node's name.
+    pub(crate) name: String,
+    /// Where JSON-RPC clients connect.
+    pub(crate) listen: SocketAddr,
+    /// Where operators call; none if they don't.
+    pub(crate) ops: Option<SocketAddr>,
+    /// The services that the node connects to.
+    pub(crate) upstreams: UpstreamAddresses,
+    /// Seed of the random numbers.
+    pub(crate) seed: u64,
+    /// How long after the shutdown notice the process is stopped.
+    pub(crate) stop_timeout: Duration,
+    /// Descriptors that the process may hold.
+    pub(crate) max_descriptors: usize,
+    /// Bytes of memory that the process may take.
+    pub(crate) max_memory_bytes: usize,
+    /// The settings of the admission module, with the names in them.
+    pub(crate) settings: Parsed,
+    /// The whole file.
+    pub(crate) json: Value,
+}
+
+#[derive(Deserialize)]
+struct RawNodeConfig<'a> {
+    name: String,
+    listen: String,
+    ops: Option<String>,
+    vm: Option<String>,
+    members: Option<String>,
+    index: Option<String>,
+    seed: String,
+    stop_ms: u64,
+    #[serde(default)]
+    limits: RawLimits,
+    #[serde(borrow)]
+    settings: &'a RawValue,
+}
+
+#[derive(Deserialize)]
+#[serde(default)]
+struct RawLimits {
+    sockets: usize,
+    memory_mb: usize,
+}
+
+impl Default for RawLimits {
+    fn default() -> Self {
+        RawLimits { sockets: DEFAULT_DESCRIPTORS, memory_mb: DEFAULT_MEMORY_MB }
+    }
+}
+
+impl NodeConfig {
+    /// Reads and checks a file.
+    ///
+    /// # Errors
+    ///
+    /// If it cannot be read or is not valid.
+    pub(crate) fn read(path: &Path) -> Result<Self, ConfigError> {
+        NodeConfig::parse(&read_text(path)?)
+    }
+
+    /// Parses and checks the text of a file.
+    ///
+    /// # Errors
+    ///
+    /// If it is not valid.
+    pub(crate) fn parse(text: &str) -> Result<Self, ConfigError> {
+        let raw = parse_json(text)?;
+        let settings = parse_settings(raw.settings)?;
+        let json = serde_json::from_str(text).map_err(|e| ConfigError::malformed(&e))?;
+        let seed = parse_seed(&raw.seed)?;
+        check_descriptors(raw.limits.sockets)?;
+        let optional_address = |key: &str, text: &Option<String>| {
+            text.as_deref().map(|text| parse_address(key, text)).transpose()
+        };
+        Ok(NodeConfig {
+            listen: parse_address("listen", &raw.listen)?,
+            ops: optional_address("ops", &raw.ops)?,
+            upstreams: UpstreamAddresses {
+                interpreter: optional_address("vm", &raw.vm)?,
+                membership_service: optional_address("members", &raw.members)?,
+                index: optional_address("index", &raw.index)?,
+                uwsgi_run_servers: Vec::new(),
+                uwsgi_call_servers: Vec::new(),
+            },
+            name: raw.name,
+            seed,
+            stop_timeout: Duration::from_millis(raw.stop_ms),
+            max_descriptors: raw.limits.sockets,
+            max_memory_bytes: raw.limits.memory_mb.saturating_mul(MEBIBYTE as usize),
+            settings,
+            json,
+        })
+    }
+
+    /// The longest that any key is remembered, with a margin.
+    pub(crate) fn max_idempotency_window(&self) -> Duration {
+        let classes = self.settings.settings.classes.iter();
+        let longest = classes.map(|class| class.window.max(class.deadline)).max().unwrap_or_default();
+        longest + WINDOW_MARGIN
+    }
+
+    /// The first key of the configuration `before` that this one lacks. It prevents that a running node takes over a file
+    /// that is not whole, whose missing keys would be taken for their defaults. In a list, the keys are needed that each of
+    /// its members had.
+    pub(crate) fn first_missing_key(&self, before: &NodeConfig) -> Option<String> {
+        missing_keys(&before.json, &self.json).into_iter().next()
+    }
+}
+
+fn parse_json(text: &str) -> Result<RawNodeConfig<'_>, ConfigError> {
+    let mut json = serde_json::Deserializer::from_str(text);
+    let raw = serde_path_to_error::deserialize(&mut json).map_err(|e| malformed_json(&e))?;
+    json.end().map_err(|e| ConfigError::malformed(&e))?;
+    Ok(raw)
+}
+
+/// An error of the JSON parser, with the key if there is one.
+fn malformed_json(error: &serde_path_to_error::Error<serde_json::Error>) -> ConfigError {
+    let has_key = error.path().iter().next().is_some();
+    ConfigError::Malformed(if has_key { first_line(error) } else { first_line(error.inner()) })
+}
+
+fn parse_settings(raw: &RawValue) -> Result<Parsed, ConfigError> {
+    let parsed = oakwind_settings::parse(raw.get()).map_err(|e| ConfigError::malformed(&e))?;
+    let classes = &parsed.settings.classes;
+    if parsed.classes.is_empty() {
+        return Err(ConfigError::inconsistent("settings.services", "names no class"));
+    }
+    if let Some(i) = classes.iter().position(|class| class.deadline.is_zero()) {
+        let key = format!("settings.services[{i}].deadline");
+        return Err(ConfigError::inconsistent(key, "0 is no time to answer in"));
+    }
+    // Keys would be forgotten while their attempts still come.
+    let lacks_window = |class: &Class| class.effect == Effect::IdempotencyKey && class.window.is_zero();
+    if let Some(i) = classes.iter().position(lacks_window) {
+        let key = format!("settings.services[{i}].window");
+        return Err(ConfigError::inconsistent(key, "missing or 0, and its keys may come again"));
+    }
+    Ok(parsed)
+}
+
+fn parse_seed(text: &str) -> Result<u64, ConfigError> {
+    u64::from_str_radix(text, 16).map_err(|_| ConfigError::Invalid {
+        key: "seed".into(),
+        value: text.into(),
+        expected: "hexadecimal",
+    })
+}
+
+fn check_descriptors(count: usize) -> Result<(), ConfigError> {
+    if count < MIN_DESCRIPTORS {
+        let problem = format!("{count} is too few, {MIN_DESCRIPTORS} at least");
+        return Err(ConfigError::inconsistent("limits.sockets", problem));
+    }
+    Ok(())
+}
--- /dev/null
+++ b/node/src/config/parse.rs
@@ -0,0 +1,71 @@
+//! What the configuration files have in common: reading, addresses, ranges, paths.
+
+use std::net::SocketAddr;
+use std::ops::RangeInclusive;
+use std::path::Path;
+
+use serde::Deserialize;
+
+use super::error::{first_line, ConfigError};
+
+/// Bytes of a mebibyte, the unit of the keys that end in `_mb`.
+pub(super) const MEBIBYTE: u64 = 1024 * 1024;
+
+/// The text of a file.
+pub(super) fn read_text(path: &Path) -> Result<String, ConfigError> {
+    std::fs::read_to_string(path)
+        .map_err(|source| ConfigError::Unreadable { path: path.to_path_buf(), source })
+}
+
+/// Parses an operators' file in TOML. An error names the line and the key.
+pub(super) fn parse_operators_file<'a, T: Deserialize<'a>>(
+    file: &'static str,
+    text: &'a str,
+) -> Result<T, ConfigError> {
+    let malformed = |key: String, e: &toml::de::Error| {
+        let line = e.span().map_or(0, |span| line_at(text, span.start));
+        let message = first_line(&e.message());
+        ConfigError::MalformedOperatorsFile { file, line, key, message }
+    };
+    let table = toml::Deserializer::parse(text).map_err(|e| malformed(String::new(), &e))?;
+    serde_path_to_error::deserialize(table).map_err(|e| malformed(format!(", {}", e.path()), e.inner()))
+}
+
+/// The number, from 1, of the line that a byte of a text is on.
+fn line_at(text: &str, byte: usize) -> usize {
+    text[..byte.min(text.len())].lines().count().max(1)
+}
+
+/// An address with a port.
+pub(super) fn parse_address(key: &str, text: &str) -> Result<SocketAddr, ConfigError> {
+    text.parse().map_err(|_| ConfigError::Invalid {
+        key: key.into(),
+        value: text.into(),
+        expected: "an address with a port",
+    })
+}
+
+/// A list of addresses.
+pub(super) fn parse_addresses(key: &str, texts: &[String]) -> Result<Vec<SocketAddr>, ConfigError> {
+    texts.iter().map(|text| parse_address(key, text)).collect()
+}
+
+/// Fails if a value is outside its range.
+pub(super) fn check_range(key: &str, value: u64, range: RangeInclusive<u64>) -> Result<(), ConfigError> {
+    if range.contains(&value) {
+        return Ok(());
+    }
+    Err(ConfigError::OutOfRange { key: key.into(), value, range })
+}
+
+/// Fails unless a path is absolute: a relative one would depend on where the process was started.
+pub(super) fn check_absolute(key: &str, path: &Path) -> Result<(), ConfigError> {
+    if path.is_absolute() {
+        return Ok(());
+    }
+    Err(ConfigError::Invalid {
+        key: key.into(),
+        value: path.display().to_string(),
+        expected: "an absolute path",
+    })
+}
--- /dev/null
+++ b/node/src/config/result_store.rs
@@ -0,0 +1,68 @@
+//! The operators' file that makes idempotency keys and results outlast the process.
+
+use std::ops::RangeInclusive;
+use std::path::{Path, PathBuf};
+
+use serde::Deserialize;
+
+use super::error::ConfigError;
+use super::parse::{check_absolute, check_range, parse_operators_file, read_text, MEBIBYTE};
+
+/// The size that a store may have, in mebibytes.
+pub(super) const FILE_MB_RANGE: RangeInclusive<u64> = 4..=65_536;
+pub(super) const DEFAULT_FILE_MB: u64 = 64;
+const BATCH_RANGE: RangeInclusive<u64> = 1..=4096;
+pub(super) const DEFAULT_BATCH: usize = 1024;
+
+/// Where idempotency keys and results outlast the process.
+#[derive(Debug, Clone, PartialEq)]
+pub(crate) struct ResultStoreConfig {
+    /// A folder on a disk that lasts, of this node alone.
+    pub(crate) folder: PathBuf,
+    /// Bytes that the folder may take.
+    pub(crate) max_bytes: u64,
+    /// Records that may share one wait for the disk.
+    pub(crate) max_batch: usize,
+}
+
+#[derive(Deserialize)]
+#[serde(deny_unknown_fields)]
+struct RawResultStore {
+    folder: PathBuf,
+    #[serde(default = "default_file_mb")]
+    file_mb: u64,
+    #[serde(default = "default_batch")]
+    batch: usize,
+}
+
+pub(super) fn default_file_mb() -> u64 {
+    DEFAULT_FILE_MB
+}
+
+fn default_batch() -> usize {
+    DEFAULT_BATCH
+}
+
+impl ResultStoreConfig {
+    /// Reads and checks a file.
+    ///
+    /// # Errors
+    ///
+    /// If it cannot be read or is not valid.
+    pub(crate) fn read(path: &Path) -> Result<Self, ConfigError> {
+        ResultStoreConfig::parse(&read_text(path)?)
+    }
+
+    /// Parses and checks the text of a file.
+    ///
+    /// # Errors
+    ///
+    /// If it is not valid.
+    pub(crate) fn parse(text: &str) -> Result<Self, ConfigError> {
+        let raw: RawResultStore = parse_operators_file("remembered", text)?;
+        check_absolute("remembered file, folder", &raw.folder)?;
+        check_range("remembered file, file_mb", raw.file_mb, FILE_MB_RANGE)?;
+        check_range("remembered file, batch", raw.batch as u64, BATCH_RANGE)?;
+        Ok(ResultStoreConfig { folder: raw.folder, max_bytes: raw.file_mb * MEBIBYTE, max_batch: raw.batch })
+    }
+}
--- a/node/src/config/tests.rs
+++ b/node/src/config/tests.rs
@@ -12,7 +12,7 @@
 #[test]
 fn a_small_configuration_is_enough() {
     let config = NodeConfig::parse(SMALL).unwrap();
-    assert_eq!((config.seed, config.sockets, config.upstreams.interpreter), (0x8c1f, 1024, None));
+    assert_eq!((config.seed, config.max_descriptors, config.upstreams.interpreter), (0x8c1f, 1024, None));
     assert_eq!(config.settings.classes, ["quote"]);
 }
 
--- /dev/null
+++ b/node/src/config/uwsgi.rs
@@ -0,0 +1,141 @@
+//! The operators' file of the uwsgi frontend, with the servers behind it and its virtual router.
+
+use std::net::{Ipv4Addr, SocketAddr};
+use std::path::Path;
+use std::time::Duration;
+
+use serde::Deserialize;
+
+use super::error::ConfigError;
+use super::parse::{check_range, parse_address, parse_addresses, parse_operators_file, read_text};
+
+const DEFAULT_PRIORITY: u8 = 100;
+const DEFAULT_INTERVAL_MS: u64 = 1000;
+/// The unit of the interval between two advertisements.
+const CENTISECOND_MS: u64 = 10;
+/// The most centiseconds that an advertisement can tell.
+const MAX_INTERVAL_MS: u64 = 4095 * CENTISECOND_MS;
+/// The most addresses that an advertisement can list.
+const MAX_ADDRESSES: u64 = 255;
+
+/// The uwsgi frontend, its servers and its virtual router.
+#[derive(Debug, Clone, PartialEq)]
+pub(crate) struct UwsgiConfig {
+    /// Where uwsgi clients connect.
+    pub(crate) listen: SocketAddr,
+    /// uwsgi servers that run requests, in place of the interpreter.
+    pub(crate) run_servers: Vec<SocketAddr>,
+    /// uwsgi servers that serve the calls to the tier below, in place of the index.
+    pub(crate) call_servers: Vec<SocketAddr>,
+    /// The virtual router; without one the listener is always open.
+    pub(crate) vrrp: Option<VrrpConfig>,
+}
+
+/// The virtual router that opens and closes the uwsgi listener.
+#[derive(Debug, Clone, PartialEq)]
+pub(crate) struct VrrpConfig {
+    /// Its number, 1 to 255.
+    pub(crate) vrid: u8,
+    /// 1 to 254, or 255 for the owner of the address.
+    pub(crate) priority: u8,
+    /// Between two advertisements.
+    pub(crate) interval: Duration,
+    /// Whether a higher priority takes over from a lower one that is active.
+    pub(crate) preempt: bool,
+    /// The addresses that the virtual router stands for.
+    pub(crate) addresses: Vec<Ipv4Addr>,
+    /// Where advertisements come in.
+    pub(crate) listen: SocketAddr,
+    /// Where advertisements are sent.
+    pub(crate) peers: Vec<SocketAddr>,
+}
+
+#[derive(Deserialize)]
+#[serde(deny_unknown_fields)]
+struct RawUwsgi {
+    listen: String,
+    #[serde(default)]
+    runs: Vec<String>,
+    #[serde(default)]
+    calls: Vec<String>,
+    vrrp: Option<RawVrrp>,
+}
+
+#[derive(Deserialize)]
+#[serde(deny_unknown_fields)]
+struct RawVrrp {
+    vrid: u8,
+    #[serde(default = "default_priority")]
+    priority: u8,
+    #[serde(default = "default_interval_ms")]
+    interval_ms: u64,
+    #[serde(default = "default_preempt")]
+    preempt: bool,
+    addresses: Vec<Ipv4Addr>,
+    listen: String,
+    peers: Vec<String>,
+}
+
+fn default_priority() -> u8 {
+    DEFAULT_PRIORITY
+}
+
+fn default_interval_ms() -> u64 {
+    DEFAULT_INTERVAL_MS
+}
+
+fn default_preempt() -> bool {
+    true
+}
+
+impl UwsgiConfig {
+    /// Reads and checks a file.
+    ///
+    /// # Errors
+    ///
+    /// If it cannot be read or is not valid.
+    pub(crate) fn read(path: &Path) -> Result<Self, ConfigError> {
+        UwsgiConfig::parse(&read_text(path)?)
+    }
+
+    /// Parses and checks the text of a file.
+    ///
+    /// # Errors
+    ///
+    /// If it is not valid.
+    pub(crate) fn parse(text: &str) -> Result<Self, ConfigError> {
+        let raw: RawUwsgi = parse_operators_file("uwsgi", text)?;
+        Ok(UwsgiConfig {
+            listen: parse_address("uwsgi file, listen", &raw.listen)?,
+            run_servers: parse_addresses("uwsgi file, runs", &raw.runs)?,
+            call_servers: parse_addresses("uwsgi file, calls", &raw.calls)?,
+            vrrp: raw.vrrp.map(VrrpConfig::try_from).transpose()?,
+        })
+    }
+}
+
+impl TryFrom<RawVrrp> for VrrpConfig {
+    type Error = ConfigError;
+
+    fn try_from(raw: RawVrrp) -> Result<Self, ConfigError> {
+        check_range("uwsgi file, vrrp.vrid", raw.vrid.into(), 1..=255)?;
+        // 0 is what an advertisement says when the active node gives the role up.
+        check_range("uwsgi file, vrrp.priority", raw.priority.into(), 1..=255)?;
+        let interval_key = "uwsgi file, vrrp.interval_ms";
+        check_range(interval_key, raw.interval_ms, CENTISECOND_MS..=MAX_INTERVAL_MS)?;
+        if !raw.interval_ms.is_multiple_of(CENTISECOND_MS) {
+            let problem = format!("{} is not in whole hundredths of a second", raw.interval_ms);
+            return Err(ConfigError::inconsistent(interval_key, problem));
+        }
+        check_range("uwsgi file, vrrp.addresses", raw.addresses.len() as u64, 1..=MAX_ADDRESSES)?;
+        Ok(VrrpConfig {
+            vrid: raw.vrid,
+            priority: raw.priority,
+            interval: Duration::from_millis(raw.interval_ms),
+            preempt: raw.preempt,
+            addresses: raw.addresses,
+            listen: parse_address("uwsgi file, vrrp.listen", &raw.listen)?,
+            peers: parse_addresses("uwsgi file, vrrp.peers", &raw.peers)?,
+        })
+    }
+}
--- a/node/src/decision_log.rs
+++ b/node/src/decision_log.rs
@@ -230,8 +230,8 @@
             chain,
             file: None,
             bytes: 0,
-            most_bytes: config.file,
-            most_files: config.files,
+            most_bytes: config.max_file_bytes,
+            most_files: config.max_files,
         })
     }
 
--- a/node/src/decision_log/tests.rs
+++ b/node/src/decision_log/tests.rs
@@ -3,7 +3,7 @@
 fn config(name: &str, file: u64, files: usize) -> Config {
     let folder = std::env::temp_dir().join(format!("oakwind-records-{}-{name}", std::process::id()));
     fs::create_dir_all(&folder).unwrap();
-    Config { folder, file, files }
+    Config { folder, max_file_bytes: file, max_files: files }
 }
 
 fn by() -> Versions {
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -99,12 +99,19 @@
 fn main() -> ExitCode {
     let arguments: Arguments = argh::from_env();
     let done = match arguments.command {
-        Command::Serve(Serve { config, uwsgi, remembered, fleet, records }) => {
-            server::serve(&ConfigFiles { config, uwsgi, remembered, fleet, records }).map(|()| true)
-        }
+        Command::Serve(Serve { config, uwsgi, remembered, fleet, records }) => server::serve(&ConfigFiles {
+            config,
+            uwsgi,
+            result_store: remembered,
+            fleet,
+            decision_log: records,
+        })
+        .map(|()| true),
         Command::Check(Check { config, uwsgi, remembered, fleet, records }) => {
-            let checked = ConfigFiles { config, uwsgi, remembered, fleet, records }.load_for_startup();
-            let told = checked.map(|told| println!("{}: can be served", told.config.name));
+            let checked =
+                ConfigFiles { config, uwsgi, result_store: remembered, fleet, decision_log: records }
+                    .load_for_startup();
+            let told = checked.map(|told| println!("{}: can be served", told.node.name));
             told.map(|()| true).map_err(|e| e.to_string())
         }
         Command::Fleet(asked) => commands::run(&asked),
--- a/node/src/peers/mod.rs
+++ b/node/src/peers/mod.rs
@@ -272,21 +272,21 @@
             name: config.name.clone(),
             incarnation: incarnation(),
             seed,
-            bytes: config.bytes,
-            bytes_per_s: config.bytes_per_s,
-            probe: config.probe,
+            bytes: config.max_replica_bytes,
+            bytes_per_s: config.transfer_bytes_per_second,
+            probe: config.probe_interval,
             kept,
             durable: folder.is_some(),
         };
         let (heard, mut inbox) = mpsc::channel(INBOX);
         let marker = config
-            .folder
+            .vote_store
             .as_ref()
             .map(|folder| CompletenessMarker::new(&folder.folder, settings.kept.is_some()));
         let state = exchange.status();
         let mut talk = Talk {
-            fleet: ReplicaNode::new(settings, config.list.clone(), clock.now()),
-            links: LinkTable::new(config.links / 2, heard),
+            fleet: ReplicaNode::new(settings, config.membership.clone(), clock.now()),
+            links: LinkTable::new(config.max_links / 2, heard),
             clock,
             marker,
             later: VecDeque::new(),
--- a/node/src/peers/vote_store.rs
+++ b/node/src/peers/vote_store.rs
@@ -44,9 +44,9 @@
 ///
 /// If the folder cannot be used.
 pub(crate) fn open(config: &FleetConfig) -> Result<Option<OpenVoteStore>, StoreError> {
-    let Some(store_config) = config.folder.clone() else { return Ok(None) };
+    let Some(store_config) = config.vote_store.clone() else { return Ok(None) };
     let mut marker = CompletenessMarker::new(&store_config.folder, true);
-    let mut store = ResultStore::closed(store_config, config.list.window() + LATE_READ_GRACE);
+    let mut store = ResultStore::closed(store_config, config.membership.window() + LATE_READ_GRACE);
     let recovered = store.open()?;
     let position = marker.read();
     let restored = position.zip(decode_votes(&recovered, clock::now()));
--- a/node/src/server.rs
+++ b/node/src/server.rs
@@ -50,7 +50,7 @@
 }
 
 async fn run(files: &ConfigFiles, told: Configuration) -> Result<(), String> {
-    let Configuration { config, uwsgi, remembered, fleet, records } = told;
+    let Configuration { node: config, uwsgi, result_store: remembered, fleet, decision_log: records } = told;
     // Comes first: a signal that nobody hears yet would end the process.
     let (notice, hangup) = signals().map_err(|e| format!("no signals: {e}"))?;
     let place = handover::socket_path(config.listen);
@@ -69,10 +69,10 @@
         let answer = move |stream, guest| admin::serve(stream, guest, office.clone());
         spawn_local(accept(listener, std::future::pending(), ConnectionLimiter::new(admin::ROOM), answer));
     }
-    let linked = fleet.as_ref().map_or(0, |fleet| fleet.links);
+    let linked = fleet.as_ref().map_or(0, |fleet| fleet.max_links);
     let own = RESERVED + linked + if config.ops.is_some() { admin::ROOM } else { 0 };
     let Room { platform, second, backends: each } =
-        Room::new(config.sockets.saturating_sub(own), uwsgi.is_some());
+        Room::new(config.max_descriptors.saturating_sub(own), uwsgi.is_some());
     let (platform, second) = (ConnectionLimiter::new(platform), ConnectionLimiter::new(second));
     let (told, active) = watch::channel(false);
     if let Some(vrrp) = uwsgi.as_ref().and_then(|uwsgi| uwsgi.vrrp.as_ref()) {
@@ -95,8 +95,12 @@
         let servers = Servers::new(links.clone(), |upstreams| &upstreams.uwsgi_call_servers, names.clone());
         spawn_local(call(servers, exchange.clone(), backends.calls, each));
     }
-    let mut dispatcher =
-        Dispatcher::new(dispatcher_endpoints, config.settings.clone(), config.seed, config.memory / RESULTS);
+    let mut dispatcher = Dispatcher::new(
+        dispatcher_endpoints,
+        config.settings.clone(),
+        config.seed,
+        config.max_memory_bytes / RESULTS,
+    );
     let (mut folder, mut left) = (None, None);
     if let Some(remembered) = remembered {
         let mut remembrance = ResultStore::closed(remembered, config.max_idempotency_window());
@@ -119,7 +123,7 @@
         dispatcher.set_decision_log(DecisionLog::start(
             &records,
             &config.name,
-            settings_digest(&config.written["settings"]),
+            settings_digest(&config.json["settings"]),
         )?);
     }
     spawn_local(dispatcher.run());
@@ -168,7 +172,7 @@
     };
     let draining = async {
         notice.await;
-        let stop = clock::now() + config.stop;
+        let stop = clock::now() + config.stop_timeout;
         exchange.drain(stop).await;
         let closed = async { tokio::join!(platform.all_gone(), second.all_gone()) };
         let paid = async { tokio::join!(platform.all_paid(), second.all_paid()) };
@@ -245,8 +249,8 @@
             }
         };
         let before = newest.as_ref().unwrap_or(begun);
-        let taken = files.load().map_err(|e| e.to_string()).and_then(
-            |Configuration { config: new, fleet, .. }| {
+        let taken =
+            files.load().map_err(|e| e.to_string()).and_then(|Configuration { node: new, fleet, .. }| {
                 if let Some(key) = new.upstreams.first_incompatible_key(&before.upstreams) {
                     return Err(format!(
                         "{key}: what does this job, or that anything does, changes with a restart only"
@@ -258,8 +262,7 @@
                 let settings =
                     names.settings().followed_by(new.settings.clone()).map_err(|e| e.to_string())?;
                 Ok((new, settings, fleet))
-            },
-        );
+            });
         if told {
             exchange.metrics().configuration_reloaded(taken.is_ok());
         }
@@ -275,14 +278,14 @@
         let retuned = settings != names.settings();
         if retuned {
             // The decisions know a class before any front does.
-            let digest = settings_digest(&new.written["settings"]);
+            let digest = settings_digest(&new.json["settings"]);
             exchange.reconfigure(settings.clone(), digest).await;
             names.replace_settings(settings, clock::now());
         }
         newest = Some(new);
         // Whether it is taken is decided where the lists are, by its number.
         if let (Some(lists), Some(fleet)) = (&lists, fleet) {
-            if lists.try_send(Event::Membership(fleet.list)).is_err() {
+            if lists.try_send(Event::Membership(fleet.membership)).is_err() {
                 log!("not reloaded: no room to tell of another list");
             }
         }
