--- a/fault-harness/src/charts.rs
+++ b/fault-harness/src/charts.rs
@@ -2,7 +2,7 @@
 
 use plotters::prelude::*;
 
-use crate::figures::{Band, Figures, Second};
+use crate::statistics::{Band, Second, Statistics};
 
 const SIZE: (u32, u32) = (860, 230);
 /// Colours that stay apart for those who see few of them.
@@ -33,7 +33,7 @@
 }
 
 /// The charts of a play.
-pub fn charts(figures: &Figures) -> Vec<Chart> {
+pub fn charts(statistics: &Statistics) -> Vec<Chart> {
     let share = |second: &Second| {
         if second.asked_worth > 0.0 {
             second.served_worth / second.asked_worth * 100.0
@@ -64,7 +64,7 @@
         ),
     ];
     let drawn = wanted.into_iter().filter_map(|(title, name, curves)| {
-        Some(Chart { title, name, svg: draw(title, &figures.seconds, &figures.bands, &curves)? })
+        Some(Chart { title, name, svg: draw(title, &statistics.seconds, &statistics.bands, &curves)? })
     });
     drawn.collect()
 }
--- a/fault-harness/src/check.rs
+++ b/fault-harness/src/check.rs
@@ -7,7 +7,7 @@
 
 use serde::Serialize;
 
-use crate::history::{Drop, Event, History, Kind, Terms, Way};
+use crate::history::{Drop, Event, History, Kind, ProcessExit, RuleParameters};
 use crate::model::Ms;
 use crate::scenario::Once;
 
@@ -162,7 +162,7 @@
     standing_still: BTreeSet<usize>,
     /// Since when two have the role though they can hear each other.
     two_since: Option<Ms>,
-    passed: BTreeSet<(usize, &'static str)>,
+    limit_passed: BTreeSet<(usize, &'static str)>,
 }
 
 impl Checker {
@@ -171,7 +171,7 @@
     }
 
     /// Watches who has the role of the virtual router.
-    fn roles(&mut self, terms: &Terms, t: Ms, event: &Event) {
+    fn roles(&mut self, terms: &RuleParameters, t: Ms, event: &Event) {
         match event {
             Event::Role { node, active: true } => drop(self.active.insert(*node)),
             Event::Role { node, active: false } | Event::Down { node, .. } => drop(self.active.remove(node)),
@@ -248,19 +248,19 @@
             }
             Event::Down { node, way } => {
                 match way {
-                    Way::Crashed(status) => {
+                    ProcessExit::Crashed(status) => {
                         self.breach(t, Rule::Crashed, format!("n{} ended by itself: {status}", node + 1));
                     }
-                    Way::Overstayed => {
+                    ProcessExit::Overstayed => {
                         self.breach(
                             t,
                             Rule::LimitPassed,
                             format!("n{} was still there when its time to leave was over", node + 1),
                         );
                     }
-                    Way::Killed => self.excuses.down.entry(*node).or_default().set(t, true),
+                    ProcessExit::Killed => self.excuses.down.entry(*node).or_default().set(t, true),
                     // What it has read is answered before it ends by itself: no excuse.
-                    Way::Left => {}
+                    ProcessExit::Left => {}
                 }
             }
             Event::Wiped { node } => *self.memories.entry(*node).or_default() += 1,
@@ -301,7 +301,7 @@
 
     /// A limit that is passed is one breach, however long it stays passed.
     fn limit(&mut self, t: Ms, node: usize, what: &'static str, value: u64, most: u64) {
-        if value > most && self.passed.insert((node, what)) {
+        if value > most && self.limit_passed.insert((node, what)) {
             self.breach(t, Rule::LimitPassed, format!("n{}: {what}: {value} of {most}", node + 1));
         }
     }
--- a/fault-harness/src/check/tests.rs
+++ b/fault-harness/src/check/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
-use crate::history::{ClassTerms, Seen};
+use crate::history::{ClassParameters, Observation};
 
-fn terms(once: Once) -> Terms {
-    let class = |name: &str, window| ClassTerms {
+fn terms(once: Once) -> RuleParameters {
+    let class = |name: &str, window| ClassParameters {
         name: name.into(),
         aim: 500.0,
         deadline: 1000.0,
@@ -11,7 +11,7 @@
         late_worth: 0.0,
         skip_worth: 0.0,
     };
-    Terms {
+    RuleParameters {
         scenario: "x".into(),
         seed: 1,
         seconds: 10.0,
@@ -47,8 +47,8 @@
 }
 
 fn broken_in(once: Once, events: Vec<(Ms, Event)>) -> Vec<Rule> {
-    let mut seen: Vec<Seen> = events.into_iter().map(|(t, what)| Seen { t, what }).collect();
-    seen.push(Seen { t: 20_000.0, what: Event::Fault { text: String::new(), until: 0.0 } });
+    let mut seen: Vec<Observation> = events.into_iter().map(|(t, what)| Observation { t, what }).collect();
+    seen.push(Observation { t: 20_000.0, what: Event::Fault { text: String::new(), until: 0.0 } });
     let verdict = check(&History { terms: terms(once), seen });
     verdict.breaches.into_iter().map(|breach| breach.rule).collect()
 }
@@ -99,10 +99,10 @@
     assert_eq!(open(vec![(1200.0, refused(1))]), [Rule::Lost], "too late");
     assert_eq!(open(vec![(1100.0, refused(1))]), []);
     assert_eq!(open(vec![(900.0, Event::Withdrew { txn: 1 })]), []);
-    assert_eq!(open(vec![(500.0, Event::Down { node: 0, way: Way::Killed })]), []);
-    assert_eq!(open(vec![(500.0, Event::Down { node: 0, way: Way::Left })]), [Rule::Lost], "it left");
+    assert_eq!(open(vec![(500.0, Event::Down { node: 0, way: ProcessExit::Killed })]), []);
+    assert_eq!(open(vec![(500.0, Event::Down { node: 0, way: ProcessExit::Left })]), [Rule::Lost], "it left");
     assert_eq!(
-        open(vec![(500.0, Event::Down { node: 1, way: Way::Killed })]),
+        open(vec![(500.0, Event::Down { node: 1, way: ProcessExit::Killed })]),
         [Rule::Lost],
         "another node's end is none"
     );
@@ -155,7 +155,10 @@
     };
     assert_eq!(broken(then(again(vec![], 0))), [Rule::RunTwice]);
     let restart = || {
-        vec![(100.0, Event::Down { node: 0, way: Way::Killed }), (200.0, Event::Up { node: 0, cold: true })]
+        vec![
+            (100.0, Event::Down { node: 0, way: ProcessExit::Killed }),
+            (200.0, Event::Up { node: 0, cold: true }),
+        ]
     };
     assert_eq!(broken(then(again(restart(), 0))), [Rule::RunTwice]);
     let lost = restart().into_iter().chain([(150.0, Event::Wiped { node: 0 })]).collect();
@@ -215,7 +218,7 @@
     };
     assert_eq!(two(vec![]), [Rule::TwoActive]);
     assert_eq!(two(vec![(500.0, role(1, false))]), []);
-    assert_eq!(two(vec![(500.0, Event::Down { node: 0, way: Way::Killed })]), []);
+    assert_eq!(two(vec![(500.0, Event::Down { node: 0, way: ProcessExit::Killed })]), []);
     let apart = || vec![(200.0, Event::Peers { on: true }), (9000.0, Event::Peers { on: false })];
     assert_eq!(two(apart()), [Rule::TwoActive], "still two long after they hear each other again");
     assert_eq!(two(apart().into_iter().chain([(9300.0, role(1, false))]).collect()), []);
@@ -233,8 +236,14 @@
     );
     assert_eq!(broken(vec![(1.0, sample(900, 101))]), [Rule::LimitPassed]);
     assert_eq!(broken(vec![(1.0, Event::Fell { node: 0, text: "x".into() })]), [Rule::LimitPassed]);
-    assert_eq!(broken(vec![(1.0, Event::Down { node: 0, way: Way::Overstayed })]), [Rule::LimitPassed]);
-    assert_eq!(broken(vec![(1.0, Event::Down { node: 0, way: Way::Crashed("1".into()) })]), [Rule::Crashed]);
+    assert_eq!(
+        broken(vec![(1.0, Event::Down { node: 0, way: ProcessExit::Overstayed })]),
+        [Rule::LimitPassed]
+    );
+    assert_eq!(
+        broken(vec![(1.0, Event::Down { node: 0, way: ProcessExit::Crashed("1".into()) })]),
+        [Rule::Crashed]
+    );
     assert_eq!(broken(vec![(1.0, Event::Spoilt { node: 0, text: "x".into() })]), [Rule::Spoilt]);
     assert_eq!(broken(vec![(1.0, Event::Began { txn: 7, node: 0 })]), [Rule::Spoilt], "never written");
 }
--- a/fault-harness/src/experiment.rs
+++ b/fault-harness/src/experiment.rs
@@ -6,12 +6,12 @@
 use std::sync::mpsc::channel;
 use std::sync::{Arc, Mutex, PoisonError};
 
-use crate::floor::floor;
-use crate::machine::Programs;
-use crate::plan::plan;
+use crate::node::Programs;
 use crate::play::{play, Options};
 use crate::report::{self, cell, Outcome, COLUMNS};
 use crate::scenario::Scenario;
+use crate::schedule::schedule;
+use crate::warm_up_bound::warm_up_bound;
 
 /// One play of an experiment.
 #[derive(Debug, Clone)]
@@ -75,7 +75,7 @@
     let options =
         Options { seed: Some(job.seed), programs: job.programs.clone(), out: job.out.clone(), progress };
     let history = play(&job.scenario, &options)?;
-    let least = floor(&job.scenario, &plan(&job.scenario, job.seed));
+    let least = warm_up_bound(&job.scenario, &schedule(&job.scenario, job.seed));
     let outcome = Outcome::of(&job.label, &history, least);
     if let Some(out) = &job.out {
         report::keep(&outcome, &history, out)?;
--- a/fault-harness/src/history.rs
+++ b/fault-harness/src/history.rs
@@ -7,13 +7,13 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::model::front::End;
+use crate::model::frontend::End;
 use crate::model::Ms;
 use crate::scenario::Once;
 
 /// What the checker has to know of a class.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ClassTerms {
+pub struct ClassParameters {
     /// Its name.
     pub name: String,
     /// Answers within this are worth all.
@@ -32,7 +32,7 @@
 
 /// The terms of a play.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Terms {
+pub struct RuleParameters {
     /// The scenario's name.
     pub scenario: String,
     /// The seed.
@@ -42,7 +42,7 @@
     /// How many nodes there are.
     pub nodes: usize,
     /// The classes.
-    pub classes: Vec<ClassTerms>,
+    pub classes: Vec<ClassParameters>,
     /// Among whom a key may run once.
     pub once: Once,
     /// After an answer's due time it still counts for so long.
@@ -90,7 +90,7 @@
 /// How a program ended.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Way {
+pub enum ProcessExit {
     /// The rig killed it.
     Killed,
     /// By itself after the notice to leave.
@@ -103,7 +103,7 @@
 
 /// One thing that was seen, and when.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct Observation {
     /// When.
     pub t: Ms,
     /// What.
@@ -228,7 +228,7 @@
         /// The node.
         node: usize,
         /// How.
-        way: Way,
+        way: ProcessExit,
     },
     /// What it keeps over restarts was lost, cut or replaced.
     Wiped {
@@ -306,9 +306,9 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct History {
     /// Its terms.
-    pub terms: Terms,
+    pub terms: RuleParameters,
     /// What was seen, in order.
-    pub seen: Vec<Seen>,
+    pub seen: Vec<Observation>,
 }
 
 impl History {
--- a/fault-harness/src/main.rs
+++ b/fault-harness/src/main.rs
@@ -6,13 +6,13 @@
 
 use argh::FromArgs;
 use oakwind_fault_harness::experiment::{self, Job};
-use oakwind_fault_harness::floor::floor;
 use oakwind_fault_harness::history::History;
-use oakwind_fault_harness::machine::Programs;
-use oakwind_fault_harness::plan::plan;
+use oakwind_fault_harness::node::Programs;
 use oakwind_fault_harness::predict::predict;
 use oakwind_fault_harness::report::{self, Outcome};
 use oakwind_fault_harness::scenario::Scenario;
+use oakwind_fault_harness::schedule::schedule;
+use oakwind_fault_harness::warm_up_bound::warm_up_bound;
 use oakwind_fault_harness::{charts, mutant, play};
 
 /// Starts fleets of the real program, puts faults between them, and says which rule broke.
@@ -30,7 +30,7 @@
     Check(Check),
     Sweep(Sweep),
     Compare(Compare),
-    StandIn(StandIn),
+    MutantServe(MutantServe),
     Draw(Draw),
 }
 
@@ -140,7 +140,7 @@
 /// Be a plain node in the program's place, with a fault that the checker has to find.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "serve")]
-struct StandIn {
+struct MutantServe {
     /// the platform's configuration
     #[argh(option)]
     config: PathBuf,
@@ -173,7 +173,7 @@
         Command::Draw(draw) => draw_one(&draw).map(|()| 0),
         Command::Sweep(sweep) => sweep_one(&sweep),
         Command::Compare(compare) => compare_one(&compare),
-        Command::StandIn(stand_in) => {
+        Command::MutantServe(stand_in) => {
             // What is remembered is none of a plain node's concern.
             drop(stand_in.remembered);
             mutant::serve(&stand_in.config, &stand_in.mutant).map(|()| 0).map_err(|e| e.to_string())
@@ -221,7 +221,7 @@
 }
 
 /// Tells of all plays and keeps what is to be kept; the number of rules broken.
-fn told(outcomes: &[Outcome], out: Option<&PathBuf>) -> Result<usize, String> {
+fn print_outcomes(outcomes: &[Outcome], out: Option<&PathBuf>) -> Result<usize, String> {
     if let Some(out) = out {
         let keep = || -> std::io::Result<()> {
             let lines = outcomes.iter().map(serde_json::to_string).collect::<Result<Vec<_>, _>>()?;
@@ -255,7 +255,7 @@
     }
     let outcomes = experiment::run(jobs, arguments.jobs, !arguments.quiet).map_err(|e| e.to_string())?;
     print!("{}", if arguments.repeat > 1 { experiment::spread(&outcomes) } else { report::rows(&outcomes) });
-    told(&outcomes, arguments.out.as_ref())
+    print_outcomes(&outcomes, arguments.out.as_ref())
 }
 
 fn predict_all(arguments: &Predict) -> Result<usize, String> {
@@ -265,10 +265,14 @@
         let scenario = read(path, &changes)?;
         let seed = arguments.seed.unwrap_or(scenario.seed);
         let history = predict(&scenario, Some(seed));
-        outcomes.push(Outcome::of(&scenario.name, &history, floor(&scenario, &plan(&scenario, seed))));
+        outcomes.push(Outcome::of(
+            &scenario.name,
+            &history,
+            warm_up_bound(&scenario, &schedule(&scenario, seed)),
+        ));
     }
     print!("{}", report::rows(&outcomes));
-    told(&outcomes, None)
+    print_outcomes(&outcomes, None)
 }
 
 fn check_one(arguments: &Check) -> Result<usize, String> {
@@ -276,7 +280,7 @@
         History::read(&arguments.history).map_err(|e| format!("{}: {e}", arguments.history.display()))?;
     let outcome = Outcome::of(&history.terms.scenario, &history, None);
     print!("{}", report::rows(std::slice::from_ref(&outcome)));
-    told(&[outcome], None)
+    print_outcomes(&[outcome], None)
 }
 
 fn draw_one(arguments: &Draw) -> Result<(), String> {
@@ -299,7 +303,7 @@
     }
     let outcomes = experiment::run(jobs, arguments.jobs, true).map_err(|e| e.to_string())?;
     print!("{}", experiment::spread(&outcomes));
-    told(&outcomes, arguments.out.as_ref())
+    print_outcomes(&outcomes, arguments.out.as_ref())
 }
 
 fn compare_one(arguments: &Compare) -> Result<usize, String> {
@@ -324,5 +328,5 @@
     let (first, second): (Vec<Outcome>, Vec<Outcome>) =
         outcomes.iter().cloned().partition(|o| o.label == sides[0].0);
     print!("{}", experiment::compared(&first, &second));
-    told(&outcomes, arguments.out.as_ref())
+    print_outcomes(&outcomes, arguments.out.as_ref())
 }
--- a/fault-harness/src/model/front.rs
+++ b/fault-harness/src/model/frontend.rs
@@ -8,7 +8,7 @@
 use crate::scenario::{Choose, Fronts, RepeatAt};
 
 /// A try is not begun with less than this left.
-pub const TOO_LATE: Ms = 5.0;
+pub const LATEST_RETRY_MARGIN: Ms = 5.0;
 
 /// One front end: what it knows and how it chooses.
 #[derive(Debug, Clone)]
@@ -178,7 +178,7 @@
 
     /// What to do now: at its start, and whenever a wait is over.
     pub fn go(&mut self, now: Ms, front: &mut Front, listed: &[bool]) -> Step {
-        if now + TOO_LATE >= self.due {
+        if now + LATEST_RETRY_MARGIN >= self.due {
             return Step::Over(self.last);
         }
         let node = match self.pin {
@@ -193,7 +193,7 @@
                 Step::Try(node)
             }
             // Nobody is willing: the front end turns the request away itself.
-            None => self.given_up(now, front),
+            None => self.abandoned(now, front),
         }
     }
 
@@ -222,7 +222,7 @@
                 front.away[node] = front.away[node].max(now + later);
             }
             if giveup && front.heeds {
-                return self.given_up(now, front);
+                return self.abandoned(now, front);
             }
         }
         let left = !front.willing(now, listed, &self.tried).is_empty();
@@ -236,11 +236,11 @@
             }
             return self.wait(now + front.backoff * front.rng.random_range(0.5..1.5));
         }
-        self.given_up(now, front)
+        self.abandoned(now, front)
     }
 
     /// The front end has given up; the client may ask again by itself.
-    fn given_up(&mut self, now: Ms, front: &mut Front) -> Step {
+    fn abandoned(&mut self, now: Ms, front: &mut Front) -> Step {
         if self.client_retries == 0 || self.pin != Pin::Free {
             return Step::Over(self.last);
         }
@@ -251,7 +251,7 @@
     }
 
     fn wait(&self, until: Ms) -> Step {
-        if until + TOO_LATE >= self.due {
+        if until + LATEST_RETRY_MARGIN >= self.due {
             Step::Over(self.last)
         } else {
             Step::Wait(until)
--- a/fault-harness/src/model/vm.rs
+++ b/fault-harness/src/model/interpreter.rs
@@ -12,7 +12,7 @@
 /// Chores that may wait, for each core; while there are more, nobody gets a connection.
 const BACKLOG: f64 = 128.0;
 /// How busy the cores are is a mean over so long.
-const BUSY_OVER: Ms = 500.0;
+const BUSY_SPAN: Ms = 500.0;
 /// A request counts against the memory so long after it was written, or from its run.
 const UNCOUNTED: Ms = 100.0;
 /// While it warms up, its speed is taken anew this often.
@@ -57,7 +57,7 @@
     }
 
     /// The part of its speed that one has so long after a cold start.
-    pub fn warmth(&self, after: Ms) -> f64 {
+    pub fn warm_fraction(&self, after: Ms) -> f64 {
         if after >= self.warm_ms {
             return 1.0;
         }
@@ -157,7 +157,7 @@
     chores: VecDeque<Chore>,
     held: BTreeMap<u64, Held>,
     /// How many were on the cores, and how much of the cores was busy, from when on.
-    crowd: VecDeque<Reading>,
+    concurrency: VecDeque<Reading>,
     fallen: bool,
 }
 
@@ -173,7 +173,7 @@
             runs: BTreeMap::new(),
             chores: VecDeque::new(),
             held: BTreeMap::new(),
-            crowd: VecDeque::from([Reading { at: now, values: [0.0; 2], sums: [0.0; 2] }]),
+            concurrency: VecDeque::from([Reading { at: now, values: [0.0; 2], sums: [0.0; 2] }]),
             fallen: false,
         }
     }
@@ -184,7 +184,7 @@
     }
 
     /// Stands still, or goes on. Time passes and nothing is done.
-    pub fn stand_still(&mut self, now: Ms, still: bool) -> Vec<Happened> {
+    pub fn set_paused(&mut self, now: Ms, still: bool) -> Vec<Happened> {
         let happened = self.advance(now);
         self.still = still;
         happened
@@ -256,7 +256,7 @@
     }
 
     /// Whether so much lies unread that no more connections are taken.
-    pub fn crowded(&self) -> bool {
+    pub fn is_overloaded(&self) -> bool {
         self.chores.len() as f64 > BACKLOG * self.make.cores
     }
 
@@ -301,7 +301,7 @@
 
     /// Gauges: the busy part of the cores of late, what wants a core now, the part of the memory in use.
     pub fn gauges(&self, now: Ms) -> [f64; 3] {
-        let busy = self.mean(now, BUSY_OVER, BUSY);
+        let busy = self.mean(now, BUSY_SPAN, BUSY);
         [busy, self.on_cores() as f64, self.memory(now) / self.make.memory_kb]
     }
 
@@ -310,7 +310,9 @@
         if self.still {
             return 0.0;
         }
-        self.make.speed * self.factor * self.cold_since.map_or(1.0, |since| self.make.warmth(now - since))
+        self.make.speed
+            * self.factor
+            * self.cold_since.map_or(1.0, |since| self.make.warm_fraction(now - since))
     }
 
     /// When something will happen if nothing is done until then.
@@ -394,10 +396,10 @@
     }
 
     fn rate_at(&self, now: Ms) -> f64 {
-        let crowd = self.on_cores() as f64 / self.make.cores;
-        let over = ((crowd - self.make.thrash_at) / self.make.thrash_at).clamp(0.0, 1.0);
+        let concurrency = self.on_cores() as f64 / self.make.cores;
+        let over = ((concurrency - self.make.thrash_at) / self.make.thrash_at).clamp(0.0, 1.0);
         let left = 1.0 - (1.0 - self.make.thrash) * over;
-        self.speed(now) * left * (1.0 / crowd.max(1.0))
+        self.speed(now) * left * (1.0 / concurrency.max(1.0))
     }
 
     fn memory(&self, now: Ms) -> f64 {
@@ -413,27 +415,32 @@
     fn count(&mut self) {
         let runs = self.runs.values().filter(|run| run.stage == Stage::Running).count() as f64;
         let busy = (self.on_cores() as f64 / self.make.cores).min(1.0);
-        let sums =
-            self.crowd.back().map_or([0.0; 2], |last| [RUNS, BUSY].map(|which| last.sum(which, self.at)));
-        self.crowd.push_back(Reading { at: self.at, values: [runs, busy], sums });
+        let sums = self
+            .concurrency
+            .back()
+            .map_or([0.0; 2], |last| [RUNS, BUSY].map(|which| last.sum(which, self.at)));
+        self.concurrency.push_back(Reading { at: self.at, values: [runs, busy], sums });
         let old = self.at - OVERLOAD_FOR;
-        while self.crowd.get(1).is_some_and(|second| second.at <= old) {
-            self.crowd.pop_front();
+        while self.concurrency.get(1).is_some_and(|second| second.at <= old) {
+            self.concurrency.pop_front();
         }
     }
 
     /// The mean of a reading over the last stretch.
     fn mean(&self, now: Ms, over: Ms, which: usize) -> f64 {
         let until = |at: Ms| {
-            let after = self.crowd.partition_point(|reading| reading.at <= at);
+            let after = self.concurrency.partition_point(|reading| reading.at <= at);
             // Before the first reading there was nothing.
-            after.checked_sub(1).and_then(|i| self.crowd.get(i)).map_or(0.0, |reading| reading.sum(which, at))
+            after
+                .checked_sub(1)
+                .and_then(|i| self.concurrency.get(i))
+                .map_or(0.0, |reading| reading.sum(which, at))
         };
         (until(now) - until(now - over)) / over
     }
 
     fn falls(&self) -> Option<&'static str> {
-        let share = self.cold_since.map_or(1.0, |since| self.make.warmth(self.at - since));
+        let share = self.cold_since.map_or(1.0, |since| self.make.warm_fraction(self.at - since));
         let most = self.make.cores * (1.0 + (FALL_MULTIPLE - 1.0) * share);
         if self.mean(self.at, OVERLOAD_FOR, RUNS) > most {
             return Some("too many on its cores");
--- a/fault-harness/src/model/vm/tests.rs
+++ b/fault-harness/src/model/interpreter/tests.rs
@@ -60,7 +60,7 @@
     assert!((next(&mut vm).0 - 110.0).abs() < 1e-3);
     assert_eq!(vm.read(200.0, 9, 0.0), [Happened::Read(9)]);
     (0..300).for_each(|txn| drop(vm.read(200.0, txn, 10.0)));
-    assert!(vm.crowded());
+    assert!(vm.is_overloaded());
 }
 
 #[test]
@@ -117,16 +117,16 @@
     let mut vm = Vm::new(make(), 0.0, false);
     vm.hold(0.0, 1, 10.0);
     vm.run(0.0, work(1, 100.0));
-    vm.stand_still(40.0, true);
+    vm.set_paused(40.0, true);
     assert!(vm.next().is_none() && vm.advance(5000.0).is_empty());
     assert!(vm.gauges(5000.0)[2] > 0.0);
-    vm.stand_still(5000.0, false);
+    vm.set_paused(5000.0, false);
     assert!((next(&mut vm).0 - 5060.0).abs() < 1e-3);
 }
 
 #[test]
 fn it_dies_of_a_crowd_that_lasts_and_of_memory_and_a_cold_one_of_a_smaller_crowd() {
-    let crowd = |count: u64, cold: bool, until: Ms| {
+    let concurrency = |count: u64, cold: bool, until: Ms| {
         let mut vm = Vm::new(Make { memory_kb: 1e9, ..make() }, 0.0, cold);
         for txn in 0..count {
             vm.hold(0.0, txn, 1.0);
@@ -135,10 +135,10 @@
         vm.advance(until)
     };
     let fell = [Happened::Fell("too many on its cores")];
-    assert_eq!(crowd(17, false, 2100.0), fell);
-    assert!(crowd(17, false, 1000.0).is_empty(), "a mean over 2 s");
-    assert!(crowd(15, false, 2100.0).is_empty());
-    assert_eq!(crowd(12, true, 2100.0), fell);
+    assert_eq!(concurrency(17, false, 2100.0), fell);
+    assert!(concurrency(17, false, 1000.0).is_empty(), "a mean over 2 s");
+    assert!(concurrency(15, false, 2100.0).is_empty());
+    assert_eq!(concurrency(12, true, 2100.0), fell);
     let mut vm = Vm::new(make(), 0.0, false);
     vm.hold(0.0, 1, 1200.0);
     assert!(vm.advance(50.0).is_empty(), "it is not counted yet");
--- a/fault-harness/src/model/mod.rs
+++ b/fault-harness/src/model/mod.rs
@@ -1,10 +1,10 @@
 //! What the rig plays, as state machines in virtual time: no clock, socket or thread, and no chance but from a seeded
 //! generator that is handed in. The stand-ins on sockets and `predict` drive the same ones.
 
-pub mod below;
-pub mod front;
-pub mod members;
-pub mod vm;
+pub mod dependency;
+pub mod frontend;
+pub mod interpreter;
+pub mod registry;
 
 /// Milliseconds since the load began; what was before that is below 0.
 pub type Ms = f64;
--- a/fault-harness/src/mutant.rs
+++ b/fault-harness/src/mutant.rs
@@ -19,18 +19,18 @@
 /// Every so many requests the fault shows.
 const EVERY: u64 = 5;
 /// Lines that wait on a connection.
-const LINES: usize = 1024;
+const MAX_QUEUED_LINES: usize = 1024;
 
 /// What is wrong with it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fault {
     Nothing,
     /// Keys are not known again.
-    RunsTwice,
+    DuplicateRun,
     /// Some answers are never given.
     LosesAnswers,
     /// Some answers are given twice.
-    AnswersTwice,
+    DuplicateAnswer,
     /// Some of what ran is refused.
     RefusesWhatRan,
     /// Some get the result of another request.
@@ -43,9 +43,9 @@
     fn named(name: &str) -> Option<Fault> {
         Some(match name {
             "" => Fault::Nothing,
-            "runs-twice" => Fault::RunsTwice,
+            "runs-twice" => Fault::DuplicateRun,
             "loses-answers" => Fault::LosesAnswers,
-            "answers-twice" => Fault::AnswersTwice,
+            "answers-twice" => Fault::DuplicateAnswer,
             "refuses-what-ran" => Fault::RefusesWhatRan,
             "mixes-results" => Fault::MixesResults,
             "changes-bodies" => Fault::ChangesBodies,
@@ -93,7 +93,7 @@
 async fn run(fault: Fault, config: Value) -> io::Result<()> {
     let vm = TcpStream::connect(address(&config, "vm")?).await?;
     let (reader, mut writer) = vm.into_split();
-    let (commands, mut queue) = mpsc::channel::<String>(LINES);
+    let (commands, mut queue) = mpsc::channel::<String>(MAX_QUEUED_LINES);
     let node = Rc::new(Node {
         fault,
         commands,
@@ -139,7 +139,7 @@
 
     async fn client(self: Rc<Self>, stream: TcpStream) {
         let (reader, mut writer) = stream.into_split();
-        let (answers, mut lines) = mpsc::channel::<String>(LINES);
+        let (answers, mut lines) = mpsc::channel::<String>(MAX_QUEUED_LINES);
         spawn_local(async move {
             while let Some(line) = lines.recv().await {
                 if writer.write_all(line.as_bytes()).await.is_err() {
@@ -152,7 +152,7 @@
             let Ok(request) = serde_json::from_str::<Value>(&line) else { return };
             let id = request["id"].as_u64().unwrap_or_default();
             match request["method"].as_str() {
-                Some("status") => drop(answers.try_send(said(id, &json!({"result": {"up": true}})))),
+                Some("status") => drop(answers.try_send(response(id, &json!({"result": {"up": true}})))),
                 Some("withdraw") | None => {}
                 Some(class) => self.request(id, class, &request["params"], &answers),
             }
@@ -165,7 +165,7 @@
         let waiting = Waiting { id, key: key.clone(), answers: answers.clone() };
         let body = BASE64.decode(text("content")).unwrap_or_default();
         let mut body = String::from_utf8_lossy(&body).into_owned();
-        if let Some(key) = key.filter(|_| self.fault != Fault::RunsTwice) {
+        if let Some(key) = key.filter(|_| self.fault != Fault::DuplicateRun) {
             let mut keys = self.keys.borrow_mut();
             match keys.get_mut(&key) {
                 Some((Some(result), _)) => return answer(&waiting, Some(result)),
@@ -222,22 +222,23 @@
         if self.shows(Fault::LosesAnswers) {
         } else if self.shows(Fault::RefusesWhatRan) {
             drop(
-                waiting
-                    .answers
-                    .try_send(said(waiting.id, &json!({"error": {"code": -32011, "message": "not now"}}))),
+                waiting.answers.try_send(response(
+                    waiting.id,
+                    &json!({"error": {"code": -32011, "message": "not now"}}),
+                )),
             );
         } else if self.shows(Fault::MixesResults) {
             answer(&waiting, Some(&before));
         } else {
             answer(&waiting, done);
-            if self.shows(Fault::AnswersTwice) {
+            if self.shows(Fault::DuplicateAnswer) {
                 answer(&waiting, done);
             }
         }
     }
 }
 
-fn said(id: u64, what: &Value) -> String {
+fn response(id: u64, what: &Value) -> String {
     let mut message = json!({"jsonrpc": "2.0", "id": id});
     for (key, value) in what.as_object().into_iter().flatten() {
         message[key] = value.clone();
@@ -251,5 +252,5 @@
         None => json!({"error": {"code": -32000, "message": "failed"}}),
     };
     // A client that has gone is owed nothing.
-    let _ = waiting.answers.try_send(said(waiting.id, &what));
+    let _ = waiting.answers.try_send(response(waiting.id, &what));
 }
--- a/fault-harness/src/machine.rs
+++ b/fault-harness/src/node.rs
@@ -15,17 +15,17 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::spawn_local;
 
-use crate::history::{Event, Way};
-use crate::model::members::Members;
+use crate::history::{Event, ProcessExit};
+use crate::model::registry::Members;
 use crate::model::Ms;
+use crate::play_context::PlayContext;
 use crate::process::{Program, Signal};
 use crate::relay::{Direction, Line};
 use crate::scenario::{Fault, Folder};
 use crate::settings::{self, Peers};
-use crate::stand::below::Tier;
-use crate::stand::interpreter::Interpreter;
-use crate::wire::{self, Said};
-use crate::world::World;
+use crate::stand_in::dependency::Tier;
+use crate::stand_in::interpreter::Interpreter;
+use crate::wire::{self, NodeMessage};
 
 /// Lines of a log that wait to be looked at; who logs more waits.
 const LOGGED: usize = 1024;
@@ -36,7 +36,7 @@
 /// What a program logs of its role in the virtual router.
 const ROLE: &str = "vrrp ";
 /// What a program logs when its votes can be relied on.
-const SOUND: &str = "fleet: has what it needs to vote";
+const READY_TO_VOTE: &str = "fleet: has what it needs to vote";
 /// Before what it logs about the fleet.
 const FLEET: &str = " fleet: ";
 /// How a program is told that the system's clock is set.
@@ -100,7 +100,7 @@
 
 /// One node.
 pub struct Machine {
-    world: Rc<World>,
+    context: Rc<PlayContext>,
     node: usize,
     /// Its interpreter.
     pub interpreter: Rc<Interpreter>,
@@ -135,8 +135,8 @@
     programs: Programs,
     build: RefCell<Option<String>>,
     folder: PathBuf,
-    keeps_log: bool,
-    stand_ins: Cell<Option<Peers>>,
+    log_enabled: bool,
+    listeners: Cell<Option<Peers>>,
     program: RefCell<Option<Program>>,
     ending: Cell<Option<Ending>>,
     back: RefCell<Option<Return>>,
@@ -149,24 +149,24 @@
     ///
     /// Where its folder can't be made.
     pub fn new(
-        world: Rc<World>,
+        context: Rc<PlayContext>,
         node: usize,
         [vm, below, members]: [Line; 3],
         clients: Vec<Line>,
         programs: &Programs,
         folder: &Path,
-        keeps_log: bool,
+        log_enabled: bool,
     ) -> io::Result<Rc<Machine>> {
         let name = format!("n{}", node + 1);
         let folder = folder.join(&name);
         std::fs::create_dir_all(folder.join("remembered"))?;
         std::fs::create_dir_all(folder.join("votes"))?;
-        let build = world.scenario.fleet.programs.iter().find(|(_, nodes)| nodes.contains(&name));
+        let build = context.scenario.fleet.programs.iter().find(|(_, nodes)| nodes.contains(&name));
         let build = build.map(|(build, _)| build.clone());
-        let clock = world.scenario.fleet.clocks.get(&name).cloned();
-        let interpreter = Interpreter::new(world.clone(), node, world.scenario.fleet.cold);
+        let clock = context.scenario.fleet.clocks.get(&name).cloned();
+        let interpreter = Interpreter::new(context.clone(), node, context.scenario.fleet.cold);
         Ok(Rc::new(Machine {
-            world,
+            context,
             node,
             interpreter,
             vm,
@@ -186,8 +186,8 @@
             programs: programs.clone(),
             build: RefCell::new(build),
             folder,
-            keeps_log,
-            stand_ins: Cell::new(None),
+            log_enabled,
+            listeners: Cell::new(None),
             program: RefCell::default(),
             ending: Cell::new(None),
             back: RefCell::default(),
@@ -222,11 +222,11 @@
                         ["HB", name, "OUT"] if name == self.name() => false,
                         _ => {
                             let text = format!("a report that is none: {words}");
-                            self.world.note(Event::Spoilt { node: self.node, text });
+                            self.context.note(Event::Spoilt { node: self.node, text });
                             continue;
                         }
                     };
-                    members.borrow_mut().report(self.world.now(), self.node, up);
+                    members.borrow_mut().report(self.context.now(), self.node, up);
                 }
                 else => return,
             }
@@ -239,7 +239,7 @@
         let reports = UdpSocket::bind(any).await?;
         let peers =
             Peers { vm: vm.local_addr()?, index: index.local_addr()?, members: reports.local_addr()? };
-        self.stand_ins.set(Some(peers));
+        self.listeners.set(Some(peers));
         Ok((vm, index, reports))
     }
 
@@ -249,22 +249,22 @@
     ///
     /// Where the program can't be started.
     pub async fn begin(self: &Rc<Self>) -> io::Result<()> {
-        while self.stand_ins.get().is_none() {
+        while self.listeners.get().is_none() {
             tokio::task::yield_now().await;
         }
         self.start()
     }
 
     fn start(self: &Rc<Self>) -> io::Result<()> {
-        let Some(peers) = self.stand_ins.get() else { return Err(io::ErrorKind::NotConnected.into()) };
-        let seed = self.world.seed.wrapping_mul(1000).wrapping_add(self.node as u64)
-            ^ (self.world.now() as u64) << 32;
+        let Some(peers) = self.listeners.get() else { return Err(io::ErrorKind::NotConnected.into()) };
+        let seed = self.context.seed.wrapping_mul(1000).wrapping_add(self.node as u64)
+            ^ (self.context.now() as u64) << 32;
         let config = self.folder.join("config.json");
-        std::fs::write(&config, settings::config(&self.world.scenario, &self.name(), seed, &peers))?;
+        std::fs::write(&config, settings::config(&self.context.scenario, &self.name(), seed, &peers))?;
         let build = self.programs.named(self.build.borrow().as_deref())?;
         let mut command = Command::new(build.path);
         command.arg("serve").arg("--config").arg(&config).args(build.arguments);
-        if self.world.scenario.fleet.folder {
+        if self.context.scenario.fleet.folder {
             let file = self.folder.join("remembered.toml");
             std::fs::write(&file, settings::remembered(&self.folder.join("remembered")))?;
             command.arg("--remembered").arg(&file);
@@ -290,7 +290,7 @@
         let machine = self.clone();
         spawn_local(async move {
             let mut file = machine
-                .keeps_log
+                .log_enabled
                 .then(|| OpenOptions::new().create(true).append(true).open(machine.folder.join("log")));
             while let Some(line) = log.recv().await {
                 machine.speaks.set(true);
@@ -298,21 +298,21 @@
                     // A log that can't be kept is not worth the play.
                     let _ = writeln!(file, "{line}");
                 }
-                if line.contains(SOUND) {
+                if line.contains(READY_TO_VOTE) {
                     machine.sound.set(true);
                 }
                 if let Some((_, text)) = line.split_once(FLEET) {
-                    machine.world.note(Event::Said { node: machine.node, text: text.into() });
+                    machine.context.note(Event::Said { node: machine.node, text: text.into() });
                 }
                 if line.contains(ROLE) {
                     let active = line.ends_with(": Active");
-                    machine.world.note(Event::Role { node: machine.node, active });
+                    machine.context.note(Event::Role { node: machine.node, active });
                 }
                 if let Some((_, address)) = line.split_once(SERVED_AT) {
                     if let Ok(address) = address.trim().parse::<SocketAddr>() {
                         machine.address.send_replace(Some(address));
                         machine
-                            .world
+                            .context
                             .note(Event::Up { node: machine.node, cold: machine.interpreter.cold() });
                     }
                 }
@@ -329,7 +329,7 @@
         let (number, listed) = self.list.borrow().clone();
         if let Some(place) = &*self.place.borrow() {
             let votes = self.folder.join("votes");
-            let text = settings::fleet(&self.world.scenario, self.node, place, &votes, number, &listed);
+            let text = settings::fleet(&self.context.scenario, self.node, place, &votes, number, &listed);
             std::fs::write(&file, text)?;
         }
         Ok(file)
@@ -353,21 +353,23 @@
             (Some(Ending::Over), _) => return,
             // That was noted when it was killed.
             (Some(Ending::Killed), _) => None,
-            (Some(Ending::Leaving), Some(status)) if status.success() => Some(Way::Left),
-            (_, status) => Some(Way::Crashed(status.map_or("unknown".into(), |status| status.to_string()))),
+            (Some(Ending::Leaving), Some(status)) if status.success() => Some(ProcessExit::Left),
+            (_, status) => {
+                Some(ProcessExit::Crashed(status.map_or("unknown".into(), |status| status.to_string())))
+            }
         };
         self.interpreter.end();
         if let Some(way) = way {
-            self.world.note(Event::Down { node: self.node, way });
+            self.context.note(Event::Down { node: self.node, way });
         }
         let Some(back) = self.back.borrow_mut().take() else { return };
         let machine = self.clone();
         spawn_local(async move {
-            machine.world.clock.until(machine.world.now() + back.after).await;
+            machine.context.clock.until(machine.context.now() + back.after).await;
             if let Err(e) = machine.come_back(&back) {
-                machine.world.note(Event::Down {
+                machine.context.note(Event::Down {
                     node: machine.node,
-                    way: Way::Crashed(format!("not started again: {e}")),
+                    way: ProcessExit::Crashed(format!("not started again: {e}")),
                 });
             }
         });
@@ -393,8 +395,8 @@
                 Folder::Cut => cut_newest(&folder, back.draw)?,
             }
         }
-        if back.folder != Folder::Keep || !self.world.scenario.fleet.folder {
-            self.world.note(Event::Wiped { node: self.node });
+        if back.folder != Folder::Keep || !self.context.scenario.fleet.folder {
+            self.context.note(Event::Wiped { node: self.node });
         }
         self.interpreter.start();
         self.start()
@@ -431,7 +433,7 @@
             let _ = program.signal(Signal::KILL);
             if ending == Ending::Killed {
                 // Noted before its connections are seen to end.
-                self.world.note(Event::Down { node: self.node, way: Way::Killed });
+                self.context.note(Event::Down { node: self.node, way: ProcessExit::Killed });
                 self.address.send_replace(None);
             }
         }
@@ -448,12 +450,12 @@
         };
         self.returns(down, fault, draw);
         self.ending.set(Some(Ending::Leaving));
-        self.world.note(Event::Notice { node: self.node });
-        let (machine, stop) = (self.clone(), self.world.now() + self.world.scenario.fleet.stop_ms as f64);
+        self.context.note(Event::Notice { node: self.node });
+        let (machine, stop) = (self.clone(), self.context.now() + self.context.scenario.fleet.stop_ms as f64);
         spawn_local(async move {
-            machine.world.clock.until(stop).await;
+            machine.context.clock.until(stop).await;
             if machine.program.borrow().as_ref().is_some_and(|program| program.id() == id) {
-                machine.world.note(Event::Down { node: machine.node, way: Way::Overstayed });
+                machine.context.note(Event::Down { node: machine.node, way: ProcessExit::Overstayed });
                 machine.end(Ending::Killed);
             }
         });
@@ -468,15 +470,15 @@
     }
 
     /// Lets it stand still, or go on.
-    pub fn stand_still(&self, still: bool, program_only: bool) {
+    pub fn set_paused(&self, still: bool, program_only: bool) {
         if let Some(program) = &*self.program.borrow() {
             // It may have ended already.
             let _ = program.signal(if still { Signal::STOP } else { Signal::CONT });
         }
         if !program_only {
-            self.interpreter.stand_still(still);
+            self.interpreter.set_paused(still);
         }
-        self.world.note(Event::Still { node: self.node, still });
+        self.context.note(Event::Still { node: self.node, still });
     }
 
     /// Whether a health check is answered as good.
@@ -487,7 +489,7 @@
         let asked = stream.write_all(wire::STATUS.as_bytes()).await;
         asked.is_ok()
             && BufReader::new(&mut stream).read_line(&mut line).await.is_ok()
-            && matches!(wire::said(line.trim_end()), Said::Status(_, true))
+            && matches!(wire::parse_node_message(line.trim_end()), NodeMessage::Status(_, true))
     }
 
     /// Notes what its program takes, and sees to it where its interpreter has died.
@@ -496,7 +498,7 @@
         let usage = self.program.borrow().as_ref().filter(|_| self.speaks.get()).and_then(Program::usage);
         if let Some(usage) = usage {
             let (rss_kb, files, cpu_ms) = (usage.rss_kb, usage.files, usage.cpu_ms);
-            self.world.note(Event::Sample { node: self.node, rss_kb, files, cpu_ms });
+            self.context.note(Event::Sample { node: self.node, rss_kb, files, cpu_ms });
         }
         if self.interpreter.fallen().is_some() {
             *self.back.borrow_mut() = Some(Return {
--- a/fault-harness/src/play.rs
+++ b/fault-harness/src/play.rs
@@ -15,16 +15,16 @@
 use tokio::task::{spawn_local, LocalSet};
 
 use crate::history::{Event, History};
-use crate::machine::{Build, Ending, Machine, Programs};
-use crate::model::members::Members;
+use crate::model::registry::Members;
 use crate::model::Ms;
-use crate::plan::{generator, plan, At, Plan, Stream, Strike};
+use crate::node::{Build, Ending, Machine, Programs};
+use crate::play_context::{unique_number, PlayContext};
 use crate::relay::{Direction, Line};
-use crate::scenario::{Fault, Link, Scenario, Traffic, Way, What};
+use crate::scenario::{Directions, Fault, Link, Scenario, Traffic, What};
+use crate::schedule::{generator, schedule, At, Schedule, Stream, Strike};
 use crate::settings;
-use crate::stand::below::Tier;
-use crate::stand::fronts::{Door, FrontEnd, Shared};
-use crate::world::{own_number, World};
+use crate::stand_in::dependency::Tier;
+use crate::stand_in::frontends::{FrontEnd, NodeEndpoints, Shared};
 
 /// All nodes serve within this, or the play does not begin.
 const READY: Ms = 30_000.0;
@@ -36,11 +36,11 @@
 const SAMPLES: Ms = 500.0;
 /// The rig looks so often whether it runs late itself, and says so from this on.
 const HEARTBEAT: Ms = 10.0;
-const LATE: Ms = 25.0;
+const LATE_THRESHOLD: Ms = 25.0;
 /// Lines between nodes have numbers from here on, for their random numbers.
 const PEERS: usize = 1 << 16;
 /// One node hears of a list so much later than the one before it.
-const TOLD_EVERY: Ms = 100.0;
+const PROGRESS_INTERVAL: Ms = 100.0;
 /// Datagrams that wait to be handed on.
 const WAITING: usize = 64;
 /// Pieces of progress: a line every so often.
@@ -87,7 +87,7 @@
 
 /// The parts of a play.
 struct Stage {
-    world: Rc<World>,
+    context: Rc<PlayContext>,
     machines: Vec<Rc<Machine>>,
     fronts: Vec<Rc<FrontEnd>>,
     tier: Option<Rc<Tier>>,
@@ -101,7 +101,7 @@
     let seed = options.seed.unwrap_or(scenario.seed);
     let own = Folder::new(options.out.as_deref())?;
     let stage = Rc::new(stage(scenario, options, seed, &own.path)?);
-    let world = stage.world.clone();
+    let context = stage.context.clone();
     if let Some(vrrp) = &scenario.fleet.vrrp {
         stage.router(vrrp.interval_ms).await?;
     }
@@ -112,13 +112,13 @@
         machine.begin().await?;
     }
     ready(&stage).await?;
-    world.begun.set(world.now() + LULL);
-    let begun = world.begun.get();
+    context.begun.set(context.now() + LULL);
+    let begun = context.begun.get();
     for machine in &stage.machines {
         machine.keep_copy();
     }
     spawn_local(samples(stage.clone()));
-    spawn_local(heartbeat(world.clone()));
+    spawn_local(heartbeat(context.clone()));
     if options.progress {
         spawn_local(progress(stage.clone()));
     }
@@ -126,43 +126,43 @@
         spawn_local(front.clone().tidy());
     }
     arm(&stage);
-    let mut order: Vec<usize> = (0..world.plan.asks.len()).collect();
-    order.sort_by(|a, b| world.plan.asks[*a].at.total_cmp(&world.plan.asks[*b].at));
+    let mut order: Vec<usize> = (0..context.schedule.requests.len()).collect();
+    order.sort_by(|a, b| context.schedule.requests[*a].at.total_cmp(&context.schedule.requests[*b].at));
     for n in order {
-        let ask = &world.plan.asks[n];
-        world.clock.until(begun + ask.at).await;
+        let ask = &context.schedule.requests[n];
+        context.clock.until(begun + ask.at).await;
         spawn_local(stage.fronts[ask.front].clone().client(n));
     }
     let longest = scenario.classes.iter().map(|class| class.deadline_ms).max().unwrap_or(0) as f64;
     let end = begun + scenario.seconds * 1000.0 + longest + scenario.rules.slack_ms + AFTER;
-    world.clock.until(end).await;
-    world.deafen();
+    context.clock.until(end).await;
+    context.deafen();
     stage.waiting.borrow_mut().clear();
     for machine in &stage.machines {
         machine.end(Ending::Over);
     }
-    Ok(world.history())
+    Ok(context.history())
 }
 
 fn stage(scenario: &Scenario, options: &Options, seed: u64, folder: &Path) -> io::Result<Stage> {
-    let drawn: Plan = plan(scenario, seed);
-    let world = World::new(scenario.clone(), drawn, seed);
+    let drawn: Schedule = schedule(scenario, seed);
+    let context = PlayContext::new(scenario.clone(), drawn, seed);
     let members =
         Rc::new(RefCell::new(Members::new(scenario.fleet.nodes, scenario.members.lapse_s * 1000.0)));
-    let tier = scenario.below.clone().map(|shape| Tier::new(world.clone(), shape));
+    let tier = scenario.below.clone().map(|shape| Tier::new(context.clone(), shape));
     if let Some(tier) = &tier {
         spawn_local(tier.clone().work());
     }
     let mut lines = 0;
     let mut line = || {
         lines += 1;
-        Line::new(world.clock, generator(seed, Stream::Links, lines))
+        Line::new(context.clock, generator(seed, Stream::Links, lines))
     };
     let machines = (0..scenario.fleet.nodes)
         .map(|node| {
             let clients = (0..scenario.fronts.count).map(|_| line()).collect();
             Machine::new(
-                world.clone(),
+                context.clone(),
                 node,
                 [line(), line(), line()],
                 clients,
@@ -176,7 +176,7 @@
         spawn_local(machine.interpreter.clone().work());
         spawn_local(machine.clone().serve_peers(tier.clone(), members.clone()));
     }
-    let doors = machines.iter().map(|machine| Door {
+    let doors = machines.iter().map(|machine| NodeEndpoints {
         address: machine.address.subscribe(),
         lines: machine.clients.clone(),
         interpreter: machine.interpreter.clone(),
@@ -187,19 +187,20 @@
         tries: Rc::default(),
         went: Rc::default(),
     };
-    let fronts =
-        (0..scenario.fronts.count).map(|front| FrontEnd::new(world.clone(), front, shared.clone())).collect();
-    Ok(Stage { world, machines, fronts, tier, members, waiting: RefCell::default(), number: Cell::new(1) })
+    let fronts = (0..scenario.fronts.count)
+        .map(|front| FrontEnd::new(context.clone(), front, shared.clone()))
+        .collect();
+    Ok(Stage { context, machines, fronts, tier, members, waiting: RefCell::default(), number: Cell::new(1) })
 }
 
 /// Waits until every node serves and every front end sees it on its list.
 async fn ready(stage: &Stage) -> io::Result<()> {
-    let window = stage.world.scenario.classes.iter().map(|class| class.window_ms).max().unwrap_or(0) as f64;
-    let replicated = stage.world.scenario.fleet.peers.is_some();
-    let (world, by) = (&stage.world, stage.world.now() + READY + if replicated { window } else { 0.0 });
-    let latest = world.plan.fronts.iter().map(|front| front.late).fold(0.0, f64::max);
+    let window = stage.context.scenario.classes.iter().map(|class| class.window_ms).max().unwrap_or(0) as f64;
+    let replicated = stage.context.scenario.fleet.peers.is_some();
+    let (context, by) = (&stage.context, stage.context.now() + READY + if replicated { window } else { 0.0 });
+    let latest = context.schedule.fronts.iter().map(|front| front.late).fold(0.0, f64::max);
     loop {
-        let now = world.now();
+        let now = context.now();
         let listed = stage.members.borrow_mut().listed_at(now, now - latest);
         let mut up = true;
         for (machine, listed) in stage.machines.iter().zip(&listed) {
@@ -216,19 +217,19 @@
                 "not every node serves in time after its start",
             ));
         }
-        world.clock.until(now + 50.0).await;
+        context.clock.until(now + 50.0).await;
     }
 }
 
 /// Arms the faults: those with a time, and those that wait for an event.
 fn arm(stage: &Rc<Stage>) {
-    let begun = stage.world.begun.get();
-    for strike in &stage.world.plan.strikes {
+    let begun = stage.context.begun.get();
+    for strike in &stage.context.schedule.strikes {
         match strike.at {
             At::Time(at) => {
                 let (stage, strike) = (stage.clone(), strike.clone());
                 spawn_local(async move {
-                    stage.world.clock.until(begun + at + strike.after).await;
+                    stage.context.clock.until(begun + at + strike.after).await;
                     stage.strike(&strike);
                 });
             }
@@ -236,7 +237,7 @@
         }
     }
     let listening = Rc::downgrade(stage);
-    stage.world.listen(move |node, what, count| {
+    stage.context.listen(move |node, what, count| {
         let Some(stage) = listening.upgrade() else { return };
         let due = |strike: &Strike| strike.at == At::Event(node, what, count);
         let struck: Vec<Strike> = {
@@ -250,9 +251,9 @@
                 // At once: a moment later the node would be further on.
                 stage.strike(&strike);
             } else {
-                let (stage, now) = (stage.clone(), stage.world.now());
+                let (stage, now) = (stage.clone(), stage.context.now());
                 spawn_local(async move {
-                    stage.world.clock.until(now + strike.after).await;
+                    stage.context.clock.until(now + strike.after).await;
                     stage.strike(&strike);
                 });
             }
@@ -268,15 +269,15 @@
 
 impl Stage {
     /// An address of this play's and this node's own: the port that is free there stays free.
-    fn own_address(&self, node: usize) -> Ipv4Addr {
+    fn unique_address(&self, node: usize) -> Ipv4Addr {
         let of_process = 100 + (std::process::id() % 150) as u8;
-        Ipv4Addr::new(127, of_process, (self.world.number % 250) as u8, node as u8 + 1)
+        Ipv4Addr::new(127, of_process, (self.context.number % 250) as u8, node as u8 + 1)
     }
 
     /// A line from one node to another, with random numbers of its own.
     fn line_between(&self, from: usize, to: usize) -> Line {
         let number = (PEERS + from * self.machines.len() + to) as u64;
-        Line::new(self.world.clock, generator(self.world.seed, Stream::Links, number))
+        Line::new(self.context.clock, generator(self.context.seed, Stream::Links, number))
     }
 
     /// Joins all nodes to one virtual router, each pair by a line each way.
@@ -284,7 +285,7 @@
         let count = self.machines.len();
         let mut hears = Vec::new();
         for node in 0..count {
-            hears.push(UdpSocket::bind((self.own_address(node), 0)).await?.local_addr()?);
+            hears.push(UdpSocket::bind((self.unique_address(node), 0)).await?.local_addr()?);
         }
         // For each node, the sockets that stand for the others.
         let mut stands: Vec<Vec<Rc<UdpSocket>>> = Vec::new();
@@ -327,7 +328,7 @@
         let count = self.machines.len();
         let mut listens = Vec::new();
         for node in 0..count {
-            listens.push(TcpListener::bind((self.own_address(node), 0)).await?.local_addr()?);
+            listens.push(TcpListener::bind((self.unique_address(node), 0)).await?.local_addr()?);
         }
         let mut lines = HashMap::new();
         let mut reaches = vec![listens.clone(); count];
@@ -351,7 +352,7 @@
             });
             lines.insert((from, to), line);
         }
-        let later = self.world.scenario.fleet.peers.as_ref().map_or(0, |peers| peers.later);
+        let later = self.context.scenario.fleet.peers.as_ref().map_or(0, |peers| peers.later);
         let listed: Vec<usize> = (0..count - later).collect();
         for (node, machine) in self.machines.iter().enumerate() {
             let (listen, reaches) = (listens[node], reaches[node].clone());
@@ -380,9 +381,9 @@
         // Those that come are on it already.
         let number = if listed == before { number } else { number + 1 };
         for (after, machine) in self.machines.iter().cloned().enumerate() {
-            let (clock, listed) = (self.world.clock, listed.clone());
+            let (clock, listed) = (self.context.clock, listed.clone());
             spawn_local(async move {
-                clock.until(clock.now() + after as f64 * TOLD_EVERY).await;
+                clock.until(clock.now() + after as f64 * PROGRESS_INTERVAL).await;
                 machine.takes_list(number, &listed);
             });
         }
@@ -390,11 +391,11 @@
 
     /// Does what a fault does, and sees to its end.
     fn strike(self: &Rc<Self>, strike: &Strike) {
-        let (world, fault) = (&self.world, &strike.fault);
+        let (context, fault) = (&self.context, &strike.fault);
         let lasts = fault.for_s.unwrap_or(0.0) * 1000.0;
         let down = fault.down_s.map(|s| s * 1000.0);
-        let until = world.now() + lasts.max(down.unwrap_or(0.0));
-        world.note(Event::Fault { text: self.describe(strike), until });
+        let until = context.now() + lasts.max(down.unwrap_or(0.0));
+        context.note(Event::Fault { text: self.describe(strike), until });
         let struck = || strike.whom.iter().filter_map(|node| self.machines.get(*node));
         match fault.what {
             What::Kill => struck().for_each(|machine| machine.kill(down, fault, strike.draw)),
@@ -409,8 +410,8 @@
             }
             What::Reload => struck().for_each(|machine| machine.reload()),
             What::Stop => {
-                struck().for_each(|machine| machine.stand_still(true, fault.program_only));
-                self.later(until, strike, |machine, fault| machine.stand_still(false, fault.program_only));
+                struck().for_each(|machine| machine.set_paused(true, fault.program_only));
+                self.later(until, strike, |machine, fault| machine.set_paused(false, fault.program_only));
             }
             What::Slow => {
                 struck().for_each(|machine| machine.interpreter.slow(fault.factor));
@@ -419,13 +420,13 @@
             What::Partition => {
                 let silent = Traffic { silent: true, ..Traffic::default() };
                 let all = [Link::Clients, Link::Below, Link::Members, Link::Peers];
-                self.disturb(strike, &all, Way::Both, &silent, until);
+                self.disturb(strike, &all, Directions::Both, &silent, until);
             }
             What::Link => self.disturb(strike, &fault.between, fault.way, &fault.traffic, until),
             What::Below => {
                 if let Some(tier) = self.tier.clone() {
                     tier.weaken(fault.factor);
-                    let clock = world.clock;
+                    let clock = context.clock;
                     spawn_local(async move {
                         clock.until(until).await;
                         tier.weaken(1.0);
@@ -433,8 +434,8 @@
                 }
             }
             What::Members => {
-                self.members.borrow_mut().deaf(world.now(), true);
-                let (members, clock) = (self.members.clone(), world.clock);
+                self.members.borrow_mut().deaf(context.now(), true);
+                let (members, clock) = (self.members.clone(), context.clock);
                 spawn_local(async move {
                     clock.until(until).await;
                     members.borrow_mut().deaf(clock.now(), false);
@@ -452,7 +453,7 @@
     fn later(self: &Rc<Self>, until: Ms, strike: &Strike, undo: impl Fn(&Rc<Machine>, &Fault) + 'static) {
         let (stage, strike) = (self.clone(), strike.clone());
         spawn_local(async move {
-            stage.world.clock.until(until).await;
+            stage.context.clock.until(until).await;
             strike
                 .whom
                 .iter()
@@ -462,7 +463,14 @@
     }
 
     /// Disturbs lines of the nodes struck, until then.
-    fn disturb(self: &Rc<Self>, strike: &Strike, between: &[Link], way: Way, traffic: &Traffic, until: Ms) {
+    fn disturb(
+        self: &Rc<Self>,
+        strike: &Strike,
+        between: &[Link],
+        way: Directions,
+        traffic: &Traffic,
+        until: Ms,
+    ) {
         let number = self.number.replace(self.number.get() + 1);
         let (mut lines, mut peers) = (Vec::new(), Vec::new());
         for node in &strike.whom {
@@ -473,8 +481,8 @@
                         for (front, line) in machine.clients.iter().enumerate() {
                             // Front ends within a zone that is cut off still reach it.
                             let within = strike.fault.zone.as_ref().is_some_and(|zone| {
-                                let scenario = &self.world.scenario;
-                                scenario.fleet.zones[self.world.plan.fronts[front].zone] == *zone
+                                let scenario = &self.context.scenario;
+                                scenario.fleet.zones[self.context.schedule.fronts[front].zone] == *zone
                             });
                             if strike.fault.what != What::Partition || !within {
                                 lines.push((line.clone(), Some((*node, front))));
@@ -490,14 +498,14 @@
                             if strike.fault.what == What::Partition && strike.whom.contains(other) {
                                 continue;
                             }
-                            let ways = [(to, way != Way::From), (from, way != Way::To)];
+                            let ways = [(to, way != Directions::From), (from, way != Directions::To)];
                             peers.extend(
                                 ways.into_iter()
                                     .filter(|(_, suffers)| *suffers)
-                                    .map(|(line, _)| (line.clone(), Way::Both)),
+                                    .map(|(line, _)| (line.clone(), Directions::Both)),
                             );
                         }
-                        let names = self.world.scenario.node_names();
+                        let names = self.context.scenario.node_names();
                         for (other, dialled, dials) in &*machine.links.borrow() {
                             let with = &strike.fault.with;
                             let together =
@@ -507,9 +515,9 @@
                             }
                             // A line is named after the node that dials it.
                             let other_way = match way {
-                                Way::Both => Way::Both,
-                                Way::To => Way::From,
-                                Way::From => Way::To,
+                                Directions::Both => Directions::Both,
+                                Directions::To => Directions::From,
+                                Directions::From => Directions::To,
                             };
                             peers.extend([(dialled.clone(), way), (dials.clone(), other_way)]);
                         }
@@ -517,25 +525,25 @@
                 }
             }
         }
-        let told = |on: bool, world: &World, lines: &[(Line, Option<(usize, usize)>)]| {
+        let told = |on: bool, context: &PlayContext, lines: &[(Line, Option<(usize, usize)>)]| {
             for (node, front) in lines.iter().filter_map(|(_, door)| *door) {
-                world.note(Event::Disturbed { node, front: Some(front), on });
+                context.note(Event::Disturbed { node, front: Some(front), on });
             }
         };
-        told(true, &self.world, &lines);
+        told(true, &self.context, &lines);
         lines.iter().for_each(|(line, _)| line.disturb(number, way, traffic));
         peers.iter().for_each(|(line, way)| line.disturb(number, *way, traffic));
         if !peers.is_empty() {
-            self.world.note(Event::Peers { on: true });
+            self.context.note(Event::Peers { on: true });
         }
-        let world = self.world.clone();
+        let context = self.context.clone();
         spawn_local(async move {
-            world.clock.until(until).await;
+            context.clock.until(until).await;
             lines.iter().for_each(|(line, _)| line.mend(number));
             peers.iter().for_each(|(line, _)| line.mend(number));
-            told(false, &world, &lines);
+            told(false, &context, &lines);
             if !peers.is_empty() {
-                world.note(Event::Peers { on: false });
+                context.note(Event::Peers { on: false });
             }
         });
     }
@@ -556,36 +564,36 @@
         for machine in &stage.machines {
             machine.sample();
         }
-        let next = stage.world.now() + SAMPLES;
-        stage.world.clock.until(next).await;
+        let next = stage.context.now() + SAMPLES;
+        stage.context.clock.until(next).await;
     }
 }
 
 /// Notes where the rig itself runs late: what it sees then is not the program's doing.
-async fn heartbeat(world: Rc<World>) {
+async fn heartbeat(context: Rc<PlayContext>) {
     loop {
-        let due = world.now() + HEARTBEAT;
-        world.clock.until(due).await;
-        let by = world.now() - due;
-        if by > LATE {
-            world.note(Event::Late { by });
+        let due = context.now() + HEARTBEAT;
+        context.clock.until(due).await;
+        let by = context.now() - due;
+        if by > LATE_THRESHOLD {
+            context.note(Event::Late { by });
         }
     }
 }
 
 async fn progress(stage: Rc<Stage>) {
-    let world = &stage.world;
+    let context = &stage.context;
     loop {
-        let at = (world.now() - world.begun.get()) / 1000.0;
+        let at = (context.now() - context.begun.get()) / 1000.0;
         let up = stage.machines.iter().filter(|machine| machine.address.borrow().is_some()).count();
         eprintln!(
             "{}: {:.0} of {:.0} s, {up} of {} nodes up",
-            world.scenario.name,
+            context.scenario.name,
             at.max(0.0),
-            world.scenario.seconds,
+            context.scenario.seconds,
             stage.machines.len()
         );
-        world.clock.until(world.now() + PROGRESS).await;
+        context.clock.until(context.now() + PROGRESS).await;
     }
 }
 
@@ -600,7 +608,7 @@
         let (path, kept) = match out {
             Some(out) => (out.to_path_buf(), true),
             None => {
-                let number = own_number();
+                let number = unique_number();
                 (
                     std::env::temp_dir()
                         .join(format!("oakwind-fault-harness-{}-{number}", std::process::id())),
--- a/fault-harness/src/world.rs
+++ b/fault-harness/src/play_context.rs
@@ -6,10 +6,10 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 
 use crate::clock::Clock;
-use crate::history::{ClassTerms, Event, History, Seen, Terms};
+use crate::history::{ClassParameters, Event, History, Observation, RuleParameters};
 use crate::model::Ms;
-use crate::plan::Plan;
 use crate::scenario::{Happening, Scenario};
+use crate::schedule::Schedule;
 
 /// A request that was written to a node, as the interpreter may be told of it.
 #[derive(Debug, Clone, Copy)]
@@ -24,7 +24,7 @@
 type Listener = Box<dyn Fn(usize, Happening, u64)>;
 
 /// One play.
-pub struct World {
+pub struct PlayContext {
     /// Its clock; everything in the play tells time by it.
     pub clock: Clock,
     /// When the load began, on that clock.
@@ -32,27 +32,27 @@
     /// The scenario.
     pub scenario: Scenario,
     /// What it came to.
-    pub plan: Plan,
+    pub schedule: Schedule,
     /// The seed.
     pub seed: u64,
     /// A number that no other play of this process has.
     pub number: u32,
-    seen: RefCell<Vec<Seen>>,
+    seen: RefCell<Vec<Observation>>,
     written: RefCell<HashMap<u64, Written>>,
     counts: RefCell<HashMap<(usize, Happening), u64>>,
     listener: RefCell<Option<Listener>>,
 }
 
-impl World {
+impl PlayContext {
     /// A play that begins now.
-    pub fn new(scenario: Scenario, plan: Plan, seed: u64) -> Rc<World> {
-        Rc::new(World {
+    pub fn new(scenario: Scenario, schedule: Schedule, seed: u64) -> Rc<PlayContext> {
+        Rc::new(PlayContext {
             clock: Clock::begin(),
             begun: Cell::new(0.0),
             scenario,
-            plan,
+            schedule,
             seed,
-            number: own_number(),
+            number: unique_number(),
             seen: RefCell::default(),
             written: RefCell::default(),
             counts: RefCell::default(),
@@ -67,7 +67,7 @@
 
     /// Keeps what was seen.
     pub fn note(&self, what: Event) {
-        self.seen.borrow_mut().push(Seen { t: self.now(), what });
+        self.seen.borrow_mut().push(Observation { t: self.now(), what });
     }
 
     /// A try is about to be written.
@@ -105,7 +105,7 @@
 
     /// The body of a request: its number, work and class, which is all that the interpreter goes by.
     pub fn body(&self, n: usize) -> String {
-        let ask = &self.plan.asks[n];
+        let ask = &self.schedule.requests[n];
         // Repeats carry the body of the request that they repeat.
         let n = ask.repeats.unwrap_or(n);
         format!("{n} {:.3} {}", ask.work, self.scenario.classes[ask.class].name)
@@ -128,14 +128,14 @@
 }
 
 /// A number that nobody else in this process has got.
-pub fn own_number() -> u32 {
+pub fn unique_number() -> u32 {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     NEXT.fetch_add(1, Ordering::Relaxed)
 }
 
 /// The terms that a scenario is checked by.
-pub fn terms(scenario: &Scenario, seed: u64) -> Terms {
-    let classes = scenario.classes.iter().map(|class| ClassTerms {
+pub fn terms(scenario: &Scenario, seed: u64) -> RuleParameters {
+    let classes = scenario.classes.iter().map(|class| ClassParameters {
         name: class.name.clone(),
         aim: class.aim_ms as f64,
         deadline: class.deadline_ms as f64,
@@ -144,7 +144,7 @@
         late_worth: class.late_worth,
         skip_worth: class.skip_worth,
     });
-    Terms {
+    RuleParameters {
         scenario: scenario.name.clone(),
         seed,
         seconds: scenario.seconds,
--- a/fault-harness/src/predict.rs
+++ b/fault-harness/src/predict.rs
@@ -9,15 +9,15 @@
 
 use rand_chacha::ChaCha8Rng;
 
-use crate::history::{Event, History, Kind, Seen, Way};
-use crate::model::below::{Below, Ended};
-use crate::model::front::{Answer, Front, Journey, Pin, Step};
-use crate::model::members::Members;
-use crate::model::vm::{Happened, Make, Vm, Work};
+use crate::history::{Event, History, Kind, Observation, ProcessExit};
+use crate::model::dependency::{Below, Ended};
+use crate::model::frontend::{Answer, Front, Journey, Pin, Step};
+use crate::model::interpreter::{Happened, Make, Vm, Work};
+use crate::model::registry::Members;
 use crate::model::Ms;
-use crate::plan::{call_time, generator, plan, At, Plan, Stream};
+use crate::play_context::terms;
 use crate::scenario::{Fault, Scenario, What};
-use crate::world::terms;
+use crate::schedule::{call_time, generator, schedule, At, Schedule, Stream};
 
 /// The plain node runs so many for each core.
 const RUNNING: f64 = 1.25;
@@ -29,8 +29,8 @@
 const REPORTS: Ms = 300.0;
 
 #[derive(Debug)]
-enum Due {
-    Ask(usize),
+enum ScheduledEvent {
+    ClientRequest(usize),
     Go(usize),
     Overdue(u64),
     Strike(usize, bool),
@@ -38,7 +38,7 @@
     Report,
 }
 
-struct Item(Ms, u64, Due);
+struct Item(Ms, u64, ScheduledEvent);
 
 impl PartialEq for Item {
     fn eq(&self, other: &Self) -> bool {
@@ -91,7 +91,7 @@
 /// The whole play.
 struct Play<'a> {
     scenario: &'a Scenario,
-    plan: Plan,
+    schedule: Schedule,
     now: Ms,
     queue: BinaryHeap<Item>,
     order: u64,
@@ -104,21 +104,21 @@
     below: Option<Below>,
     rng: ChaCha8Rng,
     members: RefCell<Members>,
-    seen: Vec<Seen>,
+    seen: Vec<Observation>,
 }
 
 /// Plays it and returns what would be seen.
 pub fn predict(scenario: &Scenario, seed: Option<u64>) -> History {
     let seed = seed.unwrap_or(scenario.seed);
-    let plan = plan(scenario, seed);
-    let nodes = plan.speeds.iter().map(|speed| Node {
+    let schedule = schedule(scenario, seed);
+    let nodes = schedule.speeds.iter().map(|speed| Node {
         vm: Vm::new(Make::of(&scenario.fleet, *speed), 0.0, scenario.fleet.cold),
         up: true,
         still: false,
         line: VecDeque::new(),
         keys: HashMap::new(),
     });
-    let fronts = plan.fronts.iter().enumerate().map(|(i, front)| {
+    let fronts = schedule.fronts.iter().enumerate().map(|(i, front)| {
         let rng = generator(seed, Stream::Habits, i as u64);
         Front::new(&scenario.fronts, front.choose, front.heeds, scenario.fleet.nodes, rng)
     });
@@ -137,7 +137,7 @@
         rng: generator(seed, Stream::Calls, 0),
         members: RefCell::new(Members::new(scenario.fleet.nodes, scenario.members.lapse_s * 1000.0)),
         seen: Vec::new(),
-        plan,
+        schedule,
     };
     play.report();
     play.now = 0.0;
@@ -146,25 +146,25 @@
 }
 
 impl Play<'_> {
-    fn at(&mut self, at: Ms, due: Due) {
+    fn at(&mut self, at: Ms, due: ScheduledEvent) {
         self.order += 1;
         self.queue.push(Item(at, self.order, due));
     }
 
     fn note(&mut self, what: Event) {
-        self.seen.push(Seen { t: self.now, what });
+        self.seen.push(Observation { t: self.now, what });
     }
 
     fn run(&mut self) {
-        for n in 0..self.plan.asks.len() {
-            self.at(self.plan.asks[n].at, Due::Ask(n));
+        for n in 0..self.schedule.requests.len() {
+            self.at(self.schedule.requests[n].at, ScheduledEvent::ClientRequest(n));
         }
-        for i in 0..self.plan.strikes.len() {
-            if let At::Time(at) = self.plan.strikes[i].at {
-                self.at(at + self.plan.strikes[i].after, Due::Strike(i, true));
+        for i in 0..self.schedule.strikes.len() {
+            if let At::Time(at) = self.schedule.strikes[i].at {
+                self.at(at + self.schedule.strikes[i].after, ScheduledEvent::Strike(i, true));
             }
         }
-        self.at(0.0, Due::Report);
+        self.at(0.0, ScheduledEvent::Report);
         let longest = self.scenario.classes.iter().map(|class| class.deadline_ms).max().unwrap_or(0) as f64;
         let end = self.scenario.seconds * 1000.0 + longest + 1000.0;
         loop {
@@ -190,11 +190,13 @@
         }
     }
 
-    fn due(&mut self, due: Due) {
+    fn due(&mut self, due: ScheduledEvent) {
         match due {
-            Due::Ask(n) => self.ask(n),
-            Due::Go(n) => self.step(n, |journey, now, front, listed| journey.go(now, front, listed)),
-            Due::Overdue(txn) => match self.tries.get_mut(&txn).filter(|taken| taken.open) {
+            ScheduledEvent::ClientRequest(n) => self.ask(n),
+            ScheduledEvent::Go(n) => {
+                self.step(n, |journey, now, front, listed| journey.go(now, front, listed))
+            }
+            ScheduledEvent::Overdue(txn) => match self.tries.get_mut(&txn).filter(|taken| taken.open) {
                 Some(taken) if taken.read => self.answer(txn, Kind::Failed, Answer::Failed),
                 Some(taken) => {
                     taken.open = false;
@@ -205,11 +207,11 @@
                 }
                 None => {}
             },
-            Due::Strike(i, begins) => self.strike(i, begins),
-            Due::Back(node) => self.back(node),
-            Due::Report => {
+            ScheduledEvent::Strike(i, begins) => self.strike(i, begins),
+            ScheduledEvent::Back(node) => self.back(node),
+            ScheduledEvent::Report => {
                 self.report();
-                self.at(self.now + REPORTS, Due::Report);
+                self.at(self.now + REPORTS, ScheduledEvent::Report);
             }
         }
     }
@@ -224,7 +226,7 @@
     }
 
     fn ask(&mut self, n: usize) {
-        let ask = self.plan.asks[n].clone();
+        let ask = self.schedule.requests[n].clone();
         self.note(Event::Asked { n, class: ask.class, repeats: ask.repeats });
         let first = ask.repeats.and_then(|first| self.went.get(&first).copied());
         let pin = Pin::of(ask.repeats.is_some(), first, self.scenario.load.repeat_at);
@@ -235,8 +237,9 @@
     }
 
     fn step(&mut self, n: usize, next: impl FnOnce(&mut Journey, Ms, &mut Front, &[bool]) -> Step) {
-        let front = self.plan.asks[n].front;
-        let listed = self.members.borrow_mut().listed_at(self.now, self.now - self.plan.fronts[front].late);
+        let front = self.schedule.requests[n].front;
+        let listed =
+            self.members.borrow_mut().listed_at(self.now, self.now - self.schedule.fronts[front].late);
         let Some(traveller) = self.travellers.get_mut(&n) else { return };
         match next(&mut traveller.journey, self.now, &mut self.fronts[front], &listed) {
             Step::Try(node) => {
@@ -244,7 +247,7 @@
                 self.went.entry(n).or_insert(node);
                 self.arrive(n, node);
             }
-            Step::Wait(until) => self.at(until, Due::Go(n)),
+            Step::Wait(until) => self.at(until, ScheduledEvent::Go(n)),
             Step::Over(end) => {
                 let tries = traveller.tries;
                 self.travellers.remove(&n);
@@ -264,10 +267,10 @@
         }
         let txn = self.next;
         self.next += 1;
-        let ask = &self.plan.asks[n];
+        let ask = &self.schedule.requests[n];
         let due = ask.at + self.scenario.classes[ask.class].deadline_ms as f64;
         self.tries.insert(txn, Try { n, node, due, open: true, read: false });
-        self.at(due, Due::Overdue(txn));
+        self.at(due, ScheduledEvent::Overdue(txn));
         let happened = self.nodes[node].vm.read(self.now, txn, self.scenario.fleet.read_ms);
         self.tell(node, happened);
     }
@@ -277,7 +280,7 @@
         let Some(taken) = self.tries.get_mut(&txn).filter(|taken| taken.open) else { return };
         taken.read = true;
         let (n, node, due) = (taken.n, taken.node, taken.due);
-        let ask = &self.plan.asks[n];
+        let ask = &self.schedule.requests[n];
         let (key, kb, front) = (ask.repeats.unwrap_or(n), ask.kb, ask.front);
         let keyed = self.scenario.classes[ask.class].keyed;
         self.note(Event::Wrote { txn, n, node, front, due });
@@ -316,7 +319,7 @@
         {
             let Some(txn) = self.nodes[node].line.pop_front() else { return };
             let Some(taken) = self.tries.get(&txn).filter(|taken| taken.open) else { continue };
-            let ask = &self.plan.asks[taken.n];
+            let ask = &self.schedule.requests[taken.n];
             let work = Work { txn, work: ask.work, calls: self.scenario.classes[ask.class].calls };
             self.note(Event::Began { txn, node });
             let happened = self.nodes[node].vm.run(self.now, work);
@@ -346,7 +349,7 @@
         self.note(Event::Ended { txn, node, result: result.clone() });
         let Some(taken) = self.tries.get(&txn) else { return };
         let n = taken.n;
-        let key = self.plan.asks[n].repeats.unwrap_or(n);
+        let key = self.schedule.requests[n].repeats.unwrap_or(n);
         let joined = match (self.nodes[node].keys.remove(&key), &result) {
             (Some(Key::Runs(joined)), Some(result)) => {
                 self.nodes[node].keys.insert(key, Key::Done(result.clone()));
@@ -389,7 +392,7 @@
         };
         let Some(taken) = self.tries.get(&txn) else { return };
         let node = taken.node;
-        let skips = self.scenario.classes[self.plan.asks[taken.n].class].skip_worth > 0.0;
+        let skips = self.scenario.classes[self.schedule.requests[taken.n].class].skip_worth > 0.0;
         if !done && !skips {
             self.answer(txn, Kind::Failed, Answer::Failed);
         }
@@ -408,7 +411,7 @@
     }
 
     fn strike(&mut self, i: usize, begins: bool) {
-        let strike = self.plan.strikes[i].clone();
+        let strike = self.schedule.strikes[i].clone();
         let Fault { what, factor, for_s, down_s, .. } = strike.fault;
         let down = down_s.map(|s| s * 1000.0);
         if begins {
@@ -416,7 +419,7 @@
             let text = format!("{what:?} {}", strike.whom.len()).to_lowercase();
             self.note(Event::Fault { text, until: self.now + lasts });
             if for_s.is_some() {
-                self.at(self.now + lasts, Due::Strike(i, false));
+                self.at(self.now + lasts, ScheduledEvent::Strike(i, false));
             }
         }
         for node in strike.whom.iter().copied().filter(|_| what != What::Fronts) {
@@ -425,7 +428,7 @@
                 What::Stop => {
                     self.nodes[node].still = begins;
                     self.note(Event::Still { node, still: begins });
-                    let happened = self.nodes[node].vm.stand_still(self.now, begins);
+                    let happened = self.nodes[node].vm.set_paused(self.now, begins);
                     self.tell(node, happened);
                 }
                 What::Slow => {
@@ -452,9 +455,9 @@
         if !self.nodes[node].up {
             return;
         }
-        self.note(Event::Down { node, way: Way::Killed });
+        self.note(Event::Down { node, way: ProcessExit::Killed });
         self.note(Event::Wiped { node });
-        let make = Make::of(&self.scenario.fleet, self.plan.speeds[node]);
+        let make = Make::of(&self.scenario.fleet, self.schedule.speeds[node]);
         let now = self.now;
         let place = &mut self.nodes[node];
         (place.up, place.vm) = (false, Vm::new(make, now, true));
@@ -474,12 +477,12 @@
             }
         }
         if let Some(back) = back {
-            self.at(now + back, Due::Back(node));
+            self.at(now + back, ScheduledEvent::Back(node));
         }
     }
 
     fn back(&mut self, node: usize) {
-        let make = Make::of(&self.scenario.fleet, self.plan.speeds[node]);
+        let make = Make::of(&self.scenario.fleet, self.schedule.speeds[node]);
         self.nodes[node].vm = Vm::new(make, self.now, true);
         self.nodes[node].up = true;
         self.note(Event::Up { node, cold: true });
--- a/fault-harness/src/predict/tests.rs
+++ b/fault-harness/src/predict/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::check::check;
-use crate::figures::figures;
+use crate::statistics::statistics;
 
 fn scenario(load: f64, more: &str) -> Scenario {
     let text = format!(
@@ -13,7 +13,7 @@
 fn a_calm_fleet_serves_all_and_keeps_the_rules() {
     let history = predict(&scenario(0.3, ""), None);
     assert_eq!(check(&history).breaches, []);
-    let figures = figures(&history);
+    let figures = statistics(&history);
     assert!(
         figures.served > 0.99 && (figures.median_ms - 20.0).abs() < 5.0,
         "{} {}",
@@ -31,11 +31,11 @@
 
 #[test]
 fn overload_is_refused_and_a_killed_half_is_missed_until_it_is_warm() {
-    let over = figures(&predict(&scenario(1.6, ""), None));
+    let over = statistics(&predict(&scenario(1.6, ""), None));
     assert!(over.served < 0.9 && over.parts[2] > 0.05, "{:?}", over.parts);
     let history =
         predict(&scenario(0.9, "[[fault]]\nat_s = 5\nwhat = 'kill'\npart = 0.5\ndown_s = 1.0\n"), None);
     assert_eq!(check(&history).breaches, []);
-    let back = figures(&history).back.unwrap();
+    let back = statistics(&history).back.unwrap();
     assert!(back.least < 0.9 && back.from_start.is_some_and(|s| s > 1.0), "{back:?}");
 }
--- a/fault-harness/src/relay.rs
+++ b/fault-harness/src/relay.rs
@@ -17,7 +17,7 @@
 
 use crate::clock::Clock;
 use crate::model::Ms;
-use crate::scenario::{Traffic, Way};
+use crate::scenario::{Directions, Traffic};
 
 /// Pieces on their way in one direction of a connection; who sends more waits.
 const PIECES: usize = 64;
@@ -42,17 +42,17 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 struct Condition {
     /// What is wrong now: by whose number, which way, and what.
-    wrong: Vec<(u64, Way, Traffic)>,
+    wrong: Vec<(u64, Directions, Traffic)>,
     /// How often connections were reset.
     resets: u64,
 }
 
 impl Condition {
     fn now(&self, direction: Direction) -> Traffic {
-        let meant = |way: &Way| match way {
-            Way::Both => true,
-            Way::To => direction == Direction::To,
-            Way::From => direction == Direction::From,
+        let meant = |way: &Directions| match way {
+            Directions::Both => true,
+            Directions::To => direction == Direction::To,
+            Directions::From => direction == Direction::From,
         };
         let mut all = Traffic::default();
         for (_, _, traffic) in self.wrong.iter().filter(|(_, way, _)| meant(way)) {
@@ -96,7 +96,7 @@
     }
 
     /// Something goes wrong, until it is mended by the same number.
-    pub fn disturb(&self, number: u64, way: Way, traffic: &Traffic) {
+    pub fn disturb(&self, number: u64, way: Directions, traffic: &Traffic) {
         self.condition.send_modify(|condition| {
             condition.resets += u64::from(traffic.reset || traffic.cut);
             condition.wrong.push((number, way, traffic.clone()));
--- a/fault-harness/src/report.rs
+++ b/fault-harness/src/report.rs
@@ -9,12 +9,12 @@
 
 use crate::charts::charts;
 use crate::check::{check, Verdict};
-use crate::figures::{figures, Figures};
 use crate::history::History;
+use crate::statistics::{statistics, Statistics};
 
 const PAGE: &str = include_str!("../templates/report.html");
 /// Breaches that a terminal is shown.
-const SHOWN: usize = 12;
+const MAX_SHOWN: usize = 12;
 
 /// A play worked out.
 #[derive(Debug, Clone, Serialize)]
@@ -28,7 +28,7 @@
     /// The rules.
     pub verdict: Verdict,
     /// The figures.
-    pub figures: Figures,
+    pub figures: Statistics,
     /// The seconds that warm-up alone would have needed to be back.
     pub floor: Option<f64>,
 }
@@ -41,7 +41,7 @@
             scenario: history.terms.scenario.clone(),
             seed: history.terms.seed,
             verdict: check(history),
-            figures: figures(history),
+            figures: statistics(history),
             floor,
         }
     }
@@ -123,12 +123,12 @@
 /// What broke, a line each, as far as a terminal is shown it.
 pub fn breaches(verdict: &Verdict) -> String {
     let mut text = String::new();
-    for breach in verdict.breaches.iter().take(SHOWN) {
+    for breach in verdict.breaches.iter().take(MAX_SHOWN) {
         // Writing to memory does not fail.
         let _ = writeln!(text, "{:>9.0} ms  {:?}: {}", breach.t, breach.rule, breach.text);
     }
-    if verdict.breaches.len() > SHOWN {
-        let _ = writeln!(text, "and {} more; the history has them all", verdict.breaches.len() - SHOWN);
+    if verdict.breaches.len() > MAX_SHOWN {
+        let _ = writeln!(text, "and {} more; the history has them all", verdict.breaches.len() - MAX_SHOWN);
     }
     for (rule, count) in verdict.by_rule() {
         let _ = writeln!(text, "broken {count} times: {rule:?}");
--- a/fault-harness/src/scenario.rs
+++ b/fault-harness/src/scenario.rs
@@ -7,10 +7,10 @@
 use serde::Deserialize;
 
 /// Requests that one scenario may ask for. Guards the memory, where the whole history stays until the end.
-const MOST_ASKED: f64 = 300_000.0;
+const MAX_REQUESTS: f64 = 300_000.0;
 /// Nodes and front ends that one machine can hold.
-const MOST_NODES: usize = 64;
-const MOST_FRONTS: usize = 64;
+const MAX_NODES: usize = 64;
+const MAX_FRONTENDS: usize = 64;
 
 /// A scenario as it is written. Times ending in `_s` are seconds, in `_ms` milliseconds.
 #[derive(Debug, Clone, Deserialize)]
@@ -397,7 +397,7 @@
     pub with: Vec<String>,
     /// For `link`: which way.
     #[serde(default)]
-    pub way: Way,
+    pub way: Directions,
     /// For `link`: what happens to the traffic.
     #[serde(default)]
     pub traffic: Traffic,
@@ -505,7 +505,7 @@
 /// Which way traffic suffers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Way {
+pub enum Directions {
     /// Both.
     #[default]
     Both,
@@ -660,7 +660,7 @@
         let part = |value: f64| (0.0..=1.0).contains(&value);
         let fleet = &self.fleet;
         must(self.seconds > 0.0 && self.seconds <= 7200.0, "seconds", "above 0 and at most 7200");
-        must((1..=MOST_NODES).contains(&fleet.nodes), "fleet.nodes", "1 to 64");
+        must((1..=MAX_NODES).contains(&fleet.nodes), "fleet.nodes", "1 to 64");
         must(!fleet.zones.is_empty(), "fleet.zones", "at least one");
         must((1..=64).contains(&fleet.cores), "fleet.cores", "1 to 64");
         must(
@@ -717,7 +717,7 @@
         let rate = self.rate();
         must(rate > 0.0 && rate.is_finite(), "load.rate", "above 0");
         let most = self.load.steps.iter().map(|step| step.times).fold(1.0, f64::max);
-        must(rate * self.seconds * most <= MOST_ASKED, "load.rate", "over 300000 requests in all");
+        must(rate * self.seconds * most <= MAX_REQUESTS, "load.rate", "over 300000 requests in all");
         for (i, step) in self.load.steps.iter().enumerate() {
             let key = |name: &str| format!("load.step[{i}].{name}");
             must(step.from_s >= 0.0 && step.from_s < step.to_s, &key("from_s"), "before to_s");
@@ -737,7 +737,7 @@
             "two numbers, the lower first",
         );
         let fronts = &self.fronts;
-        must((1..=MOST_FRONTS).contains(&fronts.count), "fronts.count", "1 to 64");
+        must((1..=MAX_FRONTENDS).contains(&fronts.count), "fronts.count", "1 to 64");
         must(!fronts.choose.is_empty(), "fronts.choose", "at least one");
         must(part(fronts.heed), "fronts.heed", "0 to 1");
         must(fronts.retries >= -1, "fronts.retries", "-1 or more");
--- a/fault-harness/src/plan.rs
+++ b/fault-harness/src/schedule.rs
@@ -34,7 +34,7 @@
 
 /// A front end.
 #[derive(Debug, Clone, PartialEq)]
-pub struct FrontPlan {
+pub struct FrontendProfile {
     /// How it chooses.
     pub choose: Choose,
     /// Whether it heeds advice.
@@ -47,7 +47,7 @@
 
 /// One client's request.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Ask {
+pub struct ClientRequest {
     /// When it is asked.
     pub at: Ms,
     /// Position of its class.
@@ -92,25 +92,25 @@
 
 /// The whole plan.
 #[derive(Debug, Clone)]
-pub struct Plan {
+pub struct Schedule {
     /// Speeds of the nodes' cores.
     pub speeds: Vec<f64>,
     /// The front ends.
-    pub fronts: Vec<FrontPlan>,
+    pub fronts: Vec<FrontendProfile>,
     /// All requests, by time.
-    pub asks: Vec<Ask>,
+    pub requests: Vec<ClientRequest>,
     /// All faults.
     pub strikes: Vec<Strike>,
 }
 
 /// Draws the plan.
-pub fn plan(scenario: &Scenario, seed: u64) -> Plan {
+pub fn schedule(scenario: &Scenario, seed: u64) -> Schedule {
     let mut rng = generator(seed, Stream::Fleet, 0);
     let [low, high] = scenario.fleet.speed;
     let speeds: Vec<f64> = (0..scenario.fleet.nodes).map(|_| between(&mut rng, low, high)).collect();
     let habits = &scenario.fronts;
-    let fronts: Vec<FrontPlan> = (0..habits.count)
-        .map(|i| FrontPlan {
+    let fronts: Vec<FrontendProfile> = (0..habits.count)
+        .map(|i| FrontendProfile {
             choose: habits.choose[i % habits.choose.len()],
             // Spread evenly, so that few front ends have the share that is asked for.
             heeds: ((i + 1) as f64 * habits.heed).floor() > (i as f64 * habits.heed).floor(),
@@ -118,7 +118,7 @@
             zone: scenario.zone_of(i),
         })
         .collect();
-    Plan { asks: asks(scenario, seed), strikes: strikes(scenario, seed), speeds, fronts }
+    Schedule { requests: requests(scenario, seed), strikes: strikes(scenario, seed), speeds, fronts }
 }
 
 fn between(rng: &mut ChaCha8Rng, low: f64, high: f64) -> f64 {
@@ -149,7 +149,7 @@
     spread(rng, mean, cv)
 }
 
-fn asks(scenario: &Scenario, seed: u64) -> Vec<Ask> {
+fn requests(scenario: &Scenario, seed: u64) -> Vec<ClientRequest> {
     let mut rng = generator(seed, Stream::Load, 0);
     let (load, end) = (&scenario.load, scenario.seconds * 1000.0);
     let step_at =
@@ -175,7 +175,7 @@
             let tenant = tenants[by_share(&mut rng, tenants.iter().map(|(_, share)| **share))].0.clone();
             let front = rng.random_range(0..scenario.fronts.count);
             let kb = between(&mut rng, 14.0, 45.0);
-            all.push(Ask { at, class, tenant, front, work, hint, kb, repeats: None });
+            all.push(ClientRequest { at, class, tenant, front, work, hint, kb, repeats: None });
         }
         at += gaps.sample(&mut rng);
     }
@@ -187,7 +187,7 @@
         if keyed && chance < load.repeats {
             let at = all[first].at + after;
             if at < end {
-                all.push(Ask { at, repeats: Some(first), ..all[first].clone() });
+                all.push(ClientRequest { at, repeats: Some(first), ..all[first].clone() });
             }
         }
     }
--- a/fault-harness/src/plan/tests.rs
+++ b/fault-harness/src/schedule/tests.rs
@@ -8,30 +8,31 @@
 #[test]
 fn one_seed_gives_one_plan_and_another_gives_another() {
     let scenario = scenario("[[fault]]\nat_s = 3\nwhat = 'kill'\npart = 0.7\n");
-    let (one, same, other) = (plan(&scenario, 4), plan(&scenario, 4), plan(&scenario, 5));
-    assert_eq!(one.asks, same.asks);
+    let (one, same, other) = (schedule(&scenario, 4), schedule(&scenario, 4), schedule(&scenario, 5));
+    assert_eq!(one.requests, same.requests);
     assert_eq!(one.strikes[0].whom, same.strikes[0].whom);
-    assert_ne!(one.asks, other.asks);
+    assert_ne!(one.requests, other.requests);
     assert_eq!(one.strikes[0].whom.len(), 7);
 }
 
 #[test]
 fn requests_come_at_the_rate_and_in_the_parts_that_are_asked_for() {
-    let asks = plan(&scenario(""), 1).asks;
-    let firsts: Vec<&Ask> = asks.iter().filter(|ask| ask.repeats.is_none()).collect();
+    let requests = schedule(&scenario(""), 1).requests;
+    let firsts: Vec<&ClientRequest> = requests.iter().filter(|ask| ask.repeats.is_none()).collect();
     let within = |from: Ms, to: Ms| firsts.iter().filter(|ask| ask.at >= from && ask.at < to).count() as f64;
     assert!((within(0.0, 10_000.0) / 2000.0 - 1.0).abs() < 0.1);
     assert!((within(10_000.0, 15_000.0) / 3000.0 - 1.0).abs() < 0.1);
     let books: Vec<f64> = firsts.iter().filter(|ask| ask.class == 1).map(|ask| ask.work).collect();
     assert!((books.len() as f64 / firsts.len() as f64 - 0.25).abs() < 0.02);
     assert!((books.iter().sum::<f64>() / books.len() as f64 / 40.0 - 1.0).abs() < 0.05);
-    let repeats = asks.len() - firsts.len();
+    let repeats = requests.len() - firsts.len();
     assert!((repeats as f64 / books.len() as f64 - 0.45).abs() < 0.08, "some come after the end");
 }
 
 #[test]
 fn a_fault_that_strikes_again_strikes_others() {
-    let strikes = plan(&scenario("[[fault]]\nat_s = 1\nagain_s = 4\nwhat = 'kill'\npart = 0.3\n"), 1).strikes;
+    let strikes =
+        schedule(&scenario("[[fault]]\nat_s = 1\nagain_s = 4\nwhat = 'kill'\npart = 0.3\n"), 1).strikes;
     let times: Vec<At> = strikes.iter().map(|strike| strike.at.clone()).collect();
     assert_eq!(times, [1000.0, 5000.0, 9000.0, 13_000.0, 17_000.0].map(At::Time));
     assert!(strikes.iter().any(|strike| strike.whom != strikes[0].whom));
@@ -40,7 +41,7 @@
 #[test]
 fn waves_strike_everyone_once_and_zones_whole() {
     let scenario = scenario("[[fault]]\nat_s = 1\nwhat = 'leave'\npart = 1.0\nwaves = 4\nevery_s = 2.0\n");
-    let strikes = plan(&scenario, 1).strikes;
+    let strikes = schedule(&scenario, 1).strikes;
     let mut whom: Vec<usize> = strikes.iter().flat_map(|strike| strike.whom.clone()).collect();
     whom.sort_unstable();
     assert_eq!(whom, (0..10).collect::<Vec<_>>());
--- a/fault-harness/src/settings.rs
+++ b/fault-harness/src/settings.rs
@@ -5,7 +5,7 @@
 
 use serde_json::{json, Value};
 
-use crate::model::vm::FALL_MULTIPLE;
+use crate::model::interpreter::FALL_MULTIPLE;
 use crate::scenario::Scenario;
 
 /// What comes later than this after the notice to leave is not run.
--- a/fault-harness/src/stand/below.rs
+++ b/fault-harness/src/stand_in/dependency.rs
@@ -10,10 +10,10 @@
 
 use super::{command, interpreter::Interpreter, txn};
 use crate::history::Event;
-use crate::model::below::{Below, Ended};
-use crate::plan::{call_time, generator, Stream};
+use crate::model::dependency::{Below, Ended};
+use crate::play_context::PlayContext;
 use crate::scenario::Below as Shape;
-use crate::world::World;
+use crate::schedule::{call_time, generator, Stream};
 
 /// Replies that wait on one connection.
 const REPLIES: usize = 256;
@@ -27,7 +27,7 @@
 
 /// The tier below, for all nodes.
 pub struct Tier {
-    world: Rc<World>,
+    context: Rc<PlayContext>,
     shape: Shape,
     model: RefCell<Below>,
     calls: RefCell<HashMap<u64, Call>>,
@@ -38,10 +38,10 @@
 
 impl Tier {
     /// The tier of a scenario.
-    pub fn new(world: Rc<World>, shape: Shape) -> Rc<Tier> {
-        let (model, rng) = (Below::new(shape.slots, shape.queue), generator(world.seed, Stream::Calls, 0));
+    pub fn new(context: Rc<PlayContext>, shape: Shape) -> Rc<Tier> {
+        let (model, rng) = (Below::new(shape.slots, shape.queue), generator(context.seed, Stream::Calls, 0));
         Rc::new(Tier {
-            world,
+            context,
             shape,
             model: RefCell::new(model),
             calls: RefCell::default(),
@@ -62,10 +62,10 @@
         loop {
             let next = self.model.borrow().next().unwrap_or(f64::INFINITY);
             tokio::select! {
-                () = self.world.clock.until(next) => {}
+                () = self.context.clock.until(next) => {}
                 () = self.poke.notified() => {}
             }
-            let ended = self.model.borrow_mut().advance(self.world.now());
+            let ended = self.model.borrow_mut().advance(self.context.now());
             for end in ended {
                 let (id, done) = match end {
                     Ended::Done(id) => (id, true),
@@ -153,12 +153,12 @@
         self.give_up(|call| call.node == node && call.txn == id);
         let number = self.next.replace(self.next.get() + 1);
         let time = call_time(&mut self.rng.borrow_mut(), self.shape.work_ms, self.shape.cv);
-        let now = self.world.now();
+        let now = self.context.now();
         if !self.model.borrow_mut().call(now, number, time, now + wait) {
             let _ = reply.try_send(format!("{id:016x} SHED\r\n"));
             return None;
         }
-        self.world.note(Event::Called { txn: id, node });
+        self.context.note(Event::Called { txn: id, node });
         self.calls
             .borrow_mut()
             .insert(number, Call { node, txn: id, interpreter: interpreter.clone(), reply: reply.clone() });
--- a/fault-harness/src/stand/fronts.rs
+++ b/fault-harness/src/stand_in/frontends.rs
@@ -13,27 +13,27 @@
 
 use super::interpreter::Interpreter;
 use crate::history::{Drop, Event, Kind};
-use crate::model::front::{Answer, Front, Journey, Pin, Step, TOO_LATE};
-use crate::model::members::Members;
+use crate::model::frontend::{Answer, Front, Journey, Pin, Step, LATEST_RETRY_MARGIN};
+use crate::model::registry::Members;
 use crate::model::Ms;
+use crate::play_context::{PlayContext, Written};
 use crate::relay::Line;
 use crate::scenario::Happening;
-use crate::wire::{self, Said};
-use crate::world::{World, Written};
+use crate::wire::{self, NodeMessage};
 
 /// Requests that may be open on a connection.
 const OPEN: usize = 32;
 /// Lines that wait to be written on one.
 const UNWRITTEN: usize = 64;
 /// The longest answer.
-const LONGEST: u64 = 64 * 1024;
+const MAX_RESPONSE_BYTES: u64 = 64 * 1024;
 /// A request that crosses a close within this is sent again, once.
 const CROSSING: Ms = 50.0;
 /// After an answer's last moment the caller still listens so long, to tell a late one from none.
 const LISTENS: Ms = 100.0;
 
 /// Where front ends reach a node.
-pub struct Door {
+pub struct NodeEndpoints {
     /// Its address of the day; none while it is down.
     pub address: watch::Receiver<Option<SocketAddr>>,
     /// The line from each front end.
@@ -66,11 +66,11 @@
 
 /// One front end.
 pub struct FrontEnd {
-    world: Rc<World>,
+    context: Rc<PlayContext>,
     number: usize,
     late: Ms,
     habits: RefCell<Front>,
-    doors: Rc<Vec<Door>>,
+    doors: Rc<Vec<NodeEndpoints>>,
     members: Rc<RefCell<Members>>,
     connections: RefCell<Vec<Rc<Connection>>>,
     tries: Rc<Cell<u64>>,
@@ -82,7 +82,7 @@
 #[derive(Clone)]
 pub struct Shared {
     /// The doors of all nodes.
-    pub doors: Rc<Vec<Door>>,
+    pub doors: Rc<Vec<NodeEndpoints>>,
     /// The membership service.
     pub members: Rc<RefCell<Members>>,
     /// Tries so far, of all.
@@ -93,15 +93,20 @@
 
 impl FrontEnd {
     /// A front end of the plan.
-    pub fn new(world: Rc<World>, number: usize, shared: Shared) -> Rc<FrontEnd> {
-        let plan = &world.plan.fronts[number];
-        let rng = crate::plan::generator(world.seed, crate::plan::Stream::Habits, number as u64);
-        let habits =
-            Front::new(&world.scenario.fronts, plan.choose, plan.heeds, world.scenario.fleet.nodes, rng);
-        let late = plan.late;
+    pub fn new(context: Rc<PlayContext>, number: usize, shared: Shared) -> Rc<FrontEnd> {
+        let schedule = &context.schedule.fronts[number];
+        let rng = crate::schedule::generator(context.seed, crate::schedule::Stream::Habits, number as u64);
+        let habits = Front::new(
+            &context.scenario.fronts,
+            schedule.choose,
+            schedule.heeds,
+            context.scenario.fleet.nodes,
+            rng,
+        );
+        let late = schedule.late;
         let Shared { doors, members, tries, went } = shared;
         Rc::new(FrontEnd {
-            world,
+            context,
             number,
             late,
             habits: RefCell::new(habits),
@@ -114,18 +119,18 @@
     }
 
     fn listed(&self) -> Vec<bool> {
-        let now = self.world.now();
+        let now = self.context.now();
         self.members.borrow_mut().listed_at(now, now - self.late)
     }
 
     /// Takes one client's request to its end.
     pub async fn client(self: Rc<Self>, n: usize) {
-        let ask = &self.world.plan.asks[n];
-        let class = &self.world.scenario.classes[ask.class];
-        let asked = self.world.now();
-        self.world.note(Event::Asked { n, class: ask.class, repeats: ask.repeats });
+        let ask = &self.context.schedule.requests[n];
+        let class = &self.context.scenario.classes[ask.class];
+        let asked = self.context.now();
+        self.context.note(Event::Asked { n, class: ask.class, repeats: ask.repeats });
         let first = ask.repeats.and_then(|first| self.went.borrow().get(&first).copied());
-        let pin = Pin::of(ask.repeats.is_some(), first, self.world.scenario.load.repeat_at);
+        let pin = Pin::of(ask.repeats.is_some(), first, self.context.scenario.load.repeat_at);
         let due = asked + class.deadline_ms as f64;
         let mut journey = Journey::new(due, pin, &self.habits.borrow());
         let mut step = journey.go(asked, &mut self.habits.borrow_mut(), &self.listed());
@@ -137,17 +142,17 @@
                     self.went.borrow_mut().entry(n).or_insert(node);
                     let answer = self.attempt(node, n, due).await;
                     let listed = self.listed();
-                    journey.answered(self.world.now(), node, answer, &mut self.habits.borrow_mut(), &listed)
+                    journey.answered(self.context.now(), node, answer, &mut self.habits.borrow_mut(), &listed)
                 }
                 Step::Wait(until) => {
-                    self.world.clock.until(until).await;
+                    self.context.clock.until(until).await;
                     let listed = self.listed();
-                    journey.go(self.world.now(), &mut self.habits.borrow_mut(), &listed)
+                    journey.go(self.context.now(), &mut self.habits.borrow_mut(), &listed)
                 }
                 Step::Over(end) => break end,
             };
         };
-        self.world.note(Event::Over { n, end, tries });
+        self.context.note(Event::Over { n, end, tries });
     }
 
     /// One try at a node. One that crosses a close is sent again, once.
@@ -165,23 +170,23 @@
 
     /// Writes a try and waits for its answer; none where it crossed a close.
     async fn send(&self, connection: &Rc<Connection>, n: usize, due: Ms) -> Option<Answer> {
-        let (world, node) = (&self.world, connection.node);
+        let (context, node) = (&self.context, connection.node);
         let txn = (1 << 40) + self.tries.replace(self.tries.get() + 1);
         let id = connection.next.replace(connection.next.get() + 1);
-        let ask = &world.plan.asks[n];
-        let class = &world.scenario.classes[ask.class];
-        let (came, interpreter) = (world.now(), &self.doors[node].interpreter);
-        if world.scenario.fleet.read_ms > 0.0 {
+        let ask = &context.schedule.requests[n];
+        let class = &context.scenario.classes[ask.class];
+        let (came, interpreter) = (context.now(), &self.doors[node].interpreter);
+        if context.scenario.fleet.read_ms > 0.0 {
             connection.unread.set(connection.unread.get() + 1);
             let read = tokio::select! {
                 biased;
                 read = interpreter.reads(txn) => Some(read.is_ok()),
-                () = world.clock.until(due) => None,
+                () = context.clock.until(due) => None,
             };
             connection.unread.set(connection.unread.get() - 1);
             match read {
                 // Nobody writes what its client no longer waits for.
-                Some(true) if world.now() + TOO_LATE >= due => return Some(Answer::Silent),
+                Some(true) if context.now() + LATEST_RETRY_MARGIN >= due => return Some(Answer::Silent),
                 Some(true) => {}
                 Some(false) => return Some(Answer::Gone),
                 None => {
@@ -190,20 +195,20 @@
                 }
             }
         }
-        let now = world.now();
+        let now = context.now();
         let key = class.keyed.then(|| format!("{:032x}", ask.repeats.unwrap_or(n)));
         let line = wire::Request {
             id,
             txn: &format!("{txn:016x}"),
             class: &class.name,
-            door: world.clock.unix_ms(came),
+            door: context.clock.unix_ms(came),
             front: self.number,
             team: &ask.tenant,
             limit: (due - came).max(1.0) as u64,
             cpu: ask.hint.max(0.01),
             ram: ask.kb,
             key: key.as_deref(),
-            content: &BASE64.encode(world.body(n)),
+            content: &BASE64.encode(context.body(n)),
         }
         .to_string();
         let out = connection.out.borrow().clone()?;
@@ -211,18 +216,18 @@
         let alone = connection.open.borrow().is_empty();
         connection.used.set(now);
         connection.open.borrow_mut().insert(id, Open { txn, wrote: now, alone, give: Some(give) });
-        world.writes(txn, Written { n, node });
-        world.note(Event::Wrote { txn, n, node, front: self.number, due });
+        context.writes(txn, Written { n, node });
+        context.note(Event::Wrote { txn, n, node, front: self.number, due });
         interpreter.holds(txn, ask.kb);
-        world.happened(node, Happening::Written);
+        context.happened(node, Happening::Written);
         // Where the connection has ended meanwhile, its end answers.
         let _ = out.send(line).await;
-        let listens = due + world.scenario.rules.slack_ms + LISTENS;
+        let listens = due + context.scenario.rules.slack_ms + LISTENS;
         tokio::select! {
             biased;
             answer = &mut answer => answer.ok(),
-            () = world.clock.until(listens) => {
-                world.note(Event::Withdrew { txn });
+            () = context.clock.until(listens) => {
+                context.note(Event::Withdrew { txn });
                 interpreter.over(txn);
                 if let Some(open) = connection.open.borrow_mut().get_mut(&id) {
                     open.give = None;
@@ -243,12 +248,12 @@
             return Ok(kept.clone());
         }
         let door = &self.doors[node];
-        if door.interpreter.crowded() {
+        if door.interpreter.is_overloaded() {
             return Err(std::io::ErrorKind::ConnectionRefused.into());
         }
         let address = (*door.address.borrow()).ok_or(std::io::ErrorKind::ConnectionRefused)?;
         let stream = door.lines[self.number].open(address).await?;
-        self.world.note(Event::Connected { node, front: self.number });
+        self.context.note(Event::Connected { node, front: self.number });
         door.interpreter.connected();
         let (out, lines) = mpsc::channel(UNWRITTEN);
         let connection = Rc::new(Connection {
@@ -258,20 +263,20 @@
             answered: RefCell::default(),
             next: Cell::new(1),
             unread: Cell::new(0),
-            used: Cell::new(self.world.now()),
+            used: Cell::new(self.context.now()),
             leaving: Cell::new(false),
         });
         self.connections.borrow_mut().push(connection.clone());
-        let (world, interpreter) = (self.world.clone(), door.interpreter.clone());
-        spawn_local(connection.clone().talk(world, interpreter, stream, lines));
+        let (context, interpreter) = (self.context.clone(), door.interpreter.clone());
+        spawn_local(connection.clone().talk(context, interpreter, stream, lines));
         Ok(connection)
     }
 
     /// Closes connections that are idle, and forgets those that have ended; for as long as the play.
     pub async fn tidy(self: Rc<Self>) {
-        let idle = self.world.scenario.fronts.idle_s * 1000.0;
+        let idle = self.context.scenario.fronts.idle_s * 1000.0;
         loop {
-            let now = self.world.now();
+            let now = self.context.now();
             for connection in self.connections.borrow().iter() {
                 let over = connection.leaving.get() || now - connection.used.get() > idle;
                 if over && connection.open.borrow().is_empty() && connection.unread.get() == 0 {
@@ -280,7 +285,7 @@
                 }
             }
             self.connections.borrow_mut().retain(|connection| connection.out.borrow().is_some());
-            self.world.clock.until(now + 250.0).await;
+            self.context.clock.until(now + 250.0).await;
         }
     }
 
@@ -290,7 +295,7 @@
             connection.leaving.set(true);
             connection.out.borrow_mut().take();
             for open in std::mem::take(&mut *connection.open.borrow_mut()).into_values() {
-                self.world.note(Event::Withdrew { txn: open.txn });
+                self.context.note(Event::Withdrew { txn: open.txn });
                 self.doors[connection.node].interpreter.over(open.txn);
                 if let Some(give) = open.give {
                     // Its client may have given up.
@@ -306,7 +311,7 @@
     /// Writes and reads until either end is done.
     async fn talk(
         self: Rc<Self>,
-        world: Rc<World>,
+        context: Rc<PlayContext>,
         interpreter: Rc<Interpreter>,
         stream: DuplexStream,
         mut lines: mpsc::Receiver<String>,
@@ -323,8 +328,8 @@
         let reading = async {
             loop {
                 let mut line = String::new();
-                match (&mut input).take(LONGEST).read_line(&mut line).await {
-                    Ok(length) if length > 0 => self.heard(&world, &interpreter, line.trim_end()),
+                match (&mut input).take(MAX_RESPONSE_BYTES).read_line(&mut line).await {
+                    Ok(length) if length > 0 => self.heard(&context, &interpreter, line.trim_end()),
                     _ => return,
                 }
             }
@@ -335,7 +340,7 @@
         }
         self.leaving.set(true);
         self.out.borrow_mut().take();
-        let now = world.now();
+        let now = context.now();
         for open in std::mem::take(&mut *self.open.borrow_mut()).into_values() {
             interpreter.over(open.txn);
             let Some(give) = open.give else { continue };
@@ -346,7 +351,7 @@
                 (false, true) => Drop::Used,
                 (false, false) => Drop::Fresh,
             };
-            world.note(Event::Dropped { txn: open.txn, why });
+            context.note(Event::Dropped { txn: open.txn, why });
             if !crossed {
                 // Its client may have given up.
                 let _ = give.send(Answer::Gone);
@@ -354,34 +359,34 @@
         }
     }
 
-    fn heard(&self, world: &World, interpreter: &Interpreter, line: &str) {
-        self.used.set(world.now());
-        let (id, kind, answer) = match wire::said(line) {
-            Said::Draining => return self.leaving.set(true),
-            Said::Served(id, content) => {
+    fn heard(&self, context: &PlayContext, interpreter: &Interpreter, line: &str) {
+        self.used.set(context.now());
+        let (id, kind, answer) = match wire::parse_node_message(line) {
+            NodeMessage::Draining => return self.leaving.set(true),
+            NodeMessage::Served(id, content) => {
                 match BASE64.decode(&content).ok().and_then(|bytes| String::from_utf8(bytes).ok()) {
                     Some(result) => {
                         let poorer = result.ends_with(" poorer");
                         (id, Kind::Served(result), Answer::Served { poorer })
                     }
-                    None => return self.stray(world, None, line),
+                    None => return self.stray(context, None, line),
                 }
             }
-            Said::Refused(id, later, giveup) => {
+            NodeMessage::Refused(id, later, giveup) => {
                 (id, Kind::Refused { later, giveup }, Answer::Refused { later, giveup })
             }
-            Said::Failed(id) => (id, Kind::Failed, Answer::Failed),
-            Said::Status(..) | Said::Noise => return self.stray(world, None, line),
+            NodeMessage::Failed(id) => (id, Kind::Failed, Answer::Failed),
+            NodeMessage::Status(..) | NodeMessage::Noise => return self.stray(context, None, line),
         };
         let Some(open) = self.open.borrow_mut().remove(&id) else {
             let txn = self.answered.borrow().get(&id).copied();
-            return self.stray(world, txn, line);
+            return self.stray(context, txn, line);
         };
         self.answered.borrow_mut().insert(id, open.txn);
         if matches!(kind, Kind::Served(_)) {
-            world.happened(self.node, Happening::Served);
+            context.happened(self.node, Happening::Served);
         }
-        world.note(Event::Answered { txn: open.txn, kind });
+        context.note(Event::Answered { txn: open.txn, kind });
         interpreter.over(open.txn);
         if let Some(give) = open.give {
             // Its client may have given up.
@@ -389,8 +394,8 @@
         }
     }
 
-    fn stray(&self, world: &World, txn: Option<u64>, line: &str) {
+    fn stray(&self, context: &PlayContext, txn: Option<u64>, line: &str) {
         let text = line.chars().take(200).collect();
-        world.note(Event::Stray { node: self.node, txn, text });
+        context.note(Event::Stray { node: self.node, txn, text });
     }
 }
--- a/fault-harness/src/stand/interpreter.rs
+++ b/fault-harness/src/stand_in/interpreter.rs
@@ -10,14 +10,14 @@
 
 use super::{command, txn};
 use crate::history::Event;
-use crate::model::vm::{Happened, Make, Vm, Work};
+use crate::model::interpreter::{Happened, Make, Vm, Work};
 use crate::model::Ms;
+use crate::play_context::PlayContext;
 use crate::scenario::Happening;
 use crate::wire;
-use crate::world::World;
 
 /// Notices that are kept for links to come.
-const KEPT: usize = 4000;
+const RETAINED_RUNS: usize = 4000;
 /// Answers to commands that wait to be written.
 const ANSWERS: usize = 1024;
 
@@ -58,13 +58,13 @@
 
 /// One node's interpreter.
 pub struct Interpreter {
-    world: Rc<World>,
+    context: Rc<PlayContext>,
     node: usize,
     state: RefCell<State>,
     /// Something has changed in what will happen next.
     poke: Notify,
     /// The number of the last notice.
-    said: watch::Sender<u64>,
+    last_command: watch::Sender<u64>,
     /// The link of the day; an older one is over.
     link: watch::Sender<u64>,
     /// What it has died of; its node goes with it.
@@ -73,21 +73,21 @@
 
 impl Interpreter {
     /// One that is up, and has been for long unless it is cold.
-    pub fn new(world: Rc<World>, node: usize, cold: bool) -> Rc<Interpreter> {
-        let state = State::fresh(Interpreter::make(&world, node, cold), 1, world.now());
+    pub fn new(context: Rc<PlayContext>, node: usize, cold: bool) -> Rc<Interpreter> {
+        let state = State::fresh(Interpreter::make(&context, node, cold), 1, context.now());
         Rc::new(Interpreter {
-            world,
+            context,
             node,
             state: RefCell::new(state),
             poke: Notify::new(),
-            said: watch::channel(0).0,
+            last_command: watch::channel(0).0,
             link: watch::channel(0).0,
             fell: RefCell::new(None),
         })
     }
 
-    fn make(world: &World, node: usize, cold: bool) -> Vm {
-        Vm::new(Make::of(&world.scenario.fleet, world.plan.speeds[node]), world.now(), cold)
+    fn make(context: &PlayContext, node: usize, cold: bool) -> Vm {
+        Vm::new(Make::of(&context.scenario.fleet, context.schedule.speeds[node]), context.now(), cold)
     }
 
     /// It ends, with its node; all that it ran is gone.
@@ -96,7 +96,7 @@
             let mut state = self.state.borrow_mut();
             state.up = false;
             state.unread.clear();
-            state.vm = Interpreter::make(&self.world, self.node, true);
+            state.vm = Interpreter::make(&self.context, self.node, true);
         }
         self.link.send_modify(|link| *link += 1);
     }
@@ -106,10 +106,11 @@
         {
             let mut state = self.state.borrow_mut();
             let life = state.life + 1;
-            *state = State::fresh(Interpreter::make(&self.world, self.node, true), life, self.world.now());
+            *state =
+                State::fresh(Interpreter::make(&self.context, self.node, true), life, self.context.now());
         }
         self.fell.borrow_mut().take();
-        self.said.send_replace(0);
+        self.last_command.send_replace(0);
         self.poke.notify_one();
     }
 
@@ -124,8 +125,8 @@
     }
 
     /// Stands still, or goes on.
-    pub fn stand_still(&self, still: bool) {
-        self.change(|vm, now| vm.stand_still(now, still));
+    pub fn set_paused(&self, still: bool) {
+        self.change(|vm, now| vm.set_paused(now, still));
     }
 
     /// Has a part of its speed from now on.
@@ -141,7 +142,7 @@
     /// returned tells when; it never does if the machine ends before.
     pub fn reads(&self, id: u64) -> oneshot::Receiver<()> {
         let (tell, read) = oneshot::channel();
-        let work = self.world.scenario.fleet.read_ms;
+        let work = self.context.scenario.fleet.read_ms;
         self.state.borrow_mut().unread.insert(id, tell);
         self.change(|vm, now| vm.read(now, id, work));
         read
@@ -154,8 +155,8 @@
     }
 
     /// Whether so much lies unread that no more connections are taken.
-    pub fn crowded(&self) -> bool {
-        self.state.borrow().vm.crowded()
+    pub fn is_overloaded(&self) -> bool {
+        self.state.borrow().vm.is_overloaded()
     }
 
     /// A request was written to the node.
@@ -168,7 +169,7 @@
 
     /// A front end opened a connection.
     pub fn connected(&self) {
-        let work = self.world.scenario.fleet.connect_ms;
+        let work = self.context.scenario.fleet.connect_ms;
         self.change(|vm, now| vm.connect(now, work));
     }
 
@@ -193,7 +194,7 @@
     }
 
     fn change(&self, change: impl FnOnce(&mut Vm, Ms) -> Vec<Happened>) {
-        let happened = change(&mut self.state.borrow_mut().vm, self.world.now());
+        let happened = change(&mut self.state.borrow_mut().vm, self.context.now());
         self.tell(happened);
         self.poke.notify_one();
     }
@@ -203,10 +204,10 @@
         loop {
             let next = self.state.borrow().vm.next().unwrap_or(f64::INFINITY);
             tokio::select! {
-                () = self.world.clock.until(next) => {}
+                () = self.context.clock.until(next) => {}
                 () = self.poke.notified() => {}
             }
-            let happened = self.state.borrow_mut().vm.advance(self.world.now());
+            let happened = self.state.borrow_mut().vm.advance(self.context.now());
             self.tell(happened);
         }
     }
@@ -235,7 +236,7 @@
                     self.say(|notice| wire::await_call(notice, &format!("{id:016x}"), &body));
                 }
                 Happened::Fell(why) => {
-                    self.world.note(Event::Fell { node: self.node, text: why.into() });
+                    self.context.note(Event::Fell { node: self.node, text: why.into() });
                     *self.fell.borrow_mut() = Some(why);
                 }
             }
@@ -247,10 +248,10 @@
             let mut state = self.state.borrow_mut();
             state.poorer.remove(&id);
             state.replies.remove(&id);
-            state.began.remove(&id).map_or(0.0, |began| self.world.now() - began)
+            state.began.remove(&id).map_or(0.0, |began| self.context.now() - began)
         };
-        self.world.note(Event::Ended { txn: id, node: self.node, result: result.clone() });
-        self.world.happened(self.node, Happening::Ended);
+        self.context.note(Event::Ended { txn: id, node: self.node, result: result.clone() });
+        self.context.happened(self.node, Happening::Ended);
         self.say(|notice| {
             wire::value(
                 notice,
@@ -268,12 +269,12 @@
             state.last += 1;
             let notice = (state.last, text(state.last));
             state.notices.push_back(notice);
-            if state.notices.len() > KEPT {
+            if state.notices.len() > RETAINED_RUNS {
                 state.notices.pop_front();
             }
             state.last
         };
-        self.said.send_replace(last);
+        self.last_command.send_replace(last);
     }
 
     /// Serves one link, until the next one or its end.
@@ -294,7 +295,7 @@
                     if word == "CONNECT" {
                         let (cold, up_for) = {
                             let state = self.state.borrow();
-                            (state.vm.cold(), self.world.now() - state.started)
+                            (state.vm.cold(), self.context.now() - state.started)
                         };
                         // One that was up before the play has been for long.
                         let up_for = if cold { up_for } else { up_for + 60_000.0 };
@@ -313,7 +314,7 @@
             let Ok(Some(mut sent)) = read.wait_for(Option::is_some).await.map(|number| *number) else {
                 return;
             };
-            let mut said = self.said.subscribe();
+            let mut last_command = self.last_command.subscribe();
             loop {
                 // The banner comes before the notices that follow it.
                 let mut text = String::new();
@@ -339,7 +340,7 @@
                             return;
                         }
                     }
-                    changed = said.changed() => if changed.is_err() { return },
+                    changed = last_command.changed() => if changed.is_err() { return },
                 }
             }
         };
@@ -355,7 +356,7 @@
         let id = txn(words.get(1));
         match (words[0].as_str(), id) {
             ("TOP", _) => {
-                let gauges = self.state.borrow().vm.gauges(self.world.now());
+                let gauges = self.state.borrow().vm.gauges(self.context.now());
                 return Some(wire::tops(words.get(1)?, &gauges));
             }
             ("APPLY", Some(id)) => {
@@ -373,7 +374,7 @@
                     let reply = self.state.borrow_mut().replies.remove(&id);
                     if reply.as_ref().is_none_or(|reply| reply.as_bytes() != body) {
                         let text = format!("the reply to the call of {id:016x} is not the one that came");
-                        self.world.note(Event::Spoilt { node: self.node, text });
+                        self.context.note(Event::Spoilt { node: self.node, text });
                     }
                     self.change(|vm, now| vm.go_on(now, id));
                 }
@@ -391,15 +392,15 @@
 
     /// Begins a run; false if it is of nothing that came like this.
     fn apply(&self, id: u64, class: &str, body: &[u8]) -> bool {
-        let written = self.world.written(id).filter(|written| written.node == self.node);
+        let written = self.context.written(id).filter(|written| written.node == self.node);
         let whole = written.filter(|written| {
-            let ask = &self.world.plan.asks[written.n];
-            self.world.scenario.classes[ask.class].name == class
-                && self.world.body(written.n).as_bytes() == body
+            let ask = &self.context.schedule.requests[written.n];
+            self.context.scenario.classes[ask.class].name == class
+                && self.context.body(written.n).as_bytes() == body
         });
         let Some(written) = whole else {
             let text = format!("APPLY {id:016x} {class}: no such request came here, or its body is another");
-            self.world.note(Event::Spoilt { node: self.node, text });
+            self.context.note(Event::Spoilt { node: self.node, text });
             return false;
         };
         if self.state.borrow().vm.runs(id) {
@@ -409,12 +410,12 @@
             self.say(|notice| wire::value(notice, &format!("{id:016x}"), "stale", 0, ""));
             return true;
         }
-        let ask = &self.world.plan.asks[written.n];
-        let work = Work { txn: id, work: ask.work, calls: self.world.scenario.classes[ask.class].calls };
-        self.state.borrow_mut().began.insert(id, self.world.now());
-        self.world.note(Event::Began { txn: id, node: self.node });
+        let ask = &self.context.schedule.requests[written.n];
+        let work = Work { txn: id, work: ask.work, calls: self.context.scenario.classes[ask.class].calls };
+        self.state.borrow_mut().began.insert(id, self.context.now());
+        self.context.note(Event::Began { txn: id, node: self.node });
         self.change(|vm, now| vm.run(now, work));
-        self.world.happened(self.node, Happening::Began);
+        self.context.happened(self.node, Happening::Began);
         true
     }
 }
--- a/fault-harness/src/figures.rs
+++ b/fault-harness/src/statistics.rs
@@ -7,7 +7,7 @@
 use serde::Serialize;
 
 use crate::history::{Event, History};
-use crate::model::front::End;
+use crate::model::frontend::End;
 use crate::model::Ms;
 
 /// Service is back where this part of what was served before is served again.
@@ -68,7 +68,7 @@
 
 /// All figures of a play.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Figures {
+pub struct Statistics {
     /// By second.
     pub seconds: Vec<Second>,
     /// The faults.
@@ -99,17 +99,17 @@
     pub cpu_us_a_try: f64,
 }
 
-struct Asked {
+struct OfferedRequest {
     at: Ms,
     class: usize,
 }
 
 /// Works a history out.
-pub fn figures(history: &History) -> Figures {
+pub fn statistics(history: &History) -> Statistics {
     let terms = &history.terms;
     let count = terms.seconds.ceil().max(1.0) as usize;
     let mut seconds = vec![Second::default(); count];
-    let mut asked: Vec<Option<Asked>> = Vec::new();
+    let mut asked: Vec<Option<OfferedRequest>> = Vec::new();
     let (mut bands, mut most, mut cpu) = (Vec::new(), [0, 0], vec![0; terms.nodes]);
     let (mut cpu_total, mut total_tries, mut firsts) = (0_u64, 0_u64, 0_u64);
     let (mut with_one, mut busiest) = (HashMap::new(), 0);
@@ -123,7 +123,7 @@
                 if asked.len() <= *n {
                     asked.resize_with(*n + 1, || None);
                 }
-                asked[*n] = Some(Asked { at: seen.t, class: *class });
+                asked[*n] = Some(OfferedRequest { at: seen.t, class: *class });
                 firsts += 1;
                 if let Some(second) = second_of(seen.t) {
                     seconds[second].asked += 1;
@@ -131,7 +131,7 @@
                 }
             }
             Event::Over { n, end, .. } => {
-                let Some(Some(Asked { at, class })) = asked.get(*n) else { continue };
+                let Some(Some(OfferedRequest { at, class })) = asked.get(*n) else { continue };
                 let (class, lasted) = (&terms.classes[*class], seen.t - at);
                 let Some(second) = second_of(*at) else { continue };
                 let second = &mut seconds[second];
@@ -188,7 +188,7 @@
     let all = sum(|s| s.asked as f64);
     let served_count = sum(|s| (s.in_time + s.late) as f64);
     let at = |part: f64| took.as_ref().map_or(0.0, |took| took.value_at_quantile(part) as f64 / 1000.0);
-    Figures {
+    Statistics {
         asked: firsts,
         served: part(sum(|s| s.served_worth), sum(|s| s.asked_worth)),
         worst_ten: worst(&seconds, 10),
--- a/fault-harness/src/floor.rs
+++ b/fault-harness/src/warm_up_bound.rs
@@ -1,10 +1,10 @@
 //! How fast a fleet could be back if warming up were all that kept it: what its cores can do, moment by moment, by the
 //! plan alone.
 
-use crate::model::vm::Make;
+use crate::model::interpreter::Make;
 use crate::model::Ms;
-use crate::plan::{At, Plan};
 use crate::scenario::{Scenario, What};
+use crate::schedule::{At, Schedule};
 
 /// Capacity is looked at this often.
 const STEP: Ms = 50.0;
@@ -23,13 +23,13 @@
 
 /// Seconds from the first fault until the cores can do enough again and go on to; none without faults that take cores
 /// away, and none where they never can.
-pub fn floor(scenario: &Scenario, plan: &Plan) -> Option<f64> {
-    let dents = dents(scenario, plan);
+pub fn warm_up_bound(scenario: &Scenario, schedule: &Schedule) -> Option<f64> {
+    let dents = dents(scenario, schedule);
     let first = dents.iter().map(|dent| dent.from).fold(f64::INFINITY, f64::min);
     if !first.is_finite() {
         return None;
     }
-    let makes: Vec<Make> = plan.speeds.iter().map(|speed| Make::of(&scenario.fleet, *speed)).collect();
+    let makes: Vec<Make> = schedule.speeds.iter().map(|speed| Make::of(&scenario.fleet, *speed)).collect();
     let capacity =
         |at: Ms| -> f64 { makes.iter().enumerate().map(|(node, make)| able(make, node, at, &dents)).sum() };
     let whole: f64 = makes.iter().map(|make| make.cores * make.speed).sum();
@@ -45,9 +45,9 @@
     }
 }
 
-fn dents(scenario: &Scenario, plan: &Plan) -> Vec<Dent> {
+fn dents(scenario: &Scenario, schedule: &Schedule) -> Vec<Dent> {
     let mut dents = Vec::new();
-    for strike in &plan.strikes {
+    for strike in &schedule.strikes {
         // What waits for an event has no time in the plan.
         let At::Time(at) = strike.at else { continue };
         let (from, fault) = (at + strike.after, &strike.fault);
@@ -81,8 +81,8 @@
         .filter(|dent| dent.cold && dent.until <= at)
         .map(|dent| dent.until)
         .fold(f64::NEG_INFINITY, f64::max);
-    let warmth = if since.is_finite() { make.warmth(at - since) } else { 1.0 };
-    make.cores * make.speed * factor * warmth
+    let warm_fraction = if since.is_finite() { make.warm_fraction(at - since) } else { 1.0 };
+    make.cores * make.speed * factor * warm_fraction
 }
 
 #[cfg(test)]
--- a/fault-harness/src/floor/tests.rs
+++ b/fault-harness/src/warm_up_bound/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
-use crate::plan::plan;
+use crate::schedule::schedule;
 
 fn floor_of(load: f64, faults: &str) -> Option<f64> {
     let text = format!(
         "name = 'x'\nseconds = 60\n[fleet]\nnodes = 10\nwarm_from = 0.2\nwarm_s = 10\n[[class]]\nname = 'quote'\nshare = 1\nwork_ms = 100\naim_ms = 1000\ndeadline_ms = 3000\n[load]\nload = {load}\n{faults}"
     );
     let scenario = Scenario::parse(&text, &[]).unwrap();
-    let drawn = plan(&scenario, 1);
-    floor(&scenario, &drawn)
+    let drawn = schedule(&scenario, 1);
+    warm_up_bound(&scenario, &drawn)
 }
 
 #[test]
--- a/fault-harness/src/wire.rs
+++ b/fault-harness/src/wire.rs
@@ -86,7 +86,7 @@
 
 /// What a node says to a front end.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Said {
+pub enum NodeMessage {
     /// A result: the request's id, and the result in base64.
     Served(u64, String),
     /// A refusal, with its advice.
@@ -140,19 +140,19 @@
 const REFUSED: i64 = -32011;
 
 /// Reads a line of a node's.
-pub fn said(line: &str) -> Said {
-    let Ok(message) = serde_json::from_str::<Message>(line) else { return Said::Noise };
+pub fn parse_node_message(line: &str) -> NodeMessage {
+    let Ok(message) = serde_json::from_str::<Message>(line) else { return NodeMessage::Noise };
     if message.method.as_deref() == Some("draining") {
-        return Said::Draining;
+        return NodeMessage::Draining;
     }
     match (message.id, message.result, message.error) {
-        (Some(id), Some(Answered { content: Some(content), .. }), None) => Said::Served(id, content),
-        (Some(id), Some(Answered { up: Some(up), .. }), None) => Said::Status(id, up),
+        (Some(id), Some(Answered { content: Some(content), .. }), None) => NodeMessage::Served(id, content),
+        (Some(id), Some(Answered { up: Some(up), .. }), None) => NodeMessage::Status(id, up),
         (Some(id), None, Some(Problem { code: REFUSED, data })) => {
-            Said::Refused(id, data.later, data.giveup == 1)
+            NodeMessage::Refused(id, data.later, data.giveup == 1)
         }
-        (Some(id), None, Some(_)) => Said::Failed(id),
-        _ => Said::Noise,
+        (Some(id), None, Some(_)) => NodeMessage::Failed(id),
+        _ => NodeMessage::Noise,
     }
 }
 
--- a/fault-harness/src/wire/tests.rs
+++ b/fault-harness/src/wire/tests.rs
@@ -3,23 +3,26 @@
 #[test]
 fn what_a_node_says_is_told_apart() {
     let cases = [
-        (r#"{"jsonrpc":"2.0","id":7,"result":{"content":"cg=="}}"#, Said::Served(7, "cg==".into())),
+        (r#"{"jsonrpc":"2.0","id":7,"result":{"content":"cg=="}}"#, NodeMessage::Served(7, "cg==".into())),
         (
             r#"{"jsonrpc":"2.0","id":7,"error":{"code":-32011,"message":"not now","data":{"later":250,"giveup":1}}}"#,
-            Said::Refused(7, Some(250.0), true),
+            NodeMessage::Refused(7, Some(250.0), true),
         ),
         (
             r#"{"jsonrpc":"2.0","id":7,"error":{"code":-32011,"message":"not now"}}"#,
-            Said::Refused(7, None, false),
+            NodeMessage::Refused(7, None, false),
         ),
-        (r#"{"jsonrpc":"2.0","id":7,"error":{"code":-32001,"message":"out of time"}}"#, Said::Failed(7)),
-        (r#"{"jsonrpc":"2.0","id":1,"result":{"up":true}}"#, Said::Status(1, true)),
-        (DRAINING, Said::Draining),
-        (r#"{"jsonrpc":"2.0","id":7}"#, Said::Noise),
-        ("HTTP/1.1 200 OK", Said::Noise),
+        (
+            r#"{"jsonrpc":"2.0","id":7,"error":{"code":-32001,"message":"out of time"}}"#,
+            NodeMessage::Failed(7),
+        ),
+        (r#"{"jsonrpc":"2.0","id":1,"result":{"up":true}}"#, NodeMessage::Status(1, true)),
+        (DRAINING, NodeMessage::Draining),
+        (r#"{"jsonrpc":"2.0","id":7}"#, NodeMessage::Noise),
+        ("HTTP/1.1 200 OK", NodeMessage::Noise),
     ];
     for (line, wanted) in cases {
-        assert_eq!(said(line), wanted, "{line}");
+        assert_eq!(parse_node_message(line), wanted, "{line}");
     }
 }
 
--- a/fault-harness/tests/mutants.rs
+++ b/fault-harness/tests/mutants.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 
 use oakwind_fault_harness::check::{check, Rule, Verdict};
-use oakwind_fault_harness::machine::{Build, Programs};
+use oakwind_fault_harness::node::{Build, Programs};
 use oakwind_fault_harness::play::{play, Options};
 use oakwind_fault_harness::scenario::Scenario;
 
--- a/node/tests/plays/mod.rs
+++ b/node/tests/plays/mod.rs
@@ -4,7 +4,7 @@
 
 use oakwind_fault_harness::check::{check, Verdict};
 use oakwind_fault_harness::history::History;
-use oakwind_fault_harness::machine::{Build, Programs};
+use oakwind_fault_harness::node::{Build, Programs};
 use oakwind_fault_harness::play::{play, Options};
 use oakwind_fault_harness::scenario::Scenario;
 
