--- a/fleet/src/active_configs.rs
+++ b/fleet/src/active_configs.rs
@@ -1,256 +1,265 @@
-//! The lists that are about. A claim needs a majority in each of them; an old one is over one window after so many of its
-//! nodes have taken the next that no key can have a majority of its copies among the others.
+//! The membership configurations that are active at the same time (joint configurations, as in Raft).
+//!
+//! A claim needs a quorum in each of them. The oldest one retires one idempotency window after so many of its members have
+//! adopted the next that no key can have a quorum of its replicas among the others.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use crate::membership_config::{MembershipConfig, NodeId};
-use crate::Time;
+use thiserror::Error;
 
-/// Lists that may be about at once; a further one has to wait until the oldest is over.
+use crate::ids::{ConfigVersion, NodeId};
+use crate::membership_config::{ConfigError, MembershipConfig};
+use crate::message::ConfigSignature;
+use crate::{Time, LATE_READ_GRACE};
+
+/// The most configurations that may be active at once; a further one waits until the oldest is retired.
 pub const MAX_ACTIVE_CONFIGS: usize = 4;
 
-/// What became of a list that was offered.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Offer {
-    /// It is taken.
-    Taken,
-    /// It is the one that holds.
-    Same,
-    /// It is turned down, and why.
-    TurnedDown(String),
+/// What became of a configuration that operators proposed.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Proposal {
+    /// It is active now.
+    Adopted,
+    /// It was the newest one already.
+    Unchanged,
+}
+
+/// Why a proposed configuration was not adopted. The text names the key in the operators' file.
+#[derive(Debug, Clone, PartialEq, Eq, Error)]
+pub enum ProposalError {
+    /// A newer configuration is active.
+    #[error("list.number: {proposed} is lower than {newest}, which is active")]
+    Outdated {
+        /// The proposed version.
+        proposed: ConfigVersion,
+        /// The newest version.
+        newest: ConfigVersion,
+    },
+    /// Another configuration of the same version is active.
+    #[error("list.number: {version} is the version of the active configuration, which differs")]
+    VersionReused {
+        /// The version of both.
+        version: ConfigVersion,
+    },
+    /// Too many configurations are active.
+    #[error("list.number: {MAX_ACTIVE_CONFIGS} configurations are active; wait until {oldest} is retired")]
+    TooManyActive {
+        /// The oldest version.
+        oldest: ConfigVersion,
+    },
+    /// It can't follow the newest configuration.
+    #[error(transparent)]
+    Invalid(#[from] ConfigError),
 }
 
-/// The lists that are about, and who has taken which.
+/// The active configurations, and who has adopted which.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct ActiveConfigs {
-    /// By number; never empty.
-    about: Vec<Arc<MembershipConfig>>,
-    /// The highest number that each node has been heard with.
-    heard: BTreeMap<NodeId, u64>,
-    /// When the oldest is over.
-    over_at: Option<Time>,
-    /// Lists up to this number are over.
-    over: u64,
-    /// Those that a peer told of: their addresses are as that peer sees them.
-    learnt: BTreeSet<u64>,
-    me: NodeId,
+    this_node: NodeId,
+    /// In ascending order of version; never empty.
+    active: Vec<Arc<MembershipConfig>>,
+    /// The highest version that each node has announced.
+    adopted: BTreeMap<NodeId, ConfigVersion>,
+    /// When the oldest retires, once enough of its members have adopted the next.
+    retires_at: Option<Time>,
+    retired_through: ConfigVersion,
+    /// Configurations that came from a peer: their addresses are as that peer sees them.
+    from_peers: BTreeSet<ConfigVersion>,
 }
 
 impl ActiveConfigs {
-    /// A node that knows of one list.
-    pub fn new(me: NodeId, list: Arc<MembershipConfig>) -> ActiveConfigs {
+    /// Creates the configurations of a node that knows one.
+    #[must_use]
+    pub fn new(this_node: NodeId, config: Arc<MembershipConfig>) -> ActiveConfigs {
         ActiveConfigs {
-            heard: BTreeMap::new(),
-            over_at: None,
-            over: 0,
-            learnt: BTreeSet::new(),
-            me,
-            about: vec![list],
+            this_node,
+            active: vec![config],
+            adopted: BTreeMap::new(),
+            retires_at: None,
+            retired_through: ConfigVersion::default(),
+            from_peers: BTreeSet::new(),
         }
     }
 
-    /// The one that holds: the newest.
+    /// Returns the newest configuration.
+    #[must_use]
     pub fn newest(&self) -> &Arc<MembershipConfig> {
-        &self.about[self.about.len() - 1]
+        &self.active[self.active.len() - 1]
+    }
+
+    /// Iterates over the active configurations, the oldest first.
+    pub fn iter(&self) -> std::slice::Iter<'_, Arc<MembershipConfig>> {
+        self.active.iter()
+    }
+
+    /// Returns the number of active configurations.
+    #[must_use]
+    pub fn count(&self) -> usize {
+        self.active.len()
+    }
+
+    /// Returns the active configuration of this version.
+    #[must_use]
+    pub fn get(&self, version: ConfigVersion) -> Option<&Arc<MembershipConfig>> {
+        self.active.iter().find(|config| config.version() == version)
     }
 
-    /// All that are about, the oldest first.
-    pub fn about(&self) -> &[Arc<MembershipConfig>] {
-        &self.about
+    /// Returns the versions of the active configurations, the oldest first.
+    #[must_use]
+    pub fn versions(&self) -> Vec<ConfigVersion> {
+        self.active.iter().map(|config| config.version()).collect()
     }
 
-    /// Their numbers.
-    pub fn numbers(&self) -> Vec<u64> {
-        self.about.iter().map(|list| list.number()).collect()
+    /// Returns the signatures of the active configurations, the oldest first.
+    #[must_use]
+    pub fn signatures(&self) -> Vec<ConfigSignature> {
+        let signature = |config: &Arc<MembershipConfig>| ConfigSignature {
+            version: config.version(),
+            digest: config.digest(),
+        };
+        self.active.iter().map(signature).collect()
     }
 
-    /// Their numbers and digests.
-    pub fn signed(&self) -> Vec<(u64, u64)> {
-        self.about.iter().map(|list| (list.number(), list.digest())).collect()
+    /// Returns every member of any active configuration.
+    #[must_use]
+    pub fn all_members(&self) -> BTreeSet<NodeId> {
+        self.active.iter().flat_map(|config| config.ids().iter().copied()).collect()
     }
 
-    /// Every node on any of them.
-    pub fn everyone(&self) -> BTreeSet<NodeId> {
-        self.about.iter().flat_map(|list| list.ids().iter().copied()).collect()
+    /// Returns the longest idempotency window of the active configurations.
+    #[must_use]
+    pub fn longest_window(&self) -> Time {
+        self.active.iter().map(|config| config.window()).max().unwrap_or_default()
     }
 
-    /// Whether a list of this number and digest contradicts one that is about.
-    pub fn contradicted(&self, number: u64, digest: u64) -> bool {
-        self.about.iter().any(|list| list.number() == number && list.digest() != digest)
+    /// Whether an active configuration has the same version as this one and another content.
+    #[must_use]
+    pub fn conflicts_with(&self, other: ConfigSignature) -> bool {
+        self.get(other.version).is_some_and(|config| config.digest() != other.digest)
     }
 
-    /// Lists up to this number are over.
-    pub fn over(&self) -> u64 {
-        self.over
+    /// Returns the version up to which configurations are retired.
+    #[must_use]
+    pub fn retired_through(&self) -> ConfigVersion {
+        self.retired_through
     }
 
-    /// Another node knows that lists up to this number are over, which once true stays true. Returns whether that was
-    /// news.
-    pub fn are_over(&mut self, over: u64) -> bool {
-        let before = self.about.len();
-        let newest = self.newest().number();
-        self.about.retain(|list| list.number() > over || list.number() == newest);
-        let news = self.about.len() != before;
-        if news {
-            self.over_at = None;
+    /// Retires all configurations up to a version, as another node has: once true, that stays true. Returns whether any
+    /// was active.
+    pub fn retire_through(&mut self, version: ConfigVersion) -> bool {
+        let before = self.active.len();
+        let newest = self.newest().version();
+        self.active.retain(|config| config.version() > version || config.version() == newest);
+        let changed = self.active.len() != before;
+        if changed {
+            self.retires_at = None;
         }
-        self.over = self.over.max(over.min(newest - 1));
-        news
+        let below_newest = ConfigVersion(newest.0 - 1);
+        self.retired_through = self.retired_through.max(version.min(below_newest));
+        changed
     }
 
-    /// Whether a list of this number is unknown and still of use.
-    pub fn lacks(&self, number: u64) -> bool {
-        number > self.over && !self.about.iter().any(|list| list.number() == number)
+    /// Whether a configuration of this version is unknown and not retired.
+    #[must_use]
+    pub fn is_missing(&self, version: ConfigVersion) -> bool {
+        version > self.retired_through && self.get(version).is_none()
     }
 
-    /// A list of the operators'.
-    pub fn offer(&mut self, list: Arc<MembershipConfig>) -> Offer {
-        let (number, newest) = (list.number(), self.newest().number());
-        if number < newest {
-            return Offer::TurnedDown(format!("list.number: {number} is lower than {newest}, which holds"));
+    /// Adopts a configuration of the operators.
+    ///
+    /// # Errors
+    ///
+    /// Returns why it can't be adopted.
+    pub fn propose(&mut self, config: Arc<MembershipConfig>) -> Result<Proposal, ProposalError> {
+        let (version, newest) = (config.version(), self.newest().version());
+        if version < newest {
+            return Err(ProposalError::Outdated { proposed: version, newest });
+        }
+        if version == newest {
+            return self.propose_again(config);
         }
-        if let Some(known) = self.about.last_mut().filter(|known| known.number() == number) {
-            if *known == list {
-                return Offer::Same;
-            }
-            // A peer was faster to tell of it; the addresses are as this node is to see them.
-            if known.digest() == list.digest() && self.learnt.remove(&number) {
-                *known = list;
-                return Offer::Taken;
-            }
-            return Offer::TurnedDown(format!(
-                "list.number: {number} is the number of the list that holds, and that one says something else"
-            ));
+        if self.active.len() >= MAX_ACTIVE_CONFIGS {
+            return Err(ProposalError::TooManyActive { oldest: self.active[0].version() });
         }
-        if self.about.len() >= MAX_ACTIVE_CONFIGS {
-            return Offer::TurnedDown(format!(
-                "list.number: {MAX_ACTIVE_CONFIGS} lists are about; wait until {} is over",
-                self.about[0].number()
-            ));
+        config.check_follows(self.newest())?;
+        self.active.push(config);
+        Ok(Proposal::Adopted)
+    }
+
+    /// Takes a configuration of the version that is the newest already.
+    fn propose_again(&mut self, config: Arc<MembershipConfig>) -> Result<Proposal, ProposalError> {
+        let version = config.version();
+        let last = self.active.len() - 1;
+        let known = &mut self.active[last];
+        if *known == config {
+            return Ok(Proposal::Unchanged);
         }
-        if let Err(reason) = list.may_follow(self.newest()) {
-            return Offer::TurnedDown(reason);
+        // If it came from a peer before, its addresses were as that peer sees them.
+        if known.digest() == config.digest() && self.from_peers.remove(&version) {
+            *known = config;
+            return Ok(Proposal::Adopted);
         }
-        self.about.push(list);
-        Offer::Taken
+        Err(ProposalError::VersionReused { version })
     }
 
-    /// A list that a peer goes by: claims need a majority in it too from now on. Returns whether it was news.
-    pub fn learn(&mut self, list: Arc<MembershipConfig>) -> bool {
-        if !self.lacks(list.number()) || self.about.len() >= MAX_ACTIVE_CONFIGS {
+    /// Activates a configuration that a peer has: claims need a quorum in it too from now on. Returns whether it is new.
+    pub fn add_from_peer(&mut self, config: Arc<MembershipConfig>) -> bool {
+        if !self.is_missing(config.version()) || self.active.len() >= MAX_ACTIVE_CONFIGS {
             return false;
         }
-        self.learnt.insert(list.number());
-        let place = self.about.partition_point(|known| known.number() < list.number());
-        self.about.insert(place, list);
-        self.over_at = None;
+        self.from_peers.insert(config.version());
+        let index = self.active.partition_point(|known| known.version() < config.version());
+        self.active.insert(index, config);
+        self.retires_at = None;
         true
     }
 
-    /// A node goes by lists up to this number.
-    pub fn heard(&mut self, node: NodeId, newest: u64) {
-        let heard = self.heard.entry(node).or_default();
-        *heard = newest.max(*heard);
+    /// Records that a node has adopted configurations up to this version.
+    pub fn record_adopted(&mut self, node: NodeId, newest: ConfigVersion) {
+        let adopted = self.adopted.entry(node).or_default();
+        *adopted = newest.max(*adopted);
     }
 
-    /// Nodes of the oldest list that are not known to have taken the next.
-    fn behind(&self) -> BTreeSet<NodeId> {
-        let Some(next) = self.about.get(1) else { return BTreeSet::new() };
-        let has = |node: &NodeId| {
-            *node == self.me || self.heard.get(node).is_some_and(|number| *number >= next.number())
+    /// Returns the members of the oldest configuration that are not known to have adopted the next.
+    fn lagging_members(&self) -> BTreeSet<NodeId> {
+        let Some(next) = self.active.get(1) else { return BTreeSet::new() };
+        let has_adopted = |node: &NodeId| {
+            *node == self.this_node
+                || self.adopted.get(node).is_some_and(|version| *version >= next.version())
         };
-        self.about[0].ids().iter().copied().filter(|node| !has(node)).collect()
+        self.active[0].ids().iter().copied().filter(|node| !has_adopted(node)).collect()
     }
 
-    /// Lets go of a list that is over; returns its number.
-    pub fn tick(&mut self, now: Time) -> Option<u64> {
-        let oldest = self.about[0].clone();
-        if self.about.len() < 2 || oldest.most_copies_among(&self.behind()) >= oldest.quorum() {
-            self.over_at = None;
+    /// Advances the time. Returns the version of the configuration that is retired, if one is.
+    pub fn tick(&mut self, now: Time) -> Option<ConfigVersion> {
+        let oldest = self.active[0].clone();
+        if self.active.len() < 2 || oldest.max_replicas_among(&self.lagging_members()) >= oldest.quorum() {
+            self.retires_at = None;
             return None;
         }
-        // Until then something may be remembered that only this list's copies know.
-        let over_at = *self.over_at.get_or_insert(now + oldest.window() + crate::LATE_READ_GRACE);
-        if now < over_at {
+        // Until then a key may be retained that only replicas of this configuration know.
+        let retires_at = *self.retires_at.get_or_insert(now + oldest.window() + LATE_READ_GRACE);
+        if now < retires_at {
             return None;
         }
-        self.about.remove(0);
-        (self.over, self.over_at) = (oldest.number(), None);
-        let everyone = self.everyone();
-        self.heard.retain(|node, _| everyone.contains(node));
-        Some(oldest.number())
+        self.active.remove(0);
+        self.retired_through = oldest.version();
+        self.retires_at = None;
+        let members = self.all_members();
+        self.adopted.retain(|node, _| members.contains(node));
+        Some(oldest.version())
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::membership_config::tests::{id, list, plain};
-    use std::time::Duration;
-
-    fn at(seconds: u64) -> Time {
-        Duration::from_secs(seconds)
-    }
-
-    fn lists() -> ActiveConfigs {
-        ActiveConfigs::new(id(1), Arc::new(list(1, &[1, 2, 3, 4], 1)))
-    }
-
-    #[test]
-    fn a_higher_number_is_taken_and_a_lower_one_or_another_of_the_same_is_turned_down() {
-        let mut lists = lists();
-        let next = Arc::new(list(3, &[1, 2, 3, 4, 5], 1));
-        assert_eq!(lists.offer(next.clone()), Offer::Taken);
-        assert_eq!(lists.offer(next), Offer::Same);
-        let down = |offer| matches!(offer, Offer::TurnedDown(reason) if reason.starts_with("list.number: "));
-        assert!(down(lists.offer(Arc::new(list(2, &[1, 2, 3, 4], 1)))));
-        let mut other = plain(3, &[1, 2, 3, 4, 5], 1);
-        other.members[0].address.set_port(1);
-        assert!(down(lists.offer(Arc::new(MembershipConfig::new(other).unwrap()))));
-        assert!(matches!(lists.offer(Arc::new(list(4, &[1, 2, 3], 1))), Offer::TurnedDown(_)));
-        assert_eq!(lists.numbers(), [1, 3]);
-    }
-
-    #[test]
-    fn an_old_list_is_over_a_window_after_all_but_a_minority_have_the_next() {
-        let mut lists = lists();
-        lists.offer(Arc::new(list(2, &[1, 2, 3, 5], 1)));
-        assert_eq!(lists.tick(at(1)), None);
-        lists.heard(id(2), 2);
-        assert_eq!(lists.tick(at(100)), None, "two that have not may be two copies of one key");
-        lists.heard(id(3), 2);
-        assert_eq!(lists.tick(at(200)), None);
-        assert_eq!(lists.tick(at(217)), None, "what only its copies know may still be remembered");
-        assert_eq!(lists.tick(at(218)), Some(1));
-        assert_eq!(lists.numbers(), [2]);
-        assert!(!lists.lacks(1), "it does not come back");
-        let mut other = self::lists();
-        other.offer(Arc::new(list(2, &[1, 2, 3, 5], 1)));
-        assert!(
-            other.are_over(lists.over()) && !other.are_over(lists.over()),
-            "once over, it is over for all"
-        );
-        assert_eq!((other.numbers(), other.lacks(1)), (vec![2], false));
-        assert_eq!(lists.tick(at(500)), None, "one holds");
-    }
+impl<'a> IntoIterator for &'a ActiveConfigs {
+    type Item = &'a Arc<MembershipConfig>;
+    type IntoIter = std::slice::Iter<'a, Arc<MembershipConfig>>;
 
-    #[test]
-    fn a_list_that_a_peer_goes_by_counts_and_lists_have_a_bound() {
-        let mut lists = lists();
-        assert!(lists.learn(Arc::new(list(3, &[1, 2, 3, 4, 5], 1))));
-        assert!(lists.learn(Arc::new(list(2, &[1, 2, 3, 4], 1))));
-        assert!(!lists.learn(Arc::new(list(2, &[1, 2, 3, 4], 1))));
-        assert_eq!(lists.numbers(), [1, 2, 3]);
-        let mut seen_from_here = plain(3, &[1, 2, 3, 4, 5], 1);
-        seen_from_here.members[0].address.set_port(1);
-        let seen_from_here = Arc::new(MembershipConfig::new(seen_from_here).unwrap());
-        assert_eq!(lists.offer(seen_from_here.clone()), Offer::Taken, "the operators' addresses hold");
-        assert_eq!(lists.newest(), &seen_from_here);
-        assert!(matches!(lists.offer(Arc::new(list(3, &[1, 2, 3, 4, 5], 1))), Offer::TurnedDown(_)));
-        assert!(lists.contradicted(2, 1) && !lists.contradicted(7, 1));
-        assert_eq!(lists.offer(Arc::new(list(4, &[1, 2, 3, 4, 5], 1))), Offer::Taken);
-        let more = lists.offer(Arc::new(list(5, &[1, 2, 3, 4, 5], 1)));
-        assert!(matches!(more, Offer::TurnedDown(reason) if reason.contains("wait until 1 is over")));
+    fn into_iter(self) -> Self::IntoIter {
+        self.iter()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/fleet/src/claim_coordinator/claim.rs
@@ -0,0 +1,356 @@
+//! One claim: what its replicas have responded, and what follows from that.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+
+use super::{
+    AttemptId, ClaimAction, ClaimOutcome, RunRequest, ANSWER_MARGIN, INITIAL_RETRY_INTERVAL, LATE_READ_GRACE,
+    MAX_ANSWER_MARGIN_FRACTION, MAX_RETRY_INTERVAL,
+};
+use crate::active_configs::ActiveConfigs;
+use crate::ids::{ConfigVersion, Incarnation, NodeId};
+use crate::key_state::{BodyDigest, ClaimId, CompletedRun, Key, RunResult};
+use crate::message::{detach, ClaimRequest, ConflictingClaim, Message, RejectReason};
+use crate::{millis_ceil, Time};
+
+/// What a replica has responded to the current request.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+pub(super) enum ReplicaResponse {
+    /// Nothing yet.
+    Pending,
+    /// It granted the claim in this incarnation of it.
+    Granted(Incarnation),
+    /// Another claim was first.
+    Blocked { conflict: ConflictingClaim, received_at: Time },
+    /// It knows of no run of the key.
+    KeyFree,
+    /// It can't say.
+    Uncertain(RejectReason),
+    /// It has stored the result.
+    Stored,
+}
+
+/// How far a claim has got.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+pub(super) enum ClaimState {
+    /// Replicas are asked to grant it.
+    Collecting,
+    /// A quorum has granted it, and its run may be under way.
+    Granted,
+    /// It is released, and its attempt waits for the run of another claim.
+    AwaitingRemoteRun,
+    /// Its run has completed, and replicas are sent the result.
+    Replicating {
+        result: RunResult,
+        /// Whether the attempt was notified.
+        reported: bool,
+    },
+}
+
+/// What follows from the responses to a claim.
+pub(super) enum Conclusion {
+    /// A quorum has granted it.
+    Granted,
+    /// Another claim prevents it, whose run has not completed yet.
+    RunningElsewhere,
+    /// It is closed with this outcome.
+    Final(ClaimOutcome),
+}
+
+/// The replicas of a key in one configuration.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+struct ReplicaGroup {
+    version: ConfigVersion,
+    replicas: Vec<NodeId>,
+    quorum: usize,
+}
+
+impl ReplicaGroup {
+    fn has_quorum(&self, satisfies: impl Fn(&NodeId) -> bool) -> bool {
+        self.replicas.iter().filter(|node| satisfies(node)).count() >= self.quorum
+    }
+}
+
+/// An open claim.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+pub(super) struct Claim {
+    pub(super) attempt: AttemptId,
+    pub(super) id: ClaimId,
+    key: Key,
+    body: BodyDigest,
+    expires_at: Time,
+    received_at: Time,
+    received_unix_ms: u64,
+    /// This node's index in the newest configuration.
+    node_index: u32,
+    /// When the attempt must be notified at the latest.
+    pub(super) give_up_at: Time,
+    /// The key's replicas in each active configuration.
+    groups: Vec<ReplicaGroup>,
+    pub(super) responses: BTreeMap<NodeId, ReplicaResponse>,
+    /// The latest incarnations of the replicas that any of them knows.
+    incarnations: BTreeMap<NodeId, Incarnation>,
+    pub(super) state: ClaimState,
+    /// When a quorum had stored the result.
+    pub(super) replicated_at: Option<Time>,
+    pub(super) retry_interval: Duration,
+    pub(super) retry_at: Time,
+}
+
+impl Claim {
+    pub(super) fn new(now: Time, id: ClaimId, request: RunRequest, configs: &ActiveConfigs) -> Claim {
+        let RunRequest { attempt, key, body, expires_at, received_at, received_unix_ms, deadline } = request;
+        let max_margin = deadline.saturating_sub(now) / MAX_ANSWER_MARGIN_FRACTION;
+        let node_index = configs.newest().index_of(id.node);
+        let mut claim = Claim {
+            attempt,
+            id,
+            key: detach(&key),
+            body,
+            expires_at,
+            received_at,
+            received_unix_ms,
+            node_index: node_index.map_or(u32::MAX, |index| index as u32),
+            give_up_at: deadline.saturating_sub(ANSWER_MARGIN.min(max_margin)),
+            groups: Vec::new(),
+            responses: BTreeMap::new(),
+            incarnations: BTreeMap::new(),
+            state: ClaimState::Collecting,
+            replicated_at: None,
+            retry_interval: INITIAL_RETRY_INTERVAL,
+            retry_at: now + INITIAL_RETRY_INTERVAL,
+        };
+        claim.set_configs(configs);
+        claim
+    }
+
+    /// Takes the key's replicas from the active configurations; none has responded yet.
+    pub(super) fn set_configs(&mut self, configs: &ActiveConfigs) {
+        let groups = configs.iter().map(|config| ReplicaGroup {
+            version: config.version(),
+            replicas: config.replicas_of(&self.key),
+            quorum: config.quorum(),
+        });
+        self.groups = groups.collect();
+        let replicas: BTreeSet<NodeId> =
+            self.groups.iter().flat_map(|group| &group.replicas).copied().collect();
+        self.responses = replicas.into_iter().map(|node| (node, ReplicaResponse::Pending)).collect();
+    }
+
+    /// Drops all responses: every replica is to be asked.
+    pub(super) fn reopen(&mut self) {
+        for response in self.responses.values_mut() {
+            *response = ReplicaResponse::Pending;
+        }
+    }
+
+    /// Reconsiders the responses so far: a replica that does not answer probes counts as unreachable, and a claim that was
+    /// first may have been released since.
+    pub(super) fn reconsider_responses(&mut self, is_alive: impl Fn(NodeId) -> bool) {
+        for (node, response) in &mut self.responses {
+            match response {
+                ReplicaResponse::Pending if !is_alive(*node) => {
+                    *response = ReplicaResponse::Uncertain(RejectReason::Unreachable);
+                }
+                ReplicaResponse::Blocked { .. } => *response = ReplicaResponse::Pending,
+                _ => {}
+            }
+        }
+    }
+
+    /// Returns the message that replicas are sent in the claim's state.
+    pub(super) fn request(&self, now: Time) -> Option<Message> {
+        let retain_ms = millis_ceil(self.expires_at.saturating_sub(now));
+        let (claim, key, body) = (self.id, self.key.clone(), self.body);
+        match &self.state {
+            ClaimState::Collecting => {
+                let config_versions = self.groups.iter().map(|group| group.version).collect();
+                Some(Message::Claim(ClaimRequest { claim, key, body, retain_ms, config_versions }))
+            }
+            ClaimState::AwaitingRemoteRun => Some(Message::QueryKey { claim, key }),
+            ClaimState::Replicating { result, .. } => {
+                let (received_at, node_index) = (self.received_unix_ms, self.node_index);
+                let run = CompletedRun { received_at, node_index, claim, result: result.clone(), body };
+                Some(Message::Completed { key, retain_ms, run })
+            }
+            ClaimState::Granted => None,
+        }
+    }
+
+    /// Sends the request to those replicas without a response that satisfy the predicate.
+    pub(super) fn send_requests(
+        &self,
+        now: Time,
+        is_wanted: impl Fn(NodeId) -> bool,
+        out: &mut Vec<ClaimAction>,
+    ) {
+        let Some(request) = self.request(now) else { return };
+        for (node, response) in &self.responses {
+            if *response == ReplicaResponse::Pending && is_wanted(*node) {
+                out.push(ClaimAction::Send(*node, request.clone()));
+            }
+        }
+    }
+
+    /// The same, and schedules the next time.
+    pub(super) fn retry(
+        &mut self,
+        now: Time,
+        is_wanted: impl Fn(NodeId) -> bool,
+        out: &mut Vec<ClaimAction>,
+    ) {
+        self.send_requests(now, is_wanted, out);
+        self.retry_at = now + self.retry_interval;
+        if self.state != ClaimState::AwaitingRemoteRun {
+            self.retry_interval = (self.retry_interval * 2).min(MAX_RETRY_INTERVAL);
+        }
+    }
+
+    /// Tells all replicas that no run has started under the claim and none will.
+    pub(super) fn release(&self, out: &mut Vec<ClaimAction>) {
+        let message = Message::Release { key: self.key.clone(), claim: self.id };
+        out.extend(self.responses.keys().map(|node| ClaimAction::Send(*node, message.clone())));
+    }
+
+    /// Notifies the attempt, once, whether a quorum has stored its result.
+    pub(super) fn report_replicated(&mut self, is_replicated: bool, out: &mut Vec<ClaimAction>) {
+        if let ClaimState::Replicating { reported: reported @ false, .. } = &mut self.state {
+            *reported = true;
+            out.push(ClaimAction::Notify(self.attempt, ClaimOutcome::Replicated(is_replicated)));
+        }
+    }
+
+    pub(super) fn is_replicating(&self) -> bool {
+        matches!(self.state, ClaimState::Replicating { .. })
+    }
+
+    pub(super) fn has_expired(&self, now: Time) -> bool {
+        now >= self.expires_at + LATE_READ_GRACE
+    }
+
+    /// Whether a tick has something to do.
+    pub(super) fn is_due(&self, now: Time) -> bool {
+        let is_running = self.state == ClaimState::Granted;
+        let is_reported = matches!(self.state, ClaimState::Replicating { reported: true, .. });
+        let must_retry = !is_running && now >= self.retry_at;
+        let must_give_up = !is_running && !is_reported && now >= self.give_up_at;
+        must_retry || must_give_up || self.has_expired(now)
+    }
+
+    /// Whether a response of this replica is expected in the claim's state.
+    pub(super) fn accepts(&self, from: NodeId, response: &ReplicaResponse) -> bool {
+        let fits_state = match response {
+            ReplicaResponse::Granted(_) => self.state == ClaimState::Collecting,
+            ReplicaResponse::Stored => self.is_replicating(),
+            ReplicaResponse::KeyFree => self.state == ClaimState::AwaitingRemoteRun,
+            ReplicaResponse::Blocked { .. } | ReplicaResponse::Uncertain(_) => {
+                matches!(self.state, ClaimState::Collecting | ClaimState::AwaitingRemoteRun)
+            }
+            ReplicaResponse::Pending => false,
+        };
+        fits_state && self.responses.contains_key(&from)
+    }
+
+    pub(super) fn record_incarnation(&mut self, node: NodeId, incarnation: Incarnation) {
+        let known = self.incarnations.entry(node).or_default();
+        *known = incarnation.max(*known);
+    }
+
+    pub(super) fn is_blocked(&self) -> bool {
+        self.conflicts().next().is_some()
+    }
+
+    pub(super) fn is_stored_by_quorum(&self) -> bool {
+        self.has_quorums(|node| self.has_responded(node, &ReplicaResponse::Stored))
+    }
+
+    pub(super) fn is_stored_by_all(&self) -> bool {
+        self.responses.values().all(|response| *response == ReplicaResponse::Stored)
+    }
+
+    fn has_responded(&self, node: &NodeId, response: &ReplicaResponse) -> bool {
+        self.responses.get(node) == Some(response)
+    }
+
+    /// Whether a quorum of the replicas satisfies the predicate in each configuration.
+    fn has_quorums(&self, satisfies: impl Fn(&NodeId) -> bool) -> bool {
+        self.groups.iter().all(|group| group.has_quorum(&satisfies))
+    }
+
+    /// Whether a replica's grant counts: it is of the replica's latest incarnation that any replica knows.
+    fn is_granted_by(&self, node: &NodeId) -> bool {
+        let Some(ReplicaResponse::Granted(incarnation)) = self.responses.get(node) else { return false };
+        self.incarnations.get(node) == Some(incarnation)
+    }
+
+    /// The conflicting claims that replicas have responded with, and when.
+    fn conflicts(&self) -> impl Iterator<Item = (&ConflictingClaim, Time)> {
+        self.responses.values().filter_map(|response| match response {
+            ReplicaResponse::Blocked { conflict, received_at } => Some((conflict, *received_at)),
+            _ => None,
+        })
+    }
+
+    /// Draws the conclusion from the responses so far; none if it depends on further ones.
+    pub(super) fn conclusion(&self) -> Option<Conclusion> {
+        if self.conflicts().any(|(conflict, received_at)| self.is_of_earlier_request(conflict, received_at)) {
+            return Some(Conclusion::Final(ClaimOutcome::Rejected(RejectReason::WindowExpired)));
+        }
+        let completed =
+            self.conflicts().find_map(|(conflict, _)| conflict.completed.as_ref().map(|run| (conflict, run)));
+        if let Some((conflict, run)) = completed {
+            let outcome = if conflict.body == self.body {
+                ClaimOutcome::RemoteOutcome(run.result.clone())
+            } else {
+                ClaimOutcome::BodyMismatch
+            };
+            return Some(Conclusion::Final(outcome));
+        }
+        if self.state == ClaimState::AwaitingRemoteRun {
+            let is_free = self.has_quorums(|node| self.has_responded(node, &ReplicaResponse::KeyFree));
+            let rejected = ClaimOutcome::Rejected(RejectReason::ClaimReleased);
+            return is_free.then_some(Conclusion::Final(rejected));
+        }
+        if self.has_quorums(|node| self.is_granted_by(node)) {
+            return Some(Conclusion::Granted);
+        }
+        let may_grant =
+            |node: &NodeId| self.is_granted_by(node) || self.has_responded(node, &ReplicaResponse::Pending);
+        if self.has_quorums(may_grant) {
+            return None;
+        }
+        self.conclusion_without_quorum()
+    }
+
+    /// Whether a conflict is about another request with the same key: its window had surely ended when this one was
+    /// received.
+    fn is_of_earlier_request(&self, conflict: &ConflictingClaim, received_at: Time) -> bool {
+        let window_ended_at = received_at.saturating_sub(Duration::from_millis(conflict.expired_ms));
+        conflict.expired_ms > 0 && self.received_at > window_ended_at
+    }
+
+    /// The conclusion when the claim can't get a quorum by the responses so far.
+    fn conclusion_without_quorum(&self) -> Option<Conclusion> {
+        let Some(first) = self.conflicts().min_by_key(|(conflict, _)| conflict.claim) else {
+            let reason = self.responses.values().find_map(|response| match response {
+                ReplicaResponse::Uncertain(reason) => Some(*reason),
+                _ => None,
+            });
+            // Without a reason, some grants are of an earlier incarnation and do not count.
+            let reason = reason.unwrap_or(RejectReason::Recovering);
+            return Some(Conclusion::Final(ClaimOutcome::Rejected(reason)));
+        };
+        let (first, _) = first;
+        // Where several claims have been granted by some replicas each, the lowest one keeps asking and the others yield.
+        let blocked_by_first = |node: &NodeId| matches!(self.responses.get(node), Some(ReplicaResponse::Blocked { conflict, .. }) if conflict.claim == first.claim);
+        let first_has_quorum = self.groups.iter().any(|group| group.has_quorum(blocked_by_first));
+        if self.id < first.claim && !first_has_quorum {
+            return None;
+        }
+        Some(if first.body == self.body {
+            Conclusion::RunningElsewhere
+        } else {
+            Conclusion::Final(ClaimOutcome::BodyMismatch)
+        })
+    }
+}
--- a/fleet/src/failure_detector.rs
+++ b/fleet/src/failure_detector.rs
@@ -1,7 +1,9 @@
-//! Who is heard, and who is suspected: probes whose cost for a node does not grow with the fleet, direct and then through
-//! others, after SWIM (Das, Gupta and Motivala 2002). Word of others rides on probes and answers. Who is wrongly suspected
-//! says so under a higher number. The list says who there is; this says only who answers, and decides nothing but whom to
-//! hope for.
+//! Failure detection after SWIM (Das, Gupta and Motivala 2002): periodic probes, direct and then through other members,
+//! whose cost for a node does not grow with the fleet. Gossip about other members rides on probes and acknowledgements. A
+//! member that is wrongly suspected refutes that with a higher version of itself.
+//!
+//! The membership configuration says who the members are. The failure detector says only who answers, and nothing but the
+//! order and the patience with which members are asked depends on it.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -10,531 +12,439 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use crate::membership_config::NodeId;
-use crate::message::{GossipUpdate, Liveness, Message};
-use crate::replica_table::LinkId;
+use crate::ids::{Incarnation, LinkId, NodeId};
+use crate::message::{GossipUpdate, Liveness, MemberVersion, Message};
 use crate::Time;
 
-/// Others that are asked to ask one that did not answer.
-const HELPERS: usize = 3;
-/// A suspect is lost after so many periods.
-const SUSPECTED_FOR: u32 = 4;
-/// The part of a period that a direct answer has.
-const DIRECT: f64 = 0.4;
-/// Word that one message carries.
-const RUMORS: usize = 8;
-/// Word is passed on so often, times the logarithm of the number of nodes.
-const PASSED_ON: u32 = 3;
-/// Nodes that are greeted at a time by one that has just started or woken up.
-const GREETED: usize = 32;
-/// Who heard too few goes round again after this.
-const GREETS_AGAIN: Duration = Duration::from_millis(500);
-/// Questions passed on for others that may be open.
-const PASSED: usize = 256;
-
+/// Members that are asked to probe one that did not answer directly.
+const INDIRECT_PROBES: usize = 3;
+/// A suspect counts as dead after this many probe periods.
+const SUSPICION_PERIODS: u32 = 4;
+/// The part of a probe period after which a direct probe counts as unanswered.
+const DIRECT_PROBE_FRACTION: f64 = 0.4;
+/// The most gossip updates that one message carries.
+const MAX_GOSSIP_PER_MESSAGE: usize = 8;
+/// A gossip update is sent this many times, times the binary logarithm of the number of members.
+const GOSSIP_RETRANSMIT_FACTOR: u32 = 3;
+/// The most members that a node contacts per tick after it has started or resumed.
+const CONTACTS_PER_TICK: usize = 32;
+/// A node that has not heard enough members contacts the others again after this.
+const CONTACT_INTERVAL: Duration = Duration::from_millis(500);
+/// The most probes for other members that are remembered while they are unanswered.
+const MAX_RELAYED_PROBES: usize = 256;
+
+/// What is known of a member.
 #[derive(Debug, Clone)]
-struct State {
-    age: (u64, u32),
-    standing: Liveness,
-    /// When a suspect is lost.
-    lost_at: Time,
+struct MemberState {
+    version: MemberVersion,
+    liveness: Liveness,
+    /// When the member counts as dead if it is a suspect.
+    dead_at: Time,
 }
 
+/// The probe of the current period.
 #[derive(Debug, Clone)]
 struct Probe {
     target: NodeId,
     seq: u64,
-    sent: Time,
-    helped: bool,
+    started_at: Time,
+    /// Whether other members were asked to probe the target.
+    is_indirect: bool,
+}
+
+/// A probe that this node sends for another one.
+#[derive(Debug, Clone)]
+struct RelayedProbe {
+    seq: u64,
+    /// The sequence number and the link of the node that asked for it.
+    requester_seq: u64,
+    requester_link: LinkId,
+    target: NodeId,
 }
 
-/// What is to be said.
+/// A gossip update that is still to be sent.
+#[derive(Debug, Clone)]
+struct QueuedUpdate {
+    update: GossipUpdate,
+    transmissions_left: u32,
+}
+
+/// A message to be sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outbound {
     /// To a node.
-    To(NodeId, Message),
-    /// On the link that a question came by.
-    On(LinkId, Message),
+    Send(NodeId, Message),
+    /// On the link that a request came by.
+    Respond(LinkId, Message),
 }
 
-/// How many members stand how.
+/// The number of members by liveness.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Counts {
-    /// They are heard, by this node or through others.
+pub struct LivenessCounts {
+    /// Members that answer, directly or through others.
     pub alive: u64,
-    /// They did not answer.
+    /// Members that did not answer the last probe.
     pub suspect: u64,
-    /// They did not answer for long.
-    pub lost: u64,
+    /// Members that have not answered for long, or never did.
+    pub dead: u64,
 }
 
-/// All members but this one.
+/// Tracks the liveness of all members but this node.
 #[derive(Debug, Clone)]
 pub struct FailureDetector {
-    me: NodeId,
+    this_node: NodeId,
     rng: ChaCha8Rng,
-    period: Duration,
-    states: BTreeMap<NodeId, State>,
-    /// A round of probes, drawn anew when it is over.
-    round: Vec<NodeId>,
+    probe_period: Duration,
+    members: BTreeMap<NodeId, MemberState>,
+    /// Members that are still to be probed in this round; drawn anew when it is empty.
+    probe_round: Vec<NodeId>,
     probe: Option<Probe>,
-    next_probe: Time,
-    /// When the first suspect is lost, or earlier.
-    next_lost: Time,
-    rumors: Vec<(GossipUpdate, u32)>,
-    age: (u64, u32),
-    seq: u64,
-    /// Pings passed on: ours, the asker's, its link, whom.
-    passed: VecDeque<(u64, u64, LinkId, NodeId)>,
-    /// Answers to pings before this one may be from before a sleep.
-    awake_from: u64,
-    /// How long this life has lasted, as probes tell it.
-    seconds: u64,
-    heard: BTreeSet<NodeId>,
-    to_greet: Vec<NodeId>,
-    greeted_at: Time,
+    next_probe_at: Time,
+    /// A time before which no suspect counts as dead.
+    next_death_at: Time,
+    gossip_queue: Vec<QueuedUpdate>,
+    own_version: MemberVersion,
+    last_seq: u64,
+    relayed_probes: VecDeque<RelayedProbe>,
+    /// An acknowledgement of an earlier sequence number may be from before the node was suspended.
+    first_valid_seq: u64,
+    uptime_seconds: u64,
+    /// Members that have acknowledged a probe since the node started or resumed.
+    confirmed: BTreeSet<NodeId>,
+    to_contact: Vec<NodeId>,
+    contacted_at: Time,
 }
 
 impl FailureDetector {
-    /// A node in this life that has heard nobody yet. The seed draws whom it probes.
-    pub fn new(me: NodeId, incarnation: u64, seed: u64, period: Duration) -> FailureDetector {
+    /// Creates the failure detector of a node that has heard nobody yet. The seed determines the order of probes.
+    #[must_use]
+    pub fn new(
+        this_node: NodeId,
+        incarnation: Incarnation,
+        seed: u64,
+        probe_period: Duration,
+    ) -> FailureDetector {
         FailureDetector {
-            me,
-            rng: ChaCha8Rng::seed_from_u64(seed ^ me.0),
-            period,
-            states: BTreeMap::new(),
-            round: Vec::new(),
+            this_node,
+            rng: ChaCha8Rng::seed_from_u64(seed ^ this_node.0),
+            probe_period,
+            members: BTreeMap::new(),
+            probe_round: Vec::new(),
             probe: None,
-            next_probe: Time::ZERO,
-            next_lost: Time::MAX,
-            rumors: Vec::new(),
-            age: (incarnation, 0),
-            seq: 1,
-            passed: VecDeque::new(),
-            awake_from: 1,
-            seconds: 0,
-            heard: BTreeSet::new(),
-            to_greet: Vec::new(),
-            greeted_at: Time::ZERO,
+            next_probe_at: Time::ZERO,
+            next_death_at: Time::MAX,
+            gossip_queue: Vec::new(),
+            own_version: MemberVersion { incarnation, refutations: 0 },
+            last_seq: 1,
+            relayed_probes: VecDeque::new(),
+            first_valid_seq: 1,
+            uptime_seconds: 0,
+            confirmed: BTreeSet::new(),
+            to_contact: Vec::new(),
+            contacted_at: Time::ZERO,
         }
     }
 
-    /// Who there is, by the lists that are about.
-    pub fn are(&mut self, nodes: &BTreeSet<NodeId>) {
-        self.states.retain(|node, _| nodes.contains(node));
-        for node in nodes.iter().filter(|node| **node != self.me) {
-            // Not heard yet.
-            let unheard = State { age: (0, 0), standing: Liveness::Lost, lost_at: Time::ZERO };
-            if !self.states.contains_key(node) {
-                self.states.insert(*node, unheard);
-                self.to_greet.push(*node);
+    /// Sets the members: those of all active configurations.
+    pub fn set_members(&mut self, nodes: &BTreeSet<NodeId>) {
+        self.members.retain(|node, _| nodes.contains(node));
+        for node in nodes.iter().filter(|node| **node != self.this_node) {
+            if !self.members.contains_key(node) {
+                let unheard = MemberState {
+                    version: MemberVersion::default(),
+                    liveness: Liveness::Dead,
+                    dead_at: Time::ZERO,
+                };
+                self.members.insert(*node, unheard);
+                self.to_contact.push(*node);
             }
         }
-        self.round.retain(|node| nodes.contains(node));
-        self.heard.retain(|node| nodes.contains(node));
+        self.probe_round.retain(|node| nodes.contains(node));
+        self.confirmed.retain(|node| nodes.contains(node));
     }
 
-    /// This node's life has lasted so long.
-    pub fn lasts(&mut self, seconds: u64) {
-        self.seconds = seconds;
+    /// Sets how long this node's incarnation has lasted, which its probes report.
+    pub fn set_uptime(&mut self, seconds: u64) {
+        self.uptime_seconds = seconds;
     }
 
-    /// This node's life has another number.
-    pub fn set_incarnation(&mut self, incarnation: u64) {
-        self.age = (incarnation, 0);
+    /// Sets this node's incarnation.
+    pub fn set_incarnation(&mut self, incarnation: Incarnation) {
+        self.own_version = MemberVersion { incarnation, refutations: 0 };
     }
 
-    /// Nothing that was heard before counts any more.
-    pub fn woke(&mut self) {
-        self.heard.clear();
-        self.awake_from = self.seq + 1;
+    /// Forgets all that was heard, as the node was suspended.
+    pub fn reset(&mut self) {
+        self.confirmed.clear();
+        self.first_valid_seq = self.last_seq + 1;
         self.probe = None;
-        self.to_greet = self.states.keys().copied().collect();
-        for state in self.states.values_mut() {
-            state.standing = Liveness::Lost;
+        self.to_contact = self.members.keys().copied().collect();
+        for member in self.members.values_mut() {
+            member.liveness = Liveness::Dead;
         }
     }
 
-    /// Those that have answered since it started or woke up.
-    pub fn heard(&self) -> &BTreeSet<NodeId> {
-        &self.heard
+    /// Returns the members that have acknowledged a probe since the node started or resumed.
+    #[must_use]
+    pub fn confirmed(&self) -> &BTreeSet<NodeId> {
+        &self.confirmed
     }
 
-    /// How a member stands.
-    pub fn standing(&self, node: NodeId) -> Liveness {
-        self.states.get(&node).map_or(Liveness::Lost, |state| state.standing)
+    /// Returns a member's liveness.
+    #[must_use]
+    pub fn liveness(&self, node: NodeId) -> Liveness {
+        self.members.get(&node).map_or(Liveness::Dead, |member| member.liveness)
     }
 
-    /// How many stand how.
-    pub fn counts(&self) -> Counts {
-        let mut counts = Counts::default();
-        for state in self.states.values() {
-            match state.standing {
+    /// Returns the number of members by liveness.
+    #[must_use]
+    pub fn counts(&self) -> LivenessCounts {
+        let mut counts = LivenessCounts::default();
+        for member in self.members.values() {
+            match member.liveness {
                 Liveness::Alive => counts.alive += 1,
                 Liveness::Suspect => counts.suspect += 1,
-                Liveness::Lost => counts.lost += 1,
+                Liveness::Dead => counts.dead += 1,
             }
         }
         counts
     }
 
-    /// A node has spoken, in this life of it.
-    pub fn speaks(&mut self, node: NodeId, incarnation: u64) {
-        if let Some(state) = self.states.get_mut(&node).filter(|state| state.age.0 <= incarnation) {
-            state.age = state.age.max((incarnation, 0));
-            state.standing = Liveness::Alive;
+    /// Records that a member has sent a message in this incarnation of it.
+    pub fn record_message(&mut self, node: NodeId, incarnation: Incarnation) {
+        let member = self.members.get_mut(&node);
+        if let Some(member) = member.filter(|member| member.version.incarnation <= incarnation) {
+            member.version = member.version.max(MemberVersion { incarnation, refutations: 0 });
+            member.liveness = Liveness::Alive;
         }
     }
 
-    /// Takes in what a member says of others; returns what it is answered.
-    pub fn told(&mut self, now: Time, link: LinkId, from: NodeId, frame: Message, out: &mut Vec<Outbound>) {
-        match frame {
-            Message::Ping { seq, rumors, .. } => {
-                self.learn(now, rumors);
-                let rumors = self.word();
-                out.push(Outbound::On(link, Message::Ack { seq, seconds: self.seconds, rumors }));
+    /// Handles a probe or an acknowledgement.
+    pub fn handle_message(
+        &mut self,
+        now: Time,
+        link: LinkId,
+        from: NodeId,
+        message: Message,
+        out: &mut Vec<Outbound>,
+    ) {
+        match message {
+            Message::Ping { seq, gossip, .. } => {
+                self.merge_gossip(now, gossip);
+                let gossip = self.next_gossip();
+                let uptime_seconds = self.uptime_seconds;
+                out.push(Outbound::Respond(link, Message::Ack { seq, uptime_seconds, gossip }));
             }
-            Message::Ack { seq, rumors, .. } => {
-                self.learn(now, rumors);
-                if seq >= self.awake_from {
-                    self.heard.insert(from);
-                }
-                if let Some(place) = self.passed.iter().position(|(ours, ..)| *ours == seq) {
-                    let (_, theirs, link, target) = self.passed[place];
-                    self.passed.remove(place);
-                    out.push(Outbound::On(link, Message::AckFor { seq: theirs, target }));
-                }
-                self.answered(from, seq);
+            Message::Ack { seq, gossip, .. } => {
+                self.merge_gossip(now, gossip);
+                self.handle_ack(from, seq, out);
             }
-            Message::PingFor { seq, target } if self.states.contains_key(&target) => {
-                let ours = self.next_seq();
-                self.passed.push_back((ours, seq, link, target));
-                if self.passed.len() > PASSED {
-                    self.passed.pop_front();
-                }
-                let rumors = self.word();
-                out.push(Outbound::To(target, Message::Ping { seq: ours, seconds: self.seconds, rumors }));
+            Message::IndirectPing { seq, target } if self.members.contains_key(&target) => {
+                self.relay_probe(link, seq, target, out);
             }
-            Message::AckFor { seq, target } => {
+            Message::IndirectAck { seq, target } => {
                 if self.probe.as_ref().is_some_and(|probe| probe.seq == seq) {
-                    if let Some(state) = self.states.get_mut(&target) {
-                        state.standing = Liveness::Alive;
+                    if let Some(member) = self.members.get_mut(&target) {
+                        member.liveness = Liveness::Alive;
                     }
                 }
-                self.answered(target, seq);
+                self.close_probe(target, seq);
             }
             _ => {}
         }
     }
 
-    fn answered(&mut self, node: NodeId, seq: u64) {
+    fn handle_ack(&mut self, from: NodeId, seq: u64, out: &mut Vec<Outbound>) {
+        if seq >= self.first_valid_seq {
+            self.confirmed.insert(from);
+        }
+        let relayed = self.relayed_probes.iter().position(|relayed| relayed.seq == seq);
+        if let Some(relayed) = relayed.and_then(|index| self.relayed_probes.remove(index)) {
+            let ack = Message::IndirectAck { seq: relayed.requester_seq, target: relayed.target };
+            out.push(Outbound::Respond(relayed.requester_link, ack));
+        }
+        self.close_probe(from, seq);
+    }
+
+    /// Probes a member for another node.
+    fn relay_probe(&mut self, link: LinkId, requester_seq: u64, target: NodeId, out: &mut Vec<Outbound>) {
+        let seq = self.next_seq();
+        let relayed = RelayedProbe { seq, requester_seq, requester_link: link, target };
+        self.relayed_probes.push_back(relayed);
+        if self.relayed_probes.len() > MAX_RELAYED_PROBES {
+            self.relayed_probes.pop_front();
+        }
+        let gossip = self.next_gossip();
+        out.push(Outbound::Send(target, self.ping(seq, gossip)));
+    }
+
+    fn close_probe(&mut self, node: NodeId, seq: u64) {
         if self.probe.as_ref().is_some_and(|probe| probe.target == node && probe.seq == seq) {
             self.probe = None;
         }
     }
 
-    /// A node can't be reached directly.
-    pub fn unreached(&mut self, node: NodeId, out: &mut Vec<Outbound>) {
-        if self.probe.as_ref().is_some_and(|probe| probe.target == node && !probe.helped) {
-            self.ask_others(out);
+    /// Handles that a node can't be reached directly: if it is being probed, other members are asked to.
+    pub fn handle_unreachable(&mut self, node: NodeId, out: &mut Vec<Outbound>) {
+        if self.probe.as_ref().is_some_and(|probe| probe.target == node && !probe.is_indirect) {
+            self.send_indirect_probes(out);
         }
     }
 
     fn next_seq(&mut self) -> u64 {
-        self.seq += 1;
-        self.seq
+        self.last_seq += 1;
+        self.last_seq
+    }
+
+    fn ping(&self, seq: u64, gossip: Vec<GossipUpdate>) -> Message {
+        Message::Ping { seq, uptime_seconds: self.uptime_seconds, gossip }
     }
 
-    /// Time passes.
-    pub fn tick(&mut self, now: Time, level: bool, out: &mut Vec<Outbound>) {
-        self.greet(now, level, out);
-        if now >= self.next_lost {
-            let lost =
-                |(_, state): &(&NodeId, &State)| state.standing == Liveness::Suspect && now >= state.lost_at;
-            let lost: Vec<NodeId> = self.states.iter().filter(lost).map(|(node, _)| *node).collect();
-            lost.into_iter().for_each(|node| self.stands(node, Liveness::Lost, now));
-            let suspects = self.states.values().filter(|state| state.standing == Liveness::Suspect);
-            self.next_lost = suspects.map(|state| state.lost_at).min().unwrap_or(Time::MAX);
+    /// Advances the time. `has_quorum` says that enough members have been heard since the node started or resumed.
+    pub fn tick(&mut self, now: Time, has_quorum: bool, out: &mut Vec<Outbound>) {
+        self.contact_members(now, has_quorum, out);
+        self.declare_deaths(now);
+        let direct_probe_timeout = self.probe_period.mul_f64(DIRECT_PROBE_FRACTION);
+        let is_unanswered =
+            |probe: &Probe| !probe.is_indirect && now >= probe.started_at + direct_probe_timeout;
+        if self.probe.as_ref().is_some_and(is_unanswered) {
+            self.send_indirect_probes(out);
         }
-        if let Some(probe) = &self.probe {
-            if !probe.helped && now >= probe.sent + self.period.mul_f64(DIRECT) {
-                self.ask_others(out);
-            }
+        if now >= self.next_probe_at && !self.members.is_empty() {
+            self.begin_probe(now, out);
         }
-        if now < self.next_probe || self.states.is_empty() {
-            return;
+    }
+
+    /// After the node has started or resumed, contacts every member, a bounded number at a time, and again at intervals
+    /// those that have not answered, until enough have.
+    fn contact_members(&mut self, now: Time, has_quorum: bool, out: &mut Vec<Outbound>) {
+        if !has_quorum && self.to_contact.is_empty() && now >= self.contacted_at + CONTACT_INTERVAL {
+            let unconfirmed = self.members.keys().filter(|node| !self.confirmed.contains(node));
+            self.to_contact = unconfirmed.copied().collect();
+            self.to_contact.shuffle(&mut self.rng);
         }
-        if let Some(probe) = self.probe.take() {
-            if self.standing(probe.target) == Liveness::Alive {
-                self.stands(probe.target, Liveness::Suspect, now);
-            }
+        for _ in 0..CONTACTS_PER_TICK {
+            let Some(node) = self.to_contact.pop() else { break };
+            self.contacted_at = now;
+            let seq = self.next_seq();
+            out.push(Outbound::Send(node, self.ping(seq, Vec::new())));
         }
-        self.next_probe = now + self.period;
-        if self.round.is_empty() {
-            self.round = self.states.keys().copied().collect();
-            self.round.shuffle(&mut self.rng);
+    }
+
+    /// Marks as dead the members that have been suspects for too long.
+    fn declare_deaths(&mut self, now: Time) {
+        if now < self.next_death_at {
+            return;
         }
-        if let Some(target) = self.round.pop() {
-            let seq = self.next_seq();
-            self.probe = Some(Probe { target, seq, sent: now, helped: false });
-            let rumors = self.word();
-            out.push(Outbound::To(target, Message::Ping { seq, seconds: self.seconds, rumors }));
+        let is_due = |member: &MemberState| member.liveness == Liveness::Suspect && now >= member.dead_at;
+        let dead: Vec<NodeId> =
+            self.members.iter().filter(|(_, member)| is_due(member)).map(|(node, _)| *node).collect();
+        for node in dead {
+            self.set_liveness(node, Liveness::Dead, now);
         }
+        let suspects = self.members.values().filter(|member| member.liveness == Liveness::Suspect);
+        self.next_death_at = suspects.map(|member| member.dead_at).min().unwrap_or(Time::MAX);
     }
 
-    /// Who starts or wakes up asks everyone, some at a time, and again until it has heard enough.
-    fn greet(&mut self, now: Time, level: bool, out: &mut Vec<Outbound>) {
-        if !level && self.to_greet.is_empty() && now >= self.greeted_at + GREETS_AGAIN {
-            let unheard = self.states.keys().filter(|node| !self.heard.contains(node));
-            self.to_greet = unheard.copied().collect();
-            self.to_greet.shuffle(&mut self.rng);
+    /// Begins a probe period: the target of the last one is a suspect if it has not answered by now.
+    fn begin_probe(&mut self, now: Time, out: &mut Vec<Outbound>) {
+        if let Some(unanswered) = self.probe.take() {
+            if self.liveness(unanswered.target) == Liveness::Alive {
+                self.set_liveness(unanswered.target, Liveness::Suspect, now);
+            }
         }
-        for _ in 0..GREETED {
-            let Some(node) = self.to_greet.pop() else { break };
-            self.greeted_at = now;
+        self.next_probe_at = now + self.probe_period;
+        if self.probe_round.is_empty() {
+            self.probe_round = self.members.keys().copied().collect();
+            self.probe_round.shuffle(&mut self.rng);
+        }
+        if let Some(target) = self.probe_round.pop() {
             let seq = self.next_seq();
-            out.push(Outbound::To(node, Message::Ping { seq, seconds: self.seconds, rumors: Vec::new() }));
+            self.probe = Some(Probe { target, seq, started_at: now, is_indirect: false });
+            let gossip = self.next_gossip();
+            out.push(Outbound::Send(target, self.ping(seq, gossip)));
         }
     }
 
-    fn ask_others(&mut self, out: &mut Vec<Outbound>) {
+    fn send_indirect_probes(&mut self, out: &mut Vec<Outbound>) {
         let Some(probe) = &mut self.probe else { return };
-        probe.helped = true;
+        probe.is_indirect = true;
         let (target, seq) = (probe.target, probe.seq);
-        let alive = |(node, state): &(&NodeId, &State)| state.standing == Liveness::Alive && **node != target;
-        let mut others: Vec<NodeId> = self.states.iter().filter(alive).map(|(node, _)| *node).collect();
-        let (chosen, _) = others.partial_shuffle(&mut self.rng, HELPERS);
-        out.extend(chosen.iter().map(|helper| Outbound::To(*helper, Message::PingFor { seq, target })));
-    }
-
-    fn stands(&mut self, node: NodeId, standing: Liveness, now: Time) {
-        let lost_at = now + self.period * SUSPECTED_FOR;
-        let Some(state) = self.states.get_mut(&node) else { return };
-        (state.standing, state.lost_at) = (standing, lost_at);
-        self.next_lost = self.next_lost.min(lost_at);
-        let rumor = GossipUpdate { node, age: state.age, standing };
-        self.pass_on(rumor);
-    }
-
-    fn pass_on(&mut self, rumor: GossipUpdate) {
-        self.rumors.retain(|(known, _)| known.node != rumor.node);
-        let times = PASSED_ON * (usize::BITS - self.states.len().leading_zeros()).max(1);
-        self.rumors.push((rumor, times));
-    }
-
-    /// What is passed on with the next message: the freshest word.
-    fn word(&mut self) -> Vec<GossipUpdate> {
-        self.rumors.sort_by_key(|(_, left)| std::cmp::Reverse(*left));
-        let told = self.rumors.iter_mut().take(RUMORS).map(|(rumor, left)| {
-            *left -= 1;
-            *rumor
-        });
-        let told = told.collect();
-        self.rumors.retain(|(_, left)| *left > 0);
-        told
+        let alive = self.members.iter().filter(|(_, member)| member.liveness == Liveness::Alive);
+        let mut others: Vec<NodeId> = alive.map(|(node, _)| *node).filter(|node| *node != target).collect();
+        let (chosen, _) = others.partial_shuffle(&mut self.rng, INDIRECT_PROBES);
+        let request = Message::IndirectPing { seq, target };
+        out.extend(chosen.iter().map(|node| Outbound::Send(*node, request.clone())));
+    }
+
+    fn set_liveness(&mut self, node: NodeId, liveness: Liveness, now: Time) {
+        let dead_at = now + self.probe_period * SUSPICION_PERIODS;
+        let Some(member) = self.members.get_mut(&node) else { return };
+        member.liveness = liveness;
+        member.dead_at = dead_at;
+        let version = member.version;
+        self.next_death_at = self.next_death_at.min(dead_at);
+        self.queue_gossip(GossipUpdate { node, version, liveness });
+    }
+
+    /// Queues an update for gossip; it replaces an earlier one of the same member.
+    fn queue_gossip(&mut self, update: GossipUpdate) {
+        self.gossip_queue.retain(|queued| queued.update.node != update.node);
+        let log_of_members = (usize::BITS - self.members.len().leading_zeros()).max(1);
+        let transmissions_left = GOSSIP_RETRANSMIT_FACTOR * log_of_members;
+        self.gossip_queue.push(QueuedUpdate { update, transmissions_left });
+    }
+
+    /// Takes the updates for the next message: those that were sent least.
+    fn next_gossip(&mut self) -> Vec<GossipUpdate> {
+        self.gossip_queue.sort_by_key(|queued| std::cmp::Reverse(queued.transmissions_left));
+        let mut updates = Vec::new();
+        for queued in self.gossip_queue.iter_mut().take(MAX_GOSSIP_PER_MESSAGE) {
+            queued.transmissions_left -= 1;
+            updates.push(queued.update);
+        }
+        self.gossip_queue.retain(|queued| queued.transmissions_left > 0);
+        updates
     }
 
-    fn learn(&mut self, now: Time, rumors: Vec<GossipUpdate>) {
-        for rumor in rumors.into_iter().take(RUMORS) {
-            if rumor.node == self.me {
-                // It is alive, and says so under a higher number.
-                if rumor.standing != Liveness::Alive && rumor.age >= self.age && rumor.age.0 == self.age.0 {
-                    self.age.1 = rumor.age.1.saturating_add(1);
-                    self.pass_on(GossipUpdate { node: self.me, age: self.age, standing: Liveness::Alive });
-                }
-                continue;
-            }
-            let Some(state) = self.states.get_mut(&rumor.node) else { continue };
-            let newer = rumor.age > state.age || (rumor.age == state.age && rumor.standing > state.standing);
-            // One that is heard here is not lost on the word of others; it is suspected, until it answers or does not.
-            let standing = match (rumor.standing, state.standing) {
-                (Liveness::Lost, Liveness::Alive) => Liveness::Suspect,
-                (standing, _) => standing,
-            };
-            if newer {
-                state.age = rumor.age;
-                state.standing = standing;
-                state.lost_at = now + self.period * SUSPECTED_FOR;
-                self.next_lost = self.next_lost.min(state.lost_at);
-                self.pass_on(rumor);
+    fn merge_gossip(&mut self, now: Time, updates: Vec<GossipUpdate>) {
+        for update in updates.into_iter().take(MAX_GOSSIP_PER_MESSAGE) {
+            if update.node == self.this_node {
+                self.refute(update);
+            } else {
+                self.merge_update(now, update);
             }
         }
     }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    const PERIOD: Duration = Duration::from_millis(1000);
 
-    fn at(millis: u64) -> Time {
-        Duration::from_millis(millis)
-    }
-
-    fn id(n: u64) -> NodeId {
-        NodeId(n)
-    }
-
-    fn members(me: u64, count: u64) -> FailureDetector {
-        let mut members = FailureDetector::new(id(me), 1, 7, PERIOD);
-        members.are(&(1..=count).map(id).collect());
-        members
-    }
-
-    fn pings(out: &[Outbound]) -> Vec<NodeId> {
-        out.iter()
-            .filter_map(|say| if let Outbound::To(to, Message::Ping { .. }) = say { Some(*to) } else { None })
-            .collect()
-    }
-
-    fn seq_to(out: &[Outbound], node: NodeId) -> u64 {
-        let found = out.iter().rev().find_map(|say| match say {
-            Outbound::To(to, Message::Ping { seq, .. }) if *to == node => Some(*seq),
-            _ => None,
-        });
-        found.unwrap()
-    }
-
-    #[test]
-    fn who_starts_greets_everyone_and_has_heard_who_answers() {
-        let (mut members, mut out) = (members(1, 4), Vec::new());
-        members.tick(at(0), false, &mut out);
-        let greeted: BTreeSet<NodeId> = pings(&out).into_iter().collect();
-        assert_eq!(greeted, [2, 3, 4].map(id).into());
-        members.told(
-            at(1),
-            1,
-            id(2),
-            Message::Ack { seq: seq_to(&out, id(2)), seconds: 0, rumors: vec![] },
-            &mut out,
-        );
-        assert_eq!(*members.heard(), [id(2)].into());
-        out.clear();
-        members.tick(at(600), false, &mut out);
-        assert!(pings(&out).iter().collect::<BTreeSet<_>>().is_superset(&[&id(3), &id(4)].into()));
-    }
-
-    #[test]
-    fn who_woke_up_has_heard_nobody_and_old_answers_do_not_count() {
-        let (mut members, mut out) = (members(1, 3), Vec::new());
-        members.tick(at(0), false, &mut out);
-        let old = seq_to(&out, id(2));
-        members.woke();
-        members.told(at(1), 1, id(2), Message::Ack { seq: old, seconds: 0, rumors: vec![] }, &mut out);
-        assert!(members.heard().is_empty());
-        out.clear();
-        members.tick(at(2), false, &mut out);
-        members.told(
-            at(3),
-            1,
-            id(2),
-            Message::Ack { seq: seq_to(&out, id(2)), seconds: 0, rumors: vec![] },
-            &mut out,
-        );
-        assert_eq!(*members.heard(), [id(2)].into());
-    }
-
-    /// Two of four are alive here; the third does not answer its probe.
-    fn suspecting() -> (FailureDetector, NodeId, Time) {
-        let (mut members, mut out) = (members(1, 4), Vec::new());
-        for node in [2, 3, 4] {
-            members.speaks(id(node), 1);
+    /// Refutes a suspicion of this node in its current incarnation.
+    fn refute(&mut self, update: GossipUpdate) {
+        let is_current =
+            update.version >= self.own_version && update.version.incarnation == self.own_version.incarnation;
+        if update.liveness == Liveness::Alive || !is_current {
+            return;
         }
-        members.tick(at(0), true, &mut out);
-        let target = *pings(&out).last().unwrap();
-        out.clear();
-        members.tick(at(400), true, &mut out);
-        let helpers = out
-            .iter()
-            .filter(|say| matches!(say, Outbound::To(_, Message::PingFor { target: t, .. }) if *t == target));
-        assert_eq!(helpers.count(), 2, "the others are asked to ask: {out:?}");
-        members.tick(at(1000), true, &mut out);
-        assert_eq!(members.standing(target), Liveness::Suspect);
-        (members, target, at(1000))
-    }
-
-    #[test]
-    fn who_answers_neither_directly_nor_through_others_is_suspected_and_then_lost() {
-        let (mut members, target, then) = suspecting();
-        let mut out = Vec::new();
-        members.tick(then + at(3_999), true, &mut out);
-        assert_ne!(members.standing(target), Liveness::Lost);
-        members.tick(then + at(4_000), true, &mut out);
-        assert_eq!(members.standing(target), Liveness::Lost);
-        assert_eq!(members.counts().lost, 1);
-        members.speaks(target, 1);
-        assert_eq!(members.standing(target), Liveness::Alive, "it speaks for itself");
-    }
-
-    #[test]
-    fn an_answer_through_another_clears_it() {
-        let (mut members, mut out) = (members(1, 4), Vec::new());
-        (2..=4).for_each(|node| members.speaks(id(node), 1));
-        members.tick(at(0), true, &mut out);
-        let target = *pings(&out).last().unwrap();
-        let seq = seq_to(&out, target);
-        members.tick(at(400), true, &mut out);
-        members.told(at(500), 1, id(9), Message::AckFor { seq, target }, &mut out);
-        members.tick(at(1000), true, &mut out);
-        assert_eq!(members.standing(target), Liveness::Alive);
-    }
-
-    #[test]
-    fn one_that_asks_for_another_hears_of_it_by_the_link_it_asked_on() {
-        let (mut members, mut out) = (members(1, 4), Vec::new());
-        members.told(at(0), 77, id(2), Message::PingFor { seq: 5, target: id(3) }, &mut out);
-        let seq = seq_to(&out, id(3));
-        members.told(at(1), 78, id(3), Message::Ack { seq, seconds: 0, rumors: vec![] }, &mut out);
-        assert!(out.contains(&Outbound::On(77, Message::AckFor { seq: 5, target: id(3) })));
-        out.clear();
-        members.told(at(0), 77, id(2), Message::PingFor { seq: 5, target: id(9) }, &mut out);
-        assert!(out.is_empty(), "nobody it knows");
-    }
-
-    #[test]
-    fn who_is_wrongly_suspected_says_so_under_a_higher_number_and_is_believed() {
-        let (mut members, mut out) = (members(1, 4), Vec::new());
-        let rumor = |node, age, standing| GossipUpdate { node: id(node), age, standing };
-        let suspect = rumor(1, (1, 0), Liveness::Suspect);
-        members.told(at(0), 1, id(2), Message::Ping { seq: 1, seconds: 0, rumors: vec![suspect] }, &mut out);
-        let said = rumor(1, (1, 1), Liveness::Alive);
-        assert_eq!(out, [Outbound::On(1, Message::Ack { seq: 1, seconds: 0, rumors: vec![said] })]);
-        let mut other = self::members(2, 4);
-        let hears = |other: &mut FailureDetector, rumor| {
-            other.told(
-                at(0),
-                1,
-                id(3),
-                Message::Ping { seq: 1, seconds: 0, rumors: vec![rumor] },
-                &mut Vec::new(),
-            );
-            other.standing(id(1))
-        };
-        other.speaks(id(1), 1);
-        assert_eq!(
-            hears(&mut other, rumor(1, (1, 0), Liveness::Lost)),
-            Liveness::Suspect,
-            "it is heard here"
-        );
-        assert_eq!(hears(&mut other, said), Liveness::Alive);
-        assert_eq!(hears(&mut other, suspect), Liveness::Alive, "that is older");
-        assert_eq!(hears(&mut other, rumor(1, (1, 1), Liveness::Suspect)), Liveness::Suspect);
+        self.own_version.refutations = update.version.refutations.saturating_add(1);
+        let alive =
+            GossipUpdate { node: self.this_node, version: self.own_version, liveness: Liveness::Alive };
+        self.queue_gossip(alive);
     }
 
-    #[test]
-    fn word_is_passed_on_a_bounded_number_of_times_and_a_few_at_a_time() {
-        let mut members = members(1, 100);
-        for node in 2..=40 {
-            members.speaks(id(node), 1);
-            members.stands(id(node), Liveness::Suspect, at(0));
-        }
-        let mut told = 0;
-        for _ in 0..1000 {
-            let word = members.word();
-            assert!(word.len() <= RUMORS);
-            told += word.len();
+    fn merge_update(&mut self, now: Time, update: GossipUpdate) {
+        let Some(member) = self.members.get_mut(&update.node) else { return };
+        if (update.version, update.liveness) <= (member.version, member.liveness) {
+            return;
         }
-        assert_eq!(told, 39 * 3 * 7);
+        // A member that this node hears is not dead because others say so; it is probed first.
+        let is_heard = member.liveness == Liveness::Alive;
+        member.version = update.version;
+        member.liveness =
+            if is_heard && update.liveness == Liveness::Dead { Liveness::Suspect } else { update.liveness };
+        member.dead_at = now + self.probe_period * SUSPICION_PERIODS;
+        self.next_death_at = self.next_death_at.min(member.dead_at);
+        self.queue_gossip(update);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/fleet/src/lib.rs
+++ b/fleet/src/lib.rs
@@ -1,21 +1,30 @@
-//! What a fleet of nodes decides together, so that a keyed request runs once among all of them: who holds copies of a
-//! key ([`membership_config`], [`active_configs`]), what a copy answers ([`replica_table`], [`key_state`]), whether a run may begin and when its result is
-//! safe ([`claim_coordinator`]), who is heard ([`failure_detector`]), whether what a node kept is the last that was known of it ([`staleness`]), and
-//! what it has to learn when it comes back ([`state_transfer`]),
-//! in which stages that is ([`recovery_stages`]).
-//! [`replica_node`] puts them together. Apart from that, [`audit`] says what the records of all nodes tell, and [`hash_chain`] whether they
-//! are as they were written.
+//! Every decision that the nodes of a fleet make together, so that a request with an idempotency key runs at most once
+//! among all of them.
 //!
-//! There is no clock, socket, thread or random source here: time and events come in, actions go out, and random numbers
-//! come from a seed. `docs/replication.md` has the reasons.
+//! The crate does no I/O: there is no clock, socket, thread or random source here. Events and the time come in, actions go
+//! out, and random numbers come from a seed. `docs/replication.md` explains the protocol and the reasons for it.
+//!
+//! - [`replica_node`] is the state machine of one node, which puts the other modules together.
+//! - [`membership_config`] and [`active_configs`]: who the members are, and which of them hold replicas of a key.
+//! - [`replica_table`] and [`key_state`]: what a replica knows of each key, how it votes, and how replicas are merged.
+//! - [`claim_coordinator`]: whether a run may start, and when its result is replicated.
+//! - [`failure_detector`]: which members answer.
+//! - [`staleness`]: whether state that a node restored is the latest that is known of it.
+//! - [`recovery_stages`]: the stages in which a node comes back.
+//! - [`message`] and [`ids`]: the peer protocol.
+//! - [`decision_record`], [`hash_chain`] and [`audit`]: what nodes record of their decisions, and what those records show.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 pub mod active_configs;
 pub mod audit;
 pub mod claim_coordinator;
+pub mod decision_record;
+mod digest;
+mod donor;
 pub mod failure_detector;
 pub mod hash_chain;
+pub mod ids;
 pub mod key_state;
 pub mod membership_config;
 pub mod message;
@@ -23,16 +32,26 @@
 pub mod replica_node;
 pub mod replica_table;
 pub mod staleness;
-pub mod state_transfer;
+mod state_transfer;
+mod token_bucket;
+
+#[cfg(test)]
+mod test_support;
 
 use std::time::Duration;
 
-/// A point in time on a clock of this node's own that never goes back and does not stop while the process does.
+/// A point in time on a clock of this node's own, which never goes back and does not stop while the process does.
 pub type Time = Duration;
 
-/// A key that has run out is kept this much longer for tries that were read late: those that came to the machine in its
-/// time are still linked to it.
+/// A key is retained this much longer than its idempotency window, for attempts that reached the machine within the window
+/// but were read later.
 pub const LATE_READ_GRACE: Duration = Duration::from_secs(8);
 
-/// The longest result that is kept, in bytes; one that is longer counts as failed for later tries.
+/// The longest result that is stored, in bytes; one that is longer counts as failed for later attempts.
 pub const MAX_RESULT_BYTES: usize = 64 * 1024;
+
+/// Returns a duration in whole milliseconds, rounded up so that a key is not dropped early.
+#[must_use]
+pub fn millis_ceil(duration: Duration) -> u64 {
+    u64::try_from(duration.as_nanos().div_ceil(1_000_000)).unwrap_or(u64::MAX)
+}
--- a/fleet/src/message.rs
+++ b/fleet/src/message.rs
@@ -1,38 +1,50 @@
-//! What nodes say to each other. Kinds are told by their position: a later build appends new ones, and new fields at the
-//! end of old ones, so that builds that know less skip what they don't know.
+//! The peer protocol: every message that nodes exchange.
+//!
+//! Messages are encoded by position. A later build appends new variants, and new fields at the end of existing ones, so
+//! that an older build can skip what it does not know. Variants and fields must never be reordered or removed.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
+use crate::ids::{ConfigVersion, Incarnation, NodeId};
 use crate::key_state::{BodyDigest, ClaimId, CompletedRun, Key};
-use crate::membership_config::{MembershipSpec, NodeId};
+use crate::membership_config::MembershipSpec;
 use crate::staleness::StatePosition;
 
-/// Kinds of frames that this build knows; later ones have higher numbers.
+/// The number of message kinds that this build knows; later builds use higher kinds.
 pub const MESSAGE_KINDS: u32 = 22;
 
-/// Who a node is, and what it goes by.
+/// Identifies one membership configuration: two nodes that agree on it have computed the same digest.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct ConfigSignature {
+    /// The configuration's version.
+    pub version: ConfigVersion,
+    /// The digest of its content, addresses aside.
+    pub digest: u64,
+}
+
+/// Introduces a node to a peer.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Hello {
-    /// Its name.
+    /// The sender's name.
     pub name: String,
-    /// Whom it means to reach.
+    /// The node that the sender means to reach.
     pub to: NodeId,
-    /// Which life of it this is; a later one has a higher number.
-    pub incarnation: u64,
-    /// The numbers and digests of the lists that are about there, the newest last.
-    pub lists: Vec<(u64, u64)>,
-    /// Lists up to this number are over, as this node knows.
-    pub over: u64,
-    /// The link before this one was cut, and what was on it is lost.
-    pub cut: bool,
-    /// How long this life has lasted.
-    pub seconds: u64,
-    /// Where what it goes on from ends: what it kept of an earlier life, if it did.
-    pub kept: Option<StatePosition>,
+    /// The sender's incarnation.
+    pub incarnation: Incarnation,
+    /// The configurations that are active at the sender, the newest last.
+    pub configs: Vec<ConfigSignature>,
+    /// Configurations up to this version are retired, as the sender knows.
+    pub retired_through: ConfigVersion,
+    /// The previous link was cut because the receiver was too slow, and the messages on it are lost.
+    pub link_cut: bool,
+    /// How long the sender's incarnation has lasted, in seconds.
+    pub uptime_seconds: u64,
+    /// The position of the state that the sender restored from its disk, if it restored any.
+    pub restored: Option<StatePosition>,
 }
 
-/// A claim as a copy is asked for it.
+/// Asks a replica to grant a claim on a key.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ClaimRequest {
     /// The claim.
@@ -41,290 +53,301 @@
     pub key: Key,
     /// The digest of the request's body.
     pub body: BodyDigest,
-    /// How much longer the key is remembered, in milliseconds.
-    pub keep_ms: u64,
-    /// The numbers of the lists that it needs majorities in.
-    pub lists: Vec<u64>,
+    /// How much longer the key is retained, in milliseconds.
+    pub retain_ms: u64,
+    /// The versions of the configurations in which the claim needs a quorum.
+    pub config_versions: Vec<ConfigVersion>,
 }
 
-/// What stands in the way of a claim.
+/// The claim that prevents another one from being granted.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ConflictingClaim {
-    /// The claim that has begun, or ended.
+    /// The claim whose run has started, or completed.
     pub claim: ClaimId,
-    /// The digest of its body.
+    /// The digest of its request's body.
     pub body: BodyDigest,
-    /// How it ended, if it has.
-    pub ended: Option<CompletedRun>,
-    /// How long its window has been over, in milliseconds.
-    pub past_ms: u64,
+    /// Its completed run, if the replica knows of it.
+    pub completed: Option<CompletedRun>,
+    /// How long ago its idempotency window ended, in milliseconds; 0 while the window is open.
+    pub expired_ms: u64,
 }
 
-/// Why a copy can't say.
+/// Why a replica can't answer a claim, or a node rejects an attempt before it ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum RejectReason {
-    /// It came back without its state and has neither caught up nor waited for a window.
-    Returning,
-    /// It has not heard a majority since it started or woke up.
-    Unheard,
-    /// It has no room for one more key.
-    Full,
-    /// Another process has its name.
+    /// The replica lost its state and has neither caught up nor waited for one idempotency window.
+    Recovering,
+    /// The node has not heard a majority of the members since it started or resumed.
+    NoQuorum,
+    /// There is no capacity for one more key.
+    CapacityExceeded,
+    /// Another process runs under the node's name.
     Superseded,
-    /// It knows of other lists than those that the claim is made under.
-    ActiveConfigs,
-    /// It has another list of the same number.
-    Contradicted,
-    /// It could not keep its word on its disk.
-    Unkept,
-    /// It can't be reached.
-    Unreached,
-    /// It is not on the list.
-    Unlisted,
-    /// Its time ran out.
-    Late,
-    /// The key's window is over, and it is not forgotten yet.
-    Past,
-    /// What it waited for never ran.
-    Freed,
+    /// The replica has active configurations in which the claim does not ask for a quorum.
+    ConfigMismatch,
+    /// The replica has another configuration of the same version.
+    ConfigConflict,
+    /// The replica could not write its grant to disk.
+    NotDurable,
+    /// The replica can't be reached.
+    Unreachable,
+    /// The node is not a member of the newest configuration.
+    NotMember,
+    /// No quorum answered before the deadline.
+    DeadlineExceeded,
+    /// The key's idempotency window has ended, but the key is not removed yet.
+    WindowExpired,
+    /// The run that the attempt waited for never started.
+    ClaimReleased,
+}
+
+/// How often a node has come back or refuted a suspicion; the higher version of a member prevails in gossip.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct MemberVersion {
+    /// The member's incarnation.
+    pub incarnation: Incarnation,
+    /// How many suspicions it has refuted in that incarnation.
+    pub refutations: u32,
 }
 
-/// Word of a member.
+/// A member's liveness, as it is gossiped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct GossipUpdate {
-    /// Whom it is about.
+    /// The member.
     pub node: NodeId,
-    /// Its life and, in that, how often it has had to say that it is alive.
-    pub age: (u64, u32),
-    /// How it stands.
-    pub standing: Liveness,
+    /// The version of the member that the update is about.
+    pub version: MemberVersion,
+    /// The member's liveness.
+    pub liveness: Liveness,
 }
 
-/// How a member stands.
+/// Whether a member answers probes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Liveness {
-    /// It is heard.
+    /// It answers.
     Alive,
-    /// It did not answer.
+    /// It did not answer the last probe.
     Suspect,
-    /// It did not answer for long.
-    Lost,
+    /// It was a suspect for too long, or was never heard.
+    Dead,
 }
 
-/// A place in a donor's table.
+/// A position in a donor's table. Entries are transferred in descending order of expiry.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TablePosition {
-    /// Which life of the donor.
-    pub incarnation: u64,
-    /// When the entry runs out there, in nanoseconds.
-    pub until_ns: u64,
+    /// The donor's incarnation; a position in another incarnation is void.
+    pub incarnation: Incarnation,
+    /// When the entry expires on the donor's clock, in nanoseconds.
+    pub expires_ns: u64,
     /// The entry's key.
     pub key: Key,
 }
 
 impl TablePosition {
-    /// Behind everything in the table of this life of a donor.
-    pub fn end(incarnation: u64) -> TablePosition {
-        TablePosition { incarnation, until_ns: 0, key: Key::new() }
+    /// Returns the position behind every entry of the table.
+    #[must_use]
+    pub fn end(incarnation: Incarnation) -> TablePosition {
+        TablePosition { incarnation, expires_ns: 0, key: Key::new() }
     }
 }
 
-/// What a donor knows of one key.
+/// What a replica knows of one key.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ReplicaRecord {
     /// The key.
     pub key: Key,
-    /// How much longer it is remembered, in milliseconds.
-    pub keep_ms: u64,
-    /// Claims that may have begun.
-    pub begun: Vec<(ClaimId, BodyDigest)>,
-    /// The end that stands.
-    pub ended: Option<CompletedRun>,
+    /// How much longer the key is retained, in milliseconds.
+    pub retain_ms: u64,
+    /// Claims whose runs may have started.
+    pub started: Vec<(ClaimId, BodyDigest)>,
+    /// The completed run.
+    pub completed: Option<CompletedRun>,
 }
 
-/// How far a copy's votes can be relied on.
+/// Whether a replica's table holds all that was granted before.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Completeness {
-    /// For all keys.
+    /// For every key.
     Complete,
-    /// For those whose other copies are enough of these, which it has caught up with.
-    CompleteWith(Vec<NodeId>),
+    /// For the keys of which enough other replicas are among these nodes, from which the table was synchronized.
+    PartialFrom(Vec<NodeId>),
 }
 
-/// A part of a donor's table.
+/// One page of a donor's table.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Page {
-    /// The round that it was asked in.
+    /// The round of the request.
     pub round: u32,
-    /// What the donor knows, the newest windows first.
+    /// The donor's records, those that expire last first.
     pub records: Vec<ReplicaRecord>,
-    /// Where the next part begins; none at the end.
+    /// Where the next page begins; none on the last page.
     pub next: Option<TablePosition>,
-    /// How far the donor's own votes can be relied on.
-    pub sound: Completeness,
+    /// Whether the donor's own table is complete.
+    pub completeness: Completeness,
 }
 
-/// What one node says to another.
+/// A message between two nodes.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// Who speaks; the first on every link, and again when something in it changes.
+    /// Introduces the sender. The first message on every link, sent again when anything in it changes.
     Hello(Hello),
-    /// The one that spoke has an earlier life than this one, which is known.
+    /// Response to a [`Message::Hello`] of an earlier incarnation than the one that is known.
     Superseded {
-        /// That life.
-        incarnation: u64,
+        /// The incarnation that is known.
+        incarnation: Incarnation,
     },
-    /// Asks for a list.
-    AskMembershipConfig {
-        /// Its number.
-        number: u64,
+    /// Requests a membership configuration.
+    RequestMembershipConfig {
+        /// Its version.
+        version: ConfigVersion,
     },
-    /// A list.
+    /// A membership configuration.
     MembershipConfig(MembershipSpec),
-    /// Asks whether one is there.
+    /// Probes the receiver.
     Ping {
-        /// Which one.
+        /// The probe's sequence number.
         seq: u64,
-        /// How long the sender's life has lasted, in seconds.
-        seconds: u64,
-        /// Word of others.
-        rumors: Vec<GossipUpdate>,
+        /// How long the sender's incarnation has lasted, in seconds.
+        uptime_seconds: u64,
+        /// Liveness of other members.
+        gossip: Vec<GossipUpdate>,
     },
-    /// One is there.
+    /// Response to a [`Message::Ping`].
     Ack {
-        /// The ping's.
+        /// The probe's sequence number.
         seq: u64,
-        /// How long the sender's life has lasted, in seconds.
-        seconds: u64,
-        /// Word of others.
-        rumors: Vec<GossipUpdate>,
+        /// How long the sender's incarnation has lasted, in seconds.
+        uptime_seconds: u64,
+        /// Liveness of other members.
+        gossip: Vec<GossipUpdate>,
     },
-    /// Asks to ask another.
-    PingFor {
-        /// Which one.
+    /// Asks the receiver to probe another member.
+    IndirectPing {
+        /// The probe's sequence number.
         seq: u64,
-        /// Whom.
+        /// The member to probe.
         target: NodeId,
     },
-    /// That other is there.
-    AckFor {
-        /// The ping's.
+    /// Response to an [`Message::IndirectPing`] whose target answered.
+    IndirectAck {
+        /// The probe's sequence number.
         seq: u64,
-        /// Who.
+        /// The member that answered.
         target: NodeId,
     },
-    /// Asks for a claim.
+    /// Asks a replica to grant a claim.
     Claim(ClaimRequest),
-    /// Yours.
+    /// The replica has granted the claim.
     Granted {
         /// The claim.
         claim: ClaimId,
-        /// Lives that this copy knows of the key's other copies.
-        lives: Vec<(NodeId, u64)>,
+        /// The incarnations that the replica knows of the key's other replicas.
+        incarnations: Vec<(NodeId, Incarnation)>,
     },
-    /// Another's.
+    /// The replica has not granted the claim, as another one was first.
     Blocked {
-        /// The claim that was asked for.
+        /// The claim that was requested.
         claim: ClaimId,
-        /// What stands in its way.
-        by: ConflictingClaim,
+        /// The claim that was first.
+        conflict: ConflictingClaim,
     },
-    /// Can't say.
-    Unsure {
-        /// The claim that was asked for.
+    /// The replica can neither grant nor deny the claim.
+    Uncertain {
+        /// The claim that was requested.
         claim: ClaimId,
         /// Why.
-        why: RejectReason,
+        reason: RejectReason,
     },
-    /// A run has ended.
-    Ended {
+    /// A run has completed.
+    Completed {
         /// The key.
         key: Key,
-        /// How much longer it is remembered, in milliseconds.
-        keep_ms: u64,
-        /// Its end.
-        end: CompletedRun,
+        /// How much longer the key is retained, in milliseconds.
+        retain_ms: u64,
+        /// The run.
+        run: CompletedRun,
     },
-    /// An end is kept, or can't be.
-    Kept {
+    /// Response to [`Message::Completed`].
+    Stored {
         /// The run's claim.
         claim: ClaimId,
-        /// Whether it is kept.
-        kept: bool,
+        /// Whether the replica has stored the run.
+        stored: bool,
     },
-    /// A claim is given up: no run has begun by it and none will.
+    /// The claim is withdrawn: no run has started under it and none will.
     Release {
         /// The key.
         key: Key,
         /// The claim.
         claim: ClaimId,
     },
-    /// Asks what is known of a key, without a claim.
-    Ask {
-        /// The claim of the try that wants to know, which is given up.
+    /// Asks what is known of a key, without claiming it.
+    QueryKey {
+        /// The withdrawn claim of the attempt that asks.
         claim: ClaimId,
         /// The key.
         key: Key,
     },
-    /// Nothing has begun or ended.
-    Free {
-        /// The claim of the try that wanted to know.
+    /// Response to [`Message::QueryKey`]: no run of the key has started or completed.
+    KeyFree {
+        /// The claim of the attempt that asked.
         claim: ClaimId,
     },
-    /// Asks a claim's node what became of it.
-    What {
+    /// Asks the node that made a claim what became of it.
+    QueryClaim {
         /// The key.
         key: Key,
         /// The claim.
         claim: ClaimId,
-        /// The digest of its body.
+        /// The digest of its request's body.
         body: BodyDigest,
     },
-    /// Asks for a part of the table.
+    /// Requests a page of the table.
     Pull {
-        /// Which round of asking this is.
+        /// The requester's round; a page of an earlier round is ignored.
         round: u32,
-        /// Where the part begins; none for the first.
+        /// Where the page begins; none for the first.
         from: Option<TablePosition>,
     },
-    /// A part of the table.
+    /// A page of the table.
     Page(Page),
-    /// There is no part of the table to be had now.
-    Away {
-        /// The round that it was asked in.
+    /// Response to [`Message::Pull`]: the donor serves too many others now.
+    Deferred {
+        /// The round of the request.
         round: u32,
-        /// Come back after so many milliseconds.
-        after_ms: u64,
+        /// When to ask again, in milliseconds.
+        retry_after_ms: u64,
     },
-    /// What the one that spoke has kept is not the last that was known of it.
-    Outdated {
-        /// What was.
-        known: StatePosition,
+    /// The state that the receiver restored is older than the latest that is known of it.
+    StaleState {
+        /// The latest position that is known.
+        latest: StatePosition,
     },
 }
 
 impl Message {
-    /// Whether it answers a frame of the other side's, and so goes back on the link that that came by.
-    pub fn answers(&self) -> bool {
+    /// Whether this is a response, which goes back on the link that the request came by.
+    #[must_use]
+    pub fn is_response(&self) -> bool {
         matches!(
             self,
             Message::Superseded { .. }
                 | Message::MembershipConfig(_)
                 | Message::Ack { .. }
-                | Message::AckFor { .. }
+                | Message::IndirectAck { .. }
                 | Message::Granted { .. }
                 | Message::Blocked { .. }
-                | Message::Unsure { .. }
-                | Message::Kept { .. }
-                | Message::Free { .. }
+                | Message::Uncertain { .. }
+                | Message::Stored { .. }
+                | Message::KeyFree { .. }
                 | Message::Page(_)
-                | Message::Away { .. }
-                | Message::Outdated { .. }
+                | Message::Deferred { .. }
+                | Message::StaleState { .. }
         )
     }
 }
 
-/// A copy of bytes that outlives the buffer that they were read into.
-pub fn own(bytes: &Bytes) -> Bytes {
+/// Copies bytes out of the buffer that they were received in, so that storing them does not keep the whole buffer alive.
+pub(crate) fn detach(bytes: &Bytes) -> Bytes {
     Bytes::copy_from_slice(bytes)
 }
--- /dev/null
+++ b/fleet/src/replica_node/state_sync.rs
@@ -0,0 +1,108 @@
+//! How a node's replica table gets to disk and to other nodes: storing changes, and both sides of state transfers.
+
+use super::{Action, Notification, ReplicaNode, StoreSequence};
+use crate::donor::PageRequest;
+use crate::ids::NodeId;
+use crate::key_state::Key;
+use crate::message::{detach, Liveness, Message, Page, RejectReason};
+use crate::replica_table::PageRead;
+use crate::state_transfer::ReceivedPage;
+use crate::{millis_ceil, Time};
+
+impl ReplicaNode {
+    /// Stores what is known of a key. Returns the number of the change.
+    pub(super) fn store(&mut self, key: &Key, now: Time, out: &mut Vec<Action>) -> StoreSequence {
+        self.last_sequence += 1;
+        let (sequence, record) = (self.last_sequence, self.table.stored_record(key, now));
+        out.push(Action::Store { sequence, key: detach(key), record });
+        sequence
+    }
+
+    /// Sends the responses that waited for a change to be stored. What could not be stored must not be promised.
+    pub(super) fn finish_store(&mut self, sequence: StoreSequence, stored: bool, out: &mut Vec<Action>) {
+        for (link, message) in self.awaiting_store.remove(&sequence).unwrap_or_default() {
+            let message = match message {
+                Message::Granted { claim, .. } if !stored => {
+                    Message::Uncertain { claim, reason: RejectReason::NotDurable }
+                }
+                Message::Stored { claim, .. } => Message::Stored { claim, stored },
+                message => message,
+            };
+            self.respond(link, message, out);
+        }
+    }
+
+    pub(super) fn handle_page_request(&mut self, now: Time, request: PageRequest, out: &mut Vec<Action>) {
+        let (link, round) = (request.link, request.round);
+        if let Some(deferral) = self.donor.request(now, request) {
+            self.metrics.transfers_deferred += 1;
+            let retry_after_ms = millis_ceil(deferral);
+            self.respond(link, Message::Deferred { round, retry_after_ms }, out);
+        }
+        self.serve_pages(now, out);
+    }
+
+    /// Sends pages to the nodes that have asked for them, as far as the donor's budgets allow.
+    pub(super) fn serve_pages(&mut self, now: Time, out: &mut Vec<Action>) {
+        while let Some(PageRequest { link, node, round, from }) = self.donor.next_request(now) {
+            let read = self.table.page(now, node, round, from.as_ref(), &self.configs);
+            let PageRead { page, entries_read } = read;
+            self.donor.record_sent(node, &page, entries_read);
+            self.metrics.records_sent += page.records.len() as u64;
+            self.respond(link, Message::Page(page), out);
+        }
+    }
+
+    pub(super) fn handle_page(&mut self, now: Time, from: NodeId, page: Page, out: &mut Vec<Action>) {
+        let Some(ReceivedPage { records, finished }) = self.state_transfer.receive_page(now, from, page)
+        else {
+            return;
+        };
+        self.metrics.records_received += records.len() as u64;
+        let keys_to_store: Vec<Key> = if self.is_durable {
+            records.iter().map(|record| record.key.clone()).collect()
+        } else {
+            Vec::new()
+        };
+        let merged = self.table.merge_records(now, records);
+        self.report_conflicts(merged.conflicts, out);
+        for key in keys_to_store {
+            self.store(&key, now, out);
+        }
+        if merged.dropped {
+            out.push(Action::Notify(Notification::CapacityExceeded { donor: from }));
+        } else if let Some(completeness) = finished {
+            self.table.record_sync(from, completeness);
+            if self.table.finish_sync(&self.configs) {
+                self.report_table_complete(out);
+            }
+        }
+        self.request_pages(now, out);
+    }
+
+    /// Requests the next pages from donors that are alive.
+    pub(super) fn request_pages(&mut self, now: Time, out: &mut Vec<Action>) {
+        let mut requests = Vec::new();
+        let (detector, table) = (&self.failure_detector, &self.table);
+        let is_alive = |node| detector.liveness(node) == Liveness::Alive;
+        let incarnation_of = |node| is_alive(node).then(|| table.incarnation_of(node));
+        self.state_transfer.tick(now, table.is_complete(), incarnation_of, &mut requests);
+        for (node, message) in requests {
+            self.send(node, message, out);
+        }
+    }
+
+    pub(super) fn report_table_complete(&self, out: &mut Vec<Action>) {
+        let keys = self.table.size().keys;
+        out.push(Action::Notify(Notification::TableComplete { keys }));
+    }
+
+    /// Reports once per incarnation that state was lost, and for how long at most the node can't vote for every key.
+    pub(super) fn report_state_loss(&mut self, now: Time, out: &mut Vec<Action>) {
+        let Some(complete_within) = self.table.time_until_complete(now, &self.configs) else { return };
+        if !self.reported_state_loss {
+            self.reported_state_loss = true;
+            out.push(Action::Notify(Notification::StateLost { complete_within }));
+        }
+    }
+}
--- /dev/null
+++ b/fleet/src/replica_node/tests.rs
@@ -0,0 +1,433 @@
+//! Nodes that exchange messages over links that lose nothing.
+
+use super::*;
+use crate::claim_coordinator::AttemptId;
+use crate::ids::ConfigVersion;
+use crate::key_state::{ClaimId, Key, RunResult};
+use crate::message::ClaimRequest;
+use crate::test_support::{at, config, id, spec};
+use bytes::Bytes;
+
+fn settings(n: usize, incarnation: u64, is_restored: bool) -> Settings {
+    let position =
+        StatePosition { incarnation: Incarnation(incarnation.saturating_sub(1)), uptime_seconds: 0 };
+    Settings {
+        name: format!("n{n}"),
+        incarnation: Incarnation(incarnation),
+        seed: 1,
+        max_table_bytes: 64 << 20,
+        transfer_bytes_per_s: 16 << 20,
+        probe_period: Duration::from_millis(500),
+        restored: is_restored.then(|| RestoredState { records: Vec::new(), position }),
+        is_durable: false,
+    }
+}
+
+/// The link of a node with another one is numbered by the id of that node.
+fn link_of(node: NodeId) -> LinkId {
+    LinkId(node.0)
+}
+
+fn received(from: NodeId, incarnation: Incarnation, message: Message) -> Event {
+    Event::MessageReceived { link: link_of(from), from, incarnation, message }
+}
+
+/// A fleet of nodes in their first incarnation.
+struct Fixture {
+    nodes: BTreeMap<NodeId, ReplicaNode>,
+    now: Time,
+    outcomes: Vec<(AttemptId, ClaimOutcome)>,
+    notifications: Vec<(NodeId, Notification)>,
+    /// Nodes that neither send nor receive.
+    down: BTreeSet<NodeId>,
+}
+
+impl Fixture {
+    fn new(count: usize, is_restored: bool) -> Fixture {
+        let numbers: Vec<usize> = (1..=count).collect();
+        let config = Arc::new(config(1, &numbers, 1));
+        let node = |n: &usize| ReplicaNode::new(settings(*n, 1, is_restored), config.clone(), at(0));
+        let mut fixture = Fixture {
+            nodes: numbers.iter().map(|n| (id(*n), node(n))).collect(),
+            now: at(0),
+            outcomes: Vec::new(),
+            notifications: Vec::new(),
+            down: BTreeSet::new(),
+        };
+        fixture.advance(200);
+        fixture
+    }
+
+    fn node(&self, n: usize) -> &ReplicaNode {
+        &self.nodes[&id(n)]
+    }
+
+    /// Starts the process of a node anew with the configuration of another one.
+    fn restart(&mut self, n: usize, settings: Settings, config_of: usize) {
+        let config = self.node(config_of).configs().newest().clone();
+        self.nodes.insert(id(n), ReplicaNode::new(settings, config, self.now));
+    }
+
+    /// Handles an event and all that follows from it.
+    fn handle(&mut self, node: NodeId, event: Event) {
+        let mut events = VecDeque::from([(node, event)]);
+        while let Some((node, event)) = events.pop_front() {
+            if self.down.contains(&node) {
+                continue;
+            }
+            let mut out = Vec::new();
+            let Some(state) = self.nodes.get_mut(&node) else { continue };
+            state.handle(self.now, event, &mut out);
+            for action in out {
+                self.apply(node, action, &mut events);
+            }
+        }
+    }
+
+    fn apply(&mut self, node: NodeId, action: Action, events: &mut VecDeque<(NodeId, Event)>) {
+        let incarnation = self.nodes[&node].incarnation();
+        match action {
+            Action::Send(to, _) if self.down.contains(&to) => {
+                events.push_back((node, Event::PeerUnreachable(to)));
+            }
+            Action::Send(to, message) => events.push_back((to, received(node, incarnation, message))),
+            Action::Respond(link, message) => {
+                events.push_back((NodeId(link.0), received(node, incarnation, message)));
+            }
+            Action::NotifyAttempt(attempt, outcome) => self.outcomes.push((attempt, outcome)),
+            Action::Notify(notification) => self.notifications.push((node, notification)),
+            Action::SendHello => {
+                let hello = Message::Hello(self.nodes[&node].hello(node));
+                let others = self.nodes.keys().filter(|other| **other != node);
+                events.extend(others.map(|to| (*to, received(node, incarnation, hello.clone()))));
+            }
+            Action::Store { sequence, .. } => {
+                events.push_back((node, Event::StoreFinished { sequence, stored: true }));
+            }
+            Action::SetPermissions(_) => {}
+        }
+    }
+
+    fn advance(&mut self, millis: u64) {
+        for _ in 0..millis / 50 {
+            self.now += TICK_INTERVAL;
+            let nodes: Vec<NodeId> = self.nodes.keys().copied().collect();
+            for node in nodes {
+                self.handle(node, Event::Tick);
+            }
+        }
+    }
+
+    fn request_run(&mut self, n: usize, attempt: u64, key: &'static str) {
+        let request = RunRequest {
+            attempt: AttemptId(attempt),
+            key: Key::from_static(key.as_bytes()),
+            body: 1,
+            expires_at: self.now + at(9_000),
+            received_at: self.now,
+            received_unix_ms: attempt,
+            deadline: self.now + at(2_000),
+        };
+        self.handle(id(n), Event::RunRequested(request));
+    }
+
+    fn complete_run(&mut self, n: usize, attempt: u64, result: &'static str) {
+        self.handle(id(n), Event::RunCompleted(AttemptId(attempt), succeeded(result)));
+    }
+
+    /// What attempts were notified of since the last call.
+    fn outcomes(&mut self) -> Vec<(u64, ClaimOutcome)> {
+        self.outcomes.drain(..).map(|(attempt, outcome)| (attempt.0, outcome)).collect()
+    }
+
+    fn has_notified(&self, n: usize, notification: Notification) -> bool {
+        self.notifications.contains(&(id(n), notification))
+    }
+}
+
+fn succeeded(result: &'static str) -> RunResult {
+    RunResult::Succeeded(Bytes::from(result))
+}
+
+fn remote(result: &'static str) -> ClaimOutcome {
+    ClaimOutcome::RemoteOutcome(succeeded(result))
+}
+
+fn rejected(reason: RejectReason) -> ClaimOutcome {
+    ClaimOutcome::Rejected(reason)
+}
+
+#[test]
+fn a_request_runs_on_one_node_and_attempts_on_others_get_its_result() {
+    let mut fleet = Fixture::new(5, true);
+    fleet.request_run(1, 1, "k");
+    fleet.request_run(2, 2, "k");
+    assert_eq!(fleet.outcomes(), [(1, ClaimOutcome::Granted), (2, ClaimOutcome::RunningElsewhere)]);
+    fleet.complete_run(1, 1, "job");
+    let mut outcomes = fleet.outcomes();
+    outcomes.sort_by_key(|(attempt, _)| *attempt);
+    assert_eq!(outcomes, [(1, ClaimOutcome::Replicated(true)), (2, remote("job"))]);
+    fleet.request_run(3, 3, "k");
+    assert_eq!(fleet.outcomes(), [(3, remote("job"))]);
+    assert_eq!(fleet.node(1).open_claims(), 0, "every replica has stored it");
+}
+
+#[test]
+fn nothing_runs_before_a_majority_is_heard_or_while_no_replica_can_vote() {
+    let mut fleet = Fixture::new(3, false);
+    fleet.request_run(1, 1, "k");
+    assert_eq!(fleet.outcomes(), [(1, rejected(RejectReason::Recovering))]);
+    fleet.advance(18_000);
+    fleet.request_run(1, 2, "k");
+    assert_eq!(fleet.outcomes(), [(2, ClaimOutcome::Granted)]);
+    fleet.down.extend([id(2), id(3)]);
+    fleet.request_run(1, 3, "l");
+    assert_eq!(fleet.outcomes(), [(3, rejected(RejectReason::Unreachable))]);
+}
+
+#[test]
+fn a_node_that_comes_back_without_its_state_catches_up_and_votes_again() {
+    let mut fleet = Fixture::new(3, true);
+    fleet.request_run(1, 1, "k");
+    fleet.complete_run(1, 1, "job");
+    fleet.restart(2, settings(2, 2, false), 2);
+    fleet.notifications.clear();
+    fleet.advance(300);
+    assert!(fleet.has_notified(2, Notification::TableComplete { keys: 1 }), "{:?}", fleet.notifications);
+    fleet.outcomes.clear();
+    fleet.down.insert(id(3));
+    fleet.request_run(2, 2, "k");
+    assert_eq!(fleet.outcomes(), [(2, remote("job"))]);
+    fleet.request_run(2, 3, "l");
+    assert_eq!(fleet.outcomes(), [(3, ClaimOutcome::Granted)], "by the first node and itself");
+}
+
+/// The second node restarts with the empty state that it had at this position.
+fn restore_second_node(fleet: &mut Fixture, position: StatePosition) {
+    let restored = Some(RestoredState { records: Vec::new(), position });
+    let incarnation = position.incarnation.next();
+    fleet.restart(2, Settings { restored, ..settings(2, incarnation.0, false) }, 1);
+    let hello = Message::Hello(fleet.node(2).hello(id(1)));
+    fleet.notifications.clear();
+    for other in [1, 3] {
+        fleet.handle(id(other), received(id(2), incarnation, hello.clone()));
+    }
+    fleet.advance(300);
+}
+
+const AFTER_4_S: StatePosition = StatePosition { incarnation: Incarnation(1), uptime_seconds: 4 };
+
+#[test]
+fn a_stale_copy_of_the_stored_state_is_detected_and_counts_as_lost() {
+    let mut fleet = Fixture::new(3, true);
+    fleet.advance(5_000);
+    fleet.request_run(1, 1, "k");
+    fleet.complete_run(1, 1, "job");
+    fleet.advance(5_000);
+    restore_second_node(&mut fleet, AFTER_4_S);
+    let is_detected = |(_, notification): &(NodeId, Notification)| {
+        matches!(notification, Notification::StaleState { restored, latest }
+            if restored.uptime_seconds == 4 && latest.uptime_seconds >= 9)
+    };
+    assert!(fleet.notifications.iter().any(is_detected), "{:?}", fleet.notifications);
+    assert!(
+        fleet.has_notified(2, Notification::TableComplete { keys: 1 }),
+        "it catches up: {:?}",
+        fleet.notifications
+    );
+    fleet.outcomes.clear();
+    fleet.down.insert(id(3));
+    fleet.request_run(2, 2, "k");
+    assert_eq!(fleet.outcomes(), [(2, remote("job"))]);
+}
+
+#[test]
+fn state_that_was_stored_to_the_end_is_relied_on_at_once() {
+    let mut fleet = Fixture::new(3, true);
+    fleet.advance(5_000);
+    restore_second_node(&mut fleet, AFTER_4_S);
+    assert!(fleet.node(2).is_complete() && fleet.node(2).metrics().stale_states == 0);
+}
+
+#[test]
+fn nodes_that_all_lost_their_state_do_not_vouch_for_each_other() {
+    let mut fleet = Fixture::new(3, true);
+    fleet.request_run(1, 1, "k");
+    fleet.complete_run(1, 1, "job");
+    for n in 1..=3 {
+        fleet.restart(n, settings(n, 2, false), n);
+    }
+    fleet.advance(5_000);
+    fleet.outcomes.clear();
+    let is_waiting = |node: &ReplicaNode| node.has_quorum() && !node.is_complete() && node.open_donors() == 0;
+    assert!(fleet.nodes.values().all(is_waiting));
+    fleet.request_run(2, 2, "k");
+    assert_eq!(fleet.outcomes(), [(2, rejected(RejectReason::Recovering))]);
+    fleet.advance(10_000);
+    fleet.restart(1, settings(1, 3, false), 1);
+    fleet.advance(3_500);
+    fleet.request_run(2, 3, "k");
+    assert_eq!(fleet.outcomes(), [(3, ClaimOutcome::Granted)], "its window has ended");
+    fleet.advance(2_500);
+    assert!(
+        fleet.node(1).is_complete(),
+        "a node that came later waits no longer than those that vouch for it"
+    );
+}
+
+#[test]
+fn messages_that_were_lost_with_a_link_are_recovered_from_the_table() {
+    let mut fleet = Fixture::new(3, true);
+    fleet.request_run(1, 1, "k");
+    fleet.complete_run(1, 1, "job");
+    fleet.restart(2, settings(2, 2, true), 2);
+    fleet.advance(500);
+    let before = fleet.node(2).metrics().records_received;
+    let hello = Hello { link_cut: true, ..fleet.node(1).hello(id(2)) };
+    fleet.handle(id(2), received(id(1), Incarnation(1), Message::Hello(hello)));
+    fleet.advance(100);
+    assert_eq!(fleet.node(2).metrics().records_received, before + 1);
+}
+
+#[test]
+fn a_node_that_was_suspended_claims_nothing_until_it_has_heard_a_majority() {
+    let mut fleet = Fixture::new(3, true);
+    fleet.now += at(5_000);
+    fleet.down.extend([id(2), id(3)]);
+    fleet.handle(id(1), Event::Tick);
+    assert!(matches!(fleet.notifications.last(), Some((_, Notification::Resumed { .. }))));
+    fleet.request_run(1, 1, "k");
+    assert_eq!(fleet.outcomes(), [(1, rejected(RejectReason::NoQuorum))]);
+    fleet.down.clear();
+    fleet.advance(1_000);
+    fleet.request_run(1, 2, "k");
+    assert_eq!(fleet.outcomes(), [(2, ClaimOutcome::Granted)]);
+}
+
+#[test]
+fn a_second_process_under_the_same_name_supersedes_the_first() {
+    let mut fleet = Fixture::new(3, true);
+    let hello = |incarnation| {
+        Message::Hello(Hello {
+            name: "n1".into(),
+            to: id(2),
+            incarnation,
+            configs: vec![],
+            retired_through: ConfigVersion(0),
+            link_cut: false,
+            uptime_seconds: 0,
+            restored: None,
+        })
+    };
+    let (first, second) = (Incarnation(1), Incarnation(2));
+    let of_second =
+        Event::MessageReceived { link: LinkId(99), from: id(1), incarnation: second, message: hello(second) };
+    fleet.handle(id(2), of_second);
+    fleet.handle(id(2), received(id(1), first, hello(first)));
+    assert!(fleet.has_notified(1, Notification::Superseded { incarnation: second }));
+    fleet.request_run(1, 1, "k");
+    assert_eq!(fleet.outcomes(), [(1, rejected(RejectReason::Superseded))]);
+}
+
+#[test]
+fn a_clock_that_went_back_does_not_begin_an_earlier_incarnation() {
+    let mut fleet = Fixture::new(3, true);
+    fleet.restart(1, settings(1, 0, false), 1);
+    let hello = Message::Hello(fleet.node(1).hello(id(2)));
+    fleet.handle(id(2), received(id(1), Incarnation(0), hello));
+    assert_eq!(fleet.node(1).incarnation(), Incarnation(2));
+}
+
+#[test]
+fn a_config_spreads_to_all_and_claims_need_both_until_the_old_one_retires() {
+    let mut fleet = Fixture::new(4, true);
+    let next = Arc::new(config(2, &[1, 2, 3, 4, 5], 1));
+    let fifth = ReplicaNode::new(settings(5, 1, true), next.clone(), fleet.now);
+    fleet.nodes.insert(id(5), fifth);
+    fleet.handle(id(1), Event::ConfigProposed(next));
+    let have_active = |fleet: &Fixture, versions: &[u64]| {
+        let versions: Vec<ConfigVersion> = versions.iter().map(|version| ConfigVersion(*version)).collect();
+        fleet.nodes.values().all(|node| node.configs().versions() == versions)
+    };
+    assert!(have_active(&fleet, &[1, 2]), "they request what they lack");
+    fleet.advance(100);
+    fleet.request_run(5, 1, "k");
+    assert_eq!(fleet.outcomes(), [(1, ClaimOutcome::Granted)]);
+    fleet.advance(20_000);
+    assert!(have_active(&fleet, &[2]));
+    fleet.handle(id(1), Event::ConfigProposed(Arc::new(config(1, &[1, 2, 3, 4], 1))));
+    assert!(matches!(fleet.notifications.last(), Some((_, Notification::ConfigRejected(_)))));
+}
+
+#[test]
+fn a_node_with_another_config_of_the_same_version_is_not_granted_claims() {
+    let mut fleet = Fixture::new(3, true);
+    let mut other = spec(1, &[1, 2, 3], 1);
+    other.members[0].zone = "elsewhere".into();
+    let other = Arc::new(MembershipConfig::new(other).unwrap());
+    fleet.nodes.insert(id(3), ReplicaNode::new(settings(3, 2, true), other, fleet.now));
+    let hello = Message::Hello(fleet.node(3).hello(id(1)));
+    for n in [1, 2] {
+        fleet.handle(id(n), received(id(3), Incarnation(2), hello.clone()));
+    }
+    fleet.advance(1_000);
+    fleet.request_run(3, 1, "k");
+    assert_eq!(fleet.outcomes(), [(1, rejected(RejectReason::ConfigConflict))]);
+    fleet.request_run(1, 2, "k");
+    assert_eq!(fleet.outcomes(), [(2, ClaimOutcome::Granted)]);
+}
+
+#[test]
+fn a_grant_that_could_not_be_stored_is_not_sent() {
+    let mut fleet = Fixture::new(3, true);
+    for n in [2, 3] {
+        fleet.restart(n, Settings { is_durable: true, ..settings(n, 2, true) }, n);
+    }
+    fleet.advance(200);
+    let mut out = Vec::new();
+    let request = ClaimRequest {
+        claim: ClaimId { node: id(1), incarnation: Incarnation(1), number: 1 },
+        key: "k".into(),
+        body: 1,
+        retain_ms: 9_000,
+        config_versions: vec![ConfigVersion(1)],
+    };
+    let now = fleet.now;
+    let node = fleet.nodes.get_mut(&id(2)).unwrap();
+    let link = LinkId(5);
+    let message = Message::Claim(request);
+    let event = Event::MessageReceived { link, from: id(1), incarnation: Incarnation(1), message };
+    node.handle(now, event, &mut out);
+    let sequence = match &out[..] {
+        [Action::Store { sequence, record: Some(record), .. }] => {
+            assert!(record.vote.is_some());
+            *sequence
+        }
+        other => panic!("{other:?}"),
+    };
+    out.clear();
+    node.handle(now, Event::StoreFinished { sequence, stored: false }, &mut out);
+    assert!(
+        matches!(&out[..], [Action::Respond(to, Message::Uncertain { reason: RejectReason::NotDurable, .. })] if *to == link),
+        "{out:?}"
+    );
+}
+
+#[test]
+fn a_node_grants_nothing_while_a_successor_process_takes_over_and_completes_what_it_started() {
+    let mut fleet = Fixture::new(3, true);
+    fleet.request_run(1, 1, "k");
+    assert_eq!(fleet.outcomes(), [(1, ClaimOutcome::Granted)]);
+    fleet.handle(id(1), Event::Deactivated);
+    fleet.complete_run(1, 1, "job");
+    assert_eq!(fleet.outcomes(), [(1, ClaimOutcome::Replicated(true))]);
+    fleet.down.insert(id(3));
+    fleet.request_run(2, 2, "l");
+    assert_eq!(fleet.outcomes(), [(2, rejected(RejectReason::Superseded))]);
+    fleet.down.clear();
+    fleet.handle(id(1), Event::Activated(Incarnation(5)));
+    fleet.advance(1_000);
+    fleet.down.insert(id(3));
+    fleet.request_run(2, 3, "m");
+    assert_eq!(fleet.outcomes(), [(3, ClaimOutcome::Granted)], "it has caught up in a new incarnation");
+}
--- /dev/null
+++ b/fleet/src/replica_table/paging.rs
@@ -0,0 +1,109 @@
+//! Transfer of a table between nodes: pages of what a requester holds replicas of, and merging what donors send.
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use super::{
+    with_storable_result, MergeOutcome, ReplicaTable, StoredRecord, ENTRY_OVERHEAD_BYTES, MAX_STARTED_PER_KEY,
+};
+use crate::active_configs::ActiveConfigs;
+use crate::ids::NodeId;
+use crate::key_state::{Key, KeyState};
+use crate::message::{Page, ReplicaRecord, TablePosition};
+use crate::{Time, MAX_RESULT_BYTES};
+
+/// A page ends when its records take more than this many bytes.
+const MAX_PAGE_BYTES: usize = 64 * 1024;
+/// A page ends after this many entries were read for it, whether or not the requester holds replicas of them.
+const MAX_ENTRIES_PER_PAGE: usize = 512;
+/// The part of an entry's overhead in memory that it takes in a message.
+const RECORD_OVERHEAD_BYTES: usize = ENTRY_OVERHEAD_BYTES / 4;
+
+/// A page, and what it cost to read it.
+#[derive(Debug)]
+pub struct PageRead {
+    /// The page.
+    pub page: Page,
+    /// The number of entries that were read for it.
+    pub entries_read: usize,
+}
+
+impl ReplicaTable {
+    /// Reads a page of what the requester holds replicas of, in descending order of expiry.
+    #[must_use]
+    pub fn page(
+        &self,
+        now: Time,
+        requester: NodeId,
+        round: u32,
+        from: Option<&TablePosition>,
+        configs: &ActiveConfigs,
+    ) -> PageRead {
+        let mut records = Vec::new();
+        let (mut page_bytes, mut entries_read) = (0, 0);
+        let mut last_read = None;
+        for (expires_at, key) in self.entries_before(from) {
+            if page_bytes > MAX_PAGE_BYTES || entries_read >= MAX_ENTRIES_PER_PAGE {
+                break;
+            }
+            entries_read += 1;
+            last_read = Some((expires_at, key));
+            let is_replica = configs.iter().any(|config| config.replicas_of(key).contains(&requester));
+            let Some(entry) = self.entries.get(key).filter(|_| is_replica) else { continue };
+            page_bytes += RECORD_OVERHEAD_BYTES + key.len() + entry.state.result_size();
+            records.push(entry.record(key, now));
+        }
+        let is_last = page_bytes <= MAX_PAGE_BYTES && entries_read < MAX_ENTRIES_PER_PAGE;
+        let next = last_read.filter(|_| !is_last).map(|(expires_at, key)| self.position(*expires_at, key));
+        let page = Page { round, records, next, completeness: self.completeness(configs) };
+        PageRead { page, entries_read }
+    }
+
+    /// The entries behind a position, in descending order of expiry.
+    fn entries_before(&self, from: Option<&TablePosition>) -> impl Iterator<Item = &(Time, Key)> {
+        // A position in another incarnation of this table means nothing.
+        let from = from.filter(|from| from.incarnation == self.incarnation);
+        let end = from.map(|from| (Duration::from_nanos(from.expires_ns), from.key.clone()));
+        let range = match end {
+            Some(end) => self.by_expiry.range(..end),
+            None => self.by_expiry.range(..),
+        };
+        range.rev()
+    }
+
+    fn position(&self, expires_at: Time, key: &Key) -> TablePosition {
+        let expires_ns = u64::try_from(expires_at.as_nanos()).unwrap_or(u64::MAX);
+        TablePosition { incarnation: self.incarnation, expires_ns, key: key.clone() }
+    }
+
+    /// Merges records of a donor.
+    pub fn merge_records(&mut self, now: Time, records: Vec<ReplicaRecord>) -> MergeOutcome {
+        let mut outcome = MergeOutcome::default();
+        for ReplicaRecord { key, retain_ms, started, completed } in records {
+            outcome.dropped |= started.len() > MAX_STARTED_PER_KEY;
+            let result_bytes = completed.as_ref().map_or(MAX_RESULT_BYTES, |run| run.result.size());
+            if !self.entries.contains_key(&key) && self.is_full(&key, result_bytes) {
+                outcome.dropped = true;
+                continue;
+            }
+            let started: BTreeMap<_, _> = started.into_iter().take(MAX_STARTED_PER_KEY).collect();
+            let state = KeyState { started, completed: completed.map(with_storable_result) };
+            let expires_at = now + Duration::from_millis(retain_ms);
+            let conflict = self.update(&key, expires_at, |entry| entry.state.merge(state));
+            outcome.conflicts.extend(conflict);
+        }
+        outcome
+    }
+
+    /// Restores what this node stored on its disk in its last incarnation.
+    pub fn restore(&mut self, now: Time, records: Vec<StoredRecord>) {
+        for StoredRecord { vote, record } in records {
+            let key = record.key.clone();
+            // There was capacity for it when it was stored.
+            self.merge_records(now, vec![record]);
+            if let Some(entry) = self.entries.get_mut(&key) {
+                entry.vote = vote;
+            }
+        }
+    }
+}
--- a/fleet/src/state_transfer.rs
+++ b/fleet/src/state_transfer.rs
@@ -1,492 +1,277 @@
-//! What a node that came back asks of others, and what it gives to those that do: the newest windows first, from several
-//! at once, a page at a time. Who asks whom first is drawn, a donor gives to so many at a time and sends the others away for
-//! a moment, and both sides are bounded in what they do a second: guards those that serve against all that come back at
-//! once. It can be cut off anywhere and goes on where it was.
+//! The requesting side of a state transfer: which donors a node still has to ask for their tables after it came back.
+//!
+//! Several donors are asked at once, a page at a time, those entries first that expire last. Each node draws its own order
+//! of donors, and comes back at a time of its own when a donor defers it, so that nodes that recover at once do not ask
+//! the same donor at once. A transfer can be interrupted at any point and continues where it was.
 
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::collections::BTreeSet;
 use std::time::Duration;
 
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::membership_config::NodeId;
+use crate::ids::{Incarnation, NodeId};
 use crate::message::{Completeness, Message, Page, ReplicaRecord, TablePosition};
-use crate::replica_table::LinkId;
+use crate::token_bucket::TokenBucket;
 use crate::Time;
 
-/// Donors that are asked at a time.
-const PARALLEL: usize = 8;
-/// A page that does not come within this is asked for again, and a ticket that is not used for as long is void.
-const OWED: Duration = Duration::from_secs(2);
-/// A donor that lacks something itself is asked again whether it still does, after this and up to as long again.
-const AGAIN: Duration = Duration::from_secs(1);
-/// Donors that are asked a second whether they still lack something: the cost for a donor does not grow with the fleet.
-const WORDS_PER_S: u64 = 16;
-/// Nodes that a donor gives to at a time.
-const TICKETS: usize = 8;
-/// Who finds no ticket comes back after this for each turn of tickets that is before it, and up to as long again.
-const TURN: Duration = Duration::from_millis(10);
-/// Entries of its table that a donor looks at for others: a second, and at once. At about a microsecond each, a tenth of
-/// a core.
-const LOOKS_PER_S: u64 = 100_000;
-const LOOKS_AT_ONCE: u64 = 5_000;
-/// What a page takes beside its looks, in looks.
-const PAGE_LOOKS: usize = 50;
-
-/// So much a second, with so much in hand at the most.
-#[derive(Debug, Clone)]
-pub struct TokenBucket {
-    rate: f64,
-    most: f64,
-    level: f64,
-    at: Time,
+/// The most donors that are asked at a time.
+const PARALLEL_DONORS: usize = 8;
+/// A page that does not arrive within this is requested again, and a donor frees a slot that was not used for as long.
+pub(crate) const PAGE_TIMEOUT: Duration = Duration::from_secs(2);
+/// A donor that was incomplete is asked whether it is complete by now after this, and up to twice as long.
+const RECHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// The most donors that are asked per second whether they are complete: the cost for a donor does not grow with the fleet.
+const RECHECKS_PER_S: u64 = 16;
+
+/// Estimated bytes of a page on a link, without its records.
+const PAGE_HEADER_BYTES: usize = 32;
+/// The same of a record, without its key, its claims and its run.
+const RECORD_HEADER_BYTES: usize = 16;
+/// The same of a claim that has started.
+const STARTED_CLAIM_BYTES: usize = 40;
+/// The same of a completed run, without its result.
+const COMPLETED_RUN_BYTES: usize = 64;
+
+/// Estimates how many bytes a page takes on a link.
+pub(crate) fn wire_size(page: &Page) -> usize {
+    let record_size = |record: &ReplicaRecord| {
+        let run = record.completed.as_ref().map_or(0, |run| COMPLETED_RUN_BYTES + run.result.size());
+        RECORD_HEADER_BYTES + record.key.len() + record.started.len() * STARTED_CLAIM_BYTES + run
+    };
+    PAGE_HEADER_BYTES + page.records.iter().map(record_size).sum::<usize>()
 }
 
-impl TokenBucket {
-    /// A full one.
-    pub fn new(rate: u64, most: u64, now: Time) -> TokenBucket {
-        TokenBucket { rate: rate as f64, most: most as f64, level: most as f64, at: now }
-    }
+/// How far the transfer from one donor has got.
+#[derive(Debug, Clone, PartialEq, Eq)]
+enum Progress {
+    /// The page from this position is to be requested.
+    Ready(Option<TablePosition>),
+    /// The page from this position was requested at this time.
+    Requested(Time, Option<TablePosition>),
+    /// The donor deferred the request for this position until this time.
+    Deferred(Time, Option<TablePosition>),
+    /// The donor has sent its whole table, which was incomplete. It may be asked at this time whether it still is.
+    Incomplete(Time),
+    /// It was asked at this time whether it is complete.
+    Rechecking(Time),
+    /// It has sent its whole table, which was complete.
+    Done,
+}
 
-    /// Whether something is left.
-    pub fn has(&mut self, now: Time) -> bool {
-        let gained = now.saturating_sub(self.at).as_secs_f64() * self.rate;
-        (self.level, self.at) = ((self.level + gained).min(self.most), now.max(self.at));
-        self.level > 0.0
+impl Progress {
+    /// Whether a part of the donor's table is still to come.
+    fn is_open(&self) -> bool {
+        matches!(self, Progress::Ready(_) | Progress::Requested(..) | Progress::Deferred(..))
     }
 
-    /// It fills at this rate from now on.
-    pub fn fills(&mut self, now: Time, rate: u64) {
-        self.has(now);
-        self.rate = rate as f64;
+    fn is_awaiting_page(&self) -> bool {
+        matches!(self, Progress::Requested(..) | Progress::Rechecking(_))
     }
 
-    /// Takes so much out, even if it is not there: who comes next waits for it.
-    pub fn take(&mut self, much: usize) {
-        self.level -= much as f64;
+    /// Advances the time: requests time out and deferrals end.
+    fn tick(&mut self, now: Time) {
+        match self {
+            Progress::Requested(at, from) if now >= *at + PAGE_TIMEOUT => {
+                *self = Progress::Ready(from.take())
+            }
+            Progress::Deferred(until, from) if now >= *until => *self = Progress::Ready(from.take()),
+            Progress::Rechecking(at) if now >= *at + PAGE_TIMEOUT => *self = Progress::Incomplete(now),
+            _ => {}
+        }
     }
 }
 
-/// What a page takes on a link, about.
-pub fn weight(page: &Page) -> usize {
-    let each = |record: &ReplicaRecord| {
-        let result = record.ended.as_ref().map_or(0, |end| 64 + end.fate.bytes());
-        16 + record.key.len() + record.begun.len() * 40 + result
-    };
-    32 + page.records.iter().map(each).sum::<usize>()
+/// A node whose table is requested.
+#[derive(Debug, Clone)]
+struct DonorProgress {
+    node: NodeId,
+    progress: Progress,
 }
 
-#[derive(Debug, Clone, PartialEq, Eq)]
-enum Progress {
-    /// It is to be asked from here on.
-    RunRequest(Option<TablePosition>),
-    /// It was asked then, from here on.
-    ClaimRequest(Time, Option<TablePosition>),
-    /// It is to be asked from here on, but not before then.
-    Later(Time, Option<TablePosition>),
-    /// It has told all, and lacked something itself; it may say then whether it still does.
-    Lacked(Time),
-    /// It was asked then whether it still does.
-    Word(Time),
-    Done,
+/// What a donor's page brought.
+#[derive(Debug, PartialEq, Eq)]
+pub(crate) struct ReceivedPage {
+    pub(crate) records: Vec<ReplicaRecord>,
+    /// How complete the donor's table is, if this was the last page of it.
+    pub(crate) finished: Option<Completeness>,
 }
 
-impl Progress {
-    /// Whether it still owes something.
-    fn owes(&self) -> bool {
-        !matches!(self, Progress::Done | Progress::Lacked(_) | Progress::Word(_))
-    }
-}
-
-/// What a node asks of others.
+/// The transfers from all donors.
 #[derive(Debug, Clone)]
-pub struct StateTransfer {
+pub(crate) struct StateTransfer {
     round: u32,
     /// In the order in which they are asked.
-    donors: Vec<(NodeId, Progress)>,
-    /// Those that owe something.
-    left: usize,
-    bucket: TokenBucket,
-    /// When the first donor that lacked something may be asked for its word.
-    next_word: Time,
-    words: TokenBucket,
+    donors: Vec<DonorProgress>,
+    open_donors: usize,
+    byte_budget: TokenBucket,
+    /// A time before which no incomplete donor is to be asked again.
+    next_recheck_at: Time,
+    recheck_budget: TokenBucket,
     rng: ChaCha8Rng,
 }
 
 impl StateTransfer {
-    /// Nothing is to be asked. The seed draws whom it asks first.
-    pub fn new(rate: u64, seed: u64, now: Time) -> StateTransfer {
-        let rng = ChaCha8Rng::seed_from_u64(seed);
-        let (bucket, words) =
-            (TokenBucket::new(rate, rate, now), TokenBucket::new(WORDS_PER_S, WORDS_PER_S, now));
-        StateTransfer { round: 0, donors: Vec::new(), left: 0, bucket, next_word: Time::ZERO, words, rng }
+    /// Creates a transfer without donors that receives at most this many bytes per second. The seed determines the order
+    /// of the donors.
+    pub(crate) fn new(bytes_per_s: u64, seed: u64, now: Time) -> StateTransfer {
+        StateTransfer {
+            round: 0,
+            donors: Vec::new(),
+            open_donors: 0,
+            byte_budget: TokenBucket::new(bytes_per_s, bytes_per_s, now),
+            next_recheck_at: Time::ZERO,
+            recheck_budget: TokenBucket::new(RECHECKS_PER_S, RECHECKS_PER_S, now),
+            rng: ChaCha8Rng::seed_from_u64(seed),
+        }
     }
 
-    /// Asks all of these from the beginning.
-    pub fn begin(&mut self, donors: &BTreeSet<NodeId>) {
+    /// Starts over with these donors.
+    pub(crate) fn start(&mut self, donors: &BTreeSet<NodeId>) {
         self.round += 1;
-        self.donors = donors.iter().map(|donor| (*donor, Progress::RunRequest(None))).collect();
+        let ready = |node: &NodeId| DonorProgress { node: *node, progress: Progress::Ready(None) };
+        self.donors = donors.iter().map(ready).collect();
         self.donors.shuffle(&mut self.rng);
-        self.count();
+        self.update_open_donors();
     }
 
-    /// Asks one more, or one again.
-    pub fn also(&mut self, donor: NodeId) {
-        self.donors.retain(|(known, _)| *known != donor);
-        self.donors.push((donor, Progress::RunRequest(None)));
-        self.count();
+    /// Requests the table of one more donor, or of one donor again.
+    pub(crate) fn add_donor(&mut self, node: NodeId) {
+        self.donors.retain(|donor| donor.node != node);
+        self.donors.push(DonorProgress { node, progress: Progress::Ready(None) });
+        self.update_open_donors();
     }
 
-    fn count(&mut self) {
-        self.left = self.donors.iter().filter(|(_, progress)| progress.owes()).count();
+    fn update_open_donors(&mut self) {
+        self.open_donors = self.donors.iter().filter(|donor| donor.progress.is_open()).count();
     }
 
-    /// Whether a donor was never to be asked.
-    pub fn lacks(&self, donor: NodeId) -> bool {
-        !self.donors.iter().any(|(known, _)| *known == donor)
+    /// Whether a node's table is, or was, requested.
+    pub(crate) fn has_donor(&self, node: NodeId) -> bool {
+        self.donors.iter().any(|donor| donor.node == node)
     }
 
-    /// Only these are left to ask.
-    pub fn keep(&mut self, donors: &BTreeSet<NodeId>) {
-        self.donors.retain(|(donor, _)| donors.contains(donor));
-        self.count();
+    /// Drops all donors but these.
+    pub(crate) fn retain_donors(&mut self, nodes: &BTreeSet<NodeId>) {
+        self.donors.retain(|donor| nodes.contains(&donor.node));
+        self.update_open_donors();
     }
 
-    /// Donors that still owe something.
-    pub fn left(&self) -> usize {
-        self.left
+    /// Returns the number of donors of whose tables a part is still to come.
+    pub(crate) fn open_donors(&self) -> usize {
+        self.open_donors
     }
 
-    /// Whether any that is heard still owes something.
-    pub fn is_owed(&self, heard: impl Fn(NodeId) -> bool) -> bool {
-        self.left > 0 && self.donors.iter().any(|(donor, progress)| progress.owes() && heard(*donor))
+    /// Whether a part is still to come of the table of any donor that satisfies the predicate.
+    pub(crate) fn is_open(&self, is_alive: impl Fn(NodeId) -> bool) -> bool {
+        self.open_donors > 0
+            && self.donors.iter().any(|donor| donor.progress.is_open() && is_alive(donor.node))
     }
 
-    /// Asks whoever is to be asked, of those that are heard. Unless this node lacks nothing, donors that lacked something
-    /// are asked whether they still do: whoever is whole by then vouches for it.
-    pub fn tick(
+    /// Requests the next pages. `incarnation_of` returns the incarnation of a donor that is alive. Unless this node's own
+    /// table is complete, incomplete donors are asked whether they are complete by now.
+    pub(crate) fn tick(
         &mut self,
         now: Time,
-        whole: bool,
-        heard: impl Fn(NodeId) -> Option<u64>,
+        is_complete: bool,
+        incarnation_of: impl Fn(NodeId) -> Option<Incarnation>,
         out: &mut Vec<(NodeId, Message)>,
     ) {
-        if self.left == 0 && (whole || now < self.next_word) {
+        if self.open_donors == 0 && (is_complete || now < self.next_recheck_at) {
             return;
         }
-        let mut asked = 0;
-        for (_, progress) in &mut self.donors {
-            match progress {
-                Progress::ClaimRequest(at, from) if now >= *at + OWED => {
-                    *progress = Progress::RunRequest(from.take())
-                }
-                Progress::Later(at, from) if now >= *at => *progress = Progress::RunRequest(from.take()),
-                Progress::Word(at) if now >= *at + OWED => *progress = Progress::Lacked(now),
-                Progress::ClaimRequest(..) | Progress::Word(_) => asked += 1,
-                _ => {}
-            }
+        let mut awaited_pages = 0;
+        for donor in &mut self.donors {
+            donor.progress.tick(now);
+            awaited_pages += usize::from(donor.progress.is_awaiting_page());
         }
-        let round = self.round;
-        let more = self.bucket.has(now);
-        for (donor, progress) in &mut self.donors {
-            if asked >= PARALLEL || !more {
-                break;
-            }
-            let word = match progress {
-                Progress::RunRequest(_) => false,
-                Progress::Lacked(at) if !whole && now >= *at && self.words.has(now) => true,
-                _ => continue,
-            };
-            let Some(incarnation) = heard(*donor) else { continue };
-            let (from, next) = match progress {
-                Progress::RunRequest(from) if !word => {
-                    let from = from.take();
-                    (from.clone(), Progress::ClaimRequest(now, from))
-                }
-                _ => {
-                    self.words.take(1);
-                    (Some(TablePosition::end(incarnation)), Progress::Word(now))
-                }
-            };
-            out.push((*donor, Message::Pull { round, from }));
-            *progress = next;
-            asked += 1;
+        if self.byte_budget.is_available(now) {
+            let free = PARALLEL_DONORS.saturating_sub(awaited_pages);
+            self.request_pages(now, is_complete, free, incarnation_of, out);
         }
-        self.count();
-        let words = self.donors.iter().filter_map(|(_, progress)| match progress {
-            Progress::Lacked(at) | Progress::Word(at) => Some(*at),
+        self.update_open_donors();
+        let rechecks = self.donors.iter().filter_map(|donor| match donor.progress {
+            Progress::Incomplete(at) | Progress::Rechecking(at) => Some(at),
             _ => None,
         });
-        self.next_word = words.min().unwrap_or(Time::MAX);
+        self.next_recheck_at = rechecks.min().unwrap_or(Time::MAX);
     }
 
-    fn asked(&mut self, donor: NodeId, round: u32) -> Option<&mut Progress> {
-        let progress =
-            self.donors.iter_mut().find(|(known, _)| *known == donor).map(|(_, progress)| progress);
-        let open = |progress: &Progress| matches!(progress, Progress::ClaimRequest(..) | Progress::Word(_));
-        progress.filter(|progress| round == self.round && open(progress))
-    }
-
-    /// A donor has given a page. Returns its records, and how sound the donor is if that was the last; none if the page
-    /// was not asked for.
-    pub fn given(
+    fn request_pages(
         &mut self,
         now: Time,
-        from: NodeId,
-        page: Page,
-    ) -> Option<(Vec<ReplicaRecord>, Option<Completeness>)> {
-        let weight = weight(&page);
-        let again = now + AGAIN.mul_f64(1.0 + self.rng.random::<f64>());
-        let progress = self.asked(from, page.round)?;
-        *progress = match page.next {
-            Some(next) => Progress::RunRequest(Some(next)),
-            None if page.sound == Completeness::Complete => Progress::Done,
-            None => Progress::Lacked(again),
-        };
-        let last = !progress.owes();
-        self.next_word = self.next_word.min(again);
-        self.bucket.take(weight);
-        self.count();
-        Some((page.records, last.then_some(page.sound)))
-    }
-
-    /// A donor has no ticket to give now.
-    pub fn sent_away(&mut self, now: Time, from: NodeId, round: u32, for_: Duration) {
-        let back = now + for_.mul_f64(1.0 + self.rng.random::<f64>()).min(OWED);
-        if let Some(progress) = self.asked(from, round) {
-            *progress = match progress {
-                Progress::ClaimRequest(_, position) => Progress::Later(back, position.take()),
-                _ => Progress::Lacked(back),
+        is_complete: bool,
+        mut free: usize,
+        incarnation_of: impl Fn(NodeId) -> Option<Incarnation>,
+        out: &mut Vec<(NodeId, Message)>,
+    ) {
+        for donor in &mut self.donors {
+            if free == 0 {
+                break;
+            }
+            let is_due = match donor.progress {
+                Progress::Ready(_) => true,
+                Progress::Incomplete(at) => {
+                    !is_complete && now >= at && self.recheck_budget.is_available(now)
+                }
+                _ => false,
             };
-            self.next_word = self.next_word.min(back);
-        }
-    }
-}
-
-/// One that asks: its link, the node, the round and where its part begins.
-type Asker = (LinkId, NodeId, u32, Option<TablePosition>);
-
-/// What a node gives to others.
-#[derive(Debug, Clone)]
-pub struct Donor {
-    bytes: TokenBucket,
-    looks: TokenBucket,
-    /// One question of each at the most, of those with a ticket.
-    askers: VecDeque<Asker>,
-    /// Those that it gives to, and when each last asked.
-    tickets: BTreeMap<NodeId, Time>,
-    /// Those that were sent away and have not been back, and when.
-    away: BTreeMap<NodeId, Time>,
-}
-
-impl Donor {
-    /// Nobody has asked.
-    pub fn new(rate: u64, now: Time) -> Donor {
-        Donor {
-            bytes: TokenBucket::new(rate, rate, now),
-            looks: TokenBucket::new(LOOKS_PER_S, LOOKS_AT_ONCE, now),
-            askers: VecDeque::new(),
-            tickets: BTreeMap::new(),
-            away: BTreeMap::new(),
+            if !is_due {
+                continue;
+            }
+            let Some(incarnation) = incarnation_of(donor.node) else { continue };
+            let from = if let Progress::Ready(from) = &mut donor.progress {
+                let from = from.take();
+                donor.progress = Progress::Requested(now, from.clone());
+                from
+            } else {
+                // A page from the end of the table has no records, but says whether the donor is complete.
+                self.recheck_budget.consume(1);
+                donor.progress = Progress::Rechecking(now);
+                Some(TablePosition::end(incarnation))
+            };
+            out.push((donor.node, Message::Pull { round: self.round, from }));
+            free -= 1;
         }
     }
 
-    /// It gives at this part of its usual rate from now on.
-    pub fn gives(&mut self, now: Time, part: f64) {
-        self.looks.fills(now, (LOOKS_PER_S as f64 * part) as u64);
-    }
-
-    /// One asks; its question before is void. Returns for how long it is to stay away, if there is no ticket for it.
-    pub fn asked(
-        &mut self,
-        now: Time,
-        link: LinkId,
-        node: NodeId,
-        round: u32,
-        from: Option<TablePosition>,
-    ) -> Option<Duration> {
-        self.askers.retain(|(_, other, ..)| *other != node);
-        self.tickets.retain(|_, at| now < *at + OWED);
-        self.away.retain(|_, at| now < *at + OWED);
-        if self.tickets.len() >= TICKETS && !self.tickets.contains_key(&node) {
-            self.away.insert(node, now);
-            let turns = 1 + self.away.len() / TICKETS;
-            return Some(TURN * u32::try_from(turns).unwrap_or(u32::MAX));
-        }
-        self.away.remove(&node);
-        self.tickets.insert(node, now);
-        self.askers.push_back((link, node, round, from));
-        None
+    /// Returns the progress of a donor from which a page of this round is awaited.
+    fn awaited(&mut self, node: NodeId, round: u32) -> Option<&mut Progress> {
+        let is_current = round == self.round;
+        let donor = self.donors.iter_mut().find(|donor| donor.node == node)?;
+        Some(&mut donor.progress).filter(|progress| is_current && progress.is_awaiting_page())
     }
 
-    /// The next to be given something, if there is any left to give now.
-    pub fn next(&mut self, now: Time) -> Option<Asker> {
-        if self.askers.is_empty() || !self.bytes.has(now) || !self.looks.has(now) {
-            return None;
-        }
-        self.askers.pop_front()
+    /// Takes in a page; none if it was not requested.
+    pub(crate) fn receive_page(&mut self, now: Time, from: NodeId, page: Page) -> Option<ReceivedPage> {
+        let page_size = wire_size(&page);
+        let recheck_at = now + RECHECK_INTERVAL.mul_f64(1.0 + self.rng.random::<f64>());
+        let progress = self.awaited(from, page.round)?;
+        *progress = match page.next {
+            Some(next) => Progress::Ready(Some(next)),
+            None if page.completeness == Completeness::Complete => Progress::Done,
+            None => Progress::Incomplete(recheck_at),
+        };
+        let is_last = !progress.is_open();
+        self.next_recheck_at = self.next_recheck_at.min(recheck_at);
+        self.byte_budget.consume(page_size);
+        self.update_open_donors();
+        Some(ReceivedPage { records: page.records, finished: is_last.then_some(page.completeness) })
     }
 
-    /// This page was given, for which so many entries were looked at. Who has all gives its ticket back.
-    pub fn gave(&mut self, node: NodeId, page: &Page, looks: usize) {
-        self.bytes.take(weight(page));
-        self.looks.take(looks + PAGE_LOOKS);
-        if page.next.is_none() {
-            self.tickets.remove(&node);
+    /// Handles that a donor has deferred a request by this time.
+    pub(crate) fn defer(&mut self, now: Time, from: NodeId, round: u32, retry_after: Duration) {
+        let retry_at = now + retry_after.mul_f64(1.0 + self.rng.random::<f64>()).min(PAGE_TIMEOUT);
+        if let Some(progress) = self.awaited(from, round) {
+            *progress = match progress {
+                Progress::Requested(_, position) => Progress::Deferred(retry_at, position.take()),
+                _ => Progress::Incomplete(retry_at),
+            };
+            self.next_recheck_at = self.next_recheck_at.min(retry_at);
         }
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use bytes::Bytes;
-
-    fn at(millis: u64) -> Time {
-        Duration::from_millis(millis)
-    }
-
-    fn page(round: u32, next: Option<u64>, bytes: usize) -> Page {
-        let record =
-            ReplicaRecord { key: Bytes::from(vec![0; bytes]), keep_ms: 1, begun: vec![], ended: None };
-        let next = next.map(|until_ns| TablePosition { incarnation: 1, until_ns, key: Bytes::new() });
-        Page { round, records: vec![record], next, sound: Completeness::Complete }
-    }
-
-    fn catchup(rate: u64, donors: u64) -> StateTransfer {
-        let mut catchup = StateTransfer::new(rate, 1, at(0));
-        catchup.begin(&(1..=donors).map(NodeId).collect());
-        catchup
-    }
-
-    /// Who is asked now, from where; the third is not heard.
-    fn asked(catchup: &mut StateTransfer, now: Time) -> Vec<(u64, Option<u64>)> {
-        let mut out = Vec::new();
-        catchup.tick(now, false, |node| (node != NodeId(3)).then_some(1), &mut out);
-        let from = |frame| match frame {
-            Message::Pull { from, .. } => from.map(|from: TablePosition| from.until_ns),
-            _ => unreachable!(),
-        };
-        out.into_iter().map(|(node, frame)| (node.0, from(frame))).collect()
-    }
-
-    #[test]
-    fn several_that_are_heard_are_asked_at_once_and_each_goes_on_where_it_was() {
-        let mut catchup = catchup(1 << 20, 12);
-        let first: BTreeSet<u64> = asked(&mut catchup, at(0)).iter().map(|(n, _)| *n).collect();
-        assert!(first.len() == PARALLEL && !first.contains(&3), "{first:?}");
-        let (one, other) = (*first.first().unwrap(), *first.last().unwrap());
-        let (records, last) = catchup.given(at(1), NodeId(one), page(1, Some(9), 10)).unwrap();
-        assert_eq!((records.len(), last), (1, None));
-        assert_eq!(asked(&mut catchup, at(1)), [(one, Some(9))]);
-        assert_eq!(
-            catchup.given(at(1), NodeId(one), page(1, None, 10)).unwrap().1,
-            Some(Completeness::Complete)
-        );
-        assert!(matches!(asked(&mut catchup, at(2))[..], [(next, None)] if !first.contains(&next)));
-        assert!(catchup.given(at(2), NodeId(one), page(1, None, 10)).is_none(), "it was not asked");
-        assert!(catchup.given(at(2), NodeId(other), page(7, None, 10)).is_none(), "nor in that round");
-        assert_eq!(catchup.left(), 11);
-    }
-
-    #[test]
-    fn whom_a_node_asks_first_is_its_own_draw() {
-        let first = |seed| {
-            let mut catchup = StateTransfer::new(1 << 20, seed, at(0));
-            catchup.begin(&(10..110).map(NodeId).collect());
-            asked(&mut catchup, at(0))[0].0
-        };
-        let firsts: BTreeSet<u64> = (0..50).map(first).collect();
-        assert!(firsts.len() > 30, "{firsts:?}");
-        assert_eq!(first(7), first(7));
-    }
-
-    #[test]
-    fn a_page_that_does_not_come_is_asked_for_again_from_where_it_was() {
-        let mut catchup = catchup(1 << 20, 1);
-        asked(&mut catchup, at(0));
-        catchup.given(at(0), NodeId(1), page(1, Some(9), 10));
-        assert_eq!(asked(&mut catchup, at(1)), [(1, Some(9))]);
-        assert_eq!(asked(&mut catchup, at(1999)), []);
-        assert_eq!(asked(&mut catchup, at(2001)), [(1, Some(9))]);
-    }
-
-    #[test]
-    fn a_donor_that_lacked_something_is_asked_again_for_its_word_alone() {
-        let mut catchup = catchup(1 << 20, 1);
-        asked(&mut catchup, at(0));
-        let lacking = Page { sound: Completeness::CompleteWith(vec![]), ..page(1, None, 10) };
-        assert_eq!(
-            catchup.given(at(0), NodeId(1), lacking).unwrap().1,
-            Some(Completeness::CompleteWith(vec![]))
-        );
-        assert_eq!((catchup.left(), asked(&mut catchup, at(999))), (0, vec![]));
-        assert_eq!(asked(&mut catchup, at(2000)), [(1, Some(0))], "from the end of its table");
-        catchup.given(at(2001), NodeId(1), page(1, None, 0));
-        assert_eq!(asked(&mut catchup, at(9000)), []);
-    }
-
-    #[test]
-    fn who_is_sent_away_comes_back_later_and_not_with_the_others() {
-        let back = |seed| {
-            let mut catchup = StateTransfer::new(1 << 20, seed, at(0));
-            catchup.begin(&[NodeId(1)].into());
-            asked(&mut catchup, at(0));
-            catchup.sent_away(at(0), NodeId(1), 1, at(100));
-            (0..300).find(|now| !asked(&mut catchup, at(*now)).is_empty()).unwrap()
-        };
-        let all: BTreeSet<u64> = (0..40).map(back).collect();
-        assert!(all.len() > 20 && all.iter().all(|back| (100..=200).contains(back)), "{all:?}");
-    }
-
-    #[test]
-    fn both_sides_wait_when_their_bytes_are_used_up() {
-        let mut catchup = catchup(1000, 1);
-        asked(&mut catchup, at(0));
-        catchup.given(at(0), NodeId(1), page(1, Some(9), 2000));
-        assert_eq!(asked(&mut catchup, at(900)), []);
-        assert_eq!(asked(&mut catchup, at(1100)), [(1, Some(9))]);
-        let mut donor = Donor::new(1000, at(0));
-        donor.asked(at(0), 1, NodeId(1), 1, None);
-        donor.asked(at(0), 1, NodeId(1), 2, None);
-        donor.asked(at(0), 2, NodeId(2), 1, None);
-        assert_eq!(donor.next(at(0)), Some((1, NodeId(1), 2, None)), "the question before is void");
-        donor.gave(NodeId(1), &page(2, None, 1450), 1);
-        assert_eq!(donor.next(at(400)), None);
-        assert_eq!(donor.next(at(600)), Some((2, NodeId(2), 1, None)));
-    }
-
-    #[test]
-    fn a_donor_gives_to_few_at_a_time_and_sends_the_others_away_for_longer_the_more_there_are() {
-        let mut donor = Donor::new(1 << 20, at(0));
-        let mut away = Vec::new();
-        for node in 1..=100 {
-            away.extend(donor.asked(at(0), node, NodeId(node), 1, None));
-        }
-        assert_eq!(away.len(), 100 - TICKETS);
-        assert!(away[0] == TURN && *away.last().unwrap() == TURN * 12, "{away:?}");
-        let (_, first, ..) = donor.next(at(1)).unwrap();
-        assert!(donor.asked(at(2), 99, NodeId(99), 1, None).is_some(), "its first page is not all");
-        donor.gave(first, &page(1, None, 10), 1);
-        assert_eq!(donor.asked(at(3), 99, NodeId(99), 1, None), None);
-        assert_eq!(donor.asked(at(2500), 50, NodeId(50), 1, None), None, "tickets that nobody uses are void");
-    }
-
-    #[test]
-    fn a_donor_looks_at_so_much_of_its_table_at_once_for_others() {
-        let mut donor = Donor::new(1 << 20, at(0));
-        let mut pages = 0;
-        for now in (0..1000).step_by(10).map(at) {
-            donor.asked(now, 1, NodeId(1), 1, None);
-            while donor.next(now).is_some() {
-                donor.gave(NodeId(1), &page(1, Some(9), 10), 2000);
-                donor.asked(now, 1, NodeId(1), 1, None);
-                pages += 1;
-            }
-        }
-        let looks = pages * 2000;
-        let most = LOOKS_PER_S + LOOKS_AT_ONCE + 2050;
-        assert!((LOOKS_PER_S - 2050..most).contains(&looks), "{looks} in a second");
-    }
-}
+pub(crate) mod tests;
--- /dev/null
+++ b/fleet/tests/common/mod.rs
@@ -0,0 +1,24 @@
+//! Configurations for tests.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use oakwind_fleet::ids::ConfigVersion;
+use oakwind_fleet::membership_config::{Member, MembershipConfig, MembershipSpec};
+
+/// The name of a node.
+pub fn name(n: usize) -> String {
+    format!("n{n}")
+}
+
+/// A configuration of these nodes with three replicas of each key, the nodes distributed over some zones.
+pub fn config(version: u64, nodes: &[usize], zones: usize, window: Duration) -> Arc<MembershipConfig> {
+    let members = nodes.iter().map(|n| Member {
+        name: name(*n),
+        address: ([127, 0, 0, 1], 7000 + *n as u16).into(),
+        zone: format!("z{}", n % zones),
+    });
+    let spec =
+        MembershipSpec { version: ConfigVersion(version), replicas: 3, window, members: members.collect() };
+    Arc::new(MembershipConfig::new(spec).unwrap())
+}
--- a/fleet/tests/golden.rs
+++ b/fleet/tests/golden.rs
@@ -1,20 +1,22 @@
-//! Golden bytes of what nodes exchange and store: each kind of peer message, the record of a key that a node writes to
-//! its disk, the decision records and the digests that all nodes must compute alike. `postcard` goes by the position of
-//! variants and fields, so every field has a value of its own and a reordering shows. A name may change, these bytes not.
+//! Golden bytes of what nodes exchange and store: each kind of peer message, the record of a key that a node stores on its
+//! disk, the decision records and the digests that all nodes must compute alike. `postcard` encodes variants and fields by
+//! position, so every field has a value of its own and a reordering is detected. A name may change, these bytes must not.
 
 use std::collections::BTreeMap;
 use std::fmt::Debug;
 use std::time::Duration;
 
 use bytes::Bytes;
-use oakwind_fleet::audit::{Decision, Record, Versions};
+use oakwind_fleet::decision_record::{Decision, Record, Versions};
 use oakwind_fleet::hash_chain::{read, Chain};
+use oakwind_fleet::ids::{ConfigVersion, Incarnation, NodeId};
 use oakwind_fleet::key_state::{ClaimId, CompletedRun, RunResult};
-use oakwind_fleet::membership_config::{Member, MembershipConfig, MembershipSpec, NodeId};
+use oakwind_fleet::membership_config::{Member, MembershipConfig, MembershipSpec};
 use oakwind_fleet::message::{
-    ClaimRequest, Completeness, ConflictingClaim, GossipUpdate, Hello, Liveness, Message, Page, RejectReason,
-    ReplicaRecord, TablePosition, MESSAGE_KINDS,
+    ClaimRequest, Completeness, ConfigSignature, ConflictingClaim, GossipUpdate, Hello, Liveness,
+    MemberVersion, Message, Page, RejectReason, ReplicaRecord, TablePosition, MESSAGE_KINDS,
 };
+use oakwind_fleet::replica_table::StoredRecord;
 use oakwind_fleet::staleness::StatePosition;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -41,60 +43,60 @@
 const KEY: Bytes = Bytes::from_static(b"key");
 
 fn claim() -> ClaimId {
-    ClaimId { node: NodeId(1001), incarnation: 1002, number: 1003 }
+    ClaimId { node: NodeId(1001), incarnation: Incarnation(1002), number: 1003 }
 }
 
 fn other_claim() -> ClaimId {
-    ClaimId { node: NodeId(1004), incarnation: 1005, number: 1006 }
+    ClaimId { node: NodeId(1004), incarnation: Incarnation(1005), number: 1006 }
 }
 
-fn end(fate: RunResult) -> CompletedRun {
-    CompletedRun { received_at: 1007, place: 1008, claim: other_claim(), fate, body: 1009 }
+fn run(result: RunResult) -> CompletedRun {
+    CompletedRun { received_at: 1007, node_index: 1008, claim: other_claim(), result, body: 1009 }
 }
 
-fn done() -> RunResult {
+fn succeeded() -> RunResult {
     RunResult::Succeeded(Bytes::from_static(b"result"))
 }
 
-fn rumors() -> Vec<GossipUpdate> {
-    let rumor = |node, incarnation, count, standing| GossipUpdate {
+fn gossip() -> Vec<GossipUpdate> {
+    let update = |node, incarnation, refutations, liveness| GossipUpdate {
         node: NodeId(node),
-        age: (incarnation, count),
-        standing,
+        version: MemberVersion { incarnation: Incarnation(incarnation), refutations },
+        liveness,
     };
     vec![
-        rumor(1010, 1011, 1012, Liveness::Alive),
-        rumor(1013, 1014, 1015, Liveness::Suspect),
-        rumor(1016, 1017, 1018, Liveness::Lost),
+        update(1010, 1011, 1012, Liveness::Alive),
+        update(1013, 1014, 1015, Liveness::Suspect),
+        update(1016, 1017, 1018, Liveness::Dead),
     ]
 }
 
 fn position() -> TablePosition {
-    TablePosition { incarnation: 1019, until_ns: 1020, key: Bytes::from_static(b"from") }
+    TablePosition { incarnation: Incarnation(1019), expires_ns: 1020, key: Bytes::from_static(b"from") }
 }
 
 fn open_record() -> ReplicaRecord {
     ReplicaRecord {
         key: KEY,
-        keep_ms: 1021,
-        begun: vec![(claim(), 1022), (other_claim(), 1023)],
-        ended: None,
+        retain_ms: 1021,
+        started: vec![(claim(), 1022), (other_claim(), 1023)],
+        completed: None,
     }
 }
 
-fn ended_record(fate: RunResult) -> ReplicaRecord {
-    ReplicaRecord { key: KEY, keep_ms: 1024, begun: vec![], ended: Some(end(fate)) }
+fn completed_record(result: RunResult) -> ReplicaRecord {
+    ReplicaRecord { key: KEY, retain_ms: 1024, started: vec![], completed: Some(run(result)) }
 }
 
-fn list_as_sent() -> MembershipSpec {
+fn config_spec() -> MembershipSpec {
     let member = |name: &str, address: &str, zone: &str| Member {
         name: name.into(),
         address: address.parse().unwrap(),
         zone: zone.into(),
     };
     MembershipSpec {
-        number: 1025,
-        copies: 2,
+        version: ConfigVersion(1025),
+        replicas: 2,
         window: Duration::new(1026, 1027),
         members: vec![
             member("n1", "127.0.0.1:1028", "east"),
@@ -105,136 +107,142 @@
 }
 
 #[test]
-fn a_greeting_keeps_its_bytes() {
+fn a_hello_keeps_its_bytes() {
+    let signature = |version, digest| ConfigSignature { version: ConfigVersion(version), digest };
     let hello = Hello {
         name: "n1".into(),
         to: NodeId(u64::MAX),
-        incarnation: 1031,
-        lists: vec![(1032, 1033), (1034, 1035)],
-        over: 1036,
-        cut: true,
-        seconds: 1037,
-        kept: Some(StatePosition { incarnation: 1038, seconds: 1039 }),
+        incarnation: Incarnation(1031),
+        configs: vec![signature(1032, 1033), signature(1034, 1035)],
+        retired_through: ConfigVersion(1036),
+        link_cut: true,
+        uptime_seconds: 1037,
+        restored: Some(StatePosition { incarnation: Incarnation(1038), uptime_seconds: 1039 }),
     };
     assert_golden(
         &Message::Hello(hello.clone()),
         "00026e31ffffffffffffffffff01870802880889088a088b088c08018d08018e088f08",
     );
-    let fresh = Hello { cut: false, kept: None, lists: vec![], ..hello };
+    let fresh = Hello { link_cut: false, restored: None, configs: vec![], ..hello };
     assert_golden(&Message::Hello(fresh), "00026e31ffffffffffffffffff018708008c08008d0800");
-    assert_golden(&Message::Superseded { incarnation: 1040 }, "019008");
+    assert_golden(&Message::Superseded { incarnation: Incarnation(1040) }, "019008");
     assert_golden(
-        &Message::Outdated { known: StatePosition { incarnation: 1041, seconds: 1042 } },
+        &Message::StaleState {
+            latest: StatePosition { incarnation: Incarnation(1041), uptime_seconds: 1042 },
+        },
         "1591089208",
     );
 }
 
 #[test]
-fn messages_about_membership_lists_keep_their_bytes() {
-    assert_golden(&Message::AskMembershipConfig { number: 1043 }, "029308");
-    assert_golden(&Message::MembershipConfig(list_as_sent()), "038108028208830803026e31007f00000184080465617374026e32010000000000000000000000000000000185080477657374026e33007f00000386080465617374");
+fn messages_about_membership_configs_keep_their_bytes() {
+    assert_golden(&Message::RequestMembershipConfig { version: ConfigVersion(1043) }, "029308");
+    assert_golden(&Message::MembershipConfig(config_spec()), "038108028208830803026e31007f00000184080465617374026e32010000000000000000000000000000000185080477657374026e33007f00000386080465617374");
 }
 
 #[test]
 fn probes_keep_their_bytes() {
     assert_golden(
-        &Message::Ping { seq: 1044, seconds: 1045, rumors: rumors() },
+        &Message::Ping { seq: 1044, uptime_seconds: 1045, gossip: gossip() },
         "049408950803f207f307f40700f507f607f70701f807f907fa0702",
     );
     assert_golden(
-        &Message::Ack { seq: 1046, seconds: 1047, rumors: rumors() },
+        &Message::Ack { seq: 1046, uptime_seconds: 1047, gossip: gossip() },
         "059608970803f207f307f40700f507f607f70701f807f907fa0702",
     );
-    assert_golden(&Message::PingFor { seq: 1048, target: NodeId(1049) }, "0698089908");
-    assert_golden(&Message::AckFor { seq: 1050, target: NodeId(1051) }, "079a089b08");
+    assert_golden(&Message::IndirectPing { seq: 1048, target: NodeId(1049) }, "0698089908");
+    assert_golden(&Message::IndirectAck { seq: 1050, target: NodeId(1051) }, "079a089b08");
 }
 
 #[test]
-fn claims_and_their_answers_keep_their_bytes() {
-    let asked = ClaimRequest {
+fn claims_and_their_responses_keep_their_bytes() {
+    let request = ClaimRequest {
         claim: claim(),
         key: KEY,
         body: u128::MAX - 1,
-        keep_ms: 1052,
-        lists: vec![1053, 1054],
+        retain_ms: 1052,
+        config_versions: vec![ConfigVersion(1053), ConfigVersion(1054)],
     };
     assert_golden(
-        &Message::Claim(asked),
+        &Message::Claim(request),
         "08e907ea07eb07036b6579feffffffffffffffffffffffffffffffffff039c08029d089e08",
     );
-    let lives = vec![(NodeId(1055), 1056), (NodeId(1057), 1058)];
-    assert_golden(&Message::Granted { claim: claim(), lives }, "09e907ea07eb07029f08a008a108a208");
-    let open = ConflictingClaim { claim: other_claim(), body: 1059, ended: None, past_ms: 1060 };
+    let incarnations = vec![(NodeId(1055), Incarnation(1056)), (NodeId(1057), Incarnation(1058))];
+    assert_golden(&Message::Granted { claim: claim(), incarnations }, "09e907ea07eb07029f08a008a108a208");
+    let open = ConflictingClaim { claim: other_claim(), body: 1059, completed: None, expired_ms: 1060 };
     assert_golden(
-        &Message::Blocked { claim: claim(), by: open.clone() },
+        &Message::Blocked { claim: claim(), conflict: open.clone() },
         "0ae907ea07eb07ec07ed07ee07a30800a408",
     );
-    let done = ConflictingClaim { ended: Some(end(done())), ..open.clone() };
+    let succeeded = ConflictingClaim { completed: Some(run(succeeded())), ..open.clone() };
     assert_golden(
-        &Message::Blocked { claim: claim(), by: done },
+        &Message::Blocked { claim: claim(), conflict: succeeded },
         "0ae907ea07eb07ec07ed07ee07a30801ef07f007ec07ed07ee070006726573756c74f107a408",
     );
-    let failed = ConflictingClaim { ended: Some(end(RunResult::Failed)), ..open };
+    let failed = ConflictingClaim { completed: Some(run(RunResult::Failed)), ..open };
     assert_golden(
-        &Message::Blocked { claim: claim(), by: failed },
+        &Message::Blocked { claim: claim(), conflict: failed },
         "0ae907ea07eb07ec07ed07ee07a30801ef07f007ec07ed07ee0701f107a408",
     );
     assert_golden(&Message::Release { key: KEY, claim: claim() }, "0e036b6579e907ea07eb07");
-    assert_golden(&Message::Ask { claim: claim(), key: KEY }, "0fe907ea07eb07036b6579");
-    assert_golden(&Message::Free { claim: claim() }, "10e907ea07eb07");
-    assert_golden(&Message::What { key: KEY, claim: claim(), body: 1061 }, "11036b6579e907ea07eb07a508");
+    assert_golden(&Message::QueryKey { claim: claim(), key: KEY }, "0fe907ea07eb07036b6579");
+    assert_golden(&Message::KeyFree { claim: claim() }, "10e907ea07eb07");
+    assert_golden(
+        &Message::QueryClaim { key: KEY, claim: claim(), body: 1061 },
+        "11036b6579e907ea07eb07a508",
+    );
 }
 
 #[test]
-fn each_reason_why_a_copy_can_not_say_keeps_its_byte() {
+fn each_reject_reason_keeps_its_byte() {
     let reasons = [
-        (RejectReason::Returning, "00"),
-        (RejectReason::Unheard, "01"),
-        (RejectReason::Full, "02"),
+        (RejectReason::Recovering, "00"),
+        (RejectReason::NoQuorum, "01"),
+        (RejectReason::CapacityExceeded, "02"),
         (RejectReason::Superseded, "03"),
-        (RejectReason::ActiveConfigs, "04"),
-        (RejectReason::Contradicted, "05"),
-        (RejectReason::Unkept, "06"),
-        (RejectReason::Unreached, "07"),
-        (RejectReason::Unlisted, "08"),
-        (RejectReason::Late, "09"),
-        (RejectReason::Past, "0a"),
-        (RejectReason::Freed, "0b"),
+        (RejectReason::ConfigMismatch, "04"),
+        (RejectReason::ConfigConflict, "05"),
+        (RejectReason::NotDurable, "06"),
+        (RejectReason::Unreachable, "07"),
+        (RejectReason::NotMember, "08"),
+        (RejectReason::DeadlineExceeded, "09"),
+        (RejectReason::WindowExpired, "0a"),
+        (RejectReason::ClaimReleased, "0b"),
     ];
-    for (why, byte) in reasons {
-        assert_golden(&why, byte);
-        assert_golden(&Message::Unsure { claim: claim(), why }, &format!("0be907ea07eb07{byte}"));
+    for (reason, byte) in reasons {
+        assert_golden(&reason, byte);
+        assert_golden(&Message::Uncertain { claim: claim(), reason }, &format!("0be907ea07eb07{byte}"));
     }
 }
 
 #[test]
 fn results_of_runs_keep_their_bytes() {
     assert_golden(
-        &Message::Ended { key: KEY, keep_ms: 1062, end: end(done()) },
+        &Message::Completed { key: KEY, retain_ms: 1062, run: run(succeeded()) },
         "0c036b6579a608ef07f007ec07ed07ee070006726573756c74f107",
     );
     assert_golden(
-        &Message::Ended { key: KEY, keep_ms: 1063, end: end(RunResult::Failed) },
+        &Message::Completed { key: KEY, retain_ms: 1063, run: run(RunResult::Failed) },
         "0c036b6579a708ef07f007ec07ed07ee0701f107",
     );
-    assert_golden(&Message::Kept { claim: claim(), kept: true }, "0de907ea07eb0701");
-    assert_golden(&Message::Kept { claim: claim(), kept: false }, "0de907ea07eb0700");
+    assert_golden(&Message::Stored { claim: claim(), stored: true }, "0de907ea07eb0701");
+    assert_golden(&Message::Stored { claim: claim(), stored: false }, "0de907ea07eb0700");
 }
 
 #[test]
-fn parts_of_a_table_keep_their_bytes() {
+fn pages_of_a_table_keep_their_bytes() {
     assert_golden(&Message::Pull { round: 1064, from: None }, "12a80800");
     assert_golden(&Message::Pull { round: 1065, from: Some(position()) }, "12a90801fb07fc070466726f6d");
     let first = Page {
         round: 1066,
-        records: vec![open_record(), ended_record(done())],
+        records: vec![open_record(), completed_record(succeeded())],
         next: Some(position()),
-        sound: Completeness::CompleteWith(vec![NodeId(1067), NodeId(1068)]),
+        completeness: Completeness::PartialFrom(vec![NodeId(1067), NodeId(1068)]),
     };
     assert_golden(&Message::Page(first), "13aa0802036b6579fd0702e907ea07eb07fe07ec07ed07ee07ff0700036b657980080001ef07f007ec07ed07ee070006726573756c74f10701fb07fc070466726f6d0102ab08ac08");
-    let last = Page { round: 1069, records: vec![], next: None, sound: Completeness::Complete };
+    let last = Page { round: 1069, records: vec![], next: None, completeness: Completeness::Complete };
     assert_golden(&Message::Page(last), "13ad08000000");
-    assert_golden(&Message::Away { round: 1070, after_ms: 1071 }, "14ae08af08");
+    assert_golden(&Message::Deferred { round: 1070, retry_after_ms: 1071 }, "14ae08af08");
 }
 
 #[test]
@@ -242,35 +250,35 @@
     assert_eq!(MESSAGE_KINDS, 22);
 }
 
-/// What a node writes to its disk of a key: its own vote, and what it knows.
+/// What a node stores on its disk of a key: its vote, and what it knows.
 #[test]
 fn stored_records_of_keys_keep_their_bytes() {
     assert_golden(
-        &(Some(claim()), open_record()),
+        &StoredRecord { vote: Some(claim()), record: open_record() },
         "01e907ea07eb07036b6579fd0702e907ea07eb07fe07ec07ed07ee07ff0700",
     );
     assert_golden(
-        &(Some(claim()), ended_record(done())),
+        &StoredRecord { vote: Some(claim()), record: completed_record(succeeded()) },
         "01e907ea07eb07036b657980080001ef07f007ec07ed07ee070006726573756c74f107",
     );
     assert_golden(
-        &(None::<ClaimId>, ended_record(RunResult::Failed)),
+        &StoredRecord { vote: None, record: completed_record(RunResult::Failed) },
         "00036b657980080001ef07f007ec07ed07ee0701f107",
     );
 }
 
 fn versions() -> Versions {
-    Versions { settings: "digest".into(), list: 1072, program: "1.2.3".into() }
+    Versions { settings: "digest".into(), config: ConfigVersion(1072), program: "1.2.3".into() }
 }
 
-fn decision(did: Decision, key: Option<&str>) -> Record {
-    Record::Try {
+fn attempt(decision: Decision, key: Option<&str>) -> Record {
+    Record::Attempt {
         at: 1073,
-        did,
+        decision,
         txn: "try".into(),
         key: key.map(Into::into),
         class: "book".into(),
-        by: versions(),
+        versions: versions(),
     }
 }
 
@@ -282,16 +290,16 @@
     };
     let records = [
         (
-            Record::Began { at: 1074, node: "n1".into(), by: versions() },
+            Record::ProcessStarted { at: 1074, node: "n1".into(), versions: versions() },
             format!(r#"{{"e":"began","at":1074,"node":"n1",{by}}}"#),
         ),
-        (decision(Decision::Run, Some("key")), tried("run", r#""key":"key","#)),
-        (decision(Decision::Unrun, None), tried("unrun", "")),
-        (decision(Decision::Served, None), tried("served", "")),
-        (decision(Decision::Refused, None), tried("refused", "")),
-        (decision(Decision::Failed, None), tried("failed", "")),
+        (attempt(Decision::Run, Some("key")), tried("run", r#""key":"key","#)),
+        (attempt(Decision::NeverStarted, None), tried("unrun", "")),
+        (attempt(Decision::Served, None), tried("served", "")),
+        (attempt(Decision::Rejected, None), tried("refused", "")),
+        (attempt(Decision::Failed, None), tried("failed", "")),
         (Record::Dropped { at: 1075, count: 1076 }, r#"{"e":"dropped","at":1075,"count":1076}"#.into()),
-        (Record::Ended { at: 1077 }, r#"{"e":"ended","at":1077}"#.into()),
+        (Record::ProcessStopped { at: 1077 }, r#"{"e":"ended","at":1077}"#.into()),
     ];
     for (record, text) in records {
         assert_eq!(serde_json::to_string(&record).unwrap(), text);
@@ -302,19 +310,19 @@
 #[test]
 fn chained_lines_keep_their_text() {
     let (mut chain, mut text) = (Chain::default(), String::new());
-    chain.seal("{}", &mut text);
-    chain.seal("{\"a\":1}", &mut text);
+    chain.append("{}", &mut text);
+    chain.append("{\"a\":1}", &mut text);
     assert_eq!(text, "1 798c59c556b9bb887b0f0031b6a025cc {}\n2 bc89d8aa62eac68cc6961bcd64ff5938 {\"a\":1}\n");
-    let found = read(&text, &mut Chain::default());
-    assert_eq!((found.records, found.breaks), (vec![(1, "{}"), (2, "{\"a\":1}")], vec![]));
+    let contents = read(&text, &mut Chain::default());
+    assert_eq!((contents.records, contents.breaks), (vec![(1, "{}"), (2, "{\"a\":1}")], vec![]));
 }
 
-/// Nodes of two builds must agree on who is who, on what a list says and on who holds which key.
+/// Nodes of two builds must agree on the ids of nodes, on the digest of a configuration and on the replicas of a key.
 #[test]
 fn digests_that_nodes_share_keep_their_values() {
     assert_eq!(format!("{:x}", NodeId::of("n1").0), "705db633e061d248");
-    let list = MembershipConfig::new(list_as_sent()).unwrap();
-    assert_eq!(format!("{:x}", list.digest()), "51d764d4bed1f886");
+    let config = MembershipConfig::new(config_spec()).unwrap();
+    assert_eq!(format!("{:x}", config.digest()), "51d764d4bed1f886");
     let members: Vec<Member> = (0..9)
         .map(|n| Member {
             name: format!("n{n}"),
@@ -324,21 +332,21 @@
         .collect();
     let names: BTreeMap<NodeId, String> =
         members.iter().map(|member| (NodeId::of(&member.name), member.name.clone())).collect();
-    let list = MembershipConfig::new(MembershipSpec {
-        number: 1,
-        copies: 3,
+    let config = MembershipConfig::new(MembershipSpec {
+        version: ConfigVersion(1),
+        replicas: 3,
         window: Duration::from_secs(10),
         members,
     })
     .unwrap();
-    let replicas_of: Vec<String> = (0..8)
+    let replicas_by_key: Vec<String> = (0..8)
         .map(|n| {
-            let replicas_of = list.replicas_of(format!("key{n}").as_bytes());
-            replicas_of.iter().map(|id| names[id].as_str()).collect::<Vec<_>>().join(" ")
+            let replicas = config.replicas_of(format!("key{n}").as_bytes());
+            replicas.iter().map(|id| names[id].as_str()).collect::<Vec<_>>().join(" ")
         })
         .collect();
     assert_eq!(
-        replicas_of.join(", "),
+        replicas_by_key.join(", "),
         "n2 n1 n3, n7 n5 n6, n8 n2 n3, n2 n5 n0, n8 n3 n2, n7 n4 n2, n5 n0 n3, n5 n0 n3"
     );
 }
