--- a/fleet/tests/model.rs
+++ b/fleet/tests/model.rs
@@ -1,53 +1,54 @@
-//! Every state that two tries of one key at two nodes can lead to, up to a depth: three copies, messages that are lost,
-//! doubled and overtaken, one restart without state, one change of the list. The decisions are the real ones; for each
-//! promise there is a mutant, which leaves its rule out, that must be found.
+//! Model checking of every state that two attempts at one key on two nodes can lead to, up to a depth: three replicas,
+//! messages that are lost, duplicated and reordered, one restart without state, one change of the configuration. The
+//! decisions are the real ones. For each promise there is a mutant that leaves its rule out, which the checker must find.
 //!
-//! A message that was sent may be delivered at any time and any number of times, or never: that is loss, doubling and
-//! reordering at once. Time stands still, so no window ends. `OAKWIND_MODEL_DEPTH` sets another depth.
+//! A message that was sent may be delivered at any time and any number of times, or never: that is loss, duplication and
+//! reordering at once. Time stands still, so no idempotency window ends. `OAKWIND_MODEL_DEPTH` sets another depth.
 
-mod lists;
+mod common;
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::time::Duration;
 
-use oakwind_fleet::active_configs::ActiveConfigs;
+use oakwind_fleet::active_configs::{ActiveConfigs, Proposal};
 use oakwind_fleet::claim_coordinator::{AttemptId, ClaimAction, ClaimCoordinator, ClaimOutcome, RunRequest};
+use oakwind_fleet::ids::{ConfigVersion, Incarnation, LinkId, NodeId};
 use oakwind_fleet::key_state::{Key, RunResult};
-use oakwind_fleet::membership_config::{MembershipConfig, NodeId};
+use oakwind_fleet::membership_config::MembershipConfig;
 use oakwind_fleet::message::{Completeness, Message};
-use oakwind_fleet::replica_table::{Outcome, ReplicaTable};
+use oakwind_fleet::replica_table::{ReplicaTable, TableOutcome};
 use oakwind_fleet::Time;
 use stateright::{Checker, Model, Property};
 
 const KEY: Key = Key::from_static(b"k");
-/// The tries are at the first two nodes; the last one is on the second list alone.
+/// The attempts are at the first two nodes; the last node is a member of the second configuration only.
 const NODES: usize = 4;
-const TRIES: usize = 2;
+const ATTEMPTS: usize = 2;
 
 /// A rule that is left out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Mutant {
     /// One grant is enough.
     OneGrant,
-    /// A copy that lost its state votes at once.
+    /// A replica that lost its state votes at once.
     VotesWithoutState,
-    /// It votes once it has caught up with one other copy.
+    /// It votes once it has caught up with one other replica.
     CatchesUpWithOne,
-    /// Grants of a copy's earlier life count.
-    OldLivesCount,
-    /// While two lists are about, the newest alone counts.
-    NewestListAlone,
-    /// A copy grants a key to whoever comes last.
+    /// Grants of a replica's earlier incarnation count.
+    EarlierIncarnationsCount,
+    /// While two configurations are active, only the newest counts.
+    NewestConfigAlone,
+    /// A replica grants a key to the last claim that arrives.
     VotesChange,
-    /// Who can't say has granted.
-    UnknownIsGranted,
-    /// 'Served' leaves when one copy holds the result.
-    OneHolds,
-    /// A run whose time is up is given up as if it had not begun.
-    GivesUpWhatRuns,
-    /// A peer is waited for past the due time.
-    WaitsOn,
+    /// An uncertain response counts as a grant.
+    UncertainIsGranted,
+    /// A result is served when one replica has stored it.
+    OneReplicaStores,
+    /// The claim of a run that timed out is released as if the run had not started.
+    ReleasesRunningClaim,
+    /// An attempt waits past its deadline.
+    WaitsPastDeadline,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -56,234 +57,255 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct Envelope {
     from: Node,
-    incarnation: u64,
+    incarnation: Incarnation,
     to: Node,
-    frame: Message,
+    message: Message,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-enum Try {
-    Before,
-    Asks,
-    Runs,
-    /// Its run has ended and the copies are told.
-    Tells,
+enum Attempt {
+    NotStarted,
+    Claiming,
+    Running,
+    /// Its run has completed, and replicas are sent the result.
+    Replicating,
     Served,
     Failed,
-    Refused,
-    Became(bool),
+    Rejected,
+    RemoteResult(bool),
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct State {
-    copies: Vec<ReplicaTable>,
-    lists: Vec<ActiveConfigs>,
-    lives: Vec<u64>,
+    tables: Vec<ReplicaTable>,
+    configs: Vec<ActiveConfigs>,
+    incarnations: Vec<Incarnation>,
     claims: Vec<ClaimCoordinator>,
     net: BTreeSet<Envelope>,
-    tries: Vec<Try>,
-    /// Runs that have begun, by try.
+    attempts: Vec<Attempt>,
+    /// The number of runs that have started, by attempt.
     runs: Vec<u32>,
-    overdue: Vec<bool>,
-    /// Nodes whose process of the beginning is gone.
+    timed_out: Vec<bool>,
+    /// Nodes whose first process has exited.
     restarted: Vec<bool>,
     restarts: u32,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum Act {
-    Begin(usize),
+    StartAttempt(usize),
     Deliver(Box<Envelope>),
-    CompletedRun(usize),
-    TimeUp(usize),
+    CompleteRun(usize),
+    TimeOut(usize),
     Restart(Node),
     Pull(Node, Node),
-    Take(Node),
+    AdoptConfig(Node),
 }
 
-/// A step of the way to where the looking begins.
+/// A step of the path to the state at which the search begins.
 #[derive(Debug, Clone, Copy)]
-enum Transition {
-    ClaimAction(fn() -> Act),
-    /// The claim of a try reaches a copy.
+enum PathStep {
+    Do(fn() -> Act),
+    /// The claim of an attempt reaches a replica.
     Claim(usize, usize),
-    /// The grant of a copy reaches the try's node.
+    /// The grant of a replica reaches the attempt's node.
     Grant(usize, usize),
-    /// What a copy knows is asked for and given: who asks, and whom.
-    Caught(usize, usize),
+    /// A node gets the whole table of another one: the requester, and the donor.
+    CatchUp(usize, usize),
 }
 
 struct System {
     mutant: Option<Mutant>,
-    /// The way to where the looking begins.
-    way: &'static [Transition],
-    /// Whether a restart, and a change of the list, may come.
+    /// The path to the state at which the search begins.
+    path: &'static [PathStep],
+    /// Whether a restart, and a change of the configuration, may happen.
     restart: bool,
     change: bool,
 }
 
 fn id(node: Node) -> NodeId {
-    NodeId::of(&lists::name(node.0))
+    NodeId::of(&common::name(node.0))
 }
 
-fn list(number: u64, nodes: &[usize]) -> Arc<MembershipConfig> {
-    lists::list(number, nodes, 1, Duration::from_secs(10))
+fn config(version: u64, nodes: &[usize]) -> Arc<MembershipConfig> {
+    common::config(version, nodes, 1, Duration::from_secs(10))
 }
 
 const NOW: Time = Duration::from_secs(100);
-const DUE: Time = Duration::from_secs(102);
+const DEADLINE: Time = Duration::from_secs(102);
 
 impl System {
     fn node(&self, of: NodeId) -> Node {
         (0..NODES).map(Node).find(|node| id(*node) == of).unwrap()
     }
 
-    fn carry_out(&self, state: &mut State, node: Node, does: Vec<ClaimAction>) {
-        for done in does {
-            match done {
-                ClaimAction::Send(to, frame) => {
-                    let (incarnation, to) = (state.lives[node.0], self.node(to));
-                    state.net.insert(Envelope { from: node, incarnation, to, frame });
+    fn apply_actions(&self, state: &mut State, node: Node, actions: Vec<ClaimAction>) {
+        for action in actions {
+            match action {
+                ClaimAction::Send(to, message) => {
+                    let (incarnation, to) = (state.incarnations[node.0], self.node(to));
+                    state.net.insert(Envelope { from: node, incarnation, to, message });
                 }
-                ClaimAction::Tell(AttemptId(n), said) => self.told(state, n as usize, said),
+                ClaimAction::Notify(AttemptId(n), outcome) => self.notify(state, n as usize, outcome),
             }
         }
     }
 
-    fn told(&self, state: &mut State, n: usize, said: ClaimOutcome) {
-        let taken = &mut state.tries[n];
-        match (said, *taken) {
-            (ClaimOutcome::Granted, Try::Asks) => {
-                *taken = Try::Runs;
+    fn notify(&self, state: &mut State, n: usize, outcome: ClaimOutcome) {
+        let attempt = &mut state.attempts[n];
+        match (outcome, *attempt) {
+            (ClaimOutcome::Granted, Attempt::Claiming) => {
+                *attempt = Attempt::Running;
                 state.runs[n] += 1;
             }
-            (ClaimOutcome::Rejected(_), Try::Asks) => *taken = Try::Refused,
-            (ClaimOutcome::RemoteOutcome(fate), Try::Asks) => *taken = Try::Became(fate != RunResult::Failed),
-            (ClaimOutcome::Unknown | ClaimOutcome::BodyMismatch, Try::Asks) => *taken = Try::Failed,
-            (ClaimOutcome::Replicated(true), Try::Tells) => *taken = Try::Served,
-            (ClaimOutcome::Replicated(false), Try::Tells) => *taken = Try::Failed,
+            (ClaimOutcome::Rejected(_), Attempt::Claiming) => *attempt = Attempt::Rejected,
+            (ClaimOutcome::RemoteOutcome(result), Attempt::Claiming) => {
+                *attempt = Attempt::RemoteResult(result != RunResult::Failed)
+            }
+            (ClaimOutcome::Unknown | ClaimOutcome::BodyMismatch, Attempt::Claiming) => {
+                *attempt = Attempt::Failed
+            }
+            (ClaimOutcome::Replicated(true), Attempt::Replicating) => *attempt = Attempt::Served,
+            (ClaimOutcome::Replicated(false), Attempt::Replicating) => *attempt = Attempt::Failed,
             _ => {}
         }
     }
 
-    fn outcome(&self, state: &mut State, node: Node, outcome: Outcome) {
-        let incarnation = state.lives[node.0];
-        for (link, frame) in outcome.answers {
-            state.net.insert(Envelope { from: node, incarnation, to: Node(link as usize - 1), frame });
+    fn apply_outcome(&self, state: &mut State, node: Node, outcome: TableOutcome) {
+        let incarnation = state.incarnations[node.0];
+        for (link, message) in outcome.responses {
+            state.net.insert(Envelope { from: node, incarnation, to: Node(link.0 as usize - 1), message });
         }
-        for (to, frame) in outcome.questions {
+        for (to, message) in outcome.queries {
             let to = self.node(to);
-            state.net.insert(Envelope { from: node, incarnation, to, frame });
+            state.net.insert(Envelope { from: node, incarnation, to, message });
         }
     }
 
-    /// Goes one step of the way.
-    fn step(&self, state: &State, step: Transition) -> State {
+    /// Takes one step of the path.
+    fn step(&self, state: &State, step: PathStep) -> State {
         let next = |state: &State, act| self.next_state(state, act).expect("a step that leads somewhere");
         let sent = |state: &State, from: usize, to: usize, fits: fn(&Message) -> bool| {
-            let message = state.net.iter().find(|m| m.from.0 == from && m.to.0 == to && fits(&m.frame));
-            Act::Deliver(Box::new(message.expect("a message that was sent").clone()))
+            let envelope = state
+                .net
+                .iter()
+                .find(|envelope| envelope.from.0 == from && envelope.to.0 == to && fits(&envelope.message));
+            Act::Deliver(Box::new(envelope.expect("a message that was sent").clone()))
         };
         match step {
-            Transition::ClaimAction(act) => next(state, act()),
-            Transition::Claim(from, to) => {
-                next(state, sent(state, from, to, |frame| matches!(frame, Message::Claim(_))))
+            PathStep::Do(act) => next(state, act()),
+            PathStep::Claim(from, to) => {
+                next(state, sent(state, from, to, |message| matches!(message, Message::Claim(_))))
             }
-            Transition::Grant(from, to) => {
-                next(state, sent(state, from, to, |frame| matches!(frame, Message::Granted { .. })))
+            PathStep::Grant(from, to) => {
+                next(state, sent(state, from, to, |message| matches!(message, Message::Granted { .. })))
             }
-            Transition::Caught(who, donor) => {
+            PathStep::CatchUp(who, donor) => {
                 let asked = next(state, Act::Pull(Node(who), Node(donor)));
-                let given = sent(&asked, who, donor, |frame| matches!(frame, Message::Pull { .. }));
+                let given = sent(&asked, who, donor, |message| matches!(message, Message::Pull { .. }));
                 let given = next(&asked, given);
-                let page = sent(&given, donor, who, |frame| matches!(frame, Message::Page(_)));
+                let page = sent(&given, donor, who, |message| matches!(message, Message::Page(_)));
                 next(&given, page)
             }
         }
     }
 
-    fn deliver(&self, state: &mut State, message: Envelope) {
-        let Envelope { from, incarnation, to, frame } = message;
+    fn deliver(&self, state: &mut State, envelope: Envelope) {
+        let Envelope { from, incarnation, to, message } = envelope;
         let n = to.0;
-        // A link is greeted with the life of who speaks.
+        // A link begins with the incarnation of the sender.
         if from != to {
-            state.copies[n].lives(id(from), incarnation);
+            state.tables[n].record_incarnation(id(from), incarnation);
         }
-        let link = from.0 as u64 + 1;
-        let mut does = Vec::new();
-        match frame {
-            Message::Claim(asked) => {
+        let link = LinkId(from.0 as u64 + 1);
+        let mut actions = Vec::new();
+        match message {
+            Message::Claim(request) => {
                 if self.mutant == Some(Mutant::VotesChange) {
-                    if let Some(vote) = state.copies[n].vote(&KEY) {
-                        state.copies[n].release(NOW, &KEY, vote);
+                    if let Some(vote) = state.tables[n].vote(&KEY) {
+                        state.tables[n].release(NOW, &KEY, vote);
                     }
                 }
-                let lists = match self.mutant {
-                    Some(Mutant::NewestListAlone) => {
-                        let newest =
-                            if asked.lists.contains(&2) { list(2, &[0, 1, 3]) } else { list(1, &[0, 1, 2]) };
+                let configs = match self.mutant {
+                    Some(Mutant::NewestConfigAlone) => {
+                        let newest = if request.config_versions.contains(&ConfigVersion(2)) {
+                            config(2, &[0, 1, 3])
+                        } else {
+                            config(1, &[0, 1, 2])
+                        };
                         ActiveConfigs::new(id(to), newest)
                     }
-                    _ => state.lists[n].clone(),
+                    _ => state.configs[n].clone(),
                 };
-                let outcome = state.copies[n].claim(NOW, link, &asked, &lists);
-                self.outcome(state, to, outcome);
+                let outcome = state.tables[n].claim(NOW, link, &request, &configs);
+                self.apply_outcome(state, to, outcome);
             }
-            Message::Ask { claim, key } => {
-                let lists = state.lists[n].clone();
-                let outcome = state.copies[n].ask(NOW, link, claim, &key, &lists);
-                self.outcome(state, to, outcome);
+            Message::QueryKey { claim, key } => {
+                let configs = state.configs[n].clone();
+                let outcome = state.tables[n].query_key(NOW, link, claim, &key, &configs);
+                self.apply_outcome(state, to, outcome);
             }
-            Message::Ended { key, keep_ms, end } => {
-                let outcome = state.copies[n].ended(NOW, link, &key, keep_ms, end);
-                self.outcome(state, to, outcome);
+            Message::Completed { key, retain_ms, run } => {
+                let outcome = state.tables[n].complete_run(NOW, link, &key, retain_ms, run);
+                self.apply_outcome(state, to, outcome);
             }
             Message::Release { key, claim } => {
-                let outcome = state.copies[n].release(NOW, &key, claim);
-                self.outcome(state, to, outcome);
+                let outcome = state.tables[n].release(NOW, &key, claim);
+                self.apply_outcome(state, to, outcome);
             }
-            Message::What { key, claim, body } if n < TRIES => {
-                if let Some(frame) = state.claims[n].what(NOW, &key, claim, body, false) {
-                    let incarnation = state.lives[n];
-                    state.net.insert(Envelope { from: to, incarnation, to: from, frame });
+            Message::QueryClaim { key, claim, body } if n < ATTEMPTS => {
+                if let Some(message) = state.claims[n].resolve(NOW, &key, claim, body, false) {
+                    let incarnation = state.incarnations[n];
+                    state.net.insert(Envelope { from: to, incarnation, to: from, message });
                 }
             }
             Message::Pull { round, from: position } => {
-                let (page, _) =
-                    state.copies[n].page(NOW, id(from), round, position.as_ref(), &state.lists[n]);
-                let (incarnation, frame) = (state.lives[n], Message::Page(page));
-                state.net.insert(Envelope { from: to, incarnation, to: from, frame });
+                let read = state.tables[n].page(NOW, id(from), round, position.as_ref(), &state.configs[n]);
+                let page = read.page;
+                let (incarnation, message) = (state.incarnations[n], Message::Page(page));
+                state.net.insert(Envelope { from: to, incarnation, to: from, message });
             }
-            // The round is the life that asked: a page for an earlier one means nothing.
-            Message::Page(page) if u64::from(page.round) == state.lives[n] => {
-                state.copies[n].learn(NOW, page.records);
-                state.copies[n].caught_up(id(from), page.sound);
+            // The round is the incarnation that asked: a page for an earlier one is ignored.
+            Message::Page(page) if u64::from(page.round) == state.incarnations[n].0 => {
+                state.tables[n].merge_records(NOW, page.records);
+                state.tables[n].record_sync(id(from), page.completeness);
                 if self.mutant == Some(Mutant::CatchesUpWithOne) {
-                    (0..NODES)
-                        .for_each(|other| state.copies[n].caught_up(id(Node(other)), Completeness::Complete));
+                    (0..NODES).for_each(|other| {
+                        state.tables[n].record_sync(id(Node(other)), Completeness::Complete)
+                    });
                 }
             }
-            answer if n < TRIES && answer.answers() => {
-                let answer = match (self.mutant, answer) {
-                    (Some(Mutant::UnknownIsGranted), Message::Unsure { claim, .. }) => {
-                        Message::Granted { claim, lives: vec![] }
+            response if n < ATTEMPTS && response.is_response() => {
+                let response = match (self.mutant, response) {
+                    (Some(Mutant::UncertainIsGranted), Message::Uncertain { claim, .. }) => {
+                        Message::Granted { claim, incarnations: vec![] }
                     }
-                    (Some(Mutant::OldLivesCount), Message::Granted { claim, .. }) => {
-                        Message::Granted { claim, lives: vec![] }
+                    (Some(Mutant::EarlierIncarnationsCount), Message::Granted { claim, .. }) => {
+                        Message::Granted { claim, incarnations: vec![] }
                     }
-                    (_, answer) => answer,
+                    (_, response) => response,
+                };
+                let incarnation = if self.mutant == Some(Mutant::EarlierIncarnationsCount) {
+                    Incarnation(1)
+                } else {
+                    incarnation
                 };
-                let incarnation = if self.mutant == Some(Mutant::OldLivesCount) { 1 } else { incarnation };
                 let enough = matches!(
-                    (self.mutant, &answer),
+                    (self.mutant, &response),
                     (Some(Mutant::OneGrant), Message::Granted { .. })
-                        | (Some(Mutant::OneHolds), Message::Kept { .. })
+                        | (Some(Mutant::OneReplicaStores), Message::Stored { .. })
                 );
                 let all: Vec<Node> = if enough { (0..NODES).map(Node).collect() } else { vec![from] };
                 for from in all {
-                    state.claims[n].answered(NOW, id(from), incarnation, answer.clone(), &mut does);
+                    state.claims[n].handle_response(
+                        NOW,
+                        id(from),
+                        incarnation,
+                        response.clone(),
+                        &mut actions,
+                    );
                 }
-                self.carry_out(state, to, does);
+                self.apply_actions(state, to, actions);
             }
             _ => {}
         }
@@ -296,118 +318,122 @@
 
     fn init_states(&self) -> Vec<State> {
         let nodes = || (0..NODES).map(Node);
-        let one = list(1, &[0, 1, 2]);
-        let mut lists: Vec<ActiveConfigs> =
+        let one = config(1, &[0, 1, 2]);
+        let mut configs: Vec<ActiveConfigs> =
             nodes().map(|node| ActiveConfigs::new(id(node), one.clone())).collect();
-        // The new node has heard a majority, and so knows of both.
-        lists[3].offer(list(2, &[0, 1, 3]));
+        // The new node has heard a majority, and so knows both configurations.
+        configs[3].propose(config(2, &[0, 1, 3])).unwrap();
         // It can't know that it has never voted.
-        let copies = nodes().map(|node| ReplicaTable::new(id(node), 1, 1 << 20, node.0 != 3, Time::ZERO));
+        let tables =
+            nodes().map(|node| ReplicaTable::new(id(node), Incarnation(1), 1 << 20, node.0 != 3, Time::ZERO));
         let first = State {
-            copies: copies.collect(),
-            lists,
-            lives: vec![1; NODES],
-            claims: (0..TRIES).map(|n| ClaimCoordinator::new(id(Node(n)), 1)).collect(),
+            tables: tables.collect(),
+            configs,
+            incarnations: vec![Incarnation(1); NODES],
+            claims: (0..ATTEMPTS).map(|n| ClaimCoordinator::new(id(Node(n)), Incarnation(1))).collect(),
             net: BTreeSet::new(),
-            tries: vec![Try::Before; TRIES],
-            runs: vec![0; TRIES],
-            overdue: vec![false; TRIES],
+            attempts: vec![Attempt::NotStarted; ATTEMPTS],
+            runs: vec![0; ATTEMPTS],
+            timed_out: vec![false; ATTEMPTS],
             restarted: vec![false; NODES],
             restarts: 0,
         };
-        vec![self.way.iter().fold(first, |state, step| self.step(&state, *step))]
+        vec![self.path.iter().fold(first, |state, step| self.step(&state, *step))]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Act>) {
-        for (n, taken) in state.tries.iter().enumerate() {
-            match taken {
-                Try::Before => actions.push(Act::Begin(n)),
-                Try::Runs if !state.restarted[n] => actions.push(Act::CompletedRun(n)),
+        for (n, attempt) in state.attempts.iter().enumerate() {
+            match attempt {
+                Attempt::NotStarted => actions.push(Act::StartAttempt(n)),
+                Attempt::Running if !state.restarted[n] => actions.push(Act::CompleteRun(n)),
                 _ => {}
             }
-            let open = matches!(taken, Try::Asks | Try::Tells | Try::Runs);
-            if open && !state.overdue[n] && !state.restarted[n] {
-                actions.push(Act::TimeUp(n));
+            let open = matches!(attempt, Attempt::Claiming | Attempt::Replicating | Attempt::Running);
+            if open && !state.timed_out[n] && !state.restarted[n] {
+                actions.push(Act::TimeOut(n));
             }
         }
         if self.restart && state.restarts == 0 {
             actions.extend((0..3).map(|n| Act::Restart(Node(n))));
         }
-        for n in (0..NODES).filter(|n| state.lives[*n] > 1 || (*n == 3 && self.change)) {
+        for n in (0..NODES).filter(|n| state.incarnations[*n] > Incarnation(1) || (*n == 3 && self.change)) {
             let others = (0..NODES).filter(|other| *other != n && (*other != 3 || self.change));
             actions.extend(others.map(|other| Act::Pull(Node(n), Node(other))));
         }
         if self.change {
-            let old = (0..3).filter(|n| state.lists[*n].numbers() == [1]);
-            actions.extend(old.map(|n| Act::Take(Node(n))));
+            let old = (0..3).filter(|n| state.configs[*n].versions() == [ConfigVersion(1)]);
+            actions.extend(old.map(|n| Act::AdoptConfig(Node(n))));
         }
-        actions.extend(state.net.iter().cloned().map(|message| Act::Deliver(Box::new(message))));
+        actions.extend(state.net.iter().cloned().map(|envelope| Act::Deliver(Box::new(envelope))));
     }
 
     fn next_state(&self, last: &State, action: Act) -> Option<State> {
         let mut state = last.clone();
-        let mut does = Vec::new();
+        let mut actions = Vec::new();
         match action {
-            Act::Begin(n) => {
-                state.tries[n] = Try::Asks;
-                let wanted = RunRequest {
-                    token: AttemptId(n as u64),
+            Act::StartAttempt(n) => {
+                state.attempts[n] = Attempt::Claiming;
+                let request = RunRequest {
+                    attempt: AttemptId(n as u64),
                     key: KEY,
                     body: 1,
-                    until: DUE,
-                    received_at: (NOW, n as u64),
-                    deadline: DUE,
+                    expires_at: DEADLINE,
+                    received_at: NOW,
+                    received_unix_ms: n as u64,
+                    deadline: DEADLINE,
                 };
-                state.claims[n].want(NOW, wanted, &state.lists[n], &mut does);
-                self.carry_out(&mut state, Node(n), does);
+                state.claims[n].request_run(NOW, request, &state.configs[n], &mut actions);
+                self.apply_actions(&mut state, Node(n), actions);
             }
-            Act::Deliver(message) => self.deliver(&mut state, *message),
-            Act::CompletedRun(n) => {
-                // One whose time is up has had its answer.
-                state.tries[n] = if state.overdue[n] { Try::Failed } else { Try::Tells };
-                let fate = RunResult::Succeeded(Key::from_static(b"job"));
-                state.claims[n].ended(NOW, AttemptId(n as u64), fate, &mut does);
-                self.carry_out(&mut state, Node(n), does);
+            Act::Deliver(envelope) => self.deliver(&mut state, *envelope),
+            Act::CompleteRun(n) => {
+                // An attempt that timed out has had its answer.
+                state.attempts[n] = if state.timed_out[n] { Attempt::Failed } else { Attempt::Replicating };
+                let result = RunResult::Succeeded(Key::from_static(b"job"));
+                state.claims[n].complete_run(NOW, AttemptId(n as u64), result, &mut actions);
+                self.apply_actions(&mut state, Node(n), actions);
             }
-            Act::TimeUp(n) => {
-                state.overdue[n] = true;
-                if self.mutant == Some(Mutant::GivesUpWhatRuns) && state.tries[n] == Try::Runs {
-                    state.claims[n].release(AttemptId(n as u64), &mut does);
-                    state.tries[n] = Try::Failed;
-                } else if self.mutant != Some(Mutant::WaitsOn) {
-                    state.claims[n].tick(DUE, |_| false, &mut does);
+            Act::TimeOut(n) => {
+                state.timed_out[n] = true;
+                if self.mutant == Some(Mutant::ReleasesRunningClaim) && state.attempts[n] == Attempt::Running
+                {
+                    state.claims[n].release(AttemptId(n as u64), &mut actions);
+                    state.attempts[n] = Attempt::Failed;
+                } else if self.mutant != Some(Mutant::WaitsPastDeadline) {
+                    state.claims[n].tick(DEADLINE, |_| true, &mut actions);
                 }
-                self.carry_out(&mut state, Node(n), does);
+                self.apply_actions(&mut state, Node(n), actions);
             }
             Act::Restart(node) => {
                 let n = node.0;
                 state.restarts += 1;
-                state.lives[n] += 1;
+                state.incarnations[n] = state.incarnations[n].next();
                 state.restarted[n] = true;
                 let kept = self.mutant == Some(Mutant::VotesWithoutState);
-                state.copies[n] = ReplicaTable::new(id(node), state.lives[n], 1 << 20, kept, NOW);
-                if n < TRIES {
-                    // Nobody is left to answer.
-                    state.claims[n] = ClaimCoordinator::new(id(node), state.lives[n]);
-                    if state.tries[n] != Try::Before {
-                        state.tries[n] = Try::Failed;
+                state.tables[n] = ReplicaTable::new(id(node), state.incarnations[n], 1 << 20, kept, NOW);
+                if n < ATTEMPTS {
+                    // The attempt has no process left to answer.
+                    state.claims[n] = ClaimCoordinator::new(id(node), state.incarnations[n]);
+                    if state.attempts[n] != Attempt::NotStarted {
+                        state.attempts[n] = Attempt::Failed;
                     }
                 }
             }
             Act::Pull(node, donor) => {
-                let incarnation = state.lives[node.0];
-                let frame = Message::Pull { round: incarnation as u32, from: None };
-                state.net.insert(Envelope { from: node, incarnation, to: donor, frame });
+                let incarnation = state.incarnations[node.0];
+                let message = Message::Pull { round: incarnation.0 as u32, from: None };
+                state.net.insert(Envelope { from: node, incarnation, to: donor, message });
             }
-            Act::Take(node) => {
+            Act::AdoptConfig(node) => {
                 let n = node.0;
-                state.lists[n].offer(list(2, &[0, 1, 3]));
-                if self.mutant == Some(Mutant::NewestListAlone) {
-                    state.lists[n] = ActiveConfigs::new(id(node), list(2, &[0, 1, 3]));
+                let adopted = state.configs[n].propose(config(2, &[0, 1, 3]));
+                assert_eq!(adopted, Ok(Proposal::Adopted));
+                if self.mutant == Some(Mutant::NewestConfigAlone) {
+                    state.configs[n] = ActiveConfigs::new(id(node), config(2, &[0, 1, 3]));
                 }
-                if n < TRIES {
-                    state.claims[n].relist(NOW, &state.lists[n], &mut does);
-                    self.carry_out(&mut state, node, does);
+                if n < ATTEMPTS {
+                    state.claims[n].reconfigure(NOW, &state.configs[n], &mut actions);
+                    self.apply_actions(&mut state, node, actions);
                 }
             }
         }
@@ -417,25 +443,32 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::<Self>::always("a key runs once", |_, state| state.runs.iter().sum::<u32>() <= 1),
-            Property::<Self>::always("what is refused never ran", |_, state| {
-                state.tries.iter().zip(&state.runs).all(|(taken, runs)| *taken != Try::Refused || *runs == 0)
+            Property::<Self>::always("a rejected attempt never ran", |_, state| {
+                state
+                    .attempts
+                    .iter()
+                    .zip(&state.runs)
+                    .all(|(attempt, runs)| *attempt != Attempt::Rejected || *runs == 0)
             }),
-            Property::<Self>::always("a majority holds what is served", |_, state| {
-                let holds =
-                    |copies: &&ReplicaTable| copies.known(&KEY).is_some_and(|known| known.ended.is_some());
-                let held = state.copies.iter().filter(holds).count();
-                !state.tries.contains(&Try::Served) || held + state.restarts as usize >= 2
+            Property::<Self>::always("a quorum stores a served result", |_, state| {
+                let holds = |table: &&ReplicaTable| {
+                    table.state_of(&KEY).is_some_and(|known| known.completed.is_some())
+                };
+                let held = state.tables.iter().filter(holds).count();
+                !state.attempts.contains(&Attempt::Served) || held + state.restarts as usize >= 2
             }),
-            Property::<Self>::always("nothing is waited for past its time", |_, state| {
-                let waits = |taken: &Try| matches!(taken, Try::Asks | Try::Tells);
-                !state.tries.iter().zip(&state.overdue).any(|(taken, over)| *over && waits(taken))
+            Property::<Self>::always("no attempt waits past its deadline", |_, state| {
+                let waits = |attempt: &Attempt| matches!(attempt, Attempt::Claiming | Attempt::Replicating);
+                !state.attempts.iter().zip(&state.timed_out).any(|(attempt, over)| *over && waits(attempt))
             }),
-            Property::<Self>::always("a result that a repeat gets was made by a run", |_, state| {
-                !state.tries.contains(&Try::Became(true)) || state.runs.iter().sum::<u32>() == 1
+            Property::<Self>::always("a remote result was made by a run", |_, state| {
+                !state.attempts.contains(&Attempt::RemoteResult(true)) || state.runs.iter().sum::<u32>() == 1
             }),
-            Property::<Self>::sometimes("a booking is served", |_, state| state.tries.contains(&Try::Served)),
-            Property::<Self>::sometimes("a repeat gets the first's result", |_, state| {
-                state.tries.contains(&Try::Became(true))
+            Property::<Self>::sometimes("a result is served", |_, state| {
+                state.attempts.contains(&Attempt::Served)
+            }),
+            Property::<Self>::sometimes("an attempt gets a remote result", |_, state| {
+                state.attempts.contains(&Attempt::RemoteResult(true))
             }),
         ]
     }
@@ -445,26 +478,26 @@
     std::env::var("OAKWIND_MODEL_DEPTH").ok().and_then(|text| text.parse().ok()).unwrap_or(usual)
 }
 
-/// Looks through all states up to a depth; returns the rules that some state breaks.
+/// Checks all states up to a depth. Returns the rules that some state breaks.
 fn broken(system: System, depth: usize) -> Vec<&'static str> {
-    let (mutant, restart, change, way) = (system.mutant, system.restart, system.change, system.way.len());
+    let (mutant, restart, change, path) = (system.mutant, system.restart, system.change, system.path.len());
     let checker = system.checker().threads(4).target_max_depth(depth).spawn_bfs().join();
     let states = checker.unique_state_count();
     let mut broken: Vec<&'static str> = checker.discoveries().into_keys().collect();
     broken.sort_unstable();
     println!(
-        "{mutant:?}, restart {restart}, change {change}: {states} states to depth {depth} from step {way}: {broken:?}"
+        "{mutant:?}, restart {restart}, change {change}: {states} states to depth {depth} from step {path}: {broken:?}"
     );
-    broken.retain(|name| *name != "a booking is served" && *name != "a repeat gets the first's result");
+    broken.retain(|name| *name != "a result is served" && *name != "an attempt gets a remote result");
     broken
 }
 
 fn system(restart: bool, change: bool) -> System {
-    System { mutant: None, way: &[], restart, change }
+    System { mutant: None, path: &[], restart, change }
 }
 
 #[test]
-fn no_state_of_two_tries_breaks_a_promise() {
+fn no_state_of_two_attempts_breaks_a_promise() {
     assert!(broken(system(false, false), depth(12)).is_empty());
 }
 
@@ -474,7 +507,7 @@
 }
 
 #[test]
-fn no_state_with_a_change_of_the_list_breaks_a_promise() {
+fn no_state_with_a_config_change_breaks_a_promise() {
     assert!(broken(system(false, true), depth(8)).is_empty());
 }
 
@@ -483,99 +516,111 @@
     assert!(broken(system(true, true), depth(7)).is_empty());
 }
 
-/// The first try runs, by the grants of the first two copies.
-const RUNS: [Transition; 5] = [
-    Transition::ClaimAction(|| Act::Begin(0)),
-    Transition::Claim(0, 0),
-    Transition::Claim(0, 1),
-    Transition::Grant(0, 0),
-    Transition::Grant(1, 0),
+/// The first attempt runs, by the grants of the first two replicas.
+const RUNNING: [PathStep; 5] = [
+    PathStep::Do(|| Act::StartAttempt(0)),
+    PathStep::Claim(0, 0),
+    PathStep::Claim(0, 1),
+    PathStep::Grant(0, 0),
+    PathStep::Grant(1, 0),
 ];
-const RESTARTED: Transition = Transition::ClaimAction(|| Act::Restart(Node(1)));
+const RESTARTED: PathStep = PathStep::Do(|| Act::Restart(Node(1)));
 
-/// With the rule left out a state breaks the promise; with it none does, on the same way and as far.
-fn found(
+/// With the rule left out some state breaks the promise; with it none does, on the same path and to the same depth.
+fn assert_mutant_is_found(
     mutant: Mutant,
-    way: &'static [Transition],
+    path: &'static [PathStep],
     (restart, change): (bool, bool),
     depth: usize,
     rule: &str,
 ) {
-    let broken_with = broken(System { mutant: Some(mutant), way, restart, change }, depth);
+    let broken_with = broken(System { mutant: Some(mutant), path, restart, change }, depth);
     assert!(broken_with.contains(&rule), "{mutant:?}: {broken_with:?}");
-    let broken_without = broken(System { mutant: None, way, restart, change }, depth);
+    let broken_without = broken(System { mutant: None, path, restart, change }, depth);
     assert!(broken_without.is_empty(), "{mutant:?}: {broken_without:?}");
 }
 
-const TWICE: &str = "a key runs once";
+const RUNS_ONCE: &str = "a key runs once";
 
 #[test]
-fn promise_1_a_majority_of_votes_that_stay_is_needed() {
-    found(Mutant::OneGrant, &[], (false, false), 8, TWICE);
-    found(Mutant::VotesChange, &RUNS, (false, false), 7, TWICE);
-    found(Mutant::GivesUpWhatRuns, &RUNS, (false, false), 9, TWICE);
+fn promise_1_needs_a_quorum_of_votes_that_never_change() {
+    assert_mutant_is_found(Mutant::OneGrant, &[], (false, false), 8, RUNS_ONCE);
+    assert_mutant_is_found(Mutant::VotesChange, &RUNNING, (false, false), 7, RUNS_ONCE);
+    assert_mutant_is_found(Mutant::ReleasesRunningClaim, &RUNNING, (false, false), 9, RUNS_ONCE);
 }
 
 #[test]
-fn promise_1_a_copy_without_its_state_votes_only_when_it_has_caught_up_with_enough() {
-    const WAY: [Transition; 7] = {
-        let [a, b, c, d, e] = RUNS;
-        [a, b, c, d, e, RESTARTED, Transition::ClaimAction(|| Act::Begin(1))]
+fn promise_1_needs_replicas_without_state_to_catch_up_before_they_vote() {
+    const PATH: [PathStep; 7] = {
+        let [a, b, c, d, e] = RUNNING;
+        [a, b, c, d, e, RESTARTED, PathStep::Do(|| Act::StartAttempt(1))]
     };
-    found(Mutant::VotesWithoutState, &WAY, (true, false), 6, TWICE);
-    const CAUGHT: [Transition; 8] = {
-        let [a, b, c, d, e, f, g] = WAY;
-        [a, b, c, d, e, f, g, Transition::Caught(1, 2)]
+    assert_mutant_is_found(Mutant::VotesWithoutState, &PATH, (true, false), 6, RUNS_ONCE);
+    const CAUGHT: [PathStep; 8] = {
+        let [a, b, c, d, e, f, g] = PATH;
+        [a, b, c, d, e, f, g, PathStep::CatchUp(1, 2)]
     };
-    found(Mutant::CatchesUpWithOne, &CAUGHT, (true, false), 6, TWICE);
-    // The first copy's grant is on its way when it loses its state.
-    const LATE: [Transition; 11] = [
-        Transition::ClaimAction(|| Act::Begin(0)),
-        Transition::Claim(0, 1),
+    assert_mutant_is_found(Mutant::CatchesUpWithOne, &CAUGHT, (true, false), 6, RUNS_ONCE);
+    // The grant of the second replica is on its way when that replica loses its state.
+    const LATE: [PathStep; 11] = [
+        PathStep::Do(|| Act::StartAttempt(0)),
+        PathStep::Claim(0, 1),
         RESTARTED,
-        Transition::Caught(1, 0),
-        Transition::Caught(1, 2),
-        Transition::ClaimAction(|| Act::Begin(1)),
-        Transition::Claim(1, 1),
-        Transition::Claim(1, 2),
-        Transition::Grant(1, 1),
-        Transition::Grant(2, 1),
-        Transition::Claim(0, 0),
+        PathStep::CatchUp(1, 0),
+        PathStep::CatchUp(1, 2),
+        PathStep::Do(|| Act::StartAttempt(1)),
+        PathStep::Claim(1, 1),
+        PathStep::Claim(1, 2),
+        PathStep::Grant(1, 1),
+        PathStep::Grant(2, 1),
+        PathStep::Claim(0, 0),
     ];
-    found(Mutant::OldLivesCount, &LATE, (true, false), 5, TWICE);
+    assert_mutant_is_found(Mutant::EarlierIncarnationsCount, &LATE, (true, false), 5, RUNS_ONCE);
 }
 
 #[test]
-fn promise_1_a_result_that_is_served_is_held_by_a_majority() {
-    found(Mutant::OneHolds, &RUNS, (false, false), 5, "a majority holds what is served");
+fn promise_1_needs_a_quorum_to_store_a_result_before_it_is_served() {
+    assert_mutant_is_found(
+        Mutant::OneReplicaStores,
+        &RUNNING,
+        (false, false),
+        5,
+        "a quorum stores a served result",
+    );
 }
 
 #[test]
-fn promise_2_who_can_not_say_has_not_granted() {
-    const WAY: [Transition; 7] = {
-        let [a, b, c, d, e] = RUNS;
-        [a, b, c, d, e, RESTARTED, Transition::ClaimAction(|| Act::Begin(1))]
+fn promise_2_needs_an_uncertain_response_not_to_count_as_a_grant() {
+    const PATH: [PathStep; 7] = {
+        let [a, b, c, d, e] = RUNNING;
+        [a, b, c, d, e, RESTARTED, PathStep::Do(|| Act::StartAttempt(1))]
     };
-    found(Mutant::UnknownIsGranted, &WAY, (true, false), 6, TWICE);
+    assert_mutant_is_found(Mutant::UncertainIsGranted, &PATH, (true, false), 6, RUNS_ONCE);
 }
 
 #[test]
-fn promise_4_a_peer_is_not_waited_for_past_the_due_time() {
-    found(Mutant::WaitsOn, &[], (false, false), 5, "nothing is waited for past its time");
+fn promise_4_needs_attempts_to_give_up_at_their_deadline() {
+    assert_mutant_is_found(
+        Mutant::WaitsPastDeadline,
+        &[],
+        (false, false),
+        5,
+        "no attempt waits past its deadline",
+    );
 }
 
 #[test]
-fn promise_5_an_old_list_is_not_forgotten_while_others_go_by_it() {
-    // The new node has caught up with the copies that the second list names besides it.
-    const WAY: [Transition; 8] = [
-        Transition::Caught(3, 0),
-        Transition::Caught(3, 1),
-        Transition::ClaimAction(|| Act::Begin(1)),
-        Transition::Claim(1, 1),
-        Transition::Claim(1, 2),
-        Transition::Grant(1, 1),
-        Transition::Grant(2, 1),
-        Transition::ClaimAction(|| Act::Take(Node(0))),
+fn promise_5_needs_a_quorum_in_every_active_config() {
+    // The new node has caught up with the other members of the second configuration.
+    const PATH: [PathStep; 8] = [
+        PathStep::CatchUp(3, 0),
+        PathStep::CatchUp(3, 1),
+        PathStep::Do(|| Act::StartAttempt(1)),
+        PathStep::Claim(1, 1),
+        PathStep::Claim(1, 2),
+        PathStep::Grant(1, 1),
+        PathStep::Grant(2, 1),
+        PathStep::Do(|| Act::AdoptConfig(Node(0))),
     ];
-    found(Mutant::NewestListAlone, &WAY, (false, true), 7, TWICE);
+    assert_mutant_is_found(Mutant::NewestConfigAlone, &PATH, (false, true), 7, RUNS_ONCE);
 }
--- a/fleet/tests/sim.rs
+++ b/fleet/tests/sim.rs
@@ -1,19 +1,23 @@
-//! Fleets of the decisions in virtual time: up to 300 nodes, thousands of keys, and faults drawn by a seed. A failing seed
-//! is printed; `OAKWIND_SIM_SEED` plays one again, `OAKWIND_SIM_SEEDS` plays so many from there on.
+//! Simulation of whole fleets in virtual time: up to 300 nodes, thousands of keys, and faults drawn by a seed. The seed of a
+//! failure is printed; `OAKWIND_SIM_SEED` replays one, `OAKWIND_SIM_SEEDS` simulates this many from there on.
 
-mod lists;
+mod common;
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
 use std::sync::Arc;
 use std::time::Duration;
 
-use lists::{list, name};
+use common::{config, name};
 use oakwind_fleet::claim_coordinator::{AttemptId, ClaimOutcome, RunRequest};
-use oakwind_fleet::key_state::{ClaimId, Key, RunResult};
-use oakwind_fleet::membership_config::{MembershipConfig, NodeId};
+use oakwind_fleet::ids::{Incarnation, LinkId, NodeId};
+use oakwind_fleet::key_state::{Key, RunResult};
+use oakwind_fleet::membership_config::MembershipConfig;
 use oakwind_fleet::message::{Message, ReplicaRecord};
-use oakwind_fleet::replica_node::{Action, Event, Notification, ReplicaNode, RestoredState, Settings, TICK};
+use oakwind_fleet::replica_node::{
+    Action, Event, Notification, ReplicaNode, RestoredState, Settings, TICK_INTERVAL,
+};
+use oakwind_fleet::replica_table::StoredRecord;
 use oakwind_fleet::staleness::StatePosition;
 use oakwind_fleet::Time;
 use rand::seq::SliceRandom;
@@ -21,104 +25,105 @@
 use rand_chacha::ChaCha8Rng;
 
 const WINDOW: Duration = Duration::from_secs(3);
-const PATIENCE: Duration = Duration::from_millis(1500);
+const CLIENT_TIMEOUT: Duration = Duration::from_millis(1500);
 
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-enum What {
+enum SimEvent {
     Tick,
     Event(Event),
-    /// A try of a key comes.
-    Try(usize),
-    /// The run of a token is over.
-    RunOver(AttemptId),
+    /// An attempt at a key arrives.
+    Attempt(usize),
+    /// The run of an attempt has ended.
+    EndRun(AttemptId),
     Kill {
         down: Duration,
         disk: Disk,
     },
     Start,
-    Sleep(Duration),
-    Cut {
+    Suspend(Duration),
+    Partition {
         zone: usize,
         until: Time,
     },
-    Offer(Arc<MembershipConfig>),
-    /// Its disk is copied.
+    Propose(Arc<MembershipConfig>),
+    /// Its disk is backed up.
     Copy,
 }
 
 /// What a node that was killed finds on its disk, if it has one.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Disk {
-    RestoredState,
+    Intact,
     Lost,
-    /// A copy that was made a while ago.
-    Old,
+    /// A backup that was made a while ago.
+    OldCopy,
 }
 
-/// What is on a disk: what was kept of each key, until when that is of use, and where it ends.
+/// What is stored on a disk.
 #[derive(Debug, Clone, Default)]
-struct Written {
-    keys: BTreeMap<Key, (Option<ClaimId>, ReplicaRecord, Time)>,
-    until: Option<StatePosition>,
+struct DiskContents {
+    /// Each record, and when it expires.
+    records: BTreeMap<Key, (StoredRecord, Time)>,
+    position: Option<StatePosition>,
 }
 
-struct Happening {
+struct Scheduled {
     at: Time,
     number: u64,
     node: usize,
-    /// Which process of the node it is meant for; others never hear of it.
+    /// The process of the node that it is for; others never receive it.
     process: u64,
-    what: What,
+    sim_event: SimEvent,
 }
 
-impl PartialEq for Happening {
+impl PartialEq for Scheduled {
     fn eq(&self, other: &Self) -> bool {
         self.number == other.number
     }
 }
-impl Eq for Happening {}
-impl PartialOrd for Happening {
+impl Eq for Scheduled {}
+impl PartialOrd for Scheduled {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for Happening {
+impl Ord for Scheduled {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (self.at, self.number).cmp(&(other.at, other.number))
     }
 }
 
 struct Machine {
-    fleet: Option<ReplicaNode>,
+    replica: Option<ReplicaNode>,
     process: u64,
-    asleep_until: Time,
-    disk: Written,
-    copy: Written,
-    durable: bool,
+    suspended_until: Time,
+    disk: DiskContents,
+    copy: DiskContents,
+    is_durable: bool,
 }
 
-/// What is odd on the links.
+/// What goes wrong on the links.
 #[derive(Clone, Copy)]
-struct Weather {
+struct LinkQuality {
     loss: f64,
-    double: f64,
+    duplication: f64,
     delay: (u64, u64),
 }
 
 #[derive(Debug, Default)]
-struct Seen {
+struct Observed {
     runs: HashMap<usize, Vec<(Time, u64)>>,
-    /// Tries by token: the key, and whether it has run.
-    tries: BTreeMap<u64, (usize, bool)>,
+    /// Attempts by number: the key, and whether it has run.
+    attempts: BTreeMap<u64, (usize, bool)>,
     ended: BTreeMap<String, usize>,
-    wrong: Vec<String>,
+    violations: Vec<String>,
     conflicts: usize,
-    outdated: usize,
-    frames: u64,
-    /// Pages that a node gave, by tenth of a second.
+    stale_states: usize,
+    messages: u64,
+    /// Pages that a node sent, by tenth of a second.
     pages: HashMap<(usize, u128), u64>,
 }
 
@@ -126,20 +131,21 @@
     now: Time,
     number: u64,
     rng: ChaCha8Rng,
-    queue: BinaryHeap<Reverse<Happening>>,
+    queue: BinaryHeap<Reverse<Scheduled>>,
     machines: Vec<Machine>,
     index: HashMap<NodeId, usize>,
-    list: Arc<MembershipConfig>,
+    /// The configuration of nodes that start.
+    config: Arc<MembershipConfig>,
     zones: usize,
-    weather: Weather,
-    /// Zones that are cut off, until then.
-    cut: BTreeMap<usize, Time>,
-    seen: Seen,
-    tokens: u64,
+    link_quality: LinkQuality,
+    /// Zones that are cut off, and until when.
+    partitioned: BTreeMap<usize, Time>,
+    observed: Observed,
+    last_attempt: u64,
 }
 
 impl Sim {
-    fn new(seed: u64, nodes: usize, zones: usize, durable: bool, weather: Weather) -> Sim {
+    fn new(seed: u64, nodes: usize, zones: usize, durable: bool, link_quality: LinkQuality) -> Sim {
         let all: Vec<usize> = (0..nodes).collect();
         let mut sim = Sim {
             now: Duration::ZERO,
@@ -148,198 +154,204 @@
             queue: BinaryHeap::new(),
             machines: Vec::new(),
             index: (0..nodes + 10).map(|n| (NodeId::of(&name(n)), n)).collect(),
-            list: list(1, &all, zones, WINDOW),
+            config: config(1, &all, zones, WINDOW),
             zones,
-            weather,
-            cut: BTreeMap::new(),
-            seen: Seen::default(),
-            tokens: 0,
+            link_quality,
+            partitioned: BTreeMap::new(),
+            observed: Observed::default(),
+            last_attempt: 0,
         };
         for _ in 0..nodes + 10 {
-            let (disk, copy) = (Written::default(), Written::default());
+            let (disk, copy) = (DiskContents::default(), DiskContents::default());
             sim.machines.push(Machine {
-                fleet: None,
+                replica: None,
                 process: 0,
-                asleep_until: Time::ZERO,
+                suspended_until: Time::ZERO,
                 disk,
                 copy,
-                durable,
+                is_durable: durable,
             });
         }
         all.into_iter().for_each(|node| sim.start(node));
         sim
     }
 
-    fn at(&mut self, at: Time, node: usize, what: What) {
+    fn at(&mut self, at: Time, node: usize, sim_event: SimEvent) {
         self.number += 1;
         let process = self.machines[node].process;
-        self.queue.push(Reverse(Happening { at, number: self.number, node, process, what }));
+        self.queue.push(Reverse(Scheduled { at, number: self.number, node, process, sim_event }));
     }
 
     fn start(&mut self, node: usize) {
-        let (now, list) = (self.now, self.list.clone());
+        let (now, config) = (self.now, self.config.clone());
         let machine = &mut self.machines[node];
-        if machine.fleet.is_some() {
+        if machine.replica.is_some() {
             return;
         }
         machine.process += 1;
         let first = machine.process == 1;
-        let records = machine.disk.keys.values().filter(|(.., until)| *until > now);
-        let records = records.map(|(vote, copied, until)| {
-            let keep_ms = (*until - now).as_millis() as u64 + 1;
-            (*vote, ReplicaRecord { keep_ms, ..copied.clone() })
+        let records = machine.disk.records.values().filter(|(_, expires_at)| *expires_at > now);
+        let records = records.map(|(stored, expires_at)| {
+            let retain_ms = (*expires_at - now).as_millis() as u64 + 1;
+            let record = ReplicaRecord { retain_ms, ..stored.record.clone() };
+            StoredRecord { record, ..stored.clone() }
         });
-        let until = machine.disk.until.unwrap_or(StatePosition { incarnation: 0, seconds: 0 });
-        let kept = RestoredState { records: records.collect(), until };
+        let unknown = StatePosition { incarnation: Incarnation(0), uptime_seconds: 0 };
+        let position = machine.disk.position.unwrap_or(unknown);
+        let restored = RestoredState { records: records.collect(), position };
         let settings = Settings {
             name: name(node),
-            incarnation: machine.process,
+            incarnation: Incarnation(machine.process),
             seed: node as u64,
-            bytes: 32 << 20,
-            bytes_per_s: 16 << 20,
-            probe: ms(500),
-            kept: (machine.durable || first).then_some(kept),
-            durable: machine.durable,
+            max_table_bytes: 32 << 20,
+            transfer_bytes_per_s: 16 << 20,
+            probe_period: ms(500),
+            restored: (machine.is_durable || first).then_some(restored),
+            is_durable: machine.is_durable,
         };
-        let fleet = ReplicaNode::new(settings, list, now);
-        machine.disk.until = Some(fleet.mark());
-        machine.fleet = Some(fleet);
-        self.at(now, node, What::Tick);
+        let replica = ReplicaNode::new(settings, config, now);
+        machine.disk.position = Some(replica.position());
+        machine.replica = Some(replica);
+        self.at(now, node, SimEvent::Tick);
     }
 
     fn zone(&self, node: usize) -> usize {
         node % self.zones
     }
 
-    fn apart(&self, a: usize, b: usize) -> bool {
+    fn is_partitioned(&self, a: usize, b: usize) -> bool {
         let (a, b) = (self.zone(a), self.zone(b));
-        a != b && (self.cut.contains_key(&a) || self.cut.contains_key(&b))
+        a != b && (self.partitioned.contains_key(&a) || self.partitioned.contains_key(&b))
     }
 
-    fn carry(&mut self, from: usize, to: usize, to_process: Option<u64>, frame: Message) {
-        self.seen.frames += 1;
-        if matches!(frame, Message::Page(_)) {
-            *self.seen.pages.entry((from, self.now.as_millis() / 100)).or_default() += 1;
+    fn carry(&mut self, from: usize, to: usize, to_process: Option<u64>, message: Message) {
+        self.observed.messages += 1;
+        if matches!(message, Message::Page(_)) {
+            *self.observed.pages.entry((from, self.now.as_millis() / 100)).or_default() += 1;
         }
-        if self.apart(from, to) || self.rng.random::<f64>() < self.weather.loss {
+        if self.is_partitioned(from, to) || self.rng.random::<f64>() < self.link_quality.loss {
             return;
         }
-        let (low, high) = self.weather.delay;
-        let link = (self.machines[from].process << 16) | (from as u64 + 1);
-        let incarnation = self.machines[from].process;
-        let copies = if self.rng.random::<f64>() < self.weather.double { 2 } else { 1 };
+        let (low, high) = self.link_quality.delay;
+        let link = LinkId((self.machines[from].process << 16) | (from as u64 + 1));
+        let incarnation = Incarnation(self.machines[from].process);
+        let copies = if self.rng.random::<f64>() < self.link_quality.duplication { 2 } else { 1 };
         for _ in 0..copies {
             let mut delay = ms(self.rng.random_range(low..=high));
-            if self.rng.random::<f64>() < self.weather.loss {
+            if self.rng.random::<f64>() < self.link_quality.loss {
                 delay += ms(1000);
             }
             let at = self.now + delay;
-            if self.machines[to].fleet.is_none() {
+            if self.machines[to].replica.is_none() {
                 let node = NodeId::of(&name(to));
-                self.at(at, from, What::Event(Event::Unreached(node)));
+                self.at(at, from, SimEvent::Event(Event::PeerUnreachable(node)));
                 return;
             }
             self.number += 1;
-            let event =
-                Event::Heard { link, from: NodeId::of(&name(from)), incarnation, frame: frame.clone() };
+            let event = Event::MessageReceived {
+                link,
+                from: NodeId::of(&name(from)),
+                incarnation,
+                message: message.clone(),
+            };
             let process = to_process.unwrap_or(self.machines[to].process);
-            let (number, what) = (self.number, What::Event(event));
-            self.queue.push(Reverse(Happening { at, number, node: to, process, what }));
+            let (number, sim_event) = (self.number, SimEvent::Event(event));
+            self.queue.push(Reverse(Scheduled { at, number, node: to, process, sim_event }));
         }
     }
 
     fn event(&mut self, node: usize, event: Event) {
         let mut out = Vec::new();
-        let Some(fleet) = &mut self.machines[node].fleet else { return };
-        fleet.handle(self.now, event, &mut out);
+        let Some(replica) = &mut self.machines[node].replica else { return };
+        replica.handle(self.now, event, &mut out);
         for action in out {
             match action {
-                Action::Send(to, frame) => {
+                Action::Send(to, message) => {
                     if let Some(to) = self.index.get(&to).copied() {
-                        self.carry(node, to, None, frame);
+                        self.carry(node, to, None, message);
                     }
                 }
-                Action::Answer(link, frame) => {
-                    self.carry(node, (link & 0xffff) as usize - 1, Some(link >> 16), frame);
+                Action::Respond(link, message) => {
+                    self.carry(node, (link.0 & 0xffff) as usize - 1, Some(link.0 >> 16), message);
                 }
-                Action::Tell(token, said) => self.told(node, token, said),
-                Action::Store(number, change, vote) => {
-                    let keys = &mut self.machines[node].disk.keys;
-                    match change.now {
-                        Some(copied) => {
-                            let until = self.now + ms(copied.keep_ms);
-                            keys.insert(change.key, (vote, copied, until));
+                Action::NotifyAttempt(attempt, outcome) => self.notify(node, attempt, outcome),
+                Action::Store { sequence, key, record } => {
+                    let records = &mut self.machines[node].disk.records;
+                    match record {
+                        Some(stored) => {
+                            let expires_at = self.now + ms(stored.record.retain_ms);
+                            records.insert(key, (stored, expires_at));
                         }
-                        None => drop(keys.remove(&change.key)),
+                        None => drop(records.remove(&key)),
                     }
                     let at = self.now + ms(self.rng.random_range(0..3));
-                    self.at(at, node, What::Event(Event::Stored(number, true)));
+                    self.at(at, node, SimEvent::Event(Event::StoreFinished { sequence, stored: true }));
                 }
-                Action::Greet => self.greet(node),
-                Action::Notify(Notification::Conflict(..)) => self.seen.conflicts += 1,
-                Action::Notify(Notification::Outdated(..)) => {
-                    self.seen.outdated += 1;
-                    // What is on its disk counts no more.
-                    self.machines[node].disk = Written::default();
+                Action::SendHello => self.send_hello(node),
+                Action::Notify(Notification::DuplicateRun(_)) => self.observed.conflicts += 1,
+                Action::Notify(Notification::StaleState { .. }) => {
+                    self.observed.stale_states += 1;
+                    // What is on its disk is stale.
+                    self.machines[node].disk = DiskContents::default();
                 }
-                Action::Notify(_) | Action::Allow(_) => {}
+                Action::Notify(_) | Action::SetPermissions(_) => {}
             }
         }
     }
 
-    /// Who has just started, or has other lists, greets everyone.
-    fn greet(&mut self, node: usize) {
-        let Some(fleet) = &self.machines[node].fleet else { return };
-        let hellos: Vec<(usize, Message)> = fleet
-            .lists()
-            .everyone()
+    /// A node that has just started, or has other configurations, introduces itself to every member.
+    fn send_hello(&mut self, node: usize) {
+        let Some(replica) = &self.machines[node].replica else { return };
+        let hellos: Vec<(usize, Message)> = replica
+            .configs()
+            .all_members()
             .into_iter()
-            .filter(|to| *to != fleet.me())
-            .map(|to| (self.index[&to], Message::Hello(fleet.hello(to))))
+            .filter(|to| *to != replica.id())
+            .map(|to| (self.index[&to], Message::Hello(replica.hello(to))))
             .collect();
         hellos.into_iter().for_each(|(to, hello)| self.carry(node, to, None, hello));
     }
 
-    fn told(&mut self, node: usize, token: AttemptId, said: ClaimOutcome) {
-        let Some((key, ran)) = self.seen.tries.get_mut(&token.0) else { return };
+    fn notify(&mut self, node: usize, attempt: AttemptId, outcome: ClaimOutcome) {
+        let Some((key, ran)) = self.observed.attempts.get_mut(&attempt.0) else { return };
         let key = *key;
-        let name = match &said {
+        let name = match &outcome {
             ClaimOutcome::Granted => "granted",
-            ClaimOutcome::Rejected(why) => {
+            ClaimOutcome::Rejected(reason) => {
                 if *ran {
-                    self.seen
-                        .wrong
-                        .push(format!("token {} of key {key} ran and is turned away: {why:?}", token.0));
+                    self.observed
+                        .violations
+                        .push(format!("token {} of key {key} ran and is rejected: {reason:?}", attempt.0));
                 }
-                &format!("turned {why:?}")
+                &format!("rejected {reason:?}")
             }
-            ClaimOutcome::RunningElsewhere => "elsewhere",
+            ClaimOutcome::RunningElsewhere => "running elsewhere",
             ClaimOutcome::RemoteOutcome(RunResult::Succeeded(result)) => {
                 let made = format!("job of {key}");
-                if *result != made.as_bytes() || !self.seen.runs.contains_key(&key) {
-                    self.seen.wrong.push(format!("key {key} got a result that no run made"));
+                if *result != made.as_bytes() || !self.observed.runs.contains_key(&key) {
+                    self.observed.violations.push(format!("key {key} got a result that no run made"));
                 }
-                "became"
+                "remote outcome"
             }
             ClaimOutcome::RemoteOutcome(RunResult::Failed) => "failed",
             ClaimOutcome::BodyMismatch => "mismatch",
             ClaimOutcome::Unknown => "unknown",
-            ClaimOutcome::Replicated(true) => "held",
-            ClaimOutcome::Replicated(false) => "unheld",
+            ClaimOutcome::Replicated(true) => "replicated",
+            ClaimOutcome::Replicated(false) => "not replicated",
         };
-        *self.seen.ended.entry(name.to_string()).or_default() += 1;
-        if said == ClaimOutcome::Granted {
+        *self.observed.ended.entry(name.to_string()).or_default() += 1;
+        if outcome == ClaimOutcome::Granted {
             *ran = true;
-            let runs = self.seen.runs.entry(key).or_default();
+            let runs = self.observed.runs.entry(key).or_default();
             if let Some((first, by)) = runs.last() {
-                self.seen.wrong.push(format!(
+                self.observed.violations.push(format!(
                     "key {key} runs by token {} at {node} at {:?}, and did by {by} at {first:?}",
-                    token.0, self.now
+                    attempt.0, self.now
                 ));
             }
-            runs.push((self.now, token.0));
+            runs.push((self.now, attempt.0));
             let over = self.now + ms(self.rng.random_range(5..80));
-            self.at(over, node, What::RunOver(token));
+            self.at(over, node, SimEvent::EndRun(attempt));
         }
     }
 
@@ -348,112 +360,113 @@
             if next.at > until {
                 break;
             }
-            let Some(Reverse(Happening { at, node, process, what, number })) = self.queue.pop() else {
+            let Some(Reverse(Scheduled { at, node, process, sim_event, number })) = self.queue.pop() else {
                 break;
             };
             self.now = at;
             let machine = &mut self.machines[node];
             let own = matches!(
-                what,
-                What::Kill { .. }
-                    | What::Start
-                    | What::Cut { .. }
-                    | What::Offer(_)
-                    | What::Try(_)
-                    | What::Copy
+                sim_event,
+                SimEvent::Kill { .. }
+                    | SimEvent::Start
+                    | SimEvent::Partition { .. }
+                    | SimEvent::Propose(_)
+                    | SimEvent::Attempt(_)
+                    | SimEvent::Copy
             );
-            if !own && (machine.process != process || machine.fleet.is_none()) {
+            if !own && (machine.process != process || machine.replica.is_none()) {
                 continue;
             }
-            if machine.asleep_until > at
-                && !matches!(what, What::Kill { .. } | What::Cut { .. } | What::Start)
+            if machine.suspended_until > at
+                && !matches!(sim_event, SimEvent::Kill { .. } | SimEvent::Partition { .. } | SimEvent::Start)
             {
-                // It finds all that when it wakes up.
-                let at = machine.asleep_until;
-                self.queue.push(Reverse(Happening { at, number, node, process, what }));
+                // It receives all that when it resumes.
+                let at = machine.suspended_until;
+                self.queue.push(Reverse(Scheduled { at, number, node, process, sim_event }));
                 continue;
             }
-            match what {
-                What::Tick => {
+            match sim_event {
+                SimEvent::Tick => {
                     self.event(node, Event::Tick);
                     let machine = &mut self.machines[node];
-                    machine.disk.until = machine.fleet.as_ref().map(ReplicaNode::mark);
-                    if self.machines[node].fleet.is_some() {
+                    machine.disk.position = machine.replica.as_ref().map(ReplicaNode::position);
+                    if self.machines[node].replica.is_some() {
                         let first = self.now;
-                        self.at(first + TICK, node, What::Tick);
+                        self.at(first + TICK_INTERVAL, node, SimEvent::Tick);
                     }
                 }
-                What::Event(event) => self.event(node, event),
-                What::Try(key) => self.try_key(node, key),
-                What::RunOver(token) => {
-                    let key = self.seen.tries[&token.0].0;
-                    let fate = RunResult::Succeeded(Key::from(format!("job of {key}")));
-                    self.event(node, Event::Ended(token, fate));
+                SimEvent::Event(event) => self.event(node, event),
+                SimEvent::Attempt(key) => self.start_attempt(node, key),
+                SimEvent::EndRun(attempt) => {
+                    let key = self.observed.attempts[&attempt.0].0;
+                    let result = RunResult::Succeeded(Key::from(format!("job of {key}")));
+                    self.event(node, Event::RunCompleted(attempt, result));
                 }
-                What::Kill { down, disk } => {
-                    machine.fleet = None;
-                    machine.asleep_until = Time::ZERO;
+                SimEvent::Kill { down, disk } => {
+                    machine.replica = None;
+                    machine.suspended_until = Time::ZERO;
                     match disk {
-                        Disk::RestoredState => {}
+                        Disk::Intact => {}
                         Disk::Lost => {
-                            machine.disk = Written::default();
-                            // Its disk is gone with what was on it: it can't know what it had granted.
-                            machine.durable = false;
+                            machine.disk = DiskContents::default();
+                            // Its disk is lost with all that was on it: it can't know what it had granted.
+                            machine.is_durable = false;
                         }
-                        Disk::Old => machine.disk = std::mem::take(&mut machine.copy),
+                        Disk::OldCopy => machine.disk = std::mem::take(&mut machine.copy),
                     }
-                    self.at(at + down, node, What::Start);
+                    self.at(at + down, node, SimEvent::Start);
                 }
-                What::Start => {
+                SimEvent::Start => {
                     self.start(node);
-                    self.greet(node);
+                    self.send_hello(node);
                 }
-                What::Sleep(duration) => machine.asleep_until = at + duration,
-                What::Cut { zone, until } => {
+                SimEvent::Suspend(duration) => machine.suspended_until = at + duration,
+                SimEvent::Partition { zone, until } => {
                     if until > at {
-                        self.cut.insert(zone, until);
-                        self.at(until, node, What::Cut { zone, until });
+                        self.partitioned.insert(zone, until);
+                        self.at(until, node, SimEvent::Partition { zone, until });
                     } else {
-                        self.cut.remove(&zone);
+                        self.partitioned.remove(&zone);
                     }
                 }
-                What::Offer(list) => self.event(node, Event::Membership(list)),
-                What::Copy => machine.copy = machine.disk.clone(),
+                SimEvent::Propose(config) => self.event(node, Event::ConfigProposed(config)),
+                SimEvent::Copy => machine.copy = machine.disk.clone(),
             }
         }
         self.now = until;
     }
 
-    fn try_key(&mut self, node: usize, key: usize) {
-        self.tokens += 1;
-        let token = self.tokens;
-        self.seen.tries.insert(token, (key, false));
-        let wanted = RunRequest {
-            token: AttemptId(token),
+    fn start_attempt(&mut self, node: usize, key: usize) {
+        self.last_attempt += 1;
+        let attempt = self.last_attempt;
+        self.observed.attempts.insert(attempt, (key, false));
+        let request = RunRequest {
+            attempt: AttemptId(attempt),
             key: Key::from(format!("key {key}")),
             body: 1,
-            until: self.now + WINDOW,
-            received_at: (self.now, self.now.as_millis() as u64),
-            deadline: self.now + PATIENCE,
+            expires_at: self.now + WINDOW,
+            received_at: self.now,
+            received_unix_ms: self.now.as_millis() as u64,
+            deadline: self.now + CLIENT_TIMEOUT,
         };
-        self.event(node, Event::Want(wanted));
+        self.event(node, Event::RunRequested(request));
     }
 
-    /// Spreads keys over a stretch of time, each with up to three tries at any nodes, all within its window.
+    /// Spreads keys over some time, each with up to three attempts at any nodes, all within its window.
     fn load(&mut self, keys: std::ops::Range<usize>, from: Time, over: Duration, nodes: usize) {
         for key in keys {
             let at = from + over.mul_f64(self.rng.random());
             for _ in 0..self.rng.random_range(1..=3) {
                 let later = ms(self.rng.random_range(0..1500));
                 let node = self.rng.random_range(0..nodes);
-                self.at(at + later, node, What::Try(key));
+                self.at(at + later, node, SimEvent::Attempt(key));
             }
         }
     }
 }
 
-const FINE: Weather = Weather { loss: 0.0, double: 0.0, delay: (1, 3) };
-const FOUL: Weather = Weather { loss: 0.01, double: 0.02, delay: (1, 40) };
+const RELIABLE: LinkQuality = LinkQuality { loss: 0.0, duplication: 0.0, delay: (1, 3) };
+const UNRELIABLE: LinkQuality = LinkQuality { loss: 0.01, duplication: 0.02, delay: (1, 40) };
 
 fn seeds(usual: u64) -> std::ops::Range<u64> {
     let set = |name: &str| std::env::var(name).ok().and_then(|text| text.parse().ok());
@@ -461,130 +474,140 @@
     first..first + set("OAKWIND_SIM_SEEDS").unwrap_or(usual)
 }
 
-/// Random faults for some seconds, then calm. Returns what was seen.
-fn faults(seed: u64, nodes: usize, keys: usize, durable: bool) -> Seen {
+/// Random faults for some seconds, then calm. Returns what was observed.
+fn faults(seed: u64, nodes: usize, keys: usize, durable: bool) -> Observed {
     let zones = 3;
-    let mut sim = Sim::new(seed, nodes, zones, durable, FOUL);
+    let mut sim = Sim::new(seed, nodes, zones, durable, UNRELIABLE);
     sim.play(ms(3000));
     let (from, over) = (ms(3000), ms(12_000));
     sim.load(0..keys, from, over, nodes);
     for _ in 0..(nodes / 4).min(24) {
         let node = sim.rng.random_range(0..nodes);
         let at = from + over.mul_f64(sim.rng.random());
-        let disk = [Disk::RestoredState, Disk::Lost, Disk::Old][sim.rng.random_range(0..3)];
+        let disk = [Disk::Intact, Disk::Lost, Disk::OldCopy][sim.rng.random_range(0..3)];
         let down = ms(sim.rng.random_range(50..2000));
-        if disk == Disk::Old && durable {
+        if disk == Disk::OldCopy && durable {
             let made = at.saturating_sub(ms(sim.rng.random_range(3500..9000)));
-            sim.at(made, node, What::Copy);
+            sim.at(made, node, SimEvent::Copy);
         }
-        sim.at(at, node, What::Kill { down, disk });
+        sim.at(at, node, SimEvent::Kill { down, disk });
     }
     for _ in 0..(nodes / 8).min(12) {
         let node = sim.rng.random_range(0..nodes);
         let at = from + over.mul_f64(sim.rng.random());
         let slept = ms(sim.rng.random_range(500..4000));
-        sim.at(at, node, What::Sleep(slept));
+        sim.at(at, node, SimEvent::Suspend(slept));
     }
     for _ in 0..2 {
         let zone = sim.rng.random_range(0..zones);
         let at = from + over.mul_f64(sim.rng.random());
         let until = at + ms(sim.rng.random_range(500..3000));
-        sim.at(at, 0, What::Cut { zone, until });
+        sim.at(at, 0, SimEvent::Partition { zone, until });
     }
-    // One node goes and one comes, told to everyone at different times.
+    // One node leaves and one joins; every node learns it at another time.
     let next: Vec<usize> = (0..nodes + 1).filter(|n| *n != 1).collect();
-    let next = list(2, &next, zones, WINDOW);
+    let next = config(2, &next, zones, WINDOW);
     let mut told: Vec<usize> = (0..nodes).filter(|n| *n != 1).collect();
     told.shuffle(&mut sim.rng);
     for node in told {
         let at = from + ms(4000) + ms(sim.rng.random_range(0..3000));
-        sim.at(at, node, What::Offer(next.clone()));
+        sim.at(at, node, SimEvent::Propose(next.clone()));
     }
-    sim.at(from + ms(5000), nodes, What::Start);
+    sim.at(from + ms(5000), nodes, SimEvent::Start);
     sim.play(from + ms(4500));
-    sim.list = next;
+    sim.config = next;
     sim.play(from + over + ms(6000));
-    // In the calm after it bookings run again, everywhere.
-    sim.weather = FINE;
+    // Once the faults are over, requests run again on every node.
+    sim.link_quality = RELIABLE;
     sim.play(from + over + ms(16_000));
-    let in_trouble = std::mem::take(&mut sim.seen.ended);
+    let in_trouble = std::mem::take(&mut sim.observed.ended);
     let now = sim.now;
     sim.load(keys..keys + 200, now, ms(1000), nodes);
     sim.play(now + ms(5000));
-    let calm = std::mem::replace(&mut sim.seen.ended, in_trouble);
-    // Tries at the node that is off the list are turned away.
+    let calm = std::mem::replace(&mut sim.observed.ended, in_trouble);
+    // Attempts at the node that is no member any more are rejected.
     if calm.get("granted").is_none_or(|granted| *granted < 180) {
-        let first =
-            (0..nodes).find(|n| sim.machines[*n].fleet.as_ref().is_some_and(|fleet| !fleet.is_level()));
-        sim.seen.wrong.push(format!("of 200 bookings in the calm after: {calm:?}; not level: {first:?}"));
+        let first = (0..nodes)
+            .find(|n| sim.machines[*n].replica.as_ref().is_some_and(|replica| !replica.has_quorum()));
+        sim.observed
+            .violations
+            .push(format!("of 200 requests after the faults: {calm:?}; without a quorum: {first:?}"));
     }
-    sim.seen
+    sim.observed
 }
 
-fn hold(seed: u64, seen: &Seen) {
+fn assert_promises(seed: u64, observed: &Observed) {
     println!(
-        "seed {seed}: {:?}, {} frames, {} conflicts, {} old copies noticed",
-        seen.ended, seen.frames, seen.conflicts, seen.outdated
+        "seed {seed}: {:?}, {} messages, {} conflicts, {} stale states detected",
+        observed.ended, observed.messages, observed.conflicts, observed.stale_states
+    );
+    assert!(
+        observed.violations.is_empty(),
+        "OAKWIND_SIM_SEED={seed}: {:#?}",
+        &observed.violations[..observed.violations.len().min(10)]
     );
-    assert!(seen.wrong.is_empty(), "OAKWIND_SIM_SEED={seed}: {:#?}", &seen.wrong[..seen.wrong.len().min(10)]);
 }
 
 #[test]
 fn twelve_nodes_with_random_faults_run_no_key_twice() {
     for seed in seeds(12) {
-        hold(seed, &faults(seed, 12, 1500, seed % 2 == 0));
+        assert_promises(seed, &faults(seed, 12, 1500, seed % 2 == 0));
     }
 }
 
 #[test]
 fn three_hundred_nodes_with_random_faults_run_no_key_twice() {
     for seed in seeds(1) {
-        hold(seed, &faults(seed, 300, 10_000, false));
+        assert_promises(seed, &faults(seed, 300, 10_000, false));
     }
 }
 
 #[test]
-fn the_cost_of_knowing_the_members_stays_flat() {
+fn the_cost_of_failure_detection_per_node_does_not_grow_with_the_fleet() {
     let mut costs = Vec::new();
     for nodes in [3, 12, 100, 300] {
-        let mut sim = Sim::new(1, nodes, 3, false, FINE);
+        let mut sim = Sim::new(1, nodes, 3, false, RELIABLE);
         sim.play(ms(10_000));
-        let before = sim.seen.frames;
+        let before = sim.observed.messages;
         sim.play(ms(30_000));
-        let each = (sim.seen.frames - before) as f64 / 20.0 / nodes as f64;
-        println!("{nodes} nodes: {each:.2} frames a second and node");
+        let each = (sim.observed.messages - before) as f64 / 20.0 / nodes as f64;
+        println!("{nodes} nodes: {each:.2} messages a second and node");
         costs.push(each);
     }
     assert!(costs.iter().all(|cost| *cost < 4.5), "a probe and its answer twice a second: {costs:?}");
 }
 
 #[test]
-fn a_silent_node_is_lost_to_all_and_a_fleet_of_any_size_learns_it_in_bounded_time() {
+fn a_silent_node_is_dead_to_all_within_a_bounded_time_whatever_the_size_of_the_fleet() {
     for nodes in [12, 100, 300] {
-        let mut sim = Sim::new(1, nodes, 1, false, FINE);
+        let mut sim = Sim::new(1, nodes, 1, false, RELIABLE);
         sim.play(ms(8000));
-        sim.machines[0].fleet = None;
+        sim.machines[0].replica = None;
         sim.play(ms(20_000));
-        let think: BTreeSet<u64> =
-            sim.machines.iter().filter_map(|m| m.fleet.as_ref()).map(|fleet| fleet.counts().lost).collect();
-        assert_eq!(think, [1].into(), "{nodes} nodes");
+        let dead: BTreeSet<u64> = sim
+            .machines
+            .iter()
+            .filter_map(|m| m.replica.as_ref())
+            .map(|replica| replica.liveness_counts().dead)
+            .collect();
+        assert_eq!(dead, [1].into(), "{nodes} nodes");
     }
 }
 
-/// How a fleet came back of which seven in ten lost all they knew in the same moment.
+/// How a fleet recovered of which seven in ten nodes lost their state at the same time.
 #[derive(Debug)]
-struct Back {
-    /// Until the last of them had heard all that were there.
+struct Recovery {
+    /// Until the last of them had the tables of all nodes that were up.
     caught_up: Duration,
     /// Until the last of them could vote for every key.
-    sound: Duration,
-    /// The most pages that a node gave within a tenth of a second, and in all.
+    complete: Duration,
+    /// The most pages that a node sent within a tenth of a second, and in total.
     busiest: u64,
-    given: u64,
+    pages_sent: u64,
 }
 
-fn back(seed: u64, nodes: usize) -> Back {
-    let mut sim = Sim::new(seed, nodes, 3, true, FINE);
+fn recovery(seed: u64, nodes: usize) -> Recovery {
+    let mut sim = Sim::new(seed, nodes, 3, true, RELIABLE);
     sim.play(ms(4000));
     let keys = nodes * 30;
     sim.load(0..keys, ms(4000), ms(2500), nodes);
@@ -593,44 +616,44 @@
     struck.shuffle(&mut sim.rng);
     struck.truncate(nodes * 7 / 10);
     let (down, at) = (ms(500), sim.now);
-    struck.iter().for_each(|node| sim.at(at, *node, What::Kill { down, disk: Disk::Lost }));
+    struck.iter().for_each(|node| sim.at(at, *node, SimEvent::Kill { down, disk: Disk::Lost }));
     let up = at + down;
     sim.play(up + ms(1));
-    sim.seen.pages.clear();
-    let (mut caught_up, mut sound) = (None, None);
-    while sound.is_none() && sim.now < up + ms(30_000) {
+    sim.observed.pages.clear();
+    let (mut caught_up, mut complete) = (None, None);
+    while complete.is_none() && sim.now < up + ms(30_000) {
         let next = sim.now + ms(10);
         sim.play(next);
         let all = |holds: fn(&ReplicaNode) -> bool| {
-            struck.iter().all(|node| sim.machines[*node].fleet.as_ref().is_some_and(holds))
+            struck.iter().all(|node| sim.machines[*node].replica.as_ref().is_some_and(holds))
         };
-        caught_up = caught_up.or(all(|fleet| fleet.behind() == 0).then(|| sim.now - up));
-        sound = sound.or(all(ReplicaNode::is_sound).then(|| sim.now - up));
+        caught_up = caught_up.or(all(|replica| replica.open_donors() == 0).then(|| sim.now - up));
+        complete = complete.or(all(ReplicaNode::is_complete).then(|| sim.now - up));
     }
-    assert!(sim.seen.wrong.is_empty(), "{:#?}", sim.seen.wrong);
-    let given =
-        |node: usize| sim.seen.pages.iter().filter(|((from, _), _)| *from == node).map(|(_, n)| n).sum();
-    Back {
+    assert!(sim.observed.violations.is_empty(), "{:#?}", sim.observed.violations);
+    let pages_sent =
+        |node: usize| sim.observed.pages.iter().filter(|((from, _), _)| *from == node).map(|(_, n)| n).sum();
+    Recovery {
         caught_up: caught_up.unwrap_or(ms(30_000)),
-        sound: sound.unwrap_or(ms(30_000)),
-        busiest: sim.seen.pages.values().copied().max().unwrap_or(0),
-        given: (0..nodes).map(given).max().unwrap_or(0),
+        complete: complete.unwrap_or(ms(30_000)),
+        busiest: sim.observed.pages.values().copied().max().unwrap_or(0),
+        pages_sent: (0..nodes).map(pages_sent).max().unwrap_or(0),
     }
 }
 
 #[test]
-fn the_way_back_of_seven_in_ten_takes_a_window_and_no_donor_is_overrun_whatever_the_size() {
+fn recovery_of_seven_in_ten_takes_a_window_and_overloads_no_donor_whatever_the_size_of_the_fleet() {
     let sizes = [12, 50, 300];
-    let backs: Vec<Back> = sizes.iter().map(|nodes| back(1, *nodes)).collect();
-    for (nodes, Back { caught_up, sound, busiest, given }) in sizes.iter().zip(&backs) {
+    let recoveries: Vec<Recovery> = sizes.iter().map(|nodes| recovery(1, *nodes)).collect();
+    for (nodes, Recovery { caught_up, complete, busiest, pages_sent }) in sizes.iter().zip(&recoveries) {
         println!(
-            "nodes,{nodes},caught up ms,{},sound ms,{},most pages in 100 ms,{busiest},pages in all,{given}",
+            "nodes,{nodes},caught up ms,{},complete ms,{},most pages in 100 ms,{busiest},pages in all,{pages_sent}",
             caught_up.as_millis(),
-            sound.as_millis()
+            complete.as_millis()
         );
     }
-    let (small, large) = (&backs[0], &backs[sizes.len() - 1]);
-    assert!(large.sound < small.sound.mul_f64(1.15), "{backs:?}");
-    assert!(backs.iter().all(|back| back.caught_up < ms(2000)), "{backs:?}");
-    assert!(backs.iter().all(|back| back.busiest <= 160), "{backs:?}");
+    let (small, large) = (&recoveries[0], &recoveries[sizes.len() - 1]);
+    assert!(large.complete < small.complete.mul_f64(1.15), "{recoveries:?}");
+    assert!(recoveries.iter().all(|recovery| recovery.caught_up < ms(2000)), "{recoveries:?}");
+    assert!(recoveries.iter().all(|recovery| recovery.busiest <= 160), "{recoveries:?}");
 }
--- a/node/src/admin.rs
+++ b/node/src/admin.rs
@@ -80,7 +80,9 @@
                     plain(503, "Service Unavailable", "not ready\n")
                 }
             }
-            ("GET", "/ops/stats") => plain(200, "OK", &self.exchange.metrics().render(&self.names.class_names())),
+            ("GET", "/ops/stats") => {
+                plain(200, "OK", &self.exchange.metrics().render(&self.names.class_names()))
+            }
             ("PUT", "/ops/drain/start") => self.send_away(true).await,
             ("PUT", "/ops/drain/stop") => self.send_away(false).await,
             (_, "/ops/readiness" | "/ops/stats" | "/ops/drain/start" | "/ops/drain/stop") => {
--- a/node/src/commands.rs
+++ b/node/src/commands.rs
@@ -3,7 +3,8 @@
 use std::path::PathBuf;
 
 use argh::FromArgs;
-use oakwind_fleet::audit::{audit, explain, AuditOptions, Decision, Journal, Record, Report};
+use oakwind_fleet::audit::{audit, explain, AuditOptions, Report};
+use oakwind_fleet::decision_record::{Decision, Journal, Record};
 use serde::Serialize;
 
 use crate::decision_log;
@@ -113,7 +114,7 @@
         report.versions.iter().map(|version| {
             let replaced = version.replaced.as_ref().map_or("-".into(), |(at, by)| format!("{at} by {by}"));
             [
-                format!("{:?}", version.kind).to_lowercase(),
+                version.kind.to_string().to_lowercase(),
                 version.id.clone(),
                 version.first.0.to_string(),
                 version.first.1.clone(),
@@ -124,18 +125,18 @@
         }),
     );
     for late in &report.stragglers {
-        let now = if late.is_level { "level since" } else { "and has not come round" };
+        let now = if late.has_updated { "level since" } else { "and has not come round" };
         text += &format!(
-            "\n{} went on with {:?} {} for {} ms after it was replaced: {} decisions, {now}",
+            "\n{} went on with {} {} for {} ms after it was replaced: {} decisions, {now}",
             late.node, late.kind, late.id, late.for_ms, late.decisions
         );
     }
-    for twice in &report.twice {
+    for twice in &report.duplicate_runs {
         let runs: Vec<String> =
-            twice.runs.iter().map(|(at, node, txn)| format!("{txn} at {node}, {at}")).collect();
+            twice.runs.iter().map(|run| format!("{} at {}, {}", run.txn, run.node, run.at)).collect();
         text += &format!("\nkey {} ran {} times: {}", twice.key, runs.len(), runs.join("; "));
     }
-    for refused in &report.refused_and_ran {
+    for refused in &report.rejected_after_run {
         text += &format!("\n{refused} was turned away though it had run");
     }
     text + if report.is_clean() { "\nnothing is wrong\n" } else { "\nsomething is wrong\n" }
@@ -162,15 +163,15 @@
         return Ok(!told.is_empty());
     }
     let rows = told.iter().filter_map(|(node, record)| {
-        let Record::Try { at, did, txn, key, class, by } = record else { return None };
-        let did = match did {
+        let Record::Attempt { at, decision, txn, key, class, versions } = record else { return None };
+        let did = match decision {
             Decision::Run => "runs",
-            Decision::Unrun => "never ran",
+            Decision::NeverStarted => "never ran",
             Decision::Served => "served",
-            Decision::Refused => "refused",
+            Decision::Rejected => "refused",
             Decision::Failed => "failed",
         };
-        let list = if by.list == 0 { "-".into() } else { by.list.to_string() };
+        let list = if versions.config.0 == 0 { "-".into() } else { versions.config.to_string() };
         let key = key.clone().unwrap_or_else(|| "-".into());
         Some([
             at.to_string(),
@@ -179,9 +180,9 @@
             txn.clone(),
             key,
             class.clone(),
-            by.settings.clone(),
+            versions.settings.clone(),
             list,
-            by.program.clone(),
+            versions.program.clone(),
         ])
     });
     print!(
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -7,7 +7,8 @@
 use std::time::Duration;
 
 use oakwind_admission::{Class, Effect};
-use oakwind_fleet::membership_config::{Member, MembershipConfig, MembershipSpec, NodeId};
+use oakwind_fleet::ids::{ConfigVersion, NodeId};
+use oakwind_fleet::membership_config::{Member, MembershipConfig, MembershipSpec};
 use oakwind_settings::Parsed;
 use serde::Deserialize;
 use serde_json::value::{RawValue, Value};
@@ -137,7 +138,7 @@
     pub fn read_for_start(&self) -> Result<Told, BadConfig> {
         let told = self.read()?;
         if let Some(fleet) = &told.fleet {
-            if fleet.list.place(NodeId::of(&fleet.name)).is_none() {
+            if fleet.list.index_of(NodeId::of(&fleet.name)).is_none() {
                 return bad(format!("fleet file, name: {:?} is not on the list", fleet.name));
             }
         }
@@ -606,8 +607,8 @@
             Ok(Member { name: member.name, address, zone: member.zone })
         });
         let plain = MembershipSpec {
-            number: raw.list.number,
-            copies: raw.list.copies,
+            version: ConfigVersion(raw.list.number),
+            replicas: raw.list.copies,
             window: Duration::from_millis(raw.list.window_ms),
             members: members.collect::<Result<_, BadConfig>>()?,
         };
--- a/node/src/decision_log.rs
+++ b/node/src/decision_log.rs
@@ -12,8 +12,9 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-use oakwind_fleet::audit::{Decision, Journal, Record, Versions};
+use oakwind_fleet::decision_record::{Decision, FileBreak, Journal, Record, Versions};
 use oakwind_fleet::hash_chain::{self, Chain, ChainBreak, ChainError};
+use oakwind_fleet::ids::ConfigVersion;
 use serde_json::Value;
 use sha2::{Digest, Sha256};
 
@@ -66,7 +67,7 @@
 pub fn decided(outcome: &RequestOutcome) -> Decision {
     match outcome {
         RequestOutcome::Served(_) => Decision::Served,
-        RequestOutcome::Rejected { .. } => Decision::Refused,
+        RequestOutcome::Rejected { .. } => Decision::Rejected,
         RequestOutcome::Failed { .. } | RequestOutcome::BodyMismatch => Decision::Failed,
     }
 }
@@ -95,10 +96,18 @@
         // A process before this one may still have it: that is waited for, by the thread.
         let lock = File::options().write(true).create(true).truncate(false).open(config.folder.join(LOCK));
         let lock = lock.map_err(problem)?;
-        let by = Versions { settings, list: 0, program: env!("CARGO_PKG_VERSION").into() };
+        let by = Versions {
+            settings,
+            config: ConfigVersion::default(),
+            program: env!("CARGO_PKG_VERSION").into(),
+        };
         let (orders, waiting) = sync_channel(WAITING);
         let (missed, tally) = (Arc::<AtomicU64>::default(), Arc::<Tally>::default());
-        let began = Record::Began { at: clock::millis(clock::now()), node: node.into(), by: by.clone() };
+        let began = Record::ProcessStarted {
+            at: clock::millis(clock::now()),
+            node: node.into(),
+            versions: by.clone(),
+        };
         let over = Arc::<AtomicBool>::default();
         let (config, missing, counted, ends) = (config.clone(), missed.clone(), tally.clone(), over.clone());
         let thread = std::thread::Builder::new().name("records".into()).spawn(move || {
@@ -122,22 +131,22 @@
     }
 
     /// The fleet goes by this list.
-    pub fn list(&self, number: u64) {
-        if self.by.borrow().list != number {
-            self.by.borrow_mut().list = number;
+    pub fn list(&self, version: ConfigVersion) {
+        if self.by.borrow().config != version {
+            self.by.borrow_mut().config = version;
         }
     }
 
     /// Something was decided of a try; the key is given in classes that must not run twice.
     pub fn tried(&self, did: Decision, request: &Request, key: Option<&[u8]>, class: &str) {
         let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
-        let record = Record::Try {
+        let record = Record::Attempt {
             at: clock::millis(clock::now()),
-            did,
+            decision: did,
             txn: text(&request.txn),
             key: key.map(text),
             class: class.into(),
-            by: self.by.borrow().clone(),
+            versions: self.by.borrow().clone(),
         };
         if self.orders.as_ref().is_none_or(|orders| orders.try_send(record).is_err()) {
             self.missed.fetch_add(1, Ordering::Relaxed);
@@ -189,7 +198,7 @@
         }
         files.append(&batch, tally)?;
     }
-    files.append(&[Record::Ended { at: clock::millis(clock::now()) }], tally)
+    files.append(&[Record::ProcessStopped { at: clock::millis(clock::now()) }], tally)
 }
 
 /// The files of a folder, the oldest first, by the number of their first record.
@@ -235,11 +244,11 @@
     }
 
     fn append(&mut self, records: &[Record], tally: &Tally) -> io::Result<()> {
-        let (first, mut text) = (self.chain.end().0 + 1, String::new());
+        let (first, mut text) = (self.chain.number() + 1, String::new());
         for record in records {
             // Everything in a record can be written.
             let line = serde_json::to_string(record).unwrap_or_default();
-            self.chain.seal(&line, &mut text);
+            self.chain.append(&line, &mut text);
         }
         let mut file = match self.file.take().filter(|_| self.bytes < self.most_bytes) {
             Some(file) => file,
@@ -248,7 +257,7 @@
         file.write_all(text.as_bytes())?;
         self.file = Some(file);
         self.bytes += text.len() as u64;
-        let (number, digest) = self.chain.end();
+        let (number, digest) = (self.chain.number(), self.chain.digest());
         let unfinished = self.folder.join(UNFINISHED);
         fs::write(&unfinished, format!("{number} {digest}\n"))?;
         fs::rename(&unfinished, self.folder.join(END))?;
@@ -287,20 +296,20 @@
         for (_, line) in read.records {
             // A later build may know other records.
             let Ok(record) = serde_json::from_str::<Record>(line) else { continue };
-            if let (Record::Began { node, .. }, false) = (&record, named) {
+            if let (Record::ProcessStarted { node, .. }, false) = (&record, named) {
                 (journal.node, named) = (node.clone(), true);
             }
             journal.records.push(record);
         }
         // One that was being written when its process ended is no edit: what comes behind it goes on before it.
-        let edits = read.breaks.into_iter().filter(|broken| broken.what != ChainError::Unfinished);
-        journal.breaks.extend(edits.map(|broken| (file.clone(), broken)));
+        let edits = read.breaks.into_iter().filter(|broken| broken.error != ChainError::Incomplete);
+        journal.breaks.extend(edits.map(|chain_break| FileBreak { file: file.clone(), chain_break }));
     }
     let end = fs::read_to_string(folder.join(END)).ok();
     let end = end.as_deref().and_then(|text| text.split(' ').next()?.parse::<u64>().ok());
-    if let Some(due) = end.filter(|end| *end > chain.end().0) {
-        let what = ChainError::Cut(due);
-        journal.breaks.push((END.into(), ChainBreak { line: 1, what }));
+    if let Some(last) = end.filter(|end| *end > chain.number()) {
+        let chain_break = ChainBreak { line: 1, error: ChainError::Truncated { last } };
+        journal.breaks.push(FileBreak { file: END.into(), chain_break });
     }
     Ok(journal)
 }
--- a/node/src/decision_log/tests.rs
+++ b/node/src/decision_log/tests.rs
@@ -7,23 +7,23 @@
 }
 
 fn by() -> Versions {
-    Versions { settings: "s".into(), list: 0, program: "1".into() }
+    Versions { settings: "s".into(), config: ConfigVersion(0), program: "1".into() }
 }
 
 fn tried(txn: String) -> Record {
-    Record::Try { at: 5, did: Decision::Run, txn, key: None, class: "quote".into(), by: by() }
+    Record::Attempt { at: 5, decision: Decision::Run, txn, key: None, class: "quote".into(), versions: by() }
 }
 
 /// A process that writes so many records, and may be killed behind them.
 fn process(config: &Config, count: usize, killed: bool) {
     let mut files = Files::open(config).unwrap();
     let tally = Tally::default();
-    files.append(&[Record::Began { at: 1, node: "n1".into(), by: by() }], &tally).unwrap();
+    files.append(&[Record::ProcessStarted { at: 1, node: "n1".into(), versions: by() }], &tally).unwrap();
     for i in 0..count {
         files.append(&[tried(format!("{i:x}"))], &tally).unwrap();
     }
     if !killed {
-        files.append(&[Record::Ended { at: 9 }], &tally).unwrap();
+        files.append(&[Record::ProcessStopped { at: 9 }], &tally).unwrap();
     }
 }
 
@@ -38,7 +38,7 @@
     let journal = read(&config.folder).unwrap();
     assert!(journal.breaks.is_empty(), "{:?}", journal.breaks);
     assert!(files(&config.folder).unwrap().len() == 3 && journal.records.len() < 20);
-    assert!(matches!(journal.records.last(), Some(Record::Ended { .. })));
+    assert!(matches!(journal.records.last(), Some(Record::ProcessStopped { .. })));
     fs::remove_dir_all(&config.folder).unwrap();
 }
 
@@ -93,29 +93,29 @@
 #[test]
 fn each_kind_of_record_is_written_to_its_golden_text_and_read_from_it() {
     let by = r#"{"settings":"s","list":0,"program":"1"}"#;
-    let tried = |did, key: Option<&str>| Record::Try {
+    let tried = |decision, key: Option<&str>| Record::Attempt {
         at: 5,
-        did,
+        decision,
         txn: "a1".into(),
         key: key.map(String::from),
         class: "book".into(),
-        by: self::by(),
+        versions: self::by(),
     };
     let text = |did: &str, key: &str| {
         format!(r#"{{"e":"try","at":5,"did":"{did}","txn":"a1",{key}"class":"book","by":{by}}}"#)
     };
     for (record, golden) in [
         (
-            Record::Began { at: 1, node: "n1".into(), by: self::by() },
+            Record::ProcessStarted { at: 1, node: "n1".into(), versions: self::by() },
             format!(r#"{{"e":"began","at":1,"node":"n1","by":{by}}}"#),
         ),
         (tried(Decision::Run, Some("k")), text("run", r#""key":"k","#)),
-        (tried(Decision::Unrun, None), text("unrun", "")),
+        (tried(Decision::NeverStarted, None), text("unrun", "")),
         (tried(Decision::Served, None), text("served", "")),
-        (tried(Decision::Refused, None), text("refused", "")),
+        (tried(Decision::Rejected, None), text("refused", "")),
         (tried(Decision::Failed, None), text("failed", "")),
         (Record::Dropped { at: 7, count: 3 }, r#"{"e":"dropped","at":7,"count":3}"#.into()),
-        (Record::Ended { at: 9 }, r#"{"e":"ended","at":9}"#.into()),
+        (Record::ProcessStopped { at: 9 }, r#"{"e":"ended","at":9}"#.into()),
     ] {
         assert_eq!(serde_json::to_string(&record).unwrap(), golden);
         assert_eq!(serde_json::from_str::<Record>(&golden).unwrap(), record);
--- a/node/src/dispatcher.rs
+++ b/node/src/dispatcher.rs
@@ -14,7 +14,7 @@
     Action, Admission, Arrival, CallerId, ClassId, Effect, Event, Gauges, Outcome as RunOutcome, RequestId,
     Settings, TenantId, TimerId,
 };
-use oakwind_fleet::audit::Decision;
+use oakwind_fleet::decision_record::Decision;
 use oakwind_settings::Parsed;
 use tokio::sync::mpsc;
 
@@ -724,7 +724,7 @@
             }
         };
         if end == Completion::NeverStarted {
-            self.recorded(Decision::Unrun, &request);
+            self.recorded(Decision::NeverStarted, &request);
         }
         let (outcome, answer, kept) = match end {
             Completion::Succeeded(result) => {
--- a/node/src/peers/links.rs
+++ b/node/src/peers/links.rs
@@ -9,9 +9,8 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use oakwind_fleet::membership_config::NodeId;
+use oakwind_fleet::ids::{Incarnation, LinkId, NodeId};
 use oakwind_fleet::message::Message;
-use oakwind_fleet::replica_table::LinkId;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, Notify};
@@ -73,7 +72,7 @@
 struct Known {
     pipe: Rc<Pipe>,
     /// Who is at the other end, and in which life, once it has greeted.
-    peer: Option<(NodeId, u64)>,
+    peer: Option<(NodeId, Incarnation)>,
     /// Whom this node has dialled.
     dialled: Option<NodeId>,
     used: Unix,
@@ -108,7 +107,7 @@
     /// No links yet; at the most so many each way.
     pub fn new(most: usize, tell: mpsc::Sender<Heard>) -> Links {
         Links {
-            next: 1,
+            next: LinkId(1),
             known: HashMap::new(),
             dialled: HashMap::new(),
             trouble: HashMap::new(),
@@ -146,7 +145,7 @@
                 self.dialled.insert(to, link);
                 let mut hello = hello();
                 if let Message::Hello(hello) = &mut hello {
-                    hello.cut = self.cut.remove(&to);
+                    hello.link_cut = self.cut.remove(&to);
                 }
                 self.write(link, &hello);
                 link
@@ -186,7 +185,7 @@
 
     fn start(&mut self, dial: Option<(NodeId, SocketAddr)>, stream: Option<TcpStream>) -> LinkId {
         let link = self.next;
-        self.next += 1;
+        self.next = link.next();
         let mut output = BytesMut::with_capacity(4096);
         output.extend_from_slice(MAGIC);
         let pipe =
@@ -253,7 +252,7 @@
     }
 
     /// Who is at the other end of a link, once it has greeted.
-    pub fn peer(&self, link: LinkId) -> Option<(NodeId, u64)> {
+    pub fn peer(&self, link: LinkId) -> Option<(NodeId, Incarnation)> {
         self.known.get(&link)?.peer
     }
 
@@ -263,7 +262,7 @@
     }
 
     /// The other end has greeted.
-    pub fn greeted(&mut self, link: LinkId, node: NodeId, incarnation: u64) {
+    pub fn greeted(&mut self, link: LinkId, node: NodeId, incarnation: Incarnation) {
         let Some(known) = self.known.get_mut(&link) else { return };
         (known.peer, known.used) = (Some((node, incarnation)), clock::now());
         if known.dialled.is_some() {
--- a/node/src/peers/links/tests.rs
+++ b/node/src/peers/links/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
 use bytes::Bytes;
+use oakwind_fleet::ids::ConfigVersion;
 use oakwind_fleet::key_state::{ClaimId, CompletedRun, RunResult};
 use oakwind_fleet::message::Hello;
 use tokio::net::TcpListener;
@@ -14,15 +15,23 @@
 
 fn hello() -> Message {
     let name = "n1".into();
-    let (lists, seconds, kept) = (vec![], 0, None);
-    Message::Hello(Hello { name, to: PEER, incarnation: 1, lists, over: 0, cut: false, seconds, kept })
+    Message::Hello(Hello {
+        name,
+        to: PEER,
+        incarnation: Incarnation(1),
+        configs: vec![],
+        retired_through: ConfigVersion(0),
+        link_cut: false,
+        uptime_seconds: 0,
+        restored: None,
+    })
 }
 
 fn large() -> Message {
-    let claim = ClaimId { node: NodeId(1), incarnation: 1, number: 1 };
-    let fate = RunResult::Succeeded(Bytes::from(vec![7; 60_000]));
-    let end = CompletedRun { received_at: 1, place: 0, claim, fate, body: 1 };
-    Message::Ended { key: "k".into(), keep_ms: 1, end }
+    let claim = ClaimId { node: NodeId(1), incarnation: Incarnation(1), number: 1 };
+    let result = RunResult::Succeeded(Bytes::from(vec![7; 60_000]));
+    let run = CompletedRun { received_at: 1, node_index: 0, claim, result, body: 1 };
+    Message::Completed { key: "k".into(), retain_ms: 1, run }
 }
 
 #[test]
@@ -56,7 +65,10 @@
                 }
             }
         };
-        assert!(matches!(greeting, Taken::Message(Message::Hello(Hello { cut: true, .. }))), "{greeting:?}");
+        assert!(
+            matches!(greeting, Taken::Message(Message::Hello(Hello { link_cut: true, .. }))),
+            "{greeting:?}"
+        );
     });
 }
 
@@ -75,7 +87,7 @@
             clock::until(clock::now() + Duration::from_millis(2)).await;
         }
         let Some(Heard::Gone(first)) = told.recv().await else { panic!("one goes") };
-        assert_eq!((first, links.gone(first)), (1, None));
+        assert_eq!((first, links.gone(first)), (LinkId(1), None));
         assert_eq!(links.count(), 2);
     });
 }
--- a/node/src/peers/message_codec/tests.rs
+++ b/node/src/peers/message_codec/tests.rs
@@ -2,35 +2,35 @@
 
 use super::*;
 use bytes::Bytes;
+use oakwind_fleet::ids::{ConfigVersion, Incarnation, NodeId};
 use oakwind_fleet::key_state::{ClaimId, CompletedRun, RunResult};
-use oakwind_fleet::membership_config::NodeId;
-use oakwind_fleet::message::{Completeness, ConflictingClaim, Hello, Page, RejectReason};
+use oakwind_fleet::message::{Completeness, ConfigSignature, ConflictingClaim, Hello, Page, RejectReason};
 use oakwind_fleet::staleness::StatePosition;
 
 fn claim() -> ClaimId {
-    ClaimId { node: NodeId(1), incarnation: 2, number: 3 }
+    ClaimId { node: NodeId(1), incarnation: Incarnation(2), number: 3 }
 }
 
 fn frames() -> Vec<Message> {
-    let fate = RunResult::Succeeded(Bytes::from_static(b"\0job"));
-    let end = CompletedRun { received_at: 1, place: 0, claim: claim(), fate, body: u128::MAX };
-    let by = ConflictingClaim { claim: claim(), body: 1, ended: Some(end.clone()), past_ms: 0 };
+    let result = RunResult::Succeeded(Bytes::from_static(b"\0job"));
+    let run = CompletedRun { received_at: 1, node_index: 0, claim: claim(), result, body: u128::MAX };
+    let conflict = ConflictingClaim { claim: claim(), body: 1, completed: Some(run.clone()), expired_ms: 0 };
     vec![
         Message::Hello(Hello {
             name: "n1".into(),
             to: NodeId(2),
-            incarnation: 7,
-            lists: vec![(1, 2)],
-            over: 0,
-            cut: false,
-            seconds: 9,
-            kept: Some(StatePosition { incarnation: 6, seconds: 40 }),
+            incarnation: Incarnation(7),
+            configs: vec![ConfigSignature { version: ConfigVersion(1), digest: 2 }],
+            retired_through: ConfigVersion(0),
+            link_cut: false,
+            uptime_seconds: 9,
+            restored: Some(StatePosition { incarnation: Incarnation(6), uptime_seconds: 40 }),
         }),
-        Message::Blocked { claim: claim(), by },
-        Message::Unsure { claim: claim(), why: RejectReason::Returning },
-        Message::Ended { key: "k".into(), keep_ms: 5, end },
-        Message::Page(Page { round: 1, records: vec![], next: None, sound: Completeness::Complete }),
-        Message::Outdated { known: StatePosition { incarnation: 6, seconds: 50 } },
+        Message::Blocked { claim: claim(), conflict },
+        Message::Uncertain { claim: claim(), reason: RejectReason::Recovering },
+        Message::Completed { key: "k".into(), retain_ms: 5, run },
+        Message::Page(Page { round: 1, records: vec![], next: None, completeness: Completeness::Complete }),
+        Message::StaleState { latest: StatePosition { incarnation: Incarnation(6), uptime_seconds: 50 } },
     ]
 }
 
@@ -72,9 +72,9 @@
 fn what_a_later_build_adds_is_skipped() {
     let later = postcard::to_allocvec(&(MESSAGE_KINDS + 3, "whatever")).unwrap();
     assert_eq!(take(&mut framed(&later)), Ok(Some(Taken::Later)));
-    let mut longer = postcard::to_allocvec(&Message::Free { claim: claim() }).unwrap();
+    let mut longer = postcard::to_allocvec(&Message::KeyFree { claim: claim() }).unwrap();
     longer.extend_from_slice(b"a new field");
-    assert_eq!(take(&mut framed(&longer)), Ok(Some(Taken::Message(Message::Free { claim: claim() }))));
+    assert_eq!(take(&mut framed(&longer)), Ok(Some(Taken::Message(Message::KeyFree { claim: claim() }))));
 }
 
 #[test]
--- a/node/src/peers/message_codec/tests/golden.rs
+++ b/node/src/peers/message_codec/tests/golden.rs
@@ -11,8 +11,8 @@
 #[test]
 fn a_message_on_a_link_keeps_its_bytes() {
     assert_eq!(MAGIC, b"OAKPEER1");
-    let ping = Message::Ping { seq: 1044, seconds: 1045, rumors: vec![] };
-    let ack = Message::Ack { seq: 1046, seconds: 1047, rumors: vec![] };
+    let ping = Message::Ping { seq: 1044, uptime_seconds: 1045, gossip: vec![] };
+    let ack = Message::Ack { seq: 1046, uptime_seconds: 1047, gossip: vec![] };
     let golden = [("00000006c4071f31049408950800", ping), ("0000000667a4360f059608970800", ack)];
     let mut written = BytesMut::new();
     for (bytes, frame) in &golden {
--- a/node/src/peers/mod.rs
+++ b/node/src/peers/mod.rs
@@ -14,11 +14,13 @@
 use bytes::Bytes;
 use oakwind_admission::RequestId;
 use oakwind_fleet::claim_coordinator::{AttemptId, ClaimOutcome, RunRequest};
-use oakwind_fleet::key_state::{ClaimId, RunResult};
-use oakwind_fleet::membership_config::NodeId;
+use oakwind_fleet::ids::{ConfigVersion, Incarnation, LinkId, NodeId};
+use oakwind_fleet::key_state::{Key, RunResult};
 use oakwind_fleet::message::{Hello, Message, RejectReason};
-use oakwind_fleet::replica_node::{Action, Event, Notification, ReplicaMetrics, ReplicaNode, Settings, TICK};
-use oakwind_fleet::replica_table::{Change, LinkId};
+use oakwind_fleet::replica_node::{
+    Action, Event, Notification, ReplicaMetrics, ReplicaNode, Settings, StoreSequence, TICK_INTERVAL,
+};
+use oakwind_fleet::replica_table::StoredRecord;
 use oakwind_fleet::Time;
 use sha2::{Digest, Sha256};
 use tokio::net::{TcpListener, TcpStream};
@@ -82,7 +84,7 @@
 pub struct Shown {
     figures: Cell<ReplicaMetrics>,
     /// The number of the list that it goes by.
-    pub list: Cell<u64>,
+    pub list: Cell<ConfigVersion>,
     others: RefCell<Vec<(&'static str, u64)>>,
 }
 
@@ -92,19 +94,19 @@
         let figures = self.figures.get();
         let mut all = vec![
             ("fleet_granted", figures.granted),
-            ("fleet_turned", figures.turned),
-            ("fleet_became", figures.became),
-            ("fleet_unknown", figures.unknown),
-            ("fleet_held", figures.held),
-            ("fleet_unheld", figures.unheld),
-            ("fleet_votes", figures.votes),
-            ("fleet_votes_refused", figures.votes_refused),
-            ("fleet_learnt", figures.learnt),
-            ("fleet_given", figures.given),
+            ("fleet_turned", figures.rejected),
+            ("fleet_became", figures.remote_outcomes),
+            ("fleet_unknown", figures.unknown_outcomes),
+            ("fleet_held", figures.replicated),
+            ("fleet_unheld", figures.unreplicated),
+            ("fleet_votes", figures.votes_granted),
+            ("fleet_votes_refused", figures.votes_rejected),
+            ("fleet_learnt", figures.records_received),
+            ("fleet_given", figures.records_sent),
             ("fleet_conflicts", figures.conflicts),
-            ("fleet_slept", figures.slept),
-            ("fleet_sent_away", figures.sent_away),
-            ("fleet_outdated", figures.outdated),
+            ("fleet_slept", figures.suspensions),
+            ("fleet_sent_away", figures.transfers_deferred),
+            ("fleet_outdated", figures.stale_states),
         ];
         all.extend(self.others.borrow().iter());
         all
@@ -125,39 +127,40 @@
     pub fn want(&self, asked: &Asked) -> bool {
         let digest = Sha256::digest(asked.body);
         let wanted = RunRequest {
-            token: token(asked.id),
+            attempt: token(asked.id),
             key: asked.key.clone(),
             body: digest.iter().take(16).fold(0, |all, byte| all << 8 | u128::from(*byte)),
-            until: self.clock.of(asked.until),
-            received_at: (self.clock.of(asked.received_at), clock::millis(asked.received_at)),
+            expires_at: self.clock.of(asked.until),
+            received_at: self.clock.of(asked.received_at),
+            received_unix_ms: clock::millis(asked.received_at),
             deadline: self.clock.of(asked.deadline),
         };
-        self.order(Event::Want(wanted))
+        self.order(Event::RunRequested(wanted))
     }
 
     /// A run has ended; false if there is no room to tell.
     pub fn ended(&self, id: RequestId, fate: RunResult) -> bool {
-        self.order(Event::Ended(token(id), fate))
+        self.order(Event::RunCompleted(token(id), fate))
     }
 
     /// A run never began.
     pub fn never_ran(&self, id: RequestId) -> bool {
-        self.order(Event::Release(token(id)))
+        self.order(Event::RunCancelled(token(id)))
     }
 
     /// Another process of this node takes over.
     pub fn retire(&self) {
-        self.order(Event::Retire);
+        self.order(Event::Deactivated);
     }
 
     /// This process begins, or goes on, as the other one has let go or is gone.
     pub fn resume(&self) {
-        self.order(Event::Resume(incarnation()));
+        self.order(Event::Activated(incarnation()));
     }
 
     /// Whether a process before this one may still run what it began.
     pub fn beside(&self, beside: bool) {
-        self.order(Event::Beside(beside));
+        self.order(Event::PredecessorAlive(beside));
     }
 
     fn order(&self, event: Event) -> bool {
@@ -186,8 +189,8 @@
     AttemptId(u64::from(id.0))
 }
 
-fn incarnation() -> u64 {
-    u64::try_from(clock::now().as_micros()).unwrap_or(u64::MAX)
+fn incarnation() -> Incarnation {
+    Incarnation(u64::try_from(clock::now().as_micros()).unwrap_or(u64::MAX))
 }
 
 /// The task that talks to peers.
@@ -241,11 +244,11 @@
     async fn begins(&mut self) -> bool {
         loop {
             match self.orders.recv().await {
-                Some(Event::Resume(_)) => return true,
-                Some(Event::Want(wanted)) => {
-                    let said = ClaimOutcome::Rejected(RejectReason::Unheard);
+                Some(Event::Activated(_)) => return true,
+                Some(Event::RunRequested(wanted)) => {
+                    let said = ClaimOutcome::Rejected(RejectReason::NoQuorum);
                     // The keeper ends only with the process.
-                    let _ = self.tell.send((request(wanted.token), said)).await;
+                    let _ = self.tell.send((request(wanted.attempt), said)).await;
                 }
                 Some(_) => {}
                 None => return false,
@@ -267,15 +270,15 @@
             name: config.name.clone(),
             incarnation: incarnation(),
             seed,
-            bytes: config.bytes,
-            bytes_per_s: config.bytes_per_s,
-            probe: config.probe,
-            kept: kept.flatten(),
-            durable: folder.is_some(),
+            max_table_bytes: config.bytes,
+            transfer_bytes_per_s: config.bytes_per_s,
+            probe_period: config.probe,
+            restored: kept.flatten(),
+            is_durable: folder.is_some(),
         };
         let (heard, mut inbox) = mpsc::channel(INBOX);
         let marker =
-            config.folder.as_ref().map(|folder| Marker::new(&folder.folder, settings.kept.is_some()));
+            config.folder.as_ref().map(|folder| Marker::new(&folder.folder, settings.restored.is_some()));
         let state = exchange.status();
         let mut talk = Talk {
             fleet: ReplicaNode::new(settings, config.list.clone(), clock.now()),
@@ -291,7 +294,7 @@
         if let Some(listener) = &listener {
             log!("fleet: peers connect to {}", listener.local_addr().unwrap_or(config.listen));
         }
-        let mut tick = tokio::time::interval(TICK);
+        let mut tick = tokio::time::interval(TICK_INTERVAL);
         tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             if !talk.listens {
@@ -309,7 +312,7 @@
                     talk.marks();
                     let state = state.borrow();
                     if state.health.is_some() && !std::mem::replace(&mut runs, true) {
-                        Some(Event::Cores(state.warm_at.map(|at| clock.of(at))))
+                        Some(Event::BackendStarted { warm_at: state.warm_at.map(|at| clock.of(at)) })
                     } else {
                         Some(Event::Tick)
                     }
@@ -320,7 +323,10 @@
                 },
                 Some(heard) = inbox.recv() => talk.heard(heard),
                 told = written(&mut folder) => match told {
-                    Told::Written(number, kept) => Some(Event::Stored(u64::from(number.0), kept)),
+                    Told::Written(number, kept) => Some(Event::StoreFinished {
+                        sequence: u64::from(number.0),
+                        stored: kept,
+                    }),
                     Told::Opened(_) => None,
                 },
                 accepted = accept(&listener) => {
@@ -336,11 +342,11 @@
             };
             match &event {
                 // The process that takes over has it next.
-                Some(Event::Retire) => {
+                Some(Event::Deactivated) => {
                     folder = None;
                     talk.marker.iter_mut().for_each(Marker::rest);
                 }
-                Some(Event::Resume(_)) if folder.is_none() => {
+                Some(Event::Activated(_)) if folder.is_none() => {
                     folder = vote_store::open_soon(&config).await.map(|(folder, _)| folder);
                 }
                 _ => {}
@@ -407,11 +413,11 @@
                     self.links.end(link);
                     return None;
                 };
-                Some(Event::Heard { link, from, incarnation, frame })
+                Some(Event::MessageReceived { link, from, incarnation, message: frame })
             }
             Heard::Gone(link) => match self.links.gone(link)? {
-                (node, true) => Some(Event::Broken(node)),
-                (node, false) => Some(Event::Unreached(node)),
+                (node, true) => Some(Event::LinkBroken(node)),
+                (node, false) => Some(Event::PeerUnreachable(node)),
             },
         }
     }
@@ -419,10 +425,10 @@
     /// The other end of a link says who it is; none if that can't be.
     fn greeted(&mut self, link: LinkId, hello: &Hello) -> Option<()> {
         let node = NodeId::of(&hello.name);
-        let newest = self.fleet.lists().newest().number();
-        let known = self.fleet.lists().everyone().contains(&node)
-            || hello.lists.last().is_some_and(|(number, _)| *number > newest);
-        let meant = hello.to == self.fleet.me() && node != self.fleet.me();
+        let newest = self.fleet.configs().newest().version();
+        let known = self.fleet.configs().all_members().contains(&node)
+            || hello.configs.last().is_some_and(|signature| signature.version > newest);
+        let meant = hello.to == self.fleet.id() && node != self.fleet.id();
         let dialled = self.links.dialled(link).is_none_or(|dialled| dialled == node);
         if !known || !meant || !dialled {
             log!("fleet: a link was closed: {:?} is not on the list, or means another node", hello.name);
@@ -440,11 +446,11 @@
 
     fn take(&mut self, event: Event, folder: &Option<ResultStore>) {
         match &event {
-            Event::Retire => {
+            Event::Deactivated => {
                 self.listens = false;
                 self.links.end_accepted();
             }
-            Event::Resume(_) => self.listens = true,
+            Event::Activated(_) => self.listens = true,
             _ => {}
         }
         self.later.push_back(event);
@@ -461,40 +467,40 @@
         match action {
             Action::Send(to, frame) => {
                 let Talk { fleet, links, .. } = self;
-                let lists = fleet.lists();
+                let configs = fleet.configs();
                 let address =
-                    || lists.about().iter().rev().find_map(|list| list.member(to).map(|m| m.address));
+                    || configs.iter().rev().find_map(|config| config.member(to).map(|member| member.address));
                 let sent = links.send(to, address, || Message::Hello(fleet.hello(to)), &frame);
                 // Once is enough for all that is said to it in one go.
-                let told = |event: &Event| matches!(event, Event::Unreached(node) if *node == to);
+                let told = |event: &Event| matches!(event, Event::PeerUnreachable(node) if *node == to);
                 if sent.is_err() && !self.later.iter().any(told) {
-                    self.later.push_back(Event::Unreached(to));
+                    self.later.push_back(Event::PeerUnreachable(to));
                 }
             }
-            Action::Answer(link, frame) => self.links.write(link, &frame),
-            Action::Tell(token, said) => self.unsaid.push_back((request(token), said)),
-            Action::Store(number, change, vote) => self.store(number, change, vote, folder),
-            Action::Greet => {
+            Action::Respond(link, frame) => self.links.write(link, &frame),
+            Action::NotifyAttempt(token, said) => self.unsaid.push_back((request(token), said)),
+            Action::Store { sequence, key, record } => self.store(sequence, key, record, folder),
+            Action::SendHello => {
                 for (link, node) in self.links.all() {
                     let hello = Message::Hello(self.fleet.hello(node));
                     self.links.write(link, &hello);
                 }
-                let everyone = self.fleet.lists().everyone();
-                self.links.keep(|node| everyone.contains(&node));
+                let members = self.fleet.configs().all_members();
+                self.links.keep(|node| members.contains(&node));
             }
-            Action::Allow(allows) => self.hold = Some(!allows.clients),
+            Action::SetPermissions(permissions) => self.hold = Some(!permissions.accept_clients),
             Action::Notify(note) => {
-                let mark = self.fleet.mark();
+                let mark = self.fleet.position();
                 if let Some(marker) = &mut self.marker {
                     match note {
-                        Notification::Complete(_) => marker.holds(mark),
-                        Notification::Outdated(..) => marker.void(),
+                        Notification::TableComplete { .. } => marker.holds(mark),
+                        Notification::StaleState { .. } => marker.void(),
                         _ => {}
                     }
                 }
                 match note {
                     // Each at a place of its own: guards the others against being left out of the log.
-                    Notification::Stage(step) => log!("fleet: the way back: {step}"),
+                    Notification::StageChanged(step) => log!("fleet: the way back: {step}"),
                     note => log!("fleet: {note}"),
                 }
             }
@@ -503,51 +509,57 @@
 
     /// Has the folder say how far it reaches.
     fn marks(&mut self) {
-        let mark = self.fleet.mark();
+        let mark = self.fleet.position();
         self.marker.iter_mut().for_each(|marker| marker.reaches(mark));
     }
 
     /// Has the folder keep what is known of a key; where it can't, what waits for that is told so.
-    fn store(&mut self, number: u64, change: Change, vote: Option<ClaimId>, folder: &Option<ResultStore>) {
+    fn store(
+        &mut self,
+        sequence: StoreSequence,
+        key: Key,
+        record: Option<StoredRecord>,
+        folder: &Option<ResultStore>,
+    ) {
         let recorder = folder.as_ref().and_then(|folder| folder.recorder.as_ref());
-        let (state, result, keep) = match &change.now {
-            Some(copied) => {
+        let (state, result, keep) = match &record {
+            Some(stored) => {
                 // Everything in it can be written.
-                let bytes = postcard::to_allocvec(&(vote, copied)).unwrap_or_default();
-                (State::Done, Bytes::from(bytes), Duration::from_millis(copied.keep_ms))
+                let bytes = postcard::to_allocvec(stored).unwrap_or_default();
+                (State::Done, Bytes::from(bytes), Duration::from_millis(stored.record.retain_ms))
             }
             None => (State::Freed, Bytes::new(), Duration::ZERO),
         };
         let until = clock::now() + keep;
-        let record = Record { number: 0, at: Duration::ZERO, until, body: 0, state, key: change.key, result };
+        let record = Record { number: 0, at: Duration::ZERO, until, body: 0, state, key, result };
         // The number comes back as it went: so many are never under way.
-        let wrapped = RequestId((number & u64::from(u32::MAX)) as u32);
+        let wrapped = RequestId((sequence & u64::from(u32::MAX)) as u32);
         if !recorder.is_some_and(|recorder| recorder.write(wrapped, record)) {
-            self.later.push_back(Event::Stored(number, false));
+            self.later.push_back(Event::StoreFinished { sequence, stored: false });
         }
     }
 
     fn show(&self, shown: &Shown) {
-        shown.figures.set(self.fleet.figures());
-        shown.list.set(self.fleet.lists().newest().number());
-        let (counts, traffic) = (self.fleet.counts(), &self.links.traffic);
-        let (keys, bytes) = self.fleet.copies().size();
+        shown.figures.set(self.fleet.metrics());
+        shown.list.set(self.fleet.configs().newest().version());
+        let (counts, traffic) = (self.fleet.liveness_counts(), &self.links.traffic);
+        let size = self.fleet.table().size();
         let mut others = shown.others.borrow_mut();
         others.clear();
         others.extend([
-            ("fleet_list", self.fleet.lists().newest().number()),
-            ("fleet_lists", self.fleet.lists().about().len() as u64),
+            ("fleet_list", self.fleet.configs().newest().version().0),
+            ("fleet_lists", self.fleet.configs().count() as u64),
             ("fleet_stage", self.fleet.stage() as u64),
-            ("fleet_waits_ms", clock::millis(self.fleet.waits(self.clock.now()))),
-            ("fleet_level", u64::from(self.fleet.is_level())),
-            ("fleet_sound", u64::from(self.fleet.is_sound())),
+            ("fleet_waits_ms", clock::millis(self.fleet.time_until_complete(self.clock.now()))),
+            ("fleet_level", u64::from(self.fleet.has_quorum())),
+            ("fleet_sound", u64::from(self.fleet.is_complete())),
             ("fleet_alive", counts.alive),
             ("fleet_suspect", counts.suspect),
-            ("fleet_lost", counts.lost),
-            ("fleet_behind", self.fleet.behind() as u64),
-            ("fleet_open", self.fleet.open() as u64),
-            ("fleet_keys", keys as u64),
-            ("fleet_bytes", bytes as u64),
+            ("fleet_lost", counts.dead),
+            ("fleet_behind", self.fleet.open_donors() as u64),
+            ("fleet_open", self.fleet.open_claims() as u64),
+            ("fleet_keys", size.keys as u64),
+            ("fleet_bytes", size.bytes as u64),
             ("fleet_links", self.links.count() as u64),
             ("fleet_links_cut", traffic.cut.get()),
             ("fleet_nonsense", traffic.nonsense.get()),
--- a/node/src/peers/vote_store.rs
+++ b/node/src/peers/vote_store.rs
@@ -5,9 +5,10 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use oakwind_fleet::key_state::ClaimId;
+use oakwind_fleet::ids::Incarnation;
 use oakwind_fleet::message::ReplicaRecord;
 use oakwind_fleet::replica_node::RestoredState;
+use oakwind_fleet::replica_table::StoredRecord;
 use oakwind_fleet::staleness::StatePosition;
 use oakwind_fleet::LATE_READ_GRACE;
 
@@ -41,13 +42,15 @@
     let now = clock::now();
     let records = recovered.keys.iter().map(|record| {
         let RunState::Succeeded(bytes) = &record.state else { return None };
-        let (vote, copied) = postcard::from_bytes::<(Option<ClaimId>, ReplicaRecord)>(bytes).ok()?;
-        let keep_ms = clock::millis(record.expires_at.saturating_sub(now));
-        Some((vote, ReplicaRecord { keep_ms, ..copied }))
+        let stored: StoredRecord = postcard::from_bytes(bytes).ok()?;
+        let retain_ms = clock::millis(record.expires_at.saturating_sub(now));
+        let record = ReplicaRecord { retain_ms, ..stored.record };
+        Some(StoredRecord { record, ..stored })
     });
     let records: Option<Vec<_>> = records.collect();
     let marked = marker.read();
-    let kept = records.zip(marked).filter(|_| whole).map(|(records, until)| RestoredState { records, until });
+    let kept =
+        records.zip(marked).filter(|_| whole).map(|(records, position)| RestoredState { records, position });
     if kept.is_none() && marked.is_some() {
         log!("fleet: what is in the folder can't be relied on, and counts as lost");
         // Otherwise the next start would rely on what this one does not.
@@ -88,8 +91,11 @@
     /// How far the last process reached; none if nothing can be relied on.
     fn read(&self) -> Option<StatePosition> {
         let text = fs::read_to_string(self.folder.join(MARKER)).ok()?;
-        let (incarnation, seconds) = text.trim_end().split_once(' ')?;
-        Some(StatePosition { incarnation: incarnation.parse().ok()?, seconds: seconds.parse().ok()? })
+        let (incarnation, uptime_seconds) = text.trim_end().split_once(' ')?;
+        Some(StatePosition {
+            incarnation: Incarnation(incarnation.parse().ok()?),
+            uptime_seconds: uptime_seconds.parse().ok()?,
+        })
     }
 
     /// What is in the folder can be relied on from now on.
@@ -105,7 +111,7 @@
             return;
         }
         let unfinished = self.folder.join(UNFINISHED);
-        let written = fs::write(&unfinished, format!("{} {}\n", mark.incarnation, mark.seconds))
+        let written = fs::write(&unfinished, format!("{} {}\n", mark.incarnation, mark.uptime_seconds))
             .and_then(|()| fs::rename(&unfinished, self.folder.join(MARKER)));
         match written {
             Ok(()) => self.written = Some(mark),
--- a/node/src/peers/vote_store/tests.rs
+++ b/node/src/peers/vote_store/tests.rs
@@ -1,13 +1,14 @@
 use super::*;
 use bytes::Bytes;
-use oakwind_fleet::membership_config::NodeId;
-use oakwind_fleet::key_state::{CompletedRun, RunResult};
+use oakwind_fleet::ids::NodeId;
+use oakwind_fleet::key_state::{ClaimId, CompletedRun, RunResult};
 
 #[test]
 fn a_marker_tells_the_next_process_how_far_the_last_one_reached() {
     let folder = std::env::temp_dir().join(format!("oakwind-marker-{}", std::process::id()));
     fs::create_dir_all(&folder).unwrap();
-    let mark = |seconds| StatePosition { incarnation: 1_764_000_000_000_000, seconds };
+    let mark =
+        |uptime_seconds| StatePosition { incarnation: Incarnation(1_764_000_000_000_000), uptime_seconds };
     let mut marker = Marker::new(&folder, false);
     marker.reaches(mark(1));
     assert_eq!(marker.read(), None, "nothing in it can be relied on yet");
@@ -29,16 +30,28 @@
 /// The bytes of a vote in the folders of operators: they do not change.
 #[test]
 fn each_kind_of_vote_is_written_to_its_golden_bytes_and_read_from_them() {
-    let claim = ClaimId { node: NodeId(0x0102_0304_0506_0708), incarnation: 1_796_189_499_690_723, number: 3 };
-    let copied =
-        |begun: Vec<_>, ended: Option<CompletedRun>| ReplicaRecord { key: "key".into(), keep_ms: 1500, begun, ended };
-    let end = |fate| CompletedRun { received_at: 1_796_189_499_694, place: 1, claim, fate, body: u128::MAX };
-    let done = end(RunResult::Succeeded(Bytes::from_static(b"\0job")));
+    let claim = ClaimId {
+        node: NodeId(0x0102_0304_0506_0708),
+        incarnation: Incarnation(1_796_189_499_690_723),
+        number: 3,
+    };
+    let stored = |vote, started: Vec<_>, completed: Option<CompletedRun>| StoredRecord {
+        vote,
+        record: ReplicaRecord { key: "key".into(), retain_ms: 1500, started, completed },
+    };
+    let run = |result| CompletedRun {
+        received_at: 1_796_189_499_694,
+        node_index: 1,
+        claim,
+        result,
+        body: u128::MAX,
+    };
+    let done = run(RunResult::Succeeded(Bytes::from_static(b"\0job")));
     for (vote, golden) in [
-        ((Some(claim), copied(vec![(claim, 7)], None)), "01888e98a8c0e0808101e39dd0a8ffb3980303036b6579dc0b01888e98a8c0e0808101e39dd0a8ffb39803030700"),
-        ((None, copied(vec![(claim, 7)], None)), "00036b6579dc0b01888e98a8c0e0808101e39dd0a8ffb39803030700"),
-        ((Some(claim), copied(vec![], Some(done))), "01888e98a8c0e0808101e39dd0a8ffb3980303036b6579dc0b0001aee2f2a9a33401888e98a8c0e0808101e39dd0a8ffb39803030004006a6f62ffffffffffffffffffffffffffffffffffff03"),
-        ((None, copied(vec![], Some(end(RunResult::Failed)))), "00036b6579dc0b0001aee2f2a9a33401888e98a8c0e0808101e39dd0a8ffb398030301ffffffffffffffffffffffffffffffffffff03"),
+        (stored(Some(claim), vec![(claim, 7)], None), "01888e98a8c0e0808101e39dd0a8ffb3980303036b6579dc0b01888e98a8c0e0808101e39dd0a8ffb39803030700"),
+        (stored(None, vec![(claim, 7)], None), "00036b6579dc0b01888e98a8c0e0808101e39dd0a8ffb39803030700"),
+        (stored(Some(claim), vec![], Some(done)), "01888e98a8c0e0808101e39dd0a8ffb3980303036b6579dc0b0001aee2f2a9a33401888e98a8c0e0808101e39dd0a8ffb39803030004006a6f62ffffffffffffffffffffffffffffffffffff03"),
+        (stored(None, vec![], Some(run(RunResult::Failed))), "00036b6579dc0b0001aee2f2a9a33401888e98a8c0e0808101e39dd0a8ffb398030301ffffffffffffffffffffffffffffffffffff03"),
     ] {
         let hex: String =
             postcard::to_allocvec(&vote).unwrap().iter().map(|byte| format!("{byte:02x}")).collect();
@@ -46,7 +59,7 @@
         let digits: Vec<u8> =
             golden.bytes().map(|digit| (digit as char).to_digit(16).unwrap() as u8).collect();
         let bytes: Vec<u8> = digits.chunks(2).map(|pair| pair[0] << 4 | pair[1]).collect();
-        assert_eq!(postcard::from_bytes::<(Option<ClaimId>, ReplicaRecord)>(&bytes).unwrap(), vote);
+        assert_eq!(postcard::from_bytes::<StoredRecord>(&bytes).unwrap(), vote);
     }
 }
 
@@ -54,7 +67,8 @@
 fn the_marker_is_a_line_of_the_life_and_its_seconds() {
     let folder = std::env::temp_dir().join(format!("oakwind-marker-text-{}", std::process::id()));
     fs::create_dir_all(&folder).unwrap();
-    Marker::new(&folder, true).reaches(StatePosition { incarnation: 1_796_189_499_690_723, seconds: 3 });
+    Marker::new(&folder, true)
+        .reaches(StatePosition { incarnation: Incarnation(1_796_189_499_690_723), uptime_seconds: 3 });
     assert_eq!(fs::read_to_string(folder.join("sound")).unwrap(), "1796189499690723 3\n");
     fs::remove_dir_all(&folder).unwrap();
 }
--- a/node/src/run_gate.rs
+++ b/node/src/run_gate.rs
@@ -9,6 +9,7 @@
 use bytes::Bytes;
 use oakwind_admission::RequestId;
 use oakwind_fleet::claim_coordinator::ClaimOutcome;
+use oakwind_fleet::ids::ConfigVersion;
 use oakwind_fleet::key_state::RunResult;
 
 use crate::clock::Unix;
@@ -105,8 +106,8 @@
     }
 
     /// The number of the list that the fleet goes by; 0 without one.
-    pub fn list(&self) -> u64 {
-        self.peers.as_ref().map_or(0, |peers| peers.shown.list.get())
+    pub fn list(&self) -> ConfigVersion {
+        self.peers.as_ref().map(|peers| peers.shown.list.get()).unwrap_or_default()
     }
 
     /// Whether a key that is not known may have run, as far as damage tells.
--- a/node/src/server.rs
+++ b/node/src/server.rs
@@ -274,7 +274,7 @@
         newest = Some(new);
         // Whether it is taken is decided where the lists are, by its number.
         if let (Some(lists), Some(fleet)) = (&lists, fleet) {
-            if lists.try_send(Event::Membership(fleet.list)).is_err() {
+            if lists.try_send(Event::ConfigProposed(fleet.list)).is_err() {
                 log!("not reloaded: no room to tell of another list");
             }
         }
--- a/node/tests/sockets/fleet.rs
+++ b/node/tests/sockets/fleet.rs
@@ -1,9 +1,9 @@
 //! Nodes that talk, one at a time or a few: what operators set, what the program says, and what a peer may send it.
 
 use crate::helper::*;
+use oakwind_fleet::ids::{ConfigVersion, Incarnation, NodeId};
 use oakwind_fleet::key_state::ClaimId;
-use oakwind_fleet::membership_config::NodeId;
-use oakwind_fleet::message::{ClaimRequest, Hello, Message, MESSAGE_KINDS};
+use oakwind_fleet::message::{ClaimRequest, ConfigSignature, Hello, Message, MESSAGE_KINDS};
 use siphasher::sip::SipHasher13;
 use std::hash::Hasher;
 use std::io::{Read, Write};
@@ -183,19 +183,24 @@
     let (me, to) = (NodeId::of("n2"), NodeId::of("n1"));
     let bytes = |frame: &Message| postcard::to_allocvec(frame).unwrap();
     let name = "n2".into();
-    let (seconds, kept) = (0, None);
     let hello = Message::Hello(Hello {
         name,
         to,
-        incarnation: 5,
-        lists: vec![(2, 0)],
-        over: 0,
-        cut: false,
-        seconds,
-        kept,
+        incarnation: Incarnation(5),
+        configs: vec![ConfigSignature { version: ConfigVersion(2), digest: 0 }],
+        retired_through: ConfigVersion(0),
+        link_cut: false,
+        uptime_seconds: 0,
+        restored: None,
     });
-    let claim = ClaimId { node: me, incarnation: 5, number: 1 };
-    let asked = ClaimRequest { claim, key: "k".into(), body: 1, keep_ms: 3000, lists: vec![1, 2] };
+    let claim = ClaimId { node: me, incarnation: Incarnation(5), number: 1 };
+    let asked = ClaimRequest {
+        claim,
+        key: "k".into(),
+        body: 1,
+        retain_ms: 3000,
+        config_versions: vec![ConfigVersion(1), ConfigVersion(2)],
+    };
     let later = postcard::to_allocvec(&(MESSAGE_KINDS + 1, "of a later build")).unwrap();
     let all = [
         b"OAKPEER1".to_vec(),
@@ -208,7 +213,7 @@
     let mut magic = [0; 8];
     peer.read_exact(&mut magic).unwrap();
     assert!(matches!(next_frame(&mut peer), Message::Hello(hello) if hello.name == "n1"));
-    assert_eq!(next_frame(&mut peer), Message::Granted { claim, lives: vec![] });
+    assert_eq!(next_frame(&mut peer), Message::Granted { claim, incarnations: vec![] });
     shows(&mut node, &["svc_fleet_later_frames 1\n", "svc_fleet_nonsense 0\n"]);
 }
 
