--- a/node/src/peers/mod.rs
+++ b/node/src/peers/mod.rs
@@ -27,10 +27,10 @@
 use tokio::sync::mpsc;
 
 use crate::clock::{self, Unix};
-use crate::config::Fleet as Config;
+use crate::config::FleetConfig as Config;
 use crate::exchange::Exchange;
-use crate::result_store::record::{Record, State};
-use crate::result_store::{ResultStore, Told};
+use crate::result_store::record::{Record, RecordState};
+use crate::result_store::{ResultStore, StoreEvent};
 use crate::{log, sockets};
 use links::{Heard, Links};
 use vote_store::{Marker, Opened};
@@ -64,7 +64,7 @@
 }
 
 /// A run as the peers are asked about it.
-pub struct Asked<'a> {
+pub struct ClaimParameters<'a> {
     /// The try.
     pub id: RequestId,
     /// Its key.
@@ -81,16 +81,16 @@
 
 /// What operators see of it.
 #[derive(Debug, Default)]
-pub struct Shown {
+pub struct PeerMetrics {
     figures: Cell<ReplicaMetrics>,
     /// The number of the list that it goes by.
-    pub list: Cell<ConfigVersion>,
+    pub membership_version: Cell<ConfigVersion>,
     others: RefCell<Vec<(&'static str, u64)>>,
 }
 
-impl Shown {
+impl PeerMetrics {
     /// All figures by name.
-    pub fn all(&self) -> Vec<(&'static str, u64)> {
+    pub fn values(&self) -> Vec<(&'static str, u64)> {
         let figures = self.figures.get();
         let mut all = vec![
             ("fleet_granted", figures.granted),
@@ -119,12 +119,12 @@
     told: mpsc::Receiver<(RequestId, ClaimOutcome)>,
     clock: Steady,
     /// What operators see.
-    pub shown: Rc<Shown>,
+    pub metrics: Rc<PeerMetrics>,
 }
 
 impl Peers {
     /// Asks for a claim; false if there is no room to ask.
-    pub fn want(&self, asked: &Asked) -> bool {
+    pub fn request_claim(&self, asked: &ClaimParameters) -> bool {
         let digest = Sha256::digest(asked.body);
         let wanted = RunRequest {
             attempt: token(asked.id),
@@ -139,12 +139,12 @@
     }
 
     /// A run has ended; false if there is no room to tell.
-    pub fn ended(&self, id: RequestId, fate: RunResult) -> bool {
+    pub fn run_finished(&self, id: RequestId, fate: RunResult) -> bool {
         self.order(Event::RunCompleted(token(id), fate))
     }
 
     /// A run never began.
-    pub fn never_ran(&self, id: RequestId) -> bool {
+    pub fn run_never_started(&self, id: RequestId) -> bool {
         self.order(Event::RunCancelled(token(id)))
     }
 
@@ -159,7 +159,7 @@
     }
 
     /// Whether a process before this one may still run what it began.
-    pub fn beside(&self, beside: bool) {
+    pub fn set_predecessor_running(&self, beside: bool) {
         self.order(Event::PredecessorAlive(beside));
     }
 
@@ -177,7 +177,7 @@
     }
 
     /// The next that they have to say.
-    pub async fn told(&mut self) -> (RequestId, ClaimOutcome) {
+    pub async fn next_outcome(&mut self) -> (RequestId, ClaimOutcome) {
         match self.told.recv().await {
             Some(told) => told,
             None => std::future::pending().await,
@@ -200,7 +200,7 @@
     seed: u64,
     orders: mpsc::Receiver<Event>,
     tell: mpsc::Sender<(RequestId, ClaimOutcome)>,
-    shown: Rc<Shown>,
+    metrics: Rc<PeerMetrics>,
     /// Open before the task runs, unless a process before this one still has it.
     listener: Option<TcpListener>,
     /// The folder, if there is one and it is open.
@@ -218,13 +218,13 @@
     let (orders, ordered) = mpsc::channel(WAITING);
     let (tell, told) = mpsc::channel(WAITING);
     let clock = Steady { begun: Instant::now() };
-    let shown = Rc::<Shown>::default();
+    let metrics = Rc::<PeerMetrics>::default();
     let mut driver = Driver {
         clock,
         seed,
         orders: ordered,
         tell,
-        shown: shown.clone(),
+        metrics: metrics.clone(),
         listener: None,
         opened: None,
         config,
@@ -236,7 +236,7 @@
         driver.listener = Some(listener.map_err(|e| format!("fleet file, listen: {address}: {e}"))?);
         driver.opened = vote_store::open(&driver.config)?;
     }
-    Ok((Peers { orders, told, clock, shown }, driver))
+    Ok((Peers { orders, told, clock, metrics }, driver))
 }
 
 impl Driver {
@@ -264,7 +264,7 @@
             }
             self.opened = vote_store::open_soon(&self.config).await;
         }
-        let Driver { config, clock, seed, mut orders, tell, shown, mut listener, opened, exchange } = self;
+        let Driver { config, clock, seed, mut orders, tell, metrics, mut listener, opened, exchange } = self;
         let (mut folder, kept) = opened.unzip();
         let settings = Settings {
             name: config.name.clone(),
@@ -307,7 +307,7 @@
                         // The process before this one may hold the address for a moment.
                         listener = sockets::listen(config.listen, false).ok();
                     }
-                    talk.show(&shown);
+                    talk.show(&metrics);
                     // Before anybody hears of it.
                     talk.marks();
                     let state = state.borrow();
@@ -323,11 +323,11 @@
                 },
                 Some(heard) = inbox.recv() => talk.heard(heard),
                 told = written(&mut folder) => match told {
-                    Told::Written(number, kept) => Some(Event::StoreFinished {
+                    StoreEvent::Written(number, kept) => Some(Event::StoreFinished {
                         sequence: u64::from(number.0),
                         stored: kept,
                     }),
-                    Told::Opened(_) => None,
+                    StoreEvent::Opened(_) => None,
                 },
                 accepted = accept(&listener) => {
                     match accepted {
@@ -376,9 +376,9 @@
     }
 }
 
-async fn written(folder: &mut Option<ResultStore>) -> Told {
+async fn written(folder: &mut Option<ResultStore>) -> StoreEvent {
     match folder {
-        Some(folder) => folder.told().await,
+        Some(folder) => folder.next_event().await,
         None => std::future::pending().await,
     }
 }
@@ -521,17 +521,25 @@
         record: Option<StoredRecord>,
         folder: &Option<ResultStore>,
     ) {
-        let recorder = folder.as_ref().and_then(|folder| folder.recorder.as_ref());
+        let recorder = folder.as_ref().and_then(|folder| folder.writer.as_ref());
         let (state, result, keep) = match &record {
             Some(stored) => {
                 // Everything in it can be written.
                 let bytes = postcard::to_allocvec(stored).unwrap_or_default();
-                (State::Done, Bytes::from(bytes), Duration::from_millis(stored.record.retain_ms))
+                (RecordState::Succeeded, Bytes::from(bytes), Duration::from_millis(stored.record.retain_ms))
             }
-            None => (State::Freed, Bytes::new(), Duration::ZERO),
+            None => (RecordState::NeverStarted, Bytes::new(), Duration::ZERO),
         };
         let until = clock::now() + keep;
-        let record = Record { number: 0, at: Duration::ZERO, until, body: 0, state, key, result };
+        let record = Record {
+            number: 0,
+            written_at: Duration::ZERO,
+            expires_at: until,
+            body_digest: 0,
+            state,
+            key,
+            result,
+        };
         // The number comes back as it went: so many are never under way.
         let wrapped = RequestId((sequence & u64::from(u32::MAX)) as u32);
         if !recorder.is_some_and(|recorder| recorder.write(wrapped, record)) {
@@ -539,12 +547,12 @@
         }
     }
 
-    fn show(&self, shown: &Shown) {
-        shown.figures.set(self.fleet.metrics());
-        shown.list.set(self.fleet.configs().newest().version());
+    fn show(&self, metrics: &PeerMetrics) {
+        metrics.figures.set(self.fleet.metrics());
+        metrics.membership_version.set(self.fleet.configs().newest().version());
         let (counts, traffic) = (self.fleet.liveness_counts(), &self.links.traffic);
         let size = self.fleet.table().size();
-        let mut others = shown.others.borrow_mut();
+        let mut others = metrics.others.borrow_mut();
         others.clear();
         others.extend([
             ("fleet_list", self.fleet.configs().newest().version().0),
