--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -7,7 +7,8 @@
 use std::time::Duration;
 
 use oakwind_admission::{Class, Effect};
-use oakwind_fleet::membership_config::{Member, MembershipConfig, MembershipSpec, NodeId};
+use oakwind_fleet::ids::{ConfigVersion, NodeId};
+use oakwind_fleet::membership_config::{Member, MembershipConfig, MembershipSpec};
 use oakwind_settings::Parsed;
 use serde::Deserialize;
 use serde_json::value::{RawValue, Value};
@@ -138,7 +139,7 @@
     pub fn load_for_startup(&self) -> Result<Configuration, ConfigError> {
         let told = self.load()?;
         if let Some(fleet) = &told.fleet {
-            if fleet.list.place(NodeId::of(&fleet.name)).is_none() {
+            if fleet.list.index_of(NodeId::of(&fleet.name)).is_none() {
                 return bad(format!("fleet file, name: {:?} is not on the list", fleet.name));
             }
         }
@@ -608,8 +609,8 @@
             Ok(Member { name: member.name, address, zone: member.zone })
         });
         let plain = MembershipSpec {
-            number: raw.list.number,
-            copies: raw.list.copies,
+            version: ConfigVersion(raw.list.number),
+            replicas: raw.list.copies,
             window: Duration::from_millis(raw.list.window_ms),
             members: members.collect::<Result<_, ConfigError>>()?,
         };
--- a/node/src/dispatcher/runs.rs
+++ b/node/src/dispatcher/runs.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use oakwind_admission::{Event, Outcome as AdmissionOutcome, RequestId};
-use oakwind_fleet::audit::Decision;
+use oakwind_fleet::decision_record::Decision;
 
 use super::attempts::Phase;
 use super::idempotency::HeldKey;
@@ -90,7 +90,7 @@
             self.send_call_command(CallCommand::GiveUp(request.txn.clone()));
         }
         if completion == Completion::NeverStarted {
-            self.log_decision(Decision::Unrun, &request);
+            self.log_decision(Decision::NeverStarted, &request);
         }
         let failed = RequestOutcome::Failed { timed_out: false };
         let (outcome, answer, stored) = match completion {
--- a/node/src/run_gate.rs
+++ b/node/src/run_gate.rs
@@ -13,6 +13,7 @@
 use bytes::Bytes;
 use oakwind_admission::RequestId;
 use oakwind_fleet::claim_coordinator::ClaimOutcome;
+use oakwind_fleet::ids::ConfigVersion;
 use oakwind_fleet::key_state::RunResult;
 
 use crate::clock::Unix;
@@ -107,8 +108,8 @@
     }
 
     /// The version of the membership configuration; 0 without peers.
-    pub(crate) fn membership_version(&self) -> u64 {
-        self.peers.as_ref().map_or(0, |peers| peers.metrics.membership_version.get())
+    pub(crate) fn membership_version(&self) -> ConfigVersion {
+        self.peers.as_ref().map(|peers| peers.metrics.membership_version.get()).unwrap_or_default()
     }
 
     /// Whether a key that is not known may have run, as its record in the store may be damaged.
