--- a/node/src/backend/interpreter.rs
+++ b/node/src/backend/interpreter.rs
@@ -214,7 +214,7 @@
                 if let Some(run) = self.runs.get_mut(&txn) {
                     (run.awaits, run.goes_on) = (notice, None);
                 }
-                self.exchange.report(BackendEvent::CallNeeded(txn, body)).await;
+                self.exchange.report(BackendEvent::CallNeeded { txn, body }).await;
             }
             _ => {}
         }
@@ -232,8 +232,8 @@
             RunCommand::Gauges => return,
             RunCommand::Stop(txn) => (txn, |run, _| run.stopped = true),
             RunCommand::Skip(txn) => (txn, |run, _| run.goes_on = Some(GoesOn::Without)),
-            RunCommand::Resolve(txn, _) => (txn, |run, command| {
-                if let RunCommand::Resolve(_, reply) = command {
+            RunCommand::Resolve { txn, .. } => (txn, |run, command| {
+                if let RunCommand::Resolve { reply, .. } = command {
                     run.goes_on = Some(GoesOn::Reply(reply.clone()));
                 }
             }),
@@ -252,7 +252,7 @@
             RunCommand::Gauges => output.put_slice(b"TOP g\r\n"),
             RunCommand::Run(request) => self.apply(&request.txn, output),
             RunCommand::Stop(txn) => self.stop(txn, output),
-            RunCommand::Resolve(txn, _) | RunCommand::Skip(txn) => self.go_on(txn, output),
+            RunCommand::Resolve { txn, .. } | RunCommand::Skip(txn) => self.go_on(txn, output),
         }
     }
 
--- a/node/src/backend/uwsgi.rs
+++ b/node/src/backend/uwsgi.rs
@@ -203,7 +203,7 @@
                     }
                 }
                 // These servers make their own calls, and nobody measures their cores.
-                Some(RunCommand::Resolve(..) | RunCommand::Skip(_) | RunCommand::Gauges) => {}
+                Some(RunCommand::Resolve { .. } | RunCommand::Skip(_) | RunCommand::Gauges) => {}
             },
             (txn, asked) = under_way.next() => {
                 let end = match asked {
--- a/node/src/dispatcher.rs
+++ b/node/src/dispatcher.rs
@@ -234,7 +234,7 @@
         match event {
             BackendEvent::Up { cold } => self.start_admission(cold),
             BackendEvent::Ended(txn, completion) => self.run_ended(&txn, completion),
-            BackendEvent::CallNeeded(txn, body) => self.call_needed(&txn, body),
+            BackendEvent::CallNeeded { txn, body } => self.call_needed(&txn, body),
             BackendEvent::CallEnded(txn, outcome) => self.call_ended(&txn, outcome),
             BackendEvent::Gauges(values) => {
                 let gauges = oakwind_settings::gauges(&self.settings.gauges, &values);
--- a/node/src/dispatcher/attempts.rs
+++ b/node/src/dispatcher/attempts.rs
@@ -7,7 +7,7 @@
 use oakwind_admission::RequestId;
 
 use crate::clock::Unix;
-use crate::exchange::{Request, Responder, SubmissionId};
+use crate::exchange::{Request, Responder, SubmissionId, TransactionId};
 
 /// One attempt of a request, from the moment it is read until it is answered and nothing of it runs.
 pub(super) struct Attempt {
@@ -56,7 +56,7 @@
 /// All open attempts.
 pub(super) struct AttemptTable {
     by_id: HashMap<RequestId, Attempt>,
-    id_by_txn: HashMap<Bytes, RequestId>,
+    id_by_txn: HashMap<TransactionId, RequestId>,
     next_id: u32,
 }
 
@@ -98,7 +98,7 @@
     }
 
     /// The number of the open attempt with this transaction id.
-    pub(super) fn id_of(&self, txn: &Bytes) -> Option<RequestId> {
+    pub(super) fn id_of(&self, txn: &TransactionId) -> Option<RequestId> {
         self.id_by_txn.get(txn).copied()
     }
 
--- a/node/src/dispatcher/calls.rs
+++ b/node/src/dispatcher/calls.rs
@@ -6,12 +6,12 @@
 use super::attempts::Phase;
 use super::Dispatcher;
 use crate::clock::{self, Unix};
-use crate::exchange::{CallCommand, CallOutcome, RunCommand};
+use crate::exchange::{CallCommand, CallOutcome, RunCommand, TransactionId};
 use crate::log;
 
 impl Dispatcher {
     /// A run waits for a call: the admission module decides whether it is made.
-    pub(super) fn call_needed(&mut self, txn: &Bytes, body: Bytes) {
+    pub(super) fn call_needed(&mut self, txn: &TransactionId, body: Bytes) {
         let Some(id) = self.attempts.id_of(txn) else {
             return log!("dispatcher: a call is needed for an attempt that is not open: txn={txn:?}");
         };
@@ -43,7 +43,7 @@
     }
 
     /// A call has ended. The run gets a reply; of every other outcome the admission module decides what follows.
-    pub(super) fn call_ended(&mut self, txn: &Bytes, call_outcome: CallOutcome) {
+    pub(super) fn call_ended(&mut self, txn: &TransactionId, call_outcome: CallOutcome) {
         let Some(id) = self.attempts.id_of(txn) else { return };
         let Some(attempt) = self.attempts.get_mut(id) else { return };
         let Phase::Calling { started_at, called_at, body } = &attempt.phase else { return };
@@ -52,7 +52,7 @@
         let outcome = match call_outcome {
             CallOutcome::Ok(reply) => {
                 attempt.phase = Phase::Running { started_at };
-                self.send_run_command(RunCommand::Resolve(txn.clone(), reply));
+                self.send_run_command(RunCommand::Resolve { txn: txn.clone(), reply });
                 self.admission_events.push(Event::CallReturned { id, outcome: AdmissionOutcome::Ok, took });
                 return;
             }
--- a/node/src/dispatcher/idempotency.rs
+++ b/node/src/dispatcher/idempotency.rs
@@ -226,26 +226,23 @@
     pub(crate) fn assign(&mut self, key: &IdempotencyKey, body: &[u8], holder: RequestId, expires_at: Unix) {
         // The entry outlives the buffer that the key was read into.
         let key = Bytes::copy_from_slice(key);
-        match self.entries.get_mut(&key) {
-            Some(entry) => {
-                self.key_by_holder.remove(&entry.holder);
-                entry.holder = holder;
-                entry.expires_at = expires_at;
-                self.key_by_holder.insert(holder, key);
-            }
-            None => {
-                let entry = Entry {
-                    holder,
-                    body_digest: self.digest(body),
-                    expires_at,
-                    run_by: None,
-                    run_by_predecessor: false,
-                    outcome: None,
-                    waiters: vec![],
-                };
-                self.insert(key, entry);
-            }
+        if let Some(entry) = self.entries.get_mut(&key) {
+            self.key_by_holder.remove(&entry.holder);
+            entry.holder = holder;
+            entry.expires_at = expires_at;
+            self.key_by_holder.insert(holder, key);
+            return;
         }
+        let entry = Entry {
+            holder,
+            body_digest: self.digest(body),
+            expires_at,
+            run_by: None,
+            run_by_predecessor: false,
+            outcome: None,
+            waiters: vec![],
+        };
+        self.insert(key, entry);
     }
 
     /// Adds an entry without an outcome for a key that is not in the table.
--- a/node/src/dispatcher/runs.rs
+++ b/node/src/dispatcher/runs.rs
@@ -11,7 +11,7 @@
 use super::idempotency::HeldKey;
 use super::Dispatcher;
 use crate::clock::{self, Unix};
-use crate::exchange::{CallCommand, Request, RunCommand};
+use crate::exchange::{CallCommand, Request, RunCommand, TransactionId};
 use crate::log;
 use crate::outcome::{Completion, RequestOutcome, RunState, StoredOutcome};
 use crate::run_gate::{Authorization, GateEvent, KeyedRun};
@@ -37,19 +37,19 @@
         }
         let run = self.keyed_run(id);
         match self.run_gate.authorize_run(run) {
-            Authorization::Granted => self.send_to_backend(request),
+            Authorization::Granted => self.send_to_backend(&request),
             Authorization::Denied => self.run_ended(&request.txn, Completion::NeverStarted),
             // A gate event follows.
             Authorization::Pending => {}
         }
     }
 
-    fn send_to_backend(&mut self, request: Rc<Request>) {
+    fn send_to_backend(&mut self, request: &Rc<Request>) {
         if self.endpoints.runs.try_send(RunCommand::Run(request.clone())).is_err() {
             log!("dispatcher: the queue of run commands is full");
             return self.run_ended(&request.txn, Completion::NeverStarted);
         }
-        self.log_decision(Decision::Run, &request);
+        self.log_decision(Decision::Run, request);
         self.endpoints.metrics.run_dispatched(request.class);
     }
 
@@ -61,7 +61,7 @@
     }
 
     /// The backend reports the end of a run. The run gate stores it before anybody hears of it.
-    pub(super) fn run_ended(&mut self, txn: &Bytes, completion: Completion) {
+    pub(super) fn run_ended(&mut self, txn: &TransactionId, completion: Completion) {
         let Some(id) = self.attempts.id_of(txn) else {
             return log!("dispatcher: a run ended of an attempt that is not open: txn={txn:?}");
         };
@@ -180,7 +180,7 @@
         let Some(attempt) = self.attempts.get(id) else { return };
         let request = attempt.request.clone();
         if granted && attempt.responder.is_some() {
-            return self.send_to_backend(request);
+            return self.send_to_backend(&request);
         }
         if granted {
             // Its client has had an answer, or has gone, so nobody waits for the run.
--- a/node/src/exchange/command.rs
+++ b/node/src/exchange/command.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 
-use super::request::Request;
+use super::request::{Request, TransactionId};
 use crate::clock::Unix;
 
 /// A command to the backend that runs requests.
@@ -12,12 +12,17 @@
 pub(crate) enum RunCommand {
     /// Run a request.
     Run(Rc<Request>),
-    /// Stop the run with this transaction id.
-    Stop(Bytes),
-    /// Give the run with this transaction id the reply to its call.
-    Resolve(Bytes, Bytes),
-    /// Let the run with this transaction id go on without its call.
-    Skip(Bytes),
+    /// Stop a run.
+    Stop(TransactionId),
+    /// Give a run the reply to its call.
+    Resolve {
+        /// The attempt that runs.
+        txn: TransactionId,
+        /// The reply.
+        reply: Bytes,
+    },
+    /// Let a run go on without its call.
+    Skip(TransactionId),
     /// Report the gauges.
     Gauges,
 }
@@ -34,6 +39,6 @@
         /// When the call is given up.
         until: Unix,
     },
-    /// Give up the call for this transaction id.
-    GiveUp(Bytes),
+    /// Give up the call of a run.
+    GiveUp(TransactionId),
 }
--- a/node/src/exchange/event.rs
+++ b/node/src/exchange/event.rs
@@ -4,7 +4,7 @@
 use oakwind_settings::Parsed;
 use tokio::sync::mpsc;
 
-use super::request::{Submission, SubmissionId};
+use super::request::{Submission, SubmissionId, TransactionId};
 use crate::clock::Unix;
 use crate::outcome::{Completion, IdempotencyRecord};
 
@@ -57,12 +57,17 @@
         /// It has only just started.
         cold: bool,
     },
-    /// The run with this transaction id has ended.
-    Ended(Bytes, Completion),
-    /// The run with this transaction id waits for a call with this body.
-    CallNeeded(Bytes, Bytes),
-    /// The call for this transaction id has ended.
-    CallEnded(Bytes, CallOutcome),
+    /// A run has ended.
+    Ended(TransactionId, Completion),
+    /// A run waits for a call.
+    CallNeeded {
+        /// The attempt that runs.
+        txn: TransactionId,
+        /// The body of the call.
+        body: Bytes,
+    },
+    /// The call of a run has ended.
+    CallEnded(TransactionId, CallOutcome),
     /// The gauges, in the order of the settings.
     Gauges(Vec<f64>),
 }
--- a/node/src/exchange/request.rs
+++ b/node/src/exchange/request.rs
@@ -10,11 +10,14 @@
 use crate::metrics::Metrics;
 use crate::outcome::{IdempotencyKey, RequestOutcome};
 
+/// Identifies one attempt on all connections: up to 16 hexadecimal digits, new with every attempt.
+pub(crate) type TransactionId = Bytes;
+
 /// One attempt of a request, as a frontend read it.
 #[derive(Debug, Clone)]
 pub(crate) struct Request {
-    /// The transaction id on all connections, new with every attempt.
-    pub(crate) txn: Bytes,
+    /// Its transaction id.
+    pub(crate) txn: TransactionId,
     /// Position of its class in the settings.
     pub(crate) class: u16,
     /// Position of its tenant in the settings.
@@ -42,13 +45,13 @@
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct SubmissionId {
     /// The request's transaction id.
-    pub(crate) txn: Bytes,
+    pub(crate) txn: TransactionId,
     sequence: u64,
 }
 
 impl SubmissionId {
     /// The submission of a transaction id that comes `sequence`th on this exchange.
-    pub(super) fn new(txn: Bytes, sequence: u64) -> Self {
+    pub(super) fn new(txn: TransactionId, sequence: u64) -> Self {
         SubmissionId { txn, sequence }
     }
 }
