--- a/node/src/dispatcher/idempotency.rs
+++ b/node/src/dispatcher/idempotency.rs
@@ -13,7 +13,8 @@
 use crate::clock::Unix;
 use crate::exchange::HandoverState;
 use crate::outcome::{
-    digest, IdempotencyKey, IdempotencyRecord, RunState, StoredOutcome, LATE_READ_GRACE, MAX_RESULT_BYTES,
+    digest, BodyDigest, IdempotencyKey, IdempotencyRecord, RunState, StoredOutcome, LATE_READ_GRACE,
+    MAX_RESULT_BYTES,
 };
 
 /// Estimated memory that one entry takes beside its result, in bytes; rather too high than too low.
@@ -29,7 +30,7 @@
     /// The attempt that the key belongs to at present.
     holder: RequestId,
     /// Digest of the body that all attempts of the key carry.
-    body_digest: u64,
+    body_digest: BodyDigest,
     expires_at: Unix,
     /// The attempt that was run, if any.
     run_by: Option<RequestId>,
@@ -91,7 +92,7 @@
     /// The key.
     pub(crate) key: IdempotencyKey,
     /// Digest of the body that its attempts carry.
-    pub(crate) body_digest: u64,
+    pub(crate) body_digest: BodyDigest,
     /// When the key expires.
     pub(crate) expires_at: Unix,
 }
@@ -145,8 +146,8 @@
         self.digest_seed = seed;
     }
 
-    fn digest(&self, body: &[u8]) -> u64 {
-        digest(self.digest_seed, body)
+    fn digest(&self, body: &[u8]) -> BodyDigest {
+        BodyDigest(digest(self.digest_seed, body))
     }
 
     /// The whole table, as it is transferred to a successor process.
--- a/node/src/handover/message.rs
+++ b/node/src/handover/message.rs
@@ -5,7 +5,7 @@
 use bytes::{Bytes, BytesMut};
 
 use crate::line_codec::{self, Message, ProtocolError, MAX_BODY};
-use crate::outcome::{IdempotencyRecord, RunState};
+use crate::outcome::{BodyDigest, IdempotencyRecord, RunState};
 
 /// The successor's request to take over.
 pub(super) const TAKE_OVER: &[u8] = b"TAKE\r\n";
@@ -60,7 +60,7 @@
         _ => return Err(message.protocol_error()),
     };
     let expires_at = Duration::from_millis(message.numeric_field(2)?);
-    Ok(IdempotencyRecord { key, body_digest: hexadecimal(message)?, expires_at, state })
+    Ok(IdempotencyRecord { key, body_digest: BodyDigest(hexadecimal(message)?), expires_at, state })
 }
 
 /// Appends a message to the output.
@@ -83,6 +83,6 @@
         RunState::Succeeded(_) | RunState::Failed => ("failed", &[][..]),
         RunState::NeverStarted => ("free", &[][..]),
     };
-    let head = format!("{body_digest:x} {} {word} {}", expires_at.as_millis(), key.len());
+    let head = format!("{:x} {} {word} {}", body_digest.0, expires_at.as_millis(), key.len());
     line_codec::encode(output, &[b"KEY", head.as_bytes()], Some(&[key, result].concat()));
 }
--- a/node/src/handover/tests.rs
+++ b/node/src/handover/tests.rs
@@ -3,14 +3,14 @@
 
 use super::message::{decode, encode, PredecessorMessage};
 use crate::line_codec::MAX_BODY;
-use crate::outcome::{IdempotencyRecord, RunState};
+use crate::outcome::{BodyDigest, IdempotencyRecord, RunState};
 
 mod golden;
 
 fn record_with(state: RunState) -> PredecessorMessage {
     PredecessorMessage::Record(IdempotencyRecord {
         key: Bytes::from_static(b"\r\n \xff"),
-        body_digest: u64::MAX,
+        body_digest: BodyDigest(u64::MAX),
         expires_at: Duration::from_millis(1_764_576_000_123),
         state,
     })
--- a/node/src/handover/tests/golden.rs
+++ b/node/src/handover/tests/golden.rs
@@ -12,7 +12,7 @@
 use crate::handover::message::{decode, encode, PredecessorMessage};
 use crate::handover::predecessor::{hand_over, HandoverOutcome};
 use crate::handover::{socket_path, take_over};
-use crate::outcome::{IdempotencyRecord, RunState};
+use crate::outcome::{BodyDigest, IdempotencyRecord, RunState};
 
 /// A line, then as many bytes as it announces; `\r\n` ends both.
 const OPEN: &str = "4b455920312031373634353736303030313233206f70656e203220320d0a6b310d0a";
@@ -34,7 +34,7 @@
 fn record_of(key: &'static [u8], body: u64, millis: u64, fate: RunState) -> IdempotencyRecord {
     IdempotencyRecord {
         key: Bytes::from_static(key),
-        body_digest: body,
+        body_digest: BodyDigest(body),
         expires_at: Duration::from_millis(millis),
         state: fate,
     }
--- a/node/src/outcome.rs
+++ b/node/src/outcome.rs
@@ -16,6 +16,10 @@
 /// between two attempts and the request must not run a second time.
 pub(crate) type IdempotencyKey = Bytes;
 
+/// Digest of a request's body, by the seed of the process that first saw its key.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) struct BodyDigest(pub(crate) u64);
+
 /// The one final answer to a request.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum RequestOutcome {
@@ -81,7 +85,7 @@
     /// The key.
     pub(crate) key: IdempotencyKey,
     /// Digest of the body that its attempts carry.
-    pub(crate) body_digest: u64,
+    pub(crate) body_digest: BodyDigest,
     /// When the key expires.
     pub(crate) expires_at: Unix,
     /// The state of its run.
--- a/node/src/result_store/recovery.rs
+++ b/node/src/result_store/recovery.rs
@@ -11,7 +11,7 @@
 use super::record::{self, Found, Record, State, SEGMENT_HEAD};
 use super::segment_index::{Ledger, Limits};
 use crate::clock::Unix;
-use crate::outcome::{digest, IdempotencyRecord, RunState};
+use crate::outcome::{digest, BodyDigest, IdempotencyRecord, RunState};
 
 /// A segment as it was read.
 pub struct Segment {
@@ -161,7 +161,7 @@
         // What a damaged record said of the key came after this one, or is no more than this one says.
         learnt.keys.push(IdempotencyRecord {
             key,
-            body_digest: record.body,
+            body_digest: BodyDigest(record.body),
             expires_at: of_now(record.until),
             state: fate,
         });
--- a/node/src/run_gate.rs
+++ b/node/src/run_gate.rs
@@ -18,7 +18,7 @@
 use crate::clock::Unix;
 use crate::exchange::Request;
 use crate::metrics::Metrics;
-use crate::outcome::{Completion, IdempotencyKey, IdempotencyRecord, StoredOutcome};
+use crate::outcome::{BodyDigest, Completion, IdempotencyKey, IdempotencyRecord, StoredOutcome};
 use crate::peers::{Asked, Peers};
 use crate::result_store::record::{Record, State};
 use crate::result_store::{ResultStore, Told};
@@ -34,7 +34,7 @@
     /// Its key.
     pub(crate) key: IdempotencyKey,
     /// Digest of its body.
-    pub(crate) body_digest: u64,
+    pub(crate) body_digest: BodyDigest,
     /// When the key expires.
     pub(crate) expires_at: Unix,
 }
@@ -274,7 +274,7 @@
     fn write(&self, run: &KeyedRun, state: State, result: Bytes) -> Vote {
         let recorder = self.store.as_ref().and_then(|store| store.recorder.as_ref());
         let Some(recorder) = recorder else { return Vote::Yes };
-        let KeyedRun { id, body_digest: body, expires_at: until, .. } = *run;
+        let KeyedRun { id, body_digest: BodyDigest(body), expires_at: until, .. } = *run;
         let key = run.key.clone();
         let record = Record { number: 0, at: Duration::ZERO, until, body, state, key, result };
         if recorder.write(id, record) {
