--- a/node/src/dispatcher.rs
+++ b/node/src/dispatcher.rs
@@ -315,3 +315,6 @@
         });
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/node/src/dispatcher/tests.rs
@@ -0,0 +1,278 @@
+use std::future::Future;
+use std::rc::Rc;
+
+use bytes::Bytes;
+use tokio::sync::mpsc;
+use tokio::task::{spawn_local, LocalSet};
+
+use super::*;
+use crate::exchange::{self, BackendEndpoints, Endpoints, Exchange, SubmissionId, TransactionId};
+use crate::outcome::{digest, BodyDigest, Completion, IdempotencyRecord, RunState};
+
+/// Turns a test that would hang into one that fails.
+const GUARD: Duration = Duration::from_secs(60);
+const CLASS_BY_KEY: u16 = 1;
+const DIGEST_SEED: u64 = 7;
+const SETTINGS: &str = r#"{"services": [
+    {"name": "quote", "slo": 60000000, "deadline": 120000000, "effect": "repeatable"},
+    {"name": "book", "slo": 60000000, "deadline": 120000000, "effect": "by_key", "window": 120000000}],
+  "specifics": {"cores": 2, "memoryKb": 100000.0, "runFactor": 8.0, "entryKb": 1.0},
+  "safety": {"drainGrace": 200000, "fallMultiple": 8.0},
+  "limits": {"maxRetryAfter": 1000000, "retryAfter": true}, "servers": 1, "tick": 4000}"#;
+
+/// A running dispatcher, and all that stands around it.
+struct Node {
+    exchange: Exchange,
+    backend: BackendEndpoints,
+    answer_queue: mpsc::Sender<(u64, RequestOutcome)>,
+    answers: mpsc::Receiver<(u64, RequestOutcome)>,
+}
+
+impl Node {
+    /// A node whose backend is up.
+    async fn start(awaiting_state: bool) -> Node {
+        let node = Node::start_without_backend(awaiting_state);
+        node.exchange.report(BackendEvent::Up { cold: false }).await;
+        node
+    }
+
+    fn start_without_backend(awaiting_state: bool) -> Node {
+        let Endpoints { exchange, dispatcher, backend } = exchange::new(awaiting_state, false);
+        let settings = oakwind_settings::parse(SETTINGS).unwrap();
+        spawn_local(Dispatcher::new(dispatcher, settings, 1, 1 << 20).run());
+        let (answer_queue, answers) = mpsc::channel(16);
+        Node { exchange, backend, answer_queue, answers }
+    }
+
+    /// Submits an attempt of a keyed class; its answer carries the tag.
+    async fn submit(&self, tag: u64, key: &'static [u8], body: &'static [u8]) -> SubmissionId {
+        let responder = Responder::new(&self.answer_queue, tag).unwrap();
+        self.exchange.submit(request(tag, key, body), responder).await
+    }
+
+    /// The next request that the backend is to run.
+    async fn next_run(&mut self) -> Rc<Request> {
+        loop {
+            if let RunCommand::Run(request) = self.backend.runs.recv().await.unwrap() {
+                return request;
+            }
+        }
+    }
+
+    async fn complete(&self, tag: u64, completion: Completion) {
+        self.exchange.report(BackendEvent::Ended(txn(tag), completion)).await;
+    }
+
+    async fn next_answer(&mut self) -> (u64, RequestOutcome) {
+        self.answers.recv().await.unwrap()
+    }
+
+    /// Whether the backend has got no run by now.
+    fn runs_nothing(&mut self) -> bool {
+        std::iter::from_fn(|| self.backend.runs.try_recv().ok())
+            .all(|command| !matches!(command, RunCommand::Run(_)))
+    }
+}
+
+/// A request of a keyed class.
+fn request(tag: u64, key: &'static [u8], body: &'static [u8]) -> Request {
+    let now = clock::now();
+    Request {
+        txn: txn(tag),
+        class: CLASS_BY_KEY,
+        tenant: 0,
+        key: Some(Bytes::from_static(key)),
+        caller: 1,
+        cost_hint: None,
+        memory_kb: 32.0,
+        rank: 0.5,
+        received_at: now,
+        deadline: now + GUARD,
+        body: Bytes::from_static(body),
+    }
+}
+
+/// What a predecessor knows of the key `known`, which came with the body `body`.
+fn known(state: RunState) -> IdempotencyRecord {
+    IdempotencyRecord {
+        key: Bytes::from_static(b"known"),
+        body_digest: BodyDigest(digest(DIGEST_SEED, b"body")),
+        expires_at: clock::now() + GUARD,
+        state,
+    }
+}
+
+fn txn(tag: u64) -> TransactionId {
+    format!("{tag:x}").into()
+}
+
+fn served(result: &'static [u8]) -> RequestOutcome {
+    RequestOutcome::Served(Bytes::from_static(result))
+}
+
+fn succeeded(result: &'static [u8]) -> Completion {
+    Completion::Succeeded(Bytes::from_static(result))
+}
+
+fn run(test: impl Future<Output = ()>) {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let guarded = async { tokio::time::timeout(GUARD, test).await.expect("the test hangs") };
+    runtime.block_on(LocalSet::new().run_until(guarded));
+}
+
+#[test]
+fn a_repeated_attempt_gets_the_result_of_the_first_and_does_not_run() {
+    run(async {
+        let mut node = Node::start(false).await;
+        node.submit(1, b"key", b"body").await;
+        assert_eq!(node.next_run().await.txn, txn(1));
+        node.submit(2, b"key", b"body").await;
+        node.complete(1, succeeded(b"result")).await;
+        assert_eq!(node.next_answer().await, (1, served(b"result")));
+        assert_eq!(node.next_answer().await, (2, served(b"result")), "it waited for the first");
+        node.submit(3, b"key", b"body").await;
+        assert_eq!(node.next_answer().await, (3, served(b"result")), "it came after the first had ended");
+        assert!(node.runs_nothing());
+    });
+}
+
+#[test]
+fn a_known_key_with_another_body_is_answered_as_a_mismatch() {
+    run(async {
+        let mut node = Node::start(false).await;
+        node.submit(1, b"key", b"body").await;
+        node.next_run().await;
+        node.submit(2, b"key", b"another body").await;
+        assert_eq!(node.next_answer().await, (2, RequestOutcome::BodyMismatch));
+        assert!(node.runs_nothing());
+    });
+}
+
+#[test]
+fn a_run_that_never_started_is_rejected_and_frees_its_key() {
+    run(async {
+        let mut node = Node::start(false).await;
+        node.submit(1, b"key", b"body").await;
+        node.next_run().await;
+        node.complete(1, Completion::NeverStarted).await;
+        assert!(matches!(
+            node.next_answer().await,
+            (1, RequestOutcome::Rejected { retry_after: Some(_), .. })
+        ));
+        node.submit(2, b"key", b"body").await;
+        assert_eq!(node.next_run().await.txn, txn(2));
+    });
+}
+
+#[test]
+fn requests_are_rejected_while_no_backend_is_up_and_each_is_told_another_wait() {
+    run(async {
+        let mut node = Node::start_without_backend(false);
+        let mut waits = Vec::new();
+        for tag in 1..=2 {
+            node.submit(tag, b"key", b"body").await;
+            let (_, RequestOutcome::Rejected { retry_after: Some(wait), give_up: false }) =
+                node.next_answer().await
+            else {
+                panic!("not rejected");
+            };
+            waits.push(wait);
+        }
+        // A quarter of `maxRetryAfter`, by half more or less.
+        let range = Duration::from_millis(125)..Duration::from_millis(375);
+        assert!(waits.iter().all(|wait| range.contains(wait)) && waits[0] != waits[1], "{waits:?}");
+    });
+}
+
+#[test]
+fn a_successor_withholds_keyed_attempts_until_it_has_the_table_and_runs_no_key_in_it() {
+    run(async {
+        let mut node = Node::start(true).await;
+        node.submit(1, b"known", b"body").await;
+        node.submit(2, b"new", b"body").await;
+        tokio::task::yield_now().await;
+        assert!(node.runs_nothing());
+        let table = HandoverState { digest_seed: DIGEST_SEED, records: vec![known(RunState::Pending)] };
+        node.exchange.receive_state(table).await;
+        assert_eq!(node.next_run().await.txn, txn(2));
+        let result = RunState::Succeeded(Bytes::from_static(b"result"));
+        node.exchange.receive_state(HandoverState { digest_seed: 0, records: vec![known(result)] }).await;
+        assert_eq!(node.next_answer().await, (1, served(b"result")));
+        assert!(node.runs_nothing());
+    });
+}
+
+#[test]
+fn runs_that_a_predecessor_did_not_report_have_failed_once_it_is_gone() {
+    run(async {
+        let mut node = Node::start(true).await;
+        let table = HandoverState { digest_seed: DIGEST_SEED, records: vec![known(RunState::Pending)] };
+        node.exchange.receive_state(table).await;
+        node.submit(1, b"known", b"body").await;
+        node.exchange.predecessor_done().await;
+        assert_eq!(node.next_answer().await, (1, RequestOutcome::Failed { timed_out: false }));
+        assert!(!node.exchange.status().borrow().predecessor_alive);
+    });
+}
+
+#[test]
+fn a_predecessor_transfers_its_table_then_outcomes_and_rejects_new_keys() {
+    run(async {
+        let mut node = Node::start(false).await;
+        node.submit(1, b"key", b"body").await;
+        node.next_run().await;
+        let (updates, mut transferred) = mpsc::channel(8);
+        node.exchange.hand_over(updates).await;
+        let table = transferred.recv().await.unwrap();
+        let record = &table.records[0];
+        assert_eq!(
+            (table.records.len(), &record.key[..], &record.state),
+            (1, &b"key"[..], &RunState::Pending)
+        );
+        assert!(node.exchange.status().borrow().handed_over);
+        node.submit(2, b"new", b"body").await;
+        assert!(matches!(node.next_answer().await, (2, RequestOutcome::Rejected { .. })));
+        node.complete(1, succeeded(b"result")).await;
+        let update = transferred.recv().await.unwrap();
+        assert_eq!(update.records[0].state, RunState::Succeeded(Bytes::from_static(b"result")));
+        assert_eq!(node.next_answer().await, (1, served(b"result")));
+        node.exchange.successor_lost().await;
+        node.submit(3, b"new", b"body").await;
+        assert_eq!(node.next_run().await.txn, txn(3), "it serves on");
+    });
+}
+
+#[test]
+fn after_the_shutdown_notice_the_node_has_drained_once_its_runs_have_ended() {
+    run(async {
+        let mut node = Node::start(false).await;
+        node.submit(1, b"key", b"body").await;
+        node.next_run().await;
+        node.exchange.drain(clock::now() + GUARD).await;
+        let mut status = node.exchange.status();
+        status.wait_for(|status| status.draining.is_some()).await.unwrap();
+        assert!(!status.borrow().drained);
+        node.complete(1, succeeded(b"result")).await;
+        assert_eq!(node.next_answer().await, (1, served(b"result")));
+        status.wait_for(|status| status.drained).await.unwrap();
+        // `drainGrace` after the notice nothing more is read.
+        status.wait_for(|status| !status.accepting).await.unwrap();
+    });
+}
+
+#[test]
+fn a_cancelled_submission_gets_no_answer_and_a_transaction_id_can_be_open_once() {
+    run(async {
+        let mut node = Node::start(false).await;
+        node.submit(1, b"key", b"body").await;
+        node.next_run().await;
+        node.submit(1, b"other", b"body").await;
+        assert_eq!(node.next_answer().await, (1, RequestOutcome::Failed { timed_out: false }));
+        let submission = node.submit(2, b"another", b"body").await;
+        node.next_run().await;
+        node.exchange.cancelled(submission).await;
+        node.complete(2, succeeded(b"unheard")).await;
+        node.complete(1, succeeded(b"result")).await;
+        assert_eq!(node.next_answer().await, (1, served(b"result")));
+    });
+}
--- a/node/src/dispatcher/timers.rs
+++ b/node/src/dispatcher/timers.rs
@@ -65,3 +65,6 @@
         self.pending.peek().map(|Reverse((at, _))| *at)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/node/src/dispatcher/timers/tests.rs
@@ -0,0 +1,53 @@
+use super::*;
+
+const FIRST: TimerId = TimerId(1);
+const SECOND: TimerId = TimerId(2);
+
+fn at(milliseconds: u64) -> Unix {
+    Duration::from_secs(100) + Duration::from_millis(milliseconds)
+}
+
+fn gauges(cpu: f64) -> Gauges {
+    oakwind_settings::gauges(&["cpu_busy".into()], &[cpu])
+}
+
+fn fired(event: &Event) -> (TimerId, &Gauges) {
+    let Event::Timer(timer, gauges) = event else { panic!("no timer") };
+    (*timer, gauges)
+}
+
+#[test]
+fn timers_fire_in_the_order_of_their_times_and_once() {
+    let mut timers = Timers::default();
+    timers.schedule(at(20), SECOND);
+    timers.schedule(at(10), FIRST);
+    assert!(timers.pop_fired(at(9)).is_empty());
+    let events = timers.pop_fired(at(20));
+    assert_eq!(events.iter().map(|event| fired(event).0).collect::<Vec<_>>(), [FIRST, SECOND]);
+    assert!(timers.pop_fired(at(30)).is_empty() && timers.next_wake().is_none());
+}
+
+#[test]
+fn gauges_are_requested_once_shortly_before_a_timer_fires() {
+    let mut timers = Timers::default();
+    assert!(!timers.should_request_gauges(at(0)), "nothing is scheduled");
+    timers.schedule(at(10), FIRST);
+    assert_eq!(timers.next_wake(), Some(at(5)));
+    assert!(!timers.should_request_gauges(at(4)));
+    assert!(timers.should_request_gauges(at(5)));
+    assert!(!timers.should_request_gauges(at(6)), "they have been");
+    assert_eq!(timers.next_wake(), Some(at(10)));
+    timers.pop_fired(at(10));
+    timers.schedule(at(20), SECOND);
+    assert!(timers.should_request_gauges(at(15)));
+}
+
+#[test]
+fn a_timer_reports_gauges_of_the_last_half_second_and_no_older_ones() {
+    let mut timers = Timers::default();
+    timers.set_gauges(at(0), gauges(0.75));
+    timers.schedule(at(500), FIRST);
+    timers.schedule(at(501), SECOND);
+    assert_eq!(fired(&timers.pop_fired(at(500))[0]), (FIRST, &gauges(0.75)));
+    assert_eq!(fired(&timers.pop_fired(at(501))[0]), (SECOND, &Gauges::default()));
+}
--- a/node/src/run_gate/pending.rs
+++ b/node/src/run_gate/pending.rs
@@ -101,3 +101,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
