--- a/node/src/dispatcher.rs
+++ b/node/src/dispatcher.rs
@@ -24,7 +24,7 @@
 use tokio::sync::watch;
 
 use crate::clock::{self, Unix};
-use crate::decision_log::{self, Recorder};
+use crate::decision_log::{self, DecisionLog};
 use crate::exchange::{
     BackendEvent, DispatcherEndpoints, DispatcherEvent, HandoverState, NodeStatus, Request, Responder,
     RunCommand, Shutdown,
@@ -69,7 +69,7 @@
     timers: Timers,
     handover: Handover,
     run_gate: RunGate,
-    decision_log: Option<Recorder>,
+    decision_log: Option<DecisionLog>,
     /// Counts rejections without a decision.
     undecided_rejections: Cell<u64>,
     /// How far the clock had jumped ahead, in all, when that was last looked at.
@@ -120,9 +120,9 @@
     }
 
     /// Records decisions in this log from now on.
-    pub(crate) fn set_decision_log(&mut self, decision_log: Recorder) {
-        let tally = decision_log.tally.clone();
-        self.endpoints.metrics.register(Box::new(move || tally.all()));
+    pub(crate) fn set_decision_log(&mut self, decision_log: DecisionLog) {
+        let metrics = decision_log.metrics.clone();
+        self.endpoints.metrics.register(Box::new(move || metrics.values()));
         self.decision_log = Some(decision_log);
     }
 
@@ -185,7 +185,7 @@
         let total = clock::jumped();
         if total > self.observed_clock_jump {
             let by = total - std::mem::replace(&mut self.observed_clock_jump, total);
-            log!("the clock has jumped ahead by {} ms", by.as_millis());
+            log!("dispatcher: the clock has jumped ahead: milliseconds={}", by.as_millis());
             self.idempotency.extend_all(by);
         }
     }
@@ -263,7 +263,7 @@
         self.decide(clock::now());
         self.settings = settings;
         if let Some(decision_log) = &self.decision_log {
-            decision_log.settings(digest.to_owned());
+            decision_log.set_settings_digest(digest.to_owned());
         }
         if let Some(admission) = &mut self.admission {
             admission.reconfigure(admission_settings(&self.settings));
@@ -289,16 +289,16 @@
 
     /// Answers a request and records that decision.
     fn answer(&self, request: &Request, responder: Responder, outcome: RequestOutcome) {
-        self.log_decision(decision_log::decided(&outcome), request);
+        self.log_decision(decision_log::decision_of(&outcome), request);
         responder.answer(outcome);
     }
 
     /// Records a decision about an attempt, with the versions of the membership and the settings that it was made by.
     fn log_decision(&self, decision: Decision, request: &Request) {
         let Some(decision_log) = &self.decision_log else { return };
-        decision_log.list(self.run_gate.membership_version());
+        decision_log.set_membership_version(self.run_gate.membership_version());
         let class = self.settings.classes.get(usize::from(request.class)).map_or("", String::as_str);
-        decision_log.tried(decision, request, self.key_of(request).as_deref(), class);
+        decision_log.record(decision, request, self.key_of(request).as_deref(), class);
     }
 
     /// What is published of this node. The borrow must end before the status is updated.
--- a/node/src/dispatcher/calls.rs
+++ b/node/src/dispatcher/calls.rs
@@ -66,7 +66,7 @@
         self.admission_events.push(Event::CallReturned { id, outcome, took });
     }
 
-    /// Sends a command to the backend that makes calls. A call that finds no room in the queue counts as unreachable.
+    /// Sends a command to the backend that makes calls. A call that finds the queue full counts as unreachable.
     pub(super) fn send_call_command(&mut self, command: CallCommand) {
         let called_txn = match &command {
             CallCommand::Call { request, .. } => Some(request.txn.clone()),
--- a/node/src/dispatcher/runs.rs
+++ b/node/src/dispatcher/runs.rs
@@ -60,7 +60,7 @@
         }
     }
 
-    /// The backend reports the end of a run. The run gate stores it before anybody hears of it.
+    /// The backend reports the end of a run. The run gate stores that before it is reported to anybody.
     pub(super) fn run_ended(&mut self, txn: &TransactionId, completion: Completion) {
         let Some(id) = self.attempts.id_of(txn) else {
             return log!("dispatcher: a run ended of an attempt that is not open: txn={txn:?}");
@@ -80,7 +80,8 @@
         }
     }
 
-    /// The end of a run is stored, or needs no storing: its client, the waiting attempts and the successor are told.
+    /// The end of a run is stored, or needs no storing: it is reported to its client, the waiting attempts and
+    /// the successor.
     pub(super) fn complete_run(&mut self, id: RequestId, completion: Completion) {
         let now = clock::now();
         let Some(attempt) = self.attempts.get(id) else { return };
@@ -120,7 +121,7 @@
         }
     }
 
-    /// The outcome of an attempt's key is known: the successor and the waiting attempts are told.
+    /// The outcome of an attempt's key is known: it is reported to the successor and the waiting attempts.
     fn complete_key(&mut self, id: RequestId, outcome: &StoredOutcome) {
         self.report_to_successor(id, RunState::from(outcome));
         let waiters = self.idempotency.complete(id, outcome.clone());
@@ -183,7 +184,7 @@
             return self.send_to_backend(&request);
         }
         if granted {
-            // Its client has had an answer, or has gone, so nobody waits for the run.
+            // Its client has an answer or has cancelled, so nobody waits for the run.
             self.store_outcome(id, &StoredOutcome::NeverStarted);
         }
         self.run_ended(&request.txn, Completion::NeverStarted);
--- a/node/src/exchange.rs
+++ b/node/src/exchange.rs
@@ -102,7 +102,7 @@
         id
     }
 
-    /// The client of a submission has gone, so no answer is owed.
+    /// The client of a submission has disconnected or cancelled it, so it gets no answer.
     pub(crate) async fn cancelled(&self, id: SubmissionId) {
         self.send(DispatcherEvent::Cancelled(id)).await;
     }
@@ -163,7 +163,7 @@
     }
 
     async fn send(&self, event: DispatcherEvent) {
-        // The dispatcher ends only with the process; then nobody is owed anything.
+        // The dispatcher ends only with the process; then the event concerns nobody.
         let _ = self.events.send(event).await;
     }
 }
--- a/node/src/exchange/event.rs
+++ b/node/src/exchange/event.rs
@@ -8,12 +8,12 @@
 use crate::clock::Unix;
 use crate::outcome::{Completion, IdempotencyRecord};
 
-/// What the dispatcher is told.
+/// An event for the dispatcher.
 #[derive(Debug)]
 pub(crate) enum DispatcherEvent {
     /// A frontend has read a request.
     Submitted(Submission),
-    /// The client of this submission has gone: its responder is void.
+    /// The client of this submission has disconnected or cancelled it: its responder is void.
     Cancelled(SubmissionId),
     /// A backend reports.
     Backend(BackendEvent),
@@ -30,7 +30,7 @@
         /// Their digest in decision records.
         digest: String,
     },
-    /// A successor process takes over; it is told here what this one knows.
+    /// A successor process takes over; the state of this one is sent to it here.
     HandOver(mpsc::Sender<HandoverState>),
     /// The successor process has ended.
     SuccessorLost,
--- a/node/src/run_gate.rs
+++ b/node/src/run_gate.rs
@@ -5,6 +5,7 @@
 //! them has recorded that, and its end is reported only once each has stored it. Without either everything is granted
 //! at once.
 
+mod event;
 mod pending;
 
 use std::rc::Rc;
@@ -18,10 +19,11 @@
 use crate::clock::Unix;
 use crate::exchange::Request;
 use crate::metrics::Metrics;
-use crate::outcome::{BodyDigest, Completion, IdempotencyKey, IdempotencyRecord, StoredOutcome};
-use crate::peers::{Asked, Peers};
-use crate::result_store::record::{Record, State};
-use crate::result_store::{ResultStore, Told};
+use crate::outcome::{BodyDigest, Completion, IdempotencyKey, StoredOutcome};
+use crate::peers::{ClaimParameters, Peers};
+use crate::result_store::record::{Record, RecordState};
+use crate::result_store::{ResultStore, StoreEvent};
+pub(crate) use event::{Authorization, GateEvent};
 use pending::{PendingRun, PendingRuns, Vote};
 
 /// The run of an attempt that holds a key.
@@ -39,41 +41,6 @@
     pub(crate) expires_at: Unix,
 }
 
-/// Whether a run may start.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) enum Authorization {
-    /// It may.
-    Granted,
-    /// It may not, and never will.
-    Denied,
-    /// A [`GateEvent`] follows.
-    Pending,
-}
-
-/// What the run gate reports later, as it could not be known at once.
-#[derive(Debug)]
-pub(crate) enum GateEvent {
-    /// Whether the run of an attempt may start.
-    Authorized {
-        /// The attempt.
-        id: RequestId,
-        /// If not, the run has never started.
-        granted: bool,
-    },
-    /// The run must not start, as another node may run its key. The outcome of that follows.
-    RunningElsewhere(RequestId),
-    /// The outcome of another node's run of the key; the run must not start.
-    RemoteOutcome(RequestId, StoredOutcome),
-    /// The outcome of another node's run is not known in time, or too few replicas have the result of the own run.
-    OutcomeUnknown(RequestId),
-    /// The key came with another body before.
-    BodyMismatch(RequestId),
-    /// The run has ended so, and that is stored.
-    Completed(RequestId, Completion),
-    /// What the store had from earlier processes.
-    Recovered(Vec<IdempotencyRecord>),
-}
-
 /// Everything that keeps keys beyond the process, if anything does.
 #[derive(Default)]
 pub(crate) struct RunGate {
@@ -89,15 +56,15 @@
         RunGate { store, peers, pending: PendingRuns::default() }
     }
 
-    /// Adds the figures of the store and the peers to the metrics.
+    /// Adds the counters of the store and the peers to the metrics.
     pub(crate) fn register_metrics(&self, metrics: &Metrics) {
         if let Some(store) = &self.store {
-            let tally = store.tally.clone();
-            metrics.register(Box::new(move || tally.all()));
+            let store = store.metrics.clone();
+            metrics.register(Box::new(move || store.values()));
         }
         if let Some(peers) = &self.peers {
-            let shown = peers.shown.clone();
-            metrics.register(Box::new(move || shown.all()));
+            let peers = peers.metrics.clone();
+            metrics.register(Box::new(move || peers.values()));
         }
     }
 
@@ -108,23 +75,23 @@
 
     /// The version of the membership configuration; 0 without peers.
     pub(crate) fn membership_version(&self) -> u64 {
-        self.peers.as_ref().map_or(0, |peers| peers.shown.list.get())
+        self.peers.as_ref().map_or(0, |peers| peers.metrics.membership_version.get())
     }
 
     /// Whether a key that is not known may have run, as its record in the store may be damaged.
     pub(crate) fn may_have_run(&self, key: &[u8], now: Unix) -> bool {
-        self.store.as_ref().is_some_and(|store| store.doubts.doubts(key, now))
+        self.store.as_ref().is_some_and(|store| store.uncertain_keys.contains(key, now))
     }
 
     /// Takes over from another process of this node, once that releases the store. With `recover`, what it left there
     /// is reported as [`GateEvent::Recovered`]; otherwise it has been transferred by other means.
     pub(crate) fn take_over(&mut self, recover: bool) {
         if let Some(store) = &mut self.store {
-            store.take_over(recover);
+            store.open_after_predecessor(recover);
         }
         if let Some(peers) = &self.peers {
             peers.resume();
-            peers.beside(!recover);
+            peers.set_predecessor_running(!recover);
         }
     }
 
@@ -132,17 +99,17 @@
     pub(crate) fn predecessor_ended(&self) {
         if let Some(peers) = &self.peers {
             peers.resume();
-            peers.beside(false);
+            peers.set_predecessor_running(false);
         }
     }
 
     /// Leaves the store and the peers to the successor process. These runs may still start here.
     pub(crate) fn hand_over(&mut self, runs: &[KeyedRun]) {
         for run in runs {
-            self.write(run, State::Begun, Bytes::new());
+            self.write(run, RecordState::Started, Bytes::new());
         }
         if let Some(store) = &mut self.store {
-            store.recorder = None;
+            store.writer = None;
         }
         if let Some(peers) = &self.peers {
             peers.retire();
@@ -152,10 +119,10 @@
     /// Asks whether a run may start. An attempt without a key always may.
     pub(crate) fn authorize_run(&mut self, run: Option<KeyedRun>) -> Authorization {
         let Some(run) = run.filter(|_| self.is_durable()) else { return Authorization::Granted };
-        let store = self.write(&run, State::Begun, Bytes::new());
+        let store = self.write(&run, RecordState::Started, Bytes::new());
         let peers = if store == Vote::No { Vote::No } else { self.claim(&run) };
         if store == Vote::Pending && peers == Vote::No {
-            self.write(&run, State::Freed, Bytes::new());
+            self.write(&run, RecordState::NeverStarted, Bytes::new());
             return Authorization::Denied;
         }
         match store.and(peers) {
@@ -172,7 +139,7 @@
     fn claim(&self, run: &KeyedRun) -> Vote {
         let Some(peers) = &self.peers else { return Vote::Yes };
         let Some(request) = &run.request else { return Vote::No };
-        let asked = peers.want(&Asked {
+        let asked = peers.request_claim(&ClaimParameters {
             id: run.id,
             key: run.key.clone(),
             body: &request.body[..],
@@ -217,7 +184,7 @@
         let Some(peers) = &self.peers else { return Vote::Yes };
         match outcome {
             StoredOutcome::Succeeded(result) => {
-                if peers.ended(id, RunResult::Succeeded(result)) {
+                if peers.run_finished(id, RunResult::Succeeded(result)) {
                     Vote::Pending
                 } else {
                     Vote::No
@@ -225,7 +192,7 @@
             }
             StoredOutcome::Failed | StoredOutcome::NeverStarted => {
                 // Nobody waits for that, as a failure promises nothing.
-                peers.ended(id, RunResult::Failed);
+                peers.run_finished(id, RunResult::Failed);
                 Vote::Yes
             }
         }
@@ -249,7 +216,7 @@
     /// A run never started and never will.
     pub(crate) fn run_never_started(&mut self, id: RequestId) {
         if let Some(peers) = &self.peers {
-            peers.never_ran(id);
+            peers.run_never_started(id);
         }
     }
 
@@ -264,20 +231,27 @@
     /// Writes the outcome of a run to the store.
     fn write_outcome(&self, run: &KeyedRun, outcome: &StoredOutcome) -> Vote {
         match outcome {
-            StoredOutcome::Succeeded(result) => self.write(run, State::Done, result.clone()),
-            StoredOutcome::Failed => self.write(run, State::Failed, Bytes::new()),
-            StoredOutcome::NeverStarted => self.write(run, State::Freed, Bytes::new()),
+            StoredOutcome::Succeeded(result) => self.write(run, RecordState::Succeeded, result.clone()),
+            StoredOutcome::Failed => self.write(run, RecordState::Failed, Bytes::new()),
+            StoredOutcome::NeverStarted => self.write(run, RecordState::NeverStarted, Bytes::new()),
         }
     }
 
     /// Writes a record to the store. Without a store, or while another process has it, there is nothing to wait for.
-    fn write(&self, run: &KeyedRun, state: State, result: Bytes) -> Vote {
-        let recorder = self.store.as_ref().and_then(|store| store.recorder.as_ref());
-        let Some(recorder) = recorder else { return Vote::Yes };
-        let KeyedRun { id, body_digest: BodyDigest(body), expires_at: until, .. } = *run;
-        let key = run.key.clone();
-        let record = Record { number: 0, at: Duration::ZERO, until, body, state, key, result };
-        if recorder.write(id, record) {
+    fn write(&self, run: &KeyedRun, state: RecordState, result: Bytes) -> Vote {
+        let writer = self.store.as_ref().and_then(|store| store.writer.as_ref());
+        let Some(writer) = writer else { return Vote::Yes };
+        let record = Record {
+            // The store sets both when it writes the record.
+            number: 0,
+            written_at: Duration::ZERO,
+            expires_at: run.expires_at,
+            body_digest: run.body_digest.0,
+            state,
+            key: run.key.clone(),
+            result,
+        };
+        if writer.write(run.id, record) {
             Vote::Pending
         } else {
             Vote::No
@@ -290,13 +264,13 @@
             let RunGate { store, peers, .. } = self;
             let store_event = async {
                 match store {
-                    Some(store) => store.told().await,
+                    Some(store) => store.next_event().await,
                     None => std::future::pending().await,
                 }
             };
             let claim_outcome = async {
                 match peers {
-                    Some(peers) => peers.told().await,
+                    Some(peers) => peers.next_outcome().await,
                     None => std::future::pending().await,
                 }
             };
@@ -310,17 +284,17 @@
         }
     }
 
-    fn on_store_event(&mut self, event: Told) -> Option<GateEvent> {
+    fn on_store_event(&mut self, event: StoreEvent) -> Option<GateEvent> {
         match event {
-            Told::Written(id, written) => {
+            StoreEvent::Written(id, written) => {
                 self.pending.waiting_for_store(id)?.store = Vote::of(written);
                 self.resolve(id)
             }
-            Told::Opened(recovered) => {
+            StoreEvent::Opened(recovered) => {
                 let store = self.store.as_mut()?;
-                store.doubts = recovered.doubts;
+                store.uncertain_keys = recovered.uncertain_keys;
                 // Otherwise the predecessor has transferred all this, and more of late.
-                store.recalls.then_some(GateEvent::Recovered(recovered.keys))
+                store.loads_keys.then_some(GateEvent::Recovered(recovered.keys))
             }
         }
     }
@@ -363,10 +337,10 @@
         }
     }
 
-    /// A run that waited does not start here: the store is told that its key is free.
+    /// A run that waited does not start here: the store records that its key is free.
     fn cancel_start(&mut self, id: RequestId) {
         if let Some(run) = self.pending.remove(id) {
-            self.write(&run, State::Freed, Bytes::new());
+            self.write(&run, RecordState::NeverStarted, Bytes::new());
         }
     }
 
@@ -377,7 +351,7 @@
         let PendingRun { run, completion, store, peers } = resolved;
         let Some(completion) = completion else {
             if denied && store != Vote::No {
-                self.write(&run, State::Freed, Bytes::new());
+                self.write(&run, RecordState::NeverStarted, Bytes::new());
             }
             if denied && peers != Vote::No {
                 self.run_never_started(id);
