--- a/node/src/dispatcher.rs
+++ b/node/src/dispatcher.rs
@@ -121,8 +121,8 @@
 
     /// Records decisions in this log from now on.
     pub(crate) fn set_decision_log(&mut self, decision_log: DecisionLog) {
-        let tally = decision_log.metrics.clone();
-        self.endpoints.metrics.register(Box::new(move || tally.values()));
+        let metrics = decision_log.metrics.clone();
+        self.endpoints.metrics.register(Box::new(move || metrics.values()));
         self.decision_log = Some(decision_log);
     }
 
@@ -185,7 +185,7 @@
         let total = clock::jumped();
         if total > self.observed_clock_jump {
             let by = total - std::mem::replace(&mut self.observed_clock_jump, total);
-            log!("the clock has jumped ahead by {} ms", by.as_millis());
+            log!("dispatcher: the clock has jumped ahead: milliseconds={}", by.as_millis());
             self.idempotency.extend_all(by);
         }
     }
@@ -234,7 +234,7 @@
         match event {
             BackendEvent::Up { cold } => self.start_admission(cold),
             BackendEvent::Ended(txn, completion) => self.run_ended(&txn, completion),
-            BackendEvent::CallNeeded(txn, body) => self.call_needed(&txn, body),
+            BackendEvent::CallNeeded { txn, body } => self.call_needed(&txn, body),
             BackendEvent::CallEnded(txn, outcome) => self.call_ended(&txn, outcome),
             BackendEvent::Gauges(values) => {
                 let gauges = oakwind_settings::gauges(&self.settings.gauges, &values);
@@ -315,3 +315,6 @@
         });
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/node/src/dispatcher/handover.rs
+++ b/node/src/dispatcher/handover.rs
@@ -19,8 +19,8 @@
 use crate::outcome::{Completion, IdempotencyRecord, RunState, StoredOutcome};
 use crate::run_gate::KeyedRun;
 
-/// The idempotency table is transferred this long after clients are told to connect to the successor. Requests that they
-/// sent before they heard of it still run here.
+/// The idempotency table is transferred this long after clients are sent to the successor. Requests that cross that
+/// notification still run here.
 const TRANSFER_DELAY: Duration = Duration::from_millis(100);
 
 /// What the dispatcher keeps for a handover, in either direction.
@@ -105,7 +105,7 @@
     fn send_to_successor(&mut self, state: HandoverState) {
         let Some(successor) = &self.handover.successor else { return };
         if successor.updates.try_send(state).is_err() {
-            log!("handover: the successor can't be told anything more");
+            log!("handover: the queue of updates is full, the successor gets no more of them");
             self.handover.successor = None;
         }
     }
@@ -136,7 +136,7 @@
         self.admit_withheld();
     }
 
-    /// Starts to store the outcome of a predecessor's run, so that nobody hears of it before it is stored. Returns the
+    /// Starts to store the outcome of a predecessor's run, so that it is stored before it is reported. Returns the
     /// key's holder if the run gate reports later, `None` if there is nothing to wait for.
     fn start_storing(&mut self, record: &IdempotencyRecord) -> Option<RequestId> {
         if !self.run_gate.is_durable() {
--- a/node/src/exchange.rs
+++ b/node/src/exchange.rs
@@ -18,7 +18,7 @@
 pub(crate) use crate::outcome::{Completion, RequestOutcome};
 pub(crate) use command::{CallCommand, RunCommand};
 pub(crate) use event::{BackendEvent, CallOutcome, DispatcherEvent, HandoverState};
-pub(crate) use request::{Request, Responder, Submission, SubmissionId};
+pub(crate) use request::{Request, Responder, Submission, SubmissionId, TransactionId};
 pub(crate) use status::{NodeStatus, Shutdown};
 
 /// Events that may wait for the dispatcher. Who has more to report waits with them.
@@ -102,7 +102,7 @@
         id
     }
 
-    /// The client of a submission has gone, so no answer is owed.
+    /// The client of a submission has disconnected or cancelled it, so it gets no answer.
     pub(crate) async fn cancelled(&self, id: SubmissionId) {
         self.send(DispatcherEvent::Cancelled(id)).await;
     }
@@ -163,7 +163,7 @@
     }
 
     async fn send(&self, event: DispatcherEvent) {
-        // The dispatcher ends only with the process; then nobody is owed anything.
+        // The dispatcher ends only with the process; then the event concerns nobody.
         let _ = self.events.send(event).await;
     }
 }
