--- a/node/src/config/fleet.rs
+++ b/node/src/config/fleet.rs
@@ -6,7 +6,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use oakwind_fleet::membership_config::{Member, MembershipConfig, MembershipSpec, NodeId};
+use oakwind_fleet::ids::{ConfigVersion, NodeId};
+use oakwind_fleet::membership_config::{Member, MembershipConfig, MembershipSpec};
 use serde::Deserialize;
 
 use super::error::ConfigError;
@@ -171,7 +172,7 @@
 
     /// Fails unless this node is a member of the fleet, which it has to be when it starts.
     pub(super) fn check_membership(&self) -> Result<(), ConfigError> {
-        if self.membership.place(NodeId::of(&self.name)).is_none() {
+        if self.membership.index_of(NodeId::of(&self.name)).is_none() {
             let problem = format!("{:?} is not on the list", self.name);
             return Err(ConfigError::inconsistent("fleet file, name", problem));
         }
@@ -189,8 +190,8 @@
             Ok(Member { name: member.name, address, zone: member.zone })
         });
         let spec = MembershipSpec {
-            number: raw.number,
-            copies: raw.copies,
+            version: ConfigVersion(raw.number),
+            replicas: raw.copies,
             window: Duration::from_millis(raw.window_ms),
             members: members.collect::<Result<_, ConfigError>>()?,
         };
--- a/node/src/handover/predecessor.rs
+++ b/node/src/handover/predecessor.rs
@@ -44,7 +44,7 @@
     }
 }
 
-/// What became of a process that connected.
+/// How a handover ended.
 #[derive(Debug, PartialEq)]
 pub(super) enum HandoverOutcome {
     /// It only asked whether a process serves here, or did not ask to take over.
@@ -55,7 +55,7 @@
     Superseded,
 }
 
-/// Hands over to the next process that connects. Returns once it is known what became of that.
+/// Hands over to the next process that connects. Returns once it is known how that ended.
 pub(super) async fn hand_over(listener: &UnixListener, exchange: &Exchange) -> HandoverOutcome {
     let mut successor = match listener.accept().await {
         Ok((successor, _)) => successor,
--- a/node/src/peers/completeness_marker.rs
+++ b/node/src/peers/completeness_marker.rs
@@ -4,6 +4,7 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
+use oakwind_fleet::ids::Incarnation;
 use oakwind_fleet::staleness::StatePosition;
 
 use crate::log;
@@ -30,7 +31,10 @@
     pub(crate) fn read(&self) -> Option<StatePosition> {
         let text = fs::read_to_string(self.folder.join(MARKER_FILE)).ok()?;
         let (incarnation, seconds) = text.trim_end().split_once(' ')?;
-        Some(StatePosition { incarnation: incarnation.parse().ok()?, seconds: seconds.parse().ok()? })
+        Some(StatePosition {
+            incarnation: Incarnation(incarnation.parse().ok()?),
+            uptime_seconds: seconds.parse().ok()?,
+        })
     }
 
     /// The folder is complete from now on.
@@ -46,8 +50,9 @@
             return;
         }
         let temporary = self.folder.join(TEMPORARY_FILE);
-        let written = fs::write(&temporary, format!("{} {}\n", position.incarnation, position.seconds))
-            .and_then(|()| fs::rename(&temporary, self.folder.join(MARKER_FILE)));
+        let written =
+            fs::write(&temporary, format!("{} {}\n", position.incarnation, position.uptime_seconds))
+                .and_then(|()| fs::rename(&temporary, self.folder.join(MARKER_FILE)));
         match written {
             Ok(()) => self.written = Some(position),
             Err(e) => log!("fleet: the completeness marker of the vote store is not written: error={e}"),
--- a/node/src/peers/completeness_marker/tests.rs
+++ b/node/src/peers/completeness_marker/tests.rs
@@ -10,7 +10,8 @@
 #[test]
 fn the_marker_tells_the_next_process_which_position_the_last_one_reached() {
     let folder = test_folder("position");
-    let position = |seconds| StatePosition { incarnation: 1_764_000_000_000_000, seconds };
+    let position =
+        |uptime_seconds| StatePosition { incarnation: Incarnation(1_764_000_000_000_000), uptime_seconds };
     let mut marker = CompletenessMarker::new(&folder, false);
     marker.advance(position(1));
     assert_eq!(marker.read(), None, "the folder is not complete yet");
@@ -32,7 +33,7 @@
 #[test]
 fn the_marker_is_a_line_with_the_incarnation_and_its_seconds() {
     let folder = test_folder("text");
-    let position = StatePosition { incarnation: 1_796_189_499_690_723, seconds: 3 };
+    let position = StatePosition { incarnation: Incarnation(1_796_189_499_690_723), uptime_seconds: 3 };
     CompletenessMarker::new(&folder, true).advance(position);
     assert_eq!(fs::read_to_string(folder.join("sound")).unwrap(), "1796189499690723 3\n");
     fs::remove_dir_all(&folder).unwrap();
--- a/node/src/peers/connection.rs
+++ b/node/src/peers/connection.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
+use oakwind_fleet::ids::LinkId;
 use oakwind_fleet::message::Message;
-use oakwind_fleet::replica_table::LinkId;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, Notify};
--- a/node/src/peers/links.rs
+++ b/node/src/peers/links.rs
@@ -10,9 +10,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use oakwind_fleet::membership_config::NodeId;
+use oakwind_fleet::ids::{Incarnation, LinkId, NodeId};
 use oakwind_fleet::message::Message;
-use oakwind_fleet::replica_table::LinkId;
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 
@@ -68,7 +67,7 @@
     /// The node.
     pub(crate) node: NodeId,
     /// The incarnation of the node that the process is.
-    pub(crate) incarnation: u64,
+    pub(crate) incarnation: Incarnation,
 }
 
 /// A link that was closed, if this node had dialed it.
@@ -121,7 +120,7 @@
     /// A table without links, for at most `max_links` each way.
     pub(crate) fn new(max_links: usize, events: mpsc::Sender<LinkEvent>) -> LinkTable {
         LinkTable {
-            next_id: 1,
+            next_id: LinkId(1),
             links: HashMap::new(),
             dialed: HashMap::new(),
             backoffs: HashMap::new(),
@@ -174,7 +173,7 @@
         self.dialed.insert(node, link);
         let mut hello = hello();
         if let Message::Hello(hello) = &mut hello {
-            hello.cut = self.overflowed.remove(&node);
+            hello.link_cut = self.overflowed.remove(&node);
         }
         self.send_on(link, &hello);
         Ok(link)
@@ -210,7 +209,7 @@
 
     fn open(&mut self, origin: Origin, dialed: Option<NodeId>) -> LinkId {
         let link = self.next_id;
-        self.next_id += 1;
+        self.next_id = link.next();
         let output = OutputQueue::new();
         let state = LinkState { output: output.clone(), remote: None, dialed, last_used: clock::now() };
         self.links.insert(link, state);
--- a/node/src/peers/links/tests.rs
+++ b/node/src/peers/links/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
 use crate::peers::message_codec::{decode, Decoded, PREAMBLE};
 use bytes::{Bytes, BytesMut};
+use oakwind_fleet::ids::ConfigVersion;
 use oakwind_fleet::key_state::{ClaimId, CompletedRun, RunResult};
 use oakwind_fleet::message::Hello;
 use tokio::io::AsyncReadExt;
@@ -16,15 +17,23 @@
 
 fn hello() -> Message {
     let name = "n1".into();
-    let (lists, seconds, kept) = (vec![], 0, None);
-    Message::Hello(Hello { name, to: PEER, incarnation: 1, lists, over: 0, cut: false, seconds, kept })
+    Message::Hello(Hello {
+        name,
+        to: PEER,
+        incarnation: Incarnation(1),
+        configs: vec![],
+        retired_through: ConfigVersion(0),
+        link_cut: false,
+        uptime_seconds: 0,
+        restored: None,
+    })
 }
 
 fn large() -> Message {
-    let claim = ClaimId { node: NodeId(1), incarnation: 1, number: 1 };
-    let fate = RunResult::Succeeded(Bytes::from(vec![7; 60_000]));
-    let end = CompletedRun { received_at: 1, place: 0, claim, fate, body: 1 };
-    Message::Ended { key: "k".into(), keep_ms: 1, end }
+    let claim = ClaimId { node: NodeId(1), incarnation: Incarnation(1), number: 1 };
+    let result = RunResult::Succeeded(Bytes::from(vec![7; 60_000]));
+    let run = CompletedRun { received_at: 1, node_index: 0, claim, result, body: 1 };
+    Message::Completed { key: "k".into(), retain_ms: 1, run }
 }
 
 #[test]
@@ -58,7 +67,7 @@
                 }
             }
         };
-        assert!(matches!(first, Decoded::Message(Message::Hello(Hello { cut: true, .. }))), "{first:?}");
+        assert!(matches!(first, Decoded::Message(Message::Hello(Hello { link_cut: true, .. }))), "{first:?}");
     });
 }
 
@@ -77,7 +86,7 @@
             clock::until(clock::now() + Duration::from_millis(2)).await;
         }
         let Some(LinkEvent::Closed(first)) = events.recv().await else { panic!("one is closed") };
-        assert_eq!((first, links.remove(first)), (1, None));
+        assert_eq!((first, links.remove(first)), (LinkId(1), None));
         assert_eq!(links.len(), 2);
     });
 }
--- a/node/src/peers/message_codec/tests/golden.rs
+++ b/node/src/peers/message_codec/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Golden bytes of a link: what it begins with, and the head before each message. The messages themselves are pinned
+//! Golden bytes of a link: what it begins with, and the header before each message. The messages themselves are pinned
 //! beside their types, in `fleet/tests/golden.rs`.
 
 use super::*;
@@ -7,21 +7,21 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Length and check of the message, four bytes each, and then the message.
+/// Length and checksum of the message, four bytes each, and then the message.
 #[test]
 fn a_message_on_a_link_keeps_its_bytes() {
     assert_eq!(PREAMBLE, b"OAKPEER1");
-    let ping = Message::Ping { seq: 1044, seconds: 1045, rumors: vec![] };
-    let ack = Message::Ack { seq: 1046, seconds: 1047, rumors: vec![] };
+    let ping = Message::Ping { seq: 1044, uptime_seconds: 1045, gossip: vec![] };
+    let ack = Message::Ack { seq: 1046, uptime_seconds: 1047, gossip: vec![] };
     let golden = [("00000006c4071f31049408950800", ping), ("0000000667a4360f059608970800", ack)];
     let mut written = BytesMut::new();
-    for (bytes, frame) in &golden {
+    for (bytes, message) in &golden {
         let before = written.len();
-        encode(&mut written, frame);
-        assert_eq!(hexadecimal(&written[before..]), *bytes, "{frame:?}");
+        encode(&mut written, message);
+        assert_eq!(hexadecimal(&written[before..]), *bytes, "{message:?}");
     }
-    for (_, frame) in golden {
-        assert_eq!(decode(&mut written), Ok(Some(Decoded::Message(frame))));
+    for (_, message) in golden {
+        assert_eq!(decode(&mut written), Ok(Some(Decoded::Message(message))));
     }
     assert!(written.is_empty());
 }
--- a/node/src/peers/mod.rs
+++ b/node/src/peers/mod.rs
@@ -1,561 +1,187 @@
-//! Talk among the nodes of a fleet: what the decisions of `oakwind-fleet` say goes out on links, what comes in goes to
-//! them, and what they tell a try goes to the keeper. No decision is made here.
+//! The fleet's I/O: the links with other nodes, their messages and the folder of votes. What the replica node of
+//! `oakwind-fleet` decides is carried out here, and what arrives goes to it; no decision is made here.
+//!
+//! The run gate has a [`Peers`] handle. Behind it the task of a [`PeerDriver`] owns everything else: a [`replica_host`]
+//! with the replica node and the [`links`], and the [`vote_store`].
 
 mod completeness_marker;
 mod connection;
-pub mod links;
-pub mod message_codec;
+mod driver;
+pub(crate) mod links;
+pub(crate) mod message_codec;
+mod metrics;
+mod monotonic_clock;
+mod replica_host;
 mod vote_store;
 
-use std::cell::{Cell, RefCell};
-use std::collections::VecDeque;
 use std::io;
+use std::net::SocketAddr;
 use std::rc::Rc;
-use std::time::{Duration, Instant};
 
 use bytes::Bytes;
 use oakwind_admission::RequestId;
 use oakwind_fleet::claim_coordinator::{AttemptId, ClaimOutcome, RunRequest};
-use oakwind_fleet::key_state::{ClaimId, RunResult};
-use oakwind_fleet::membership_config::NodeId;
-use oakwind_fleet::message::{Hello, Message, RejectReason};
-use oakwind_fleet::replica_node::{Action, Event, Notification, ReplicaMetrics, ReplicaNode, Settings, TICK};
-use oakwind_fleet::replica_table::{Change, LinkId};
-use oakwind_fleet::Time;
+use oakwind_fleet::ids::Incarnation;
+use oakwind_fleet::key_state::RunResult;
+use oakwind_fleet::replica_node::Event;
 use sha2::{Digest, Sha256};
-use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
 use crate::clock::{self, Unix};
-use crate::config::FleetConfig as Config;
+use crate::config::FleetConfig;
 use crate::exchange::Exchange;
-use crate::result_store::{ResultStore, StoreEvent};
-use crate::{log, sockets};
-use completeness_marker::CompletenessMarker;
-use links::{ClosedLink, LinkEvent, LinkTable, RemoteProcess};
-use vote_store::OpenVoteStore;
-
-/// What may wait for the peers, and what they may have to tell; who finds no room is turned away.
-const WAITING: usize = 4096;
-/// Frames that may wait; who sends more waits.
-const INBOX: usize = 1024;
-
-/// This node's own clock: it does not go back when the system's does, nor stand still while the process does.
-#[derive(Debug, Clone, Copy)]
-struct Steady {
-    begun: Instant,
-}
-
-impl Steady {
-    fn now(&self) -> Time {
-        // An hour ahead, so that what was before the process has a time too.
-        Duration::from_secs(3600) + self.begun.elapsed()
-    }
-
-    /// A point on the Unix clock.
-    fn of(&self, at: Unix) -> Time {
-        let (now, unix) = (self.now(), clock::now());
-        if at >= unix {
-            now + (at - unix)
-        } else {
-            now.saturating_sub(unix - at)
-        }
-    }
-}
-
-/// A run as the peers are asked about it.
-pub struct ClaimParameters<'a> {
-    /// The try.
-    pub id: RequestId,
+use crate::log;
+use crate::result_store::StoreError;
+pub(crate) use driver::PeerDriver;
+use metrics::PeerMetrics;
+use monotonic_clock::MonotonicClock;
+
+/// Events that may wait for the driver, and outcomes that may wait to be read. A request beyond that is rejected.
+const QUEUE_CAPACITY: usize = 4096;
+/// Bytes of a body's SHA-256 digest that tell bodies apart.
+const BODY_DIGEST_BYTES: usize = 16;
+
+/// Why a node cannot take its place in its fleet.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum PeerStartError {
+    /// The address cannot be listened on.
+    #[error("fleet file, listen: {address}: {source}")]
+    Listen {
+        /// The address.
+        address: SocketAddr,
+        /// Why not.
+        source: io::Error,
+    },
+    /// The folder of votes cannot be opened.
+    #[error("fleet file, {0}")]
+    VoteStore(#[from] StoreError),
+}
+
+/// The run of an attempt, for which the peers are asked for a claim.
+pub(crate) struct ClaimParameters<'a> {
+    /// The attempt.
+    pub(crate) id: RequestId,
     /// Its key.
-    pub key: Bytes,
+    pub(crate) key: Bytes,
     /// Its body.
-    pub body: &'a [u8],
-    /// How long the key is remembered.
-    pub expires_at: Unix,
-    /// When its request came.
-    pub received_at: Unix,
+    pub(crate) body: &'a [u8],
+    /// When the key expires.
+    pub(crate) expires_at: Unix,
+    /// When its request was received.
+    pub(crate) received_at: Unix,
     /// When its caller stops waiting.
-    pub deadline: Unix,
+    pub(crate) deadline: Unix,
 }
 
-/// What operators see of it.
-#[derive(Debug, Default)]
-pub struct PeerMetrics {
-    figures: Cell<ReplicaMetrics>,
-    /// The number of the list that it goes by.
-    pub membership_version: Cell<u64>,
-    others: RefCell<Vec<(&'static str, u64)>>,
+/// The run gate's handle on the fleet.
+pub(crate) struct Peers {
+    events: mpsc::Sender<Event>,
+    outcomes: mpsc::Receiver<(RequestId, ClaimOutcome)>,
+    clock: MonotonicClock,
+    /// Counters and gauges for operators.
+    pub(crate) metrics: Rc<PeerMetrics>,
 }
 
-impl PeerMetrics {
-    /// All figures by name.
-    pub fn values(&self) -> Vec<(&'static str, u64)> {
-        let figures = self.figures.get();
-        let mut all = vec![
-            ("fleet_granted", figures.granted),
-            ("fleet_turned", figures.turned),
-            ("fleet_became", figures.became),
-            ("fleet_unknown", figures.unknown),
-            ("fleet_held", figures.held),
-            ("fleet_unheld", figures.unheld),
-            ("fleet_votes", figures.votes),
-            ("fleet_votes_refused", figures.votes_refused),
-            ("fleet_learnt", figures.learnt),
-            ("fleet_given", figures.given),
-            ("fleet_conflicts", figures.conflicts),
-            ("fleet_slept", figures.slept),
-            ("fleet_sent_away", figures.sent_away),
-            ("fleet_outdated", figures.outdated),
-        ];
-        all.extend(self.others.borrow().iter());
-        all
+/// A node's place in its fleet: the handle, and the driver that is to be run. With a predecessor, which still has the address
+/// and the folder, the driver begins once that has let go of them.
+///
+/// # Errors
+///
+/// If the address or the folder cannot be used.
+pub(crate) fn new(
+    config: FleetConfig,
+    seed: u64,
+    has_predecessor: bool,
+    exchange: Exchange,
+) -> Result<(Peers, PeerDriver), PeerStartError> {
+    let (events, event_receiver) = mpsc::channel(QUEUE_CAPACITY);
+    let (outcome_sender, outcomes) = mpsc::channel(QUEUE_CAPACITY);
+    let clock = MonotonicClock::start();
+    let metrics = Rc::<PeerMetrics>::default();
+    let channels = driver::Channels { events: event_receiver, outcomes: outcome_sender, exchange };
+    let mut driver = PeerDriver::new(config, seed, clock, channels, metrics.clone());
+    if !has_predecessor {
+        driver.open()?;
     }
-}
-
-/// The keeper's part in it.
-pub struct Peers {
-    orders: mpsc::Sender<Event>,
-    told: mpsc::Receiver<(RequestId, ClaimOutcome)>,
-    clock: Steady,
-    /// What operators see.
-    pub metrics: Rc<PeerMetrics>,
+    Ok((Peers { events, outcomes, clock, metrics }, driver))
 }
 
 impl Peers {
-    /// Asks for a claim; false if there is no room to ask.
-    pub fn request_claim(&self, asked: &ClaimParameters) -> bool {
-        let digest = Sha256::digest(asked.body);
-        let wanted = RunRequest {
-            token: token(asked.id),
-            key: asked.key.clone(),
-            body: digest.iter().take(16).fold(0, |all, byte| all << 8 | u128::from(*byte)),
-            until: self.clock.of(asked.expires_at),
-            received_at: (self.clock.of(asked.received_at), clock::millis(asked.received_at)),
-            deadline: self.clock.of(asked.deadline),
-        };
-        self.order(Event::Want(wanted))
+    /// Asks for a claim; its outcome follows. Returns false if the queue is full, and then nothing follows.
+    pub(crate) fn request_claim(&self, claim: &ClaimParameters) -> bool {
+        self.send(Event::RunRequested(RunRequest {
+            attempt: attempt_of(claim.id),
+            key: claim.key.clone(),
+            body: body_digest(claim.body),
+            expires_at: self.clock.time_of(claim.expires_at),
+            received_at: self.clock.time_of(claim.received_at),
+            received_unix_ms: clock::millis(claim.received_at),
+            deadline: self.clock.time_of(claim.deadline),
+        }))
     }
 
-    /// A run has ended; false if there is no room to tell.
-    pub fn run_finished(&self, id: RequestId, fate: RunResult) -> bool {
-        self.order(Event::Ended(token(id), fate))
+    /// A run has finished; for a success [`ClaimOutcome::Replicated`] follows. Returns false if the queue is full.
+    pub(crate) fn run_finished(&self, id: RequestId, result: RunResult) -> bool {
+        self.send(Event::RunCompleted(attempt_of(id), result))
     }
 
-    /// A run never began.
-    pub fn run_never_started(&self, id: RequestId) -> bool {
-        self.order(Event::Release(token(id)))
+    /// A run never started. Returns false if the queue is full.
+    pub(crate) fn run_never_started(&self, id: RequestId) -> bool {
+        self.send(Event::RunCancelled(attempt_of(id)))
     }
 
-    /// Another process of this node takes over.
-    pub fn retire(&self) {
-        self.order(Event::Retire);
+    /// A successor takes over the node's place in the fleet.
+    pub(crate) fn deactivate(&self) {
+        self.send(Event::Deactivated);
     }
 
-    /// This process begins, or goes on, as the other one has let go or is gone.
-    pub fn resume(&self) {
-        self.order(Event::Resume(incarnation()));
+    /// This process takes the node's place in the fleet, as the other process has let go of it or is gone.
+    pub(crate) fn activate(&self) {
+        self.send(Event::Activated(incarnation_now()));
     }
 
-    /// Whether a process before this one may still run what it began.
-    pub fn set_predecessor_running(&self, beside: bool) {
-        self.order(Event::Beside(beside));
+    /// Whether a predecessor may still run what it started.
+    pub(crate) fn set_predecessor_running(&self, is_running: bool) {
+        self.send(Event::PredecessorAlive(is_running));
     }
 
-    fn order(&self, event: Event) -> bool {
-        let taken = self.orders.try_send(event).is_ok();
-        if !taken {
-            log!("fleet: no room for one more question to the peers");
-        }
-        taken
+    /// Where another membership configuration can be proposed.
+    pub(crate) fn event_sender(&self) -> mpsc::Sender<Event> {
+        self.events.clone()
     }
 
-    /// The way to tell it of another list.
-    pub fn lists(&self) -> mpsc::Sender<Event> {
-        self.orders.clone()
+    fn send(&self, event: Event) -> bool {
+        let sent = self.events.try_send(event).is_ok();
+        if !sent {
+            log!("fleet: event queue full: capacity={QUEUE_CAPACITY}");
+        }
+        sent
     }
 
-    /// The next that they have to say.
-    pub async fn next_outcome(&mut self) -> (RequestId, ClaimOutcome) {
-        match self.told.recv().await {
-            Some(told) => told,
+    /// The next outcome; it never comes once the driver has ended.
+    pub(crate) async fn next_outcome(&mut self) -> (RequestId, ClaimOutcome) {
+        match self.outcomes.recv().await {
+            Some(outcome) => outcome,
             None => std::future::pending().await,
         }
     }
 }
 
-fn token(id: RequestId) -> AttemptId {
+fn attempt_of(id: RequestId) -> AttemptId {
     AttemptId(u64::from(id.0))
 }
 
-fn incarnation() -> u64 {
-    u64::try_from(clock::now().as_micros()).unwrap_or(u64::MAX)
-}
-
-/// The task that talks to peers.
-pub struct Driver {
-    config: Config,
-    clock: Steady,
-    seed: u64,
-    orders: mpsc::Receiver<Event>,
-    tell: mpsc::Sender<(RequestId, ClaimOutcome)>,
-    metrics: Rc<PeerMetrics>,
-    /// Open before the task runs, unless a process before this one still has it.
-    listener: Option<TcpListener>,
-    /// The folder, if there is one and it is open.
-    opened: Option<OpenVoteStore>,
-    /// Where it learns that something runs requests, and tells whether front ends may come.
-    exchange: Exchange,
-}
-
-/// A node's talk with its peers, to be run. `beside` if a process before this one still has the address and the folder.
-///
-/// # Errors
-///
-/// One line that names the key in the file.
-pub fn new(config: Config, seed: u64, beside: bool, exchange: Exchange) -> Result<(Peers, Driver), String> {
-    let (orders, ordered) = mpsc::channel(WAITING);
-    let (tell, told) = mpsc::channel(WAITING);
-    let clock = Steady { begun: Instant::now() };
-    let metrics = Rc::<PeerMetrics>::default();
-    let mut driver = Driver {
-        clock,
-        seed,
-        orders: ordered,
-        tell,
-        metrics: metrics.clone(),
-        listener: None,
-        opened: None,
-        config,
-        exchange,
-    };
-    if !beside {
-        let address = driver.config.listen;
-        let listener = sockets::listen(address, false);
-        driver.listener = Some(listener.map_err(|e| format!("fleet file, listen: {address}: {e}"))?);
-        driver.opened = vote_store::open(&driver.config).map_err(|e| format!("fleet file, {e}"))?;
-    }
-    Ok((Peers { orders, told, clock, metrics }, driver))
-}
-
-impl Driver {
-    /// Waits until the process before lets go; false if there is nobody left to talk for.
-    async fn begins(&mut self) -> bool {
-        loop {
-            match self.orders.recv().await {
-                Some(Event::Resume(_)) => return true,
-                Some(Event::Want(wanted)) => {
-                    let said = ClaimOutcome::Rejected(RejectReason::Unheard);
-                    // The keeper ends only with the process.
-                    let _ = self.tell.send((request(wanted.token), said)).await;
-                }
-                Some(_) => {}
-                None => return false,
-            }
-        }
-    }
-
-    /// Talks for as long as the process. One that takes over begins when the process before lets go.
-    pub async fn run(mut self) {
-        if self.listener.is_none() {
-            if !self.begins().await {
-                return;
-            }
-            self.opened = vote_store::open_with_retries(&self.config).await;
-        }
-        let Driver { config, clock, seed, mut orders, tell, metrics, mut listener, opened, exchange } = self;
-        let (mut folder, kept) = match opened {
-            Some(opened) => (Some(opened.store), opened.restored),
-            None => (None, None),
-        };
-        let settings = Settings {
-            name: config.name.clone(),
-            incarnation: incarnation(),
-            seed,
-            bytes: config.max_replica_bytes,
-            bytes_per_s: config.transfer_bytes_per_second,
-            probe: config.probe_interval,
-            kept,
-            durable: folder.is_some(),
-        };
-        let (heard, mut inbox) = mpsc::channel(INBOX);
-        let marker = config
-            .vote_store
-            .as_ref()
-            .map(|folder| CompletenessMarker::new(&folder.folder, settings.kept.is_some()));
-        let state = exchange.status();
-        let mut talk = Talk {
-            fleet: ReplicaNode::new(settings, config.membership.clone(), clock.now()),
-            links: LinkTable::new(config.max_links / 2, heard),
-            clock,
-            marker,
-            later: VecDeque::new(),
-            unsaid: VecDeque::new(),
-            listens: true,
-            hold: None,
-        };
-        let mut runs = false;
-        if let Some(listener) = &listener {
-            log!("fleet: peers connect to {}", listener.local_addr().unwrap_or(config.listen));
-        }
-        let mut tick = tokio::time::interval(TICK);
-        tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-        loop {
-            if !talk.listens {
-                listener = None;
-            }
-            let event = tokio::select! {
-                biased;
-                _ = tick.tick() => {
-                    if talk.listens && listener.is_none() {
-                        // The process before this one may hold the address for a moment.
-                        listener = sockets::listen(config.listen, false).ok();
-                    }
-                    talk.show(&metrics);
-                    // Before anybody hears of it.
-                    talk.marks();
-                    let state = state.borrow();
-                    if state.health.is_some() && !std::mem::replace(&mut runs, true) {
-                        Some(Event::Cores(state.warm_at.map(|at| clock.of(at))))
-                    } else {
-                        Some(Event::Tick)
-                    }
-                }
-                ordered = orders.recv() => match ordered {
-                    Some(event) => Some(event),
-                    None => return,
-                },
-                Some(heard) = inbox.recv() => talk.heard(heard),
-                told = written(&mut folder) => match told {
-                    StoreEvent::Written { request, durable } => Some(Event::Stored(u64::from(request.0), durable)),
-                    StoreEvent::Opened(_) => None,
-                },
-                accepted = accept(&listener) => {
-                    match accepted {
-                        Ok(stream) => talk.links.accept(stream),
-                        Err(e) => {
-                            log!("fleet: a link was not accepted: {e}");
-                            clock::until(clock::now() + Duration::from_millis(20)).await;
-                        }
-                    }
-                    None
-                }
-            };
-            match &event {
-                // The process that takes over has it next.
-                Some(Event::Retire) => {
-                    folder = None;
-                    talk.marker.iter_mut().for_each(CompletenessMarker::release);
-                }
-                Some(Event::Resume(_)) if folder.is_none() => {
-                    folder = vote_store::open_with_retries(&config).await.map(|opened| opened.store);
-                }
-                _ => {}
-            }
-            if let Some(event) = event {
-                talk.take(event, &folder);
-            }
-            for (id, said) in talk.unsaid.drain(..) {
-                // The keeper ends only with the process.
-                let _ = tell.send((id, said)).await;
-            }
-            if let Some(held) = talk.hold.take() {
-                exchange.set_recovering(held).await;
-            }
-        }
-    }
-}
-
-fn request(token: AttemptId) -> RequestId {
-    RequestId(u32::try_from(token.0).unwrap_or(0))
+fn request_of(attempt: AttemptId) -> RequestId {
+    // Every attempt came from a request.
+    RequestId(u32::try_from(attempt.0).unwrap_or(0))
 }
 
-async fn accept(listener: &Option<TcpListener>) -> io::Result<TcpStream> {
-    match listener {
-        Some(listener) => listener.accept().await.map(|(stream, _)| stream),
-        None => std::future::pending().await,
-    }
+/// The incarnation that begins now. It is above those of earlier processes, as the clock is.
+fn incarnation_now() -> Incarnation {
+    Incarnation(u64::try_from(clock::now().as_micros()).unwrap_or(u64::MAX))
 }
 
-async fn written(folder: &mut Option<ResultStore>) -> StoreEvent {
-    match folder {
-        Some(folder) => folder.next_event().await,
-        None => std::future::pending().await,
-    }
-}
-
-/// The decisions and the links.
-struct Talk {
-    fleet: ReplicaNode,
-    links: LinkTable,
-    clock: Steady,
-    /// What says in the folder whether that can be relied on.
-    marker: Option<CompletenessMarker>,
-    /// What follows from what was done.
-    later: VecDeque<Event>,
-    /// What tries are to be told.
-    unsaid: VecDeque<(RequestId, ClaimOutcome)>,
-    /// Whether peers may connect here.
-    listens: bool,
-    /// Whether front ends are to be held off, where that has changed.
-    hold: Option<bool>,
-}
-
-impl Talk {
-    /// What a link has to tell, as the decisions take it.
-    fn heard(&mut self, heard: LinkEvent) -> Option<Event> {
-        match heard {
-            LinkEvent::Received(link, frame) => {
-                if let Message::Hello(hello) = &frame {
-                    self.greeted(link, hello)?;
-                }
-                let Some(RemoteProcess { node: from, incarnation }) = self.links.remote(link) else {
-                    log!(
-                        "fleet: link closed, its peer sent invalid data: error=the first message is no hello"
-                    );
-                    self.links.close(link);
-                    return None;
-                };
-                Some(Event::Heard { link, from, incarnation, frame })
-            }
-            LinkEvent::Closed(link) => match self.links.remove(link)? {
-                ClosedLink { node, was_identified: true } => Some(Event::Broken(node)),
-                ClosedLink { node, was_identified: false } => Some(Event::Unreached(node)),
-            },
-        }
-    }
-
-    /// The other end of a link says who it is; none if that can't be.
-    fn greeted(&mut self, link: LinkId, hello: &Hello) -> Option<()> {
-        let node = NodeId::of(&hello.name);
-        let newest = self.fleet.lists().newest().number();
-        let known = self.fleet.lists().everyone().contains(&node)
-            || hello.lists.last().is_some_and(|(number, _)| *number > newest);
-        let meant = hello.to == self.fleet.me() && node != self.fleet.me();
-        let dialled = self.links.dialed_node(link).is_none_or(|dialled| dialled == node);
-        if !known || !meant || !dialled {
-            log!("fleet: a link was closed: {:?} is not on the list, or means another node", hello.name);
-            self.links.close(link);
-            return None;
-        }
-        let first = self.links.remote(link).is_none();
-        self.links.identify(link, RemoteProcess { node, incarnation: hello.incarnation });
-        if first && self.links.dialed_node(link).is_none() {
-            let hello = Message::Hello(self.fleet.hello(node));
-            self.links.send_on(link, &hello);
-        }
-        Some(())
-    }
-
-    fn take(&mut self, event: Event, folder: &Option<ResultStore>) {
-        match &event {
-            Event::Retire => {
-                self.listens = false;
-                self.links.close_accepted();
-            }
-            Event::Resume(_) => self.listens = true,
-            _ => {}
-        }
-        self.later.push_back(event);
-        let mut actions = Vec::new();
-        while let Some(event) = self.later.pop_front() {
-            self.fleet.handle(self.clock.now(), event, &mut actions);
-            for action in actions.drain(..) {
-                self.act(action, folder);
-            }
-        }
-    }
-
-    fn act(&mut self, action: Action, folder: &Option<ResultStore>) {
-        match action {
-            Action::Send(to, frame) => {
-                let Talk { fleet, links, .. } = self;
-                let lists = fleet.lists();
-                let address =
-                    || lists.about().iter().rev().find_map(|list| list.member(to).map(|m| m.address));
-                let sent = links.send(to, address, || Message::Hello(fleet.hello(to)), &frame);
-                // Once is enough for all that is said to it in one go.
-                let told = |event: &Event| matches!(event, Event::Unreached(node) if *node == to);
-                if sent.is_err() && !self.later.iter().any(told) {
-                    self.later.push_back(Event::Unreached(to));
-                }
-            }
-            Action::Answer(link, frame) => self.links.send_on(link, &frame),
-            Action::Tell(token, said) => self.unsaid.push_back((request(token), said)),
-            Action::Store(number, change, vote) => self.store(number, change, vote, folder),
-            Action::Greet => {
-                for (link, node) in self.links.known_nodes() {
-                    let hello = Message::Hello(self.fleet.hello(node));
-                    self.links.send_on(link, &hello);
-                }
-                let everyone = self.fleet.lists().everyone();
-                self.links.retain_nodes(|node| everyone.contains(&node));
-            }
-            Action::Allow(allows) => self.hold = Some(!allows.clients),
-            Action::Notify(note) => {
-                let mark = self.fleet.mark();
-                if let Some(marker) = &mut self.marker {
-                    match note {
-                        Notification::Complete(_) => marker.set_complete(mark),
-                        Notification::Outdated(..) => marker.invalidate(),
-                        _ => {}
-                    }
-                }
-                match note {
-                    // Each at a place of its own: guards the others against being left out of the log.
-                    Notification::Stage(step) => log!("fleet: the way back: {step}"),
-                    note => log!("fleet: {note}"),
-                }
-            }
-        }
-    }
-
-    /// Has the folder say how far it reaches.
-    fn marks(&mut self) {
-        let mark = self.fleet.mark();
-        self.marker.iter_mut().for_each(|marker| marker.advance(mark));
-    }
-
-    /// Stores what is known of a key; where that can't be, what waits for it is told so.
-    fn store(&mut self, number: u64, change: Change, vote: Option<ClaimId>, folder: &Option<ResultStore>) {
-        let writer = folder.as_ref().and_then(|folder| folder.writer.as_ref());
-        let record = vote_store::vote_record(change.key, vote, change.now.as_ref());
-        // The number comes back as it went: so many are never under way.
-        let wrapped = RequestId((number & u64::from(u32::MAX)) as u32);
-        if !writer.is_some_and(|writer| writer.write(wrapped, record)) {
-            self.later.push_back(Event::Stored(number, false));
-        }
-    }
-
-    fn show(&self, metrics: &PeerMetrics) {
-        metrics.figures.set(self.fleet.figures());
-        metrics.membership_version.set(self.fleet.lists().newest().number());
-        let (counts, traffic) = (self.fleet.counts(), &self.links.metrics);
-        let (keys, bytes) = self.fleet.copies().size();
-        let mut others = metrics.others.borrow_mut();
-        others.clear();
-        others.extend([
-            ("fleet_list", self.fleet.lists().newest().number()),
-            ("fleet_lists", self.fleet.lists().about().len() as u64),
-            ("fleet_stage", self.fleet.stage() as u64),
-            ("fleet_waits_ms", clock::millis(self.fleet.waits(self.clock.now()))),
-            ("fleet_level", u64::from(self.fleet.is_level())),
-            ("fleet_sound", u64::from(self.fleet.is_sound())),
-            ("fleet_alive", counts.alive),
-            ("fleet_suspect", counts.suspect),
-            ("fleet_lost", counts.lost),
-            ("fleet_behind", self.fleet.behind() as u64),
-            ("fleet_open", self.fleet.open() as u64),
-            ("fleet_keys", keys as u64),
-            ("fleet_bytes", bytes as u64),
-            ("fleet_links", self.links.len() as u64),
-            ("fleet_links_cut", traffic.overflows.get()),
-            ("fleet_nonsense", traffic.protocol_errors.get()),
-            ("fleet_later_frames", traffic.unknown_kinds.get()),
-            ("fleet_frames_in", traffic.messages_received.get()),
-            ("fleet_frames_out", traffic.messages_sent.get()),
-            ("fleet_bytes_in", traffic.bytes_received.get()),
-            ("fleet_bytes_out", traffic.bytes_sent.get()),
-        ]);
-    }
+fn body_digest(body: &[u8]) -> u128 {
+    let digest = Sha256::digest(body);
+    digest.iter().take(BODY_DIGEST_BYTES).fold(0, |value, byte| value << 8 | u128::from(*byte))
 }
--- a/node/src/peers/vote_store.rs
+++ b/node/src/peers/vote_store.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use oakwind_fleet::key_state::ClaimId;
 use oakwind_fleet::message::ReplicaRecord;
 use oakwind_fleet::replica_node::RestoredState;
+use oakwind_fleet::replica_table::StoredRecord;
 use oakwind_fleet::LATE_READ_GRACE;
 
 use super::completeness_marker::CompletenessMarker;
@@ -26,10 +26,6 @@
 /// Votes carry the digest of the body themselves.
 const NO_BODY_DIGEST: u64 = 0;
 
-/// What is stored of a key: the claim that this replica has granted, and what it knows of the key. The order of the fields
-/// is that of their encoding.
-type StoredVote = (Option<ClaimId>, ReplicaRecord);
-
 /// An open folder.
 pub(crate) struct OpenVoteStore {
     /// The store.
@@ -50,7 +46,7 @@
     let recovered = store.open()?;
     let position = marker.read();
     let restored = position.zip(decode_votes(&recovered, clock::now()));
-    let restored = restored.map(|(until, records)| RestoredState { records, until });
+    let restored = restored.map(|(position, records)| RestoredState { records, position });
     if restored.is_none() && position.is_some() {
         log!("fleet: the vote store is damaged or incomplete and counts as lost");
         // Otherwise the next start would rely on what this one does not.
@@ -75,30 +71,31 @@
 }
 
 /// All votes of a folder; none if anything in it was damaged, or is from the future.
-fn decode_votes(recovered: &RecoveredState, now: Unix) -> Option<Vec<StoredVote>> {
+fn decode_votes(recovered: &RecoveredState, now: Unix) -> Option<Vec<StoredRecord>> {
     if recovered.damage != Damage::default() || !recovered.clock_setback.is_zero() {
         return None;
     }
     recovered.keys.iter().map(|record| decode_vote(record, now)).collect()
 }
 
-/// The vote of a stored record, with what is left of its time at `now`.
-fn decode_vote(record: &IdempotencyRecord, now: Unix) -> Option<StoredVote> {
+/// The vote in a record of the folder, with what is left of its time at `now`.
+fn decode_vote(record: &IdempotencyRecord, now: Unix) -> Option<StoredRecord> {
     let RunState::Succeeded(bytes) = &record.state else { return None };
-    let (vote, replica) = postcard::from_bytes::<StoredVote>(bytes).ok()?;
-    let keep_ms = clock::millis(record.expires_at.saturating_sub(now));
-    Some((vote, ReplicaRecord { keep_ms, ..replica }))
+    let stored: StoredRecord = postcard::from_bytes(bytes).ok()?;
+    let retain_ms = clock::millis(record.expires_at.saturating_sub(now));
+    let record = ReplicaRecord { retain_ms, ..stored.record };
+    Some(StoredRecord { record, ..stored })
 }
 
-/// The record that stores the vote for a key and what is known of it; one that frees the key if nothing is known.
-pub(crate) fn vote_record(key: Bytes, vote: Option<ClaimId>, replica: Option<&ReplicaRecord>) -> Record {
+/// The record that stores what is known of a key; one that frees the key if nothing is known.
+pub(super) fn vote_record(key: Bytes, stored: Option<&StoredRecord>) -> Record {
     let now = clock::now();
-    let Some(replica) = replica else {
+    let Some(stored) = stored else {
         return Record::new(key, NO_BODY_DIGEST, now, RecordState::NeverStarted, Bytes::new());
     };
-    // Every vote can be serialized.
-    let bytes = postcard::to_allocvec(&(vote, replica)).unwrap_or_default();
-    let expires_at = now + Duration::from_millis(replica.keep_ms);
+    // Every record can be serialized.
+    let bytes = postcard::to_allocvec(stored).unwrap_or_default();
+    let expires_at = now + Duration::from_millis(stored.record.retain_ms);
     Record::new(key, NO_BODY_DIGEST, expires_at, RecordState::Succeeded, bytes.into())
 }
 
--- a/node/src/peers/vote_store/tests.rs
+++ b/node/src/peers/vote_store/tests.rs
@@ -1,26 +1,32 @@
 use super::*;
-use oakwind_fleet::key_state::{CompletedRun, RunResult};
-use oakwind_fleet::membership_config::NodeId;
+use oakwind_fleet::ids::{Incarnation, NodeId};
+use oakwind_fleet::key_state::{ClaimId, CompletedRun, RunResult};
 
 /// The bytes in the folders of operators, which must not change.
 #[test]
 fn each_kind_of_vote_encodes_to_its_golden_bytes_and_decodes_from_them() {
-    let claim =
-        ClaimId { node: NodeId(0x0102_0304_0506_0708), incarnation: 1_796_189_499_690_723, number: 3 };
-    let replica = |begun: Vec<_>, ended: Option<CompletedRun>| ReplicaRecord {
-        key: "key".into(),
-        keep_ms: 1500,
-        begun,
-        ended,
+    let claim = ClaimId {
+        node: NodeId(0x0102_0304_0506_0708),
+        incarnation: Incarnation(1_796_189_499_690_723),
+        number: 3,
     };
-    let completed =
-        |fate| CompletedRun { received_at: 1_796_189_499_694, place: 1, claim, fate, body: u128::MAX };
-    let done = completed(RunResult::Succeeded(Bytes::from_static(b"\0job")));
+    let stored = |vote, started: Vec<_>, completed: Option<CompletedRun>| StoredRecord {
+        vote,
+        record: ReplicaRecord { key: "key".into(), retain_ms: 1500, started, completed },
+    };
+    let run = |result| CompletedRun {
+        received_at: 1_796_189_499_694,
+        node_index: 1,
+        claim,
+        result,
+        body: u128::MAX,
+    };
+    let done = run(RunResult::Succeeded(Bytes::from_static(b"\0job")));
     for (vote, golden) in [
-        ((Some(claim), replica(vec![(claim, 7)], None)), "01888e98a8c0e0808101e39dd0a8ffb3980303036b6579dc0b01888e98a8c0e0808101e39dd0a8ffb39803030700"),
-        ((None, replica(vec![(claim, 7)], None)), "00036b6579dc0b01888e98a8c0e0808101e39dd0a8ffb39803030700"),
-        ((Some(claim), replica(vec![], Some(done))), "01888e98a8c0e0808101e39dd0a8ffb3980303036b6579dc0b0001aee2f2a9a33401888e98a8c0e0808101e39dd0a8ffb39803030004006a6f62ffffffffffffffffffffffffffffffffffff03"),
-        ((None, replica(vec![], Some(completed(RunResult::Failed)))), "00036b6579dc0b0001aee2f2a9a33401888e98a8c0e0808101e39dd0a8ffb398030301ffffffffffffffffffffffffffffffffffff03"),
+        (stored(Some(claim), vec![(claim, 7)], None), "01888e98a8c0e0808101e39dd0a8ffb3980303036b6579dc0b01888e98a8c0e0808101e39dd0a8ffb39803030700"),
+        (stored(None, vec![(claim, 7)], None), "00036b6579dc0b01888e98a8c0e0808101e39dd0a8ffb39803030700"),
+        (stored(Some(claim), vec![], Some(done)), "01888e98a8c0e0808101e39dd0a8ffb3980303036b6579dc0b0001aee2f2a9a33401888e98a8c0e0808101e39dd0a8ffb39803030004006a6f62ffffffffffffffffffffffffffffffffffff03"),
+        (stored(None, vec![], Some(run(RunResult::Failed))), "00036b6579dc0b0001aee2f2a9a33401888e98a8c0e0808101e39dd0a8ffb398030301ffffffffffffffffffffffffffffffffffff03"),
     ] {
         let hex: String =
             postcard::to_allocvec(&vote).unwrap().iter().map(|byte| format!("{byte:02x}")).collect();
@@ -28,6 +34,6 @@
         let digits: Vec<u8> =
             golden.bytes().map(|digit| (digit as char).to_digit(16).unwrap() as u8).collect();
         let bytes: Vec<u8> = digits.chunks(2).map(|pair| pair[0] << 4 | pair[1]).collect();
-        assert_eq!(postcard::from_bytes::<StoredVote>(&bytes).unwrap(), vote);
+        assert_eq!(postcard::from_bytes::<StoredRecord>(&bytes).unwrap(), vote);
     }
 }
--- a/node/src/result_store/recovery.rs
+++ b/node/src/result_store/recovery.rs
@@ -13,7 +13,7 @@
 use super::segment::{scan, ScanItem, SegmentHeader, SEGMENT_HEADER_BYTES};
 use super::segment_index::{Limits, SegmentIndex};
 use crate::clock::Unix;
-use crate::outcome::{digest, IdempotencyRecord, RunState};
+use crate::outcome::{digest, BodyDigest, IdempotencyRecord, RunState};
 
 /// A segment as it was read.
 pub(crate) struct Segment {
@@ -263,7 +263,7 @@
     };
     Some(IdempotencyRecord {
         key: record.key,
-        body_digest: record.body_digest,
+        body_digest: BodyDigest(record.body_digest),
         expires_at: record.expires_at.saturating_sub(clock_setback),
         state,
     })
--- a/node/src/run_gate.rs
+++ b/node/src/run_gate.rs
@@ -5,6 +5,7 @@
 //! them has recorded that, and its end is reported only once each has stored it. Without either everything is granted
 //! at once.
 
+mod event;
 mod pending;
 
 use std::rc::Rc;
@@ -12,15 +13,17 @@
 use bytes::Bytes;
 use oakwind_admission::RequestId;
 use oakwind_fleet::claim_coordinator::ClaimOutcome;
+use oakwind_fleet::ids::ConfigVersion;
 use oakwind_fleet::key_state::RunResult;
 
 use crate::clock::Unix;
 use crate::exchange::Request;
 use crate::metrics::Metrics;
-use crate::outcome::{Completion, IdempotencyKey, IdempotencyRecord, StoredOutcome};
+use crate::outcome::{BodyDigest, Completion, IdempotencyKey, StoredOutcome};
 use crate::peers::{ClaimParameters, Peers};
 use crate::result_store::record::{Record, RecordState};
 use crate::result_store::{ResultStore, StoreEvent};
+pub(crate) use event::{Authorization, GateEvent};
 use pending::{PendingRun, PendingRuns, Vote};
 
 /// The run of an attempt that holds a key.
@@ -33,46 +36,11 @@
     /// Its key.
     pub(crate) key: IdempotencyKey,
     /// Digest of its body.
-    pub(crate) body_digest: u64,
+    pub(crate) body_digest: BodyDigest,
     /// When the key expires.
     pub(crate) expires_at: Unix,
 }
 
-/// Whether a run may start.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) enum Authorization {
-    /// It may.
-    Granted,
-    /// It may not, and never will.
-    Denied,
-    /// A [`GateEvent`] follows.
-    Pending,
-}
-
-/// What the run gate reports later, as it could not be known at once.
-#[derive(Debug)]
-pub(crate) enum GateEvent {
-    /// Whether the run of an attempt may start.
-    Authorized {
-        /// The attempt.
-        id: RequestId,
-        /// If not, the run has never started.
-        granted: bool,
-    },
-    /// The run must not start, as another node may run its key. The outcome of that follows.
-    RunningElsewhere(RequestId),
-    /// The outcome of another node's run of the key; the run must not start.
-    RemoteOutcome(RequestId, StoredOutcome),
-    /// The outcome of another node's run is not known in time, or too few replicas have the result of the own run.
-    OutcomeUnknown(RequestId),
-    /// The key came with another body before.
-    BodyMismatch(RequestId),
-    /// The run has ended so, and that is stored.
-    Completed(RequestId, Completion),
-    /// What the store had from earlier processes.
-    Recovered(Vec<IdempotencyRecord>),
-}
-
 /// Everything that keeps keys beyond the process, if anything does.
 #[derive(Default)]
 pub(crate) struct RunGate {
@@ -88,15 +56,15 @@
         RunGate { store, peers, pending: PendingRuns::default() }
     }
 
-    /// Adds the figures of the store and the peers to the metrics.
+    /// Adds the counters of the store and the peers to the metrics.
     pub(crate) fn register_metrics(&self, metrics: &Metrics) {
         if let Some(store) = &self.store {
-            let store_metrics = store.metrics.clone();
-            metrics.register(Box::new(move || store_metrics.values()));
+            let store = store.metrics.clone();
+            metrics.register(Box::new(move || store.values()));
         }
         if let Some(peers) = &self.peers {
-            let peer_metrics = peers.metrics.clone();
-            metrics.register(Box::new(move || peer_metrics.values()));
+            let peers = peers.metrics.clone();
+            metrics.register(Box::new(move || peers.values()));
         }
     }
 
@@ -106,8 +74,8 @@
     }
 
     /// The version of the membership configuration; 0 without peers.
-    pub(crate) fn membership_version(&self) -> u64 {
-        self.peers.as_ref().map_or(0, |peers| peers.metrics.membership_version.get())
+    pub(crate) fn membership_version(&self) -> ConfigVersion {
+        self.peers.as_ref().map(|peers| peers.metrics.membership_version.get()).unwrap_or_default()
     }
 
     /// Whether a key that is not known may have run, as its record in the store may be damaged.
@@ -122,7 +90,7 @@
             store.open_after_predecessor(recover);
         }
         if let Some(peers) = &self.peers {
-            peers.resume();
+            peers.activate();
             peers.set_predecessor_running(!recover);
         }
     }
@@ -130,7 +98,7 @@
     /// The predecessor process has ended, whether or not it released anything.
     pub(crate) fn predecessor_ended(&self) {
         if let Some(peers) = &self.peers {
-            peers.resume();
+            peers.activate();
             peers.set_predecessor_running(false);
         }
     }
@@ -144,7 +112,7 @@
             store.writer = None;
         }
         if let Some(peers) = &self.peers {
-            peers.retire();
+            peers.deactivate();
         }
     }
 
@@ -273,7 +241,7 @@
     fn write(&self, run: &KeyedRun, state: RecordState, result: Bytes) -> Vote {
         let writer = self.store.as_ref().and_then(|store| store.writer.as_ref());
         let Some(writer) = writer else { return Vote::Yes };
-        let record = Record::new(run.key.clone(), run.body_digest, run.expires_at, state, result);
+        let record = Record::new(run.key.clone(), run.body_digest.0, run.expires_at, state, result);
         if writer.write(run.id, record) {
             Vote::Pending
         } else {
@@ -360,7 +328,7 @@
         }
     }
 
-    /// A run that waited does not start here: the store is told that its key is free.
+    /// A run that waited does not start here: the store records that its key is free.
     fn cancel_start(&mut self, id: RequestId) {
         if let Some(run) = self.pending.remove(id) {
             self.write(&run, RecordState::NeverStarted, Bytes::new());
--- a/node/src/server.rs
+++ b/node/src/server.rs
@@ -113,8 +113,9 @@
     }
     let (mut peers, mut lists) = (None, None);
     if let Some(fleet) = fleet {
-        let (asked, driver) = peers::new(fleet, config.seed, upgrade, exchange.clone())?;
-        lists = Some(asked.lists());
+        let (asked, driver) =
+            peers::new(fleet, config.seed, upgrade, exchange.clone()).map_err(|e| e.to_string())?;
+        lists = Some(asked.event_sender());
         peers = Some(asked);
         spawn_local(driver.run());
     }
@@ -285,7 +286,7 @@
         newest = Some(new);
         // Whether it is taken is decided where the lists are, by its number.
         if let (Some(lists), Some(fleet)) = (&lists, fleet) {
-            if lists.try_send(Event::Membership(fleet.membership)).is_err() {
+            if lists.try_send(Event::ConfigProposed(fleet.membership)).is_err() {
                 log!("not reloaded: no room to tell of another list");
             }
         }
--- a/node/tests/recovery.rs
+++ b/node/tests/recovery.rs
@@ -68,7 +68,7 @@
     nodes
 }
 
-const FULL: &str = "the way back: full";
+const FULL: &str = "recovery: full";
 
 #[test]
 fn most_restart_at_once_with_their_folders_and_go_through_every_stage() {
