--- a/admission/src/admission/lifecycle.rs
+++ b/admission/src/admission/lifecycle.rs
@@ -203,9 +203,10 @@
         let ending = self.requests.iter().filter(|(_, r)| over(r));
         let ending: Vec<_> = ending.map(|(&id, r)| (id, r.phase == Phase::Queued)).collect();
         for (id, queued) in ending {
-            match queued {
-                true => self.reject_queued(id, out),
-                false => self.fail(id, out),
+            if queued {
+                self.reject_queued(id, out);
+            } else {
+                self.fail(id, out);
             }
         }
     }
@@ -246,7 +247,8 @@
     }
 
     fn random_fraction(&mut self) -> f64 {
-        self.random = self.random.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+        self.random =
+            self.random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (self.random >> 40) as f64 / (1u64 << 24) as f64
     }
 }
--- a/admission/src/admission/signal.rs
+++ b/admission/src/admission/signal.rs
@@ -35,7 +35,7 @@
 impl Connections {
     pub(super) fn new(limit: f64) -> Self {
         let returning_fraction = Mean { average: 1.0, readings: MIN_SAMPLES };
-        Connections { limit, returning_fraction, ..Connections::default() }
+        Connections { returning_fraction, limit, ..Connections::default() }
     }
 
     pub(super) fn request_from(&mut self, caller: CallerId, now: f64, idle: f64) {
--- a/admission/src/lib.rs
+++ b/admission/src/lib.rs
@@ -18,8 +18,6 @@
 //! admission.handle(start, &[Event::Arrived(arrival)], &mut actions);
 //! assert!(actions.contains(&Action::Run(RequestId(1))));
 //! ```
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod admission;
 mod interface;
--- a/admission/tests/guards.rs
+++ b/admission/tests/guards.rs
@@ -514,14 +514,11 @@
     let mut calls = 0;
     for round in 1..=2 {
         let at = 100 * round;
-        let needs: Vec<_> = match round {
-            1 => ids.iter().map(|&id| Event::CallNeeded(RequestId(id))).collect(),
-            _ => Vec::from_iter(ids.iter().map(|&id| Event::CallReturned {
-                id: RequestId(id),
-                outcome: Outcome::Rejected,
-                took: ms(1),
-            })),
-        };
+        let needed = |&id: &u32| Event::CallNeeded(RequestId(id));
+        let rejected =
+            |&id: &u32| Event::CallReturned { id: RequestId(id), outcome: Outcome::Rejected, took: ms(1) };
+        let needs: Vec<_> =
+            if round == 1 { ids.iter().map(needed).collect() } else { ids.iter().map(rejected).collect() };
         let actions = tell(&mut admission, at, &needs);
         calls = actions.iter().filter(|a| matches!(a, Action::Call(..))).count();
     }
--- a/admission/tests/ledger.rs
+++ b/admission/tests/ledger.rs
@@ -106,7 +106,7 @@
         skip_weight: if dice.chance(30) { 0.5 } else { 0.0 },
         ..Class::default()
     };
-    let classes = (0..1 + dice.below(4)).map(|_| class(dice)).collect();
+    let classes = (0..=dice.below(4)).map(|_| class(dice)).collect();
     let dependency = match dice.below(3) {
         0 => Dependency::Off,
         1 => Dependency::Tier,
--- a/admission/tests/ramp.rs
+++ b/admission/tests/ramp.rs
@@ -20,7 +20,7 @@
 
 impl Dice {
     fn next(&mut self) -> f64 {
-        self.0 = self.0.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+        self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 40) as f64 / (1u64 << 24) as f64
     }
 }
--- a/admission/tests/rate.rs
+++ b/admission/tests/rate.rs
@@ -120,7 +120,7 @@
     let mut bench = Bench::new(settings());
     bench.run(200, 1, 100);
     bench.run(200, 6, 300);
-    let gaps = bench.rates.windows(2).map(|pair| pair[1].0 - pair[0].0);
+    let gaps = bench.rates.windows(2).map(|pair| pair[1].0.checked_sub(pair[0].0).unwrap());
     assert!(bench.rates.len() > 4);
     assert!(gaps.skip(1).all(|gap| gap >= Duration::from_millis(1999)));
 }
@@ -203,7 +203,7 @@
 fn uneven(bench: &mut Bench, seconds: u32, per_second: u32, takes: u64) {
     let mut dice = 7u64;
     for _ in 0..seconds * 20 {
-        dice = dice.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+        dice = dice.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         bench.run(1, u32::from((dice >> 33) % 20 < u64::from(per_second)), takes);
     }
 }
@@ -262,7 +262,7 @@
     let mut fleet: Vec<Bench> = (1..=50).map(|seed| Bench::seeded(settings.clone(), seed * 77)).collect();
     let mut dice = 11u64;
     let mut draw = || {
-        dice = dice.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+        dice = dice.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (dice >> 40) as f64 / (1u64 << 24) as f64
     };
     // Of what was asked for in each second, the part turned away or kept away by the level.
--- a/fault-harness/src/check.rs
+++ b/fault-harness/src/check.rs
@@ -237,7 +237,6 @@
                 let Some(key) = self.key_of(*txn) else { return };
                 self.results.entry(key).or_default().push((*node, result.clone()));
             }
-            Event::Ended { result: None, .. } | Event::Called { .. } | Event::Connected { .. } => {}
             Event::Spoilt { node, text } => self.breach(t, Rule::Spoilt, format!("n{}: {text}", node + 1)),
             Event::Up { node, .. } => {
                 self.excuses.down.entry(*node).or_default().set(t, false);
@@ -284,7 +283,10 @@
             | Event::Fault { .. }
             | Event::Peers { .. }
             | Event::Role { .. }
-            | Event::Said { .. } => {}
+            | Event::Said { .. }
+            | Event::Called { .. }
+            | Event::Connected { .. }
+            | Event::Ended { result: None, .. } => {}
         }
     }
 
--- a/fault-harness/src/clock.rs
+++ b/fault-harness/src/clock.rs
@@ -37,7 +37,7 @@
         if at.is_finite() {
             tokio::time::sleep_until(self.start + Duration::from_secs_f64(at.max(0.0) / 1000.0)).await;
         } else {
-            std::future::pending().await
+            std::future::pending::<()>().await;
         }
     }
 }
--- a/fault-harness/src/history.rs
+++ b/fault-harness/src/history.rs
@@ -313,6 +313,10 @@
 
 impl History {
     /// Reads a file that [`History::write`] wrote.
+    ///
+    /// # Errors
+    ///
+    /// If the file cannot be read, or a line of it is no event; the error names the line.
     pub fn read(path: &Path) -> io::Result<History> {
         let mut lines = BufReader::new(File::open(path)?).lines();
         let first = lines.next().ok_or(io::ErrorKind::UnexpectedEof)??;
@@ -328,6 +332,10 @@
     }
 
     /// Writes it, an event a line.
+    ///
+    /// # Errors
+    ///
+    /// If the file cannot be written.
     pub fn write(&self, path: &Path) -> io::Result<()> {
         let mut file = BufWriter::new(File::create(path)?);
         serde_json::to_writer(&mut file, &self.terms)?;
--- a/fault-harness/src/lib.rs
+++ b/fault-harness/src/lib.rs
@@ -1,7 +1,5 @@
 //! A rig for fleets of the real program: it starts many processes, puts relays with faults between them, plays all that
 //! they talk to, sends load, and says afterwards which rule broke. `docs/rig.md` is its page.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod charts;
 pub mod check;
--- a/fault-harness/src/main.rs
+++ b/fault-harness/src/main.rs
@@ -1,5 +1,4 @@
 //! The rig's command line.
-#![forbid(unsafe_code)]
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
--- a/fault-harness/src/node.rs
+++ b/fault-harness/src/node.rs
@@ -379,7 +379,7 @@
         if let Some(build) = &back.program {
             *self.build.borrow_mut() = Some(build.clone());
         }
-        *self.clock.borrow_mut() = back.clock.clone();
+        self.clock.borrow_mut().clone_from(&back.clock);
         if let Some(before) = self.list_before.borrow_mut().take().filter(|_| back.old_list) {
             *self.list.borrow_mut() = before;
         }
--- a/fault-harness/src/play.rs
+++ b/fault-harness/src/play.rs
@@ -395,7 +395,7 @@
         let lasts = fault.for_s.unwrap_or(0.0) * 1000.0;
         let down = fault.down_s.map(|s| s * 1000.0);
         let until = context.now() + lasts.max(down.unwrap_or(0.0));
-        context.note(Event::Fault { text: self.describe(strike), until });
+        context.note(Event::Fault { text: describe(strike), until });
         let struck = || strike.whom.iter().filter_map(|node| self.machines.get(*node));
         match fault.what {
             What::Kill => struck().for_each(|machine| machine.kill(down, fault, strike.draw)),
@@ -547,16 +547,6 @@
             }
         });
     }
-
-    fn describe(&self, strike: &Strike) -> String {
-        let what = format!("{:?}", strike.fault.what).to_lowercase();
-        match (&strike.fault.zone, strike.whom.len()) {
-            (_, 0) => what,
-            (Some(zone), _) => format!("{what} {zone}"),
-            (None, 1) if strike.fault.what != What::Fronts => format!("{what} n{}", strike.whom[0] + 1),
-            (None, count) => format!("{what} {count}"),
-        }
-    }
 }
 
 async fn samples(stage: Rc<Stage>) {
@@ -597,6 +587,17 @@
     }
 }
 
+/// A fault in words, for the history and the charts.
+fn describe(strike: &Strike) -> String {
+    let what = format!("{:?}", strike.fault.what).to_lowercase();
+    match (&strike.fault.zone, strike.whom.len()) {
+        (_, 0) => what,
+        (Some(zone), _) => format!("{what} {zone}"),
+        (None, 1) if strike.fault.what != What::Fronts => format!("{what} n{}", strike.whom[0] + 1),
+        (None, count) => format!("{what} {count}"),
+    }
+}
+
 /// Where a play keeps its files; removed at the end unless they are to be kept.
 struct Folder {
     path: PathBuf,
@@ -605,17 +606,9 @@
 
 impl Folder {
     fn new(out: Option<&Path>) -> io::Result<Folder> {
-        let (path, kept) = match out {
-            Some(out) => (out.to_path_buf(), true),
-            None => {
-                let number = unique_number();
-                (
-                    std::env::temp_dir()
-                        .join(format!("oakwind-fault-harness-{}-{number}", std::process::id())),
-                    false,
-                )
-            }
-        };
+        let scratch = || format!("oakwind-fault-harness-{}-{}", std::process::id(), unique_number());
+        let path = out.map_or_else(|| std::env::temp_dir().join(scratch()), Path::to_path_buf);
+        let kept = out.is_some();
         std::fs::create_dir_all(&path)?;
         Ok(Folder { path: path.canonicalize()?, kept })
     }
--- a/fault-harness/src/predict.rs
+++ b/fault-harness/src/predict.rs
@@ -193,9 +193,7 @@
     fn due(&mut self, due: ScheduledEvent) {
         match due {
             ScheduledEvent::ClientRequest(n) => self.ask(n),
-            ScheduledEvent::Go(n) => {
-                self.step(n, |journey, now, front, listed| journey.go(now, front, listed))
-            }
+            ScheduledEvent::Go(n) => self.step(n, Journey::go),
             ScheduledEvent::Overdue(txn) => match self.tries.get_mut(&txn).filter(|taken| taken.open) {
                 Some(taken) if taken.read => self.answer(txn, Kind::Failed, Answer::Failed),
                 Some(taken) => {
@@ -233,7 +231,7 @@
         let due = self.now + self.scenario.classes[ask.class].deadline_ms as f64;
         let journey = Journey::new(due, pin, &self.fronts[ask.front]);
         self.travellers.insert(n, Traveller { journey, tries: 0 });
-        self.step(n, |journey, now, front, listed| journey.go(now, front, listed));
+        self.step(n, Journey::go);
     }
 
     fn step(&mut self, n: usize, next: impl FnOnce(&mut Journey, Ms, &mut Front, &[bool]) -> Step) {
@@ -365,7 +363,7 @@
         for txn in joined.into_iter().chain([txn]) {
             match &result {
                 Some(result) => {
-                    self.answer(txn, Kind::Served(result.clone()), Answer::Served { poorer: false })
+                    self.answer(txn, Kind::Served(result.clone()), Answer::Served { poorer: false });
                 }
                 None => self.answer(txn, Kind::Failed, Answer::Failed),
             }
--- a/fault-harness/src/scenario.rs
+++ b/fault-harness/src/scenario.rs
@@ -620,7 +620,7 @@
 
     /// What all cores can do when warm, in milliseconds of work a millisecond.
     pub fn capacity(&self) -> f64 {
-        let speed = (self.fleet.speed[0] + self.fleet.speed[1]) / 2.0;
+        let speed = f64::midpoint(self.fleet.speed[0], self.fleet.speed[1]);
         self.fleet.nodes as f64 * f64::from(self.fleet.cores) * speed
     }
 
@@ -755,7 +755,7 @@
         must(self.members.lapse_s > 0.0, "members.lapse_s", "above 0");
         for (i, fault) in self.faults.iter().enumerate() {
             self.fault_mistakes(fault, &names, |holds, name, what| {
-                must(holds, &format!("fault[{i}].{name}"), what)
+                must(holds, &format!("fault[{i}].{name}"), what);
             });
         }
         found
--- a/fault-harness/src/schedule.rs
+++ b/fault-harness/src/schedule.rs
@@ -25,7 +25,7 @@
     Calls = 6,
 }
 
-/// A generator for one purpose (ChaCha with 8 rounds); `number` tells several of the kind apart.
+/// A generator for one purpose (`ChaCha` with 8 rounds); `number` tells several of the kind apart.
 pub fn generator(seed: u64, stream: Stream, number: u64) -> ChaCha8Rng {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     rng.set_stream((stream as u64) << 32 | number);
--- a/fault-harness/src/stand_in/interpreter.rs
+++ b/fault-harness/src/stand_in/interpreter.rs
@@ -366,7 +366,7 @@
             }
             ("BREAK", Some(id)) => self.change(|vm, now| vm.pause(now, id)),
             ("CONTINUE", Some(id)) => {
-                self.change(|vm, now| if vm.at_call(id) { Vec::new() } else { vm.go_on(now, id) })
+                self.change(|vm, now| if vm.at_call(id) { Vec::new() } else { vm.go_on(now, id) });
             }
             ("RESOLVE", Some(id)) => {
                 // One that crossed the end of its run resolves nothing.
--- a/fleet/src/lib.rs
+++ b/fleet/src/lib.rs
@@ -13,8 +13,6 @@
 //! - [`recovery_stages`]: the stages in which a node comes back.
 //! - [`message`] and [`ids`]: the peer protocol.
 //! - [`decision_record`], [`hash_chain`] and [`audit`]: what nodes record of their decisions, and what those records show.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod active_configs;
 pub mod audit;
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -1,6 +1,4 @@
 //! A dispatch node: one program on real sockets round the decisions of `oakwind_admission`.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod admin;
 mod backend;
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,7 +1,5 @@
-//! Reads a server's settings from JSON text: what the simulator sends at a start, and what a real node finds
-//! under `settings` in its configuration. Unknown keys are skipped.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
+//! Reads the settings of the admission module from JSON: the text that the simulator sends at a start, and the object
+//! under `settings` in a node's configuration. Unknown keys are ignored. Times are in microseconds.
 
 use std::fmt;
 use std::time::Duration;
@@ -9,7 +7,7 @@
 use oakwind_admission::{Class, Dependency, Effect, Gauges, Preemption, Settings, Signal};
 use serde::Deserialize;
 
-/// What is wrong with the text; names the key.
+/// The settings cannot be used; the message names the key.
 #[derive(Debug, PartialEq, Eq)]
 pub struct BadSettings(pub String);
 
@@ -21,10 +19,10 @@
 
 impl std::error::Error for BadSettings {}
 
-/// The settings and the names that go with them, each list in the order of its indices.
+/// The settings, and the names of what they list, each in the order of its positions.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Parsed {
-    /// What the decision module is given.
+    /// The settings of the admission module.
     pub settings: Settings,
     /// The names of the gauges.
     pub gauges: Vec<String>,
@@ -32,19 +30,23 @@
     pub classes: Vec<String>,
     /// The names of the tenants.
     pub tenants: Vec<String>,
-    /// Positions of classes that newer settings left out: open requests still have them.
+    /// Positions of classes that newer settings left out: open requests still refer to them.
     pub retired_classes: Vec<usize>,
-    /// The same of tenants.
+    /// Positions of tenants that newer settings left out.
     pub retired_tenants: Vec<usize>,
 }
 
-/// Names that positions are given to in one life of a server. Guards the memory against settings that bring new
-/// names for ever.
-const MOST_NAMES: usize = 1000;
+/// Names that may get a position in one process, so that settings which bring new names at each reload do not use up
+/// its memory.
+const MAX_NAMES: usize = 1000;
 
 impl Parsed {
-    /// These settings in the place of `self`: classes and tenants with a known name keep its position, those left
-    /// out keep theirs and are retired, and new ones come after them.
+    /// The settings that replace `self` at a reload: classes and tenants with a known name keep its position, those
+    /// that are left out are retired, and new ones come after them.
+    ///
+    /// # Errors
+    ///
+    /// If there would be more than 1,000 names of a kind.
     pub fn followed_by(&self, mut new: Parsed) -> Result<Parsed, BadSettings> {
         let values = std::mem::take(&mut new.settings.classes);
         (new.classes, new.settings.classes, new.retired_classes) =
@@ -68,19 +70,16 @@
     let (mut names, mut values) = (names.to_vec(), values.to_vec());
     let mut retired: Vec<usize> = (0..names.len()).collect();
     for (name, value) in new_names.into_iter().zip(new_values) {
-        match names.iter().position(|known| *known == name) {
-            Some(position) => {
-                values[position] = value;
-                retired.retain(|gone| *gone != position);
-            }
-            None => {
-                names.push(name);
-                values.push(value);
-            }
+        if let Some(position) = names.iter().position(|known| *known == name) {
+            values[position] = value;
+            retired.retain(|retired| *retired != position);
+        } else {
+            names.push(name);
+            values.push(value);
         }
     }
-    if names.len() > MOST_NAMES {
-        return Err(BadSettings(format!("{key}: over {MOST_NAMES} names since the start")));
+    if names.len() > MAX_NAMES {
+        return Err(BadSettings(format!("{key}: over {MAX_NAMES} names since the start")));
     }
     Ok((names, values, retired))
 }
@@ -193,7 +192,11 @@
     1.0
 }
 
-/// Reads the text.
+/// Reads settings from JSON.
+///
+/// # Errors
+///
+/// If the text is no JSON, a key is missing or has a value that cannot be used.
 pub fn parse(text: &str) -> Result<Parsed, BadSettings> {
     let mut json = serde_json::Deserializer::from_str(text);
     let params: Params =
@@ -297,7 +300,7 @@
     Err(BadSettings(format!("{key} has the unknown value {word:?}")))
 }
 
-/// Puts gauges in the field's terms, by the names the backend's settings give them.
+/// The gauges that the admission module uses, picked by the names that the settings give them.
 pub fn gauges(names: &[String], values: &[f64]) -> Gauges {
     let mut gauges = Gauges::default();
     for (name, &value) in names.iter().zip(values) {
--- a/simulator-adapter/src/wire.rs
+++ b/simulator-adapter/src/wire.rs
@@ -11,7 +11,7 @@
 
 /// What is wrong with the input.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Malformed(pub String);
+pub(crate) struct Malformed(pub String);
 
 impl fmt::Display for Malformed {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -25,7 +25,7 @@
 
 /// One record of a batch.
 #[derive(Debug, PartialEq)]
-pub enum Record {
+pub(crate) enum Record {
     /// The records after it are for this backend.
     At(u16),
     /// A backend starts, with its seed and settings text.
@@ -40,7 +40,7 @@
 
 /// A batch.
 #[derive(Debug, PartialEq)]
-pub struct Batch {
+pub(crate) struct Batch {
     /// The clock.
     pub now: Duration,
     /// Its records, in order.
@@ -48,7 +48,7 @@
 }
 
 /// Reads one whole frame body, or nothing at the end of input.
-pub fn read_frame(input: &mut impl Read) -> Result<Option<Vec<u8>>, Malformed> {
+pub(crate) fn read_frame(input: &mut impl Read) -> Result<Option<Vec<u8>>, Malformed> {
     let mut head = [0u8; 4];
     match read_up_to(input, &mut head)? {
         0 => return Ok(None),
@@ -209,7 +209,7 @@
 }
 
 /// Decodes a frame's body.
-pub fn decode(body: &[u8]) -> Result<Batch, Malformed> {
+pub(crate) fn decode(body: &[u8]) -> Result<Batch, Malformed> {
     let mut cursor = Cursor { rest: body };
     let count = cursor.u32()?;
     let now = Duration::from_micros(cursor.u64()?);
@@ -225,7 +225,7 @@
 
 /// A reply under construction.
 #[derive(Debug, Default)]
-pub struct Reply {
+pub(crate) struct Reply {
     count: u32,
     body: Vec<u8>,
 }
@@ -244,7 +244,7 @@
     }
 
     /// Adds a backend's actions.
-    pub fn extend(&mut self, backend: u16, actions: &[Action]) {
+    pub(crate) fn extend(&mut self, backend: u16, actions: &[Action]) {
         if actions.is_empty() {
             return;
         }
@@ -285,7 +285,7 @@
     }
 
     /// The whole frame.
-    pub fn frame(&self) -> Vec<u8> {
+    pub(crate) fn frame(&self) -> Vec<u8> {
         let mut frame = Vec::with_capacity(self.body.len() + 8);
         frame.extend(self.count.to_le_bytes());
         frame.extend((self.body.len() as u32).to_le_bytes());
--- a/simulator-adapter/src/wire/tests.rs
+++ b/simulator-adapter/src/wire/tests.rs
@@ -15,20 +15,20 @@
 #[test]
 fn decodes_every_field_of_a_request() {
     let batch = decode(&sample()).unwrap();
-    assert_eq!(batch.now, Duration::from_micros(0x805c5a));
+    assert_eq!(batch.now, Duration::from_micros(0x0080_5c5a));
     assert_eq!(batch.records[0], Record::At(3));
     let Record::Event(Event::Arrived(arrival)) = &batch.records[1] else {
         panic!("not an arrival");
     };
-    assert_eq!(arrival.id, RequestId(0x5d3a91c4));
-    assert_eq!(arrival.repeats, Some(RequestId(0x0e6f2b19)));
+    assert_eq!(arrival.id, RequestId(0x5d3a_91c4));
+    assert_eq!(arrival.repeats, Some(RequestId(0x0e6f_2b19)));
     assert_eq!(arrival.cost_hint, Some(Duration::from_micros(12_000)));
     assert_eq!(arrival.memory_kb, 24.5);
     assert_eq!(arrival.age, Duration::from_micros(1850));
     assert_eq!(arrival.rank, 0.625);
     assert_eq!(arrival.caller, CallerId(17));
     assert_eq!(arrival.time_left, Some(Duration::from_micros(240_000)));
-    assert_eq!(batch.records[4], Record::Event(Event::Cancelled(RequestId(0x0e6f2b19))));
+    assert_eq!(batch.records[4], Record::Event(Event::Cancelled(RequestId(0x0e6f_2b19))));
 }
 
 #[test]
@@ -63,7 +63,7 @@
 #[test]
 fn encodes_actions_as_the_page_shows() {
     let mut reply = Reply::default();
-    reply.extend(3, &[Action::Run(RequestId(0x5d3a91c4))]);
+    reply.extend(3, &[Action::Run(RequestId(0x5d3a_91c4))]);
     reply.extend(4, &[]);
     reply.extend(
         5,
@@ -71,7 +71,7 @@
             Action::SetTimer(TimerId(77), Duration::from_micros(500_000)),
             Action::Advertise(0.25),
             Action::Reject {
-                id: RequestId(0x0e6f2b19),
+                id: RequestId(0x0e6f_2b19),
                 retry_after: Some(Duration::from_micros(250_000)),
                 give_up: true,
             },
