--- a/examples/measure.rs
+++ b/examples/measure.rs
@@ -147,10 +147,10 @@
                 return Ok::<String, io::Error>(line);
             }
         };
-        let line = says("JSON-RPC is served at ")?;
+        let line = says("frontend: listening: protocol=JSON-RPC address=")?;
         let started = began.elapsed();
         let json =
-            line.rsplit(' ').next().and_then(|word| word.parse().ok()).ok_or(io::ErrorKind::InvalidData)?;
+            line.rsplit('=').next().and_then(|word| word.parse().ok()).ok_or(io::ErrorKind::InvalidData)?;
         std::thread::spawn(move || common::interpret(&vm, &"r".repeat(result)));
         says("health is good")?;
         std::thread::spawn(move || log.for_each(drop));
--- a/examples/replicated.rs
+++ b/examples/replicated.rs
@@ -92,8 +92,8 @@
         let program = Program::start(&mut command, move |line| drop(say.send(line)))?;
         let mut node =
             Node { program, log, json: ([127, 0, 0, 1], 0).into(), ops: ([127, 0, 0, 1], 0).into() };
-        node.ops = node.address("operators call at ")?;
-        node.json = node.address("JSON-RPC is served at ")?;
+        node.ops = node.address("admin: listening: address=")?;
+        node.json = node.address("frontend: listening: protocol=JSON-RPC address=")?;
         std::thread::spawn(move || interpret(&vm, "job 12345"));
         node.says("health is good")?;
         Ok(node)
@@ -120,7 +120,10 @@
 
     fn address(&mut self, words: &str) -> io::Result<SocketAddr> {
         let line = self.says(words)?;
-        line.rsplit(' ').next().and_then(|word| word.parse().ok()).ok_or(io::ErrorKind::InvalidData.into())
+        line.rsplit('=')
+            .next()
+            .and_then(|address| address.parse().ok())
+            .ok_or(io::ErrorKind::InvalidData.into())
     }
 
     /// A figure that operators see.
--- a/fault-harness/src/machine.rs
+++ b/fault-harness/src/machine.rs
@@ -42,7 +42,7 @@
 /// How a program is told that the system's clock is set.
 const CLOCK: &str = "OAKWIND_REHEARSED_CLOCK";
 /// Where JSON-RPC is served, as the program logs it.
-const SERVED_AT: &str = "JSON-RPC is served at ";
+const SERVED_AT: &str = "frontend: listening: protocol=JSON-RPC address=";
 
 /// A build of the program.
 #[derive(Debug, Clone, Default)]
--- a/fault-harness/src/mutant.rs
+++ b/fault-harness/src/mutant.rs
@@ -111,7 +111,7 @@
         }
     });
     let listener = TcpListener::bind(address(&config, "listen")?).await?;
-    eprintln!("JSON-RPC is served at {}", listener.local_addr()?);
+    eprintln!("frontend: listening: protocol=JSON-RPC address={}", listener.local_addr()?);
     let taking = node.clone();
     spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
--- a/node/src/admin.rs
+++ b/node/src/admin.rs
@@ -1,11 +1,11 @@
-//! Where operators call: HTTP/1.1, one call a connection.
+//! The admin interface: HTTP/1.1, one call a connection. It is served whatever the load.
 //!
-//! | call | |
+//! | call | response |
 //! | --- | --- |
 //! | `GET /ops/readiness` | 200 once this process can serve, else 503 |
-//! | `GET /ops/stats` | the figures |
-//! | `PUT /ops/drain/start` | health checks are answered as bad; all else goes on |
-//! | `PUT /ops/drain/stop` | they are answered as usual again |
+//! | `GET /ops/stats` | the metrics |
+//! | `PUT /ops/drain/start` | maintenance mode: health checks fail, everything else goes on |
+//! | `PUT /ops/drain/stop` | the end of maintenance mode |
 
 use std::io;
 use std::rc::Rc;
@@ -17,92 +17,99 @@
 use crate::class_registry::ClassRegistry;
 use crate::clock;
 use crate::exchange::Exchange;
-use crate::frontend::connection_limiter::{ConnectionGuard, Standing, OWED};
-use crate::frontend::part;
-use crate::http::{call, response, MAX_HEAD};
+use crate::frontend::connection_limiter::{ConnectionGuard, ConnectionState, MESSAGE_TIMEOUT};
+use crate::frontend::lingering_close;
+use crate::http::{parse_call, response, Call, MAX_HEAD_BYTES};
 use crate::log;
 
-/// Connections of operators at a time. Where one more comes, one that has asked nothing yet goes.
-pub const ROOM: usize = 16;
+/// Connections at a time. One more evicts one on which no call has arrived yet.
+pub const MAX_CONNECTIONS: usize = 16;
+/// Initial capacity of the read buffer, in bytes.
+const READ_BUFFER_BYTES: usize = 1024;
+/// The header field of all responses.
+const PLAIN_TEXT: &str = "Content-Type: text/plain; charset=utf-8\r\n";
 
-const TEXT: &str = "Content-Type: text/plain; charset=utf-8\r\n";
-
-/// What every connection of operators shares.
+/// What all connections of operators share.
 pub struct AdminServer {
-    /// The way to the core.
+    /// The way to the dispatcher.
     pub exchange: Exchange,
-    /// The names that figures go by.
-    pub names: Rc<ClassRegistry>,
+    /// The names of the classes in the metrics.
+    pub registry: Rc<ClassRegistry>,
 }
 
 /// Serves one connection to its end.
-pub async fn serve(mut stream: TcpStream, guest: ConnectionGuard, office: Rc<AdminServer>) {
-    // Who leaves early is owed nothing more.
-    if let Err(e) = talk(&mut stream, &guest, &office).await {
-        log!("operators: a connection ended early: {e}");
+pub async fn serve(mut stream: TcpStream, guard: ConnectionGuard, server: Rc<AdminServer>) {
+    // A client whose connection breaks gets no response.
+    if let Err(e) = serve_call(&mut stream, &guard, &server).await {
+        log!("admin: connection lost: {e}");
     }
 }
 
-async fn talk(stream: &mut TcpStream, guest: &ConnectionGuard, office: &AdminServer) -> io::Result<()> {
-    let mut input = BytesMut::with_capacity(1024);
-    let owed = clock::now() + OWED;
-    let answer = loop {
-        match call(&input) {
-            Ok(Some((method, path))) => {
-                guest.is(Standing::Busy);
-                break office.answer(&method, &path).await;
+async fn serve_call(stream: &mut TcpStream, guard: &ConnectionGuard, server: &AdminServer) -> io::Result<()> {
+    let mut input = BytesMut::with_capacity(READ_BUFFER_BYTES);
+    let deadline = clock::now() + MESSAGE_TIMEOUT;
+    let response = loop {
+        match parse_call(&input) {
+            Ok(Some(call)) => {
+                guard.set_state(ConnectionState::Busy);
+                break server.respond(&call).await;
+            }
+            Ok(None) if input.len() <= MAX_HEAD_BYTES => {}
+            Ok(None) => {
+                break plain_text(431, "Request Header Fields Too Large", "the head is too long\n");
             }
-            Ok(None) if input.len() <= MAX_HEAD => {}
-            Ok(None) => break plain(431, "Request Header Fields Too Large", "the head is too long\n"),
-            Err(e) => break plain(400, "Bad Request", &format!("{e}\n")),
+            Err(e) => break plain_text(400, "Bad Request", &format!("{e}\n")),
         }
         tokio::select! {
             read = stream.read_buf(&mut input) => if read? == 0 { return Ok(()) },
-            () = guest.asked_to_leave() => return part(stream, guest).await,
-            () = clock::until(owed) => break plain(408, "Request Timeout", "the call did not end in time\n"),
+            () = guard.evicted() => return lingering_close(stream, guard).await,
+            () = clock::until(deadline) => {
+                break plain_text(408, "Request Timeout", "the call did not end in time\n");
+            }
         }
     };
     tokio::select! {
-        written = stream.write_all(&answer) => written?,
-        () = clock::until(clock::now() + OWED) => return Err(io::ErrorKind::TimedOut.into()),
+        written = stream.write_all(&response) => written?,
+        () = clock::until(clock::now() + MESSAGE_TIMEOUT) => return Err(io::ErrorKind::TimedOut.into()),
     }
-    part(stream, guest).await
+    lingering_close(stream, guard).await
 }
 
 impl AdminServer {
-    async fn answer(&self, method: &str, path: &str) -> Bytes {
-        match (method, path) {
-            ("GET", "/ops/readiness") => {
-                let ready = self.exchange.status().borrow().is_serving();
-                if ready {
-                    plain(200, "OK", "ready\n")
-                } else {
-                    plain(503, "Service Unavailable", "not ready\n")
-                }
-            }
+    async fn respond(&self, call: &Call) -> Bytes {
+        match (&call.method[..], &call.path[..]) {
+            ("GET", "/ops/readiness") => self.readiness(),
             ("GET", "/ops/stats") => {
-                plain(200, "OK", &self.exchange.metrics().render(&self.names.class_names()))
+                plain_text(200, "OK", &self.exchange.metrics().render(&self.registry.class_names()))
             }
-            ("PUT", "/ops/drain/start") => self.send_away(true).await,
-            ("PUT", "/ops/drain/stop") => self.send_away(false).await,
+            ("PUT", "/ops/drain/start") => self.set_maintenance(true).await,
+            ("PUT", "/ops/drain/stop") => self.set_maintenance(false).await,
             (_, "/ops/readiness" | "/ops/stats" | "/ops/drain/start" | "/ops/drain/stop") => {
-                plain(405, "Method Not Allowed", "GET asks, PUT changes\n")
+                plain_text(405, "Method Not Allowed", "GET asks, PUT changes\n")
             }
-            _ => plain(404, "Not Found", "no such call\n"),
+            _ => plain_text(404, "Not Found", "no such call\n"),
+        }
+    }
+
+    fn readiness(&self) -> Bytes {
+        if self.exchange.status().borrow().is_serving() {
+            plain_text(200, "OK", "ready\n")
+        } else {
+            plain_text(503, "Service Unavailable", "not ready\n")
         }
     }
 
-    /// Says yes once health checks are answered that way.
-    async fn send_away(&self, away: bool) -> Bytes {
-        self.exchange.set_maintenance(away).await;
-        let mut state = self.exchange.status();
-        let heard = state.wait_for(|state| state.maintenance == away).await;
-        drop(heard);
-        log!("operators: {}", if away { "front ends are sent away" } else { "front ends may come again" });
-        plain(200, "OK", if away { "draining\n" } else { "serving\n" })
+    /// Switches maintenance mode; responds once health checks are answered accordingly.
+    async fn set_maintenance(&self, enabled: bool) -> Bytes {
+        self.exchange.set_maintenance(enabled).await;
+        let mut status = self.exchange.status();
+        let applied = status.wait_for(|status| status.maintenance == enabled).await;
+        drop(applied);
+        log!("admin: maintenance mode: enabled={enabled}");
+        plain_text(200, "OK", if enabled { "draining\n" } else { "serving\n" })
     }
 }
 
-fn plain(status: u16, reason: &str, body: &str) -> Bytes {
-    response(status, reason, TEXT, body.as_bytes())
+fn plain_text(status: u16, reason: &str, body: &str) -> Bytes {
+    response(status, reason, PLAIN_TEXT, body.as_bytes())
 }
--- a/node/src/backend/index.rs
+++ b/node/src/backend/index.rs
@@ -1,5 +1,7 @@
-//! Calls to the tier below, handed to the index. Each has a connection to itself while it lasts: guards the
-//! others against a reply that is spoilt, late, doubled or never comes, after which its connection is closed.
+//! Calls to the tier below by way of the index.
+//!
+//! Each call has a connection to itself while it lasts, and a connection whose response is malformed, late or missing is
+//! closed. So a fault costs no call but its own.
 
 use std::cell::RefCell;
 use std::io;
@@ -10,125 +12,158 @@
 use bytes::Bytes;
 use tokio::sync::watch;
 
-use super::Callee;
-use crate::clock::{self, Unix};
+use super::CallBackend;
+use crate::clock::{self, UnixTime};
 use crate::config::Links;
 use crate::exchange::{CallOutcome, Request};
-use crate::line_codec::{self, encode, LineConnection};
+use crate::line_codec::{self, encode, LineConnection, Message, ProtocolError};
 use crate::log;
 use crate::sockets;
 
-/// A connection is used again only if it has been idle for less. Guards calls against crossing the close of an
-/// idle connection, which would prove nothing about them.
-const IDLE: Duration = Duration::from_millis(250);
-/// A call without a reply is given up this long after its time, for the index says itself that it was slow.
-const SILENT: Duration = Duration::from_millis(150);
-/// A reply that has begun is whole after this long, or never.
-const STALLED: Duration = Duration::from_millis(600);
+/// A connection is used again only if it has been idle for less than this. The index closes idle connections, and a call
+/// that crosses the close would have no outcome that is known.
+const MAX_IDLE: Duration = Duration::from_millis(250);
+/// A call without a response is given up this long after its deadline: the index itself reports at the deadline that it
+/// was slow.
+const RESPONSE_GRACE: Duration = Duration::from_millis(150);
+/// A response that has begun is complete after this long, or the connection is closed.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// A connection with no call on it.
-struct Idle {
-    link: LineConnection,
+/// A connection without a call on it.
+struct IdleConnection {
+    connection: LineConnection,
     address: SocketAddr,
-    since: Unix,
-    /// The request of the call before. Another call for it goes elsewhere: guards it against a second copy of
-    /// the reply before.
-    last: Bytes,
+    since: UnixTime,
+    /// The request of the last call. No call for the same request is made here, as a second copy of the last response
+    /// would be taken for its own.
+    last_txn: Bytes,
 }
 
-/// The client side of the index.
+/// The client of the index.
 pub struct Index {
-    links: watch::Receiver<Links>,
-    /// The last one used comes last.
-    idle: RefCell<Vec<Idle>>,
-    most_idle: usize,
+    addresses: watch::Receiver<Links>,
+    /// The connection that was used last comes last.
+    idle: RefCell<Vec<IdleConnection>>,
+    max_idle: usize,
 }
 
 impl Index {
-    /// The index at the address of the day; without one, no call reaches anybody. So many connections at the
-    /// most are kept idle.
-    pub fn new(links: watch::Receiver<Links>, most_idle: usize) -> Rc<Self> {
-        Rc::new(Index { links, idle: RefCell::default(), most_idle })
+    /// A client of the index at the latest address; where that is none, no call reaches anybody. At most `max_idle`
+    /// connections are kept for later calls.
+    pub fn new(addresses: watch::Receiver<Links>, max_idle: usize) -> Rc<Self> {
+        Rc::new(Index { addresses, idle: RefCell::default(), max_idle })
     }
 
-    /// A connection that can be used again, if there is one.
-    fn kept(&self, txn: &Bytes) -> Option<LineConnection> {
-        self.tidy();
+    /// Removes and returns an idle connection that can be used for a request.
+    fn idle_connection(&self, txn: &Bytes) -> Option<LineConnection> {
+        self.close_stale_connections();
         let mut idle = self.idle.borrow_mut();
-        let fits = idle.iter().rposition(|kept| kept.last != txn)?;
-        Some(idle.remove(fits).link)
+        let usable = idle.iter().rposition(|connection| connection.last_txn != txn)?;
+        Some(idle.remove(usable).connection)
     }
 
-    fn keep(&self, link: LineConnection, address: SocketAddr, last: Bytes) {
+    fn keep_idle(&self, connection: LineConnection, address: SocketAddr, last_txn: Bytes) {
         let mut idle = self.idle.borrow_mut();
-        // What comes beside a reply belongs to no call.
-        if !link.input.is_empty() || idle.len() >= self.most_idle {
-            return;
+        // What comes beside a response belongs to no call.
+        if connection.input.is_empty() && idle.len() < self.max_idle {
+            idle.push(IdleConnection { connection, address, since: clock::now(), last_txn });
         }
-        idle.push(Idle { link, address, since: clock::now(), last });
     }
 
-    async fn ask(&self, txn: &Bytes, body: &[u8], until: Unix) -> io::Result<CallOutcome> {
-        let Some(address) = self.links.borrow().index else { return Ok(CallOutcome::Unreachable) };
-        let mut link = match self.kept(txn) {
-            Some(link) => link,
-            None => match sockets::connect(address, until).await {
+    async fn exchange_messages(
+        &self,
+        txn: &Bytes,
+        body: &[u8],
+        deadline: UnixTime,
+    ) -> io::Result<CallOutcome> {
+        let Some(address) = self.addresses.borrow().index else { return Ok(CallOutcome::Unreachable) };
+        let mut connection = match self.idle_connection(txn) {
+            Some(connection) => connection,
+            None => match sockets::connect(address, deadline).await {
                 Ok(stream) => LineConnection::new(stream),
-                // A refused connection proves that the call never ran, and so does one that was never made.
+                // A connection that was never made proves that the call never ran.
                 Err(e) => {
-                    log!("index: no connection: {e}");
+                    log!("index: connection failed: {e}");
                     return Ok(CallOutcome::Unreachable);
                 }
             },
         };
-        let left = until.saturating_sub(clock::now()).as_millis().max(1).to_string();
-        encode(&mut link.output, &[b"GET", txn, left.as_bytes()], Some(body));
-        let mut begun = None;
-        loop {
-            while let Some(message) =
-                line_codec::decode(&mut link.input, |words| words.nth(1) == Some(b"HIT"))?
-            {
-                let end = match (&message.field(1)[..], &message.body) {
-                    (b"HIT", Some(reply)) => CallOutcome::Ok(reply.clone()),
-                    (b"SHED", _) => CallOutcome::Rejected,
-                    (b"BROKEN", _) => CallOutcome::Failed,
-                    (b"SLOW", _) => CallOutcome::TimedOut,
-                    (b"NOBODY", _) => CallOutcome::Unreachable,
-                    _ => return Err(message.protocol_error().into()),
-                };
-                // A reply to another call is nobody's here.
-                if message.field(0) == txn {
-                    self.keep(link, address, txn.clone());
-                    return Ok(end);
-                }
-                log!("index: a reply to {:?}, which is not called for here", message.field(0));
-                begun = None;
+        let remaining_ms = deadline.saturating_sub(clock::now()).as_millis().max(1).to_string();
+        encode(&mut connection.output, &[b"GET", txn, remaining_ms.as_bytes()], Some(body));
+        let outcome = receive_response(&mut connection, txn, deadline).await?;
+        if let Some(outcome) = outcome {
+            self.keep_idle(connection, address, txn.clone());
+            return Ok(outcome);
+        }
+        Ok(CallOutcome::TimedOut)
+    }
+}
+
+/// Waits for the response to the call for a request; none where nothing comes in time.
+async fn receive_response(
+    connection: &mut LineConnection,
+    txn: &Bytes,
+    deadline: UnixTime,
+) -> io::Result<Option<CallOutcome>> {
+    let give_up_at = deadline + RESPONSE_GRACE;
+    let mut incomplete_since = None;
+    loop {
+        while let Some(message) = line_codec::decode(&mut connection.input, has_body)? {
+            let outcome = decode_outcome(&message)?;
+            if message.field(0) == txn {
+                return Ok(Some(outcome));
             }
-            begun = if link.input.is_empty() { None } else { begun.or_else(|| Some(clock::now())) };
-            let whole_by = begun.map_or(until + SILENT, |begun| (begun + STALLED).min(until + SILENT));
-            tokio::select! {
-                turned = link.transfer() => turned?,
-                () = clock::until(whole_by) => {
-                    return if begun.is_some() { Err(line_codec::ProtocolError::Incomplete.into()) } else { Ok(CallOutcome::TimedOut) };
-                }
+            log!("index: unexpected response ignored: txn={:?}", message.field(0));
+            incomplete_since = None;
+        }
+        incomplete_since = match connection.input.is_empty() {
+            true => None,
+            false => incomplete_since.or_else(|| Some(clock::now())),
+        };
+        let read_until =
+            incomplete_since.map_or(give_up_at, |since| (since + RESPONSE_TIMEOUT).min(give_up_at));
+        tokio::select! {
+            transferred = connection.transfer() => transferred?,
+            () = clock::until(read_until) => {
+                return if incomplete_since.is_some() {
+                    Err(ProtocolError::Incomplete.into())
+                } else {
+                    Ok(None)
+                };
             }
         }
     }
 }
 
-impl Callee for Index {
-    async fn call(self: Rc<Self>, request: Rc<Request>, body: Bytes, until: Unix) -> CallOutcome {
-        let ended = self.ask(&request.txn, &body, until).await;
-        ended.unwrap_or_else(|e| {
-            log!("index: a connection was lost with the call on it: {e}");
+fn decode_outcome(message: &Message) -> Result<CallOutcome, ProtocolError> {
+    match (&message.field(1)[..], &message.body) {
+        (b"HIT", Some(reply)) => Ok(CallOutcome::Ok(reply.clone())),
+        (b"SHED", _) => Ok(CallOutcome::Rejected),
+        (b"BROKEN", _) => Ok(CallOutcome::Failed),
+        (b"SLOW", _) => Ok(CallOutcome::TimedOut),
+        (b"NOBODY", _) => Ok(CallOutcome::Unreachable),
+        _ => Err(message.protocol_error()),
+    }
+}
+
+fn has_body(fields: &mut dyn Iterator<Item = &[u8]>) -> bool {
+    fields.nth(1) == Some(b"HIT")
+}
+
+impl CallBackend for Index {
+    async fn call(self: Rc<Self>, request: Rc<Request>, body: Bytes, deadline: UnixTime) -> CallOutcome {
+        let outcome = self.exchange_messages(&request.txn, &body, deadline).await;
+        outcome.unwrap_or_else(|e| {
+            log!("index: connection lost during a call: {e}");
             CallOutcome::CutOff
         })
     }
 
-    fn tidy(&self) {
-        let oldest = clock::now().saturating_sub(IDLE);
-        let address = self.links.borrow().index;
-        let fresh = |kept: &Idle| kept.since > oldest && Some(kept.address) == address;
-        self.idle.borrow_mut().retain(|kept| fresh(kept) && kept.link.is_idle());
+    fn close_stale_connections(&self) {
+        let oldest = clock::now().saturating_sub(MAX_IDLE);
+        let address = self.addresses.borrow().index;
+        self.idle
+            .borrow_mut()
+            .retain(|idle| idle.since > oldest && Some(idle.address) == address && idle.connection.is_idle());
     }
 }
--- a/node/src/backend/mod.rs
+++ b/node/src/backend/mod.rs
@@ -1,4 +1,4 @@
-//! The client side: what runs requests and what takes their calls.
+//! The backends: what runs requests, and what answers the calls that they make.
 
 pub mod index;
 pub mod interpreter;
@@ -14,57 +14,67 @@
 use tokio::sync::{mpsc, Semaphore};
 use tokio::task::{AbortHandle, JoinSet};
 
-use crate::clock::{self, Unix};
+use crate::clock::{self, UnixTime};
 use crate::exchange::{BackendEvent, CallCommand, CallOutcome, Exchange, Request};
 
-/// Without calls for this long, what was kept for them is looked at.
-const TIDY: Duration = Duration::from_secs(1);
+/// Without commands for this long, idle connections are looked at.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Exchanges under way, by the request that each is for; each has a connection of its own.
-struct UnderWay<T> {
+/// Calls in progress by the request that each is for. Each has a connection of its own.
+struct CallsInProgress<T> {
     tasks: JoinSet<(Bytes, T)>,
     handles: HashMap<Bytes, AbortHandle>,
-    /// How many may have a connection at a time. Guards the descriptors of the process.
-    room: Arc<Semaphore>,
+    /// Bounds the connections, and so the descriptors of the process.
+    connections: Arc<Semaphore>,
 }
 
-impl<T: 'static> UnderWay<T> {
-    fn new(connections: usize) -> Self {
-        let room = Arc::new(Semaphore::new(connections));
-        UnderWay { tasks: JoinSet::new(), handles: HashMap::new(), room }
+impl<T: 'static> CallsInProgress<T> {
+    fn new(max_connections: usize) -> Self {
+        CallsInProgress {
+            tasks: JoinSet::new(),
+            handles: HashMap::new(),
+            connections: Arc::new(Semaphore::new(max_connections)),
+        }
     }
 
-    /// Begins one in the place of any other for the request, `unreached` if there is no room for it in time.
-    fn begin(&mut self, txn: Bytes, until: Unix, asked: impl Future<Output = T> + 'static, unreached: T) {
-        self.give_up(&txn);
-        let (named, room) = (txn.clone(), self.room.clone());
+    /// Starts a call and cancels any other for the same request. It ends with `no_connection` where no connection
+    /// becomes free by the deadline.
+    fn start(
+        &mut self,
+        txn: Bytes,
+        deadline: UnixTime,
+        call: impl Future<Output = T> + 'static,
+        no_connection: T,
+    ) {
+        self.cancel(&txn);
+        let (task_txn, connections) = (txn.clone(), self.connections.clone());
         let handle = self.tasks.spawn_local(async move {
-            let room = tokio::select! {
+            let permit = tokio::select! {
                 biased;
-                room = room.acquire_owned() => room,
-                () = clock::until(until) => return (named, unreached),
+                permit = connections.acquire_owned() => permit,
+                () = clock::until(deadline) => return (task_txn, no_connection),
             };
-            let ended = asked.await;
-            drop(room);
-            (named, ended)
+            let outcome = call.await;
+            drop(permit);
+            (task_txn, outcome)
         });
         self.handles.insert(txn, handle);
     }
 
-    /// Closes the connection of an exchange; false if there is none.
-    fn give_up(&mut self, txn: &Bytes) -> bool {
+    /// Closes the connection of a call; false if there is none.
+    fn cancel(&mut self, txn: &Bytes) -> bool {
         self.handles.remove(txn).map(|handle| handle.abort()).is_some()
     }
 
-    /// The next exchange that ended; never if none is under way.
+    /// The next call that ended; waits for ever while none is in progress.
     async fn next(&mut self) -> (Bytes, T) {
         loop {
             match self.tasks.join_next_with_id().await {
-                Some(Ok((id, (txn, ended)))) => {
-                    // What was given up meanwhile has ended already.
+                Some(Ok((id, (txn, outcome)))) => {
+                    // A call that was cancelled or replaced meanwhile has no outcome.
                     if self.handles.get(&txn).is_some_and(|handle| handle.id() == id) {
                         self.handles.remove(&txn);
-                        return (txn, ended);
+                        return (txn, outcome);
                     }
                 }
                 Some(Err(_)) => {}
@@ -74,40 +84,40 @@
     }
 }
 
-/// What takes calls.
-pub trait Callee {
-    /// Makes a call and waits for its end, until then at the latest.
+/// A peer that answers calls.
+pub trait CallBackend {
+    /// Makes a call and waits for its outcome, until the deadline at the latest.
     fn call(
         self: Rc<Self>,
         request: Rc<Request>,
         body: Bytes,
-        until: Unix,
+        deadline: UnixTime,
     ) -> impl Future<Output = CallOutcome>;
 
-    /// Lets go of what is of no more use; asked now and then.
-    fn tidy(&self) {}
+    /// Closes connections that are of no more use. Called now and then.
+    fn close_stale_connections(&self) {}
 }
 
-/// Makes calls for as long as there are any to come, over so many connections at the most.
-pub async fn call<C: Callee + 'static>(
-    callee: Rc<C>,
+/// Makes calls until no more commands can come, over at most so many connections at a time.
+pub async fn make_calls<B: CallBackend + 'static>(
+    backend: Rc<B>,
     exchange: Exchange,
     mut commands: mpsc::Receiver<CallCommand>,
-    connections: usize,
+    max_connections: usize,
 ) {
-    let mut under_way = UnderWay::new(connections);
+    let mut calls = CallsInProgress::new(max_connections);
     loop {
         tokio::select! {
             command = commands.recv() => match command {
                 None => return,
                 Some(CallCommand::Call { request, body, until }) => {
-                    let called = callee.clone().call(request.clone(), body, until);
-                    under_way.begin(request.txn.clone(), until, called, CallOutcome::Unreachable);
+                    let call = backend.clone().call(request.clone(), body, until);
+                    calls.start(request.txn.clone(), until, call, CallOutcome::Unreachable);
                 }
-                Some(CallCommand::GiveUp(txn)) => drop(under_way.give_up(&txn)),
+                Some(CallCommand::GiveUp(txn)) => drop(calls.cancel(&txn)),
             },
-            (txn, end) = under_way.next() => exchange.report(BackendEvent::CallEnded(txn, end)).await,
-            () = clock::until(clock::now() + TIDY) => callee.tidy(),
+            (txn, outcome) = calls.next() => exchange.report(BackendEvent::CallEnded(txn, outcome)).await,
+            () = clock::until(clock::now() + IDLE_CHECK_INTERVAL) => backend.close_stale_connections(),
         }
     }
 }
--- a/node/src/class_registry.rs
+++ b/node/src/class_registry.rs
@@ -7,7 +7,7 @@
 use oakwind_admission::{Class, Effect};
 use oakwind_settings::Parsed;
 
-use crate::clock::Unix;
+use crate::clock::UnixTime;
 
 /// Requests of a class that the settings no longer have are taken for so long: guards those that were on their way.
 const CROSSING: Duration = Duration::from_secs(1);
@@ -17,7 +17,7 @@
 pub struct ClassRegistry {
     known: RefCell<Parsed>,
     /// When the settings that hold now came.
-    since: Cell<Unix>,
+    since: Cell<UnixTime>,
 }
 
 impl ClassRegistry {
@@ -32,7 +32,7 @@
     }
 
     /// Other settings hold from now on, which follow the ones before.
-    pub fn replace_settings(&self, settings: Parsed, now: Unix) {
+    pub fn replace_settings(&self, settings: Parsed, now: UnixTime) {
         self.since.set(now);
         *self.known.borrow_mut() = settings;
     }
@@ -43,7 +43,7 @@
     }
 
     /// The position of a class that requests may have now.
-    pub fn class_index(&self, name: &str, now: Unix) -> Option<u16> {
+    pub fn class_index(&self, name: &str, now: UnixTime) -> Option<u16> {
         let known = self.known.borrow();
         let crossing = now < self.since.get() + CROSSING;
         position(&known.classes, if crossing { &[] } else { &known.retired_classes }, name)
@@ -75,7 +75,7 @@
 
     /// When a request's caller stops waiting: when it says, but no later than any caller of its class would.
     /// Guards the hold against requests that would stay in it for ever, and sums of times against overflow.
-    pub fn request_deadline(&self, class: u16, now: Unix, wanted: Option<Unix>) -> Unix {
+    pub fn request_deadline(&self, class: u16, now: UnixTime, wanted: Option<UnixTime>) -> UnixTime {
         let latest = now + self.class_deadline(class);
         wanted.map_or(latest, |wanted| wanted.min(latest))
     }
--- a/node/src/clock.rs
+++ b/node/src/clock.rs
@@ -9,6 +9,9 @@
 use tokio::time::Sleep;
 
 /// A point in time, as the time since the Unix epoch.
+pub type UnixTime = Duration;
+
+/// The same; the name that is still used in places.
 pub type Unix = Duration;
 
 /// While the system's clock is behind, time goes on slower by one part in so many.
--- a/node/src/frontend/connection_limiter.rs
+++ b/node/src/frontend/connection_limiter.rs
@@ -1,4 +1,7 @@
-//! The connections of a front: how many there may be at a time, and which of them goes when there is no room.
+//! Bounds the connections of a frontend and decides which of them is evicted when a new one needs its slot.
+//!
+//! A busy connection is never evicted. Of the others the one that has shown least is, and among equals the one that has
+//! been so for longest: clients that hold connections without sending requests shut nobody out.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -7,153 +10,158 @@
 
 use tokio::sync::Notify;
 
-use crate::clock::{self, Unix};
+use crate::clock::{self, UnixTime};
 
-/// A client owes its first message, whole, this long after it connected, and the rest of a later one this long
-/// after its beginning. Guards the room against clients that say nothing or never finish.
-pub const OWED: Duration = Duration::from_secs(2);
+/// A client's first message is complete this long after it connected, and a later one this long after its first byte.
+/// Clients that send nothing or never complete a message don't hold a connection for longer.
+pub const MESSAGE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a connection has shown of itself; the least comes first, and goes first.
+/// What a connection is doing, in the order in which connections are evicted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Standing {
-    /// It has said nothing that could be served.
-    Stranger,
-    /// Nothing is open on it.
+pub enum ConnectionState {
+    /// Its client has sent nothing that could be served.
+    Unproven,
+    /// Its client has been served, and no request is open.
     Idle,
-    /// Nothing is open on it, and its last answers are still to be written.
-    Answered,
-    /// Its peer waits for an answer.
+    /// No request is open, and responses are still to be written.
+    Flushing,
+    /// Its client waits for a response.
     Busy,
 }
 
-struct Seat {
-    standing: Standing,
-    since: Unix,
-    leave: Rc<Notify>,
-    /// It was asked to leave, so it counts no more.
-    leaving: bool,
+/// A connection that is counted.
+struct ConnectionSlot {
+    state: ConnectionState,
+    /// When it took on this state.
+    since: UnixTime,
+    eviction: Rc<Notify>,
+    /// It was told to close and is not counted any more.
+    is_evicted: bool,
 }
 
-/// The connections of one front.
+/// Counts the connections of one frontend.
 pub struct ConnectionLimiter {
-    room: usize,
-    /// Another process of this node has half of the room.
+    max_connections: usize,
+    /// Half of the connections belong to another process of this node.
     shared: Cell<bool>,
-    seats: RefCell<HashMap<u64, Seat>>,
-    next: Cell<u64>,
-    /// A connection has gone, or has all its answers.
+    slots: RefCell<HashMap<u64, ConnectionSlot>>,
+    next_id: Cell<u64>,
+    /// A connection has closed, or has written all its responses.
     changed: Notify,
 }
 
-/// A connection's seat, free again when this is dropped.
+/// The slot of one connection. Dropping it frees the slot.
 pub struct ConnectionGuard {
-    guests: Rc<ConnectionLimiter>,
-    number: u64,
-    leave: Rc<Notify>,
+    limiter: Rc<ConnectionLimiter>,
+    id: u64,
+    eviction: Rc<Notify>,
 }
 
 impl ConnectionLimiter {
-    /// Room for so many connections.
-    pub fn new(room: usize) -> Rc<Self> {
-        let seats = RefCell::default();
+    /// A limiter without connections.
+    pub fn new(max_connections: usize) -> Rc<Self> {
         Rc::new(ConnectionLimiter {
-            room,
+            max_connections,
             shared: Cell::new(false),
-            seats,
-            next: Cell::new(0),
+            slots: RefCell::default(),
+            next_id: Cell::new(0),
             changed: Notify::new(),
         })
     }
 
-    /// Seats one more connection. Where there is no room, a stranger or else the one idle for longest goes for
-    /// it; nothing where all are busy. Guards front ends against being shut out by those who hold connections
-    /// and ask nothing.
-    pub fn seat(self: &Rc<Self>) -> Option<ConnectionGuard> {
-        if self.taken() >= self.room() && !self.one_leaves() {
+    /// Admits one more connection and evicts another one for it where none is left. None where all are busy.
+    pub fn admit(self: &Rc<Self>) -> Option<ConnectionGuard> {
+        if self.count() >= self.capacity() && !self.evict_one() {
             return None;
         }
-        let mut seats = self.seats.borrow_mut();
-        let (number, leave) = (self.next.get(), Rc::new(Notify::new()));
-        self.next.set(number + 1);
-        let (standing, since) = (Standing::Stranger, clock::now());
-        seats.insert(number, Seat { standing, since, leave: leave.clone(), leaving: false });
-        Some(ConnectionGuard { guests: self.clone(), number, leave })
+        let id = self.next_id.get();
+        self.next_id.set(id + 1);
+        let eviction = Rc::new(Notify::new());
+        let slot = ConnectionSlot {
+            state: ConnectionState::Unproven,
+            since: clock::now(),
+            eviction: eviction.clone(),
+            is_evicted: false,
+        };
+        self.slots.borrow_mut().insert(id, slot);
+        Some(ConnectionGuard { limiter: self.clone(), id, eviction })
     }
 
-    /// Shares the room with another process of this node, or has it alone. Guards the descriptors, which are
-    /// counted over both.
-    pub fn share(&self, shared: bool) {
+    /// Leaves half of the connections to another process of this node, or takes them back. The descriptors are counted
+    /// over both processes.
+    pub fn set_shared(&self, shared: bool) {
         self.shared.set(shared);
-        while self.taken() > self.room() && self.one_leaves() {}
+        while self.count() > self.capacity() && self.evict_one() {}
     }
 
-    fn room(&self) -> usize {
+    fn capacity(&self) -> usize {
         if self.shared.get() {
-            self.room / 2
+            self.max_connections / 2
         } else {
-            self.room
+            self.max_connections
         }
     }
 
-    fn taken(&self) -> usize {
-        self.seats.borrow().values().filter(|seat| !seat.leaving).count()
+    fn count(&self) -> usize {
+        self.slots.borrow().values().filter(|slot| !slot.is_evicted).count()
     }
 
-    /// Asks a stranger, or else the one idle for longest, to leave; false where all are busy.
-    fn one_leaves(&self) -> bool {
-        let mut seats = self.seats.borrow_mut();
-        let idle = seats.values_mut().filter(|seat| !seat.leaving && seat.standing < Standing::Busy);
-        let Some(goes) = idle.min_by_key(|seat| (seat.standing, seat.since)) else { return false };
-        goes.leaving = true;
-        goes.leave.notify_one();
+    /// Tells one connection to close; false where all are busy.
+    fn evict_one(&self) -> bool {
+        let mut slots = self.slots.borrow_mut();
+        let candidates =
+            slots.values_mut().filter(|slot| !slot.is_evicted && slot.state < ConnectionState::Busy);
+        let Some(evicted) = candidates.min_by_key(|slot| (slot.state, slot.since)) else { return false };
+        evicted.is_evicted = true;
+        evicted.eviction.notify_one();
         true
     }
 
     /// Waits until no connection is left.
-    pub async fn all_gone(&self) {
-        while !self.seats.borrow().is_empty() {
+    pub async fn all_closed(&self) {
+        while !self.slots.borrow().is_empty() {
             self.changed.notified().await;
         }
     }
 
-    /// Waits until every connection has all its answers.
-    pub async fn all_paid(&self) {
-        while self.seats.borrow().values().any(|seat| seat.standing >= Standing::Answered) {
+    /// Waits until every request has its response, and every response is written.
+    pub async fn all_flushed(&self) {
+        while self.slots.borrow().values().any(|slot| slot.state >= ConnectionState::Flushing) {
             self.changed.notified().await;
         }
     }
 }
 
 impl ConnectionGuard {
-    /// The connection shows this of itself from now on.
-    pub fn is(&self, standing: Standing) {
-        if let Some(seat) = self.guests.seats.borrow_mut().get_mut(&self.number) {
-            if seat.standing != standing {
-                (seat.standing, seat.since) = (standing, clock::now());
+    /// Records what the connection is doing. One that has become busy is not evicted any more: its request came before
+    /// it closed.
+    pub fn set_state(&self, state: ConnectionState) {
+        if let Some(slot) = self.limiter.slots.borrow_mut().get_mut(&self.id) {
+            if slot.state != state {
+                (slot.state, slot.since) = (state, clock::now());
             }
-            // A request came before it left, so it stays, and counts.
-            seat.leaving &= standing < Standing::Busy;
-            if standing < Standing::Answered {
-                self.guests.changed.notify_waiters();
+            slot.is_evicted &= state < ConnectionState::Busy;
+            if state < ConnectionState::Flushing {
+                self.limiter.changed.notify_waiters();
             }
         }
     }
 
-    /// Whether the connection was asked to leave and has not become busy since: then it has no place any more.
-    pub fn is_leaving(&self) -> bool {
-        self.guests.seats.borrow().get(&self.number).is_some_and(|seat| seat.leaving)
+    /// Whether the connection was evicted and has not become busy since.
+    pub fn is_evicted(&self) -> bool {
+        self.limiter.slots.borrow().get(&self.id).is_some_and(|slot| slot.is_evicted)
     }
 
-    /// Waits until the connection is asked to leave. It is not if it is busy, but may have become so since.
-    pub async fn asked_to_leave(&self) {
-        self.leave.notified().await;
+    /// Waits until the connection is evicted. It may have become busy between that and the end of this wait.
+    pub async fn evicted(&self) {
+        self.eviction.notified().await;
     }
 }
 
 impl Drop for ConnectionGuard {
     fn drop(&mut self) {
-        self.guests.seats.borrow_mut().remove(&self.number);
-        self.guests.changed.notify_waiters();
+        self.limiter.slots.borrow_mut().remove(&self.id);
+        self.limiter.changed.notify_waiters();
     }
 }
 
--- a/node/src/frontend/connection_limiter/tests.rs
+++ b/node/src/frontend/connection_limiter/tests.rs
@@ -1,69 +1,72 @@
 use super::*;
 use futures_util::FutureExt;
 
-fn asked(guest: &ConnectionGuard) -> bool {
-    guest.asked_to_leave().now_or_never().is_some()
+fn is_told_to_close(guard: &ConnectionGuard) -> bool {
+    guard.evicted().now_or_never().is_some()
 }
 
 #[test]
-fn two_processes_of_a_node_have_half_of_the_room_each() {
-    let guests = ConnectionLimiter::new(4);
-    let seats: Vec<ConnectionGuard> = (0..4).map(|_| guests.seat().unwrap()).collect();
-    seats[..3].iter().for_each(|seat| seat.is(Standing::Busy));
-    guests.share(true);
+fn during_an_upgrade_each_process_has_half_of_the_connections() {
+    let limiter = ConnectionLimiter::new(4);
+    let guards: Vec<ConnectionGuard> = (0..4).map(|_| limiter.admit().unwrap()).collect();
+    guards[..3].iter().for_each(|guard| guard.set_state(ConnectionState::Busy));
+    limiter.set_shared(true);
     assert_eq!(
-        seats.iter().map(asked).collect::<Vec<_>>(),
+        guards.iter().map(is_told_to_close).collect::<Vec<_>>(),
         [false, false, false, true],
-        "the busy ones stay"
+        "busy ones are not evicted"
     );
-    drop(seats);
-    let seats = [guests.seat().unwrap(), guests.seat().unwrap()];
-    seats[1].is(Standing::Busy);
-    let _third = guests.seat().unwrap();
-    assert_eq!(seats.each_ref().map(asked), [true, false]);
-    guests.share(false);
-    let all = [guests.seat().unwrap(), guests.seat().unwrap()];
-    assert!(!all.iter().any(asked) && !asked(&seats[1]));
+    drop(guards);
+    let guards = [limiter.admit().unwrap(), limiter.admit().unwrap()];
+    guards[1].set_state(ConnectionState::Busy);
+    let _third = limiter.admit().unwrap();
+    assert_eq!(guards.each_ref().map(is_told_to_close), [true, false]);
+    limiter.set_shared(false);
+    let all = [limiter.admit().unwrap(), limiter.admit().unwrap()];
+    assert!(!all.iter().any(is_told_to_close) && !is_told_to_close(&guards[1]));
 }
 
 #[test]
-fn strangers_go_before_idle_ones_and_busy_ones_stay() {
-    let guests = ConnectionLimiter::new(3);
-    let seats: Vec<ConnectionGuard> = (0..3).map(|_| guests.seat().unwrap()).collect();
-    seats[0].is(Standing::Busy);
-    seats[1].is(Standing::Idle);
-    let fourth = guests.seat().unwrap();
-    assert_eq!(seats.iter().map(asked).collect::<Vec<_>>(), [false, false, true]);
-    fourth.is(Standing::Busy);
-    drop(seats);
-    let (_fifth, sixth) = (guests.seat().unwrap(), guests.seat().unwrap());
-    sixth.is(Standing::Busy);
-    let seventh = guests.seat().unwrap();
-    seventh.is(Standing::Busy);
-    assert!(guests.seat().is_none(), "all are busy");
+fn unproven_connections_are_evicted_before_idle_ones_and_busy_ones_never() {
+    let limiter = ConnectionLimiter::new(3);
+    let guards: Vec<ConnectionGuard> = (0..3).map(|_| limiter.admit().unwrap()).collect();
+    guards[0].set_state(ConnectionState::Busy);
+    guards[1].set_state(ConnectionState::Idle);
+    let fourth = limiter.admit().unwrap();
+    assert_eq!(guards.iter().map(is_told_to_close).collect::<Vec<_>>(), [false, false, true]);
+    fourth.set_state(ConnectionState::Busy);
+    drop(guards);
+    let (_fifth, sixth) = (limiter.admit().unwrap(), limiter.admit().unwrap());
+    sixth.set_state(ConnectionState::Busy);
+    let seventh = limiter.admit().unwrap();
+    seventh.set_state(ConnectionState::Busy);
+    assert!(limiter.admit().is_none(), "all are busy");
     drop((fourth, sixth));
-    let (last, other) = (guests.seat().unwrap(), guests.seat().unwrap());
-    other.is(Standing::Busy);
-    let newest = guests.seat().unwrap();
-    // A request came on the one that was asked to leave: it stays, and counts.
-    last.is(Standing::Busy);
-    assert!(guests.seat().is_some() && asked(&newest));
+    let (last, other) = (limiter.admit().unwrap(), limiter.admit().unwrap());
+    other.set_state(ConnectionState::Busy);
+    let newest = limiter.admit().unwrap();
+    // A request came on the one that was evicted: it stays and is counted.
+    last.set_state(ConnectionState::Busy);
+    assert!(limiter.admit().is_some() && is_told_to_close(&newest));
 }
 
 #[test]
-fn who_does_not_read_its_answers_goes_after_idle_ones_and_is_waited_for_at_the_end() {
-    let guests = ConnectionLimiter::new(2);
-    let seats = [guests.seat().unwrap(), guests.seat().unwrap()];
-    seats[0].is(Standing::Answered);
-    seats[1].is(Standing::Idle);
-    let third = guests.seat().unwrap();
-    third.is(Standing::Busy);
-    assert_eq!(seats.each_ref().map(asked), [false, true]);
-    assert!(guests.all_paid().now_or_never().is_none(), "one waits for its answer, one has not read it");
-    let fourth = guests.seat().unwrap();
-    assert!(asked(&seats[0]), "it goes before one that waits for its answer");
-    drop(seats);
-    third.is(Standing::Idle);
-    assert!(guests.all_paid().now_or_never().is_some());
+fn a_flushing_connection_is_evicted_after_idle_ones_and_waited_for_at_shutdown() {
+    let limiter = ConnectionLimiter::new(2);
+    let guards = [limiter.admit().unwrap(), limiter.admit().unwrap()];
+    guards[0].set_state(ConnectionState::Flushing);
+    guards[1].set_state(ConnectionState::Idle);
+    let third = limiter.admit().unwrap();
+    third.set_state(ConnectionState::Busy);
+    assert_eq!(guards.each_ref().map(is_told_to_close), [false, true]);
+    assert!(
+        limiter.all_flushed().now_or_never().is_none(),
+        "one waits for its response, one has not read it"
+    );
+    let fourth = limiter.admit().unwrap();
+    assert!(is_told_to_close(&guards[0]), "it is evicted before one that waits for its response");
+    drop(guards);
+    third.set_state(ConnectionState::Idle);
+    assert!(limiter.all_flushed().now_or_never().is_some());
     drop(fourth);
 }
--- /dev/null
+++ b/node/src/frontend/jsonrpc/request.rs
@@ -0,0 +1,162 @@
+//! Decodes and checks the parameters of a request.
+
+use std::borrow::Cow;
+use std::time::Duration;
+
+use base64::engine::general_purpose::STANDARD as BASE64;
+use base64::Engine;
+use bytes::Bytes;
+use serde::Deserialize;
+
+use super::response::RpcError;
+use crate::class_registry::ClassRegistry;
+use crate::clock::{self, UnixTime};
+use crate::exchange::Request;
+use crate::frontend::is_valid_memory;
+
+/// Longest body, in bytes.
+const MAX_BODY_BYTES: usize = 2 * 1024;
+/// Longest idempotency key, in bytes.
+const MAX_KEY_BYTES: usize = 64;
+/// Longest id of a request on all links, in hexadecimal digits.
+const MAX_TXN_DIGITS: usize = 16;
+/// Milliseconds in a second.
+const MILLIS_PER_SECOND: f64 = 1e3;
+
+/// The parameters of a request. The names in JSON are the clients'.
+#[derive(Deserialize)]
+struct Params<'a> {
+    #[serde(borrow)]
+    txn: Cow<'a, str>,
+    /// When the request came to the machine, in Unix milliseconds.
+    #[serde(rename = "door")]
+    received_at_ms: f64,
+    /// The client's number.
+    #[serde(rename = "lb", default)]
+    client: u32,
+    #[serde(rename = "team", borrow, default)]
+    tenant: Cow<'a, str>,
+    /// How long the client waits from then on.
+    #[serde(rename = "limit")]
+    timeout_ms: Option<f64>,
+    /// The work to expect.
+    #[serde(rename = "cpu")]
+    cost_ms: Option<f64>,
+    #[serde(rename = "ram")]
+    memory_kb: f64,
+    #[serde(rename = "standing", default)]
+    rank: f64,
+    #[serde(rename = "unique", borrow, default)]
+    key: Option<Cow<'a, str>>,
+    /// The body in base64.
+    #[serde(rename = "content", borrow, default)]
+    body: Cow<'a, str>,
+}
+
+/// Decodes the parameters of a request of this class. Texts stay slices of `line` where that is possible.
+pub(super) fn decode(
+    registry: &ClassRegistry,
+    class: u16,
+    params: &str,
+    line: &Bytes,
+) -> Result<Request, RpcError> {
+    let params: Params = serde_json::from_str(params)
+        .map_err(|_| RpcError::invalid_params("a field is missing or of another kind"))?;
+    let key = params.idempotency_key(registry.is_keyed(class), line)?;
+    params.check_ranges()?;
+    let now = clock::now();
+    // A clock that runs ahead must not make a request newer than what the key table knows.
+    let received_at = duration_from_millis(params.received_at_ms)?.min(now);
+    let tenant = params.tenant_index(registry)?;
+    let deadline = params.deadline(registry, class, received_at, now)?;
+    let body = params.decode_body()?;
+    let cost_hint = params.cost_ms.map(duration_from_millis).transpose()?;
+    Ok(Request {
+        txn: slice_of(line, &params.txn),
+        class,
+        tenant,
+        key,
+        caller: params.client,
+        cost_hint: cost_hint.map(|hint| registry.bounded_cost_hint(class, hint)),
+        memory_kb: params.memory_kb,
+        rank: params.rank,
+        received_at,
+        deadline,
+        body,
+    })
+}
+
+impl Params<'_> {
+    /// The idempotency key, in classes whose requests carry one.
+    fn idempotency_key(&self, is_keyed: bool, line: &Bytes) -> Result<Option<Bytes>, RpcError> {
+        if !is_keyed {
+            return Ok(None);
+        }
+        match &self.key {
+            Some(key) if (1..=MAX_KEY_BYTES).contains(&key.len()) => Ok(Some(slice_of(line, key))),
+            _ => Err(RpcError::invalid_params("a request of this class names its unique key")),
+        }
+    }
+
+    fn check_ranges(&self) -> Result<(), RpcError> {
+        // On the links a txn is one field of a line.
+        if !is_txn(&self.txn) {
+            return Err(RpcError::invalid_params("txn is up to 16 hex digits"));
+        }
+        if !is_valid_memory(self.memory_kb) {
+            return Err(RpcError::invalid_params("ram is above 0 and under 2000"));
+        }
+        if !(0.0..1.0).contains(&self.rank) {
+            return Err(RpcError::invalid_params("standing is from 0 to under 1"));
+        }
+        Ok(())
+    }
+
+    /// The position of the tenant; the first one where none is named.
+    fn tenant_index(&self, registry: &ClassRegistry) -> Result<u16, RpcError> {
+        match registry.tenant_index(&self.tenant) {
+            Some(index) => Ok(index),
+            None if self.tenant.is_empty() => Ok(0),
+            None => Err(RpcError::invalid_params("no such team")),
+        }
+    }
+
+    fn deadline(
+        &self,
+        registry: &ClassRegistry,
+        class: u16,
+        received_at: UnixTime,
+        now: UnixTime,
+    ) -> Result<UnixTime, RpcError> {
+        let timeout_ms = self.timeout_ms.ok_or(RpcError::invalid_params("limit is missing"))?;
+        let deadline = received_at.saturating_add(duration_from_millis(timeout_ms)?);
+        Ok(registry.request_deadline(class, now, Some(deadline)))
+    }
+
+    fn decode_body(&self) -> Result<Bytes, RpcError> {
+        let body =
+            BASE64.decode(self.body.as_bytes()).map_err(|_| RpcError::invalid_params("content is base64"))?;
+        if body.len() > MAX_BODY_BYTES {
+            return Err(RpcError::invalid_params("content is 2 KiB at most"));
+        }
+        Ok(body.into())
+    }
+}
+
+fn duration_from_millis(millis: f64) -> Result<Duration, RpcError> {
+    Duration::try_from_secs_f64(millis / MILLIS_PER_SECOND)
+        .map_err(|_| RpcError::invalid_params("no such time"))
+}
+
+/// A text of a line as bytes, copied only where the decoder had to replace escapes.
+#[expect(clippy::ptr_arg, reason = "whether the text is borrowed from the line decides")]
+fn slice_of(line: &Bytes, text: &Cow<str>) -> Bytes {
+    match text {
+        Cow::Borrowed(text) => line.slice_ref(text.as_bytes()),
+        Cow::Owned(text) => Bytes::copy_from_slice(text.as_bytes()),
+    }
+}
+
+fn is_txn(text: &str) -> bool {
+    (1..=MAX_TXN_DIGITS).contains(&text.len()) && text.bytes().all(|byte| byte.is_ascii_hexdigit())
+}
--- a/node/src/frontend/mod.rs
+++ b/node/src/frontend/mod.rs
@@ -1,4 +1,5 @@
-//! The server side: what clients speak to.
+//! The frontends: what clients connect to. One module a protocol; all share the limit of connections and the way in
+//! which connections are closed.
 
 pub mod connection_limiter;
 pub mod jsonrpc;
@@ -13,57 +14,63 @@
 use tokio::net::TcpStream;
 
 use crate::clock;
-use connection_limiter::{ConnectionGuard, Standing};
+use connection_limiter::{ConnectionGuard, ConnectionState};
 
-/// How long, and how often, a connection is read from after its last answer.
-const PARTING: Duration = Duration::from_secs(2);
-const PARTING_READS: u32 = 32;
+/// How long a connection is read from after its last response.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(2);
+/// How often a connection is read from after its last response.
+const MAX_LINGER_READS: u32 = 32;
+/// Bytes of each of these reads, which are dropped.
+const LINGER_BUFFER_BYTES: usize = 4096;
+/// A request books less memory than this, in KB: one absurd value would spoil the sum of all that is booked.
+const MAX_MEMORY_KB: f64 = 2_000.0;
 
-/// Ends a connection so that its last answer arrives: closed over unread bytes, the system would reset it. What its
-/// client goes on to send is read and dropped, as no answer could follow, until the client closes too: for a moment and
-/// no further, and only while there is room.
-pub async fn part(stream: &mut TcpStream, guest: &ConnectionGuard) -> io::Result<()> {
-    guest.is(Standing::Stranger);
-    let until = clock::now() + PARTING;
-    let needed = async {
-        if !guest.is_leaving() {
-            guest.asked_to_leave().await;
+/// Closes a connection so that its last response arrives: the system resets a connection that is closed over unread
+/// bytes. What the client goes on to send is read and dropped until it closes too, for [`LINGER_TIMEOUT`] at most, and
+/// only while no other connection needs the slot.
+pub async fn lingering_close(stream: &mut TcpStream, guard: &ConnectionGuard) -> io::Result<()> {
+    guard.set_state(ConnectionState::Unproven);
+    let deadline = clock::now() + LINGER_TIMEOUT;
+    let evicted = async {
+        if !guard.is_evicted() {
+            guard.evicted().await;
         }
     };
     tokio::select! {
         biased;
-        read = read_out(stream) => return read,
-        () = needed => {}
-        () = clock::until(until) => return Ok(()),
+        read = shut_down_and_drain(stream) => return read,
+        () = evicted => {}
+        () = clock::until(deadline) => return Ok(()),
     }
-    read_out_now(stream).await
+    drain_available(stream).await
 }
 
-/// The same for a connection that has no place: what has come by now is the last that is read of it.
-pub async fn turn_away(mut stream: TcpStream) {
-    // It is closed either way.
-    let _ = read_out_now(&mut stream).await;
+/// Closes a connection for which there is no slot: what has arrived by now is the last that is read of it.
+pub async fn reject(mut stream: TcpStream) {
+    // The connection is closed either way.
+    let _ = drain_available(&mut stream).await;
 }
 
-async fn read_out_now(stream: &mut TcpStream) -> io::Result<()> {
-    // The system is asked what has come.
+/// Drops what has arrived by now.
+async fn drain_available(stream: &mut TcpStream) -> io::Result<()> {
+    // Lets the runtime ask the system what has arrived.
     tokio::task::yield_now().await;
-    read_out(stream).now_or_never().unwrap_or(Ok(()))
+    shut_down_and_drain(stream).now_or_never().unwrap_or(Ok(()))
 }
 
-/// Says that nothing more comes, and reads on until the other side says the same.
-async fn read_out(stream: &mut TcpStream) -> io::Result<()> {
+/// Ends the outgoing half of the connection and drops what arrives until the client ends its half.
+async fn shut_down_and_drain(stream: &mut TcpStream) -> io::Result<()> {
     stream.shutdown().await?;
-    let mut rest = [0; 4096];
-    for _ in 0..PARTING_READS {
-        if stream.read(&mut rest).await? == 0 {
+    let mut dropped = [0; LINGER_BUFFER_BYTES];
+    for _ in 0..MAX_LINGER_READS {
+        if stream.read(&mut dropped).await? == 0 {
             break;
         }
     }
     Ok(())
 }
 
-/// Whether so many KB may be booked for a request. Guards the sum of what is booked.
-fn booked(memory_kb: f64) -> bool {
-    memory_kb > 0.0 && memory_kb < 2_000.0
+/// Whether a request may book so much memory.
+fn is_valid_memory(memory_kb: f64) -> bool {
+    memory_kb > 0.0 && memory_kb < MAX_MEMORY_KB
 }
--- /dev/null
+++ b/node/src/frontend/uwsgi/mod.rs
@@ -0,0 +1,139 @@
+//! The uwsgi frontend: one request in a uwsgi packet on each connection, and the response as HTTP.
+//!
+//! | variable | meaning |
+//! | --- | --- |
+//! | `PATH_INFO` | `/` and the class; `/status` is a health check |
+//! | `CONTENT_LENGTH` | bytes of body after the packet; none if absent |
+//! | `HTTP_IDEMPOTENCY_KEY` | in keyed classes: the same for all attempts of one request, with the same body |
+//! | `HTTP_X_TENANT` | the tenant by name; without one the request counts to nobody's share |
+//! | `HTTP_X_DEADLINE` | when the caller stops waiting, in Unix milliseconds; at the latest, and without one, the class's deadline from now |
+//! | `HTTP_X_COST` | the work to expect, in milliseconds on one core |
+//! | `HTTP_X_RAM` | the memory that is booked for the request while it is queued, in KB, under 2,000 |
+
+mod request;
+mod response;
+
+use std::cell::Cell;
+use std::io;
+use std::rc::Rc;
+use std::time::Duration;
+
+use bytes::{Bytes, BytesMut};
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpStream;
+use tokio::sync::mpsc;
+
+use super::connection_limiter::{ConnectionGuard, ConnectionState, MESSAGE_TIMEOUT};
+use super::lingering_close;
+use crate::class_registry::ClassRegistry;
+use crate::clock;
+use crate::exchange::{Exchange, Request, RequestOutcome, Responder};
+use crate::log;
+use request::{read_request, Target};
+use response::{encode_error, encode_health, encode_outcome};
+
+/// How long a client may take to read its response.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Initial capacity of the read buffer, in bytes.
+const READ_BUFFER_BYTES: usize = 4096;
+/// Bytes that are read at a time, and dropped, while the client waits for its response.
+const DROPPED_CHUNK_BYTES: usize = 1024;
+
+/// Why a packet was not served; no request was submitted.
+#[derive(Debug, Clone, Copy, PartialEq)]
+enum RequestError {
+    BadRequest(&'static str),
+    NotFound,
+    TooLarge(&'static str),
+}
+
+/// What all connections of this frontend share.
+pub struct UwsgiFrontend {
+    /// The way to the dispatcher.
+    pub exchange: Exchange,
+    /// The classes and tenants in the settings.
+    pub registry: Rc<ClassRegistry>,
+    /// Ids for the requests, which come without any.
+    pub ids: RequestIds,
+}
+
+/// A source of ids that are not used twice, here or by JSON-RPC clients, but by a chance of one in 2^64.
+pub struct RequestIds(Cell<u64>);
+
+impl RequestIds {
+    /// The ids that follow from a seed.
+    pub fn new(seed: u64) -> Self {
+        RequestIds(Cell::new(seed))
+    }
+
+    /// The next id: 16 hexadecimal digits of the splitmix64 sequence.
+    fn next(&self) -> Bytes {
+        let state = self.0.get().wrapping_add(0x9e37_79b9_7f4a_7c15);
+        self.0.set(state);
+        let mixed = (state ^ (state >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+        let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+        format!("{:016x}", mixed ^ (mixed >> 31)).into()
+    }
+}
+
+/// Serves one connection to its end.
+pub async fn serve(mut stream: TcpStream, guard: ConnectionGuard, frontend: Rc<UwsgiFrontend>) {
+    // A client whose connection breaks gets no response.
+    if let Err(e) = serve_request(&mut stream, &guard, &frontend).await {
+        log!("uwsgi: connection lost: {e}");
+    }
+}
+
+async fn serve_request(
+    stream: &mut TcpStream,
+    guard: &ConnectionGuard,
+    frontend: &UwsgiFrontend,
+) -> io::Result<()> {
+    let mut input = BytesMut::with_capacity(READ_BUFFER_BYTES);
+    let received = tokio::select! {
+        received = read_request(stream, &mut input) => received?,
+        () = guard.evicted() => return lingering_close(stream, guard).await,
+        () = clock::until(clock::now() + MESSAGE_TIMEOUT) => {
+            Err(RequestError::BadRequest("the request did not come whole in time"))
+        }
+    };
+    guard.set_state(ConnectionState::Busy);
+    let target = received.and_then(|packet| frontend.resolve(&packet, clock::now()));
+    let response = match target {
+        Ok(Target::Health) => encode_health(frontend.exchange.status().borrow().healthy()),
+        Ok(Target::Run(request)) => match run_request(stream, frontend, request).await? {
+            Some(outcome) => encode_outcome(&outcome),
+            None => return Ok(()),
+        },
+        Err(error) => {
+            log!("uwsgi: request rejected: {error:?}");
+            encode_error(error)
+        }
+    };
+    tokio::select! {
+        written = stream.write_all(&response) => written?,
+        () = clock::until(clock::now() + WRITE_TIMEOUT) => return Err(io::ErrorKind::TimedOut.into()),
+    }
+    lingering_close(stream, guard).await
+}
+
+/// Submits the request and waits for its outcome; none if the client has closed the connection.
+async fn run_request(
+    stream: &mut TcpStream,
+    frontend: &UwsgiFrontend,
+    request: Request,
+) -> io::Result<Option<RequestOutcome>> {
+    let (sender, mut outcomes) = mpsc::channel(1);
+    let Some(responder) = Responder::new(&sender, 0) else { return Ok(None) };
+    let submission = frontend.exchange.submit(request, responder).await;
+    let mut dropped = [0; DROPPED_CHUNK_BYTES];
+    loop {
+        tokio::select! {
+            received = outcomes.recv() => return Ok(received.map(|(_, outcome)| outcome)),
+            read = stream.read(&mut dropped) => if read.as_ref().map_or(true, |bytes| *bytes == 0) {
+                frontend.exchange.cancelled(submission).await;
+                return read.map(|_| None);
+            },
+        }
+    }
+}
--- /dev/null
+++ b/node/src/frontend/uwsgi/request.rs
@@ -0,0 +1,158 @@
+//! Reads a packet and its body, and decodes the request from its variables.
+
+use std::io;
+use std::time::Duration;
+
+use bytes::{Bytes, BytesMut};
+use tokio::io::AsyncReadExt;
+use tokio::net::TcpStream;
+
+use super::{RequestError, UwsgiFrontend};
+use crate::clock::UnixTime;
+use crate::exchange::Request;
+use crate::frontend::is_valid_memory;
+use crate::uwsgi::{Head, Vars, HEAD_BYTES};
+
+/// Most bytes of variables in a packet.
+const MAX_VARS_BYTES: usize = 16 * 1024;
+/// Longest body, in bytes.
+const MAX_BODY_BYTES: usize = 64 * 1024;
+/// Longest idempotency key, in bytes.
+const MAX_KEY_BYTES: usize = 256;
+/// The memory that is booked for a request that does not say, in KB.
+const DEFAULT_MEMORY_KB: f64 = 32.0;
+/// All clients of this frontend count as one in the decisions, as none keeps a connection.
+const CALLER: u32 = u32::MAX;
+/// No position in the list of tenants: the request counts to no tenant's share.
+const NO_TENANT: u16 = u16::MAX;
+/// The rank of a request, which this protocol does not carry.
+const DEFAULT_RANK: f64 = 0.5;
+
+/// A packet that was read completely.
+pub(super) struct ReceivedPacket {
+    vars: Vars,
+    body: Bytes,
+}
+
+/// What a packet asks for.
+pub(super) enum Target {
+    /// A health check.
+    Health,
+    /// To run this request.
+    Run(Request),
+}
+
+/// Reads a packet and its body; one that is cut off is an I/O error and starts nothing.
+pub(super) async fn read_request(
+    stream: &mut TcpStream,
+    input: &mut BytesMut,
+) -> io::Result<Result<ReceivedPacket, RequestError>> {
+    fill(stream, input, HEAD_BYTES).await?;
+    let head = match check_head(input) {
+        Ok(head) => head,
+        Err(error) => return Ok(Err(error)),
+    };
+    fill(stream, input, HEAD_BYTES + head.size).await?;
+    let block = input.split_to(HEAD_BYTES + head.size).freeze().slice(HEAD_BYTES..);
+    let Some(vars) = Vars::parse(block) else {
+        return Ok(Err(RequestError::BadRequest("lengths that do not add up")));
+    };
+    let length = match body_length(&vars) {
+        Ok(length) => length,
+        Err(error) => return Ok(Err(error)),
+    };
+    fill(stream, input, length).await?;
+    Ok(Ok(ReceivedPacket { vars, body: input.split_to(length).freeze() }))
+}
+
+fn check_head(input: &[u8]) -> Result<Head, RequestError> {
+    let head = Head::parse(input).ok_or(RequestError::BadRequest("no head"))?;
+    if (head.modifier1, head.modifier2) != (0, 0) {
+        return Err(RequestError::BadRequest("modifiers other than 0"));
+    }
+    if head.size > MAX_VARS_BYTES {
+        return Err(RequestError::TooLarge("too many variables"));
+    }
+    Ok(head)
+}
+
+fn body_length(vars: &Vars) -> Result<usize, RequestError> {
+    match vars.text("CONTENT_LENGTH").map(str::parse::<usize>) {
+        None => Ok(0),
+        Some(Ok(length)) if length <= MAX_BODY_BYTES => Ok(length),
+        Some(Ok(_)) => Err(RequestError::TooLarge("the body is too long")),
+        Some(Err(_)) => Err(RequestError::BadRequest("CONTENT_LENGTH is a number")),
+    }
+}
+
+/// Reads until the input has so many bytes.
+async fn fill(stream: &mut TcpStream, input: &mut BytesMut, length: usize) -> io::Result<()> {
+    while input.len() < length {
+        input.reserve(length - input.len());
+        if stream.read_buf(input).await? == 0 {
+            return Err(io::ErrorKind::UnexpectedEof.into());
+        }
+    }
+    Ok(())
+}
+
+impl UwsgiFrontend {
+    /// Decodes what a packet asks for.
+    pub(super) fn resolve(&self, packet: &ReceivedPacket, now: UnixTime) -> Result<Target, RequestError> {
+        let vars = &packet.vars;
+        let path = vars.text("PATH_INFO").ok_or(RequestError::BadRequest("PATH_INFO is missing"))?;
+        let name = path.strip_prefix('/').unwrap_or(path);
+        let class = match self.registry.class_index(name, now) {
+            Some(class) => class,
+            None if name == "status" => return Ok(Target::Health),
+            None => return Err(RequestError::NotFound),
+        };
+        let key = self.idempotency_key(vars, class)?;
+        let tenant = self.tenant_index(vars)?;
+        let deadline = number(vars, "HTTP_X_DEADLINE")?.map(Duration::from_millis);
+        let cost_hint = number(vars, "HTTP_X_COST")?.map(Duration::from_millis);
+        let memory_kb = number(vars, "HTTP_X_RAM")?.map_or(DEFAULT_MEMORY_KB, |kb| kb as f64);
+        if !is_valid_memory(memory_kb) {
+            return Err(RequestError::BadRequest("HTTP_X_RAM is above 0 and under 2000"));
+        }
+        Ok(Target::Run(Request {
+            txn: self.ids.next(),
+            class,
+            tenant,
+            key,
+            caller: CALLER,
+            cost_hint: cost_hint.map(|hint| self.registry.bounded_cost_hint(class, hint)),
+            memory_kb,
+            rank: DEFAULT_RANK,
+            received_at: now,
+            deadline: self.registry.request_deadline(class, now, deadline),
+            body: packet.body.clone(),
+        }))
+    }
+
+    /// The idempotency key, in classes whose requests carry one.
+    fn idempotency_key(&self, vars: &Vars, class: u16) -> Result<Option<Bytes>, RequestError> {
+        if !self.registry.is_keyed(class) {
+            return Ok(None);
+        }
+        let Some(key) = vars.get("HTTP_IDEMPOTENCY_KEY").filter(|key| !key.is_empty()) else {
+            return Err(RequestError::BadRequest("a request of this class needs an Idempotency-Key"));
+        };
+        if key.len() > MAX_KEY_BYTES {
+            return Err(RequestError::BadRequest("the key is too long"));
+        }
+        Ok(Some(key.clone()))
+    }
+
+    fn tenant_index(&self, vars: &Vars) -> Result<u16, RequestError> {
+        match vars.text("HTTP_X_TENANT") {
+            Some(name) => self.registry.tenant_index(name).ok_or(RequestError::BadRequest("no such tenant")),
+            None => Ok(NO_TENANT),
+        }
+    }
+}
+
+fn number(vars: &Vars, name: &str) -> Result<Option<u64>, RequestError> {
+    let number = vars.text(name).map(str::parse).transpose();
+    number.map_err(|_| RequestError::BadRequest("a variable that should be a whole number is not"))
+}
--- /dev/null
+++ b/node/src/frontend/uwsgi/response.rs
@@ -0,0 +1,53 @@
+//! Responses in HTTP.
+
+use bytes::Bytes;
+
+use super::RequestError;
+use crate::exchange::RequestOutcome;
+use crate::http;
+
+/// When a rejected client may try again, in seconds, where the decision does not say.
+const DEFAULT_RETRY_AFTER_SECONDS: u128 = 1;
+const MILLIS_PER_SECOND: u128 = 1000;
+
+/// The response to a health check.
+pub(super) fn encode_health(healthy: bool) -> Bytes {
+    if healthy {
+        encode(200, "OK", "", b"up\n")
+    } else {
+        encode(503, "Service Unavailable", "Retry-After: 1\r\n", b"down\n")
+    }
+}
+
+/// The response to a packet that can't be served.
+pub(super) fn encode_error(error: RequestError) -> Bytes {
+    match error {
+        RequestError::BadRequest(what) => encode(400, "Bad Request", "", what.as_bytes()),
+        RequestError::NotFound => encode(404, "Not Found", "", b"no such class"),
+        RequestError::TooLarge(what) => encode(413, "Content Too Large", "", what.as_bytes()),
+    }
+}
+
+/// The response to a request.
+pub(super) fn encode_outcome(outcome: &RequestOutcome) -> Bytes {
+    match outcome {
+        RequestOutcome::Served(result) => encode(200, "OK", "", result),
+        RequestOutcome::Rejected { retry_after, give_up } => {
+            // Whole seconds, rounded up: an attempt that comes early would be rejected again.
+            let seconds = retry_after.map_or(DEFAULT_RETRY_AFTER_SECONDS, |after| {
+                after.as_millis().div_ceil(MILLIS_PER_SECOND).max(DEFAULT_RETRY_AFTER_SECONDS)
+            });
+            let give_up = if *give_up { "X-Give-Up: 1\r\n" } else { "" };
+            let fields = format!("Retry-After: {seconds}\r\n{give_up}");
+            encode(503, "Service Unavailable", &fields, b"not now\n")
+        }
+        RequestOutcome::Failed { timed_out: false } => encode(500, "Internal Server Error", "", b"failed\n"),
+        RequestOutcome::Failed { timed_out: true } => encode(504, "Gateway Timeout", "", b"out of time\n"),
+        RequestOutcome::BodyMismatch => encode(400, "Bad Request", "", b"the key is that of another body\n"),
+    }
+}
+
+fn encode(status: u16, reason: &str, fields: &str, body: &[u8]) -> Bytes {
+    let fields = format!("Content-Type: application/octet-stream\r\n{fields}");
+    http::response(status, reason, &fields, body)
+}
--- a/node/src/frontend/write_backlog.rs
+++ b/node/src/frontend/write_backlog.rs
@@ -1,37 +1,46 @@
-//! By when a client has to have read what was written for it. Guards a connection's room and memory against one that
-//! reads nothing, or a byte now and then.
+//! By when a client has to have read what was written for it, so that a client that reads nothing, or a byte now and
+//! then, does not hold its connection and memory.
 
 use std::time::Duration;
 
-use crate::clock::Unix;
+use crate::clock::UnixTime;
 
-/// What waits at some moment is written this long after it at the latest, or never.
-const UNREAD: Duration = Duration::from_secs(5);
+/// What is queued at some moment is written this long after it, or the connection is closed.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What one connection has to write.
+/// A position in the output that is to be reached in time.
+#[derive(Debug, Clone, Copy)]
+struct Target {
+    /// Bytes that are to be written since the connection was opened.
+    total_written: u64,
+    /// By when.
+    deadline: UnixTime,
+}
+
+/// The progress of one connection's output.
 #[derive(Debug, Default)]
 pub struct WriteBacklog {
-    /// Bytes that the system has taken.
-    written: u64,
-    /// So many are to be taken by then.
-    owed: Option<(u64, Unix)>,
+    /// Bytes that the system has accepted since the connection was opened.
+    total_written: u64,
+    target: Option<Target>,
 }
 
 impl WriteBacklog {
-    /// The system took so many bytes.
-    pub fn wrote(&mut self, bytes: usize) {
-        self.written += bytes as u64;
+    /// Counts bytes that the system has accepted.
+    pub fn record_write(&mut self, bytes: usize) {
+        self.total_written += bytes as u64;
     }
 
-    /// When the connection ends unless it goes on, while so many bytes wait. No byte waits for more than twice the
-    /// time, however fast more of them come.
-    pub fn until(&mut self, waiting: usize, now: Unix) -> Option<Unix> {
-        if waiting == 0 {
-            self.owed = None;
-        } else if self.owed.is_none_or(|(bytes, _)| self.written >= bytes) {
-            self.owed = Some((self.written + waiting as u64, now + UNREAD));
+    /// When the connection is to be closed unless its client reads on; none while nothing is queued. No byte is queued
+    /// for more than twice the timeout, however fast more are added.
+    pub fn deadline(&mut self, queued: usize, now: UnixTime) -> Option<UnixTime> {
+        if queued == 0 {
+            self.target = None;
+        } else if self.target.is_none_or(|target| self.total_written >= target.total_written) {
+            let total_written = self.total_written + queued as u64;
+            self.target = Some(Target { total_written, deadline: now + WRITE_TIMEOUT });
         }
-        self.owed.map(|(_, until)| until)
+        self.target.map(|target| target.deadline)
     }
 }
 
--- a/node/src/http.rs
+++ b/node/src/http.rs
@@ -1,25 +1,38 @@
-//! The HTTP that is spoken beside the main protocols: heads of calls, and whole responses.
+//! The HTTP/1.1 that is spoken beside the main protocols: heads of calls, and complete responses.
 
 use bytes::Bytes;
 
-/// Longest head, and the most fields in it.
-pub const MAX_HEAD: usize = 16 * 1024;
-/// The most fields of a head.
-pub const MAX_FIELDS: usize = 64;
+/// Longest head, in bytes.
+pub const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// Most header fields in a head.
+pub const MAX_HEADER_FIELDS: usize = 64;
 
-/// The method and the path of a call whose head is whole; nothing while it is not.
-pub fn call(input: &[u8]) -> Result<Option<(String, String)>, httparse::Error> {
-    let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
+/// The request line of a call.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct Call {
+    /// The method.
+    pub method: String,
+    /// The path, without the query.
+    pub path: String,
+}
+
+/// Decodes the head of a call; none while it is incomplete.
+///
+/// # Errors
+///
+/// Where the input is no HTTP head, or one with more than [`MAX_HEADER_FIELDS`].
+pub fn parse_call(input: &[u8]) -> Result<Option<Call>, httparse::Error> {
+    let mut fields = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
     let mut request = httparse::Request::new(&mut fields);
     if request.parse(input)?.is_partial() {
         return Ok(None);
     }
     let target = request.path.unwrap_or_default();
     let path = target.split_once('?').map_or(target, |(path, _)| path);
-    Ok(Some((request.method.unwrap_or_default().to_string(), path.to_string())))
+    Ok(Some(Call { method: request.method.unwrap_or_default().to_string(), path: path.to_string() }))
 }
 
-/// A response after which the connection ends; `fields` each end in CR LF.
+/// A response after which the connection is closed. Each of the header `fields` ends in CR LF.
 pub fn response(status: u16, reason: &str, fields: &str, body: &[u8]) -> Bytes {
     let length = body.len();
     let head = format!(
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -100,7 +100,9 @@
     let arguments: Arguments = argh::from_env();
     let done = match arguments.command {
         Command::Serve(Serve { config, uwsgi, remembered, fleet, records }) => {
-            server::serve(&Files { config, uwsgi, remembered, fleet, records }).map(|()| true)
+            server::serve(&Files { config, uwsgi, remembered, fleet, records })
+                .map(|()| true)
+                .map_err(|e| e.to_string())
         }
         Command::Check(Check { config, uwsgi, remembered, fleet, records }) => {
             let checked = Files { config, uwsgi, remembered, fleet, records }.read_for_start();
--- /dev/null
+++ b/node/src/server/accept.rs
@@ -0,0 +1,142 @@
+//! Accepts connections, and opens and closes the listeners of the frontends as the node's role changes.
+
+use std::future::Future;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::watch;
+use tokio::task::spawn_local;
+
+use super::StartupError;
+use crate::exchange::Exchange;
+use crate::frontend;
+use crate::frontend::connection_limiter::{ConnectionGuard, ConnectionLimiter};
+use crate::{clock, log, sockets};
+
+/// Between two attempts to open a listener.
+const REBIND_INTERVAL: Duration = Duration::from_millis(100);
+/// After a failed accept: the process does not spin while the system has no descriptors left.
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
+
+/// Opens a listener. With `shared` another process may listen at the same address.
+pub(super) fn bind(
+    key: &'static str,
+    address: SocketAddr,
+    shared: bool,
+) -> Result<TcpListener, StartupError> {
+    sockets::listen(address, shared).map_err(|source| StartupError::Bind { key, address, source })
+}
+
+/// Where a listener listens, with the port that the system chose for 0.
+pub(super) fn local_address(listener: &TcpListener) -> String {
+    listener.local_addr().map_or_else(|e| e.to_string(), |address| address.to_string())
+}
+
+/// The listener of a frontend, which is open while this process accepts clients.
+pub(super) struct FrontendListener {
+    /// The protocol, as the log names it.
+    pub(super) protocol: &'static str,
+    /// Where it listens.
+    pub(super) address: SocketAddr,
+    /// Whether a successor may listen at the same address.
+    pub(super) shared: bool,
+    /// Whether this node has the active role of its virtual router; always true without one.
+    pub(super) active: watch::Receiver<bool>,
+}
+
+impl FrontendListener {
+    /// Serves whenever this node is active and no successor has taken over. Connections that were accepted before the
+    /// listener closes are served to their end. `opened` is a listener that is open already.
+    pub(super) async fn run<F: Future<Output = ()> + 'static>(
+        mut self,
+        mut opened: Option<TcpListener>,
+        exchange: Exchange,
+        limiter: Rc<ConnectionLimiter>,
+        serve: impl Fn(TcpStream, ConnectionGuard) -> F,
+    ) {
+        let protocol = self.protocol;
+        while self.wait_until_active(&exchange).await {
+            let listener = match opened.take() {
+                Some(listener) => Ok(listener),
+                None => bind(protocol, self.address, self.shared),
+            };
+            let Ok(listener) = listener.inspect_err(|e| log!("frontend: listener not opened: {e}")) else {
+                // The router that was active before may hold the address for a moment.
+                clock::until(clock::now() + REBIND_INTERVAL).await;
+                continue;
+            };
+            log!("frontend: listening: protocol={protocol} address={}", local_address(&listener));
+            let closing = self.wait_until_inactive(&exchange);
+            accept_until(closing, listener, limiter.clone(), &serve).await;
+            log!("frontend: stopped listening: protocol={protocol} address={}", self.address);
+        }
+    }
+
+    /// Waits until clients are to be accepted here; false once that can't happen any more.
+    async fn wait_until_active(&mut self, exchange: &Exchange) -> bool {
+        let mut status = exchange.status();
+        loop {
+            // The status is published for as long as the process lasts.
+            let accepting = status
+                .wait_for(|status| !status.handed_over || !status.accepting)
+                .await
+                .is_ok_and(|status| status.accepting);
+            if !accepting {
+                return false;
+            }
+            tokio::select! {
+                _ = status.wait_for(|status| !status.accepts_clients()) => {}
+                active = self.active.wait_for(|active| *active) => return active.is_ok(),
+            }
+        }
+    }
+
+    /// Waits until clients are not to be accepted here any more.
+    async fn wait_until_inactive(&mut self, exchange: &Exchange) {
+        let mut status = exchange.status();
+        tokio::select! {
+            _ = status.wait_for(|status| !status.accepts_clients()) => {}
+            // An error means that there is no virtual router that could lose the role.
+            Ok(_) = self.active.wait_for(|active| !*active) => {}
+        }
+    }
+}
+
+/// Accepts connections until `closing` completes, and serves each in a task of its own. Connections that the system had
+/// taken by then are served too. Where all others are busy, one more is rejected.
+pub(super) async fn accept_until<F: Future<Output = ()> + 'static>(
+    closing: impl Future<Output = ()>,
+    listener: TcpListener,
+    limiter: Rc<ConnectionLimiter>,
+    serve: impl Fn(TcpStream, ConnectionGuard) -> F,
+) {
+    tokio::pin!(closing);
+    let start = |stream| match limiter.admit() {
+        Some(guard) => drop(spawn_local(serve(stream, guard))),
+        None => {
+            log!("frontend: connection rejected: all connections are busy");
+            spawn_local(frontend::reject(stream));
+        }
+    };
+    loop {
+        let accepted = tokio::select! {
+            accepted = sockets::accept(&listener) => accepted,
+            () = &mut closing => break,
+        };
+        match accepted {
+            Ok(stream) => {
+                start(stream);
+                // A connection that was evicted for this one closes first, so that the descriptors suffice.
+                tokio::task::yield_now().await;
+            }
+            Err(e) => {
+                log!("frontend: accept failed: {e}");
+                clock::until(clock::now() + ACCEPT_RETRY_INTERVAL).await;
+            }
+        }
+    }
+    // Closing the listener alone would reset the connections that the system has taken and their requests.
+    sockets::close(listener).into_iter().for_each(start);
+}
--- /dev/null
+++ b/node/src/server/reload.rs
@@ -0,0 +1,157 @@
+//! Applies changed configuration files while the node runs.
+//!
+//! A file is applied whole or not at all: the addresses of peers, the settings, and a newer membership configuration of
+//! the fleet. Everything else in the files takes effect at a restart or an upgrade.
+
+use oakwind_fleet::replica_node::Event;
+use oakwind_settings::{BadSettings, Parsed};
+use thiserror::Error;
+use tokio::signal::unix::Signal;
+use tokio::sync::{mpsc, watch};
+
+use crate::class_registry::ClassRegistry;
+use crate::config::{BadConfig, Config, Files, Fleet, Links, Told};
+use crate::decision_log::digest_of;
+use crate::exchange::{Exchange, NodeStatus};
+use crate::{clock, log};
+
+/// Why changed files were not applied.
+#[derive(Debug, Error)]
+enum ReloadError {
+    /// A file is not valid by itself.
+    #[error("{0}")]
+    Config(BadConfig),
+    /// A peer was added or removed, or its protocol changed.
+    #[error("{0}: adding, removing or replacing this kind of peer needs a restart")]
+    PeerKindChanged(&'static str),
+    /// A key is left out that the configuration before had: the file may not be complete.
+    #[error("{0}: missing, the configuration before had it")]
+    KeyMissing(String),
+    /// The settings can't follow the ones in force.
+    #[error("{0}")]
+    Settings(BadSettings),
+}
+
+/// What makes the node read its files again.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum Trigger {
+    /// SIGHUP.
+    Signal,
+    /// The predecessor has ended; it alone may have received a SIGHUP that was meant for the node.
+    PredecessorEnded,
+}
+
+/// Files that were read and can be applied.
+struct Candidate {
+    config: Config,
+    /// The settings, merged with the ones in force.
+    settings: Parsed,
+    fleet: Option<Fleet>,
+}
+
+/// Reads the files again at each SIGHUP and publishes what has changed.
+pub(super) struct Reloader<'a> {
+    pub(super) files: &'a Files,
+    pub(super) hangup: Signal,
+    pub(super) exchange: &'a Exchange,
+    pub(super) registry: &'a ClassRegistry,
+    /// The configuration that the process started with.
+    pub(super) initial: &'a Config,
+    /// The latest one that was applied, if any.
+    pub(super) applied: Option<Config>,
+    pub(super) peer_addresses: watch::Sender<Links>,
+    /// The fleet's events, if the node is in one.
+    pub(super) fleet_events: Option<mpsc::Sender<Event>>,
+}
+
+impl Reloader<'_> {
+    /// Applies files for as long as the process lasts. Never returns.
+    pub(super) async fn run(mut self) {
+        let mut status = self.exchange.status();
+        let mut awaits_predecessor = status.borrow().predecessor_alive;
+        loop {
+            let trigger = next_trigger(&mut self.hangup, &mut status, &mut awaits_predecessor).await;
+            let candidate = self.read();
+            if trigger == Trigger::Signal {
+                self.exchange.metrics().configuration_reloaded(candidate.is_ok());
+            }
+            match candidate {
+                Ok(candidate) => self.apply(candidate, trigger).await,
+                Err(e) => log!("reload: rejected: {e}"),
+            }
+        }
+    }
+
+    /// Reads the files and checks that they can follow the ones in force.
+    fn read(&self) -> Result<Candidate, ReloadError> {
+        let current = self.applied.as_ref().unwrap_or(self.initial);
+        let Told { config, fleet, .. } = self.files.read().map_err(ReloadError::Config)?;
+        if let Some(key) = config.links.unlike(&current.links) {
+            return Err(ReloadError::PeerKindChanged(key));
+        }
+        if let Some(key) = config.lacks(current) {
+            return Err(ReloadError::KeyMissing(key));
+        }
+        let settings = self.registry.settings().followed_by(config.settings.clone());
+        Ok(Candidate { settings: settings.map_err(ReloadError::Settings)?, config, fleet })
+    }
+
+    async fn apply(&mut self, candidate: Candidate, trigger: Trigger) {
+        let Candidate { config, settings, fleet } = candidate;
+        let addresses_changed = self
+            .peer_addresses
+            .send_if_modified(|addresses| std::mem::replace(addresses, config.links.clone()) != config.links);
+        let settings_changed = settings != self.registry.settings();
+        if settings_changed {
+            // The dispatcher knows a class before any frontend accepts a request of it.
+            let digest = digest_of(&config.written["settings"]);
+            self.exchange.reconfigure(settings.clone(), digest).await;
+            self.registry.replace_settings(settings, clock::now());
+        }
+        self.applied = Some(config);
+        if let Some(fleet) = fleet {
+            self.propose_membership(fleet);
+        }
+        if trigger == Trigger::Signal || addresses_changed || settings_changed {
+            log!(
+                "reload: applied: addresses={} settings={}",
+                changed(addresses_changed),
+                changed(settings_changed)
+            );
+        }
+    }
+
+    /// Hands the fleet's configuration over; whether it is accepted is decided there, by its version.
+    fn propose_membership(&self, fleet: Fleet) {
+        let Some(events) = &self.fleet_events else { return };
+        if events.try_send(Event::Membership(fleet.list)).is_err() {
+            log!("reload: membership configuration not applied: the fleet's queue is full");
+        }
+    }
+}
+
+/// Waits until the files are to be read again.
+async fn next_trigger(
+    hangup: &mut Signal,
+    status: &mut watch::Receiver<NodeStatus>,
+    awaits_predecessor: &mut bool,
+) -> Trigger {
+    tokio::select! {
+        received = hangup.recv() => match received {
+            Some(()) => Trigger::Signal,
+            None => std::future::pending().await,
+        },
+        _ = status.wait_for(|status| !status.predecessor_alive), if *awaits_predecessor => {
+            *awaits_predecessor = false;
+            Trigger::PredecessorEnded
+        }
+    }
+}
+
+fn changed(changed: bool) -> &'static str {
+    if changed {
+        "changed"
+    } else {
+        "unchanged"
+    }
+}
--- /dev/null
+++ b/node/src/server/startup.rs
@@ -0,0 +1,296 @@
+//! Opens the listeners and links of a node and starts its tasks.
+
+use std::convert::Infallible;
+use std::path::PathBuf;
+use std::rc::Rc;
+
+use oakwind_fleet::replica_node::Event;
+use tokio::sync::{mpsc, watch};
+use tokio::task::spawn_local;
+
+use super::accept::{accept_until, bind, local_address, FrontendListener};
+use super::capacity::{share_during_upgrade, ConnectionCapacity};
+use super::reload::Reloader;
+use super::shutdown::{drain_on_notice, Signals};
+use super::StartupError;
+use crate::admin::{self, AdminServer};
+use crate::backend::index::Index;
+use crate::backend::interpreter::Interpreter;
+use crate::backend::uwsgi::{run_requests, Servers};
+use crate::backend::{make_calls, uwsgi as uwsgi_backend};
+use crate::class_registry::ClassRegistry;
+use crate::config::{self, Config, Files, Links, Told, Uwsgi};
+use crate::decision_log::{digest_of, Recorder};
+use crate::dispatcher::Dispatcher;
+use crate::exchange::{self, BackendEndpoints, DispatcherEndpoints, Exchange, HandoverState};
+use crate::frontend::connection_limiter::ConnectionLimiter;
+use crate::frontend::uwsgi::{RequestIds, UwsgiFrontend};
+use crate::frontend::{jsonrpc, uwsgi as uwsgi_frontend};
+use crate::result_store::ResultStore;
+use crate::run_gate::RunGate;
+use crate::{clock, handover, heartbeat, log, peers, vrrp};
+
+/// Results that are stored for repeats take one part in so many of the memory of the process.
+const RESULT_MEMORY_DIVISOR: usize = 8;
+/// One part in so many of a backend's connections may be kept idle for later calls.
+const IDLE_CONNECTION_DIVISOR: usize = 4;
+
+/// What the tasks of a node are made from.
+struct Node {
+    config: Config,
+    uwsgi: Option<Uwsgi>,
+    exchange: Exchange,
+    registry: Rc<ClassRegistry>,
+    /// The addresses of peers in the latest configuration.
+    peer_addresses: watch::Receiver<Links>,
+    jsonrpc_limiter: Rc<ConnectionLimiter>,
+    uwsgi_limiter: Rc<ConnectionLimiter>,
+    /// Connections to each backend.
+    backend_connections: usize,
+    /// The socket by which a successor takes over; none where upgrades in place are not possible.
+    handover_socket: Option<PathBuf>,
+    /// Whether this process takes over from a predecessor.
+    is_upgrade: bool,
+}
+
+/// Runs a node until it has drained.
+pub(super) async fn run(files: &Files, loaded: Told) -> Result<(), StartupError> {
+    // Comes first: a signal without a handler ends the process.
+    let (shutdown_notice, hangup) = Signals::install().map_err(StartupError::Signals)?.split();
+    let handover_socket = handover::place(loaded.config.listen);
+    let is_upgrade = handover::serves_already(handover_socket.as_deref()).await;
+    // A process that takes over is as far in its recovery as its predecessor was.
+    let starts_recovering = loaded.fleet.is_some() && !is_upgrade;
+    let (exchange, dispatcher_endpoints, backend_endpoints) = exchange::new(is_upgrade, starts_recovering);
+    let capacity = ConnectionCapacity::new(&loaded);
+    let Told { config, uwsgi, remembered, fleet, records } = loaded;
+    let (address_publisher, peer_addresses) = watch::channel(config.links.clone());
+    let node = Node {
+        registry: Rc::new(ClassRegistry::new(config.settings.clone())),
+        config,
+        uwsgi,
+        exchange,
+        peer_addresses,
+        jsonrpc_limiter: ConnectionLimiter::new(capacity.jsonrpc),
+        uwsgi_limiter: ConnectionLimiter::new(capacity.uwsgi),
+        backend_connections: capacity.per_backend,
+        handover_socket,
+        is_upgrade,
+    };
+    node.start_admin()?;
+    let active = node.start_vrrp().await?;
+    node.start_backends(backend_endpoints);
+    let fleet_events = node.start_dispatcher(dispatcher_endpoints, remembered, fleet, records)?;
+    let limiters = [&*node.jsonrpc_limiter, &*node.uwsgi_limiter];
+    let reloader = Reloader {
+        files,
+        hangup,
+        exchange: &node.exchange,
+        registry: &node.registry,
+        initial: &node.config,
+        applied: None,
+        peer_addresses: address_publisher,
+        fleet_events,
+    };
+    tokio::select! {
+        () = drain_on_notice(shutdown_notice, &node.exchange, node.config.stop, limiters) => {}
+        () = reloader.run() => {}
+        () = share_during_upgrade(&node.exchange, limiters) => {}
+        failed = node.serve_clients(active) => return failed.map(|never| match never {}),
+    }
+    log!("server: drained: node={}", node.config.name);
+    Ok(())
+}
+
+impl Node {
+    /// Opens the admin interface, if one is configured. It answers from now on, whatever the load.
+    fn start_admin(&self) -> Result<(), StartupError> {
+        let Some(address) = self.config.ops else { return Ok(()) };
+        let listener = bind("ops", address, false)?;
+        log!("admin: listening: address={}", local_address(&listener));
+        let server =
+            Rc::new(AdminServer { exchange: self.exchange.clone(), registry: self.registry.clone() });
+        let limiter = ConnectionLimiter::new(admin::MAX_CONNECTIONS);
+        let serve = move |stream, guard| admin::serve(stream, guard, server.clone());
+        spawn_local(accept_until(std::future::pending(), listener, limiter, serve));
+        Ok(())
+    }
+
+    /// Starts the virtual router, if one is configured; the result follows whether it has the active role.
+    async fn start_vrrp(&self) -> Result<Option<watch::Receiver<bool>>, StartupError> {
+        let Some(vrrp) = self.uwsgi.as_ref().and_then(|uwsgi| uwsgi.vrrp.as_ref()) else { return Ok(None) };
+        let socket = vrrp::bind(vrrp).await.map_err(|source| StartupError::Bind {
+            key: "vrrp.listen",
+            address: vrrp.listen,
+            source,
+        })?;
+        let (publisher, active) = watch::channel(false);
+        spawn_local(vrrp::run(vrrp.clone(), socket, publisher, self.exchange.clone()));
+        Ok(Some(active))
+    }
+
+    /// Starts what runs requests, the interpreter or uwsgi servers, and what takes their calls, the index or uwsgi
+    /// servers.
+    fn start_backends(&self, endpoints: BackendEndpoints) {
+        let (addresses, exchange) = (&self.peer_addresses, &self.exchange);
+        let connections = self.backend_connections;
+        let initial = addresses.borrow().clone();
+        if initial.runs.is_empty() {
+            let interpreter =
+                Interpreter::new(addresses.clone(), exchange.clone(), endpoints.runs, self.registry.clone());
+            spawn_local(interpreter.run());
+        } else {
+            let servers = self.uwsgi_servers(|addresses| &addresses.runs);
+            spawn_local(run_requests(servers, exchange.clone(), endpoints.runs, connections));
+        }
+        if initial.calls.is_empty() {
+            let max_idle = connections / IDLE_CONNECTION_DIVISOR;
+            let index = Index::new(addresses.clone(), max_idle);
+            spawn_local(make_calls(index, exchange.clone(), endpoints.calls, connections - max_idle));
+        } else {
+            let servers = self.uwsgi_servers(|addresses| &addresses.calls);
+            spawn_local(make_calls(servers, exchange.clone(), endpoints.calls, connections));
+        }
+    }
+
+    fn uwsgi_servers(&self, select: uwsgi_backend::SelectAddresses) -> Rc<Servers> {
+        Servers::new(self.peer_addresses.clone(), select, self.registry.clone())
+    }
+
+    /// Starts the dispatcher with all that it decides by: the result store, the fleet and the decision log, as far as
+    /// they are configured. Returns where events for the fleet go.
+    fn start_dispatcher(
+        &self,
+        endpoints: DispatcherEndpoints,
+        remembered: Option<config::Remembered>,
+        fleet: Option<config::Fleet>,
+        records: Option<config::Records>,
+    ) -> Result<Option<mpsc::Sender<Event>>, StartupError> {
+        let config = &self.config;
+        let result_memory = config.memory / RESULT_MEMORY_DIVISOR;
+        let mut dispatcher = Dispatcher::new(endpoints, config.settings.clone(), config.seed, result_memory);
+        let (store, restored) = self.open_result_store(remembered)?.unzip();
+        let (mut peers, mut fleet_events) = (None, None);
+        if let Some(fleet) = fleet {
+            let (links, driver) = peers::new(fleet, config.seed, self.is_upgrade, self.exchange.clone())
+                .map_err(StartupError::component)?;
+            fleet_events = Some(links.lists());
+            peers = Some(links);
+            spawn_local(driver.run());
+        }
+        dispatcher.keep(RunGate::new(store, peers), restored.flatten());
+        if let Some(records) = records {
+            let settings_digest = digest_of(&config.written["settings"]);
+            let recorder =
+                Recorder::start(&records, &config.name, settings_digest).map_err(StartupError::component)?;
+            dispatcher.record(recorder);
+        }
+        spawn_local(dispatcher.run());
+        Ok(fleet_events)
+    }
+
+    /// The result store, if one is configured, and what it knows. In an upgrade the predecessor has it open until it
+    /// has handed over, so that nothing is known of it yet.
+    fn open_result_store(
+        &self,
+        remembered: Option<config::Remembered>,
+    ) -> Result<Option<(ResultStore, Option<HandoverState>)>, StartupError> {
+        let Some(remembered) = remembered else { return Ok(None) };
+        let mut store = ResultStore::closed(remembered, self.config.longest());
+        if self.is_upgrade {
+            return Ok(Some((store, None)));
+        }
+        let recovered = store.open().map_err(StartupError::component)?;
+        let restored = HandoverState { digest_seed: recovered.seed, records: recovered.keys };
+        Ok(Some((store, Some(restored))))
+    }
+
+    /// Opens the frontends, reports to the membership service, and takes part in upgrades in place. Returns only where
+    /// a frontend can't be opened.
+    async fn serve_clients(
+        &self,
+        vrrp_active: Option<watch::Receiver<bool>>,
+    ) -> Result<Infallible, StartupError> {
+        if self.is_upgrade {
+            self.wait_until_servable().await;
+        }
+        self.open_jsonrpc_frontend()?;
+        if let Some(uwsgi) = &self.uwsgi {
+            self.open_uwsgi_frontend(uwsgi, vrrp_active)?;
+        }
+        let name = self.config.name.clone();
+        spawn_local(heartbeat::report(name, self.peer_addresses.clone(), self.exchange.clone()));
+        if let Some(socket) = &self.handover_socket {
+            if self.is_upgrade {
+                spawn_local(handover::inherit(socket.clone(), self.exchange.clone()));
+                if self.exchange.status().wait_for(|status| !status.awaiting_state).await.is_ok() {
+                    log!("handover: completed");
+                }
+            }
+            handover::bequeath(socket, self.exchange.clone()).await;
+        }
+        std::future::pending().await
+    }
+
+    /// Waits until the backend is up. Until then the predecessor serves, and a process that is to stop before that
+    /// takes nothing over.
+    async fn wait_until_servable(&self) {
+        let mut status = self.exchange.status();
+        if status.wait_for(|status| status.health.is_some() && status.draining.is_none()).await.is_ok() {
+            log!("handover: taking over");
+        }
+    }
+
+    fn open_jsonrpc_frontend(&self) -> Result<(), StartupError> {
+        let listener = bind("listen", self.config.listen, self.shares_listeners())?;
+        let frontend = FrontendListener {
+            protocol: "JSON-RPC",
+            address: self.config.listen,
+            shared: self.shares_listeners(),
+            active: always_active(),
+        };
+        let (exchange, registry) = (self.exchange.clone(), self.registry.clone());
+        let serve = move |stream, guard| jsonrpc::serve(stream, guard, exchange.clone(), registry.clone());
+        let limiter = self.jsonrpc_limiter.clone();
+        spawn_local(frontend.run(Some(listener), self.exchange.clone(), limiter, serve));
+        Ok(())
+    }
+
+    /// Opens the uwsgi frontend; behind a virtual router only while that has the active role.
+    fn open_uwsgi_frontend(
+        &self,
+        uwsgi: &Uwsgi,
+        vrrp_active: Option<watch::Receiver<bool>>,
+    ) -> Result<(), StartupError> {
+        // An address that can't be opened ends the start, where it is to be open from the start.
+        let listener = match vrrp_active {
+            Some(_) => None,
+            None => Some(bind("uwsgi listen", uwsgi.listen, self.shares_listeners())?),
+        };
+        let frontend = FrontendListener {
+            protocol: "uwsgi",
+            address: uwsgi.listen,
+            shared: self.shares_listeners(),
+            active: vrrp_active.unwrap_or_else(always_active),
+        };
+        let context = Rc::new(UwsgiFrontend {
+            exchange: self.exchange.clone(),
+            registry: self.registry.clone(),
+            ids: RequestIds::new(self.config.seed ^ u64::from(clock::now().subsec_nanos())),
+        });
+        let serve = move |stream, guard| uwsgi_frontend::serve(stream, guard, context.clone());
+        let limiter = self.uwsgi_limiter.clone();
+        spawn_local(frontend.run(listener, self.exchange.clone(), limiter, serve));
+        Ok(())
+    }
+
+    /// Whether a successor may listen at the same addresses while this process serves.
+    fn shares_listeners(&self) -> bool {
+        self.handover_socket.is_some()
+    }
+}
+
+/// The role of a listener without a virtual router.
+fn always_active() -> watch::Receiver<bool> {
+    watch::channel(true).1
+}
--- a/node/src/sockets.rs
+++ b/node/src/sockets.rs
@@ -5,7 +5,7 @@
 
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-use crate::clock::{self, Unix};
+use crate::clock::{self, UnixTime};
 
 /// Connections that the system may keep until they are accepted.
 const BACKLOG: u32 = 1024;
@@ -49,7 +49,7 @@
 /// # Errors
 ///
 /// Where the peer takes none, or not in time.
-pub async fn connect(address: SocketAddr, until: Unix) -> io::Result<TcpStream> {
+pub async fn connect(address: SocketAddr, until: UnixTime) -> io::Result<TcpStream> {
     tokio::select! {
         connected = TcpStream::connect(address) => connected.map(prompt),
         () = clock::until(until) => Err(io::ErrorKind::TimedOut.into()),
--- a/node/src/uwsgi.rs
+++ b/node/src/uwsgi.rs
@@ -4,7 +4,7 @@
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
 /// Bytes of the head.
-pub const HEAD: usize = 4;
+pub const HEAD_BYTES: usize = 4;
 
 /// The head's fields.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -20,7 +20,7 @@
 impl Head {
     /// Reads a head, once it is there.
     pub fn parse(bytes: &[u8]) -> Option<Head> {
-        let [modifier1, low, high, modifier2] = *bytes.first_chunk::<HEAD>()?;
+        let [modifier1, low, high, modifier2] = *bytes.first_chunk::<HEAD_BYTES>()?;
         Some(Head { modifier1, size: usize::from(u16::from_le_bytes([low, high])), modifier2 })
     }
 }
@@ -34,8 +34,8 @@
     pub fn parse(mut block: Bytes) -> Option<Vars> {
         let mut vars = Vec::new();
         while !block.is_empty() {
-            let name = take(&mut block)?;
-            vars.push((name, take(&mut block)?));
+            let name = take_part(&mut block)?;
+            vars.push((name, take_part(&mut block)?));
         }
         Some(Vars(vars))
     }
@@ -51,7 +51,7 @@
     }
 }
 
-fn take(block: &mut Bytes) -> Option<Bytes> {
+fn take_part(block: &mut Bytes) -> Option<Bytes> {
     if block.remaining() < 2 {
         return None;
     }
@@ -62,14 +62,14 @@
 /// Writes a request packet with these variables, or nothing if they are too long for one.
 pub fn packet(vars: &[(&str, &[u8])]) -> Option<BytesMut> {
     let mut block = BytesMut::new();
-    block.put_slice(&[0; HEAD]);
+    block.put_slice(&[0; HEAD_BYTES]);
     for (name, value) in vars {
         for part in [name.as_bytes(), value] {
             block.put_u16_le(u16::try_from(part.len()).ok()?);
             block.put_slice(part);
         }
     }
-    let size = u16::try_from(block.len() - HEAD).ok()?;
+    let size = u16::try_from(block.len() - HEAD_BYTES).ok()?;
     block[1..3].copy_from_slice(&size.to_le_bytes());
     Some(block)
 }
--- a/node/src/vrrp/machine.rs
+++ b/node/src/vrrp/machine.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use super::packet::Advertisement;
-use crate::clock::Unix;
+use crate::clock::UnixTime;
 
 /// The priority of who owns the addresses.
 const OWNER: u8 = 255;
@@ -73,7 +73,7 @@
     /// The interval of who is active.
     active_interval: Duration,
     /// The one timer: the next advertisement while active, and while backup when the active one is down.
-    timer: Unix,
+    timer: UnixTime,
 }
 
 impl Router {
@@ -89,12 +89,12 @@
     }
 
     /// When it wants to be told the time, if ever.
-    pub fn wakes_at(&self) -> Option<Unix> {
+    pub fn wakes_at(&self) -> Option<UnixTime> {
         (self.role != Role::Initialize).then_some(self.timer)
     }
 
     /// Takes in what happened.
-    pub fn handle(&mut self, now: Unix, event: Event) -> Vec<Output> {
+    pub fn handle(&mut self, now: UnixTime, event: Event) -> Vec<Output> {
         match (self.role, event) {
             (Role::Initialize, Event::Startup) if self.parameters.priority == OWNER => self.take_role(now),
             (Role::Initialize, Event::Startup) => {
@@ -123,7 +123,7 @@
         }
     }
 
-    fn heard_as_backup(&mut self, now: Unix, advertisement: &Advertisement) {
+    fn heard_as_backup(&mut self, now: UnixTime, advertisement: &Advertisement) {
         if advertisement.priority == GIVEN_UP {
             self.timer = now + self.skew();
         } else if !self.parameters.preempt || advertisement.priority >= self.parameters.priority {
@@ -132,7 +132,12 @@
         }
     }
 
-    fn heard_as_active(&mut self, now: Unix, from: Ipv4Addr, advertisement: &Advertisement) -> Vec<Output> {
+    fn heard_as_active(
+        &mut self,
+        now: UnixTime,
+        from: Ipv4Addr,
+        advertisement: &Advertisement,
+    ) -> Vec<Output> {
         let local = (self.parameters.priority, self.parameters.local);
         if (advertisement.priority, from) > local {
             self.active_interval = advertisement.interval;
@@ -143,17 +148,17 @@
         self.advertise(now)
     }
 
-    fn take_role(&mut self, now: Unix) -> Vec<Output> {
+    fn take_role(&mut self, now: UnixTime) -> Vec<Output> {
         self.role = Role::Active;
         self.advertise(now)
     }
 
-    fn stand_by(&mut self, now: Unix) {
+    fn stand_by(&mut self, now: UnixTime) {
         self.role = Role::Backup;
         self.timer = now + self.down_interval();
     }
 
-    fn advertise(&mut self, now: Unix) -> Vec<Output> {
+    fn advertise(&mut self, now: UnixTime) -> Vec<Output> {
         self.timer = now + self.parameters.interval;
         vec![Output::Send(self.advertisement(self.parameters.priority))]
     }
--- a/node/src/vrrp/machine/tests.rs
+++ b/node/src/vrrp/machine/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 const SECOND: Duration = Duration::from_secs(1);
-const NOW: Unix = Duration::from_secs(1_000);
+const NOW: UnixTime = Duration::from_secs(1_000);
 
 fn router(priority: u8, last: u8, preempt: bool) -> Router {
     let local = Ipv4Addr::new(127, 0, 0, last);
--- a/node/tests/sockets/endings.rs
+++ b/node/tests/sockets/endings.rs
@@ -169,7 +169,7 @@
     late.say(STATUS);
     node.goes_on();
     assert_eq!(late.rest(), "");
-    node.logs("every other one is busy");
+    node.logs("frontend: connection rejected: all connections are busy");
 }
 
 #[test]
--- a/node/tests/sockets/fleet.rs
+++ b/node/tests/sockets/fleet.rs
@@ -296,7 +296,7 @@
     before.request(1, "a1", Some("k"), 1900);
     old_vm.apply();
     let (mut new, mut new_vm) = start();
-    new.logs("handover: has taken over");
+    new.logs("handover: completed");
     new.logs("fleet: a majority is heard, bookings run");
     old_vm.value(1, "a1", "done", "first");
     assert_eq!(before.any_line(), DRAINING);
--- a/node/tests/sockets/helper.rs
+++ b/node/tests/sockets/helper.rs
@@ -142,7 +142,7 @@
 
     /// Waits until it takes clients.
     pub fn serves(&mut self) {
-        self.json = self.address("JSON-RPC is served at ");
+        self.json = self.address("frontend: listening: protocol=JSON-RPC address=");
     }
 
     /// One with a stand-in interpreter, whose link is up.
@@ -169,15 +169,15 @@
     }
 
     fn address(&mut self, words: &str) -> SocketAddr {
-        self.logs(words).rsplit(' ').next().unwrap().parse().unwrap()
+        self.logs(words).rsplit('=').next().unwrap().parse().unwrap()
     }
 
     pub fn uwsgi(&mut self) -> SocketAddr {
-        self.address("uwsgi is served at ")
+        self.address("frontend: listening: protocol=uwsgi address=")
     }
 
     pub fn ops(&mut self) -> SocketAddr {
-        self.address("operators call at ")
+        self.address("admin: listening: address=")
     }
 
     /// What a health check hears; it comes on its own connection.
@@ -239,7 +239,7 @@
 
     /// Waits for its end, which must be a clean one.
     pub fn ends(mut self) {
-        self.logs("has drained");
+        self.logs("server: drained");
         assert!(self.program.wait().unwrap().success());
     }
 }
--- a/node/tests/sockets/jsonrpc.rs
+++ b/node/tests/sockets/jsonrpc.rs
@@ -91,7 +91,7 @@
     client.say("x".repeat(20_000));
     insta::assert_snapshot!(client.line(), @r#"{"jsonrpc":"2.0","id":null,"error":{"code":-32600,"message":"the line is too long"}}"#);
     assert_eq!(client.line(), "", "it is closed");
-    node.logs("can't be served");
+    node.logs("jsonrpc: message rejected");
     // Who sends nothing else is not listened to for ever, nor is who never ends a message or says nothing.
     let mut client = node.client();
     client.say("?\n".repeat(100));
--- a/node/tests/sockets/links.rs
+++ b/node/tests/sockets/links.rs
@@ -107,8 +107,8 @@
     client.request(1, "a1", Some("k"), LONG);
     vm.apply();
     vm.say("AWAIT 1 a1 1\r\nc\r\n");
-    node.logs("index: no connection");
-    node.logs("index: no connection");
+    node.logs("index: connection failed");
+    node.logs("index: connection failed");
     assert!(client.line().contains("-32000"), "after a few tries it fails");
 }
 
@@ -134,11 +134,11 @@
     for (bad, key) in [
         (good.replace(&new.1.address.to_string(), "nowhere"), "index: \"nowhere\""),
         (good.replace("by_key", "sometimes"), "effect"),
-        (good.replace("\"index\"", "\"none\""), "not reloaded: index"),
-        ("{".into(), "not reloaded"),
+        (good.replace("\"index\"", "\"none\""), "reload: rejected: index"),
+        ("{".into(), "reload: rejected"),
     ] {
         node.reload(&bad);
-        let line = node.logs("not reloaded");
+        let line = node.logs("reload: rejected");
         assert!(line.contains(key), "{line}");
     }
     node.reload(&good);
--- a/node/tests/sockets/operators.rs
+++ b/node/tests/sockets/operators.rs
@@ -29,7 +29,7 @@
     link.apply();
     // A file that can't be taken is counted.
     node.reload("{");
-    node.logs("not reloaded");
+    node.logs("reload: rejected");
     let stats = call(ops, "GET /ops/stats");
     insta::assert_snapshot!(stats.split("\r\n\r\n").nth(1).unwrap(), @r#"
     svc_answered{group="quote"} 1
--- a/node/tests/sockets/records.rs
+++ b/node/tests/sockets/records.rs
@@ -29,7 +29,7 @@
     client.line();
     if let Some(other) = change(&config) {
         node.reload(&other);
-        node.logs("other settings hold");
+        node.logs("settings=changed");
     }
     let mut old = Peer::connect(node.uwsgi());
     old.say(packet(&[("PATH_INFO", "/book"), ("HTTP_IDEMPOTENCY_KEY", key)], "body"));
--- a/node/tests/sockets/reload.rs
+++ b/node/tests/sockets/reload.rs
@@ -18,7 +18,7 @@
     client.request(1, "a1", Some("k"), LONG);
     link.apply();
     node.reload(&retuned(&text));
-    assert!(node.logs("reloaded").contains("other settings hold"));
+    assert!(node.logs("reload: applied").contains("settings=changed"));
     // Another try of the request, under the new name of its class: it joins the run, on both fronts.
     client.say(request(2, "b1", "reserve", Some("k"), LONG));
     let mut old = Peer::connect(uwsgi);
@@ -56,14 +56,14 @@
     for (file, key) in &bad {
         assert_ne!(*file, text);
         node.reload(&retuned(file));
-        let line = node.logs("not reloaded");
+        let line = node.logs("reload: rejected");
         assert!(line.contains(key), "{line} names {key}");
     }
     let mut client = node.client();
     client.say(request(1, "a1", "price", None, LONG));
     assert!(client.line().contains("-32601"));
     node.reload(&retuned(&text));
-    node.logs("reloaded:");
+    node.logs("reload: applied");
     let stats = call(ops, "GET /ops/stats");
     assert!(stats.contains("svc_conf_loaded 1\n"), "{stats}");
     assert!(stats.contains(&format!("svc_conf_invalid {}\n", bad.len())), "{stats}");
--- a/node/tests/sockets/remembered.rs
+++ b/node/tests/sockets/remembered.rs
@@ -225,7 +225,7 @@
     old_vm.value(1, "a1", "done", "1");
     let first = before.line().replace("\"id\":1,", "");
     let (mut new, mut new_vm) = start();
-    new.logs("has taken over");
+    new.logs("handover: completed");
     let mut client = new.client();
     client.request(1, "b1", Some("third"), LONG);
     assert_eq!(new_vm.apply().0, "b1");
--- a/node/tests/sockets/upgrade.rs
+++ b/node/tests/sockets/upgrade.rs
@@ -66,10 +66,10 @@
     old_vm.value(1, "a1", "done", "first");
     let result = before.line().replace("\"id\":1,", "");
     let (mut new, mut new_vm) = place.start();
-    new.logs("has taken over");
+    new.logs("handover: completed");
     // Those of before are sent away and answered, those of now reach the new process alone.
     assert_eq!(before.any_line(), DRAINING);
-    old.logs("uwsgi is no longer served at");
+    old.logs("frontend: stopped listening: protocol=uwsgi");
     let mut client = new.client();
     client.request(1, "b1", Some("ended"), LONG);
     assert_eq!(client.line().replace("\"id\":1,", ""), result);
@@ -101,8 +101,8 @@
     let place = Place::new("127.0.3.2");
     let (mut old, mut old_vm) = place.start();
     let (mut new, _new_vm) = place.start();
-    new.logs("has taken over");
-    old.logs("JSON-RPC is no longer served at");
+    new.logs("handover: completed");
+    old.logs("frontend: stopped listening: protocol=JSON-RPC");
     drop(new);
     old.serves();
     old.uwsgi();
@@ -110,7 +110,7 @@
     client.request(1, "a1", Some("k"), LONG);
     old_vm.apply();
     let (mut new, _new_vm) = place.start();
-    new.logs("has taken over");
+    new.logs("handover: completed");
     let mut after = new.client();
     after.request(1, "b1", Some("k"), LONG);
     drop(old);
@@ -125,9 +125,9 @@
     before.request(1, "a1", Some("k"), LONG);
     first_vm.apply();
     let (mut second, _second_vm) = place.start();
-    second.logs("has taken over");
+    second.logs("handover: completed");
     let (mut third, mut third_vm) = place.start();
-    third.logs("has taken over");
+    third.logs("handover: completed");
     first.logs("another process has taken over in turn");
     drop(second);
     // Only the third takes clients.
@@ -144,12 +144,12 @@
     let place = Place::new("127.0.3.3");
     let (old, _old_vm) = place.start();
     let (mut new, mut new_vm, config) = place.start_by();
-    new.logs("has taken over");
+    new.logs("handover: completed");
     // Whoever is told of it has ended before long.
     new.replace(&config.replace("\"quote\"", "\"price\""));
     old.terminate();
     old.ends();
-    new.logs("reloaded: the links are the same, other settings hold");
+    new.logs("reload: applied: addresses=unchanged settings=changed");
     let mut client = new.client();
     client.say(request(1, "a1", "price", None, LONG));
     assert_eq!(new_vm.apply().1, "price");
--- a/node/tests/sockets/uwsgi.rs
+++ b/node/tests/sockets/uwsgi.rs
@@ -95,7 +95,7 @@
         let mut client = Peer::connect(address);
         client.say(&whole[..cut]);
         drop(client);
-        node.logs("uwsgi: a connection ended early");
+        node.logs("uwsgi: connection lost");
     }
     let mut client = Peer::connect(address);
     client.say(quote());
@@ -140,7 +140,7 @@
     client.say(quote());
     let (id, ..) = vm.apply();
     node.terminate();
-    node.logs("uwsgi is no longer served");
+    node.logs("frontend: stopped listening: protocol=uwsgi");
     vm.value(1, &id, "done", "late");
     assert_eq!(brief(&client.rest()), "HTTP/1.1 200 OK | Content-Length: 4 | late");
     assert!(std::net::TcpStream::connect(address).is_err());
@@ -291,11 +291,11 @@
     let (mut running, ..) = old.uwsgi();
     for bad in [servers(&new, "surprise = 1"), servers(&new, &format!("calls = ['{}']", store.address))] {
         node.reload_uwsgi(&bad);
-        let line = node.logs("not reloaded");
+        let line = node.logs("reload: rejected");
         assert!(line.contains("surprise") || line.contains("calls"), "{line}");
     }
     node.reload_uwsgi(&servers(&new, ""));
-    node.logs("links go to new addresses");
+    node.logs("addresses=changed");
     let mut after = Peer::connect(address);
     after.say(quote());
     let (mut server, ..) = new.uwsgi();
--- a/node/tests/sockets/vrrp.rs
+++ b/node/tests/sockets/vrrp.rs
@@ -45,7 +45,7 @@
     node.logs("dropped what");
     peer.send_to(&advertisement(200), listen).unwrap();
     node.logs("Backup");
-    node.logs("uwsgi is no longer served");
+    node.logs("frontend: stopped listening: protocol=uwsgi");
     assert!(std::net::TcpStream::connect(address).is_err());
     vm.value(1, &id, "done", "still");
     assert!(client.rest().ends_with("still"));
@@ -70,7 +70,7 @@
     // The higher priority preempts.
     high.uwsgi();
     low.logs("vrrp 9: Backup");
-    low.logs("uwsgi is no longer served");
+    low.logs("frontend: stopped listening: protocol=uwsgi");
     high.terminate();
     high.ends();
     low.uwsgi();
