--- a/node/src/server/startup.rs
+++ b/node/src/server/startup.rs
@@ -22,7 +22,7 @@
 use crate::config::{self, Config, Files, Links, Told, Uwsgi};
 use crate::decision_log::{digest_of, Recorder};
 use crate::dispatcher::Dispatcher;
-use crate::exchange::{self, BackendEndpoints, DispatcherEndpoints, Exchange, HandoverState};
+use crate::exchange::{self, BackendEndpoints, DispatcherEndpoints, Endpoints, Exchange, HandoverState};
 use crate::frontend::connection_limiter::ConnectionLimiter;
 use crate::frontend::uwsgi::{RequestIds, UwsgiFrontend};
 use crate::frontend::{jsonrpc, uwsgi as uwsgi_frontend};
@@ -57,11 +57,11 @@
 pub(super) async fn run(files: &Files, loaded: Told) -> Result<(), StartupError> {
     // Comes first: a signal without a handler ends the process.
     let (shutdown_notice, hangup) = Signals::install().map_err(StartupError::Signals)?.split();
-    let handover_socket = handover::place(loaded.config.listen);
-    let is_upgrade = handover::serves_already(handover_socket.as_deref()).await;
+    let handover_socket = handover::socket_path(loaded.config.listen);
+    let is_upgrade = handover::has_predecessor(handover_socket.as_deref()).await;
     // A process that takes over is as far in its recovery as its predecessor was.
     let starts_recovering = loaded.fleet.is_some() && !is_upgrade;
-    let (exchange, dispatcher_endpoints, backend_endpoints) = exchange::new(is_upgrade, starts_recovering);
+    let Endpoints { exchange, dispatcher, backend } = exchange::new(is_upgrade, starts_recovering);
     let capacity = ConnectionCapacity::new(&loaded);
     let Told { config, uwsgi, remembered, fleet, records } = loaded;
     let (address_publisher, peer_addresses) = watch::channel(config.links.clone());
@@ -79,8 +79,8 @@
     };
     node.start_admin()?;
     let active = node.start_vrrp().await?;
-    node.start_backends(backend_endpoints);
-    let fleet_events = node.start_dispatcher(dispatcher_endpoints, remembered, fleet, records)?;
+    node.start_backends(backend);
+    let fleet_events = node.start_dispatcher(dispatcher, remembered, fleet, records)?;
     let limiters = [&*node.jsonrpc_limiter, &*node.uwsgi_limiter];
     let reloader = Reloader {
         files,
@@ -178,12 +178,12 @@
             peers = Some(links);
             spawn_local(driver.run());
         }
-        dispatcher.keep(RunGate::new(store, peers), restored.flatten());
+        dispatcher.set_run_gate(RunGate::new(store, peers), restored.flatten());
         if let Some(records) = records {
             let settings_digest = digest_of(&config.written["settings"]);
             let recorder =
                 Recorder::start(&records, &config.name, settings_digest).map_err(StartupError::component)?;
-            dispatcher.record(recorder);
+            dispatcher.set_decision_log(recorder);
         }
         spawn_local(dispatcher.run());
         Ok(fleet_events)
@@ -222,12 +222,12 @@
         spawn_local(heartbeat::report(name, self.peer_addresses.clone(), self.exchange.clone()));
         if let Some(socket) = &self.handover_socket {
             if self.is_upgrade {
-                spawn_local(handover::inherit(socket.clone(), self.exchange.clone()));
+                spawn_local(handover::take_over(socket.clone(), self.exchange.clone()));
                 if self.exchange.status().wait_for(|status| !status.awaiting_state).await.is_ok() {
                     log!("handover: completed");
                 }
             }
-            handover::bequeath(socket, self.exchange.clone()).await;
+            handover::serve_successors(socket, self.exchange.clone()).await;
         }
         std::future::pending().await
     }
