--- a/node/src/class_registry.rs
+++ b/node/src/class_registry.rs
@@ -1,5 +1,5 @@
-//! What those who speak with other parties need of the settings: the names that classes and tenants go by, and
-//! the classes' habits. It follows the settings at a reload.
+//! The classes and tenants of the settings in force: their names and positions, and the bounds of a class that the
+//! frontends need. It follows the settings at a reload.
 
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
@@ -9,92 +9,93 @@
 
 use crate::clock::UnixTime;
 
-/// Requests of a class that the settings no longer have are taken for so long: guards those that were on their way.
-const CROSSING: Duration = Duration::from_secs(1);
+/// For this long after a reload requests of a class that was removed are still accepted: they were on their way.
+const REMOVED_CLASS_GRACE: Duration = Duration::from_secs(1);
 
-/// The names and habits in the settings that hold now.
+/// The names and bounds in the settings in force. Frontends and backends share it.
 #[derive(Debug)]
 pub struct ClassRegistry {
-    known: RefCell<Parsed>,
-    /// When the settings that hold now came.
-    since: Cell<UnixTime>,
+    settings: RefCell<Parsed>,
+    /// When these settings came into force.
+    replaced_at: Cell<UnixTime>,
 }
 
 impl ClassRegistry {
-    /// The names in these settings.
+    /// The registry of these settings.
     pub fn new(settings: Parsed) -> Self {
-        ClassRegistry { known: RefCell::new(settings), since: Cell::default() }
+        ClassRegistry { settings: RefCell::new(settings), replaced_at: Cell::default() }
     }
 
-    /// The settings that hold now.
+    /// The settings in force.
     pub fn settings(&self) -> Parsed {
-        self.known.borrow().clone()
+        self.settings.borrow().clone()
     }
 
-    /// Other settings hold from now on, which follow the ones before.
+    /// Puts other settings into force, which keep the positions of the ones before.
     pub fn replace_settings(&self, settings: Parsed, now: UnixTime) {
-        self.since.set(now);
-        *self.known.borrow_mut() = settings;
+        self.replaced_at.set(now);
+        *self.settings.borrow_mut() = settings;
     }
 
-    /// The names of all classes, by position.
+    /// The names of all classes by position, those that were removed among them.
     pub fn class_names(&self) -> Vec<String> {
-        self.known.borrow().classes.clone()
+        self.settings.borrow().classes.clone()
     }
 
-    /// The position of a class that requests may have now.
+    /// The position of a class whose requests are accepted now.
     pub fn class_index(&self, name: &str, now: UnixTime) -> Option<u16> {
-        let known = self.known.borrow();
-        let crossing = now < self.since.get() + CROSSING;
-        position(&known.classes, if crossing { &[] } else { &known.retired_classes }, name)
+        let settings = self.settings.borrow();
+        let in_grace = now < self.replaced_at.get() + REMOVED_CLASS_GRACE;
+        let removed: &[usize] = if in_grace { &[] } else { &settings.retired_classes };
+        index_of(&settings.classes, removed, name)
     }
 
-    /// The name of a class.
+    /// The name of a class; empty if there is none.
     pub fn class_name(&self, class: u16) -> String {
-        self.known.borrow().classes.get(usize::from(class)).cloned().unwrap_or_default()
+        self.settings.borrow().classes.get(usize::from(class)).cloned().unwrap_or_default()
     }
 
-    /// The name of a tenant, if it is one.
+    /// The name of a tenant, if there is one at this position.
     pub fn tenant_name(&self, tenant: u16) -> Option<String> {
-        self.known.borrow().tenants.get(usize::from(tenant)).cloned()
+        self.settings.borrow().tenants.get(usize::from(tenant)).cloned()
     }
 
-    /// Whether the requests of a class carry a key.
+    /// Whether the requests of a class carry an idempotency key.
     pub fn is_keyed(&self, class: u16) -> bool {
-        self.habit(class, |class| class.effect == Effect::IdempotencyKey).unwrap_or(false)
+        self.class_setting(class, |class| class.effect == Effect::IdempotencyKey).unwrap_or(false)
     }
 
-    /// How long the callers of a class wait altogether.
-    fn class_deadline(&self, class: u16) -> Duration {
-        self.habit(class, |class| class.deadline).unwrap_or_default()
+    /// The position of a tenant. One that was removed keeps it, as its clients may not know yet.
+    pub fn tenant_index(&self, name: &str) -> Option<u16> {
+        index_of(&self.settings.borrow().tenants, &[], name)
     }
 
-    fn habit<T>(&self, class: u16, of: impl FnOnce(&Class) -> T) -> Option<T> {
-        self.known.borrow().settings.classes.get(usize::from(class)).map(of)
+    /// The deadline of a request: the one that was asked for, but none later than that of its class. So no request is
+    /// queued for ever, and sums of times don't overflow.
+    pub fn request_deadline(&self, class: u16, now: UnixTime, requested: Option<UnixTime>) -> UnixTime {
+        let latest = now + self.class_timeout(class);
+        requested.map_or(latest, |requested| requested.min(latest))
     }
 
-    /// When a request's caller stops waiting: when it says, but no later than any caller of its class would.
-    /// Guards the hold against requests that would stay in it for ever, and sums of times against overflow.
-    pub fn request_deadline(&self, class: u16, now: UnixTime, wanted: Option<UnixTime>) -> UnixTime {
-        let latest = now + self.class_deadline(class);
-        wanted.map_or(latest, |wanted| wanted.min(latest))
+    /// A request's cost hint within the time that its class has. One absurd hint does not spoil the mean that all
+    /// estimates are made from.
+    pub fn bounded_cost_hint(&self, class: u16, cost_hint: Duration) -> Duration {
+        cost_hint.min(self.class_timeout(class))
     }
 
-    /// A request's hint of its work, within reason. Guards the mean of the hints, and so everyone's estimates,
-    /// against one absurd hint.
-    pub fn bounded_cost_hint(&self, class: u16, cost_hint: Duration) -> Duration {
-        cost_hint.min(self.class_deadline(class))
+    /// How long clients wait for requests of a class.
+    fn class_timeout(&self, class: u16) -> Duration {
+        self.class_setting(class, |class| class.deadline).unwrap_or_default()
     }
 
-    /// The position of a tenant. One that the settings no longer have keeps it: its clients may not know yet.
-    pub fn tenant_index(&self, name: &str) -> Option<u16> {
-        position(&self.known.borrow().tenants, &[], name)
+    fn class_setting<T>(&self, class: u16, read: impl FnOnce(&Class) -> T) -> Option<T> {
+        self.settings.borrow().settings.classes.get(usize::from(class)).map(read)
     }
 }
 
-fn position(names: &[String], retired: &[usize], name: &str) -> Option<u16> {
-    let position = names.iter().position(|n| n == name).filter(|position| !retired.contains(position));
-    position.and_then(|position| u16::try_from(position).ok())
+fn index_of(names: &[String], removed: &[usize], name: &str) -> Option<u16> {
+    let index = names.iter().position(|known| known == name).filter(|index| !removed.contains(index));
+    index.and_then(|index| u16::try_from(index).ok())
 }
 
 #[cfg(test)]
--- a/node/src/class_registry/tests.rs
+++ b/node/src/class_registry/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn requests_on_their_way_still_find_a_class_that_has_gone_and_later_ones_do_not() {
+fn requests_of_a_removed_class_are_accepted_for_a_moment_and_not_after_that() {
     let parsed = |name: &str| {
         let text = format!(
             r#"{{"services": [{{"name": "{name}", "slo": 1, "deadline": 2, "effect": "by_key"}}],
@@ -9,11 +9,18 @@
         );
         oakwind_settings::parse(&text).unwrap()
     };
-    let names = ClassRegistry::new(parsed("book"));
+    let registry = ClassRegistry::new(parsed("book"));
     let at = Duration::from_secs(100);
-    names.replace_settings(names.settings().followed_by(parsed("reserve")).unwrap(), at);
-    assert_eq!((names.class_index("book", at), names.class_index("reserve", at)), (Some(0), Some(1)));
-    let later = at + CROSSING;
-    assert_eq!((names.class_index("book", later), names.class_index("reserve", later)), (None, Some(1)));
-    assert_eq!((names.class_name(0), names.is_keyed(0)), ("book".into(), true), "open requests keep it");
+    registry.replace_settings(registry.settings().followed_by(parsed("reserve")).unwrap(), at);
+    assert_eq!((registry.class_index("book", at), registry.class_index("reserve", at)), (Some(0), Some(1)));
+    let later = at + REMOVED_CLASS_GRACE;
+    assert_eq!(
+        (registry.class_index("book", later), registry.class_index("reserve", later)),
+        (None, Some(1))
+    );
+    assert_eq!(
+        (registry.class_name(0), registry.is_keyed(0)),
+        ("book".into(), true),
+        "open requests keep it"
+    );
 }
--- a/node/src/clock.rs
+++ b/node/src/clock.rs
@@ -1,6 +1,8 @@
-//! Time is the system's Unix clock, but never goes back: deadlines are points on it and travel with what they bound. When
-//! the system's clock is set back, time goes on a little slower until that has caught up; when it jumps ahead, as after a
-//! sleep of the machine, time follows, and how far it has jumped is told to those who must not forget anything early.
+//! The clock of a process: the system's Unix clock, but it never goes back.
+//!
+//! Deadlines are points on it and travel with the requests that they bound. When the system's clock is set back, this one
+//! runs slower until the other has caught up. When the system's clock jumps ahead, as after a sleep of the machine, this
+//! one follows, and [`jumped`] tells by how much: stored keys must not expire early because of it.
 
 use std::cell::RefCell;
 use std::sync::OnceLock;
@@ -12,83 +14,106 @@
 pub type UnixTime = Duration;
 
 /// The same; the name that is still used in places.
-pub type Unix = Duration;
-
-/// While the system's clock is behind, time goes on slower by one part in so many.
-const SLOWER: u32 = 20;
-/// What the system's clock gains on the steady one at once, from this on, is a jump.
-const JUMP: Duration = Duration::from_millis(500);
+pub type Unix = UnixTime;
+
+/// While the system's clock is behind, this one runs slower by one part in so many.
+const SLOWDOWN_DIVISOR: u32 = 20;
+/// What the system's clock gains on the monotonic one between two readings is a jump from this on.
+const JUMP_THRESHOLD: Duration = Duration::from_millis(500);
+/// The longest sleep: far enough for every deadline, near enough for the runtime's timer.
+const MAX_SLEEP: Duration = Duration::from_secs(86_400);
 /// For rehearsals: so long after its start, in milliseconds, the process sees the system's clock set by so many
 /// milliseconds, as AT:BY (`3000:-3600000`).
-const REHEARSED: &str = "OAKWIND_REHEARSED_CLOCK";
+const REHEARSAL_VARIABLE: &str = "OAKWIND_REHEARSED_CLOCK";
 
-/// How the time that is told follows the system's clock.
+/// Derives the time of this clock from readings of the system's clock and of the monotonic one.
 #[derive(Debug)]
 struct Follower {
-    told: Unix,
-    system: Unix,
-    steady: Duration,
+    /// The last time that was returned.
+    returned: UnixTime,
+    /// The last reading of the system's clock.
+    system: UnixTime,
+    /// The last reading of the monotonic clock.
+    monotonic: Duration,
+    /// All jumps ahead together.
     jumped: Duration,
 }
 
 impl Follower {
-    fn new(system: Unix, steady: Duration) -> Self {
-        Follower { told: system, system, steady, jumped: Duration::ZERO }
+    fn new(system: UnixTime, monotonic: Duration) -> Self {
+        Follower { returned: system, system, monotonic, jumped: Duration::ZERO }
     }
 
-    fn now(&mut self, system: Unix, steady: Duration) -> Unix {
-        let passed = steady.saturating_sub(self.steady);
+    fn now(&mut self, system: UnixTime, monotonic: Duration) -> UnixTime {
+        let passed = monotonic.saturating_sub(self.monotonic);
         let gained = system.saturating_sub(self.system).saturating_sub(passed);
-        if gained >= JUMP {
-            // Where it only makes up for having been set back, time does not jump.
-            self.jumped += gained.min(system.saturating_sub(self.told + passed));
+        if gained >= JUMP_THRESHOLD {
+            // What only makes up for having been set back is no jump of this clock.
+            self.jumped += gained.min(system.saturating_sub(self.returned + passed));
         }
-        let slower = passed.saturating_sub(passed / SLOWER);
-        self.told = system.max(self.told + slower);
-        (self.system, self.steady) = (system, steady);
-        self.told
+        let slowed = passed.saturating_sub(passed / SLOWDOWN_DIVISOR);
+        self.returned = system.max(self.returned + slowed);
+        (self.system, self.monotonic) = (system, monotonic);
+        self.returned
     }
 }
 
-/// When time was first asked for in this process.
-static BEGUN: OnceLock<Instant> = OnceLock::new();
+/// A change of the system's clock that a process is to see.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+struct RehearsedChange {
+    /// How long after the start of the process.
+    after: Duration,
+    /// By how much, in milliseconds; negative where the clock is set back.
+    by_ms: i64,
+}
+
+impl RehearsedChange {
+    fn parse(text: &str) -> Option<Self> {
+        let (after_ms, by_ms) = text.split_once(':')?;
+        let after = Duration::from_millis(after_ms.parse().ok()?);
+        Some(RehearsedChange { after, by_ms: by_ms.parse().ok()? })
+    }
 
-struct Watch {
-    rehearsed: Option<(Duration, i64)>,
+    /// What the system's clock reads with this change.
+    fn apply(self, system: UnixTime, since_start: Duration) -> UnixTime {
+        let by = Duration::from_millis(self.by_ms.unsigned_abs());
+        match since_start >= self.after {
+            true if self.by_ms < 0 => system.saturating_sub(by),
+            true => system + by,
+            false => system,
+        }
+    }
+}
+
+/// The clock of a thread.
+struct ThreadClock {
+    rehearsed: Option<RehearsedChange>,
     follower: Option<Follower>,
 }
 
+/// When the clock was first read in this process.
+static STARTED_AT: OnceLock<Instant> = OnceLock::new();
+
 thread_local! {
-    static WATCH: RefCell<Watch> = RefCell::new(Watch {
-        rehearsed: std::env::var(REHEARSED).ok().and_then(|text| rehearsed(&text)),
+    static CLOCK: RefCell<ThreadClock> = RefCell::new(ThreadClock {
+        rehearsed: std::env::var(REHEARSAL_VARIABLE).ok().and_then(|text| RehearsedChange::parse(&text)),
         follower: None,
     });
 }
 
-fn rehearsed(text: &str) -> Option<(Duration, i64)> {
-    let (at, by) = text.split_once(':')?;
-    Some((Duration::from_millis(at.parse().ok()?), by.parse().ok()?))
-}
-
 /// Now.
-pub fn now() -> Unix {
+pub fn now() -> UnixTime {
     let system = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    WATCH.with_borrow_mut(|watch| {
-        let steady = BEGUN.get_or_init(Instant::now).elapsed();
-        let system = match watch.rehearsed {
-            Some((at, by)) if steady >= at && by < 0 => {
-                system.saturating_sub(Duration::from_millis(by.unsigned_abs()))
-            }
-            Some((at, by)) if steady >= at => system + Duration::from_millis(by.unsigned_abs()),
-            _ => system,
-        };
-        watch.follower.get_or_insert_with(|| Follower::new(system, steady)).now(system, steady)
+    CLOCK.with_borrow_mut(|clock| {
+        let monotonic = STARTED_AT.get_or_init(Instant::now).elapsed();
+        let system = clock.rehearsed.map_or(system, |change| change.apply(system, monotonic));
+        clock.follower.get_or_insert_with(|| Follower::new(system, monotonic)).now(system, monotonic)
     })
 }
 
-/// How far time has jumped ahead since the process began, in all.
+/// How far this clock has jumped ahead since the process started, in all.
 pub fn jumped() -> Duration {
-    WATCH.with_borrow(|watch| watch.follower.as_ref().map_or(Duration::ZERO, |follower| follower.jumped))
+    CLOCK.with_borrow(|clock| clock.follower.as_ref().map_or(Duration::ZERO, |follower| follower.jumped))
 }
 
 /// A time in whole milliseconds, as it is written and sent.
@@ -96,9 +121,9 @@
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Sleeps until a point in time.
-pub fn until(at: Unix) -> Sleep {
-    let wait = at.saturating_sub(now()).min(Duration::from_secs(86_400));
+/// Sleeps until a point in time, for [`MAX_SLEEP`] at most.
+pub fn until(at: UnixTime) -> Sleep {
+    let wait = at.saturating_sub(now()).min(MAX_SLEEP);
     tokio::time::sleep_until(tokio::time::Instant::now() + wait)
 }
 
--- a/node/src/clock/tests.rs
+++ b/node/src/clock/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn time_is_the_systems_as_long_as_that_goes_on_evenly() {
+fn time_is_the_systems_while_that_runs_evenly() {
     let mut follower = Follower::new(ms(1_000_000), ms(0));
     for at in (0..5_000).step_by(37) {
         // The system's clock may be steered by a little.
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_clock_that_is_set_back_slows_time_down_until_it_has_caught_up() {
+fn after_the_systems_clock_is_set_back_time_runs_slower_until_it_has_caught_up() {
     let mut follower = Follower::new(ms(1_000_000), ms(0));
     let mut last = follower.now(ms(1_001_000), ms(1_000));
     for at in (1_100..12_000).step_by(100) {
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_jump_ahead_is_followed_and_told_and_one_back_to_where_it_was_is_not_one() {
+fn a_jump_ahead_is_followed_and_counted_and_one_back_to_where_it_was_is_not() {
     let mut follower = Follower::new(ms(1_000_000), ms(0));
     assert_eq!(follower.now(ms(1_060_100), ms(100)), ms(1_060_100));
     assert_eq!(follower.jumped, ms(60_000));
@@ -41,8 +41,9 @@
 }
 
 #[test]
-fn a_rehearsal_names_when_and_by_how_much() {
-    assert_eq!(rehearsed("3000:-3600000"), Some((ms(3000), -3_600_000)));
-    assert_eq!(rehearsed("0:60000"), Some((ms(0), 60_000)));
-    assert_eq!([rehearsed("3000"), rehearsed("-1:0"), rehearsed("a:b")], [None; 3]);
+fn a_rehearsed_change_names_when_and_by_how_much() {
+    let change = |after, by_ms| Some(RehearsedChange { after, by_ms });
+    assert_eq!(RehearsedChange::parse("3000:-3600000"), change(ms(3000), -3_600_000));
+    assert_eq!(RehearsedChange::parse("0:60000"), change(ms(0), 60_000));
+    assert_eq!(["3000", "-1:0", "a:b"].map(RehearsedChange::parse), [None; 3]);
 }
--- a/node/src/heartbeat.rs
+++ b/node/src/heartbeat.rs
@@ -1,4 +1,6 @@
-//! Reports to the membership service, through which front ends find this node.
+//! Heartbeats to the membership service, through which clients find this node.
+//!
+//! A heartbeat is a UDP datagram `HB NAME UP`; the last one is `HB NAME OUT`, so that the service drops the node at once.
 
 use std::io;
 use std::net::{Ipv4Addr, Ipv6Addr, SocketAddr};
@@ -9,61 +11,76 @@
 
 use crate::clock;
 use crate::config::Links;
-use crate::exchange::Exchange;
+use crate::exchange::{Exchange, NodeStatus};
 use crate::log;
 
-/// Between two reports. The service drops who is silent for 3 s: guards against reports that get lost, of which
-/// it takes ten in a row.
-const EVERY: Duration = Duration::from_millis(300);
+/// Between two heartbeats. The service drops a node after 3 s without one, so that ten in a row may get lost.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Reports until the notice to leave, with a last word then, so that the list drops the node soon.
-pub async fn report(name: String, mut links: watch::Receiver<Links>, exchange: Exchange) {
-    let mut state = exchange.status();
+/// What a node has to report.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum Liveness {
+    /// It serves.
+    Up,
+    /// It drains and is to be dropped.
+    Out,
+    /// Nothing for now: a successor reports under the same name, or recovery is not far enough for clients.
+    Silent,
+}
+
+impl Liveness {
+    fn of(status: &NodeStatus) -> Self {
+        if status.handed_over || (status.recovering && status.draining.is_none()) {
+            Liveness::Silent
+        } else if status.draining.is_some() {
+            Liveness::Out
+        } else {
+            Liveness::Up
+        }
+    }
+}
+
+/// Sends heartbeats until the shutdown notice, and a last one then. Without a membership service there are none.
+pub async fn report(name: String, mut addresses: watch::Receiver<Links>, exchange: Exchange) {
+    let mut status = exchange.status();
     let mut socket = None;
     loop {
-        let Some(service) = links.borrow_and_update().members else { return };
-        let (leaving, handed, held) = {
-            let state = state.borrow_and_update();
-            (state.draining.is_some(), state.handed_over, state.recovering)
-        };
-        if handed {
-            // The new process reports under the same name.
-            if state.wait_for(|state| !state.handed_over).await.is_err() {
-                return;
-            }
-            continue;
-        }
-        if held && !leaving {
-            // Front ends find it once it is far enough on its way back.
-            if state.wait_for(|state| !state.recovering || state.draining.is_some()).await.is_err() {
-                return;
+        let Some(service) = addresses.borrow_and_update().members else { return };
+        let liveness = Liveness::of(&status.borrow_and_update());
+        let word = match liveness {
+            Liveness::Up => "UP",
+            Liveness::Out => "OUT",
+            Liveness::Silent => {
+                if status.wait_for(|status| Liveness::of(status) != Liveness::Silent).await.is_err() {
+                    return;
+                }
+                continue;
             }
-            continue;
-        }
-        let word = if leaving { "OUT" } else { "UP" };
+        };
         if let Err(e) = send(&mut socket, service, &format!("HB {name} {word}")).await {
-            log!("membership: not reported: {e}");
+            log!("heartbeat: not sent: {e}");
         }
-        if leaving {
+        if liveness == Liveness::Out {
             return;
         }
-        let next = clock::now() + EVERY;
+        let next = clock::now() + HEARTBEAT_INTERVAL;
         tokio::select! {
             () = clock::until(next) => {}
-            // The service at a new address hears at once.
-            Ok(()) = links.changed() => {}
-            _ = state.wait_for(|state| state.draining.is_some() || state.handed_over) => {}
+            // A service at a new address gets a heartbeat at once.
+            Ok(()) = addresses.changed() => {}
+            _ = status.wait_for(|status| status.draining.is_some() || status.handed_over) => {}
         }
     }
 }
 
-/// Sends one report, from a socket that is made when there is none of the kind yet.
-async fn send(socket: &mut Option<UdpSocket>, service: SocketAddr, report: &str) -> io::Result<()> {
-    let fits = |s: &UdpSocket| s.local_addr().is_ok_and(|local| local.is_ipv4() == service.is_ipv4());
-    let ready = match socket.take().filter(fits) {
-        Some(ready) => ready,
+/// Sends a datagram, from a new socket where the one before is of the other IP version or there is none.
+async fn send(socket: &mut Option<UdpSocket>, service: SocketAddr, datagram: &str) -> io::Result<()> {
+    let reaches_service =
+        |socket: &UdpSocket| socket.local_addr().is_ok_and(|local| local.is_ipv4() == service.is_ipv4());
+    let usable = match socket.take().filter(reaches_service) {
+        Some(usable) => usable,
         None if service.is_ipv4() => UdpSocket::bind((Ipv4Addr::UNSPECIFIED, 0)).await?,
         None => UdpSocket::bind((Ipv6Addr::UNSPECIFIED, 0)).await?,
     };
-    socket.insert(ready).send_to(report.as_bytes(), service).await.map(|_| ())
+    socket.insert(usable).send_to(datagram.as_bytes(), service).await.map(|_| ())
 }
--- a/node/src/log.rs
+++ b/node/src/log.rs
@@ -1,51 +1,52 @@
-//! The one way to the log: [`log!`](crate::log) writes a line to standard error, a few a second from each place.
+//! The log: [`log!`](crate::log) writes a line to standard error, a few a second from each place in the code.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use crate::clock;
 
-/// Lines a second that one place may write.
-const PER_SECOND: u64 = 5;
+/// Lines that one place may write in a second.
+const MAX_LINES_PER_SECOND: u64 = 5;
 
-/// What one place in the code has written in the second under way. Guards the node against spending its core
-/// and its supervisor's disk on a peer's mistakes, however many those are.
-pub struct Place {
+/// What one place in the code has written in the current second. However many mistakes a peer makes, they take neither
+/// the node's core nor its supervisor's disk.
+pub struct RateLimiter {
     second: AtomicU64,
     lines: AtomicU64,
 }
 
-impl Place {
+impl RateLimiter {
     /// A place that has written nothing yet.
     pub const fn new() -> Self {
-        Place { second: AtomicU64::new(0), lines: AtomicU64::new(0) }
+        RateLimiter { second: AtomicU64::new(0), lines: AtomicU64::new(0) }
     }
 
-    /// Whether a line may be written now, and how many were left out just before it.
+    /// Whether a line may be written in this second; if so, how many were suppressed just before it.
     pub fn admit(&self, second: u64) -> Option<u64> {
-        let left_out = if self.second.swap(second, Ordering::Relaxed) == second {
+        let suppressed = if self.second.swap(second, Ordering::Relaxed) == second {
             0
         } else {
-            self.lines.swap(0, Ordering::Relaxed).saturating_sub(PER_SECOND)
+            self.lines.swap(0, Ordering::Relaxed).saturating_sub(MAX_LINES_PER_SECOND)
         };
-        (self.lines.fetch_add(1, Ordering::Relaxed) < PER_SECOND).then_some(left_out)
+        (self.lines.fetch_add(1, Ordering::Relaxed) < MAX_LINES_PER_SECOND).then_some(suppressed)
     }
 }
 
-/// Writes a line unless this place has written enough this second.
+/// Writes a line unless this place has written enough in this second. Takes the arguments of `format!`.
 #[macro_export]
 macro_rules! log {
-    ($($words:tt)*) => {{
-        static PLACE: $crate::log::Place = $crate::log::Place::new();
-        $crate::log::write(&PLACE, format_args!($($words)*));
+    ($($arguments:tt)*) => {{
+        static LIMITER: $crate::log::RateLimiter = $crate::log::RateLimiter::new();
+        $crate::log::write(&LIMITER, format_args!($($arguments)*));
     }};
 }
 
-/// What the macro calls; not for use by itself.
-pub fn write(place: &Place, words: std::fmt::Arguments) {
+/// What the macro expands to; not to be called otherwise.
+pub fn write(limiter: &RateLimiter, line: std::fmt::Arguments) {
     let now = clock::now();
-    match place.admit(now.as_secs()) {
-        Some(0) => eprintln!("{}.{:03} {words}", now.as_secs(), now.subsec_millis()),
-        Some(n) => eprintln!("{}.{:03} {words} ({n} like it left out)", now.as_secs(), now.subsec_millis()),
+    let (seconds, millis) = (now.as_secs(), now.subsec_millis());
+    match limiter.admit(seconds) {
+        Some(0) => eprintln!("{seconds}.{millis:03} {line}"),
+        Some(suppressed) => eprintln!("{seconds}.{millis:03} {line} (suppressed={suppressed})"),
         None => {}
     }
 }
--- a/node/src/metrics.rs
+++ b/node/src/metrics.rs
@@ -1,109 +1,116 @@
-//! What this process has done, in figures. Each is counted where it happens and read by operators.
+//! The metrics of a process: counted where things happen, and shown under `/ops/stats`.
 
 use std::cell::{Cell, RefCell};
-use std::fmt::Write;
+use std::fmt::{self, Debug, Formatter, Write};
 
 use crate::outcome::RequestOutcome;
 
 /// Every name begins with this.
-const PREFIX: &str = "svc";
-
-/// What became of a class's requests.
-#[derive(Debug, Clone, Default, PartialEq)]
-struct Counts {
-    answered: u64,
-    deferred: u64,
-    errored: u64,
-    sends: u64,
+const NAME_PREFIX: &str = "svc";
+
+/// What became of the requests of one class.
+#[derive(Debug, Clone, Copy, Default, PartialEq)]
+struct ClassCounters {
+    /// Requests that were served.
+    served: u64,
+    /// Requests that were rejected.
+    rejected: u64,
+    /// Requests that failed.
+    failed: u64,
+    /// Runs that were handed to the backend.
+    runs: u64,
 }
 
-/// The figures of a process, all from 0 at its start.
+/// The metrics of a process, all from 0 at its start.
 #[derive(Debug, Default)]
 pub struct Metrics {
     /// By the position of the class.
-    classes: RefCell<Vec<Counts>>,
-    current: Cell<u64>,
-    loaded: Cell<u64>,
-    invalid: Cell<u64>,
-    /// What others count, by name.
-    others: RefCell<Vec<ExternalMetrics>>,
+    classes: RefCell<Vec<ClassCounters>>,
+    /// Requests without a response.
+    open_requests: Cell<u64>,
+    reloads_applied: Cell<u64>,
+    reloads_rejected: Cell<u64>,
+    sources: RefCell<Vec<Source>>,
 }
 
-/// Figures that another part keeps, by name.
-pub struct ExternalMetrics(Box<dyn Fn() -> Vec<(&'static str, u64)>>);
+/// Reads the metrics that another module keeps, by name.
+struct Source(Box<dyn Fn() -> Vec<(&'static str, u64)>>);
 
-impl std::fmt::Debug for ExternalMetrics {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+impl Debug for Source {
+    fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         f.debug_list().entries((self.0)()).finish()
     }
 }
 
 impl Metrics {
-    /// A request was taken on; it counts as current until it has ended.
+    /// Counts a request as open until [`request_finished`](Self::request_finished).
     pub fn request_started(&self) {
-        self.current.set(self.current.get() + 1);
+        self.open_requests.set(self.open_requests.get() + 1);
     }
 
-    /// A request has ended: by its answer, or because its client has left.
+    /// Counts a request as no longer open: it has its response, or its client has gone.
     pub fn request_finished(&self) {
-        self.current.set(self.current.get().saturating_sub(1));
+        self.open_requests.set(self.open_requests.get().saturating_sub(1));
     }
 
-    /// A request got its answer.
+    /// Counts a response by its outcome.
     pub fn request_answered(&self, class: u16, outcome: &RequestOutcome) {
-        self.count(class, |counts| match outcome {
-            RequestOutcome::Served(_) => counts.answered += 1,
-            RequestOutcome::Rejected { .. } => counts.deferred += 1,
-            RequestOutcome::Failed { .. } | RequestOutcome::BodyMismatch => counts.errored += 1,
+        self.update_class(class, |counters| match outcome {
+            RequestOutcome::Served(_) => counters.served += 1,
+            RequestOutcome::Rejected { .. } => counters.rejected += 1,
+            RequestOutcome::Failed { .. } | RequestOutcome::BodyMismatch => counters.failed += 1,
         });
     }
 
-    /// A run was handed to what runs requests.
+    /// Counts a run that was handed to the backend.
     pub fn run_dispatched(&self, class: u16) {
-        self.count(class, |counts| counts.sends += 1);
+        self.update_class(class, |counters| counters.runs += 1);
     }
 
-    /// A file was taken, or turned down, at SIGHUP.
-    pub fn configuration_reloaded(&self, taken: bool) {
-        let counted = if taken { &self.loaded } else { &self.invalid };
-        counted.set(counted.get() + 1);
+    /// Counts a reload at SIGHUP, whether it was applied or rejected.
+    pub fn configuration_reloaded(&self, applied: bool) {
+        let counter = if applied { &self.reloads_applied } else { &self.reloads_rejected };
+        counter.set(counter.get() + 1);
     }
 
-    /// Shows what another part counts too.
-    pub fn register(&self, others: Box<dyn Fn() -> Vec<(&'static str, u64)>>) {
-        self.others.borrow_mut().push(ExternalMetrics(others));
+    /// Shows the metrics that another module keeps, after those from before. `read` returns them by name, without the
+    /// prefix.
+    pub fn register(&self, read: Box<dyn Fn() -> Vec<(&'static str, u64)>>) {
+        self.sources.borrow_mut().push(Source(read));
     }
 
-    fn count(&self, class: u16, change: impl FnOnce(&mut Counts)) {
+    fn update_class(&self, class: u16, update: impl FnOnce(&mut ClassCounters)) {
         let (mut classes, class) = (self.classes.borrow_mut(), usize::from(class));
         if classes.len() <= class {
-            classes.resize(class + 1, Counts::default());
+            classes.resize(class + 1, ClassCounters::default());
         }
-        change(&mut classes[class]);
+        update(&mut classes[class]);
     }
 
-    /// All figures as text, a line each, for classes of these names.
-    pub fn render(&self, names: &[String]) -> String {
+    /// All metrics as text, a line each. `class_names` are the names of the classes by position.
+    pub fn render(&self, class_names: &[String]) -> String {
         let mut text = String::new();
-        let mut line = |name: &str, class: Option<&String>, value: u64| {
-            let group = class.map_or(String::new(), |class| format!("{{group=\"{class}\"}}"));
-            // Writing to memory does not fail.
-            let _ = writeln!(text, "{PREFIX}_{name}{group} {value}");
-        };
         let classes = self.classes.borrow();
-        for (i, name) in names.iter().enumerate() {
-            let counts = classes.get(i).cloned().unwrap_or_default();
-            line("answered", Some(name), counts.answered);
-            line("deferred", Some(name), counts.deferred);
-            line("errored", Some(name), counts.errored);
-            line("sends", Some(name), counts.sends);
+        for (position, class) in class_names.iter().enumerate() {
+            let ClassCounters { served, rejected, failed, runs } =
+                classes.get(position).copied().unwrap_or_default();
+            let counters =
+                [("answered", served), ("deferred", rejected), ("errored", failed), ("sends", runs)];
+            for (name, value) in counters {
+                write_metric(&mut text, &format!("{name}{{group=\"{class}\"}}"), value);
+            }
         }
-        line("current", None, self.current.get());
-        line("conf_loaded", None, self.loaded.get());
-        line("conf_invalid", None, self.invalid.get());
-        for (name, value) in self.others.borrow().iter().flat_map(|others| (others.0)()) {
-            line(name, None, value);
+        write_metric(&mut text, "current", self.open_requests.get());
+        write_metric(&mut text, "conf_loaded", self.reloads_applied.get());
+        write_metric(&mut text, "conf_invalid", self.reloads_rejected.get());
+        for (name, value) in self.sources.borrow().iter().flat_map(|source| (source.0)()) {
+            write_metric(&mut text, name, value);
         }
         text
     }
 }
+
+fn write_metric(text: &mut String, name: &str, value: u64) {
+    // Writing to memory does not fail.
+    let _ = writeln!(text, "{NAME_PREFIX}_{name} {value}");
+}
--- a/node/src/sockets.rs
+++ b/node/src/sockets.rs
@@ -1,4 +1,6 @@
-//! Opens listeners and connections. No connection holds small writes back, and none is waited for without an end.
+//! Opens TCP listeners and connections.
+//!
+//! Every connection sends small writes at once (`TCP_NODELAY`), and none is waited for without a deadline.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,57 +9,57 @@
 
 use crate::clock::{self, UnixTime};
 
-/// Connections that the system may keep until they are accepted.
-const BACKLOG: u32 = 1024;
+/// Connections that the system may queue until they are accepted.
+const ACCEPT_BACKLOG: u32 = 1024;
 
-/// Opens a listener; `shared` if a next process may open it too while this one serves.
+/// Opens a listener. With `shared` another process may listen at the same address.
 ///
 /// # Errors
 ///
-/// Where the system does not give the address.
+/// Where the system does not grant the address.
 pub fn listen(address: SocketAddr, shared: bool) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
     socket.set_reuseport(shared)?;
     socket.bind(address)?;
-    socket.listen(BACKLOG)
+    socket.listen(ACCEPT_BACKLOG)
 }
 
-/// The next connection.
+/// Waits for the next connection.
 ///
 /// # Errors
 ///
-/// Where the system has none to give.
+/// Where the system can't accept one, as when no descriptor is left.
 pub async fn accept(listener: &TcpListener) -> io::Result<TcpStream> {
-    listener.accept().await.map(|(stream, _)| prompt(stream))
+    listener.accept().await.map(|(stream, _)| without_delay(stream))
 }
 
-/// Closes a listener and returns the connections that the system had taken for it, as it says at this moment: what the
-/// runtime knows may be older. Guards requests on those connections, which closing alone would reset.
+/// Closes a listener and returns the connections that the system had queued for it. The system is asked directly, as what
+/// the runtime knows may be older; closing the listener alone would reset these connections.
 pub fn close(listener: TcpListener) -> Vec<TcpStream> {
     let Ok(listener) = listener.into_std() else { return Vec::new() };
-    let taken = std::iter::from_fn(|| listener.accept().ok()).take(BACKLOG as usize);
-    let taken = taken.filter_map(|(stream, _)| {
+    let queued = std::iter::from_fn(|| listener.accept().ok()).take(ACCEPT_BACKLOG as usize);
+    let queued = queued.filter_map(|(stream, _)| {
         stream.set_nonblocking(true).ok()?;
         TcpStream::from_std(stream).ok()
     });
-    taken.map(prompt).collect()
+    queued.map(without_delay).collect()
 }
 
-/// A connection to a peer, made until then or not at all.
+/// Connects to a peer.
 ///
 /// # Errors
 ///
-/// Where the peer takes none, or not in time.
-pub async fn connect(address: SocketAddr, until: UnixTime) -> io::Result<TcpStream> {
+/// Where the peer does not accept the connection by the deadline.
+pub async fn connect(address: SocketAddr, deadline: UnixTime) -> io::Result<TcpStream> {
     tokio::select! {
-        connected = TcpStream::connect(address) => connected.map(prompt),
-        () = clock::until(until) => Err(io::ErrorKind::TimedOut.into()),
+        connected = TcpStream::connect(address) => connected.map(without_delay),
+        () = clock::until(deadline) => Err(io::ErrorKind::TimedOut.into()),
     }
 }
 
-/// Small writes on it do not wait for company; where the system refuses that, it costs time alone.
-fn prompt(stream: TcpStream) -> TcpStream {
+/// Sets `TCP_NODELAY`. Where the system refuses, only time is lost.
+fn without_delay(stream: TcpStream) -> TcpStream {
     let _ = stream.set_nodelay(true);
     stream
 }
--- a/node/src/sockets/tests.rs
+++ b/node/src/sockets/tests.rs
@@ -10,21 +10,21 @@
 }
 
 #[test]
-fn no_connection_holds_small_writes_back_whoever_opened_it() {
+fn no_connection_delays_small_writes_whichever_side_opened_it() {
     run(async {
         let listener = listen(local(), false).unwrap();
         let address = listener.local_addr().unwrap();
         let until = clock::now() + Duration::from_secs(60);
-        let (mine, _theirs) =
+        let (first, _second) =
             (connect(address, until).await.unwrap(), connect(address, until).await.unwrap());
         let accepted = accept(&listener).await.unwrap();
         let rest = close(listener);
-        assert!(mine.nodelay().unwrap() && accepted.nodelay().unwrap() && rest[0].nodelay().unwrap());
+        assert!(first.nodelay().unwrap() && accepted.nodelay().unwrap() && rest[0].nodelay().unwrap());
     });
 }
 
 #[test]
-fn closing_a_listener_returns_every_connection_that_the_system_has_taken() {
+fn closing_a_listener_returns_every_connection_that_the_system_has_queued() {
     run(async {
         let listener = listen(local(), false).unwrap();
         let address = listener.local_addr().unwrap();
@@ -36,13 +36,13 @@
 }
 
 #[test]
-fn a_peer_that_takes_no_connection_is_given_up_in_time() {
+fn connecting_to_a_peer_that_does_not_accept_ends_at_the_deadline() {
     run(async {
         let socket = TcpSocket::new_v4().unwrap();
         socket.bind(local()).unwrap();
         let listener = socket.listen(0).unwrap();
         let address = listener.local_addr().unwrap();
-        // Nobody accepts, so that the system's own line fills up; then connecting hangs.
+        // Nobody accepts, so that the system's queue fills up; then connecting hangs.
         let mut held = Vec::new();
         loop {
             match connect(address, clock::now() + Duration::from_millis(300)).await {
--- a/node/src/uwsgi.rs
+++ b/node/src/uwsgi.rs
@@ -1,48 +1,50 @@
-//! The uwsgi packet: a head of four bytes (a modifier, the size of the variables in little-endian, another
-//! modifier), then the variables, each a name and a value with their lengths before them. A body may follow.
+//! The uwsgi packet.
+//!
+//! It is a head of four bytes (a modifier, the size of the variables in little-endian, another modifier) and the
+//! variables, each a name and a value with a length of two bytes before them. A body may follow the packet.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
 /// Bytes of the head.
 pub const HEAD_BYTES: usize = 4;
 
-/// The head's fields.
+/// The fields of the head.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Head {
-    /// 0 for a request.
+    /// The kind of packet; 0 for a request.
     pub modifier1: u8,
-    /// Bytes of variables that follow.
+    /// Bytes of the variables.
     pub size: usize,
-    /// Depends on the first.
+    /// Its meaning depends on the first.
     pub modifier2: u8,
 }
 
 impl Head {
-    /// Reads a head, once it is there.
+    /// Decodes a head; none while it is incomplete.
     pub fn parse(bytes: &[u8]) -> Option<Head> {
         let [modifier1, low, high, modifier2] = *bytes.first_chunk::<HEAD_BYTES>()?;
         Some(Head { modifier1, size: usize::from(u16::from_le_bytes([low, high])), modifier2 })
     }
 }
 
-/// The variables of a packet, slices of what was read.
+/// The variables of a packet, as slices of the buffer that it was read into.
 #[derive(Debug, Default, PartialEq)]
 pub struct Vars(Vec<(Bytes, Bytes)>);
 
 impl Vars {
-    /// Reads the variables of a packet, or nothing if their lengths do not add up.
+    /// Decodes the variables of a packet; none if their lengths do not add up.
     pub fn parse(mut block: Bytes) -> Option<Vars> {
         let mut vars = Vec::new();
         while !block.is_empty() {
-            let name = take_part(&mut block)?;
-            vars.push((name, take_part(&mut block)?));
+            let name = split_off_text(&mut block)?;
+            vars.push((name, split_off_text(&mut block)?));
         }
         Some(Vars(vars))
     }
 
-    /// The value of a variable. Of several with one name the last counts.
+    /// The value of a variable; the last one where the name occurs more than once.
     pub fn get(&self, name: &str) -> Option<&Bytes> {
-        self.0.iter().rev().find(|(n, _)| n == name.as_bytes()).map(|(_, value)| value)
+        self.0.iter().rev().find(|(known, _)| known == name.as_bytes()).map(|(_, value)| value)
     }
 
     /// The value of a variable as text, unless it is absent or empty.
@@ -51,7 +53,8 @@
     }
 }
 
-fn take_part(block: &mut Bytes) -> Option<Bytes> {
+/// Removes a name or a value from the front of the block.
+fn split_off_text(block: &mut Bytes) -> Option<Bytes> {
     if block.remaining() < 2 {
         return None;
     }
@@ -59,7 +62,7 @@
     (block.remaining() >= length).then(|| block.split_to(length))
 }
 
-/// Writes a request packet with these variables, or nothing if they are too long for one.
+/// Encodes a request packet with these variables; none if they are too long for one.
 pub fn packet(vars: &[(&str, &[u8])]) -> Option<BytesMut> {
     let mut block = BytesMut::new();
     block.put_slice(&[0; HEAD_BYTES]);
