--- a/fault-harness/src/machine.rs
+++ b/fault-harness/src/machine.rs
@@ -34,7 +34,7 @@
 /// A node whose interpreter died is started again so long after.
 const AFTER_FALL: Ms = 2000.0;
 /// What a program logs of its role in the virtual router.
-const ROLE: &str = "vrrp ";
+const ROLE: &str = "vrrp: role changed: ";
 /// What a program logs when its votes can be relied on.
 const SOUND: &str = "fleet: has what it needs to vote";
 /// Before what it logs about the fleet.
@@ -305,7 +305,7 @@
                     machine.world.note(Event::Said { node: machine.node, text: text.into() });
                 }
                 if line.contains(ROLE) {
-                    let active = line.ends_with(": Active");
+                    let active = line.ends_with("role=Active");
                     machine.world.note(Event::Role { node: machine.node, active });
                 }
                 if let Some((_, address)) = line.split_once(SERVED_AT) {
--- a/node/src/vrrp.rs
+++ b/node/src/vrrp.rs
@@ -1,4 +1,5 @@
-//! VRRP version 3 (RFC 9568) for IPv4, carried over UDP to configured peers.
+//! VRRP version 3 (RFC 9568) for IPv4, carried over UDP to configured peers. The uwsgi listener is open while this node
+//! has the active role.
 
 mod machine;
 mod packet;
@@ -16,40 +17,32 @@
 use machine::{Event, Output, Parameters, Role, Router};
 use packet::Advertisement;
 
-/// A datagram longer than any advertisement is read as cut off, and so dropped.
-const MAX_DATAGRAM: usize = 2048;
+/// Longer than any advertisement, in bytes; a longer datagram is cut off and so dropped.
+const MAX_DATAGRAM_BYTES: usize = 2048;
 
-/// Binds the socket that advertisements come in on.
+/// Binds the socket that advertisements arrive at.
+///
+/// # Errors
+///
+/// Where the system does not grant the address.
 pub async fn bind(config: &Vrrp) -> io::Result<UdpSocket> {
     UdpSocket::bind(config.listen).await
 }
 
-/// Plays the virtual router until the notice to leave; `active` follows whether it has the role.
+/// Runs the virtual router until the shutdown notice; `active` follows whether it has the active role.
 pub async fn run(config: Vrrp, socket: UdpSocket, active: watch::Sender<bool>, exchange: Exchange) {
-    let local = match config.listen.ip() {
-        IpAddr::V4(address) => address,
-        IpAddr::V6(_) => Ipv4Addr::UNSPECIFIED,
-    };
-    let parameters = Parameters {
-        vrid: config.vrid,
-        priority: config.priority,
-        interval: config.interval,
-        preempt: config.preempt,
-        addresses: config.addresses.clone(),
-        local,
-    };
-    let mut router = Router::new(parameters);
-    let mut state = exchange.status();
-    let mut buffer = [0; MAX_DATAGRAM];
+    let mut router = Router::new(parameters(&config));
+    let mut status = exchange.status();
+    let mut buffer = [0; MAX_DATAGRAM_BYTES];
     let mut event = Some(Event::Startup);
     loop {
         if let Some(event) = event.take() {
-            let before = router.role();
+            let previous = router.role();
             for Output::Send(advertisement) in router.handle(clock::now(), event) {
                 send(&socket, &config.peers, &advertisement).await;
             }
-            if router.role() != before {
-                log!("vrrp {}: {:?}", config.vrid, router.role());
+            if router.role() != previous {
+                log!("vrrp: role changed: vrid={} role={:?}", config.vrid, router.role());
             }
             active.send_if_modified(|active| {
                 std::mem::replace(active, router.role() == Role::Active) != *active
@@ -58,49 +51,72 @@
         if router.role() == Role::Initialize {
             return;
         }
-        let wake = router.wakes_at().unwrap_or(clock::now() + config.interval);
+        let timer = router.timer_expires_at().unwrap_or(clock::now() + config.interval);
         event = tokio::select! {
             received = socket.recv_from(&mut buffer) => match received {
-                Ok((n, from)) => heard(&config, &buffer[..n], from),
-                // An earlier datagram's refusal comes back here where a peer is down.
+                Ok((length, from)) => decode_event(&config, &buffer[..length], from),
+                // Where a peer is down, the rejection of an earlier datagram is reported here.
                 Err(_) => None,
             },
-            () = clock::until(wake) => Some(Event::Tick),
-            _ = state.wait_for(|state| state.draining.is_some()) => Some(Event::Shutdown),
+            () = clock::until(timer) => Some(Event::Tick),
+            _ = status.wait_for(|status| status.draining.is_some()) => Some(Event::Shutdown),
         };
     }
 }
 
-/// What a datagram says, if it is an advertisement of this virtual router from one of its peers.
-fn heard(config: &Vrrp, datagram: &[u8], from: SocketAddr) -> Option<Event> {
+/// The parameters of the state machine.
+fn parameters(config: &Vrrp) -> Parameters {
+    let local = match config.listen.ip() {
+        IpAddr::V4(address) => address,
+        IpAddr::V6(_) => Ipv4Addr::UNSPECIFIED,
+    };
+    Parameters {
+        vrid: config.vrid,
+        priority: config.priority,
+        interval: config.interval,
+        preempt: config.preempt,
+        addresses: config.addresses.clone(),
+        local,
+    }
+}
+
+/// The event that a datagram stands for, if it is an advertisement of this virtual router from one of its peers.
+fn decode_event(config: &Vrrp, datagram: &[u8], from: SocketAddr) -> Option<Event> {
     if !config.peers.iter().any(|peer| peer.ip() == from.ip()) {
-        log!("vrrp {}: dropped what {from} sent, which is no peer", config.vrid);
+        log!("vrrp: datagram dropped: vrid={} from={from}: not a peer", config.vrid);
         return None;
     }
     let IpAddr::V4(sender) = from.ip() else { return None };
-    match Advertisement::parse(datagram) {
+    match Advertisement::decode(datagram) {
         Ok(advertisement) if advertisement.vrid != config.vrid => {
-            log!("vrrp {}: dropped an advertisement of router {}", config.vrid, advertisement.vrid);
+            log!(
+                "vrrp: datagram dropped: vrid={} from={from}: it is of vrid={}",
+                config.vrid,
+                advertisement.vrid
+            );
             None
         }
         Ok(advertisement) => {
             if advertisement.addresses != config.addresses {
-                log!("vrrp {}: {from} stands for other addresses than this router", config.vrid);
+                log!(
+                    "vrrp: advertised addresses differ from the configured ones: vrid={} from={from}",
+                    config.vrid
+                );
             }
             Some(Event::Advertised { from: sender, advertisement })
         }
-        Err(problem) => {
-            log!("vrrp {}: dropped what {from} sent: {problem}", config.vrid);
+        Err(error) => {
+            log!("vrrp: datagram dropped: vrid={} from={from}: {error}", config.vrid);
             None
         }
     }
 }
 
 async fn send(socket: &UdpSocket, peers: &[SocketAddr], advertisement: &Advertisement) {
-    let bytes = advertisement.bytes();
+    let bytes = advertisement.encode();
     for peer in peers {
         if let Err(e) = socket.send_to(&bytes, peer).await {
-            log!("vrrp {}: not sent to {peer}: {e}", advertisement.vrid);
+            log!("vrrp: advertisement not sent: vrid={} peer={peer}: {e}", advertisement.vrid);
         }
     }
 }
--- a/node/src/vrrp/machine.rs
+++ b/node/src/vrrp/machine.rs
@@ -1,5 +1,5 @@
-//! The state machine of RFC 9568, section 6.4. It has no clock and no socket: it is told what happened, with
-//! the time, and says what is to be sent.
+//! The state machine of RFC 9568, section 6.4. It has no clock and no socket: it takes events with their time and
+//! returns what is to be sent.
 
 use std::net::Ipv4Addr;
 use std::time::Duration;
@@ -7,58 +7,58 @@
 use super::packet::Advertisement;
 use crate::clock::UnixTime;
 
-/// The priority of who owns the addresses.
-const OWNER: u8 = 255;
-/// Gives the role up.
-const GIVEN_UP: u8 = 0;
+/// The priority of the router that owns the addresses.
+const OWNER_PRIORITY: u8 = 255;
+/// The priority in an advertisement by which the active router releases its role.
+const RELEASE_PRIORITY: u8 = 0;
 
-/// What is configured of a virtual router.
+/// The configuration of a virtual router.
 #[derive(Debug, Clone)]
 pub struct Parameters {
-    /// Its number.
+    /// The number of the virtual router (VRID).
     pub vrid: u8,
-    /// 1 to 254, or 255 for the owner.
+    /// 1 to 254, or 255 for the owner of the addresses.
     pub priority: u8,
     /// Between two advertisements.
     pub interval: Duration,
-    /// Whether a higher priority takes over from a lower one that is active.
+    /// Whether this router takes over from an active one with a lower priority.
     pub preempt: bool,
-    /// Its addresses.
+    /// The addresses that the virtual router stands for.
     pub addresses: Vec<Ipv4Addr>,
-    /// The primary address here, which decides between equal priorities.
+    /// The primary address of this router; the higher one wins between equal priorities.
     pub local: Ipv4Addr,
 }
 
-/// The states.
+/// The states of RFC 9568.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
     /// Not started, or shut down.
     Initialize,
-    /// Another one is taken to be active.
+    /// Another router is active, as far as this one knows.
     Backup,
-    /// This one answers for the addresses.
+    /// This router serves the addresses.
     Active,
 }
 
-/// What happens to a router.
+/// What happens to a router, besides the passing of time.
 #[derive(Debug)]
 pub enum Event {
     /// It starts.
     Startup,
     /// It is to stop.
     Shutdown,
-    /// Time may have passed.
+    /// Its timer may have expired.
     Tick,
-    /// A valid advertisement of this virtual router came.
+    /// A valid advertisement of this virtual router has arrived.
     Advertised {
         /// The sender's primary address.
         from: Ipv4Addr,
-        /// What it says.
+        /// Its content.
         advertisement: Advertisement,
     },
 }
 
-/// What a router does.
+/// What a router asks for.
 #[derive(Debug, PartialEq)]
 pub enum Output {
     /// Send this to all peers.
@@ -70,9 +70,9 @@
 pub struct Router {
     parameters: Parameters,
     role: Role,
-    /// The interval of who is active.
+    /// The interval of the active router.
     active_interval: Duration,
-    /// The one timer: the next advertisement while active, and while backup when the active one is down.
+    /// The only timer: while active the next advertisement, while backup when the active router counts as down.
     timer: UnixTime,
 }
 
@@ -88,23 +88,25 @@
         self.role
     }
 
-    /// When it wants to be told the time, if ever.
-    pub fn wakes_at(&self) -> Option<UnixTime> {
+    /// When the timer expires; none while the router is not started.
+    pub fn timer_expires_at(&self) -> Option<UnixTime> {
         (self.role != Role::Initialize).then_some(self.timer)
     }
 
-    /// Takes in what happened.
+    /// Processes an event and returns what is to be sent.
     pub fn handle(&mut self, now: UnixTime, event: Event) -> Vec<Output> {
         match (self.role, event) {
-            (Role::Initialize, Event::Startup) if self.parameters.priority == OWNER => self.take_role(now),
+            (Role::Initialize, Event::Startup) if self.parameters.priority == OWNER_PRIORITY => {
+                self.become_active(now)
+            }
             (Role::Initialize, Event::Startup) => {
                 self.active_interval = self.parameters.interval;
-                self.stand_by(now);
+                self.become_backup(now);
                 Vec::new()
             }
-            (Role::Backup, Event::Tick) if now >= self.timer => self.take_role(now),
+            (Role::Backup, Event::Tick) if now >= self.timer => self.become_active(now),
             (Role::Backup, Event::Advertised { advertisement, .. }) => {
-                self.heard_as_backup(now, &advertisement);
+                self.advertised_while_backup(now, &advertisement);
                 Vec::new()
             }
             (Role::Backup, Event::Shutdown) => {
@@ -113,18 +115,18 @@
             }
             (Role::Active, Event::Tick) if now >= self.timer => self.advertise(now),
             (Role::Active, Event::Advertised { from, advertisement }) => {
-                self.heard_as_active(now, from, &advertisement)
+                self.advertised_while_active(now, from, &advertisement)
             }
             (Role::Active, Event::Shutdown) => {
                 self.role = Role::Initialize;
-                vec![Output::Send(self.advertisement(GIVEN_UP))]
+                vec![Output::Send(self.advertisement(RELEASE_PRIORITY))]
             }
             _ => Vec::new(),
         }
     }
 
-    fn heard_as_backup(&mut self, now: UnixTime, advertisement: &Advertisement) {
-        if advertisement.priority == GIVEN_UP {
+    fn advertised_while_backup(&mut self, now: UnixTime, advertisement: &Advertisement) {
+        if advertisement.priority == RELEASE_PRIORITY {
             self.timer = now + self.skew();
         } else if !self.parameters.preempt || advertisement.priority >= self.parameters.priority {
             self.active_interval = advertisement.interval;
@@ -132,7 +134,7 @@
         }
     }
 
-    fn heard_as_active(
+    fn advertised_while_active(
         &mut self,
         now: UnixTime,
         from: Ipv4Addr,
@@ -141,19 +143,19 @@
         let local = (self.parameters.priority, self.parameters.local);
         if (advertisement.priority, from) > local {
             self.active_interval = advertisement.interval;
-            self.stand_by(now);
+            self.become_backup(now);
             return Vec::new();
         }
-        // Who gave the role up, or claims it by less, hears at once who has it.
+        // A router that has released the role, or claims it with less priority, learns at once which one is active.
         self.advertise(now)
     }
 
-    fn take_role(&mut self, now: UnixTime) -> Vec<Output> {
+    fn become_active(&mut self, now: UnixTime) -> Vec<Output> {
         self.role = Role::Active;
         self.advertise(now)
     }
 
-    fn stand_by(&mut self, now: UnixTime) {
+    fn become_backup(&mut self, now: UnixTime) {
         self.role = Role::Backup;
         self.timer = now + self.down_interval();
     }
@@ -168,11 +170,12 @@
         Advertisement { vrid: *vrid, priority, interval: *interval, addresses: addresses.clone() }
     }
 
-    /// The higher the priority, the shorter: so the best backup is the first to take over.
+    /// The skew time: shorter for higher priorities, so that the best backup takes over first.
     fn skew(&self) -> Duration {
         self.active_interval * (256 - u32::from(self.parameters.priority)) / 256
     }
 
+    /// How long after the last advertisement the active router counts as down.
     fn down_interval(&self) -> Duration {
         3 * self.active_interval + self.skew()
     }
--- a/node/src/vrrp/machine/tests.rs
+++ b/node/src/vrrp/machine/tests.rs
@@ -39,22 +39,22 @@
     assert_eq!(owner.role(), Role::Active);
     let mut backup = started(100, 1, true);
     let down = NOW + 3 * SECOND + SECOND * 156 / 256;
-    assert_eq!((backup.role(), backup.wakes_at()), (Role::Backup, Some(down)));
+    assert_eq!((backup.role(), backup.timer_expires_at()), (Role::Backup, Some(down)));
     assert!(backup.handle(down - Duration::from_millis(1), Event::Tick).is_empty());
     assert_eq!(sent(&backup.handle(down, Event::Tick)), [100]);
-    assert_eq!((backup.role(), backup.wakes_at()), (Role::Active, Some(down + SECOND)));
+    assert_eq!((backup.role(), backup.timer_expires_at()), (Role::Active, Some(down + SECOND)));
     assert_eq!(sent(&backup.handle(down + SECOND, Event::Tick)), [100]);
 }
 
 #[test]
 fn of_two_that_start_together_the_higher_priority_is_elected() {
     let (mut high, low) = (started(200, 1, true), started(100, 2, true));
-    assert!(high.wakes_at() < low.wakes_at());
+    assert!(high.timer_expires_at() < low.timer_expires_at());
     let mut low = low;
-    let at = high.wakes_at().unwrap();
+    let at = high.timer_expires_at().unwrap();
     assert_eq!(sent(&high.handle(at, Event::Tick)), [200]);
     low.handle(at, from(1, 200));
-    assert_eq!(low.wakes_at(), Some(at + 3 * SECOND + SECOND * 156 / 256));
+    assert_eq!(low.timer_expires_at(), Some(at + 3 * SECOND + SECOND * 156 / 256));
 }
 
 #[test]
@@ -81,17 +81,17 @@
     assert_eq!(router.role(), Role::Backup);
     let mut router = active(100, 5);
     router.handle(now, from(1, 101));
-    assert_eq!((router.role(), router.wakes_at() > Some(now + 3 * SECOND)), (Role::Backup, true));
+    assert_eq!((router.role(), router.timer_expires_at() > Some(now + 3 * SECOND)), (Role::Backup, true));
 }
 
 #[test]
 fn giving_up_hands_the_role_over_within_the_skew() {
     let mut leaving = active(200, 1);
     assert_eq!(sent(&leaving.handle(NOW + 5 * SECOND, Event::Shutdown)), [0]);
-    assert_eq!((leaving.role(), leaving.wakes_at()), (Role::Initialize, None));
+    assert_eq!((leaving.role(), leaving.timer_expires_at()), (Role::Initialize, None));
     let mut backup = started(100, 2, true);
     backup.handle(NOW + SECOND, from(1, 0));
-    assert_eq!(backup.wakes_at(), Some(NOW + SECOND + SECOND * 156 / 256));
+    assert_eq!(backup.timer_expires_at(), Some(NOW + SECOND + SECOND * 156 / 256));
     let mut active = active(100, 3);
     assert_eq!(sent(&active.handle(NOW + 5 * SECOND, from(9, 0))), [100]);
     assert!(backup.handle(NOW + SECOND, Event::Shutdown).is_empty(), "a backup has nothing to give up");
@@ -103,5 +103,5 @@
     let mut slow = router(200, 1, true).advertisement(200);
     slow.interval = 4 * SECOND;
     backup.handle(NOW, Event::Advertised { from: Ipv4Addr::new(127, 0, 0, 1), advertisement: slow });
-    assert_eq!(backup.wakes_at(), Some(NOW + 12 * SECOND + 4 * SECOND * 156 / 256));
+    assert_eq!(backup.timer_expires_at(), Some(NOW + 12 * SECOND + 4 * SECOND * 156 / 256));
 }
--- a/node/src/vrrp/packet.rs
+++ b/node/src/vrrp/packet.rs
@@ -1,21 +1,31 @@
-//! The one packet of VRRP version 3, for IPv4.
+//! The advertisement, the only packet of VRRP version 3, for IPv4 (RFC 9568, section 5).
 
-use std::fmt;
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
+use thiserror::Error;
+
+/// The version of the protocol.
 const VERSION: u8 = 3;
-const ADVERTISEMENT: u8 = 1;
-const HEAD: usize = 8;
-/// The unit of intervals.
-const CENTISECOND: u64 = 10;
+/// The packet type of an advertisement.
+const ADVERTISEMENT_TYPE: u8 = 1;
+/// Bytes before the addresses.
+const HEAD_BYTES: usize = 8;
+/// Where the checksum stands in the head.
+const CHECKSUM_RANGE: std::ops::Range<usize> = 6..8;
+/// Bytes of an address.
+const ADDRESS_BYTES: usize = 4;
+/// The unit of intervals, in milliseconds.
+const CENTISECOND_MS: u64 = 10;
+/// The bits of the field that the interval takes.
+const INTERVAL_MASK: u16 = 0xfff;
 
 /// An advertisement.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Advertisement {
-    /// The virtual router.
+    /// The number of the virtual router (VRID).
     pub vrid: u8,
-    /// The sender's priority; 0 gives the role up.
+    /// The sender's priority; 0 releases the active role.
     pub priority: u8,
     /// Between two of the sender's advertisements.
     pub interval: Duration,
@@ -24,88 +34,90 @@
 }
 
 /// Why a packet is dropped.
-#[derive(Debug, PartialEq, Eq)]
+#[derive(Debug, Error, PartialEq, Eq)]
 pub enum Malformed {
-    /// Shorter than its head or than its addresses need.
+    /// Shorter than its head, or than its addresses need.
+    #[error("packet cut short")]
     Short,
     /// Not version 3.
+    #[error("version {0}, not {VERSION}")]
     Version(u8),
     /// Not an advertisement.
+    #[error("unknown packet type {0}")]
     Kind(u8),
     /// Damaged on the way.
+    #[error("wrong checksum")]
     Checksum,
-    /// It stands for no address, or has bytes beyond its last one.
+    /// It stands for no address, or has bytes after its last one.
+    #[error("wrong number of addresses")]
     Addresses,
     /// No time between two advertisements.
+    #[error("advertisement interval of 0")]
     Interval,
 }
 
-impl fmt::Display for Malformed {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Malformed::Short => write!(f, "a packet cut short"),
-            Malformed::Version(version) => write!(f, "version {version}, not 3"),
-            Malformed::Kind(kind) => write!(f, "a packet of the unknown type {kind}"),
-            Malformed::Checksum => write!(f, "a wrong checksum"),
-            Malformed::Interval => write!(f, "an interval of 0"),
-            Malformed::Addresses => write!(f, "a wrong number of addresses"),
-        }
-    }
-}
-
 impl Advertisement {
-    /// The packet's bytes.
-    pub fn bytes(&self) -> Vec<u8> {
-        let centiseconds = (self.interval.as_millis() as u64 / CENTISECOND).min(0xfff) as u16;
+    /// Encodes the packet.
+    pub fn encode(&self) -> Vec<u8> {
+        let centiseconds =
+            (self.interval.as_millis() as u64 / CENTISECOND_MS).min(u64::from(INTERVAL_MASK)) as u16;
         let mut bytes =
-            vec![VERSION << 4 | ADVERTISEMENT, self.vrid, self.priority, self.addresses.len() as u8];
+            vec![VERSION << 4 | ADVERTISEMENT_TYPE, self.vrid, self.priority, self.addresses.len() as u8];
         bytes.extend(centiseconds.to_be_bytes());
         bytes.extend([0, 0]);
         for address in &self.addresses {
             bytes.extend(address.octets());
         }
         let sum = checksum(&bytes);
-        bytes[6..8].copy_from_slice(&sum.to_be_bytes());
+        bytes[CHECKSUM_RANGE].copy_from_slice(&sum.to_be_bytes());
         bytes
     }
 
-    /// Reads a packet, as section 7.1 asks, so far as that can be seen in the packet itself.
-    pub fn parse(bytes: &[u8]) -> Result<Self, Malformed> {
-        let Some([first, vrid, priority, count, high, low, ..]) = bytes.first_chunk::<HEAD>().copied() else {
+    /// Decodes a packet and checks it as section 7.1 asks, as far as that is possible from the packet alone.
+    ///
+    /// # Errors
+    ///
+    /// Where the packet is to be dropped.
+    pub fn decode(bytes: &[u8]) -> Result<Self, Malformed> {
+        let Some([first, vrid, priority, count, high, low, ..]) = bytes.first_chunk::<HEAD_BYTES>().copied()
+        else {
             return Err(Malformed::Short);
         };
         if first >> 4 != VERSION {
             return Err(Malformed::Version(first >> 4));
         }
-        if first & 0xf != ADVERTISEMENT {
+        if first & 0xf != ADVERTISEMENT_TYPE {
             return Err(Malformed::Kind(first & 0xf));
         }
-        let addresses = &bytes[HEAD..];
-        if addresses.len() < 4 * usize::from(count) {
+        let addresses = &bytes[HEAD_BYTES..];
+        if addresses.len() < ADDRESS_BYTES * usize::from(count) {
             return Err(Malformed::Short);
         }
         if checksum(bytes) != 0 {
             return Err(Malformed::Checksum);
         }
-        if count == 0 || addresses.len() > 4 * usize::from(count) {
+        if count == 0 || addresses.len() > ADDRESS_BYTES * usize::from(count) {
             return Err(Malformed::Addresses);
         }
-        let centiseconds = u64::from(u16::from_be_bytes([high, low]) & 0xfff);
-        // Guards the timers of who believes it: after no time at all the active router would count as down.
+        let centiseconds = u64::from(u16::from_be_bytes([high, low]) & INTERVAL_MASK);
+        // After an interval of 0 the active router would count as down at once.
         if centiseconds == 0 {
             return Err(Malformed::Interval);
         }
-        let addresses = addresses.chunks_exact(4).map(|a| Ipv4Addr::new(a[0], a[1], a[2], a[3])).collect();
+        let addresses = addresses
+            .chunks_exact(ADDRESS_BYTES)
+            .map(|octets| Ipv4Addr::new(octets[0], octets[1], octets[2], octets[3]))
+            .collect();
         Ok(Advertisement {
             vrid,
             priority,
-            interval: Duration::from_millis(centiseconds * CENTISECOND),
+            interval: Duration::from_millis(centiseconds * CENTISECOND_MS),
             addresses,
         })
     }
 }
 
-/// The one's complement of the one's complement sum, over the message alone as the RFC has it for IPv4.
+/// The one's complement of the one's complement sum, over the packet alone as the RFC has it for IPv4.
 fn checksum(bytes: &[u8]) -> u16 {
     let words = bytes.chunks(2).map(|pair| u32::from(pair[0]) << 8 | u32::from(*pair.get(1).unwrap_or(&0)));
     let mut sum: u32 = words.sum();
--- a/node/src/vrrp/packet/tests.rs
+++ b/node/src/vrrp/packet/tests.rs
@@ -9,28 +9,28 @@
 fn its_bytes_are_those_of_the_rfc() {
     let one = Advertisement { addresses: vec![Ipv4Addr::new(127, 0, 1, 1)], ..usual() };
     // The sum of 3133 6401 0064 7f00 0101 is 0x11599, folded 0x159a, and its complement is ea65.
-    assert_eq!(one.bytes(), [0x31, 51, 100, 1, 0, 100, 0xea, 0x65, 127, 0, 1, 1]);
-    assert_eq!(Advertisement::parse(&usual().bytes()), Ok(usual()));
+    assert_eq!(one.encode(), [0x31, 51, 100, 1, 0, 100, 0xea, 0x65, 127, 0, 1, 1]);
+    assert_eq!(Advertisement::decode(&usual().encode()), Ok(usual()));
 }
 
 #[test]
 fn bad_packets_are_told_apart() {
-    let good = usual().bytes();
+    let good = usual().encode();
     let with = |at: usize, byte: u8| {
         let mut bytes = good.clone();
         bytes[at] = byte;
-        Advertisement::parse(&bytes)
+        Advertisement::decode(&bytes)
     };
     assert_eq!(with(0, 0x21), Err(Malformed::Version(2)));
     assert_eq!(with(0, 0x32), Err(Malformed::Kind(2)));
     assert_eq!(with(2, 101), Err(Malformed::Checksum));
     assert_eq!(with(3, 3), Err(Malformed::Short));
-    assert_eq!(Advertisement::parse(&good[..7]), Err(Malformed::Short));
-    assert_eq!(Advertisement::parse(&[]), Err(Malformed::Short));
+    assert_eq!(Advertisement::decode(&good[..7]), Err(Malformed::Short));
+    assert_eq!(Advertisement::decode(&[]), Err(Malformed::Short));
     let none = Advertisement { addresses: vec![], ..usual() };
-    assert_eq!(Advertisement::parse(&none.bytes()), Err(Malformed::Addresses));
+    assert_eq!(Advertisement::decode(&none.encode()), Err(Malformed::Addresses));
     let hasty = Advertisement { interval: Duration::ZERO, ..usual() };
-    assert_eq!(Advertisement::parse(&hasty.bytes()), Err(Malformed::Interval));
+    assert_eq!(Advertisement::decode(&hasty.encode()), Err(Malformed::Interval));
     let longer = [&good[..], &[0, 0, 0, 0]].concat();
-    assert_eq!(Advertisement::parse(&longer), Err(Malformed::Addresses));
+    assert_eq!(Advertisement::decode(&longer), Err(Malformed::Addresses));
 }
--- a/node/tests/sockets/vrrp.rs
+++ b/node/tests/sockets/vrrp.rs
@@ -42,16 +42,16 @@
     for bad in [&advertisement(99)[..], &advertisement(200)[..11], b"\x21\x09", b""] {
         peer.send_to(bad, listen).unwrap();
     }
-    node.logs("dropped what");
+    node.logs("vrrp: datagram dropped");
     peer.send_to(&advertisement(200), listen).unwrap();
-    node.logs("Backup");
+    node.logs("vrrp: role changed: vrid=9 role=Backup");
     node.logs("frontend: stopped listening: protocol=uwsgi");
     assert!(std::net::TcpStream::connect(address).is_err());
     vm.value(1, &id, "done", "still");
     assert!(client.rest().ends_with("still"));
     // It gives the role up again, so this node takes it and serves.
     peer.send_to(&advertisement(0), listen).unwrap();
-    node.logs("Active");
+    node.logs("vrrp: role changed: vrid=9 role=Active");
     let address = node.uwsgi();
     let mut client = Peer::connect(address);
     client.say(packet(&[("PATH_INFO", "/status")], ""));
@@ -69,7 +69,7 @@
     let (mut high, _vm, _link) = Node::with_interpreter("", Some(&front(200, first, second)));
     // The higher priority preempts.
     high.uwsgi();
-    low.logs("vrrp 9: Backup");
+    low.logs("vrrp: role changed: vrid=9 role=Backup");
     low.logs("frontend: stopped listening: protocol=uwsgi");
     high.terminate();
     high.ends();
