--- a/node/src/backend/index.rs
+++ b/node/src/backend/index.rs
@@ -14,7 +14,7 @@
 
 use super::CallBackend;
 use crate::clock::{self, UnixTime};
-use crate::config::Links;
+use crate::config::UpstreamAddresses;
 use crate::exchange::{CallOutcome, Request};
 use crate::line_codec::{self, encode, LineConnection, Message, ProtocolError};
 use crate::log;
@@ -41,7 +41,7 @@
 
 /// The client of the index.
 pub struct Index {
-    addresses: watch::Receiver<Links>,
+    addresses: watch::Receiver<UpstreamAddresses>,
     /// The connection that was used last comes last.
     idle: RefCell<Vec<IdleConnection>>,
     max_idle: usize,
@@ -50,7 +50,7 @@
 impl Index {
     /// A client of the index at the latest address; where that is none, no call reaches anybody. At most `max_idle`
     /// connections are kept for later calls.
-    pub fn new(addresses: watch::Receiver<Links>, max_idle: usize) -> Rc<Self> {
+    pub fn new(addresses: watch::Receiver<UpstreamAddresses>, max_idle: usize) -> Rc<Self> {
         Rc::new(Index { addresses, idle: RefCell::default(), max_idle })
     }
 
--- a/node/src/backend/interpreter.rs
+++ b/node/src/backend/interpreter.rs
@@ -16,7 +16,7 @@
 
 use crate::class_registry::ClassRegistry;
 use crate::clock::{self, UnixTime};
-use crate::config::Links;
+use crate::config::UpstreamAddresses;
 use crate::exchange::{BackendEvent, Completion, Exchange, RunCommand};
 use crate::line_codec::{self, encode, LineConnection, Message, ProtocolError};
 use crate::log;
@@ -54,7 +54,7 @@
 
 /// The client of the interpreter.
 pub struct Interpreter {
-    addresses: watch::Receiver<Links>,
+    addresses: watch::Receiver<UpstreamAddresses>,
     exchange: Exchange,
     commands: mpsc::Receiver<RunCommand>,
     runs: Runs,
@@ -67,7 +67,7 @@
 impl Interpreter {
     /// A client of the interpreter at the latest address. Classes are sent by their names in the registry.
     pub fn new(
-        addresses: watch::Receiver<Links>,
+        addresses: watch::Receiver<UpstreamAddresses>,
         exchange: Exchange,
         commands: mpsc::Receiver<RunCommand>,
         registry: Rc<ClassRegistry>,
@@ -79,7 +79,7 @@
     /// Holds the link until no more commands can come.
     pub async fn run(mut self) {
         loop {
-            let Some(address) = self.addresses.borrow_and_update().vm else { return };
+            let Some(address) = self.addresses.borrow_and_update().interpreter else { return };
             let began_at = clock::now();
             match self.wait_disconnected(sockets::connect(address, began_at + CONNECT_TIMEOUT)).await {
                 Wait::Done(Ok(stream)) => match self.run_link(LineConnection::new(stream)).await {
--- a/node/src/backend/uwsgi.rs
+++ b/node/src/backend/uwsgi.rs
@@ -18,7 +18,7 @@
 use super::{CallBackend, CallsInProgress};
 use crate::class_registry::ClassRegistry;
 use crate::clock::{self, UnixTime};
-use crate::config::Links;
+use crate::config::UpstreamAddresses;
 use crate::exchange::{BackendEvent, CallOutcome, Completion, Exchange, Request, RunCommand};
 use crate::log;
 use crate::sockets;
@@ -46,11 +46,11 @@
 }
 
 /// Selects the addresses of the servers from those of all peers.
-pub type SelectAddresses = fn(&Links) -> &Vec<SocketAddr>;
+pub type SelectAddresses = fn(&UpstreamAddresses) -> &Vec<SocketAddr>;
 
 /// Servers that stand in for each other.
 pub struct Servers {
-    addresses: watch::Receiver<Links>,
+    addresses: watch::Receiver<UpstreamAddresses>,
     select: SelectAddresses,
     next: Cell<usize>,
     registry: Rc<ClassRegistry>,
@@ -59,7 +59,7 @@
 impl Servers {
     /// The servers at the latest addresses. Classes and tenants are sent by their names in the registry.
     pub fn new(
-        addresses: watch::Receiver<Links>,
+        addresses: watch::Receiver<UpstreamAddresses>,
         select: SelectAddresses,
         registry: Rc<ClassRegistry>,
     ) -> Rc<Self> {
--- a/node/src/heartbeat.rs
+++ b/node/src/heartbeat.rs
@@ -10,7 +10,7 @@
 use tokio::sync::watch;
 
 use crate::clock;
-use crate::config::Links;
+use crate::config::UpstreamAddresses;
 use crate::exchange::{Exchange, NodeStatus};
 use crate::log;
 
@@ -41,11 +41,11 @@
 }
 
 /// Sends heartbeats until the shutdown notice, and a last one then. Without a membership service there are none.
-pub async fn report(name: String, mut addresses: watch::Receiver<Links>, exchange: Exchange) {
+pub async fn report(name: String, mut addresses: watch::Receiver<UpstreamAddresses>, exchange: Exchange) {
     let mut status = exchange.status();
     let mut socket = None;
     loop {
-        let Some(service) = addresses.borrow_and_update().members else { return };
+        let Some(service) = addresses.borrow_and_update().membership_service else { return };
         let liveness = Liveness::of(&status.borrow_and_update());
         let word = match liveness {
             Liveness::Up => "UP",
--- a/node/src/server/capacity.rs
+++ b/node/src/server/capacity.rs
@@ -2,7 +2,7 @@
 //! backends need.
 
 use crate::admin;
-use crate::config::Told;
+use crate::config::Configuration;
 use crate::exchange::Exchange;
 use crate::frontend::connection_limiter::ConnectionLimiter;
 
@@ -24,7 +24,7 @@
 
 impl ConnectionCapacity {
     /// The shares that a configuration leaves.
-    pub(super) fn new(loaded: &Told) -> Self {
+    pub(super) fn new(loaded: &Configuration) -> Self {
         let peers = loaded.fleet.as_ref().map_or(0, |fleet| fleet.links);
         let admin = if loaded.config.ops.is_some() { admin::MAX_CONNECTIONS } else { 0 };
         let reserved = RESERVED_DESCRIPTORS + peers + admin;
--- a/node/src/server/mod.rs
+++ b/node/src/server/mod.rs
@@ -20,14 +20,14 @@
 use thiserror::Error;
 use tokio::task::LocalSet;
 
-use crate::config::{BadConfig, Files};
+use crate::config::{ConfigError, ConfigFiles};
 
 /// Why a node did not start.
 #[derive(Debug, Error)]
 pub enum StartupError {
     /// A configuration file can't be served.
     #[error("{0}")]
-    Config(BadConfig),
+    Config(ConfigError),
     /// The asynchronous runtime could not be built.
     #[error("no runtime: {0}")]
     Runtime(io::Error),
@@ -61,8 +61,8 @@
 /// # Errors
 ///
 /// Where the configuration is not valid, or an address or a folder that it names can't be opened.
-pub fn serve(files: &Files) -> Result<(), StartupError> {
-    let loaded = files.read_for_start().map_err(StartupError::Config)?;
+pub fn serve(files: &ConfigFiles) -> Result<(), StartupError> {
+    let loaded = files.load_for_startup().map_err(StartupError::Config)?;
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(StartupError::Runtime)?;
     runtime.block_on(LocalSet::new().run_until(startup::run(files, loaded)))
--- a/node/src/server/reload.rs
+++ b/node/src/server/reload.rs
@@ -10,8 +10,8 @@
 use tokio::sync::{mpsc, watch};
 
 use crate::class_registry::ClassRegistry;
-use crate::config::{BadConfig, Config, Files, Fleet, Links, Told};
-use crate::decision_log::digest_of;
+use crate::config::{ConfigError, ConfigFiles, Configuration, FleetConfig, NodeConfig, UpstreamAddresses};
+use crate::decision_log::settings_digest;
 use crate::exchange::{Exchange, NodeStatus};
 use crate::{clock, log};
 
@@ -20,7 +20,7 @@
 enum ReloadError {
     /// A file is not valid by itself.
     #[error("{0}")]
-    Config(BadConfig),
+    Config(ConfigError),
     /// A peer was added or removed, or its protocol changed.
     #[error("{0}: adding, removing or replacing this kind of peer needs a restart")]
     PeerKindChanged(&'static str),
@@ -43,23 +43,23 @@
 
 /// Files that were read and can be applied.
 struct Candidate {
-    config: Config,
+    config: NodeConfig,
     /// The settings, merged with the ones in force.
     settings: Parsed,
-    fleet: Option<Fleet>,
+    fleet: Option<FleetConfig>,
 }
 
 /// Reads the files again at each SIGHUP and publishes what has changed.
 pub(super) struct Reloader<'a> {
-    pub(super) files: &'a Files,
+    pub(super) files: &'a ConfigFiles,
     pub(super) hangup: Signal,
     pub(super) exchange: &'a Exchange,
     pub(super) registry: &'a ClassRegistry,
     /// The configuration that the process started with.
-    pub(super) initial: &'a Config,
+    pub(super) initial: &'a NodeConfig,
     /// The latest one that was applied, if any.
-    pub(super) applied: Option<Config>,
-    pub(super) peer_addresses: watch::Sender<Links>,
+    pub(super) applied: Option<NodeConfig>,
+    pub(super) peer_addresses: watch::Sender<UpstreamAddresses>,
     /// The fleet's events, if the node is in one.
     pub(super) fleet_events: Option<mpsc::Sender<Event>>,
 }
@@ -85,11 +85,11 @@
     /// Reads the files and checks that they can follow the ones in force.
     fn read(&self) -> Result<Candidate, ReloadError> {
         let current = self.applied.as_ref().unwrap_or(self.initial);
-        let Told { config, fleet, .. } = self.files.read().map_err(ReloadError::Config)?;
-        if let Some(key) = config.links.unlike(&current.links) {
+        let Configuration { config, fleet, .. } = self.files.load().map_err(ReloadError::Config)?;
+        if let Some(key) = config.upstreams.first_incompatible_key(&current.upstreams) {
             return Err(ReloadError::PeerKindChanged(key));
         }
-        if let Some(key) = config.lacks(current) {
+        if let Some(key) = config.first_missing_key(current) {
             return Err(ReloadError::KeyMissing(key));
         }
         let settings = self.registry.settings().followed_by(config.settings.clone());
@@ -98,13 +98,13 @@
 
     async fn apply(&mut self, candidate: Candidate, trigger: Trigger) {
         let Candidate { config, settings, fleet } = candidate;
-        let addresses_changed = self
-            .peer_addresses
-            .send_if_modified(|addresses| std::mem::replace(addresses, config.links.clone()) != config.links);
+        let addresses_changed = self.peer_addresses.send_if_modified(|addresses| {
+            std::mem::replace(addresses, config.upstreams.clone()) != config.upstreams
+        });
         let settings_changed = settings != self.registry.settings();
         if settings_changed {
             // The dispatcher knows a class before any frontend accepts a request of it.
-            let digest = digest_of(&config.written["settings"]);
+            let digest = settings_digest(&config.written["settings"]);
             self.exchange.reconfigure(settings.clone(), digest).await;
             self.registry.replace_settings(settings, clock::now());
         }
@@ -122,7 +122,7 @@
     }
 
     /// Hands the fleet's configuration over; whether it is accepted is decided there, by its version.
-    fn propose_membership(&self, fleet: Fleet) {
+    fn propose_membership(&self, fleet: FleetConfig) {
         let Some(events) = &self.fleet_events else { return };
         if events.try_send(Event::Membership(fleet.list)).is_err() {
             log!("reload: membership configuration not applied: the fleet's queue is full");
--- a/node/src/server/startup.rs
+++ b/node/src/server/startup.rs
@@ -19,8 +19,8 @@
 use crate::backend::uwsgi::{run_requests, Servers};
 use crate::backend::{make_calls, uwsgi as uwsgi_backend};
 use crate::class_registry::ClassRegistry;
-use crate::config::{self, Config, Files, Links, Told, Uwsgi};
-use crate::decision_log::{digest_of, Recorder};
+use crate::config::{self, ConfigFiles, Configuration, NodeConfig, UpstreamAddresses, UwsgiConfig};
+use crate::decision_log::{settings_digest, DecisionLog};
 use crate::dispatcher::Dispatcher;
 use crate::exchange::{self, BackendEndpoints, DispatcherEndpoints, Endpoints, Exchange, HandoverState};
 use crate::frontend::connection_limiter::ConnectionLimiter;
@@ -37,12 +37,12 @@
 
 /// What the tasks of a node are made from.
 struct Node {
-    config: Config,
-    uwsgi: Option<Uwsgi>,
+    config: NodeConfig,
+    uwsgi: Option<UwsgiConfig>,
     exchange: Exchange,
     registry: Rc<ClassRegistry>,
     /// The addresses of peers in the latest configuration.
-    peer_addresses: watch::Receiver<Links>,
+    peer_addresses: watch::Receiver<UpstreamAddresses>,
     jsonrpc_limiter: Rc<ConnectionLimiter>,
     uwsgi_limiter: Rc<ConnectionLimiter>,
     /// Connections to each backend.
@@ -54,7 +54,7 @@
 }
 
 /// Runs a node until it has drained.
-pub(super) async fn run(files: &Files, loaded: Told) -> Result<(), StartupError> {
+pub(super) async fn run(files: &ConfigFiles, loaded: Configuration) -> Result<(), StartupError> {
     // Comes first: a signal without a handler ends the process.
     let (shutdown_notice, hangup) = Signals::install().map_err(StartupError::Signals)?.split();
     let handover_socket = handover::socket_path(loaded.config.listen);
@@ -63,8 +63,8 @@
     let starts_recovering = loaded.fleet.is_some() && !is_upgrade;
     let Endpoints { exchange, dispatcher, backend } = exchange::new(is_upgrade, starts_recovering);
     let capacity = ConnectionCapacity::new(&loaded);
-    let Told { config, uwsgi, remembered, fleet, records } = loaded;
-    let (address_publisher, peer_addresses) = watch::channel(config.links.clone());
+    let Configuration { config, uwsgi, remembered, fleet, records } = loaded;
+    let (address_publisher, peer_addresses) = watch::channel(config.upstreams.clone());
     let node = Node {
         registry: Rc::new(ClassRegistry::new(config.settings.clone())),
         config,
@@ -135,20 +135,20 @@
         let (addresses, exchange) = (&self.peer_addresses, &self.exchange);
         let connections = self.backend_connections;
         let initial = addresses.borrow().clone();
-        if initial.runs.is_empty() {
+        if initial.uwsgi_run_servers.is_empty() {
             let interpreter =
                 Interpreter::new(addresses.clone(), exchange.clone(), endpoints.runs, self.registry.clone());
             spawn_local(interpreter.run());
         } else {
-            let servers = self.uwsgi_servers(|addresses| &addresses.runs);
+            let servers = self.uwsgi_servers(|addresses| &addresses.uwsgi_run_servers);
             spawn_local(run_requests(servers, exchange.clone(), endpoints.runs, connections));
         }
-        if initial.calls.is_empty() {
+        if initial.uwsgi_call_servers.is_empty() {
             let max_idle = connections / IDLE_CONNECTION_DIVISOR;
             let index = Index::new(addresses.clone(), max_idle);
             spawn_local(make_calls(index, exchange.clone(), endpoints.calls, connections - max_idle));
         } else {
-            let servers = self.uwsgi_servers(|addresses| &addresses.calls);
+            let servers = self.uwsgi_servers(|addresses| &addresses.uwsgi_call_servers);
             spawn_local(make_calls(servers, exchange.clone(), endpoints.calls, connections));
         }
     }
@@ -162,9 +162,9 @@
     fn start_dispatcher(
         &self,
         endpoints: DispatcherEndpoints,
-        remembered: Option<config::Remembered>,
-        fleet: Option<config::Fleet>,
-        records: Option<config::Records>,
+        remembered: Option<config::ResultStoreConfig>,
+        fleet: Option<config::FleetConfig>,
+        records: Option<config::DecisionLogConfig>,
     ) -> Result<Option<mpsc::Sender<Event>>, StartupError> {
         let config = &self.config;
         let result_memory = config.memory / RESULT_MEMORY_DIVISOR;
@@ -180,9 +180,9 @@
         }
         dispatcher.set_run_gate(RunGate::new(store, peers), restored.flatten());
         if let Some(records) = records {
-            let settings_digest = digest_of(&config.written["settings"]);
-            let recorder =
-                Recorder::start(&records, &config.name, settings_digest).map_err(StartupError::component)?;
+            let settings_digest = settings_digest(&config.written["settings"]);
+            let recorder = DecisionLog::start(&records, &config.name, settings_digest)
+                .map_err(StartupError::component)?;
             dispatcher.set_decision_log(recorder);
         }
         spawn_local(dispatcher.run());
@@ -193,10 +193,10 @@
     /// has handed over, so that nothing is known of it yet.
     fn open_result_store(
         &self,
-        remembered: Option<config::Remembered>,
+        remembered: Option<config::ResultStoreConfig>,
     ) -> Result<Option<(ResultStore, Option<HandoverState>)>, StartupError> {
         let Some(remembered) = remembered else { return Ok(None) };
-        let mut store = ResultStore::closed(remembered, self.config.longest());
+        let mut store = ResultStore::closed(remembered, self.config.max_idempotency_window());
         if self.is_upgrade {
             return Ok(Some((store, None)));
         }
@@ -259,7 +259,7 @@
     /// Opens the uwsgi frontend; behind a virtual router only while that has the active role.
     fn open_uwsgi_frontend(
         &self,
-        uwsgi: &Uwsgi,
+        uwsgi: &UwsgiConfig,
         vrrp_active: Option<watch::Receiver<bool>>,
     ) -> Result<(), StartupError> {
         // An address that can't be opened ends the start, where it is to be open from the start.
--- a/node/src/vrrp.rs
+++ b/node/src/vrrp.rs
@@ -11,7 +11,7 @@
 use tokio::sync::watch;
 
 use crate::clock;
-use crate::config::Vrrp;
+use crate::config::VrrpConfig;
 use crate::exchange::Exchange;
 use crate::log;
 use machine::{Event, Output, Parameters, Role, Router};
@@ -25,12 +25,12 @@
 /// # Errors
 ///
 /// Where the system does not grant the address.
-pub async fn bind(config: &Vrrp) -> io::Result<UdpSocket> {
+pub async fn bind(config: &VrrpConfig) -> io::Result<UdpSocket> {
     UdpSocket::bind(config.listen).await
 }
 
 /// Runs the virtual router until the shutdown notice; `active` follows whether it has the active role.
-pub async fn run(config: Vrrp, socket: UdpSocket, active: watch::Sender<bool>, exchange: Exchange) {
+pub async fn run(config: VrrpConfig, socket: UdpSocket, active: watch::Sender<bool>, exchange: Exchange) {
     let mut router = Router::new(parameters(&config));
     let mut status = exchange.status();
     let mut buffer = [0; MAX_DATAGRAM_BYTES];
@@ -65,7 +65,7 @@
 }
 
 /// The parameters of the state machine.
-fn parameters(config: &Vrrp) -> Parameters {
+fn parameters(config: &VrrpConfig) -> Parameters {
     let local = match config.listen.ip() {
         IpAddr::V4(address) => address,
         IpAddr::V6(_) => Ipv4Addr::UNSPECIFIED,
@@ -81,7 +81,7 @@
 }
 
 /// The event that a datagram stands for, if it is an advertisement of this virtual router from one of its peers.
-fn decode_event(config: &Vrrp, datagram: &[u8], from: SocketAddr) -> Option<Event> {
+fn decode_event(config: &VrrpConfig, datagram: &[u8], from: SocketAddr) -> Option<Event> {
     if !config.peers.iter().any(|peer| peer.ip() == from.ip()) {
         log!("vrrp: datagram dropped: vrid={} from={from}: not a peer", config.vrid);
         return None;
