--- a/node/src/backend/interpreter.rs
+++ b/node/src/backend/interpreter.rs
@@ -212,7 +212,7 @@
             }
             b"AWAIT" => {
                 self.runs.await_call(&txn, notice);
-                self.exchange.report(BackendEvent::CallNeeded(txn, body)).await;
+                self.exchange.report(BackendEvent::CallNeeded { txn, body }).await;
             }
             _ => {}
         }
--- a/node/src/backend/interpreter/runs.rs
+++ b/node/src/backend/interpreter/runs.rs
@@ -71,7 +71,7 @@
             }
             RunCommand::Stop(txn) => self.update(txn, |run| run.is_stopped = true),
             RunCommand::Skip(txn) => self.update(txn, |run| run.call_result = Some(CallResult::Skipped)),
-            RunCommand::Resolve(txn, reply) => {
+            RunCommand::Resolve { txn, reply } => {
                 self.update(txn, |run| run.call_result = Some(CallResult::Reply(reply.clone())));
             }
             RunCommand::Gauges => {}
@@ -90,7 +90,7 @@
             RunCommand::Gauges => encode(output, &[b"TOP", b"g"], None),
             RunCommand::Run(request) => self.with_run(&request.txn, |run| self.encode_run(run, output)),
             RunCommand::Stop(txn) => self.with_run(txn, |run| encode_stop(run, output)),
-            RunCommand::Resolve(txn, _) | RunCommand::Skip(txn) => {
+            RunCommand::Resolve { txn, .. } | RunCommand::Skip(txn) => {
                 self.with_run(txn, |run| encode_call_result(run, output));
             }
         }
--- a/node/src/backend/uwsgi.rs
+++ b/node/src/backend/uwsgi.rs
@@ -153,7 +153,7 @@
                     }
                 }
                 // These servers make their own calls, and nobody measures their cores.
-                Some(RunCommand::Resolve(..) | RunCommand::Skip(_) | RunCommand::Gauges) => {}
+                Some(RunCommand::Resolve { .. } | RunCommand::Skip(_) | RunCommand::Gauges) => {}
             },
             (txn, outcome) = runs.next() => {
                 exchange.report(BackendEvent::Ended(txn, completion(outcome))).await;
--- a/node/src/dispatcher/runs.rs
+++ b/node/src/dispatcher/runs.rs
@@ -5,13 +5,13 @@
 
 use bytes::Bytes;
 use oakwind_admission::{Event, Outcome as AdmissionOutcome, RequestId};
-use oakwind_fleet::audit::Decision;
+use oakwind_fleet::decision_record::Decision;
 
 use super::attempts::Phase;
 use super::idempotency::HeldKey;
 use super::Dispatcher;
 use crate::clock::{self, Unix};
-use crate::exchange::{CallCommand, Request, RunCommand};
+use crate::exchange::{CallCommand, Request, RunCommand, TransactionId};
 use crate::log;
 use crate::outcome::{Completion, RequestOutcome, RunState, StoredOutcome};
 use crate::run_gate::{Authorization, GateEvent, KeyedRun};
@@ -37,19 +37,19 @@
         }
         let run = self.keyed_run(id);
         match self.run_gate.authorize_run(run) {
-            Authorization::Granted => self.send_to_backend(request),
+            Authorization::Granted => self.send_to_backend(&request),
             Authorization::Denied => self.run_ended(&request.txn, Completion::NeverStarted),
             // A gate event follows.
             Authorization::Pending => {}
         }
     }
 
-    fn send_to_backend(&mut self, request: Rc<Request>) {
+    fn send_to_backend(&mut self, request: &Rc<Request>) {
         if self.endpoints.runs.try_send(RunCommand::Run(request.clone())).is_err() {
             log!("dispatcher: the queue of run commands is full");
             return self.run_ended(&request.txn, Completion::NeverStarted);
         }
-        self.log_decision(Decision::Run, &request);
+        self.log_decision(Decision::Run, request);
         self.endpoints.metrics.run_dispatched(request.class);
     }
 
@@ -60,8 +60,8 @@
         }
     }
 
-    /// The backend reports the end of a run. The run gate stores it before anybody hears of it.
-    pub(super) fn run_ended(&mut self, txn: &Bytes, completion: Completion) {
+    /// The backend reports the end of a run. The run gate stores that before it is reported to anybody.
+    pub(super) fn run_ended(&mut self, txn: &TransactionId, completion: Completion) {
         let Some(id) = self.attempts.id_of(txn) else {
             return log!("dispatcher: a run ended of an attempt that is not open: txn={txn:?}");
         };
@@ -80,7 +80,8 @@
         }
     }
 
-    /// The end of a run is stored, or needs no storing: its client, the waiting attempts and the successor are told.
+    /// The end of a run is stored, or needs no storing: it is reported to its client, the waiting attempts and
+    /// the successor.
     pub(super) fn complete_run(&mut self, id: RequestId, completion: Completion) {
         let now = clock::now();
         let Some(attempt) = self.attempts.get(id) else { return };
@@ -90,7 +91,7 @@
             self.send_call_command(CallCommand::GiveUp(request.txn.clone()));
         }
         if completion == Completion::NeverStarted {
-            self.log_decision(Decision::Unrun, &request);
+            self.log_decision(Decision::NeverStarted, &request);
         }
         let failed = RequestOutcome::Failed { timed_out: false };
         let (outcome, answer, stored) = match completion {
@@ -120,7 +121,7 @@
         }
     }
 
-    /// The outcome of an attempt's key is known: the successor and the waiting attempts are told.
+    /// The outcome of an attempt's key is known: it is reported to the successor and the waiting attempts.
     fn complete_key(&mut self, id: RequestId, outcome: &StoredOutcome) {
         self.report_to_successor(id, RunState::from(outcome));
         let waiters = self.idempotency.complete(id, outcome.clone());
@@ -180,10 +181,10 @@
         let Some(attempt) = self.attempts.get(id) else { return };
         let request = attempt.request.clone();
         if granted && attempt.responder.is_some() {
-            return self.send_to_backend(request);
+            return self.send_to_backend(&request);
         }
         if granted {
-            // Its client has had an answer, or has gone, so nobody waits for the run.
+            // Its client has an answer or has cancelled, so nobody waits for the run.
             self.store_outcome(id, &StoredOutcome::NeverStarted);
         }
         self.run_ended(&request.txn, Completion::NeverStarted);
--- a/node/src/dispatcher/submission.rs
+++ b/node/src/dispatcher/submission.rs
@@ -45,7 +45,7 @@
         if let Some(outcome) = self.refuse_key(&key, request, now) {
             return self.answer_submission(submission, outcome);
         }
-        // Of two attempts of one key in a batch, the second is matched against what became of the first.
+        // Of two attempts of one key in a batch, the second is matched against the outcome of the first.
         if self.idempotency.is_in_batch(&key) {
             return self.deferred.push_back(DispatcherEvent::Submitted(submission));
         }
@@ -150,7 +150,7 @@
         request.key.clone().filter(|_| class.effect == Effect::IdempotencyKey)
     }
 
-    /// The client of a submission has gone, so no answer is owed to it.
+    /// The client of a submission has cancelled it, so it gets no answer.
     pub(super) fn cancel(&mut self, submission_id: &SubmissionId) {
         self.handover.withheld.retain(|withheld| withheld.id != *submission_id);
         let Some(id) = self.attempts.id_of(&submission_id.txn) else { return };
@@ -165,7 +165,7 @@
         self.answer(&submission.request, submission.responder, outcome);
     }
 
-    /// Answers an attempt, unless it has been answered or its client has gone.
+    /// Answers an attempt, unless it has been answered or cancelled.
     pub(super) fn answer_attempt(&mut self, id: RequestId, outcome: RequestOutcome) {
         let Some(attempt) = self.attempts.get_mut(id) else { return };
         if let Some(responder) = attempt.responder.take() {
--- a/node/src/exchange/event.rs
+++ b/node/src/exchange/event.rs
@@ -4,16 +4,16 @@
 use oakwind_settings::Parsed;
 use tokio::sync::mpsc;
 
-use super::request::{Submission, SubmissionId};
+use super::request::{Submission, SubmissionId, TransactionId};
 use crate::clock::Unix;
 use crate::outcome::{Completion, IdempotencyRecord};
 
-/// What the dispatcher is told.
+/// An event for the dispatcher.
 #[derive(Debug)]
 pub(crate) enum DispatcherEvent {
     /// A frontend has read a request.
     Submitted(Submission),
-    /// The client of this submission has gone: its responder is void.
+    /// The client of this submission has disconnected or cancelled it: its responder is void.
     Cancelled(SubmissionId),
     /// A backend reports.
     Backend(BackendEvent),
@@ -30,7 +30,7 @@
         /// Their digest in decision records.
         digest: String,
     },
-    /// A successor process takes over; it is told here what this one knows.
+    /// A successor process takes over; the state of this one is sent to it here.
     HandOver(mpsc::Sender<HandoverState>),
     /// The successor process has ended.
     SuccessorLost,
@@ -57,12 +57,17 @@
         /// It has only just started.
         cold: bool,
     },
-    /// The run with this transaction id has ended.
-    Ended(Bytes, Completion),
-    /// The run with this transaction id waits for a call with this body.
-    CallNeeded(Bytes, Bytes),
-    /// The call for this transaction id has ended.
-    CallEnded(Bytes, CallOutcome),
+    /// A run has ended.
+    Ended(TransactionId, Completion),
+    /// A run waits for a call.
+    CallNeeded {
+        /// The attempt that runs.
+        txn: TransactionId,
+        /// The body of the call.
+        body: Bytes,
+    },
+    /// The call of a run has ended.
+    CallEnded(TransactionId, CallOutcome),
     /// The gauges, in the order of the settings.
     Gauges(Vec<f64>),
 }
--- a/node/src/server/reload.rs
+++ b/node/src/server/reload.rs
@@ -124,7 +124,7 @@
     /// Hands the fleet's configuration over; whether it is accepted is decided there, by its version.
     fn propose_membership(&self, fleet: FleetConfig) {
         let Some(events) = &self.fleet_events else { return };
-        if events.try_send(Event::Membership(fleet.list)).is_err() {
+        if events.try_send(Event::ConfigProposed(fleet.list)).is_err() {
             log!("reload: membership configuration not applied: the fleet's queue is full");
         }
     }
