--- a/node/src/dispatcher.rs
+++ b/node/src/dispatcher.rs
@@ -2,7 +2,12 @@
 //! since it last woke into one batch, calls [`Admission::handle`] with it, and carries out the resulting actions. It
 //! owns the open attempts, the idempotency table and the timers, and knows no wire protocol.
 //!
-//! It guarantees that every submission is answered at most once, and that no key runs twice while it is in the
+//! An attempt passes through the modules in this order: `submission` matches its key against the idempotency table and
+//! presents it to the admission module; `actions` carries out what that decides; `runs` has the run gate authorize the
+//! run and sends it to the backend; `calls` makes the calls that the run needs; `runs` completes it and answers its
+//! client and every attempt that waits for its key. `handover` transfers the table to another process of this node.
+//!
+//! The dispatcher guarantees that every submission is answered at most once, and that no key runs twice while it is in the
 //! idempotency table.
 
 mod actions;
@@ -183,8 +188,9 @@
     /// Extends keys by what the system's clock was set ahead.
     fn follow_clock_jumps(&mut self) {
         let total = clock::jumped();
-        if total > self.observed_clock_jump {
-            let by = total - std::mem::replace(&mut self.observed_clock_jump, total);
+        let by = total.saturating_sub(self.observed_clock_jump);
+        if !by.is_zero() {
+            self.observed_clock_jump = total;
             log!("dispatcher: the clock has jumped ahead: milliseconds={}", by.as_millis());
             self.idempotency.extend_all(by);
         }
--- a/node/src/dispatcher/submission.rs
+++ b/node/src/dispatcher/submission.rs
@@ -17,6 +17,11 @@
 /// The mean wait that a rejection without a decision advises, as a part of the longest one that callers follow.
 const UNDECIDED_RETRY_FRACTION: f64 = 0.25;
 
+/// The upper bits of a number, as many as an `f64` holds exactly, as a fraction from 0 to under 1.
+fn unit_fraction(bits: u64) -> f64 {
+    (bits >> (u64::BITS - f64::MANTISSA_DIGITS)) as f64 / (1_u64 << f64::MANTISSA_DIGITS) as f64
+}
+
 impl Dispatcher {
     /// A frontend has read an attempt.
     pub(super) fn submit(&mut self, submission: Submission) {
@@ -139,8 +144,8 @@
     pub(super) fn undecided_rejection(&self) -> RequestOutcome {
         let settings = &self.settings.settings;
         let count = self.undecided_rejections.replace(self.undecided_rejections.get() + 1);
-        let uniform = (digest(self.seed, &count.to_be_bytes()) >> 11) as f64 / (1_u64 << 53) as f64;
-        let wait = || settings.max_retry_after.mul_f64(UNDECIDED_RETRY_FRACTION * (0.5 + uniform));
+        let spread = 0.5 + unit_fraction(digest(self.seed, &count.to_be_bytes()));
+        let wait = || settings.max_retry_after.mul_f64(UNDECIDED_RETRY_FRACTION * spread);
         RequestOutcome::Rejected { retry_after: settings.retry_after.then(wait), give_up: false }
     }
 
--- a/node/src/handover/message.rs
+++ b/node/src/handover/message.rs
@@ -67,7 +67,8 @@
 pub(super) fn encode(output: &mut BytesMut, message: &PredecessorMessage) {
     match message {
         PredecessorMessage::DigestSeed(seed) => {
-            line_codec::encode(output, &[b"SEED", format!("{seed:x}").as_bytes()], None)
+            let seed = format!("{seed:x}");
+            line_codec::encode(output, &[b"SEED", seed.as_bytes()], None);
         }
         PredecessorMessage::Record(record) => encode_record(output, record),
         PredecessorMessage::TableComplete => line_codec::encode(output, &[b"ALL"], None),
