--- a/fault-harness/src/scenario.rs
+++ b/fault-harness/src/scenario.rs
@@ -596,12 +596,20 @@
 
 impl Scenario {
     /// Reads and checks a file, with some keys set to other values.
+    ///
+    /// # Errors
+    ///
+    /// If the file cannot be read, or with a line for each mistake in it.
     pub fn read(path: &Path, changes: &[(String, String)]) -> Result<Scenario, Mistakes> {
         let text = std::fs::read_to_string(path).map_err(|e| vec![format!("{}: {e}", path.display())])?;
         Scenario::parse(&text, changes)
     }
 
     /// Reads and checks a text, with some keys set to other values (`load.load=1.2`).
+    ///
+    /// # Errors
+    ///
+    /// A line for each mistake.
     pub fn parse(text: &str, changes: &[(String, String)]) -> Result<Scenario, Mistakes> {
         let mut table: toml::Table =
             text.parse().map_err(|e: toml::de::Error| vec![first_line(&e.to_string(), text, e.span())])?;
@@ -650,6 +658,10 @@
         position % self.fleet.zones.len()
     }
 
+    #[expect(
+        clippy::too_many_lines,
+        reason = "one line for each key; it is split with the shape of this package"
+    )]
     fn mistakes(&self) -> Mistakes {
         let mut found = Vec::new();
         let mut must = |holds: bool, key: &str, what: &str| {
--- a/fault-harness/src/statistics.rs
+++ b/fault-harness/src/statistics.rs
@@ -104,7 +104,11 @@
     class: usize,
 }
 
-/// Works a history out.
+/// Computes all statistics of a history.
+#[expect(
+    clippy::too_many_lines,
+    reason = "one arm for each event; it is split with the shape of this package"
+)]
 pub fn statistics(history: &History) -> Statistics {
     let terms = &history.terms;
     let count = terms.seconds.ceil().max(1.0) as usize;
--- a/fault-harness/tests/mutants.rs
+++ b/fault-harness/tests/mutants.rs
@@ -1,5 +1,6 @@
 //! The checker finds what breaks on sockets: a plain node plays the program, with one fault at a time.
 
+use std::collections::BTreeMap;
 use std::path::PathBuf;
 
 use oakwind_fault_harness::check::{check, Rule, Verdict};
@@ -28,7 +29,7 @@
 }
 
 fn rules_broken_by(mutant: &str) -> Vec<Rule> {
-    let programs = Programs { default: build(mutant), others: Default::default() };
+    let programs = Programs { default: build(mutant), others: BTreeMap::default() };
     played(SCENARIO, programs).by_rule().into_keys().collect()
 }
 
--- a/node/tests/plays/mod.rs
+++ b/node/tests/plays/mod.rs
@@ -1,5 +1,6 @@
 //! A scenario of the rig's with the real program.
 
+use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
 use oakwind_fault_harness::check::{check, Verdict};
@@ -16,7 +17,7 @@
         changes.map(|(key, value)| (key.to_string(), value.to_string())).collect();
     let scenario = Scenario::parse(&std::fs::read_to_string(path).unwrap(), &changes).unwrap();
     let default = Build { path: PathBuf::from(env!("CARGO_BIN_EXE_oakwind")), arguments: Vec::new() };
-    let programs = Programs { default, others: Default::default() };
+    let programs = Programs { default, others: BTreeMap::default() };
     let history = play(&scenario, &Options { seed: None, programs, out: None, progress: false }).unwrap();
     let verdict = check(&history);
     assert!(verdict.breaches.is_empty(), "seed {}: {:#?}", scenario.seed, verdict.breaches);
