--- a/node/tests/sockets/cut_off.rs
+++ b/node/tests/sockets/cut_off.rs
@@ -3,22 +3,22 @@
 use crate::helper::*;
 
 #[test]
-fn a_notice_cut_off_at_any_byte_is_heard_whole_over_the_next_link_and_runs_nothing_twice() {
+fn a_notice_cut_off_at_any_byte_is_read_over_the_next_link_and_runs_nothing_twice() {
     let (node, server, mut vm) = Node::with_interpreter("", None);
     let mut client = node.client();
-    client.request(1, "a1", Some("k"), LONG);
-    vm.apply();
+    client.request(1, "a1", Some("k"), LONG_LIMIT_MS);
+    vm.next_run();
     let notice = "VALUE 1 a1 done 5 6\r\nre\r\nlt\r\n";
     for cut in 0..notice.len() {
-        vm.say(&notice[..cut]);
+        vm.send(&notice[..cut]);
         drop(vm);
         vm = server.interpreter("0");
-        assert_eq!(vm.apply().0, "a1", "the same run again, which does nothing to it");
+        assert_eq!(vm.next_run().0, "a1", "the same run again, which does nothing to it");
     }
-    vm.say(notice);
-    insta::assert_snapshot!(client.line(), @r#"{"jsonrpc":"2.0","id":1,"result":{"content":"cmUNCmx0"}}"#);
-    client.request(2, "b1", Some("l"), LONG);
-    assert_eq!(vm.apply().0, "b1", "the first is not applied again once its end is known");
+    vm.send(notice);
+    insta::assert_snapshot!(client.read_line(), @r#"{"jsonrpc":"2.0","id":1,"result":{"content":"cmUNCmx0"}}"#);
+    client.request(2, "b1", Some("l"), LONG_LIMIT_MS);
+    assert_eq!(vm.next_run().0, "b1", "the first is not applied again once its end is known");
 }
 
 #[test]
@@ -30,16 +30,16 @@
     let mut ask = |reply: &dyn Fn(&str) -> String| {
         notices += 2;
         let txn = format!("a{notices}");
-        client.request(notices, &txn, None, LONG);
-        vm.apply();
-        vm.say(format!("AWAIT {} {txn} 1\r\nc\r\n", notices - 1));
+        client.request(notices, &txn, None, LONG_LIMIT_MS);
+        vm.next_run();
+        vm.send(format!("AWAIT {} {txn} 1\r\nc\r\n", notices - 1));
         let mut call = index.accept();
-        call.command();
-        call.say(reply(&txn));
+        call.next_command();
+        call.send(reply(&txn));
         drop(call);
-        let goes_on = vm.command().0[0].clone();
-        vm.value(notices, &txn, "done", "x");
-        assert!(client.line().contains("result"));
+        let goes_on = vm.next_command().0[0].clone();
+        vm.send_run_result(notices, &txn, "done", "x");
+        assert!(client.read_line().contains("result"));
         goes_on
     };
     let reply = |txn: &str| format!("{txn} HIT 5\r\nre\r\nl\r\n");
@@ -58,14 +58,14 @@
     let server = Server::new();
     let front = format!("listen = '127.0.0.1:0'\nruns = ['{}']\n", server.address);
     let mut node = Node::start(&config(""), Some(&front));
-    let address = node.uwsgi();
+    let address = node.uwsgi_address();
     let ask = |answer: &str| {
         let mut client = Peer::connect(address);
-        client.say(packet(&[("PATH_INFO", "/quote")], "body"));
-        let (mut run, ..) = server.uwsgi();
-        run.say(answer);
+        client.send(packet(&[("PATH_INFO", "/quote")], "body"));
+        let (mut run, ..) = server.next_uwsgi_request();
+        run.send(answer);
         drop(run);
-        client.rest()
+        client.read_to_end()
     };
     let answer = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nresult";
     for cut in 0..answer.len() {
--- a/node/tests/sockets/fixtures.rs
+++ b/node/tests/sockets/fixtures.rs
@@ -38,15 +38,15 @@
     let mut command = oakwind(&["serve", "--config", config, "--uwsgi", uwsgi, option, operators_file]);
     let offset = i128::from(WRITTEN_MS) - i128::from(now_ms());
     command.env("OAKWIND_REHEARSED_CLOCK", format!("0:{offset}"));
-    let mut node = Node::of(command);
-    node.serves();
+    let mut node = Node::from_command(command);
+    node.wait_until_listening();
     node
 }
 
 /// A booking by uwsgi, whose caller names no time: JSON-RPC requests carry the time of the test's own clock.
 fn book(address: std::net::SocketAddr, key: &str, body: &str) -> Peer {
     let mut client = Peer::connect(address);
-    client.say(packet(&[("PATH_INFO", "/book"), ("HTTP_IDEMPOTENCY_KEY", key)], body));
+    client.send(packet(&[("PATH_INFO", "/book"), ("HTTP_IDEMPOTENCY_KEY", key)], body));
     client
 }
 
@@ -59,7 +59,7 @@
         ("failed", "body", "500", ""),
         ("ended", "not its body", "400", ""),
     ] {
-        let answer = book(front, key, body).rest();
+        let answer = book(front, key, body).read_to_end();
         assert!(answer.starts_with(&format!("HTTP/1.1 {status} ")), "{key}: {answer}");
         assert!(answer.ends_with(result), "{key}: {answer}");
     }
@@ -71,13 +71,13 @@
     let text = format!("folder = '{}'\nfile_mb = 4\n", copy_of("remembered").display());
     let mut node = start_at_the_time_of_the_fixtures("--remembered", &text, &vm);
     let _link = vm.interpreter("0");
-    node.logs("remembered: 5 keys are known from before");
-    node.logs("health is good");
-    let front = node.uwsgi();
+    node.wait_for_log("remembered: 5 keys are known from before");
+    node.wait_for_log("health is good");
+    let front = node.uwsgi_address();
     repeats_get_what_the_first_tries_got(front);
     // That it never ran is not on the disk, only that it may have begun.
-    assert!(book(front, "freed", "body").rest().starts_with("HTTP/1.1 500 "));
-    let stats = call(node.ops(), "GET /ops/stats");
+    assert!(book(front, "freed", "body").read_to_end().starts_with("HTTP/1.1 500 "));
+    let stats = admin_call(node.admin_address(), "GET /ops/stats");
     for line in ["svc_remembered_damaged 0\n", "svc_remembered_noise_bytes 0\n"] {
         assert!(stats.contains(line), "{stats}");
     }
@@ -94,17 +94,17 @@
     );
     let mut node = start_at_the_time_of_the_fixtures("--fleet", &text, &vm);
     let mut link = vm.interpreter("0");
-    node.logs("remembered: 4 keys are known from before");
-    node.logs("fleet: a majority is heard, bookings run");
-    node.logs("health is good");
-    let front = node.uwsgi();
+    node.wait_for_log("remembered: 4 keys are known from before");
+    node.wait_for_log("fleet: a majority is heard, bookings run");
+    node.wait_for_log("health is good");
+    let front = node.uwsgi_address();
     repeats_get_what_the_first_tries_got(front);
     let mut freed = book(front, "freed", "body");
-    let (id, class, body) = link.apply();
+    let (id, class, body) = link.next_run();
     assert_eq!((class.as_str(), body.as_str()), ("book", "body"), "the one key that never ran runs");
-    link.value(1, &id, "done", "job 7");
-    assert!(freed.rest().ends_with("job 7"));
-    let stats = call(node.ops(), "GET /ops/stats");
+    link.send_run_result(1, &id, "done", "job 7");
+    assert!(freed.read_to_end().ends_with("job 7"));
+    let stats = admin_call(node.admin_address(), "GET /ops/stats");
     for line in ["svc_fleet_sound 1\n", "svc_fleet_outdated 0\n", "svc_fleet_conflicts 0\n"] {
         assert!(stats.contains(line), "{stats}");
     }
--- a/node/tests/sockets/fleet.rs
+++ b/node/tests/sockets/fleet.rs
@@ -52,7 +52,7 @@
         let links = format!(r#""ops": "127.0.0.1:0", "vm": "{}","#, vm.address);
         let config = quick(&config(&links)).replace("\"n1\"", &format!("\"n{n}\""));
         let mut node = Node::with_fleet(&config, &self.file(n, nodes, more), None);
-        node.serves();
+        node.wait_until_listening();
         let link = vm.interpreter("0");
         (node, link)
     }
@@ -61,8 +61,8 @@
     fn all(&self) -> Vec<(Node, Peer)> {
         let mut all: Vec<(Node, Peer)> = (1..=3).map(|n| self.start(n, &[1, 2, 3], "")).collect();
         for (node, _) in &mut all {
-            node.logs("fleet: a majority is heard, bookings run");
-            node.logs("fleet: has what it needs to vote, 0 keys are known");
+            node.wait_for_log("fleet: a majority is heard, bookings run");
+            node.wait_for_log("fleet: has what it needs to vote, 0 keys are known");
         }
         all
     }
@@ -74,22 +74,22 @@
     let mut all = fleet.all();
     let mut clients: Vec<Peer> = all.iter().map(|(node, _)| node.client()).collect();
     clients[0].request(1, "a1", Some("k"), 1900);
-    assert_eq!(all[0].1.apply().0, "a1");
+    assert_eq!(all[0].1.next_run().0, "a1");
     clients[1].request(1, "b1", Some("k"), 1900);
-    all[0].1.value(1, "a1", "done", "job 5");
-    let result = clients[0].line();
+    all[0].1.send_run_result(1, "a1", "done", "job 5");
+    let result = clients[0].read_line();
     assert!(result.contains("\"result\""), "{result}");
-    assert_eq!(clients[1].line(), result, "it waited for that run");
+    assert_eq!(clients[1].read_line(), result, "it waited for that run");
     clients[2].request(1, "c1", Some("k"), 1900);
-    assert_eq!(clients[2].line(), result);
-    let mut old = Peer::connect(all[2].0.uwsgi());
-    old.say(packet(&[("PATH_INFO", "/book"), ("HTTP_IDEMPOTENCY_KEY", "k")], "body"));
-    let answer = old.rest();
+    assert_eq!(clients[2].read_line(), result);
+    let mut old = Peer::connect(all[2].0.uwsgi_address());
+    old.send(packet(&[("PATH_INFO", "/book"), ("HTTP_IDEMPOTENCY_KEY", "k")], "body"));
+    let answer = old.read_to_end();
     assert!(answer.ends_with("job 5"), "{answer}");
-    clients[2].say(request(2, "c2", "book", Some("k"), 1900).replace("Ym9keQ==", "b3RoZXI="));
-    assert!(clients[2].line().contains("-32602"), "another body");
+    clients[2].send(request(2, "c2", "book", Some("k"), 1900).replace("Ym9keQ==", "b3RoZXI="));
+    assert!(clients[2].read_line().contains("-32602"), "another body");
     clients[1].request(2, "b2", None, 1900);
-    assert_eq!(all[1].1.apply().0, "b2", "what is safe to repeat asks nobody");
+    assert_eq!(all[1].1.next_run().0, "b2", "what is safe to repeat asks nobody");
     let lines = ["svc_fleet_granted 1\n", "svc_fleet_held 1\n", "svc_fleet_alive 2\n", "svc_fleet_level 1\n"];
     shows(&mut all[0].0, &lines);
 }
@@ -102,19 +102,19 @@
     let (mut node, mut vm) = all.remove(0);
     let mut client = node.client();
     client.request(1, "a1", Some("k"), 1900);
-    let refused = client.line();
+    let refused = client.read_line();
     assert!(refused.contains("-32011") && refused.contains("later"), "{refused}");
     client.request(2, "a2", None, 1900);
-    assert_eq!(vm.apply().0, "a2");
+    assert_eq!(vm.next_run().0, "a2");
     shows(&mut node, &["svc_fleet_lost 2\n"]);
 }
 
 /// Waits until an operator sees all these lines.
 fn shows(node: &mut Node, lines: &[&str]) {
-    let ops = node.ops();
-    let guard = std::time::Instant::now() + GUARD;
+    let ops = node.admin_address();
+    let guard = std::time::Instant::now() + TEST_TIMEOUT;
     loop {
-        let stats = call(ops, "GET /ops/stats");
+        let stats = admin_call(ops, "GET /ops/stats");
         if lines.iter().all(|line| stats.contains(line)) {
             return;
         }
@@ -147,11 +147,11 @@
         b"OAKPEER1\xff\xff\xff\xff\0\0\0\0",
     ] {
         ends(peer(at, nonsense));
-        node.logs("fleet: a link has ended with nonsense");
+        node.wait_for_log("fleet: a link has ended with nonsense");
     }
     // Silence ends as well.
     ends(peer(at, b"OAK"));
-    node.logs("fleet: has what it needs to vote, 0 keys are known");
+    node.wait_for_log("fleet: has what it needs to vote, 0 keys are known");
     let mut client = node.client();
     client.request(1, "a1", Some("k"), 1900);
     shows(&mut node, &["svc_fleet_nonsense 3\n"]);
@@ -179,7 +179,7 @@
 fn a_peer_of_a_later_build_is_granted_its_claims_and_what_is_new_in_it_is_skipped() {
     let fleet = Fleet::new("127.0.7.8");
     let (mut node, _vm) = fleet.start(1, &[1], "");
-    node.logs("fleet: has what it needs to vote, 0 keys are known");
+    node.wait_for_log("fleet: has what it needs to vote, 0 keys are known");
     let (me, to) = (NodeId::of("n2"), NodeId::of("n1"));
     let bytes = |frame: &Message| postcard::to_allocvec(frame).unwrap();
     let name = "n2".into();
@@ -209,7 +209,7 @@
         framed(bytes(&Message::Claim(asked)), b"another"),
     ];
     let mut peer = peer(fleet.address(1), &all.concat());
-    peer.set_read_timeout(Some(GUARD)).unwrap();
+    peer.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     let mut magic = [0; 8];
     peer.read_exact(&mut magic).unwrap();
     assert!(matches!(next_frame(&mut peer), Message::Hello(hello) if hello.name == "n1"));
@@ -224,21 +224,21 @@
     fleet.number = 2;
     let next = fleet.file(1, &[1, 2, 3, 4], "");
     let node = &mut all[0].0;
-    node.reload_fleet(&next);
-    node.logs("fleet: list 2 is taken");
-    all[1].0.logs("fleet: a peer goes by list 2, which counts too");
+    node.reload_fleet_file(&next);
+    node.wait_for_log("fleet: list 2 is taken");
+    all[1].0.wait_for_log("fleet: a peer goes by list 2, which counts too");
     let node = &mut all[0].0;
     let old = Fleet { number: 1, ports: fleet.ports.clone(), ..fleet };
-    node.reload_fleet(&old.file(1, &[1, 2, 3], ""));
-    node.logs("fleet: list not taken: list.number: 1 is");
-    node.reload_fleet(&fleet.file(1, &[1, 2, 3], ""));
-    node.logs("fleet: list not taken: list.number: 2 is the number of the list that holds");
+    node.reload_fleet_file(&old.file(1, &[1, 2, 3], ""));
+    node.wait_for_log("fleet: list not taken: list.number: 1 is");
+    node.reload_fleet_file(&fleet.file(1, &[1, 2, 3], ""));
+    node.wait_for_log("fleet: list not taken: list.number: 2 is the number of the list that holds");
     let third = Fleet { number: 3, ports: fleet.ports.clone(), ..fleet };
-    node.reload_fleet(&third.file(1, &[1, 2], ""));
-    node.logs("fleet: list not taken: list.members: without n3, n4 (2 in all)");
+    node.reload_fleet_file(&third.file(1, &[1, 2], ""));
+    node.wait_for_log("fleet: list not taken: list.members: without n3, n4 (2 in all)");
     let mut client = all[2].0.client();
     client.request(1, "c1", Some("k"), 1900);
-    assert_eq!(all[2].1.apply().0, "c1", "claims need both lists and get them");
+    assert_eq!(all[2].1.next_run().0, "c1", "claims need both lists and get them");
 }
 
 #[test]
@@ -289,31 +289,31 @@
             quick(&config(&format!(r#""vm": "{}","#, vm.address))).replace("127.0.0.1:0", &place.json);
         let mut node = Node::with_fleet(&config, &fleet.file(1, &[1, 2, 3], ""), Some(&place.folder));
         let link = vm.interpreter("0");
-        node.serves();
+        node.wait_until_listening();
         (node, link)
     };
     let (mut old, mut old_vm) = start();
     let mut others: Vec<(Node, Peer)> = [2, 3].map(|n| fleet.start(n, &[1, 2, 3], "")).into();
     for node in [&mut old].into_iter().chain(others.iter_mut().map(|(node, _)| node)) {
-        node.logs("fleet: has what it needs to vote");
+        node.wait_for_log("fleet: has what it needs to vote");
     }
     let mut before = old.client();
     before.request(1, "a1", Some("k"), 1900);
-    old_vm.apply();
+    old_vm.next_run();
     let (mut new, mut new_vm) = start();
-    new.logs("handover: completed");
-    new.logs("fleet: a majority is heard, bookings run");
-    old_vm.value(1, "a1", "done", "first");
-    assert_eq!(before.any_line(), DRAINING);
-    let result = before.line();
+    new.wait_for_log("handover: completed");
+    new.wait_for_log("fleet: a majority is heard, bookings run");
+    old_vm.send_run_result(1, "a1", "done", "first");
+    assert_eq!(before.read_any_line(), DRAINING);
+    let result = before.read_line();
     assert!(result.contains("\"result\""), "its result is held by a majority: {result}");
     let mut client = others[0].0.client();
     client.request(1, "b1", Some("k"), 1900);
-    assert_eq!(client.line(), result);
+    assert_eq!(client.read_line(), result);
     let mut client = new.client();
     client.request(1, "c1", Some("l"), 1900);
-    assert_eq!(new_vm.apply().0, "c1");
+    assert_eq!(new_vm.next_run().0, "c1");
     old.terminate();
-    old.ends();
-    others[1].0.status();
+    old.assert_clean_exit();
+    others[1].0.health();
 }
--- a/node/tests/sockets/golden.rs
+++ b/node/tests/sockets/golden.rs
@@ -5,7 +5,7 @@
 
 /// The names of all metrics in the order in which they are shown, with their classes and without their values.
 fn metric_names(ops: std::net::SocketAddr) -> String {
-    let stats = call(ops, "GET /ops/stats");
+    let stats = admin_call(ops, "GET /ops/stats");
     let text = stats.split("\r\n\r\n").nth(1).unwrap();
     let names: Vec<&str> = text.lines().map(|line| line.rsplit_once(' ').unwrap().0).collect();
     names.join("\n")
@@ -16,12 +16,12 @@
     loop {
         let line = raw_line(link);
         if line == "TOP g\r\n" {
-            link.say("TOPS g 0.5000 1.0000 0.1000 3.0000\r\n");
+            link.send("TOPS g 0.5000 1.0000 0.1000 3.0000\r\n");
             continue;
         }
         let words: Vec<&str> = line.trim_end().split(' ').collect();
         let body = match oakwind_fault_harness::wire::body_length(&words) {
-            Some(length) => String::from_utf8(link.bytes(length + 2)).unwrap(),
+            Some(length) => String::from_utf8(link.read_bytes(length + 2)).unwrap(),
             None => String::new(),
         };
         return line + &body;
@@ -32,15 +32,15 @@
 fn raw_line(peer: &mut Peer) -> String {
     let mut line = Vec::new();
     while line.last() != Some(&b'\n') {
-        line.extend(peer.bytes(1));
+        line.extend(peer.read_bytes(1));
     }
     String::from_utf8(line).unwrap()
 }
 
 #[test]
 fn a_plain_node_shows_these_metrics() {
-    let mut node = Node::start(&config(&format!(r#""vm": "{DOWN}", "ops": "127.0.0.1:0","#)), None);
-    insta::assert_snapshot!(metric_names(node.ops()), @r#"
+    let mut node = Node::start(&config(&format!(r#""vm": "{UNREACHABLE}", "ops": "127.0.0.1:0","#)), None);
+    insta::assert_snapshot!(metric_names(node.admin_address()), @r#"
     svc_answered{group="quote"}
     svc_deferred{group="quote"}
     svc_errored{group="quote"}
@@ -67,7 +67,7 @@
         .map(|n| format!("[[list.member]]\nname = 'n{n}'\naddress = '127.0.9.{n}:7199'\nzone = 'z{n}'\n"));
     let members: String = members.collect();
     let files = [
-        ("--config", "json", config(&format!(r#""vm": "{DOWN}", "ops": "127.0.0.1:0","#))),
+        ("--config", "json", config(&format!(r#""vm": "{UNREACHABLE}", "ops": "127.0.0.1:0","#))),
         (
             "--uwsgi",
             "toml",
@@ -89,8 +89,8 @@
     for (option, kind, text) in files {
         command.arg(option).arg(file(&format!("golden.{kind}"), &text));
     }
-    let mut node = Node::of(command);
-    let ops = node.ops();
+    let mut node = Node::from_command(command);
+    let ops = node.admin_address();
     // These are shown once the fleet's part has run for the first time; the other names from the start.
     while !metric_names(ops).contains("svc_fleet_bytes_out") {}
     insta::assert_snapshot!(metric_names(ops), @r#"
@@ -160,31 +160,31 @@
     let node = Node::start(&config(&links), None);
     let mut link = vm.accept();
     assert_eq!(raw_line(&mut link), "CONNECT 0\r\n");
-    link.say("BANNER seasoned 10\r\n");
+    link.send("BANNER seasoned 10\r\n");
     assert_eq!(raw_line(&mut link), "TOP fence\r\n");
-    link.say("TOPS fence 0.5000 1.0000 0.1000 3.0000\r\n");
+    link.send("TOPS fence 0.5000 1.0000 0.1000 3.0000\r\n");
     assert_eq!(raw_line(&mut link), "TOP g\r\n");
-    link.say("TOPS g 0.5000 1.0000 0.1000 3.0000\r\n");
+    link.send("TOPS g 0.5000 1.0000 0.1000 3.0000\r\n");
     let mut client = node.client();
-    client.request(1, "a1", Some("k"), LONG);
+    client.request(1, "a1", Some("k"), LONG_LIMIT_MS);
     assert_eq!(raw_command(&mut link), "APPLY a1 book 4\r\nbody\r\n");
-    link.say("AWAIT 1 a1 4\r\ncall\r\n");
+    link.send("AWAIT 1 a1 4\r\ncall\r\n");
     let mut call = index.accept();
     let get = raw_line(&mut call);
     let left = get.strip_prefix("GET a1 ").and_then(|rest| rest.strip_suffix(" 4\r\n")).expect(&get);
-    assert!((1..=u64::from(LONG)).contains(&left.parse().unwrap()), "milliseconds left: {get}");
-    assert_eq!(call.bytes(6), b"call\r\n");
-    call.say("a1 HIT 5\r\nre\r\nl\r\n");
+    assert!((1..=u64::from(LONG_LIMIT_MS)).contains(&left.parse().unwrap()), "milliseconds left: {get}");
+    assert_eq!(call.read_bytes(6), b"call\r\n");
+    call.send("a1 HIT 5\r\nre\r\nl\r\n");
     assert_eq!(raw_command(&mut link), "RESOLVE a1 5\r\nre\r\nl\r\n");
-    link.value(2, "a1", "done", "ok");
-    assert!(client.line().contains("\"id\":1,\"result\""));
-    client.request(2, "a2", None, LONG);
+    link.send_run_result(2, "a1", "done", "ok");
+    assert!(client.read_line().contains("\"id\":1,\"result\""));
+    client.request(2, "a2", None, LONG_LIMIT_MS);
     assert_eq!(raw_command(&mut link), "APPLY a2 quote 4\r\nbody\r\n");
-    link.say("AWAIT 3 a2 1\r\nc\r\n");
+    link.send("AWAIT 3 a2 1\r\nc\r\n");
     // Another call or none may come over the connection before: it is the connection that breaks.
     drop((call, index));
     assert_eq!(raw_command(&mut link), "STUB a2 3\r\n");
-    client.say(oakwind_fault_harness::wire::withdraw(2));
+    client.send(oakwind_fault_harness::wire::withdraw(2));
     assert_eq!(raw_command(&mut link), "BREAK a2\r\n");
     drop(link);
     let mut link = vm.accept();
@@ -193,23 +193,23 @@
 
 #[test]
 fn what_the_membership_service_gets_is_exactly_this() {
-    let members = udp("127.0.0.1:0");
+    let members = bind_udp("127.0.0.1:0");
     let links = format!(r#""members": "{}","#, members.local_addr().unwrap());
     let (node, _vm, _link) = Node::with_interpreter(&links, None);
-    assert_eq!(datagram(&members), b"HB n1 UP");
+    assert_eq!(next_datagram(&members), b"HB n1 UP");
     node.terminate();
-    let mut last = datagram(&members);
+    let mut last = next_datagram(&members);
     while last == b"HB n1 UP" {
-        last = datagram(&members);
+        last = next_datagram(&members);
     }
     assert_eq!(last, b"HB n1 OUT");
-    node.ends();
+    node.assert_clean_exit();
 }
 
 #[test]
 fn what_operators_get_is_exactly_this() {
-    let mut node = Node::start(&config(&format!(r#""vm": "{DOWN}", "ops": "127.0.0.1:0","#)), None);
-    let ops = node.ops();
+    let mut node = Node::start(&config(&format!(r#""vm": "{UNREACHABLE}", "ops": "127.0.0.1:0","#)), None);
+    let ops = node.admin_address();
     let calls = [
         "GET /ops/readiness",
         "PUT /ops/drain/start",
@@ -218,7 +218,7 @@
         "GET /",
         "\u{16}",
     ];
-    let answers: Vec<String> = calls.iter().map(|each| call(ops, each)).collect();
+    let answers: Vec<String> = calls.iter().map(|each| admin_call(ops, each)).collect();
     insta::assert_debug_snapshot!(answers, @r#"
     [
         "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 10\r\nContent-Type: text/plain; charset=utf-8\r\nConnection: close\r\n\r\nnot ready\n",
--- a/node/tests/sockets/helper.rs
+++ b/node/tests/sockets/helper.rs
@@ -13,10 +13,10 @@
 pub use oakwind_fault_harness::wire::DRAINING;
 use oakwind_fault_harness::wire::{self, STATUS};
 
-pub const GUARD: Duration = Duration::from_secs(60);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Nobody listens there, and no test that asks for any port gets this one.
-pub const DOWN: &str = "127.0.0.1:1";
+pub const UNREACHABLE: &str = "127.0.0.1:1";
 
 /// Two classes that call below; their times are far too long to matter, but where a test says otherwise.
 const SETTINGS: &str = r#"{"services": [
@@ -65,7 +65,7 @@
 pub struct Node {
     program: Program,
     log: Receiver<String>,
-    said: Vec<String>,
+    skipped_lines: Vec<String>,
     /// Its configuration, and its uwsgi file if it has one.
     files: Vec<PathBuf>,
     pub json: SocketAddr,
@@ -75,7 +75,7 @@
     /// Starts it; `uwsgi` is the text of a uwsgi file, if any.
     pub fn start(config: &str, uwsgi: Option<&str>) -> Node {
         let mut node = Node::spawn(config, uwsgi, None);
-        node.serves();
+        node.wait_until_listening();
         node
     }
 
@@ -92,24 +92,28 @@
         remembered: Option<&str>,
     ) -> Node {
         let remembered = remembered.map(|text| ("--remembered", file("remembered.toml", text)));
-        Node::spawn_by(config, uwsgi, folder, remembered)
+        Node::spawn_with_file(config, uwsgi, folder, remembered)
     }
 
     /// The same with records of what it decides in a folder.
     pub fn with_records(config: &str, folder: &Path) -> Node {
         let text = format!("folder = '{}'\nfile_mb = 1\nfiles = 4\n", folder.display());
-        let mut node =
-            Node::spawn_by(config, Some(UWSGI), None, Some(("--records", file("records.toml", &text))));
-        node.serves();
+        let mut node = Node::spawn_with_file(
+            config,
+            Some(UWSGI),
+            None,
+            Some(("--records", file("records.toml", &text))),
+        );
+        node.wait_until_listening();
         node
     }
 
     /// The same with both fronts and the text of a fleet file.
     pub fn with_fleet(config: &str, fleet: &str, folder: Option<&Path>) -> Node {
-        Node::spawn_by(config, Some(UWSGI), folder, Some(("--fleet", file("fleet.toml", fleet))))
+        Node::spawn_with_file(config, Some(UWSGI), folder, Some(("--fleet", file("fleet.toml", fleet))))
     }
 
-    fn spawn_by(
+    fn spawn_with_file(
         config: &str,
         uwsgi: Option<&str>,
         folder: Option<&Path>,
@@ -129,19 +133,19 @@
         if let Some(folder) = folder {
             command.env("TMPDIR", folder);
         }
-        Node { files, ..Node::of(command) }
+        Node { files, ..Node::from_command(command) }
     }
 
     /// The program as a command starts it.
-    pub fn of(mut command: Command) -> Node {
-        let (say, log) = channel();
+    pub fn from_command(mut command: Command) -> Node {
+        let (sender, log) = channel();
         // A test that is over reads no more.
-        let program = Program::start(&mut command, move |line| drop(say.send(line))).unwrap();
-        Node { program, log, said: Vec::new(), files: Vec::new(), json: ([127, 0, 0, 1], 0).into() }
+        let program = Program::start(&mut command, move |line| drop(sender.send(line))).unwrap();
+        Node { program, log, skipped_lines: Vec::new(), files: Vec::new(), json: ([127, 0, 0, 1], 0).into() }
     }
 
     /// Waits until it takes clients.
-    pub fn serves(&mut self) {
+    pub fn wait_until_listening(&mut self) {
         self.json = self.address("frontend: listening: protocol=JSON-RPC address=");
     }
 
@@ -154,37 +158,39 @@
     }
 
     /// Waits for a log line with these words, and returns it.
-    pub fn logs(&mut self, words: &str) -> String {
-        if let Some(at) = self.said.iter().position(|line| line.contains(words)) {
-            return self.said.remove(at);
+    pub fn wait_for_log(&mut self, words: &str) -> String {
+        if let Some(at) = self.skipped_lines.iter().position(|line| line.contains(words)) {
+            return self.skipped_lines.remove(at);
         }
         loop {
-            let line =
-                self.log.recv_timeout(GUARD).unwrap_or_else(|_| panic!("{words:?} not in {:?}", self.said));
+            let line = self
+                .log
+                .recv_timeout(TEST_TIMEOUT)
+                .unwrap_or_else(|_| panic!("{words:?} not in {:?}", self.skipped_lines));
             if line.contains(words) {
                 return line;
             }
-            self.said.push(line);
+            self.skipped_lines.push(line);
         }
     }
 
     fn address(&mut self, words: &str) -> SocketAddr {
-        self.logs(words).rsplit('=').next().unwrap().parse().unwrap()
+        self.wait_for_log(words).rsplit('=').next().unwrap().parse().unwrap()
     }
 
-    pub fn uwsgi(&mut self) -> SocketAddr {
+    pub fn uwsgi_address(&mut self) -> SocketAddr {
         self.address("frontend: listening: protocol=uwsgi address=")
     }
 
-    pub fn ops(&mut self) -> SocketAddr {
+    pub fn admin_address(&mut self) -> SocketAddr {
         self.address("admin: listening: address=")
     }
 
     /// What a health check hears; it comes on its own connection.
-    pub fn status(&self) -> &'static str {
+    pub fn health(&self) -> &'static str {
         let mut check = self.client();
-        check.say(STATUS);
-        if check.line().contains("true") {
+        check.send(STATUS);
+        if check.read_line().contains("true") {
             "up"
         } else {
             "down"
@@ -200,12 +206,12 @@
     }
 
     /// It stands still, so that whatever comes meanwhile comes in one moment for it.
-    pub fn stands_still(&self) {
+    pub fn pause(&self) {
         self.program.signal(Signal::STOP).unwrap();
     }
 
     /// It goes on.
-    pub fn goes_on(&self) {
+    pub fn resume(&self) {
         self.program.signal(Signal::CONT).unwrap();
     }
 
@@ -216,30 +222,30 @@
 
     /// Puts another text in the place of its configuration and tells it to read that.
     pub fn reload(&self, config: &str) {
-        self.replace(config);
+        self.replace_config(config);
         self.program.signal(Signal::HUP).unwrap();
     }
 
     /// The same without telling it.
-    pub fn replace(&self, config: &str) {
+    pub fn replace_config(&self, config: &str) {
         std::fs::write(&self.files[0], config).unwrap();
     }
 
     /// The same with its uwsgi file.
-    pub fn reload_uwsgi(&self, text: &str) {
+    pub fn reload_uwsgi_file(&self, text: &str) {
         std::fs::write(&self.files[1], text).unwrap();
         self.program.signal(Signal::HUP).unwrap();
     }
 
     /// The same with its fleet file.
-    pub fn reload_fleet(&self, text: &str) {
+    pub fn reload_fleet_file(&self, text: &str) {
         std::fs::write(self.files.last().unwrap(), text).unwrap();
         self.program.signal(Signal::HUP).unwrap();
     }
 
     /// Waits for its end, which must be a clean one.
-    pub fn ends(mut self) {
-        self.logs("server: drained");
+    pub fn assert_clean_exit(mut self) {
+        self.wait_for_log("server: drained");
         assert!(self.program.wait().unwrap().success());
     }
 }
@@ -257,24 +263,24 @@
     }
 
     pub fn accept(&self) -> Peer {
-        let (listener, (say, accepted)) = (self.listener.try_clone().unwrap(), channel());
-        std::thread::spawn(move || say.send(listener.accept().unwrap().0));
-        Peer::new(accepted.recv_timeout(GUARD).expect("nobody connects"))
+        let (listener, (sender, accepted)) = (self.listener.try_clone().unwrap(), channel());
+        std::thread::spawn(move || sender.send(listener.accept().unwrap().0));
+        Peer::new(accepted.recv_timeout(TEST_TIMEOUT).expect("nobody connects"))
     }
 
     /// The next link of an interpreter that has been up for long.
     pub fn interpreter(&self, notice: &str) -> Peer {
         let mut link = self.accept();
-        assert_eq!(link.line(), format!("CONNECT {notice}"));
-        link.say(wire::banner(false, 10));
+        assert_eq!(link.read_line(), format!("CONNECT {notice}"));
+        link.send(wire::banner(false, 10));
         link
     }
 
     /// The next request to a uwsgi server: its variables, sorted and without those of the moment, and body.
-    pub fn uwsgi(&self) -> (Peer, Vec<String>, Vec<u8>) {
+    pub fn next_uwsgi_request(&self) -> (Peer, Vec<String>, Vec<u8>) {
         let mut peer = self.accept();
-        let head = peer.bytes(4);
-        let mut block = &peer.bytes(usize::from(u16::from_le_bytes([head[1], head[2]])))[..];
+        let head = peer.read_bytes(4);
+        let mut block = &peer.read_bytes(usize::from(u16::from_le_bytes([head[1], head[2]])))[..];
         let mut parts = Vec::new();
         while let [low, high, rest @ ..] = block {
             let (part, rest) = rest.split_at(usize::from(u16::from_le_bytes([*low, *high])));
@@ -283,7 +289,7 @@
         }
         let mut vars: Vec<String> = parts.chunks(2).map(|pair| pair.join("=")).collect();
         let length = vars.iter().find_map(|v| v.strip_prefix("CONTENT_LENGTH=")).unwrap().parse().unwrap();
-        let body = peer.bytes(length);
+        let body = peer.read_bytes(length);
         vars.retain(|v| !v.starts_with("HTTP_X_DEADLINE") && !v.starts_with("HTTP_X_REQUEST_ID"));
         vars.sort();
         (peer, vars, body)
@@ -297,7 +303,7 @@
 
 impl Peer {
     fn new(stream: TcpStream) -> Peer {
-        stream.set_read_timeout(Some(GUARD)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         Peer { stream: BufReader::new(stream) }
     }
 
@@ -306,7 +312,7 @@
     }
 
     /// A client for which the system keeps little that it has not read.
-    pub fn that_reads_little(address: SocketAddr) -> Peer {
+    pub fn with_small_receive_buffer(address: SocketAddr) -> Peer {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
         let stream = runtime.block_on(async {
             let socket = tokio::net::TcpSocket::new_v4().unwrap();
@@ -318,19 +324,19 @@
     }
 
     /// Whether the program still takes what is sent on this connection.
-    pub fn takes(&mut self, text: impl AsRef<[u8]>) -> bool {
+    pub fn accepts(&mut self, text: impl AsRef<[u8]>) -> bool {
         self.stream.get_mut().write_all(text.as_ref()).is_ok()
     }
 
-    pub fn say(&mut self, text: impl AsRef<[u8]>) {
+    pub fn send(&mut self, text: impl AsRef<[u8]>) {
         self.stream.get_mut().write_all(text.as_ref()).unwrap();
     }
 
     /// The next line without its end; empty at the end of the stream. A connection that was idle for a moment on
     /// a slow machine may be told so, at any time: that is left out.
-    pub fn line(&mut self) -> String {
+    pub fn read_line(&mut self) -> String {
         loop {
-            let line = self.any_line();
+            let line = self.read_any_line();
             if line != DRAINING {
                 return line;
             }
@@ -338,44 +344,44 @@
     }
 
     /// The next line whatever it is.
-    pub fn any_line(&mut self) -> String {
+    pub fn read_any_line(&mut self) -> String {
         let mut line = String::new();
         self.stream.read_line(&mut line).unwrap();
         line.trim_end().to_string()
     }
 
-    pub fn bytes(&mut self, length: usize) -> Vec<u8> {
+    pub fn read_bytes(&mut self, length: usize) -> Vec<u8> {
         let mut bytes = vec![0; length];
         self.stream.read_exact(&mut bytes).unwrap();
         bytes
     }
 
     /// Everything up to the end of the stream.
-    pub fn rest(&mut self) -> String {
+    pub fn read_to_end(&mut self) -> String {
         let mut rest = String::new();
         self.stream.read_to_string(&mut rest).unwrap();
         rest
     }
 
     /// Whether the program has closed this connection, cleanly or not, without another word.
-    pub fn closed(&mut self) -> bool {
+    pub fn is_closed(&mut self) -> bool {
         uninterrupted(|| self.stream.read(&mut [0])).is_ok_and(|n| n == 0)
     }
 
     /// As an interpreter: the next command that does not ask for gauges, with its body. The fence is answered.
-    pub fn command(&mut self) -> (Vec<String>, String) {
+    pub fn next_command(&mut self) -> (Vec<String>, String) {
         // Gauges are asked for all the time, so the guard on each read is not enough.
-        let guard = Instant::now() + GUARD;
+        let guard = Instant::now() + TEST_TIMEOUT;
         while Instant::now() < guard {
-            let line = self.line();
+            let line = self.read_line();
             let words: Vec<String> = line.split(' ').map(String::from).collect();
             let named: Vec<&str> = words.iter().map(String::as_str).collect();
             match wire::body_length(&named) {
                 Some(length) => {
-                    let body = self.bytes(length + 2);
+                    let body = self.read_bytes(length + 2);
                     return (words, String::from_utf8_lossy(&body[..length]).into_owned());
                 }
-                None if words[0] == "TOP" => self.say(wire::tops(&words[1], &[0.5, 1.0, 0.1, 3.0])),
+                None if words[0] == "TOP" => self.send(wire::tops(&words[1], &[0.5, 1.0, 0.1, 3.0])),
                 None => return (words, String::new()),
             }
         }
@@ -383,25 +389,25 @@
     }
 
     /// As an interpreter: the next command is APPLY; returns the id, the class and the body.
-    pub fn apply(&mut self) -> (String, String, String) {
-        let (words, body) = self.command();
+    pub fn next_run(&mut self) -> (String, String, String) {
+        let (words, body) = self.next_command();
         assert_eq!(words[0], "APPLY", "{words:?}");
         (words[1].clone(), words[2].clone(), body)
     }
 
-    pub fn value(&mut self, notice: u32, id: &str, end: &str, result: &str) {
-        self.say(wire::value(notice.into(), id, end, 5, result));
+    pub fn send_run_result(&mut self, notice: u32, id: &str, end: &str, result: &str) {
+        self.send(wire::value(notice.into(), id, end, 5, result));
     }
 
     /// As a front end: a request. The body is `body` in base64; a key makes it a `book`.
     pub fn request(&mut self, id: u32, txn: &str, key: Option<&str>, limit_ms: u32) {
-        self.request_and(id, txn, key, limit_ms, "");
+        self.request_followed_by(id, txn, key, limit_ms, "");
     }
 
     /// The same, with more lines in the same write.
-    pub fn request_and(&mut self, id: u32, txn: &str, key: Option<&str>, limit_ms: u32, more: &str) {
+    pub fn request_followed_by(&mut self, id: u32, txn: &str, key: Option<&str>, limit_ms: u32, more: &str) {
         let class = if key.is_some() { "book" } else { "quote" };
-        self.say(request(id, txn, class, key, limit_ms) + more);
+        self.send(request(id, txn, class, key, limit_ms) + more);
     }
 }
 
@@ -427,10 +433,10 @@
 pub const UWSGI: &str = "listen = '127.0.0.1:0'\n";
 
 /// As an operator: the whole answer to a call.
-pub fn call(ops: SocketAddr, call: &str) -> String {
+pub fn admin_call(ops: SocketAddr, call: &str) -> String {
     let mut peer = Peer::connect(ops);
-    peer.say(format!("{call} HTTP/1.1\r\nHost: node\r\n\r\n"));
-    peer.rest()
+    peer.send(format!("{call} HTTP/1.1\r\nHost: node\r\n\r\n"));
+    peer.read_to_end()
 }
 
 /// A whole request as a uwsgi client sends it.
@@ -447,14 +453,14 @@
     [&[0, low, high, 0], &block[..], body.as_bytes()].concat()
 }
 
-pub fn udp(address: &str) -> UdpSocket {
+pub fn bind_udp(address: &str) -> UdpSocket {
     let socket = UdpSocket::bind(address).unwrap();
-    socket.set_read_timeout(Some(GUARD)).unwrap();
+    socket.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     socket
 }
 
 /// The next datagram.
-pub fn datagram(socket: &UdpSocket) -> Vec<u8> {
+pub fn next_datagram(socket: &UdpSocket) -> Vec<u8> {
     let mut bytes = [0; 2048];
     let length = uninterrupted(|| socket.recv(&mut bytes)).unwrap();
     bytes[..length].to_vec()
@@ -470,4 +476,4 @@
     }
 }
 
-pub const LONG: u32 = 100_000;
+pub const LONG_LIMIT_MS: u32 = 100_000;
--- a/node/tests/sockets/links.rs
+++ b/node/tests/sockets/links.rs
@@ -3,113 +3,113 @@
 use crate::helper::*;
 
 #[test]
-fn after_a_broken_link_what_happened_is_read_before_anything_is_applied_again() {
+fn after_a_broken_link_all_notices_are_read_before_any_run_is_sent_again() {
     let (node, server, mut vm) = Node::with_interpreter("", None);
     let mut client = node.client();
     for (id, txn) in [(1, "a1"), (2, "a2")] {
-        client.request(id, txn, None, LONG);
-        vm.apply();
+        client.request(id, txn, None, LONG_LIMIT_MS);
+        vm.next_run();
     }
-    vm.say("TRACE 1 a remark\r\n");
-    vm.value(2, "a9", "done", "of nobody");
+    vm.send("TRACE 1 a remark\r\n");
+    vm.send_run_result(2, "a9", "done", "of nobody");
     drop(vm);
     let mut vm = server.accept();
-    let connect = vm.line();
+    let connect = vm.read_line();
     assert!(connect == "CONNECT 2" || connect == "CONNECT 0", "{connect}");
-    vm.say("BANNER seasoned 10\r\n");
+    vm.send("BANNER seasoned 10\r\n");
     // Nothing but the fence may come now: the end of a1 is still on its way.
-    assert_eq!(vm.line(), "TOP fence");
-    vm.value(3, "a1", "done", "x");
-    assert!(client.line().contains("\"id\":1,\"result\""));
-    vm.say("TOPS fence 0 0 0 0\r\n");
-    assert_eq!(vm.apply().0, "a2");
-    vm.value(4, "a2", "done", "y");
-    assert!(client.line().contains("\"id\":2,\"result\""));
+    assert_eq!(vm.read_line(), "TOP fence");
+    vm.send_run_result(3, "a1", "done", "x");
+    assert!(client.read_line().contains("\"id\":1,\"result\""));
+    vm.send("TOPS fence 0 0 0 0\r\n");
+    assert_eq!(vm.next_run().0, "a2");
+    vm.send_run_result(4, "a2", "done", "y");
+    assert!(client.read_line().contains("\"id\":2,\"result\""));
 }
 
 #[test]
-fn an_interpreter_that_started_anew_runs_nothing_a_second_time() {
+fn an_interpreter_that_restarted_runs_nothing_a_second_time() {
     let server = Server::new();
     let node = Node::start(&config(&format!(r#""vm": "{}","#, server.address)), None);
     let mut vm = server.accept();
-    vm.line();
-    vm.say("BANNER seasoned 100000\r\n");
+    vm.read_line();
+    vm.send("BANNER seasoned 100000\r\n");
     let mut client = node.client();
-    client.request(1, "a1", Some("k"), LONG);
-    vm.apply();
+    client.request(1, "a1", Some("k"), LONG_LIMIT_MS);
+    vm.next_run();
     drop(vm);
     let mut vm = server.accept();
-    vm.line();
-    vm.say("BANNER fresh 5\r\n");
-    assert!(client.line().contains("-32000"), "it may have run");
-    client.request(2, "b1", Some("l"), LONG);
-    assert_eq!(vm.apply().0, "b1");
+    vm.read_line();
+    vm.send("BANNER fresh 5\r\n");
+    assert!(client.read_line().contains("-32000"), "it may have run");
+    client.request(2, "b1", Some("l"), LONG_LIMIT_MS);
+    assert_eq!(vm.next_run().0, "b1");
 }
 
 #[test]
-fn nonsense_drops_the_link_is_logged_and_the_link_is_made_anew() {
+fn a_protocol_error_is_logged_and_the_link_is_made_again() {
     let (mut node, server, mut vm) = Node::with_interpreter("", None);
     // The last one is no nonsense but never ends.
     for nonsense in
         ["HELLO\r\n", "VALUE x a done 1 0\r\n\r\n", "VALUE 1 a done 1 many\r\n", "VALUE 1 a done 1 9\r\n"]
     {
-        vm.say(nonsense);
-        node.logs("interpreter: link lost");
+        vm.send(nonsense);
+        node.wait_for_log("interpreter: link lost");
         vm = server.interpreter("0");
     }
     let mut client = node.client();
-    client.request(1, "a1", None, LONG);
-    vm.apply();
-    vm.say("ERROR APPLY a1\r\n");
-    insta::assert_snapshot!(client.line(), @r#"{"jsonrpc":"2.0","id":1,"error":{"code":-32011,"message":"not now","data":{"later":248}}}"#);
+    client.request(1, "a1", None, LONG_LIMIT_MS);
+    vm.next_run();
+    vm.send("ERROR APPLY a1\r\n");
+    insta::assert_snapshot!(client.read_line(), @r#"{"jsonrpc":"2.0","id":1,"error":{"code":-32011,"message":"not now","data":{"later":248}}}"#);
 }
 
 #[test]
-fn a_call_goes_to_the_index_and_its_reply_back_unchanged() {
+fn a_call_goes_to_the_index_and_its_reply_comes_back_unchanged() {
     let index = Server::new();
     let (node, _vm, mut vm) = Node::with_interpreter(&format!(r#""index": "{}","#, index.address), None);
     let mut client = node.client();
-    client.request(1, "a1", Some("k"), LONG);
-    vm.apply();
-    vm.say("AWAIT 1 a1 4\r\ncall\r\n");
+    client.request(1, "a1", Some("k"), LONG_LIMIT_MS);
+    vm.next_run();
+    vm.send("AWAIT 1 a1 4\r\ncall\r\n");
     let mut calls = index.accept();
-    let (get, body) = calls.command();
+    let (get, body) = calls.next_command();
     assert_eq!((&get[..2], &body[..]), (&["GET".to_string(), "a1".to_string()][..], "call"));
-    calls.say("a1 HIT 5\r\nre\r\nl\r\n");
-    let (resolve, reply) = vm.command();
+    calls.send("a1 HIT 5\r\nre\r\nl\r\n");
+    let (resolve, reply) = vm.next_command();
     assert_eq!((&resolve[0][..], &reply[..]), ("RESOLVE", "re\r\nl"));
-    vm.value(2, "a1", "done", "ok");
-    assert!(client.line().contains("result"));
+    vm.send_run_result(2, "a1", "done", "ok");
+    assert!(client.read_line().contains("result"));
 }
 
 #[test]
-fn a_call_cut_off_is_not_made_again_for_a_write_and_left_out_of_a_read() {
+fn a_call_that_was_cut_off_is_not_repeated_for_a_write_and_skipped_for_a_read() {
     let index = Server::new();
     let (node, _vm, mut vm) = Node::with_interpreter(&format!(r#""index": "{}","#, index.address), None);
     let mut client = node.client();
-    client.request(1, "a1", Some("k"), LONG);
-    vm.apply();
-    vm.say("AWAIT 1 a1 1\r\nc\r\n");
+    client.request(1, "a1", Some("k"), LONG_LIMIT_MS);
+    vm.next_run();
+    vm.send("AWAIT 1 a1 1\r\nc\r\n");
     drop(index.accept());
-    assert!(client.line().contains("-32000"), "it may have had its effect");
-    vm.value(2, "a1", "aborted", "");
-    client.request(2, "a2", None, LONG);
-    vm.apply();
-    vm.say("AWAIT 3 a2 1\r\nc\r\n");
+    assert!(client.read_line().contains("-32000"), "it may have had its effect");
+    vm.send_run_result(2, "a1", "aborted", "");
+    client.request(2, "a2", None, LONG_LIMIT_MS);
+    vm.next_run();
+    vm.send("AWAIT 3 a2 1\r\nc\r\n");
     drop(index.accept());
-    assert_eq!(vm.command().0, ["STUB", "a2", "3"]);
+    assert_eq!(vm.next_command().0, ["STUB", "a2", "3"]);
 }
 
 #[test]
-fn a_refused_connection_proves_that_no_call_ran_so_a_write_calls_again() {
-    let (mut node, _vm, mut vm) = Node::with_interpreter(&format!(r#""index": "{DOWN}","#), None);
+fn a_refused_connection_proves_that_no_call_ran_so_a_write_repeats_it() {
+    let (mut node, _vm, mut vm) = Node::with_interpreter(&format!(r#""index": "{UNREACHABLE}","#), None);
     let mut client = node.client();
-    client.request(1, "a1", Some("k"), LONG);
-    vm.apply();
-    vm.say("AWAIT 1 a1 1\r\nc\r\n");
-    node.logs("index: connection failed");
-    node.logs("index: connection failed");
-    assert!(client.line().contains("-32000"), "after a few tries it fails");
+    client.request(1, "a1", Some("k"), LONG_LIMIT_MS);
+    vm.next_run();
+    vm.send("AWAIT 1 a1 1\r\nc\r\n");
+    node.wait_for_log("index: connection failed");
+    node.wait_for_log("index: connection failed");
+    assert!(client.read_line().contains("-32000"), "after a few tries it fails");
 }
 
 #[test]
@@ -119,17 +119,17 @@
         config(&format!(r#""vm": "{}", "index": "{}", "members": "{members}","#, vm.address, index.address))
     };
     let (old, new) = ((Server::new(), Server::new()), (Server::new(), Server::new()));
-    let members = udp("127.0.0.1:0");
-    let mut node = Node::start(&links(&old.0, &old.1, &udp("127.0.0.1:0")), None);
+    let members = bind_udp("127.0.0.1:0");
+    let mut node = Node::start(&links(&old.0, &old.1, &bind_udp("127.0.0.1:0")), None);
     let mut vm = old.0.interpreter("0");
     let mut client = node.client();
     for (id, txn) in [(1, "a1"), (2, "a2")] {
-        client.request(id, txn, Some(txn), LONG);
-        vm.apply();
+        client.request(id, txn, Some(txn), LONG_LIMIT_MS);
+        vm.next_run();
     }
-    vm.say("AWAIT 1 a1 1\r\nc\r\n");
+    vm.send("AWAIT 1 a1 1\r\nc\r\n");
     let mut call = old.1.accept();
-    call.command();
+    call.next_command();
     let good = links(&new.0, &new.1, &members);
     for (bad, key) in [
         (good.replace(&new.1.address.to_string(), "nowhere"), "index: \"nowhere\""),
@@ -138,51 +138,51 @@
         ("{".into(), "reload: rejected"),
     ] {
         node.reload(&bad);
-        let line = node.logs("reload: rejected");
+        let line = node.wait_for_log("reload: rejected");
         assert!(line.contains(key), "{line}");
     }
     node.reload(&good);
     let mut vm = new.0.interpreter("1");
-    assert_eq!(datagram(&members), b"HB n1 UP");
+    assert_eq!(next_datagram(&members), b"HB n1 UP");
     // A run that the old link has not shown the end of is applied again, which does nothing to it.
-    assert_eq!((vm.apply().0, vm.apply().0), ("a1".into(), "a2".into()));
+    assert_eq!((vm.next_run().0, vm.next_run().0), ("a1".into(), "a2".into()));
     // The call under way ends on its old connection, and the next one goes to the new address.
-    call.say("a1 HIT 1\r\nr\r\n");
-    assert_eq!(vm.command().0[..2], ["RESOLVE", "a1"]);
-    vm.say("AWAIT 2 a2 1\r\nc\r\n");
+    call.send("a1 HIT 1\r\nr\r\n");
+    assert_eq!(vm.next_command().0[..2], ["RESOLVE", "a1"]);
+    vm.send("AWAIT 2 a2 1\r\nc\r\n");
     let mut call = new.1.accept();
-    assert_eq!(call.command().0[..2], ["GET", "a2"]);
-    vm.value(3, "a1", "done", "x");
-    assert!(client.line().contains("\"id\":1,\"result\""));
+    assert_eq!(call.next_command().0[..2], ["GET", "a2"]);
+    vm.send_run_result(3, "a1", "done", "x");
+    assert!(client.read_line().contains("\"id\":1,\"result\""));
 }
 
 #[test]
-fn a_spoilt_reply_costs_no_call_but_its_own_and_what_is_beside_a_reply_costs_none() {
+fn a_malformed_reply_fails_no_call_but_its_own_and_stray_replies_fail_none() {
     let index = Server::new();
     let (node, _vm, mut vm) = Node::with_interpreter(&format!(r#""index": "{}","#, index.address), None);
     let mut client = node.client();
     let mut calls: Vec<Peer> = (1..=4)
         .map(|id| {
             let txn = format!("a{id}");
-            client.request(id, &txn, Some(&txn), LONG);
-            vm.apply();
-            vm.say(format!("AWAIT {id} {txn} 1\r\nc\r\n"));
+            client.request(id, &txn, Some(&txn), LONG_LIMIT_MS);
+            vm.next_run();
+            vm.send(format!("AWAIT {id} {txn} 1\r\nc\r\n"));
             let mut call = index.accept();
-            assert_eq!(call.command().0[1], txn);
+            assert_eq!(call.next_command().0[1], txn);
             call
         })
         .collect();
     // Three GB that will not come are known by their length alone.
-    calls[0].say("a1 HIT 3000000000\r\nxxxx");
-    assert!(client.line().contains("\"id\":1,\"error\""), "it may have had its effect");
-    assert!(calls[0].closed());
+    calls[0].send("a1 HIT 3000000000\r\nxxxx");
+    assert!(client.read_line().contains("\"id\":1,\"error\""), "it may have had its effect");
+    assert!(calls[0].is_closed());
     // A reply that has begun does not end; what came to another call before that, in pieces, spoils nothing.
-    calls[1].say("b9 HIT 1\r\n");
-    calls[3].say("a4 HIT 5\r\n");
-    calls[1].say("x\r\n");
-    assert!(client.line().contains("\"id\":4,\"error\""));
-    calls[1].say("a2 HIT 1\r\ny\r\na2 HIT 1\r\nz\r\n");
-    assert_eq!(vm.command(), (vec!["RESOLVE".into(), "a2".into(), "1".into()], "y".into()));
-    calls[2].say("a3 HIT 1\r\nw\r\n");
-    assert_eq!(vm.command(), (vec!["RESOLVE".into(), "a3".into(), "1".into()], "w".into()));
+    calls[1].send("b9 HIT 1\r\n");
+    calls[3].send("a4 HIT 5\r\n");
+    calls[1].send("x\r\n");
+    assert!(client.read_line().contains("\"id\":4,\"error\""));
+    calls[1].send("a2 HIT 1\r\ny\r\na2 HIT 1\r\nz\r\n");
+    assert_eq!(vm.next_command(), (vec!["RESOLVE".into(), "a2".into(), "1".into()], "y".into()));
+    calls[2].send("a3 HIT 1\r\nw\r\n");
+    assert_eq!(vm.next_command(), (vec!["RESOLVE".into(), "a3".into(), "1".into()], "w".into()));
 }
--- a/node/tests/sockets/main.rs
+++ b/node/tests/sockets/main.rs
@@ -1,5 +1,6 @@
 //! Starts the real program as a process and speaks to it as clients, servers and peers do.
 
+mod admin;
 mod cli;
 mod cut_off;
 mod endings;
@@ -10,7 +11,7 @@
 mod helper;
 mod jsonrpc;
 mod links;
-mod operators;
+
 mod records;
 mod reload;
 mod remembered;
--- a/node/tests/sockets/records.rs
+++ b/node/tests/sockets/records.rs
@@ -24,23 +24,23 @@
     let mut link = vm.interpreter("0");
     let mut client = node.client();
     client.request(1, "a1", Some(key), 60_000);
-    link.apply();
-    link.value(1, "a1", "done", "job");
-    client.line();
+    link.next_run();
+    link.send_run_result(1, "a1", "done", "job");
+    client.read_line();
     if let Some(other) = change(&config) {
         node.reload(&other);
-        node.logs("settings=changed");
+        node.wait_for_log("settings=changed");
     }
-    let mut old = Peer::connect(node.uwsgi());
-    old.say(packet(&[("PATH_INFO", "/book"), ("HTTP_IDEMPOTENCY_KEY", key)], "body"));
-    assert!(old.rest().ends_with("job"));
+    let mut old = Peer::connect(node.uwsgi_address());
+    old.send(packet(&[("PATH_INFO", "/book"), ("HTTP_IDEMPOTENCY_KEY", key)], "body"));
+    assert!(old.read_to_end().ends_with("job"));
     client.request(2, "a2", None, 60_000);
-    link.apply();
-    link.say("ERROR APPLY a2\r\n");
-    client.line();
+    link.next_run();
+    link.send("ERROR APPLY a2\r\n");
+    client.read_line();
     drop(client);
     node.terminate();
-    node.ends();
+    node.assert_clean_exit();
     folder
 }
 
--- a/node/tests/sockets/reload.rs
+++ b/node/tests/sockets/reload.rs
@@ -12,37 +12,37 @@
     let vm = Server::new();
     let text = config(&format!(r#""vm": "{}", "ops": "127.0.0.1:0","#, vm.address));
     let mut node = Node::start(&text, Some(UWSGI));
-    let (ops, uwsgi) = (node.ops(), node.uwsgi());
+    let (ops, uwsgi) = (node.admin_address(), node.uwsgi_address());
     let mut link = vm.interpreter("0");
     let mut client = node.client();
-    client.request(1, "a1", Some("k"), LONG);
-    link.apply();
+    client.request(1, "a1", Some("k"), LONG_LIMIT_MS);
+    link.next_run();
     node.reload(&retuned(&text));
-    assert!(node.logs("reload: applied").contains("settings=changed"));
+    assert!(node.wait_for_log("reload: applied").contains("settings=changed"));
     // Another try of the request, under the new name of its class: it joins the run, on both fronts.
-    client.say(request(2, "b1", "reserve", Some("k"), LONG));
+    client.send(request(2, "b1", "reserve", Some("k"), LONG_LIMIT_MS));
     let mut old = Peer::connect(uwsgi);
-    old.say(packet(&[("PATH_INFO", "/reserve"), ("HTTP_IDEMPOTENCY_KEY", "k")], "body"));
-    client.say(request(3, "c1", "price", None, LONG));
-    assert_eq!(link.apply(), ("c1".into(), "price".into(), "body".into()));
+    old.send(packet(&[("PATH_INFO", "/reserve"), ("HTTP_IDEMPOTENCY_KEY", "k")], "body"));
+    client.send(request(3, "c1", "price", None, LONG_LIMIT_MS));
+    assert_eq!(link.next_run(), ("c1".into(), "price".into(), "body".into()));
     // An open request keeps the class that it had, on a link made anew as well.
     drop(link);
     let mut link = vm.interpreter("0");
-    assert_eq!((link.apply().1, link.apply().1), ("book".into(), "price".into()));
-    link.value(1, "a1", "done", "x");
-    let results = [client.line(), client.line()];
+    assert_eq!((link.next_run().1, link.next_run().1), ("book".into(), "price".into()));
+    link.send_run_result(1, "a1", "done", "x");
+    let results = [client.read_line(), client.read_line()];
     assert!(results.iter().all(|line| line.contains("\"result\"")), "{results:?}");
-    assert!(old.rest().ends_with("\r\n\r\nx"));
-    let stats = call(ops, "GET /ops/stats");
+    assert!(old.read_to_end().ends_with("\r\n\r\nx"));
+    let stats = admin_call(ops, "GET /ops/stats");
     for line in ["answered{group=\"book\"} 1", "answered{group=\"reserve\"} 2", "sends{group=\"price\"} 1"] {
         assert!(stats.contains(line), "{line} in {stats}");
     }
 }
 
 #[test]
-fn a_file_that_is_not_whole_changes_nothing_and_is_counted() {
+fn an_incomplete_file_changes_nothing_and_is_counted() {
     let (mut node, vm, _link) = Node::with_interpreter(r#""ops": "127.0.0.1:0","#, None);
-    let ops = node.ops();
+    let ops = node.admin_address();
     let text = config(&format!(r#""vm": "{}", "ops": "127.0.0.1:0","#, vm.address));
     // No more than the log shows in a second.
     let bad = [
@@ -56,15 +56,15 @@
     for (file, key) in &bad {
         assert_ne!(*file, text);
         node.reload(&retuned(file));
-        let line = node.logs("reload: rejected");
+        let line = node.wait_for_log("reload: rejected");
         assert!(line.contains(key), "{line} names {key}");
     }
     let mut client = node.client();
-    client.say(request(1, "a1", "price", None, LONG));
-    assert!(client.line().contains("-32601"));
+    client.send(request(1, "a1", "price", None, LONG_LIMIT_MS));
+    assert!(client.read_line().contains("-32601"));
     node.reload(&retuned(&text));
-    node.logs("reload: applied");
-    let stats = call(ops, "GET /ops/stats");
+    node.wait_for_log("reload: applied");
+    let stats = admin_call(ops, "GET /ops/stats");
     assert!(stats.contains("svc_conf_loaded 1\n"), "{stats}");
     assert!(stats.contains(&format!("svc_conf_invalid {}\n", bad.len())), "{stats}");
 }
--- a/node/tests/sockets/remembered.rs
+++ b/node/tests/sockets/remembered.rs
@@ -34,14 +34,14 @@
     fn spawn(&self, vm: &Server, folder: Option<&Path>) -> Node {
         let config = config(&format!(r#""ops": "127.0.0.1:0", "vm": "{}","#, vm.address));
         let mut node = Node::spawn_with(&config, Some(UWSGI), folder, Some(&self.text));
-        node.serves();
+        node.wait_until_listening();
         node
     }
 }
 
 fn uwsgi(node: &mut Node, key: &str) -> Peer {
-    let mut client = Peer::connect(node.uwsgi());
-    client.say(packet(&[("PATH_INFO", "/book"), ("HTTP_IDEMPOTENCY_KEY", key)], "body"));
+    let mut client = Peer::connect(node.uwsgi_address());
+    client.send(packet(&[("PATH_INFO", "/book"), ("HTTP_IDEMPOTENCY_KEY", key)], "body"));
     client
 }
 
@@ -51,36 +51,36 @@
     let (node, mut vm) = memory.start();
     let mut client = node.client();
     for (id, txn, key) in [(1, "a1", "ended"), (2, "a2", "began"), (3, "a3", "failed")] {
-        client.request(id, txn, Some(key), LONG);
-        vm.apply();
+        client.request(id, txn, Some(key), LONG_LIMIT_MS);
+        vm.next_run();
     }
-    vm.value(1, "a3", "crashed", "");
-    client.line();
-    vm.value(2, "a1", "done", "job 5");
-    let result = client.line();
+    vm.send_run_result(1, "a3", "crashed", "");
+    client.read_line();
+    vm.send_run_result(2, "a1", "done", "job 5");
+    let result = client.read_line();
     assert!(result.contains("\"result\""));
     drop(node);
     // Before anything can run here as well.
     let vm = Server::new();
     let mut node = memory.spawn(&vm, None);
-    node.logs("remembered: 3 keys are known from before");
+    node.wait_for_log("remembered: 3 keys are known from before");
     let mut client = node.client();
-    client.request(1, "b1", Some("ended"), LONG);
-    assert_eq!(client.line(), result);
+    client.request(1, "b1", Some("ended"), LONG_LIMIT_MS);
+    assert_eq!(client.read_line(), result);
     let mut link = vm.interpreter("0");
-    node.logs("health is good");
-    client.request(1, "c1", Some("ended"), LONG);
-    assert_eq!(client.line(), result);
-    client.say(request(2, "c2", "book", Some("ended"), LONG).replace("Ym9keQ==", "b3RoZXI="));
-    assert!(client.line().contains("-32602"), "another body");
+    node.wait_for_log("health is good");
+    client.request(1, "c1", Some("ended"), LONG_LIMIT_MS);
+    assert_eq!(client.read_line(), result);
+    client.send(request(2, "c2", "book", Some("ended"), LONG_LIMIT_MS).replace("Ym9keQ==", "b3RoZXI="));
+    assert!(client.read_line().contains("-32602"), "another body");
     for (id, txn, key) in [(3, "c3", "began"), (4, "c4", "failed")] {
-        client.request(id, txn, Some(key), LONG);
-        assert!(client.line().contains("-32000"));
+        client.request(id, txn, Some(key), LONG_LIMIT_MS);
+        assert!(client.read_line().contains("-32000"));
     }
-    assert!(uwsgi(&mut node, "ended").rest().ends_with("job 5"));
-    client.request(5, "c5", Some("fresh"), LONG);
-    assert_eq!(link.apply().0, "c5", "nothing else has run");
-    let stats = call(node.ops(), "GET /ops/stats");
+    assert!(uwsgi(&mut node, "ended").read_to_end().ends_with("job 5"));
+    client.request(5, "c5", Some("fresh"), LONG_LIMIT_MS);
+    assert_eq!(link.next_run().0, "c5", "nothing else has run");
+    let stats = admin_call(node.admin_address(), "GET /ops/stats");
     assert!(
         stats.contains("svc_remembered_keys 4\n") && stats.contains("svc_remembered_written 1\n"),
         "{stats}"
@@ -97,7 +97,7 @@
     let (say, began) = channel();
     std::thread::spawn(move || {
         for notice in 1.. {
-            let (words, body) = link.command();
+            let (words, body) = link.next_command();
             if words[0] != "APPLY" {
                 return;
             }
@@ -105,7 +105,12 @@
             if hold.load(Ordering::SeqCst) {
                 let _ = say.send(());
             } else {
-                link.value(notice, &words[1], "done", &format!("job of {body}{}", "-".repeat(padding)));
+                link.send_run_result(
+                    notice,
+                    &words[1],
+                    "done",
+                    &format!("job of {body}{}", "-".repeat(padding)),
+                );
             }
         }
     });
@@ -116,10 +121,10 @@
 fn ask(node: &Node, front: std::net::SocketAddr, key: &str, id: u32, json: bool) -> Peer {
     let mut client = if json { node.client() } else { Peer::connect(front) };
     if json {
-        let text = request(id, &format!("{id:x}"), "book", Some(key), LONG);
-        client.say(text.replace("Ym9keQ==", &BASE64.encode(key)));
+        let text = request(id, &format!("{id:x}"), "book", Some(key), LONG_LIMIT_MS);
+        client.send(text.replace("Ym9keQ==", &BASE64.encode(key)));
     } else {
-        client.say(packet(&[("PATH_INFO", "/book"), ("HTTP_IDEMPOTENCY_KEY", key)], key));
+        client.send(packet(&[("PATH_INFO", "/book"), ("HTTP_IDEMPOTENCY_KEY", key)], key));
     }
     client
 }
@@ -137,9 +142,9 @@
     for _ in 0..12 {
         let (vm, hold) = (Server::new(), Arc::new(AtomicBool::new(false)));
         let mut node = memory.spawn(&vm, None);
-        let front = node.uwsgi();
+        let front = node.uwsgi_address();
         let began = interpreter(&vm, hold.clone(), runs.clone(), 0);
-        node.logs("health is good");
+        node.wait_for_log("health is good");
         let mut id = 0;
         let steps = 3 + draw(8);
         for step in 0..=steps {
@@ -165,7 +170,7 @@
                 unknown.push(key);
                 break;
             }
-            let answer = if json { asked.line() } else { asked.rest() };
+            let answer = if json { asked.read_line() } else { asked.read_to_end() };
             let job = format!("job of {name}");
             let served = answer.contains(&job) || answer.contains(&BASE64.encode(&job));
             if done.contains(&key) {
@@ -213,27 +218,27 @@
         let config = config(&format!(r#""vm": "{}","#, vm.address)).replace("127.0.0.1:0", &place.json);
         let mut node = Node::spawn_with(&config, None, Some(&place.folder), Some(&memory.text));
         let link = vm.interpreter("0");
-        node.serves();
+        node.wait_until_listening();
         (node, link)
     };
     let (old, mut old_vm) = start();
     let mut before = old.client();
     for (id, txn, key) in [(1, "a1", "first"), (2, "a2", "second")] {
-        before.request(id, txn, Some(key), LONG);
-        old_vm.apply();
+        before.request(id, txn, Some(key), LONG_LIMIT_MS);
+        old_vm.next_run();
     }
-    old_vm.value(1, "a1", "done", "1");
-    let first = before.line().replace("\"id\":1,", "");
+    old_vm.send_run_result(1, "a1", "done", "1");
+    let first = before.read_line().replace("\"id\":1,", "");
     let (mut new, mut new_vm) = start();
-    new.logs("handover: completed");
+    new.wait_for_log("handover: completed");
     let mut client = new.client();
-    client.request(1, "b1", Some("third"), LONG);
-    assert_eq!(new_vm.apply().0, "b1");
-    new_vm.value(1, "b1", "done", "3");
-    let third = client.line().replace("\"id\":1,", "");
-    client.request(2, "b2", Some("second"), LONG);
-    old_vm.value(2, "a2", "done", "2");
-    let second = client.line().replace("\"id\":2,", "");
+    client.request(1, "b1", Some("third"), LONG_LIMIT_MS);
+    assert_eq!(new_vm.next_run().0, "b1");
+    new_vm.send_run_result(1, "b1", "done", "3");
+    let third = client.read_line().replace("\"id\":1,", "");
+    client.request(2, "b2", Some("second"), LONG_LIMIT_MS);
+    old_vm.send_run_result(2, "a2", "done", "2");
+    let second = client.read_line().replace("\"id\":2,", "");
     assert!(second.contains("result") && third.contains("result"));
     drop(old);
     drop(new);
@@ -242,8 +247,8 @@
     for (id, txn, key, result) in
         [(1, "c1", "first", first), (2, "c2", "second", second), (3, "c3", "third", third)]
     {
-        client.request(id, txn, Some(key), LONG);
-        assert_eq!(client.line().replace(&format!("\"id\":{id},"), ""), result, "{key}");
+        client.request(id, txn, Some(key), LONG_LIMIT_MS);
+        assert_eq!(client.read_line().replace(&format!("\"id\":{id},"), ""), result, "{key}");
     }
 }
 
@@ -254,9 +259,9 @@
     interpreter(&vm, Arc::default(), runs.clone(), 60_000);
     let mut client = node.client();
     let mut ask = |id: u32, key: &str| {
-        let text = request(id, &format!("{id:x}"), "book", Some(key), LONG);
-        client.say(text.replace("Ym9keQ==", &BASE64.encode(key)));
-        client.line()
+        let text = request(id, &format!("{id:x}"), "book", Some(key), LONG_LIMIT_MS);
+        client.send(text.replace("Ym9keQ==", &BASE64.encode(key)));
+        client.read_line()
     };
     assert!(ask(1, "k1").contains("\"result\""));
     let refused =
@@ -273,10 +278,10 @@
     let (node, mut vm) = memory.start();
     let mut client = node.client();
     for (id, key) in [(1, "hurt"), (2, "whole")] {
-        client.request(id, &format!("a{id}"), Some(key), LONG);
-        vm.apply();
-        vm.value(id, &format!("a{id}"), "done", &format!("result of {key}"));
-        client.line();
+        client.request(id, &format!("a{id}"), Some(key), LONG_LIMIT_MS);
+        vm.next_run();
+        vm.send_run_result(id, &format!("a{id}"), "done", &format!("result of {key}"));
+        client.read_line();
     }
     drop(node);
     let segment = memory.folder.join(format!("keys-{:016x}.log", 1));
@@ -289,13 +294,13 @@
     bytes[second] ^= 1;
     std::fs::write(&segment, bytes).unwrap();
     let (mut node, _vm) = memory.start();
-    node.logs("remembered: damage: 2 records can't be read, 0 are missing, 0 bytes are no record's");
+    node.wait_for_log("remembered: damage: 2 records can't be read, 0 are missing, 0 bytes are no record's");
     let mut client = node.client();
-    client.request(1, "b1", Some("hurt"), LONG);
-    assert!(client.line().contains("-32000"), "it may have run");
-    client.request(2, "b2", Some("whole"), LONG);
-    assert!(client.line().contains("\"result\""));
-    assert!(call(node.ops(), "GET /ops/stats").contains("svc_remembered_damaged 2\n"));
+    client.request(1, "b1", Some("hurt"), LONG_LIMIT_MS);
+    assert!(client.read_line().contains("-32000"), "it may have run");
+    client.request(2, "b2", Some("whole"), LONG_LIMIT_MS);
+    assert!(client.read_line().contains("\"result\""));
+    assert!(admin_call(node.admin_address(), "GET /ops/stats").contains("svc_remembered_damaged 2\n"));
 }
 
 #[test]
@@ -303,21 +308,21 @@
     let memory = Memory::new("");
     let (node, mut vm) = memory.start();
     let mut client = node.client();
-    client.request(1, "a1", Some("k"), LONG);
-    vm.apply();
+    client.request(1, "a1", Some("k"), LONG_LIMIT_MS);
+    vm.next_run();
     node.terminate();
-    assert_eq!(client.any_line(), DRAINING);
-    client.request(2, "a2", Some("k"), LONG);
-    vm.value(1, "a1", "done", "job 5");
-    let mut answers = [client.line(), client.line()];
+    assert_eq!(client.read_any_line(), DRAINING);
+    client.request(2, "a2", Some("k"), LONG_LIMIT_MS);
+    vm.send_run_result(1, "a1", "done", "job 5");
+    let mut answers = [client.read_line(), client.read_line()];
     answers.sort();
     assert!(answers.iter().all(|answer| answer.contains("\"result\"")), "{answers:?}");
     drop(client);
-    node.ends();
+    node.assert_clean_exit();
     let (node, _vm) = memory.start();
     let mut client = node.client();
-    client.request(1, "b1", Some("k"), LONG);
-    assert_eq!(client.line(), answers[0]);
+    client.request(1, "b1", Some("k"), LONG_LIMIT_MS);
+    assert_eq!(client.read_line(), answers[0]);
 }
 
 #[test]
@@ -327,9 +332,9 @@
     interpreter(&vm, Arc::default(), runs.clone(), 60_000);
     let mut client = node.client();
     let mut ask = |id: u32, class: &str, key: Option<&str>| {
-        let text = request(id, &format!("{id:x}"), class, key, LONG);
-        client.say(text.replace("Ym9keQ==", &BASE64.encode(format!("body {id}"))));
-        client.line()
+        let text = request(id, &format!("{id:x}"), class, key, LONG_LIMIT_MS);
+        client.send(text.replace("Ym9keQ==", &BASE64.encode(format!("body {id}"))));
+        client.read_line()
     };
     // The segment that is open goes on; no other can be begun.
     std::fs::remove_dir_all(&memory.folder).unwrap();
@@ -339,7 +344,7 @@
     assert!(!runs.lock().unwrap().contains_key("body 200"), "it did not run");
     assert!(ask(201, "quote", None).contains("\"result\""));
     assert!(ask(1, "book", Some("k1")).contains("\"result\""), "what is known is served");
-    node.logs("remembered: the folder is not tidied");
+    node.wait_for_log("remembered: the folder is not tidied");
     std::fs::create_dir(&memory.folder).unwrap();
     assert!(ask(203, "book", Some("fresh")).contains("\"result\""));
     assert!(first > 1);
--- a/node/tests/sockets/upgrade.rs
+++ b/node/tests/sockets/upgrade.rs
@@ -42,133 +42,133 @@
         let mut node =
             Node::spawn(&config, Some(&format!("listen = '{}'\n", self.uwsgi)), Some(&self.folder));
         let link = vm.interpreter("0");
-        node.serves();
-        node.uwsgi();
+        node.wait_until_listening();
+        node.uwsgi_address();
         (node, link, config)
     }
 
     fn uwsgi(&self, key: &str) -> Peer {
         let mut old = Peer::connect(self.uwsgi.parse().unwrap());
-        old.say(packet(&[("PATH_INFO", "/book"), ("HTTP_IDEMPOTENCY_KEY", key)], "body"));
+        old.send(packet(&[("PATH_INFO", "/book"), ("HTTP_IDEMPOTENCY_KEY", key)], "body"));
         old
     }
 }
 
 #[test]
-fn a_new_process_takes_the_clients_and_runs_no_key_that_the_old_one_has() {
+fn a_successor_takes_over_the_clients_and_runs_no_key_that_its_predecessor_has() {
     let place = Place::new("127.0.3.1");
     let (mut old, mut old_vm) = place.start();
     let mut before = old.client();
     for (id, txn, key) in [(1, "a1", "ended"), (2, "a2", "runs"), (3, "a3", "fails")] {
-        before.request(id, txn, Some(key), LONG);
-        old_vm.apply();
+        before.request(id, txn, Some(key), LONG_LIMIT_MS);
+        old_vm.next_run();
     }
-    old_vm.value(1, "a1", "done", "first");
-    let result = before.line().replace("\"id\":1,", "");
+    old_vm.send_run_result(1, "a1", "done", "first");
+    let result = before.read_line().replace("\"id\":1,", "");
     let (mut new, mut new_vm) = place.start();
-    new.logs("handover: completed");
+    new.wait_for_log("handover: completed");
     // Those of before are sent away and answered, those of now reach the new process alone.
-    assert_eq!(before.any_line(), DRAINING);
-    old.logs("frontend: stopped listening: protocol=uwsgi");
+    assert_eq!(before.read_any_line(), DRAINING);
+    old.wait_for_log("frontend: stopped listening: protocol=uwsgi");
     let mut client = new.client();
-    client.request(1, "b1", Some("ended"), LONG);
-    assert_eq!(client.line().replace("\"id\":1,", ""), result);
-    assert!(place.uwsgi("ended").rest().ends_with("first"), "over the other front as well");
-    client.request(2, "b2", Some("runs"), LONG);
-    client.request(3, "b3", Some("fails"), LONG);
+    client.request(1, "b1", Some("ended"), LONG_LIMIT_MS);
+    assert_eq!(client.read_line().replace("\"id\":1,", ""), result);
+    assert!(place.uwsgi("ended").read_to_end().ends_with("first"), "over the other front as well");
+    client.request(2, "b2", Some("runs"), LONG_LIMIT_MS);
+    client.request(3, "b3", Some("fails"), LONG_LIMIT_MS);
     let mut other = place.uwsgi("runs");
-    client.request(4, "b4", Some("fresh"), LONG);
-    assert_eq!(new_vm.apply().0, "b4", "nothing else runs here");
+    client.request(4, "b4", Some("fresh"), LONG_LIMIT_MS);
+    assert_eq!(new_vm.next_run().0, "b4", "nothing else runs here");
     // What the old process does not know it runs no more.
-    before.request(4, "a4", Some("late"), LONG);
-    assert!(before.line().contains("-32011"));
+    before.request(4, "a4", Some("late"), LONG_LIMIT_MS);
+    assert!(before.read_line().contains("-32011"));
     old.terminate();
-    old_vm.value(2, "a2", "done", "second");
-    let result = before.line().replace("\"id\":2,", "");
-    assert_eq!(client.line().replace("\"id\":2,", ""), result);
-    assert!(other.rest().ends_with("second"));
-    old_vm.value(3, "a3", "crashed", "");
-    assert!(before.line().contains("-32000"));
-    assert!(client.line().contains("\"id\":3,\"error\":{\"code\":-32000"));
+    old_vm.send_run_result(2, "a2", "done", "second");
+    let result = before.read_line().replace("\"id\":2,", "");
+    assert_eq!(client.read_line().replace("\"id\":2,", ""), result);
+    assert!(other.read_to_end().ends_with("second"));
+    old_vm.send_run_result(3, "a3", "crashed", "");
+    assert!(before.read_line().contains("-32000"));
+    assert!(client.read_line().contains("\"id\":3,\"error\":{\"code\":-32000"));
     drop(before);
-    old.ends();
-    new_vm.value(1, "b4", "done", "x");
-    assert!(client.line().contains("\"id\":4,\"result\""));
+    old.assert_clean_exit();
+    new_vm.send_run_result(1, "b4", "done", "x");
+    assert!(client.read_line().contains("\"id\":4,\"result\""));
 }
 
 #[test]
-fn what_the_old_process_took_with_it_has_failed_and_one_that_lost_its_successor_serves_on() {
+fn runs_lost_with_a_predecessor_have_failed_and_a_process_that_lost_its_successor_serves_on() {
     let place = Place::new("127.0.3.2");
     let (mut old, mut old_vm) = place.start();
     let (mut new, _new_vm) = place.start();
-    new.logs("handover: completed");
-    old.logs("frontend: stopped listening: protocol=JSON-RPC");
+    new.wait_for_log("handover: completed");
+    old.wait_for_log("frontend: stopped listening: protocol=JSON-RPC");
     drop(new);
-    old.serves();
-    old.uwsgi();
+    old.wait_until_listening();
+    old.uwsgi_address();
     let mut client = old.client();
-    client.request(1, "a1", Some("k"), LONG);
-    old_vm.apply();
+    client.request(1, "a1", Some("k"), LONG_LIMIT_MS);
+    old_vm.next_run();
     let (mut new, _new_vm) = place.start();
-    new.logs("handover: completed");
+    new.wait_for_log("handover: completed");
     let mut after = new.client();
-    after.request(1, "b1", Some("k"), LONG);
+    after.request(1, "b1", Some("k"), LONG_LIMIT_MS);
     drop(old);
-    assert!(after.line().contains("-32000"), "it may have run");
+    assert!(after.read_line().contains("-32000"), "it may have run");
 }
 
 #[test]
-fn one_whose_successor_was_succeeded_in_turn_stays_away() {
+fn a_process_whose_successor_has_a_successor_accepts_no_clients_again() {
     let place = Place::new("127.0.3.5");
     let (mut first, mut first_vm) = place.start();
     let mut before = first.client();
-    before.request(1, "a1", Some("k"), LONG);
-    first_vm.apply();
+    before.request(1, "a1", Some("k"), LONG_LIMIT_MS);
+    first_vm.next_run();
     let (mut second, _second_vm) = place.start();
-    second.logs("handover: completed");
+    second.wait_for_log("handover: completed");
     let (mut third, mut third_vm) = place.start();
-    third.logs("handover: completed");
-    first.logs("another process has taken over in turn");
+    third.wait_for_log("handover: completed");
+    first.wait_for_log("another process has taken over in turn");
     drop(second);
     // Only the third takes clients.
     let mut client = third.client();
-    client.request(1, "c1", Some("l"), LONG);
-    assert_eq!(third_vm.apply().0, "c1");
-    first_vm.value(1, "a1", "done", "x");
-    assert_eq!(before.any_line(), DRAINING);
-    assert!(before.line().contains("\"result\""));
+    client.request(1, "c1", Some("l"), LONG_LIMIT_MS);
+    assert_eq!(third_vm.next_run().0, "c1");
+    first_vm.send_run_result(1, "a1", "done", "x");
+    assert_eq!(before.read_any_line(), DRAINING);
+    assert!(before.read_line().contains("\"result\""));
 }
 
 #[test]
-fn a_file_that_was_replaced_during_an_upgrade_is_taken_by_the_new_process() {
+fn a_file_that_was_replaced_during_an_upgrade_is_applied_by_the_successor() {
     let place = Place::new("127.0.3.3");
     let (old, _old_vm) = place.start();
     let (mut new, mut new_vm, config) = place.start_by();
-    new.logs("handover: completed");
+    new.wait_for_log("handover: completed");
     // Whoever is told of it has ended before long.
-    new.replace(&config.replace("\"quote\"", "\"price\""));
+    new.replace_config(&config.replace("\"quote\"", "\"price\""));
     old.terminate();
-    old.ends();
-    new.logs("reload: applied: addresses=unchanged settings=changed");
+    old.assert_clean_exit();
+    new.wait_for_log("reload: applied: addresses=unchanged settings=changed");
     let mut client = new.client();
-    client.say(request(1, "a1", "price", None, LONG));
-    assert_eq!(new_vm.apply().1, "price");
+    client.send(request(1, "a1", "price", None, LONG_LIMIT_MS));
+    assert_eq!(new_vm.next_run().1, "price");
 }
 
 #[test]
-fn a_new_process_that_is_stopped_before_it_can_serve_takes_nothing() {
+fn a_successor_that_is_stopped_before_it_can_serve_takes_nothing_over() {
     let place = Place::new("127.0.3.4");
     let (old, mut old_vm) = place.start();
     let vm = Server::new();
     let text = config(&format!(r#""vm": "{}","#, vm.address)).replace("127.0.0.1:0", &place.json);
     let new = Node::spawn(&text, None, Some(&place.folder));
     let mut link = vm.accept();
-    link.line();
+    link.read_line();
     new.terminate();
-    new.ends();
+    new.assert_clean_exit();
     let mut client = old.client();
-    client.request(1, "a1", Some("k"), LONG);
-    old_vm.apply();
-    old_vm.value(1, "a1", "done", "x");
-    assert!(client.line().contains("\"result\""));
+    client.request(1, "a1", Some("k"), LONG_LIMIT_MS);
+    old_vm.next_run();
+    old_vm.send_run_result(1, "a1", "done", "x");
+    assert!(client.read_line().contains("\"result\""));
 }
--- a/node/tests/sockets/uwsgi.rs
+++ b/node/tests/sockets/uwsgi.rs
@@ -17,31 +17,31 @@
 }
 
 #[test]
-fn a_request_runs_and_its_ends_are_told_apart() {
+fn a_request_runs_and_each_outcome_has_its_own_response() {
     let (mut node, _vm, mut vm) = Node::with_interpreter("", Some(UWSGI));
-    let address = node.uwsgi();
+    let address = node.uwsgi_address();
     let mut answers = Vec::new();
     for (notice, end) in [(1, "done"), (2, "crashed")] {
         let mut client = Peer::connect(address);
-        client.say(quote());
-        let (id, class, body) = vm.apply();
+        client.send(quote());
+        let (id, class, body) = vm.next_run();
         assert_eq!((&class[..], &body[..]), ("quote", "body"));
-        vm.value(notice, &id, end, if end == "done" { "price" } else { "" });
-        answers.push(brief(&client.rest()));
+        vm.send_run_result(notice, &id, end, if end == "done" { "price" } else { "" });
+        answers.push(brief(&client.read_to_end()));
     }
     // Nobody ends this run, and its caller waits until a moment that it names itself.
     let mut client = Peer::connect(address);
     let soon = (now_ms() + 300).to_string();
-    client.say(packet(&[("PATH_INFO", "/quote"), ("HTTP_X_DEADLINE", &soon)], ""));
-    let (id, ..) = vm.apply();
-    answers.push(brief(&client.rest()));
-    assert_eq!(vm.command().0, ["BREAK", &id]);
+    client.send(packet(&[("PATH_INFO", "/quote"), ("HTTP_X_DEADLINE", &soon)], ""));
+    let (id, ..) = vm.next_run();
+    answers.push(brief(&client.read_to_end()));
+    assert_eq!(vm.next_command().0, ["BREAK", &id]);
     // And one that never ran.
     let mut client = Peer::connect(address);
-    client.say(quote());
-    let (id, ..) = vm.apply();
-    vm.say(format!("ERROR APPLY {id}\r\n"));
-    answers.push(brief(&client.rest()));
+    client.send(quote());
+    let (id, ..) = vm.next_run();
+    vm.send(format!("ERROR APPLY {id}\r\n"));
+    answers.push(brief(&client.read_to_end()));
     insta::assert_snapshot!(answers.join("\n"), @r"
     HTTP/1.1 200 OK | Content-Length: 5 | price
     HTTP/1.1 500 Internal Server Error | Content-Length: 7 | failed
@@ -51,9 +51,9 @@
 }
 
 #[test]
-fn bad_requests_are_answered_and_closed() {
+fn bad_requests_get_a_response_and_are_closed() {
     let (mut node, _vm, _link) = Node::with_interpreter("", Some(UWSGI));
-    let address = node.uwsgi();
+    let address = node.uwsgi_address();
     let long = "x".repeat(17_000);
     let requests = [
         vec![5, 0, 0, 0],
@@ -63,14 +63,14 @@
         packet(&[("PATH_INFO", "/book")], ""),
         packet(&[("PATH_INFO", "/quote"), ("HTTP_X_TENANT", "nobody")], ""),
         packet(&[("PATH_INFO", "/quote"), ("HTTP_X_DEADLINE", "soon")], ""),
-        packet(&[("PATH_INFO", "/quote"), ("LONG", &long)], ""),
+        packet(&[("PATH_INFO", "/quote"), ("LONG_LIMIT_MS", &long)], ""),
         packet(&[("PATH_INFO", "/quote")], &"y".repeat(70_000)),
         packet(&[("PATH_INFO", "/status")], ""),
     ];
     let answers = requests.map(|request| {
         let mut client = Peer::connect(address);
-        client.say(request);
-        brief(&client.rest())
+        client.send(request);
+        brief(&client.read_to_end())
     });
     insta::assert_snapshot!(answers.join("\n"), @r"
     HTTP/1.1 400 Bad Request | Content-Length: 22 | modifiers other than 0
@@ -87,74 +87,74 @@
 }
 
 #[test]
-fn a_request_cut_off_anywhere_starts_nothing_and_a_client_gone_later_stops_its_run() {
+fn a_request_cut_off_anywhere_starts_nothing_and_a_client_that_disconnects_later_stops_its_run() {
     let (mut node, _vm, mut vm) = Node::with_interpreter("", Some(UWSGI));
-    let address = node.uwsgi();
+    let address = node.uwsgi_address();
     let whole = book("k");
     for cut in [2, 4, 20, whole.len() - 5, whole.len() - 1] {
         let mut client = Peer::connect(address);
-        client.say(&whole[..cut]);
+        client.send(&whole[..cut]);
         drop(client);
-        node.logs("uwsgi: connection lost");
+        node.wait_for_log("uwsgi: connection lost");
     }
     let mut client = Peer::connect(address);
-    client.say(quote());
+    client.send(quote());
     // The first that runs is the first that was whole.
-    let (id, class, _) = vm.apply();
+    let (id, class, _) = vm.next_run();
     assert_eq!(class, "quote");
     drop(client);
-    assert_eq!(vm.command().0, ["BREAK", &id]);
+    assert_eq!(vm.next_command().0, ["BREAK", &id]);
 }
 
 #[test]
-fn a_book_with_one_key_over_both_fronts_runs_once() {
+fn a_keyed_request_over_both_frontends_runs_once() {
     let (mut node, _vm, mut vm) = Node::with_interpreter("", Some(UWSGI));
-    let address = node.uwsgi();
+    let address = node.uwsgi_address();
     let (mut json, mut uwsgi) = (node.client(), Peer::connect(address));
-    json.request(1, "a1", Some("one"), LONG);
-    uwsgi.say(book("one"));
-    let (ran, class, _) = vm.apply();
+    json.request(1, "a1", Some("one"), LONG_LIMIT_MS);
+    uwsgi.send(book("one"));
+    let (ran, class, _) = vm.next_run();
     assert_eq!(class, "book");
-    json.request(2, "b1", Some("two"), LONG);
-    assert_eq!(vm.apply().0, "b1", "no second run of the first key");
-    vm.value(1, &ran, "done", "job 5");
-    assert!(json.line().contains(r#""id":1,"result":{"content":"am9iIDU="}"#));
-    assert_eq!(brief(&uwsgi.rest()), "HTTP/1.1 200 OK | Content-Length: 5 | job 5");
+    json.request(2, "b1", Some("two"), LONG_LIMIT_MS);
+    assert_eq!(vm.next_run().0, "b1", "no second run of the first key");
+    vm.send_run_result(1, &ran, "done", "job 5");
+    assert!(json.read_line().contains(r#""id":1,"result":{"content":"am9iIDU="}"#));
+    assert_eq!(brief(&uwsgi.read_to_end()), "HTTP/1.1 200 OK | Content-Length: 5 | job 5");
     // The other way round, once the run is over.
     let mut late = Peer::connect(address);
-    late.say(book("one"));
-    assert_eq!(brief(&late.rest()), "HTTP/1.1 200 OK | Content-Length: 5 | job 5");
-    vm.value(2, "b1", "crashed", "");
+    late.send(book("one"));
+    assert_eq!(brief(&late.read_to_end()), "HTTP/1.1 200 OK | Content-Length: 5 | job 5");
+    vm.send_run_result(2, "b1", "crashed", "");
     let mut failed = Peer::connect(address);
-    assert!(json.line().contains("-32000"));
-    failed.say(book("two"));
-    assert!(failed.rest().starts_with("HTTP/1.1 500 "), "it may have had its effect");
+    assert!(json.read_line().contains("-32000"));
+    failed.send(book("two"));
+    assert!(failed.read_to_end().starts_with("HTTP/1.1 500 "), "it may have had its effect");
 }
 
 #[test]
-fn a_drain_answers_what_was_read_and_then_nothing_is_taken() {
+fn a_drain_responds_to_what_was_read_and_then_accepts_nothing() {
     // An address of its own, so that no other test listens there afterwards.
     let (mut node, _vm, mut vm) = Node::with_interpreter("", Some("listen = '127.0.2.1:0'"));
-    let address = node.uwsgi();
+    let address = node.uwsgi_address();
     let mut client = Peer::connect(address);
-    client.say(quote());
-    let (id, ..) = vm.apply();
+    client.send(quote());
+    let (id, ..) = vm.next_run();
     node.terminate();
-    node.logs("frontend: stopped listening: protocol=uwsgi");
-    vm.value(1, &id, "done", "late");
-    assert_eq!(brief(&client.rest()), "HTTP/1.1 200 OK | Content-Length: 4 | late");
+    node.wait_for_log("frontend: stopped listening: protocol=uwsgi");
+    vm.send_run_result(1, &id, "done", "late");
+    assert_eq!(brief(&client.read_to_end()), "HTTP/1.1 200 OK | Content-Length: 4 | late");
     assert!(std::net::TcpStream::connect(address).is_err());
-    node.ends();
+    node.assert_clean_exit();
 }
 
 #[test]
 fn runs_go_to_uwsgi_servers_where_they_are_configured() {
     let first = Server::new();
-    let servers = format!("listen = '127.0.0.1:0'\nruns = ['{}', '{DOWN}']\n", first.address);
+    let servers = format!("listen = '127.0.0.1:0'\nruns = ['{}', '{UNREACHABLE}']\n", first.address);
     let mut node = Node::start(&config(""), Some(&servers));
     let mut json = node.client();
-    json.request(1, "a1", Some("k"), LONG);
-    let (mut server, vars, body) = first.uwsgi();
+    json.request(1, "a1", Some("k"), LONG_LIMIT_MS);
+    let (mut server, vars, body) = first.next_uwsgi_request();
     assert_eq!(body, b"body");
     insta::assert_snapshot!(vars.join("\n"), @r"
     CONTENT_LENGTH=4
@@ -166,17 +166,17 @@
     REQUEST_URI=/book
     SERVER_PROTOCOL=HTTP/1.1
     ");
-    server.say("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\njob 5");
-    assert!(json.line().contains(r#""result":{"content":"am9iIDU="}"#));
+    server.send("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\njob 5");
+    assert!(json.read_line().contains(r#""result":{"content":"am9iIDU="}"#));
     // The next in turn is down: the one after it takes the request, as a refused connection ran nothing.
-    let address = node.uwsgi();
+    let address = node.uwsgi_address();
     let ask = |answer: &[u8]| {
         let mut client = Peer::connect(address);
-        client.say(quote());
-        let (mut server, ..) = first.uwsgi();
-        server.say(answer);
+        client.send(quote());
+        let (mut server, ..) = first.next_uwsgi_request();
+        server.send(answer);
         drop(server);
-        brief(&client.rest())
+        brief(&client.read_to_end())
     };
     let answers = [
         ask(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nto the end"),
@@ -195,10 +195,11 @@
     HTTP/1.1 500 Internal Server Error | Content-Length: 7 | failed
     HTTP/1.1 500 Internal Server Error | Content-Length: 7 | failed
     ");
-    let mut node = Node::start(&config(""), Some(&format!("listen = '127.0.0.1:0'\nruns = ['{DOWN}']\n")));
-    let mut client = Peer::connect(node.uwsgi());
-    client.say(quote());
-    assert!(client.rest().starts_with("HTTP/1.1 503 "), "nothing ran anywhere");
+    let mut node =
+        Node::start(&config(""), Some(&format!("listen = '127.0.0.1:0'\nruns = ['{UNREACHABLE}']\n")));
+    let mut client = Peer::connect(node.uwsgi_address());
+    client.send(quote());
+    assert!(client.read_to_end().starts_with("HTTP/1.1 503 "), "nothing ran anywhere");
 }
 
 #[test]
@@ -206,43 +207,43 @@
     let store = Server::new();
     let front = format!("listen = '127.0.0.1:0'\ncalls = ['{}']\n", store.address);
     let (mut node, _vm, mut vm) = Node::with_interpreter("", Some(&front));
-    let mut client = Peer::connect(node.uwsgi());
-    client.say(book("k"));
-    let (id, ..) = vm.apply();
-    vm.say(format!("AWAIT 1 {id} 4\r\ncall\r\n"));
+    let mut client = Peer::connect(node.uwsgi_address());
+    client.send(book("k"));
+    let (id, ..) = vm.next_run();
+    vm.send(format!("AWAIT 1 {id} 4\r\ncall\r\n"));
     // Turned away, it never ran, so it may be made again though it is a write.
-    let (mut server, ..) = store.uwsgi();
-    server.say("HTTP/1.1 503 Busy\r\nRetry-After: 1\r\n\r\n");
+    let (mut server, ..) = store.next_uwsgi_request();
+    server.send("HTTP/1.1 503 Busy\r\nRetry-After: 1\r\n\r\n");
     drop(server);
-    let (mut server, vars, body) = store.uwsgi();
+    let (mut server, vars, body) = store.next_uwsgi_request();
     assert!(vars.contains(&"HTTP_IDEMPOTENCY_KEY=k".into()) && body == b"call");
-    server.say("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nreply");
-    let (resolve, reply) = vm.command();
+    server.send("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nreply");
+    let (resolve, reply) = vm.next_command();
     assert_eq!((&resolve[0][..], &resolve[1], &reply[..]), ("RESOLVE", &id, "reply"));
-    vm.value(2, &id, "done", "ok");
-    assert_eq!(brief(&client.rest()), "HTTP/1.1 200 OK | Content-Length: 2 | ok");
+    vm.send_run_result(2, &id, "done", "ok");
+    assert_eq!(brief(&client.read_to_end()), "HTTP/1.1 200 OK | Content-Length: 2 | ok");
 }
 
 #[test]
-fn a_key_with_another_body_gets_no_result_over_either_front() {
+fn a_key_with_another_body_gets_no_result_over_either_frontend() {
     let (mut node, _vm, mut vm) = Node::with_interpreter("", Some(UWSGI));
     let other = packet(&[("PATH_INFO", "/book"), ("HTTP_IDEMPOTENCY_KEY", "one")], "another body");
-    let address = node.uwsgi();
+    let address = node.uwsgi_address();
     let (mut json, mut uwsgi) = (node.client(), Peer::connect(address));
-    json.request(1, "a1", Some("one"), LONG);
-    let (ran, ..) = vm.apply();
-    uwsgi.say(&other);
+    json.request(1, "a1", Some("one"), LONG_LIMIT_MS);
+    let (ran, ..) = vm.next_run();
+    uwsgi.send(&other);
     assert_eq!(
-        brief(&uwsgi.rest()),
+        brief(&uwsgi.read_to_end()),
         "HTTP/1.1 400 Bad Request | Content-Length: 32 | the key is that of another body"
     );
-    vm.value(1, &ran, "done", "job 5");
-    assert!(json.line().contains("result"));
+    vm.send_run_result(1, &ran, "done", "job 5");
+    assert!(json.read_line().contains("result"));
     let mut uwsgi = Peer::connect(address);
-    uwsgi.say(&other);
-    assert!(uwsgi.rest().starts_with("HTTP/1.1 400 "), "nor when the result is there");
-    json.say(JSON_OTHER);
-    insta::assert_snapshot!(json.line(), @r#"{"jsonrpc":"2.0","id":2,"error":{"code":-32602,"message":"unique is the key of another body"}}"#);
+    uwsgi.send(&other);
+    assert!(uwsgi.read_to_end().starts_with("HTTP/1.1 400 "), "nor when the result is there");
+    json.send(JSON_OTHER);
+    insta::assert_snapshot!(json.read_line(), @r#"{"jsonrpc":"2.0","id":2,"error":{"code":-32602,"message":"unique is the key of another body"}}"#);
 }
 
 const JSON_OTHER: &str = concat!(
@@ -252,29 +253,29 @@
 );
 
 #[test]
-fn clients_that_say_nothing_shut_nobody_out_of_either_front() {
+fn clients_that_send_nothing_shut_nobody_out_of_either_frontend() {
     let vm = Server::new();
     let few = config(&format!(r#""limits": {{"sockets": 40}}, "vm": "{}","#, vm.address));
     let mut node = Node::start(&few, Some(UWSGI));
     let mut link = vm.interpreter("0");
-    let address = node.uwsgi();
+    let address = node.uwsgi_address();
     // Both fronts together have 16 connections here.
     let mut silent: Vec<Peer> = (0..16).flat_map(|_| [node.client(), Peer::connect(address)]).collect();
     let (mut json, mut uwsgi) = (node.client(), Peer::connect(address));
-    json.request(1, "a1", None, LONG);
-    uwsgi.say(quote());
+    json.request(1, "a1", None, LONG_LIMIT_MS);
+    uwsgi.send(quote());
     for notice in [1, 2] {
-        let (id, ..) = link.apply();
-        link.value(notice, &id, "done", "x");
+        let (id, ..) = link.next_run();
+        link.send_run_result(notice, &id, "done", "x");
     }
-    assert!(json.line().contains("result"));
-    assert!(uwsgi.rest().starts_with("HTTP/1.1 200 "));
-    assert!(silent[0].closed() && silent[1].closed(), "the oldest went for the last");
+    assert!(json.read_line().contains("result"));
+    assert!(uwsgi.read_to_end().starts_with("HTTP/1.1 200 "));
+    assert!(silent[0].is_closed() && silent[1].is_closed(), "the oldest went for the last");
     // Half a request gets an answer when it is overdue.
     let mut slow = Peer::connect(address);
-    slow.say([0, 9]);
+    slow.send([0, 9]);
     assert_eq!(
-        brief(&slow.rest()),
+        brief(&slow.read_to_end()),
         "HTTP/1.1 400 Bad Request | Content-Length: 38 | the request did not come whole in time"
     );
 }
@@ -285,23 +286,23 @@
     let servers =
         |runs: &Server, more: &str| format!("listen = '127.0.0.1:0'\nruns = ['{}']\n{more}", runs.address);
     let mut node = Node::start(&config(""), Some(&servers(&old, "")));
-    let address = node.uwsgi();
+    let address = node.uwsgi_address();
     let mut before = Peer::connect(address);
-    before.say(quote());
-    let (mut running, ..) = old.uwsgi();
+    before.send(quote());
+    let (mut running, ..) = old.next_uwsgi_request();
     for bad in [servers(&new, "surprise = 1"), servers(&new, &format!("calls = ['{}']", store.address))] {
-        node.reload_uwsgi(&bad);
-        let line = node.logs("reload: rejected");
+        node.reload_uwsgi_file(&bad);
+        let line = node.wait_for_log("reload: rejected");
         assert!(line.contains("surprise") || line.contains("calls"), "{line}");
     }
-    node.reload_uwsgi(&servers(&new, ""));
-    node.logs("addresses=changed");
+    node.reload_uwsgi_file(&servers(&new, ""));
+    node.wait_for_log("addresses=changed");
     let mut after = Peer::connect(address);
-    after.say(quote());
-    let (mut server, ..) = new.uwsgi();
-    server.say("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nnew");
-    assert_eq!(brief(&after.rest()), "HTTP/1.1 200 OK | Content-Length: 3 | new");
+    after.send(quote());
+    let (mut server, ..) = new.next_uwsgi_request();
+    server.send("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nnew");
+    assert_eq!(brief(&after.read_to_end()), "HTTP/1.1 200 OK | Content-Length: 3 | new");
     // What ran at the old address ends there.
-    running.say("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold");
-    assert_eq!(brief(&before.rest()), "HTTP/1.1 200 OK | Content-Length: 3 | old");
+    running.send("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold");
+    assert_eq!(brief(&before.read_to_end()), "HTTP/1.1 200 OK | Content-Length: 3 | old");
 }
--- a/node/tests/sockets/vrrp.rs
+++ b/node/tests/sockets/vrrp.rs
@@ -24,54 +24,54 @@
 
 /// The next advertisement that the peer gets, if it has this priority.
 fn hear(peer: &UdpSocket, priority: u8) {
-    while datagram(peer)[..] != advertisement(priority)[..] {}
+    while next_datagram(peer)[..] != advertisement(priority)[..] {}
 }
 
 #[test]
-fn the_listener_is_open_while_active_and_what_was_read_is_answered_after_that() {
-    let (listen, peer) = ("127.0.2.2:3112", udp("127.0.2.3:3112"));
+fn the_listener_is_open_while_active_and_what_was_read_gets_its_response_after_that() {
+    let (listen, peer) = ("127.0.2.2:3112", bind_udp("127.0.2.3:3112"));
     let file = front(100, listen, "127.0.2.3:3112");
     let (mut node, _vm, mut vm) = Node::with_interpreter("", Some(&file));
     // Nobody else speaks, so this node is elected.
     hear(&peer, 100);
-    let address = node.uwsgi();
+    let address = node.uwsgi_address();
     let mut client = Peer::connect(address);
-    client.say(packet(&[("PATH_INFO", "/quote")], ""));
-    let (id, ..) = vm.apply();
+    client.send(packet(&[("PATH_INFO", "/quote")], ""));
+    let (id, ..) = vm.next_run();
     // A higher priority takes the role over; a lower one and bad packets do not.
     for bad in [&advertisement(99)[..], &advertisement(200)[..11], b"\x21\x09", b""] {
         peer.send_to(bad, listen).unwrap();
     }
-    node.logs("vrrp: datagram dropped");
+    node.wait_for_log("vrrp: datagram dropped");
     peer.send_to(&advertisement(200), listen).unwrap();
-    node.logs("vrrp: role changed: vrid=9 role=Backup");
-    node.logs("frontend: stopped listening: protocol=uwsgi");
+    node.wait_for_log("vrrp: role changed: vrid=9 role=Backup");
+    node.wait_for_log("frontend: stopped listening: protocol=uwsgi");
     assert!(std::net::TcpStream::connect(address).is_err());
-    vm.value(1, &id, "done", "still");
-    assert!(client.rest().ends_with("still"));
+    vm.send_run_result(1, &id, "done", "still");
+    assert!(client.read_to_end().ends_with("still"));
     // It gives the role up again, so this node takes it and serves.
     peer.send_to(&advertisement(0), listen).unwrap();
-    node.logs("vrrp: role changed: vrid=9 role=Active");
-    let address = node.uwsgi();
+    node.wait_for_log("vrrp: role changed: vrid=9 role=Active");
+    let address = node.uwsgi_address();
     let mut client = Peer::connect(address);
-    client.say(packet(&[("PATH_INFO", "/status")], ""));
-    assert!(client.rest().contains("200 OK"));
+    client.send(packet(&[("PATH_INFO", "/status")], ""));
+    assert!(client.read_to_end().contains("200 OK"));
     node.terminate();
     hear(&peer, 0);
-    node.ends();
+    node.assert_clean_exit();
 }
 
 #[test]
-fn of_two_nodes_one_is_active_and_the_other_follows_when_it_leaves() {
+fn of_two_nodes_one_is_active_and_the_other_takes_over_when_it_leaves() {
     let (first, second) = ("127.0.2.4:3112", "127.0.2.5:3112");
     let (mut low, _vm, _link) = Node::with_interpreter("", Some(&front(100, second, first)));
-    low.uwsgi();
+    low.uwsgi_address();
     let (mut high, _vm, _link) = Node::with_interpreter("", Some(&front(200, first, second)));
     // The higher priority preempts.
-    high.uwsgi();
-    low.logs("vrrp: role changed: vrid=9 role=Backup");
-    low.logs("frontend: stopped listening: protocol=uwsgi");
+    high.uwsgi_address();
+    low.wait_for_log("vrrp: role changed: vrid=9 role=Backup");
+    low.wait_for_log("frontend: stopped listening: protocol=uwsgi");
     high.terminate();
-    high.ends();
-    low.uwsgi();
+    high.assert_clean_exit();
+    low.uwsgi_address();
 }
--- a/node/tests/sockets/windows.rs
+++ b/node/tests/sockets/windows.rs
@@ -25,63 +25,63 @@
 }
 
 #[test]
-fn inside_the_window_a_repeat_gets_the_first_result_and_outside_it_runs() {
+fn inside_the_idempotency_window_a_repeat_gets_the_first_result_and_outside_it_runs() {
     let (node, _vm, mut link) = short();
     let mut client = node.client();
     let first = request(1, "a1", "book", Some("k"), SHORT);
-    client.say(&first);
-    link.apply();
-    link.value(1, "a1", "done", "job 1");
-    assert!(client.line().contains("am9iIDE="));
+    client.send(&first);
+    link.next_run();
+    link.send_run_result(1, "a1", "done", "job 1");
+    assert!(client.read_line().contains("am9iIDE="));
     // A door within the window counts, whenever the try is read; this one came with the first.
     window_passes();
-    client.say(
+    client.send(
         first
             .replace("\"id\":1", "\"id\":2")
             .replace("\"a1\"", "\"a2\"")
             .replace("\"limit\":3000", "\"limit\":90000"),
     );
-    let late = client.line();
+    let late = client.read_line();
     assert!(late.contains("\"id\":2,\"result\":{\"content\":\"am9iIDE=\"}"), "{late}");
     client.request(3, "a3", Some("k"), SHORT);
-    assert_eq!(link.apply().0, "a3", "its window is over, so it is a new request");
+    assert_eq!(link.next_run().0, "a3", "its window is over, so it is a new request");
 }
 
 #[test]
-fn while_the_first_still_runs_no_repeat_runs_beside_it_however_late() {
+fn while_the_first_attempt_runs_no_repeat_runs_however_late() {
     let (node, _vm, mut link) = short();
     let mut client = node.client();
     client.request(1, "a1", Some("k"), SHORT);
-    link.apply();
-    assert!(client.line().contains("-32001"), "its time ran out, and it may still have its effect");
+    link.next_run();
+    assert!(client.read_line().contains("-32001"), "its time ran out, and it may still have its effect");
     window_passes();
     client.request(2, "a2", Some("k"), SHORT);
     // The next that runs is another key.
     client.request(3, "b1", Some("l"), SHORT);
-    assert_eq!(link.apply().0, "b1");
-    link.value(1, "a1", "done", "job 1");
-    let joined = client.line();
+    assert_eq!(link.next_run().0, "b1");
+    link.send_run_result(1, "a1", "done", "job 1");
+    let joined = client.read_line();
     assert!(joined.contains("\"id\":2,\"result\":{\"content\":\"am9iIDE=\"}"), "{joined}");
 }
 
 #[test]
-fn while_it_drains_a_repeat_gets_the_result_of_the_run_and_a_new_key_is_refused() {
+fn during_a_drain_a_repeat_gets_the_result_of_the_run_and_a_new_key_is_rejected() {
     let (node, _vm, mut link) = Node::with_interpreter("", None);
     let (mut client, mut other) = (node.client(), node.client());
-    client.request(1, "a1", Some("k"), LONG);
-    link.apply();
-    other.say("{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"sta");
-    while node.status() != "up" {}
+    client.request(1, "a1", Some("k"), LONG_LIMIT_MS);
+    link.next_run();
+    other.send("{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"sta");
+    while node.health() != "up" {}
     node.terminate();
-    assert_eq!(client.any_line(), DRAINING);
-    assert_eq!(other.any_line(), DRAINING);
+    assert_eq!(client.read_any_line(), DRAINING);
+    assert_eq!(other.read_any_line(), DRAINING);
     // Past the grace nothing new may run: the listener is closed then.
     while std::net::TcpStream::connect(node.json).is_ok() {}
-    client.request(2, "a2", Some("k"), LONG);
-    client.request(3, "b1", Some("l"), LONG);
-    assert!(client.line().contains("\"id\":3,\"error\":{\"code\":-32011"));
-    link.value(1, "a1", "done", "job 1");
-    let mut answers = [client.line(), client.line()];
+    client.request(2, "a2", Some("k"), LONG_LIMIT_MS);
+    client.request(3, "b1", Some("l"), LONG_LIMIT_MS);
+    assert!(client.read_line().contains("\"id\":3,\"error\":{\"code\":-32011"));
+    link.send_run_result(1, "a1", "done", "job 1");
+    let mut answers = [client.read_line(), client.read_line()];
     answers.sort();
     insta::assert_snapshot!(answers.join("\n"), @r#"
     {"jsonrpc":"2.0","id":1,"result":{"content":"am9iIDE="}}
