--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -1,6 +1,4 @@
 //! A dispatch node: one program on real sockets round the decisions of `oakwind_admission`.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod admin;
 mod backend;
@@ -106,7 +104,8 @@
             fleet,
             decision_log: records,
         })
-        .map(|()| true),
+        .map(|()| true)
+        .map_err(|e| e.to_string()),
         Command::Check(Check { config, uwsgi, remembered, fleet, records }) => {
             let checked =
                 ConfigFiles { config, uwsgi, result_store: remembered, fleet, decision_log: records }
