--- a/node/src/config/mod.rs
+++ b/node/src/config/mod.rs
@@ -66,8 +66,8 @@
         let mut node = NodeConfig::read(&self.node_config_path()?)?;
         let uwsgi = self.uwsgi.as_deref().map(UwsgiConfig::read).transpose()?;
         if let Some(uwsgi) = &uwsgi {
-            node.upstreams.uwsgi_run_servers = uwsgi.run_servers.clone();
-            node.upstreams.uwsgi_call_servers = uwsgi.call_servers.clone();
+            node.upstreams.uwsgi_run_servers.clone_from(&uwsgi.run_servers);
+            node.upstreams.uwsgi_call_servers.clone_from(&uwsgi.call_servers);
         }
         if node.upstreams.interpreter.is_none() && node.upstreams.uwsgi_run_servers.is_empty() {
             let problem = "missing, and no uwsgi servers run the requests in its place";
--- /dev/null
+++ b/node/src/decision_log/files.rs
@@ -0,0 +1,108 @@
+//! The files of a decision log, and the chain that runs through them.
+
+use std::collections::BTreeMap;
+use std::fs::{self, File};
+use std::io::{self, Write};
+use std::path::{Path, PathBuf};
+
+use oakwind_fleet::decision_record::Record;
+use oakwind_fleet::hash_chain::{self, Chain};
+
+use super::DecisionLogMetrics;
+use crate::config::DecisionLogConfig;
+
+/// Says which record was written last, so that a truncated log shows.
+pub(super) const END_FILE: &str = "end";
+/// The name of that file while it is written.
+const TEMPORARY_END_FILE: &str = "end-new";
+const FILE_EXTENSION: &str = "log";
+
+/// The files of a folder by the number of their first record.
+pub(super) fn log_files(folder: &Path) -> io::Result<BTreeMap<u64, PathBuf>> {
+    let mut files = BTreeMap::new();
+    for entry in fs::read_dir(folder)? {
+        let path = entry?.path();
+        if let Some(first_record) = first_record_of(&path) {
+            files.insert(first_record, path);
+        }
+    }
+    Ok(files)
+}
+
+/// The number of the first record of a file, by its name; none if it is no file of a log.
+fn first_record_of(path: &Path) -> Option<u64> {
+    if path.extension()? != FILE_EXTENSION {
+        return None;
+    }
+    path.file_stem()?.to_str()?.parse().ok()
+}
+
+/// Writes the files of a folder. Each process begins a file of its own, so that what the one before left incomplete stays
+/// as it is.
+pub(super) struct LogFiles {
+    folder: PathBuf,
+    chain: Chain,
+    file: Option<File>,
+    file_bytes: u64,
+    max_file_bytes: u64,
+    max_files: usize,
+}
+
+impl LogFiles {
+    /// Continues the chain of a folder.
+    pub(super) fn open(config: &DecisionLogConfig) -> io::Result<LogFiles> {
+        let mut chain = Chain::default();
+        if let Some((first_record, newest)) = log_files(&config.folder)?.pop_last() {
+            chain = Chain::before(first_record);
+            hash_chain::read(&String::from_utf8_lossy(&fs::read(newest)?), &mut chain);
+        }
+        Ok(LogFiles {
+            folder: config.folder.clone(),
+            chain,
+            file: None,
+            file_bytes: 0,
+            max_file_bytes: config.max_file_bytes,
+            max_files: config.max_files,
+        })
+    }
+
+    /// Appends records to the chain.
+    pub(super) fn append(&mut self, records: &[Record], metrics: &DecisionLogMetrics) -> io::Result<()> {
+        let first_record = self.chain.number() + 1;
+        let mut text = String::new();
+        for record in records {
+            // Every record can be serialized.
+            let line = serde_json::to_string(record).unwrap_or_default();
+            self.chain.append(&line, &mut text);
+        }
+        let mut file = match self.file.take().filter(|_| self.file_bytes < self.max_file_bytes) {
+            Some(file) => file,
+            None => self.next_file(first_record)?,
+        };
+        file.write_all(text.as_bytes())?;
+        self.file = Some(file);
+        self.file_bytes += text.len() as u64;
+        self.write_end()?;
+        metrics.count_written(records.len(), text.len());
+        Ok(())
+    }
+
+    /// Begins a file. The oldest one goes if there are too many.
+    fn next_file(&mut self, first_record: u64) -> io::Result<File> {
+        let mut files = log_files(&self.folder)?;
+        while files.len() >= self.max_files {
+            let Some((_, oldest)) = files.pop_first() else { break };
+            fs::remove_file(oldest)?;
+        }
+        self.file_bytes = 0;
+        let path = self.folder.join(format!("{first_record:012}.{FILE_EXTENSION}"));
+        File::options().append(true).create_new(true).open(path)
+    }
+
+    /// Says which record is the last.
+    fn write_end(&self) -> io::Result<()> {
+        let temporary = self.folder.join(TEMPORARY_END_FILE);
+        fs::write(&temporary, format!("{} {}\n", self.chain.number(), self.chain.digest()))?;
+        fs::rename(&temporary, self.folder.join(END_FILE))
+    }
+}
--- a/node/src/decision_log/tests.rs
+++ b/node/src/decision_log/tests.rs
@@ -1,26 +1,37 @@
+use super::files::{log_files, LogFiles};
 use super::*;
+use std::fs;
 
-fn config(name: &str, file: u64, files: usize) -> Config {
+fn config(name: &str, max_file_bytes: u64, max_files: usize) -> DecisionLogConfig {
     let folder = std::env::temp_dir().join(format!("oakwind-records-{}-{name}", std::process::id()));
     fs::create_dir_all(&folder).unwrap();
-    Config { folder, max_file_bytes: file, max_files: files }
+    DecisionLogConfig { folder, max_file_bytes, max_files }
 }
 
-fn by() -> Versions {
+fn versions() -> Versions {
     Versions { settings: "s".into(), config: ConfigVersion(0), program: "1".into() }
 }
 
-fn tried(txn: String) -> Record {
-    Record::Attempt { at: 5, decision: Decision::Run, txn, key: None, class: "quote".into(), versions: by() }
+fn attempt(txn: String) -> Record {
+    Record::Attempt {
+        at: 5,
+        decision: Decision::Run,
+        txn,
+        key: None,
+        class: "quote".into(),
+        versions: versions(),
+    }
 }
 
-/// A process that writes so many records, and may be killed behind them.
-fn process(config: &Config, count: usize, killed: bool) {
-    let mut files = Files::open(config).unwrap();
+/// A process that writes so many records of attempts, and may be killed after them.
+fn write_as_process(config: &DecisionLogConfig, count: usize, killed: bool) {
+    let mut files = LogFiles::open(config).unwrap();
     let metrics = DecisionLogMetrics::default();
-    files.append(&[Record::ProcessStarted { at: 1, node: "n1".into(), versions: by() }], &metrics).unwrap();
+    files
+        .append(&[Record::ProcessStarted { at: 1, node: "n1".into(), versions: versions() }], &metrics)
+        .unwrap();
     for i in 0..count {
-        files.append(&[tried(format!("{i:x}"))], &metrics).unwrap();
+        files.append(&[attempt(format!("{i:x}"))], &metrics).unwrap();
     }
     if !killed {
         files.append(&[Record::ProcessStopped { at: 9 }], &metrics).unwrap();
@@ -28,56 +39,60 @@
 }
 
 #[test]
-fn processes_go_on_with_one_chain_in_a_bounded_number_of_files() {
+fn processes_continue_one_chain_in_a_bounded_number_of_files() {
     let config = config("chain", 400, 3);
-    process(&config, 2, false);
-    process(&config, 3, true);
-    let journal = read(&config.folder).unwrap();
+    write_as_process(&config, 2, false);
+    write_as_process(&config, 3, true);
+    let journal = read_journal(&config.folder).unwrap();
     assert_eq!((journal.node.as_str(), journal.records.len(), journal.breaks.len()), ("n1", 8, 0));
-    process(&config, 40, false);
-    let journal = read(&config.folder).unwrap();
+    write_as_process(&config, 40, false);
+    let journal = read_journal(&config.folder).unwrap();
     assert!(journal.breaks.is_empty(), "{:?}", journal.breaks);
-    assert!(files(&config.folder).unwrap().len() == 3 && journal.records.len() < 20);
+    assert!(log_files(&config.folder).unwrap().len() == 3 && journal.records.len() < 20);
     assert!(matches!(journal.records.last(), Some(Record::ProcessStopped { .. })));
     fs::remove_dir_all(&config.folder).unwrap();
 }
 
-/// Small files, every byte: changed, and cut there.
+/// Every byte of small files is changed, and the file cut there.
 #[test]
-fn an_edit_or_a_cut_of_any_byte_of_any_file_is_found() {
+fn an_edit_or_a_truncation_at_any_byte_of_any_file_is_found() {
     let config = config("edits", 300, 8);
-    process(&config, 4, true);
-    process(&config, 1, false);
-    let all = files(&config.folder).unwrap();
-    assert!(read(&config.folder).unwrap().breaks.is_empty() && all.len() > 2);
+    write_as_process(&config, 4, true);
+    write_as_process(&config, 1, false);
+    let all = log_files(&config.folder).unwrap();
+    assert!(read_journal(&config.folder).unwrap().breaks.is_empty() && all.len() > 2);
     for path in all.values() {
-        let whole = fs::read(path).unwrap();
+        let original = fs::read(path).unwrap();
         let first = all.values().next() == Some(path);
-        for at in 0..whole.len() {
-            let mut edited = whole.clone();
+        for at in 0..original.len() {
+            let mut edited = original.clone();
             edited[at] ^= 1;
             fs::write(path, &edited).unwrap();
-            assert!(!read(&config.folder).unwrap().breaks.is_empty(), "{path:?}, byte {at} changed");
-            fs::write(path, &whole[..at]).unwrap();
-            assert!(!read(&config.folder).unwrap().breaks.is_empty(), "{path:?} cut at {at}");
+            assert!(!read_journal(&config.folder).unwrap().breaks.is_empty(), "{path:?}, byte {at} changed");
+            fs::write(path, &original[..at]).unwrap();
+            assert!(!read_journal(&config.folder).unwrap().breaks.is_empty(), "{path:?} cut at {at}");
         }
         fs::remove_file(path).unwrap();
-        assert_eq!(read(&config.folder).unwrap().breaks.is_empty(), first, "old files may be gone: {path:?}");
-        fs::write(path, &whole).unwrap();
+        assert_eq!(
+            read_journal(&config.folder).unwrap().breaks.is_empty(),
+            first,
+            "old files may be gone: {path:?}"
+        );
+        fs::write(path, &original).unwrap();
     }
     fs::remove_dir_all(&config.folder).unwrap();
 }
 
 #[test]
-fn a_record_that_a_killed_process_left_unfinished_is_no_edit() {
+fn a_record_that_a_killed_process_left_incomplete_is_no_edit() {
     let config = config("killed", 10_000, 8);
-    process(&config, 2, true);
-    let path = files(&config.folder).unwrap().into_values().next().unwrap();
+    write_as_process(&config, 2, true);
+    let path = log_files(&config.folder).unwrap().into_values().next().unwrap();
     let mut text = fs::read(&path).unwrap();
     text.extend_from_slice(b"4 00ab");
     fs::write(&path, text).unwrap();
-    process(&config, 1, false);
-    let journal = read(&config.folder).unwrap();
+    write_as_process(&config, 1, false);
+    let journal = read_journal(&config.folder).unwrap();
     assert_eq!((journal.records.len(), journal.breaks), (6, vec![]));
     fs::remove_dir_all(&config.folder).unwrap();
 }
@@ -89,9 +104,9 @@
     assert_ne!(digest("{\"a\": 1}"), digest("{\"a\": 2}"));
 }
 
-/// The text of each record in the folders of operators: it does not change.
+/// The text in the folders of operators, which must not change.
 #[test]
-fn each_kind_of_record_is_written_to_its_golden_text_and_read_from_it() {
+fn each_kind_of_record_serializes_to_its_golden_text_and_deserializes_from_it() {
     let by = r#"{"settings":"s","list":0,"program":"1"}"#;
     let tried = |decision, key: Option<&str>| Record::Attempt {
         at: 5,
@@ -99,14 +114,14 @@
         txn: "a1".into(),
         key: key.map(String::from),
         class: "book".into(),
-        versions: self::by(),
+        versions: versions(),
     };
     let text = |did: &str, key: &str| {
         format!(r#"{{"e":"try","at":5,"did":"{did}","txn":"a1",{key}"class":"book","by":{by}}}"#)
     };
     for (record, golden) in [
         (
-            Record::ProcessStarted { at: 1, node: "n1".into(), versions: self::by() },
+            Record::ProcessStarted { at: 1, node: "n1".into(), versions: versions() },
             format!(r#"{{"e":"began","at":1,"node":"n1","by":{by}}}"#),
         ),
         (tried(Decision::Run, Some("k")), text("run", r#""key":"k","#)),
@@ -125,7 +140,7 @@
 #[test]
 fn a_file_is_written_to_its_golden_text() {
     let config = config("golden", 10_000, 8);
-    process(&config, 1, false);
+    write_as_process(&config, 1, false);
     let text = fs::read_to_string(config.folder.join("000000000001.log")).unwrap();
     assert_eq!(text, GOLDEN_FILE);
     assert_eq!(fs::read_to_string(config.folder.join("end")).unwrap(), GOLDEN_END);
@@ -136,5 +151,4 @@
 2 d8ed9a0af9dc84642d432b3e44a63c7d {"e":"try","at":5,"did":"run","txn":"0","class":"quote","by":{"settings":"s","list":0,"program":"1"}}
 3 844adf0caffcd1b5ace847044491c76d {"e":"ended","at":9}
 "#;
-const GOLDEN_END: &str = r#"3 844adf0caffcd1b5ace847044491c76d
-"#;
+const GOLDEN_END: &str = "3 844adf0caffcd1b5ace847044491c76d\n";
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -25,10 +25,12 @@
 mod uwsgi;
 mod vrrp;
 
+use std::error::Error;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
 use argh::FromArgs;
+use commands::{FleetCommand, Verdict};
 use config::ConfigFiles;
 
 /// A dispatch node for JSON-RPC and uwsgi clients.
@@ -42,51 +44,55 @@
 #[argh(subcommand)]
 enum Command {
     Serve(Serve),
-    Check(Check),
-    Fleet(commands::Fleet),
+    CheckConfig(CheckConfig),
+    Fleet(FleetCommand),
     Version(Version),
 }
 
-/// Serve until SIGTERM or SIGINT, and drain then. SIGHUP makes it read its files again.
-#[derive(FromArgs)]
-#[argh(subcommand, name = "serve")]
-struct Serve {
-    /// the node's configuration in JSON (default: the file that BALANCER_CONFIG names)
-    #[argh(option)]
-    config: Option<PathBuf>,
-    /// a file that switches the uwsgi front on, such as deploy/uwsgi.toml
-    #[argh(option)]
-    uwsgi: Option<PathBuf>,
-    /// a file that makes keys and results outlast the process, such as deploy/remembered.toml
-    #[argh(option)]
-    remembered: Option<PathBuf>,
-    /// a file that makes the node one of a fleet whose nodes talk, such as deploy/fleet.toml
-    #[argh(option)]
-    fleet: Option<PathBuf>,
-    /// a file that makes the node keep records of what it decides, such as deploy/records.toml
-    #[argh(option)]
-    records: Option<PathBuf>,
+/// Defines a command whose options name the files of a configuration. A macro, as argh has no options that several
+/// commands share.
+macro_rules! configured_command {
+    ($(#[doc = $doc:literal])* $command:ident, $name:literal) => {
+        // The comments are what `--help` prints.
+        #[allow(clippy::doc_markdown)]
+        $(#[doc = $doc])*
+        #[derive(FromArgs)]
+        #[argh(subcommand, name = $name)]
+        struct $command {
+            /// the node's configuration in JSON (default: the file that BALANCER_CONFIG names)
+            #[argh(option)]
+            config: Option<PathBuf>,
+            /// a file that switches the uwsgi front on, such as deploy/uwsgi.toml
+            #[argh(option)]
+            uwsgi: Option<PathBuf>,
+            /// a file that makes keys and results outlast the process, such as deploy/remembered.toml
+            #[argh(option, long = "remembered")]
+            result_store: Option<PathBuf>,
+            /// a file that makes the node one of a fleet whose nodes talk, such as deploy/fleet.toml
+            #[argh(option)]
+            fleet: Option<PathBuf>,
+            /// a file that makes the node keep records of what it decides, such as deploy/records.toml
+            #[argh(option, long = "records")]
+            decision_log: Option<PathBuf>,
+        }
+
+        impl From<$command> for ConfigFiles {
+            fn from(command: $command) -> ConfigFiles {
+                let $command { config, uwsgi, result_store, fleet, decision_log } = command;
+                ConfigFiles { config, uwsgi, result_store, fleet, decision_log }
+            }
+        }
+    };
 }
 
-/// Read the configuration and say whether it can be served.
-#[derive(FromArgs)]
-#[argh(subcommand, name = "check-config")]
-struct Check {
-    /// the node's configuration in JSON (default: the file that BALANCER_CONFIG names)
-    #[argh(option)]
-    config: Option<PathBuf>,
-    /// a file that switches the uwsgi front on, such as deploy/uwsgi.toml
-    #[argh(option)]
-    uwsgi: Option<PathBuf>,
-    /// a file that makes keys and results outlast the process, such as deploy/remembered.toml
-    #[argh(option)]
-    remembered: Option<PathBuf>,
-    /// a file that makes the node one of a fleet whose nodes talk, such as deploy/fleet.toml
-    #[argh(option)]
-    fleet: Option<PathBuf>,
-    /// a file that makes the node keep records of what it decides, such as deploy/records.toml
-    #[argh(option)]
-    records: Option<PathBuf>,
+configured_command! {
+    /// Serve until SIGTERM or SIGINT, and drain then. SIGHUP makes it read its files again.
+    Serve, "serve"
+}
+
+configured_command! {
+    /// Read the configuration and say whether it can be served.
+    CheckConfig, "check-config"
 }
 
 /// Print the version.
@@ -96,35 +102,28 @@
 
 fn main() -> ExitCode {
     let arguments: Arguments = argh::from_env();
-    let done = match arguments.command {
-        Command::Serve(Serve { config, uwsgi, remembered, fleet, records }) => server::serve(&ConfigFiles {
-            config,
-            uwsgi,
-            result_store: remembered,
-            fleet,
-            decision_log: records,
-        })
-        .map(|()| true)
-        .map_err(|e| e.to_string()),
-        Command::Check(Check { config, uwsgi, remembered, fleet, records }) => {
-            let checked =
-                ConfigFiles { config, uwsgi, result_store: remembered, fleet, decision_log: records }
-                    .load_for_startup();
-            let told = checked.map(|told| println!("{}: can be served", told.node.name));
-            told.map(|()| true).map_err(|e| e.to_string())
-        }
-        Command::Fleet(asked) => commands::run(&asked),
-        Command::Version(Version {}) => {
-            println!("oakwind {}", env!("CARGO_PKG_VERSION"));
-            Ok(true)
-        }
-    };
-    match done {
-        Ok(true) => ExitCode::SUCCESS,
-        Ok(false) => ExitCode::FAILURE,
-        Err(problem) => {
-            eprintln!("oakwind: {problem}");
+    match run(arguments.command) {
+        Ok(Verdict::Good) => ExitCode::SUCCESS,
+        Ok(Verdict::Bad) => ExitCode::FAILURE,
+        Err(e) => {
+            eprintln!("oakwind: {e}");
             ExitCode::FAILURE
         }
     }
 }
+
+fn run(command: Command) -> Result<Verdict, Box<dyn Error>> {
+    match command {
+        Command::Serve(command) => server::serve(&command.into())?,
+        Command::CheckConfig(command) => check_config(&command.into())?,
+        Command::Fleet(command) => return Ok(commands::run(&command)?),
+        Command::Version(Version {}) => println!("oakwind {}", env!("CARGO_PKG_VERSION")),
+    }
+    Ok(Verdict::Good)
+}
+
+fn check_config(files: &ConfigFiles) -> Result<(), config::ConfigError> {
+    let configuration = files.load_for_startup()?;
+    println!("{}: can be served", configuration.node.name);
+    Ok(())
+}
--- a/node/src/peers/driver.rs
+++ b/node/src/peers/driver.rs
@@ -205,8 +205,8 @@
             _ = ticks.tick() => Wakeup::Tick,
             event = self.channels.events.recv() => Wakeup::Handle(event),
             Some(event) = self.link_events.recv() => Wakeup::Link(event),
-            event = next_store_event(&mut self.store) => Wakeup::Store(event),
-            accepted = accept(&self.listener) => Wakeup::Accepted(accepted),
+            event = next_store_event(self.store.as_mut()) => Wakeup::Store(event),
+            accepted = accept(self.listener.as_ref()) => Wakeup::Accepted(accepted),
         }
     }
 
@@ -273,14 +273,14 @@
     }
 }
 
-async fn accept(listener: &Option<TcpListener>) -> io::Result<TcpStream> {
+async fn accept(listener: Option<&TcpListener>) -> io::Result<TcpStream> {
     match listener {
         Some(listener) => listener.accept().await.map(|(stream, _)| stream),
         None => std::future::pending().await,
     }
 }
 
-async fn next_store_event(store: &mut Option<ResultStore>) -> StoreEvent {
+async fn next_store_event(store: Option<&mut ResultStore>) -> StoreEvent {
     match store {
         Some(store) => store.next_event().await,
         None => std::future::pending().await,
--- a/node/src/result_store/recovery.rs
+++ b/node/src/result_store/recovery.rs
@@ -101,12 +101,12 @@
     recovery.finish(now)
 }
 
-/// When a lost record was written at the latest.
+/// What is behind a place where records are missing, which tells when they were written at the latest.
 #[derive(Debug, Clone, Copy)]
-enum LostBefore {
-    /// The record behind it was written then.
+enum GapEnd {
+    /// A record or segment that was written then.
     NextRecord(Unix),
-    /// Nothing is behind it.
+    /// Nothing: this start.
     Restart,
 }
 
@@ -120,7 +120,7 @@
     /// Digests of the keys of records that cannot be read, and until when these were to be remembered.
     unreadable: Vec<(u64, Unix)>,
     /// Where records are missing.
-    gaps: Vec<LostBefore>,
+    gaps: Vec<GapEnd>,
     /// The number of the next record if none is missing.
     expected: Option<u64>,
     /// Records may be missing before the first one that is found.
@@ -153,20 +153,17 @@
         self.index.add_segment(segment.number, bytes.len() as u64);
         let header_len = bytes.len().min(SEGMENT_HEADER_BYTES);
         let items = scan(self.seed, &bytes.slice(header_len..));
-        match SegmentHeader::decode(bytes) {
-            Some(header) => {
-                self.observe_number(header.first_record, 0, LostBefore::NextRecord(header.created_at));
-                self.torn_end = false;
-            }
-            None => {
-                self.damage.unrecognized_bytes += header_len as u64;
-                // Where the oldest segment does not tell its first number, only a record at its very start shows that none
-                // is missing before it.
-                let starts_with_record = !matches!(items.first(), None | Some(ScanItem::Unrecognized(_)));
-                self.unknown_start |= self.expected.is_none() && !starts_with_record;
-                // Without the header, what is before the first record is as unknown as what is behind the last.
-                self.torn_end = bytes.len() < SEGMENT_HEADER_BYTES;
-            }
+        if let Some(header) = SegmentHeader::decode(bytes) {
+            self.observe_number(header.first_record, 0, GapEnd::NextRecord(header.created_at));
+            self.torn_end = false;
+        } else {
+            self.damage.unrecognized_bytes += header_len as u64;
+            // Where the oldest segment does not tell its first number, only a record at its very start shows that none is
+            // missing before it.
+            let starts_with_record = !matches!(items.first(), None | Some(ScanItem::Unrecognized(_)));
+            self.unknown_start |= self.expected.is_none() && !starts_with_record;
+            // Without the header, what is before the first record is as unknown as what is behind the last.
+            self.torn_end = bytes.len() < SEGMENT_HEADER_BYTES;
         }
         for item in items {
             self.read_item(item);
@@ -183,7 +180,7 @@
     }
 
     fn read_record(&mut self, record: &Record) {
-        self.observe_number(record.number, 1, LostBefore::NextRecord(record.written_at));
+        self.observe_number(record.number, 1, GapEnd::NextRecord(record.written_at));
         self.observe_times(record.written_at, record.expires_at);
         self.index.add_record(record);
         // Key and result outlive the segment that they were read from.
@@ -193,18 +190,18 @@
     }
 
     fn read_damaged(&mut self, header: &RecordHeader) {
-        self.observe_number(header.number, 1, LostBefore::NextRecord(header.written_at));
+        self.observe_number(header.number, 1, GapEnd::NextRecord(header.written_at));
         self.observe_times(header.written_at, header.expires_at);
         self.damage.unreadable += 1;
         self.unreadable.push((header.key_digest, header.expires_at));
     }
 
     /// So many records begin with this number: notices how many are missing before them.
-    fn observe_number(&mut self, number: u64, records: u64, lost_before: LostBefore) {
+    fn observe_number(&mut self, number: u64, records: u64, end: GapEnd) {
         let missing = self.expected.map_or(0, |expected| number.saturating_sub(expected));
         let unknown_start = std::mem::take(&mut self.unknown_start);
         if missing > 0 || unknown_start {
-            self.gaps.push(lost_before);
+            self.gaps.push(end);
         }
         // A number comes again where a write failed and was repeated.
         self.expected = Some(self.expected.unwrap_or(0).max(number.saturating_add(records)));
@@ -238,11 +235,11 @@
     }
 
     fn uncertain_keys(&self, clock_setback: Duration, now: Unix) -> UncertainKeys {
-        let written_by = |gap: &LostBefore| match gap {
-            LostBefore::NextRecord(at) => at.saturating_sub(clock_setback).min(now),
-            LostBefore::Restart => now,
+        let written_by = |gap: &GapEnd| match gap {
+            GapEnd::NextRecord(at) => at.saturating_sub(clock_setback).min(now),
+            GapEnd::Restart => now,
         };
-        let torn_end = self.torn_end.then_some(&LostBefore::Restart);
+        let torn_end = self.torn_end.then_some(&GapEnd::Restart);
         let gaps = self.gaps.iter().chain(torn_end);
         let all_until = gaps.map(|gap| written_by(gap) + self.max_window).max().unwrap_or_default();
         let mut uncertain = UncertainKeys { by_digest: HashMap::new(), all_until, seed: self.seed };
--- a/node/src/result_store/segment.rs
+++ b/node/src/result_store/segment.rs
@@ -5,7 +5,7 @@
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
-use super::record::{Record, RecordHeader, RECORD_MAGIC};
+use super::record::{Record, RecordHeader, HEADER_BYTES, RECORD_MAGIC};
 use crate::clock::{millis, Unix};
 use crate::outcome::digest;
 
@@ -71,27 +71,27 @@
     let mut items = Vec::new();
     let mut position = 0;
     while position < bytes.len() {
-        let rest = bytes.slice(position..);
-        let (item, len) = match RecordHeader::decode(seed, &rest) {
-            None => {
-                let len = next_header(seed, &rest, 1);
-                (ScanItem::Unrecognized(len), len)
-            }
-            Some(header) => match header.decode_payload(seed, &rest) {
-                Some(record) => (ScanItem::Intact(record), header.record_len()),
-                // The length in the header may be that of a payload that was cut off: the next record can follow anywhere.
-                None => {
-                    let len = next_header(seed, &rest, super::record::HEADER_BYTES);
-                    (ScanItem::DamagedPayload(header), len)
-                }
-            },
-        };
+        let (item, len) = scan_item(seed, &bytes.slice(position..));
         items.push(item);
         position += len;
     }
     items
 }
 
+/// What the bytes begin with, and how many of them it takes.
+fn scan_item(seed: u64, bytes: &Bytes) -> (ScanItem, usize) {
+    let Some(header) = RecordHeader::decode(seed, bytes) else {
+        let len = next_header(seed, bytes, 1);
+        return (ScanItem::Unrecognized(len), len);
+    };
+    if let Some(record) = header.decode_payload(seed, bytes) {
+        return (ScanItem::Intact(record), header.record_len());
+    }
+    // The payload may have been cut off anywhere, so the next record can begin right behind the header.
+    let len = next_header(seed, bytes, HEADER_BYTES);
+    (ScanItem::DamagedPayload(header), len)
+}
+
 /// The offset of the first intact record header at or behind `from`, or the end of the bytes.
 fn next_header(seed: u64, bytes: &[u8], from: usize) -> usize {
     let magic = RECORD_MAGIC.to_be_bytes();
--- a/node/src/result_store/segment_log/tests.rs
+++ b/node/src/result_store/segment_log/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
 use crate::outcome::RunState;
+use crate::result_store::recovery::Damage;
 use std::cell::Cell;
 use std::collections::HashMap;
 use std::io::Write;
@@ -106,7 +107,7 @@
     std::fs::write(folder.0.join(SEED_FILE), b"damaged").unwrap();
     let (_log, recovered) = folder.open(SystemDisk, at(2));
     assert_eq!(recovered.keys[0].state, RunState::Succeeded(vec![7; 9].into()));
-    assert_eq!(recovered.damage, Default::default());
+    assert_eq!(recovered.damage, Damage::default());
 }
 
 #[test]
--- a/node/src/server/mod.rs
+++ b/node/src/server/mod.rs
@@ -21,6 +21,7 @@
 use tokio::task::LocalSet;
 
 use crate::config::{ConfigError, ConfigFiles};
+use crate::decision_log::DecisionLogError;
 use crate::peers::PeerStartError;
 use crate::result_store::StoreError;
 
@@ -54,7 +55,7 @@
     Peers(#[source] PeerStartError),
     /// The decision log could not be opened.
     #[error("{0}")]
-    DecisionLog(String),
+    DecisionLog(#[source] DecisionLogError),
 }
 
 /// Serves until SIGTERM or SIGINT, then drains. All tasks run on the calling thread.
