--- a/fault-harness/src/lib.rs
+++ b/fault-harness/src/lib.rs
@@ -13,6 +13,7 @@
 pub mod play_context;
 pub mod predict;
 pub mod process;
+pub mod program_log;
 pub mod relay;
 pub mod report;
 pub mod scenario;
--- a/fault-harness/src/node.rs
+++ b/fault-harness/src/node.rs
@@ -20,6 +20,7 @@
 use crate::model::Ms;
 use crate::play_context::PlayContext;
 use crate::process::{Program, Signal};
+use crate::program_log::LogLine;
 use crate::relay::{Direction, Line};
 use crate::scenario::{Fault, Folder};
 use crate::settings::{self, Peers};
@@ -33,16 +34,8 @@
 const WAITING: usize = 64;
 /// A node whose interpreter died is started again so long after.
 const AFTER_FALL: Ms = 2000.0;
-/// What a program logs of its role in the virtual router.
-const ROLE: &str = "vrrp: role changed: ";
-/// What a program logs when its votes can be relied on.
-const READY_TO_VOTE: &str = "fleet: has what it needs to vote";
-/// Before what it logs about the fleet.
-const FLEET: &str = " fleet: ";
 /// How a program is told that the system's clock is set.
 const CLOCK: &str = "OAKWIND_REHEARSED_CLOCK";
-/// Where JSON-RPC is served, as the program logs it.
-const SERVED_AT: &str = "frontend: listening: protocol=JSON-RPC address=";
 
 /// A build of the program.
 #[derive(Debug, Clone, Default)]
@@ -298,24 +291,7 @@
                     // A log that can't be kept is not worth the play.
                     let _ = writeln!(file, "{line}");
                 }
-                if line.contains(READY_TO_VOTE) {
-                    machine.sound.set(true);
-                }
-                if let Some((_, text)) = line.split_once(FLEET) {
-                    machine.context.note(Event::Said { node: machine.node, text: text.into() });
-                }
-                if line.contains(ROLE) {
-                    let active = line.ends_with("role=Active");
-                    machine.context.note(Event::Role { node: machine.node, active });
-                }
-                if let Some((_, address)) = line.split_once(SERVED_AT) {
-                    if let Ok(address) = address.trim().parse::<SocketAddr>() {
-                        machine.address.send_replace(Some(address));
-                        machine
-                            .context
-                            .note(Event::Up { node: machine.node, cold: machine.interpreter.cold() });
-                    }
-                }
+                machine.on_log_line(LogLine::parse(&line));
             }
             // The log ends with the program.
             machine.over();
@@ -323,6 +299,23 @@
         Ok(())
     }
 
+    /// The program has logged a line.
+    fn on_log_line(&self, line: LogLine) {
+        if line.ready_to_vote {
+            self.sound.set(true);
+        }
+        if let Some(text) = line.fleet {
+            self.context.note(Event::Said { node: self.node, text });
+        }
+        if let Some(active) = line.router_active {
+            self.context.note(Event::Role { node: self.node, active });
+        }
+        if let Some(address) = line.serving_at {
+            self.address.send_replace(Some(address));
+            self.context.note(Event::Up { node: self.node, cold: self.interpreter.cold() });
+        }
+    }
+
     /// Writes the file of the fleet, with the list of now.
     fn write_list(&self) -> io::Result<PathBuf> {
         let file = self.folder.join("fleet.toml");
