--- a/fault-harness/src/node.rs
+++ b/fault-harness/src/node.rs
@@ -36,7 +36,7 @@
 /// What a program logs of its role in the virtual router.
 const ROLE: &str = "vrrp ";
 /// What a program logs when its votes can be relied on.
-const READY_TO_VOTE: &str = "fleet: has what it needs to vote";
+const READY_TO_VOTE: &str = "fleet: replica table complete";
 /// Before what it logs about the fleet.
 const FLEET: &str = " fleet: ";
 /// How a program is told that the system's clock is set.
--- a/fleet/src/active_configs.rs
+++ b/fleet/src/active_configs.rs
@@ -177,7 +177,7 @@
             return Err(ProposalError::Outdated { proposed: version, newest });
         }
         if version == newest {
-            return self.propose_again(config);
+            return self.propose_same_version(config);
         }
         if self.active.len() >= MAX_ACTIVE_CONFIGS {
             return Err(ProposalError::TooManyActive { oldest: self.active[0].version() });
@@ -188,7 +188,7 @@
     }
 
     /// Takes a configuration of the version that is the newest already.
-    fn propose_again(&mut self, config: Arc<MembershipConfig>) -> Result<Proposal, ProposalError> {
+    fn propose_same_version(&mut self, config: Arc<MembershipConfig>) -> Result<Proposal, ProposalError> {
         let version = config.version();
         let last = self.active.len() - 1;
         let known = &mut self.active[last];
--- a/fleet/src/claim_coordinator.rs
+++ b/fleet/src/claim_coordinator.rs
@@ -4,6 +4,7 @@
 //! be sent to the client once a quorum has stored it. A claim that can't get a quorum is released, and its attempt waits
 //! for the run that prevents it, or is rejected. No attempt waits past its deadline.
 
+mod attempt;
 mod claim;
 
 use std::collections::BTreeMap;
@@ -15,6 +16,8 @@
 use crate::message::{Message, RejectReason};
 use crate::{Time, LATE_READ_GRACE};
 
+pub use attempt::{AttemptId, ClaimAction, ClaimOutcome, RunRequest};
+
 use claim::{Claim, ClaimState, Conclusion, ReplicaResponse};
 
 /// The most claims that are open at once, including those whose result some replicas have not stored yet.
@@ -33,57 +36,6 @@
 /// The margin is at most one part in this many of the time until the deadline.
 const MAX_ANSWER_MARGIN_FRACTION: u32 = 4;
 
-/// An attempt at a request, as its node numbers it.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct AttemptId(pub u64);
-
-/// What an attempt is notified of.
-#[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub enum ClaimOutcome {
-    /// Its run may start.
-    Granted,
-    /// Its run must not start, and no other run of its key is known to have started.
-    Rejected(RejectReason),
-    /// A run of another attempt may have started; the outcome of that run follows.
-    RunningElsewhere,
-    /// The result of another attempt's run.
-    RemoteOutcome(RunResult),
-    /// Its key was used with another body.
-    BodyMismatch,
-    /// The outcome of another attempt's run is not known in time.
-    Unknown,
-    /// Whether a quorum has stored the result of its run in time.
-    Replicated(bool),
-}
-
-/// An attempt's request for permission to run.
-#[derive(Debug, Clone)]
-pub struct RunRequest {
-    /// The attempt.
-    pub attempt: AttemptId,
-    /// Its key.
-    pub key: Key,
-    /// The digest of its body.
-    pub body: BodyDigest,
-    /// When the key's idempotency window ends.
-    pub expires_at: Time,
-    /// When the request was received.
-    pub received_at: Time,
-    /// The same in Unix milliseconds.
-    pub received_unix_ms: u64,
-    /// When the client stops waiting.
-    pub deadline: Time,
-}
-
-/// What is to be done.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub enum ClaimAction {
-    /// Send this message to a node.
-    Send(NodeId, Message),
-    /// Notify an attempt.
-    Notify(AttemptId, ClaimOutcome),
-}
-
 /// All open claims of this node.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct ClaimCoordinator {
--- a/fleet/src/claim_coordinator/claim.rs
+++ b/fleet/src/claim_coordinator/claim.rs
@@ -66,8 +66,8 @@
 }
 
 impl ReplicaGroup {
-    fn has_quorum(&self, satisfies: impl Fn(&NodeId) -> bool) -> bool {
-        self.replicas.iter().filter(|node| satisfies(node)).count() >= self.quorum
+    fn has_quorum(&self, satisfies: impl Fn(NodeId) -> bool) -> bool {
+        self.replicas.iter().filter(|node| satisfies(**node)).count() >= self.quorum
     }
 }
 
@@ -110,7 +110,7 @@
             expires_at,
             received_at,
             received_unix_ms,
-            node_index: node_index.map_or(u32::MAX, |index| index as u32),
+            node_index: node_index.and_then(|index| u32::try_from(index).ok()).unwrap_or(u32::MAX),
             give_up_at: deadline.saturating_sub(ANSWER_MARGIN.min(max_margin)),
             groups: Vec::new(),
             responses: BTreeMap::new(),
@@ -268,19 +268,19 @@
         self.responses.values().all(|response| *response == ReplicaResponse::Stored)
     }
 
-    fn has_responded(&self, node: &NodeId, response: &ReplicaResponse) -> bool {
-        self.responses.get(node) == Some(response)
+    fn has_responded(&self, node: NodeId, response: &ReplicaResponse) -> bool {
+        self.responses.get(&node) == Some(response)
     }
 
     /// Whether a quorum of the replicas satisfies the predicate in each configuration.
-    fn has_quorums(&self, satisfies: impl Fn(&NodeId) -> bool) -> bool {
+    fn has_quorums(&self, satisfies: impl Fn(NodeId) -> bool) -> bool {
         self.groups.iter().all(|group| group.has_quorum(&satisfies))
     }
 
     /// Whether a replica's grant counts: it is of the replica's latest incarnation that any replica knows.
-    fn is_granted_by(&self, node: &NodeId) -> bool {
-        let Some(ReplicaResponse::Granted(incarnation)) = self.responses.get(node) else { return false };
-        self.incarnations.get(node) == Some(incarnation)
+    fn is_granted_by(&self, node: NodeId) -> bool {
+        let Some(ReplicaResponse::Granted(incarnation)) = self.responses.get(&node) else { return false };
+        self.incarnations.get(&node) == Some(incarnation)
     }
 
     /// The conflicting claims that replicas have responded with, and when.
@@ -315,7 +315,7 @@
             return Some(Conclusion::Granted);
         }
         let may_grant =
-            |node: &NodeId| self.is_granted_by(node) || self.has_responded(node, &ReplicaResponse::Pending);
+            |node: NodeId| self.is_granted_by(node) || self.has_responded(node, &ReplicaResponse::Pending);
         if self.has_quorums(may_grant) {
             return None;
         }
@@ -342,7 +342,7 @@
         };
         let (first, _) = first;
         // Where several claims have been granted by some replicas each, the lowest one keeps asking and the others yield.
-        let blocked_by_first = |node: &NodeId| matches!(self.responses.get(node), Some(ReplicaResponse::Blocked { conflict, .. }) if conflict.claim == first.claim);
+        let blocked_by_first = |node: NodeId| matches!(self.responses.get(&node), Some(ReplicaResponse::Blocked { conflict, .. }) if conflict.claim == first.claim);
         let first_has_quorum = self.groups.iter().any(|group| group.has_quorum(blocked_by_first));
         if self.id < first.claim && !first_has_quorum {
             return None;
--- a/fleet/src/failure_detector.rs
+++ b/fleet/src/failure_detector.rs
@@ -5,6 +5,8 @@
 //! The membership configuration says who the members are. The failure detector says only who answers, and nothing but the
 //! order and the patience with which members are asked depends on it.
 
+mod gossip;
+
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
@@ -16,16 +18,14 @@
 use crate::message::{GossipUpdate, Liveness, MemberVersion, Message};
 use crate::Time;
 
+use gossip::GossipQueue;
+
 /// Members that are asked to probe one that did not answer directly.
 const INDIRECT_PROBES: usize = 3;
 /// A suspect counts as dead after this many probe periods.
 const SUSPICION_PERIODS: u32 = 4;
 /// The part of a probe period after which a direct probe counts as unanswered.
 const DIRECT_PROBE_FRACTION: f64 = 0.4;
-/// The most gossip updates that one message carries.
-const MAX_GOSSIP_PER_MESSAGE: usize = 8;
-/// A gossip update is sent this many times, times the binary logarithm of the number of members.
-const GOSSIP_RETRANSMIT_FACTOR: u32 = 3;
 /// The most members that a node contacts per tick after it has started or resumed.
 const CONTACTS_PER_TICK: usize = 32;
 /// A node that has not heard enough members contacts the others again after this.
@@ -62,13 +62,6 @@
     target: NodeId,
 }
 
-/// A gossip update that is still to be sent.
-#[derive(Debug, Clone)]
-struct QueuedUpdate {
-    update: GossipUpdate,
-    transmissions_left: u32,
-}
-
 /// A message to be sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outbound {
@@ -102,8 +95,8 @@
     next_probe_at: Time,
     /// A time before which no suspect counts as dead.
     next_death_at: Time,
-    gossip_queue: Vec<QueuedUpdate>,
-    own_version: MemberVersion,
+    gossip_queue: GossipQueue,
+    local_version: MemberVersion,
     last_seq: u64,
     relayed_probes: VecDeque<RelayedProbe>,
     /// An acknowledgement of an earlier sequence number may be from before the node was suspended.
@@ -133,8 +126,8 @@
             probe: None,
             next_probe_at: Time::ZERO,
             next_death_at: Time::MAX,
-            gossip_queue: Vec::new(),
-            own_version: MemberVersion { incarnation, refutations: 0 },
+            gossip_queue: GossipQueue::default(),
+            local_version: MemberVersion { incarnation, refutations: 0 },
             last_seq: 1,
             relayed_probes: VecDeque::new(),
             first_valid_seq: 1,
@@ -170,7 +163,7 @@
 
     /// Sets this node's incarnation.
     pub fn set_incarnation(&mut self, incarnation: Incarnation) {
-        self.own_version = MemberVersion { incarnation, refutations: 0 };
+        self.local_version = MemberVersion { incarnation, refutations: 0 };
     }
 
     /// Forgets all that was heard, as the node was suspended.
@@ -231,7 +224,7 @@
         match message {
             Message::Ping { seq, gossip, .. } => {
                 self.merge_gossip(now, gossip);
-                let gossip = self.next_gossip();
+                let gossip = self.gossip_queue.next_updates();
                 let uptime_seconds = self.uptime_seconds;
                 out.push(Outbound::Respond(link, Message::Ack { seq, uptime_seconds, gossip }));
             }
@@ -274,7 +267,7 @@
         if self.relayed_probes.len() > MAX_RELAYED_PROBES {
             self.relayed_probes.pop_front();
         }
-        let gossip = self.next_gossip();
+        let gossip = self.gossip_queue.next_updates();
         out.push(Outbound::Send(target, self.ping(seq, gossip)));
     }
 
@@ -361,7 +354,7 @@
         if let Some(target) = self.probe_round.pop() {
             let seq = self.next_seq();
             self.probe = Some(Probe { target, seq, started_at: now, is_indirect: false });
-            let gossip = self.next_gossip();
+            let gossip = self.gossip_queue.next_updates();
             out.push(Outbound::Send(target, self.ping(seq, gossip)));
         }
     }
@@ -384,65 +377,7 @@
         member.dead_at = dead_at;
         let version = member.version;
         self.next_death_at = self.next_death_at.min(dead_at);
-        self.queue_gossip(GossipUpdate { node, version, liveness });
-    }
-
-    /// Queues an update for gossip; it replaces an earlier one of the same member.
-    fn queue_gossip(&mut self, update: GossipUpdate) {
-        self.gossip_queue.retain(|queued| queued.update.node != update.node);
-        let log_of_members = (usize::BITS - self.members.len().leading_zeros()).max(1);
-        let transmissions_left = GOSSIP_RETRANSMIT_FACTOR * log_of_members;
-        self.gossip_queue.push(QueuedUpdate { update, transmissions_left });
-    }
-
-    /// Takes the updates for the next message: those that were sent least.
-    fn next_gossip(&mut self) -> Vec<GossipUpdate> {
-        self.gossip_queue.sort_by_key(|queued| std::cmp::Reverse(queued.transmissions_left));
-        let mut updates = Vec::new();
-        for queued in self.gossip_queue.iter_mut().take(MAX_GOSSIP_PER_MESSAGE) {
-            queued.transmissions_left -= 1;
-            updates.push(queued.update);
-        }
-        self.gossip_queue.retain(|queued| queued.transmissions_left > 0);
-        updates
-    }
-
-    fn merge_gossip(&mut self, now: Time, updates: Vec<GossipUpdate>) {
-        for update in updates.into_iter().take(MAX_GOSSIP_PER_MESSAGE) {
-            if update.node == self.this_node {
-                self.refute(update);
-            } else {
-                self.merge_update(now, update);
-            }
-        }
-    }
-
-    /// Refutes a suspicion of this node in its current incarnation.
-    fn refute(&mut self, update: GossipUpdate) {
-        let is_current =
-            update.version >= self.own_version && update.version.incarnation == self.own_version.incarnation;
-        if update.liveness == Liveness::Alive || !is_current {
-            return;
-        }
-        self.own_version.refutations = update.version.refutations.saturating_add(1);
-        let alive =
-            GossipUpdate { node: self.this_node, version: self.own_version, liveness: Liveness::Alive };
-        self.queue_gossip(alive);
-    }
-
-    fn merge_update(&mut self, now: Time, update: GossipUpdate) {
-        let Some(member) = self.members.get_mut(&update.node) else { return };
-        if (update.version, update.liveness) <= (member.version, member.liveness) {
-            return;
-        }
-        // A member that this node hears is not dead because others say so; it is probed first.
-        let is_heard = member.liveness == Liveness::Alive;
-        member.version = update.version;
-        member.liveness =
-            if is_heard && update.liveness == Liveness::Dead { Liveness::Suspect } else { update.liveness };
-        member.dead_at = now + self.probe_period * SUSPICION_PERIODS;
-        self.next_death_at = self.next_death_at.min(member.dead_at);
-        self.queue_gossip(update);
+        self.gossip_queue.push(GossipUpdate { node, version, liveness }, self.members.len());
     }
 }
 
--- a/fleet/src/failure_detector/tests.rs
+++ b/fleet/src/failure_detector/tests.rs
@@ -1,3 +1,4 @@
+use super::gossip::MAX_UPDATES_PER_MESSAGE;
 use super::*;
 use crate::test_support::at;
 
@@ -160,8 +161,8 @@
     }
     let mut sent = 0;
     for _ in 0..1000 {
-        let updates = detector.next_gossip();
-        assert!(updates.len() <= MAX_GOSSIP_PER_MESSAGE);
+        let updates = detector.gossip_queue.next_updates();
+        assert!(updates.len() <= MAX_UPDATES_PER_MESSAGE);
         sent += updates.len();
     }
     assert_eq!(sent, 39 * 3 * 7);
--- a/fleet/src/key_state.rs
+++ b/fleet/src/key_state.rs
@@ -7,6 +7,7 @@
 //! index in the membership configuration.
 
 use std::collections::BTreeMap;
+use std::fmt;
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -30,6 +31,12 @@
     pub number: u64,
 }
 
+impl fmt::Display for ClaimId {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{}/{}/{}", self.node, self.incarnation, self.number)
+    }
+}
+
 /// How a run ended.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum RunResult {
@@ -83,7 +90,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RunConflict {
     /// The run that prevails.
-    pub kept: CompletedRun,
+    pub retained: CompletedRun,
     /// The run that is dropped.
     pub dropped: CompletedRun,
 }
@@ -103,14 +110,14 @@
         let mut conflict = None;
         self.completed = match (self.completed.take(), other.completed) {
             (Some(ours), Some(theirs)) => {
-                let (kept, dropped) = if ours <= theirs { (ours, theirs) } else { (theirs, ours) };
+                let (retained, dropped) = if ours <= theirs { (ours, theirs) } else { (theirs, ours) };
                 // Of one run, a result prevails over a failure: that is no conflict.
                 let superseded = dropped.result == RunResult::Failed
-                    && (kept.claim == dropped.claim || dropped.is_abandoned());
-                if kept != dropped && !superseded {
-                    conflict = Some(RunConflict { kept: kept.clone(), dropped });
+                    && (retained.claim == dropped.claim || dropped.is_abandoned());
+                if retained != dropped && !superseded {
+                    conflict = Some(RunConflict { retained: retained.clone(), dropped });
                 }
-                Some(kept)
+                Some(retained)
             }
             (ours, theirs) => ours.or(theirs),
         };
--- a/fleet/src/key_state/tests.rs
+++ b/fleet/src/key_state/tests.rs
@@ -56,9 +56,9 @@
 fn of_two_completed_runs_the_earliest_prevails_and_both_are_reported() {
     let states = all_states();
     let mut state = states[6].clone();
-    let RunConflict { kept, dropped } = state.merge(states[7].clone()).unwrap();
-    assert_eq!((kept.received_at, dropped.received_at), (4, 5));
-    assert_eq!(state.completed, Some(kept));
+    let RunConflict { retained, dropped } = state.merge(states[7].clone()).unwrap();
+    assert_eq!((retained.received_at, dropped.received_at), (4, 5));
+    assert_eq!(state.completed, Some(retained));
     let mut failed = states[5].clone();
     assert_eq!(failed.merge(states[4].clone()), None, "of one run a result prevails over a failure");
     assert_eq!(failed, states[4]);
--- a/fleet/src/recovery_stages.rs
+++ b/fleet/src/recovery_stages.rs
@@ -45,7 +45,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Stage::Starting => "starting",
-            Stage::CatchingUp => "catching up",
+            Stage::CatchingUp => "catching_up",
             Stage::Warming => "warming",
             Stage::Full => "full",
         })
@@ -100,12 +100,12 @@
         let Transition { from, to, reason, elapsed } = self;
         let reason = match (reason, from) {
             (TransitionReason::Completed, _) => "",
-            (TransitionReason::TimedOut, Stage::Starting) => ", though no majority is heard",
-            (TransitionReason::TimedOut, Stage::CatchingUp) => ", though not all that was missed is known",
-            (TransitionReason::TimedOut, _) => ", though its cores still say that they are cold",
-            (TransitionReason::ConditionLost, _) => ", as what that needs was lost",
+            (TransitionReason::TimedOut, Stage::Starting) => ": timed out without a quorum",
+            (TransitionReason::TimedOut, Stage::CatchingUp) => ": timed out before it had caught up",
+            (TransitionReason::TimedOut, _) => ": timed out while the backend was cold",
+            (TransitionReason::ConditionLost, _) => ": its condition was lost",
         };
-        write!(f, "{to}, after {} ms of {from}{reason}", elapsed.as_millis())
+        write!(f, "stage={to} previous={from} after_ms={}{reason}", elapsed.as_millis())
     }
 }
 
--- a/fleet/src/replica_node.rs
+++ b/fleet/src/replica_node.rs
@@ -3,24 +3,26 @@
 //!
 //! An [`Event`] goes in with the time, [`Action`]s come out. Messages that a node sends to itself do not leave it.
 
+mod configs;
 mod event;
 mod incarnation;
 mod messages;
 mod metrics;
 mod notification;
+mod runs;
 mod state_sync;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::active_configs::{ActiveConfigs, Proposal};
-use crate::claim_coordinator::{ClaimAction, ClaimCoordinator, ClaimOutcome, RunRequest};
+use crate::active_configs::ActiveConfigs;
+use crate::claim_coordinator::ClaimCoordinator;
 use crate::donor::Donor;
 use crate::failure_detector::{FailureDetector, LivenessCounts, Outbound};
 use crate::ids::{Incarnation, LinkId, NodeId};
 use crate::membership_config::MembershipConfig;
-use crate::message::{Hello, Liveness, Message, RejectReason};
+use crate::message::{Hello, Liveness, Message};
 use crate::recovery_stages::{Conditions, RecoveryStages, Stage};
 use crate::replica_table::ReplicaTable;
 use crate::staleness::{StalenessTracker, StatePosition};
@@ -347,53 +349,6 @@
         }
     }
 
-    /// Returns why this node neither makes nor grants claims, if it does not.
-    fn reason_not_to_claim(&self) -> Option<RejectReason> {
-        if self.participation == Participation::Superseded {
-            Some(RejectReason::Superseded)
-        } else if self.configs.newest().index_of(self.id).is_none() {
-            Some(RejectReason::NotMember)
-        } else if !self.has_quorum {
-            Some(RejectReason::NoQuorum)
-        } else {
-            None
-        }
-    }
-
-    fn request_run(&mut self, now: Time, request: RunRequest, out: &mut Vec<Action>) {
-        let exceeds_window = request.expires_at.saturating_sub(now) > self.configs.newest().window();
-        let reason = self.reason_not_to_claim().or(exceeds_window.then_some(RejectReason::DeadlineExceeded));
-        if let Some(reason) = reason {
-            self.metrics.rejected += 1;
-            return out.push(Action::NotifyAttempt(request.attempt, ClaimOutcome::Rejected(reason)));
-        }
-        let mut actions = Vec::new();
-        self.claims.request_run(now, request, &self.configs, &mut actions);
-        self.apply_claim_actions(actions, out);
-    }
-
-    fn with_claims(
-        &mut self,
-        out: &mut Vec<Action>,
-        act: impl FnOnce(&mut ClaimCoordinator, &mut Vec<ClaimAction>),
-    ) {
-        let mut actions = Vec::new();
-        act(&mut self.claims, &mut actions);
-        self.apply_claim_actions(actions, out);
-    }
-
-    fn apply_claim_actions(&mut self, actions: Vec<ClaimAction>, out: &mut Vec<Action>) {
-        for action in actions {
-            match action {
-                ClaimAction::Send(node, message) => self.send(node, message, out),
-                ClaimAction::Notify(attempt, outcome) => {
-                    self.metrics.count_outcome(&outcome);
-                    out.push(Action::NotifyAttempt(attempt, outcome));
-                }
-            }
-        }
-    }
-
     fn with_failure_detector(
         &mut self,
         out: &mut Vec<Action>,
@@ -424,35 +379,6 @@
             out.push(Action::Respond(link, message));
         }
     }
-
-    fn propose_config(&mut self, now: Time, config: Arc<MembershipConfig>, out: &mut Vec<Action>) {
-        let version = config.version();
-        match self.configs.propose(config) {
-            Ok(Proposal::Adopted) => {
-                out.push(Action::Notify(Notification::ConfigAdopted(version)));
-                self.apply_configs(now, out);
-            }
-            Ok(Proposal::Unchanged) => {}
-            Err(error) => out.push(Action::Notify(Notification::ConfigRejected(error))),
-        }
-    }
-
-    /// Applies a change of the active configurations.
-    fn apply_configs(&mut self, now: Time, out: &mut Vec<Action>) {
-        let others = self.other_members();
-        self.failure_detector.set_members(&self.configs.all_members());
-        self.staleness.retain(|node| others.contains(&node));
-        self.state_transfer.retain_donors(&others);
-        for node in others {
-            if !self.table.has_synced_from(node) && !self.state_transfer.has_donor(node) {
-                self.state_transfer.add_donor(node);
-            }
-        }
-        let mut actions = Vec::new();
-        self.claims.reconfigure(now, &self.configs, &mut actions);
-        self.apply_claim_actions(actions, out);
-        out.push(Action::SendHello);
-    }
 }
 
 #[cfg(test)]
--- a/fleet/src/replica_node/incarnation.rs
+++ b/fleet/src/replica_node/incarnation.rs
@@ -3,6 +3,7 @@
 use std::time::Duration;
 
 use super::{Action, Notification, Participation, ReplicaNode};
+use crate::claim_coordinator::ClaimCoordinator;
 use crate::ids::Incarnation;
 use crate::staleness::StatePosition;
 use crate::Time;
@@ -49,7 +50,7 @@
         self.had_quorum = false;
         self.incarnation_began_at = now;
         self.failure_detector.reset();
-        self.with_claims(out, |claims, actions| claims.reject_ungranted(actions));
+        self.with_claims(out, ClaimCoordinator::reject_ungranted);
         self.set_incarnation(incarnation, out);
         self.state_transfer.start(&self.other_members());
     }
@@ -67,7 +68,7 @@
         self.metrics.suspensions += 1;
         self.has_quorum = false;
         self.failure_detector.reset();
-        self.with_claims(out, |claims, actions| claims.reject_ungranted(actions));
+        self.with_claims(out, ClaimCoordinator::reject_ungranted);
         // Its votes are still valid, but runs may have completed meanwhile that it has not heard of.
         self.state_transfer.start(&self.other_members());
         out.push(Action::Notify(Notification::Resumed { suspended_for }));
--- a/fleet/src/replica_node/messages.rs
+++ b/fleet/src/replica_node/messages.rs
@@ -1,13 +1,11 @@
 //! How a node handles the messages of its peers, and its own.
 
-use std::sync::Arc;
 use std::time::Duration;
 
 use super::{Action, Notification, Participation, ReplicaNode};
 use crate::donor::PageRequest;
 use crate::ids::{Incarnation, LinkId, NodeId};
 use crate::key_state::RunConflict;
-use crate::membership_config::{MembershipConfig, MembershipSpec};
 use crate::message::{ClaimRequest, Hello, Message, RejectReason};
 use crate::replica_table::TableOutcome;
 use crate::staleness::StatePosition;
@@ -29,7 +27,7 @@
             self.record_peer(from, incarnation, &message);
         }
         match message {
-            Message::Hello(hello) => self.handle_hello(now, link, from, hello, out),
+            Message::Hello(hello) => self.handle_hello(now, link, from, &hello, out),
             Message::Superseded { incarnation } => self.handle_superseded(incarnation, out),
             Message::RequestMembershipConfig { version } => {
                 if let Some(config) = self.configs.get(version) {
@@ -114,8 +112,8 @@
         self.failure_detector.record_message(from, incarnation);
     }
 
-    fn handle_hello(&mut self, now: Time, link: LinkId, from: NodeId, hello: Hello, out: &mut Vec<Action>) {
-        self.check_incarnation(link, from, &hello, out);
+    fn handle_hello(&mut self, now: Time, link: LinkId, from: NodeId, hello: &Hello, out: &mut Vec<Action>) {
+        self.check_incarnation(link, from, hello, out);
         let conflict = hello.configs.iter().find(|signature| self.configs.conflicts_with(**signature));
         if let Some(signature) = conflict {
             if self.conflicting_peers.insert(from) {
@@ -129,7 +127,7 @@
             // The messages that were lost with the link are in the peer's table.
             self.state_transfer.add_donor(from);
         }
-        self.compare_configs(now, from, &hello, out);
+        self.compare_configs(now, from, hello, out);
         self.check_quorum(out);
     }
 
@@ -147,43 +145,6 @@
         }
     }
 
-    /// Compares the configurations that are active at a peer with those that are active here.
-    fn compare_configs(&mut self, now: Time, from: NodeId, hello: &Hello, out: &mut Vec<Action>) {
-        if let Some(newest) = hello.configs.last() {
-            self.configs.record_adopted(from, newest.version);
-        }
-        if self.configs.retire_through(hello.retired_through) {
-            out.push(Action::Notify(Notification::ConfigRetired(hello.retired_through)));
-            self.apply_configs(now, out);
-        }
-        let retired_through = self.configs.retired_through();
-        let has_retired = hello.configs.iter().any(|signature| signature.version <= retired_through);
-        if hello.configs.len() > 1 && has_retired {
-            // The peer would not grant claims that are not made in the configuration that is retired here.
-            let hello = Message::Hello(self.hello(from));
-            self.send(from, hello, out);
-        }
-        for signature in &hello.configs {
-            let version = signature.version;
-            if self.configs.is_missing(version) {
-                self.send(from, Message::RequestMembershipConfig { version }, out);
-            }
-        }
-    }
-
-    fn handle_config(&mut self, now: Time, from: NodeId, spec: MembershipSpec, out: &mut Vec<Action>) {
-        if self.conflicting_peers.contains(&from) {
-            return;
-        }
-        // The peer's own configuration is valid; what else arrives is ignored.
-        let Ok(config) = MembershipConfig::new(spec) else { return };
-        let version = config.version();
-        if self.configs.add_from_peer(Arc::new(config)) {
-            out.push(Action::Notify(Notification::ConfigReceived(version)));
-            self.apply_configs(now, out);
-        }
-    }
-
     fn handle_claim(
         &mut self,
         now: Time,
--- a/fleet/src/replica_node/notification.rs
+++ b/fleet/src/replica_node/notification.rs
@@ -5,7 +5,7 @@
 
 use crate::active_configs::ProposalError;
 use crate::ids::{ConfigVersion, Incarnation, NodeId};
-use crate::key_state::{ClaimId, RunConflict};
+use crate::key_state::RunConflict;
 use crate::recovery_stages::Transition;
 use crate::staleness::StatePosition;
 
@@ -67,61 +67,52 @@
     },
 }
 
-/// A claim as log lines name it: node, incarnation and number.
-struct ClaimName(ClaimId);
-
-impl fmt::Display for ClaimName {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let ClaimId { node, incarnation, number } = self.0;
-        write!(f, "{node}/{incarnation}/{number}")
-    }
-}
-
 impl fmt::Display for Notification {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Notification::QuorumReached => write!(f, "a majority is heard, bookings run"),
+            Notification::QuorumReached => {
+                write!(f, "quorum reached: requests with idempotency keys run")
+            }
             Notification::Resumed { suspended_for } => write!(
                 f,
-                "stood still for {} ms, nothing runs until a majority is heard again",
+                "resumed after a suspension: suspended_ms={}: nothing with a key runs until a majority is heard again",
                 suspended_for.as_millis()
             ),
-            Notification::TableComplete { keys } => {
-                write!(f, "has what it needs to vote, {keys} keys are known")
-            }
+            Notification::TableComplete { keys } => write!(f, "replica table complete: keys={keys}"),
             Notification::Superseded { incarnation } => write!(
                 f,
-                "another process has this name (life {incarnation}), nothing that has a key runs here"
-            ),
-            Notification::StaleState { restored, latest } => write!(
-                f,
-                "what it kept ends at life {}, second {}, and others know of life {}, second {}: an old copy, which \
-                 counts as lost",
-                restored.incarnation, restored.uptime_seconds, latest.incarnation, latest.uptime_seconds
+                "superseded by another process under this name: incarnation={incarnation}: nothing with a key runs here"
             ),
-            Notification::ConfigAdopted(version) => write!(f, "list {version} is taken"),
-            Notification::ConfigRejected(error) => write!(f, "list not taken: {error}"),
+            Notification::StaleState { restored, latest } => {
+                write!(f, "restored state is stale and counts as lost: restored={restored} latest={latest}")
+            },
+            Notification::ConfigAdopted(version) => {
+                write!(f, "membership configuration adopted: version={version}")
+            }
+            Notification::ConfigRejected(error) => write!(f, "membership configuration rejected: {error}"),
             Notification::ConfigReceived(version) => {
-                write!(f, "a peer goes by list {version}, which counts too")
+                write!(f, "membership configuration received from a peer: version={version}")
             }
-            Notification::ConfigRetired(version) => write!(f, "list {version} is over"),
-            Notification::ConfigConflict { node, version } => {
-                write!(f, "node {node} has another list {version}; it is not heard")
+            Notification::ConfigRetired(version) => {
+                write!(f, "membership configuration retired: version={version}")
             }
-            Notification::DuplicateRun(RunConflict { kept, dropped }) => write!(
+            Notification::ConfigConflict { node, version } => write!(
+                f,
+                "a peer has another membership configuration of the same version: node={node} version={version}"
+            ),
+            Notification::DuplicateRun(RunConflict { retained, dropped }) => write!(
                 f,
-                "conflict: a key ran twice, by {} and by {}; the first stands",
-                ClaimName(kept.claim),
-                ClaimName(dropped.claim)
+                "conflict: a key ran twice: retained={} dropped={}",
+                retained.claim, dropped.claim
             ),
             Notification::CapacityExceeded { donor } => {
-                write!(f, "no room for all that node {donor} holds, so no vote for a window")
+                write!(f, "no capacity for all records of a donor: donor={donor}")
             }
             Notification::StageChanged(transition) => transition.fmt(f),
             Notification::StateLost { complete_within } => write!(
                 f,
-                "what it granted before is lost: it votes for a key once it has caught up with its other copies, and \
-                 for all in {:.1} s, when nothing from before can come again",
+                "replica state lost: complete_within_s={:.1}: votes for a key once it has caught up with the key's \
+                 other replicas",
                 complete_within.as_secs_f64()
             ),
         }
--- /dev/null
+++ b/fleet/src/replica_table/entry.rs
@@ -0,0 +1,49 @@
+//! The entry of one key in a replica table.
+
+use crate::ids::LinkId;
+use crate::key_state::{ClaimId, Key, KeyState};
+use crate::message::ReplicaRecord;
+use crate::{millis_ceil, Time, MAX_RESULT_BYTES};
+
+/// A generous estimate of the memory that an entry takes in addition to its key and its result, in bytes.
+pub const ENTRY_OVERHEAD_BYTES: usize = 512;
+
+/// A key's entry in the table.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+pub(super) struct Entry {
+    pub(super) expires_at: Time,
+    /// The claim that this replica has granted.
+    pub(super) vote: Option<ClaimId>,
+    pub(super) state: KeyState,
+    /// Attempts that wait for the key's run, and the links that they asked on.
+    pub(super) waiters: Vec<(LinkId, ClaimId)>,
+    /// When the node of the claim that started was last asked what became of it.
+    pub(super) claim_queried_at: Option<Time>,
+}
+
+impl Entry {
+    pub(super) fn new(expires_at: Time) -> Entry {
+        Entry {
+            expires_at,
+            vote: None,
+            state: KeyState::default(),
+            waiters: Vec::new(),
+            claim_queried_at: None,
+        }
+    }
+
+    /// The memory that the entry takes. Until the run completes, capacity for the largest result is reserved.
+    pub(super) fn bytes(&self, key: &Key) -> usize {
+        let result = if self.state.completed.is_some() { self.state.result_size() } else { MAX_RESULT_BYTES };
+        ENTRY_OVERHEAD_BYTES + key.len() + result
+    }
+
+    pub(super) fn record(&self, key: &Key, now: Time) -> ReplicaRecord {
+        ReplicaRecord {
+            key: key.clone(),
+            retain_ms: millis_ceil(self.expires_at.saturating_sub(now)),
+            started: self.state.started.iter().map(|(claim, body)| (*claim, *body)).collect(),
+            completed: self.state.completed.clone(),
+        }
+    }
+}
--- a/fleet/src/replica_table/paging.rs
+++ b/fleet/src/replica_table/paging.rs
@@ -3,15 +3,17 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::{
-    with_storable_result, MergeOutcome, ReplicaTable, StoredRecord, ENTRY_OVERHEAD_BYTES, MAX_STARTED_PER_KEY,
-};
+use super::entry::ENTRY_OVERHEAD_BYTES;
+use super::voting::with_storable_result;
+use super::{MergeOutcome, ReplicaTable, StoredRecord};
 use crate::active_configs::ActiveConfigs;
 use crate::ids::NodeId;
 use crate::key_state::{Key, KeyState};
 use crate::message::{Page, ReplicaRecord, TablePosition};
 use crate::{Time, MAX_RESULT_BYTES};
 
+/// The most claims of one key that are kept apart; a record with more of them is not stored completely.
+const MAX_STARTED_PER_KEY: usize = 16;
 /// A page ends when its records take more than this many bytes.
 const MAX_PAGE_BYTES: usize = 64 * 1024;
 /// A page ends after this many entries were read for it, whether or not the requester holds replicas of them.
--- a/fleet/src/staleness.rs
+++ b/fleet/src/staleness.rs
@@ -7,6 +7,7 @@
 //! Within one incarnation the detection is as fine as probes are frequent.
 
 use std::collections::BTreeMap;
+use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
@@ -25,6 +26,12 @@
     pub uptime_seconds: u64,
 }
 
+impl fmt::Display for StatePosition {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{}/{}s", self.incarnation, self.uptime_seconds)
+    }
+}
+
 impl StatePosition {
     /// Whether state that was written here lacks something that was known at `latest`.
     #[must_use]
--- a/fleet/src/state_transfer.rs
+++ b/fleet/src/state_transfer.rs
@@ -74,7 +74,7 @@
     fn tick(&mut self, now: Time) {
         match self {
             Progress::Requested(at, from) if now >= *at + PAGE_TIMEOUT => {
-                *self = Progress::Ready(from.take())
+                *self = Progress::Ready(from.take());
             }
             Progress::Deferred(until, from) if now >= *until => *self = Progress::Ready(from.take()),
             Progress::Rechecking(at) if now >= *at + PAGE_TIMEOUT => *self = Progress::Incomplete(now),
--- a/node/src/peers/mod.rs
+++ b/node/src/peers/mod.rs
@@ -500,7 +500,7 @@
                 }
                 match note {
                     // Each at a place of its own: guards the others against being left out of the log.
-                    Notification::StageChanged(step) => log!("fleet: the way back: {step}"),
+                    Notification::StageChanged(step) => log!("fleet: recovery: {step}"),
                     note => log!("fleet: {note}"),
                 }
             }
--- a/node/tests/recovery.rs
+++ b/node/tests/recovery.rs
@@ -68,16 +68,16 @@
     nodes
 }
 
-const FULL: &str = "the way back: full";
+const FULL: &str = "recovery: stage=full";
 
 #[test]
 fn most_restart_at_once_with_their_folders_and_go_through_every_stage() {
     let kill = "{at_s = 2, what = 'kill', nodes = ['n1', 'n2', 'n3', 'n4'], down_s = 0.5}";
     let (history, _) = comes_back(&[kill], &[("seconds", "12"), ("fleet.warm_s", "2")]);
-    for stage in ["catching up, after", "warming, after", FULL] {
+    for stage in ["recovery: stage=catching_up", "recovery: stage=warming", FULL] {
         assert!(said(&history, 2000.0, stage).is_superset(&nodes(&[1, 2, 3, 4])), "{stage}");
     }
-    assert!(said(&history, 2000.0, "what it granted before is lost").is_empty(), "each had its folder");
+    assert!(said(&history, 2000.0, "replica state lost").is_empty(), "each had its folder");
     let after: BTreeSet<usize> =
         bookings(&history).iter().filter(|(at, _)| *at > 2500.0).map(|(_, node)| *node).collect();
     assert!(after.len() > 2, "bookings run again at {after:?}");
@@ -91,8 +91,8 @@
     let again = bookings(&history).into_iter().find(|(at, _)| *at > up).expect("bookings run again").0;
     // What was granted just before may come again for a window, and be read late.
     assert!(again - 2000.0 > WINDOW_MS, "{again}");
-    assert_eq!(said(&history, up, "what it granted before is lost").len(), 5);
-    assert_eq!(said(&history, up, "has what it needs to vote").len(), 5);
+    assert_eq!(said(&history, up, "replica state lost").len(), 5);
+    assert_eq!(said(&history, up, "replica table complete").len(), 5);
 }
 
 #[test]
@@ -126,7 +126,7 @@
     let next = "{at_s = 1, what = 'unlist', nodes = ['n5']}";
     let kill = "{at_s = 2.5, what = 'kill', nodes = ['n1', 'n2', 'n3'], down_s = 0.5, old_list = true}";
     let (history, _) = comes_back(&[next, kill], &[("seconds", "12"), ("fleet.warm_s", "2")]);
-    let learnt = said(&history, 2500.0, "a peer goes by list 2");
+    let learnt = said(&history, 2500.0, "membership configuration received from a peer: version=2");
     assert!(learnt.is_superset(&nodes(&[1, 2, 3])), "{learnt:?}");
     assert!(bookings(&history).iter().any(|(at, node)| *at > 3500.0 && *node < 3), "and they run bookings");
 }
@@ -135,8 +135,8 @@
 fn an_old_copy_of_a_folder_is_put_back_and_noticed() {
     let old = "{at_s = 6, what = 'kill', nodes = ['n2'], down_s = 0.3, folder = 'old'}";
     let (history, _) = comes_back(&[old], &[("seconds", "12"), ("fleet.warm_s", "2")]);
-    assert_eq!(said(&history, 6000.0, "an old copy, which counts as lost"), nodes(&[2]));
-    assert!(said(&history, 6000.0, "has what it needs to vote").contains(&1), "it catches up");
+    assert_eq!(said(&history, 6000.0, "restored state is stale and counts as lost"), nodes(&[2]));
+    assert!(said(&history, 6000.0, "replica table complete").contains(&1), "it catches up");
 }
 
 #[test]
--- a/node/tests/sockets/fixtures.rs
+++ b/node/tests/sockets/fixtures.rs
@@ -95,7 +95,7 @@
     let mut node = start_at_the_time_of_the_fixtures("--fleet", &text, &vm);
     let mut link = vm.interpreter("0");
     node.logs("remembered: 4 keys are known from before");
-    node.logs("fleet: a majority is heard, bookings run");
+    node.logs("fleet: quorum reached");
     node.logs("health is good");
     let front = node.uwsgi();
     repeats_get_what_the_first_tries_got(front);
--- a/node/tests/sockets/fleet.rs
+++ b/node/tests/sockets/fleet.rs
@@ -61,8 +61,8 @@
     fn all(&self) -> Vec<(Node, Peer)> {
         let mut all: Vec<(Node, Peer)> = (1..=3).map(|n| self.start(n, &[1, 2, 3], "")).collect();
         for (node, _) in &mut all {
-            node.logs("fleet: a majority is heard, bookings run");
-            node.logs("fleet: has what it needs to vote, 0 keys are known");
+            node.logs("fleet: quorum reached");
+            node.logs("fleet: replica table complete: keys=0");
         }
         all
     }
@@ -151,7 +151,7 @@
     }
     // Silence ends as well.
     ends(peer(at, b"OAK"));
-    node.logs("fleet: has what it needs to vote, 0 keys are known");
+    node.logs("fleet: replica table complete: keys=0");
     let mut client = node.client();
     client.request(1, "a1", Some("k"), 1900);
     shows(&mut node, &["svc_fleet_nonsense 3\n"]);
@@ -179,7 +179,7 @@
 fn a_peer_of_a_later_build_is_granted_its_claims_and_what_is_new_in_it_is_skipped() {
     let fleet = Fleet::new("127.0.7.8");
     let (mut node, _vm) = fleet.start(1, &[1], "");
-    node.logs("fleet: has what it needs to vote, 0 keys are known");
+    node.logs("fleet: replica table complete: keys=0");
     let (me, to) = (NodeId::of("n2"), NodeId::of("n1"));
     let bytes = |frame: &Message| postcard::to_allocvec(frame).unwrap();
     let name = "n2".into();
@@ -225,17 +225,17 @@
     let next = fleet.file(1, &[1, 2, 3, 4], "");
     let node = &mut all[0].0;
     node.reload_fleet(&next);
-    node.logs("fleet: list 2 is taken");
-    all[1].0.logs("fleet: a peer goes by list 2, which counts too");
+    node.logs("fleet: membership configuration adopted: version=2");
+    all[1].0.logs("fleet: membership configuration received from a peer: version=2");
     let node = &mut all[0].0;
     let old = Fleet { number: 1, ports: fleet.ports.clone(), ..fleet };
     node.reload_fleet(&old.file(1, &[1, 2, 3], ""));
-    node.logs("fleet: list not taken: list.number: 1 is");
+    node.logs("fleet: membership configuration rejected: list.number: 1 is");
     node.reload_fleet(&fleet.file(1, &[1, 2, 3], ""));
-    node.logs("fleet: list not taken: list.number: 2 is the number of the list that holds");
+    node.logs("fleet: membership configuration rejected: list.number: 2 is the version of the active");
     let third = Fleet { number: 3, ports: fleet.ports.clone(), ..fleet };
     node.reload_fleet(&third.file(1, &[1, 2], ""));
-    node.logs("fleet: list not taken: list.members: without n3, n4 (2 in all)");
+    node.logs("fleet: membership configuration rejected: list.members: without n3, n4 (2 in all)");
     let mut client = all[2].0.client();
     client.request(1, "c1", Some("k"), 1900);
     assert_eq!(all[2].1.apply().0, "c1", "claims need both lists and get them");
@@ -295,14 +295,14 @@
     let (mut old, mut old_vm) = start();
     let mut others: Vec<(Node, Peer)> = [2, 3].map(|n| fleet.start(n, &[1, 2, 3], "")).into();
     for node in [&mut old].into_iter().chain(others.iter_mut().map(|(node, _)| node)) {
-        node.logs("fleet: has what it needs to vote");
+        node.logs("fleet: replica table complete");
     }
     let mut before = old.client();
     before.request(1, "a1", Some("k"), 1900);
     old_vm.apply();
     let (mut new, mut new_vm) = start();
     new.logs("handover: has taken over");
-    new.logs("fleet: a majority is heard, bookings run");
+    new.logs("fleet: quorum reached");
     old_vm.value(1, "a1", "done", "first");
     assert_eq!(before.any_line(), DRAINING);
     let result = before.line();
