--- a/node/tests/sockets/fixtures.rs
+++ b/node/tests/sockets/fixtures.rs
@@ -95,7 +95,7 @@
     let mut node = start_at_the_time_of_the_fixtures("--fleet", &text, &vm);
     let mut link = vm.interpreter("0");
     node.wait_for_log("remembered: 4 keys are known from before");
-    node.wait_for_log("fleet: a majority is heard, bookings run");
+    node.wait_for_log("fleet: quorum reached");
     node.wait_for_log("health is good");
     let front = node.uwsgi_address();
     repeats_get_what_the_first_tries_got(front);
