--- a/node/src/admin.rs
+++ b/node/src/admin.rs
@@ -23,22 +23,22 @@
 use crate::log;
 
 /// Connections at a time. One more evicts one on which no call has arrived yet.
-pub const MAX_CONNECTIONS: usize = 16;
+pub(crate) const MAX_CONNECTIONS: usize = 16;
 /// Initial capacity of the read buffer, in bytes.
 const READ_BUFFER_BYTES: usize = 1024;
 /// The header field of all responses.
 const PLAIN_TEXT: &str = "Content-Type: text/plain; charset=utf-8\r\n";
 
 /// What all connections of operators share.
-pub struct AdminServer {
+pub(crate) struct AdminServer {
     /// The way to the dispatcher.
-    pub exchange: Exchange,
+    pub(crate) exchange: Exchange,
     /// The names of the classes in the metrics.
-    pub registry: Rc<ClassRegistry>,
+    pub(crate) registry: Rc<ClassRegistry>,
 }
 
 /// Serves one connection to its end.
-pub async fn serve(mut stream: TcpStream, guard: ConnectionGuard, server: Rc<AdminServer>) {
+pub(crate) async fn serve(mut stream: TcpStream, guard: ConnectionGuard, server: Rc<AdminServer>) {
     // A client whose connection breaks gets no response.
     if let Err(e) = serve_call(&mut stream, &guard, &server).await {
         log!("admin: connection lost: {e}");
--- a/node/src/backend/index.rs
+++ b/node/src/backend/index.rs
@@ -40,7 +40,7 @@
 }
 
 /// The client of the index.
-pub struct Index {
+pub(crate) struct Index {
     addresses: watch::Receiver<UpstreamAddresses>,
     /// The connection that was used last comes last.
     idle: RefCell<Vec<IdleConnection>>,
@@ -50,7 +50,7 @@
 impl Index {
     /// A client of the index at the latest address; where that is none, no call reaches anybody. At most `max_idle`
     /// connections are kept for later calls.
-    pub fn new(addresses: watch::Receiver<UpstreamAddresses>, max_idle: usize) -> Rc<Self> {
+    pub(crate) fn new(addresses: watch::Receiver<UpstreamAddresses>, max_idle: usize) -> Rc<Self> {
         Rc::new(Index { addresses, idle: RefCell::default(), max_idle })
     }
 
@@ -116,10 +116,8 @@
             log!("index: unexpected response ignored: txn={:?}", message.field(0));
             incomplete_since = None;
         }
-        incomplete_since = match connection.input.is_empty() {
-            true => None,
-            false => incomplete_since.or_else(|| Some(clock::now())),
-        };
+        incomplete_since =
+            if connection.input.is_empty() { None } else { incomplete_since.or_else(|| Some(clock::now())) };
         let read_until =
             incomplete_since.map_or(give_up_at, |since| (since + RESPONSE_TIMEOUT).min(give_up_at));
         tokio::select! {
--- a/node/src/backend/interpreter.rs
+++ b/node/src/backend/interpreter.rs
@@ -53,7 +53,7 @@
 }
 
 /// The client of the interpreter.
-pub struct Interpreter {
+pub(crate) struct Interpreter {
     addresses: watch::Receiver<UpstreamAddresses>,
     exchange: Exchange,
     commands: mpsc::Receiver<RunCommand>,
@@ -66,7 +66,7 @@
 
 impl Interpreter {
     /// A client of the interpreter at the latest address. Classes are sent by their names in the registry.
-    pub fn new(
+    pub(crate) fn new(
         addresses: watch::Receiver<UpstreamAddresses>,
         exchange: Exchange,
         commands: mpsc::Receiver<RunCommand>,
@@ -77,7 +77,7 @@
     }
 
     /// Holds the link until no more commands can come.
-    pub async fn run(mut self) {
+    pub(crate) async fn run(mut self) {
         loop {
             let Some(address) = self.addresses.borrow_and_update().interpreter else { return };
             let began_at = clock::now();
@@ -124,10 +124,8 @@
                     self.runs.encode_all(&mut link.output);
                 }
             }
-            incomplete_since = match link.input.is_empty() {
-                true => None,
-                false => incomplete_since.or_else(|| Some(clock::now())),
-            };
+            incomplete_since =
+                if link.input.is_empty() { None } else { incomplete_since.or_else(|| Some(clock::now())) };
             let has_capacity = link.has_write_capacity();
             tokio::select! {
                 transferred = link.transfer() => transferred?,
--- a/node/src/backend/mod.rs
+++ b/node/src/backend/mod.rs
@@ -1,8 +1,8 @@
 //! The backends: what runs requests, and what answers the calls that they make.
 
-pub mod index;
-pub mod interpreter;
-pub mod uwsgi;
+pub(crate) mod index;
+pub(crate) mod interpreter;
+pub(crate) mod uwsgi;
 
 use std::collections::HashMap;
 use std::future::Future;
@@ -85,7 +85,7 @@
 }
 
 /// A peer that answers calls.
-pub trait CallBackend {
+pub(crate) trait CallBackend {
     /// Makes a call and waits for its outcome, until the deadline at the latest.
     fn call(
         self: Rc<Self>,
@@ -99,7 +99,7 @@
 }
 
 /// Makes calls until no more commands can come, over at most so many connections at a time.
-pub async fn make_calls<B: CallBackend + 'static>(
+pub(crate) async fn make_calls<B: CallBackend + 'static>(
     backend: Rc<B>,
     exchange: Exchange,
     mut commands: mpsc::Receiver<CallCommand>,
--- a/node/src/backend/uwsgi.rs
+++ b/node/src/backend/uwsgi.rs
@@ -46,10 +46,10 @@
 }
 
 /// Selects the addresses of the servers from those of all peers.
-pub type SelectAddresses = fn(&UpstreamAddresses) -> &Vec<SocketAddr>;
+pub(crate) type SelectAddresses = fn(&UpstreamAddresses) -> &Vec<SocketAddr>;
 
 /// Servers that stand in for each other.
-pub struct Servers {
+pub(crate) struct Servers {
     addresses: watch::Receiver<UpstreamAddresses>,
     select: SelectAddresses,
     next: Cell<usize>,
@@ -58,7 +58,7 @@
 
 impl Servers {
     /// The servers at the latest addresses. Classes and tenants are sent by their names in the registry.
-    pub fn new(
+    pub(crate) fn new(
         addresses: watch::Receiver<UpstreamAddresses>,
         select: SelectAddresses,
         registry: Rc<ClassRegistry>,
@@ -129,7 +129,7 @@
 }
 
 /// Runs requests on uwsgi servers, in the interpreter's place, until no more commands can come.
-pub async fn run_requests(
+pub(crate) async fn run_requests(
     servers: Rc<Servers>,
     exchange: Exchange,
     mut commands: mpsc::Receiver<RunCommand>,
--- a/node/src/class_registry.rs
+++ b/node/src/class_registry.rs
@@ -14,7 +14,7 @@
 
 /// The names and bounds in the settings in force. Frontends and backends share it.
 #[derive(Debug)]
-pub struct ClassRegistry {
+pub(crate) struct ClassRegistry {
     settings: RefCell<Parsed>,
     /// When these settings came into force.
     replaced_at: Cell<UnixTime>,
@@ -22,28 +22,28 @@
 
 impl ClassRegistry {
     /// The registry of these settings.
-    pub fn new(settings: Parsed) -> Self {
+    pub(crate) fn new(settings: Parsed) -> Self {
         ClassRegistry { settings: RefCell::new(settings), replaced_at: Cell::default() }
     }
 
     /// The settings in force.
-    pub fn settings(&self) -> Parsed {
+    pub(crate) fn settings(&self) -> Parsed {
         self.settings.borrow().clone()
     }
 
     /// Puts other settings into force, which keep the positions of the ones before.
-    pub fn replace_settings(&self, settings: Parsed, now: UnixTime) {
+    pub(crate) fn replace_settings(&self, settings: Parsed, now: UnixTime) {
         self.replaced_at.set(now);
         *self.settings.borrow_mut() = settings;
     }
 
     /// The names of all classes by position, those that were removed among them.
-    pub fn class_names(&self) -> Vec<String> {
+    pub(crate) fn class_names(&self) -> Vec<String> {
         self.settings.borrow().classes.clone()
     }
 
     /// The position of a class whose requests are accepted now.
-    pub fn class_index(&self, name: &str, now: UnixTime) -> Option<u16> {
+    pub(crate) fn class_index(&self, name: &str, now: UnixTime) -> Option<u16> {
         let settings = self.settings.borrow();
         let in_grace = now < self.replaced_at.get() + REMOVED_CLASS_GRACE;
         let removed: &[usize] = if in_grace { &[] } else { &settings.retired_classes };
@@ -51,35 +51,40 @@
     }
 
     /// The name of a class; empty if there is none.
-    pub fn class_name(&self, class: u16) -> String {
+    pub(crate) fn class_name(&self, class: u16) -> String {
         self.settings.borrow().classes.get(usize::from(class)).cloned().unwrap_or_default()
     }
 
     /// The name of a tenant, if there is one at this position.
-    pub fn tenant_name(&self, tenant: u16) -> Option<String> {
+    pub(crate) fn tenant_name(&self, tenant: u16) -> Option<String> {
         self.settings.borrow().tenants.get(usize::from(tenant)).cloned()
     }
 
     /// Whether the requests of a class carry an idempotency key.
-    pub fn is_keyed(&self, class: u16) -> bool {
+    pub(crate) fn is_keyed(&self, class: u16) -> bool {
         self.class_setting(class, |class| class.effect == Effect::IdempotencyKey).unwrap_or(false)
     }
 
     /// The position of a tenant. One that was removed keeps it, as its clients may not know yet.
-    pub fn tenant_index(&self, name: &str) -> Option<u16> {
+    pub(crate) fn tenant_index(&self, name: &str) -> Option<u16> {
         index_of(&self.settings.borrow().tenants, &[], name)
     }
 
     /// The deadline of a request: the one that was asked for, but none later than that of its class. So no request is
     /// queued for ever, and sums of times don't overflow.
-    pub fn request_deadline(&self, class: u16, now: UnixTime, requested: Option<UnixTime>) -> UnixTime {
+    pub(crate) fn request_deadline(
+        &self,
+        class: u16,
+        now: UnixTime,
+        requested: Option<UnixTime>,
+    ) -> UnixTime {
         let latest = now + self.class_timeout(class);
         requested.map_or(latest, |requested| requested.min(latest))
     }
 
     /// A request's cost hint within the time that its class has. One absurd hint does not spoil the mean that all
     /// estimates are made from.
-    pub fn bounded_cost_hint(&self, class: u16, cost_hint: Duration) -> Duration {
+    pub(crate) fn bounded_cost_hint(&self, class: u16, cost_hint: Duration) -> Duration {
         cost_hint.min(self.class_timeout(class))
     }
 
--- a/node/src/clock.rs
+++ b/node/src/clock.rs
@@ -11,10 +11,10 @@
 use tokio::time::Sleep;
 
 /// A point in time, as the time since the Unix epoch.
-pub type UnixTime = Duration;
+pub(crate) type UnixTime = Duration;
 
 /// The same; the name that is still used in places.
-pub type Unix = UnixTime;
+pub(crate) type Unix = UnixTime;
 
 /// While the system's clock is behind, this one runs slower by one part in so many.
 const SLOWDOWN_DIVISOR: u32 = 20;
@@ -102,7 +102,7 @@
 }
 
 /// Now.
-pub fn now() -> UnixTime {
+pub(crate) fn now() -> UnixTime {
     let system = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     CLOCK.with_borrow_mut(|clock| {
         let monotonic = STARTED_AT.get_or_init(Instant::now).elapsed();
@@ -112,17 +112,17 @@
 }
 
 /// How far this clock has jumped ahead since the process started, in all.
-pub fn jumped() -> Duration {
+pub(crate) fn jumped() -> Duration {
     CLOCK.with_borrow(|clock| clock.follower.as_ref().map_or(Duration::ZERO, |follower| follower.jumped))
 }
 
 /// A time in whole milliseconds, as it is written and sent.
-pub fn millis(time: Duration) -> u64 {
+pub(crate) fn millis(time: Duration) -> u64 {
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
 
 /// Sleeps until a point in time, for [`MAX_SLEEP`] at most.
-pub fn until(at: UnixTime) -> Sleep {
+pub(crate) fn until(at: UnixTime) -> Sleep {
     let wait = at.saturating_sub(now()).min(MAX_SLEEP);
     tokio::time::sleep_until(tokio::time::Instant::now() + wait)
 }
--- a/node/src/frontend/connection_limiter.rs
+++ b/node/src/frontend/connection_limiter.rs
@@ -14,11 +14,11 @@
 
 /// A client's first message is complete this long after it connected, and a later one this long after its first byte.
 /// Clients that send nothing or never complete a message don't hold a connection for longer.
-pub const MESSAGE_TIMEOUT: Duration = Duration::from_secs(2);
+pub(crate) const MESSAGE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// What a connection is doing, in the order in which connections are evicted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum ConnectionState {
+pub(crate) enum ConnectionState {
     /// Its client has sent nothing that could be served.
     Unproven,
     /// Its client has been served, and no request is open.
@@ -40,7 +40,7 @@
 }
 
 /// Counts the connections of one frontend.
-pub struct ConnectionLimiter {
+pub(crate) struct ConnectionLimiter {
     max_connections: usize,
     /// Half of the connections belong to another process of this node.
     shared: Cell<bool>,
@@ -51,7 +51,7 @@
 }
 
 /// The slot of one connection. Dropping it frees the slot.
-pub struct ConnectionGuard {
+pub(crate) struct ConnectionGuard {
     limiter: Rc<ConnectionLimiter>,
     id: u64,
     eviction: Rc<Notify>,
@@ -59,7 +59,7 @@
 
 impl ConnectionLimiter {
     /// A limiter without connections.
-    pub fn new(max_connections: usize) -> Rc<Self> {
+    pub(crate) fn new(max_connections: usize) -> Rc<Self> {
         Rc::new(ConnectionLimiter {
             max_connections,
             shared: Cell::new(false),
@@ -70,7 +70,7 @@
     }
 
     /// Admits one more connection and evicts another one for it where none is left. None where all are busy.
-    pub fn admit(self: &Rc<Self>) -> Option<ConnectionGuard> {
+    pub(crate) fn admit(self: &Rc<Self>) -> Option<ConnectionGuard> {
         if self.count() >= self.capacity() && !self.evict_one() {
             return None;
         }
@@ -89,7 +89,7 @@
 
     /// Leaves half of the connections to another process of this node, or takes them back. The descriptors are counted
     /// over both processes.
-    pub fn set_shared(&self, shared: bool) {
+    pub(crate) fn set_shared(&self, shared: bool) {
         self.shared.set(shared);
         while self.count() > self.capacity() && self.evict_one() {}
     }
@@ -118,14 +118,14 @@
     }
 
     /// Waits until no connection is left.
-    pub async fn all_closed(&self) {
+    pub(crate) async fn all_closed(&self) {
         while !self.slots.borrow().is_empty() {
             self.changed.notified().await;
         }
     }
 
     /// Waits until every request has its response, and every response is written.
-    pub async fn all_flushed(&self) {
+    pub(crate) async fn all_flushed(&self) {
         while self.slots.borrow().values().any(|slot| slot.state >= ConnectionState::Flushing) {
             self.changed.notified().await;
         }
@@ -135,7 +135,7 @@
 impl ConnectionGuard {
     /// Records what the connection is doing. One that has become busy is not evicted any more: its request came before
     /// it closed.
-    pub fn set_state(&self, state: ConnectionState) {
+    pub(crate) fn set_state(&self, state: ConnectionState) {
         if let Some(slot) = self.limiter.slots.borrow_mut().get_mut(&self.id) {
             if slot.state != state {
                 (slot.state, slot.since) = (state, clock::now());
@@ -148,12 +148,12 @@
     }
 
     /// Whether the connection was evicted and has not become busy since.
-    pub fn is_evicted(&self) -> bool {
+    pub(crate) fn is_evicted(&self) -> bool {
         self.limiter.slots.borrow().get(&self.id).is_some_and(|slot| slot.is_evicted)
     }
 
     /// Waits until the connection is evicted. It may have become busy between that and the end of this wait.
-    pub async fn evicted(&self) {
+    pub(crate) async fn evicted(&self) {
         self.eviction.notified().await;
     }
 }
--- /dev/null
+++ b/node/src/frontend/jsonrpc/connection/deadlines.rs
@@ -0,0 +1,109 @@
+//! What depends on time and on the node's status: deadlines of messages and responses, idle connections, draining.
+
+use std::io;
+
+use super::{Closing, Connection, DRAINING_IDLE_TIMEOUT, MAX_WAIT};
+use crate::clock::{self, UnixTime};
+use crate::frontend::connection_limiter::ConnectionState;
+use crate::frontend::jsonrpc::response::write_draining;
+
+impl Connection {
+    /// Applies what depends on time and on the node's status. Returns when to do so again at the latest; none if the
+    /// connection is to close.
+    pub(super) async fn check_deadlines(&mut self, input_is_empty: bool) -> io::Result<Option<UnixTime>> {
+        if self.draining_since.is_none() && self.is_draining() {
+            self.announce_close();
+        }
+        self.check_message_deadline(input_is_empty);
+        let is_closing = self.is_quiet() && (self.closing > Closing::No || self.check_idle_timeout());
+        if is_closing && (self.stops_reading() || self.is_final_check) {
+            return Ok(None);
+        }
+        self.is_final_check = is_closing;
+        if is_closing {
+            // A message may arrive in this moment: the system is asked once more before the connection closes.
+            tokio::task::yield_now().await;
+        }
+        self.publish_state();
+        let now = clock::now();
+        let write_deadline = self.backlog.deadline(self.output.len(), now);
+        if write_deadline.is_some_and(|deadline| now >= deadline) {
+            return Err(io::ErrorKind::TimedOut.into());
+        }
+        Ok(Some(if is_closing { now } else { self.next_deadline(write_deadline) }))
+    }
+
+    /// Whether the client is to go elsewhere. One that connected during the drain came on purpose and stays for as long
+    /// as connections are accepted.
+    fn is_draining(&self) -> bool {
+        let status = self.status.borrow();
+        let stays = self.opened_while_draining && status.accepting;
+        status.handed_over || (status.draining.is_some() && !stays)
+    }
+
+    /// Whether no request is open and nothing is to be written.
+    fn is_quiet(&self) -> bool {
+        self.open.is_empty() && self.output.is_empty()
+    }
+
+    /// Tells the connection limiter what the connection is doing.
+    fn publish_state(&self) {
+        self.guard.set_state(if !self.open.is_empty() {
+            ConnectionState::Busy
+        } else if !self.output.is_empty() {
+            ConnectionState::Flushing
+        } else if self.is_proven {
+            ConnectionState::Idle
+        } else {
+            ConnectionState::Unproven
+        });
+    }
+
+    fn next_deadline(&self, write_deadline: Option<UnixTime>) -> UnixTime {
+        let idle_deadline = Some(self.idle_deadline());
+        [idle_deadline, self.message_deadline, write_deadline].into_iter().flatten().min().unwrap_or_default()
+    }
+
+    /// When the connection has been idle for too long.
+    fn idle_deadline(&self) -> UnixTime {
+        let (since, timeout) = match self.draining_since {
+            Some(told) => (told.max(self.last_used), Some(DRAINING_IDLE_TIMEOUT)),
+            None => (self.last_used, self.status.borrow().idle_timeout),
+        };
+        // An incomplete message has a deadline of its own.
+        let is_idle = self.is_quiet() && self.message_deadline.is_none();
+        since + timeout.filter(|_| is_idle).unwrap_or(MAX_WAIT)
+    }
+
+    /// Whether the connection has been idle for too long and its client was told before: a client that closes the
+    /// connection itself loses no request to it.
+    fn check_idle_timeout(&mut self) -> bool {
+        if clock::now() < self.idle_deadline() {
+            return false;
+        }
+        if self.draining_since.is_none() {
+            self.announce_close();
+            return false;
+        }
+        true
+    }
+
+    /// Begins to close a connection whose message is not complete in time.
+    fn check_message_deadline(&mut self, input_is_empty: bool) {
+        if self.message_deadline.is_none_or(|deadline| clock::now() < deadline) {
+            return;
+        }
+        self.message_deadline = None;
+        if input_is_empty {
+            self.announce_close();
+            self.close_when_idle();
+        } else {
+            self.fail("the message did not end in time");
+        }
+    }
+
+    fn announce_close(&mut self) {
+        self.draining_since = Some(clock::now());
+        write_draining(&mut self.output);
+    }
+}
--- /dev/null
+++ b/node/src/frontend/jsonrpc/connection/requests.rs
@@ -0,0 +1,99 @@
+//! Serves the messages of a connection and writes the responses.
+
+use bytes::Bytes;
+
+use super::{Connection, OpenRequest, MAX_LOGGED_BYTES, MAX_OPEN_REQUESTS};
+use crate::clock;
+use crate::exchange::{Request, RequestOutcome, Responder};
+use crate::frontend::jsonrpc::message::{Message, Withdrawal};
+use crate::frontend::jsonrpc::request;
+use crate::frontend::jsonrpc::response::{write_health, write_outcome, ErrorCode, ErrorResponse, RpcError};
+use crate::log;
+
+impl Connection {
+    pub(super) fn respond_with_error(&mut self, response: &ErrorResponse, line: &[u8]) {
+        let RpcError { code, message } = response.error;
+        let start = line[..line.len().min(MAX_LOGGED_BYTES)].escape_ascii();
+        log!("jsonrpc: message rejected: code={} error={message:?} line={start}", code as i32);
+        response.write(&mut self.output);
+        // A proven client may use a class that a reload is still to bring.
+        let may_be_early = matches!(code, ErrorCode::MethodNotFound | ErrorCode::InvalidParams);
+        if !(self.is_proven && may_be_early) {
+            self.consecutive_errors += 1;
+        }
+    }
+
+    /// Serves one line: a health check, a withdrawal or a request.
+    pub(super) async fn process_line(&mut self, line: &Bytes) -> Result<(), ErrorResponse> {
+        let Message { id, method, params } = Message::decode(line)?;
+        match &method[..] {
+            "status" => {
+                self.is_proven = true;
+                if let Some(id) = id {
+                    let healthy = self.status.borrow().healthy();
+                    write_health(&mut self.output, &id, healthy);
+                }
+                Ok(())
+            }
+            "withdraw" => {
+                let withdrawal = Withdrawal::decode(params).map_err(|e| e.in_reply_to(id.as_ref()))?;
+                self.withdraw(&withdrawal).await;
+                Ok(())
+            }
+            class => self.process_request(id, class, params, line).await,
+        }
+    }
+
+    async fn process_request(
+        &mut self,
+        id: Option<Bytes>,
+        class: &str,
+        params: &str,
+        line: &Bytes,
+    ) -> Result<(), ErrorResponse> {
+        let Some(class) = self.registry.class_index(class, clock::now()) else {
+            let error = RpcError { code: ErrorCode::MethodNotFound, message: "no such method" };
+            return Err(error.in_reply_to(id.as_ref()));
+        };
+        // Without an id no response is possible, so nothing is run, and the client learns why.
+        let Some(id) = id else {
+            return Err(RpcError::invalid_request("a request has an id").without_id());
+        };
+        if self.open.values().any(|open| open.id == id) {
+            return Err(RpcError::invalid_request("the id is in use").without_id());
+        }
+        let request = request::decode(&self.registry, class, params, line);
+        let request = request.map_err(|e| e.in_reply_to(Some(&id)))?;
+        self.submit(id, request).await
+    }
+
+    async fn submit(&mut self, id: Bytes, request: Request) -> Result<(), ErrorResponse> {
+        let tag = self.next_tag;
+        self.next_tag += 1;
+        let responder = Responder::new(&self.outcomes, tag);
+        let Some(responder) = responder.filter(|_| self.open.len() < MAX_OPEN_REQUESTS) else {
+            return Err(RpcError::invalid_request("32 requests are open here").in_reply_to(Some(&id)));
+        };
+        self.is_proven = true;
+        let submission = self.exchange.submit(request, responder).await;
+        self.open.insert(tag, OpenRequest { id, submission });
+        Ok(())
+    }
+
+    async fn withdraw(&mut self, withdrawal: &Withdrawal<'_>) {
+        let named = |open: &OpenRequest| withdrawal.names(&open.id, &open.submission.txn);
+        // A request that got its response meanwhile is not open any more.
+        let Some(tag) = self.open.iter().find(|(_, open)| named(open)).map(|(tag, _)| *tag) else { return };
+        if let Some(open) = self.open.remove(&tag) {
+            self.exchange.cancelled(open.submission).await;
+        }
+    }
+
+    /// Writes the response to a request.
+    pub(super) fn respond(&mut self, tag: u64, outcome: &RequestOutcome) {
+        // A request that was withdrawn meanwhile gets no response.
+        let Some(open) = self.open.remove(&tag) else { return };
+        self.last_used = clock::now();
+        write_outcome(&mut self.output, &open.id, outcome);
+    }
+}
--- a/node/src/frontend/jsonrpc/mod.rs
+++ b/node/src/frontend/jsonrpc/mod.rs
@@ -16,4 +16,4 @@
 mod request;
 mod response;
 
-pub use connection::serve;
+pub(crate) use connection::serve;
--- a/node/src/frontend/mod.rs
+++ b/node/src/frontend/mod.rs
@@ -1,9 +1,9 @@
 //! The frontends: what clients connect to. One module a protocol; all share the limit of connections and the way in
 //! which connections are closed.
 
-pub mod connection_limiter;
-pub mod jsonrpc;
-pub mod uwsgi;
+pub(crate) mod connection_limiter;
+pub(crate) mod jsonrpc;
+pub(crate) mod uwsgi;
 mod write_backlog;
 
 use std::io;
@@ -28,7 +28,7 @@
 /// Closes a connection so that its last response arrives: the system resets a connection that is closed over unread
 /// bytes. What the client goes on to send is read and dropped until it closes too, for [`LINGER_TIMEOUT`] at most, and
 /// only while no other connection needs the slot.
-pub async fn lingering_close(stream: &mut TcpStream, guard: &ConnectionGuard) -> io::Result<()> {
+pub(crate) async fn lingering_close(stream: &mut TcpStream, guard: &ConnectionGuard) -> io::Result<()> {
     guard.set_state(ConnectionState::Unproven);
     let deadline = clock::now() + LINGER_TIMEOUT;
     let evicted = async {
@@ -46,7 +46,7 @@
 }
 
 /// Closes a connection for which there is no slot: what has arrived by now is the last that is read of it.
-pub async fn reject(mut stream: TcpStream) {
+pub(crate) async fn reject(mut stream: TcpStream) {
     // The connection is closed either way.
     let _ = drain_available(&mut stream).await;
 }
--- a/node/src/frontend/uwsgi/mod.rs
+++ b/node/src/frontend/uwsgi/mod.rs
@@ -48,21 +48,21 @@
 }
 
 /// What all connections of this frontend share.
-pub struct UwsgiFrontend {
+pub(crate) struct UwsgiFrontend {
     /// The way to the dispatcher.
-    pub exchange: Exchange,
+    pub(crate) exchange: Exchange,
     /// The classes and tenants in the settings.
-    pub registry: Rc<ClassRegistry>,
+    pub(crate) registry: Rc<ClassRegistry>,
     /// Ids for the requests, which come without any.
-    pub ids: RequestIds,
+    pub(crate) ids: RequestIds,
 }
 
 /// A source of ids that are not used twice, here or by JSON-RPC clients, but by a chance of one in 2^64.
-pub struct RequestIds(Cell<u64>);
+pub(crate) struct RequestIds(Cell<u64>);
 
 impl RequestIds {
     /// The ids that follow from a seed.
-    pub fn new(seed: u64) -> Self {
+    pub(crate) fn new(seed: u64) -> Self {
         RequestIds(Cell::new(seed))
     }
 
@@ -77,7 +77,7 @@
 }
 
 /// Serves one connection to its end.
-pub async fn serve(mut stream: TcpStream, guard: ConnectionGuard, frontend: Rc<UwsgiFrontend>) {
+pub(crate) async fn serve(mut stream: TcpStream, guard: ConnectionGuard, frontend: Rc<UwsgiFrontend>) {
     // A client whose connection breaks gets no response.
     if let Err(e) = serve_request(&mut stream, &guard, &frontend).await {
         log!("uwsgi: connection lost: {e}");
--- a/node/src/frontend/write_backlog.rs
+++ b/node/src/frontend/write_backlog.rs
@@ -19,7 +19,7 @@
 
 /// The progress of one connection's output.
 #[derive(Debug, Default)]
-pub struct WriteBacklog {
+pub(crate) struct WriteBacklog {
     /// Bytes that the system has accepted since the connection was opened.
     total_written: u64,
     target: Option<Target>,
@@ -27,13 +27,13 @@
 
 impl WriteBacklog {
     /// Counts bytes that the system has accepted.
-    pub fn record_write(&mut self, bytes: usize) {
+    pub(crate) fn record_write(&mut self, bytes: usize) {
         self.total_written += bytes as u64;
     }
 
     /// When the connection is to be closed unless its client reads on; none while nothing is queued. No byte is queued
     /// for more than twice the timeout, however fast more are added.
-    pub fn deadline(&mut self, queued: usize, now: UnixTime) -> Option<UnixTime> {
+    pub(crate) fn deadline(&mut self, queued: usize, now: UnixTime) -> Option<UnixTime> {
         if queued == 0 {
             self.target = None;
         } else if self.target.is_none_or(|target| self.total_written >= target.total_written) {
--- a/node/src/heartbeat.rs
+++ b/node/src/heartbeat.rs
@@ -41,7 +41,11 @@
 }
 
 /// Sends heartbeats until the shutdown notice, and a last one then. Without a membership service there are none.
-pub async fn report(name: String, mut addresses: watch::Receiver<UpstreamAddresses>, exchange: Exchange) {
+pub(crate) async fn report(
+    name: String,
+    mut addresses: watch::Receiver<UpstreamAddresses>,
+    exchange: Exchange,
+) {
     let mut status = exchange.status();
     let mut socket = None;
     loop {
--- a/node/src/http.rs
+++ b/node/src/http.rs
@@ -3,17 +3,17 @@
 use bytes::Bytes;
 
 /// Longest head, in bytes.
-pub const MAX_HEAD_BYTES: usize = 16 * 1024;
+pub(crate) const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// Most header fields in a head.
-pub const MAX_HEADER_FIELDS: usize = 64;
+pub(crate) const MAX_HEADER_FIELDS: usize = 64;
 
 /// The request line of a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Call {
+pub(crate) struct Call {
     /// The method.
-    pub method: String,
+    pub(crate) method: String,
     /// The path, without the query.
-    pub path: String,
+    pub(crate) path: String,
 }
 
 /// Decodes the head of a call; none while it is incomplete.
@@ -21,7 +21,7 @@
 /// # Errors
 ///
 /// Where the input is no HTTP head, or one with more than [`MAX_HEADER_FIELDS`].
-pub fn parse_call(input: &[u8]) -> Result<Option<Call>, httparse::Error> {
+pub(crate) fn parse_call(input: &[u8]) -> Result<Option<Call>, httparse::Error> {
     let mut fields = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
     let mut request = httparse::Request::new(&mut fields);
     if request.parse(input)?.is_partial() {
@@ -33,7 +33,7 @@
 }
 
 /// A response after which the connection is closed. Each of the header `fields` ends in CR LF.
-pub fn response(status: u16, reason: &str, fields: &str, body: &[u8]) -> Bytes {
+pub(crate) fn response(status: u16, reason: &str, fields: &str, body: &[u8]) -> Bytes {
     let length = body.len();
     let head = format!(
         "HTTP/1.1 {status} {reason}\r\nContent-Length: {length}\r\n{fields}Connection: close\r\n\r\n"
--- a/node/src/line_codec.rs
+++ b/node/src/line_codec.rs
@@ -15,7 +15,7 @@
 /// Longest line, in bytes.
 const MAX_LINE_BYTES: usize = 16 * 1024;
 /// Longest body, in bytes.
-pub const MAX_BODY: usize = 256 * 1024;
+pub(crate) const MAX_BODY: usize = 256 * 1024;
 /// Bytes that may wait to be written before no more commands are accepted.
 const MAX_UNWRITTEN_BYTES: usize = 1024 * 1024;
 /// Initial capacity of a connection's read buffer, in bytes.
@@ -29,7 +29,7 @@
 
 /// What a peer sent that the protocol does not allow.
 #[derive(Debug, Error)]
-pub enum ProtocolError {
+pub(crate) enum ProtocolError {
     /// More than [`MAX_LINE_BYTES`] came without a line end.
     #[error("line without an end after {MAX_LINE_BYTES} bytes")]
     UnterminatedLine,
@@ -58,15 +58,15 @@
 
 /// A decoded message; its parts are slices of the buffer that it was read into.
 #[derive(Debug, PartialEq)]
-pub struct Message {
+pub(crate) struct Message {
     line: Bytes,
     /// The body, for kinds of message that carry one.
-    pub body: Option<Bytes>,
+    pub(crate) body: Option<Bytes>,
 }
 
 impl Message {
     /// The field at a position; empty if there are fewer.
-    pub fn field(&self, position: usize) -> Bytes {
+    pub(crate) fn field(&self, position: usize) -> Bytes {
         let field = fields(&self.line).nth(position).unwrap_or_default();
         self.line.slice_ref(field)
     }
@@ -76,7 +76,7 @@
     /// # Errors
     ///
     /// Where the field is missing or is no such number.
-    pub fn numeric_field<T: FromStr>(&self, position: usize) -> Result<T, ProtocolError> {
+    pub(crate) fn numeric_field<T: FromStr>(&self, position: usize) -> Result<T, ProtocolError> {
         parse_number(&self.field(position)).ok_or_else(|| self.protocol_error())
     }
 
@@ -85,7 +85,7 @@
     /// # Errors
     ///
     /// Where one of them is no number.
-    pub fn numeric_fields(&self, from: usize) -> Result<Vec<f64>, ProtocolError> {
+    pub(crate) fn numeric_fields(&self, from: usize) -> Result<Vec<f64>, ProtocolError> {
         fields(&self.line)
             .skip(from)
             .map(|field| parse_number(field).ok_or_else(|| self.protocol_error()))
@@ -93,7 +93,7 @@
     }
 
     /// The error that shows this message as one that was not expected.
-    pub fn protocol_error(&self) -> ProtocolError {
+    pub(crate) fn protocol_error(&self) -> ProtocolError {
         let shown = &self.line[..self.line.len().min(SHOWN_LINE_BYTES)];
         ProtocolError::Unexpected(shown.escape_ascii().to_string())
     }
@@ -113,7 +113,7 @@
 /// # Errors
 ///
 /// Where the buffer does not begin with a message of the protocol. The connection can't be used any more.
-pub fn decode(
+pub(crate) fn decode(
     buffer: &mut BytesMut,
     has_body: impl FnOnce(&mut dyn Iterator<Item = &[u8]>) -> bool,
 ) -> Result<Option<Message>, ProtocolError> {
@@ -156,7 +156,7 @@
 }
 
 /// Appends a message with these fields; with a body its length is added as the last field.
-pub fn encode(output: &mut BytesMut, fields: &[&[u8]], body: Option<&[u8]>) {
+pub(crate) fn encode(output: &mut BytesMut, fields: &[&[u8]], body: Option<&[u8]>) {
     for (position, field) in fields.iter().enumerate() {
         if position > 0 {
             output.put_u8(b' ');
@@ -173,28 +173,28 @@
 
 /// A connection with buffers for what was read but not decoded, and for what is still to be written.
 #[derive(Debug)]
-pub struct LineConnection {
+pub(crate) struct LineConnection {
     stream: TcpStream,
     /// Bytes that were read and not decoded yet.
-    pub input: BytesMut,
+    pub(crate) input: BytesMut,
     /// Bytes that are still to be written.
-    pub output: BytesMut,
+    pub(crate) output: BytesMut,
 }
 
 impl LineConnection {
     /// Wraps a new connection.
-    pub fn new(stream: TcpStream) -> Self {
+    pub(crate) fn new(stream: TcpStream) -> Self {
         LineConnection { stream, input: BytesMut::with_capacity(READ_BUFFER_BYTES), output: BytesMut::new() }
     }
 
     /// Whether the connection is open and nothing has arrived on it, as far as is known without waiting.
-    pub fn is_idle(&self) -> bool {
+    pub(crate) fn is_idle(&self) -> bool {
         let read = self.stream.try_read(&mut [0]);
         self.input.is_empty() && read.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
     }
 
     /// Whether more may be added to the output.
-    pub fn has_write_capacity(&self) -> bool {
+    pub(crate) fn has_write_capacity(&self) -> bool {
         self.output.len() < MAX_UNWRITTEN_BYTES
     }
 
@@ -203,7 +203,7 @@
     /// # Errors
     ///
     /// Where the connection fails, or the peer has closed it.
-    pub async fn transfer(&mut self) -> io::Result<()> {
+    pub(crate) async fn transfer(&mut self) -> io::Result<()> {
         let LineConnection { stream, input, output } = self;
         let (mut reader, mut writer) = stream.split();
         loop {
--- a/node/src/log.rs
+++ b/node/src/log.rs
@@ -9,19 +9,19 @@
 
 /// What one place in the code has written in the current second. However many mistakes a peer makes, they take neither
 /// the node's core nor its supervisor's disk.
-pub struct RateLimiter {
+pub(crate) struct RateLimiter {
     second: AtomicU64,
     lines: AtomicU64,
 }
 
 impl RateLimiter {
     /// A place that has written nothing yet.
-    pub const fn new() -> Self {
+    pub(crate) const fn new() -> Self {
         RateLimiter { second: AtomicU64::new(0), lines: AtomicU64::new(0) }
     }
 
     /// Whether a line may be written in this second; if so, how many were suppressed just before it.
-    pub fn admit(&self, second: u64) -> Option<u64> {
+    pub(crate) fn admit(&self, second: u64) -> Option<u64> {
         let suppressed = if self.second.swap(second, Ordering::Relaxed) == second {
             0
         } else {
@@ -41,7 +41,7 @@
 }
 
 /// What the macro expands to; not to be called otherwise.
-pub fn write(limiter: &RateLimiter, line: std::fmt::Arguments) {
+pub(crate) fn write(limiter: &RateLimiter, line: std::fmt::Arguments) {
     let now = clock::now();
     let (seconds, millis) = (now.as_secs(), now.subsec_millis());
     match limiter.admit(seconds) {
--- a/node/src/metrics.rs
+++ b/node/src/metrics.rs
@@ -23,7 +23,7 @@
 
 /// The metrics of a process, all from 0 at its start.
 #[derive(Debug, Default)]
-pub struct Metrics {
+pub(crate) struct Metrics {
     /// By the position of the class.
     classes: RefCell<Vec<ClassCounters>>,
     /// Requests without a response.
@@ -44,17 +44,17 @@
 
 impl Metrics {
     /// Counts a request as open until [`request_finished`](Self::request_finished).
-    pub fn request_started(&self) {
+    pub(crate) fn request_started(&self) {
         self.open_requests.set(self.open_requests.get() + 1);
     }
 
     /// Counts a request as no longer open: it has its response, or its client has gone.
-    pub fn request_finished(&self) {
+    pub(crate) fn request_finished(&self) {
         self.open_requests.set(self.open_requests.get().saturating_sub(1));
     }
 
     /// Counts a response by its outcome.
-    pub fn request_answered(&self, class: u16, outcome: &RequestOutcome) {
+    pub(crate) fn request_answered(&self, class: u16, outcome: &RequestOutcome) {
         self.update_class(class, |counters| match outcome {
             RequestOutcome::Served(_) => counters.served += 1,
             RequestOutcome::Rejected { .. } => counters.rejected += 1,
@@ -63,19 +63,19 @@
     }
 
     /// Counts a run that was handed to the backend.
-    pub fn run_dispatched(&self, class: u16) {
+    pub(crate) fn run_dispatched(&self, class: u16) {
         self.update_class(class, |counters| counters.runs += 1);
     }
 
     /// Counts a reload at SIGHUP, whether it was applied or rejected.
-    pub fn configuration_reloaded(&self, applied: bool) {
+    pub(crate) fn configuration_reloaded(&self, applied: bool) {
         let counter = if applied { &self.reloads_applied } else { &self.reloads_rejected };
         counter.set(counter.get() + 1);
     }
 
     /// Shows the metrics that another module keeps, after those from before. `read` returns them by name, without the
     /// prefix.
-    pub fn register(&self, read: Box<dyn Fn() -> Vec<(&'static str, u64)>>) {
+    pub(crate) fn register(&self, read: Box<dyn Fn() -> Vec<(&'static str, u64)>>) {
         self.sources.borrow_mut().push(Source(read));
     }
 
@@ -88,7 +88,7 @@
     }
 
     /// All metrics as text, a line each. `class_names` are the names of the classes by position.
-    pub fn render(&self, class_names: &[String]) -> String {
+    pub(crate) fn render(&self, class_names: &[String]) -> String {
         let mut text = String::new();
         let classes = self.classes.borrow();
         for (position, class) in class_names.iter().enumerate() {
--- a/node/src/server/accept.rs
+++ b/node/src/server/accept.rs
@@ -113,9 +113,10 @@
     serve: impl Fn(TcpStream, ConnectionGuard) -> F,
 ) {
     tokio::pin!(closing);
-    let start = |stream| match limiter.admit() {
-        Some(guard) => drop(spawn_local(serve(stream, guard))),
-        None => {
+    let start = |stream| {
+        if let Some(guard) = limiter.admit() {
+            spawn_local(serve(stream, guard));
+        } else {
             log!("frontend: connection rejected: all connections are busy");
             spawn_local(frontend::reject(stream));
         }
--- a/node/src/server/mod.rs
+++ b/node/src/server/mod.rs
@@ -14,6 +14,7 @@
 mod shutdown;
 mod startup;
 
+use std::fmt::Display;
 use std::io;
 use std::net::SocketAddr;
 
@@ -24,7 +25,7 @@
 
 /// Why a node did not start.
 #[derive(Debug, Error)]
-pub enum StartupError {
+pub(crate) enum StartupError {
     /// A configuration file can't be served.
     #[error("{0}")]
     Config(ConfigError),
@@ -51,7 +52,7 @@
 
 impl StartupError {
     /// The error of a part that names its configuration key itself.
-    fn component(error: impl ToString) -> Self {
+    fn component(error: &impl Display) -> Self {
         StartupError::Component(error.to_string())
     }
 }
@@ -61,7 +62,7 @@
 /// # Errors
 ///
 /// Where the configuration is not valid, or an address or a folder that it names can't be opened.
-pub fn serve(files: &ConfigFiles) -> Result<(), StartupError> {
+pub(crate) fn serve(files: &ConfigFiles) -> Result<(), StartupError> {
     let loaded = files.load_for_startup().map_err(StartupError::Config)?;
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(StartupError::Runtime)?;
--- a/node/src/server/startup.rs
+++ b/node/src/server/startup.rs
@@ -173,7 +173,7 @@
         let (mut peers, mut fleet_events) = (None, None);
         if let Some(fleet) = fleet {
             let (links, driver) = peers::new(fleet, config.seed, self.is_upgrade, self.exchange.clone())
-                .map_err(StartupError::component)?;
+                .map_err(|e| StartupError::component(&e))?;
             fleet_events = Some(links.lists());
             peers = Some(links);
             spawn_local(driver.run());
@@ -182,7 +182,7 @@
         if let Some(records) = records {
             let settings_digest = settings_digest(&config.written["settings"]);
             let recorder = DecisionLog::start(&records, &config.name, settings_digest)
-                .map_err(StartupError::component)?;
+                .map_err(|e| StartupError::component(&e))?;
             dispatcher.set_decision_log(recorder);
         }
         spawn_local(dispatcher.run());
@@ -200,7 +200,7 @@
         if self.is_upgrade {
             return Ok(Some((store, None)));
         }
-        let recovered = store.open().map_err(StartupError::component)?;
+        let recovered = store.open().map_err(|e| StartupError::component(&e))?;
         let restored = HandoverState { digest_seed: recovered.seed, records: recovered.keys };
         Ok(Some((store, Some(restored))))
     }
--- a/node/src/sockets.rs
+++ b/node/src/sockets.rs
@@ -17,7 +17,7 @@
 /// # Errors
 ///
 /// Where the system does not grant the address.
-pub fn listen(address: SocketAddr, shared: bool) -> io::Result<TcpListener> {
+pub(crate) fn listen(address: SocketAddr, shared: bool) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
     socket.set_reuseport(shared)?;
@@ -30,13 +30,13 @@
 /// # Errors
 ///
 /// Where the system can't accept one, as when no descriptor is left.
-pub async fn accept(listener: &TcpListener) -> io::Result<TcpStream> {
+pub(crate) async fn accept(listener: &TcpListener) -> io::Result<TcpStream> {
     listener.accept().await.map(|(stream, _)| without_delay(stream))
 }
 
 /// Closes a listener and returns the connections that the system had queued for it. The system is asked directly, as what
 /// the runtime knows may be older; closing the listener alone would reset these connections.
-pub fn close(listener: TcpListener) -> Vec<TcpStream> {
+pub(crate) fn close(listener: TcpListener) -> Vec<TcpStream> {
     let Ok(listener) = listener.into_std() else { return Vec::new() };
     let queued = std::iter::from_fn(|| listener.accept().ok()).take(ACCEPT_BACKLOG as usize);
     let queued = queued.filter_map(|(stream, _)| {
@@ -51,7 +51,7 @@
 /// # Errors
 ///
 /// Where the peer does not accept the connection by the deadline.
-pub async fn connect(address: SocketAddr, deadline: UnixTime) -> io::Result<TcpStream> {
+pub(crate) async fn connect(address: SocketAddr, deadline: UnixTime) -> io::Result<TcpStream> {
     tokio::select! {
         connected = TcpStream::connect(address) => connected.map(without_delay),
         () = clock::until(deadline) => Err(io::ErrorKind::TimedOut.into()),
--- a/node/src/uwsgi.rs
+++ b/node/src/uwsgi.rs
@@ -6,22 +6,22 @@
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
 /// Bytes of the head.
-pub const HEAD_BYTES: usize = 4;
+pub(crate) const HEAD_BYTES: usize = 4;
 
 /// The fields of the head.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Head {
+pub(crate) struct Head {
     /// The kind of packet; 0 for a request.
-    pub modifier1: u8,
+    pub(crate) modifier1: u8,
     /// Bytes of the variables.
-    pub size: usize,
+    pub(crate) size: usize,
     /// Its meaning depends on the first.
-    pub modifier2: u8,
+    pub(crate) modifier2: u8,
 }
 
 impl Head {
     /// Decodes a head; none while it is incomplete.
-    pub fn parse(bytes: &[u8]) -> Option<Head> {
+    pub(crate) fn parse(bytes: &[u8]) -> Option<Head> {
         let [modifier1, low, high, modifier2] = *bytes.first_chunk::<HEAD_BYTES>()?;
         Some(Head { modifier1, size: usize::from(u16::from_le_bytes([low, high])), modifier2 })
     }
@@ -29,11 +29,11 @@
 
 /// The variables of a packet, as slices of the buffer that it was read into.
 #[derive(Debug, Default, PartialEq)]
-pub struct Vars(Vec<(Bytes, Bytes)>);
+pub(crate) struct Vars(Vec<(Bytes, Bytes)>);
 
 impl Vars {
     /// Decodes the variables of a packet; none if their lengths do not add up.
-    pub fn parse(mut block: Bytes) -> Option<Vars> {
+    pub(crate) fn parse(mut block: Bytes) -> Option<Vars> {
         let mut vars = Vec::new();
         while !block.is_empty() {
             let name = split_off_text(&mut block)?;
@@ -43,12 +43,12 @@
     }
 
     /// The value of a variable; the last one where the name occurs more than once.
-    pub fn get(&self, name: &str) -> Option<&Bytes> {
+    pub(crate) fn get(&self, name: &str) -> Option<&Bytes> {
         self.0.iter().rev().find(|(known, _)| known == name.as_bytes()).map(|(_, value)| value)
     }
 
     /// The value of a variable as text, unless it is absent or empty.
-    pub fn text(&self, name: &str) -> Option<&str> {
+    pub(crate) fn text(&self, name: &str) -> Option<&str> {
         std::str::from_utf8(self.get(name)?).ok().filter(|text| !text.is_empty())
     }
 }
@@ -63,7 +63,7 @@
 }
 
 /// Encodes a request packet with these variables; none if they are too long for one.
-pub fn packet(vars: &[(&str, &[u8])]) -> Option<BytesMut> {
+pub(crate) fn packet(vars: &[(&str, &[u8])]) -> Option<BytesMut> {
     let mut block = BytesMut::new();
     block.put_slice(&[0; HEAD_BYTES]);
     for (name, value) in vars {
--- a/node/src/vrrp.rs
+++ b/node/src/vrrp.rs
@@ -25,12 +25,17 @@
 /// # Errors
 ///
 /// Where the system does not grant the address.
-pub async fn bind(config: &VrrpConfig) -> io::Result<UdpSocket> {
+pub(crate) async fn bind(config: &VrrpConfig) -> io::Result<UdpSocket> {
     UdpSocket::bind(config.listen).await
 }
 
 /// Runs the virtual router until the shutdown notice; `active` follows whether it has the active role.
-pub async fn run(config: VrrpConfig, socket: UdpSocket, active: watch::Sender<bool>, exchange: Exchange) {
+pub(crate) async fn run(
+    config: VrrpConfig,
+    socket: UdpSocket,
+    active: watch::Sender<bool>,
+    exchange: Exchange,
+) {
     let mut router = Router::new(parameters(&config));
     let mut status = exchange.status();
     let mut buffer = [0; MAX_DATAGRAM_BYTES];
--- a/node/src/vrrp/machine.rs
+++ b/node/src/vrrp/machine.rs
@@ -14,24 +14,24 @@
 
 /// The configuration of a virtual router.
 #[derive(Debug, Clone)]
-pub struct Parameters {
+pub(crate) struct Parameters {
     /// The number of the virtual router (VRID).
-    pub vrid: u8,
+    pub(crate) vrid: u8,
     /// 1 to 254, or 255 for the owner of the addresses.
-    pub priority: u8,
+    pub(crate) priority: u8,
     /// Between two advertisements.
-    pub interval: Duration,
+    pub(crate) interval: Duration,
     /// Whether this router takes over from an active one with a lower priority.
-    pub preempt: bool,
+    pub(crate) preempt: bool,
     /// The addresses that the virtual router stands for.
-    pub addresses: Vec<Ipv4Addr>,
+    pub(crate) addresses: Vec<Ipv4Addr>,
     /// The primary address of this router; the higher one wins between equal priorities.
-    pub local: Ipv4Addr,
+    pub(crate) local: Ipv4Addr,
 }
 
 /// The states of RFC 9568.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Role {
+pub(crate) enum Role {
     /// Not started, or shut down.
     Initialize,
     /// Another router is active, as far as this one knows.
@@ -42,7 +42,7 @@
 
 /// What happens to a router, besides the passing of time.
 #[derive(Debug)]
-pub enum Event {
+pub(crate) enum Event {
     /// It starts.
     Startup,
     /// It is to stop.
@@ -60,14 +60,14 @@
 
 /// What a router asks for.
 #[derive(Debug, PartialEq)]
-pub enum Output {
+pub(crate) enum Output {
     /// Send this to all peers.
     Send(Advertisement),
 }
 
 /// A virtual router.
 #[derive(Debug)]
-pub struct Router {
+pub(crate) struct Router {
     parameters: Parameters,
     role: Role,
     /// The interval of the active router.
@@ -78,23 +78,23 @@
 
 impl Router {
     /// A router that has not started.
-    pub fn new(parameters: Parameters) -> Self {
+    pub(crate) fn new(parameters: Parameters) -> Self {
         let active_interval = parameters.interval;
         Router { parameters, role: Role::Initialize, active_interval, timer: Duration::ZERO }
     }
 
     /// The state it is in.
-    pub fn role(&self) -> Role {
+    pub(crate) fn role(&self) -> Role {
         self.role
     }
 
     /// When the timer expires; none while the router is not started.
-    pub fn timer_expires_at(&self) -> Option<UnixTime> {
+    pub(crate) fn timer_expires_at(&self) -> Option<UnixTime> {
         (self.role != Role::Initialize).then_some(self.timer)
     }
 
     /// Processes an event and returns what is to be sent.
-    pub fn handle(&mut self, now: UnixTime, event: Event) -> Vec<Output> {
+    pub(crate) fn handle(&mut self, now: UnixTime, event: Event) -> Vec<Output> {
         match (self.role, event) {
             (Role::Initialize, Event::Startup) if self.parameters.priority == OWNER_PRIORITY => {
                 self.become_active(now)
--- a/node/src/vrrp/machine/tests.rs
+++ b/node/src/vrrp/machine/tests.rs
@@ -102,6 +102,6 @@
     let mut backup = started(100, 2, true);
     let mut slow = router(200, 1, true).advertisement(200);
     slow.interval = 4 * SECOND;
-    backup.handle(NOW, Event::Advertised { from: Ipv4Addr::new(127, 0, 0, 1), advertisement: slow });
+    backup.handle(NOW, Event::Advertised { from: Ipv4Addr::LOCALHOST, advertisement: slow });
     assert_eq!(backup.timer_expires_at(), Some(NOW + 12 * SECOND + 4 * SECOND * 156 / 256));
 }
--- a/node/src/vrrp/packet.rs
+++ b/node/src/vrrp/packet.rs
@@ -22,20 +22,20 @@
 
 /// An advertisement.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Advertisement {
+pub(crate) struct Advertisement {
     /// The number of the virtual router (VRID).
-    pub vrid: u8,
+    pub(crate) vrid: u8,
     /// The sender's priority; 0 releases the active role.
-    pub priority: u8,
+    pub(crate) priority: u8,
     /// Between two of the sender's advertisements.
-    pub interval: Duration,
+    pub(crate) interval: Duration,
     /// The addresses of the virtual router.
-    pub addresses: Vec<Ipv4Addr>,
+    pub(crate) addresses: Vec<Ipv4Addr>,
 }
 
 /// Why a packet is dropped.
 #[derive(Debug, Error, PartialEq, Eq)]
-pub enum Malformed {
+pub(crate) enum Malformed {
     /// Shorter than its head, or than its addresses need.
     #[error("packet cut short")]
     Short,
@@ -58,7 +58,7 @@
 
 impl Advertisement {
     /// Encodes the packet.
-    pub fn encode(&self) -> Vec<u8> {
+    pub(crate) fn encode(&self) -> Vec<u8> {
         let centiseconds =
             (self.interval.as_millis() as u64 / CENTISECOND_MS).min(u64::from(INTERVAL_MASK)) as u16;
         let mut bytes =
@@ -78,7 +78,7 @@
     /// # Errors
     ///
     /// Where the packet is to be dropped.
-    pub fn decode(bytes: &[u8]) -> Result<Self, Malformed> {
+    pub(crate) fn decode(bytes: &[u8]) -> Result<Self, Malformed> {
         let Some([first, vrid, priority, count, high, low, ..]) = bytes.first_chunk::<HEAD_BYTES>().copied()
         else {
             return Err(Malformed::Short);
