--- a/node/src/dispatcher.rs
+++ b/node/src/dispatcher.rs
@@ -28,7 +28,7 @@
 use oakwind_settings::Parsed;
 use tokio::sync::watch;
 
-use crate::clock::{self, Unix};
+use crate::clock::{self, UnixTime};
 use crate::decision_log::{self, DecisionLog};
 use crate::exchange::{
     BackendEvent, DispatcherEndpoints, DispatcherEvent, HandoverState, NodeStatus, Request, Responder,
@@ -153,14 +153,14 @@
     }
 
     /// When something is to be done even if no event comes.
-    fn next_wake(&self) -> Unix {
+    fn next_wake(&self) -> UnixTime {
         let closing = self.closing_at().filter(|_| self.status().accepting);
         let scheduled = [self.timers.next_wake(), closing, self.handover.next_wake()];
         scheduled.into_iter().flatten().min().unwrap_or_else(|| clock::now() + IDLE_WAKE_INTERVAL)
     }
 
     /// After the shutdown notice: from then on nothing that comes may be run, so nothing more is read.
-    fn closing_at(&self) -> Option<Unix> {
+    fn closing_at(&self) -> Option<UnixTime> {
         let shutdown = self.status().draining?;
         Some(shutdown.noticed_at + self.settings.settings.drain_grace)
     }
@@ -196,14 +196,14 @@
         }
     }
 
-    fn fire_timers(&mut self, now: Unix) {
+    fn fire_timers(&mut self, now: UnixTime) {
         if self.timers.should_request_gauges(now) {
             self.send_run_command(RunCommand::Gauges);
         }
         self.admission_events.extend(self.timers.pop_fired(now));
     }
 
-    fn update_drain_status(&self, now: Unix) {
+    fn update_drain_status(&self, now: UnixTime) {
         let accepting = self.closing_at().is_none_or(|at| now < at);
         let drained = self.status().draining.is_some() && !self.attempts.iter().any(|it| self.is_awaited(it));
         self.update_status(|status| (status.accepting, status.drained) = (accepting, drained));
@@ -277,7 +277,7 @@
     }
 
     /// The shutdown notice has come: the process is stopped at `stops_at`.
-    fn drain(&mut self, stops_at: Unix) {
+    fn drain(&mut self, stops_at: UnixTime) {
         let now = clock::now();
         // Another node's outcome that is not known by then never will be, so these attempts are answered now.
         let is_too_late = |attempt: &&Attempt| {
--- a/node/src/dispatcher/actions.rs
+++ b/node/src/dispatcher/actions.rs
@@ -6,7 +6,7 @@
 
 use super::attempts::Phase;
 use super::{Dispatcher, TIMEOUT_MARGIN};
-use crate::clock::Unix;
+use crate::clock::UnixTime;
 use crate::exchange::RunCommand;
 use crate::log;
 use crate::outcome::{RequestOutcome, RunState};
@@ -14,7 +14,7 @@
 impl Dispatcher {
     /// Calls the admission module once with the gathered events and carries out its actions. The first call is made
     /// even without events, as it starts the module's timers.
-    pub(super) fn decide(&mut self, now: Unix) {
+    pub(super) fn decide(&mut self, now: UnixTime) {
         let events = std::mem::take(&mut self.admission_events);
         self.idempotency.end_batch();
         let Some(admission) = &mut self.admission else { return };
@@ -34,7 +34,7 @@
         }
     }
 
-    fn act(&mut self, action: Action, now: Unix) {
+    fn act(&mut self, action: Action, now: UnixTime) {
         match action {
             Action::Run(id) => self.start_run(id, now),
             Action::Pause(id) => self.stop_run(id),
@@ -75,7 +75,7 @@
         self.remove_unless_started(id);
     }
 
-    fn fail(&mut self, id: RequestId, now: Unix) {
+    fn fail(&mut self, id: RequestId, now: UnixTime) {
         let deadline = self.attempts.get(id).map_or(now, |attempt| attempt.request.deadline);
         let timed_out = now + TIMEOUT_MARGIN >= deadline;
         self.answer_attempt(id, RequestOutcome::Failed { timed_out });
@@ -83,7 +83,7 @@
     }
 
     /// Makes an attempt the holder of its key.
-    fn assign_key(&mut self, id: RequestId, expires_at: Unix) {
+    fn assign_key(&mut self, id: RequestId, expires_at: UnixTime) {
         let Some(request) = self.attempts.get(id).map(|attempt| attempt.request.clone()) else { return };
         if let Some(key) = self.key_of(&request) {
             self.idempotency.assign(&key, &request.body, id, expires_at);
--- a/node/src/dispatcher/attempts.rs
+++ b/node/src/dispatcher/attempts.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use oakwind_admission::RequestId;
 
-use crate::clock::Unix;
+use crate::clock::UnixTime;
 use crate::exchange::{Request, Responder, SubmissionId, TransactionId};
 
 /// One attempt of a request, from the moment it is read until it is answered and nothing of it runs.
@@ -25,20 +25,20 @@
     /// The admission module has it in its queue.
     Queued,
     /// It waits for the outcome of another attempt of its key.
-    WaitingForAttempt { since: Unix },
+    WaitingForAttempt { since: UnixTime },
     /// It waits for the outcome of another node's run of its key. To the admission module it is over.
     RunningRemotely,
     /// Its run is under way, or waits for the run gate.
-    Running { started_at: Unix },
+    Running { started_at: UnixTime },
     /// Its run waits for a call with this body.
-    AwaitingCall { started_at: Unix, body: Bytes },
+    AwaitingCall { started_at: UnixTime, body: Bytes },
     /// The call that its run waits for is under way.
-    Calling { started_at: Unix, called_at: Unix, body: Bytes },
+    Calling { started_at: UnixTime, called_at: UnixTime, body: Bytes },
 }
 
 impl Phase {
     /// When its run started on this node, if it did.
-    pub(super) fn started_at(&self) -> Option<Unix> {
+    pub(super) fn started_at(&self) -> Option<UnixTime> {
         match self {
             Phase::Queued | Phase::WaitingForAttempt { .. } | Phase::RunningRemotely => None,
             Phase::Running { started_at }
--- a/node/src/dispatcher/calls.rs
+++ b/node/src/dispatcher/calls.rs
@@ -5,7 +5,7 @@
 
 use super::attempts::Phase;
 use super::Dispatcher;
-use crate::clock::{self, Unix};
+use crate::clock::{self, UnixTime};
 use crate::exchange::{CallCommand, CallOutcome, RunCommand, TransactionId};
 use crate::log;
 
@@ -23,7 +23,7 @@
     }
 
     /// Makes the call that a run waits for, and gives it up at `until`.
-    pub(super) fn start_call(&mut self, id: RequestId, now: Unix, until: Unix) {
+    pub(super) fn start_call(&mut self, id: RequestId, now: UnixTime, until: UnixTime) {
         let Some(attempt) = self.attempts.get_mut(id) else { return };
         let Phase::AwaitingCall { started_at, body } = &attempt.phase else { return };
         let (started_at, body) = (*started_at, body.clone());
--- a/node/src/dispatcher/handover.rs
+++ b/node/src/dispatcher/handover.rs
@@ -13,7 +13,7 @@
 use super::attempts::Phase;
 use super::idempotency::HeldKey;
 use super::{Dispatcher, TIMEOUT_MARGIN};
-use crate::clock::{self, Unix};
+use crate::clock::{self, UnixTime};
 use crate::exchange::{DispatcherEvent, HandoverState, Submission};
 use crate::log;
 use crate::outcome::{Completion, IdempotencyRecord, RunState, StoredOutcome};
@@ -36,7 +36,7 @@
 
 impl Handover {
     /// When something is to be done for the handover.
-    pub(super) fn next_wake(&self) -> Option<Unix> {
+    pub(super) fn next_wake(&self) -> Option<UnixTime> {
         let transfer = self.successor.as_ref().filter(|successor| !successor.transferred);
         let transfer_at = transfer.map(|successor| successor.transfer_at);
         let deadlines = self.withheld.iter().map(|withheld| withheld.request.deadline);
@@ -49,7 +49,7 @@
 pub(super) struct Successor {
     updates: mpsc::Sender<HandoverState>,
     /// When it gets the idempotency table.
-    transfer_at: Unix,
+    transfer_at: UnixTime,
     transferred: bool,
 }
 
@@ -75,7 +75,7 @@
     }
 
     /// Transfers the idempotency table to the successor once that is due.
-    pub(super) fn transfer_state(&mut self, now: Unix) {
+    pub(super) fn transfer_state(&mut self, now: UnixTime) {
         let Some(successor) = &mut self.handover.successor else { return };
         if successor.transferred || now < successor.transfer_at {
             return;
@@ -210,7 +210,7 @@
 
     /// Rejects withheld attempts that can wait no longer, or all of them once this process is to leave. They are
     /// answered in time even if the predecessor never reports its table.
-    pub(super) fn reject_expired_withheld(&mut self, now: Unix) {
+    pub(super) fn reject_expired_withheld(&mut self, now: UnixTime) {
         let is_draining = self.status().draining.is_some();
         let has_expired =
             |withheld: &Submission| is_draining || now + TIMEOUT_MARGIN >= withheld.request.deadline;
--- a/node/src/dispatcher/idempotency.rs
+++ b/node/src/dispatcher/idempotency.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use oakwind_admission::RequestId;
 
-use crate::clock::Unix;
+use crate::clock::UnixTime;
 use crate::exchange::HandoverState;
 use crate::outcome::{
     digest, BodyDigest, IdempotencyKey, IdempotencyRecord, RunState, StoredOutcome, LATE_READ_GRACE,
@@ -31,7 +31,7 @@
     holder: RequestId,
     /// Digest of the body that all attempts of the key carry.
     body_digest: BodyDigest,
-    expires_at: Unix,
+    expires_at: UnixTime,
     /// The attempt that was run, if any.
     run_by: Option<RequestId>,
     /// The run belongs to the predecessor process.
@@ -44,7 +44,7 @@
 impl Entry {
     /// Whether an attempt received at that time is a new request: the key has expired and no run of it is under way.
     /// A run that takes longer than its key lasts must not get a second one beside it.
-    fn has_expired(&self, received_at: Unix) -> bool {
+    fn has_expired(&self, received_at: UnixTime) -> bool {
         received_at > self.expires_at && !self.is_running()
     }
 
@@ -94,7 +94,7 @@
     /// Digest of the body that its attempts carry.
     pub(crate) body_digest: BodyDigest,
     /// When the key expires.
-    pub(crate) expires_at: Unix,
+    pub(crate) expires_at: UnixTime,
 }
 
 /// The outcome of a run of the predecessor process, and the attempts here that waited for it.
@@ -116,7 +116,7 @@
     key_by_holder: HashMap<RequestId, IdempotencyKey>,
     /// Keys with an attempt in the batch that is being gathered.
     batch_keys: HashSet<IdempotencyKey>,
-    last_swept_at: Unix,
+    last_swept_at: UnixTime,
     /// Keys with outcomes, the oldest first. Some may have been removed since.
     keys_with_outcome: VecDeque<IdempotencyKey>,
     /// Memory that results take at present.
@@ -207,7 +207,12 @@
     }
 
     /// Relates an attempt with this body, which the machine received at `received_at`, to what is known of its key.
-    pub(crate) fn match_attempt(&mut self, key: IdempotencyKey, body: &[u8], received_at: Unix) -> KeyMatch {
+    pub(crate) fn match_attempt(
+        &mut self,
+        key: IdempotencyKey,
+        body: &[u8],
+        received_at: UnixTime,
+    ) -> KeyMatch {
         let known = self.entries.get(&key);
         let known = known.map(|entry| (entry.holder, entry.has_expired(received_at), entry.body_digest));
         let matched = match known {
@@ -224,7 +229,13 @@
     }
 
     /// Makes an attempt the holder of a key until it expires. An earlier holder loses the key.
-    pub(crate) fn assign(&mut self, key: &IdempotencyKey, body: &[u8], holder: RequestId, expires_at: Unix) {
+    pub(crate) fn assign(
+        &mut self,
+        key: &IdempotencyKey,
+        body: &[u8],
+        holder: RequestId,
+        expires_at: UnixTime,
+    ) {
         // The entry outlives the buffer that the key was read into.
         let key = Bytes::copy_from_slice(key);
         if let Some(entry) = self.entries.get_mut(&key) {
@@ -276,7 +287,7 @@
         &self,
         key: &IdempotencyKey,
         body: &[u8],
-        received_at: Unix,
+        received_at: UnixTime,
     ) -> Option<StoredOutcome> {
         let entry = self.entries.get(key)?;
         let matches = received_at <= entry.expires_at && entry.body_digest == self.digest(body);
@@ -370,7 +381,7 @@
     }
 
     /// Removes expired entries, at most once per [`SWEEP_INTERVAL`].
-    pub(crate) fn sweep(&mut self, now: Unix) {
+    pub(crate) fn sweep(&mut self, now: UnixTime) {
         if now < self.last_swept_at + SWEEP_INTERVAL {
             return;
         }
--- a/node/src/dispatcher/idempotency/tests.rs
+++ b/node/src/dispatcher/idempotency/tests.rs
@@ -3,7 +3,7 @@
 const A: RequestId = RequestId(1);
 const B: RequestId = RequestId(2);
 
-fn at(seconds: u64) -> Unix {
+fn at(seconds: u64) -> UnixTime {
     Duration::from_secs(seconds)
 }
 
--- a/node/src/dispatcher/runs.rs
+++ b/node/src/dispatcher/runs.rs
@@ -10,7 +10,7 @@
 use super::attempts::Phase;
 use super::idempotency::HeldKey;
 use super::Dispatcher;
-use crate::clock::{self, Unix};
+use crate::clock::{self, UnixTime};
 use crate::exchange::{CallCommand, Request, RunCommand, TransactionId};
 use crate::log;
 use crate::outcome::{Completion, RequestOutcome, RunState, StoredOutcome};
@@ -18,7 +18,7 @@
 
 impl Dispatcher {
     /// Starts the run of a queued attempt, once the run gate authorizes it.
-    pub(super) fn start_run(&mut self, id: RequestId, now: Unix) {
+    pub(super) fn start_run(&mut self, id: RequestId, now: UnixTime) {
         let Some(attempt) = self.attempts.get(id) else { return };
         if attempt.phase != Phase::Queued {
             return;
@@ -129,7 +129,7 @@
     }
 
     /// Makes a queued attempt wait for the outcome of another attempt of its key.
-    pub(super) fn wait_for_attempt(&mut self, id: RequestId, now: Unix) {
+    pub(super) fn wait_for_attempt(&mut self, id: RequestId, now: UnixTime) {
         let Some(attempt) = self.attempts.get_mut(id) else { return };
         attempt.phase = Phase::WaitingForAttempt { since: now };
         let request = attempt.request.clone();
@@ -150,7 +150,7 @@
         }
     }
 
-    fn complete_waiter(&mut self, id: RequestId, stored: &StoredOutcome, now: Unix) {
+    fn complete_waiter(&mut self, id: RequestId, stored: &StoredOutcome, now: UnixTime) {
         let Some(attempt) = self.attempts.get(id) else { return };
         let Phase::WaitingForAttempt { since } = attempt.phase else { return };
         let outcome = match stored {
--- a/node/src/dispatcher/submission.rs
+++ b/node/src/dispatcher/submission.rs
@@ -9,7 +9,7 @@
 use super::attempts::{Attempt, Phase};
 use super::idempotency::KeyMatch;
 use super::Dispatcher;
-use crate::clock::{self, Unix};
+use crate::clock::{self, UnixTime};
 use crate::exchange::{DispatcherEvent, Request, Submission, SubmissionId};
 use crate::log;
 use crate::outcome::{digest, IdempotencyKey, RequestOutcome, StoredOutcome};
@@ -43,7 +43,13 @@
         }
     }
 
-    fn submit_keyed(&mut self, submission: Submission, request: &Request, key: IdempotencyKey, now: Unix) {
+    fn submit_keyed(
+        &mut self,
+        submission: Submission,
+        request: &Request,
+        key: IdempotencyKey,
+        now: UnixTime,
+    ) {
         if self.status().awaiting_state {
             return self.withhold(submission);
         }
@@ -65,7 +71,7 @@
     }
 
     /// Why an attempt with this key gets no decision, as the outcome that its client gets.
-    fn refuse_key(&self, key: &IdempotencyKey, request: &Request, now: Unix) -> Option<RequestOutcome> {
+    fn refuse_key(&self, key: &IdempotencyKey, request: &Request, now: UnixTime) -> Option<RequestOutcome> {
         if self.may_have_run_unrecorded(key, now) {
             log!("dispatcher: a key may have run, its stored record is damaged: txn={:?}", request.txn);
             return Some(RequestOutcome::Failed { timed_out: false });
@@ -85,7 +91,7 @@
     }
 
     /// Adds an attempt and lets the admission module decide about it. `repeats` is the attempt that holds its key.
-    fn present(&mut self, submission: Submission, repeats: Option<RequestId>, now: Unix) {
+    fn present(&mut self, submission: Submission, repeats: Option<RequestId>, now: UnixTime) {
         let Submission { request, id: submission_id, responder } = submission;
         let id = self.attempts.allocate_id();
         self.admission_events.push(Event::Arrived(Arrival {
@@ -110,14 +116,19 @@
         &self,
         key: Option<&IdempotencyKey>,
         request: &Request,
-        now: Unix,
+        now: UnixTime,
     ) -> RequestOutcome {
         let key = key.filter(|_| !self.status().awaiting_state);
         let known = key.and_then(|key| self.known_outcome(key, request, now));
         known.unwrap_or_else(|| self.undecided_rejection())
     }
 
-    fn known_outcome(&self, key: &IdempotencyKey, request: &Request, now: Unix) -> Option<RequestOutcome> {
+    fn known_outcome(
+        &self,
+        key: &IdempotencyKey,
+        request: &Request,
+        now: UnixTime,
+    ) -> Option<RequestOutcome> {
         if self.may_have_run_unrecorded(key, now) {
             return Some(RequestOutcome::Failed { timed_out: false });
         }
@@ -135,7 +146,7 @@
     }
 
     /// Whether a key that is not in the table may have run, as its stored record may be damaged.
-    fn may_have_run_unrecorded(&self, key: &IdempotencyKey, now: Unix) -> bool {
+    fn may_have_run_unrecorded(&self, key: &IdempotencyKey, now: UnixTime) -> bool {
         !self.idempotency.contains(key) && self.run_gate.may_have_run(key, now)
     }
 
--- a/node/src/dispatcher/timers.rs
+++ b/node/src/dispatcher/timers.rs
@@ -6,7 +6,7 @@
 
 use oakwind_admission::{Event, Gauges, TimerId};
 
-use crate::clock::Unix;
+use crate::clock::UnixTime;
 
 /// Gauges are requested this long before the timer that reports them fires, as the backend takes a moment to answer.
 const GAUGE_REQUEST_LEAD: Duration = Duration::from_millis(5);
@@ -16,26 +16,26 @@
 /// The pending timers and the latest gauges.
 #[derive(Default)]
 pub(super) struct Timers {
-    pending: BinaryHeap<Reverse<(Unix, TimerId)>>,
+    pending: BinaryHeap<Reverse<(UnixTime, TimerId)>>,
     gauges: Gauges,
-    gauges_read_at: Unix,
+    gauges_read_at: UnixTime,
     gauges_requested: bool,
 }
 
 impl Timers {
     /// Has a timer fire at a point in time.
-    pub(super) fn schedule(&mut self, at: Unix, timer: TimerId) {
+    pub(super) fn schedule(&mut self, at: UnixTime, timer: TimerId) {
         self.pending.push(Reverse((at, timer)));
     }
 
     /// When the next timer fires or gauges are to be requested for it, whichever comes first.
-    pub(super) fn next_wake(&self) -> Option<Unix> {
+    pub(super) fn next_wake(&self) -> Option<UnixTime> {
         let at = self.next_firing()?;
         Some(if self.gauges_requested { at } else { at.saturating_sub(GAUGE_REQUEST_LEAD) })
     }
 
     /// Whether the backend is to be asked for its gauges now. Returns true once for each time that timers fire.
-    pub(super) fn should_request_gauges(&mut self, now: Unix) -> bool {
+    pub(super) fn should_request_gauges(&mut self, now: UnixTime) -> bool {
         let is_near = self.next_firing().is_some_and(|at| at <= now + GAUGE_REQUEST_LEAD);
         let request = is_near && !self.gauges_requested;
         self.gauges_requested |= request;
@@ -43,13 +43,13 @@
     }
 
     /// Takes in gauges that were read now.
-    pub(super) fn set_gauges(&mut self, now: Unix, gauges: Gauges) {
+    pub(super) fn set_gauges(&mut self, now: UnixTime, gauges: Gauges) {
         self.gauges = gauges;
         self.gauges_read_at = now;
     }
 
     /// Removes the timers that have fired by now and returns their events, the earliest first.
-    pub(super) fn pop_fired(&mut self, now: Unix) -> Vec<Event> {
+    pub(super) fn pop_fired(&mut self, now: UnixTime) -> Vec<Event> {
         let is_fresh = self.gauges_read_at + MAX_GAUGE_AGE >= now;
         let gauges = if is_fresh { self.gauges } else { Gauges::default() };
         let mut fired = Vec::new();
@@ -61,7 +61,7 @@
         fired
     }
 
-    fn next_firing(&self) -> Option<Unix> {
+    fn next_firing(&self) -> Option<UnixTime> {
         self.pending.peek().map(|Reverse((at, _))| *at)
     }
 }
--- a/node/src/dispatcher/timers/tests.rs
+++ b/node/src/dispatcher/timers/tests.rs
@@ -3,7 +3,7 @@
 const FIRST: TimerId = TimerId(1);
 const SECOND: TimerId = TimerId(2);
 
-fn at(milliseconds: u64) -> Unix {
+fn at(milliseconds: u64) -> UnixTime {
     Duration::from_secs(100) + Duration::from_millis(milliseconds)
 }
 
--- a/node/src/exchange.rs
+++ b/node/src/exchange.rs
@@ -13,7 +13,7 @@
 use oakwind_settings::Parsed;
 use tokio::sync::{mpsc, watch};
 
-use crate::clock::Unix;
+use crate::clock::UnixTime;
 use crate::metrics::Metrics;
 pub(crate) use crate::outcome::{Completion, RequestOutcome};
 pub(crate) use command::{CallCommand, RunCommand};
@@ -113,7 +113,7 @@
     }
 
     /// The shutdown notice has come: the process is stopped at `stops_at`.
-    pub(crate) async fn drain(&self, stops_at: Unix) {
+    pub(crate) async fn drain(&self, stops_at: UnixTime) {
         self.send(DispatcherEvent::Drain(stops_at)).await;
     }
 
--- a/node/src/exchange/command.rs
+++ b/node/src/exchange/command.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 
 use super::request::{Request, TransactionId};
-use crate::clock::Unix;
+use crate::clock::UnixTime;
 
 /// A command to the backend that runs requests.
 #[derive(Debug)]
@@ -37,7 +37,7 @@
         /// The body that the run gave.
         body: Bytes,
         /// When the call is given up.
-        until: Unix,
+        until: UnixTime,
     },
     /// Give up the call of a run.
     GiveUp(TransactionId),
--- a/node/src/exchange/event.rs
+++ b/node/src/exchange/event.rs
@@ -5,7 +5,7 @@
 use tokio::sync::mpsc;
 
 use super::request::{Submission, SubmissionId, TransactionId};
-use crate::clock::Unix;
+use crate::clock::UnixTime;
 use crate::outcome::{Completion, IdempotencyRecord};
 
 /// An event for the dispatcher.
@@ -18,7 +18,7 @@
     /// A backend reports.
     Backend(BackendEvent),
     /// The shutdown notice has come: the process is stopped at this time.
-    Drain(Unix),
+    Drain(UnixTime),
     /// Operators turn maintenance mode on or off.
     SetMaintenance(bool),
     /// The recovery of this node keeps clients off, or lets them come.
--- a/node/src/exchange/request.rs
+++ b/node/src/exchange/request.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use tokio::sync::mpsc;
 
-use crate::clock::Unix;
+use crate::clock::UnixTime;
 use crate::metrics::Metrics;
 use crate::outcome::{IdempotencyKey, RequestOutcome};
 
@@ -33,9 +33,9 @@
     /// Its rank, from 0 to under 1.
     pub(crate) rank: f64,
     /// When it reached this machine.
-    pub(crate) received_at: Unix,
+    pub(crate) received_at: UnixTime,
     /// When its client stops waiting.
-    pub(crate) deadline: Unix,
+    pub(crate) deadline: UnixTime,
     /// Its body, as it was read.
     pub(crate) body: Bytes,
 }
--- a/node/src/exchange/status.rs
+++ b/node/src/exchange/status.rs
@@ -2,15 +2,15 @@
 
 use std::time::Duration;
 
-use crate::clock::Unix;
+use crate::clock::UnixTime;
 
 /// The shutdown notice.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct Shutdown {
     /// When the process is stopped.
-    pub(crate) stops_at: Unix,
+    pub(crate) stops_at: UnixTime,
     /// When the notice came.
-    pub(crate) noticed_at: Unix,
+    pub(crate) noticed_at: UnixTime,
 }
 
 /// The state of the node, for all who accept, answer or report on its behalf.
@@ -23,7 +23,7 @@
     /// The node is recovering and not ready for clients.
     pub(crate) recovering: bool,
     /// The backend started cold and counts as warm from then on.
-    pub(crate) warm_at: Option<Unix>,
+    pub(crate) warm_at: Option<UnixTime>,
     /// Connections that are idle for this long are closed; `None` until the admission module has started.
     pub(crate) idle_timeout: Option<Duration>,
     /// The shutdown notice, once it has come.
--- a/node/src/handover/tests/golden.rs
+++ b/node/src/handover/tests/golden.rs
@@ -65,7 +65,7 @@
 }
 
 fn run(test: impl std::future::Future<Output = ()>) {
-    tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap().block_on(test)
+    tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap().block_on(test);
 }
 
 fn socket(name: &str) -> PathBuf {
--- a/node/src/outcome.rs
+++ b/node/src/outcome.rs
@@ -10,7 +10,7 @@
 pub(crate) use oakwind_fleet::{LATE_READ_GRACE, MAX_RESULT_BYTES};
 use siphasher::sip::SipHasher13;
 
-use crate::clock::Unix;
+use crate::clock::UnixTime;
 
 /// Names one request across all its attempts and all classes. The class is no part of it, as a class may be renamed
 /// between two attempts and the request must not run a second time.
@@ -87,7 +87,7 @@
     /// Digest of the body that its attempts carry.
     pub(crate) body_digest: BodyDigest,
     /// When the key expires.
-    pub(crate) expires_at: Unix,
+    pub(crate) expires_at: UnixTime,
     /// The state of its run.
     pub(crate) state: RunState,
 }
--- a/node/src/run_gate.rs
+++ b/node/src/run_gate.rs
@@ -17,7 +17,7 @@
 use oakwind_fleet::ids::ConfigVersion;
 use oakwind_fleet::key_state::RunResult;
 
-use crate::clock::Unix;
+use crate::clock::UnixTime;
 use crate::exchange::Request;
 use crate::metrics::Metrics;
 use crate::outcome::{BodyDigest, Completion, IdempotencyKey, StoredOutcome};
@@ -39,7 +39,7 @@
     /// Digest of its body.
     pub(crate) body_digest: BodyDigest,
     /// When the key expires.
-    pub(crate) expires_at: Unix,
+    pub(crate) expires_at: UnixTime,
 }
 
 /// Everything that keeps keys beyond the process, if anything does.
@@ -80,7 +80,7 @@
     }
 
     /// Whether a key that is not known may have run, as its record in the store may be damaged.
-    pub(crate) fn may_have_run(&self, key: &[u8], now: Unix) -> bool {
+    pub(crate) fn may_have_run(&self, key: &[u8], now: UnixTime) -> bool {
         self.store.as_ref().is_some_and(|store| store.uncertain_keys.contains(key, now))
     }
 
