--- a/node/src/handover/successor.rs
+++ b/node/src/handover/successor.rs
@@ -4,6 +4,7 @@
 use std::path::PathBuf;
 
 use bytes::BytesMut;
+use thiserror::Error;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::UnixStream;
 
@@ -28,6 +29,23 @@
     exchange.predecessor_done().await;
 }
 
+/// Why the predecessor's state is not, or not completely, known.
+#[derive(Debug, Error)]
+enum HandoverError {
+    /// The connection failed.
+    #[error("connection failed: {0}")]
+    Connection(#[from] io::Error),
+    /// The predecessor sent what is no message of the handover.
+    #[error(transparent)]
+    Protocol(#[from] ProtocolError),
+    /// The predecessor ended before it had sent its whole table.
+    #[error("the predecessor ended before its table was complete")]
+    EndedEarly,
+    /// The predecessor did not send its whole table in time.
+    #[error("the table was not complete within {REPLY_TIMEOUT:?}")]
+    TimedOut,
+}
+
 /// What has been received and not yet passed on.
 #[derive(Default)]
 struct Received {
@@ -60,7 +78,7 @@
 }
 
 /// Receives the predecessor's state until that ends. Ending before its table is complete is an error.
-async fn receive_state(predecessor: &mut UnixStream, exchange: &Exchange) -> io::Result<()> {
+async fn receive_state(predecessor: &mut UnixStream, exchange: &Exchange) -> Result<(), HandoverError> {
     predecessor.write_all(TAKE_OVER).await?;
     let table_deadline = clock::now() + REPLY_TIMEOUT;
     let mut status = exchange.status();
@@ -74,14 +92,14 @@
         tokio::select! {
             read = predecessor.read_buf(&mut input) => match read? {
                 0 if received.table_complete => return Ok(()),
-                0 => return Err(io::ErrorKind::UnexpectedEof.into()),
+                0 => return Err(HandoverError::EndedEarly),
                 _ => {}
             },
             handed_over = status.wait_for(|status| status.handed_over), if !is_superseded => {
                 is_superseded = handed_over.is_ok();
             }
             () = clock::until(table_deadline), if !received.table_complete => {
-                return Err(ProtocolError::Incomplete.into());
+                return Err(HandoverError::TimedOut);
             }
         }
         if is_superseded && !superseded_sent {
--- a/node/src/handover/tests/golden.rs
+++ b/node/src/handover/tests/golden.rs
@@ -242,3 +242,23 @@
         std::fs::remove_file(path).unwrap();
     });
 }
+
+#[test]
+fn of_a_table_that_is_cut_off_or_not_understood_nothing_is_passed_on() {
+    for sent in [[SEED, OPEN].concat(), [SEED, TAKE, ALL].concat()] {
+        run(async {
+            let Endpoints { exchange, mut dispatcher, backend: _backend } = exchange::new(true, false);
+            let path = socket("cut");
+            let listener = UnixListener::bind(&path).unwrap();
+            let old = async {
+                let (mut old, _) = listener.accept().await.unwrap();
+                assert_eq!(read(&mut old, TAKE).await, TAKE);
+                old.write_all(&bytes(&sent)).await.unwrap();
+                drop(old);
+                assert!(matches!(next(&mut dispatcher).await, DispatcherEvent::PredecessorDone));
+            };
+            tokio::join!(take_over(path.clone(), exchange), old);
+            std::fs::remove_file(path).unwrap();
+        });
+    }
+}
