--- a/node/src/dispatcher/idempotency.rs
+++ b/node/src/dispatcher/idempotency.rs
@@ -3,6 +3,8 @@
 //! At most one attempt of a key is allowed to run until the key expires. Results take a bounded amount of memory:
 //! without a durable store the oldest results are dropped first, while the fact that the key has run is kept.
 
+mod entry;
+
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::hash::{BuildHasher, RandomState};
 use std::time::Duration;
@@ -16,6 +18,7 @@
     digest, BodyDigest, IdempotencyKey, IdempotencyRecord, RunState, StoredOutcome, LATE_READ_GRACE,
     MAX_RESULT_BYTES,
 };
+use entry::Entry;
 
 /// Estimated memory that one entry takes beside its result, in bytes; rather too high than too low.
 const ENTRY_BYTES: usize = 512;
@@ -24,57 +27,6 @@
 /// Expired entries are removed at most this often.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What is known of one key.
-#[derive(Debug)]
-struct Entry {
-    /// The attempt that the key belongs to at present.
-    holder: RequestId,
-    /// Digest of the body that all attempts of the key carry.
-    body_digest: BodyDigest,
-    expires_at: UnixTime,
-    /// The attempt that was run, if any.
-    run_by: Option<RequestId>,
-    /// The run belongs to the predecessor process.
-    run_by_predecessor: bool,
-    outcome: Option<StoredOutcome>,
-    /// Attempts that wait for the outcome.
-    waiters: Vec<RequestId>,
-}
-
-impl Entry {
-    /// Whether an attempt received at that time is a new request: the key has expired and no run of it is under way.
-    /// A run that takes longer than its key lasts must not get a second one beside it.
-    fn has_expired(&self, received_at: UnixTime) -> bool {
-        received_at > self.expires_at && !self.is_running()
-    }
-
-    /// Whether a run was started and its outcome is not known.
-    fn is_running(&self) -> bool {
-        self.run_by.is_some() && self.outcome.is_none()
-    }
-
-    fn run_state(&self) -> RunState {
-        self.outcome.as_ref().map_or(RunState::Pending, RunState::from)
-    }
-
-    fn result_bytes(&self) -> usize {
-        if let Some(StoredOutcome::Succeeded(result)) = &self.outcome {
-            result.len()
-        } else {
-            0
-        }
-    }
-
-    fn to_record(&self, key: &IdempotencyKey) -> IdempotencyRecord {
-        IdempotencyRecord {
-            key: key.clone(),
-            body_digest: self.body_digest,
-            expires_at: self.expires_at,
-            state: self.run_state(),
-        }
-    }
-}
-
 /// How an attempt relates to what is known of its key.
 #[derive(Debug, PartialEq)]
 pub(crate) enum KeyMatch {
@@ -166,16 +118,7 @@
             if state == RunState::NeverStarted {
                 return None;
             }
-            let entry = Entry {
-                holder: id,
-                body_digest,
-                expires_at,
-                run_by: Some(id),
-                run_by_predecessor: true,
-                outcome: None,
-                waiters: vec![],
-            };
-            self.insert(key.clone(), entry);
+            self.insert(key.clone(), Entry::of_predecessor(id, body_digest, expires_at));
         }
         let entry = self.entries.get(&key)?;
         let outcome = StoredOutcome::from_run_state(state)?;
@@ -245,15 +188,7 @@
             self.key_by_holder.insert(holder, key);
             return;
         }
-        let entry = Entry {
-            holder,
-            body_digest: self.digest(body),
-            expires_at,
-            run_by: None,
-            run_by_predecessor: false,
-            outcome: None,
-            waiters: vec![],
-        };
+        let entry = Entry::new(holder, self.digest(body), expires_at);
         self.insert(key, entry);
     }
 
