--- a/node/src/server/mod.rs
+++ b/node/src/server/mod.rs
@@ -27,7 +27,7 @@
 
 /// Why a node did not start.
 #[derive(Debug, Error)]
-pub enum StartupError {
+pub(crate) enum StartupError {
     /// A configuration file can't be served.
     #[error("{0}")]
     Config(ConfigError),
@@ -63,7 +63,7 @@
 /// # Errors
 ///
 /// Where the configuration is not valid, or an address or a folder that it names can't be opened.
-pub fn serve(files: &ConfigFiles) -> Result<(), StartupError> {
+pub(crate) fn serve(files: &ConfigFiles) -> Result<(), StartupError> {
     let loaded = files.load_for_startup().map_err(StartupError::Config)?;
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(StartupError::Runtime)?;
