--- a/node/src/config/missing_keys.rs
+++ b/node/src/config/missing_keys.rs
@@ -15,7 +15,7 @@
         }
         (Value::Array(before), Value::Array(after)) => {
             let members = after.iter().enumerate();
-            members.flat_map(|(i, new)| below(&i.to_string(), missing_beside_each(before, new))).collect()
+            members.flat_map(|(i, new)| below(&i.to_string(), missing_in_every(before, new))).collect()
         }
         (Value::Object(_) | Value::Array(_), _) => vec![String::new()],
         _ => Vec::new(),
@@ -23,10 +23,9 @@
 }
 
 /// The keys that each of the old members of a list had and the new one lacks.
-fn missing_beside_each(before: &[Value], new: &Value) -> Vec<String> {
-    let beside_each = before.iter().map(|old| missing_keys(old, new));
-    let common =
-        beside_each.reduce(|common, one| common.into_iter().filter(|key| one.contains(key)).collect());
+fn missing_in_every(before: &[Value], new: &Value) -> Vec<String> {
+    let in_each = before.iter().map(|old| missing_keys(old, new));
+    let common = in_each.reduce(|common, one| common.into_iter().filter(|key| one.contains(key)).collect());
     common.unwrap_or_default()
 }
 
--- a/node/src/peers/connection.rs
+++ b/node/src/peers/connection.rs
@@ -132,7 +132,7 @@
             if writing.is_empty() {
                 writing = self.output.bytes.borrow_mut().split();
             }
-            input.take_preamble()?;
+            input.read_preamble()?;
             while let Some(decoded) = input.next_message()? {
                 if !self.report(decoded).await {
                     return Ok(());
@@ -171,7 +171,7 @@
 
 impl Input {
     /// Takes the preamble off the input, once it is there.
-    fn take_preamble(&mut self) -> io::Result<()> {
+    fn read_preamble(&mut self) -> io::Result<()> {
         if self.has_preamble || self.bytes.len() < PREAMBLE.len() {
             return Ok(());
         }
--- a/node/src/peers/driver.rs
+++ b/node/src/peers/driver.rs
@@ -253,11 +253,11 @@
 
     /// Reports what the replica node has decided to the rest of the process.
     async fn report(&mut self) {
-        for outcome in self.host.take_outcomes() {
+        for outcome in self.host.drain_outcomes() {
             // The run gate ends only with the process.
             let _ = self.channels.outcomes.send(outcome).await;
         }
-        if let Some(is_recovering) = self.host.take_recovering_change() {
+        if let Some(is_recovering) = self.host.drain_recovering_change() {
             self.channels.exchange.set_recovering(is_recovering).await;
         }
     }
--- a/node/src/peers/replica_host.rs
+++ b/node/src/peers/replica_host.rs
@@ -68,12 +68,12 @@
     }
 
     /// The outcomes since the last call.
-    pub(super) fn take_outcomes(&mut self) -> Vec<(RequestId, ClaimOutcome)> {
+    pub(super) fn drain_outcomes(&mut self) -> Vec<(RequestId, ClaimOutcome)> {
         std::mem::take(&mut self.outcomes)
     }
 
     /// Whether the node is recovering, if that has changed since the last call.
-    pub(super) fn take_recovering_change(&mut self) -> Option<bool> {
+    pub(super) fn drain_recovering_change(&mut self) -> Option<bool> {
         self.recovering_change.take()
     }
 
--- a/node/tests/sockets/records.rs
+++ b/node/tests/sockets/decision_log.rs
@@ -1,25 +1,25 @@
-//! Records of what a node decides, and the commands that look into them.
+//! The decision log of a node, and the commands that audit it.
 
 use crate::helper::*;
 use std::path::{Path, PathBuf};
 
-/// A folder of one node's records.
-fn folder(name: &str) -> PathBuf {
+/// A folder for the decision log of one node.
+fn new_folder(name: &str) -> PathBuf {
     let folder = file(name, "");
     std::fs::remove_file(&folder).unwrap();
     std::fs::create_dir(&folder).unwrap();
     folder
 }
 
-fn configured(vm: &Server, name: &str) -> String {
+fn node_config(vm: &Server, name: &str) -> String {
     config(&format!(r#""ops": "127.0.0.1:0", "vm": "{}","#, vm.address))
         .replace("\"n1\"", &format!("\"{name}\""))
 }
 
-/// A node that runs one booking and turns one away, over both fronts, and ends in order.
-fn records(name: &str, key: &str, change: impl FnOnce(&str) -> Option<String>) -> PathBuf {
-    let (vm, folder) = (Server::new(), folder(name));
-    let config = configured(&vm, name);
+/// The decision log of a node that serves a booking by both protocols, rejects another request, and ends in order.
+fn record_decisions(name: &str, key: &str, change: impl FnOnce(&str) -> Option<String>) -> PathBuf {
+    let (vm, folder) = (Server::new(), new_folder(name));
+    let config = node_config(&vm, name);
     let mut node = Node::with_records(&config, &folder);
     let mut link = vm.interpreter("0");
     let mut client = node.client();
@@ -44,7 +44,8 @@
     folder
 }
 
-fn asked(arguments: &[&str]) -> (bool, String) {
+/// The output of a command that must have no errors, and whether its exit status is success.
+fn run_command(arguments: &[&str]) -> (bool, String) {
     let output = output(arguments);
     assert!(output.stderr.is_empty(), "{}", String::from_utf8_lossy(&output.stderr));
     (output.status.success(), String::from_utf8(output.stdout).unwrap())
@@ -55,45 +56,45 @@
 }
 
 #[test]
-fn what_a_node_decided_is_recorded_and_can_be_asked_for_by_try_and_by_key() {
-    let folder = records("n1", "k", |_| None);
-    let (clean, said) = asked(&["fleet", "audit", path(&folder)]);
+fn decisions_are_recorded_and_explained_by_attempt_and_by_key() {
+    let folder = record_decisions("n1", "k", |_| None);
+    let (clean, said) = run_command(&["fleet", "audit", path(&folder)]);
     assert!(clean && said.contains("whole") && said.ends_with("nothing is wrong\n"), "{said}");
-    let (found, said) = asked(&["fleet", "explain", "k", path(&folder)]);
+    let (found, said) = run_command(&["fleet", "explain", "k", path(&folder)]);
     let did = |line: &str| line.split_whitespace().nth(2).unwrap_or_default().to_string();
     let all: Vec<String> = said.lines().skip(1).map(did).collect();
     assert!(found && all == ["runs", "served", "served"], "{said}");
-    let (_, said) = asked(&["fleet", "explain", "a2", path(&folder)]);
+    let (_, said) = run_command(&["fleet", "explain", "a2", path(&folder)]);
     let all: Vec<String> = said.lines().skip(1).map(did).collect();
     assert_eq!(all, ["runs", "never", "refused"], "no server took it: {said}");
-    let (found, said) = asked(&["fleet", "explain", "--json", "nobody", path(&folder)]);
+    let (found, said) = run_command(&["fleet", "explain", "--json", "nobody", path(&folder)]);
     assert!(!found && said == "[]\n");
-    let (_, said) = asked(&["fleet", "audit", "--json", path(&folder)]);
+    let (_, said) = run_command(&["fleet", "audit", "--json", path(&folder)]);
     assert!(said.contains("\"program\"") && said.contains(env!("CARGO_PKG_VERSION")), "{said}");
 }
 
 #[test]
-fn who_stays_with_old_settings_is_told_and_who_has_the_new_ones_is_not() {
-    let old = records("n1", "k", |_| None);
-    let new = records("n2", "l", |config| Some(config.replace("\"worth\": 2.0", "\"worth\": 3.0")));
-    let older = records("n3", "m", |_| None);
+fn an_audit_names_the_node_that_keeps_old_settings() {
+    let old = record_decisions("n1", "k", |_| None);
+    let new = record_decisions("n2", "l", |config| Some(config.replace("\"worth\": 2.0", "\"worth\": 3.0")));
+    let older = record_decisions("n3", "m", |_| None);
     let all = [path(&old), path(&new), path(&older)];
-    let (clean, said) = asked(&[&["fleet", "audit", "--spread-ms", "0"][..], &all].concat());
+    let (clean, said) = run_command(&[&["fleet", "audit", "--spread-ms", "0"][..], &all].concat());
     let late: Vec<&str> = said.lines().filter(|line| line.contains("went on with Settings")).collect();
     assert!(!clean && late.len() == 1 && late[0].starts_with("n3 "), "{said}");
     assert!(late[0].contains("has not come round"), "{said}");
-    let (clean, said) = asked(&[&["fleet", "audit", "--spread-ms", "600000"][..], &all].concat());
+    let (clean, said) = run_command(&[&["fleet", "audit", "--spread-ms", "600000"][..], &all].concat());
     assert!(clean, "{said}");
 }
 
 #[test]
-fn an_edited_file_is_found_and_where() {
-    let folder = records("n1", "k", |_| None);
+fn an_audit_shows_which_line_was_edited() {
+    let folder = record_decisions("n1", "k", |_| None);
     let mut files = std::fs::read_dir(&folder).unwrap().map(|entry| entry.unwrap().path());
     let log = files.find(|path| path.extension().is_some_and(|kind| kind == "log")).unwrap();
     let text = std::fs::read_to_string(&log).unwrap();
     std::fs::write(&log, text.replacen("served", "failed", 1)).unwrap();
-    let (clean, said) = asked(&["fleet", "audit", path(&folder)]);
+    let (clean, said) = run_command(&["fleet", "audit", path(&folder)]);
     assert!(!clean && said.contains("line 3: not as it was written"), "{said}");
     let gone = output(&["fleet", "audit", "/nowhere/at/all"]);
     let said = String::from_utf8(gone.stderr).unwrap();
@@ -106,7 +107,7 @@
 fn a_folder_that_is_not_there_ends_the_start_with_one_line_that_names_the_key() {
     let vm = Server::new();
     let records = file("records.toml", "folder = '/nowhere/at/all'\n");
-    let config = file("config.json", &configured(&vm, "n1"));
+    let config = file("config.json", &node_config(&vm, "n1"));
     let arguments = ["--config", path(&config), "--records", path(&records)];
     let ended = output(&[&["serve"], &arguments[..]].concat());
     let said = String::from_utf8(ended.stderr).unwrap();
--- a/node/tests/sockets/fleet.rs
+++ b/node/tests/sockets/fleet.rs
@@ -1,4 +1,4 @@
-//! Nodes that talk, one at a time or a few: what operators set, what the program says, and what a peer may send it.
+//! Nodes of a fleet: replication between them, operators' files, and what a peer may send.
 
 use crate::helper::*;
 use oakwind_fleet::ids::{ConfigVersion, Incarnation, NodeId};
@@ -9,15 +9,15 @@
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// A fleet of three on addresses of one test's own, with a window that is short.
+/// A fleet of three nodes on addresses that belong to one test, with a short idempotency window.
 struct Fleet {
     host: &'static str,
     ports: Vec<u16>,
-    number: u64,
+    version: u64,
 }
 
-/// Classes whose keys are remembered for a second.
-fn quick(config: &str) -> String {
+/// A configuration whose keys are remembered for a second.
+fn with_short_windows(config: &str) -> String {
     config
         .replace("\"window\": 120000000", "\"window\": 1000000")
         .replace("120000000", "2000000")
@@ -26,31 +26,39 @@
 
 impl Fleet {
     fn new(host: &'static str) -> Fleet {
-        // Nobody else has this host, so what is free there stays free.
-        let held = [(); 4].map(|()| std::net::TcpListener::bind((host, 0)).unwrap());
-        Fleet { host, ports: held.iter().map(|held| held.local_addr().unwrap().port()).collect(), number: 1 }
+        // No other test has this host, so what is free there stays free.
+        let listeners = [(); 4].map(|()| std::net::TcpListener::bind((host, 0)).unwrap());
+        Fleet {
+            host,
+            ports: listeners.iter().map(|listener| listener.local_addr().unwrap().port()).collect(),
+            version: 1,
+        }
     }
 
     fn address(&self, n: usize) -> SocketAddr {
         format!("{}:{}", self.host, self.ports[n - 1]).parse().unwrap()
     }
 
-    fn list(&self, nodes: &[usize]) -> String {
+    fn membership(&self, nodes: &[usize]) -> String {
         let members = nodes.iter().map(|n| {
             format!("[[list.member]]\nname = 'n{n}'\naddress = '{}'\nzone = 'z{n}'\n", self.address(*n))
         });
         let members: String = members.collect();
-        format!("[list]\nnumber = {}\nwindow_ms = 3000\n{members}", self.number)
+        format!("[list]\nnumber = {}\nwindow_ms = 3000\n{members}", self.version)
     }
 
     fn file(&self, n: usize, nodes: &[usize], more: &str) -> String {
-        format!("name = 'n{n}'\nlisten = '{}'\nprobe_ms = 100\n{more}{}", self.address(n), self.list(nodes))
+        format!(
+            "name = 'n{n}'\nlisten = '{}'\nprobe_ms = 100\n{more}{}",
+            self.address(n),
+            self.membership(nodes)
+        )
     }
 
     fn start(&self, n: usize, nodes: &[usize], more: &str) -> (Node, Peer) {
         let vm = Server::new();
         let links = format!(r#""ops": "127.0.0.1:0", "vm": "{}","#, vm.address);
-        let config = quick(&config(&links)).replace("\"n1\"", &format!("\"n{n}\""));
+        let config = with_short_windows(&config(&links)).replace("\"n1\"", &format!("\"n{n}\""));
         let mut node = Node::with_fleet(&config, &self.file(n, nodes, more), None);
         node.wait_until_listening();
         let link = vm.interpreter("0");
@@ -69,7 +77,7 @@
 }
 
 #[test]
-fn a_booking_runs_at_one_node_and_its_repeats_at_others_and_over_both_fronts_get_its_result() {
+fn a_booking_runs_at_one_node_and_repeats_at_others_by_both_protocols_get_its_result() {
     let fleet = Fleet::new("127.0.7.1");
     let mut all = fleet.all();
     let mut clients: Vec<Peer> = all.iter().map(|(node, _)| node.client()).collect();
@@ -91,11 +99,11 @@
     clients[1].request(2, "b2", None, 1900);
     assert_eq!(all[1].1.next_run().0, "b2", "what is safe to repeat asks nobody");
     let lines = ["svc_fleet_granted 1\n", "svc_fleet_held 1\n", "svc_fleet_alive 2\n", "svc_fleet_level 1\n"];
-    shows(&mut all[0].0, &lines);
+    wait_for_stats(&mut all[0].0, &lines);
 }
 
 #[test]
-fn without_a_majority_bookings_are_turned_away_and_all_else_runs() {
+fn without_a_quorum_bookings_are_rejected_and_other_requests_run() {
     let fleet = Fleet::new("127.0.7.2");
     let mut all = fleet.all();
     all.truncate(1);
@@ -106,11 +114,11 @@
     assert!(refused.contains("-32011") && refused.contains("later"), "{refused}");
     client.request(2, "a2", None, 1900);
     assert_eq!(vm.next_run().0, "a2");
-    shows(&mut node, &["svc_fleet_lost 2\n"]);
+    wait_for_stats(&mut node, &["svc_fleet_lost 2\n"]);
 }
 
-/// Waits until an operator sees all these lines.
-fn shows(node: &mut Node, lines: &[&str]) {
+/// Waits until the figures have all these lines.
+fn wait_for_stats(node: &mut Node, lines: &[&str]) {
     let ops = node.admin_address();
     let guard = std::time::Instant::now() + TEST_TIMEOUT;
     loop {
@@ -123,14 +131,14 @@
 }
 
 /// A peer of the test's own.
-fn peer(address: SocketAddr, bytes: &[u8]) -> TcpStream {
+fn connect_peer(address: SocketAddr, bytes: &[u8]) -> TcpStream {
     let mut peer = TcpStream::connect(address).unwrap();
     peer.write_all(bytes).unwrap();
     peer
 }
 
 /// Waits until the other side ends the link.
-fn ends(mut peer: TcpStream) {
+fn assert_closed(mut peer: TcpStream) {
     let mut rest = Vec::new();
     // It may be reset, as not all was read.
     let _ = peer.read_to_end(&mut rest);
@@ -146,19 +154,19 @@
         b"OAKPEER1\0\0\0\x04\0\0\0\0haha",
         b"OAKPEER1\xff\xff\xff\xff\0\0\0\0",
     ] {
-        ends(peer(at, invalid));
+        assert_closed(connect_peer(at, invalid));
         node.wait_for_log("fleet: link closed, its peer sent invalid data");
     }
     // Silence ends as well.
-    ends(peer(at, b"OAK"));
+    assert_closed(connect_peer(at, b"OAK"));
     node.wait_for_log("fleet: replica table complete: keys=0");
     let mut client = node.client();
     client.request(1, "a1", Some("k"), 1900);
-    shows(&mut node, &["svc_fleet_nonsense 3\n"]);
+    wait_for_stats(&mut node, &["svc_fleet_nonsense 3\n"]);
 }
 
-/// A frame as it goes over a link, with more behind it than this build knows.
-fn framed(mut bytes: Vec<u8>, more: &[u8]) -> Vec<u8> {
+/// A message as it goes over a link, with more fields than this build knows.
+fn encoded(mut bytes: Vec<u8>, more: &[u8]) -> Vec<u8> {
     bytes.extend_from_slice(more);
     let mut hasher = SipHasher13::new_with_keys(1, 0);
     hasher.write(&bytes);
@@ -166,8 +174,8 @@
     [&length.to_be_bytes()[..], &check.to_be_bytes(), &bytes].concat()
 }
 
-/// The next frame from the program.
-fn next_frame(peer: &mut TcpStream) -> Message {
+/// The next message from the program.
+fn read_message(peer: &mut TcpStream) -> Message {
     let mut head = [0; 8];
     peer.read_exact(&mut head).unwrap();
     let mut bytes = vec![0; u32::from_be_bytes([head[0], head[1], head[2], head[3]]) as usize];
@@ -176,7 +184,7 @@
 }
 
 #[test]
-fn a_peer_of_a_later_build_is_granted_its_claims_and_what_is_new_in_it_is_skipped() {
+fn a_peer_of_a_later_build_is_granted_its_claims_and_its_new_fields_are_skipped() {
     let fleet = Fleet::new("127.0.7.8");
     let (mut node, _vm) = fleet.start(1, &[1], "");
     node.wait_for_log("fleet: replica table complete: keys=0");
@@ -204,38 +212,38 @@
     let later = postcard::to_allocvec(&(MESSAGE_KINDS + 1, "of a later build")).unwrap();
     let all = [
         b"OAKPEER1".to_vec(),
-        framed(bytes(&hello), b"a new field"),
-        framed(later, b""),
-        framed(bytes(&Message::Claim(asked)), b"another"),
+        encoded(bytes(&hello), b"a new field"),
+        encoded(later, b""),
+        encoded(bytes(&Message::Claim(asked)), b"another"),
     ];
-    let mut peer = peer(fleet.address(1), &all.concat());
+    let mut peer = connect_peer(fleet.address(1), &all.concat());
     peer.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     let mut magic = [0; 8];
     peer.read_exact(&mut magic).unwrap();
-    assert!(matches!(next_frame(&mut peer), Message::Hello(hello) if hello.name == "n1"));
-    assert_eq!(next_frame(&mut peer), Message::Granted { claim, incarnations: vec![] });
-    shows(&mut node, &["svc_fleet_later_frames 1\n", "svc_fleet_nonsense 0\n"]);
+    assert!(matches!(read_message(&mut peer), Message::Hello(hello) if hello.name == "n1"));
+    assert_eq!(read_message(&mut peer), Message::Granted { claim, incarnations: vec![] });
+    wait_for_stats(&mut node, &["svc_fleet_later_frames 1\n", "svc_fleet_nonsense 0\n"]);
 }
 
 #[test]
-fn a_list_is_taken_over_by_its_number_at_a_hang_up_and_others_are_turned_down() {
+fn a_reload_adopts_a_newer_membership_configuration_and_rejects_others() {
     let mut fleet = Fleet::new("127.0.7.4");
     let mut all = fleet.all();
-    fleet.number = 2;
+    fleet.version = 2;
     let next = fleet.file(1, &[1, 2, 3, 4], "");
     let node = &mut all[0].0;
     node.reload_fleet_file(&next);
     node.wait_for_log("fleet: membership configuration adopted: version=2");
     all[1].0.wait_for_log("fleet: membership configuration received from a peer: version=2");
     let node = &mut all[0].0;
-    let old = Fleet { number: 1, ports: fleet.ports.clone(), ..fleet };
+    let old = Fleet { version: 1, ports: fleet.ports.clone(), ..fleet };
     node.reload_fleet_file(&old.file(1, &[1, 2, 3], ""));
     node.wait_for_log("fleet: membership configuration rejected: list.number: 1 is");
     node.reload_fleet_file(&fleet.file(1, &[1, 2, 3], ""));
     node.wait_for_log(
         "fleet: membership configuration rejected: list.number: 2 is the version of the active",
     );
-    let third = Fleet { number: 3, ports: fleet.ports.clone(), ..fleet };
+    let third = Fleet { version: 3, ports: fleet.ports.clone(), ..fleet };
     node.reload_fleet_file(&third.file(1, &[1, 2], ""));
     node.wait_for_log("fleet: membership configuration rejected: list.members: without n3, n4 (2 in all)");
     let mut client = all[2].0.client();
@@ -246,7 +254,7 @@
 #[test]
 fn a_wrong_fleet_file_ends_the_start_with_a_line_that_names_the_key() {
     let fleet = Fleet::new("127.0.7.5");
-    let config = file("config.json", &quick(&config(r#""vm": "127.0.0.1:1","#)));
+    let config = file("config.json", &with_short_windows(&config(r#""vm": "127.0.0.1:1","#)));
     let check = |text: &str| {
         let path = file("fleet.toml", text);
         let arguments =
@@ -282,13 +290,13 @@
 }
 
 #[test]
-fn an_upgrade_in_place_goes_on_granting_and_its_first_process_ends_what_it_began() {
+fn in_an_upgrade_the_successor_grants_claims_and_the_predecessor_finishes_its_runs() {
     let fleet = Fleet::new("127.0.7.6");
     let place = crate::upgrade::Place::new("127.0.7.7");
     let start = || {
         let vm = Server::new();
-        let config =
-            quick(&config(&format!(r#""vm": "{}","#, vm.address))).replace("127.0.0.1:0", &place.json);
+        let config = with_short_windows(&config(&format!(r#""vm": "{}","#, vm.address)))
+            .replace("127.0.0.1:0", &place.json);
         let mut node = Node::with_fleet(&config, &fleet.file(1, &[1, 2, 3], ""), Some(&place.folder));
         let link = vm.interpreter("0");
         node.wait_until_listening();
--- a/node/tests/sockets/main.rs
+++ b/node/tests/sockets/main.rs
@@ -12,9 +12,9 @@
 mod jsonrpc;
 mod links;
 
-mod records;
+mod decision_log;
 mod reload;
-mod remembered;
+mod result_store;
 mod upgrade;
 mod uwsgi;
 mod vrrp;
--- a/node/tests/sockets/remembered.rs
+++ b/node/tests/sockets/result_store.rs
@@ -1,4 +1,4 @@
-//! Keys and results that outlast the process.
+//! The result store: idempotency keys and results that outlast the process.
 
 use crate::helper::*;
 use base64::engine::general_purpose::STANDARD as BASE64;
@@ -9,19 +9,19 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::sync::{Arc, Mutex};
 
-/// A folder that lasts for one test, and the file that names it.
-struct Memory {
+/// The folder of a result store for one test, and the operators' file that names it.
+struct StoreFolder {
     folder: PathBuf,
     /// The text of that file.
     text: String,
 }
 
-impl Memory {
-    fn new(more: &str) -> Memory {
-        let folder = file("remembered", "").with_extension("d");
+impl StoreFolder {
+    fn new(options: &str) -> StoreFolder {
+        let folder = file("result-store", "").with_extension("d");
         std::fs::create_dir(&folder).unwrap();
-        let text = format!("folder = '{}'\n{more}", folder.display());
-        Memory { folder, text }
+        let text = format!("folder = '{}'\n{options}", folder.display());
+        StoreFolder { folder, text }
     }
 
     /// A process of the node with a stand-in interpreter whose link is up.
@@ -39,16 +39,17 @@
     }
 }
 
-fn uwsgi(node: &mut Node, key: &str) -> Peer {
+/// Sends a booking by uwsgi.
+fn send_uwsgi_booking(node: &mut Node, key: &str) -> Peer {
     let mut client = Peer::connect(node.uwsgi_address());
     client.send(packet(&[("PATH_INFO", "/book"), ("HTTP_IDEMPOTENCY_KEY", key)], "body"));
     client
 }
 
 #[test]
-fn a_booking_is_answered_from_its_first_result_after_a_crash_and_one_that_may_have_run_has_failed() {
-    let memory = Memory::new("");
-    let (node, mut vm) = memory.start();
+fn a_repeat_after_a_crash_gets_the_first_result_and_one_that_may_have_run_fails() {
+    let folder = StoreFolder::new("");
+    let (node, mut vm) = folder.start();
     let mut client = node.client();
     for (id, txn, key) in [(1, "a1", "ended"), (2, "a2", "began"), (3, "a3", "failed")] {
         client.request(id, txn, Some(key), LONG_LIMIT_MS);
@@ -62,7 +63,7 @@
     drop(node);
     // Before anything can run here as well.
     let vm = Server::new();
-    let mut node = memory.spawn(&vm, None);
+    let mut node = folder.spawn(&vm, None);
     node.wait_for_log("result store: recovered: keys=3");
     let mut client = node.client();
     client.request(1, "b1", Some("ended"), LONG_LIMIT_MS);
@@ -77,7 +78,7 @@
         client.request(id, txn, Some(key), LONG_LIMIT_MS);
         assert!(client.read_line().contains("-32000"));
     }
-    assert!(uwsgi(&mut node, "ended").read_to_end().ends_with("job 5"));
+    assert!(send_uwsgi_booking(&mut node, "ended").read_to_end().ends_with("job 5"));
     client.request(5, "c5", Some("fresh"), LONG_LIMIT_MS);
     assert_eq!(link.next_run().0, "c5", "nothing else has run");
     let stats = admin_call(node.admin_address(), "GET /ops/stats");
@@ -88,13 +89,18 @@
 }
 
 /// How often each body was run.
-type Runs = Arc<Mutex<HashMap<String, u32>>>;
+type RunCounts = Arc<Mutex<HashMap<String, u32>>>;
 
-/// An interpreter that runs all that comes, but holds what it begins while it is told to. Its results have so
-/// many bytes more.
-fn interpreter(vm: &Server, hold: Arc<AtomicBool>, runs: Runs, padding: usize) -> Receiver<()> {
+/// An interpreter that runs every command, but does not end runs while `holds_runs` is set; it reports each of those. Its
+/// results are longer by `padding` bytes.
+fn spawn_interpreter(
+    vm: &Server,
+    holds_runs: Arc<AtomicBool>,
+    runs: RunCounts,
+    padding: usize,
+) -> Receiver<()> {
     let mut link = vm.interpreter("0");
-    let (say, began) = channel();
+    let (report, started) = channel();
     std::thread::spawn(move || {
         for notice in 1.. {
             let (words, body) = link.next_command();
@@ -102,8 +108,8 @@
                 return;
             }
             *runs.lock().unwrap().entry(body.clone()).or_default() += 1;
-            if hold.load(Ordering::SeqCst) {
-                let _ = say.send(());
+            if holds_runs.load(Ordering::SeqCst) {
+                let _ = report.send(());
             } else {
                 link.send_run_result(
                     notice,
@@ -114,11 +120,11 @@
             }
         }
     });
-    began
+    started
 }
 
-/// A booking over either front. Its body is its key, so that a run tells whose it is.
-fn ask(node: &Node, front: std::net::SocketAddr, key: &str, id: u32, json: bool) -> Peer {
+/// Sends a booking to either frontend. Its body is its key, so that a run shows which key it is of.
+fn send_booking(node: &Node, front: std::net::SocketAddr, key: &str, id: u32, json: bool) -> Peer {
     let mut client = if json { node.client() } else { Peer::connect(front) };
     if json {
         let text = request(id, &format!("{id:x}"), "book", Some(key), LONG_LIMIT_MS);
@@ -129,72 +135,108 @@
     client
 }
 
-#[test]
-fn restarts_at_any_moment_run_no_key_twice_and_refuse_no_repeat_of_what_is_done() {
-    let memory = Memory::new("file_mb = 4\n");
-    let runs = Runs::default();
-    let (mut done, mut unknown): (Vec<u32>, Vec<u32>) = Default::default();
-    let (mut state, mut number) = (20_261_201_u64, 0);
-    let mut draw = |below: u64| {
-        state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        (state >> 33) % below
-    };
-    for _ in 0..12 {
-        let (vm, hold) = (Server::new(), Arc::new(AtomicBool::new(false)));
-        let mut node = memory.spawn(&vm, None);
+/// A seeded generator of numbers below a bound.
+struct Random(u64);
+
+impl Random {
+    fn below(&mut self, bound: u64) -> u64 {
+        self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        (self.0 >> 33) % bound
+    }
+
+    fn pick(&mut self, keys: &[u32]) -> u32 {
+        keys[self.below(keys.len() as u64) as usize]
+    }
+}
+
+/// Processes that are killed one after the other, and what their clients know.
+struct Restarts {
+    random: Random,
+    runs: RunCounts,
+    /// Keys that were served.
+    served: Vec<u32>,
+    /// Keys that may have run.
+    unknown: Vec<u32>,
+    last_key: u32,
+}
+
+impl Restarts {
+    /// A key of an attempt: a repeat of one before, or a new one.
+    fn draw_key(&mut self, is_last: bool) -> u32 {
+        let repeats = self.random.below(2) == 0 && !self.served.is_empty();
+        if repeats && !is_last {
+            return self.random.pick(&self.served);
+        }
+        if self.random.below(3) == 0 && !self.unknown.is_empty() && !is_last {
+            return self.random.pick(&self.unknown);
+        }
+        self.last_key += 1;
+        self.last_key
+    }
+
+    /// A process that serves a few attempts and is killed in the last one, in its run or at some moment before.
+    fn run_process(&mut self, folder: &StoreFolder) {
+        let (vm, holds_runs) = (Server::new(), Arc::new(AtomicBool::new(false)));
+        let mut node = folder.spawn(&vm, None);
         let front = node.uwsgi_address();
-        let began = interpreter(&vm, hold.clone(), runs.clone(), 0);
+        let started = spawn_interpreter(&vm, holds_runs.clone(), self.runs.clone(), 0);
         node.wait_for_log("health is good");
-        let mut id = 0;
-        let steps = 3 + draw(8);
-        for step in 0..=steps {
-            let (json, last) = (draw(2) == 0, step == steps);
-            let again = draw(2) == 0 && !done.is_empty();
-            let key = if again && !last {
-                done[draw(done.len() as u64) as usize]
-            } else if draw(3) == 0 && !unknown.is_empty() && !last {
-                unknown[draw(unknown.len() as u64) as usize]
-            } else {
-                number += 1;
-                number
-            };
-            id += 1;
-            hold.store(last, Ordering::SeqCst);
+        let attempts = 3 + self.random.below(8);
+        for attempt in 0..=attempts {
+            let (json, is_last) = (self.random.below(2) == 0, attempt == attempts);
+            let key = self.draw_key(is_last);
+            holds_runs.store(is_last, Ordering::SeqCst);
+            let id = u32::try_from(attempt).unwrap() + 1;
             let name = format!("k{key:02}");
-            let mut asked = ask(&node, front, &name, id, json);
-            if last {
-                // Killed in the run, or at whatever moment before it.
-                if draw(2) == 0 {
-                    began.recv().unwrap();
+            let mut client = send_booking(&node, front, &name, id, json);
+            if is_last {
+                if self.random.below(2) == 0 {
+                    started.recv().unwrap();
                 }
-                unknown.push(key);
-                break;
-            }
-            let answer = if json { asked.read_line() } else { asked.read_to_end() };
-            let job = format!("job of {name}");
-            let served = answer.contains(&job) || answer.contains(&BASE64.encode(&job));
-            if done.contains(&key) {
-                assert!(served, "a repeat of a booking that is done: {answer}");
-            } else if served {
-                unknown.retain(|unknown| *unknown != key);
-                done.push(key);
-            } else {
-                assert!(
-                    unknown.contains(&key) && !answer.contains("-32011") && !answer.contains(" 503 "),
-                    "{answer}"
-                );
+                self.unknown.push(key);
+                return;
             }
+            let response = if json { client.read_line() } else { client.read_to_end() };
+            self.check(key, &name, &response);
+        }
+    }
+
+    fn check(&mut self, key: u32, name: &str, response: &str) {
+        let job = format!("job of {name}");
+        let is_served = response.contains(&job) || response.contains(&BASE64.encode(&job));
+        if self.served.contains(&key) {
+            assert!(is_served, "a repeat of a booking that was served: {response}");
+        } else if is_served {
+            self.unknown.retain(|unknown| *unknown != key);
+            self.served.push(key);
+        } else {
+            let is_rejected = response.contains("-32011") || response.contains(" 503 ");
+            assert!(self.unknown.contains(&key) && !is_rejected, "{response}");
         }
-        drop(node);
     }
-    let runs = runs.lock().unwrap();
-    assert!(done.len() > 10 && runs.values().all(|runs| *runs == 1), "{runs:?}");
+}
+
+#[test]
+fn restarts_at_any_moment_run_no_key_twice_and_reject_no_repeat_of_a_served_one() {
+    let folder = StoreFolder::new("file_mb = 4\n");
+    let mut restarts = Restarts {
+        random: Random(20_261_201),
+        runs: RunCounts::default(),
+        served: Vec::new(),
+        unknown: Vec::new(),
+        last_key: 0,
+    };
+    for _ in 0..12 {
+        restarts.run_process(&folder);
+    }
+    let runs = restarts.runs.lock().unwrap();
+    assert!(restarts.served.len() > 10 && runs.values().all(|count| *count == 1), "{runs:?}");
 }
 
 #[test]
 fn a_folder_that_cannot_be_used_ends_the_start_with_a_line_that_names_the_key() {
-    let memory = Memory::new("");
-    let (_node, _vm) = memory.start();
+    let folder = StoreFolder::new("");
+    let (_node, _vm) = folder.start();
     let config = file("config.json", &config(r#""vm": "127.0.0.1:1","#));
     let start = |text: &str| {
         let remembered = file("remembered.toml", text);
@@ -204,19 +246,19 @@
         assert!(!ended.status.success());
         String::from_utf8(ended.stderr).unwrap()
     };
-    let twice = start(&memory.text);
+    let twice = start(&folder.text);
     assert!(twice.contains("folder: ") && twice.contains("another process has it open"), "{twice}");
     assert!(start("folder = '/nowhere/at/all'").contains("folder: /nowhere/at/all: "));
     assert_eq!(start("folder = 'here'").lines().count(), 1);
 }
 
 #[test]
-fn an_upgrade_hands_the_folder_over_and_both_processes_keys_are_known_after_a_crash() {
-    let (memory, place) = (Memory::new(""), crate::upgrade::Place::new("127.0.3.6"));
+fn an_upgrade_hands_the_folder_over_and_keys_of_both_processes_are_known_after_a_crash() {
+    let (folder, place) = (StoreFolder::new(""), crate::upgrade::Place::new("127.0.3.6"));
     let start = || {
         let vm = Server::new();
         let config = config(&format!(r#""vm": "{}","#, vm.address)).replace("127.0.0.1:0", &place.json);
-        let mut node = Node::spawn_with(&config, None, Some(&place.folder), Some(&memory.text));
+        let mut node = Node::spawn_with(&config, None, Some(&place.folder), Some(&folder.text));
         let link = vm.interpreter("0");
         node.wait_until_listening();
         (node, link)
@@ -253,10 +295,10 @@
 }
 
 #[test]
-fn where_the_folder_is_full_bookings_are_turned_away_before_they_run_and_told_when_to_return() {
-    let (memory, vm, runs) = (Memory::new("file_mb = 4\n"), Server::new(), Runs::default());
-    let node = memory.spawn(&vm, None);
-    interpreter(&vm, Arc::default(), runs.clone(), 60_000);
+fn in_a_full_folder_bookings_are_rejected_before_they_run_with_a_time_to_return() {
+    let (folder, vm, runs) = (StoreFolder::new("file_mb = 4\n"), Server::new(), RunCounts::default());
+    let node = folder.spawn(&vm, None);
+    spawn_interpreter(&vm, Arc::default(), runs.clone(), 60_000);
     let mut client = node.client();
     let mut ask = |id: u32, key: &str| {
         let text = request(id, &format!("{id:x}"), "book", Some(key), LONG_LIMIT_MS);
@@ -273,9 +315,9 @@
 }
 
 #[test]
-fn what_is_damaged_is_counted_and_its_key_does_not_run_and_the_others_are_known() {
-    let memory = Memory::new("");
-    let (node, mut vm) = memory.start();
+fn damaged_records_are_counted_their_key_does_not_run_and_other_keys_are_known() {
+    let folder = StoreFolder::new("");
+    let (node, mut vm) = folder.start();
     let mut client = node.client();
     for (id, key) in [(1, "hurt"), (2, "whole")] {
         client.request(id, &format!("a{id}"), Some(key), LONG_LIMIT_MS);
@@ -284,7 +326,7 @@
         client.read_line();
     }
     drop(node);
-    let segment = memory.folder.join(format!("keys-{:016x}.log", 1));
+    let segment = folder.folder.join(format!("keys-{:016x}.log", 1));
     let mut bytes = std::fs::read(&segment).unwrap();
     // Both records of that key: nothing else tells of it.
     let hurt = |bytes: &[u8]| bytes.windows(4).position(|window| window == b"hurt");
@@ -293,7 +335,7 @@
     let second = hurt(&bytes).unwrap();
     bytes[second] ^= 1;
     std::fs::write(&segment, bytes).unwrap();
-    let (mut node, _vm) = memory.start();
+    let (mut node, _vm) = folder.start();
     node.wait_for_log("result store: damaged: unreadable_records=2 missing_records=0 unrecognized_bytes=0");
     let mut client = node.client();
     client.request(1, "b1", Some("hurt"), LONG_LIMIT_MS);
@@ -304,9 +346,9 @@
 }
 
 #[test]
-fn a_restart_during_a_drain_answers_the_repeats_that_go_on_to_come() {
-    let memory = Memory::new("");
-    let (node, mut vm) = memory.start();
+fn a_restart_after_a_drain_answers_repeats_that_still_come() {
+    let folder = StoreFolder::new("");
+    let (node, mut vm) = folder.start();
     let mut client = node.client();
     client.request(1, "a1", Some("k"), LONG_LIMIT_MS);
     vm.next_run();
@@ -319,17 +361,17 @@
     assert!(answers.iter().all(|answer| answer.contains("\"result\"")), "{answers:?}");
     drop(client);
     node.assert_clean_exit();
-    let (node, _vm) = memory.start();
+    let (node, _vm) = folder.start();
     let mut client = node.client();
     client.request(1, "b1", Some("k"), LONG_LIMIT_MS);
     assert_eq!(client.read_line(), answers[0]);
 }
 
 #[test]
-fn where_the_disk_fails_bookings_are_turned_away_and_reads_go_on_until_it_is_back() {
-    let (memory, vm, runs) = (Memory::new("file_mb = 4\n"), Server::new(), Runs::default());
-    let mut node = memory.spawn(&vm, None);
-    interpreter(&vm, Arc::default(), runs.clone(), 60_000);
+fn while_the_disk_fails_bookings_are_rejected_and_reads_are_served() {
+    let (folder, vm, runs) = (StoreFolder::new("file_mb = 4\n"), Server::new(), RunCounts::default());
+    let mut node = folder.spawn(&vm, None);
+    spawn_interpreter(&vm, Arc::default(), runs.clone(), 60_000);
     let mut client = node.client();
     let mut ask = |id: u32, class: &str, key: Option<&str>| {
         let text = request(id, &format!("{id:x}"), class, key, LONG_LIMIT_MS);
@@ -337,7 +379,7 @@
         client.read_line()
     };
     // The segment that is open goes on; no other can be begun.
-    std::fs::remove_dir_all(&memory.folder).unwrap();
+    std::fs::remove_dir_all(&folder.folder).unwrap();
     let first = (1..100).find(|id| !ask(*id, "book", Some(&format!("k{id}"))).contains("\"result\""));
     let first = first.expect("a segment has an end");
     assert!(ask(200, "book", Some("other")).contains("\"code\":-32011"));
@@ -345,7 +387,7 @@
     assert!(ask(201, "quote", None).contains("\"result\""));
     assert!(ask(1, "book", Some("k1")).contains("\"result\""), "what is known is served");
     node.wait_for_log("result store: maintenance failed");
-    std::fs::create_dir(&memory.folder).unwrap();
+    std::fs::create_dir(&folder.folder).unwrap();
     assert!(ask(203, "book", Some("fresh")).contains("\"result\""));
     assert!(first > 1);
 }
