--- a/node/src/config/tests.rs
+++ b/node/src/config/tests.rs
@@ -4,7 +4,8 @@
     "settings": {"services": [{"name": "quote", "slo": 1, "deadline": 2, "effect": "repeatable"}],
     "specifics": {"cores": 2, "memoryKb": 64.5}, "safety": {"drainGrace": 8, "fallMultiple": 3}}}"#;
 
-fn problem(from: &str, to: &str) -> String {
+/// The error of the small configuration with a change.
+fn error_after(from: &str, to: &str) -> String {
     assert!(SMALL.contains(from));
     NodeConfig::parse(&SMALL.replace(from, to)).unwrap_err().to_string()
 }
@@ -17,7 +18,7 @@
 }
 
 #[test]
-fn one_line_names_the_key() {
+fn an_error_is_one_line_that_names_the_key() {
     let cases = [
         (r#""name": "n1", "#, "", "`name`"),
         ("127.0.0.1:0", "nowhere", "listen"),
@@ -36,30 +37,30 @@
         ("repeatable", "by_key", "services[0].window"),
     ];
     for (from, to, key) in cases {
-        let line = problem(from, to);
+        let line = error_after(from, to);
         assert!(line.contains(key) && !line.contains('\n'), "{line:?} names {key}");
     }
 }
 
 #[test]
-fn a_key_that_the_file_before_had_is_missed_wherever_it_was() {
+fn a_key_of_the_configuration_before_counts_as_missing_wherever_it_was() {
     let before = SMALL.replace(r#""effect""#, r#""lateWorth": 0.5, "effect""#).replace(
         "}]",
         r#"}, {"name": "book", "slo": 1, "deadline": 2, "effect": "by_key", "window": 9, "worth": 2}], "tenants": []"#,
     );
-    let lacks = |from: &str, to: &str| {
+    let first_missing_key = |from: &str, to: &str| {
         assert!(before.contains(from));
         let now = NodeConfig::parse(&before.replace(from, to)).unwrap();
         now.first_missing_key(&NodeConfig::parse(&before).unwrap())
     };
-    assert_eq!(lacks("quote", "price"), None);
-    assert_eq!(lacks(r#", "tenants": []"#, ""), Some("settings.tenants".into()));
-    assert_eq!(lacks(r#""name": "book", "#, ""), Some("settings.services.1.name".into()));
-    assert_eq!(lacks(r#""lateWorth": 0.5, "#, ""), None, "not each of the classes had it");
+    assert_eq!(first_missing_key("quote", "price"), None);
+    assert_eq!(first_missing_key(r#", "tenants": []"#, ""), Some("settings.tenants".into()));
+    assert_eq!(first_missing_key(r#""name": "book", "#, ""), Some("settings.services.1.name".into()));
+    assert_eq!(first_missing_key(r#""lateWorth": 0.5, "#, ""), None, "not each of the classes had it");
 }
 
 #[test]
-fn a_remembered_file_says_what_is_wrong_with_it() {
+fn an_error_of_a_result_store_file_is_one_line_that_names_the_key() {
     let good = "folder = '/var/lib/oakwind'\nfile_mb = 8\n";
     assert_eq!(ResultStoreConfig::parse(good).unwrap().max_batch, 1024);
     for (from, to, key) in [
@@ -75,7 +76,7 @@
 }
 
 #[test]
-fn a_uwsgi_file_says_what_is_wrong_with_it() {
+fn an_error_of_a_uwsgi_file_names_the_key() {
     let good = "listen = '127.0.0.1:0'\n[vrrp]\nvrid = 7\naddresses = ['127.0.1.1']\n\
                 listen = '127.0.0.1:0'\npeers = []\n";
     assert_eq!(UwsgiConfig::parse(good).unwrap().vrrp.unwrap().priority, 100);
@@ -91,3 +92,38 @@
         assert!(line.contains(key), "{line:?} names {key}");
     }
 }
+
+#[test]
+fn an_error_of_a_decision_log_file_is_one_line_that_names_the_key() {
+    let good = "folder = '/var/lib/oakwind'\nfile_mb = 8\n";
+    assert_eq!(DecisionLogConfig::parse(good).unwrap().max_files, 8);
+    for (from, to, key) in [
+        ("'/var/lib/oakwind'", "'here'", "records file, folder"),
+        ("8", "0", "records file, file_mb"),
+        ("8", "1025", "records file, file_mb"),
+        ("8", "8\nfiles = 1", "records file, files"),
+        ("8", "8\nfiles = 1001", "records file, files"),
+        ("8", "8\nsurprise = 1", "surprise"),
+    ] {
+        let line = DecisionLogConfig::parse(&good.replace(from, to)).unwrap_err().to_string();
+        assert!(line.contains(key) && !line.contains('\n'), "{line:?} names {key}");
+    }
+}
+
+/// The values of keys that a file leaves out, which operators rely on.
+#[test]
+fn keys_that_are_left_out_have_their_documented_defaults() {
+    let store = ResultStoreConfig::parse("folder = '/f'\n").unwrap();
+    assert_eq!((store.max_bytes, store.max_batch), (64 << 20, 1024));
+    let log = DecisionLogConfig::parse("folder = '/f'\n").unwrap();
+    assert_eq!((log.max_file_bytes, log.max_files), (8 << 20, 8));
+    let fleet = FleetConfig::parse(
+        "name = 'n1'\nlisten = '127.0.0.1:1'\nfolder = '/f'\n[list]\nnumber = 1\nwindow_ms = 3000\n\
+         [[list.member]]\nname = 'n1'\naddress = '127.0.0.1:1'\n",
+    )
+    .unwrap();
+    assert_eq!((fleet.max_replica_bytes, fleet.max_links), (64 << 20, 128));
+    assert_eq!(fleet.transfer_bytes_per_second, 16_000_000);
+    assert_eq!(fleet.probe_interval.as_millis(), 500);
+    assert_eq!(fleet.vote_store, Some(ResultStoreConfig { folder: "/f".into(), ..store }));
+}
--- a/node/src/peers/driver.rs
+++ b/node/src/peers/driver.rs
@@ -36,7 +36,7 @@
     pub(super) events: mpsc::Receiver<Event>,
     /// Outcomes for the handle.
     pub(super) outcomes: mpsc::Sender<(RequestId, ClaimOutcome)>,
-    /// Tells whether a backend runs requests, and is told whether clients may come.
+    /// Has the status of the backend, and receives whether this node is recovering.
     pub(super) exchange: Exchange,
 }
 
--- a/node/src/peers/replica_host.rs
+++ b/node/src/peers/replica_host.rs
@@ -213,7 +213,7 @@
         self.links.retain_nodes(|node| members.contains(&node));
     }
 
-    /// Stores what is known of a key. Where that is not possible, the node is told at once.
+    /// Stores what is known of a key. Where that is not possible, the node gets the failure at once.
     fn store(
         &mut self,
         sequence: StoreSequence,
