--- /dev/null
+++ b/fault-harness/src/check/attempts.rs
@@ -0,0 +1,116 @@
+//! The attempts of a history: where each was sent, for which request, and what became of it.
+
+use std::collections::{BTreeMap, HashMap};
+
+use crate::history::{Drop, Event, Kind};
+use crate::model::Ms;
+
+/// One attempt of a request at one node.
+#[derive(Debug)]
+pub(super) struct Attempt {
+    /// The request, by position.
+    pub(super) request: usize,
+    /// The node that it was written to.
+    pub(super) node: usize,
+    /// The frontend that wrote it.
+    pub(super) frontend: usize,
+    /// When it was written.
+    pub(super) written_at: Ms,
+    /// When its caller stops waiting.
+    pub(super) deadline: Ms,
+    /// When and how it was answered.
+    pub(super) answered: Option<(Ms, Kind)>,
+    /// When its caller cancelled it.
+    pub(super) withdrawn_at: Option<Ms>,
+    /// When and why its connection ended without an answer.
+    pub(super) dropped: Option<(Ms, Drop)>,
+    /// Whether the interpreter began to run it.
+    pub(super) has_run: bool,
+}
+
+impl Attempt {
+    fn new(request: usize, node: usize, frontend: usize, written_at: Ms, deadline: Ms) -> Attempt {
+        Attempt {
+            request,
+            node,
+            frontend,
+            written_at,
+            deadline,
+            answered: None,
+            withdrawn_at: None,
+            dropped: None,
+            has_run: false,
+        }
+    }
+
+    /// Whether it was rejected.
+    pub(super) fn is_rejected(&self) -> bool {
+        matches!(self.answered, Some((_, Kind::Refused { .. })))
+    }
+}
+
+/// What is known of a request.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct Request {
+    /// The request whose idempotency key it has: itself, or the one that it repeats.
+    pub(super) key: usize,
+    /// Its class, by position.
+    pub(super) class: usize,
+}
+
+/// All attempts, by id, and the requests that they belong to.
+#[derive(Debug, Default)]
+pub(super) struct Attempts {
+    by_id: BTreeMap<u64, Attempt>,
+    requests: HashMap<usize, Request>,
+}
+
+impl Attempts {
+    /// Takes in the events that concern attempts alone.
+    pub(super) fn observe(&mut self, t: Ms, event: &Event) {
+        match event {
+            Event::Asked { n, class, repeats } => {
+                self.requests.insert(*n, Request { key: repeats.unwrap_or(*n), class: *class });
+            }
+            Event::Wrote { txn, n, node, front, due } => {
+                self.by_id.insert(*txn, Attempt::new(*n, *node, *front, t, *due));
+            }
+            Event::Withdrew { txn } => self.update(*txn, |attempt| attempt.withdrawn_at = Some(t)),
+            Event::Dropped { txn, why } => self.update(*txn, |attempt| attempt.dropped = Some((t, *why))),
+            _ => {}
+        }
+    }
+
+    /// The attempt with this id, if one was written.
+    pub(super) fn get(&self, id: u64) -> Option<&Attempt> {
+        self.by_id.get(&id)
+    }
+
+    /// Changes an attempt; one that was never written is left out.
+    pub(super) fn update(&mut self, id: u64, change: impl FnOnce(&mut Attempt)) {
+        if let Some(attempt) = self.by_id.get_mut(&id) {
+            change(attempt);
+        }
+    }
+
+    /// The request at this position, if a client sent it.
+    pub(super) fn request(&self, position: usize) -> Option<Request> {
+        self.requests.get(&position).copied()
+    }
+
+    /// The idempotency key of an attempt.
+    pub(super) fn key_of(&self, id: u64) -> Option<usize> {
+        let position = self.by_id.get(&id)?.request;
+        Some(self.request(position).map_or(position, |request| request.key))
+    }
+
+    /// How many were written.
+    pub(super) fn len(&self) -> usize {
+        self.by_id.len()
+    }
+
+    /// All attempts, by id.
+    pub(super) fn iter(&self) -> impl Iterator<Item = (u64, &Attempt)> {
+        self.by_id.iter().map(|(id, attempt)| (*id, attempt))
+    }
+}
--- /dev/null
+++ b/fault-harness/src/check/runs.rs
@@ -0,0 +1,146 @@
+//! The rules about runs: what was rejected or came too late does not run, and a key runs once within its window.
+
+use std::collections::HashMap;
+
+use super::verdict::Rule;
+use super::Checker;
+use crate::history::Event;
+use crate::model::Ms;
+use crate::scenario::Once;
+
+/// A run of a keyed request.
+#[derive(Debug, Clone, Copy)]
+struct Run {
+    /// The attempt that ran.
+    attempt: u64,
+    node: usize,
+    /// The generation of the node's stored state; each loss of that state begins a new one.
+    generation: usize,
+    /// When the attempt was written, from where the window counts.
+    written_at: Ms,
+    started_at: Ms,
+}
+
+/// A result that a run made.
+#[derive(Debug)]
+pub(super) struct RunResult {
+    /// The node that made it.
+    pub(super) node: usize,
+    /// The result.
+    pub(super) result: String,
+}
+
+/// What is known of runs, by idempotency key.
+#[derive(Debug, Default)]
+pub(super) struct Runs {
+    by_key: HashMap<usize, Vec<Run>>,
+    /// Results stay valid after a node lost its state: a folder that was cut, or an old copy of it, may still have one.
+    results: HashMap<usize, Vec<RunResult>>,
+    /// The generation of each node's stored state.
+    generations: HashMap<usize, usize>,
+    /// When each node was told to shut down.
+    shutdown_notices: HashMap<usize, Ms>,
+    /// Keys that ran more than once in the fleet within their window.
+    pub(super) twice_in_fleet: usize,
+}
+
+impl Runs {
+    /// The results that runs of a key made.
+    pub(super) fn results_of(&self, key: usize) -> &[RunResult] {
+        self.results.get(&key).map_or(&[], Vec::as_slice)
+    }
+
+    fn generation(&self, node: usize) -> usize {
+        self.generations.get(&node).copied().unwrap_or(0)
+    }
+
+    /// Earlier runs of a key that a new one, written then, should not have followed.
+    fn within_window(&self, key: usize, written_at: Ms, window: Ms) -> impl Iterator<Item = &Run> {
+        let runs = self.by_key.get(&key).into_iter().flatten();
+        runs.filter(move |run| written_at <= run.written_at + window)
+    }
+}
+
+impl Checker<'_> {
+    /// Takes in the events that concern runs, and checks each run that begins.
+    pub(super) fn observe_run(&mut self, t: Ms, event: &Event) {
+        match event {
+            Event::Began { txn, node } => self.check_run(t, *txn, *node),
+            Event::Ended { txn, node, result: Some(result) } => {
+                let Some(key) = self.attempts.key_of(*txn) else { return };
+                let made = RunResult { node: *node, result: result.clone() };
+                self.runs.results.entry(key).or_default().push(made);
+            }
+            Event::Wiped { node } => *self.runs.generations.entry(*node).or_default() += 1,
+            Event::Notice { node } => drop(self.runs.shutdown_notices.insert(*node, t)),
+            Event::Up { node, .. } => drop(self.runs.shutdown_notices.remove(node)),
+            _ => {}
+        }
+    }
+
+    fn check_run(&mut self, t: Ms, id: u64, node: usize) {
+        self.attempts.update(id, |attempt| attempt.has_run = true);
+        let Some(attempt) = self.attempts.get(id) else {
+            let text = format!("n{} runs {id:016x}, which was never written", node + 1);
+            return self.breaches.record(t, Rule::Spoilt, text);
+        };
+        let (written_at, request) = (attempt.written_at, attempt.request);
+        if attempt.is_rejected() {
+            let text = format!("try {id:016x} at n{} runs after it was refused", node + 1);
+            self.breaches.record(t, Rule::RefusedAndRan, text);
+        }
+        let grace = self.parameters.drain_grace + self.parameters.slack;
+        if self.runs.shutdown_notices.get(&node).is_some_and(|notice| written_at > notice + grace) {
+            let text = format!("try {id:016x} came to n{} too long after the notice to leave", node + 1);
+            self.breaches.record(t, Rule::RunAfterNotice, text);
+        }
+        let generation = self.runs.generation(node);
+        self.check_key(request, Run { attempt: id, node, generation, written_at, started_at: t });
+    }
+
+    /// Checks a run against earlier ones of its key, if its class has keys.
+    fn check_key(&mut self, request: usize, run: Run) {
+        let Some(request) = self.attempts.request(request) else { return };
+        let Some(class) = self.parameters.classes.get(request.class) else { return };
+        if class.window <= 0.0 {
+            return;
+        }
+        let mut earlier = self.runs.within_window(request.key, run.written_at, class.window);
+        let first_in_fleet = earlier.next().copied();
+        let is_same_state = |other: &Run| other.node == run.node && other.generation == run.generation;
+        let first_at_node = first_in_fleet.into_iter().chain(earlier.copied()).find(is_same_state);
+        self.runs.by_key.entry(request.key).or_default().push(run);
+        if let Some(first) = first_at_node {
+            self.record_second_run(request.key, &first, &run);
+        }
+        if let Some(first) = first_in_fleet {
+            self.runs.twice_in_fleet += 1;
+            self.record_second_run_in_fleet(request.key, &first, &run);
+        }
+    }
+
+    fn record_second_run(&mut self, key: usize, first: &Run, second: &Run) {
+        let text = format!(
+            "the key of request {key} runs again at n{}: {:016x}, then {:016x}",
+            second.node + 1,
+            first.attempt,
+            second.attempt
+        );
+        self.breaches.record(second.started_at, Rule::RunTwice, text);
+    }
+
+    fn record_second_run_in_fleet(&mut self, key: usize, first: &Run, second: &Run) {
+        if self.parameters.once != Once::Fleet {
+            return;
+        }
+        let text = format!(
+            "the key of request {key} runs at n{} ({:016x}), and did at n{} at {:.0} ms ({:016x})",
+            second.node + 1,
+            second.attempt,
+            first.node + 1,
+            first.started_at,
+            first.attempt
+        );
+        self.breaches.record(second.started_at, Rule::RunTwiceInFleet, text);
+    }
+}
--- a/fault-harness/src/check/tests.rs
+++ b/fault-harness/src/check/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
-use crate::history::{ClassParameters, Observation};
+use crate::history::{ClassParameters, Drop, Kind, Observation, ProcessExit};
+use crate::scenario::Once;
 
 fn terms(once: Once) -> RuleParameters {
     let class = |name: &str, window| ClassParameters {
--- /dev/null
+++ b/fault-harness/src/check/verdict.rs
@@ -0,0 +1,85 @@
+//! What the checker reports: the rules, each breach of one, and the verdict on a whole history.
+
+use std::collections::BTreeMap;
+
+use serde::Serialize;
+
+use crate::model::Ms;
+
+/// A rule that can be broken.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
+#[serde(rename_all = "kebab-case")]
+pub enum Rule {
+    /// An attempt got no answer by its deadline, or one that can't be read.
+    Lost,
+    /// An attempt was answered twice.
+    AnsweredTwice,
+    /// An idempotency key ran twice at a node within its window.
+    RunTwice,
+    /// An idempotency key ran twice in the fleet within its window.
+    RunTwiceInFleet,
+    /// An attempt was rejected that had run, or that runs later.
+    RefusedAndRan,
+    /// An attempt ran that came after the shutdown notice and its grace period.
+    RunAfterNotice,
+    /// An attempt was served with a result that no run of its key made.
+    ForeignResult,
+    /// What reached the interpreter differs from what was sent.
+    Spoilt,
+    /// A limit was passed: memory, descriptors, concurrency on the cores, or the time for a graceful shutdown.
+    LimitPassed,
+    /// The program ended by itself.
+    Crashed,
+    /// Two nodes had the role of the virtual router for too long, though they could hear each other.
+    TwoActive,
+}
+
+/// One breach of a rule.
+#[derive(Debug, Clone, PartialEq, Serialize)]
+pub struct Breach {
+    /// When the rule was broken.
+    pub t: Ms,
+    /// Which rule.
+    pub rule: Rule,
+    /// What happened, with the attempt, the node and the key.
+    pub text: String,
+}
+
+/// What the checker found.
+#[derive(Debug, Clone, Default, PartialEq, Serialize)]
+pub struct Verdict {
+    /// Every breach, by time.
+    pub breaches: Vec<Breach>,
+    /// Attempts written to nodes.
+    pub written: usize,
+    /// Those among them that were excused from being lost.
+    pub excused: usize,
+    /// Keys that ran more than once in the fleet within their window, whether or not the scenario forbids it.
+    pub twice_in_fleet: usize,
+}
+
+impl Verdict {
+    /// How often each rule was broken.
+    pub fn by_rule(&self) -> BTreeMap<Rule, usize> {
+        let mut counts = BTreeMap::new();
+        self.breaches.iter().for_each(|breach| *counts.entry(breach.rule).or_default() += 1);
+        counts
+    }
+}
+
+/// Collects breaches in the order in which they are found.
+#[derive(Debug, Default)]
+pub(super) struct Breaches(Vec<Breach>);
+
+impl Breaches {
+    /// Records a breach.
+    pub(super) fn record(&mut self, t: Ms, rule: Rule, text: String) {
+        self.0.push(Breach { t, rule, text });
+    }
+
+    /// All breaches by time; those of one moment stay in the order in which they were found.
+    pub(super) fn into_sorted(mut self) -> Vec<Breach> {
+        self.0.sort_by(|a, b| a.t.total_cmp(&b.t));
+        self.0
+    }
+}
