--- a/fault-harness/src/statistics/tests.rs
+++ b/fault-harness/src/statistics/tests.rs
@@ -1,3 +1,4 @@
+use super::recovery::{back, worst};
 use super::*;
 
 fn second(asked: f64, served: f64) -> Second {
