--- /dev/null
+++ b/fault-harness/src/play/faults.rs
@@ -0,0 +1,176 @@
+//! The faults of a play: when each strikes, what it does, and how it ends.
+
+use std::rc::Rc;
+
+use tokio::task::spawn_local;
+
+use super::testbed::Testbed;
+use crate::history::Event;
+use crate::model::Ms;
+use crate::node::Machine;
+use crate::scenario::{Directions, Fault, Link, Traffic, What};
+use crate::schedule::{At, Strike};
+
+/// One node hears of a membership configuration so much later than the one before it.
+const ANNOUNCEMENT_INTERVAL: Ms = 100.0;
+
+impl Testbed {
+    /// Arms the faults: those with a time, and those that wait for an event.
+    pub(super) fn arm(self: &Rc<Self>) {
+        let begun = self.context.begun.get();
+        for strike in &self.context.schedule.strikes {
+            match strike.at {
+                At::Time(at) => self.strike_at(begun + at + strike.after, strike.clone()),
+                At::Event(..) => self.pending_strikes.borrow_mut().push(strike.clone()),
+            }
+        }
+        let listening = Rc::downgrade(self);
+        self.context.listen(move |node, what, count| {
+            let Some(testbed) = listening.upgrade() else { return };
+            testbed.strike_on(At::Event(node, what, count));
+        });
+    }
+
+    fn strike_at(self: &Rc<Self>, at: Ms, strike: Strike) {
+        let testbed = self.clone();
+        spawn_local(async move {
+            testbed.context.clock.until(at).await;
+            testbed.strike(&strike);
+        });
+    }
+
+    /// Strikes with the faults that wait for this event.
+    fn strike_on(self: &Rc<Self>, event: At) {
+        let strikes: Vec<Strike> = {
+            let mut pending = self.pending_strikes.borrow_mut();
+            let (now, later) =
+                std::mem::take(&mut *pending).into_iter().partition(|strike| strike.at == event);
+            *pending = later;
+            now
+        };
+        for strike in strikes {
+            if strike.after == 0.0 {
+                // At once: a moment later the node would be further on.
+                self.strike(&strike);
+            } else {
+                self.strike_at(self.context.now() + strike.after, strike);
+            }
+        }
+    }
+
+    /// Does what a fault does, and sees to its end.
+    fn strike(self: &Rc<Self>, strike: &Strike) {
+        let fault = &strike.fault;
+        let lasts = fault.for_s.unwrap_or(0.0) * 1000.0;
+        let down = fault.down_s.map(|seconds| seconds * 1000.0);
+        let until = self.context.now() + lasts.max(down.unwrap_or(0.0));
+        self.context.note(Event::Fault { text: describe(strike), until });
+        let struck = || self.machines_of(strike);
+        match fault.what {
+            What::Kill => struck().for_each(|machine| machine.kill(down, fault, strike.draw)),
+            What::Leave => struck().for_each(|machine| machine.leave(down, fault, strike.draw)),
+            What::Reload => struck().for_each(|machine| machine.reload()),
+            What::Stop => self.pause(strike, until),
+            What::Slow => self.slow_down(strike, until),
+            What::Partition => self.partition(strike, until),
+            What::Link => self.disturb(strike, &fault.between, fault.way, &fault.traffic, until),
+            What::Below => self.weaken_dependency(fault.factor, until),
+            What::Members => self.deafen_members(until),
+            What::Fronts => self.restart_frontends(strike),
+            What::Unlist => self.remove_from_membership(&strike.whom),
+            What::Enlist => self.change_membership(|listed| listed.extend(&strike.whom)),
+        }
+    }
+
+    fn machines_of<'a>(&'a self, strike: &'a Strike) -> impl Iterator<Item = &'a Rc<Machine>> {
+        strike.whom.iter().filter_map(|node| self.machines.get(*node))
+    }
+
+    fn pause(self: &Rc<Self>, strike: &Strike, until: Ms) {
+        let program_only = strike.fault.program_only;
+        self.machines_of(strike).for_each(|machine| machine.set_paused(true, program_only));
+        self.undo_at(until, strike, |machine, fault| machine.set_paused(false, fault.program_only));
+    }
+
+    fn slow_down(self: &Rc<Self>, strike: &Strike, until: Ms) {
+        let factor = strike.fault.factor;
+        self.machines_of(strike).for_each(|machine| machine.interpreter.slow(factor));
+        self.undo_at(until, strike, |machine, _| machine.interpreter.slow(1.0));
+    }
+
+    fn partition(self: &Rc<Self>, strike: &Strike, until: Ms) {
+        let silent = Traffic { silent: true, ..Traffic::default() };
+        let links = [Link::Clients, Link::Below, Link::Members, Link::Peers];
+        self.disturb(strike, &links, Directions::Both, &silent, until);
+    }
+
+    fn weaken_dependency(&self, factor: f64, until: Ms) {
+        let Some(dependency) = self.dependency.clone() else { return };
+        dependency.weaken(factor);
+        let clock = self.context.clock;
+        spawn_local(async move {
+            clock.until(until).await;
+            dependency.weaken(1.0);
+        });
+    }
+
+    /// The membership service hears nobody until then.
+    fn deafen_members(&self, until: Ms) {
+        self.members.borrow_mut().deaf(self.context.now(), true);
+        let (members, clock) = (self.members.clone(), self.context.clock);
+        spawn_local(async move {
+            clock.until(until).await;
+            members.borrow_mut().deaf(clock.now(), false);
+        });
+    }
+
+    fn restart_frontends(&self, strike: &Strike) {
+        let struck = strike.whom.iter().filter_map(|position| self.frontends.get(*position));
+        struck.for_each(|frontend| frontend.restart());
+    }
+
+    fn remove_from_membership(&self, nodes: &[usize]) {
+        self.change_membership(|listed| listed.retain(|node| !nodes.contains(node)));
+    }
+
+    /// Announces the next membership configuration to all nodes, one after the other.
+    fn change_membership(&self, change: impl FnOnce(&mut Vec<usize>)) {
+        let newest = self.machines.iter().map(|machine| machine.list.borrow().clone());
+        let Some((version, before)) = newest.min_by_key(|(version, _)| std::cmp::Reverse(*version)) else {
+            return;
+        };
+        let mut listed = before.clone();
+        change(&mut listed);
+        listed.sort_unstable();
+        listed.dedup();
+        // Nodes that join later are in it already.
+        let version = if listed == before { version } else { version + 1 };
+        for (position, machine) in self.machines.iter().cloned().enumerate() {
+            let (clock, listed) = (self.context.clock, listed.clone());
+            spawn_local(async move {
+                clock.until(clock.now() + position as f64 * ANNOUNCEMENT_INTERVAL).await;
+                machine.takes_list(version, &listed);
+            });
+        }
+    }
+
+    /// Undoes a fault for all nodes that it struck.
+    fn undo_at(self: &Rc<Self>, at: Ms, strike: &Strike, undo: impl Fn(&Rc<Machine>, &Fault) + 'static) {
+        let (testbed, strike) = (self.clone(), strike.clone());
+        spawn_local(async move {
+            testbed.context.clock.until(at).await;
+            testbed.machines_of(&strike).for_each(|machine| undo(machine, &strike.fault));
+        });
+    }
+}
+
+/// A fault in words, for the history and the charts.
+fn describe(strike: &Strike) -> String {
+    let what = format!("{:?}", strike.fault.what).to_lowercase();
+    match (&strike.fault.zone, strike.whom.len()) {
+        (_, 0) => what,
+        (Some(zone), _) => format!("{what} {zone}"),
+        (None, 1) if strike.fault.what != What::Fronts => format!("{what} n{}", strike.whom[0] + 1),
+        (None, count) => format!("{what} {count}"),
+    }
+}
--- /dev/null
+++ b/fault-harness/src/play/monitoring.rs
@@ -0,0 +1,57 @@
+//! Tasks that watch a play: samples of what programs take, whether the harness itself runs late, and progress.
+
+use std::rc::Rc;
+
+use super::testbed::Testbed;
+use crate::history::Event;
+use crate::model::Ms;
+use crate::play_context::PlayContext;
+
+/// Between two samples of what programs take.
+const SAMPLE_INTERVAL: Ms = 500.0;
+/// Between two checks whether the harness runs late.
+const HEARTBEAT_INTERVAL: Ms = 10.0;
+/// From this on, the harness notes that it ran late.
+const LATE_THRESHOLD: Ms = 25.0;
+/// Between two lines of progress.
+const PROGRESS_INTERVAL: Ms = 5_000.0;
+
+/// Samples what each program takes, for as long as the play.
+pub(super) async fn sample(testbed: Rc<Testbed>) {
+    loop {
+        for machine in &testbed.machines {
+            machine.sample();
+        }
+        let next = testbed.context.now() + SAMPLE_INTERVAL;
+        testbed.context.clock.until(next).await;
+    }
+}
+
+/// Notes where the harness itself runs late: what it sees then is not the program's doing.
+pub(super) async fn watch_lateness(context: Rc<PlayContext>) {
+    loop {
+        let expected = context.now() + HEARTBEAT_INTERVAL;
+        context.clock.until(expected).await;
+        let by = context.now() - expected;
+        if by > LATE_THRESHOLD {
+            context.note(Event::Late { by });
+        }
+    }
+}
+
+/// Prints progress on standard error.
+pub(super) async fn print_progress(testbed: Rc<Testbed>) {
+    let context = &testbed.context;
+    loop {
+        let at = (context.now() - context.begun.get()) / 1000.0;
+        let up = testbed.machines.iter().filter(|machine| machine.address.borrow().is_some()).count();
+        eprintln!(
+            "{}: {:.0} of {:.0} s, {up} of {} nodes up",
+            context.scenario.name,
+            at.max(0.0),
+            context.scenario.seconds,
+            testbed.machines.len()
+        );
+        context.clock.until(context.now() + PROGRESS_INTERVAL).await;
+    }
+}
