--- /dev/null
+++ b/fault-harness/src/model/interpreter/spec.rs
@@ -0,0 +1,49 @@
+//! The size and speed of an interpreter, and how it warms up.
+
+use crate::model::Ms;
+use crate::scenario::Fleet;
+
+/// The size and speed of an interpreter.
+#[derive(Debug, Clone)]
+pub struct InterpreterSpec {
+    /// Its cores.
+    pub cores: f64,
+    /// The speed of each core when warm.
+    pub speed: f64,
+    /// The fraction of that speed that a fresh one has.
+    pub warm_from: f64,
+    /// How long it warms up.
+    pub warm_ms: Ms,
+    /// Past this concurrency for each core, less is done in total.
+    pub thrash_at: f64,
+    /// The fraction that is done at twice that concurrency.
+    pub thrash: f64,
+    /// Its memory.
+    pub memory_kb: f64,
+    /// Memory of a running request, as a multiple of one held.
+    pub run_factor: f64,
+}
+
+impl InterpreterSpec {
+    /// The spec of an interpreter of a fleet, whose cores have this speed.
+    pub fn of(fleet: &Fleet, speed: f64) -> InterpreterSpec {
+        InterpreterSpec {
+            cores: f64::from(fleet.cores),
+            speed,
+            warm_from: fleet.warm_from,
+            warm_ms: fleet.warm_s * 1000.0,
+            thrash_at: fleet.thrash_at,
+            thrash: fleet.thrash,
+            memory_kb: fleet.memory_kb,
+            run_factor: fleet.run_factor,
+        }
+    }
+
+    /// The fraction of its speed that one has so long after a cold start.
+    pub fn warm_fraction(&self, after: Ms) -> f64 {
+        if after >= self.warm_ms {
+            return 1.0;
+        }
+        self.warm_from + (1.0 - self.warm_from) * (after / self.warm_ms).max(0.0)
+    }
+}
--- a/fault-harness/src/predict.rs
+++ b/fault-harness/src/predict.rs
@@ -15,7 +15,7 @@
 use crate::history::{Event, History, Observation};
 use crate::model::dependency::Below;
 use crate::model::frontend::Front;
-use crate::model::interpreter::{Make, Vm};
+use crate::model::interpreter::{InterpreterModel, InterpreterSpec};
 use crate::model::registry::Members;
 use crate::model::Ms;
 use crate::play_context::terms;
@@ -65,8 +65,8 @@
     fn new(scenario: &'a Scenario, seed: u64) -> Self {
         let schedule = schedule(scenario, seed);
         let nodes = schedule.speeds.iter().map(|speed| {
-            let make = Make::of(&scenario.fleet, *speed);
-            Node::new(Vm::new(make, 0.0, scenario.fleet.cold))
+            let make = InterpreterSpec::of(&scenario.fleet, *speed);
+            Node::new(InterpreterModel::new(make, 0.0, scenario.fleet.cold))
         });
         let frontends = schedule.fronts.iter().enumerate().map(|(position, front)| {
             let rng = generator(seed, Stream::Habits, position as u64);
--- a/fault-harness/src/predict/faults.rs
+++ b/fault-harness/src/predict/faults.rs
@@ -4,7 +4,7 @@
 use super::Prediction;
 use crate::history::{Event, ProcessExit};
 use crate::model::frontend::Answer;
-use crate::model::interpreter::{Make, Vm};
+use crate::model::interpreter::{InterpreterModel, InterpreterSpec};
 use crate::model::Ms;
 use crate::scenario::{Fault, What};
 
@@ -98,8 +98,8 @@
         self.report();
     }
 
-    fn cold_interpreter(&self, node: usize) -> Vm {
-        let make = Make::of(&self.scenario.fleet, self.schedule.speeds[node]);
-        Vm::new(make, self.now, true)
+    fn cold_interpreter(&self, node: usize) -> InterpreterModel {
+        let make = InterpreterSpec::of(&self.scenario.fleet, self.schedule.speeds[node]);
+        InterpreterModel::new(make, self.now, true)
     }
 }
--- a/fault-harness/src/predict/server.rs
+++ b/fault-harness/src/predict/server.rs
@@ -7,7 +7,7 @@
 use crate::history::{Event, Kind};
 use crate::model::dependency::Ended;
 use crate::model::frontend::Answer;
-use crate::model::interpreter::{Happened, Vm, Work};
+use crate::model::interpreter::{InterpreterEvent, InterpreterModel, Work};
 use crate::model::Ms;
 use crate::schedule::call_time;
 
@@ -31,7 +31,7 @@
 
 /// A node.
 pub(super) struct Node {
-    pub(super) vm: Vm,
+    pub(super) vm: InterpreterModel,
     pub(super) is_up: bool,
     pub(super) is_paused: bool,
     /// Attempts that wait for a core.
@@ -41,7 +41,7 @@
 
 impl Node {
     /// A node that is up.
-    pub(super) fn new(vm: Vm) -> Node {
+    pub(super) fn new(vm: InterpreterModel) -> Node {
         Node { vm, is_up: true, is_paused: false, queue: VecDeque::new(), keys: HashMap::new() }
     }
 }
@@ -144,14 +144,14 @@
     }
 
     /// Takes in what happened at the interpreter of a node.
-    pub(super) fn take_in(&mut self, node: usize, happened: Vec<Happened>) {
+    pub(super) fn take_in(&mut self, node: usize, happened: Vec<InterpreterEvent>) {
         for what in happened {
             match what {
-                Happened::Read(id) => self.read(id),
-                Happened::Done(id) => self.run_over(node, id, Some(format!("job {id:016x}"))),
-                Happened::Aborted(id) => self.run_over(node, id, None),
-                Happened::AtCall(id) => self.call(node, id),
-                Happened::Fell(why) => {
+                InterpreterEvent::Read(id) => self.read(id),
+                InterpreterEvent::Done(id) => self.run_over(node, id, Some(format!("job {id:016x}"))),
+                InterpreterEvent::Aborted(id) => self.run_over(node, id, None),
+                InterpreterEvent::AtCall(id) => self.call(node, id),
+                InterpreterEvent::Fell(why) => {
                     self.note(Event::Fell { node, text: why.into() });
                     self.take_down(node, Some(RESTART_DELAY));
                 }
--- a/fault-harness/src/stand_in/interpreter.rs
+++ b/fault-harness/src/stand_in/interpreter.rs
@@ -10,7 +10,7 @@
 
 use super::{command, txn};
 use crate::history::Event;
-use crate::model::interpreter::{Happened, Make, Vm, Work};
+use crate::model::interpreter::{InterpreterEvent, InterpreterModel, InterpreterSpec, Work};
 use crate::model::Ms;
 use crate::play_context::PlayContext;
 use crate::scenario::Happening;
@@ -22,7 +22,7 @@
 const ANSWERS: usize = 1024;
 
 struct State {
-    vm: Vm,
+    vm: InterpreterModel,
     /// Which start of the node it belongs to.
     life: u64,
     started: Ms,
@@ -40,7 +40,7 @@
 
 impl State {
     /// One that starts now and has run nothing.
-    fn fresh(vm: Vm, life: u64, started: Ms) -> State {
+    fn fresh(vm: InterpreterModel, life: u64, started: Ms) -> State {
         State {
             vm,
             life,
@@ -86,8 +86,12 @@
         })
     }
 
-    fn make(context: &PlayContext, node: usize, cold: bool) -> Vm {
-        Vm::new(Make::of(&context.scenario.fleet, context.schedule.speeds[node]), context.now(), cold)
+    fn make(context: &PlayContext, node: usize, cold: bool) -> InterpreterModel {
+        InterpreterModel::new(
+            InterpreterSpec::of(&context.scenario.fleet, context.schedule.speeds[node]),
+            context.now(),
+            cold,
+        )
     }
 
     /// It ends, with its node; all that it ran is gone.
@@ -193,7 +197,7 @@
         format!("call of {id:016x} in life {life}")
     }
 
-    fn change(&self, change: impl FnOnce(&mut Vm, Ms) -> Vec<Happened>) {
+    fn change(&self, change: impl FnOnce(&mut InterpreterModel, Ms) -> Vec<InterpreterEvent>) {
         let happened = change(&mut self.state.borrow_mut().vm, self.context.now());
         self.tell(happened);
         self.poke.notify_one();
@@ -212,16 +216,16 @@
         }
     }
 
-    fn tell(&self, happened: Vec<Happened>) {
+    fn tell(&self, happened: Vec<InterpreterEvent>) {
         for what in happened {
             match what {
-                Happened::Read(id) => {
+                InterpreterEvent::Read(id) => {
                     if let Some(tell) = self.state.borrow_mut().unread.remove(&id) {
                         // Its front end may have given up.
                         let _ = tell.send(());
                     }
                 }
-                Happened::Done(id) => {
+                InterpreterEvent::Done(id) => {
                     let result = {
                         let state = self.state.borrow();
                         let poorer = if state.poorer.contains(&id) { " poorer" } else { "" };
@@ -229,13 +233,13 @@
                     };
                     self.ended(id, "done", Some(result));
                 }
-                Happened::Aborted(id) => self.ended(id, "aborted", None),
-                Happened::AtCall(id) => {
+                InterpreterEvent::Aborted(id) => self.ended(id, "aborted", None),
+                InterpreterEvent::AtCall(id) => {
                     let life = self.state.borrow().life;
                     let body = Interpreter::call_body(id, life);
                     self.say(|notice| wire::await_call(notice, &format!("{id:016x}"), &body));
                 }
-                Happened::Fell(why) => {
+                InterpreterEvent::Fell(why) => {
                     self.context.note(Event::Fell { node: self.node, text: why.into() });
                     *self.fell.borrow_mut() = Some(why);
                 }
--- a/fault-harness/src/warm_up_bound.rs
+++ b/fault-harness/src/warm_up_bound.rs
@@ -1,7 +1,7 @@
 //! How fast a fleet could be back if warming up were all that kept it: what its cores can do, moment by moment, by the
 //! plan alone.
 
-use crate::model::interpreter::Make;
+use crate::model::interpreter::InterpreterSpec;
 use crate::model::Ms;
 use crate::scenario::{Scenario, What};
 use crate::schedule::{At, Schedule};
@@ -29,7 +29,8 @@
     if !first.is_finite() {
         return None;
     }
-    let makes: Vec<Make> = schedule.speeds.iter().map(|speed| Make::of(&scenario.fleet, *speed)).collect();
+    let makes: Vec<InterpreterSpec> =
+        schedule.speeds.iter().map(|speed| InterpreterSpec::of(&scenario.fleet, *speed)).collect();
     let capacity =
         |at: Ms| -> f64 { makes.iter().enumerate().map(|(node, make)| able(make, node, at, &dents)).sum() };
     let whole: f64 = makes.iter().map(|make| make.cores * make.speed).sum();
@@ -74,7 +75,7 @@
     dents
 }
 
-fn able(make: &Make, node: usize, at: Ms, dents: &[Dent]) -> f64 {
+fn able(make: &InterpreterSpec, node: usize, at: Ms, dents: &[Dent]) -> f64 {
     let mine = || dents.iter().filter(|dent| dent.node == node && dent.from <= at);
     let factor = mine().filter(|dent| at < dent.until).map(|dent| dent.factor).fold(1.0, f64::min);
     let since = mine()
