--- a/fault-harness/src/node.rs
+++ b/fault-harness/src/node.rs
@@ -1,8 +1,11 @@
-//! A node as the rig sees it: its program as a process, its interpreter, its lines, its folder, and what can be done
+//! A node as the harness sees it: its program as a process, its interpreter, its lines, its folders, and what can be done
 //! to all of them.
 
+mod builds;
+mod lifecycle;
+mod state_folders;
+
 use std::cell::{Cell, RefCell};
-use std::collections::BTreeMap;
 use std::fs::OpenOptions;
 use std::io::{self, Write};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -15,81 +18,28 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::spawn_local;
 
-use crate::history::{Event, ProcessExit};
+use crate::history::Event;
 use crate::model::registry::Members;
-use crate::model::Ms;
 use crate::play_context::PlayContext;
-use crate::process::{Program, Signal};
+use crate::process::Program;
 use crate::program_log::LogLine;
 use crate::relay::{Direction, Line};
-use crate::scenario::{Fault, Folder};
 use crate::settings::{self, Peers};
 use crate::stand_in::dependency::Tier;
 use crate::stand_in::interpreter::Interpreter;
 use crate::wire::{self, NodeMessage};
+use lifecycle::PlannedRestart;
+use state_folders::StateFolders;
 
-/// Lines of a log that wait to be looked at; who logs more waits.
-const LOGGED: usize = 1024;
-/// What waits on a stand-in's listener.
-const WAITING: usize = 64;
-/// A node whose interpreter died is started again so long after.
-const AFTER_FALL: Ms = 2000.0;
-/// How a program is told that the system's clock is set.
-const CLOCK: &str = "OAKWIND_REHEARSED_CLOCK";
-
-/// A build of the program.
-#[derive(Debug, Clone, Default)]
-pub struct Build {
-    /// Where it is.
-    pub path: PathBuf,
-    /// Arguments that it gets besides those of every node.
-    pub arguments: Vec<String>,
-}
-
-/// The builds of the program.
-#[derive(Debug, Clone, Default)]
-pub struct Programs {
-    /// The one that nodes run unless the scenario says otherwise.
-    pub default: Build,
-    /// Others by name.
-    pub others: BTreeMap<String, Build>,
-}
-
-impl Programs {
-    fn named(&self, name: Option<&str>) -> io::Result<Build> {
-        match name {
-            None => Ok(self.default.clone()),
-            Some(name) => self.others.get(name).cloned().ok_or_else(|| {
-                io::Error::new(
-                    io::ErrorKind::NotFound,
-                    format!("no --program {name}=PATH names the build {name:?}"),
-                )
-            }),
-        }
-    }
-}
-
-/// Why a program is expected to end.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ending {
-    /// A fault kills it.
-    Killed,
-    /// It has notice to leave.
-    Leaving,
-    /// The play is over.
-    Over,
-}
+pub use builds::{Build, Programs};
+pub use lifecycle::Ending;
 
-/// What happens to a node after its program has ended.
-#[derive(Debug, Clone)]
-struct Return {
-    after: Ms,
-    folder: Folder,
-    draw: u64,
-    program: Option<String>,
-    clock: Option<String>,
-    old_list: bool,
-}
+/// Lines of a log that wait to be read; a program that logs more is blocked.
+const LOG_QUEUE: usize = 1024;
+/// Connections or datagrams that wait for a stand-in.
+const STAND_IN_QUEUE: usize = 64;
+/// The variable that tells a program how the system's clock is set.
+const CLOCK_VARIABLE: &str = "OAKWIND_REHEARSED_CLOCK";
 
 /// One node.
 pub struct Machine {
@@ -99,11 +49,11 @@
     pub interpreter: Rc<Interpreter>,
     /// Its line to that.
     pub vm: Line,
-    /// Its line to the tier below.
+    /// Its line to the dependency.
     pub below: Line,
     /// Its line to the membership service.
     pub members: Line,
-    /// Its lines with front ends.
+    /// Its lines with frontends.
     pub clients: Vec<Line>,
     /// Its lines with other nodes: which one, to it, and from it.
     pub peers: RefCell<Vec<(usize, Line, Line)>>,
@@ -111,32 +61,33 @@
     pub links: RefCell<Vec<(usize, Line, Line)>>,
     /// The file that makes it one of the virtual router.
     pub router: RefCell<Option<String>>,
-    /// Where it meets its peers, if nodes talk.
+    /// The addresses at which it meets its peers, if nodes replicate.
     pub place: RefCell<Option<settings::Place>>,
-    /// The number of the list that it is told next, and the nodes on it.
+    /// The membership configuration that it is given next: its version, and the nodes in it.
     pub list: RefCell<(u64, Vec<usize>)>,
     /// The one before that.
     list_before: RefCell<Option<(u64, Vec<usize>)>>,
     /// How the system's clock is set for its program.
     clock: RefCell<Option<String>>,
-    /// Whether its votes can be relied on, as far as it has said.
-    pub sound: Cell<bool>,
+    /// Whether it can vote, as far as it has logged.
+    pub can_vote: Cell<bool>,
     /// Whether the program has said anything since it was started.
-    speaks: Cell<bool>,
+    has_logged: Cell<bool>,
     /// Where it serves; none while it is down.
     pub address: watch::Sender<Option<SocketAddr>>,
     programs: Programs,
     build: RefCell<Option<String>>,
     folder: PathBuf,
+    state_folders: StateFolders,
     log_enabled: bool,
     listeners: Cell<Option<Peers>>,
     program: RefCell<Option<Program>>,
     ending: Cell<Option<Ending>>,
-    back: RefCell<Option<Return>>,
+    planned_restart: RefCell<Option<PlannedRestart>>,
 }
 
 impl Machine {
-    /// A node that is not started yet. The lines go to the interpreter, the tier below and the membership service.
+    /// A node that is not started yet. The lines go to the interpreter, the dependency and the membership service.
     ///
     /// # Errors
     ///
@@ -152,8 +103,7 @@
     ) -> io::Result<Rc<Machine>> {
         let name = format!("n{}", node + 1);
         let folder = folder.join(&name);
-        std::fs::create_dir_all(folder.join("remembered"))?;
-        std::fs::create_dir_all(folder.join("votes"))?;
+        let state_folders = StateFolders::create(&folder)?;
         let build = context.scenario.fleet.programs.iter().find(|(_, nodes)| nodes.contains(&name));
         let build = build.map(|(build, _)| build.clone());
         let clock = context.scenario.fleet.clocks.get(&name).cloned();
@@ -173,17 +123,18 @@
             list: RefCell::default(),
             list_before: RefCell::default(),
             clock: RefCell::new(clock),
-            sound: Cell::new(false),
-            speaks: Cell::new(false),
+            can_vote: Cell::new(false),
+            has_logged: Cell::new(false),
             address: watch::channel(None).0,
             programs: programs.clone(),
             build: RefCell::new(build),
             folder,
+            state_folders,
             log_enabled,
             listeners: Cell::new(None),
             program: RefCell::default(),
             ending: Cell::new(None),
-            back: RefCell::default(),
+            planned_restart: RefCell::default(),
         }))
     }
 
@@ -194,9 +145,9 @@
     /// Plays what the node connects to, for as long as the play.
     pub async fn serve_peers(self: Rc<Self>, tier: Option<Rc<Tier>>, members: Rc<RefCell<Members>>) {
         let Ok((vm, index, reports)) = self.listeners().await else { return };
-        let (vm_put, mut vm_ends) = mpsc::channel(WAITING);
-        let (index_put, mut index_ends) = mpsc::channel(WAITING);
-        let (report_put, mut heard) = mpsc::channel(WAITING);
+        let (vm_put, mut vm_ends) = mpsc::channel(STAND_IN_QUEUE);
+        let (index_put, mut index_ends) = mpsc::channel(STAND_IN_QUEUE);
+        let (report_put, mut heard) = mpsc::channel(STAND_IN_QUEUE);
         spawn_local(self.vm.clone().accept(vm, vm_put));
         spawn_local(self.below.clone().accept(index, index_put));
         spawn_local(self.members.clone().datagrams(Rc::new(reports), Direction::From, report_put));
@@ -259,7 +210,7 @@
         command.arg("serve").arg("--config").arg(&config).args(build.arguments);
         if self.context.scenario.fleet.folder {
             let file = self.folder.join("remembered.toml");
-            std::fs::write(&file, settings::remembered(&self.folder.join("remembered")))?;
+            std::fs::write(&file, settings::remembered(&self.state_folders.results()))?;
             command.arg("--remembered").arg(&file);
         }
         if let Some(router) = &*self.router.borrow() {
@@ -270,23 +221,23 @@
         if self.place.borrow().is_some() {
             command.arg("--fleet").arg(self.write_list()?);
         }
-        command.env_remove("TMPDIR").env_remove("BALANCER_CONFIG").env_remove(CLOCK);
+        command.env_remove("TMPDIR").env_remove("BALANCER_CONFIG").env_remove(CLOCK_VARIABLE);
         if let Some(clock) = &*self.clock.borrow() {
-            command.env(CLOCK, clock);
+            command.env(CLOCK_VARIABLE, clock);
         }
-        let (say, mut log) = mpsc::channel::<String>(LOGGED);
+        let (say, mut log) = mpsc::channel::<String>(LOG_QUEUE);
         // Once the play is over nobody reads any more.
         let program = Program::start(&mut command, move |line| drop(say.blocking_send(line)))?;
         *self.program.borrow_mut() = Some(program);
         self.ending.set(None);
-        self.speaks.set(false);
+        self.has_logged.set(false);
         let machine = self.clone();
         spawn_local(async move {
             let mut file = machine
                 .log_enabled
                 .then(|| OpenOptions::new().create(true).append(true).open(machine.folder.join("log")));
             while let Some(line) = log.recv().await {
-                machine.speaks.set(true);
+                machine.has_logged.set(true);
                 if let Some(Ok(file)) = &mut file {
                     // A log that can't be kept is not worth the play.
                     let _ = writeln!(file, "{line}");
@@ -294,7 +245,7 @@
                 machine.on_log_line(LogLine::parse(&line));
             }
             // The log ends with the program.
-            machine.over();
+            machine.on_exit();
         });
         Ok(())
     }
@@ -302,7 +253,7 @@
     /// The program has logged a line.
     fn on_log_line(&self, line: LogLine) {
         if line.ready_to_vote {
-            self.sound.set(true);
+            self.can_vote.set(true);
         }
         if let Some(text) = line.fleet {
             self.context.note(Event::Said { node: self.node, text });
@@ -321,15 +272,20 @@
         let file = self.folder.join("fleet.toml");
         let (number, listed) = self.list.borrow().clone();
         if let Some(place) = &*self.place.borrow() {
-            let votes = self.folder.join("votes");
+            let votes = self.state_folders.votes();
             let text = settings::fleet(&self.context.scenario, self.node, place, &votes, number, &listed);
             std::fs::write(&file, text)?;
         }
         Ok(file)
     }
 
-    /// Tells it of a list, which it reads at once if it runs.
-    pub fn takes_list(&self, number: u64, listed: &[usize]) {
+    /// Keeps a copy of its state folders, for a restart with old ones.
+    pub fn keep_copy(&self) {
+        self.state_folders.keep_copy();
+    }
+
+    /// Gives it a membership configuration, which it reads at once if it runs.
+    pub fn apply_membership(&self, number: u64, listed: &[usize]) {
         let before = self.list.replace((number, listed.to_vec()));
         *self.list_before.borrow_mut() = Some(before).filter(|(old, _)| *old < number);
         // What can't be written is not taken.
@@ -338,142 +294,6 @@
         }
     }
 
-    /// Its program has ended.
-    fn over(self: &Rc<Self>) {
-        let status = self.program.borrow_mut().take().and_then(|mut program| program.wait().ok());
-        self.address.send_replace(None);
-        let way = match (self.ending.replace(None), status) {
-            (Some(Ending::Over), _) => return,
-            // That was noted when it was killed.
-            (Some(Ending::Killed), _) => None,
-            (Some(Ending::Leaving), Some(status)) if status.success() => Some(ProcessExit::Left),
-            (_, status) => {
-                Some(ProcessExit::Crashed(status.map_or("unknown".into(), |status| status.to_string())))
-            }
-        };
-        self.interpreter.end();
-        if let Some(way) = way {
-            self.context.note(Event::Down { node: self.node, way });
-        }
-        let Some(back) = self.back.borrow_mut().take() else { return };
-        let machine = self.clone();
-        spawn_local(async move {
-            machine.context.clock.until(machine.context.now() + back.after).await;
-            if let Err(e) = machine.come_back(&back) {
-                machine.context.note(Event::Down {
-                    node: machine.node,
-                    way: ProcessExit::Crashed(format!("not started again: {e}")),
-                });
-            }
-        });
-    }
-
-    fn come_back(self: &Rc<Self>, back: &Return) -> io::Result<()> {
-        if let Some(build) = &back.program {
-            *self.build.borrow_mut() = Some(build.clone());
-        }
-        self.clock.borrow_mut().clone_from(&back.clock);
-        if let Some(before) = self.list_before.borrow_mut().take().filter(|_| back.old_list) {
-            *self.list.borrow_mut() = before;
-        }
-        for name in ["remembered", "votes"] {
-            let (folder, copy) = (self.folder.join(name), self.folder.join(format!("{name}-copy")));
-            match back.folder {
-                Folder::Keep => {}
-                Folder::Lost => empty(&folder)?,
-                Folder::Old => {
-                    empty(&folder)?;
-                    copy_files(&copy, &folder)?;
-                }
-                Folder::Cut => cut_newest(&folder, back.draw)?,
-            }
-        }
-        if back.folder != Folder::Keep || !self.context.scenario.fleet.folder {
-            self.context.note(Event::Wiped { node: self.node });
-        }
-        self.interpreter.start();
-        self.start()
-    }
-
-    /// Keeps a copy of its folder, for a restart with an old one.
-    pub fn keep_copy(&self) {
-        for name in ["remembered", "votes"] {
-            let copy = self.folder.join(format!("{name}-copy"));
-            // What can't be copied is missed when it is put back.
-            let _ = std::fs::create_dir_all(&copy);
-            let _ = copy_files(&self.folder.join(name), &copy);
-        }
-    }
-
-    fn returns(&self, down: Option<Ms>, fault: &Fault, draw: u64) {
-        let (program, clock) = (fault.program.clone(), fault.clock.clone());
-        let (folder, old_list) = (fault.folder, fault.old_list);
-        *self.back.borrow_mut() = down.map(|after| Return { after, folder, draw, program, clock, old_list });
-    }
-
-    /// Kills it with its interpreter; it may come back.
-    pub fn kill(&self, down: Option<Ms>, fault: &Fault, draw: u64) {
-        self.returns(down, fault, draw);
-        self.end(Ending::Killed);
-        self.interpreter.end();
-    }
-
-    /// Ends its program at once, if there is one.
-    pub fn end(&self, ending: Ending) {
-        if let Some(program) = &*self.program.borrow() {
-            self.ending.set(Some(ending));
-            // It may have ended already.
-            let _ = program.signal(Signal::KILL);
-            if ending == Ending::Killed {
-                // Noted before its connections are seen to end.
-                self.context.note(Event::Down { node: self.node, way: ProcessExit::Killed });
-                self.address.send_replace(None);
-            }
-        }
-    }
-
-    /// Tells it to leave; it is killed when its time is over.
-    pub fn leave(self: &Rc<Self>, down: Option<Ms>, fault: &Fault, draw: u64) {
-        let Some(id) = self.program.borrow().as_ref().map(|program| {
-            // It may have ended already.
-            let _ = program.signal(Signal::TERM);
-            program.id()
-        }) else {
-            return;
-        };
-        self.returns(down, fault, draw);
-        self.ending.set(Some(Ending::Leaving));
-        self.context.note(Event::Notice { node: self.node });
-        let (machine, stop) = (self.clone(), self.context.now() + self.context.scenario.fleet.stop_ms as f64);
-        spawn_local(async move {
-            machine.context.clock.until(stop).await;
-            if machine.program.borrow().as_ref().is_some_and(|program| program.id() == id) {
-                machine.context.note(Event::Down { node: machine.node, way: ProcessExit::Overstayed });
-                machine.end(Ending::Killed);
-            }
-        });
-    }
-
-    /// Tells it to read its files again.
-    pub fn reload(&self) {
-        if let Some(program) = &*self.program.borrow() {
-            // It may have ended already.
-            let _ = program.signal(Signal::HUP);
-        }
-    }
-
-    /// Lets it stand still, or go on.
-    pub fn set_paused(&self, still: bool, program_only: bool) {
-        if let Some(program) = &*self.program.borrow() {
-            // It may have ended already.
-            let _ = program.signal(if still { Signal::STOP } else { Signal::CONT });
-        }
-        if !program_only {
-            self.interpreter.set_paused(still);
-        }
-        self.context.note(Event::Still { node: self.node, still });
-    }
-
     /// Whether a health check is answered as good.
     pub async fn healthy(&self) -> bool {
         let Some(address) = *self.address.borrow() else { return false };
@@ -484,55 +304,4 @@
             && BufReader::new(&mut stream).read_line(&mut line).await.is_ok()
             && matches!(wire::parse_node_message(line.trim_end()), NodeMessage::Status(_, true))
     }
-
-    /// Notes what its program takes, and sees to it where its interpreter has died.
-    pub fn sample(self: &Rc<Self>) {
-        // Until it speaks its process may still be a copy of this one, with all that this one has open.
-        let usage = self.program.borrow().as_ref().filter(|_| self.speaks.get()).and_then(Program::usage);
-        if let Some(usage) = usage {
-            let (rss_kb, files, cpu_ms) = (usage.rss_kb, usage.files, usage.cpu_ms);
-            self.context.note(Event::Sample { node: self.node, rss_kb, files, cpu_ms });
-        }
-        if self.interpreter.fallen().is_some() {
-            *self.back.borrow_mut() = Some(Return {
-                after: AFTER_FALL,
-                folder: Folder::Keep,
-                draw: 0,
-                program: None,
-                clock: None,
-                old_list: false,
-            });
-            self.end(Ending::Killed);
-        }
-    }
-}
-
-fn files(folder: &Path) -> io::Result<Vec<PathBuf>> {
-    let entries = std::fs::read_dir(folder)?;
-    let mut paths = entries.map(|entry| Ok(entry?.path())).collect::<io::Result<Vec<_>>>()?;
-    paths.retain(|path| path.is_file());
-    paths.sort();
-    Ok(paths)
-}
-
-fn empty(folder: &Path) -> io::Result<()> {
-    files(folder)?.iter().try_for_each(std::fs::remove_file)
-}
-
-fn copy_files(from: &Path, to: &Path) -> io::Result<()> {
-    for path in files(from)? {
-        if let Some(name) = path.file_name() {
-            std::fs::copy(&path, to.join(name))?;
-        }
-    }
-    Ok(())
-}
-
-/// Cuts the newest file of records at a byte drawn by the seed.
-fn cut_newest(folder: &Path, draw: u64) -> io::Result<()> {
-    let records = files(folder)?.into_iter().rfind(|path| path.extension().is_some_and(|kind| kind == "log"));
-    let Some(path) = records else { return Ok(()) };
-    let length = std::fs::metadata(&path)?.len();
-    let file = OpenOptions::new().write(true).open(&path)?;
-    file.set_len(if length == 0 { 0 } else { draw % length })
 }
--- a/fault-harness/src/play/faults.rs
+++ b/fault-harness/src/play/faults.rs
@@ -149,7 +149,7 @@
             let (clock, listed) = (self.context.clock, listed.clone());
             spawn_local(async move {
                 clock.until(clock.now() + position as f64 * ANNOUNCEMENT_INTERVAL).await;
-                machine.takes_list(version, &listed);
+                machine.apply_membership(version, &listed);
             });
         }
     }
--- a/fault-harness/src/play/testbed.rs
+++ b/fault-harness/src/play/testbed.rs
@@ -118,7 +118,7 @@
                 return false;
             }
             // Keyed requests run once the nodes that hold replicas can vote.
-            if machine.place.borrow().is_some() && !machine.sound.get() {
+            if machine.place.borrow().is_some() && !machine.can_vote.get() {
                 return false;
             }
         }
