--- a/fault-harness/src/play/testbed.rs
+++ b/fault-harness/src/play/testbed.rs
@@ -158,10 +158,10 @@
         interpreter: machine.interpreter.clone(),
     });
     let shared = Shared {
-        doors: Rc::new(endpoints.collect()),
+        nodes: Rc::new(endpoints.collect()),
         members: members.clone(),
-        tries: Rc::default(),
-        went: Rc::default(),
+        attempts: Rc::default(),
+        first_nodes: Rc::default(),
     };
     let count = context.scenario.fronts.count;
     (0..count).map(|position| FrontEnd::new(context.clone(), position, shared.clone())).collect()
--- a/fault-harness/src/stand_in/interpreter.rs
+++ b/fault-harness/src/stand_in/interpreter.rs
@@ -1,16 +1,16 @@
-//! The interpreter of a node, on its link: runs and pauses what it is told to, says what became of it, and keeps its
-//! notices over broken links.
+//! The interpreter of a node: it runs and pauses requests as its node commands, notifies the node of each outcome, and keeps
+//! its notices over broken links.
+
+mod link;
 
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::rc::Rc;
 
-use tokio::io::{AsyncWriteExt, BufReader, DuplexStream};
-use tokio::sync::{mpsc, oneshot, watch, Notify};
+use tokio::sync::{oneshot, watch, Notify};
 
-use super::{command, txn};
 use crate::history::Event;
-use crate::model::interpreter::{InterpreterEvent, InterpreterModel, InterpreterSpec, Work};
+use crate::model::interpreter::{InterpreterEvent, InterpreterModel, InterpreterSpec};
 use crate::model::Ms;
 use crate::play_context::PlayContext;
 use crate::scenario::Happening;
@@ -18,18 +18,16 @@
 
 /// Notices that are kept for links to come.
 const RETAINED_RUNS: usize = 4000;
-/// Answers to commands that wait to be written.
-const ANSWERS: usize = 1024;
 
 struct State {
     vm: InterpreterModel,
-    /// Which start of the node it belongs to.
-    life: u64,
+    /// The incarnation of the node that it belongs to.
+    incarnation: u64,
     started: Ms,
     notices: VecDeque<(u64, String)>,
     last: u64,
     began: HashMap<u64, Ms>,
-    /// Replies of the tier below, until they are handed on.
+    /// Replies of the dependency, until they are handed on.
     replies: HashMap<u64, String>,
     /// Runs that go on without their call.
     poorer: HashSet<u64>,
@@ -40,10 +38,10 @@
 
 impl State {
     /// One that starts now and has run nothing.
-    fn fresh(vm: InterpreterModel, life: u64, started: Ms) -> State {
+    fn fresh(vm: InterpreterModel, incarnation: u64, started: Ms) -> State {
         State {
             vm,
-            life,
+            incarnation,
             started,
             notices: VecDeque::new(),
             last: 0,
@@ -65,7 +63,7 @@
     poke: Notify,
     /// The number of the last notice.
     last_command: watch::Sender<u64>,
-    /// The link of the day; an older one is over.
+    /// The number of the current link; older ones have ended.
     link: watch::Sender<u64>,
     /// What it has died of; its node goes with it.
     fell: RefCell<Option<&'static str>>,
@@ -105,13 +103,16 @@
         self.link.send_modify(|link| *link += 1);
     }
 
-    /// It starts anew with a new start of its node, cold.
+    /// It starts with a new incarnation of its node, cold.
     pub fn start(&self) {
         {
             let mut state = self.state.borrow_mut();
-            let life = state.life + 1;
-            *state =
-                State::fresh(Interpreter::make(&self.context, self.node, true), life, self.context.now());
+            let incarnation = state.incarnation + 1;
+            *state = State::fresh(
+                Interpreter::make(&self.context, self.node, true),
+                incarnation,
+                self.context.now(),
+            );
         }
         self.fell.borrow_mut().take();
         self.last_command.send_replace(0);
@@ -128,9 +129,9 @@
         self.fell.borrow_mut().take()
     }
 
-    /// Stands still, or goes on.
-    pub fn set_paused(&self, still: bool) {
-        self.change(|vm, now| vm.set_paused(now, still));
+    /// Pauses it, or resumes it.
+    pub fn set_paused(&self, paused: bool) {
+        self.change(|vm, now| vm.set_paused(now, paused));
     }
 
     /// Has a part of its speed from now on.
@@ -171,7 +172,7 @@
         });
     }
 
-    /// A front end opened a connection.
+    /// A frontend opened a connection.
     pub fn connected(&self) {
         let work = self.context.scenario.fleet.connect_ms;
         self.change(|vm, now| vm.connect(now, work));
@@ -185,21 +186,21 @@
     /// Whether a run waits for its call with this body.
     pub fn waits(&self, id: u64, body: &[u8]) -> bool {
         let state = self.state.borrow();
-        state.vm.at_call(id) && body == Interpreter::call_body(id, state.life).as_bytes()
+        state.vm.at_call(id) && body == Interpreter::call_body(id, state.incarnation).as_bytes()
     }
 
-    /// The tier below has replied; the node has to hand on just that.
+    /// The dependency has replied; the node has to hand on just that.
     pub fn replied(&self, id: u64, reply: &str) {
         self.state.borrow_mut().replies.insert(id, reply.into());
     }
 
-    fn call_body(id: u64, life: u64) -> String {
-        format!("call of {id:016x} in life {life}")
+    fn call_body(id: u64, incarnation: u64) -> String {
+        format!("call of {id:016x} in life {incarnation}")
     }
 
     fn change(&self, change: impl FnOnce(&mut InterpreterModel, Ms) -> Vec<InterpreterEvent>) {
         let happened = change(&mut self.state.borrow_mut().vm, self.context.now());
-        self.tell(happened);
+        self.handle(happened);
         self.poke.notify_one();
     }
 
@@ -212,16 +213,16 @@
                 () = self.poke.notified() => {}
             }
             let happened = self.state.borrow_mut().vm.advance(self.context.now());
-            self.tell(happened);
+            self.handle(happened);
         }
     }
 
-    fn tell(&self, happened: Vec<InterpreterEvent>) {
+    fn handle(&self, happened: Vec<InterpreterEvent>) {
         for what in happened {
             match what {
                 InterpreterEvent::Read(id) => {
                     if let Some(tell) = self.state.borrow_mut().unread.remove(&id) {
-                        // Its front end may have given up.
+                        // Its frontend may have given up.
                         let _ = tell.send(());
                     }
                 }
@@ -229,15 +230,15 @@
                     let result = {
                         let state = self.state.borrow();
                         let poorer = if state.poorer.contains(&id) { " poorer" } else { "" };
-                        format!("job {id:016x} of n{} in life {}{poorer}", self.node + 1, state.life)
+                        format!("job {id:016x} of n{} in life {}{poorer}", self.node + 1, state.incarnation)
                     };
                     self.ended(id, "done", Some(result));
                 }
                 InterpreterEvent::Aborted(id) => self.ended(id, "aborted", None),
                 InterpreterEvent::AtCall(id) => {
-                    let life = self.state.borrow().life;
-                    let body = Interpreter::call_body(id, life);
-                    self.say(|notice| wire::await_call(notice, &format!("{id:016x}"), &body));
+                    let incarnation = self.state.borrow().incarnation;
+                    let body = Interpreter::call_body(id, incarnation);
+                    self.notify(|notice| wire::await_call(notice, &format!("{id:016x}"), &body));
                 }
                 InterpreterEvent::Fell(why) => {
                     self.context.note(Event::Fell { node: self.node, text: why.into() });
@@ -256,7 +257,7 @@
         };
         self.context.note(Event::Ended { txn: id, node: self.node, result: result.clone() });
         self.context.happened(self.node, Happening::Ended);
-        self.say(|notice| {
+        self.notify(|notice| {
             wire::value(
                 notice,
                 &format!("{id:016x}"),
@@ -267,7 +268,7 @@
         });
     }
 
-    fn say(&self, text: impl FnOnce(u64) -> String) {
+    fn notify(&self, text: impl FnOnce(u64) -> String) {
         let last = {
             let mut state = self.state.borrow_mut();
             state.last += 1;
@@ -280,146 +281,4 @@
         };
         self.last_command.send_replace(last);
     }
-
-    /// Serves one link, until the next one or its end.
-    pub async fn serve(self: Rc<Self>, stream: DuplexStream) {
-        if !self.state.borrow().up {
-            return;
-        }
-        self.link.send_modify(|link| *link += 1);
-        let mut link = self.link.subscribe();
-        let mine = *link.borrow_and_update();
-        let (reader, mut writer) = tokio::io::split(stream);
-        let mut input = BufReader::new(reader);
-        let (put, mut answers) = mpsc::channel::<String>(ANSWERS);
-        let (from, mut read) = watch::channel(None);
-        let listening = async {
-            while let Some((words, body)) = command(&mut input).await {
-                if let [word, number] = &words[..] {
-                    if word == "CONNECT" {
-                        let (cold, up_for) = {
-                            let state = self.state.borrow();
-                            (state.vm.cold(), self.context.now() - state.started)
-                        };
-                        // One that was up before the play has been for long.
-                        let up_for = if cold { up_for } else { up_for + 60_000.0 };
-                        let _ = put.send(wire::banner(cold, up_for as u64)).await;
-                        from.send_replace(number.parse::<u64>().ok());
-                        continue;
-                    }
-                }
-                let Some(answer) = self.commanded(&words, &body) else { return };
-                if !answer.is_empty() && put.send(answer).await.is_err() {
-                    return;
-                }
-            }
-        };
-        let speaking = async {
-            let Ok(Some(mut sent)) = read.wait_for(Option::is_some).await.map(|number| *number) else {
-                return;
-            };
-            let mut last_command = self.last_command.subscribe();
-            loop {
-                // The banner comes before the notices that follow it.
-                let mut text = String::new();
-                while let Ok(answer) = answers.try_recv() {
-                    text.push_str(&answer);
-                }
-                {
-                    let state = self.state.borrow();
-                    state
-                        .notices
-                        .iter()
-                        .filter(|(number, _)| *number > sent)
-                        .for_each(|(_, notice)| text.push_str(notice));
-                    sent = sent.max(state.last);
-                }
-                if !text.is_empty() && writer.write_all(text.as_bytes()).await.is_err() {
-                    return;
-                }
-                tokio::select! {
-                    answer = answers.recv() => {
-                        let Some(answer) = answer else { return };
-                        if writer.write_all(answer.as_bytes()).await.is_err() {
-                            return;
-                        }
-                    }
-                    changed = last_command.changed() => if changed.is_err() { return },
-                }
-            }
-        };
-        tokio::select! {
-            () = listening => {}
-            () = speaking => {}
-            _ = link.wait_for(|link| *link != mine) => {}
-        }
-    }
-
-    /// Carries a command out; what is to be answered, or none where the link is to end.
-    fn commanded(&self, words: &[String], body: &[u8]) -> Option<String> {
-        let id = txn(words.get(1));
-        match (words[0].as_str(), id) {
-            ("TOP", _) => {
-                let gauges = self.state.borrow().vm.gauges(self.context.now());
-                return Some(wire::tops(words.get(1)?, &gauges));
-            }
-            ("APPLY", Some(id)) => {
-                if !self.apply(id, words.get(2)?, body) {
-                    return Some(format!("ERROR APPLY {}\r\n", words[1]));
-                }
-            }
-            ("BREAK", Some(id)) => self.change(|vm, now| vm.pause(now, id)),
-            ("CONTINUE", Some(id)) => {
-                self.change(|vm, now| if vm.at_call(id) { Vec::new() } else { vm.go_on(now, id) });
-            }
-            ("RESOLVE", Some(id)) => {
-                // One that crossed the end of its run resolves nothing.
-                if self.state.borrow().vm.at_call(id) {
-                    let reply = self.state.borrow_mut().replies.remove(&id);
-                    if reply.as_ref().is_none_or(|reply| reply.as_bytes() != body) {
-                        let text = format!("the reply to the call of {id:016x} is not the one that came");
-                        self.context.note(Event::Spoilt { node: self.node, text });
-                    }
-                    self.change(|vm, now| vm.go_on(now, id));
-                }
-            }
-            ("STUB", Some(id)) => {
-                if self.state.borrow().vm.at_call(id) {
-                    self.state.borrow_mut().poorer.insert(id);
-                    self.change(|vm, now| vm.go_on(now, id));
-                }
-            }
-            _ => return None,
-        }
-        Some(String::new())
-    }
-
-    /// Begins a run; false if it is of nothing that came like this.
-    fn apply(&self, id: u64, class: &str, body: &[u8]) -> bool {
-        let written = self.context.written(id).filter(|written| written.node == self.node);
-        let whole = written.filter(|written| {
-            let ask = &self.context.schedule.requests[written.n];
-            self.context.scenario.classes[ask.class].name == class
-                && self.context.body(written.n).as_bytes() == body
-        });
-        let Some(written) = whole else {
-            let text = format!("APPLY {id:016x} {class}: no such request came here, or its body is another");
-            self.context.note(Event::Spoilt { node: self.node, text });
-            return false;
-        };
-        if self.state.borrow().vm.runs(id) {
-            return true;
-        }
-        if !self.state.borrow().vm.holds(id) {
-            self.say(|notice| wire::value(notice, &format!("{id:016x}"), "stale", 0, ""));
-            return true;
-        }
-        let ask = &self.context.schedule.requests[written.n];
-        let work = Work { txn: id, work: ask.work, calls: self.context.scenario.classes[ask.class].calls };
-        self.state.borrow_mut().began.insert(id, self.context.now());
-        self.context.note(Event::Began { txn: id, node: self.node });
-        self.change(|vm, now| vm.run(now, work));
-        self.context.happened(self.node, Happening::Began);
-        true
-    }
 }
