--- a/fault-harness/src/schedule.rs
+++ b/fault-harness/src/schedule.rs
@@ -198,53 +198,73 @@
     let mut rng = generator(seed, Stream::Faults, 0);
     let names = scenario.node_names();
     let mut all = Vec::new();
-    let again = |fault: &Fault| {
-        let (first, every) = (fault.at_s.unwrap_or(0.0), fault.again_s.unwrap_or(f64::INFINITY));
-        let times = ((scenario.seconds - first) / every).floor().max(0.0) as usize;
-        (0..=times).map(move |n| first + if n == 0 { 0.0 } else { n as f64 * every }).collect::<Vec<f64>>()
-    };
-    for (fault, time) in
-        scenario.faults.iter().flat_map(|fault| again(fault).into_iter().map(move |t| (fault, t)))
-    {
-        let at = match (&fault.when, fault.at_s.map(|_| time)) {
-            (Some(when), _) => {
-                let node = names.iter().position(|name| *name == when.node).unwrap_or(0);
-                At::Event(node, when.event, when.count)
-            }
-            (None, at) => At::Time(at.unwrap_or(0.0) * 1000.0),
-        };
-        let count = if fault.what == What::Fronts { scenario.fronts.count } else { scenario.fleet.nodes };
-        let mut whom: Vec<usize> = match (fault.part, &fault.zone) {
-            (Some(part), _) => {
-                let struck = ((count as f64 * part).round() as usize).clamp(1, count);
-                let mut all: Vec<usize> = (0..count).collect();
-                // A shuffle of which the first ones are taken.
-                (0..struck).for_each(|i| all.swap(i, rng.random_range(i..count)));
-                all.truncate(struck);
-                all
-            }
-            (None, Some(zone)) => {
-                (0..count).filter(|i| scenario.fleet.zones[scenario.zone_of(*i)] == *zone).collect()
+    for fault in &scenario.faults {
+        let delay = fault.when.as_ref().map_or(0.0, |when| when.after_ms);
+        for time in strike_times(fault, scenario.seconds) {
+            let at = strike_at(fault, time, &names);
+            let targets = draw_targets(&mut rng, scenario, fault, &names);
+            for (wave, whom) in waves(fault, &targets).into_iter().enumerate() {
+                let after = delay + wave as f64 * fault.every_s * 1000.0;
+                all.push(Strike { at: at.clone(), after, fault: fault.clone(), whom, draw: rng.random() });
             }
-            (None, None) => (0..count).filter(|i| fault.nodes.contains(&names[*i])).collect(),
-        };
-        if fault.waves == 1 {
-            whom.sort_unstable();
         }
-        let each = whom.len().div_ceil(fault.waves).max(1);
-        let first = fault.when.as_ref().map_or(0.0, |when| when.after_ms);
-        let waves: Vec<Vec<usize>> = if whom.is_empty() {
-            vec![Vec::new()]
-        } else {
-            whom.chunks(each).map(<[usize]>::to_vec).collect()
-        };
-        for (wave, whom) in waves.into_iter().enumerate() {
-            let after = first + wave as f64 * fault.every_s * 1000.0;
-            all.push(Strike { at: at.clone(), after, fault: fault.clone(), whom, draw: rng.random() });
+    }
+    all
+}
+
+/// The times in seconds at which a fault strikes; one that waits for an event has one that counts for nothing.
+fn strike_times(fault: &Fault, seconds: f64) -> Vec<f64> {
+    let (first, interval) = (fault.at_s.unwrap_or(0.0), fault.again_s.unwrap_or(f64::INFINITY));
+    let repeats = ((seconds - first) / interval).floor().max(0.0) as usize;
+    let offset = |n: usize| if n == 0 { 0.0 } else { n as f64 * interval };
+    (0..=repeats).map(|n| first + offset(n)).collect()
+}
+
+fn strike_at(fault: &Fault, time: f64, names: &[String]) -> At {
+    match &fault.when {
+        Some(when) => {
+            let node = names.iter().position(|name| *name == when.node).unwrap_or(0);
+            At::Event(node, when.event, when.count)
         }
+        None if fault.at_s.is_some() => At::Time(time * 1000.0),
+        None => At::Time(0.0),
     }
+}
+
+/// The nodes or frontends that a fault strikes. Those of several waves keep the order in which they were drawn.
+fn draw_targets(rng: &mut ChaCha8Rng, scenario: &Scenario, fault: &Fault, names: &[String]) -> Vec<usize> {
+    let count = if fault.what == What::Fronts { scenario.fronts.count } else { scenario.fleet.nodes };
+    let mut targets: Vec<usize> = match (fault.part, &fault.zone) {
+        (Some(part), _) => draw_part(rng, count, part),
+        (None, Some(zone)) => {
+            (0..count).filter(|i| scenario.fleet.zones[scenario.zone_of(*i)] == *zone).collect()
+        }
+        (None, None) => (0..count).filter(|i| fault.nodes.contains(&names[*i])).collect(),
+    };
+    if fault.waves == 1 {
+        targets.sort_unstable();
+    }
+    targets
+}
+
+/// Draws a part of so many, one at least.
+fn draw_part(rng: &mut ChaCha8Rng, count: usize, part: f64) -> Vec<usize> {
+    let drawn = ((count as f64 * part).round() as usize).clamp(1, count);
+    let mut all: Vec<usize> = (0..count).collect();
+    // A shuffle of which the first ones are taken.
+    (0..drawn).for_each(|i| all.swap(i, rng.random_range(i..count)));
+    all.truncate(drawn);
     all
 }
 
+/// Deals targets out to waves; a fault without targets has one wave.
+fn waves(fault: &Fault, targets: &[usize]) -> Vec<Vec<usize>> {
+    if targets.is_empty() {
+        return vec![Vec::new()];
+    }
+    let size = targets.len().div_ceil(fault.waves).max(1);
+    targets.chunks(size).map(<[usize]>::to_vec).collect()
+}
+
 #[cfg(test)]
 mod tests;
