--- a/fault-harness/src/charts.rs
+++ b/fault-harness/src/charts.rs
@@ -5,7 +5,7 @@
 use crate::statistics::{Band, Second, Statistics};
 
 const SIZE: (u32, u32) = (860, 230);
-/// Colours that stay apart for those who see few of them.
+/// Colours that can be told apart with colour blindness.
 const BLUE: RGBColor = RGBColor(31, 97, 160);
 const ORANGE: RGBColor = RGBColor(204, 102, 0);
 const GREY: RGBColor = RGBColor(120, 120, 120);
--- a/fault-harness/src/clock.rs
+++ b/fault-harness/src/clock.rs
@@ -1,4 +1,4 @@
-//! Time in a play: milliseconds since the rig's start, and the Unix clock that goes with them.
+//! Time in a play: milliseconds since the harness's start, and the Unix clock that goes with them.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
--- a/fault-harness/src/history.rs
+++ b/fault-harness/src/history.rs
@@ -1,5 +1,5 @@
-//! What a play saw, in order: every request written, every answer, every run, and all that was done to the fleet. The
-//! checker and all figures are functions of it. A file holds one event a line, as JSON, and can be checked again.
+//! The history of a play, in order: every attempt written, every answer, every run, and all that was done to the fleet.
+//! The checker and all statistics are functions of it. A file holds one event a line, as JSON, and can be checked again.
 
 use std::fs::File;
 use std::io::{self, BufRead, BufReader, BufWriter, Write};
@@ -11,7 +11,7 @@
 use crate::model::Ms;
 use crate::scenario::Once;
 
-/// What the checker has to know of a class.
+/// What the checker and the statistics need to know of a class.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ClassParameters {
     /// Its name.
@@ -30,7 +30,7 @@
     pub skip_worth: f64,
 }
 
-/// The terms of a play.
+/// The parameters that a play is checked by.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RuleParameters {
     /// The scenario's name.
@@ -58,24 +58,24 @@
     pub two_active: Ms,
 }
 
-/// What an answer was.
+/// The kind of an answer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Kind {
     /// Served, with this result.
     Served(String),
-    /// Turned away.
+    /// Rejected.
     Refused {
-        /// How long to stay away.
+        /// After how long to retry (Retry-After).
         later: Option<Ms>,
-        /// The wish that no other node be tried.
+        /// The node asks the frontend to give up: no other node is to be tried.
         giveup: bool,
     },
     /// Any other error.
     Failed,
 }
 
-/// Why a try ended with its connection.
+/// Why an attempt ended with its connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Drop {
@@ -91,17 +91,17 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ProcessExit {
-    /// The rig killed it.
+    /// The harness killed it.
     Killed,
-    /// By itself after the notice to leave.
+    /// By itself after the shutdown notice.
     Left,
-    /// It was still there when its time after the notice was over.
+    /// It was still running when its time for a graceful shutdown was over.
     Overstayed,
-    /// By itself, without a reason: what it ended with.
+    /// By itself, without a notice: its exit status.
     Crashed(String),
 }
 
-/// One thing that was seen, and when.
+/// An event with its time.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Observation {
     /// When.
@@ -111,11 +111,11 @@
     pub what: Event,
 }
 
-/// What can be seen. Nodes, front ends, classes and requests go by their positions, tries by their id.
+/// What can happen in a play. Nodes, frontends, classes and requests go by their positions, attempts by their id.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "e", rename_all = "snake_case")]
 pub enum Event {
-    /// A client asks. A repeat is of another request's key.
+    /// A client sends a request. A repeat has the idempotency key of another request.
     Asked {
         /// Its number.
         n: usize,
@@ -130,60 +130,60 @@
         n: usize,
         /// How.
         end: End,
-        /// Its tries.
+        /// Its attempts.
         tries: u32,
     },
-    /// A try was written to a node; its caller waits until `due`.
+    /// An attempt was written to a node; its caller waits until `due`.
     Wrote {
-        /// The try.
+        /// The attempt.
         txn: u64,
         /// The request.
         n: usize,
         /// The node.
         node: usize,
-        /// The front end.
+        /// The frontend.
         front: usize,
         /// When its caller stops waiting.
         due: Ms,
     },
-    /// A try was answered.
+    /// An attempt was answered.
     Answered {
-        /// The try.
+        /// The attempt.
         txn: u64,
         /// How.
         kind: Kind,
     },
-    /// A try's caller told the node that it has gone.
+    /// An attempt's caller cancelled it.
     Withdrew {
-        /// The try.
+        /// The attempt.
         txn: u64,
     },
-    /// A try's connection ended without its answer.
+    /// An attempt's connection ended without its answer.
     Dropped {
-        /// The try.
+        /// The attempt.
         txn: u64,
         /// Why.
         why: Drop,
     },
-    /// Something came that is no answer, or answers nothing that is open.
+    /// A line came that is no answer, or answers nothing that is open.
     Stray {
         /// The node.
         node: usize,
-        /// The try that it answers a second time, if it is one.
+        /// The attempt that it answers a second time, if it is one.
         txn: Option<u64>,
         /// What came.
         text: String,
     },
     /// A run began.
     Began {
-        /// The try.
+        /// The attempt.
         txn: u64,
         /// The node.
         node: usize,
     },
     /// A run ended, with this result if it worked.
     Ended {
-        /// The try.
+        /// The attempt.
         txn: u64,
         /// The node.
         node: usize,
@@ -192,7 +192,7 @@
     },
     /// A run's call was made.
     Called {
-        /// The try.
+        /// The attempt.
         txn: u64,
         /// The node.
         node: usize,
@@ -204,7 +204,7 @@
         /// What.
         text: String,
     },
-    /// A body, class or reply reached the interpreter changed, or a command was for nothing that came.
+    /// A body, class or reply reached the interpreter changed, or a command was about a request that never came.
     Spoilt {
         /// The node.
         node: usize,
@@ -218,40 +218,40 @@
         /// Whether its interpreter is cold.
         cold: bool,
     },
-    /// It was told to leave.
+    /// A program got its shutdown notice (SIGTERM).
     Notice {
         /// The node.
         node: usize,
     },
-    /// It has ended.
+    /// A program has ended.
     Down {
         /// The node.
         node: usize,
         /// How.
         way: ProcessExit,
     },
-    /// What it keeps over restarts was lost, cut or replaced.
+    /// The state that a node keeps over restarts was lost, cut or replaced.
     Wiped {
         /// The node.
         node: usize,
     },
-    /// It stands still, or goes on.
+    /// A node's process was paused, or resumed.
     Still {
         /// The node.
         node: usize,
         /// Whether it does.
         still: bool,
     },
-    /// Traffic between a node and front ends suffers, or no longer does. Without a front end, all are meant.
+    /// Traffic between a node and a frontend is disturbed, or no longer is. Without a frontend, that of all frontends is.
     Disturbed {
         /// The node.
         node: usize,
-        /// The front end.
+        /// The frontend.
         front: Option<usize>,
         /// Whether it does.
         on: bool,
     },
-    /// Traffic among nodes suffers, or no longer does.
+    /// Traffic among nodes is disturbed, or no longer is.
     Peers {
         /// Whether it does.
         on: bool,
@@ -263,21 +263,21 @@
         /// Whether it has.
         active: bool,
     },
-    /// The rig did something to the fleet, which lasts until then.
+    /// The harness injected a fault, which lasts until then.
     Fault {
         /// What.
         text: String,
         /// When it is over.
         until: Ms,
     },
-    /// A front end opened a connection.
+    /// A frontend opened a connection.
     Connected {
         /// The node.
         node: usize,
-        /// The front end.
+        /// The frontend.
         front: usize,
     },
-    /// What a program takes.
+    /// A sample of the resources that a program takes.
     Sample {
         /// The node.
         node: usize,
@@ -288,21 +288,21 @@
         /// Time of the cores since its start.
         cpu_ms: u64,
     },
-    /// An interpreter has died of what the program put on it.
+    /// An interpreter has died of the load that the program put on it.
     Fell {
         /// The node.
         node: usize,
         /// Of what.
         text: String,
     },
-    /// The rig itself ran late by so much.
+    /// The harness itself ran late by so much.
     Late {
         /// By how much.
         by: Ms,
     },
 }
 
-/// A whole play.
+/// The history of a whole play.
 #[derive(Debug, Clone, PartialEq)]
 pub struct History {
     /// Its terms.
--- a/fault-harness/src/lib.rs
+++ b/fault-harness/src/lib.rs
@@ -1,5 +1,5 @@
-//! A rig for fleets of the real program: it starts many processes, puts relays with faults between them, plays all that
-//! they talk to, sends load, and says afterwards which rule broke. `docs/rig.md` is its page.
+//! A fault harness for fleets of the real program: it starts many processes, puts relays with faults between them, stands
+//! in for everything that they talk to, sends load, and reports which rule broke. `docs/fault-harness.md` is its page.
 
 pub mod charts;
 pub mod check;
--- a/fault-harness/src/main.rs
+++ b/fault-harness/src/main.rs
@@ -1,4 +1,4 @@
-//! The rig's command line.
+//! The command line of the fault harness.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -188,7 +188,7 @@
     }
 }
 
-/// The program beside the rig, unless another is named.
+/// The program beside the harness, unless another is named.
 fn programs(named: &[String]) -> Result<Programs, String> {
     let own = std::env::current_exe().map_err(|e| e.to_string())?;
     play::programs(own.with_file_name("oakwind"), named)
--- a/fault-harness/src/model/dependency.rs
+++ b/fault-harness/src/model/dependency.rs
@@ -1,4 +1,4 @@
-//! The tier below: slots that work on calls, a short line, refusals when that is full. All nodes share it.
+//! The dependency that all nodes share: slots that work on calls, a short queue, rejections when that is full.
 
 use std::collections::{BTreeMap, VecDeque};
 
--- a/fault-harness/src/model/frontend.rs
+++ b/fault-harness/src/model/frontend.rs
@@ -1,4 +1,4 @@
-//! The habits of front ends and of the clients behind them: which node they choose, and what they do after each
+//! The habits of frontends and of the clients behind them: which node they choose, and what they do after each
 //! answer. A journey is one client's request from its first try to its end.
 
 use rand::Rng;
@@ -7,10 +7,10 @@
 use super::Ms;
 use crate::scenario::{Choose, Fronts, RepeatAt};
 
-/// A try is not begun with less than this left.
+/// An attempt is not begun with less than this left.
 pub const LATEST_RETRY_MARGIN: Ms = 5.0;
 
-/// One front end: what it knows and how it chooses.
+/// One frontend: what it knows and how it chooses.
 #[derive(Debug, Clone)]
 pub struct Front {
     choose: Choose,
@@ -28,7 +28,7 @@
 }
 
 impl Front {
-    /// A front end with these habits.
+    /// A frontend with these habits.
     pub fn new(fronts: &Fronts, choose: Choose, heeds: bool, nodes: usize, mut rng: ChaCha8Rng) -> Front {
         Front {
             choose,
@@ -77,7 +77,7 @@
     }
 }
 
-/// What came of a try.
+/// What came of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Answer {
     /// Served; `poorer` if made without its call.
@@ -134,9 +134,9 @@
     To(usize),
     /// To any but this one, once.
     Not(usize),
-    /// Once, wherever the front end likes.
+    /// Once, wherever the frontend likes.
     Once,
-    /// Wherever the front end likes, as often as it likes.
+    /// Wherever the frontend likes, as often as it likes.
     Free,
 }
 
@@ -192,12 +192,12 @@
                 front.out[node] += 1;
                 Step::Try(node)
             }
-            // Nobody is willing: the front end turns the request away itself.
+            // No node takes it: the frontend rejects the request itself.
             None => self.abandoned(now, front),
         }
     }
 
-    /// A try has ended.
+    /// An attempt has ended.
     pub fn answered(
         &mut self,
         now: Ms,
@@ -239,7 +239,7 @@
         self.abandoned(now, front)
     }
 
-    /// The front end has given up; the client may ask again by itself.
+    /// The frontend has given up; the client may retry by itself.
     fn abandoned(&mut self, now: Ms, front: &mut Front) -> Step {
         if self.client_retries == 0 || self.pin != Pin::Free {
             return Step::Over(self.last);
--- a/fault-harness/src/model/mod.rs
+++ b/fault-harness/src/model/mod.rs
@@ -1,5 +1,5 @@
-//! What the rig plays, as state machines in virtual time: no clock, socket or thread, and no chance but from a seeded
-//! generator that is handed in. The stand-ins on sockets and `predict` drive the same ones.
+//! The models behind the stand-ins, as state machines in virtual time: no clock, socket or thread, and no chance but
+//! from a seeded generator that is handed in. The stand-ins on sockets and `predict` drive the same ones.
 
 pub mod dependency;
 pub mod frontend;
--- a/fault-harness/src/model/registry.rs
+++ b/fault-harness/src/model/registry.rs
@@ -1,4 +1,5 @@
-//! The membership service: who is listed, and who was at a time before, as front ends see it late.
+//! The membership service: which nodes are listed, and which were at an earlier time, as frontends see the list with
+//! a delay.
 
 use super::Ms;
 
@@ -20,7 +21,7 @@
 }
 
 impl Members {
-    /// A service that drops who has not reported for so long.
+    /// A service that drops nodes which have not reported for so long.
     pub fn new(nodes: usize, lapse: Ms) -> Members {
         Members { lapse, entries: vec![Entry::default(); nodes], changes: Vec::new(), deaf: false }
     }
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Lets time pass: who is silent drops off.
+    /// Lets time pass: nodes that do not report are dropped.
     pub fn advance(&mut self, now: Ms) {
         if self.deaf {
             return;
--- a/fault-harness/src/mutant.rs
+++ b/fault-harness/src/mutant.rs
@@ -60,7 +60,7 @@
     answers: mpsc::Sender<String>,
 }
 
-/// A key that ran: its result once there is one, and who waits for it.
+/// A key that ran: its result once there is one, and the attempts that wait for it.
 type Known = (Option<String>, Vec<Waiting>);
 
 struct Node {
--- a/fault-harness/src/play_context.rs
+++ b/fault-harness/src/play_context.rs
@@ -1,4 +1,4 @@
-//! What all parts of a play share: its clock, its plan, what was seen, and who waits for what.
+//! What all parts of a play share: its clock, its schedule, the history so far, and the listener for what nodes do.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -70,12 +70,12 @@
         self.seen.borrow_mut().push(Observation { t: self.now(), what });
     }
 
-    /// A try is about to be written.
+    /// An attempt is about to be written.
     pub fn writes(&self, txn: u64, written: Written) {
         self.written.borrow_mut().insert(txn, written);
     }
 
-    /// What is known of a try.
+    /// What is known of an attempt.
     pub fn written(&self, txn: u64) -> Option<Written> {
         self.written.borrow().get(&txn).copied()
     }
@@ -155,7 +155,7 @@
         drain_grace: crate::settings::DRAIN_GRACE_MS,
         sockets: scenario.fleet.sockets,
         memory_kb: scenario.fleet.memory_mb * 1024,
-        // Who hears a higher priority gives way at once; it is heard within an interval.
+        // A node that hears a higher priority gives way at once; it is heard within an interval.
         two_active: scenario.fleet.vrrp.as_ref().map_or(0.0, |vrrp| 2.0 * vrrp.interval_ms as f64)
             + scenario.rules.slack_ms,
     }
--- a/fault-harness/src/relay.rs
+++ b/fault-harness/src/relay.rs
@@ -19,7 +19,7 @@
 use crate::model::Ms;
 use crate::scenario::{Directions, Traffic};
 
-/// Pieces on their way in one direction of a connection; who sends more waits.
+/// Chunks on their way in one direction of a connection; a sender of more is blocked.
 const PIECES: usize = 64;
 /// The largest piece.
 const PIECE: usize = 16 * 1024;
--- a/fault-harness/src/schedule.rs
+++ b/fault-harness/src/schedule.rs
@@ -11,13 +11,13 @@
 /// What is drawn, each from a stream of its own, so that a change of one leaves the others as they were.
 #[derive(Debug, Clone, Copy)]
 pub enum Stream {
-    /// Speeds of nodes and habits of front ends.
+    /// Speeds of nodes and habits of frontends.
     Fleet = 1,
     /// Requests.
     Load = 2,
-    /// Who is struck.
+    /// Which nodes a fault strikes.
     Faults = 3,
-    /// What front ends choose while it runs.
+    /// What frontends choose while it runs.
     Habits = 4,
     /// Delays and losses on links.
     Links = 5,
@@ -32,7 +32,7 @@
     rng
 }
 
-/// A front end.
+/// A frontend.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FrontendProfile {
     /// How it chooses.
@@ -54,7 +54,7 @@
     pub class: usize,
     /// Its tenant.
     pub tenant: String,
-    /// The front end that it comes through.
+    /// The frontend that it comes through.
     pub front: usize,
     /// Its work.
     pub work: Ms,
@@ -84,7 +84,7 @@
     pub after: Ms,
     /// The fault.
     pub fault: Fault,
-    /// Nodes, or front ends where the fault is about those.
+    /// Nodes, or frontends where the fault is about those.
     pub whom: Vec<usize>,
     /// A number drawn for it.
     pub draw: u64,
@@ -95,7 +95,7 @@
 pub struct Schedule {
     /// Speeds of the nodes' cores.
     pub speeds: Vec<f64>,
-    /// The front ends.
+    /// The frontends.
     pub fronts: Vec<FrontendProfile>,
     /// All requests, by time.
     pub requests: Vec<ClientRequest>,
@@ -112,7 +112,7 @@
     let fronts: Vec<FrontendProfile> = (0..habits.count)
         .map(|i| FrontendProfile {
             choose: habits.choose[i % habits.choose.len()],
-            // Spread evenly, so that few front ends have the share that is asked for.
+            // Spread evenly, so that few frontends have the share that is asked for.
             heeds: ((i + 1) as f64 * habits.heed).floor() > (i as f64 * habits.heed).floor(),
             late: between(&mut rng, habits.list_late_ms[0], habits.list_late_ms[1]),
             zone: scenario.zone_of(i),
--- a/fault-harness/src/stand_in/dependency.rs
+++ b/fault-harness/src/stand_in/dependency.rs
@@ -1,4 +1,4 @@
-//! The index: calls of all nodes go to one tier below, and its replies come back.
+//! The dependency on a socket: calls of all nodes go to it, and its replies come back.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -25,7 +25,7 @@
     reply: mpsc::Sender<String>,
 }
 
-/// The tier below, for all nodes.
+/// The dependency that all nodes share.
 pub struct Tier {
     context: Rc<PlayContext>,
     shape: Shape,
--- a/fault-harness/src/wire.rs
+++ b/fault-harness/src/wire.rs
@@ -1,4 +1,4 @@
-//! What is said on the program's links, as text: shared by the rig's stand-ins and the tests of the network code.
+//! The messages on the program's links, as text: shared by the harness's stand-ins and the tests of the network code.
 
 use std::fmt::{self, Display, Formatter};
 
@@ -10,7 +10,7 @@
 /// A health check.
 pub const STATUS: &str = "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"status\"}\n";
 
-/// A request as a front end writes it, one line with its end.
+/// A request as a frontend writes it, one line with its end.
 #[derive(Debug, Clone, Copy)]
 pub struct Request<'a> {
     /// Its id on the connection.
@@ -21,11 +21,11 @@
     pub class: &'a str,
     /// When it came to the machine, in Unix milliseconds.
     pub door: u64,
-    /// The front end's number.
+    /// The frontend's number.
     pub front: usize,
     /// The tenant.
     pub team: &'a str,
-    /// How long the front end waits, in milliseconds.
+    /// How long the frontend waits, in milliseconds.
     pub limit: u64,
     /// The work to expect, in milliseconds.
     pub cpu: f64,
@@ -52,7 +52,7 @@
     }
 }
 
-/// The word that a front end no longer waits for a request.
+/// The notification that a frontend no longer waits for a request.
 pub fn withdraw(id: u64) -> String {
     format!("{{\"jsonrpc\":\"2.0\",\"method\":\"withdraw\",\"params\":{{\"id\":{id}}}}}\n")
 }
@@ -84,7 +84,7 @@
     words.last().filter(|_| bodied)?.parse().ok()
 }
 
-/// What a node says to a front end.
+/// What a node says to a frontend.
 #[derive(Debug, Clone, PartialEq)]
 pub enum NodeMessage {
     /// A result: the request's id, and the result in base64.
