--- a/node/src/backend/uwsgi.rs
+++ b/node/src/backend/uwsgi.rs
@@ -45,7 +45,7 @@
     Unreachable,
 }
 
-/// Selects the addresses of the servers from those of all peers.
+/// Selects the addresses of the servers from those of all backends.
 pub(crate) type SelectAddresses = fn(&UpstreamAddresses) -> &Vec<SocketAddr>;
 
 /// Servers that stand in for each other.
--- a/node/src/line_codec/tests.rs
+++ b/node/src/line_codec/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn messages_come_off_whole_and_nonsense_is_named() {
+fn messages_are_decoded_once_they_are_complete_and_malformed_ones_are_errors() {
     let value = |words: &mut dyn Iterator<Item = &[u8]>| words.next() == Some(b"VALUE");
     let mut buffer = BytesMut::from(&b"TRACE 1 x y\r\nVALUE 2 a done 7 3\r\n\r\nz\r\nVALUE 3 "[..]);
     let first = decode(&mut buffer, value).unwrap().unwrap();
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn what_is_written_is_words_a_length_and_as_many_bytes() {
+fn an_encoded_message_is_its_fields_its_length_and_its_body() {
     let mut output = BytesMut::new();
     encode(&mut output, &[b"STUB", b"a2", b"3"], None);
     encode(&mut output, &[b"APPLY", b"a1", b"book"], Some(b"re\r\nl"));
--- a/node/src/server/reload.rs
+++ b/node/src/server/reload.rs
@@ -1,6 +1,6 @@
 //! Applies changed configuration files while the node runs.
 //!
-//! A file is applied whole or not at all: the addresses of peers, the settings, and a newer membership configuration of
+//! A file is applied whole or not at all: the addresses of backends and services, the settings, and a newer membership configuration of
 //! the fleet. Everything else in the files takes effect at a restart or an upgrade.
 
 use oakwind_fleet::replica_node::Event;
@@ -21,9 +21,9 @@
     /// A file is not valid by itself.
     #[error("{0}")]
     Config(ConfigError),
-    /// A peer was added or removed, or its protocol changed.
-    #[error("{0}: adding, removing or replacing this kind of peer needs a restart")]
-    PeerKindChanged(&'static str),
+    /// A backend or service was added or removed, or its protocol changed.
+    #[error("{0}: adding, removing or replacing this backend or service needs a restart")]
+    UpstreamKindChanged(&'static str),
     /// A key is left out that the configuration before had: the file may not be complete.
     #[error("{0}: missing, the configuration before had it")]
     KeyMissing(String),
@@ -59,7 +59,7 @@
     pub(super) initial: &'a NodeConfig,
     /// The latest one that was applied, if any.
     pub(super) applied: Option<NodeConfig>,
-    pub(super) peer_addresses: watch::Sender<UpstreamAddresses>,
+    pub(super) upstream_addresses: watch::Sender<UpstreamAddresses>,
     /// The fleet's events, if the node is in one.
     pub(super) fleet_events: Option<mpsc::Sender<Event>>,
 }
@@ -87,7 +87,7 @@
         let current = self.applied.as_ref().unwrap_or(self.initial);
         let Configuration { config, fleet, .. } = self.files.load().map_err(ReloadError::Config)?;
         if let Some(key) = config.upstreams.first_incompatible_key(&current.upstreams) {
-            return Err(ReloadError::PeerKindChanged(key));
+            return Err(ReloadError::UpstreamKindChanged(key));
         }
         if let Some(key) = config.first_missing_key(current) {
             return Err(ReloadError::KeyMissing(key));
@@ -98,7 +98,7 @@
 
     async fn apply(&mut self, candidate: Candidate, trigger: Trigger) {
         let Candidate { config, settings, fleet } = candidate;
-        let addresses_changed = self.peer_addresses.send_if_modified(|addresses| {
+        let addresses_changed = self.upstream_addresses.send_if_modified(|addresses| {
             std::mem::replace(addresses, config.upstreams.clone()) != config.upstreams
         });
         let settings_changed = settings != self.registry.settings();
--- a/node/src/server/startup.rs
+++ b/node/src/server/startup.rs
@@ -41,8 +41,8 @@
     uwsgi: Option<UwsgiConfig>,
     exchange: Exchange,
     registry: Rc<ClassRegistry>,
-    /// The addresses of peers in the latest configuration.
-    peer_addresses: watch::Receiver<UpstreamAddresses>,
+    /// The addresses of the backends and services in the latest configuration.
+    upstream_addresses: watch::Receiver<UpstreamAddresses>,
     jsonrpc_limiter: Rc<ConnectionLimiter>,
     uwsgi_limiter: Rc<ConnectionLimiter>,
     /// Connections to each backend.
@@ -64,13 +64,13 @@
     let Endpoints { exchange, dispatcher, backend } = exchange::new(is_upgrade, starts_recovering);
     let capacity = ConnectionCapacity::new(&loaded);
     let Configuration { config, uwsgi, remembered, fleet, records } = loaded;
-    let (address_publisher, peer_addresses) = watch::channel(config.upstreams.clone());
+    let (address_publisher, upstream_addresses) = watch::channel(config.upstreams.clone());
     let node = Node {
         registry: Rc::new(ClassRegistry::new(config.settings.clone())),
         config,
         uwsgi,
         exchange,
-        peer_addresses,
+        upstream_addresses,
         jsonrpc_limiter: ConnectionLimiter::new(capacity.jsonrpc),
         uwsgi_limiter: ConnectionLimiter::new(capacity.uwsgi),
         backend_connections: capacity.per_backend,
@@ -89,7 +89,7 @@
         registry: &node.registry,
         initial: &node.config,
         applied: None,
-        peer_addresses: address_publisher,
+        upstream_addresses: address_publisher,
         fleet_events,
     };
     tokio::select! {
@@ -132,7 +132,7 @@
     /// Starts what runs requests, the interpreter or uwsgi servers, and what takes their calls, the index or uwsgi
     /// servers.
     fn start_backends(&self, endpoints: BackendEndpoints) {
-        let (addresses, exchange) = (&self.peer_addresses, &self.exchange);
+        let (addresses, exchange) = (&self.upstream_addresses, &self.exchange);
         let connections = self.backend_connections;
         let initial = addresses.borrow().clone();
         if initial.uwsgi_run_servers.is_empty() {
@@ -154,7 +154,7 @@
     }
 
     fn uwsgi_servers(&self, select: uwsgi_backend::SelectAddresses) -> Rc<Servers> {
-        Servers::new(self.peer_addresses.clone(), select, self.registry.clone())
+        Servers::new(self.upstream_addresses.clone(), select, self.registry.clone())
     }
 
     /// Starts the dispatcher with all that it decides by: the result store, the fleet and the decision log, as far as
@@ -219,7 +219,7 @@
             self.open_uwsgi_frontend(uwsgi, vrrp_active)?;
         }
         let name = self.config.name.clone();
-        spawn_local(heartbeat::report(name, self.peer_addresses.clone(), self.exchange.clone()));
+        spawn_local(heartbeat::report(name, self.upstream_addresses.clone(), self.exchange.clone()));
         if let Some(socket) = &self.handover_socket {
             if self.is_upgrade {
                 spawn_local(handover::take_over(socket.clone(), self.exchange.clone()));
--- a/node/src/uwsgi/tests.rs
+++ b/node/src/uwsgi/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_packet_reads_back_and_broken_ones_do_not() {
+fn an_encoded_packet_is_decoded_and_a_cut_one_is_not() {
     let packet = packet(&[("PATH_INFO", b"/book"), ("EMPTY", b"")]).unwrap().freeze();
     let head = Head::parse(&packet).unwrap();
     assert_eq!((head.modifier1, head.size, head.modifier2), (0, packet.len() - HEAD_BYTES, 0));
--- a/node/src/vrrp/machine/tests.rs
+++ b/node/src/vrrp/machine/tests.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn the_owner_is_active_at_once_and_others_wait_for_three_intervals_and_the_skew() {
+fn the_owner_is_active_at_once_and_others_wait_for_three_intervals_and_the_skew_time() {
     let mut owner = router(255, 1, true);
     assert_eq!(sent(&owner.handle(NOW, Event::Startup)), [255]);
     assert_eq!(owner.role(), Role::Active);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn of_two_that_start_together_the_higher_priority_is_elected() {
+fn of_two_routers_that_start_together_the_higher_priority_becomes_active() {
     let (mut high, low) = (started(200, 1, true), started(100, 2, true));
     assert!(high.timer_expires_at() < low.timer_expires_at());
     let mut low = low;
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_higher_priority_preempts_unless_it_is_told_not_to() {
+fn a_higher_priority_preempts_unless_preemption_is_off() {
     for (preempt, role) in [(true, Role::Active), (false, Role::Backup)] {
         let mut high = started(200, 1, preempt);
         for second in 1..=5 {
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn an_active_one_yields_to_more_and_answers_less() {
+fn an_active_router_yields_to_a_higher_priority_and_advertises_to_a_lower_one() {
     let now = NOW + 5 * SECOND;
     let mut router = active(100, 5);
     assert_eq!(sent(&router.handle(now, from(9, 99))), [100]);
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn giving_up_hands_the_role_over_within_the_skew() {
+fn a_released_role_is_taken_over_within_the_skew_time() {
     let mut leaving = active(200, 1);
     assert_eq!(sent(&leaving.handle(NOW + 5 * SECOND, Event::Shutdown)), [0]);
     assert_eq!((leaving.role(), leaving.timer_expires_at()), (Role::Initialize, None));
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn it_follows_the_interval_of_who_is_active() {
+fn a_backup_follows_the_interval_of_the_active_router() {
     let mut backup = started(100, 2, true);
     let mut slow = router(200, 1, true).advertisement(200);
     slow.interval = 4 * SECOND;
--- a/node/src/vrrp/packet/tests.rs
+++ b/node/src/vrrp/packet/tests.rs
@@ -1,21 +1,21 @@
 use super::*;
 
-fn usual() -> Advertisement {
+fn advertisement() -> Advertisement {
     let addresses = vec![Ipv4Addr::new(127, 0, 1, 1), Ipv4Addr::new(127, 0, 1, 2)];
     Advertisement { vrid: 51, priority: 100, interval: Duration::from_secs(1), addresses }
 }
 
 #[test]
-fn its_bytes_are_those_of_the_rfc() {
-    let one = Advertisement { addresses: vec![Ipv4Addr::new(127, 0, 1, 1)], ..usual() };
+fn the_encoding_is_that_of_the_rfc() {
+    let one = Advertisement { addresses: vec![Ipv4Addr::new(127, 0, 1, 1)], ..advertisement() };
     // The sum of 3133 6401 0064 7f00 0101 is 0x11599, folded 0x159a, and its complement is ea65.
     assert_eq!(one.encode(), [0x31, 51, 100, 1, 0, 100, 0xea, 0x65, 127, 0, 1, 1]);
-    assert_eq!(Advertisement::decode(&usual().encode()), Ok(usual()));
+    assert_eq!(Advertisement::decode(&advertisement().encode()), Ok(advertisement()));
 }
 
 #[test]
-fn bad_packets_are_told_apart() {
-    let good = usual().encode();
+fn each_fault_of_a_packet_is_reported_as_such() {
+    let good = advertisement().encode();
     let with = |at: usize, byte: u8| {
         let mut bytes = good.clone();
         bytes[at] = byte;
@@ -27,9 +27,9 @@
     assert_eq!(with(3, 3), Err(Malformed::Short));
     assert_eq!(Advertisement::decode(&good[..7]), Err(Malformed::Short));
     assert_eq!(Advertisement::decode(&[]), Err(Malformed::Short));
-    let none = Advertisement { addresses: vec![], ..usual() };
+    let none = Advertisement { addresses: vec![], ..advertisement() };
     assert_eq!(Advertisement::decode(&none.encode()), Err(Malformed::Addresses));
-    let hasty = Advertisement { interval: Duration::ZERO, ..usual() };
+    let hasty = Advertisement { interval: Duration::ZERO, ..advertisement() };
     assert_eq!(Advertisement::decode(&hasty.encode()), Err(Malformed::Interval));
     let longer = [&good[..], &[0, 0, 0, 0]].concat();
     assert_eq!(Advertisement::decode(&longer), Err(Malformed::Addresses));
--- a/node/tests/sockets/admin.rs
+++ b/node/tests/sockets/admin.rs
@@ -1,4 +1,4 @@
-//! What operators see and do.
+//! The admin interface.
 
 use crate::helper::*;
 
@@ -27,7 +27,7 @@
         client.read_line();
     }
     link.next_run();
-    // A file that can't be taken is counted.
+    // A file that can't be applied is counted.
     node.reload("{");
     node.wait_for_log("reload: rejected");
     let stats = admin_call(ops, "GET /ops/stats");
@@ -44,7 +44,7 @@
     svc_conf_loaded 0
     svc_conf_invalid 1
     "#);
-    // Who leaves is no longer current.
+    // The request of a client that disconnects is not open any more.
     drop(client);
     while !admin_call(ops, "GET /ops/stats").contains("svc_current 0") {}
 }
@@ -59,7 +59,7 @@
     let mut old = Peer::connect(uwsgi);
     old.send(packet(&[("PATH_INFO", "/status")], ""));
     assert!(old.read_line().contains("503"));
-    // What still arrives is answered as usual.
+    // What still arrives is served as usual.
     let mut client = node.client();
     client.request(1, "a1", None, LONG_LIMIT_MS);
     link.next_run();
--- a/node/tests/sockets/cut_off.rs
+++ b/node/tests/sockets/cut_off.rs
@@ -1,4 +1,4 @@
-//! Answers from below that break off at any byte: one outcome, no second run, nothing served that is cut.
+//! Responses of backends that break off at any byte: one outcome, no second run, nothing incomplete is served.
 
 use crate::helper::*;
 
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn an_answer_of_a_uwsgi_server_cut_off_at_any_byte_is_never_served() {
+fn a_response_of_a_uwsgi_server_cut_off_at_any_byte_is_never_served() {
     let server = Server::new();
     let front = format!("listen = '127.0.0.1:0'\nruns = ['{}']\n", server.address);
     let mut node = Node::start(&config(""), Some(&front));
@@ -72,6 +72,6 @@
         assert!(ask(&answer[..cut]).starts_with("HTTP/1.1 500 "), "cut after {cut} bytes");
     }
     assert!(ask(answer).ends_with("\r\n\r\nresult"));
-    // Its length is not told, so nothing shows that this is all of it.
+    // Its length is not stated, so nothing shows that this is all of it.
     assert!(ask("HTTP/1.1 200 OK\r\n\r\nresu").starts_with("HTTP/1.1 500 "));
 }
--- a/node/tests/sockets/endings.rs
+++ b/node/tests/sockets/endings.rs
@@ -1,4 +1,4 @@
-//! The instant in which something ends while something is still owed (docs/endings.md).
+//! The moment in which something ends while something is still pending (docs/endings.md).
 
 use crate::helper::*;
 use crate::upgrade::Place;
@@ -42,7 +42,7 @@
     let mut client = node.client();
     let line = request(1, "a1", "quote", None, LONG_LIMIT_MS);
     client.send(&line[..40]);
-    // That another request of the connection before it was heard shows that this half was, too.
+    // That a request on another connection was processed shows that this half was read, too.
     while node.health() != "up" {}
     node.terminate();
     assert_eq!(client.read_any_line(), DRAINING);
@@ -56,7 +56,7 @@
 fn a_request_that_is_complete_only_after_the_grace_is_rejected_and_never_run() {
     let (node, _vm, mut link) = node_with(grace(0));
     let mut client = node.client();
-    // A door that is still to come is the moment of reading.
+    // A time of receipt in the future counts as now.
     let line = request(1, "a1", "quote", None, LONG_LIMIT_MS).replace("\"door\":", "\"door\":1");
     client.send(&line[..40]);
     while node.health() != "up" {}
@@ -110,14 +110,14 @@
     assert!(other.read_line().contains("result"));
 }
 
-/// A process that takes over at this place from one that the test plays, which says nothing yet.
-fn takes_over(place: &Place, change: impl Fn(String) -> String) -> (Node, Server, Peer, UnixStream) {
+/// A process that takes over at this address from a predecessor that the test plays, which has sent nothing yet.
+fn start_successor(place: &Place, change: impl Fn(String) -> String) -> (Node, Server, Peer, UnixStream) {
     let socket = place.json.replace(':', "_");
     let before = UnixListener::bind(place.folder.join(format!("oakwind-{socket}.sock"))).unwrap();
     let vm = Server::new();
     let text = config(&format!(r#""vm": "{}","#, vm.address)).replace("127.0.0.1:0", &place.json);
     let mut node = Node::spawn(&change(text), None, Some(&place.folder));
-    // It asks first whether a process serves here, then takes over.
+    // It checks first whether a process serves here, then takes over.
     drop(before.accept().unwrap());
     let link = vm.interpreter("0");
     node.wait_until_listening();
@@ -128,7 +128,7 @@
 #[test]
 fn a_predecessor_that_is_slow_to_hand_over_its_keys_delays_no_response() {
     let place = Place::new("127.0.3.7");
-    let (mut node, _vm, mut link, mut before) = takes_over(&place, |text| text);
+    let (mut node, _vm, mut link, mut before) = start_successor(&place, |text| text);
     let mut client = node.client();
     client.request(1, "a1", Some("slow"), 300);
     assert!(client.read_line().contains("-32011"), "it has not run, and its caller waits no longer");
@@ -144,8 +144,8 @@
 #[test]
 fn a_shutdown_notice_before_the_keys_are_handed_over_leaves_no_attempt_without_a_response() {
     let place = Place::new("127.0.3.8");
-    // It is stopped before it would give up waiting for the keys.
-    let (node, _vm, _link, _before) = takes_over(&place, |text| text.replace("30000", "1000"));
+    // It stops before it would give up waiting for the keys.
+    let (node, _vm, _link, _before) = start_successor(&place, |text| text.replace("30000", "1000"));
     let mut client = node.client();
     client.request(1, "a1", Some("k"), LONG_LIMIT_MS);
     client.send(STATUS.replace(":1,", ":2,"));
@@ -164,7 +164,7 @@
         client.send(STATUS.replace(":1,", ":2,"));
         assert!(client.read_line().contains("\"id\":2"), "its request is open");
     }
-    // What it says has come before the node knows of it.
+    // What it sends has arrived before the node accepts the connection.
     node.pause();
     let mut late = node.client();
     late.send(STATUS);
@@ -218,7 +218,7 @@
         let (txn, ..) = link.next_run();
         link.send_run_result(notice, &txn, "done", &result);
     }
-    // That this is answered shows that all results before it were heard.
+    // The response to this shows that all results before it were processed.
     other.request(1, "b1", None, LONG_LIMIT_MS);
     link.next_run();
     link.send_run_result(33, "b1", "done", "x");
@@ -241,14 +241,14 @@
     node.wait_until_listening();
     let mut link = vm.interpreter("0");
     let mut client = node.client();
-    // A door that is still to come is the moment of reading, whenever the clock is set.
+    // A time of receipt in the future counts as now, whenever the clock is set.
     client.send(request(1, "a1", "book", Some("k"), LONG_LIMIT_MS).replace("\"door\":", "\"door\":1"));
     link.next_run();
     node.wait_for_log("the clock has jumped ahead");
     drop(link);
     let mut link = vm.accept();
     link.read_line();
-    // Surely no later a start than the one told before, however long this test takes.
+    // No later a start than the one reported before, however long this test takes.
     link.send("BANNER seasoned 600000\r\n");
     assert_eq!(link.next_run().0, "a1", "its run goes on");
 }
@@ -257,7 +257,7 @@
 fn processes_that_start_together_are_each_ready_with_their_interpreter_and_not_before() {
     let vms: Vec<Server> = (0..24).map(|_| Server::new()).collect();
     let start = |vm: &Server| {
-        // Nobody hears their reports.
+        // Nobody receives their heartbeats.
         let links = format!(r#""vm": "{}", "members": "{UNREACHABLE}", "ops": "127.0.0.1:0","#, vm.address);
         Node::spawn(&config(&links), None, None)
     };
--- a/node/tests/sockets/floods.rs
+++ b/node/tests/sockets/floods.rs
@@ -60,7 +60,7 @@
     let node = Node::start(&config(&links), None);
     let mut link = vm.interpreter("0");
     while node.health() != "up" {}
-    // Nobody hears its reports.
+    // Nobody receives its heartbeats.
     drop(members);
     let idle: Vec<Peer> = (0..200)
         .map(|_| {
@@ -71,7 +71,7 @@
         })
         .collect();
     assert!(node.usage().files <= 64);
-    // One more gets work done that needs a connection below, and checks are answered.
+    // One more client gets a request served that needs a connection to a backend, and health checks pass.
     let mut client = node.client();
     client.request(1, "a1", Some("k"), LONG_LIMIT_MS);
     link.next_run();
@@ -83,7 +83,7 @@
     link.send_run_result(2, "a1", "done", "x");
     assert!(client.read_line().contains("result"));
     assert_eq!(node.health(), "up");
-    // It still reports itself.
+    // It still sends heartbeats.
     assert_eq!(next_datagram(&bind_udp(&service.to_string())), b"HB n1 UP");
     drop(idle);
 }
--- a/node/tests/sockets/helper.rs
+++ b/node/tests/sockets/helper.rs
@@ -1,5 +1,5 @@
-//! The program as a process, and stand-ins for all that it talks to. Everything waits for events; the one
-//! time here is a guard that turns a test that would hang into one that fails.
+//! Starts the program as a process and stands in for its clients, backends and services. Everything waits for events; the
+//! only time limit turns a test that would hang into one that fails.
 
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -15,10 +15,10 @@
 
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Nobody listens there, and no test that asks for any port gets this one.
+/// An address at which nobody listens; no test that asks for any port gets this one.
 pub const UNREACHABLE: &str = "127.0.0.1:1";
 
-/// Two classes that call below; their times are far too long to matter, but where a test says otherwise.
+/// Two classes whose runs make calls; their times are too long to matter where a test does not change them.
 const SETTINGS: &str = r#"{"services": [
     {"name": "quote", "slo": 60000000, "deadline": 120000000, "effect": "repeatable"},
     {"name": "book", "slo": 60000000, "deadline": 120000000, "effect": "by_key", "window": 120000000,
@@ -34,7 +34,7 @@
     oakwind_fault_harness::clock::unix_now().as_millis() as u64
 }
 
-/// A file for one test, in cargo's own folder.
+/// Writes a file for one test, in cargo's own folder.
 pub fn file(name: &str, text: &str) -> PathBuf {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -44,7 +44,7 @@
     path
 }
 
-/// A configuration; `links` are further keys, each with a comma after it.
+/// A configuration with further keys, each with a comma after it.
 pub fn config(links: &str) -> String {
     format!(
         r#"{{"name": "n1", "listen": "127.0.0.1:0", "seed": "8c1f", "stop_ms": 30000, {links} "settings": {SETTINGS}}}"#
@@ -61,30 +61,30 @@
     oakwind(arguments).output().unwrap()
 }
 
-/// The program at work.
+/// The program as a running process.
 pub struct Node {
     program: Program,
     log: Receiver<String>,
     skipped_lines: Vec<String>,
-    /// Its configuration, and its uwsgi file if it has one.
+    /// Its configuration, its uwsgi file if it has one, and one more file if there is one.
     files: Vec<PathBuf>,
     pub json: SocketAddr,
 }
 
 impl Node {
-    /// Starts it; `uwsgi` is the text of a uwsgi file, if any.
+    /// Starts a node and waits until it listens; `uwsgi` is the text of a uwsgi file, if any.
     pub fn start(config: &str, uwsgi: Option<&str>) -> Node {
         let mut node = Node::spawn(config, uwsgi, None);
         node.wait_until_listening();
         node
     }
 
-    /// Starts it, with a folder of its own if it shares one with another process.
+    /// Starts a node without waiting. `folder` is the folder that it shares with another process, if any.
     pub fn spawn(config: &str, uwsgi: Option<&str>, folder: Option<&Path>) -> Node {
         Node::spawn_with(config, uwsgi, folder, None)
     }
 
-    /// The same, with the text of a file that makes keys outlast it.
+    /// The same with the text of a result store file.
     pub fn spawn_with(
         config: &str,
         uwsgi: Option<&str>,
@@ -95,7 +95,7 @@
         Node::spawn_with_file(config, uwsgi, folder, remembered)
     }
 
-    /// The same with records of what it decides in a folder.
+    /// Starts a node with both frontends and a decision log in a folder.
     pub fn with_records(config: &str, folder: &Path) -> Node {
         let text = format!("folder = '{}'\nfile_mb = 1\nfiles = 4\n", folder.display());
         let mut node = Node::spawn_with_file(
@@ -108,7 +108,7 @@
         node
     }
 
-    /// The same with both fronts and the text of a fleet file.
+    /// Starts a node with both frontends and the text of a fleet file.
     pub fn with_fleet(config: &str, fleet: &str, folder: Option<&Path>) -> Node {
         Node::spawn_with_file(config, Some(UWSGI), folder, Some(("--fleet", file("fleet.toml", fleet))))
     }
@@ -136,20 +136,20 @@
         Node { files, ..Node::from_command(command) }
     }
 
-    /// The program as a command starts it.
+    /// Starts the program by a command.
     pub fn from_command(mut command: Command) -> Node {
         let (sender, log) = channel();
-        // A test that is over reads no more.
+        // A test that has ended does not receive any more.
         let program = Program::start(&mut command, move |line| drop(sender.send(line))).unwrap();
         Node { program, log, skipped_lines: Vec::new(), files: Vec::new(), json: ([127, 0, 0, 1], 0).into() }
     }
 
-    /// Waits until it takes clients.
+    /// Waits until it accepts JSON-RPC clients.
     pub fn wait_until_listening(&mut self) {
         self.json = self.address("frontend: listening: protocol=JSON-RPC address=");
     }
 
-    /// One with a stand-in interpreter, whose link is up.
+    /// A node with a stand-in interpreter whose link is up.
     pub fn with_interpreter(links: &str, uwsgi: Option<&str>) -> (Node, Server, Peer) {
         let vm = Server::new();
         let node = Node::start(&config(&format!(r#""vm": "{}", {links}"#, vm.address)), uwsgi);
@@ -157,7 +157,7 @@
         (node, vm, link)
     }
 
-    /// Waits for a log line with these words, and returns it.
+    /// Waits for a log line that contains a text, and returns it.
     pub fn wait_for_log(&mut self, words: &str) -> String {
         if let Some(at) = self.skipped_lines.iter().position(|line| line.contains(words)) {
             return self.skipped_lines.remove(at);
@@ -186,7 +186,7 @@
         self.address("admin: listening: address=")
     }
 
-    /// What a health check hears; it comes on its own connection.
+    /// The result of a health check on a connection of its own.
     pub fn health(&self) -> &'static str {
         let mut check = self.client();
         check.send(STATUS);
@@ -205,52 +205,52 @@
         self.program.signal(Signal::TERM).unwrap();
     }
 
-    /// It stands still, so that whatever comes meanwhile comes in one moment for it.
+    /// Pauses the process, so that whatever arrives meanwhile arrives in one moment for it.
     pub fn pause(&self) {
         self.program.signal(Signal::STOP).unwrap();
     }
 
-    /// It goes on.
+    /// Resumes the process.
     pub fn resume(&self) {
         self.program.signal(Signal::CONT).unwrap();
     }
 
-    /// What it takes now.
+    /// The memory, descriptors and time that it uses.
     pub fn usage(&self) -> Usage {
         self.program.usage().unwrap()
     }
 
-    /// Puts another text in the place of its configuration and tells it to read that.
+    /// Replaces its configuration and sends SIGHUP.
     pub fn reload(&self, config: &str) {
         self.replace_config(config);
         self.program.signal(Signal::HUP).unwrap();
     }
 
-    /// The same without telling it.
+    /// Replaces its configuration without a signal.
     pub fn replace_config(&self, config: &str) {
         std::fs::write(&self.files[0], config).unwrap();
     }
 
-    /// The same with its uwsgi file.
+    /// Replaces its uwsgi file and sends SIGHUP.
     pub fn reload_uwsgi_file(&self, text: &str) {
         std::fs::write(&self.files[1], text).unwrap();
         self.program.signal(Signal::HUP).unwrap();
     }
 
-    /// The same with its fleet file.
+    /// Replaces its fleet file and sends SIGHUP.
     pub fn reload_fleet_file(&self, text: &str) {
         std::fs::write(self.files.last().unwrap(), text).unwrap();
         self.program.signal(Signal::HUP).unwrap();
     }
 
-    /// Waits for its end, which must be a clean one.
+    /// Waits until it has drained and ended with status 0.
     pub fn assert_clean_exit(mut self) {
         self.wait_for_log("server: drained");
         assert!(self.program.wait().unwrap().success());
     }
 }
 
-/// A stand-in that is connected to.
+/// A stand-in that the program connects to.
 pub struct Server {
     listener: TcpListener,
     pub address: SocketAddr,
@@ -268,7 +268,7 @@
         Peer::new(accepted.recv_timeout(TEST_TIMEOUT).expect("nobody connects"))
     }
 
-    /// The next link of an interpreter that has been up for long.
+    /// As an interpreter that has been up for long: accepts the next link, which has read notices up to `notice`.
     pub fn interpreter(&self, notice: &str) -> Peer {
         let mut link = self.accept();
         assert_eq!(link.read_line(), format!("CONNECT {notice}"));
@@ -276,7 +276,7 @@
         link
     }
 
-    /// The next request to a uwsgi server: its variables, sorted and without those of the moment, and body.
+    /// As a uwsgi server: the next request, its variables, sorted and without those that vary, and its body.
     pub fn next_uwsgi_request(&self) -> (Peer, Vec<String>, Vec<u8>) {
         let mut peer = self.accept();
         let head = peer.read_bytes(4);
@@ -311,7 +311,7 @@
         Peer::new(TcpStream::connect(address).unwrap())
     }
 
-    /// A client for which the system keeps little that it has not read.
+    /// A client for which the system buffers little that it has not read.
     pub fn with_small_receive_buffer(address: SocketAddr) -> Peer {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
         let stream = runtime.block_on(async {
@@ -323,7 +323,7 @@
         Peer::new(stream)
     }
 
-    /// Whether the program still takes what is sent on this connection.
+    /// Sends something; whether the program still accepts it on this connection.
     pub fn accepts(&mut self, text: impl AsRef<[u8]>) -> bool {
         self.stream.get_mut().write_all(text.as_ref()).is_ok()
     }
@@ -332,8 +332,8 @@
         self.stream.get_mut().write_all(text.as_ref()).unwrap();
     }
 
-    /// The next line without its end; empty at the end of the stream. A connection that was idle for a moment on
-    /// a slow machine may be told so, at any time: that is left out.
+    /// The next line without its end; empty at the end of the stream. The notification `draining`, which a connection may get
+    /// at any time where a slow machine leaves it idle, is skipped.
     pub fn read_line(&mut self) -> String {
         loop {
             let line = self.read_any_line();
@@ -343,7 +343,7 @@
         }
     }
 
-    /// The next line whatever it is.
+    /// The next line, the notification `draining` included.
     pub fn read_any_line(&mut self) -> String {
         let mut line = String::new();
         self.stream.read_line(&mut line).unwrap();
@@ -363,12 +363,12 @@
         rest
     }
 
-    /// Whether the program has closed this connection, cleanly or not, without another word.
+    /// Whether the program has closed this connection, cleanly or not, without sending more.
     pub fn is_closed(&mut self) -> bool {
         uninterrupted(|| self.stream.read(&mut [0])).is_ok_and(|n| n == 0)
     }
 
-    /// As an interpreter: the next command that does not ask for gauges, with its body. The fence is answered.
+    /// As an interpreter: the next command that does not ask for gauges, with its body. Questions for gauges get a response.
     pub fn next_command(&mut self) -> (Vec<String>, String) {
         // Gauges are asked for all the time, so the guard on each read is not enough.
         let guard = Instant::now() + TEST_TIMEOUT;
@@ -388,7 +388,7 @@
         panic!("no command comes");
     }
 
-    /// As an interpreter: the next command is APPLY; returns the id, the class and the body.
+    /// As an interpreter: the next command, which is to start a run; returns the id, the class and the body.
     pub fn next_run(&mut self) -> (String, String, String) {
         let (words, body) = self.next_command();
         assert_eq!(words[0], "APPLY", "{words:?}");
@@ -399,19 +399,19 @@
         self.send(wire::value(notice.into(), id, end, 5, result));
     }
 
-    /// As a front end: a request. The body is `body` in base64; a key makes it a `book`.
+    /// As a client: sends a request with the body `body`; a key makes it one of class `book`.
     pub fn request(&mut self, id: u32, txn: &str, key: Option<&str>, limit_ms: u32) {
         self.request_followed_by(id, txn, key, limit_ms, "");
     }
 
-    /// The same, with more lines in the same write.
+    /// The same with more lines in the same write.
     pub fn request_followed_by(&mut self, id: u32, txn: &str, key: Option<&str>, limit_ms: u32, more: &str) {
         let class = if key.is_some() { "book" } else { "quote" };
         self.send(request(id, txn, class, key, limit_ms) + more);
     }
 }
 
-/// A request of any class, as a front end writes it.
+/// A request of any class, as a client writes it.
 pub fn request(id: u32, txn: &str, class: &str, key: Option<&str>, limit_ms: u32) -> String {
     let request = wire::Request {
         id: id.into(),
@@ -429,17 +429,17 @@
     request.to_string()
 }
 
-/// A uwsgi file with nothing but the front.
+/// A uwsgi file with nothing but the frontend.
 pub const UWSGI: &str = "listen = '127.0.0.1:0'\n";
 
-/// As an operator: the whole answer to a call.
+/// As an operator: the complete response to a call.
 pub fn admin_call(ops: SocketAddr, call: &str) -> String {
     let mut peer = Peer::connect(ops);
     peer.send(format!("{call} HTTP/1.1\r\nHost: node\r\n\r\n"));
     peer.read_to_end()
 }
 
-/// A whole request as a uwsgi client sends it.
+/// A complete request, as a uwsgi client sends it.
 pub fn packet(vars: &[(&str, &str)], body: &str) -> Vec<u8> {
     let length = body.len().to_string();
     let mut block = Vec::new();
@@ -466,7 +466,7 @@
     bytes[..length].to_vec()
 }
 
-/// A read with a time limit ends early where the machine stands still meanwhile: guards the verdict against that.
+/// Repeats a read that was interrupted, as reads with a time limit are where the machine is suspended.
 fn uninterrupted<T>(mut read: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match read() {
--- a/node/tests/sockets/jsonrpc.rs
+++ b/node/tests/sockets/jsonrpc.rs
@@ -1,4 +1,4 @@
-//! The platform's front.
+//! The JSON-RPC frontend.
 
 use crate::helper::*;
 
@@ -22,7 +22,7 @@
     let mut client = node.client();
     client.request(1, "a1", Some("k"), LONG_LIMIT_MS);
     vm.next_run();
-    // Longer than a client may leave what was written unread: that time begins with the answer.
+    // Longer than a client may leave a response unread: that time starts with the response.
     std::thread::sleep(std::time::Duration::from_millis(5_200));
     vm.send_run_result(1, "a1", "done", "job 5");
     insta::assert_snapshot!(client.read_line(), @r#"{"jsonrpc":"2.0","id":1,"result":{"content":"am9iIDU="}}"#);
@@ -32,8 +32,8 @@
 fn bad_lines_get_the_standard_errors_and_the_connection_stays_open() {
     let (mut node, _vm, _link) = Node::with_interpreter("", None);
     let mut client = node.client();
-    let mut answers = Vec::new();
-    let asks = |id: u32, method: &str, extra: &str| {
+    let mut responses = Vec::new();
+    let method_call = |id: u32, method: &str, extra: &str| {
         format!(
             r#"{{"jsonrpc":"2.0","id":{id},"method":"{method}","params":{{"txn":"a","door":1,"limit":1,"ram":1{extra}}}}}"#
         )
@@ -47,23 +47,23 @@
         r#"{"jsonrpc":"2.0","method":"quote","params":{"txn":"a","door":1,"limit":1,"ram":1}}"#,
         r#"{"jsonrpc":"2.0","id":2,"method":"paint","params":{}}"#,
         r#"{"jsonrpc":"2.0","id":3,"method":"quote","params":{"txn":"a"}}"#,
-        &asks(4, "quote", "").replace("\"a\"", "\"a b\""),
-        &asks(5, "book", ""),
-        &asks(6, "quote", r#","content":"?""#),
+        &method_call(4, "quote", "").replace("\"a\"", "\"a b\""),
+        &method_call(5, "book", ""),
+        &method_call(6, "quote", r#","content":"?""#),
         r#"{"jsonrpc":"2.0","id":8,"method":"status"}"#,
         r#"{"jsonrpc":"2.0","id":9,"method":"withdraw","params":{}}"#,
-        &asks(10, "quote", "").replace("\"ram\":1", "\"ram\":2000"),
-        &asks(11, "quote", "").replace("\"limit\":1", "\"limit\":-1"),
-        &asks(12, "quote", r#","standing":1.5"#),
-        &asks(13, "quote", r#","lb":-3"#),
-        &asks(14, "quote", r#","team":"nobody""#),
-        &asks(15, "book", &format!(r#","unique":"{}""#, "k".repeat(65))),
-        &asks(16, "quote", &format!(r#","content":"{}""#, "AAAA".repeat(700))),
+        &method_call(10, "quote", "").replace("\"ram\":1", "\"ram\":2000"),
+        &method_call(11, "quote", "").replace("\"limit\":1", "\"limit\":-1"),
+        &method_call(12, "quote", r#","standing":1.5"#),
+        &method_call(13, "quote", r#","lb":-3"#),
+        &method_call(14, "quote", r#","team":"nobody""#),
+        &method_call(15, "book", &format!(r#","unique":"{}""#, "k".repeat(65))),
+        &method_call(16, "quote", &format!(r#","content":"{}""#, "AAAA".repeat(700))),
     ] {
         client.send(format!("{line}\n"));
-        answers.push(client.read_line());
+        responses.push(client.read_line());
     }
-    insta::assert_snapshot!(answers.join("\n"), @r#"
+    insta::assert_snapshot!(responses.join("\n"), @r#"
     {"jsonrpc":"2.0","id":null,"error":{"code":-32700,"message":"not JSON"}}
     {"jsonrpc":"2.0","id":null,"error":{"code":-32700,"message":"not JSON"}}
     {"jsonrpc":"2.0","id":null,"error":{"code":-32600,"message":"not a request"}}
@@ -85,14 +85,14 @@
     {"jsonrpc":"2.0","id":15,"error":{"code":-32602,"message":"a request of this class names its unique key"}}
     {"jsonrpc":"2.0","id":16,"error":{"code":-32602,"message":"content is 2 KiB at most"}}
     "#);
-    // A notification gets no answer, however wrong; the next line shows it.
+    // A notification gets no response, however faulty; the next line shows it.
     client.send("{\"jsonrpc\":\"2.0\",\"method\":\"withdraw\"}\n{\"jsonrpc\":\"2.0\",\"id\":9,\"method\":\"status\"}\n");
     assert!(client.read_line().contains("\"id\":9"));
     client.send("x".repeat(20_000));
     insta::assert_snapshot!(client.read_line(), @r#"{"jsonrpc":"2.0","id":null,"error":{"code":-32600,"message":"the line is too long"}}"#);
     assert_eq!(client.read_line(), "", "it is closed");
     node.wait_for_log("jsonrpc: message rejected");
-    // Who sends nothing else is not listened to for ever, nor is who never ends a message or says nothing.
+    // A client that sends nothing else is disconnected, and so is one that never completes a message or sends nothing.
     let mut client = node.client();
     client.send("?\n".repeat(100));
     assert_eq!(client.read_to_end().lines().count(), 17);
@@ -123,11 +123,11 @@
     other.request(2, "b1", Some("l"), LONG_LIMIT_MS);
     assert_eq!(vm.next_run().0, "b1");
     vm.send_run_result(1, &ran, "done", "job 5");
-    let mut answers = vec![client.read_line(), client.read_line(), other.read_line()];
+    let mut responses = vec![client.read_line(), client.read_line(), other.read_line()];
     other.request(3, "a4", Some("k"), LONG_LIMIT_MS);
-    answers.push(other.read_line());
-    answers.sort();
-    insta::assert_snapshot!(answers.join("\n"), @r#"
+    responses.push(other.read_line());
+    responses.sort();
+    insta::assert_snapshot!(responses.join("\n"), @r#"
     {"jsonrpc":"2.0","id":1,"result":{"content":"am9iIDU="}}
     {"jsonrpc":"2.0","id":1,"result":{"content":"am9iIDU="}}
     {"jsonrpc":"2.0","id":2,"result":{"content":"am9iIDU="}}
@@ -139,7 +139,7 @@
 fn a_withdrawn_request_is_stopped_and_a_closed_connection_withdraws_all() {
     let (node, _vm, mut vm) = Node::with_interpreter("", None);
     let mut client = node.client();
-    // Front ends name the id that they gave on this connection; the txn will do, too.
+    // Clients name the id of the request on this connection; its txn is accepted, too.
     for (id, txn, named) in [(1, "a1", r#""id":1"#), (2, "a2", r#""txn":"a2""#)] {
         client.request(id, txn, None, LONG_LIMIT_MS);
         vm.next_run();
@@ -222,20 +222,20 @@
 }
 
 #[test]
-fn a_client_that_copies_the_id_of_an_open_request_can_not_withdraw_it() {
+fn a_client_that_copier_the_id_of_an_open_request_can_not_withdraw_it() {
     let (node, _vm, mut vm) = Node::with_interpreter("", None);
-    let (mut client, mut copies) = (node.client(), node.client());
+    let (mut client, mut copier) = (node.client(), node.client());
     client.request(1, "a1", Some("k"), LONG_LIMIT_MS);
     vm.next_run();
-    copies.request_followed_by(
+    copier.request_followed_by(
         1,
         "a1",
         Some("k"),
         LONG_LIMIT_MS,
         "{\"jsonrpc\":\"2.0\",\"method\":\"withdraw\",\"params\":{\"txn\":\"a1\"}}\n",
     );
-    // That the copier's own request runs shows that all it said before has been heard.
-    copies.request(2, "b1", None, LONG_LIMIT_MS);
+    // That the copier's own request runs shows that all it sent before has been processed.
+    copier.request(2, "b1", None, LONG_LIMIT_MS);
     assert_eq!(vm.next_run().0, "b1");
     vm.send_run_result(1, "a1", "done", "x");
     assert!(client.read_line().contains("\"id\":1,\"result\""));
--- a/node/tests/sockets/links.rs
+++ b/node/tests/sockets/links.rs
@@ -146,7 +146,7 @@
     assert_eq!(next_datagram(&members), b"HB n1 UP");
     // A run that the old link has not shown the end of is applied again, which does nothing to it.
     assert_eq!((vm.next_run().0, vm.next_run().0), ("a1".into(), "a2".into()));
-    // The call under way ends on its old connection, and the next one goes to the new address.
+    // The call in progress ends on its old connection, and the next one goes to the new address.
     call.send("a1 HIT 1\r\nr\r\n");
     assert_eq!(vm.next_command().0[..2], ["RESOLVE", "a1"]);
     vm.send("AWAIT 2 a2 1\r\nc\r\n");
--- a/node/tests/sockets/reload.rs
+++ b/node/tests/sockets/reload.rs
@@ -3,7 +3,7 @@
 use crate::helper::*;
 
 /// `book` and `quote` go, others come in their places.
-fn retuned(text: &str) -> String {
+fn with_other_classes(text: &str) -> String {
     text.replace("\"book\"", "\"reserve\"").replace("\"quote\"", "\"price\"")
 }
 
@@ -17,15 +17,15 @@
     let mut client = node.client();
     client.request(1, "a1", Some("k"), LONG_LIMIT_MS);
     link.next_run();
-    node.reload(&retuned(&text));
+    node.reload(&with_other_classes(&text));
     assert!(node.wait_for_log("reload: applied").contains("settings=changed"));
-    // Another try of the request, under the new name of its class: it joins the run, on both fronts.
+    // Another attempt of the request, under the new name of its class: it joins the run, on both frontends.
     client.send(request(2, "b1", "reserve", Some("k"), LONG_LIMIT_MS));
     let mut old = Peer::connect(uwsgi);
     old.send(packet(&[("PATH_INFO", "/reserve"), ("HTTP_IDEMPOTENCY_KEY", "k")], "body"));
     client.send(request(3, "c1", "price", None, LONG_LIMIT_MS));
     assert_eq!(link.next_run(), ("c1".into(), "price".into(), "body".into()));
-    // An open request keeps the class that it had, on a link made anew as well.
+    // An open request keeps the class that it had, on a new link as well.
     drop(link);
     let mut link = vm.interpreter("0");
     assert_eq!((link.next_run().1, link.next_run().1), ("book".into(), "price".into()));
@@ -55,14 +55,14 @@
     ];
     for (file, key) in &bad {
         assert_ne!(*file, text);
-        node.reload(&retuned(file));
+        node.reload(&with_other_classes(file));
         let line = node.wait_for_log("reload: rejected");
         assert!(line.contains(key), "{line} names {key}");
     }
     let mut client = node.client();
     client.send(request(1, "a1", "price", None, LONG_LIMIT_MS));
     assert!(client.read_line().contains("-32601"));
-    node.reload(&retuned(&text));
+    node.reload(&with_other_classes(&text));
     node.wait_for_log("reload: applied");
     let stats = admin_call(ops, "GET /ops/stats");
     assert!(stats.contains("svc_conf_loaded 1\n"), "{stats}");
--- a/node/tests/sockets/upgrade.rs
+++ b/node/tests/sockets/upgrade.rs
@@ -1,11 +1,11 @@
-//! A new process takes over from the one that serves.
+//! Upgrades in place: a successor takes over from the process that serves.
 
 use crate::helper::*;
 use std::net::ToSocketAddrs;
 use std::path::PathBuf;
 use tokio::net::TcpSocket;
 
-/// What two processes of one node share: an address that only this test uses, a folder, and a uwsgi front.
+/// What two processes of one node share: addresses that only this test uses, and a folder.
 pub struct Place {
     pub json: String,
     uwsgi: String,
@@ -29,7 +29,7 @@
         Place { json, uwsgi, folder, _held: held }
     }
 
-    /// One more process of the node, with an interpreter of its own whose link is up.
+    /// Starts one more process of the node, with an interpreter of its own whose link is up.
     fn start(&self) -> (Node, Peer) {
         let (node, link, _) = self.start_by();
         (node, link)
@@ -67,7 +67,7 @@
     let result = before.read_line().replace("\"id\":1,", "");
     let (mut new, mut new_vm) = place.start();
     new.wait_for_log("handover: completed");
-    // Those of before are sent away and answered, those of now reach the new process alone.
+    // Clients of the predecessor are notified and get their responses; new ones reach the successor alone.
     assert_eq!(before.read_any_line(), DRAINING);
     old.wait_for_log("frontend: stopped listening: protocol=uwsgi");
     let mut client = new.client();
@@ -79,7 +79,7 @@
     let mut other = place.uwsgi("runs");
     client.request(4, "b4", Some("fresh"), LONG_LIMIT_MS);
     assert_eq!(new_vm.next_run().0, "b4", "nothing else runs here");
-    // What the old process does not know it runs no more.
+    // The predecessor runs no key that it does not know.
     before.request(4, "a4", Some("late"), LONG_LIMIT_MS);
     assert!(before.read_line().contains("-32011"));
     old.terminate();
@@ -145,7 +145,7 @@
     let (old, _old_vm) = place.start();
     let (mut new, mut new_vm, config) = place.start_by();
     new.wait_for_log("handover: completed");
-    // Whoever is told of it has ended before long.
+    // A SIGHUP that reached the predecessor alone would be lost with it.
     new.replace_config(&config.replace("\"quote\"", "\"price\""));
     old.terminate();
     old.assert_clean_exit();
--- a/node/tests/sockets/uwsgi.rs
+++ b/node/tests/sockets/uwsgi.rs
@@ -1,4 +1,4 @@
-//! The second front and the uwsgi servers behind it.
+//! The uwsgi frontend, and uwsgi servers as backends.
 
 use crate::helper::*;
 
@@ -99,7 +99,7 @@
     }
     let mut client = Peer::connect(address);
     client.send(quote());
-    // The first that runs is the first that was whole.
+    // The first that runs is the first that was complete.
     let (id, class, _) = vm.next_run();
     assert_eq!(class, "quote");
     drop(client);
@@ -259,7 +259,7 @@
     let mut node = Node::start(&few, Some(UWSGI));
     let mut link = vm.interpreter("0");
     let address = node.uwsgi_address();
-    // Both fronts together have 16 connections here.
+    // Both frontends together have 16 connections here.
     let mut silent: Vec<Peer> = (0..16).flat_map(|_| [node.client(), Peer::connect(address)]).collect();
     let (mut json, mut uwsgi) = (node.client(), Peer::connect(address));
     json.request(1, "a1", None, LONG_LIMIT_MS);
@@ -271,7 +271,7 @@
     assert!(json.read_line().contains("result"));
     assert!(uwsgi.read_to_end().starts_with("HTTP/1.1 200 "));
     assert!(silent[0].is_closed() && silent[1].is_closed(), "the oldest went for the last");
-    // Half a request gets an answer when it is overdue.
+    // Half a request gets a response at its deadline.
     let mut slow = Peer::connect(address);
     slow.send([0, 9]);
     assert_eq!(
@@ -302,7 +302,7 @@
     let (mut server, ..) = new.next_uwsgi_request();
     server.send("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nnew");
     assert_eq!(brief(&after.read_to_end()), "HTTP/1.1 200 OK | Content-Length: 3 | new");
-    // What ran at the old address ends there.
+    // What runs at the old address ends there.
     running.send("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold");
     assert_eq!(brief(&before.read_to_end()), "HTTP/1.1 200 OK | Content-Length: 3 | old");
 }
--- a/node/tests/sockets/vrrp.rs
+++ b/node/tests/sockets/vrrp.rs
@@ -13,7 +13,7 @@
     bytes
 }
 
-/// A front on an address of its own, so that no other test listens there afterwards.
+/// A uwsgi file with an address of its own, so that no other test listens there afterwards.
 fn front(priority: u8, listen: &str, peer: &str) -> String {
     let ip = listen.split(':').next().unwrap();
     format!(
@@ -32,7 +32,7 @@
     let (listen, peer) = ("127.0.2.2:3112", bind_udp("127.0.2.3:3112"));
     let file = front(100, listen, "127.0.2.3:3112");
     let (mut node, _vm, mut vm) = Node::with_interpreter("", Some(&file));
-    // Nobody else speaks, so this node is elected.
+    // No other router advertises, so this node becomes active.
     hear(&peer, 100);
     let address = node.uwsgi_address();
     let mut client = Peer::connect(address);
--- a/node/tests/sockets/windows.rs
+++ b/node/tests/sockets/windows.rs
@@ -1,4 +1,4 @@
-//! Repeats just inside and just outside of a short window, counted from when the try that ran came to the machine.
+//! Repeats just inside and just outside of a short idempotency window, counted from when the attempt that ran was received.
 
 use crate::helper::*;
 
@@ -16,7 +16,7 @@
 
 const SHORT: u32 = 3_000;
 
-/// Until no try that comes is within the window of one that came before; a part of that is the node's own to spare.
+/// Waits until no attempt that arrives is within the window of an earlier one, with the margin that the node adds.
 fn window_passes() {
     let over = now_ms() + 4_000;
     while now_ms() < over {
@@ -33,7 +33,7 @@
     link.next_run();
     link.send_run_result(1, "a1", "done", "job 1");
     assert!(client.read_line().contains("am9iIDE="));
-    // A door within the window counts, whenever the try is read; this one came with the first.
+    // The time of receipt counts, not when the attempt is read; this one was received with the first.
     window_passes();
     client.send(
         first
