--- a/node/src/backend/interpreter.rs
+++ b/node/src/backend/interpreter.rs
@@ -170,7 +170,7 @@
         Ok(false)
     }
 
-    /// Processes the first message on a link, which tells whether and when the interpreter has started.
+    /// Processes the first message on a link, which states whether and for how long the interpreter has been up.
     async fn process_banner(&mut self, message: &Message, output: &mut BytesMut) -> io::Result<()> {
         let cold = match &message.field(1)[..] {
             b"fresh" => true,
--- a/node/src/backend/uwsgi.rs
+++ b/node/src/backend/uwsgi.rs
@@ -22,7 +22,7 @@
 use crate::exchange::{BackendEvent, CallOutcome, Completion, Exchange, Request, RunCommand};
 use crate::log;
 use crate::sockets;
-use crate::uwsgi::packet;
+use crate::uwsgi::encode_packet;
 use response::read_response;
 
 /// A run is left alone this long after its deadline: its result may still serve a later attempt.
@@ -106,7 +106,7 @@
         let path = format!("/{}", self.registry.class_name(request.class));
         let tenant = self.registry.tenant_name(request.tenant);
         let (length, deadline_ms) = (body_length.to_string(), deadline.as_millis().to_string());
-        let mut vars: Vec<(&str, &[u8])> = vec![
+        let mut variables: Vec<(&str, &[u8])> = vec![
             ("REQUEST_METHOD", b"POST"),
             ("REQUEST_URI", path.as_bytes()),
             ("PATH_INFO", path.as_bytes()),
@@ -116,9 +116,9 @@
             ("HTTP_X_REQUEST_ID", &request.txn),
             ("HTTP_X_DEADLINE", deadline_ms.as_bytes()),
         ];
-        vars.extend(request.key.as_ref().map(|key| ("HTTP_IDEMPOTENCY_KEY", &key[..])));
-        vars.extend(tenant.as_ref().map(|tenant| ("HTTP_X_TENANT", tenant.as_bytes())));
-        packet(&vars)
+        variables.extend(request.key.as_ref().map(|key| ("HTTP_IDEMPOTENCY_KEY", &key[..])));
+        variables.extend(tenant.as_ref().map(|tenant| ("HTTP_X_TENANT", tenant.as_bytes())));
+        encode_packet(&variables)
     }
 }
 
--- a/node/src/backend/uwsgi/response.rs
+++ b/node/src/backend/uwsgi/response.rs
@@ -38,7 +38,7 @@
     /// The stated length is over [`MAX_BODY_BYTES`].
     #[error("Content-Length: {0} is over {MAX_BODY_BYTES}")]
     BodyTooLong(usize),
-    /// A result does not state its length, so that nothing tells a complete one from one that was cut off.
+    /// A result does not state its length, so that a complete one looks like one that was cut off.
     #[error("result without Content-Length")]
     LengthMissing,
 }
--- a/node/src/clock.rs
+++ b/node/src/clock.rs
@@ -2,7 +2,7 @@
 //!
 //! Deadlines are points on it and travel with the requests that they bound. When the system's clock is set back, this one
 //! runs slower until the other has caught up. When the system's clock jumps ahead, as after a sleep of the machine, this
-//! one follows, and [`jumped`] tells by how much: stored keys must not expire early because of it.
+//! one follows, and [`jumped`] returns by how much: stored keys must not expire early because of it.
 
 use std::cell::RefCell;
 use std::sync::OnceLock;
--- a/node/src/frontend/uwsgi/request.rs
+++ b/node/src/frontend/uwsgi/request.rs
@@ -11,10 +11,10 @@
 use crate::clock::UnixTime;
 use crate::exchange::Request;
 use crate::frontend::is_valid_memory;
-use crate::uwsgi::{Head, Vars, HEAD_BYTES};
+use crate::uwsgi::{PacketHead, Variables, HEAD_BYTES};
 
 /// Most bytes of variables in a packet.
-const MAX_VARS_BYTES: usize = 16 * 1024;
+const MAX_VARIABLES_BYTES: usize = 16 * 1024;
 /// Longest body, in bytes.
 const MAX_BODY_BYTES: usize = 64 * 1024;
 /// Longest idempotency key, in bytes.
@@ -30,7 +30,7 @@
 
 /// A packet that was read completely.
 pub(super) struct ReceivedPacket {
-    vars: Vars,
+    variables: Variables,
     body: Bytes,
 }
 
@@ -54,30 +54,30 @@
     };
     fill(stream, input, HEAD_BYTES + head.size).await?;
     let block = input.split_to(HEAD_BYTES + head.size).freeze().slice(HEAD_BYTES..);
-    let Some(vars) = Vars::parse(block) else {
+    let Some(variables) = Variables::parse(block) else {
         return Ok(Err(RequestError::BadRequest("lengths that do not add up")));
     };
-    let length = match body_length(&vars) {
+    let length = match body_length(&variables) {
         Ok(length) => length,
         Err(error) => return Ok(Err(error)),
     };
     fill(stream, input, length).await?;
-    Ok(Ok(ReceivedPacket { vars, body: input.split_to(length).freeze() }))
+    Ok(Ok(ReceivedPacket { variables, body: input.split_to(length).freeze() }))
 }
 
-fn check_head(input: &[u8]) -> Result<Head, RequestError> {
-    let head = Head::parse(input).ok_or(RequestError::BadRequest("no head"))?;
+fn check_head(input: &[u8]) -> Result<PacketHead, RequestError> {
+    let head = PacketHead::parse(input).ok_or(RequestError::BadRequest("no head"))?;
     if (head.modifier1, head.modifier2) != (0, 0) {
         return Err(RequestError::BadRequest("modifiers other than 0"));
     }
-    if head.size > MAX_VARS_BYTES {
+    if head.size > MAX_VARIABLES_BYTES {
         return Err(RequestError::TooLarge("too many variables"));
     }
     Ok(head)
 }
 
-fn body_length(vars: &Vars) -> Result<usize, RequestError> {
-    match vars.text("CONTENT_LENGTH").map(str::parse::<usize>) {
+fn body_length(variables: &Variables) -> Result<usize, RequestError> {
+    match variables.text("CONTENT_LENGTH").map(str::parse::<usize>) {
         None => Ok(0),
         Some(Ok(length)) if length <= MAX_BODY_BYTES => Ok(length),
         Some(Ok(_)) => Err(RequestError::TooLarge("the body is too long")),
@@ -99,19 +99,19 @@
 impl UwsgiFrontend {
     /// Decodes what a packet asks for.
     pub(super) fn resolve(&self, packet: &ReceivedPacket, now: UnixTime) -> Result<Target, RequestError> {
-        let vars = &packet.vars;
-        let path = vars.text("PATH_INFO").ok_or(RequestError::BadRequest("PATH_INFO is missing"))?;
+        let variables = &packet.variables;
+        let path = variables.text("PATH_INFO").ok_or(RequestError::BadRequest("PATH_INFO is missing"))?;
         let name = path.strip_prefix('/').unwrap_or(path);
         let class = match self.registry.class_index(name, now) {
             Some(class) => class,
             None if name == "status" => return Ok(Target::Health),
             None => return Err(RequestError::NotFound),
         };
-        let key = self.idempotency_key(vars, class)?;
-        let tenant = self.tenant_index(vars)?;
-        let deadline = number(vars, "HTTP_X_DEADLINE")?.map(Duration::from_millis);
-        let cost_hint = number(vars, "HTTP_X_COST")?.map(Duration::from_millis);
-        let memory_kb = number(vars, "HTTP_X_RAM")?.map_or(DEFAULT_MEMORY_KB, |kb| kb as f64);
+        let key = self.idempotency_key(variables, class)?;
+        let tenant = self.tenant_index(variables)?;
+        let deadline = number(variables, "HTTP_X_DEADLINE")?.map(Duration::from_millis);
+        let cost_hint = number(variables, "HTTP_X_COST")?.map(Duration::from_millis);
+        let memory_kb = number(variables, "HTTP_X_RAM")?.map_or(DEFAULT_MEMORY_KB, |kb| kb as f64);
         if !is_valid_memory(memory_kb) {
             return Err(RequestError::BadRequest("HTTP_X_RAM is above 0 and under 2000"));
         }
@@ -131,11 +131,11 @@
     }
 
     /// The idempotency key, in classes whose requests carry one.
-    fn idempotency_key(&self, vars: &Vars, class: u16) -> Result<Option<Bytes>, RequestError> {
+    fn idempotency_key(&self, variables: &Variables, class: u16) -> Result<Option<Bytes>, RequestError> {
         if !self.registry.is_keyed(class) {
             return Ok(None);
         }
-        let Some(key) = vars.get("HTTP_IDEMPOTENCY_KEY").filter(|key| !key.is_empty()) else {
+        let Some(key) = variables.get("HTTP_IDEMPOTENCY_KEY").filter(|key| !key.is_empty()) else {
             return Err(RequestError::BadRequest("a request of this class needs an Idempotency-Key"));
         };
         if key.len() > MAX_KEY_BYTES {
@@ -144,15 +144,15 @@
         Ok(Some(key.clone()))
     }
 
-    fn tenant_index(&self, vars: &Vars) -> Result<u16, RequestError> {
-        match vars.text("HTTP_X_TENANT") {
+    fn tenant_index(&self, variables: &Variables) -> Result<u16, RequestError> {
+        match variables.text("HTTP_X_TENANT") {
             Some(name) => self.registry.tenant_index(name).ok_or(RequestError::BadRequest("no such tenant")),
             None => Ok(NO_TENANT),
         }
     }
 }
 
-fn number(vars: &Vars, name: &str) -> Result<Option<u64>, RequestError> {
-    let number = vars.text(name).map(str::parse).transpose();
+fn number(variables: &Variables, name: &str) -> Result<Option<u64>, RequestError> {
+    let number = variables.text(name).map(str::parse).transpose();
     number.map_err(|_| RequestError::BadRequest("a variable that should be a whole number is not"))
 }
--- a/node/src/line_codec.rs
+++ b/node/src/line_codec.rs
@@ -108,7 +108,7 @@
 }
 
 /// Removes the next complete message from the buffer and returns it; none while it is still incomplete. `has_body`
-/// tells from a line's fields whether a body follows.
+/// decides by a line's fields whether a body follows.
 ///
 /// # Errors
 ///
--- a/node/src/log.rs
+++ b/node/src/log.rs
@@ -1,4 +1,4 @@
-//! The log: [`log!`](crate::log) writes a line to standard error, a few a second from each place in the code.
+//! The log: [`log!`](macro@crate::log) writes a line to standard error, a few a second from each place in the code.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
--- a/node/src/server/reload.rs
+++ b/node/src/server/reload.rs
@@ -1,7 +1,7 @@
 //! Applies changed configuration files while the node runs.
 //!
-//! A file is applied whole or not at all: the addresses of backends and services, the settings, and a newer membership configuration of
-//! the fleet. Everything else in the files takes effect at a restart or an upgrade.
+//! A file is applied completely or not at all: the addresses of backends and services, the settings, and a newer membership
+//! configuration of the fleet. Everything else in the files takes effect at a restart or an upgrade.
 
 use oakwind_fleet::replica_node::Event;
 use oakwind_settings::{BadSettings, Parsed};
--- a/node/src/server/startup.rs
+++ b/node/src/server/startup.rs
@@ -103,7 +103,7 @@
 }
 
 impl Node {
-    /// Opens the admin interface, if one is configured. It answers from now on, whatever the load.
+    /// Opens the admin interface, if one is configured. It responds from now on, whatever the load.
     fn start_admin(&self) -> Result<(), StartupError> {
         let Some(address) = self.config.ops else { return Ok(()) };
         let listener = bind("ops", address, false)?;
--- a/node/src/uwsgi.rs
+++ b/node/src/uwsgi.rs
@@ -10,7 +10,7 @@
 
 /// The fields of the head.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Head {
+pub(crate) struct PacketHead {
     /// The kind of packet; 0 for a request.
     pub(crate) modifier1: u8,
     /// Bytes of the variables.
@@ -19,27 +19,27 @@
     pub(crate) modifier2: u8,
 }
 
-impl Head {
+impl PacketHead {
     /// Decodes a head; none while it is incomplete.
-    pub(crate) fn parse(bytes: &[u8]) -> Option<Head> {
+    pub(crate) fn parse(bytes: &[u8]) -> Option<PacketHead> {
         let [modifier1, low, high, modifier2] = *bytes.first_chunk::<HEAD_BYTES>()?;
-        Some(Head { modifier1, size: usize::from(u16::from_le_bytes([low, high])), modifier2 })
+        Some(PacketHead { modifier1, size: usize::from(u16::from_le_bytes([low, high])), modifier2 })
     }
 }
 
 /// The variables of a packet, as slices of the buffer that it was read into.
 #[derive(Debug, Default, PartialEq)]
-pub(crate) struct Vars(Vec<(Bytes, Bytes)>);
+pub(crate) struct Variables(Vec<(Bytes, Bytes)>);
 
-impl Vars {
+impl Variables {
     /// Decodes the variables of a packet; none if their lengths do not add up.
-    pub(crate) fn parse(mut block: Bytes) -> Option<Vars> {
-        let mut vars = Vec::new();
+    pub(crate) fn parse(mut block: Bytes) -> Option<Variables> {
+        let mut variables = Vec::new();
         while !block.is_empty() {
             let name = split_off_text(&mut block)?;
-            vars.push((name, split_off_text(&mut block)?));
+            variables.push((name, split_off_text(&mut block)?));
         }
-        Some(Vars(vars))
+        Some(Variables(variables))
     }
 
     /// The value of a variable; the last one where the name occurs more than once.
@@ -63,10 +63,10 @@
 }
 
 /// Encodes a request packet with these variables; none if they are too long for one.
-pub(crate) fn packet(vars: &[(&str, &[u8])]) -> Option<BytesMut> {
+pub(crate) fn encode_packet(variables: &[(&str, &[u8])]) -> Option<BytesMut> {
     let mut block = BytesMut::new();
     block.put_slice(&[0; HEAD_BYTES]);
-    for (name, value) in vars {
+    for (name, value) in variables {
         for part in [name.as_bytes(), value] {
             block.put_u16_le(u16::try_from(part.len()).ok()?);
             block.put_slice(part);
--- a/node/src/uwsgi/tests.rs
+++ b/node/src/uwsgi/tests.rs
@@ -2,14 +2,14 @@
 
 #[test]
 fn an_encoded_packet_is_decoded_and_a_cut_one_is_not() {
-    let packet = packet(&[("PATH_INFO", b"/book"), ("EMPTY", b"")]).unwrap().freeze();
-    let head = Head::parse(&packet).unwrap();
+    let packet = encode_packet(&[("PATH_INFO", b"/book"), ("EMPTY", b"")]).unwrap().freeze();
+    let head = PacketHead::parse(&packet).unwrap();
     assert_eq!((head.modifier1, head.size, head.modifier2), (0, packet.len() - HEAD_BYTES, 0));
-    let vars = Vars::parse(packet.slice(HEAD_BYTES..)).unwrap();
-    assert_eq!((vars.text("PATH_INFO"), vars.text("EMPTY")), (Some("/book"), None));
-    assert_eq!(Head::parse(&packet[..3]), None);
+    let variables = Variables::parse(packet.slice(HEAD_BYTES..)).unwrap();
+    assert_eq!((variables.text("PATH_INFO"), variables.text("EMPTY")), (Some("/book"), None));
+    assert_eq!(PacketHead::parse(&packet[..3]), None);
     for cut in HEAD_BYTES + 1..packet.len() {
-        let whole = Vars::parse(packet.slice(HEAD_BYTES..cut));
+        let whole = Variables::parse(packet.slice(HEAD_BYTES..cut));
         assert!(whole.is_none() || cut == HEAD_BYTES + 2 + 9 + 2 + 5, "cut at {cut}");
     }
 }
