--- a/node/src/backend/index.rs
+++ b/node/src/backend/index.rs
@@ -15,7 +15,7 @@
 use super::CallBackend;
 use crate::clock::{self, UnixTime};
 use crate::config::UpstreamAddresses;
-use crate::exchange::{CallOutcome, Request};
+use crate::exchange::{CallOutcome, Request, TransactionId};
 use crate::line_codec::{self, encode, LineConnection, Message, ProtocolError};
 use crate::log;
 use crate::sockets;
@@ -36,7 +36,7 @@
     since: UnixTime,
     /// The request of the last call. No call for the same request is made here, as a second copy of the last response
     /// would be taken for its own.
-    last_txn: Bytes,
+    last_txn: TransactionId,
 }
 
 /// The client of the index.
@@ -55,14 +55,14 @@
     }
 
     /// Removes and returns an idle connection that can be used for a request.
-    fn idle_connection(&self, txn: &Bytes) -> Option<LineConnection> {
+    fn idle_connection(&self, txn: &TransactionId) -> Option<LineConnection> {
         self.close_stale_connections();
         let mut idle = self.idle.borrow_mut();
         let usable = idle.iter().rposition(|connection| connection.last_txn != txn)?;
         Some(idle.remove(usable).connection)
     }
 
-    fn keep_idle(&self, connection: LineConnection, address: SocketAddr, last_txn: Bytes) {
+    fn keep_idle(&self, connection: LineConnection, address: SocketAddr, last_txn: TransactionId) {
         let mut idle = self.idle.borrow_mut();
         // What comes beside a response belongs to no call.
         if connection.input.is_empty() && idle.len() < self.max_idle {
@@ -72,7 +72,7 @@
 
     async fn exchange_messages(
         &self,
-        txn: &Bytes,
+        txn: &TransactionId,
         body: &[u8],
         deadline: UnixTime,
     ) -> io::Result<CallOutcome> {
@@ -102,7 +102,7 @@
 /// Waits for the response to the call for a request; none where nothing comes in time.
 async fn receive_response(
     connection: &mut LineConnection,
-    txn: &Bytes,
+    txn: &TransactionId,
     deadline: UnixTime,
 ) -> io::Result<Option<CallOutcome>> {
     let give_up_at = deadline + RESPONSE_GRACE;
--- a/node/src/backend/interpreter/runs.rs
+++ b/node/src/backend/interpreter/runs.rs
@@ -6,7 +6,7 @@
 use bytes::{Bytes, BytesMut};
 
 use crate::class_registry::ClassRegistry;
-use crate::exchange::{Request, RunCommand};
+use crate::exchange::{Request, RunCommand, TransactionId};
 use crate::line_codec::encode;
 
 /// How a run goes on after the call that it waits for.
@@ -30,7 +30,7 @@
 /// All runs whose end has not been read, by the id of their request.
 #[derive(Debug)]
 pub(super) struct Runs {
-    runs: BTreeMap<Bytes, Run>,
+    runs: BTreeMap<TransactionId, Run>,
     registry: Rc<ClassRegistry>,
 }
 
@@ -45,17 +45,17 @@
     }
 
     /// Removes a run; false if there is none.
-    pub(super) fn remove(&mut self, txn: &Bytes) -> bool {
+    pub(super) fn remove(&mut self, txn: &TransactionId) -> bool {
         self.runs.remove(txn).is_some()
     }
 
     /// Removes all runs and returns their ids.
-    pub(super) fn remove_all(&mut self) -> Vec<Bytes> {
+    pub(super) fn remove_all(&mut self) -> Vec<TransactionId> {
         std::mem::take(&mut self.runs).into_keys().collect()
     }
 
     /// Records that a run waits for a call since this notice.
-    pub(super) fn await_call(&mut self, txn: &Bytes, notice: u64) {
+    pub(super) fn await_call(&mut self, txn: &TransactionId, notice: u64) {
         if let Some(run) = self.runs.get_mut(txn) {
             (run.call_notice, run.call_result) = (notice, None);
         }
@@ -78,7 +78,7 @@
         }
     }
 
-    fn update(&mut self, txn: &Bytes, change: impl FnOnce(&mut Run)) {
+    fn update(&mut self, txn: &TransactionId, change: impl FnOnce(&mut Run)) {
         if let Some(run) = self.runs.get_mut(txn) {
             change(run);
         }
@@ -105,7 +105,7 @@
         }
     }
 
-    fn with_run(&self, txn: &Bytes, write: impl FnOnce(&Run)) {
+    fn with_run(&self, txn: &TransactionId, write: impl FnOnce(&Run)) {
         if let Some(run) = self.runs.get(txn) {
             write(run);
         }
@@ -133,3 +133,6 @@
         None => {}
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/node/src/backend/mod.rs
+++ b/node/src/backend/mod.rs
@@ -15,15 +15,15 @@
 use tokio::task::{AbortHandle, JoinSet};
 
 use crate::clock::{self, UnixTime};
-use crate::exchange::{BackendEvent, CallCommand, CallOutcome, Exchange, Request};
+use crate::exchange::{BackendEvent, CallCommand, CallOutcome, Exchange, Request, TransactionId};
 
 /// Without commands for this long, idle connections are looked at.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Calls in progress by the request that each is for. Each has a connection of its own.
 struct CallsInProgress<T> {
-    tasks: JoinSet<(Bytes, T)>,
-    handles: HashMap<Bytes, AbortHandle>,
+    tasks: JoinSet<(TransactionId, T)>,
+    handles: HashMap<TransactionId, AbortHandle>,
     /// Bounds the connections, and so the descriptors of the process.
     connections: Arc<Semaphore>,
 }
@@ -41,7 +41,7 @@
     /// becomes free by the deadline.
     fn start(
         &mut self,
-        txn: Bytes,
+        txn: TransactionId,
         deadline: UnixTime,
         call: impl Future<Output = T> + 'static,
         no_connection: T,
@@ -62,12 +62,12 @@
     }
 
     /// Closes the connection of a call; false if there is none.
-    fn cancel(&mut self, txn: &Bytes) -> bool {
+    fn cancel(&mut self, txn: &TransactionId) -> bool {
         self.handles.remove(txn).map(|handle| handle.abort()).is_some()
     }
 
     /// The next call that ended; waits for ever while none is in progress.
-    async fn next(&mut self) -> (Bytes, T) {
+    async fn next(&mut self) -> (TransactionId, T) {
         loop {
             match self.tasks.join_next_with_id().await {
                 Some(Ok((id, (txn, outcome)))) => {
--- a/node/src/frontend/uwsgi/mod.rs
+++ b/node/src/frontend/uwsgi/mod.rs
@@ -18,7 +18,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use bytes::{Bytes, BytesMut};
+use bytes::BytesMut;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
@@ -27,7 +27,7 @@
 use super::lingering_close;
 use crate::class_registry::ClassRegistry;
 use crate::clock;
-use crate::exchange::{Exchange, Request, RequestOutcome, Responder};
+use crate::exchange::{Exchange, Request, RequestOutcome, Responder, TransactionId};
 use crate::log;
 use request::{read_request, Target};
 use response::{encode_error, encode_health, encode_outcome};
@@ -67,7 +67,7 @@
     }
 
     /// The next id: 16 hexadecimal digits of the splitmix64 sequence.
-    fn next(&self) -> Bytes {
+    fn next(&self) -> TransactionId {
         let state = self.0.get().wrapping_add(0x9e37_79b9_7f4a_7c15);
         self.0.set(state);
         let mixed = (state ^ (state >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/node/src/heartbeat.rs
+++ b/node/src/heartbeat.rs
@@ -88,3 +88,6 @@
     };
     socket.insert(usable).send_to(datagram.as_bytes(), service).await.map(|_| ())
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/node/src/heartbeat/tests.rs
@@ -0,0 +1,38 @@
+use super::*;
+use crate::exchange::{self, Endpoints, Shutdown};
+
+/// The status of a process that has just started, with changes.
+fn status(change: impl FnOnce(&mut NodeStatus)) -> NodeStatus {
+    let Endpoints { exchange, .. } = exchange::new(false, false);
+    let mut status = exchange.status().borrow().clone();
+    change(&mut status);
+    status
+}
+
+fn draining(status: &mut NodeStatus) {
+    let now = clock::now();
+    status.draining = Some(Shutdown { stops_at: now, noticed_at: now });
+}
+
+#[test]
+fn a_node_reports_unless_it_recovers_or_a_successor_reports_under_its_name() {
+    assert_eq!(Liveness::of(&status(|_| {})), Liveness::Up);
+    assert_eq!(Liveness::of(&status(|status| status.maintenance = true)), Liveness::Up);
+    assert_eq!(Liveness::of(&status(|status| status.recovering = true)), Liveness::Silent);
+    assert_eq!(Liveness::of(&status(|status| status.handed_over = true)), Liveness::Silent);
+}
+
+#[test]
+fn a_node_that_drains_reports_its_end_also_while_it_recovers() {
+    assert_eq!(Liveness::of(&status(draining)), Liveness::Out);
+    let recovering = |status: &mut NodeStatus| {
+        draining(status);
+        status.recovering = true;
+    };
+    assert_eq!(Liveness::of(&status(recovering)), Liveness::Out);
+    let handed_over = |status: &mut NodeStatus| {
+        draining(status);
+        status.handed_over = true;
+    };
+    assert_eq!(Liveness::of(&status(handed_over)), Liveness::Silent);
+}
