--- a/node/src/server/startup.rs
+++ b/node/src/server/startup.rs
@@ -57,13 +57,13 @@
 pub(super) async fn run(files: &ConfigFiles, loaded: Configuration) -> Result<(), StartupError> {
     // Comes first: a signal without a handler ends the process.
     let (shutdown_notice, hangup) = Signals::install().map_err(StartupError::Signals)?.split();
-    let handover_socket = handover::socket_path(loaded.config.listen);
+    let handover_socket = handover::socket_path(loaded.node.listen);
     let is_upgrade = handover::has_predecessor(handover_socket.as_deref()).await;
     // A process that takes over is as far in its recovery as its predecessor was.
     let starts_recovering = loaded.fleet.is_some() && !is_upgrade;
     let Endpoints { exchange, dispatcher, backend } = exchange::new(is_upgrade, starts_recovering);
     let capacity = ConnectionCapacity::new(&loaded);
-    let Configuration { config, uwsgi, remembered, fleet, records } = loaded;
+    let Configuration { node: config, uwsgi, result_store, fleet, decision_log } = loaded;
     let (address_publisher, upstream_addresses) = watch::channel(config.upstreams.clone());
     let node = Node {
         registry: Rc::new(ClassRegistry::new(config.settings.clone())),
@@ -80,7 +80,7 @@
     node.start_admin()?;
     let active = node.start_vrrp().await?;
     node.start_backends(backend);
-    let fleet_events = node.start_dispatcher(dispatcher, remembered, fleet, records)?;
+    let fleet_events = node.start_dispatcher(dispatcher, result_store, fleet, decision_log)?;
     let limiters = [&*node.jsonrpc_limiter, &*node.uwsgi_limiter];
     let reloader = Reloader {
         files,
@@ -93,7 +93,7 @@
         fleet_events,
     };
     tokio::select! {
-        () = drain_on_notice(shutdown_notice, &node.exchange, node.config.stop, limiters) => {}
+        () = drain_on_notice(shutdown_notice, &node.exchange, node.config.stop_timeout, limiters) => {}
         () = reloader.run() => {}
         () = share_during_upgrade(&node.exchange, limiters) => {}
         failed = node.serve_clients(active) => return failed.map(|never| match never {}),
@@ -162,28 +162,28 @@
     fn start_dispatcher(
         &self,
         endpoints: DispatcherEndpoints,
-        remembered: Option<config::ResultStoreConfig>,
+        result_store: Option<config::ResultStoreConfig>,
         fleet: Option<config::FleetConfig>,
-        records: Option<config::DecisionLogConfig>,
+        decision_log: Option<config::DecisionLogConfig>,
     ) -> Result<Option<mpsc::Sender<Event>>, StartupError> {
         let config = &self.config;
-        let result_memory = config.memory / RESULT_MEMORY_DIVISOR;
+        let result_memory = config.max_memory_bytes / RESULT_MEMORY_DIVISOR;
         let mut dispatcher = Dispatcher::new(endpoints, config.settings.clone(), config.seed, result_memory);
-        let (store, restored) = self.open_result_store(remembered)?.unzip();
+        let (store, restored) = self.open_result_store(result_store)?.unzip();
         let (mut peers, mut fleet_events) = (None, None);
         if let Some(fleet) = fleet {
-            let (links, driver) = peers::new(fleet, config.seed, self.is_upgrade, self.exchange.clone())
-                .map_err(|e| StartupError::component(&e))?;
-            fleet_events = Some(links.lists());
-            peers = Some(links);
+            let (handle, driver) = peers::new(fleet, config.seed, self.is_upgrade, self.exchange.clone())
+                .map_err(StartupError::Peers)?;
+            fleet_events = Some(handle.event_sender());
+            peers = Some(handle);
             spawn_local(driver.run());
         }
         dispatcher.set_run_gate(RunGate::new(store, peers), restored.flatten());
-        if let Some(records) = records {
-            let settings_digest = settings_digest(&config.written["settings"]);
-            let recorder = DecisionLog::start(&records, &config.name, settings_digest)
-                .map_err(|e| StartupError::component(&e))?;
-            dispatcher.set_decision_log(recorder);
+        if let Some(log_config) = decision_log {
+            let settings_digest = settings_digest(&config.json["settings"]);
+            let log = DecisionLog::start(&log_config, &config.name, settings_digest)
+                .map_err(StartupError::DecisionLog)?;
+            dispatcher.set_decision_log(log);
         }
         spawn_local(dispatcher.run());
         Ok(fleet_events)
@@ -193,14 +193,14 @@
     /// has handed over, so that nothing is known of it yet.
     fn open_result_store(
         &self,
-        remembered: Option<config::ResultStoreConfig>,
+        store_config: Option<config::ResultStoreConfig>,
     ) -> Result<Option<(ResultStore, Option<HandoverState>)>, StartupError> {
-        let Some(remembered) = remembered else { return Ok(None) };
-        let mut store = ResultStore::closed(remembered, self.config.max_idempotency_window());
+        let Some(store_config) = store_config else { return Ok(None) };
+        let mut store = ResultStore::closed(store_config, self.config.max_idempotency_window());
         if self.is_upgrade {
             return Ok(Some((store, None)));
         }
-        let recovered = store.open().map_err(|e| StartupError::component(&e))?;
+        let recovered = store.open().map_err(StartupError::ResultStore)?;
         let restored = HandoverState { digest_seed: recovered.seed, records: recovered.keys };
         Ok(Some((store, Some(restored))))
     }
