--- a/examples/replicated.rs
+++ b/examples/replicated.rs
@@ -102,7 +102,7 @@
     fn all(&self) -> io::Result<Vec<Node>> {
         let mut nodes = (1..=3).map(|n| self.start(n)).collect::<io::Result<Vec<_>>>()?;
         for node in nodes.iter_mut().filter(|_| self.on) {
-            node.says("fleet: replica table complete")?;
+            node.says("fleet: ready to vote")?;
         }
         Ok(nodes)
     }
@@ -224,7 +224,7 @@
     std::thread::sleep(Duration::from_millis(1500));
     let began = Instant::now();
     let mut third = fleet.start(3)?;
-    let line = third.says("fleet: replica table complete")?;
+    let line = third.says("fleet: ready to vote")?;
     let ended = Instant::now();
     let times = load.join().map_err(|_| io::ErrorKind::Other)??;
     let of = |from: Instant, to: Instant| -> Vec<f64> {
--- a/fault-harness/src/program_log.rs
+++ b/fault-harness/src/program_log.rs
@@ -7,7 +7,7 @@
 const JSONRPC_ADDRESS: [&str; 2] =
     ["frontend: listening: protocol=JSON-RPC address=", "JSON-RPC is served at "];
 /// The node's votes are complete for every key.
-const READY_TO_VOTE: [&str; 2] = ["fleet: ready to vote", "fleet: replica table complete"];
+const READY_TO_VOTE: [&str; 2] = ["fleet: ready to vote", "fleet: has what it needs to vote"];
 /// Before a change of the virtual router's role.
 const ROUTER_ROLE: [&str; 2] = ["vrrp: role changed: ", "vrrp "];
 /// Before everything about the fleet.
--- a/fleet/src/replica_node/notification.rs
+++ b/fleet/src/replica_node/notification.rs
@@ -78,7 +78,7 @@
                 "resumed after a suspension: suspended_ms={}: nothing with a key runs until a majority is heard again",
                 suspended_for.as_millis()
             ),
-            Notification::TableComplete { keys } => write!(f, "replica table complete: keys={keys}"),
+            Notification::TableComplete { keys } => write!(f, "ready to vote, {keys} keys are known"),
             Notification::Superseded { incarnation } => write!(
                 f,
                 "superseded by another process under this name: incarnation={incarnation}: nothing with a key runs here"
