--- /dev/null
+++ b/fleet/tests/model/system.rs
@@ -0,0 +1,304 @@
+//! The model: the states of the nodes, the messages between them, and every action that may follow.
+
+use std::collections::BTreeSet;
+use std::sync::Arc;
+use std::time::Duration;
+
+use oakwind_fleet::active_configs::ActiveConfigs;
+use oakwind_fleet::claim_coordinator::{AttemptId, ClaimAction, ClaimCoordinator, ClaimOutcome};
+use oakwind_fleet::ids::{ConfigVersion, Incarnation, LinkId, NodeId};
+use oakwind_fleet::key_state::{Key, RunResult};
+use oakwind_fleet::membership_config::MembershipConfig;
+use oakwind_fleet::message::{Completeness, Message};
+use oakwind_fleet::replica_table::{ReplicaTable, TableOutcome};
+use oakwind_fleet::Time;
+use stateright::Model;
+
+pub(crate) const KEY: Key = Key::from_static(b"k");
+/// The attempts are at the first two nodes; the last node is a member of the second configuration only.
+pub(crate) const NODES: usize = 4;
+pub(crate) const ATTEMPTS: usize = 2;
+
+/// A rule that is left out.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) enum Mutant {
+    /// One grant is enough.
+    OneGrant,
+    /// A replica that lost its state votes at once.
+    VotesWithoutState,
+    /// It votes once it has caught up with one other replica.
+    CatchesUpWithOne,
+    /// Grants of a replica's earlier incarnation count.
+    EarlierIncarnationsCount,
+    /// While two configurations are active, only the newest counts.
+    NewestConfigAlone,
+    /// A replica grants a key to the last claim that arrives.
+    VotesChange,
+    /// An uncertain response counts as a grant.
+    UncertainIsGranted,
+    /// A result is served when one replica has stored it.
+    OneReplicaStores,
+    /// The claim of a run that timed out is released as if the run had not started.
+    ReleasesRunningClaim,
+    /// An attempt waits past its deadline.
+    WaitsPastDeadline,
+}
+
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub(crate) struct Node(pub(crate) usize);
+
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub(crate) struct Envelope {
+    pub(crate) from: Node,
+    pub(crate) incarnation: Incarnation,
+    pub(crate) to: Node,
+    pub(crate) message: Message,
+}
+
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
+pub(crate) enum Attempt {
+    NotStarted,
+    Claiming,
+    Running,
+    /// Its run has completed, and replicas are sent the result.
+    Replicating,
+    Served,
+    Failed,
+    Rejected,
+    RemoteResult(bool),
+}
+
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+pub(crate) struct State {
+    pub(crate) tables: Vec<ReplicaTable>,
+    pub(crate) configs: Vec<ActiveConfigs>,
+    pub(crate) incarnations: Vec<Incarnation>,
+    pub(crate) claims: Vec<ClaimCoordinator>,
+    pub(crate) net: BTreeSet<Envelope>,
+    pub(crate) attempts: Vec<Attempt>,
+    /// The number of runs that have started, by attempt.
+    pub(crate) runs: Vec<u32>,
+    pub(crate) timed_out: Vec<bool>,
+    /// Nodes whose first process has exited.
+    pub(crate) restarted: Vec<bool>,
+    pub(crate) restarts: u32,
+}
+
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+pub(crate) enum Act {
+    StartAttempt(usize),
+    Deliver(Box<Envelope>),
+    CompleteRun(usize),
+    TimeOut(usize),
+    Restart(Node),
+    Pull(Node, Node),
+    AdoptConfig(Node),
+}
+
+/// A step of the path to the state at which the search begins.
+#[derive(Debug, Clone, Copy)]
+pub(crate) enum PathStep {
+    Do(fn() -> Act),
+    /// The claim of an attempt reaches a replica.
+    Claim(usize, usize),
+    /// The grant of a replica reaches the attempt's node.
+    Grant(usize, usize),
+    /// A node gets the whole table of another one: the requester, and the donor.
+    CatchUp(usize, usize),
+}
+
+pub(crate) struct System {
+    pub(crate) mutant: Option<Mutant>,
+    /// The path to the state at which the search begins.
+    pub(crate) path: &'static [PathStep],
+    /// Whether a restart, and a change of the configuration, may happen.
+    pub(crate) restart: bool,
+    pub(crate) change: bool,
+}
+
+pub(crate) fn id(node: Node) -> NodeId {
+    NodeId::of(&crate::common::name(node.0))
+}
+
+pub(crate) fn config(version: u64, nodes: &[usize]) -> Arc<MembershipConfig> {
+    crate::common::config(version, nodes, 1, Duration::from_secs(10))
+}
+
+pub(crate) const NOW: Time = Duration::from_secs(100);
+pub(crate) const DEADLINE: Time = Duration::from_secs(102);
+
+fn node_of(node_id: NodeId) -> Node {
+    (0..NODES).map(Node).find(|node| id(*node) == node_id).unwrap()
+}
+
+fn notify(state: &mut State, n: usize, outcome: ClaimOutcome) {
+    let attempt = &mut state.attempts[n];
+    match (outcome, *attempt) {
+        (ClaimOutcome::Granted, Attempt::Claiming) => {
+            *attempt = Attempt::Running;
+            state.runs[n] += 1;
+        }
+        (ClaimOutcome::Rejected(_), Attempt::Claiming) => *attempt = Attempt::Rejected,
+        (ClaimOutcome::RemoteOutcome(result), Attempt::Claiming) => {
+            *attempt = Attempt::RemoteResult(result != RunResult::Failed);
+        }
+        (ClaimOutcome::Unknown | ClaimOutcome::BodyMismatch, Attempt::Claiming) => {
+            *attempt = Attempt::Failed;
+        }
+        (ClaimOutcome::Replicated(true), Attempt::Replicating) => *attempt = Attempt::Served,
+        (ClaimOutcome::Replicated(false), Attempt::Replicating) => *attempt = Attempt::Failed,
+        _ => {}
+    }
+}
+
+pub(crate) fn apply_actions(state: &mut State, node: Node, actions: Vec<ClaimAction>) {
+    for action in actions {
+        match action {
+            ClaimAction::Send(to, message) => {
+                let (incarnation, to) = (state.incarnations[node.0], node_of(to));
+                state.net.insert(Envelope { from: node, incarnation, to, message });
+            }
+            ClaimAction::Notify(AttemptId(n), outcome) => notify(state, n as usize, outcome),
+        }
+    }
+}
+
+fn apply_outcome(state: &mut State, node: Node, outcome: TableOutcome) {
+    let incarnation = state.incarnations[node.0];
+    for (link, message) in outcome.responses {
+        state.net.insert(Envelope { from: node, incarnation, to: Node(link.0 as usize - 1), message });
+    }
+    for (to, message) in outcome.queries {
+        let to = node_of(to);
+        state.net.insert(Envelope { from: node, incarnation, to, message });
+    }
+}
+
+impl System {
+    /// Takes one step of the path.
+    pub(crate) fn step(&self, state: &State, step: PathStep) -> State {
+        let next = |state: &State, act| self.next_state(state, act).expect("a step that leads somewhere");
+        let sent = |state: &State, from: usize, to: usize, fits: fn(&Message) -> bool| {
+            let envelope = state
+                .net
+                .iter()
+                .find(|envelope| envelope.from.0 == from && envelope.to.0 == to && fits(&envelope.message));
+            Act::Deliver(Box::new(envelope.expect("a message that was sent").clone()))
+        };
+        match step {
+            PathStep::Do(act) => next(state, act()),
+            PathStep::Claim(from, to) => {
+                next(state, sent(state, from, to, |message| matches!(message, Message::Claim(_))))
+            }
+            PathStep::Grant(from, to) => {
+                next(state, sent(state, from, to, |message| matches!(message, Message::Granted { .. })))
+            }
+            PathStep::CatchUp(who, donor) => {
+                let asked = next(state, Act::Pull(Node(who), Node(donor)));
+                let given = sent(&asked, who, donor, |message| matches!(message, Message::Pull { .. }));
+                let given = next(&asked, given);
+                let page = sent(&given, donor, who, |message| matches!(message, Message::Page(_)));
+                next(&given, page)
+            }
+        }
+    }
+
+    pub(crate) fn deliver(&self, state: &mut State, envelope: Envelope) {
+        let Envelope { from, incarnation, to, message } = envelope;
+        let n = to.0;
+        // A link begins with the incarnation of the sender.
+        if from != to {
+            state.tables[n].record_incarnation(id(from), incarnation);
+        }
+        let link = LinkId(from.0 as u64 + 1);
+        let mut actions = Vec::new();
+        match message {
+            Message::Claim(request) => {
+                if self.mutant == Some(Mutant::VotesChange) {
+                    if let Some(vote) = state.tables[n].vote(&KEY) {
+                        state.tables[n].release(NOW, &KEY, vote);
+                    }
+                }
+                let configs = match self.mutant {
+                    Some(Mutant::NewestConfigAlone) => {
+                        let newest = if request.config_versions.contains(&ConfigVersion(2)) {
+                            config(2, &[0, 1, 3])
+                        } else {
+                            config(1, &[0, 1, 2])
+                        };
+                        ActiveConfigs::new(id(to), newest)
+                    }
+                    _ => state.configs[n].clone(),
+                };
+                let outcome = state.tables[n].claim(NOW, link, &request, &configs);
+                apply_outcome(state, to, outcome);
+            }
+            Message::QueryKey { claim, key } => {
+                let configs = state.configs[n].clone();
+                let outcome = state.tables[n].query_key(NOW, link, claim, &key, &configs);
+                apply_outcome(state, to, outcome);
+            }
+            Message::Completed { key, retain_ms, run } => {
+                let outcome = state.tables[n].complete_run(NOW, link, &key, retain_ms, run);
+                apply_outcome(state, to, outcome);
+            }
+            Message::Release { key, claim } => {
+                let outcome = state.tables[n].release(NOW, &key, claim);
+                apply_outcome(state, to, outcome);
+            }
+            Message::QueryClaim { key, claim, body } if n < ATTEMPTS => {
+                if let Some(message) = state.claims[n].resolve(NOW, &key, claim, body, false) {
+                    let incarnation = state.incarnations[n];
+                    state.net.insert(Envelope { from: to, incarnation, to: from, message });
+                }
+            }
+            Message::Pull { round, from: position } => {
+                let read = state.tables[n].page(NOW, id(from), round, position.as_ref(), &state.configs[n]);
+                let page = read.page;
+                let (incarnation, message) = (state.incarnations[n], Message::Page(page));
+                state.net.insert(Envelope { from: to, incarnation, to: from, message });
+            }
+            // The round is the incarnation that asked: a page for an earlier one is ignored.
+            Message::Page(page) if u64::from(page.round) == state.incarnations[n].0 => {
+                state.tables[n].merge_records(NOW, page.records);
+                state.tables[n].record_sync(id(from), page.completeness);
+                if self.mutant == Some(Mutant::CatchesUpWithOne) {
+                    (0..NODES).for_each(|other| {
+                        state.tables[n].record_sync(id(Node(other)), Completeness::Complete);
+                    });
+                }
+            }
+            response if n < ATTEMPTS && response.is_response() => {
+                let response = match (self.mutant, response) {
+                    (Some(Mutant::UncertainIsGranted), Message::Uncertain { claim, .. })
+                    | (Some(Mutant::EarlierIncarnationsCount), Message::Granted { claim, .. }) => {
+                        Message::Granted { claim, incarnations: vec![] }
+                    }
+                    (_, response) => response,
+                };
+                let incarnation = if self.mutant == Some(Mutant::EarlierIncarnationsCount) {
+                    Incarnation(1)
+                } else {
+                    incarnation
+                };
+                let enough = matches!(
+                    (self.mutant, &response),
+                    (Some(Mutant::OneGrant), Message::Granted { .. })
+                        | (Some(Mutant::OneReplicaStores), Message::Stored { .. })
+                );
+                let all: Vec<Node> = if enough { (0..NODES).map(Node).collect() } else { vec![from] };
+                for from in all {
+                    state.claims[n].handle_response(
+                        NOW,
+                        id(from),
+                        incarnation,
+                        response.clone(),
+                        &mut actions,
+                    );
+                }
+                apply_actions(state, to, actions);
+            }
+            _ => {}
+        }
+    }
+}
