--- a/fault-harness/src/program_log/tests.rs
+++ b/fault-harness/src/program_log/tests.rs
@@ -19,7 +19,7 @@
     for line in ["1.0 vrrp: role changed: vrid=51 role=Backup", "1.0 vrrp 51: Backup"] {
         assert_eq!(LogLine::parse(line).router_active, Some(false), "{line}");
     }
-    for text in ["ready to vote, 7 keys are known", "has what it needs to vote, 7 keys are known"] {
+    for text in ["replica table complete: keys=7", "has what it needs to vote, 7 keys are known"] {
         let line = LogLine::parse(&format!("1.0 fleet: {text}"));
         assert_eq!((line.ready_to_vote, line.fleet.as_deref()), (true, Some(text)));
     }
