--- a/node/src/server/capacity.rs
+++ b/node/src/server/capacity.rs
@@ -25,10 +25,10 @@
 impl ConnectionCapacity {
     /// The shares that a configuration leaves.
     pub(super) fn new(loaded: &Configuration) -> Self {
-        let peers = loaded.fleet.as_ref().map_or(0, |fleet| fleet.links);
-        let admin = if loaded.config.ops.is_some() { admin::MAX_CONNECTIONS } else { 0 };
+        let peers = loaded.fleet.as_ref().map_or(0, |fleet| fleet.max_links);
+        let admin = if loaded.node.ops.is_some() { admin::MAX_CONNECTIONS } else { 0 };
         let reserved = RESERVED_DESCRIPTORS + peers + admin;
-        let connections = loaded.config.sockets.saturating_sub(reserved).max(MIN_CONNECTIONS);
+        let connections = loaded.node.max_descriptors.saturating_sub(reserved).max(MIN_CONNECTIONS);
         if loaded.uwsgi.is_some() {
             ConnectionCapacity {
                 jsonrpc: connections / 2,
--- a/node/src/server/mod.rs
+++ b/node/src/server/mod.rs
@@ -14,7 +14,6 @@
 mod shutdown;
 mod startup;
 
-use std::fmt::Display;
 use std::io;
 use std::net::SocketAddr;
 
@@ -22,6 +21,9 @@
 use tokio::task::LocalSet;
 
 use crate::config::{ConfigError, ConfigFiles};
+use crate::decision_log::DecisionLogError;
+use crate::peers::PeerStartError;
+use crate::result_store::StoreError;
 
 /// Why a node did not start.
 #[derive(Debug, Error)]
@@ -45,16 +47,15 @@
         /// What the system said.
         source: io::Error,
     },
-    /// The result store, the links to peers or the decision log could not be opened.
+    /// The result store could not be opened.
+    #[error("remembered file, {0}")]
+    ResultStore(#[source] StoreError),
+    /// The node could not take its place in its fleet.
     #[error("{0}")]
-    Component(String),
-}
-
-impl StartupError {
-    /// The error of a part that names its configuration key itself.
-    fn component(error: &impl Display) -> Self {
-        StartupError::Component(error.to_string())
-    }
+    Peers(#[source] PeerStartError),
+    /// The decision log could not be opened.
+    #[error("{0}")]
+    DecisionLog(#[source] DecisionLogError),
 }
 
 /// Serves until SIGTERM or SIGINT, then drains. All tasks run on the calling thread.
--- a/node/src/server/reload.rs
+++ b/node/src/server/reload.rs
@@ -85,7 +85,7 @@
     /// Reads the files and checks that they can follow the ones in force.
     fn read(&self) -> Result<Candidate, ReloadError> {
         let current = self.applied.as_ref().unwrap_or(self.initial);
-        let Configuration { config, fleet, .. } = self.files.load().map_err(ReloadError::Config)?;
+        let Configuration { node: config, fleet, .. } = self.files.load().map_err(ReloadError::Config)?;
         if let Some(key) = config.upstreams.first_incompatible_key(&current.upstreams) {
             return Err(ReloadError::PeerKindChanged(key));
         }
@@ -104,7 +104,7 @@
         let settings_changed = settings != self.registry.settings();
         if settings_changed {
             // The dispatcher knows a class before any frontend accepts a request of it.
-            let digest = settings_digest(&config.written["settings"]);
+            let digest = settings_digest(&config.json["settings"]);
             self.exchange.reconfigure(settings.clone(), digest).await;
             self.registry.replace_settings(settings, clock::now());
         }
@@ -124,7 +124,7 @@
     /// Hands the fleet's configuration over; whether it is accepted is decided there, by its version.
     fn propose_membership(&self, fleet: FleetConfig) {
         let Some(events) = &self.fleet_events else { return };
-        if events.try_send(Event::ConfigProposed(fleet.list)).is_err() {
+        if events.try_send(Event::ConfigProposed(fleet.membership)).is_err() {
             log!("reload: membership configuration not applied: the fleet's queue is full");
         }
     }
