--- a/fleet/src/active_configs.rs
+++ b/fleet/src/active_configs.rs
@@ -70,7 +70,6 @@
 
 impl ActiveConfigs {
     /// Creates the configurations of a node that knows one.
-    #[must_use]
     pub fn new(this_node: NodeId, config: Arc<MembershipConfig>) -> ActiveConfigs {
         ActiveConfigs {
             this_node,
@@ -83,7 +82,6 @@
     }
 
     /// Returns the newest configuration.
-    #[must_use]
     pub fn newest(&self) -> &Arc<MembershipConfig> {
         &self.active[self.active.len() - 1]
     }
@@ -94,25 +92,21 @@
     }
 
     /// Returns the number of active configurations.
-    #[must_use]
     pub fn count(&self) -> usize {
         self.active.len()
     }
 
     /// Returns the active configuration of this version.
-    #[must_use]
     pub fn get(&self, version: ConfigVersion) -> Option<&Arc<MembershipConfig>> {
         self.active.iter().find(|config| config.version() == version)
     }
 
     /// Returns the versions of the active configurations, the oldest first.
-    #[must_use]
     pub fn versions(&self) -> Vec<ConfigVersion> {
         self.active.iter().map(|config| config.version()).collect()
     }
 
     /// Returns the signatures of the active configurations, the oldest first.
-    #[must_use]
     pub fn signatures(&self) -> Vec<ConfigSignature> {
         let signature = |config: &Arc<MembershipConfig>| ConfigSignature {
             version: config.version(),
@@ -122,25 +116,21 @@
     }
 
     /// Returns every member of any active configuration.
-    #[must_use]
     pub fn all_members(&self) -> BTreeSet<NodeId> {
         self.active.iter().flat_map(|config| config.ids().iter().copied()).collect()
     }
 
     /// Returns the longest idempotency window of the active configurations.
-    #[must_use]
     pub fn longest_window(&self) -> Time {
         self.active.iter().map(|config| config.window()).max().unwrap_or_default()
     }
 
     /// Whether an active configuration has the same version as this one and another content.
-    #[must_use]
     pub fn conflicts_with(&self, other: ConfigSignature) -> bool {
         self.get(other.version).is_some_and(|config| config.digest() != other.digest)
     }
 
     /// Returns the version up to which configurations are retired.
-    #[must_use]
     pub fn retired_through(&self) -> ConfigVersion {
         self.retired_through
     }
@@ -161,7 +151,6 @@
     }
 
     /// Whether a configuration of this version is unknown and not retired.
-    #[must_use]
     pub fn is_missing(&self, version: ConfigVersion) -> bool {
         version > self.retired_through && self.get(version).is_none()
     }
--- a/fleet/src/claim_coordinator.rs
+++ b/fleet/src/claim_coordinator.rs
@@ -48,7 +48,6 @@
 
 impl ClaimCoordinator {
     /// Creates a coordinator without claims for this incarnation of the node.
-    #[must_use]
     pub fn new(this_node: NodeId, incarnation: Incarnation) -> ClaimCoordinator {
         ClaimCoordinator {
             this_node,
@@ -60,7 +59,6 @@
     }
 
     /// Returns the number of open claims.
-    #[must_use]
     pub fn open_claims(&self) -> usize {
         self.claims.len()
     }
@@ -282,7 +280,6 @@
 
     /// Returns what became of a claim of this node, if that is known yet. `predecessor_alive` says that a process of an
     /// earlier incarnation may still run what it started.
-    #[must_use]
     pub fn resolve(
         &self,
         now: Time,
--- a/fleet/src/decision_record.rs
+++ b/fleet/src/decision_record.rs
@@ -87,7 +87,6 @@
 
 impl Record {
     /// Returns when the record was made, in Unix milliseconds.
-    #[must_use]
     pub fn at(&self) -> u64 {
         match self {
             Record::ProcessStarted { at, .. }
@@ -98,7 +97,6 @@
     }
 
     /// Returns the versions that the record names, if it does.
-    #[must_use]
     pub fn versions(&self) -> Option<&Versions> {
         match self {
             Record::ProcessStarted { versions, .. } | Record::Attempt { versions, .. } => Some(versions),
--- a/fleet/src/hash_chain.rs
+++ b/fleet/src/hash_chain.rs
@@ -76,26 +76,22 @@
 
 impl Chain {
     /// Continues behind the record of this number and digest; none if that is not a digest.
-    #[must_use]
     pub fn after(number: u64, digest: &str) -> Option<Chain> {
         let digest = digest.as_bytes().try_into().ok()?;
         Some(Chain { number, digest, unverifiable: false })
     }
 
     /// Continues before the record of this number, when all records before it are gone.
-    #[must_use]
     pub fn before(number: u64) -> Chain {
         Chain { number: number.saturating_sub(1), digest: INITIAL_DIGEST, unverifiable: number > 1 }
     }
 
     /// Returns the number of the last record, 0 before the first.
-    #[must_use]
     pub fn number(&self) -> u64 {
         self.number
     }
 
     /// Returns the digest of the last record.
-    #[must_use]
     pub fn digest(&self) -> &str {
         // Only hexadecimal digits are written.
         std::str::from_utf8(&self.digest).unwrap_or_default()
--- a/fleet/src/ids.rs
+++ b/fleet/src/ids.rs
@@ -12,7 +12,6 @@
 
 impl NodeId {
     /// Returns the id of the node with this name.
-    #[must_use]
     pub fn of(name: &str) -> NodeId {
         NodeId(digest(DigestKind::NodeName, name.as_bytes()))
     }
@@ -31,7 +30,6 @@
 
 impl Incarnation {
     /// Returns the incarnation that follows this one.
-    #[must_use]
     pub fn next(self) -> Incarnation {
         Incarnation(self.0 + 1)
     }
@@ -62,7 +60,6 @@
     pub const LOOPBACK: LinkId = LinkId(0);
 
     /// Returns the number of the next connection.
-    #[must_use]
     pub fn next(self) -> LinkId {
         LinkId(self.0 + 1)
     }
--- a/fleet/src/key_state.rs
+++ b/fleet/src/key_state.rs
@@ -48,7 +48,6 @@
 
 impl RunResult {
     /// Returns the size of the result in bytes.
-    #[must_use]
     pub fn size(&self) -> usize {
         match self {
             RunResult::Succeeded(bytes) => bytes.len(),
@@ -75,7 +74,6 @@
 impl CompletedRun {
     /// Returns the run of a claim whose node has lost its state. Whether it ran is not known, so it counts as failed; a
     /// completion that the run itself reported prevails over this one.
-    #[must_use]
     pub fn abandoned(claim: ClaimId, body: BodyDigest) -> CompletedRun {
         let result = RunResult::Failed;
         CompletedRun { received_at: u64::MAX, node_index: u32::MAX, claim, result, body }
@@ -129,13 +127,11 @@
     }
 
     /// Whether nothing is known.
-    #[must_use]
     pub fn is_empty(&self) -> bool {
         self.started.is_empty() && self.completed.is_none()
     }
 
     /// Returns the size of the result in bytes.
-    #[must_use]
     pub fn result_size(&self) -> usize {
         self.completed.as_ref().map_or(0, |run| run.result.size())
     }
--- a/fleet/src/replica_node.rs
+++ b/fleet/src/replica_node.rs
@@ -96,7 +96,6 @@
 
 impl ReplicaNode {
     /// Creates a node that starts now with this configuration.
-    #[must_use]
     pub fn new(settings: Settings, config: Arc<MembershipConfig>, now: Time) -> ReplicaNode {
         let id = NodeId::of(&settings.name);
         let Settings { name, incarnation, seed, transfer_bytes_per_s, restored, is_durable, .. } = settings;
@@ -143,7 +142,6 @@
     }
 
     /// Returns the message with which the node introduces itself to another one.
-    #[must_use]
     pub fn hello(&self, to: NodeId) -> Hello {
         Hello {
             name: self.name.clone(),
@@ -158,80 +156,67 @@
     }
 
     /// Returns the position of the node's state, which is to be stored with it.
-    #[must_use]
     pub fn position(&self) -> StatePosition {
         let uptime = self.last_event_at.saturating_sub(self.incarnation_began_at);
         StatePosition { incarnation: self.incarnation, uptime_seconds: uptime.as_secs() }
     }
 
     /// Returns the node's id.
-    #[must_use]
     pub fn id(&self) -> NodeId {
         self.id
     }
 
     /// Returns the node's incarnation.
-    #[must_use]
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
     /// Returns the active configurations.
-    #[must_use]
     pub fn configs(&self) -> &ActiveConfigs {
         &self.configs
     }
 
     /// Returns the node's replica of the key table.
-    #[must_use]
     pub fn table(&self) -> &ReplicaTable {
         &self.table
     }
 
     /// Whether the node makes and grants claims: it takes part, and hears a majority of the members.
-    #[must_use]
     pub fn has_quorum(&self) -> bool {
         self.has_quorum && self.participation == Participation::Active
     }
 
     /// Whether the node can vote for every key.
-    #[must_use]
     pub fn is_complete(&self) -> bool {
         self.table.is_complete()
     }
 
     /// Returns the number of donors of whose tables a part is still to come.
-    #[must_use]
     pub fn open_donors(&self) -> usize {
         self.state_transfer.open_donors()
     }
 
     /// Returns the number of members by liveness.
-    #[must_use]
     pub fn liveness_counts(&self) -> LivenessCounts {
         self.failure_detector.counts()
     }
 
     /// Returns what the node has done.
-    #[must_use]
     pub fn metrics(&self) -> ReplicaMetrics {
         self.metrics
     }
 
     /// Returns the number of open claims of its own attempts.
-    #[must_use]
     pub fn open_claims(&self) -> usize {
         self.claims.open_claims()
     }
 
     /// Returns how long it takes at most until the node can vote for every key.
-    #[must_use]
     pub fn time_until_complete(&self, now: Time) -> Duration {
         self.table.time_until_complete(now, &self.configs).unwrap_or_default()
     }
 
     /// Returns the stage of the node's recovery.
-    #[must_use]
     pub fn stage(&self) -> Stage {
         self.recovery.stage()
     }
--- a/fleet/src/replica_table/paging.rs
+++ b/fleet/src/replica_table/paging.rs
@@ -32,7 +32,6 @@
 
 impl ReplicaTable {
     /// Reads a page of what the requester holds replicas of, in descending order of expiry.
-    #[must_use]
     pub fn page(
         &self,
         now: Time,
--- a/fleet/src/staleness.rs
+++ b/fleet/src/staleness.rs
@@ -34,7 +34,6 @@
 
 impl StatePosition {
     /// Whether state that was written here lacks something that was known at `latest`.
-    #[must_use]
     pub fn is_stale(&self, latest: &StatePosition) -> bool {
         let tolerated = self.uptime_seconds.saturating_add(TOLERANCE_SECONDS);
         (self.incarnation, tolerated) < (latest.incarnation, latest.uptime_seconds)
@@ -69,7 +68,6 @@
 
     /// Checks the state that a node restored when it began this incarnation. Returns the latest position from before the
     /// incarnation if the restored state is older.
-    #[must_use]
     pub fn check(
         &self,
         node: NodeId,
