--- a/node/src/frontend/jsonrpc/connection.rs
+++ b/node/src/frontend/jsonrpc/connection.rs
@@ -146,6 +146,7 @@
         let mut input = BytesMut::new();
         while let Some(wake_at) = self.check_deadlines(input.is_empty()).await? {
             let reading = !self.stops_reading() && self.output.len() < MAX_UNWRITTEN_BYTES;
+            let closes_at_once = self.is_final_check && self.guard.is_evicted();
             input.reserve(READ_CHUNK_BYTES);
             tokio::select! {
                 biased;
@@ -179,6 +180,8 @@
                     }
                 }
                 changed = self.status.changed() => if changed.is_err() { return Ok(()) },
+                // A timer takes a millisecond or two, in which evicted connections would add up past the limit.
+                () = std::future::ready(()), if closes_at_once => {}
                 () = clock::until(wake_at) => {}
             }
         }
--- a/node/tests/sockets/floods.rs
+++ b/node/tests/sockets/floods.rs
@@ -87,3 +87,35 @@
     assert_eq!(next_datagram(&bind_udp(&service.to_string())), b"HB n1 UP");
     drop(idle);
 }
+
+#[test]
+fn connections_that_are_evicted_in_a_burst_close_before_the_descriptors_run_out() {
+    let vm = Server::new();
+    let links = format!(r#""vm": "{}", "limits": {{"sockets": 64}},"#, vm.address);
+    let config_file = file("config.json", &config(&links));
+    let program = oakwind(&["serve", "--config", config_file.to_str().unwrap()]);
+    // The system holds the process to its limit: with one descriptor more an accept fails, which is logged.
+    let mut limited = std::process::Command::new("/bin/sh");
+    limited
+        .args(["-c", r#"ulimit -n 64 && exec "$0" "$@""#])
+        .arg(program.get_program())
+        .args(program.get_args());
+    limited.env_remove("BALANCER_CONFIG").env_remove("TMPDIR").stdin(std::process::Stdio::null());
+    let mut node = Node::from_command(limited);
+    node.wait_until_listening();
+    let _link = vm.interpreter("0");
+    while node.health() != "up" {}
+    // While the process is stopped, connections queue up; it meets all of them at once.
+    node.pause();
+    let clients: Vec<Peer> = (0..100)
+        .map(|_| {
+            let mut client = node.client();
+            client.send("{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"status\"}\n");
+            client
+        })
+        .collect();
+    node.resume();
+    assert_eq!(node.health(), "up");
+    assert!(!node.has_logged("accept failed"), "a descriptor was missing");
+    drop(clients);
+}
--- a/node/tests/sockets/helper.rs
+++ b/node/tests/sockets/helper.rs
@@ -201,6 +201,13 @@
         Peer::connect(self.json)
     }
 
+    /// Whether it has logged these words by now.
+    pub fn has_logged(&mut self, words: &str) -> bool {
+        self.skipped_lines.extend(self.log.try_iter());
+        self.skipped_lines.iter().any(|line| line.contains(words))
+    }
+
+    /// Sends SIGTERM.
     pub fn terminate(&self) {
         self.program.signal(Signal::TERM).unwrap();
     }
