--- a/fleet/tests/common/mod.rs
+++ b/fleet/tests/common/mod.rs
@@ -7,12 +7,12 @@
 use oakwind_fleet::membership_config::{Member, MembershipConfig, MembershipSpec};
 
 /// The name of a node.
-pub fn name(n: usize) -> String {
+pub(crate) fn name(n: usize) -> String {
     format!("n{n}")
 }
 
 /// A configuration of these nodes with three replicas of each key, the nodes distributed over some zones.
-pub fn config(version: u64, nodes: &[usize], zones: usize, window: Duration) -> Arc<MembershipConfig> {
+pub(crate) fn config(version: u64, nodes: &[usize], zones: usize, window: Duration) -> Arc<MembershipConfig> {
     let members = nodes.iter().map(|n| Member {
         name: name(*n),
         address: ([127, 0, 0, 1], 7000 + *n as u16).into(),
--- a/node/tests/plays/mod.rs
+++ b/node/tests/plays/mod.rs
@@ -10,7 +10,7 @@
 use oakwind_fault_harness::scenario::Scenario;
 
 /// Plays a scenario with these keys changed. No rule may break.
-pub fn keeps_the_rules(name: &str, changes: &[&[(&str, &str)]]) -> (History, Verdict) {
+pub(crate) fn keeps_the_rules(name: &str, changes: &[&[(&str, &str)]]) -> (History, Verdict) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join(format!("../fault-harness/scenarios/{name}.toml"));
     let changes = changes.iter().copied().flatten();
     let changes: Vec<(String, String)> =
--- a/node/tests/sockets/helper.rs
+++ b/node/tests/sockets/helper.rs
@@ -10,13 +10,13 @@
 use std::time::{Duration, Instant};
 
 use oakwind_fault_harness::process::{Program, Signal, Usage};
-pub use oakwind_fault_harness::wire::DRAINING;
+pub(crate) use oakwind_fault_harness::wire::DRAINING;
 use oakwind_fault_harness::wire::{self, STATUS};
 
-pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
+pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// An address at which nobody listens; no test that asks for any port gets this one.
-pub const UNREACHABLE: &str = "127.0.0.1:1";
+pub(crate) const UNREACHABLE: &str = "127.0.0.1:1";
 
 /// Two classes whose runs make calls; their times are too long to matter where a test does not change them.
 const SETTINGS: &str = r#"{"services": [
@@ -30,12 +30,12 @@
   "limits": {"maxRetryAfter": 1000000, "retryAfter": true},
   "tenants": [{"name": "acme", "quotaPerS": 100.0}], "servers": 1, "tick": 4000}"#;
 
-pub fn now_ms() -> u64 {
+pub(crate) fn now_ms() -> u64 {
     oakwind_fault_harness::clock::unix_now().as_millis() as u64
 }
 
 /// Writes a file for one test, in cargo's own folder.
-pub fn file(name: &str, text: &str) -> PathBuf {
+pub(crate) fn file(name: &str, text: &str) -> PathBuf {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
     let path =
@@ -45,24 +45,24 @@
 }
 
 /// A configuration with further keys, each with a comma after it.
-pub fn config(links: &str) -> String {
+pub(crate) fn config(links: &str) -> String {
     format!(
         r#"{{"name": "n1", "listen": "127.0.0.1:0", "seed": "8c1f", "stop_ms": 30000, {links} "settings": {SETTINGS}}}"#
     )
 }
 
-pub fn oakwind(arguments: &[&str]) -> Command {
+pub(crate) fn oakwind(arguments: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_oakwind"));
     command.args(arguments).env_remove("BALANCER_CONFIG").env_remove("TMPDIR").stdin(Stdio::null());
     command
 }
 
-pub fn output(arguments: &[&str]) -> Output {
+pub(crate) fn output(arguments: &[&str]) -> Output {
     oakwind(arguments).output().unwrap()
 }
 
 /// The program as a running process.
-pub struct Node {
+pub(crate) struct Node {
     program: Program,
     log: Receiver<String>,
     skipped_lines: Vec<String>,
@@ -73,19 +73,19 @@
 
 impl Node {
     /// Starts a node and waits until it listens; `uwsgi` is the text of a uwsgi file, if any.
-    pub fn start(config: &str, uwsgi: Option<&str>) -> Node {
+    pub(crate) fn start(config: &str, uwsgi: Option<&str>) -> Node {
         let mut node = Node::spawn(config, uwsgi, None);
         node.wait_until_listening();
         node
     }
 
     /// Starts a node without waiting. `folder` is the folder that it shares with another process, if any.
-    pub fn spawn(config: &str, uwsgi: Option<&str>, folder: Option<&Path>) -> Node {
+    pub(crate) fn spawn(config: &str, uwsgi: Option<&str>, folder: Option<&Path>) -> Node {
         Node::spawn_with(config, uwsgi, folder, None)
     }
 
     /// The same with the text of a result store file.
-    pub fn spawn_with(
+    pub(crate) fn spawn_with(
         config: &str,
         uwsgi: Option<&str>,
         folder: Option<&Path>,
@@ -96,7 +96,7 @@
     }
 
     /// Starts a node with both frontends and a decision log in a folder.
-    pub fn with_records(config: &str, folder: &Path) -> Node {
+    pub(crate) fn with_records(config: &str, folder: &Path) -> Node {
         let text = format!("folder = '{}'\nfile_mb = 1\nfiles = 4\n", folder.display());
         let mut node = Node::spawn_with_file(
             config,
@@ -109,7 +109,7 @@
     }
 
     /// Starts a node with both frontends and the text of a fleet file.
-    pub fn with_fleet(config: &str, fleet: &str, folder: Option<&Path>) -> Node {
+    pub(crate) fn with_fleet(config: &str, fleet: &str, folder: Option<&Path>) -> Node {
         Node::spawn_with_file(config, Some(UWSGI), folder, Some(("--fleet", file("fleet.toml", fleet))))
     }
 
@@ -137,7 +137,7 @@
     }
 
     /// Starts the program by a command.
-    pub fn from_command(mut command: Command) -> Node {
+    pub(crate) fn from_command(mut command: Command) -> Node {
         let (sender, log) = channel();
         // A test that has ended does not receive any more.
         let program = Program::start(&mut command, move |line| drop(sender.send(line))).unwrap();
@@ -145,12 +145,12 @@
     }
 
     /// Waits until it accepts JSON-RPC clients.
-    pub fn wait_until_listening(&mut self) {
+    pub(crate) fn wait_until_listening(&mut self) {
         self.json = self.address("frontend: listening: protocol=JSON-RPC address=");
     }
 
     /// A node with a stand-in interpreter whose link is up.
-    pub fn with_interpreter(links: &str, uwsgi: Option<&str>) -> (Node, Server, Peer) {
+    pub(crate) fn with_interpreter(links: &str, uwsgi: Option<&str>) -> (Node, Server, Peer) {
         let vm = Server::new();
         let node = Node::start(&config(&format!(r#""vm": "{}", {links}"#, vm.address)), uwsgi);
         let link = vm.interpreter("0");
@@ -158,7 +158,7 @@
     }
 
     /// Waits for a log line that contains a text, and returns it.
-    pub fn wait_for_log(&mut self, words: &str) -> String {
+    pub(crate) fn wait_for_log(&mut self, words: &str) -> String {
         if let Some(at) = self.skipped_lines.iter().position(|line| line.contains(words)) {
             return self.skipped_lines.remove(at);
         }
@@ -178,16 +178,16 @@
         self.wait_for_log(words).rsplit('=').next().unwrap().parse().unwrap()
     }
 
-    pub fn uwsgi_address(&mut self) -> SocketAddr {
+    pub(crate) fn uwsgi_address(&mut self) -> SocketAddr {
         self.address("frontend: listening: protocol=uwsgi address=")
     }
 
-    pub fn admin_address(&mut self) -> SocketAddr {
+    pub(crate) fn admin_address(&mut self) -> SocketAddr {
         self.address("admin: listening: address=")
     }
 
     /// The result of a health check on a connection of its own.
-    pub fn health(&self) -> &'static str {
+    pub(crate) fn health(&self) -> &'static str {
         let mut check = self.client();
         check.send(STATUS);
         if check.read_line().contains("true") {
@@ -197,86 +197,86 @@
         }
     }
 
-    pub fn client(&self) -> Peer {
+    pub(crate) fn client(&self) -> Peer {
         Peer::connect(self.json)
     }
 
     /// Whether it has logged these words by now.
-    pub fn has_logged(&mut self, words: &str) -> bool {
+    pub(crate) fn has_logged(&mut self, words: &str) -> bool {
         self.skipped_lines.extend(self.log.try_iter());
         self.skipped_lines.iter().any(|line| line.contains(words))
     }
 
     /// Sends SIGTERM.
-    pub fn terminate(&self) {
+    pub(crate) fn terminate(&self) {
         self.program.signal(Signal::TERM).unwrap();
     }
 
     /// Pauses the process, so that whatever arrives meanwhile arrives in one moment for it.
-    pub fn pause(&self) {
+    pub(crate) fn pause(&self) {
         self.program.signal(Signal::STOP).unwrap();
     }
 
     /// Resumes the process.
-    pub fn resume(&self) {
+    pub(crate) fn resume(&self) {
         self.program.signal(Signal::CONT).unwrap();
     }
 
     /// The memory, descriptors and time that it uses.
-    pub fn usage(&self) -> Usage {
+    pub(crate) fn usage(&self) -> Usage {
         self.program.usage().unwrap()
     }
 
     /// Replaces its configuration and sends SIGHUP.
-    pub fn reload(&self, config: &str) {
+    pub(crate) fn reload(&self, config: &str) {
         self.replace_config(config);
         self.program.signal(Signal::HUP).unwrap();
     }
 
     /// Replaces its configuration without a signal.
-    pub fn replace_config(&self, config: &str) {
+    pub(crate) fn replace_config(&self, config: &str) {
         std::fs::write(&self.files[0], config).unwrap();
     }
 
     /// Replaces its uwsgi file and sends SIGHUP.
-    pub fn reload_uwsgi_file(&self, text: &str) {
+    pub(crate) fn reload_uwsgi_file(&self, text: &str) {
         std::fs::write(&self.files[1], text).unwrap();
         self.program.signal(Signal::HUP).unwrap();
     }
 
     /// Replaces its fleet file and sends SIGHUP.
-    pub fn reload_fleet_file(&self, text: &str) {
+    pub(crate) fn reload_fleet_file(&self, text: &str) {
         std::fs::write(self.files.last().unwrap(), text).unwrap();
         self.program.signal(Signal::HUP).unwrap();
     }
 
     /// Waits until it has drained and ended with status 0.
-    pub fn assert_clean_exit(mut self) {
+    pub(crate) fn assert_clean_exit(mut self) {
         self.wait_for_log("server: drained");
         assert!(self.program.wait().unwrap().success());
     }
 }
 
 /// A stand-in that the program connects to.
-pub struct Server {
+pub(crate) struct Server {
     listener: TcpListener,
     pub address: SocketAddr,
 }
 
 impl Server {
-    pub fn new() -> Server {
+    pub(crate) fn new() -> Server {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         Server { address: listener.local_addr().unwrap(), listener }
     }
 
-    pub fn accept(&self) -> Peer {
+    pub(crate) fn accept(&self) -> Peer {
         let (listener, (sender, accepted)) = (self.listener.try_clone().unwrap(), channel());
         std::thread::spawn(move || sender.send(listener.accept().unwrap().0));
         Peer::new(accepted.recv_timeout(TEST_TIMEOUT).expect("nobody connects"))
     }
 
     /// As an interpreter that has been up for long: accepts the next link, which has read notices up to `notice`.
-    pub fn interpreter(&self, notice: &str) -> Peer {
+    pub(crate) fn interpreter(&self, notice: &str) -> Peer {
         let mut link = self.accept();
         assert_eq!(link.read_line(), format!("CONNECT {notice}"));
         link.send(wire::banner(false, 10));
@@ -284,7 +284,7 @@
     }
 
     /// As a uwsgi server: the next request, its variables, sorted and without those that vary, and its body.
-    pub fn next_uwsgi_request(&self) -> (Peer, Vec<String>, Vec<u8>) {
+    pub(crate) fn next_uwsgi_request(&self) -> (Peer, Vec<String>, Vec<u8>) {
         let mut peer = self.accept();
         let head = peer.read_bytes(4);
         let mut block = &peer.read_bytes(usize::from(u16::from_le_bytes([head[1], head[2]])))[..];
@@ -304,7 +304,7 @@
 }
 
 /// One end of a connection with the program.
-pub struct Peer {
+pub(crate) struct Peer {
     stream: BufReader<TcpStream>,
 }
 
@@ -314,12 +314,12 @@
         Peer { stream: BufReader::new(stream) }
     }
 
-    pub fn connect(address: SocketAddr) -> Peer {
+    pub(crate) fn connect(address: SocketAddr) -> Peer {
         Peer::new(TcpStream::connect(address).unwrap())
     }
 
     /// A client for which the system buffers little that it has not read.
-    pub fn with_small_receive_buffer(address: SocketAddr) -> Peer {
+    pub(crate) fn with_small_receive_buffer(address: SocketAddr) -> Peer {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
         let stream = runtime.block_on(async {
             let socket = tokio::net::TcpSocket::new_v4().unwrap();
@@ -331,17 +331,17 @@
     }
 
     /// Sends something; whether the program still accepts it on this connection.
-    pub fn accepts(&mut self, text: impl AsRef<[u8]>) -> bool {
+    pub(crate) fn accepts(&mut self, text: impl AsRef<[u8]>) -> bool {
         self.stream.get_mut().write_all(text.as_ref()).is_ok()
     }
 
-    pub fn send(&mut self, text: impl AsRef<[u8]>) {
+    pub(crate) fn send(&mut self, text: impl AsRef<[u8]>) {
         self.stream.get_mut().write_all(text.as_ref()).unwrap();
     }
 
     /// The next line without its end; empty at the end of the stream. The notification `draining`, which a connection may get
     /// at any time where a slow machine leaves it idle, is skipped.
-    pub fn read_line(&mut self) -> String {
+    pub(crate) fn read_line(&mut self) -> String {
         loop {
             let line = self.read_any_line();
             if line != DRAINING {
@@ -351,32 +351,32 @@
     }
 
     /// The next line, the notification `draining` included.
-    pub fn read_any_line(&mut self) -> String {
+    pub(crate) fn read_any_line(&mut self) -> String {
         let mut line = String::new();
         self.stream.read_line(&mut line).unwrap();
         line.trim_end().to_string()
     }
 
-    pub fn read_bytes(&mut self, length: usize) -> Vec<u8> {
+    pub(crate) fn read_bytes(&mut self, length: usize) -> Vec<u8> {
         let mut bytes = vec![0; length];
         self.stream.read_exact(&mut bytes).unwrap();
         bytes
     }
 
     /// Everything up to the end of the stream.
-    pub fn read_to_end(&mut self) -> String {
+    pub(crate) fn read_to_end(&mut self) -> String {
         let mut rest = String::new();
         self.stream.read_to_string(&mut rest).unwrap();
         rest
     }
 
     /// Whether the program has closed this connection, cleanly or not, without sending more.
-    pub fn is_closed(&mut self) -> bool {
+    pub(crate) fn is_closed(&mut self) -> bool {
         uninterrupted(|| self.stream.read(&mut [0])).is_ok_and(|n| n == 0)
     }
 
     /// As an interpreter: the next command that does not ask for gauges, with its body. Questions for gauges get a response.
-    pub fn next_command(&mut self) -> (Vec<String>, String) {
+    pub(crate) fn next_command(&mut self) -> (Vec<String>, String) {
         // Gauges are asked for all the time, so the guard on each read is not enough.
         let guard = Instant::now() + TEST_TIMEOUT;
         while Instant::now() < guard {
@@ -396,30 +396,37 @@
     }
 
     /// As an interpreter: the next command, which is to start a run; returns the id, the class and the body.
-    pub fn next_run(&mut self) -> (String, String, String) {
+    pub(crate) fn next_run(&mut self) -> (String, String, String) {
         let (words, body) = self.next_command();
         assert_eq!(words[0], "APPLY", "{words:?}");
         (words[1].clone(), words[2].clone(), body)
     }
 
-    pub fn send_run_result(&mut self, notice: u32, id: &str, end: &str, result: &str) {
+    pub(crate) fn send_run_result(&mut self, notice: u32, id: &str, end: &str, result: &str) {
         self.send(wire::value(notice.into(), id, end, 5, result));
     }
 
     /// As a client: sends a request with the body `body`; a key makes it one of class `book`.
-    pub fn request(&mut self, id: u32, txn: &str, key: Option<&str>, limit_ms: u32) {
+    pub(crate) fn request(&mut self, id: u32, txn: &str, key: Option<&str>, limit_ms: u32) {
         self.request_followed_by(id, txn, key, limit_ms, "");
     }
 
     /// The same with more lines in the same write.
-    pub fn request_followed_by(&mut self, id: u32, txn: &str, key: Option<&str>, limit_ms: u32, more: &str) {
+    pub(crate) fn request_followed_by(
+        &mut self,
+        id: u32,
+        txn: &str,
+        key: Option<&str>,
+        limit_ms: u32,
+        more: &str,
+    ) {
         let class = if key.is_some() { "book" } else { "quote" };
         self.send(request(id, txn, class, key, limit_ms) + more);
     }
 }
 
 /// A request of any class, as a client writes it.
-pub fn request(id: u32, txn: &str, class: &str, key: Option<&str>, limit_ms: u32) -> String {
+pub(crate) fn request(id: u32, txn: &str, class: &str, key: Option<&str>, limit_ms: u32) -> String {
     let request = wire::Request {
         id: id.into(),
         txn,
@@ -437,17 +444,17 @@
 }
 
 /// A uwsgi file with nothing but the frontend.
-pub const UWSGI: &str = "listen = '127.0.0.1:0'\n";
+pub(crate) const UWSGI: &str = "listen = '127.0.0.1:0'\n";
 
 /// As an operator: the complete response to a call.
-pub fn admin_call(ops: SocketAddr, call: &str) -> String {
+pub(crate) fn admin_call(ops: SocketAddr, call: &str) -> String {
     let mut peer = Peer::connect(ops);
     peer.send(format!("{call} HTTP/1.1\r\nHost: node\r\n\r\n"));
     peer.read_to_end()
 }
 
 /// A complete request, as a uwsgi client sends it.
-pub fn packet(vars: &[(&str, &str)], body: &str) -> Vec<u8> {
+pub(crate) fn packet(vars: &[(&str, &str)], body: &str) -> Vec<u8> {
     let length = body.len().to_string();
     let mut block = Vec::new();
     for (name, value) in vars.iter().chain([&("CONTENT_LENGTH", &length[..])]) {
@@ -460,14 +467,14 @@
     [&[0, low, high, 0], &block[..], body.as_bytes()].concat()
 }
 
-pub fn bind_udp(address: &str) -> UdpSocket {
+pub(crate) fn bind_udp(address: &str) -> UdpSocket {
     let socket = UdpSocket::bind(address).unwrap();
     socket.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     socket
 }
 
 /// The next datagram.
-pub fn next_datagram(socket: &UdpSocket) -> Vec<u8> {
+pub(crate) fn next_datagram(socket: &UdpSocket) -> Vec<u8> {
     let mut bytes = [0; 2048];
     let length = uninterrupted(|| socket.recv(&mut bytes)).unwrap();
     bytes[..length].to_vec()
@@ -483,4 +490,4 @@
     }
 }
 
-pub const LONG_LIMIT_MS: u32 = 100_000;
+pub(crate) const LONG_LIMIT_MS: u32 = 100_000;
--- a/node/tests/sockets/upgrade.rs
+++ b/node/tests/sockets/upgrade.rs
@@ -6,7 +6,7 @@
 use tokio::net::TcpSocket;
 
 /// What two processes of one node share: addresses that only this test uses, and a folder.
-pub struct Place {
+pub(crate) struct Place {
     pub json: String,
     uwsgi: String,
     pub folder: PathBuf,
@@ -14,7 +14,7 @@
 }
 
 impl Place {
-    pub fn new(host: &str) -> Place {
+    pub(crate) fn new(host: &str) -> Place {
         // Held, shared and deaf, for as long as the test lasts: nobody else gets these ports, and a copy that a child
         // of another test holds for a moment shuts no process of the node out.
         let held = [(); 2].map(|()| {
