--- /dev/null
+++ b/node/tests/sockets/helper/mod.rs
@@ -0,0 +1,133 @@
+//! Starts the program as a process and stands in for its clients, backends and services. Everything waits for events; the
+//! only time limit turns a test that would hang into one that fails.
+
+mod node;
+mod peer;
+
+use std::io;
+use std::net::{SocketAddr, UdpSocket};
+use std::path::PathBuf;
+use std::process::{Command, Output, Stdio};
+use std::sync::atomic::{AtomicU32, Ordering};
+use std::time::Duration;
+
+use oakwind_fault_harness::wire;
+pub use oakwind_fault_harness::wire::DRAINING;
+
+pub use node::Node;
+pub use peer::{Peer, Server};
+
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
+
+/// An address at which nobody listens; no test that asks for any port gets this one.
+pub const UNREACHABLE: &str = "127.0.0.1:1";
+
+/// Two classes whose runs make calls; their times are too long to matter where a test does not change them.
+const SETTINGS: &str = r#"{"services": [
+    {"name": "quote", "slo": 60000000, "deadline": 120000000, "effect": "repeatable"},
+    {"name": "book", "slo": 60000000, "deadline": 120000000, "effect": "by_key", "window": 120000000,
+     "worth": 2.0, "lateWorth": 0.2}],
+  "specifics": {"cores": 2, "memoryKb": 100000.0, "runFactor": 8.0, "entryKb": 1.0, "dependsOn": "tier",
+     "classCalls": [true, true], "classSkipWorth": [0.5, 0.0], "idle": 30000000, "passesDeadline": true,
+     "preemption": "pause", "gauges": ["cpu_busy", "runnable", "mem_used", "sockets"]},
+  "safety": {"drainGrace": 200000, "fallMultiple": 8.0},
+  "limits": {"maxRetryAfter": 1000000, "retryAfter": true},
+  "tenants": [{"name": "acme", "quotaPerS": 100.0}], "servers": 1, "tick": 4000}"#;
+
+pub fn now_ms() -> u64 {
+    oakwind_fault_harness::clock::unix_now().as_millis() as u64
+}
+
+/// Writes a file for one test, in cargo's own folder.
+pub fn file(name: &str, text: &str) -> PathBuf {
+    static NEXT: AtomicU32 = AtomicU32::new(0);
+    let number = NEXT.fetch_add(1, Ordering::Relaxed);
+    let path =
+        PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-{number}-{name}", std::process::id()));
+    std::fs::write(&path, text).unwrap();
+    path
+}
+
+/// A configuration with further keys, each with a comma after it.
+pub fn config(links: &str) -> String {
+    format!(
+        r#"{{"name": "n1", "listen": "127.0.0.1:0", "seed": "8c1f", "stop_ms": 30000, {links} "settings": {SETTINGS}}}"#
+    )
+}
+
+pub fn oakwind(arguments: &[&str]) -> Command {
+    let mut command = Command::new(env!("CARGO_BIN_EXE_oakwind"));
+    command.args(arguments).env_remove("BALANCER_CONFIG").env_remove("TMPDIR").stdin(Stdio::null());
+    command
+}
+
+pub fn output(arguments: &[&str]) -> Output {
+    oakwind(arguments).output().unwrap()
+}
+
+/// A request of any class, as a client writes it.
+pub fn request(id: u32, txn: &str, class: &str, key: Option<&str>, limit_ms: u32) -> String {
+    let request = wire::Request {
+        id: id.into(),
+        txn,
+        class,
+        door: now_ms(),
+        front: 1,
+        team: "acme",
+        limit: limit_ms.into(),
+        cpu: 1.5,
+        ram: 24.5,
+        key,
+        content: "Ym9keQ==",
+    };
+    request.to_string()
+}
+
+/// A uwsgi file with nothing but the frontend.
+pub const UWSGI: &str = "listen = '127.0.0.1:0'\n";
+
+/// As an operator: the complete response to a call.
+pub fn admin_call(ops: SocketAddr, call: &str) -> String {
+    let mut peer = Peer::connect(ops);
+    peer.send(format!("{call} HTTP/1.1\r\nHost: node\r\n\r\n"));
+    peer.read_to_end()
+}
+
+/// A complete request, as a uwsgi client sends it.
+pub fn packet(vars: &[(&str, &str)], body: &str) -> Vec<u8> {
+    let length = body.len().to_string();
+    let mut block = Vec::new();
+    for (name, value) in vars.iter().chain([&("CONTENT_LENGTH", &length[..])]) {
+        for part in [name, value] {
+            block.extend((part.len() as u16).to_le_bytes());
+            block.extend(part.as_bytes());
+        }
+    }
+    let [low, high] = (block.len() as u16).to_le_bytes();
+    [&[0, low, high, 0], &block[..], body.as_bytes()].concat()
+}
+
+pub fn bind_udp(address: &str) -> UdpSocket {
+    let socket = UdpSocket::bind(address).unwrap();
+    socket.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+    socket
+}
+
+/// The next datagram.
+pub fn next_datagram(socket: &UdpSocket) -> Vec<u8> {
+    let mut bytes = [0; 2048];
+    let length = uninterrupted(|| socket.recv(&mut bytes)).unwrap();
+    bytes[..length].to_vec()
+}
+
+/// Repeats a read that was interrupted, as reads with a time limit are where the machine is suspended.
+fn uninterrupted<T>(mut read: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+    loop {
+        match read() {
+            Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
+            done => return done,
+        }
+    }
+}
+
+pub const LONG_LIMIT_MS: u32 = 100_000;
