--- a/examples/common/mod.rs
+++ b/examples/common/mod.rs
@@ -8,7 +8,7 @@
 
 /// Asks with so many open at a time until so many are answered, with keys from one on. Returns when each was asked and how
 /// long it took, and how many were served.
-pub fn ask(
+pub(crate) fn ask(
     json: SocketAddr,
     class: &str,
     open: usize,
@@ -44,7 +44,7 @@
 }
 
 /// A stand-in interpreter that ends every run at once, with this result.
-pub fn interpret(vm: &TcpListener, result: &str) -> io::Result<()> {
+pub(crate) fn interpret(vm: &TcpListener, result: &str) -> io::Result<()> {
     let (stream, _) = vm.accept()?;
     stream.set_nodelay(true)?;
     let (mut output, mut input) = (stream.try_clone()?, BufReader::new(stream));
