--- a/node/src/peers/mod.rs
+++ b/node/src/peers/mod.rs
@@ -7,8 +7,8 @@
 mod completeness_marker;
 mod connection;
 mod driver;
-pub(crate) mod links;
-pub(crate) mod message_codec;
+mod links;
+mod message_codec;
 mod metrics;
 mod monotonic_clock;
 mod replica_host;
--- a/node/src/result_store/mod.rs
+++ b/node/src/result_store/mod.rs
@@ -7,14 +7,14 @@
 //! [`segment`] are the byte formats, [`segment_log`] does the I/O on a [`disk`], and [`writer`] is the thread that waits for
 //! it.
 
-pub(crate) mod disk;
-pub(crate) mod metrics;
+mod disk;
+mod metrics;
 pub(crate) mod record;
 pub(crate) mod recovery;
-pub(crate) mod segment;
-pub(crate) mod segment_index;
-pub(crate) mod segment_log;
-pub(crate) mod writer;
+mod segment;
+mod segment_index;
+mod segment_log;
+mod writer;
 
 use std::io;
 use std::path::PathBuf;
--- a/node/tests/sockets/fixtures.rs
+++ b/node/tests/sockets/fixtures.rs
@@ -50,8 +50,8 @@
     client
 }
 
-/// What every repeat of the bookings in a fixture is to get, but for the one whose first try never ran.
-fn repeats_get_what_the_first_tries_got(front: std::net::SocketAddr) {
+/// What every repeat of the bookings in a fixture is to get, but for the one whose first attempt never ran.
+fn assert_repeats_get_what_the_first_attempts_got(front: std::net::SocketAddr) {
     for (key, body, status, result) in [
         ("ended", "body", "200", "job 5"),
         ("over uwsgi", "another body", "200", "job 6"),
@@ -74,7 +74,7 @@
     node.wait_for_log("result store: recovered: keys=5");
     node.wait_for_log("health is good");
     let front = node.uwsgi_address();
-    repeats_get_what_the_first_tries_got(front);
+    assert_repeats_get_what_the_first_attempts_got(front);
     // That it never ran is not on the disk, only that it may have begun.
     assert!(book(front, "freed", "body").read_to_end().starts_with("HTTP/1.1 500 "));
     let stats = admin_call(node.admin_address(), "GET /ops/stats");
@@ -98,7 +98,7 @@
     node.wait_for_log("fleet: quorum reached");
     node.wait_for_log("health is good");
     let front = node.uwsgi_address();
-    repeats_get_what_the_first_tries_got(front);
+    assert_repeats_get_what_the_first_attempts_got(front);
     let mut freed = book(front, "freed", "body");
     let (id, class, body) = link.next_run();
     assert_eq!((class.as_str(), body.as_str()), ("book", "body"), "the one key that never ran runs");
@@ -111,9 +111,9 @@
 }
 
 /// What a command says of the decisions in the fixture, and whether nothing was wrong or missing.
-fn asked(arguments: &[&str]) -> (bool, String) {
+fn run_command(arguments: &[&str]) -> (bool, String) {
     let folder = fixture("records");
-    let output = output(&[&["fleet"], arguments, &["--json", folder.to_str().unwrap()]].concat());
+    let output = output(&[&["fleet"], arguments, &[folder.to_str().unwrap()]].concat());
     assert!(output.stderr.is_empty(), "{}", String::from_utf8_lossy(&output.stderr));
     (output.status.success(), String::from_utf8(output.stdout).unwrap())
 }
@@ -125,16 +125,22 @@
 
 #[test]
 fn an_audit_of_decisions_of_an_earlier_build_says_the_same() {
-    let (clean, said) = asked(&["audit", "--spread-ms", "0"]);
-    assert!(!clean, "a key ran again once its process was gone");
-    assert_eq!(said, golden("audit.json"));
+    for (format, name) in [(&["--json"][..], "audit.json"), (&[], "audit.txt")] {
+        let (clean, text) = run_command(&[&["audit", "--spread-ms", "0"], format].concat());
+        assert!(!clean, "a key ran again once its process was gone");
+        assert_eq!(text, golden(name));
+    }
 }
 
 #[test]
-fn decisions_of_an_earlier_build_on_a_try_and_on_a_key_are_explained_the_same() {
-    for (about, name) in [("a2", "explain-try.json"), ("k", "explain-key.json")] {
-        let (found, said) = asked(&["explain", about]);
+fn decisions_of_an_earlier_build_on_an_attempt_and_on_a_key_are_explained_the_same() {
+    for (arguments, name) in [
+        (&["explain", "a2", "--json"][..], "explain-try.json"),
+        (&["explain", "k", "--json"], "explain-key.json"),
+        (&["explain", "k"], "explain-key.txt"),
+    ] {
+        let (found, text) = run_command(arguments);
         assert!(found);
-        assert_eq!(said, golden(name), "{about}");
+        assert_eq!(text, golden(name), "{arguments:?}");
     }
 }
