--- a/node/src/clock.rs
+++ b/node/src/clock.rs
@@ -13,9 +13,6 @@
 /// A point in time, as the time since the Unix epoch.
 pub(crate) type UnixTime = Duration;
 
-/// The same; the name that is still used in places.
-pub(crate) type Unix = UnixTime;
-
 /// While the system's clock is behind, this one runs slower by one part in so many.
 const SLOWDOWN_DIVISOR: u32 = 20;
 /// What the system's clock gains on the monotonic one between two readings is a jump from this on.
--- a/node/src/peers/connection.rs
+++ b/node/src/peers/connection.rs
@@ -16,7 +16,7 @@
 
 use super::links::{count, LinkEvent, LinkMetrics};
 use super::message_codec::{decode, encode, Decoded, PREAMBLE};
-use crate::clock::{self, Unix};
+use crate::clock::{self, UnixTime};
 use crate::{log, sockets};
 
 /// By then after the start of a link it has to be connected, and the peer has to have sent its preamble.
@@ -121,7 +121,7 @@
     }
 
     /// Reads and writes until either end is done. The peer's preamble has to come by `preamble_deadline`.
-    async fn exchange(&self, mut stream: TcpStream, preamble_deadline: Unix) -> io::Result<()> {
+    async fn exchange(&self, mut stream: TcpStream, preamble_deadline: UnixTime) -> io::Result<()> {
         let mut input = Input { bytes: BytesMut::with_capacity(INPUT_BUFFER_BYTES), has_preamble: false };
         let mut writing = BytesMut::new();
         let (mut reader, mut writer) = stream.split();
--- a/node/src/peers/links.rs
+++ b/node/src/peers/links.rs
@@ -16,7 +16,7 @@
 use tokio::sync::mpsc;
 
 use super::connection::{Connection, Origin, OutputQueue, IDENTIFICATION_TIMEOUT};
-use crate::clock::{self, Unix};
+use crate::clock::{self, UnixTime};
 use crate::log;
 
 /// Bytes that may wait to be written on a link.
@@ -91,14 +91,14 @@
     remote: Option<RemoteProcess>,
     /// The node that this node dialed; none if the link was accepted.
     dialed: Option<NodeId>,
-    last_used: Unix,
+    last_used: UnixTime,
 }
 
 /// Why a peer is not dialed for a while.
 #[derive(Default)]
 struct DialBackoff {
     failures: u32,
-    not_before: Unix,
+    not_before: UnixTime,
 }
 
 /// All links of this node.
@@ -181,7 +181,7 @@
 
     /// Whether one more link may be dialed; at the limit the least recently used one is closed, unless that was used just
     /// now.
-    fn has_capacity_to_dial(&mut self, now: Unix) -> bool {
+    fn has_capacity_to_dial(&mut self, now: UnixTime) -> bool {
         if self.dialed.len() < self.max_links {
             return true;
         }
--- a/node/src/peers/mod.rs
+++ b/node/src/peers/mod.rs
@@ -27,7 +27,7 @@
 use sha2::{Digest, Sha256};
 use tokio::sync::mpsc;
 
-use crate::clock::{self, Unix};
+use crate::clock::{self, UnixTime};
 use crate::config::FleetConfig;
 use crate::exchange::Exchange;
 use crate::log;
@@ -66,11 +66,11 @@
     /// Its body.
     pub(crate) body: &'a [u8],
     /// When the key expires.
-    pub(crate) expires_at: Unix,
+    pub(crate) expires_at: UnixTime,
     /// When its request was received.
-    pub(crate) received_at: Unix,
+    pub(crate) received_at: UnixTime,
     /// When its caller stops waiting.
-    pub(crate) deadline: Unix,
+    pub(crate) deadline: UnixTime,
 }
 
 /// The run gate's handle on the fleet.
--- a/node/src/peers/monotonic_clock.rs
+++ b/node/src/peers/monotonic_clock.rs
@@ -4,7 +4,7 @@
 
 use oakwind_fleet::Time;
 
-use crate::clock::{self, Unix};
+use crate::clock::{self, UnixTime};
 
 /// The time at which a process begins, so that what was before it has a time too.
 const TIME_AT_START: Duration = Duration::from_secs(3600);
@@ -27,7 +27,7 @@
     }
 
     /// The time of a point on the Unix clock.
-    pub(super) fn time_of(&self, at: Unix) -> Time {
+    pub(super) fn time_of(&self, at: UnixTime) -> Time {
         let (now, unix_now) = (self.now(), clock::now());
         if at >= unix_now {
             now + (at - unix_now)
--- a/node/src/peers/vote_store.rs
+++ b/node/src/peers/vote_store.rs
@@ -11,7 +11,7 @@
 use oakwind_fleet::LATE_READ_GRACE;
 
 use super::completeness_marker::CompletenessMarker;
-use crate::clock::{self, Unix};
+use crate::clock::{self, UnixTime};
 use crate::config::FleetConfig;
 use crate::log;
 use crate::outcome::{IdempotencyRecord, RunState};
@@ -71,7 +71,7 @@
 }
 
 /// All votes of a folder; none if anything in it was damaged, or is from the future.
-fn decode_votes(recovered: &RecoveredState, now: Unix) -> Option<Vec<StoredRecord>> {
+fn decode_votes(recovered: &RecoveredState, now: UnixTime) -> Option<Vec<StoredRecord>> {
     if recovered.damage != Damage::default() || !recovered.clock_setback.is_zero() {
         return None;
     }
@@ -79,7 +79,7 @@
 }
 
 /// The vote in a record of the folder, with what is left of its time at `now`.
-fn decode_vote(record: &IdempotencyRecord, now: Unix) -> Option<StoredRecord> {
+fn decode_vote(record: &IdempotencyRecord, now: UnixTime) -> Option<StoredRecord> {
     let RunState::Succeeded(bytes) = &record.state else { return None };
     let stored: StoredRecord = postcard::from_bytes(bytes).ok()?;
     let retain_ms = clock::millis(record.expires_at.saturating_sub(now));
--- a/node/src/result_store/record.rs
+++ b/node/src/result_store/record.rs
@@ -8,7 +8,7 @@
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
-use crate::clock::{millis, Unix};
+use crate::clock::{millis, UnixTime};
 use crate::outcome::digest;
 
 /// Bytes of a record before its key.
@@ -49,9 +49,9 @@
     /// Its number; numbers have no gaps, so a missing one shows that a record was lost.
     pub(crate) number: u64,
     /// When it was written.
-    pub(crate) written_at: Unix,
+    pub(crate) written_at: UnixTime,
     /// Until when its key is remembered.
-    pub(crate) expires_at: Unix,
+    pub(crate) expires_at: UnixTime,
     /// The digest of the body that all attempts with this key carry.
     pub(crate) body_digest: u64,
     /// The state of the key's run.
@@ -67,7 +67,7 @@
     pub(crate) fn new(
         key: Bytes,
         body_digest: u64,
-        expires_at: Unix,
+        expires_at: UnixTime,
         state: RecordState,
         result: Bytes,
     ) -> Self {
@@ -108,9 +108,9 @@
     /// The digest of its key.
     pub(crate) key_digest: u64,
     /// When it was written.
-    pub(crate) written_at: Unix,
+    pub(crate) written_at: UnixTime,
     /// Until when its key is remembered.
-    pub(crate) expires_at: Unix,
+    pub(crate) expires_at: UnixTime,
     body_digest: u64,
     state: RecordState,
     key_len: usize,
--- a/node/src/result_store/recovery.rs
+++ b/node/src/result_store/recovery.rs
@@ -12,7 +12,7 @@
 use super::record::{Record, RecordHeader, RecordState};
 use super::segment::{scan, ScanItem, SegmentHeader, SEGMENT_HEADER_BYTES};
 use super::segment_index::{Limits, SegmentIndex};
-use crate::clock::Unix;
+use crate::clock::UnixTime;
 use crate::outcome::{digest, BodyDigest, IdempotencyRecord, RunState};
 
 /// A segment as it was read.
@@ -27,15 +27,15 @@
 #[derive(Debug, Default, PartialEq)]
 pub(crate) struct UncertainKeys {
     /// Until when each is uncertain, by the digest of the key.
-    by_digest: HashMap<u64, Unix>,
+    by_digest: HashMap<u64, UnixTime>,
     /// Until then every key that is not known is uncertain.
-    all_until: Unix,
+    all_until: UnixTime,
     seed: u64,
 }
 
 impl UncertainKeys {
     /// Whether a key that is not known may have run.
-    pub(crate) fn contains(&self, key: &[u8], now: Unix) -> bool {
+    pub(crate) fn contains(&self, key: &[u8], now: UnixTime) -> bool {
         if now < self.all_until {
             return true;
         }
@@ -47,11 +47,11 @@
     }
 
     /// When no key is uncertain any more.
-    pub(crate) fn resolved_at(&self) -> Unix {
-        self.by_digest.values().copied().fold(self.all_until, Unix::max)
+    pub(crate) fn resolved_at(&self) -> UnixTime {
+        self.by_digest.values().copied().fold(self.all_until, UnixTime::max)
     }
 
-    fn add(&mut self, key_digest: u64, until: Unix) {
+    fn add(&mut self, key_digest: u64, until: UnixTime) {
         let entry = self.by_digest.entry(key_digest).or_default();
         *entry = (*entry).max(until);
     }
@@ -92,7 +92,7 @@
     segments: impl Iterator<Item = Segment>,
     limits: Limits,
     max_window: Duration,
-    now: Unix,
+    now: UnixTime,
 ) -> (SegmentIndex, RecoveredState) {
     let mut recovery = Recovery::new(seed, limits, max_window);
     for segment in segments {
@@ -105,7 +105,7 @@
 #[derive(Debug, Clone, Copy)]
 enum GapEnd {
     /// A record or segment that was written then.
-    NextRecord(Unix),
+    NextRecord(UnixTime),
     /// Nothing: this start.
     Restart,
 }
@@ -118,7 +118,7 @@
     /// The last record of each key.
     last_records: HashMap<Bytes, Record>,
     /// Digests of the keys of records that cannot be read, and until when these were to be remembered.
-    unreadable: Vec<(u64, Unix)>,
+    unreadable: Vec<(u64, UnixTime)>,
     /// Where records are missing.
     gaps: Vec<GapEnd>,
     /// The number of the next record if none is missing.
@@ -127,7 +127,7 @@
     unknown_start: bool,
     /// The end of the last segment may have held more.
     torn_end: bool,
-    newest: Unix,
+    newest: UnixTime,
     max_window: Duration,
 }
 
@@ -208,12 +208,12 @@
         self.damage.missing += missing;
     }
 
-    fn observe_times(&mut self, written_at: Unix, expires_at: Unix) {
+    fn observe_times(&mut self, written_at: UnixTime, expires_at: UnixTime) {
         self.newest = self.newest.max(written_at);
         self.max_window = self.max_window.max(expires_at.saturating_sub(written_at));
     }
 
-    fn finish(mut self, now: Unix) -> (SegmentIndex, RecoveredState) {
+    fn finish(mut self, now: UnixTime) -> (SegmentIndex, RecoveredState) {
         // If the clock was set back, what remains of each key's time counts from now: otherwise entries would stay for as
         // long as the clock went back, and fill the store.
         let clock_setback = self.newest.saturating_sub(now);
@@ -234,7 +234,7 @@
         (self.index, recovered)
     }
 
-    fn uncertain_keys(&self, clock_setback: Duration, now: Unix) -> UncertainKeys {
+    fn uncertain_keys(&self, clock_setback: Duration, now: UnixTime) -> UncertainKeys {
         let written_by = |gap: &GapEnd| match gap {
             GapEnd::NextRecord(at) => at.saturating_sub(clock_setback).min(now),
             GapEnd::Restart => now,
--- a/node/src/result_store/recovery/tests.rs
+++ b/node/src/result_store/recovery/tests.rs
@@ -7,11 +7,11 @@
 const LIMITS: Limits = Limits { max_bytes: 1 << 22 };
 const MAX_WINDOW: Duration = Duration::from_secs(17);
 
-fn at(seconds: u64) -> Unix {
+fn at(seconds: u64) -> UnixTime {
     Duration::from_secs(seconds)
 }
 
-fn put_header(first_record: u64, created_at: Unix, output: &mut BytesMut) {
+fn put_header(first_record: u64, created_at: UnixTime, output: &mut BytesMut) {
     SegmentHeader { seed: SEED, first_record, created_at }.encode(output);
 }
 
@@ -52,7 +52,7 @@
     (segments, records)
 }
 
-fn recovered(segments: &[BytesMut], now: Unix) -> RecoveredState {
+fn recovered(segments: &[BytesMut], now: UnixTime) -> RecoveredState {
     let segments =
         (1..).zip(segments).map(|(number, bytes)| Segment { number, bytes: bytes.clone().freeze() });
     recover(SEED, segments, LIMITS, MAX_WINDOW, now).1
--- a/node/src/result_store/segment.rs
+++ b/node/src/result_store/segment.rs
@@ -6,7 +6,7 @@
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
 use super::record::{Record, RecordHeader, HEADER_BYTES, RECORD_MAGIC};
-use crate::clock::{millis, Unix};
+use crate::clock::{millis, UnixTime};
 use crate::outcome::digest;
 
 /// Bytes of a segment before its first record.
@@ -27,7 +27,7 @@
     /// The number of the first record in the segment.
     pub(crate) first_record: u64,
     /// When the segment was created.
-    pub(crate) created_at: Unix,
+    pub(crate) created_at: UnixTime,
 }
 
 impl SegmentHeader {
--- a/node/src/result_store/segment_index.rs
+++ b/node/src/result_store/segment_index.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 
 use super::record::{Record, RecordState, HEADER_BYTES};
-use crate::clock::Unix;
+use crate::clock::UnixTime;
 use crate::outcome::{LATE_READ_GRACE, MAX_RESULT_BYTES};
 
 /// A segment is full at this part of the whole store.
@@ -64,7 +64,7 @@
     segment: u64,
     record: u64,
     bytes: u64,
-    expires_at: Unix,
+    expires_at: UnixTime,
     /// Whether capacity is reserved for the end of the key's run.
     reserves_completion: bool,
 }
@@ -79,9 +79,9 @@
     current_bytes: u64,
     /// Bytes reserved for the ends of runs that have started.
     reserved_bytes: u64,
-    last_expiry_scan: Unix,
+    last_expiry_scan: UnixTime,
     /// No segment is removed before then: its damaged records may be needed by one more start.
-    retained_until: Unix,
+    retained_until: UnixTime,
 }
 
 impl SegmentIndex {
@@ -151,7 +151,7 @@
 
     /// Finishes recovery: the clock was set back by `clock_setback`, and segments are kept until `retained_until` for the
     /// sake of their damaged records. Runs that had started will report no end, so nothing is reserved for one.
-    pub(crate) fn finish_recovery(&mut self, clock_setback: Duration, retained_until: Unix) {
+    pub(crate) fn finish_recovery(&mut self, clock_setback: Duration, retained_until: UnixTime) {
         self.retained_until = retained_until;
         self.reserved_bytes = 0;
         for location in self.locations.values_mut() {
@@ -179,7 +179,7 @@
     }
 
     /// What is to be done at `now` before the next record is written, if anything.
-    pub(crate) fn next_step(&mut self, now: Unix) -> Option<MaintenanceStep> {
+    pub(crate) fn next_step(&mut self, now: UnixTime) -> Option<MaintenanceStep> {
         if now >= self.last_expiry_scan + EXPIRY_SCAN_INTERVAL {
             self.last_expiry_scan = now;
             self.remove_expired_keys(now);
@@ -198,7 +198,7 @@
         self.needs_compaction().then_some(MaintenanceStep::Compact(oldest.number))
     }
 
-    fn remove_expired_keys(&mut self, now: Unix) {
+    fn remove_expired_keys(&mut self, now: UnixTime) {
         let expired = |location: &RecordLocation| now >= location.expires_at + LATE_READ_GRACE;
         let expired = self.locations.iter().filter(|(_, location)| expired(location));
         let keys: Vec<Bytes> = expired.map(|(key, _)| key.clone()).collect();
--- a/node/src/result_store/segment_log.rs
+++ b/node/src/result_store/segment_log.rs
@@ -13,7 +13,7 @@
 use super::recovery::{recover, RecoveredState, Segment};
 use super::segment::{scan, segment_number, segment_path, ScanItem, SegmentHeader, SEGMENT_HEADER_BYTES};
 use super::segment_index::{required_bytes, Limits, MaintenanceStep, SegmentIndex};
-use crate::clock::Unix;
+use crate::clock::UnixTime;
 use crate::log;
 use crate::outcome::MAX_RESULT_BYTES;
 
@@ -47,7 +47,7 @@
         mut disk: D,
         limits: Limits,
         max_window: Duration,
-        now: Unix,
+        now: UnixTime,
     ) -> io::Result<(Self, RecoveredState)> {
         let lock = lock_folder(path)?;
         let numbers = segment_numbers(path)?;
@@ -68,7 +68,7 @@
     }
 
     /// Writes the records for which there is capacity, with one wait for the disk. Returns for each whether it is durable.
-    pub(crate) fn write(&mut self, mut records: Vec<Record>, now: Unix) -> Vec<bool> {
+    pub(crate) fn write(&mut self, mut records: Vec<Record>, now: UnixTime) -> Vec<bool> {
         if let Err(e) = self.maintain(now) {
             log!("result store: maintenance failed: error={e}");
         }
@@ -89,7 +89,7 @@
     }
 
     /// Numbers a record if there is capacity for it behind `pending` bytes, which it is added to.
-    fn accept(&mut self, record: &mut Record, pending: &mut u64, now: Unix) -> bool {
+    fn accept(&mut self, record: &mut Record, pending: &mut u64, now: UnixTime) -> bool {
         if record.result.len() > MAX_RESULT_BYTES {
             // It was delivered once; later attempts get 'failed'.
             (record.state, record.result) = (RecordState::Failed, Bytes::new());
@@ -130,7 +130,7 @@
     }
 
     /// Does what the index asks for.
-    fn maintain(&mut self, now: Unix) -> io::Result<()> {
+    fn maintain(&mut self, now: UnixTime) -> io::Result<()> {
         if self.active_segment.is_none() {
             self.rotate(now)?;
         }
@@ -145,7 +145,7 @@
     }
 
     /// Creates a segment, which is the active one from then on.
-    fn rotate(&mut self, now: Unix) -> io::Result<()> {
+    fn rotate(&mut self, now: UnixTime) -> io::Result<()> {
         let number = self.index.next_segment_number();
         let header = SegmentHeader { seed: self.seed, first_record: self.next_record, created_at: now };
         let mut bytes = BytesMut::new();
@@ -204,7 +204,7 @@
 
 /// Reads the seed, from a segment if its own file is damaged, and writes that file again then. A store without any gets a
 /// new seed.
-fn open_seed(path: &Path, segments: &[u64], disk: &mut impl Disk, now: Unix) -> io::Result<u64> {
+fn open_seed(path: &Path, segments: &[u64], disk: &mut impl Disk, now: UnixTime) -> io::Result<u64> {
     let seed_path = path.join(SEED_FILE);
     if let Some(header) = read_header(&seed_path) {
         return Ok(header.seed);
--- a/node/src/result_store/segment_log/tests.rs
+++ b/node/src/result_store/segment_log/tests.rs
@@ -22,7 +22,7 @@
         TestFolder(path)
     }
 
-    fn open<D: Disk>(&self, disk: D, now: Unix) -> (SegmentLog<D>, RecoveredState) {
+    fn open<D: Disk>(&self, disk: D, now: UnixTime) -> (SegmentLog<D>, RecoveredState) {
         SegmentLog::open(&self.0, disk, LIMITS, MAX_WINDOW, now).unwrap()
     }
 
@@ -83,13 +83,13 @@
     }
 }
 
-fn record(key: &str, state: RecordState, result_len: usize, now: Unix) -> Record {
+fn record(key: &str, state: RecordState, result_len: usize, now: UnixTime) -> Record {
     let expires_at = now + Duration::from_secs(10);
     let (key, result) = (Bytes::copy_from_slice(key.as_bytes()), Bytes::from(vec![7; result_len]));
     Record { written_at: now, ..Record::new(key, 1, expires_at, state, result) }
 }
 
-fn at(millis: u64) -> Unix {
+fn at(millis: u64) -> UnixTime {
     Duration::from_millis(1_000_000 + millis)
 }
 
