--- a/fleet/src/active_configs.rs
+++ b/fleet/src/active_configs.rs
@@ -1,7 +1,7 @@
 //! The membership configurations that are active at the same time (joint configurations, as in Raft).
 //!
-//! A claim needs a quorum in each of them. The oldest one retires one idempotency window after so many of its members have
-//! adopted the next that no key can have a quorum of its replicas among the others.
+//! A claim needs a quorum in each of them. The oldest one retires one idempotency window after so many of
+//! its members have adopted the next that no key can have a quorum of its replicas among the others.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -135,8 +135,8 @@
         self.retired_through
     }
 
-    /// Retires all configurations up to a version, as another node has: once true, that stays true. Returns whether any
-    /// was active.
+    /// Retires all configurations up to a version, as another node has: once true, that stays true. Returns
+    /// whether any was active.
     pub fn retire_through(&mut self, version: ConfigVersion) -> bool {
         let before = self.active.len();
         let newest = self.newest().version();
@@ -192,7 +192,8 @@
         Err(ProposalError::VersionReused { version })
     }
 
-    /// Activates a configuration that a peer has: claims need a quorum in it too from now on. Returns whether it is new.
+    /// Activates a configuration that a peer has: claims need a quorum in it too from now on. Returns
+    /// whether it is new.
     pub fn add_from_peer(&mut self, config: Arc<MembershipConfig>) -> bool {
         if !self.is_missing(config.version()) || self.active.len() >= MAX_ACTIVE_CONFIGS {
             return false;
--- a/fleet/src/audit.rs
+++ b/fleet/src/audit.rs
@@ -1,5 +1,5 @@
-//! Audits the records of all nodes: which versions they decided by, which nodes used an old version for too long, which
-//! keys ran twice, and where records are missing.
+//! Audits the records of all nodes: which versions they decided by, which nodes used an old version for too
+//! long, which keys ran twice, and where records are missing.
 //!
 //! Records come in, a report goes out. The report is also printed as JSON; the names in it must not change.
 
@@ -250,7 +250,8 @@
     }
 }
 
-/// Finds the old versions that a node used. A node that returned to an older version on purpose looks the same.
+/// Finds the old versions that a node used. A node that returned to an older version on purpose looks the
+/// same.
 fn find_stragglers(journal: &Journal, versions: &[VersionUse], options: &AuditOptions) -> Vec<Straggler> {
     let find = |kind: VersionKind, id: &str| versions.iter().find(|use_| use_.kind == kind && use_.id == id);
     let mut found: BTreeMap<(VersionKind, String), Straggler> = BTreeMap::new();
--- a/fleet/src/claim_coordinator.rs
+++ b/fleet/src/claim_coordinator.rs
@@ -1,8 +1,9 @@
 //! The claims of this node's own attempts: whether a run may start, and when its result is replicated.
 //!
-//! A run may start once a quorum of the key's replicas has granted its claim, in each active configuration. Its result may
-//! be sent to the client once a quorum has stored it. A claim that can't get a quorum is released, and its attempt waits
-//! for the run that prevents it, or is rejected. No attempt waits past its deadline.
+//! A run may start once a quorum of the key's replicas has granted its claim, in each active configuration.
+//! Its result may be sent to the client once a quorum has stored it. A claim that can't get a quorum is
+//! released, and its attempt waits for the run that prevents it, or is rejected. No attempt waits past its
+//! deadline.
 
 mod attempt;
 mod claim;
@@ -28,10 +29,11 @@
 const INITIAL_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 /// The longest interval between two requests.
 const MAX_RETRY_INTERVAL: Duration = Duration::from_millis(800);
-/// An attempt that waits for another node's run asks for it this often; it is notified at once if no message is lost.
+/// An attempt that waits for another node's run asks for it this often; it is notified at once if no
+/// message is lost.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// A claim is given up this long before the deadline, since the answer needs time to reach the client. At most
-/// [`MAX_ANSWER_MARGIN_FRACTION`] of the time that is left.
+/// A claim is given up this long before the deadline, since the answer needs time to reach the client. At
+/// most [`MAX_ANSWER_MARGIN_FRACTION`] of the time that is left.
 const ANSWER_MARGIN: Duration = Duration::from_millis(250);
 /// The margin is at most one part in this many of the time until the deadline.
 const MAX_ANSWER_MARGIN_FRACTION: u32 = 4;
@@ -158,7 +160,8 @@
             Message::Blocked { claim, conflict } => {
                 (claim, ReplicaResponse::Blocked { conflict, received_at: now }, Vec::new())
             }
-            // The replica announces the configuration that this node lacks, and the claim is renewed under that one.
+            // The replica announces the configuration that this node lacks, and the claim is renewed under
+            // that one.
             Message::Uncertain { reason: RejectReason::ConfigMismatch, .. } => return,
             Message::Uncertain { claim, reason } => (claim, ReplicaResponse::Uncertain(reason), Vec::new()),
             Message::KeyFree { claim } => (claim, ReplicaResponse::KeyFree, Vec::new()),
@@ -188,7 +191,8 @@
         }
     }
 
-    /// Handles that a link to a replica broke, with the messages that were on it: pending requests are sent again.
+    /// Handles that a link to a replica broke, with the messages that were on it: pending requests are sent
+    /// again.
     pub fn handle_broken_link(&mut self, now: Time, node: NodeId, out: &mut Vec<ClaimAction>) {
         for claim in self.claims.values() {
             if claim.responses.get(&node) == Some(&ReplicaResponse::Pending) {
@@ -233,7 +237,8 @@
             ClaimState::AwaitingRemoteRun => claim.reopen(),
             ClaimState::Granted | ClaimState::Replicating { .. } => {}
         }
-        // A replica that does not answer probes must still get the result, but is not sent each one again and again.
+        // A replica that does not answer probes must still get the result, but is not sent each one again
+        // and again.
         claim.retry(now, |node| replicated_at.is_none() || is_alive(node), out);
         self.conclude(now, id, out);
     }
@@ -266,7 +271,8 @@
         }
     }
 
-    /// Rejects all attempts whose claims are not granted yet: the node was suspended, and may act on outdated knowledge.
+    /// Rejects all attempts whose claims are not granted yet: the node was suspended, and may act on
+    /// outdated knowledge.
     pub fn reject_ungranted(&mut self, out: &mut Vec<ClaimAction>) {
         for id in self.claims_in(&ClaimState::Collecting) {
             if let Some(claim) = self.claims.get(&id) {
@@ -278,8 +284,8 @@
         }
     }
 
-    /// Returns what became of a claim of this node, if that is known yet. `predecessor_alive` says that a process of an
-    /// earlier incarnation may still run what it started.
+    /// Returns what became of a claim of this node, if that is known yet. `predecessor_alive` says that a
+    /// process of an earlier incarnation may still run what it started.
     pub fn resolve(
         &self,
         now: Time,
--- a/fleet/src/claim_coordinator/claim.rs
+++ b/fleet/src/claim_coordinator/claim.rs
@@ -144,8 +144,8 @@
         }
     }
 
-    /// Reconsiders the responses so far: a replica that does not answer probes counts as unreachable, and a claim that was
-    /// first may have been released since.
+    /// Reconsiders the responses so far: a replica that does not answer probes counts as unreachable, and a
+    /// claim that was first may have been released since.
     pub(super) fn reconsider_responses(&mut self, is_alive: impl Fn(NodeId) -> bool) {
         for (node, response) in &mut self.responses {
             match response {
@@ -322,8 +322,8 @@
         self.conclusion_without_quorum()
     }
 
-    /// Whether a conflict is about another request with the same key: its window had surely ended when this one was
-    /// received.
+    /// Whether a conflict is about another request with the same key: its window had surely ended when this
+    /// one was received.
     fn is_of_earlier_request(&self, conflict: &ConflictingClaim, received_at: Time) -> bool {
         let window_ended_at = received_at.saturating_sub(Duration::from_millis(conflict.expired_ms));
         conflict.expired_ms > 0 && self.received_at > window_ended_at
@@ -341,8 +341,12 @@
             return Some(Conclusion::Final(ClaimOutcome::Rejected(reason)));
         };
         let (first, _) = first;
-        // Where several claims have been granted by some replicas each, the lowest one keeps asking and the others yield.
-        let blocked_by_first = |node: NodeId| matches!(self.responses.get(&node), Some(ReplicaResponse::Blocked { conflict, .. }) if conflict.claim == first.claim);
+        // Where several claims have been granted by some replicas each, the lowest one keeps asking and the
+        // others yield.
+        let blocked_by_first = |node: NodeId| match self.responses.get(&node) {
+            Some(ReplicaResponse::Blocked { conflict, .. }) => conflict.claim == first.claim,
+            _ => false,
+        };
         let first_has_quorum = self.groups.iter().any(|group| group.has_quorum(blocked_by_first));
         if self.id < first.claim && !first_has_quorum {
             return None;
--- a/fleet/src/decision_record.rs
+++ b/fleet/src/decision_record.rs
@@ -1,4 +1,5 @@
-//! What a node records of its decisions. Records are written as JSON, one a line; the names in them must not change.
+//! What a node records of its decisions. Records are written as JSON, one a line; the names in them must
+//! not change.
 
 use serde::{Deserialize, Serialize};
 
--- a/fleet/src/digest.rs
+++ b/fleet/src/digest.rs
@@ -4,7 +4,8 @@
 
 use siphasher::sip::SipHasher13;
 
-/// What a digest is taken of. Each kind is hashed under a key of its own, so equal bytes of two kinds do not collide.
+/// What a digest is taken of. Each kind is hashed under a key of its own, so equal bytes of two kinds do
+/// not collide.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum DigestKind {
     NodeName = 1,
--- a/fleet/src/donor.rs
+++ b/fleet/src/donor.rs
@@ -1,7 +1,8 @@
 //! The serving side of a state transfer: which requester gets the next page of this node's table.
 //!
-//! A donor serves a bounded number of requesters at a time and defers the others, and bounds the bytes that it sends and
-//! the entries that it reads per second, so that it keeps serving clients when many nodes recover at once.
+//! A donor serves a bounded number of requesters at a time and defers the others, and bounds the bytes that
+//! it sends and the entries that it reads per second, so that it keeps serving clients when many nodes
+//! recover at once.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -14,7 +15,8 @@
 
 /// The most requesters that a donor serves at a time.
 const TRANSFER_SLOTS: usize = 8;
-/// A deferred requester comes back after this for each round of slots that is before it, and up to twice as long.
+/// A deferred requester comes back after this for each round of slots that is before it, and up to twice as
+/// long.
 const DEFERRAL_PER_ROUND: Duration = Duration::from_millis(10);
 /// Table entries that a donor reads for others per second. At about a microsecond each, a tenth of a core.
 const ENTRIES_PER_S: u64 = 100_000;
@@ -63,8 +65,8 @@
         self.entry_budget.set_rate(now, (ENTRIES_PER_S as f64 * fraction) as u64);
     }
 
-    /// Queues a request, which replaces an earlier one of the same node. Returns for how long the node is deferred if no
-    /// slot is free.
+    /// Queues a request, which replaces an earlier one of the same node. Returns for how long the node is
+    /// deferred if no slot is free.
     pub(crate) fn request(&mut self, now: Time, request: PageRequest) -> Option<Duration> {
         let node = request.node;
         self.queue.retain(|queued| queued.node != node);
--- a/fleet/src/failure_detector.rs
+++ b/fleet/src/failure_detector.rs
@@ -1,9 +1,10 @@
-//! Failure detection after SWIM (Das, Gupta and Motivala 2002): periodic probes, direct and then through other members,
-//! whose cost for a node does not grow with the fleet. Gossip about other members rides on probes and acknowledgements. A
-//! member that is wrongly suspected refutes that with a higher version of itself.
+//! Failure detection after SWIM (Das, Gupta and Motivala 2002): periodic probes, direct and then through
+//! other members, whose cost for a node does not grow with the fleet. Gossip about other members rides on
+//! probes and acknowledgements. A member that is wrongly suspected refutes that with a higher version of
+//! itself.
 //!
-//! The membership configuration says who the members are. The failure detector says only who answers, and nothing but the
-//! order and the patience with which members are asked depends on it.
+//! The membership configuration says who the members are. The failure detector says only who answers, and
+//! nothing but the order and the patience with which members are asked depends on it.
 
 mod gossip;
 
@@ -109,7 +110,8 @@
 }
 
 impl FailureDetector {
-    /// Creates the failure detector of a node that has heard nobody yet. The seed determines the order of probes.
+    /// Creates the failure detector of a node that has heard nobody yet. The seed determines the order of
+    /// probes.
     pub fn new(
         this_node: NodeId,
         incarnation: Incarnation,
@@ -289,7 +291,8 @@
         Message::Ping { seq, uptime_seconds: self.uptime_seconds, gossip }
     }
 
-    /// Advances the time. `has_quorum` says that enough members have been heard since the node started or resumed.
+    /// Advances the time. `has_quorum` says that enough members have been heard since the node started or
+    /// resumed.
     pub fn tick(&mut self, now: Time, has_quorum: bool, out: &mut Vec<Outbound>) {
         self.contact_members(now, has_quorum, out);
         self.declare_deaths(now);
@@ -304,8 +307,8 @@
         }
     }
 
-    /// After the node has started or resumed, contacts every member, a bounded number at a time, and again at intervals
-    /// those that have not answered, until enough have.
+    /// After the node has started or resumed, contacts every member, a bounded number at a time, and again
+    /// at intervals those that have not answered, until enough have.
     fn contact_members(&mut self, now: Time, has_quorum: bool, out: &mut Vec<Outbound>) {
         if !has_quorum && self.to_contact.is_empty() && now >= self.contacted_at + CONTACT_INTERVAL {
             let unconfirmed = self.members.keys().filter(|node| !self.confirmed.contains(node));
--- a/fleet/src/failure_detector/gossip.rs
+++ b/fleet/src/failure_detector/gossip.rs
@@ -1,5 +1,5 @@
-//! Gossip about members: merging what other members report, and the updates that are still to be sent. Each is sent a
-//! bounded number of times, with probes and acknowledgements.
+//! Gossip about members: merging what other members report, and the updates that are still to be sent. Each
+//! is sent a bounded number of times, with probes and acknowledgements.
 
 use std::cmp::Reverse;
 
--- a/fleet/src/failure_detector/tests.rs
+++ b/fleet/src/failure_detector/tests.rs
@@ -81,9 +81,11 @@
     let target = *ping_targets(&out).last().unwrap();
     out.clear();
     detector.tick(at(400), true, &mut out);
-    let indirect = out.iter().filter(
-        |outbound| matches!(outbound, Outbound::Send(_, Message::IndirectPing { target: t, .. }) if *t == target),
-    );
+    let is_indirect_ping = |outbound: &&Outbound| match outbound {
+        Outbound::Send(_, Message::IndirectPing { target: probed, .. }) => *probed == target,
+        _ => false,
+    };
+    let indirect = out.iter().filter(is_indirect_ping);
     assert_eq!(indirect.count(), 2, "the others are asked to probe it: {out:?}");
     detector.tick(at(1000), true, &mut out);
     assert_eq!(detector.liveness(target), Liveness::Suspect);
--- a/fleet/src/hash_chain.rs
+++ b/fleet/src/hash_chain.rs
@@ -1,8 +1,9 @@
-//! Records that are chained by digest, so that a record that was changed, cut off, left out or moved is detected, and at
-//! which line. A file continues the chain of the file before it.
+//! Records that are chained by digest, so that a record that was changed, cut off, left out or moved is
+//! detected, and at which line. A file continues the chain of the file before it.
 //!
-//! A line holds the record's number, the digest and the record, separated by spaces. The digest covers the previous
-//! digest, the number and the record. It holds no secret: the chain shows damage and edits, not who made them.
+//! A line holds the record's number, the digest and the record, separated by spaces. The digest covers the
+//! previous digest, the number and the record. It holds no secret: the chain shows damage and edits, not
+//! who made them.
 
 use std::fmt;
 
@@ -118,8 +119,8 @@
         text.push_str(&format!("{} {} {record}\n", self.number, self.digest()));
     }
 
-    /// Verifies the next line. Returns its record and what is wrong with it. After a fault the chain continues from what
-    /// the line says, so that each fault is reported once.
+    /// Verifies the next line. Returns its record and what is wrong with it. After a fault the chain
+    /// continues from what the line says, so that each fault is reported once.
     fn verify<'a>(&mut self, line: &'a str) -> (Option<&'a str>, Option<ChainError>) {
         let mut words = line.splitn(3, ' ');
         let number = words.next().and_then(|word| word.parse::<u64>().ok());
--- a/fleet/src/ids.rs
+++ b/fleet/src/ids.rs
@@ -1,4 +1,5 @@
-//! Identifiers that nodes exchange: nodes, their incarnations, versions of the membership configuration and links.
+//! Identifiers that nodes exchange: nodes, their incarnations, versions of the membership configuration and
+//! links.
 
 use std::fmt;
 
@@ -23,8 +24,8 @@
     }
 }
 
-/// One lifetime of a node's replica state. A node that starts, or loses its state, begins a higher incarnation; grants of
-/// an earlier one no longer count.
+/// One lifetime of a node's replica state. A node that starts, or loses its state, begins a higher
+/// incarnation; grants of an earlier one no longer count.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation(pub u64);
 
@@ -41,7 +42,8 @@
     }
 }
 
-/// The version of a membership configuration. Operators raise it with every change; 0 stands for no configuration.
+/// The version of a membership configuration. Operators raise it with every change; 0 stands for no
+/// configuration.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ConfigVersion(pub u64);
 
@@ -51,7 +53,8 @@
     }
 }
 
-/// A connection to a peer, as the I/O layer numbers it. A response goes back on the link that its request came by.
+/// A connection to a peer, as the I/O layer numbers it. A response goes back on the link that its request
+/// came by.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LinkId(pub u64);
 
--- a/fleet/src/key_state.rs
+++ b/fleet/src/key_state.rs
@@ -1,10 +1,10 @@
 //! What is known of a key's runs, and how the states of two replicas are merged.
 //!
-//! The merge is a join-semilattice: commutative, associative and idempotent, with unknown < started < completed. All runs
-//! that may have started are kept, since any of them may be the one that ran; a completed run prevails over them. Two
-//! different runs of one key can't complete while fewer than a quorum of its replicas lose their state within one
-//! idempotency window. If they do, the earliest run prevails: by the time its request was received, then by its node's
-//! index in the membership configuration.
+//! The merge is a join-semilattice: commutative, associative and idempotent, with unknown < started <
+//! completed. All runs that may have started are kept, since any of them may be the one that ran; a
+//! completed run prevails over them. Two different runs of one key can't complete while fewer than a quorum
+//! of its replicas lose their state within one idempotency window. If they do, the earliest run prevails:
+//! by the time its request was received, then by its node's index in the membership configuration.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -72,8 +72,8 @@
 }
 
 impl CompletedRun {
-    /// Returns the run of a claim whose node has lost its state. Whether it ran is not known, so it counts as failed; a
-    /// completion that the run itself reported prevails over this one.
+    /// Returns the run of a claim whose node has lost its state. Whether it ran is not known, so it counts
+    /// as failed; a completion that the run itself reported prevails over this one.
     pub fn abandoned(claim: ClaimId, body: BodyDigest) -> CompletedRun {
         let result = RunResult::Failed;
         CompletedRun { received_at: u64::MAX, node_index: u32::MAX, claim, result, body }
@@ -103,7 +103,8 @@
 }
 
 impl KeyState {
-    /// Merges the state of another replica into this one. Returns the conflict if two different runs have completed.
+    /// Merges the state of another replica into this one. Returns the conflict if two different runs have
+    /// completed.
     pub fn merge(&mut self, other: KeyState) -> Option<RunConflict> {
         let mut conflict = None;
         self.completed = match (self.completed.take(), other.completed) {
--- a/fleet/src/lib.rs
+++ b/fleet/src/lib.rs
@@ -1,18 +1,22 @@
-//! Every decision that the nodes of a fleet make together, so that a request with an idempotency key runs at most once
-//! among all of them.
+//! Every decision that the nodes of a fleet make together, so that a request with an idempotency key runs
+//! at most once among all of them.
 //!
-//! The crate does no I/O: there is no clock, socket, thread or random source here. Events and the time come in, actions go
-//! out, and random numbers come from a seed. `docs/replication.md` explains the protocol and the reasons for it.
+//! The crate does no I/O: there is no clock, socket, thread or random source here. Events and the time come
+//! in, actions go out, and random numbers come from a seed. `docs/replication.md` explains the protocol and
+//! the reasons for it.
 //!
 //! - [`replica_node`] is the state machine of one node, which puts the other modules together.
-//! - [`membership_config`] and [`active_configs`]: who the members are, and which of them hold replicas of a key.
-//! - [`replica_table`] and [`key_state`]: what a replica knows of each key, how it votes, and how replicas are merged.
+//! - [`membership_config`] and [`active_configs`]: who the members are, and which of them hold replicas of
+//!   a key.
+//! - [`replica_table`] and [`key_state`]: what a replica knows of each key, how it votes, and how replicas
+//!   are merged.
 //! - [`claim_coordinator`]: whether a run may start, and when its result is replicated.
 //! - [`failure_detector`]: which members answer.
 //! - [`staleness`]: whether state that a node restored is the latest that is known of it.
 //! - [`recovery_stages`]: the stages in which a node comes back.
 //! - [`message`] and [`ids`]: the peer protocol.
-//! - [`decision_record`], [`hash_chain`] and [`audit`]: what nodes record of their decisions, and what those records show.
+//! - [`decision_record`], [`hash_chain`] and [`audit`]: what nodes record of their decisions, and what
+//!   those records show.
 
 pub mod active_configs;
 pub mod audit;
@@ -38,11 +42,12 @@
 
 use std::time::Duration;
 
-/// A point in time on a clock of this node's own, which never goes back and does not stop while the process does.
+/// A point in time on a clock of this node's own, which never goes back and does not stop while the process
+/// does.
 pub type Time = Duration;
 
-/// A key is retained this much longer than its idempotency window, for attempts that reached the machine within the window
-/// but were read later.
+/// A key is retained this much longer than its idempotency window, for attempts that reached the machine
+/// within the window but were read later.
 pub const LATE_READ_GRACE: Duration = Duration::from_secs(8);
 
 /// The longest result that is stored, in bytes; one that is longer counts as failed for later attempts.
--- a/fleet/src/membership_config.rs
+++ b/fleet/src/membership_config.rs
@@ -1,8 +1,10 @@
-//! A membership configuration: the versioned list of a fleet's members, and which of them hold replicas of a key.
+//! A membership configuration: the versioned list of a fleet's members, and which of them hold replicas of
+//! a key.
 //!
-//! Replicas are placed by rendezvous hashing (Thaler and Ravishankar 1998): the members with the highest scores of a hash
-//! of member and key, in different zones where there are enough. Placement depends on the configuration alone and never
-//! on who is reachable, so that two halves of a partitioned fleet can't choose different replicas.
+//! Replicas are placed by rendezvous hashing (Thaler and Ravishankar 1998): the members with the highest
+//! scores of a hash of member and key, in different zones where there are enough. Placement depends on the
+//! configuration alone and never on who is reachable, so that two halves of a partitioned fleet can't
+//! choose different replicas.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -25,7 +27,8 @@
 /// An error names at most this many members.
 const MAX_NAMES_IN_ERROR: usize = 5;
 
-/// Why a configuration is invalid, or can't follow the previous one. The text names the key in the operators' file.
+/// Why a configuration is invalid, or can't follow the previous one. The text names the key in the
+/// operators' file.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ConfigError {
     /// The version is 0.
@@ -228,7 +231,8 @@
     pub fn replicas_of(&self, key: &[u8]) -> Vec<NodeId> {
         let key = mix(digest(DigestKind::Key, key));
         let score = |index: usize| (mix(self.ids[index].0 ^ key), index);
-        // The best member of each zone, and then, if there are fewer zones than replicas, the best of the others.
+        // The best member of each zone, and then, if there are fewer zones than replicas, the best of the
+        // others.
         let mut best: Vec<Option<(u64, usize)>> = vec![None; self.zone_count];
         for (index, zone) in self.zones.iter().enumerate() {
             best[*zone] = best[*zone].max(Some(score(index)));
@@ -258,8 +262,8 @@
         (by_zone.len() + second_in_zone.min(beyond_zones)).min(self.replica_count())
     }
 
-    /// Checks that this configuration can follow another one: no key may lose a quorum of its replicas at once. A member
-    /// with a new address counts as another node under the same name.
+    /// Checks that this configuration can follow another one: no key may lose a quorum of its replicas at
+    /// once. A member with a new address counts as another node under the same name.
     ///
     /// # Errors
     ///
--- a/fleet/src/message.rs
+++ b/fleet/src/message.rs
@@ -1,7 +1,8 @@
 //! The peer protocol: every message that nodes exchange.
 //!
-//! Messages are encoded by position. A later build appends new variants, and new fields at the end of existing ones, so
-//! that an older build can skip what it does not know. Variants and fields must never be reordered or removed.
+//! Messages are encoded by position. A later build appends new variants, and new fields at the end of
+//! existing ones, so that an older build can skip what it does not know. Variants and fields must never be
+//! reordered or removed.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -168,7 +169,8 @@
 pub enum Completeness {
     /// For every key.
     Complete,
-    /// For the keys of which enough other replicas are among these nodes, from which the table was synchronized.
+    /// For the keys of which enough other replicas are among these nodes, from which the table was
+    /// synchronized.
     PartialFrom(Vec<NodeId>),
 }
 
@@ -345,7 +347,8 @@
     }
 }
 
-/// Copies bytes out of the buffer that they were received in, so that storing them does not keep the whole buffer alive.
+/// Copies bytes out of the buffer that they were received in, so that storing them does not keep the whole
+/// buffer alive.
 pub(crate) fn detach(bytes: &Bytes) -> Bytes {
     Bytes::copy_from_slice(bytes)
 }
--- a/fleet/src/recovery_stages.rs
+++ b/fleet/src/recovery_stages.rs
@@ -1,21 +1,23 @@
-//! The stages in which a node recovers: what completes each stage, what sends the node back to an earlier one, and what
-//! the node is permitted in each.
+//! The stages in which a node recovers: what completes each stage, what sends the node back to an earlier
+//! one, and what the node is permitted in each.
 //!
-//! No stage is skipped and none lasts for ever: if what it waits for does not come, it times out, and that is reported.
+//! No stage is skipped and none lasts for ever: if what it waits for does not come, it times out, and that
+//! is reported.
 
 use std::fmt;
 use std::time::Duration;
 
 use crate::Time;
 
-/// A node that hears no majority continues without one after this: requests that are safe to repeat need none.
+/// A node that hears no majority continues without one after this: requests that are safe to repeat need
+/// none.
 const STARTING_TIMEOUT: Duration = Duration::from_secs(5);
 /// Catching up continues during later stages, but delays them no longer than this.
 const CATCHING_UP_TIMEOUT: Duration = Duration::from_secs(5);
 /// The backend counts as warm after this, whatever it reports.
 const WARMING_TIMEOUT: Duration = Duration::from_secs(60);
-/// The fraction of the usual rate at which a node serves donors' requests while its backend warms up: the cores are slow
-/// for both.
+/// The fraction of the usual rate at which a node serves donors' requests while its backend warms up: the
+/// cores are slow for both.
 const WARMING_DONOR_RATE: f64 = 0.5;
 
 /// A stage of recovery, the earliest first. Its number is part of the metrics.
@@ -112,8 +114,9 @@
 /// What a node is permitted in a stage.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Permissions {
-    /// It reports itself to the membership service and passes health checks, so that clients connect. A node that fell back
-    /// to an earlier stage keeps its clients, as requests that are safe to repeat still run.
+    /// It reports itself to the membership service and passes health checks, so that clients connect. A
+    /// node that fell back to an earlier stage keeps its clients, as requests that are safe to repeat still
+    /// run.
     pub accept_clients: bool,
     /// The fraction of the usual rate at which it serves other nodes that catch up.
     pub donor_rate: f64,
@@ -156,7 +159,8 @@
         Permissions { accept_clients: self.accepts_clients, donor_rate }
     }
 
-    /// Advances the time. Returns the transition if the stage changes; call it again then, as it may change once more.
+    /// Advances the time. Returns the transition if the stage changes; call it again then, as it may change
+    /// once more.
     pub fn tick(&mut self, now: Time, conditions: Conditions) -> Option<Transition> {
         let previous = self.previous.replace(conditions);
         if let Some(to) = self.lost_condition(now, previous.as_ref(), &conditions) {
@@ -180,7 +184,8 @@
         }
     }
 
-    /// Returns the earlier stage that the node falls back to, if the condition of that stage was met and is not any more.
+    /// Returns the earlier stage that the node falls back to, if the condition of that stage was met and is
+    /// not any more.
     fn lost_condition(
         &self,
         now: Time,
--- a/fleet/src/recovery_stages/tests.rs
+++ b/fleet/src/recovery_stages/tests.rs
@@ -102,7 +102,8 @@
     assert_eq!((recovery.stage(), transitions(&mut recovery, at(60_000), alone)), (Stage::Full, vec![]));
 }
 
-/// Whatever happens in whatever order: no stage is skipped, and none lasts longer than its timeout while a backend runs.
+/// Whatever happens in whatever order: no stage is skipped, and none lasts longer than its timeout while a
+/// backend runs.
 #[test]
 fn no_sequence_of_events_skips_a_stage_or_makes_one_last_for_ever() {
     for seed in 0..300 {
--- a/fleet/src/replica_node.rs
+++ b/fleet/src/replica_node.rs
@@ -1,7 +1,8 @@
-//! The state machine of one node: membership, failure detection, the replica table, the claims of its own attempts and
-//! state transfer, put together.
+//! The state machine of one node: membership, failure detection, the replica table, the claims of its own
+//! attempts and state transfer, put together.
 //!
-//! An [`Event`] goes in with the time, [`Action`]s come out. Messages that a node sends to itself do not leave it.
+//! An [`Event`] goes in with the time, [`Action`]s come out. Messages that a node sends to itself do not
+//! leave it.
 
 mod configs;
 mod event;
@@ -229,7 +230,8 @@
             self.resume(since_last_event, out);
         }
         if self.participation == Participation::Active {
-            // If a successor has the store, peers must not hear of a later position than what is stored there.
+            // If a successor has the store, peers must not hear of a later position than what is stored
+            // there.
             self.failure_detector.set_uptime(self.position().uptime_seconds);
         }
         self.handle_event(now, event, out);
@@ -300,7 +302,8 @@
         self.failure_detector.liveness(node) == Liveness::Alive
     }
 
-    /// The node hears a quorum once it has heard a majority of the newest configuration's members, itself among them.
+    /// The node hears a quorum once it has heard a majority of the newest configuration's members, itself
+    /// among them.
     fn check_quorum(&mut self, out: &mut Vec<Action>) {
         if self.has_quorum {
             return;
--- a/fleet/src/replica_node/configs.rs
+++ b/fleet/src/replica_node/configs.rs
@@ -1,4 +1,5 @@
-//! How a node adopts membership configurations, from operators and from peers, and what follows when they change.
+//! How a node adopts membership configurations, from operators and from peers, and what follows when they
+//! change.
 
 use std::sync::Arc;
 
--- a/fleet/src/replica_node/incarnation.rs
+++ b/fleet/src/replica_node/incarnation.rs
@@ -19,12 +19,13 @@
             out.push(Action::Notify(Notification::Superseded { incarnation }));
             return;
         }
-        // The system's clock has gone back since the last incarnation. Nothing was granted under this number yet.
+        // The system's clock has gone back since the last incarnation. Nothing was granted under this
+        // number yet.
         self.set_incarnation(incarnation.next(), out);
     }
 
-    /// Handles that the restored state is stale: nothing in it can be relied on, and what the node granted in this
-    /// incarnation must not count.
+    /// Handles that the restored state is stale: nothing in it can be relied on, and what the node granted
+    /// in this incarnation must not count.
     pub(super) fn handle_stale_state(&mut self, now: Time, latest: StatePosition, out: &mut Vec<Action>) {
         let Some(restored) = self.restored.filter(|restored| restored.is_stale(&latest)) else { return };
         self.metrics.stale_states += 1;
@@ -32,7 +33,8 @@
         self.begin_incarnation(now, self.incarnation.next(), out);
     }
 
-    /// Takes part again after another process of this node had taken over. What other nodes granted meanwhile is unknown.
+    /// Takes part again after another process of this node had taken over. What other nodes granted
+    /// meanwhile is unknown.
     pub(super) fn activate(&mut self, now: Time, incarnation: Incarnation, out: &mut Vec<Action>) {
         if self.participation != Participation::Deactivated {
             return;
--- a/fleet/src/replica_node/messages.rs
+++ b/fleet/src/replica_node/messages.rs
@@ -59,7 +59,8 @@
         }
     }
 
-    /// Handles the requests to this node as a replica, as the node of a claim, and as a donor, and what donors respond.
+    /// Handles the requests to this node as a replica, as the node of a claim, and as a donor, and what
+    /// donors respond.
     fn handle_request(
         &mut self,
         now: Time,
@@ -131,7 +132,8 @@
         self.check_quorum(out);
     }
 
-    /// Tells a peer if a later incarnation of it is known, or a later position than that of the state it restored.
+    /// Tells a peer if a later incarnation of it is known, or a later position than that of the state it
+    /// restored.
     fn check_incarnation(&mut self, link: LinkId, from: NodeId, hello: &Hello, out: &mut Vec<Action>) {
         let latest = self.table.incarnation_of(from);
         if hello.incarnation < latest {
--- a/fleet/src/replica_node/notification.rs
+++ b/fleet/src/replica_node/notification.rs
@@ -75,17 +75,19 @@
             }
             Notification::Resumed { suspended_for } => write!(
                 f,
-                "resumed after a suspension: suspended_ms={}: nothing with a key runs until a majority is heard again",
+                "resumed after a suspension: suspended_ms={}: nothing with a key runs until a majority \
+                 is heard again",
                 suspended_for.as_millis()
             ),
             Notification::TableComplete { keys } => write!(f, "replica table complete: keys={keys}"),
             Notification::Superseded { incarnation } => write!(
                 f,
-                "superseded by another process under this name: incarnation={incarnation}: nothing with a key runs here"
+                "superseded by another process under this name: incarnation={incarnation}: nothing with a \
+                 key runs here"
             ),
             Notification::StaleState { restored, latest } => {
                 write!(f, "restored state is stale and counts as lost: restored={restored} latest={latest}")
-            },
+            }
             Notification::ConfigAdopted(version) => {
                 write!(f, "membership configuration adopted: version={version}")
             }
@@ -100,19 +102,18 @@
                 f,
                 "a peer has another membership configuration of the same version: node={node} version={version}"
             ),
-            Notification::DuplicateRun(RunConflict { retained, dropped }) => write!(
-                f,
-                "conflict: a key ran twice: retained={} dropped={}",
-                retained.claim, dropped.claim
-            ),
+            Notification::DuplicateRun(RunConflict { retained, dropped }) => {
+                let (retained, dropped) = (retained.claim, dropped.claim);
+                write!(f, "conflict: a key ran twice: retained={retained} dropped={dropped}")
+            }
             Notification::CapacityExceeded { donor } => {
                 write!(f, "no capacity for all records of a donor: donor={donor}")
             }
             Notification::StageChanged(transition) => transition.fmt(f),
             Notification::StateLost { complete_within } => write!(
                 f,
-                "replica state lost: complete_within_s={:.1}: votes for a key once it has caught up with the key's \
-                 other replicas",
+                "replica state lost: complete_within_s={:.1}: votes for a key once it has caught up \
+                 with the key's other replicas",
                 complete_within.as_secs_f64()
             ),
         }
--- a/fleet/src/replica_node/state_sync.rs
+++ b/fleet/src/replica_node/state_sync.rs
@@ -1,4 +1,5 @@
-//! How a node's replica table gets to disk and to other nodes: storing changes, and both sides of state transfers.
+//! How a node's replica table gets to disk and to other nodes: storing changes, and both sides of state
+//! transfers.
 
 use super::{Action, Notification, ReplicaNode, StoreSequence};
 use crate::donor::PageRequest;
@@ -18,7 +19,8 @@
         sequence
     }
 
-    /// Sends the responses that waited for a change to be stored. What could not be stored must not be promised.
+    /// Sends the responses that waited for a change to be stored. What could not be stored must not be
+    /// promised.
     pub(super) fn finish_store(&mut self, sequence: StoreSequence, stored: bool, out: &mut Vec<Action>) {
         for (link, message) in self.awaiting_store.remove(&sequence).unwrap_or_default() {
             let message = match message {
@@ -97,7 +99,8 @@
         out.push(Action::Notify(Notification::TableComplete { keys }));
     }
 
-    /// Reports once per incarnation that state was lost, and for how long at most the node can't vote for every key.
+    /// Reports once per incarnation that state was lost, and for how long at most the node can't vote for
+    /// every key.
     pub(super) fn report_state_loss(&mut self, now: Time, out: &mut Vec<Action>) {
         let Some(complete_within) = self.table.time_until_complete(now, &self.configs) else { return };
         if !self.reported_state_loss {
--- a/fleet/src/replica_node/tests.rs
+++ b/fleet/src/replica_node/tests.rs
@@ -271,10 +271,8 @@
     };
     out.clear();
     node.handle(now, Event::StoreFinished { sequence, stored: false }, &mut out);
-    assert!(
-        matches!(&out[..], [Action::Respond(to, Message::Uncertain { reason: RejectReason::NotDurable, .. })] if *to == link),
-        "{out:?}"
-    );
+    let [Action::Respond(to, Message::Uncertain { reason, .. })] = &out[..] else { panic!("{out:?}") };
+    assert_eq!((*to, *reason), (link, RejectReason::NotDurable));
 }
 
 #[test]
--- a/fleet/src/replica_table.rs
+++ b/fleet/src/replica_table.rs
@@ -1,8 +1,8 @@
-//! A node's replica of the fleet's key table: which claim it has granted for each key, what it knows of other runs, and
-//! how it responds to claims.
+//! A node's replica of the fleet's key table: which claim it has granted for each key, what it knows of
+//! other runs, and how it responds to claims.
 //!
-//! A vote never changes. It is removed only when its claim is released or the key's idempotency window has ended, so that
-//! two claims on one key can't both get a quorum.
+//! A vote never changes. It is removed only when its claim is released or the key's idempotency window has
+//! ended, so that two claims on one key can't both get a quorum.
 
 mod entry;
 mod outcome;
@@ -41,8 +41,8 @@
 }
 
 impl ReplicaTable {
-    /// Creates an empty table for this incarnation of the node. `is_restored` says that the node has its earlier state
-    /// and will restore it; otherwise the table votes for no key until it has caught up.
+    /// Creates an empty table for this incarnation of the node. `is_restored` says that the node has its
+    /// earlier state and will restore it; otherwise the table votes for no key until it has caught up.
     pub fn new(
         this_node: NodeId,
         incarnation: Incarnation,
@@ -106,7 +106,8 @@
         self.sync_state == SyncState::Complete
     }
 
-    /// Marks the table complete if every other node has sent its whole table. Returns whether it has become complete.
+    /// Marks the table complete if every other node has sent its whole table. Returns whether it has become
+    /// complete.
     pub fn finish_sync(&mut self, configs: &ActiveConfigs) -> bool {
         let becomes_complete = !self.is_complete() && self.completeness(configs) == Completeness::Complete;
         if becomes_complete {
@@ -115,8 +116,8 @@
         becomes_complete
     }
 
-    /// Whether the replica can vote for a key: no claim that it may have granted before it lost its state can still get a
-    /// quorum without a replica that it has caught up with.
+    /// Whether the replica can vote for a key: no claim that it may have granted before it lost its state
+    /// can still get a quorum without a replica that it has caught up with.
     pub fn can_vote_for(&self, key: &[u8], configs: &ActiveConfigs) -> bool {
         self.sync_state.can_vote_for(self.this_node, key, configs)
     }
@@ -131,8 +132,8 @@
         self.sync_state.has_synced_from(donor)
     }
 
-    /// Advances the time: removes keys whose window has ended. Returns whether the table has become complete, as
-    /// everything that it may have lost has expired.
+    /// Advances the time: removes keys whose window has ended. Returns whether the table has become
+    /// complete, as everything that it may have lost has expired.
     pub fn tick(&mut self, now: Time, configs: &ActiveConfigs) -> bool {
         while let Some((expires_at, key)) = self.by_expiry.first().cloned() {
             if now < expires_at + LATE_READ_GRACE {
@@ -150,8 +151,8 @@
         all_expired
     }
 
-    /// Updates a key's entry, which is created if it is absent and removed if nothing is known of it any more. The key is
-    /// retained at least until `expires_at`.
+    /// Updates a key's entry, which is created if it is absent and removed if nothing is known of it any
+    /// more. The key is retained at least until `expires_at`.
     fn update<T>(&mut self, key: &Key, expires_at: Time, change: impl FnOnce(&mut Entry) -> T) -> T {
         let (key, mut entry) = match self.entries.remove_entry(key) {
             Some((key, entry)) => {
--- a/fleet/src/replica_table/paging.rs
+++ b/fleet/src/replica_table/paging.rs
@@ -1,4 +1,5 @@
-//! Transfer of a table between nodes: pages of what a requester holds replicas of, and merging what donors send.
+//! Transfer of a table between nodes: pages of what a requester holds replicas of, and merging what donors
+//! send.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/fleet/src/replica_table/sync_state.rs
+++ b/fleet/src/replica_table/sync_state.rs
@@ -44,8 +44,8 @@
         }
     }
 
-    /// How complete the table is, as other nodes are told. Only donors that are complete themselves count, so that nodes
-    /// which all lost their state can't vouch for each other.
+    /// How complete the table is, as other nodes are told. Only donors that are complete themselves count,
+    /// so that nodes which all lost their state can't vouch for each other.
     pub(super) fn completeness(&self, this_node: NodeId, configs: &ActiveConfigs) -> Completeness {
         let SyncState::Partial { donors, .. } = self else { return Completeness::Complete };
         let is_complete =
@@ -57,8 +57,8 @@
         Completeness::PartialFrom(complete)
     }
 
-    /// Whether the replica can vote for a key: in each configuration, every quorum that the replica may have been part of
-    /// has another replica among the donors that know what it granted.
+    /// Whether the replica can vote for a key: in each configuration, every quorum that the replica may
+    /// have been part of has another replica among the donors that know what it granted.
     pub(super) fn can_vote_for(&self, this_node: NodeId, key: &[u8], configs: &ActiveConfigs) -> bool {
         let SyncState::Partial { donors, .. } = self else { return true };
         configs.iter().all(|config| {
@@ -85,8 +85,8 @@
     }
 }
 
-/// Whether every quorum of a key's replicas that `node` is part of has another member that satisfies the predicate. True
-/// if the node holds no replica of the key.
+/// Whether every quorum of a key's replicas that `node` is part of has another member that satisfies the
+/// predicate. True if the node holds no replica of the key.
 fn meets_every_quorum(
     config: &MembershipConfig,
     key: &[u8],
--- a/fleet/src/replica_table/tests.rs
+++ b/fleet/src/replica_table/tests.rs
@@ -60,9 +60,8 @@
     let again = table.claim(at(1), LINK, &request(1, "k"), &configs);
     assert!(is_granted(&again) && again.changed_key.is_none());
     let other = table.claim(at(2), OTHER_LINK, &request(2, "k"), &configs);
-    assert!(
-        matches!(response(&other), Message::Blocked { conflict, .. } if conflict.claim == claim(1) && conflict.completed.is_none())
-    );
+    let Message::Blocked { conflict, .. } = response(&other) else { panic!("{other:?}") };
+    assert_eq!((conflict.claim, &conflict.completed), (claim(1), &None));
     assert!(matches!(other.queries[..], [(node, Message::QueryClaim { .. })] if node == id(2)));
     assert!(is_granted(&table.claim(at(3), LINK, &request(3, "l"), &configs)), "another key");
 }
@@ -73,7 +72,12 @@
     table.claim(at(0), LINK, &request(1, "k"), &configs);
     table.claim(at(1), OTHER_LINK, &request(2, "k"), &configs);
     let completed = table.complete_run(at(2), LINK, &"k".into(), 9_000, run(1, "job"));
-    let is_result = |message: &Message| matches!(message, Message::Blocked { claim: waiter, conflict } if *waiter == claim(2) && conflict.completed == Some(run(1, "job")));
+    let is_result = |message: &Message| match message {
+        Message::Blocked { claim: waiter, conflict } => {
+            *waiter == claim(2) && conflict.completed == Some(run(1, "job"))
+        }
+        _ => false,
+    };
     assert!(completed.responses.iter().any(|(link, message)| *link == OTHER_LINK && is_result(message)));
     assert!(completed.responses.contains(&(LINK, Message::Stored { claim: claim(1), stored: true })));
     assert!(is_result(response(&table.claim(at(3), LinkId(3), &request(2, "k"), &configs))));
--- a/fleet/src/replica_table/voting.rs
+++ b/fleet/src/replica_table/voting.rs
@@ -81,8 +81,9 @@
         others.into_iter().filter_map(|node| Some((node, *self.incarnations.get(&node)?))).collect()
     }
 
-    /// Returns the response to a claim, or to an attempt that only asks, if another run of the key has started or
-    /// completed. The attempt is notified when that run completes, and the run's node is asked for it at intervals.
+    /// Returns the response to a claim, or to an attempt that only asks, if another run of the key has
+    /// started or completed. The attempt is notified when that run completes, and the run's node is asked
+    /// for it at intervals.
     fn find_conflict(
         &mut self,
         now: Time,
@@ -132,8 +133,8 @@
         outcome
     }
 
-    /// Stores a completed run, and notifies the attempts that wait for it. There may be no capacity for a run that this
-    /// replica did not grant.
+    /// Stores a completed run, and notifies the attempts that wait for it. There may be no capacity for a
+    /// run that this replica did not grant.
     pub fn complete_run(
         &mut self,
         now: Time,
@@ -164,7 +165,8 @@
         outcome.responses.extend(waiters.into_iter().map(notify));
     }
 
-    /// Removes a claim under which nothing ran. Attempts that wait for it are told once no run of the key is left.
+    /// Removes a claim under which nothing ran. Attempts that wait for it are told once no run of the key
+    /// is left.
     pub fn release(&mut self, now: Time, key: &Key, claim: ClaimId) -> TableOutcome {
         let mut outcome = TableOutcome::default();
         let knows_claim =
--- a/fleet/src/staleness.rs
+++ b/fleet/src/staleness.rs
@@ -1,10 +1,11 @@
-//! Detects that a node restored an old copy of its state, such as a backup of its disk. Such a node might grant a claim on
-//! a key that it granted to another claim before.
+//! Detects that a node restored an old copy of its state, such as a backup of its disk. Such a node might
+//! grant a claim on a key that it granted to another claim before.
 //!
-//! Peers track how long each incarnation of a node lasted, as the node reports it with its probes. The restored state
-//! carries the position at which it was written. A copy from before the last incarnation is always detected, as a
-//! majority has heard of every incarnation that granted a claim, and a majority is heard before the next one grants any.
-//! Within one incarnation the detection is as fine as probes are frequent.
+//! Peers track how long each incarnation of a node lasted, as the node reports it with its probes. The
+//! restored state carries the position at which it was written. A copy from before the last incarnation is
+//! always detected, as a majority has heard of every incarnation that granted a claim, and a majority is
+//! heard before the next one grants any. Within one incarnation the detection is as fine as probes are
+//! frequent.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -13,8 +14,8 @@
 
 use crate::ids::{Incarnation, NodeId};
 
-/// Restored state may be this many seconds older than the latest that peers heard: it is written once a second, and
-/// seconds are rounded down.
+/// Restored state may be this many seconds older than the latest that peers heard: it is written once a
+/// second, and seconds are rounded down.
 const TOLERANCE_SECONDS: u64 = 2;
 
 /// A point in the lifetime of a node's state.
@@ -66,8 +67,8 @@
         }
     }
 
-    /// Checks the state that a node restored when it began this incarnation. Returns the latest position from before the
-    /// incarnation if the restored state is older.
+    /// Checks the state that a node restored when it began this incarnation. Returns the latest position
+    /// from before the incarnation if the restored state is older.
     pub fn check(
         &self,
         node: NodeId,
--- a/fleet/src/state_transfer.rs
+++ b/fleet/src/state_transfer.rs
@@ -1,8 +1,10 @@
-//! The requesting side of a state transfer: which donors a node still has to ask for their tables after it came back.
+//! The requesting side of a state transfer: which donors a node still has to ask for their tables after it
+//! came back.
 //!
-//! Several donors are asked at once, a page at a time, those entries first that expire last. Each node draws its own order
-//! of donors, and comes back at a time of its own when a donor defers it, so that nodes that recover at once do not ask
-//! the same donor at once. A transfer can be interrupted at any point and continues where it was.
+//! Several donors are asked at once, a page at a time, those entries first that expire last. Each node
+//! draws its own order of donors, and comes back at a time of its own when a donor defers it, so that nodes
+//! that recover at once do not ask the same donor at once. A transfer can be interrupted at any point and
+//! continues where it was.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -18,11 +20,13 @@
 
 /// The most donors that are asked at a time.
 const PARALLEL_DONORS: usize = 8;
-/// A page that does not arrive within this is requested again, and a donor frees a slot that was not used for as long.
+/// A page that does not arrive within this is requested again, and a donor frees a slot that was not used
+/// for as long.
 pub(crate) const PAGE_TIMEOUT: Duration = Duration::from_secs(2);
 /// A donor that was incomplete is asked whether it is complete by now after this, and up to twice as long.
 const RECHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// The most donors that are asked per second whether they are complete: the cost for a donor does not grow with the fleet.
+/// The most donors that are asked per second whether they are complete: the cost for a donor does not grow
+/// with the fleet.
 const RECHECKS_PER_S: u64 = 16;
 
 /// Estimated bytes of a page on a link, without its records.
@@ -52,7 +56,8 @@
     Requested(Time, Option<TablePosition>),
     /// The donor deferred the request for this position until this time.
     Deferred(Time, Option<TablePosition>),
-    /// The donor has sent its whole table, which was incomplete. It may be asked at this time whether it still is.
+    /// The donor has sent its whole table, which was incomplete. It may be asked at this time whether it
+    /// still is.
     Incomplete(Time),
     /// It was asked at this time whether it is complete.
     Rechecking(Time),
@@ -113,8 +118,8 @@
 }
 
 impl StateTransfer {
-    /// Creates a transfer without donors that receives at most this many bytes per second. The seed determines the order
-    /// of the donors.
+    /// Creates a transfer without donors that receives at most this many bytes per second. The seed
+    /// determines the order of the donors.
     pub(crate) fn new(bytes_per_s: u64, seed: u64, now: Time) -> StateTransfer {
         StateTransfer {
             round: 0,
@@ -169,8 +174,8 @@
             && self.donors.iter().any(|donor| donor.progress.is_open() && is_alive(donor.node))
     }
 
-    /// Requests the next pages. `incarnation_of` returns the incarnation of a donor that is alive. Unless this node's own
-    /// table is complete, incomplete donors are asked whether they are complete by now.
+    /// Requests the next pages. `incarnation_of` returns the incarnation of a donor that is alive. Unless
+    /// this node's own table is complete, incomplete donors are asked whether they are complete by now.
     pub(crate) fn tick(
         &mut self,
         now: Time,
--- a/fleet/src/test_support.rs
+++ b/fleet/src/test_support.rs
@@ -17,7 +17,8 @@
     Duration::from_millis(millis)
 }
 
-/// The nodes of these numbers, distributed over some zones, with three replicas of a key and a window of 10 s.
+/// The nodes of these numbers, distributed over some zones, with three replicas of a key and a window of 10
+/// s.
 pub(crate) fn spec(version: u64, nodes: &[usize], zones: usize) -> MembershipSpec {
     let members = nodes.iter().map(|n| Member {
         name: format!("n{n}"),
--- a/fleet/src/token_bucket.rs
+++ b/fleet/src/token_bucket.rs
@@ -2,7 +2,8 @@
 
 use crate::Time;
 
-/// Fills at a rate up to a capacity. It may be overdrawn once: the next taker waits until it is positive again.
+/// Fills at a rate up to a capacity. It may be overdrawn once: the next taker waits until it is positive
+/// again.
 #[derive(Debug, Clone)]
 pub(crate) struct TokenBucket {
     /// Tokens per second.
--- a/fleet/tests/golden.rs
+++ b/fleet/tests/golden.rs
@@ -1,6 +1,7 @@
-//! Golden bytes of what nodes exchange and store: each kind of peer message, the record of a key that a node stores on its
-//! disk, the decision records and the digests that all nodes must compute alike. `postcard` encodes variants and fields by
-//! position, so every field has a value of its own and a reordering is detected. A name may change, these bytes must not.
+//! Golden bytes of what nodes exchange and store: each kind of peer message, the record of a key that a
+//! node stores on its disk, the decision records and the digests that all nodes must compute alike.
+//! `postcard` encodes variants and fields by position, so every field has a value of its own and a
+//! reordering is detected. A name may change, these bytes must not.
 
 use std::collections::BTreeMap;
 use std::fmt::Debug;
@@ -317,7 +318,8 @@
     assert_eq!((contents.records, contents.breaks), (vec![(1, "{}"), (2, "{\"a\":1}")], vec![]));
 }
 
-/// Nodes of two builds must agree on the ids of nodes, on the digest of a configuration and on the replicas of a key.
+/// Nodes of two builds must agree on the ids of nodes, on the digest of a configuration and on the replicas
+/// of a key.
 #[test]
 fn digests_that_nodes_share_keep_their_values() {
     assert_eq!(format!("{:x}", NodeId::of("n1").0), "705db633e061d248");
--- a/fleet/tests/golden_audit.rs
+++ b/fleet/tests/golden_audit.rs
@@ -1,4 +1,5 @@
-//! Golden text of what the audit prints as JSON, and of the faults of a hash chain. Operators' tools read both.
+//! Golden text of what the audit prints as JSON, and of the faults of a hash chain. Operators' tools read
+//! both.
 
 use oakwind_fleet::audit::{audit, explain, AuditOptions};
 use oakwind_fleet::decision_record::{Decision, FileBreak, Journal, Record, Versions};
--- a/fleet/tests/model/main.rs
+++ b/fleet/tests/model/main.rs
@@ -1,9 +1,11 @@
-//! Model checking of every state that two attempts at one key on two nodes can lead to, up to a depth: three replicas,
-//! messages that are lost, duplicated and reordered, one restart without state, one change of the configuration. The
-//! decisions are the real ones. For each promise there is a mutant that leaves its rule out, which the checker must find.
+//! Model checking of every state that two attempts at one key on two nodes can lead to, up to a depth:
+//! three replicas, messages that are lost, duplicated and reordered, one restart without state, one change
+//! of the configuration. The decisions are the real ones. For each promise there is a mutant that leaves
+//! its rule out, which the checker must find.
 //!
-//! A message that was sent may be delivered at any time and any number of times, or never: that is loss, duplication and
-//! reordering at once. Time stands still, so no idempotency window ends. `OAKWIND_MODEL_DEPTH` sets another depth.
+//! A message that was sent may be delivered at any time and any number of times, or never: that is loss,
+//! duplication and reordering at once. Time stands still, so no idempotency window ends.
+//! `OAKWIND_MODEL_DEPTH` sets another depth.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -66,7 +68,8 @@
 ];
 const RESTARTED: PathStep = PathStep::Do(|| Act::Restart(Node(1)));
 
-/// With the rule left out some state breaks the promise; with it none does, on the same path and to the same depth.
+/// With the rule left out some state breaks the promise; with it none does, on the same path and to the
+/// same depth.
 fn assert_mutant_is_found(
     mutant: Mutant,
     path: &'static [PathStep],
--- a/fleet/tests/sim/main.rs
+++ b/fleet/tests/sim/main.rs
@@ -1,5 +1,6 @@
-//! Simulation of whole fleets in virtual time: up to 300 nodes, thousands of keys, and faults drawn by a seed. The seed of a
-//! failure is printed; `OAKWIND_SIM_SEED` replays one, `OAKWIND_SIM_SEEDS` simulates this many from there on.
+//! Simulation of whole fleets in virtual time: up to 300 nodes, thousands of keys, and faults drawn by a
+//! seed. The seed of a failure is printed; `OAKWIND_SIM_SEED` replays one, `OAKWIND_SIM_SEEDS` simulates
+//! this many from there on.
 
 #[path = "../common/mod.rs"]
 mod common;
