--- a/admission/src/admission/lifecycle.rs
+++ b/admission/src/admission/lifecycle.rs
@@ -203,11 +203,8 @@
         let ending = self.requests.iter().filter(|(_, r)| over(r));
         let ending: Vec<_> = ending.map(|(&id, r)| (id, r.phase == Phase::Queued)).collect();
         for (id, queued) in ending {
-            if queued {
-                self.reject_queued(id, out);
-            } else {
-                self.fail(id, out);
-            }
+            let answer = if queued { Admission::reject_queued } else { Admission::fail };
+            answer(self, id, out);
         }
     }
 
@@ -247,8 +244,8 @@
     }
 
     fn random_fraction(&mut self) -> f64 {
-        self.random =
-            self.random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        let product = self.random.wrapping_mul(6_364_136_223_846_793_005);
+        self.random = product.wrapping_add(1_442_695_040_888_963_407);
         (self.random >> 40) as f64 / (1u64 << 24) as f64
     }
 }
