--- a/fleet/src/audit.rs
+++ b/fleet/src/audit.rs
@@ -1,5 +1,5 @@
-//! Audits the records of all nodes: which versions they decided by, which nodes used an old version for too long, which
-//! keys ran twice, and where records are missing.
+//! Audits the records of all nodes: which versions they decided by, which nodes used an old version for too
+//! long, which keys ran twice, and where records are missing.
 //!
 //! Records come in, a report goes out. The report is also printed as JSON; the names in it must not change.
 
@@ -133,7 +133,6 @@
 
 impl Report {
     /// Whether nothing is wrong. That a process was killed is not.
-    #[must_use]
     pub fn is_clean(&self) -> bool {
         let is_intact = |summary: &JournalSummary| summary.breaks.is_empty() && summary.dropped == 0;
         self.nodes.iter().all(is_intact)
@@ -168,7 +167,6 @@
 }
 
 /// Audits the records of all nodes.
-#[must_use]
 pub fn audit(journals: &[Journal], options: &AuditOptions) -> Report {
     let versions = version_uses(journals, options);
     let mut stragglers: Vec<Straggler> =
@@ -252,7 +250,8 @@
     }
 }
 
-/// Finds the old versions that a node used. A node that returned to an older version on purpose looks the same.
+/// Finds the old versions that a node used. A node that returned to an older version on purpose looks the
+/// same.
 fn find_stragglers(journal: &Journal, versions: &[VersionUse], options: &AuditOptions) -> Vec<Straggler> {
     let find = |kind: VersionKind, id: &str| versions.iter().find(|use_| use_.kind == kind && use_.id == id);
     let mut found: BTreeMap<(VersionKind, String), Straggler> = BTreeMap::new();
@@ -349,7 +348,6 @@
 }
 
 /// Returns what every node recorded of a transaction id or a key, in order: the node and the record.
-#[must_use]
 pub fn explain<'a>(journals: &'a [Journal], txn_or_key: &str) -> Vec<(&'a str, &'a Record)> {
     let is_about = |record: &Record| match record {
         Record::Attempt { txn, key, .. } => txn == txn_or_key || key.as_deref() == Some(txn_or_key),
--- a/fleet/src/claim_coordinator/tests.rs
+++ b/fleet/src/claim_coordinator/tests.rs
@@ -39,10 +39,6 @@
         Fixture { claims, configs, out }
     }
 
-    fn claim(&self) -> ClaimId {
-        ClaimId { node: id(1), incarnation: Incarnation(4), number: 1 }
-    }
-
     /// What the attempt was notified of since the last call.
     fn outcomes(&mut self) -> Vec<ClaimOutcome> {
         let outcomes = self.out.drain(..).filter_map(|action| match action {
@@ -65,7 +61,7 @@
     /// The replica grants the claim in this incarnation of it, and knows of these.
     fn grant(&mut self, from: usize, incarnation: u64, known: Vec<(NodeId, u64)>) -> Vec<ClaimOutcome> {
         let incarnations = known.into_iter().map(|(node, known)| (node, Incarnation(known))).collect();
-        let message = Message::Granted { claim: self.claim(), incarnations };
+        let message = Message::Granted { claim: claim(), incarnations };
         self.respond_in(incarnation, from, message)
     }
 
@@ -78,7 +74,7 @@
             body: 5,
         });
         let conflict = ConflictingClaim { claim: first, body: 5, completed, expired_ms: 0 };
-        self.respond(from, Message::Blocked { claim: self.claim(), conflict })
+        self.respond(from, Message::Blocked { claim: claim(), conflict })
     }
 
     fn complete(&mut self, result: RunResult) {
@@ -94,6 +90,11 @@
     }
 }
 
+/// The claim of the fixture.
+fn claim() -> ClaimId {
+    ClaimId { node: id(1), incarnation: Incarnation(4), number: 1 }
+}
+
 fn other(number: u64) -> ClaimId {
     ClaimId { node: NodeId(u64::MAX), incarnation: Incarnation(1), number }
 }
@@ -106,7 +107,7 @@
     fixture.complete(succeeded("job"));
     assert_eq!(fixture.out.len(), 3, "every replica is sent the result");
     fixture.out.clear();
-    let claim = fixture.claim();
+    let claim = self::claim();
     for (from, outcomes) in [(1, vec![]), (2, vec![ClaimOutcome::Replicated(true)]), (3, vec![])] {
         assert_eq!(fixture.respond(from, Message::Stored { claim, stored: true }), outcomes);
     }
@@ -137,7 +138,7 @@
     assert_eq!(fixture.block(3, other(1), Some("job")), [ClaimOutcome::RemoteOutcome(succeeded("job"))]);
     let mut fixture = Fixture::new();
     let conflict = ConflictingClaim { claim: other(1), body: 6, completed: None, expired_ms: 0 };
-    let blocked = Message::Blocked { claim: fixture.claim(), conflict };
+    let blocked = Message::Blocked { claim: claim(), conflict };
     assert_eq!(fixture.respond(2, blocked.clone()), []);
     assert_eq!(fixture.respond(3, blocked), [ClaimOutcome::BodyMismatch]);
 }
@@ -146,7 +147,7 @@
 fn without_a_quorum_that_can_answer_nothing_runs_and_the_attempt_is_rejected_at_once() {
     let mut fixture = Fixture::new();
     assert_eq!(fixture.grant(1, 1, vec![]), []);
-    let uncertain = Message::Uncertain { claim: fixture.claim(), reason: RejectReason::Recovering };
+    let uncertain = Message::Uncertain { claim: claim(), reason: RejectReason::Recovering };
     assert_eq!(fixture.respond(2, uncertain), []);
     fixture.claims.handle_unreachable(at(1), id(3), &mut fixture.out);
     let is_release = |action: &&ClaimAction| matches!(action, ClaimAction::Send(_, Message::Release { .. }));
@@ -207,7 +208,7 @@
     fixture.grant(1, 1, vec![]);
     fixture.grant(2, 1, vec![]);
     fixture.complete(succeeded("job"));
-    let claim = fixture.claim();
+    let claim = self::claim();
     for from in [1, 2] {
         fixture.respond(from, Message::Stored { claim, stored: true });
     }
@@ -226,7 +227,7 @@
     let mut fixture = Fixture::new();
     fixture.block(2, other(1), None);
     fixture.block(3, other(1), None);
-    let claim = fixture.claim();
+    let claim = self::claim();
     for (from, outcomes) in [(2, vec![]), (1, vec![ClaimOutcome::Rejected(RejectReason::ClaimReleased)])] {
         assert_eq!(fixture.respond(from, Message::KeyFree { claim }), outcomes);
     }
@@ -251,7 +252,7 @@
     assert!(requests
         .iter()
         .all(|request| (request.claim.number, &request.config_versions[..]) == (2, &both)));
-    let claim = ClaimId { number: 2, ..fixture.claim() };
+    let claim = ClaimId { number: 2, ..claim() };
     for (from, is_granted) in [(1, false), (3, false), (4, true)] {
         let message = Message::Granted { claim, incarnations: vec![] };
         assert_eq!(
@@ -265,7 +266,7 @@
 #[test]
 fn replicas_are_told_what_became_of_a_claim() {
     let mut fixture = Fixture::new();
-    let claim = fixture.claim();
+    let claim = self::claim();
     assert_eq!(fixture.resolve(1, claim, false), None, "it may still start");
     let unknown = ClaimId { number: 9, ..claim };
     assert!(matches!(fixture.resolve(1, unknown, false), Some(Message::Release { .. })));
--- a/fleet/src/membership_config.rs
+++ b/fleet/src/membership_config.rs
@@ -1,8 +1,10 @@
-//! A membership configuration: the versioned list of a fleet's members, and which of them hold replicas of a key.
+//! A membership configuration: the versioned list of a fleet's members, and which of them hold replicas of
+//! a key.
 //!
-//! Replicas are placed by rendezvous hashing (Thaler and Ravishankar 1998): the members with the highest scores of a hash
-//! of member and key, in different zones where there are enough. Placement depends on the configuration alone and never
-//! on who is reachable, so that two halves of a partitioned fleet can't choose different replicas.
+//! Replicas are placed by rendezvous hashing (Thaler and Ravishankar 1998): the members with the highest
+//! scores of a hash of member and key, in different zones where there are enough. Placement depends on the
+//! configuration alone and never on who is reachable, so that two halves of a partitioned fleet can't
+//! choose different replicas.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -25,7 +27,8 @@
 /// An error names at most this many members.
 const MAX_NAMES_IN_ERROR: usize = 5;
 
-/// Why a configuration is invalid, or can't follow the previous one. The text names the key in the operators' file.
+/// Why a configuration is invalid, or can't follow the previous one. The text names the key in the
+/// operators' file.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ConfigError {
     /// The version is 0.
@@ -180,65 +183,56 @@
     }
 
     /// Returns the version.
-    #[must_use]
     pub fn version(&self) -> ConfigVersion {
         self.spec.version
     }
 
     /// Returns the idempotency window: the longest time that a key is retained.
-    #[must_use]
     pub fn window(&self) -> Duration {
         self.spec.window
     }
 
     /// Returns the content from which the configuration was made.
-    #[must_use]
     pub fn spec(&self) -> &MembershipSpec {
         &self.spec
     }
 
     /// Returns the digest of everything that nodes must agree on: all but the addresses.
-    #[must_use]
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
     /// Returns the members' ids in the order of the configuration.
-    #[must_use]
     pub fn ids(&self) -> &[NodeId] {
         &self.ids
     }
 
     /// Returns a member's index in the configuration.
-    #[must_use]
     pub fn index_of(&self, node: NodeId) -> Option<usize> {
         self.ids.iter().position(|id| *id == node)
     }
 
     /// Returns the member with this id.
-    #[must_use]
     pub fn member(&self, node: NodeId) -> Option<&Member> {
         self.index_of(node).map(|index| &self.spec.members[index])
     }
 
     /// Returns the number of replicas that each key has.
-    #[must_use]
     pub fn replica_count(&self) -> usize {
         self.spec.replicas.min(self.ids.len())
     }
 
     /// Returns the number of a key's replicas that make a quorum: a majority.
-    #[must_use]
     pub fn quorum(&self) -> usize {
         self.replica_count() / 2 + 1
     }
 
     /// Returns the members that hold replicas of a key, the highest score first.
-    #[must_use]
     pub fn replicas_of(&self, key: &[u8]) -> Vec<NodeId> {
         let key = mix(digest(DigestKind::Key, key));
         let score = |index: usize| (mix(self.ids[index].0 ^ key), index);
-        // The best member of each zone, and then, if there are fewer zones than replicas, the best of the others.
+        // The best member of each zone, and then, if there are fewer zones than replicas, the best of the
+        // others.
         let mut best: Vec<Option<(u64, usize)>> = vec![None; self.zone_count];
         for (index, zone) in self.zones.iter().enumerate() {
             best[*zone] = best[*zone].max(Some(score(index)));
@@ -255,7 +249,6 @@
     }
 
     /// Returns the most replicas of one key that these nodes can hold together.
-    #[must_use]
     pub fn max_replicas_among(&self, nodes: &BTreeSet<NodeId>) -> usize {
         let mut by_zone: BTreeMap<usize, usize> = BTreeMap::new();
         for (id, zone) in self.ids.iter().zip(&self.zones) {
@@ -269,8 +262,8 @@
         (by_zone.len() + second_in_zone.min(beyond_zones)).min(self.replica_count())
     }
 
-    /// Checks that this configuration can follow another one: no key may lose a quorum of its replicas at once. A member
-    /// with a new address counts as another node under the same name.
+    /// Checks that this configuration can follow another one: no key may lose a quorum of its replicas at
+    /// once. A member with a new address counts as another node under the same name.
     ///
     /// # Errors
     ///
--- a/fleet/src/replica_table.rs
+++ b/fleet/src/replica_table.rs
@@ -1,8 +1,8 @@
-//! A node's replica of the fleet's key table: which claim it has granted for each key, what it knows of other runs, and
-//! how it responds to claims.
+//! A node's replica of the fleet's key table: which claim it has granted for each key, what it knows of
+//! other runs, and how it responds to claims.
 //!
-//! A vote never changes. It is removed only when its claim is released or the key's idempotency window has ended, so that
-//! two claims on one key can't both get a quorum.
+//! A vote never changes. It is removed only when its claim is released or the key's idempotency window has
+//! ended, so that two claims on one key can't both get a quorum.
 
 mod entry;
 mod outcome;
@@ -41,9 +41,8 @@
 }
 
 impl ReplicaTable {
-    /// Creates an empty table for this incarnation of the node. `is_restored` says that the node has its earlier state
-    /// and will restore it; otherwise the table votes for no key until it has caught up.
-    #[must_use]
+    /// Creates an empty table for this incarnation of the node. `is_restored` says that the node has its
+    /// earlier state and will restore it; otherwise the table votes for no key until it has caught up.
     pub fn new(
         this_node: NodeId,
         incarnation: Incarnation,
@@ -65,7 +64,6 @@
     }
 
     /// Returns the number of keys and the memory they take.
-    #[must_use]
     pub fn size(&self) -> TableSize {
         TableSize { keys: self.entries.len(), bytes: self.bytes }
     }
@@ -89,7 +87,6 @@
     }
 
     /// Returns the latest incarnation of a node that is known.
-    #[must_use]
     pub fn incarnation_of(&self, node: NodeId) -> Incarnation {
         self.incarnations.get(&node).copied().unwrap_or_default()
     }
@@ -100,18 +97,17 @@
     }
 
     /// Returns how complete this table is, as other nodes are told.
-    #[must_use]
     pub fn completeness(&self, configs: &ActiveConfigs) -> Completeness {
         self.sync_state.completeness(self.this_node, configs)
     }
 
     /// Whether the replica can vote for every key.
-    #[must_use]
     pub fn is_complete(&self) -> bool {
         self.sync_state == SyncState::Complete
     }
 
-    /// Marks the table complete if every other node has sent its whole table. Returns whether it has become complete.
+    /// Marks the table complete if every other node has sent its whole table. Returns whether it has become
+    /// complete.
     pub fn finish_sync(&mut self, configs: &ActiveConfigs) -> bool {
         let becomes_complete = !self.is_complete() && self.completeness(configs) == Completeness::Complete;
         if becomes_complete {
@@ -120,27 +116,24 @@
         becomes_complete
     }
 
-    /// Whether the replica can vote for a key: no claim that it may have granted before it lost its state can still get a
-    /// quorum without a replica that it has caught up with.
-    #[must_use]
+    /// Whether the replica can vote for a key: no claim that it may have granted before it lost its state
+    /// can still get a quorum without a replica that it has caught up with.
     pub fn can_vote_for(&self, key: &[u8], configs: &ActiveConfigs) -> bool {
         self.sync_state.can_vote_for(self.this_node, key, configs)
     }
 
     /// Returns how long it takes at most until the table is complete; none if it is.
-    #[must_use]
     pub fn time_until_complete(&self, now: Time, configs: &ActiveConfigs) -> Option<Duration> {
         self.sync_state.time_until_complete(now, configs)
     }
 
     /// Whether a donor has sent its whole table since this node lost its state, or nothing was lost.
-    #[must_use]
     pub fn has_synced_from(&self, donor: NodeId) -> bool {
         self.sync_state.has_synced_from(donor)
     }
 
-    /// Advances the time: removes keys whose window has ended. Returns whether the table has become complete, as
-    /// everything that it may have lost has expired.
+    /// Advances the time: removes keys whose window has ended. Returns whether the table has become
+    /// complete, as everything that it may have lost has expired.
     pub fn tick(&mut self, now: Time, configs: &ActiveConfigs) -> bool {
         while let Some((expires_at, key)) = self.by_expiry.first().cloned() {
             if now < expires_at + LATE_READ_GRACE {
@@ -158,8 +151,8 @@
         all_expired
     }
 
-    /// Updates a key's entry, which is created if it is absent and removed if nothing is known of it any more. The key is
-    /// retained at least until `expires_at`.
+    /// Updates a key's entry, which is created if it is absent and removed if nothing is known of it any
+    /// more. The key is retained at least until `expires_at`.
     fn update<T>(&mut self, key: &Key, expires_at: Time, change: impl FnOnce(&mut Entry) -> T) -> T {
         let (key, mut entry) = match self.entries.remove_entry(key) {
             Some((key, entry)) => {
@@ -185,20 +178,17 @@
     }
 
     /// Returns what is to be stored on disk of a key; none if nothing is known of it.
-    #[must_use]
     pub fn stored_record(&self, key: &Key, now: Time) -> Option<StoredRecord> {
         let entry = self.entries.get(key)?;
         Some(StoredRecord { vote: entry.vote, record: entry.record(key, now) })
     }
 
     /// Returns the claim that this replica has granted for a key.
-    #[must_use]
     pub fn vote(&self, key: &[u8]) -> Option<ClaimId> {
         self.entries.get(key)?.vote
     }
 
     /// Returns what this replica knows of a key.
-    #[must_use]
     pub fn state_of(&self, key: &[u8]) -> Option<&KeyState> {
         self.entries.get(key).map(|entry| &entry.state)
     }
--- a/fleet/src/replica_table/paging.rs
+++ b/fleet/src/replica_table/paging.rs
@@ -1,4 +1,5 @@
-//! Transfer of a table between nodes: pages of what a requester holds replicas of, and merging what donors send.
+//! Transfer of a table between nodes: pages of what a requester holds replicas of, and merging what donors
+//! send.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -32,7 +33,6 @@
 
 impl ReplicaTable {
     /// Reads a page of what the requester holds replicas of, in descending order of expiry.
-    #[must_use]
     pub fn page(
         &self,
         now: Time,
--- a/node/src/clock.rs
+++ b/node/src/clock.rs
@@ -2,7 +2,7 @@
 //!
 //! Deadlines are points on it and travel with the requests that they bound. When the system's clock is set back, this one
 //! runs slower until the other has caught up. When the system's clock jumps ahead, as after a sleep of the machine, this
-//! one follows, and [`jumped`] tells by how much: stored keys must not expire early because of it.
+//! one follows, and [`jumped`] returns by how much: stored keys must not expire early because of it.
 
 use std::cell::RefCell;
 use std::sync::OnceLock;
@@ -13,9 +13,6 @@
 /// A point in time, as the time since the Unix epoch.
 pub(crate) type UnixTime = Duration;
 
-/// The same; the name that is still used in places.
-pub(crate) type Unix = UnixTime;
-
 /// While the system's clock is behind, this one runs slower by one part in so many.
 const SLOWDOWN_DIVISOR: u32 = 20;
 /// What the system's clock gains on the monotonic one between two readings is a jump from this on.
