--- a/admission/src/interface.rs
+++ b/admission/src/interface.rs
@@ -1,9 +1,9 @@
-//! What an embedding server tells the decision module and what it is told in return.
-//! Only types and plain defaults; every decision is in `admission.rs`.
+//! The interface between an embedding server and the admission module: settings, events and actions.
+//! Only types and defaults; every decision is in `admission.rs`.
 
 use std::time::Duration;
 
-/// One try of a request, as read by this server. Never used twice in one life of the server.
+/// Identifies one attempt of a request on this server. Not reused while the server runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u32);
 
@@ -15,45 +15,45 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TenantId(pub u16);
 
-/// A caller (balancer) as this server sees it.
+/// Identifies a caller of this server: a client, or a server of the tier above.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallerId(pub u32);
 
-/// Names a timer the module asked for.
+/// Identifies a timer that the module has set.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TimerId(pub u32);
 
-/// How often a request may have its effect.
+/// How often the effect of a request may occur.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Effect {
-    /// Running it again does no harm.
+    /// Any number of times: the request is idempotent and may run again.
     Idempotent,
-    /// Repeats within the window must join the first run.
+    /// Once within the idempotency window: a retry with the same key is coalesced with the first run.
     IdempotencyKey,
-    /// Must never run twice; callers repeat it only when it provably never ran.
+    /// Once at most: callers retry it only if it is known not to have run.
     AtMostOnce,
 }
 
-/// One class of requests.
+/// A class of requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
-    /// An answer within this time of the first try earns full worth.
+    /// Latency objective: an answer within this time of the first attempt earns the full weight.
     pub latency_objective: Duration,
-    /// The aim grows by this many times the request's own work, never past the deadline.
+    /// The latency objective is extended by this multiple of the request's own work, at most to the deadline.
     pub objective_stretch: f64,
-    /// How long a client waits altogether.
+    /// How long a client waits for an answer in total.
     pub deadline: Duration,
-    /// How often it may have its effect.
+    /// How often its effect may occur.
     pub effect: Effect,
-    /// For keyed classes: how long after arriving a request may come again.
+    /// Idempotency window, for [`Effect::IdempotencyKey`]: how long after its arrival a request may be retried.
     pub window: Duration,
-    /// What one request is worth.
+    /// Weight of a request in scheduling and under overload, relative to other classes.
     pub weight: f64,
-    /// The part of the worth still earned between aim and deadline.
+    /// Fraction of the weight that an answer between latency objective and deadline earns.
     pub late_weight: f64,
-    /// Its requests may call what lies below.
+    /// Whether its requests may call the dependency.
     pub calls: bool,
-    /// The part of the worth earned when a call is left out; 0 forbids leaving it out.
+    /// Fraction of the weight that is earned if the call is skipped; 0 means that calls must not be skipped.
     pub skip_weight: f64,
 }
 
@@ -73,102 +73,103 @@
     }
 }
 
-/// What requests call while they run.
+/// The dependency that requests call while they run.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Dependency {
-    /// Nothing.
+    /// None.
     Off,
-    /// One service that all servers share.
+    /// A service that all servers of the tier share.
     Shared {
-        /// This server's part of the calls it survives, as a mean number in hand; may be below 1.
+        /// This server's share of the concurrent calls that the dependency survives, as a mean; may be below 1.
         share: f64,
-        /// The time that mean is taken over.
+        /// Period over which that mean is taken.
         span: Duration,
-        /// The longest a call that was given up stays in the dependency's hands.
+        /// The longest time for which the dependency goes on with a call that has timed out.
         linger: Duration,
     },
-    /// A further tier that runs this same code.
+    /// A tier of servers that run this module themselves.
     Tier,
 }
 
-/// What can be done to work that already runs.
+/// How running requests can be preempted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Preemption {
-    /// Nothing.
+    /// They can't.
     Off,
-    /// It can be stopped; its progress is lost and it returns to the hold.
+    /// A request can be stopped; its progress is lost and it returns to the queue.
     Drop,
-    /// It can be paused and taken up again; it keeps its memory.
+    /// A request can be paused and resumed; it keeps its memory.
     Pause,
 }
 
-/// What callers do with the advertised value.
+/// How callers use the value of [`Action::Advertise`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Signal {
-    /// Nothing; advertising is not allowed.
+    /// They don't; nothing may be advertised.
     Off,
-    /// They send nothing here whose rank is below the value.
+    /// Minimum rank, 0 to 1: callers send no request here whose [`Arrival::rank`] is below it.
     Level,
-    /// Each has at most that many requests out here; a fraction counts by chance.
+    /// Maximum number of pending requests of each caller; a fraction is a probability for one more.
     Credit,
-    /// The chance that a caller does not skip this server.
+    /// Load balancing weight, 0 to 1: the probability that a caller doesn't skip this server.
     Weight,
 }
 
-/// What a server knows at its start.
+/// The settings of a server.
 ///
-/// Values that make no sense do no harm beyond themselves: zero cores, servers or callers count as one, so does
-/// a crowd below one a core; no memory refuses all; a zero deadline gives an answer at once; a zero share of a
-/// dependency allows one call at most. A request of a class that is not listed is refused.
+/// Invalid values have limited effects: zero cores, servers or callers count as one, and so does a maximum
+/// concurrency below one request per core; without memory every request is rejected; a zero deadline means an
+/// immediate answer; a zero share of the dependency allows one call at most. A request of a class that is not
+/// listed is rejected.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// The classes of requests.
+    /// The classes of requests; [`ClassId`] is the position.
     pub classes: Vec<Class>,
-    /// For each tenant, the requests a second over all servers that fit in its share.
+    /// Quota of each tenant, in requests per second over all servers; [`TenantId`] is the position.
     pub tenant_quotas: Vec<f64>,
-    /// What a request beyond its tenant's share is worth, as a part of its class's worth.
+    /// Fraction of its class's weight that a request beyond its tenant's quota has.
     pub over_quota_weight: f64,
-    /// Worth counts for each unit of work, not for each request.
+    /// Whether weights apply per unit of work instead of per request.
     pub weight_by_work: bool,
-    /// Servers in this tier at the start, this one included.
+    /// Servers of this tier at the start, including this one.
     pub servers: u32,
     /// Callers of this tier at the start.
     pub callers: u32,
     /// Cores of this server.
     pub cores: u32,
-    /// Memory for held and running requests and remembered keys.
+    /// Memory for queued and running requests and retained keys, in kB.
     pub memory_kb: f64,
-    /// Memory of a running or paused request, as a multiple of the same request held.
+    /// Memory of a running or paused request, as a multiple of its memory while it is queued.
     pub running_memory_factor: f64,
-    /// Memory of one remembered key.
+    /// Memory of a retained key, in kB.
     pub key_memory_kb: f64,
-    /// What lies below.
+    /// The dependency that requests call.
     pub dependency: Dependency,
-    /// What can be done to running work.
+    /// How running requests can be preempted.
     pub preemption: Preemption,
-    /// What callers do with the advertised value.
+    /// How callers use the advertised value.
     pub signal: Signal,
-    /// The answer to a read may be used for others this long; zero means never.
+    /// How long the response of an idempotent request may be reused for others; zero means never.
     pub response_reuse: Duration,
-    /// The server has only just started and is cold.
+    /// Whether the server has just started and has to warm up (slow start).
     pub cold: bool,
-    /// A cold server starts at no less than this part of its speed.
+    /// Speed at a cold start, at the least, as a fraction of full speed.
     pub cold_speed: f64,
-    /// It is warm after this long at most.
+    /// The longest time that warming up takes.
     pub warm_up_time: Duration,
-    /// Arrivals say how long their caller still waits.
+    /// Whether arrivals carry [`Arrival::time_left`].
     pub sends_deadline: bool,
-    /// Callers close connections idle for this long.
+    /// Idle timeout of connections at the callers.
     pub idle: Duration,
-    /// Refusals may carry a retry-after.
+    /// Whether a rejection may carry a retry-after.
     pub retry_after: bool,
-    /// The longest retry-after that callers follow.
+    /// The longest retry-after that callers honor.
     pub max_retry_after: Duration,
-    /// Nothing that arrives this long after the notice to leave may run.
+    /// Grace period of a drain: requests that arrive later than this after [`Event::Drain`] must not run.
     pub drain_grace: Duration,
-    /// Requests a core that a warm server survives on its cores; kept at every moment, whatever the span.
+    /// Maximum concurrency per core that a warm server survives; never exceeded, not even for a moment.
     pub max_concurrency_per_core: f64,
-    /// The shortest gap between two calls of `handle`.
+    /// The shortest time between two calls of [`Admission::handle`](crate::Admission::handle).
     pub tick: Duration,
 }
 
@@ -203,33 +204,33 @@
     }
 }
 
-/// A request that has been read.
+/// An attempt of a request that the server has read.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Arrival {
-    /// This try.
+    /// The attempt.
     pub id: RequestId,
-    /// The known try that this one repeats.
+    /// The known attempt that this one is a retry of.
     pub repeats: Option<RequestId>,
     /// Its class.
     pub class: ClassId,
     /// Its tenant.
     pub tenant: TenantId,
-    /// A rough hint of its work, as time on a standard core.
+    /// A rough estimate of its work, as time on a standard core.
     pub cost_hint: Option<Duration>,
-    /// Its memory while held.
+    /// Its memory while it is queued, in kB.
     pub memory_kb: f64,
-    /// How long ago it reached the machine.
+    /// Time since it reached the machine.
     pub age: Duration,
-    /// Its place from 0 to 1, see [`Signal::Level`].
+    /// Its rank, 0 to 1, which callers compare with [`Signal::Level`].
     pub rank: f64,
     /// The caller it came from.
     pub caller: CallerId,
-    /// How long the caller still waits, if it says.
+    /// How long the caller still waits, if the request says so.
     pub time_left: Option<Duration>,
 }
 
 impl Arrival {
-    /// A plain first try with no hint, no memory to speak of and no stated patience.
+    /// A first attempt with 1 kB of memory, no cost hint and no time left stated.
     pub fn new(id: RequestId, class: ClassId) -> Self {
         Arrival {
             id,
@@ -249,105 +250,105 @@
 /// How a run or a call ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// It worked.
+    /// It succeeded.
     Ok,
-    /// It failed and may have had its effect.
+    /// It failed; its effect may have occurred.
     Error,
-    /// A call, or a run, was refused without being seen.
+    /// A call or a run was rejected before it started.
     Rejected,
-    /// A call was given up on and may have had its effect.
+    /// A call timed out; its effect may have occurred.
     TimedOut,
-    /// A call could not reach what lies below.
+    /// A call could not reach the dependency.
     Unreachable,
-    /// A call was cut off and may have had its effect.
+    /// The connection of a call was lost; its effect may have occurred.
     CutOff,
-    /// A run was stopped, or ended at a call because it was already answered or its caller gone.
+    /// A run was stopped, or ended at a call because it had been answered or its caller had disconnected.
     Cancelled,
-    /// Nothing was started, because the request was already over.
+    /// No run was started because the request had already ended.
     Skipped,
 }
 
-/// What the server measures of itself, where it measures it.
+/// Load of the server, as far as it measures it.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Gauges {
-    /// How much of the cores was busy of late, 0 to 1.
+    /// Recent utilization of the cores, 0 to 1.
     pub busy: Option<f64>,
-    /// Everything that wants a core right now.
+    /// Number of threads or tasks that are running or ready to run.
     pub runnable: Option<f64>,
 }
 
-/// What happened.
+/// An event that the server reports to the module.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// A request was read and is now held.
+    /// A request was read and is now queued.
     Arrived(Arrival),
-    /// A run or a join ended; `Ok` and `Error` went to the caller unless it was answered before.
+    /// A run or a coalesced request ended; `Ok` and `Error` were sent to the caller unless it had its answer.
     Finished {
         /// The request.
         id: RequestId,
         /// How it ended.
         outcome: Outcome,
-        /// Since the action that started it.
+        /// Time since the action that started it.
         took: Duration,
     },
-    /// A running request has left the cores and waits for [`Action::Call`].
+    /// A running request waits for [`Action::Call`] and uses no core meanwhile.
     CallNeeded(RequestId),
-    /// A call ended; after `Ok` the request runs on by itself, otherwise it still waits.
+    /// A call ended; after `Ok` the request continues by itself, otherwise it waits for another action.
     CallReturned {
         /// The request.
         id: RequestId,
         /// How the call ended.
         outcome: Outcome,
-        /// Since the call was made.
+        /// Time since [`Action::Call`].
         took: Duration,
     },
-    /// The caller is known gone; no answer is owed.
+    /// The caller has cancelled or disconnected; no answer is needed.
     Cancelled(RequestId),
-    /// Notice to leave; the server is stopped after this long.
+    /// Shutdown notice: the server drains and is stopped after this time.
     Drain(Duration),
     /// A timer is due.
     Timer(TimerId, Gauges),
 }
 
-/// What the server is to do, in this order.
+/// An instruction to the server, to be carried out in the order of the list.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Start a held request or take up a paused one.
+    /// Start a queued request or resume a paused one.
     Run(RequestId),
-    /// Stop running work (see [`Preemption`]); does not answer it.
+    /// Preempt a running request (see [`Preemption`]); it is not answered by this.
     Pause(RequestId),
-    /// Final answer: turned away, this try never ran.
+    /// Final answer: rejected; this attempt never ran.
     Reject {
         /// The request.
         id: RequestId,
-        /// How long the caller should keep away.
+        /// How long the caller should wait before a retry.
         retry_after: Option<Duration>,
-        /// Ask the caller not to try elsewhere.
+        /// Ask the caller not to retry on another server.
         give_up: bool,
     },
-    /// Final answer: failed, nothing is promised.
+    /// Final answer: failed; the effect may have occurred or not.
     Fail(RequestId),
-    /// Answer a held request from the request it repeats.
+    /// Answer a queued retry with the result of the request that it repeats.
     Coalesce(RequestId),
-    /// Remember the request, or renew its entry, for this long.
+    /// Retain the request's idempotency key for this time from now, or extend its retention.
     RetainKey(RequestId, Duration),
-    /// Forget the request's entry.
+    /// Release the request's idempotency key.
     ReleaseKey(RequestId),
-    /// Make the call that a request waits for, given up after this long.
+    /// Make the call that a request waits for, with this timeout.
     Call(RequestId, Duration),
-    /// Carry on without the call.
+    /// Continue the request without the call.
     SkipCall(RequestId),
-    /// What health checks hear from now on.
+    /// Set the response to health checks.
     SetHealth {
-        /// Good or bad.
+        /// Whether the server is healthy.
         good: bool,
-        /// Answered from this setting alone.
+        /// Whether health checks are answered from this value alone, without work.
         cheap: bool,
     },
-    /// The free value that callers see from now on (see [`Signal`]).
+    /// Set the value that is advertised to callers (see [`Signal`]).
     Advertise(f64),
-    /// Close connections idle for this long.
+    /// Set the time after which idle connections are closed.
     IdleLimit(Duration),
-    /// Ask for a [`Event::Timer`] after this long.
+    /// Request an [`Event::Timer`] after this time.
     SetTimer(TimerId, Duration),
 }
--- a/admission/src/lib.rs
+++ b/admission/src/lib.rs
@@ -1,7 +1,7 @@
-//! Admission and scheduling for one server behind balancers that nobody can change.
+//! Admission control and scheduling for one server behind load balancers that can't be changed.
 //!
-//! [`Admission`] is a pure state machine: the embedding server tells it what happened, with the
-//! time, and carries out the actions it answers with. It has no clock, no IO and no threads.
+//! [`Admission`] is a deterministic state machine without clock, I/O or threads. The embedding server passes it
+//! events together with the current time and carries out the actions that it returns.
 //!
 //! ```
 //! use std::time::Duration;
@@ -11,7 +11,7 @@
 //! let start = Duration::from_secs(100);
 //! let mut admission = Admission::new(settings, 7, start);
 //! let mut actions = Vec::new();
-//! admission.handle(start, &[], &mut actions); // opening actions: health, idle limit, first timer
+//! admission.handle(start, &[], &mut actions); // initial actions: health, idle limit, first timer
 //!
 //! actions.clear();
 //! let arrival = Arrival::new(RequestId(1), ClassId(0));
