--- a/node/src/server/reload.rs
+++ b/node/src/server/reload.rs
@@ -4,7 +4,7 @@
 //! configuration of the fleet. Everything else in the files takes effect at a restart or an upgrade.
 
 use oakwind_fleet::replica_node::Event;
-use oakwind_settings::{BadSettings, Parsed};
+use oakwind_settings::{Parsed, SettingsError};
 use thiserror::Error;
 use tokio::signal::unix::Signal;
 use tokio::sync::{mpsc, watch};
@@ -29,7 +29,7 @@
     KeyMissing(String),
     /// The settings can't follow the ones in force.
     #[error("{0}")]
-    Settings(BadSettings),
+    Settings(SettingsError),
 }
 
 /// What makes the node read its files again.
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,25 +1,19 @@
-//! Reads the settings of the admission module from JSON: the text that the simulator sends at a start, and the object
-//! under `settings` in a node's configuration. Unknown keys are ignored. Times are in microseconds.
+//! Reads the settings of the admission module from JSON: the text that the simulator sends when a backend starts, and the
+//! object under `settings` in a node's configuration. Unknown keys are ignored. Times are in microseconds.
+
+mod error;
+mod json;
+mod positions;
 
-use std::fmt;
 use std::time::Duration;
 
 use oakwind_admission::{Class, Dependency, Effect, Gauges, Preemption, Settings, Signal};
-use serde::Deserialize;
-
-/// The settings cannot be used; the message names the key.
-#[derive(Debug, PartialEq, Eq)]
-pub struct BadSettings(pub String);
 
-impl fmt::Display for BadSettings {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "settings: {}", self.0)
-    }
-}
+pub use error::SettingsError;
+use json::{Params, Service, Specifics};
+use positions::Positions;
 
-impl std::error::Error for BadSettings {}
-
-/// The settings, and the names of what they list, each in the order of its positions.
+/// Settings, with the names of the listed items in the order of their positions.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Parsed {
     /// The settings of the admission module.
@@ -36,10 +30,6 @@
     pub retired_tenants: Vec<usize>,
 }
 
-/// Names that may get a position in one process, so that settings which bring new names at each reload do not use up
-/// its memory.
-const MAX_NAMES: usize = 1000;
-
 impl Parsed {
     /// The settings that replace `self` at a reload: classes and tenants with a known name keep its position, those
     /// that are left out are retired, and new ones come after them.
@@ -47,171 +37,52 @@
     /// # Errors
     ///
     /// If there would be more than 1,000 names of a kind.
-    pub fn followed_by(&self, mut new: Parsed) -> Result<Parsed, BadSettings> {
-        let values = std::mem::take(&mut new.settings.classes);
-        (new.classes, new.settings.classes, new.retired_classes) =
-            merge("services", (&self.classes, &self.settings.classes), new.classes, values)?;
-        let quotas = std::mem::take(&mut new.settings.tenant_quotas);
-        (new.tenants, new.settings.tenant_quotas, new.retired_tenants) =
-            merge("tenants", (&self.tenants, &self.settings.tenant_quotas), new.tenants, quotas)?;
-        Ok(new)
+    pub fn followed_by(&self, new: Parsed) -> Result<Parsed, SettingsError> {
+        let classes = Positions::merge(
+            "services",
+            &self.classes,
+            &self.settings.classes,
+            new.classes,
+            new.settings.classes,
+        )?;
+        let tenants = Positions::merge(
+            "tenants",
+            &self.tenants,
+            &self.settings.tenant_quotas,
+            new.tenants,
+            new.settings.tenant_quotas,
+        )?;
+        Ok(Parsed {
+            settings: Settings { classes: classes.values, tenant_quotas: tenants.values, ..new.settings },
+            gauges: new.gauges,
+            classes: classes.names,
+            tenants: tenants.names,
+            retired_classes: classes.retired,
+            retired_tenants: tenants.retired,
+        })
     }
 }
 
-/// Names and values by position, and the positions that are retired.
-type Merged<T> = (Vec<String>, Vec<T>, Vec<usize>);
-
-fn merge<T: Clone>(
-    key: &str,
-    (names, values): (&[String], &[T]),
-    new_names: Vec<String>,
-    new_values: Vec<T>,
-) -> Result<Merged<T>, BadSettings> {
-    let (mut names, mut values) = (names.to_vec(), values.to_vec());
-    let mut retired: Vec<usize> = (0..names.len()).collect();
-    for (name, value) in new_names.into_iter().zip(new_values) {
-        if let Some(position) = names.iter().position(|known| *known == name) {
-            values[position] = value;
-            retired.retain(|retired| *retired != position);
-        } else {
-            names.push(name);
-            values.push(value);
-        }
-    }
-    if names.len() > MAX_NAMES {
-        return Err(BadSettings(format!("{key}: over {MAX_NAMES} names since the start")));
-    }
-    Ok((names, values, retired))
-}
-
-#[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
-struct Params {
-    services: Vec<Service>,
-    specifics: Specifics,
-    safety: Safety,
-    #[serde(default)]
-    limits: Limits,
-    #[serde(default)]
-    tenants: Vec<Tenant>,
-    #[serde(default)]
-    counted_by: String,
-    #[serde(default = "one")]
-    over_share_worth: f64,
-    #[serde(default)]
-    servers: u32,
-    #[serde(default)]
-    tick: u64,
-}
-
-#[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
-struct Service {
-    #[serde(default)]
-    name: String,
-    slo: u64,
-    deadline: u64,
-    #[serde(default)]
-    aim_stretch: f64,
-    effect: String,
-    #[serde(default)]
-    window: u64,
-    #[serde(default = "one")]
-    worth: f64,
-    #[serde(default)]
-    late_worth: f64,
-}
-
-#[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
-struct Specifics {
-    cores: u32,
-    memory_kb: f64,
-    #[serde(default = "one")]
-    run_factor: f64,
-    #[serde(default)]
-    entry_kb: f64,
-    #[serde(default)]
-    depends_on: String,
-    #[serde(default)]
-    callers: u32,
-    #[serde(default)]
-    calls_out: f64,
-    #[serde(default)]
-    share_span: u64,
-    #[serde(default)]
-    stays_for: u64,
-    #[serde(default)]
-    class_calls: Vec<bool>,
-    #[serde(default)]
-    class_skip_worth: Vec<f64>,
-    #[serde(default)]
-    fresh: u64,
-    #[serde(default)]
-    gauges: Vec<String>,
-    #[serde(default)]
-    idle: u64,
-    #[serde(default)]
-    just_started: bool,
-    #[serde(default)]
-    passes_deadline: bool,
-    #[serde(default)]
-    preemption: String,
-    #[serde(default)]
-    signal: String,
-}
-
-#[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
-struct Safety {
-    #[serde(default = "one")]
-    cold_share: f64,
-    drain_grace: u64,
-    fall_multiple: f64,
-    #[serde(default)]
-    warm_after: u64,
-}
-
-#[derive(Deserialize, Default)]
-#[serde(rename_all = "camelCase", default)]
-struct Limits {
-    max_retry_after: u64,
-    retry_after: bool,
-}
-
-#[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
-struct Tenant {
-    #[serde(default)]
-    name: String,
-    #[serde(default)]
-    quota_per_s: f64,
-}
-
-fn one() -> f64 {
-    1.0
-}
-
 /// Reads settings from JSON.
 ///
 /// # Errors
 ///
 /// If the text is no JSON, a key is missing or has a value that cannot be used.
-pub fn parse(text: &str) -> Result<Parsed, BadSettings> {
+pub fn parse(text: &str) -> Result<Parsed, SettingsError> {
     let mut json = serde_json::Deserializer::from_str(text);
-    let params: Params =
-        serde_path_to_error::deserialize(&mut json).map_err(|e| BadSettings(e.to_string()))?;
-    json.end().map_err(|e| BadSettings(e.to_string()))?;
+    let params: Params = serde_path_to_error::deserialize(&mut json)
+        .map_err(|error| SettingsError::InvalidJson(error.to_string()))?;
+    json.end().map_err(|error| SettingsError::InvalidJson(error.to_string()))?;
     let specifics = &params.specifics;
     let classes = params
         .services
         .iter()
         .enumerate()
-        .map(|(i, service)| class(service, i, specifics))
+        .map(|(position, service)| class(service, position, specifics))
         .collect::<Result<_, _>>()?;
     let settings = Settings {
         classes,
-        tenant_quotas: params.tenants.iter().map(|t| t.quota_per_s).collect(),
+        tenant_quotas: params.tenants.iter().map(|tenant| tenant.quota_per_s).collect(),
         over_quota_weight: params.over_share_worth,
         weight_by_work: params.counted_by == "work",
         servers: params.servers,
@@ -238,14 +109,14 @@
     Ok(Parsed {
         settings,
         gauges: params.specifics.gauges,
-        classes: params.services.into_iter().map(|s| s.name).collect(),
-        tenants: params.tenants.into_iter().map(|t| t.name).collect(),
+        classes: params.services.into_iter().map(|service| service.name).collect(),
+        tenants: params.tenants.into_iter().map(|tenant| tenant.name).collect(),
         retired_classes: Vec::new(),
         retired_tenants: Vec::new(),
     })
 }
 
-fn class(service: &Service, position: usize, specifics: &Specifics) -> Result<Class, BadSettings> {
+fn class(service: &Service, position: usize, specifics: &Specifics) -> Result<Class, SettingsError> {
     Ok(Class {
         latency_objective: Duration::from_micros(service.slo),
         objective_stretch: service.aim_stretch,
@@ -264,7 +135,7 @@
     })
 }
 
-fn dependency(specifics: &Specifics) -> Result<Dependency, BadSettings> {
+fn dependency(specifics: &Specifics) -> Result<Dependency, SettingsError> {
     match specifics.depends_on.as_str() {
         "" | "off" => Ok(Dependency::Off),
         "shared" => Ok(Dependency::Shared {
@@ -277,8 +148,8 @@
     }
 }
 
-fn preemption(word: &str) -> Result<Preemption, BadSettings> {
-    match word {
+fn preemption(value: &str) -> Result<Preemption, SettingsError> {
+    match value {
         "" | "off" => Ok(Preemption::Off),
         "drop" => Ok(Preemption::Drop),
         "pause" => Ok(Preemption::Pause),
@@ -286,8 +157,8 @@
     }
 }
 
-fn signal(word: &str) -> Result<Signal, BadSettings> {
-    match word {
+fn signal(value: &str) -> Result<Signal, SettingsError> {
+    match value {
         "" | "off" => Ok(Signal::Off),
         "level" => Ok(Signal::Level),
         "credit" => Ok(Signal::Credit),
@@ -296,11 +167,12 @@
     }
 }
 
-fn unknown<T>(key: &str, word: &str) -> Result<T, BadSettings> {
-    Err(BadSettings(format!("{key} has the unknown value {word:?}")))
+/// The error for a value that is not one of the words known for `key`.
+fn unknown<T>(key: &'static str, value: &str) -> Result<T, SettingsError> {
+    Err(SettingsError::UnknownValue { key, value: value.to_owned() })
 }
 
-/// The gauges that the admission module uses, picked by the names that the settings give them.
+/// The gauges that the admission module uses: `values` in the order of `names`, which the settings list.
 pub fn gauges(names: &[String], values: &[f64]) -> Gauges {
     let mut gauges = Gauges::default();
     for (name, &value) in names.iter().zip(values) {
