--- a/simulator-adapter/src/tests.rs
+++ b/simulator-adapter/src/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
 
+/// A frame at one microsecond with these records.
 fn frame(records: &[&[u8]]) -> Vec<u8> {
     let body = records.concat();
     let mut frame = (body.len() as u32 + 12).to_le_bytes().to_vec();
@@ -10,18 +11,18 @@
 }
 
 #[test]
-fn an_empty_batch_gets_an_empty_reply_and_the_end_is_clean() {
+fn an_empty_batch_gets_an_empty_reply_and_the_end_of_input_is_no_error() {
     let mut output = Vec::new();
     assert_eq!(serve(&mut &frame(&[])[..], &mut output), Ok(()));
     assert_eq!(output, vec![0; 8]);
 }
 
 #[test]
-fn malformed_input_ends_it_before_any_part_of_a_reply() {
+fn malformed_input_is_an_error_without_any_part_of_a_reply() {
     let unknown_backend: &[&[u8]] = &[&[9, 1, 0], &[6, 1, 0, 0, 0]];
-    let nameless: &[&[u8]] = &[&[6, 1, 0, 0, 0]];
+    let no_backend_selected: &[&[u8]] = &[&[6, 1, 0, 0, 0]];
     let bad_settings: &[&[u8]] = &[&[9, 1, 0], &[0, 0, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0, b'{']];
-    for records in [unknown_backend, nameless, bad_settings] {
+    for records in [unknown_backend, no_backend_selected, bad_settings] {
         let mut output = Vec::new();
         assert!(serve(&mut &frame(records)[..], &mut output).is_err());
         assert!(output.is_empty());
--- a/simulator-adapter/src/wire/tests.rs
+++ b/simulator-adapter/src/wire/tests.rs
@@ -1,11 +1,17 @@
+use std::time::Duration;
+
+use oakwind_admission::{Action, CallerId, Event, RequestId, TimerId};
+
 use super::*;
 
+/// The bytes that `text` gives in hexadecimal.
 fn hex(text: &str) -> Vec<u8> {
     let digits: Vec<u8> = text.bytes().filter(u8::is_ascii_hexdigit).collect();
     digits.chunks(2).map(|pair| u8::from_str_radix(std::str::from_utf8(pair).unwrap(), 16).unwrap()).collect()
 }
 
-fn sample() -> Vec<u8> {
+/// A batch with an arrival, a timer and a cancellation for two backends.
+fn sample_batch() -> Vec<u8> {
     hex("05000000 5a5c800000000000 09 0300 \
          01 c4913a5d 192b6f0e e02e0000 0000 0000 0000c441 01 640ad2557c3bf091 3a070000 \
          0000203f 11000000 80a90300 \
@@ -14,9 +20,9 @@
 
 #[test]
 fn decodes_every_field_of_a_request() {
-    let batch = decode(&sample()).unwrap();
+    let batch = decode(&sample_batch()).unwrap();
     assert_eq!(batch.now, Duration::from_micros(0x0080_5c5a));
-    assert_eq!(batch.records[0], Record::At(3));
+    assert_eq!(batch.records[0], Record::SelectBackend(3));
     let Record::Event(Event::Arrived(arrival)) = &batch.records[1] else {
         panic!("not an arrival");
     };
@@ -33,9 +39,9 @@
 
 #[test]
 fn every_truncation_is_malformed() {
-    let whole = sample();
+    let whole = sample_batch();
     for len in 0..whole.len() {
-        assert!(decode(&whole[..len]).is_err(), "cut at {len}");
+        assert!(decode(&whole[..len]).is_err(), "truncated at {len}");
     }
     let mut long = whole;
     long.push(0);
@@ -43,13 +49,13 @@
 }
 
 #[test]
-fn frames_end_cleanly_only_between_frames() {
-    let mut framed = 12u32.to_le_bytes().to_vec();
-    framed.extend([0; 12]);
-    for len in 1..framed.len() {
-        assert!(read_frame(&mut &framed[..len]).is_err(), "cut at {len}");
+fn the_input_may_end_only_between_frames() {
+    let mut frame = 12u32.to_le_bytes().to_vec();
+    frame.extend([0; 12]);
+    for len in 1..frame.len() {
+        assert!(read_frame(&mut &frame[..len]).is_err(), "truncated at {len}");
     }
-    assert_eq!(read_frame(&mut &framed[..]).unwrap(), Some(vec![0; 12]));
+    assert_eq!(read_frame(&mut &frame[..]).unwrap(), Some(vec![0; 12]));
     assert_eq!(read_frame(&mut &[][..]).unwrap(), None);
     assert!(read_frame(&mut &u32::MAX.to_le_bytes()[..]).is_err());
 }
@@ -61,7 +67,7 @@
 }
 
 #[test]
-fn encodes_actions_as_the_page_shows() {
+fn encodes_actions_as_the_protocol_specifies() {
     let mut reply = Reply::default();
     reply.extend(3, &[Action::Run(RequestId(0x5d3a_91c4))]);
     reply.extend(4, &[]);
