--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -73,6 +73,18 @@
     let params: Params = serde_path_to_error::deserialize(&mut json)
         .map_err(|error| SettingsError::InvalidJson(error.to_string()))?;
     json.end().map_err(|error| SettingsError::InvalidJson(error.to_string()))?;
+    let settings = settings(&params)?;
+    Ok(Parsed {
+        settings,
+        gauges: params.specifics.gauges,
+        classes: params.services.into_iter().map(|service| service.name).collect(),
+        tenants: params.tenants.into_iter().map(|tenant| tenant.name).collect(),
+        retired_classes: Vec::new(),
+        retired_tenants: Vec::new(),
+    })
+}
+
+fn settings(params: &Params) -> Result<Settings, SettingsError> {
     let specifics = &params.specifics;
     let classes = params
         .services
@@ -80,7 +92,7 @@
         .enumerate()
         .map(|(position, service)| class(service, position, specifics))
         .collect::<Result<_, _>>()?;
-    let settings = Settings {
+    Ok(Settings {
         classes,
         tenant_quotas: params.tenants.iter().map(|tenant| tenant.quota_per_s).collect(),
         over_quota_weight: params.over_share_worth,
@@ -105,14 +117,6 @@
         drain_grace: Duration::from_micros(params.safety.drain_grace),
         max_concurrency_per_core: params.safety.fall_multiple,
         tick: Duration::from_micros(params.tick),
-    };
-    Ok(Parsed {
-        settings,
-        gauges: params.specifics.gauges,
-        classes: params.services.into_iter().map(|service| service.name).collect(),
-        tenants: params.tenants.into_iter().map(|tenant| tenant.name).collect(),
-        retired_classes: Vec::new(),
-        retired_tenants: Vec::new(),
     })
 }
 
--- a/settings/src/tests.rs
+++ b/settings/src/tests.rs
@@ -7,7 +7,7 @@
     "unheardOf": {}}"#;
 
 #[test]
-fn reads_what_it_knows_and_skips_the_rest() {
+fn reads_known_keys_and_ignores_unknown_ones() {
     let settings = parse(SMALL).unwrap().settings;
     assert_eq!(settings.cores, 2);
     assert_eq!(settings.signal, Signal::Level);
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn says_what_is_missing_or_unknown() {
+fn errors_name_the_missing_key_or_the_unknown_value() {
     let missing = SMALL.replace(r#""cores": 2, "#, "");
     assert!(parse(&missing).unwrap_err().to_string().contains("cores"));
     let odd = SMALL.replace("by_key", "sometimes");
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn what_has_a_position_keeps_it() {
+fn known_names_keep_their_positions_and_left_out_names_are_retired() {
     let named = |names: [&str; 2]| {
         let mut parsed = parse(SMALL).unwrap();
         parsed.classes = names.map(String::from).to_vec();
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn gauges_go_by_name() {
+fn gauges_are_selected_by_name() {
     let names = ["mem_used", "runnable", "cpu_busy"].map(String::from);
     let read = gauges(&names, &[0.5, 7.0, 0.25]);
     assert_eq!((read.runnable, read.busy), (Some(7.0), Some(0.25)));
