--- /dev/null
+++ b/admission/tests/model/actions.rs
@@ -0,0 +1,143 @@
+//! Carries out the actions of the module and checks that each is allowed.
+
+use std::time::Duration;
+
+use oakwind_admission::{Action, Effect, Event, Outcome, Preemption, RequestId, Signal};
+
+use crate::{ServerModel, State};
+
+impl ServerModel {
+    /// Carries out an action and checks that it is allowed. Failed attempts are added to `failed`.
+    pub(crate) fn apply(&mut self, action: &Action, failed: &mut Vec<RequestId>) {
+        match *action {
+            Action::Run(id) => self.run(id),
+            Action::Reject { id, .. } => self.reject(id),
+            Action::Fail(id) => {
+                self.answer(id);
+                failed.push(id);
+            }
+            Action::Coalesce(id) => {
+                let attempt = self.attempts.get_mut(&id).expect("known");
+                assert!(attempt.retry_of.is_some(), "coalesced an attempt that is no retry");
+                if attempt.state == State::Queued {
+                    attempt.state = State::Coalesced;
+                }
+            }
+            Action::RetainKey(id, duration) => {
+                let effect = self.attempts[&id].effect;
+                if self.class(id).effect == Effect::IdempotencyKey {
+                    self.retained_keys.insert(effect, (id, self.now + duration.as_micros() as u64));
+                }
+            }
+            Action::ReleaseKey(id) => self.retained_keys.retain(|_, entry| entry.0 != id),
+            Action::Call(id, _) => {
+                let class = self.class(id).effect;
+                let attempt = self.attempts.get_mut(&id).expect("known");
+                if attempt.state == State::AwaitingCall {
+                    assert!(
+                        !attempt.call_may_have_run || class == Effect::Idempotent,
+                        "retried a call that may have run"
+                    );
+                    attempt.state = State::Calling;
+                }
+            }
+            Action::SkipCall(id) => {
+                assert!(self.class(id).skip_weight > 0.0);
+                let ends_at = self.now + 50_000;
+                let attempt = self.attempts.get_mut(&id).expect("known");
+                if attempt.state == State::AwaitingCall {
+                    attempt.state = State::Running;
+                    attempt.ends_at = ends_at;
+                }
+            }
+            Action::Pause(id) => {
+                assert_ne!(self.settings.preemption, Preemption::Off);
+                let drop_work = self.settings.preemption == Preemption::Drop;
+                let attempt = self.attempts.get_mut(&id).expect("known");
+                if attempt.state == State::Running {
+                    let answered_or_cancelled = attempt.answers > 0 || attempt.cancelled;
+                    attempt.state = match (answered_or_cancelled, drop_work) {
+                        (true, _) => State::Ended,
+                        (false, true) => State::Queued,
+                        (false, false) => State::Paused,
+                    };
+                    let took = Duration::ZERO;
+                    self.events.push(Event::Finished { id, outcome: Outcome::Cancelled, took });
+                }
+            }
+            Action::SetTimer(timer, span) => self.timers.push((self.now + span.as_micros() as u64, timer)),
+            Action::Advertise(value) => {
+                assert_ne!(self.settings.signal, Signal::Off);
+                assert!(value.is_finite() && value >= 0.0);
+            }
+            Action::SetHealth { .. } | Action::IdleLimit(_) => {}
+        }
+    }
+
+    fn run(&mut self, id: RequestId) {
+        let now = self.now;
+        let class = self.class(id).clone();
+        let attempt = &self.attempts[&id];
+        if attempt.state == State::Ended {
+            self.events.push(Event::Finished { id, outcome: Outcome::Skipped, took: Duration::ZERO });
+            return;
+        }
+        if !matches!(attempt.state, State::Queued | State::Paused) {
+            return;
+        }
+        if let (State::Queued, Some((drain_notice, _))) = (attempt.state, self.drain_notice) {
+            let grace = self.settings.drain_grace.as_micros() as u64;
+            assert!(attempt.arrived <= drain_notice + grace, "ran an arrival after the grace period");
+        }
+        if attempt.state == State::Queued && class.effect != Effect::Idempotent {
+            assert!(!attempt.ever_run, "ran an effect again after preemption");
+        }
+        if class.effect == Effect::IdempotencyKey && attempt.state == State::Queued {
+            let window = class.window.as_micros() as u64;
+            let ran_before = self.attempts.iter().any(|(other, other_attempt)| {
+                *other != id
+                    && other_attempt.effect == attempt.effect
+                    && other_attempt.ever_run
+                    && attempt.arrived <= other_attempt.arrived + window
+            });
+            assert!(!ran_before, "one effect ran twice");
+        }
+        let length = 20_000 + self.random.below(600_000);
+        let attempt = self.attempts.get_mut(&id).expect("known");
+        attempt.state = State::Running;
+        attempt.ever_run = true;
+        attempt.started_at = now;
+        attempt.ends_at = now + length;
+    }
+
+    fn reject(&mut self, id: RequestId) {
+        let repeatable = self.class(id).effect == Effect::Idempotent;
+        assert!(repeatable || !self.attempts[&id].ever_run, "rejected an attempt that had run");
+        self.answer(id);
+        let attempt = self.attempts.get_mut(&id).expect("known");
+        if matches!(attempt.state, State::Queued | State::Coalesced) {
+            attempt.state = State::Ended;
+        }
+    }
+
+    fn answer(&mut self, id: RequestId) {
+        let attempt = self.attempts.get_mut(&id).expect("known");
+        if !attempt.cancelled && attempt.state != State::Ended {
+            attempt.answers += 1;
+            assert_eq!(attempt.answers, 1, "answered twice");
+        }
+    }
+
+    /// Ends the attempts that were failed while they were not running.
+    pub(crate) fn end_failed(&mut self, failed: Vec<RequestId>) {
+        for id in failed {
+            match self.attempts[&id].state {
+                State::Queued | State::Paused | State::Coalesced => {
+                    self.attempts.get_mut(&id).expect("known").state = State::Ended;
+                }
+                State::AwaitingCall | State::Calling => self.end_waiting_for_call(id),
+                _ => {}
+            }
+        }
+    }
+}
