--- a/admission/tests/admission/calls.rs
+++ b/admission/tests/admission/calls.rs
@@ -43,22 +43,25 @@
         started_admission(Settings { classes: vec![class], dependency, cores: 8, ..Settings::default() });
     let ids: Vec<u32> = (1..=8).collect();
     handle_at(&mut admission, 0, &ids.iter().map(|id| arrival_event(*id)).collect::<Vec<_>>());
-    let needs: Vec<_> = ids.iter().map(|id| Event::CallNeeded(RequestId(*id))).collect();
-    let mut actions = handle_at(&mut admission, 10, &needs);
-    let (mut calls_out, mut busy) = (None, 0);
+    let calls_needed: Vec<_> = ids.iter().map(|id| Event::CallNeeded(RequestId(*id))).collect();
+    let mut actions = handle_at(&mut admission, 10, &calls_needed);
+    let (mut call_in_progress, mut steps_with_call) = (None, 0);
     for at in (60..20_000).step_by(50) {
         if let Some(Action::Call(id, _)) = actions.iter().find(|a| matches!(a, Action::Call(..))) {
-            calls_out = Some((*id, at));
+            call_in_progress = Some((*id, at));
         }
-        busy += u32::from(calls_out.is_some());
+        steps_with_call += u32::from(call_in_progress.is_some());
         let mut events = vec![timer_event()];
-        if let Some((id, since)) = calls_out.filter(|o| at >= o.1 + 500) {
+        if let Some((id, since)) = call_in_progress.filter(|(_, since)| at >= since + 500) {
             events.push(Event::CallReturned { id, outcome: Outcome::Ok, took: ms(at - since) });
-            calls_out = None;
+            call_in_progress = None;
         }
         actions = handle_at(&mut admission, at, &events);
     }
-    assert!(busy > 0 && f64::from(busy) / 400.0 <= 0.4, "{busy} of 400 steps with a call in progress");
+    assert!(
+        steps_with_call > 0 && f64::from(steps_with_call) / 400.0 <= 0.4,
+        "{steps_with_call} of 400 steps with a call in progress"
+    );
 }
 
 #[test]
@@ -86,8 +89,8 @@
     handle_at(&mut admission, 10, &[Event::CallNeeded(RequestId(1))]);
     handle_at(&mut admission, 20, &[returned(RequestId(1))]);
     handle_at(&mut admission, 30, &[arrival_event(2), arrival_event(3), arrival_event(4)]);
-    let needs = [2, 3, 4].map(|id| Event::CallNeeded(RequestId(id)));
-    let actions = handle_at(&mut admission, 40, &needs);
+    let calls_needed = [2, 3, 4].map(|id| Event::CallNeeded(RequestId(id)));
+    let actions = handle_at(&mut admission, 40, &calls_needed);
     assert_eq!(actions.iter().filter(|a| matches!(a, Action::Call(..))).count(), 3);
 }
 
@@ -98,39 +101,43 @@
     let dependency = Dependency::Shared { share, span: ms(5000), linger: ms(200) };
     let settings = Settings { classes: vec![class], dependency, cores: 2, ..Settings::default() };
     let mut admission = started_admission(settings);
-    let (mut next, mut calls_out, mut concurrent_calls) =
+    let (mut next, mut calls_in_progress, mut concurrent_calls) =
         (1, Vec::<(RequestId, u64, u64)>::new(), Vec::new());
     for at in (10..40_000u64).step_by(10) {
         let mut events = vec![timer_event()];
-        for (id, _, _) in calls_out.iter().filter(|(_, since, within)| at >= since + within) {
+        for (id, _, _) in calls_in_progress.iter().filter(|(_, since, timeout)| at >= since + timeout) {
             events.push(Event::CallReturned { id: *id, outcome: Outcome::TimedOut, took: ms(0) });
         }
         // Quick calls for ten seconds, then calls that never return and time out.
-        for (id, since, _) in calls_out.iter().filter(|(_, since, _)| *since < 10_000 && at == since + 20) {
+        for (id, since, _) in
+            calls_in_progress.iter().filter(|(_, since, _)| *since < 10_000 && at == since + 20)
+        {
             events.push(Event::CallReturned { id: *id, outcome: Outcome::Ok, took: ms(at - since) });
             events.push(Event::Finished { id: *id, outcome: Outcome::Ok, took: ms(at - since) });
         }
-        calls_out.retain(|(_, since, within)| at < since + within && !(*since < 10_000 && at >= since + 20));
+        calls_in_progress
+            .retain(|(_, since, timeout)| at < since + timeout && !(*since < 10_000 && at >= since + 20));
         if at % 200 == 0 {
             events.push(arrival_event(next));
             next += 1;
         }
         let mut actions = handle_at(&mut admission, at, &events);
-        let needs: Vec<_> = actions
+        let calls_needed: Vec<_> = actions
             .iter()
             .filter_map(|a| if let Action::Run(id) = a { Some(Event::CallNeeded(*id)) } else { None })
             .collect();
-        actions.extend(handle_at(&mut admission, at, &needs));
+        actions.extend(handle_at(&mut admission, at, &calls_needed));
         for action in actions {
-            if let Action::Call(id, within) = action {
-                calls_out.push((id, at, within.as_millis() as u64));
+            if let Action::Call(id, timeout) = action {
+                calls_in_progress.push((id, at, timeout.as_millis() as u64));
             }
         }
-        concurrent_calls.push(calls_out.len() as f64);
+        concurrent_calls.push(calls_in_progress.len() as f64);
     }
-    let peak =
-        concurrent_calls.windows((span * 100.0) as usize).map(|w| w.iter().sum::<f64>() / w.len() as f64);
-    let peak = peak.fold(0.0, f64::max);
+    let means = concurrent_calls
+        .windows((span * 100.0) as usize)
+        .map(|window| window.iter().sum::<f64>() / window.len() as f64);
+    let peak = means.fold(0.0, f64::max);
     assert!(peak > 0.0 && peak <= share, "{peak} calls in the mean of {span} s");
 }
 
@@ -140,28 +147,28 @@
     let dependency = Dependency::Shared { share: 6.0, span: ms(5000), linger: ms(200) };
     let mut admission =
         started_admission(Settings { classes: vec![class], dependency, cores: 8, ..Settings::default() });
-    let (mut next, mut calls_out, mut peak) = (1, Vec::new(), 0);
+    let (mut next, mut calls_in_progress, mut peak) = (1, Vec::new(), 0);
     for at in (10..12_000).step_by(10) {
         let mut events: Vec<_> = vec![timer_event()];
-        for (id, _) in calls_out.iter().filter(|(_, since)| at >= since + call_millis) {
+        for (id, _) in calls_in_progress.iter().filter(|(_, since)| at >= since + call_millis) {
             events.push(Event::CallReturned { id: *id, outcome: Outcome::Ok, took: ms(call_millis) });
             events.push(Event::Finished { id: *id, outcome: Outcome::Ok, took: ms(call_millis) });
         }
-        calls_out.retain(|(_, since)| at < since + call_millis);
+        calls_in_progress.retain(|(_, since)| at < since + call_millis);
         events.extend([arrival_event(next)]);
         next += 1;
         let mut actions = handle_at(&mut admission, at, &events);
         let ran: Vec<_> =
             actions.iter().filter_map(|a| if let Action::Run(id) = a { Some(*id) } else { None }).collect();
-        let needs: Vec<_> = ran.into_iter().map(Event::CallNeeded).collect();
-        actions.extend(handle_at(&mut admission, at, &needs));
+        let calls_needed: Vec<_> = ran.into_iter().map(Event::CallNeeded).collect();
+        actions.extend(handle_at(&mut admission, at, &calls_needed));
         for action in actions {
             if let Action::Call(id, _) = action {
-                calls_out.push((id, at));
+                calls_in_progress.push((id, at));
             }
         }
         if at > 8000 {
-            peak = peak.max(calls_out.len());
+            peak = peak.max(calls_in_progress.len());
         }
     }
     peak
@@ -209,7 +216,10 @@
     });
     handle_at(&mut admission, 0, &[arrival_event(1)]);
     let called = handle_at(&mut admission, 100, &[Event::CallNeeded(RequestId(1))]);
-    assert!(called.iter().any(|a| matches!(a, Action::Call(_, within) if *within <= ms(1900))), "{called:?}");
+    assert!(
+        called.iter().any(|a| matches!(a, Action::Call(_, timeout) if *timeout <= ms(1900))),
+        "{called:?}"
+    );
     let timed_out = Event::CallReturned { id: RequestId(1), outcome: Outcome::TimedOut, took: ms(1850) };
     assert!(handle_at(&mut admission, 1950, &[timed_out]).contains(&Action::SkipCall(RequestId(1))));
 }
@@ -228,9 +238,9 @@
         let needed = |&id: &u32| Event::CallNeeded(RequestId(id));
         let rejected =
             |&id: &u32| Event::CallReturned { id: RequestId(id), outcome: Outcome::Rejected, took: ms(1) };
-        let needs: Vec<_> =
+        let calls_needed: Vec<_> =
             if round == 1 { ids.iter().map(needed).collect() } else { ids.iter().map(rejected).collect() };
-        let actions = handle_at(&mut admission, at, &needs);
+        let actions = handle_at(&mut admission, at, &calls_needed);
         calls = actions.iter().filter(|a| matches!(a, Action::Call(..))).count();
     }
     assert!(calls < 8, "{calls} calls retried at once at a dependency that rejected all of them");
--- a/admission/tests/admission/lifecycle.rs
+++ b/admission/tests/admission/lifecycle.rs
@@ -51,7 +51,7 @@
 #[test]
 fn zero_settings_cause_no_panic_and_leave_no_request_unanswered() {
     let class = Class { latency_objective: ms(0), deadline: ms(0), window: ms(0), ..Class::default() };
-    let empty = Settings {
+    let zero_settings = Settings {
         classes: vec![class],
         tenant_quotas: vec![0.0],
         servers: 0,
@@ -65,7 +65,7 @@
         max_concurrency_per_core: 0.0,
         ..Settings::default()
     };
-    let mut admission = started_admission(empty);
+    let mut admission = started_admission(zero_settings);
     let unknown = Event::Arrived(Arrival::new(RequestId(2), ClassId(9)));
     let actions = handle_at(&mut admission, 1, &[arrival_event(1), unknown, timer_event()]);
     assert_eq!(actions.iter().filter(|a| matches!(a, Action::Reject { .. })).count(), 2);
@@ -92,8 +92,9 @@
         let done = Event::Finished { id: RequestId(id - 1), outcome: Outcome::Ok, took: ms(50) };
         handle_at(&mut admission, 50 * n, &[done, timer_event(), arrival_event(id)]);
     }
-    let hung: Vec<_> = (61..90).flat_map(|n| handle_at(&mut admission, 50 * n, &[timer_event()])).collect();
-    assert!(hung.contains(&Action::SetHealth { good: false, cheap: true }), "{hung:?}");
+    let stalled: Vec<_> =
+        (61..90).flat_map(|n| handle_at(&mut admission, 50 * n, &[timer_event()])).collect();
+    assert!(stalled.contains(&Action::SetHealth { good: false, cheap: true }), "{stalled:?}");
     let rejected = handle_at(&mut admission, 4500, &[arrival_event(1000)]);
     assert!(
         rejected.iter().any(|a| matches!(a, Action::Reject { give_up: false, .. })),
