--- a/fleet/src/active_configs.rs
+++ b/fleet/src/active_configs.rs
@@ -1,7 +1,7 @@
 //! The membership configurations that are active at the same time (joint configurations, as in Raft).
 //!
-//! A claim needs a quorum in each of them. The oldest one retires one idempotency window after so many of its members have
-//! adopted the next that no key can have a quorum of its replicas among the others.
+//! A claim needs a quorum in each of them. The oldest one retires one idempotency window after so many of
+//! its members have adopted the next that no key can have a quorum of its replicas among the others.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -70,7 +70,6 @@
 
 impl ActiveConfigs {
     /// Creates the configurations of a node that knows one.
-    #[must_use]
     pub fn new(this_node: NodeId, config: Arc<MembershipConfig>) -> ActiveConfigs {
         ActiveConfigs {
             this_node,
@@ -83,7 +82,6 @@
     }
 
     /// Returns the newest configuration.
-    #[must_use]
     pub fn newest(&self) -> &Arc<MembershipConfig> {
         &self.active[self.active.len() - 1]
     }
@@ -94,25 +92,21 @@
     }
 
     /// Returns the number of active configurations.
-    #[must_use]
     pub fn count(&self) -> usize {
         self.active.len()
     }
 
     /// Returns the active configuration of this version.
-    #[must_use]
     pub fn get(&self, version: ConfigVersion) -> Option<&Arc<MembershipConfig>> {
         self.active.iter().find(|config| config.version() == version)
     }
 
     /// Returns the versions of the active configurations, the oldest first.
-    #[must_use]
     pub fn versions(&self) -> Vec<ConfigVersion> {
         self.active.iter().map(|config| config.version()).collect()
     }
 
     /// Returns the signatures of the active configurations, the oldest first.
-    #[must_use]
     pub fn signatures(&self) -> Vec<ConfigSignature> {
         let signature = |config: &Arc<MembershipConfig>| ConfigSignature {
             version: config.version(),
@@ -122,31 +116,27 @@
     }
 
     /// Returns every member of any active configuration.
-    #[must_use]
     pub fn all_members(&self) -> BTreeSet<NodeId> {
         self.active.iter().flat_map(|config| config.ids().iter().copied()).collect()
     }
 
     /// Returns the longest idempotency window of the active configurations.
-    #[must_use]
     pub fn longest_window(&self) -> Time {
         self.active.iter().map(|config| config.window()).max().unwrap_or_default()
     }
 
     /// Whether an active configuration has the same version as this one and another content.
-    #[must_use]
     pub fn conflicts_with(&self, other: ConfigSignature) -> bool {
         self.get(other.version).is_some_and(|config| config.digest() != other.digest)
     }
 
     /// Returns the version up to which configurations are retired.
-    #[must_use]
     pub fn retired_through(&self) -> ConfigVersion {
         self.retired_through
     }
 
-    /// Retires all configurations up to a version, as another node has: once true, that stays true. Returns whether any
-    /// was active.
+    /// Retires all configurations up to a version, as another node has: once true, that stays true. Returns
+    /// whether any was active.
     pub fn retire_through(&mut self, version: ConfigVersion) -> bool {
         let before = self.active.len();
         let newest = self.newest().version();
@@ -161,7 +151,6 @@
     }
 
     /// Whether a configuration of this version is unknown and not retired.
-    #[must_use]
     pub fn is_missing(&self, version: ConfigVersion) -> bool {
         version > self.retired_through && self.get(version).is_none()
     }
@@ -203,7 +192,8 @@
         Err(ProposalError::VersionReused { version })
     }
 
-    /// Activates a configuration that a peer has: claims need a quorum in it too from now on. Returns whether it is new.
+    /// Activates a configuration that a peer has: claims need a quorum in it too from now on. Returns
+    /// whether it is new.
     pub fn add_from_peer(&mut self, config: Arc<MembershipConfig>) -> bool {
         if !self.is_missing(config.version()) || self.active.len() >= MAX_ACTIVE_CONFIGS {
             return false;
--- a/fleet/src/message.rs
+++ b/fleet/src/message.rs
@@ -1,7 +1,8 @@
 //! The peer protocol: every message that nodes exchange.
 //!
-//! Messages are encoded by position. A later build appends new variants, and new fields at the end of existing ones, so
-//! that an older build can skip what it does not know. Variants and fields must never be reordered or removed.
+//! Messages are encoded by position. A later build appends new variants, and new fields at the end of
+//! existing ones, so that an older build can skip what it does not know. Variants and fields must never be
+//! reordered or removed.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -145,7 +146,6 @@
 
 impl TablePosition {
     /// Returns the position behind every entry of the table.
-    #[must_use]
     pub fn end(incarnation: Incarnation) -> TablePosition {
         TablePosition { incarnation, expires_ns: 0, key: Key::new() }
     }
@@ -169,7 +169,8 @@
 pub enum Completeness {
     /// For every key.
     Complete,
-    /// For the keys of which enough other replicas are among these nodes, from which the table was synchronized.
+    /// For the keys of which enough other replicas are among these nodes, from which the table was
+    /// synchronized.
     PartialFrom(Vec<NodeId>),
 }
 
@@ -327,7 +328,6 @@
 
 impl Message {
     /// Whether this is a response, which goes back on the link that the request came by.
-    #[must_use]
     pub fn is_response(&self) -> bool {
         matches!(
             self,
@@ -347,7 +347,8 @@
     }
 }
 
-/// Copies bytes out of the buffer that they were received in, so that storing them does not keep the whole buffer alive.
+/// Copies bytes out of the buffer that they were received in, so that storing them does not keep the whole
+/// buffer alive.
 pub(crate) fn detach(bytes: &Bytes) -> Bytes {
     Bytes::copy_from_slice(bytes)
 }
--- /dev/null
+++ b/node/src/peers/monotonic_clock.rs
@@ -0,0 +1,38 @@
+//! The clock of the replica node: it never goes back when the system's clock does, nor stops while the process does.
+
+use std::time::{Duration, Instant};
+
+use oakwind_fleet::Time;
+
+use crate::clock::{self, UnixTime};
+
+/// The time at which a process begins, so that what was before it has a time too.
+const TIME_AT_START: Duration = Duration::from_secs(3600);
+
+/// Counts from the start of the process.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct MonotonicClock {
+    started: Instant,
+}
+
+impl MonotonicClock {
+    /// A clock that starts now.
+    pub(super) fn start() -> MonotonicClock {
+        MonotonicClock { started: Instant::now() }
+    }
+
+    /// Now.
+    pub(super) fn now(&self) -> Time {
+        TIME_AT_START + self.started.elapsed()
+    }
+
+    /// The time of a point on the Unix clock.
+    pub(super) fn time_of(&self, at: UnixTime) -> Time {
+        let (now, unix_now) = (self.now(), clock::now());
+        if at >= unix_now {
+            now + (at - unix_now)
+        } else {
+            now.saturating_sub(unix_now - at)
+        }
+    }
+}
--- /dev/null
+++ b/node/src/result_store/segment_log/tests.rs
@@ -0,0 +1,286 @@
+use super::*;
+use crate::outcome::RunState;
+use crate::result_store::recovery::Damage;
+use std::cell::Cell;
+use std::collections::HashMap;
+use std::io::Write;
+use std::rc::Rc;
+use std::sync::atomic::{AtomicU32, Ordering};
+
+const LIMITS: Limits = Limits { max_bytes: 4 << 20 };
+const MAX_WINDOW: Duration = Duration::from_secs(17);
+
+/// A folder for one test, removed after it.
+struct TestFolder(PathBuf);
+
+impl TestFolder {
+    fn new() -> TestFolder {
+        static NEXT: AtomicU32 = AtomicU32::new(0);
+        let number = NEXT.fetch_add(1, Ordering::Relaxed);
+        let path = std::env::temp_dir().join(format!("oakwind-{}-{number}", std::process::id()));
+        std::fs::create_dir(&path).unwrap();
+        TestFolder(path)
+    }
+
+    fn open<D: Disk>(&self, disk: D, now: UnixTime) -> (SegmentLog<D>, RecoveredState) {
+        SegmentLog::open(&self.0, disk, LIMITS, MAX_WINDOW, now).unwrap()
+    }
+
+    fn bytes(&self) -> u64 {
+        std::fs::read_dir(&self.0).unwrap().map(|entry| entry.unwrap().metadata().unwrap().len()).sum()
+    }
+}
+
+impl Drop for TestFolder {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_dir_all(&self.0);
+    }
+}
+
+/// A disk that completes so many more operations, does the next one in part, and none after it; it may come back.
+#[derive(Clone)]
+struct FailingDisk {
+    remaining: Rc<Cell<u32>>,
+    partial_bytes: usize,
+}
+
+impl FailingDisk {
+    fn use_one(&self) -> io::Result<()> {
+        let remaining = self.remaining.get();
+        self.remaining.set(remaining.saturating_sub(1));
+        if remaining == 0 {
+            Err(io::Error::other("the disk fails"))
+        } else {
+            Ok(())
+        }
+    }
+}
+
+impl Disk for FailingDisk {
+    fn create(&mut self, path: &Path, bytes: &[u8]) -> io::Result<File> {
+        let fails_here = self.remaining.get() == 1;
+        if fails_here {
+            std::fs::write(path, &bytes[..self.partial_bytes.min(bytes.len())])?;
+        }
+        self.use_one().and_then(|()| if fails_here { self.use_one() } else { Ok(()) })?;
+        // Nothing here has to survive a crash of the machine, so nothing waits for a real disk.
+        let mut file = File::options().append(true).create_new(true).open(path)?;
+        file.write_all(bytes).map(|()| file)
+    }
+
+    fn append(&mut self, file: &mut File, bytes: &[u8]) -> io::Result<()> {
+        if self.remaining.get() == 1 {
+            self.remaining.set(0);
+            file.write_all(&bytes[..self.partial_bytes.min(bytes.len())])?;
+        }
+        self.use_one()?;
+        file.write_all(bytes)
+    }
+
+    fn remove(&mut self, path: &Path) -> io::Result<()> {
+        self.use_one()?;
+        SystemDisk.remove(path)
+    }
+}
+
+fn record(key: &str, state: RecordState, result_len: usize, now: UnixTime) -> Record {
+    let expires_at = now + Duration::from_secs(10);
+    let (key, result) = (Bytes::copy_from_slice(key.as_bytes()), Bytes::from(vec![7; result_len]));
+    Record { written_at: now, ..Record::new(key, 1, expires_at, state, result) }
+}
+
+fn at(millis: u64) -> UnixTime {
+    Duration::from_millis(1_000_000 + millis)
+}
+
+#[test]
+fn one_process_has_the_folder_open_and_the_next_one_recovers_what_it_wrote() {
+    let folder = TestFolder::new();
+    let (mut log, _) = folder.open(SystemDisk, at(0));
+    let again = SegmentLog::open(&folder.0, SystemDisk, LIMITS, MAX_WINDOW, at(0));
+    assert_eq!(again.err().unwrap().kind(), io::ErrorKind::WouldBlock);
+    let records =
+        vec![record("k", RecordState::Started, 0, at(0)), record("k", RecordState::Succeeded, 9, at(1))];
+    assert_eq!(log.write(records, at(1)), [true, true]);
+    drop(log);
+    // The seed is known from the segments as well.
+    std::fs::write(folder.0.join(SEED_FILE), b"damaged").unwrap();
+    let (_log, recovered) = folder.open(SystemDisk, at(2));
+    assert_eq!(recovered.keys[0].state, RunState::Succeeded(vec![7; 9].into()));
+    assert_eq!(recovered.damage, Damage::default());
+}
+
+#[test]
+fn the_limit_holds_completions_always_have_capacity_and_expired_keys_free_theirs() {
+    let folder = TestFolder::new();
+    let (mut log, _) = folder.open(SystemDisk, at(0));
+    let mut started = Vec::new();
+    for n in 0.. {
+        let key = format!("key {n}");
+        if !log.write(vec![record(&key, RecordState::Started, 0, at(0))], at(0))[0] {
+            break;
+        }
+        started.push(key);
+    }
+    assert!(started.len() > 20);
+    for key in &started {
+        let completion = record(key, RecordState::Succeeded, MAX_RESULT_BYTES, at(1));
+        assert_eq!(log.write(vec![completion], at(1)), [true]);
+        assert!(folder.bytes() <= LIMITS.max_bytes);
+    }
+    assert_eq!(log.write(vec![record("more", RecordState::Started, 0, at(2))], at(2)), [false]);
+    // No key was dropped to make room.
+    drop(log);
+    let (mut log, recovered) = folder.open(SystemDisk, at(3));
+    assert_eq!(recovered.keys.len(), started.len());
+    let late = at(30_000);
+    assert_eq!(log.write(vec![record("more", RecordState::Started, 0, late)], late), [true]);
+    assert_eq!(log.key_count(), 1);
+    // A result that is too long counts as failed for later attempts.
+    log.write(vec![record("more", RecordState::Succeeded, MAX_RESULT_BYTES + 1, late)], late);
+    drop(log);
+    assert_eq!(folder.open(SystemDisk, late).1.keys[0].state, RunState::Failed);
+}
+
+/// A seeded generator of numbers below a bound.
+struct Random(u64);
+
+impl Random {
+    fn below(&mut self, bound: u64) -> u64 {
+        self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        (self.0 >> 33) % bound
+    }
+}
+
+/// The last record of a key that was reported as durable.
+struct Acknowledged {
+    record: Record,
+    /// A later record failed, and may be on the disk all the same.
+    may_be_outdated: bool,
+}
+
+/// What a seed does to one folder, in several processes one after the other.
+struct FaultRun {
+    seed: u64,
+    random: Random,
+    folder: TestFolder,
+    acknowledged: HashMap<Bytes, Acknowledged>,
+    now: u64,
+    next_key: u64,
+}
+
+impl FaultRun {
+    fn new(seed: u64) -> FaultRun {
+        FaultRun {
+            seed,
+            random: Random(seed),
+            folder: TestFolder::new(),
+            acknowledged: HashMap::new(),
+            now: 0,
+            next_key: 0,
+        }
+    }
+
+    /// A process that writes until its disk fails at some moment, in appending, rotating or compacting.
+    fn run_process(&mut self) {
+        let remaining = Rc::new(Cell::new(u32::MAX));
+        let disk =
+            FailingDisk { remaining: remaining.clone(), partial_bytes: self.random.below(300) as usize };
+        let (mut log, recovered) = self.folder.open(disk, at(self.now));
+        self.assert_recovered(&recovered);
+        remaining.set(100 + self.random.below(100) as u32);
+        for _ in 0..150 {
+            self.now += 200;
+            let now = at(self.now);
+            self.acknowledged.retain(|_, last| now < last.record.expires_at);
+            let batch = self.draw_batch();
+            let durable = log.write(batch.clone(), now);
+            self.acknowledge(batch, &durable);
+            assert!(self.folder.bytes() <= LIMITS.max_bytes, "seed {}", self.seed);
+        }
+        if self.random.below(2) == 0 {
+            // The disk comes back while the process lives.
+            remaining.set(u32::MAX);
+            let now = at(self.now);
+            assert_eq!(log.write(vec![record("back", RecordState::Started, 0, now)], now).len(), 1);
+        }
+    }
+
+    fn assert_recovered(&self, recovered: &RecoveredState) {
+        let seed = self.seed;
+        for (key, Acknowledged { record, may_be_outdated }) in &self.acknowledged {
+            let found = recovered.keys.iter().find(|record| record.key == key).map(|found| &found.state);
+            let expected = match record.state {
+                RecordState::Started => Some(RunState::Pending),
+                RecordState::Succeeded => Some(RunState::Succeeded(record.result.clone())),
+                RecordState::Failed => Some(RunState::Failed),
+                RecordState::NeverStarted => None,
+            };
+            let as_acknowledged = found == expected.as_ref() || *may_be_outdated;
+            assert!(as_acknowledged, "seed {seed}: {key:?} is not {:?}", record.state);
+            let looks_unrun = found.is_none() && record.state != RecordState::NeverStarted;
+            assert!(!looks_unrun, "seed {seed}: {key:?} looks as if it had not run");
+        }
+    }
+
+    fn draw_batch(&mut self) -> Vec<Record> {
+        let mut batch: Vec<Record> = Vec::new();
+        for _ in 0..=self.random.below(3) {
+            let next = match self.oldest_started(&batch) {
+                Some(started) if self.random.below(3) > 0 => self.draw_completion(started),
+                _ => self.draw_start(),
+            };
+            batch.push(next);
+        }
+        batch
+    }
+
+    /// The oldest run that has started and that no record of the batch is about.
+    fn oldest_started(&self, batch: &[Record]) -> Option<Record> {
+        let started = self.acknowledged.values().filter(|last| {
+            last.record.state == RecordState::Started
+                && !last.may_be_outdated
+                && !batch.iter().any(|record| record.key == last.record.key)
+        });
+        started.map(|last| &last.record).min_by_key(|record| record.number).cloned()
+    }
+
+    fn draw_completion(&mut self, started: Record) -> Record {
+        let states =
+            [RecordState::Succeeded, RecordState::Succeeded, RecordState::Failed, RecordState::NeverStarted];
+        let state = states[self.random.below(4) as usize];
+        let result_len = if state == RecordState::Succeeded { self.random.below(60_000) as usize } else { 0 };
+        Record { state, result: vec![7; result_len].into(), ..started }
+    }
+
+    fn draw_start(&mut self) -> Record {
+        self.next_key += 1;
+        let number = self.next_key;
+        let lifetime = if self.random.below(8) == 0 { 60_000 } else { 1_000 };
+        let started = record(&format!("key {number}"), RecordState::Started, 0, at(self.now));
+        Record { number, expires_at: at(self.now + lifetime), ..started }
+    }
+
+    fn acknowledge(&mut self, batch: Vec<Record>, durable: &[bool]) {
+        for (record, durable) in batch.into_iter().zip(durable) {
+            if *durable {
+                let last = Acknowledged { record, may_be_outdated: false };
+                self.acknowledged.insert(last.record.key.clone(), last);
+            } else if record.state == RecordState::NeverStarted {
+                self.acknowledged.remove(&record.key);
+            } else if let Some(last) = self.acknowledged.get_mut(&record.key) {
+                last.may_be_outdated = true;
+            }
+        }
+    }
+}
+
+#[test]
+fn wherever_the_disk_fails_acknowledged_records_are_recovered_and_the_folder_works_again() {
+    for seed in 1..60 {
+        let mut run = FaultRun::new(seed);
+        for _ in 0..4 {
+            run.run_process();
+        }
+    }
+}
--- a/node/src/run_gate.rs
+++ b/node/src/run_gate.rs
@@ -9,7 +9,6 @@
 mod pending;
 
 use std::rc::Rc;
-use std::time::Duration;
 
 use bytes::Bytes;
 use oakwind_admission::RequestId;
@@ -91,7 +90,7 @@
             store.open_after_predecessor(recover);
         }
         if let Some(peers) = &self.peers {
-            peers.resume();
+            peers.activate();
             peers.set_predecessor_running(!recover);
         }
     }
@@ -99,7 +98,7 @@
     /// The predecessor process has ended, whether or not it released anything.
     pub(crate) fn predecessor_ended(&self) {
         if let Some(peers) = &self.peers {
-            peers.resume();
+            peers.activate();
             peers.set_predecessor_running(false);
         }
     }
@@ -113,7 +112,7 @@
             store.writer = None;
         }
         if let Some(peers) = &self.peers {
-            peers.retire();
+            peers.deactivate();
         }
     }
 
@@ -144,7 +143,7 @@
             id: run.id,
             key: run.key.clone(),
             body: &request.body[..],
-            until: run.expires_at,
+            expires_at: run.expires_at,
             received_at: request.received_at,
             deadline: request.deadline,
         });
@@ -242,16 +241,7 @@
     fn write(&self, run: &KeyedRun, state: RecordState, result: Bytes) -> Vote {
         let writer = self.store.as_ref().and_then(|store| store.writer.as_ref());
         let Some(writer) = writer else { return Vote::Yes };
-        let record = Record {
-            // The store sets both when it writes the record.
-            number: 0,
-            written_at: Duration::ZERO,
-            expires_at: run.expires_at,
-            body_digest: run.body_digest.0,
-            state,
-            key: run.key.clone(),
-            result,
-        };
+        let record = Record::new(run.key.clone(), run.body_digest.0, run.expires_at, state, result);
         if writer.write(run.id, record) {
             Vote::Pending
         } else {
@@ -287,8 +277,8 @@
 
     fn on_store_event(&mut self, event: StoreEvent) -> Option<GateEvent> {
         match event {
-            StoreEvent::Written(id, written) => {
-                self.pending.waiting_for_store(id)?.store = Vote::of(written);
+            StoreEvent::Written { request: id, durable } => {
+                self.pending.waiting_for_store(id)?.store = Vote::of(durable);
                 self.resolve(id)
             }
             StoreEvent::Opened(recovered) => {
