--- a/node/tests/plays/mod.rs
+++ b/node/tests/plays/mod.rs
@@ -1,4 +1,4 @@
-//! A scenario of the rig's with the real program.
+//! Runs a scenario of the fault harness against the built `oakwind` program.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -9,13 +9,15 @@
 use oakwind_fault_harness::play::{play, Options};
 use oakwind_fault_harness::scenario::Scenario;
 
-/// Plays a scenario with these keys changed. No rule may break.
-pub(crate) fn keeps_the_rules(name: &str, changes: &[&[(&str, &str)]]) -> (History, Verdict) {
+/// Plays the named scenario with the given keys overridden, and asserts that the checker found no violation.
+///
+/// Returns the recorded history and the checker's verdict, for further assertions.
+pub(crate) fn play_without_violations(name: &str, overrides: &[&[(&str, &str)]]) -> (History, Verdict) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join(format!("../fault-harness/scenarios/{name}.toml"));
-    let changes = changes.iter().copied().flatten();
-    let changes: Vec<(String, String)> =
-        changes.map(|(key, value)| (key.to_string(), value.to_string())).collect();
-    let scenario = Scenario::parse(&std::fs::read_to_string(path).unwrap(), &changes).unwrap();
+    let overrides = overrides.iter().copied().flatten();
+    let overrides: Vec<(String, String)> =
+        overrides.map(|(key, value)| (key.to_string(), value.to_string())).collect();
+    let scenario = Scenario::parse(&std::fs::read_to_string(path).unwrap(), &overrides).unwrap();
     let default = Build { path: PathBuf::from(env!("CARGO_BIN_EXE_oakwind")), arguments: Vec::new() };
     let programs = Programs { default, others: BTreeMap::default() };
     let history = play(&scenario, &Options { seed: None, programs, out: None, progress: false }).unwrap();
