--- a/examples/common/mod.rs
+++ b/examples/common/mod.rs
@@ -1,4 +1,4 @@
-//! What examples share that measure: a client, and a stand-in interpreter.
+//! Shared by the measuring examples: a JSON-RPC client and a stub interpreter.
 
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -6,29 +6,34 @@
 
 use oakwind_fault_harness::clock::unix_now;
 
-/// Asks with so many open at a time until so many are answered, with keys from one on. Returns when each was asked and how
-/// long it took, and how many were served.
-pub(crate) fn ask(
-    json: SocketAddr,
+/// One answered request: when it was sent, and how long its response took.
+pub(crate) type Sample = (Instant, Duration);
+
+/// Sends `count` requests of a class over one connection, at most `concurrency` of them outstanding at a time.
+///
+/// Ids and idempotency keys count up from `first_key + 1`; requests of the class `book` carry a key. Returns a sample for
+/// each response, and how many requests were served.
+pub(crate) fn send_requests(
+    address: SocketAddr,
     class: &str,
-    open: usize,
+    concurrency: usize,
     count: usize,
-    first: usize,
-) -> io::Result<(Vec<(Instant, Duration)>, usize)> {
-    let stream = TcpStream::connect(json)?;
+    first_key: usize,
+) -> io::Result<(Vec<Sample>, usize)> {
+    let stream = TcpStream::connect(address)?;
     stream.set_nodelay(true)?;
     let (mut output, mut input) = (stream.try_clone()?, BufReader::new(stream));
-    let (mut sent, mut times, mut served, mut line) = (Vec::new(), Vec::new(), 0, String::new());
-    while times.len() < count {
-        while sent.len() < count && sent.len() - times.len() < open {
-            let (id, door) = (sent.len() + 1, unix_now().as_millis());
-            let (txn, key) = (first + id, first + id);
+    let (mut sent, mut samples, mut served, mut line) = (Vec::new(), Vec::new(), 0, String::new());
+    while samples.len() < count {
+        while sent.len() < count && sent.len() - samples.len() < concurrency {
+            let (id, received_at) = (sent.len() + 1, unix_now().as_millis());
+            let (txn, key) = (first_key + id, first_key + id);
             let unique = if class == "book" { format!(r#""unique":"{key:032x}","#) } else { String::new() };
-            let asked = format!(
-                r#"{{"jsonrpc":"2.0","id":{id},"method":"{class}","params":{{"txn":"{txn:x}","door":{door},"lb":1,"limit":100000,"cpu":1.5,"ram":2.5,{unique}"content":"Ym9keQ=="}}}}"#
+            let request = format!(
+                r#"{{"jsonrpc":"2.0","id":{id},"method":"{class}","params":{{"txn":"{txn:x}","door":{received_at},"lb":1,"limit":100000,"cpu":1.5,"ram":2.5,{unique}"content":"Ym9keQ=="}}}}"#
             );
             sent.push(Instant::now());
-            output.write_all(asked.as_bytes())?;
+            output.write_all(request.as_bytes())?;
             output.write_all(b"\n")?;
         }
         line.clear();
@@ -36,16 +41,16 @@
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
         let id = line.split("\"id\":").nth(1).and_then(|rest| rest.split(',').next()?.parse::<usize>().ok());
-        let Some(asked) = id.and_then(|id| sent.get(id - 1)) else { continue };
+        let Some(sent_at) = id.and_then(|id| sent.get(id - 1)) else { continue };
         served += usize::from(line.contains("\"result\""));
-        times.push((*asked, asked.elapsed()));
+        samples.push((*sent_at, sent_at.elapsed()));
     }
-    Ok((times, served))
+    Ok((samples, served))
 }
 
-/// A stand-in interpreter that ends every run at once, with this result.
-pub(crate) fn interpret(vm: &TcpListener, result: &str) -> io::Result<()> {
-    let (stream, _) = vm.accept()?;
+/// Serves one connection as a stub interpreter that completes every run at once with the given result.
+pub(crate) fn run_stub_interpreter(listener: &TcpListener, result: &str) -> io::Result<()> {
+    let (stream, _) = listener.accept()?;
     stream.set_nodelay(true)?;
     let (mut output, mut input) = (stream.try_clone()?, BufReader::new(stream));
     let (mut line, mut notice) = (String::new(), 0);
@@ -55,7 +60,7 @@
             return Ok(());
         }
         let words: Vec<&str> = line.split_whitespace().collect();
-        let said = match words[..] {
+        let reply = match words[..] {
             ["CONNECT", ..] => oakwind_fault_harness::wire::banner(false, 100_000),
             ["TOP", tag] => oakwind_fault_harness::wire::tops(tag, &[0.5, 1.0, 0.1, 3.0]),
             ["APPLY", id, _, length] => {
@@ -65,6 +70,6 @@
             }
             _ => continue,
         };
-        output.write_all(said.as_bytes())?;
+        output.write_all(reply.as_bytes())?;
     }
 }
--- a/examples/measure.rs
+++ b/examples/measure.rs
@@ -1,10 +1,10 @@
-//! Measures what it costs to let keys outlast the process, or to keep records of what is decided: starts the real program
-//! with a stand-in interpreter and a client of its own, and prints a table. Not part of the tests;
-//! [`docs/remembered.md`](../docs/remembered.md) and [`docs/audit.md`](../docs/audit.md) keep results.
+//! Measures the cost of the result store, or of the decision log: starts the built program with a stub interpreter and a
+//! client of its own, and prints a table. Not part of the tests;
+//! [`docs/remembered.md`](../docs/remembered.md) and [`docs/audit.md`](../docs/audit.md) record results.
 //!
 //!     cargo build --release && cargo run --release --example measure -- FOLDER [records]
 //!
-//! FOLDER is made, on the disk that is to be measured, and removed.
+//! FOLDER is created, on the disk to be measured, and removed at the end. `records` measures the decision log.
 
 #[path = "common/mod.rs"]
 mod common;
@@ -15,6 +15,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
+/// The settings of the node: one keyed class, and limits that the load does not reach.
 const SETTINGS: &str = r#"{"services": [{"name": "book", "slo": 60000000, "deadline": 120000000, "effect": "by_key",
     "window": 600000000, "worth": 2.0, "lateWorth": 0.2}],
   "specifics": {"cores": 64, "memoryKb": 100000000.0, "runFactor": 8.0, "entryKb": 1.0, "dependsOn": "off",
@@ -23,105 +24,113 @@
   "safety": {"drainGrace": 200000, "fallMultiple": 8.0}, "limits": {"maxRetryAfter": 1000000, "retryAfter": true},
   "tenants": [], "servers": 1, "tick": 4000}"#;
 
-/// Requests of one measurement, by how many are open at a time.
-const COUNTS: [(usize, usize); 2] = [(1, 2_000), (32, 20_000)];
-const ENTRIES: [usize; 3] = [1_000, 10_000, 40_000];
-/// Turns of both sides, where two are compared.
-const TURNS: usize = 3;
-/// A result of the size that front ends take at the most.
-const LARGE: usize = 4 * 1024;
+/// The concurrency of each measurement, and its number of requests.
+const LOADS: [(usize, usize); 2] = [(1, 2_000), (32, 20_000)];
+/// How many keys the store holds when a node starts with it.
+const STORED_KEYS: [usize; 3] = [1_000, 10_000, 40_000];
+/// How often the comparison of the decision log is repeated.
+const ROUNDS: usize = 3;
+/// The size of the largest result that clients accept, in bytes.
+const MAX_RESULT_BYTES: usize = 4 * 1024;
 
 fn main() -> io::Result<()> {
     let Some(folder) = std::env::args().nth(1).map(PathBuf::from) else {
-        eprintln!("measure FOLDER");
+        eprintln!("measure FOLDER [records]");
         std::process::exit(2)
     };
     std::fs::create_dir_all(&folder)?;
     let folder = folder.canonicalize()?;
     if std::env::args().nth(2).is_some_and(|what| what == "records") {
-        let sides = [("off", Keeps::Nothing), ("on", Keeps::Records)];
-        (0..TURNS).try_for_each(|_| costs("records", &sides, &folder))?;
+        let variants = [("off", Durability::None), ("on", Durability::DecisionLog)];
+        (0..ROUNDS).try_for_each(|_| measure_variants("decision log", &variants, &folder))?;
         return std::fs::remove_dir(&folder);
     }
-    let sides = [
-        ("off", Keeps::Nothing),
-        ("on, each waits alone", Keeps::Keys(1)),
-        ("on, waits are shared", Keeps::Keys(1024)),
+    let variants = [
+        ("off", Durability::None),
+        ("on, one flush per record", Durability::ResultStore(1)),
+        ("on, shared flushes", Durability::ResultStore(1024)),
     ];
-    costs("keys outlast", &sides, &folder)?;
-    println!("\n| keys in the folder | bytes of it | start to listening, ms |\n| --- | --- | --- |");
-    for count in ENTRIES {
-        let mut node = Node::start(&folder, Keeps::Keys(1024), 0)?;
-        node.book(32, count)?;
+    measure_variants("result store", &variants, &folder)?;
+    println!("\n| stored keys | bytes on disk | ms from start to listening |\n| --- | --- | --- |");
+    for count in STORED_KEYS {
+        let mut node = Node::start(&folder, Durability::ResultStore(1024), 0)?;
+        node.send_keyed_requests(32, count)?;
         drop(node);
-        let bytes = size(&folder)?;
-        let node = Node::start(&folder, Keeps::Keys(1024), 0)?;
-        println!("| {count} | {bytes} | {:.0} |", node.started.as_secs_f64() * 1e3);
-        node.end(&folder)?;
+        let bytes = folder_size(&folder)?;
+        let node = Node::start(&folder, Durability::ResultStore(1024), 0)?;
+        println!("| {count} | {bytes} | {:.0} |", node.startup.as_secs_f64() * 1e3);
+        node.stop(&folder)?;
     }
-    let mut node = Node::start(&folder, Keeps::Keys(1024), LARGE)?;
-    let begun = node.peak()?;
-    let served = node.book(32, 50_000)?.1;
-    println!("\nAt the bound of memory (192 MB for the process): {served} results of {LARGE} bytes are kept and all more");
+    let mut node = Node::start(&folder, Durability::ResultStore(1024), MAX_RESULT_BYTES)?;
+    let initial_peak = node.peak_memory_kb()?;
+    let served = node.send_keyed_requests(32, 50_000)?.1;
+    println!("\nAt the memory limit (192 MB for the process) {served} results of {MAX_RESULT_BYTES} bytes are kept and all more are");
     println!(
-        "is turned away; the process peaked at {} MB, from {} MB at its start.",
-        node.peak()? / 1024,
-        begun / 1024
+        "rejected; the process peaked at {} MB, from {} MB at its start.",
+        node.peak_memory_kb()? / 1024,
+        initial_peak / 1024
     );
-    node.end(&folder)?;
+    node.stop(&folder)?;
     std::fs::remove_dir(&folder)
 }
 
-/// What the program keeps in the folder.
+/// What the program writes to the folder.
 #[derive(Clone, Copy)]
-enum Keeps {
-    Nothing,
-    /// Keys and results; so many records may share a wait for the disk.
-    Keys(usize),
-    /// Records of what it decides.
-    Records,
+enum Durability {
+    None,
+    /// Keys and results; up to so many records share one flush to the disk.
+    ResultStore(usize),
+    /// The decisions of the node.
+    DecisionLog,
 }
 
-/// What a booking costs on each side.
-fn costs(what: &str, sides: &[(&str, Keeps)], folder: &Path) -> io::Result<()> {
-    println!("| {what} | open at a time | a second | median ms | 99 of 100 ms | cores' time a request, us |");
+/// Prints the cost of a keyed request under each variant.
+fn measure_variants(component: &str, variants: &[(&str, Durability)], folder: &Path) -> io::Result<()> {
+    println!("| {component} | concurrent requests | requests/s | median ms | p99 ms | CPU us per request |");
     println!("| --- | --- | --- | --- | --- | --- |");
-    for (name, keeps) in sides {
-        for (open, count) in COUNTS {
-            let mut node = Node::start(folder, *keeps, 0)?;
-            let (cpu, began) = (node.cpu()?, Instant::now());
-            let mut times = node.book(open, count)?.0;
-            let (took, cpu) = (began.elapsed().as_secs_f64(), node.cpu()? - cpu);
-            times.sort();
-            let at = |part: f64| times[(times.len() as f64 * part) as usize].as_secs_f64() * 1e3;
-            let (rate, each) = (count as f64 / took, cpu * 1e6 / count as f64);
-            println!("| {name} | {open} | {rate:.0} | {:.2} | {:.2} | {each:.0} |", at(0.5), at(0.99));
-            node.end(folder)?;
+    for (name, durability) in variants {
+        for (concurrency, count) in LOADS {
+            let mut node = Node::start(folder, *durability, 0)?;
+            let (cpu_before, started_at) = (node.cpu_seconds()?, Instant::now());
+            let mut latencies = node.send_keyed_requests(concurrency, count)?.0;
+            let (elapsed, cpu) = (started_at.elapsed().as_secs_f64(), node.cpu_seconds()? - cpu_before);
+            latencies.sort();
+            let percentile =
+                |fraction: f64| latencies[(latencies.len() as f64 * fraction) as usize].as_secs_f64() * 1e3;
+            let (rate, cpu_us) = (count as f64 / elapsed, cpu * 1e6 / count as f64);
+            println!(
+                "| {name} | {concurrency} | {rate:.0} | {:.2} | {:.2} | {cpu_us:.0} |",
+                percentile(0.5),
+                percentile(0.99)
+            );
+            node.stop(folder)?;
         }
     }
     Ok(())
 }
 
-/// Bytes of all files in a folder.
-fn size(folder: &Path) -> io::Result<u64> {
+/// The size of all files in a folder, in bytes.
+fn folder_size(folder: &Path) -> io::Result<u64> {
     std::fs::read_dir(folder)?.map(|entry| Ok(entry?.metadata()?.len())).sum()
 }
 
-/// The program at work.
+/// A running node.
 struct Node {
     child: Child,
-    json: SocketAddr,
-    /// From its start until it listens.
-    started: Duration,
+    json_address: SocketAddr,
+    /// The time from its start until it listened.
+    startup: Duration,
 }
 
 impl Node {
-    fn start(folder: &Path, keeps: Keeps, result: usize) -> io::Result<Node> {
-        let vm = TcpListener::bind("127.0.0.1:0")?;
-        let (own, number) = (std::env::temp_dir(), std::process::id());
-        let (config, remembered) =
-            (own.join(format!("measure-{number}.json")), own.join(format!("measure-{number}.toml")));
-        let address = vm.local_addr()?;
+    fn start(folder: &Path, durability: Durability, result_bytes: usize) -> io::Result<Node> {
+        let interpreter = TcpListener::bind("127.0.0.1:0")?;
+        let (temporary, process) = (std::env::temp_dir(), std::process::id());
+        let (config, durability_file) = (
+            temporary.join(format!("measure-{process}.json")),
+            temporary.join(format!("measure-{process}.toml")),
+        );
+        let address = interpreter.local_addr()?;
         let text = format!(
             r#"{{"name": "n1", "listen": "127.0.0.1:0", "seed": "1", "stop_ms": 9000, "vm": "{address}", "settings": {SETTINGS}}}"#
         );
@@ -129,58 +138,64 @@
         let program = std::env::current_exe()?.with_file_name("").join("../oakwind");
         let mut command = Command::new(program);
         command.arg("serve").arg("--config").arg(&config).env_remove("TMPDIR").stderr(Stdio::piped());
-        let file = match keeps {
-            Keeps::Nothing => None,
-            Keeps::Keys(batch) => Some(("--remembered", format!("batch = {batch}\nfile_mb = 128\n"))),
-            Keeps::Records => Some(("--records", String::new())),
+        let file = match durability {
+            Durability::None => None,
+            Durability::ResultStore(batch) => {
+                Some(("--remembered", format!("batch = {batch}\nfile_mb = 128\n")))
+            }
+            Durability::DecisionLog => Some(("--records", String::new())),
         };
-        if let Some((option, more)) = file {
-            std::fs::write(&remembered, format!("folder = '{}'\n{more}", folder.display()))?;
-            command.arg(option).arg(&remembered);
+        if let Some((option, keys)) = file {
+            std::fs::write(&durability_file, format!("folder = '{}'\n{keys}", folder.display()))?;
+            command.arg(option).arg(&durability_file);
         }
-        let began = Instant::now();
+        let started_at = Instant::now();
         let mut child = command.spawn()?;
         let mut log = BufReader::new(child.stderr.take().ok_or(io::ErrorKind::BrokenPipe)?).lines();
-        let mut says = |words: &str| loop {
+        let mut wait_for_line = |text: &str| loop {
             let line = log.next().ok_or(io::ErrorKind::UnexpectedEof)??;
-            if line.contains(words) {
+            if line.contains(text) {
                 return Ok::<String, io::Error>(line);
             }
         };
-        let line = says("frontend: listening: protocol=JSON-RPC address=")?;
-        let started = began.elapsed();
-        let json =
+        let line = wait_for_line("frontend: listening: protocol=JSON-RPC address=")?;
+        let startup = started_at.elapsed();
+        let json_address =
             line.rsplit('=').next().and_then(|word| word.parse().ok()).ok_or(io::ErrorKind::InvalidData)?;
-        std::thread::spawn(move || common::interpret(&vm, &"r".repeat(result)));
-        says("health is good")?;
+        std::thread::spawn(move || common::run_stub_interpreter(&interpreter, &"r".repeat(result_bytes)));
+        wait_for_line("health is good")?;
         std::thread::spawn(move || log.for_each(drop));
-        [config, remembered].iter().for_each(|file| drop(std::fs::remove_file(file)));
-        Ok(Node { child, json, started })
+        [config, durability_file].iter().for_each(|file| drop(std::fs::remove_file(file)));
+        Ok(Node { child, json_address, startup })
     }
 
-    /// Seconds of the cores that the program has taken.
-    fn cpu(&self) -> io::Result<f64> {
+    /// The CPU time that the program has used, in seconds.
+    fn cpu_seconds(&self) -> io::Result<f64> {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id()))?;
         let fields = stat.rsplit(") ").next().unwrap_or_default().split(' ').skip(11).take(2);
         Ok(fields.filter_map(|ticks| ticks.parse::<f64>().ok()).sum::<f64>() / 100.0)
     }
 
-    /// The most memory that it has taken, in KB.
-    fn peak(&self) -> io::Result<u64> {
+    /// The peak of its resident memory, in KB.
+    fn peak_memory_kb(&self) -> io::Result<u64> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))?;
         let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
         Ok(line.and_then(|line| line.split_whitespace().next()?.parse().ok()).unwrap_or_default())
     }
 
-    /// Books with so many open at a time until so many are answered; returns how long each took, and how many were
-    /// served.
-    fn book(&mut self, open: usize, count: usize) -> io::Result<(Vec<Duration>, usize)> {
-        let (times, served) = common::ask(self.json, "book", open, count, 0)?;
-        Ok((times.into_iter().map(|(_, took)| took).collect(), served))
+    /// Sends `count` keyed requests, `concurrency` of them outstanding at a time; returns their latencies, and how many
+    /// were served.
+    fn send_keyed_requests(
+        &mut self,
+        concurrency: usize,
+        count: usize,
+    ) -> io::Result<(Vec<Duration>, usize)> {
+        let (samples, served) = common::send_requests(self.json_address, "book", concurrency, count, 0)?;
+        Ok((samples.into_iter().map(|(_, latency)| latency).collect(), served))
     }
 
-    /// Ends it and empties the folder.
-    fn end(self, folder: &Path) -> io::Result<()> {
+    /// Kills the node and empties the folder.
+    fn stop(self, folder: &Path) -> io::Result<()> {
         drop(self);
         for entry in std::fs::read_dir(folder)? {
             std::fs::remove_file(entry?.path())?;
@@ -191,7 +206,7 @@
 
 impl Drop for Node {
     fn drop(&mut self) {
-        // It may have ended already.
+        // The process may have exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
--- a/examples/replicated.rs
+++ b/examples/replicated.rs
@@ -1,10 +1,10 @@
-//! Measures what it costs that nodes talk: starts three of the real program with stand-in interpreters that end every run
-//! at once, and prints tables, off and on in turns. Not part of the tests; [`docs/replication.md`](../docs/replication.md)
-//! keeps a result.
+//! Measures the cost of replication: starts three nodes of the built program with stub interpreters that complete every run
+//! at once, and prints a table of measurements with replication off and on, in alternating rounds. Not part of the tests;
+//! [`docs/replication.md`](../docs/replication.md) records a result.
 //!
 //!     cargo build --release && cargo run --release --example replicated -- [OTHER_BUILD]
 //!
-//! With another build's program, that one is measured with replication off in the same turns.
+//! Given another build of the program, that one is measured as well, with replication off, in the same rounds.
 
 #[path = "common/mod.rs"]
 mod common;
@@ -16,16 +16,18 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::time::{Duration, Instant};
 
-use common::{ask, interpret};
+use common::{run_stub_interpreter, send_requests, Sample};
 use oakwind_fault_harness::process::Program;
 
-/// Turns, and requests of one measurement by how many are open at a time. Many come first: what is let in follows what was
-/// done of late, so a burst after a trickle is turned away in part.
-const TURNS: usize = 3;
-const COUNTS: [(usize, usize); 2] = [(32, 12_000), (1, 1_500)];
-/// Keys that a node which lost its state has to learn.
-const KEYS: usize = 40_000;
+/// How often each measurement is repeated; the median is printed.
+const ROUNDS: usize = 3;
+/// The concurrency of each measurement, and its number of requests. The higher concurrency comes first: the admitted rate
+/// follows recent throughput, so a burst after a trickle would be rejected in part.
+const LOADS: [(usize, usize); 2] = [(32, 12_000), (1, 1_500)];
+/// How many keys a node that lost its state has to be sent.
+const TRANSFERRED_KEYS: usize = 40_000;
 
+/// The settings of a node: an idempotent and a keyed class, and limits that the load does not reach.
 fn settings(window_s: u64) -> String {
     let us = window_s * 1_000_000;
     format!(
@@ -39,37 +41,42 @@
     )
 }
 
+/// A running node.
 struct Node {
     program: Program,
     log: Receiver<String>,
-    json: SocketAddr,
-    ops: SocketAddr,
+    json_address: SocketAddr,
+    admin_address: SocketAddr,
 }
 
+/// The configuration of three nodes on this machine.
 struct Fleet {
     program: PathBuf,
     folder: PathBuf,
     ports: Vec<u16>,
     window_s: u64,
-    on: bool,
+    replicates: bool,
 }
 
 impl Fleet {
-    fn new(program: &Path, window_s: u64, on: bool) -> io::Result<Fleet> {
+    /// Reserves ports and a folder for the nodes.
+    fn new(program: &Path, window_s: u64, replicates: bool) -> io::Result<Fleet> {
         let folder = std::env::temp_dir().join(format!("oakwind-replicated-{}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
-        let held = (0..3).map(|_| TcpListener::bind("127.0.9.1:0")).collect::<io::Result<Vec<_>>>()?;
-        let ports = held.iter().map(|held| Ok(held.local_addr()?.port())).collect::<io::Result<_>>()?;
-        Ok(Fleet { program: program.into(), folder, ports, window_s, on })
+        let listeners = (0..3).map(|_| TcpListener::bind("127.0.9.1:0")).collect::<io::Result<Vec<_>>>()?;
+        let ports =
+            listeners.iter().map(|listener| Ok(listener.local_addr()?.port())).collect::<io::Result<_>>()?;
+        Ok(Fleet { program: program.into(), folder, ports, window_s, replicates })
     }
 
+    /// Starts node `n`, counted from one, and waits until its interpreter is healthy.
     fn start(&self, n: usize) -> io::Result<Node> {
-        let vm = TcpListener::bind("127.0.0.1:0")?;
+        let interpreter = TcpListener::bind("127.0.0.1:0")?;
         let (config, fleet) = (self.folder.join(format!("{n}.json")), self.folder.join(format!("{n}.toml")));
         let text = format!(
             r#"{{"name": "n{n}", "listen": "127.0.0.1:0", "ops": "127.0.0.1:0", "seed": "1", "stop_ms": 9000, "vm": "{}",
                 "limits": {{"memory_mb": 1024, "sockets": 1024}}, "settings": {}}}"#,
-            vm.local_addr()?,
+            interpreter.local_addr()?,
             settings(self.window_s)
         );
         std::fs::write(&config, text)?;
@@ -85,50 +92,57 @@
         std::fs::write(&fleet, text)?;
         let mut command = Command::new(&self.program);
         command.arg("serve").arg("--config").arg(&config).env_remove("TMPDIR");
-        if self.on {
+        if self.replicates {
             command.arg("--fleet").arg(&fleet);
         }
-        let (say, log) = channel();
-        let program = Program::start(&mut command, move |line| drop(say.send(line)))?;
-        let mut node =
-            Node { program, log, json: ([127, 0, 0, 1], 0).into(), ops: ([127, 0, 0, 1], 0).into() };
-        node.ops = node.address("admin: listening: address=")?;
-        node.json = node.address("frontend: listening: protocol=JSON-RPC address=")?;
-        std::thread::spawn(move || interpret(&vm, "job 12345"));
-        node.says("health is good")?;
+        let (log_sender, log) = channel();
+        let program = Program::start(&mut command, move |line| drop(log_sender.send(line)))?;
+        let mut node = Node {
+            program,
+            log,
+            json_address: ([127, 0, 0, 1], 0).into(),
+            admin_address: ([127, 0, 0, 1], 0).into(),
+        };
+        node.admin_address = node.logged_address("admin: listening: address=")?;
+        node.json_address = node.logged_address("frontend: listening: protocol=JSON-RPC address=")?;
+        std::thread::spawn(move || run_stub_interpreter(&interpreter, "job 12345"));
+        node.wait_for_line("health is good")?;
         Ok(node)
     }
 
-    fn all(&self) -> io::Result<Vec<Node>> {
+    /// Starts all nodes, and waits until they vote if they replicate.
+    fn start_all(&self) -> io::Result<Vec<Node>> {
         let mut nodes = (1..=3).map(|n| self.start(n)).collect::<io::Result<Vec<_>>>()?;
-        for node in nodes.iter_mut().filter(|_| self.on) {
-            node.says("fleet: replica table complete")?;
+        for node in nodes.iter_mut().filter(|_| self.replicates) {
+            node.wait_for_line("fleet: replica table complete")?;
         }
         Ok(nodes)
     }
 }
 
 impl Node {
-    fn says(&mut self, words: &str) -> io::Result<String> {
+    /// Waits for a log line that contains `text`.
+    fn wait_for_line(&mut self, text: &str) -> io::Result<String> {
         loop {
             let line = self.log.recv().map_err(|_| io::ErrorKind::UnexpectedEof)?;
-            if line.contains(words) {
+            if line.contains(text) {
                 return Ok(line);
             }
         }
     }
 
-    fn address(&mut self, words: &str) -> io::Result<SocketAddr> {
-        let line = self.says(words)?;
+    /// Waits for a log line that contains `text`, and returns the address at its end.
+    fn logged_address(&mut self, text: &str) -> io::Result<SocketAddr> {
+        let line = self.wait_for_line(text)?;
         line.rsplit('=')
             .next()
             .and_then(|address| address.parse().ok())
             .ok_or(io::ErrorKind::InvalidData.into())
     }
 
-    /// A figure that operators see.
-    fn figure(&self, name: &str) -> io::Result<f64> {
-        let mut stream = TcpStream::connect(self.ops)?;
+    /// A metric from the admin interface; zero if it is not reported.
+    fn metric(&self, name: &str) -> io::Result<f64> {
+        let mut stream = TcpStream::connect(self.admin_address)?;
         stream.write_all(b"GET /ops/stats HTTP/1.1\r\n\r\n")?;
         let mut text = String::new();
         stream.read_to_string(&mut text)?;
@@ -137,113 +151,146 @@
     }
 }
 
-/// All must have been served.
-fn served((times, served): (Vec<(Instant, Duration)>, usize)) -> io::Result<Vec<(Instant, Duration)>> {
-    match times.len() - served {
-        0 => Ok(times),
-        left => Err(io::Error::other(format!("{left} of {} were not served", times.len()))),
+/// Fails unless every request was served.
+fn require_all_served((samples, served): (Vec<Sample>, usize)) -> io::Result<Vec<Sample>> {
+    match samples.len() - served {
+        0 => Ok(samples),
+        unserved => {
+            Err(io::Error::other(format!("{unserved} of {} requests were not served", samples.len())))
+        }
     }
 }
 
-fn part(times: &mut [f64], part: f64) -> f64 {
-    times.sort_by(f64::total_cmp);
-    times[((times.len() as f64 * part) as usize).min(times.len() - 1)]
+/// The value below which the given fraction of the values lies. Sorts them.
+fn percentile(values: &mut [f64], fraction: f64) -> f64 {
+    values.sort_by(f64::total_cmp);
+    values[((values.len() as f64 * fraction) as usize).min(values.len() - 1)]
 }
 
 fn median(mut values: Vec<f64>) -> f64 {
-    part(&mut values, 0.5)
+    percentile(&mut values, 0.5)
 }
 
 fn main() -> io::Result<()> {
-    let own = std::env::current_exe()?.with_file_name("").join("../oakwind");
-    let mut sides = vec![("off", own.clone(), false), ("on", own.clone(), true)];
+    let built = std::env::current_exe()?.with_file_name("").join("../oakwind");
+    let mut variants = vec![("off", built.clone(), false), ("on", built.clone(), true)];
     if let Some(other) = std::env::args().nth(1) {
-        sides.insert(0, ("off, the build before", other.into(), false));
+        variants.insert(0, ("off, other build", other.into(), false));
     }
     let mut fleets = Vec::new();
-    for (name, program, on) in &sides {
-        let fleet = Fleet::new(program, 10, *on)?;
-        let nodes = fleet.all()?;
-        fleets.push((*name, *on, fleet, nodes));
+    for (name, program, replicates) in &variants {
+        let fleet = Fleet::new(program, 10, *replicates)?;
+        let nodes = fleet.start_all()?;
+        fleets.push((*name, fleet, nodes));
     }
-    println!("| replication | class | open at a time | a second | median ms | 99 in 100 ms | cores' time a request, us, of all nodes | frames a request | bytes a request |");
+    println!("| replication | class | concurrent requests | requests/s | median ms | p99 ms | CPU us per request, all nodes | messages per request | bytes per request |");
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-    let mut first = 0;
+    let mut first_key = 0;
     for class in ["quote", "book"] {
-        for (open, count) in COUNTS {
-            let mut seen: Vec<Vec<[f64; 6]>> = vec![Vec::new(); fleets.len()];
-            for _ in 0..TURNS {
-                for (side, (_, _, _, nodes)) in fleets.iter().enumerate() {
-                    let cpu = || {
-                        nodes.iter().filter_map(|n| n.program.usage()).map(|u| u.cpu_ms as f64).sum::<f64>()
+        for (concurrency, count) in LOADS {
+            let mut rows: Vec<Vec<[f64; 6]>> = vec![Vec::new(); fleets.len()];
+            for _ in 0..ROUNDS {
+                for (variant, (_, _, nodes)) in fleets.iter().enumerate() {
+                    let cpu_ms = || {
+                        nodes
+                            .iter()
+                            .filter_map(|node| node.program.usage())
+                            .map(|usage| usage.cpu_ms as f64)
+                            .sum::<f64>()
                     };
-                    let sum = |name| nodes.iter().map(|node| node.figure(name).unwrap_or(0.0)).sum::<f64>();
-                    let (frames, bytes) = (sum("svc_fleet_frames_out"), sum("svc_fleet_bytes_out"));
-                    let (before, began) = (cpu(), Instant::now());
-                    let times = served(ask(nodes[0].json, class, open, count, first)?)?;
-                    let took = began.elapsed().as_secs_f64();
-                    let cpu = (cpu() - before) * 1e3 / count as f64;
-                    // What is shown of a moment ago is whole by now.
+                    let sum = |name| nodes.iter().map(|node| node.metric(name).unwrap_or(0.0)).sum::<f64>();
+                    let (messages_before, bytes_before) =
+                        (sum("svc_fleet_frames_out"), sum("svc_fleet_bytes_out"));
+                    let (cpu_before, started_at) = (cpu_ms(), Instant::now());
+                    let samples = require_all_served(send_requests(
+                        nodes[0].json_address,
+                        class,
+                        concurrency,
+                        count,
+                        first_key,
+                    )?)?;
+                    let elapsed = started_at.elapsed().as_secs_f64();
+                    let cpu_us = (cpu_ms() - cpu_before) * 1e3 / count as f64;
+                    // Metrics are updated with each tick of a node; wait until they cover the requests.
                     std::thread::sleep(Duration::from_millis(120));
-                    let frames = (sum("svc_fleet_frames_out") - frames) / count as f64;
-                    let bytes = (sum("svc_fleet_bytes_out") - bytes) / count as f64;
-                    let mut ms: Vec<f64> = times.iter().map(|(_, took)| took.as_secs_f64() * 1e3).collect();
-                    let rate = count as f64 / took;
-                    seen[side].push([rate, part(&mut ms, 0.5), part(&mut ms, 0.99), cpu, frames, bytes]);
-                    first += count;
+                    let messages = (sum("svc_fleet_frames_out") - messages_before) / count as f64;
+                    let bytes = (sum("svc_fleet_bytes_out") - bytes_before) / count as f64;
+                    let mut latencies: Vec<f64> =
+                        samples.iter().map(|(_, latency)| latency.as_secs_f64() * 1e3).collect();
+                    let rate = count as f64 / elapsed;
+                    rows[variant].push([
+                        rate,
+                        percentile(&mut latencies, 0.5),
+                        percentile(&mut latencies, 0.99),
+                        cpu_us,
+                        messages,
+                        bytes,
+                    ]);
+                    first_key += count;
                 }
             }
-            for ((name, ..), seen) in fleets.iter().zip(seen) {
-                let of = |i: usize| median(seen.iter().map(|row| row[i]).collect());
-                let [rate, mid, high, cpu, frames, bytes] = [0, 1, 2, 3, 4, 5].map(of);
-                println!("| {name} | {class} | {open} | {rate:.0} | {mid:.2} | {high:.2} | {cpu:.0} | {frames:.1} | {bytes:.0} |");
+            for ((name, ..), rows) in fleets.iter().zip(rows) {
+                let median_of_column = |column: usize| median(rows.iter().map(|row| row[column]).collect());
+                let [rate, median_ms, p99_ms, cpu_us, messages, bytes] =
+                    [0, 1, 2, 3, 4, 5].map(median_of_column);
+                println!("| {name} | {class} | {concurrency} | {rate:.0} | {median_ms:.2} | {p99_ms:.2} | {cpu_us:.0} | {messages:.1} | {bytes:.0} |");
             }
         }
     }
     drop(fleets);
-    catch_up(&own)
+    measure_state_transfer(&built)
 }
 
-/// One of three loses its state and learns it again, while bookings go on at another.
-fn catch_up(program: &Path) -> io::Result<()> {
+/// Measures the state transfer to a node that restarts without state, while keyed requests run at one of its donors.
+fn measure_state_transfer(program: &Path) -> io::Result<()> {
     let fleet = Fleet::new(program, 40, true)?;
-    let mut nodes = fleet.all()?;
-    let each = KEYS / 2;
-    let fillers: Vec<_> = (0..2)
+    let mut nodes = fleet.start_all()?;
+    let keys_per_node = TRANSFERRED_KEYS / 2;
+    let writers: Vec<_> = (0..2)
         .map(|n| {
-            let json = nodes[n].json;
-            std::thread::spawn(move || served(ask(json, "book", 32, each, n * each)?))
+            let address = nodes[n].json_address;
+            std::thread::spawn(move || {
+                require_all_served(send_requests(address, "book", 32, keys_per_node, n * keys_per_node)?)
+            })
         })
         .collect();
-    for filler in fillers {
-        filler.join().map_err(|_| io::ErrorKind::Other)??;
+    for writer in writers {
+        writer.join().map_err(|_| io::ErrorKind::Other)??;
     }
     drop(nodes.pop());
-    let json = nodes[0].json;
-    let load = std::thread::spawn(move || served(ask(json, "book", 4, 30_000, KEYS)?));
+    let address = nodes[0].json_address;
+    let load = std::thread::spawn(move || {
+        require_all_served(send_requests(address, "book", 4, 30_000, TRANSFERRED_KEYS)?)
+    });
     std::thread::sleep(Duration::from_millis(1500));
-    let began = Instant::now();
-    let mut third = fleet.start(3)?;
-    let line = third.says("fleet: replica table complete")?;
-    let ended = Instant::now();
-    let times = load.join().map_err(|_| io::ErrorKind::Other)??;
-    let of = |from: Instant, to: Instant| -> Vec<f64> {
-        let within = times.iter().filter(|(asked, _)| *asked >= from && *asked < to);
-        within.map(|(_, took)| took.as_secs_f64() * 1e3).collect()
+    let started_at = Instant::now();
+    let mut recovering = fleet.start(3)?;
+    let line = recovering.wait_for_line("fleet: replica table complete")?;
+    let complete_at = Instant::now();
+    let samples = load.join().map_err(|_| io::ErrorKind::Other)??;
+    let latencies_between = |from: Instant, to: Instant| -> Vec<f64> {
+        let within = samples.iter().filter(|(sent_at, _)| *sent_at >= from && *sent_at < to);
+        within.map(|(_, latency)| latency.as_secs_f64() * 1e3).collect()
     };
-    let (mut before, mut during) = (of(began - Duration::from_millis(1200), began), of(began, ended));
-    println!("\nCatch-up: {} ms from the start of the process; {line}", (ended - began).as_millis());
+    let (mut before, mut during) = (
+        latencies_between(started_at - Duration::from_millis(1200), started_at),
+        latencies_between(started_at, complete_at),
+    );
+    println!(
+        "\nState transfer: complete {} ms after the start of the process; {line}",
+        (complete_at - started_at).as_millis()
+    );
     println!(
-        "A donor's bookings, 99 in 100: {:.2} ms in the {} before, {:.2} ms in the {} while it gave.",
-        part(&mut before, 0.99),
+        "p99 of keyed requests at a donor: {:.2} ms over {} before the transfer, {:.2} ms over {} during it.",
+        percentile(&mut before, 0.99),
         before.len(),
-        part(&mut during, 0.99),
+        percentile(&mut during, 0.99),
         during.len()
     );
     println!(
-        "Records that donors gave: {} and {}.",
-        nodes[0].figure("svc_fleet_given")?,
-        nodes[1].figure("svc_fleet_given")?
+        "Records sent by the donors: {} and {}.",
+        nodes[0].metric("svc_fleet_given")?,
+        nodes[1].metric("svc_fleet_given")?
     );
     std::fs::remove_dir_all(&fleet.folder)
 }
--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -1,4 +1,4 @@
-//! A toy uwsgi server, and a toy client for both fronts, to try a node with:
+//! A toy uwsgi server, and a toy client for both frontends, to try a node with:
 //!
 //!     cargo run --example toy -- serve 127.0.0.1:3032
 //!     cargo run --example toy -- uwsgi 127.0.0.1:3031 book my-key
@@ -8,18 +8,18 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// What both clients ask with: all tries of one key carry the same body.
-const BODY: &str = "hello";
-/// What the toy server takes for each request.
-const WORK: Duration = Duration::from_millis(200);
+/// The body of every request: all attempts with one idempotency key must carry the same.
+const REQUEST_BODY: &str = "hello";
+/// How long the toy server works on each request.
+const WORK_DURATION: Duration = Duration::from_millis(200);
 
 fn main() -> io::Result<()> {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
-    let words: Vec<&str> = arguments.iter().map(String::as_str).collect();
-    match words[..] {
+    let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
+    match arguments[..] {
         ["serve", address] => serve(address),
-        ["uwsgi", address, class, ref key @ ..] => ask_uwsgi(address, class, key.first().copied()),
-        ["json", address, class, ref key @ ..] => ask_json(address, class, key.first().copied()),
+        ["uwsgi", address, class, ref key @ ..] => send_uwsgi(address, class, key.first().copied()),
+        ["json", address, class, ref key @ ..] => send_json(address, class, key.first().copied()),
         _ => {
             eprintln!("toy serve ADDRESS | toy uwsgi ADDRESS CLASS [KEY] | toy json ADDRESS CLASS [KEY]");
             std::process::exit(2)
@@ -27,42 +27,44 @@
     }
 }
 
+/// Accepts connections for ever, one request on each.
 fn serve(address: &str) -> io::Result<()> {
     let listener = TcpListener::bind(address)?;
     println!("toy server at {}", listener.local_addr()?);
     for (count, stream) in (1..).zip(listener.incoming()) {
         let stream = stream?;
         std::thread::spawn(move || {
-            if let Err(e) = answer(stream, count) {
-                eprintln!("request {count}: {e}");
+            if let Err(error) = respond(stream, count) {
+                eprintln!("request {count}: {error}");
             }
         });
     }
     Ok(())
 }
 
-/// Reads one request packet and answers with what it asked for.
-fn answer(mut stream: TcpStream, count: u32) -> io::Result<()> {
+/// Reads one uwsgi request packet and responds with the class that it requested.
+fn respond(mut stream: TcpStream, count: u32) -> io::Result<()> {
     let mut head = [0; 4];
     stream.read_exact(&mut head)?;
     let mut block = vec![0; usize::from(u16::from_le_bytes([head[1], head[2]]))];
     stream.read_exact(&mut block)?;
-    let vars = vars(&block);
-    let var = |name: &str| vars.iter().find(|(n, _)| n == name).map_or("", |(_, value)| value);
-    let mut body = vec![0; var("CONTENT_LENGTH").parse().unwrap_or(0)];
+    let variables = parse_variables(&block);
+    let variable = |name: &str| variables.iter().find(|(key, _)| key == name).map_or("", |(_, value)| value);
+    let mut body = vec![0; variable("CONTENT_LENGTH").parse().unwrap_or(0)];
     stream.read_exact(&mut body)?;
     println!(
         "request {count}: {} key {:?}, {} bytes",
-        var("PATH_INFO"),
-        var("HTTP_IDEMPOTENCY_KEY"),
+        variable("PATH_INFO"),
+        variable("HTTP_IDEMPOTENCY_KEY"),
         body.len()
     );
-    std::thread::sleep(WORK);
-    let result = format!("{} done as run {count}", var("PATH_INFO"));
+    std::thread::sleep(WORK_DURATION);
+    let result = format!("{} done as run {count}", variable("PATH_INFO"));
     write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{result}", result.len())
 }
 
-fn vars(mut block: &[u8]) -> Vec<(String, String)> {
+/// Decodes the variables of a packet: names and values in turn, each after its length in two bytes.
+fn parse_variables(mut block: &[u8]) -> Vec<(String, String)> {
     let mut parts = Vec::new();
     while let [low, high, rest @ ..] = block {
         let (part, rest) = rest.split_at(rest.len().min(usize::from(u16::from_le_bytes([*low, *high]))));
@@ -72,34 +74,36 @@
     parts.chunks_exact(2).map(|pair| (pair[0].clone(), pair[1].clone())).collect()
 }
 
-fn ask_uwsgi(address: &str, class: &str, key: Option<&str>) -> io::Result<()> {
+/// Sends one request over uwsgi and prints the response.
+fn send_uwsgi(address: &str, class: &str, key: Option<&str>) -> io::Result<()> {
     let path = format!("/{class}");
-    let mut vars = vec![("REQUEST_METHOD", "POST"), ("PATH_INFO", &path), ("HTTP_X_TENANT", "acme")];
-    let length = BODY.len().to_string();
-    vars.push(("CONTENT_LENGTH", &length));
-    vars.extend(key.map(|key| ("HTTP_IDEMPOTENCY_KEY", key)));
+    let mut variables = vec![("REQUEST_METHOD", "POST"), ("PATH_INFO", &path), ("HTTP_X_TENANT", "acme")];
+    let length = REQUEST_BODY.len().to_string();
+    variables.push(("CONTENT_LENGTH", &length));
+    variables.extend(key.map(|key| ("HTTP_IDEMPOTENCY_KEY", key)));
     let mut block = Vec::new();
-    for part in vars.iter().flat_map(|(name, value)| [name, value]) {
+    for part in variables.iter().flat_map(|(name, value)| [name, value]) {
         block.extend((part.len() as u16).to_le_bytes());
         block.extend(part.as_bytes());
     }
     let [low, high] = (block.len() as u16).to_le_bytes();
     let mut stream = TcpStream::connect(address)?;
-    stream.write_all(&[&[0, low, high, 0], &block[..], BODY.as_bytes()].concat())?;
+    stream.write_all(&[&[0, low, high, 0], &block[..], REQUEST_BODY.as_bytes()].concat())?;
     let mut response = String::new();
     stream.read_to_string(&mut response)?;
     println!("{response}");
     Ok(())
 }
 
-fn ask_json(address: &str, class: &str, key: Option<&str>) -> io::Result<()> {
+/// Sends one request over JSON-RPC and prints the response.
+fn send_json(address: &str, class: &str, key: Option<&str>) -> io::Result<()> {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    let (door, txn) = (now.as_millis(), format!("{:016x}", now.as_nanos() as u64));
+    let (received_at, txn) = (now.as_millis(), format!("{:016x}", now.as_nanos() as u64));
     let unique = key.map_or(String::new(), |key| format!(r#","unique":"{key}""#));
     let mut stream = TcpStream::connect(address)?;
     writeln!(
         stream,
-        r#"{{"jsonrpc":"2.0","id":1,"method":"{class}","params":{{"txn":"{txn}","door":{door},"lb":1,"team":"acme","limit":3000,"cpu":200,"ram":24.5,"standing":0.5{unique},"content":"aGVsbG8="}}}}"#
+        r#"{{"jsonrpc":"2.0","id":1,"method":"{class}","params":{{"txn":"{txn}","door":{received_at},"lb":1,"team":"acme","limit":3000,"cpu":200,"ram":24.5,"standing":0.5{unique},"content":"aGVsbG8="}}}}"#
     )?;
     let mut line = String::new();
     BufReader::new(stream).read_line(&mut line)?;
