--- a/admission/src/admission.rs
+++ b/admission/src/admission.rs
@@ -169,8 +169,8 @@
         self.progress_at = self.now;
         let Some(request) = self.requests.get_mut(&id) else { return };
         if request.phase == Phase::Calling {
-            let (stood, took) = (self.now - request.call_needed_at, self.now - request.call_sent_at);
-            self.calls.ended(self.now, took, stood, true, true);
+            let (waited, took) = (self.now - request.call_needed_at, self.now - request.call_sent_at);
+            self.calls.ended(self.now, took, waited, true, true);
         }
         let Some(request) = self.requests.remove(&id) else { return };
         if outcome != Outcome::Ok || request.phase == Phase::Coalesced {
--- a/admission/src/admission/calls.rs
+++ b/admission/src/admission/calls.rs
@@ -82,8 +82,8 @@
         (self.share * self.span * 0.5 - self.linger).max(TIMER_PERIOD)
     }
 
-    pub(super) fn ended(&mut self, now: f64, took: f64, stood: f64, slow: bool, lingers: bool) {
-        self.ended.push_back(EndedCall { at: now, waited: stood });
+    pub(super) fn ended(&mut self, now: f64, took: f64, waited: f64, slow: bool, lingers: bool) {
+        self.ended.push_back(EndedCall { at: now, waited });
         self.lingering.extend(lingers.then_some(now + self.linger));
         let step = if slow { -0.2 * self.limit } else { CALL_LIMIT_STEP * self.share };
         self.limit = (self.limit + step).clamp(CALL_LIMIT_FLOOR * self.share, self.share);
@@ -111,7 +111,7 @@
             return;
         }
         let class = &self.settings.classes[request.class];
-        let stood = self.now - request.call_needed_at;
+        let waited = self.now - request.call_needed_at;
         let took = took.as_secs_f64();
         let slow =
             took > SLOW_CALL_FRACTION * class.latency_objective.as_secs_f64() || outcome == Outcome::Rejected;
@@ -124,7 +124,7 @@
             request.phase = Phase::AwaitingCall;
             request.calls_failed += if never_ran || class.effect == Effect::Idempotent { 1 } else { 100 };
         }
-        self.calls.ended(self.now, took, stood, slow, outcome == Outcome::TimedOut);
+        self.calls.ended(self.now, took, waited, slow, outcome == Outcome::TimedOut);
     }
 
     /// Starts the calls that the limit allows, the highest priority first.
@@ -178,8 +178,8 @@
         let calling = self.settings.classes.iter().filter(|class| class.calls);
         let objectives = calling.map(|class| class.latency_objective.as_secs_f64());
         let objective = objectives.fold(f64::INFINITY, f64::min);
-        let stood = self.calls.ended.iter().map(|call| call.waited).sum::<f64>();
-        let slow = stood > SLOW_CALL_FRACTION * objective * self.calls.ended.len() as f64;
+        let waited = self.calls.ended.iter().map(|call| call.waited).sum::<f64>();
+        let slow = waited > SLOW_CALL_FRACTION * objective * self.calls.ended.len() as f64;
         (if slow { self.calls.completable(objective).clamp(1.0, most) } else { most }) as usize
     }
 
--- a/admission/src/admission/rate.rs
+++ b/admission/src/admission/rate.rs
@@ -52,8 +52,8 @@
         let recent = self.latencies.iter().filter(|s| !(own && s.may_call)).map(|s| s.of_objective);
         let counts = |r: &&Request| !r.answered && r.phase != Phase::Coalesced && !(own && r.may_call);
         let waiting = self.requests.values().filter(counts).map(|r| self.objective_used(r));
-        let standing = waiting.filter(|part| *part > LATENCY_TARGET);
-        let (sum, n) = recent.chain(standing).fold((0.0, 0.0), |(s, n), part| (s + part, n + 1.0));
+        let late_in_flight = waiting.filter(|part| *part > LATENCY_TARGET);
+        let (sum, n) = recent.chain(late_in_flight).fold((0.0, 0.0), |(s, n), part| (s + part, n + 1.0));
         sum / f64::max(n, 1.0)
     }
 
