--- a/node/src/handover/tests/golden.rs
+++ b/node/src/handover/tests/golden.rs
@@ -1,6 +1,7 @@
 //! The exact bytes that two processes of a node exchange during an upgrade in place. One of the two is an older
 //! release, so these bytes and the name of the socket stay as they are whatever the code calls them.
 
+use crate::test_support::{bytes, hex};
 use std::path::PathBuf;
 use std::time::Duration;
 
@@ -56,14 +57,6 @@
     record_of(b"", u64::MAX, 1_764_576_000_126, RunState::NeverStarted)
 }
 
-fn hex(bytes: &[u8]) -> String {
-    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
-}
-
-fn bytes(hex: &str) -> Vec<u8> {
-    (0..hex.len()).step_by(2).map(|at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap()).collect()
-}
-
 fn run(test: impl std::future::Future<Output = ()>) {
     tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap().block_on(test);
 }
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -22,6 +22,8 @@
 mod run_gate;
 mod server;
 mod sockets;
+#[cfg(test)]
+mod test_support;
 mod uwsgi;
 mod vrrp;
 
--- a/node/src/peers/message_codec/tests/golden.rs
+++ b/node/src/peers/message_codec/tests/golden.rs
@@ -2,10 +2,7 @@
 //! beside their types, in `fleet/tests/golden.rs`.
 
 use super::*;
-
-fn hexadecimal(bytes: &[u8]) -> String {
-    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
-}
+use crate::test_support::hex;
 
 /// Length and checksum of the message, four bytes each, and then the message.
 #[test]
@@ -18,7 +15,7 @@
     for (bytes, message) in &golden {
         let before = written.len();
         encode(&mut written, message);
-        assert_eq!(hexadecimal(&written[before..]), *bytes, "{message:?}");
+        assert_eq!(hex(&written[before..]), *bytes, "{message:?}");
     }
     for (_, message) in golden {
         assert_eq!(decode(&mut written), Ok(Some(Decoded::Message(message))));
--- a/node/src/peers/vote_store/tests.rs
+++ b/node/src/peers/vote_store/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::test_support::{bytes, hex};
 use oakwind_fleet::ids::{Incarnation, NodeId};
 use oakwind_fleet::key_state::{ClaimId, CompletedRun, RunResult};
 
@@ -28,12 +29,7 @@
         (stored(Some(claim), vec![], Some(done)), "01888e98a8c0e0808101e39dd0a8ffb3980303036b6579dc0b0001aee2f2a9a33401888e98a8c0e0808101e39dd0a8ffb39803030004006a6f62ffffffffffffffffffffffffffffffffffff03"),
         (stored(None, vec![], Some(run(RunResult::Failed))), "00036b6579dc0b0001aee2f2a9a33401888e98a8c0e0808101e39dd0a8ffb398030301ffffffffffffffffffffffffffffffffffff03"),
     ] {
-        let hex: String =
-            postcard::to_allocvec(&vote).unwrap().iter().map(|byte| format!("{byte:02x}")).collect();
-        assert_eq!(hex, golden);
-        let digits: Vec<u8> =
-            golden.bytes().map(|digit| (digit as char).to_digit(16).unwrap() as u8).collect();
-        let bytes: Vec<u8> = digits.chunks(2).map(|pair| pair[0] << 4 | pair[1]).collect();
-        assert_eq!(postcard::from_bytes::<StoredRecord>(&bytes).unwrap(), vote);
+        assert_eq!(hex(&postcard::to_allocvec(&vote).unwrap()), golden);
+        assert_eq!(postcard::from_bytes::<StoredRecord>(&bytes(golden)).unwrap(), vote);
     }
 }
--- a/node/src/result_store/record/tests.rs
+++ b/node/src/result_store/record/tests.rs
@@ -1,17 +1,9 @@
 use super::*;
 use crate::result_store::segment::{scan, ScanItem};
+use crate::test_support::{bytes, hex};
 
 const SEED: u64 = 0x0102_0304_0506_0708;
 
-fn hex(bytes: &[u8]) -> String {
-    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
-}
-
-fn bytes(hex: &str) -> Bytes {
-    let digits: Vec<u8> = hex.bytes().map(|digit| (digit as char).to_digit(16).unwrap() as u8).collect();
-    digits.chunks(2).map(|pair| pair[0] << 4 | pair[1]).collect::<Vec<u8>>().into()
-}
-
 fn record(state: RecordState, result: &'static [u8]) -> Record {
     Record {
         number: 0x0a0b,
@@ -36,6 +28,6 @@
         let mut encoded = BytesMut::new();
         record.encode(SEED, &mut encoded);
         assert_eq!(hex(&encoded), golden, "{:?}", record.state);
-        assert_eq!(scan(SEED, &bytes(golden)), [ScanItem::Intact(record)]);
+        assert_eq!(scan(SEED, &bytes(golden).into()), [ScanItem::Intact(record)]);
     }
 }
--- a/node/src/result_store/segment/tests.rs
+++ b/node/src/result_store/segment/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::test_support::hex;
 
 const SEED: u64 = 0x0102_0304_0506_0708;
 
@@ -10,8 +11,7 @@
     let header = SegmentHeader { seed: SEED, first_record: 0x0a0b, created_at };
     let mut encoded = BytesMut::new();
     header.encode(&mut encoded);
-    let hex: String = encoded.iter().map(|byte| format!("{byte:02x}")).collect();
-    assert_eq!(hex, golden);
+    assert_eq!(hex(&encoded), golden);
     assert_eq!(SegmentHeader::decode(&encoded), Some(header));
 }
 
--- /dev/null
+++ b/node/src/test_support.rs
@@ -0,0 +1,11 @@
+//! What several unit tests share: bytes in hexadecimal, as golden tests have them.
+
+/// Bytes as hexadecimal digits.
+pub(crate) fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+/// The bytes that hexadecimal digits stand for.
+pub(crate) fn bytes(hex: &str) -> Vec<u8> {
+    (0..hex.len()).step_by(2).map(|at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap()).collect()
+}
