--- a/fleet/src/audit.rs
+++ b/fleet/src/audit.rs
@@ -3,12 +3,15 @@
 //!
 //! Records come in, a report goes out. The report is also printed as JSON; the names in it must not change.
 
+pub mod decision_record;
+pub mod hash_chain;
+
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
 use serde::Serialize;
 
-use crate::decision_record::{Decision, FileBreak, Journal, Record, Versions};
+use self::decision_record::{Decision, FileBreak, Journal, Record, Versions};
 
 /// A kind of version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
--- a/fleet/src/decision_record.rs
+++ b/fleet/src/audit/decision_record.rs
@@ -3,7 +3,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::hash_chain::ChainBreak;
+use crate::audit::hash_chain::ChainBreak;
 use crate::ids::ConfigVersion;
 
 /// The versions of everything that a decision depends on.
--- a/fleet/src/audit/tests.rs
+++ b/fleet/src/audit/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::hash_chain::{ChainBreak, ChainError};
+use crate::audit::hash_chain::{ChainBreak, ChainError};
 use crate::ids::ConfigVersion;
 
 const OPTIONS: AuditOptions = AuditOptions { from: 0, until: u64::MAX, spread_ms: 2000, window_ms: 10_000 };
--- a/fleet/src/claim_coordinator.rs
+++ b/fleet/src/claims/coordinator.rs
@@ -11,10 +11,10 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::active_configs::ActiveConfigs;
 use crate::ids::{Incarnation, NodeId};
-use crate::key_state::{BodyDigest, ClaimId, CompletedRun, Key, RunResult};
+use crate::membership::active_configs::ActiveConfigs;
 use crate::message::{Message, RejectReason};
+use crate::replication::key_state::{BodyDigest, ClaimId, CompletedRun, Key, RunResult};
 use crate::{Time, LATE_READ_GRACE};
 
 pub use attempt::{AttemptId, ClaimAction, ClaimOutcome, RunRequest};
--- a/fleet/src/claim_coordinator/attempt.rs
+++ b/fleet/src/claims/coordinator/attempt.rs
@@ -1,8 +1,8 @@
 //! What an attempt requests, and what it is notified of.
 
 use crate::ids::NodeId;
-use crate::key_state::{BodyDigest, Key, RunResult};
 use crate::message::{Message, RejectReason};
+use crate::replication::key_state::{BodyDigest, Key, RunResult};
 use crate::Time;
 
 /// An attempt at a request, as its node numbers it.
--- a/fleet/src/claim_coordinator/claim.rs
+++ b/fleet/src/claims/coordinator/claim.rs
@@ -7,10 +7,10 @@
     AttemptId, ClaimAction, ClaimOutcome, RunRequest, ANSWER_MARGIN, INITIAL_RETRY_INTERVAL, LATE_READ_GRACE,
     MAX_ANSWER_MARGIN_FRACTION, MAX_RETRY_INTERVAL,
 };
-use crate::active_configs::ActiveConfigs;
 use crate::ids::{ConfigVersion, Incarnation, NodeId};
-use crate::key_state::{BodyDigest, ClaimId, CompletedRun, Key, RunResult};
+use crate::membership::active_configs::ActiveConfigs;
 use crate::message::{detach, ClaimRequest, ConflictingClaim, Message, RejectReason};
+use crate::replication::key_state::{BodyDigest, ClaimId, CompletedRun, Key, RunResult};
 use crate::{millis_ceil, Time};
 
 /// What a replica has responded to the current request.
--- a/fleet/src/lib.rs
+++ b/fleet/src/lib.rs
@@ -6,36 +6,23 @@
 //! the reasons for it.
 //!
 //! - [`replica_node`] is the state machine of one node, which puts the other modules together.
-//! - [`membership_config`] and [`active_configs`]: who the members are, and which of them hold replicas of
-//!   a key.
-//! - [`replica_table`] and [`key_state`]: what a replica knows of each key, how it votes, and how replicas
-//!   are merged.
-//! - [`claim_coordinator`]: whether a run may start, and when its result is replicated.
-//! - [`failure_detector`]: which members answer.
-//! - [`staleness`]: whether state that a node restored is the latest that is known of it.
-//! - [`recovery_stages`]: the stages in which a node comes back.
+//! - [`membership`]: who the members are, which of them hold replicas of a key, and which of them answer.
+//! - [`claims`]: whether a run may start, and when its result is replicated.
+//! - [`replication`]: what a replica knows of each key, how it votes, and how replicas are merged.
+//! - [`recovery`]: the stages in which a node comes back, whether its restored state is the latest, and the
+//!   transfer of what it lacks.
+//! - [`audit`]: what nodes record of their decisions, and what those records show.
 //! - [`message`] and [`ids`]: the peer protocol.
-//! - [`decision_record`], [`hash_chain`] and [`audit`]: what nodes record of their decisions, and what
-//!   those records show.
 
-pub mod active_configs;
 pub mod audit;
-pub mod claim_coordinator;
-pub mod decision_record;
+pub mod claims;
 mod digest;
-mod donor;
-pub mod failure_detector;
-pub mod hash_chain;
 pub mod ids;
-pub mod key_state;
-pub mod membership_config;
+pub mod membership;
 pub mod message;
-pub mod recovery_stages;
+pub mod recovery;
 pub mod replica_node;
-pub mod replica_table;
-pub mod staleness;
-mod state_transfer;
-mod token_bucket;
+pub mod replication;
 
 #[cfg(test)]
 mod test_support;
--- a/fleet/src/active_configs.rs
+++ b/fleet/src/membership/active_configs.rs
@@ -9,7 +9,7 @@
 use thiserror::Error;
 
 use crate::ids::{ConfigVersion, NodeId};
-use crate::membership_config::{ConfigError, MembershipConfig};
+use crate::membership::config::{ConfigError, MembershipConfig};
 use crate::message::ConfigSignature;
 use crate::{Time, LATE_READ_GRACE};
 
--- a/fleet/src/message.rs
+++ b/fleet/src/message.rs
@@ -8,9 +8,9 @@
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{ConfigVersion, Incarnation, NodeId};
-use crate::key_state::{BodyDigest, ClaimId, CompletedRun, Key};
-use crate::membership_config::MembershipSpec;
-use crate::staleness::StatePosition;
+use crate::membership::config::MembershipSpec;
+use crate::recovery::staleness::StatePosition;
+use crate::replication::key_state::{BodyDigest, ClaimId, CompletedRun, Key};
 
 /// The number of message kinds that this build knows; later builds use higher kinds.
 pub const MESSAGE_KINDS: u32 = 22;
--- a/fleet/src/donor.rs
+++ b/fleet/src/recovery/donor.rs
@@ -9,8 +9,8 @@
 
 use crate::ids::{LinkId, NodeId};
 use crate::message::{Page, TablePosition};
-use crate::state_transfer::{wire_size, PAGE_TIMEOUT};
-use crate::token_bucket::TokenBucket;
+use crate::recovery::state_transfer::{wire_size, PAGE_TIMEOUT};
+use crate::recovery::token_bucket::TokenBucket;
 use crate::Time;
 
 /// The most requesters that a donor serves at a time.
--- a/fleet/src/donor/tests.rs
+++ b/fleet/src/recovery/donor/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::state_transfer::tests::page;
+use crate::recovery::state_transfer::tests::page;
 use crate::test_support::at;
 
 fn request(link: u64, node: u64, round: u32) -> PageRequest {
--- a/fleet/src/state_transfer.rs
+++ b/fleet/src/recovery/state_transfer.rs
@@ -15,7 +15,7 @@
 
 use crate::ids::{Incarnation, NodeId};
 use crate::message::{Completeness, Message, Page, ReplicaRecord, TablePosition};
-use crate::token_bucket::TokenBucket;
+use crate::recovery::token_bucket::TokenBucket;
 use crate::Time;
 
 /// The most donors that are asked at a time.
--- a/fleet/src/replica_node.rs
+++ b/fleet/src/replica_node.rs
@@ -17,17 +17,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::active_configs::ActiveConfigs;
-use crate::claim_coordinator::ClaimCoordinator;
-use crate::donor::Donor;
-use crate::failure_detector::{FailureDetector, LivenessCounts, Outbound};
+use crate::claims::coordinator::ClaimCoordinator;
 use crate::ids::{Incarnation, LinkId, NodeId};
-use crate::membership_config::MembershipConfig;
+use crate::membership::active_configs::ActiveConfigs;
+use crate::membership::config::MembershipConfig;
+use crate::membership::failure_detector::{FailureDetector, LivenessCounts, Outbound};
 use crate::message::{Hello, Liveness, Message};
-use crate::recovery_stages::{Conditions, RecoveryStages, Stage};
-use crate::replica_table::ReplicaTable;
-use crate::staleness::{StalenessTracker, StatePosition};
-use crate::state_transfer::StateTransfer;
+use crate::recovery::donor::Donor;
+use crate::recovery::stages::{Conditions, RecoveryStages, Stage};
+use crate::recovery::staleness::{StalenessTracker, StatePosition};
+use crate::recovery::state_transfer::StateTransfer;
+use crate::replication::replica_table::ReplicaTable;
 use crate::Time;
 
 pub use event::{Action, Event, RestoredState, Settings, StoreSequence};
--- a/fleet/src/replica_node/configs.rs
+++ b/fleet/src/replica_node/configs.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 
 use super::{Action, Notification, ReplicaNode};
-use crate::active_configs::Proposal;
 use crate::ids::NodeId;
-use crate::membership_config::{MembershipConfig, MembershipSpec};
+use crate::membership::active_configs::Proposal;
+use crate::membership::config::{MembershipConfig, MembershipSpec};
 use crate::message::{Hello, Message};
 use crate::Time;
 
--- a/fleet/src/replica_node/event.rs
+++ b/fleet/src/replica_node/event.rs
@@ -4,14 +4,14 @@
 use std::time::Duration;
 
 use super::notification::Notification;
-use crate::claim_coordinator::{AttemptId, ClaimOutcome, RunRequest};
+use crate::claims::coordinator::{AttemptId, ClaimOutcome, RunRequest};
 use crate::ids::{Incarnation, LinkId, NodeId};
-use crate::key_state::{Key, RunResult};
-use crate::membership_config::MembershipConfig;
+use crate::membership::config::MembershipConfig;
 use crate::message::Message;
-use crate::recovery_stages::Permissions;
-use crate::replica_table::StoredRecord;
-use crate::staleness::StatePosition;
+use crate::recovery::stages::Permissions;
+use crate::recovery::staleness::StatePosition;
+use crate::replication::key_state::{Key, RunResult};
+use crate::replication::replica_table::StoredRecord;
 use crate::Time;
 
 /// How a node starts.
--- a/fleet/src/replica_node/incarnation.rs
+++ b/fleet/src/replica_node/incarnation.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use super::{Action, Notification, Participation, ReplicaNode};
-use crate::claim_coordinator::ClaimCoordinator;
+use crate::claims::coordinator::ClaimCoordinator;
 use crate::ids::Incarnation;
-use crate::staleness::StatePosition;
+use crate::recovery::staleness::StatePosition;
 use crate::Time;
 
 impl ReplicaNode {
--- a/fleet/src/replica_node/messages.rs
+++ b/fleet/src/replica_node/messages.rs
@@ -3,12 +3,12 @@
 use std::time::Duration;
 
 use super::{Action, Notification, Participation, ReplicaNode};
-use crate::donor::PageRequest;
 use crate::ids::{Incarnation, LinkId, NodeId};
-use crate::key_state::RunConflict;
 use crate::message::{ClaimRequest, Hello, Message, RejectReason};
-use crate::replica_table::TableOutcome;
-use crate::staleness::StatePosition;
+use crate::recovery::donor::PageRequest;
+use crate::recovery::staleness::StatePosition;
+use crate::replication::key_state::RunConflict;
+use crate::replication::replica_table::TableOutcome;
 use crate::Time;
 
 impl ReplicaNode {
--- a/fleet/src/replica_node/metrics.rs
+++ b/fleet/src/replica_node/metrics.rs
@@ -1,6 +1,6 @@
 //! Counters of what a node has done.
 
-use crate::claim_coordinator::ClaimOutcome;
+use crate::claims::coordinator::ClaimOutcome;
 
 /// What a node has done since its process started.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
--- a/fleet/src/replica_node/notification.rs
+++ b/fleet/src/replica_node/notification.rs
@@ -3,11 +3,11 @@
 use std::fmt;
 use std::time::Duration;
 
-use crate::active_configs::ProposalError;
 use crate::ids::{ConfigVersion, Incarnation, NodeId};
-use crate::key_state::RunConflict;
-use crate::recovery_stages::Transition;
-use crate::staleness::StatePosition;
+use crate::membership::active_configs::ProposalError;
+use crate::recovery::stages::Transition;
+use crate::recovery::staleness::StatePosition;
+use crate::replication::key_state::RunConflict;
 
 /// Something that operators may want to know. It is displayed as the text of a log line.
 #[derive(Debug, Clone, PartialEq, Eq)]
--- a/fleet/src/replica_node/runs.rs
+++ b/fleet/src/replica_node/runs.rs
@@ -1,7 +1,7 @@
 //! How a node claims keys for its own attempts.
 
 use super::{Action, Participation, ReplicaNode};
-use crate::claim_coordinator::{ClaimAction, ClaimCoordinator, ClaimOutcome, RunRequest};
+use crate::claims::coordinator::{ClaimAction, ClaimCoordinator, ClaimOutcome, RunRequest};
 use crate::message::RejectReason;
 use crate::Time;
 
--- a/fleet/src/replica_node/state_sync.rs
+++ b/fleet/src/replica_node/state_sync.rs
@@ -2,12 +2,12 @@
 //! transfers.
 
 use super::{Action, Notification, ReplicaNode, StoreSequence};
-use crate::donor::PageRequest;
 use crate::ids::NodeId;
-use crate::key_state::Key;
 use crate::message::{detach, Liveness, Message, Page, RejectReason};
-use crate::replica_table::PageRead;
-use crate::state_transfer::ReceivedPage;
+use crate::recovery::donor::PageRequest;
+use crate::recovery::state_transfer::ReceivedPage;
+use crate::replication::key_state::Key;
+use crate::replication::replica_table::PageRead;
 use crate::{millis_ceil, Time};
 
 impl ReplicaNode {
--- a/fleet/src/replica_node/tests.rs
+++ b/fleet/src/replica_node/tests.rs
@@ -1,10 +1,10 @@
 mod fixture;
 
 use super::*;
-use crate::claim_coordinator::{AttemptId, ClaimOutcome, RunRequest};
+use crate::claims::coordinator::{AttemptId, ClaimOutcome, RunRequest};
 use crate::ids::ConfigVersion;
-use crate::key_state::{ClaimId, Key, RunResult};
 use crate::message::{ClaimRequest, RejectReason};
+use crate::replication::key_state::{ClaimId, Key, RunResult};
 use crate::test_support::{at, config, id, spec};
 use bytes::Bytes;
 use fixture::{received, settings, Fixture};
--- a/fleet/src/replica_table.rs
+++ b/fleet/src/replication/replica_table.rs
@@ -13,10 +13,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use crate::active_configs::ActiveConfigs;
 use crate::ids::{Incarnation, NodeId};
-use crate::key_state::{ClaimId, Key, KeyState};
+use crate::membership::active_configs::ActiveConfigs;
 use crate::message::{detach, Completeness};
+use crate::replication::key_state::{ClaimId, Key, KeyState};
 use crate::{Time, LATE_READ_GRACE};
 
 pub use entry::ENTRY_OVERHEAD_BYTES;
--- a/fleet/src/replica_table/entry.rs
+++ b/fleet/src/replication/replica_table/entry.rs
@@ -1,8 +1,8 @@
 //! The entry of one key in a replica table.
 
 use crate::ids::LinkId;
-use crate::key_state::{ClaimId, Key, KeyState};
 use crate::message::ReplicaRecord;
+use crate::replication::key_state::{ClaimId, Key, KeyState};
 use crate::{millis_ceil, Time, MAX_RESULT_BYTES};
 
 /// A generous estimate of the memory that an entry takes in addition to its key and its result, in bytes.
--- a/fleet/src/replica_table/outcome.rs
+++ b/fleet/src/replication/replica_table/outcome.rs
@@ -3,8 +3,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{LinkId, NodeId};
-use crate::key_state::{ClaimId, Key, RunConflict};
 use crate::message::{Message, ReplicaRecord};
+use crate::replication::key_state::{ClaimId, Key, RunConflict};
 
 /// What a node stores on disk of one key. The fields are encoded by position.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
--- a/fleet/src/replica_table/paging.rs
+++ b/fleet/src/replication/replica_table/paging.rs
@@ -7,10 +7,10 @@
 use super::entry::ENTRY_OVERHEAD_BYTES;
 use super::voting::with_storable_result;
 use super::{MergeOutcome, ReplicaTable, StoredRecord};
-use crate::active_configs::ActiveConfigs;
 use crate::ids::NodeId;
-use crate::key_state::{Key, KeyState};
+use crate::membership::active_configs::ActiveConfigs;
 use crate::message::{Page, ReplicaRecord, TablePosition};
+use crate::replication::key_state::{Key, KeyState};
 use crate::{Time, MAX_RESULT_BYTES};
 
 /// The most claims of one key that are kept apart; a record with more of them is not stored completely.
--- a/fleet/src/replica_table/sync_state.rs
+++ b/fleet/src/replication/replica_table/sync_state.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::active_configs::ActiveConfigs;
 use crate::ids::NodeId;
-use crate::membership_config::MembershipConfig;
+use crate::membership::active_configs::ActiveConfigs;
+use crate::membership::config::MembershipConfig;
 use crate::message::Completeness;
 use crate::{Time, LATE_READ_GRACE};
 
--- a/fleet/src/replica_table/tests.rs
+++ b/fleet/src/replication/replica_table/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 use crate::ids::ConfigVersion;
 use crate::ids::LinkId;
-use crate::key_state::{CompletedRun, RunResult};
 use crate::message::TablePosition;
 use crate::message::{ClaimRequest, Message, RejectReason, ReplicaRecord};
+use crate::replication::key_state::{CompletedRun, RunResult};
 use crate::test_support::{at, config, id};
 use crate::MAX_RESULT_BYTES;
 use bytes::Bytes;
--- a/fleet/src/replica_table/voting.rs
+++ b/fleet/src/replication/replica_table/voting.rs
@@ -5,10 +5,10 @@
 
 use super::entry::Entry;
 use super::{ReplicaTable, TableOutcome};
-use crate::active_configs::ActiveConfigs;
 use crate::ids::{Incarnation, LinkId, NodeId};
-use crate::key_state::{ClaimId, CompletedRun, Key, KeyState, RunResult};
+use crate::membership::active_configs::ActiveConfigs;
 use crate::message::{detach, ClaimRequest, ConflictingClaim, Message, RejectReason};
+use crate::replication::key_state::{ClaimId, CompletedRun, Key, KeyState, RunResult};
 use crate::{millis_ceil, Time, MAX_RESULT_BYTES};
 
 /// The most attempts that are notified when a key's run completes; others poll.
--- a/fleet/src/test_support.rs
+++ b/fleet/src/test_support.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::ids::{ConfigVersion, NodeId};
-use crate::membership_config::{Member, MembershipConfig, MembershipSpec};
+use crate::membership::config::{Member, MembershipConfig, MembershipSpec};
 use crate::Time;
 
 /// The node of this number.
--- a/fleet/tests/common/mod.rs
+++ b/fleet/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use oakwind_fleet::ids::ConfigVersion;
-use oakwind_fleet::membership_config::{Member, MembershipConfig, MembershipSpec};
+use oakwind_fleet::membership::config::{Member, MembershipConfig, MembershipSpec};
 
 /// The name of a node.
 pub(crate) fn name(n: usize) -> String {
--- a/fleet/tests/golden.rs
+++ b/fleet/tests/golden.rs
@@ -8,17 +8,17 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use oakwind_fleet::decision_record::{Decision, Record, Versions};
-use oakwind_fleet::hash_chain::{read, Chain};
+use oakwind_fleet::audit::decision_record::{Decision, Record, Versions};
+use oakwind_fleet::audit::hash_chain::{read, Chain};
 use oakwind_fleet::ids::{ConfigVersion, Incarnation, NodeId};
-use oakwind_fleet::key_state::{ClaimId, CompletedRun, RunResult};
-use oakwind_fleet::membership_config::{Member, MembershipConfig, MembershipSpec};
+use oakwind_fleet::membership::config::{Member, MembershipConfig, MembershipSpec};
 use oakwind_fleet::message::{
     ClaimRequest, Completeness, ConfigSignature, ConflictingClaim, GossipUpdate, Hello, Liveness,
     MemberVersion, Message, Page, RejectReason, ReplicaRecord, TablePosition, MESSAGE_KINDS,
 };
-use oakwind_fleet::replica_table::StoredRecord;
-use oakwind_fleet::staleness::StatePosition;
+use oakwind_fleet::recovery::staleness::StatePosition;
+use oakwind_fleet::replication::key_state::{ClaimId, CompletedRun, RunResult};
+use oakwind_fleet::replication::replica_table::StoredRecord;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
--- a/fleet/tests/golden_audit.rs
+++ b/fleet/tests/golden_audit.rs
@@ -1,9 +1,9 @@
 //! Golden text of what the audit prints as JSON, and of the faults of a hash chain. Operators' tools read
 //! both.
 
+use oakwind_fleet::audit::decision_record::{Decision, FileBreak, Journal, Record, Versions};
+use oakwind_fleet::audit::hash_chain::{ChainBreak, ChainError};
 use oakwind_fleet::audit::{audit, explain, AuditOptions};
-use oakwind_fleet::decision_record::{Decision, FileBreak, Journal, Record, Versions};
-use oakwind_fleet::hash_chain::{ChainBreak, ChainError};
 use oakwind_fleet::ids::ConfigVersion;
 
 fn versions(settings: &str, config: u64) -> Versions {
--- a/fleet/tests/model/system.rs
+++ b/fleet/tests/model/system.rs
@@ -4,13 +4,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use oakwind_fleet::active_configs::ActiveConfigs;
-use oakwind_fleet::claim_coordinator::{AttemptId, ClaimAction, ClaimCoordinator, ClaimOutcome};
+use oakwind_fleet::claims::coordinator::{AttemptId, ClaimAction, ClaimCoordinator, ClaimOutcome};
 use oakwind_fleet::ids::{ConfigVersion, Incarnation, LinkId, NodeId};
-use oakwind_fleet::key_state::{Key, RunResult};
-use oakwind_fleet::membership_config::MembershipConfig;
+use oakwind_fleet::membership::active_configs::ActiveConfigs;
+use oakwind_fleet::membership::config::MembershipConfig;
 use oakwind_fleet::message::{Completeness, Message};
-use oakwind_fleet::replica_table::{ReplicaTable, TableOutcome};
+use oakwind_fleet::replication::key_state::{Key, RunResult};
+use oakwind_fleet::replication::replica_table::{ReplicaTable, TableOutcome};
 use oakwind_fleet::Time;
 use stateright::Model;
 
--- a/fleet/tests/model/transitions.rs
+++ b/fleet/tests/model/transitions.rs
@@ -6,12 +6,12 @@
     apply_actions, config, id, Act, Attempt, Envelope, Mutant, Node, State, System, ATTEMPTS, DEADLINE, KEY,
     NODES, NOW,
 };
-use oakwind_fleet::active_configs::{ActiveConfigs, Proposal};
-use oakwind_fleet::claim_coordinator::{AttemptId, ClaimCoordinator, RunRequest};
+use oakwind_fleet::claims::coordinator::{AttemptId, ClaimCoordinator, RunRequest};
 use oakwind_fleet::ids::{ConfigVersion, Incarnation};
-use oakwind_fleet::key_state::{Key, RunResult};
+use oakwind_fleet::membership::active_configs::{ActiveConfigs, Proposal};
 use oakwind_fleet::message::Message;
-use oakwind_fleet::replica_table::ReplicaTable;
+use oakwind_fleet::replication::key_state::{Key, RunResult};
+use oakwind_fleet::replication::replica_table::ReplicaTable;
 use oakwind_fleet::Time;
 use stateright::{Model, Property};
 
--- a/fleet/tests/sim/machine.rs
+++ b/fleet/tests/sim/machine.rs
@@ -4,12 +4,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use oakwind_fleet::claim_coordinator::AttemptId;
-use oakwind_fleet::key_state::Key;
-use oakwind_fleet::membership_config::MembershipConfig;
+use oakwind_fleet::claims::coordinator::AttemptId;
+use oakwind_fleet::membership::config::MembershipConfig;
+use oakwind_fleet::recovery::staleness::StatePosition;
 use oakwind_fleet::replica_node::{Event, ReplicaNode};
-use oakwind_fleet::replica_table::StoredRecord;
-use oakwind_fleet::staleness::StatePosition;
+use oakwind_fleet::replication::key_state::Key;
+use oakwind_fleet::replication::replica_table::StoredRecord;
 use oakwind_fleet::Time;
 
 /// What happens to a node.
--- a/fleet/tests/sim/simulator.rs
+++ b/fleet/tests/sim/simulator.rs
@@ -7,16 +7,16 @@
 
 use crate::common::{config, name};
 use crate::machine::{DiskContents, Machine, Scheduled, SimEvent};
-use oakwind_fleet::claim_coordinator::{AttemptId, ClaimOutcome, RunRequest};
+use oakwind_fleet::claims::coordinator::{AttemptId, ClaimOutcome, RunRequest};
 use oakwind_fleet::ids::{Incarnation, LinkId, NodeId};
-use oakwind_fleet::key_state::{Key, RunResult};
-use oakwind_fleet::membership_config::MembershipConfig;
+use oakwind_fleet::membership::config::MembershipConfig;
 use oakwind_fleet::message::{Message, ReplicaRecord};
+use oakwind_fleet::recovery::staleness::StatePosition;
 use oakwind_fleet::replica_node::{
     Action, Event, Notification, ReplicaNode, RestoredState, Settings, TICK_INTERVAL,
 };
-use oakwind_fleet::replica_table::StoredRecord;
-use oakwind_fleet::staleness::StatePosition;
+use oakwind_fleet::replication::key_state::{Key, RunResult};
+use oakwind_fleet::replication::replica_table::StoredRecord;
 use oakwind_fleet::Time;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
--- a/node/src/commands.rs
+++ b/node/src/commands.rs
@@ -6,8 +6,8 @@
 use std::path::PathBuf;
 
 use argh::FromArgs;
+use oakwind_fleet::audit::decision_record::Journal;
 use oakwind_fleet::audit::{audit, explain, AuditOptions};
-use oakwind_fleet::decision_record::Journal;
 use serde::Serialize;
 
 use crate::decision_log::read_journal;
--- a/node/src/commands/tables.rs
+++ b/node/src/commands/tables.rs
@@ -2,8 +2,8 @@
 
 use std::iter;
 
+use oakwind_fleet::audit::decision_record::{Decision, Record};
 use oakwind_fleet::audit::{DuplicateRun, JournalSummary, Report, Straggler, VersionUse};
-use oakwind_fleet::decision_record::{Decision, Record};
 
 /// What stands in a cell without a value.
 const NO_VALUE: &str = "-";
--- a/node/src/config/fleet.rs
+++ b/node/src/config/fleet.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use oakwind_fleet::ids::{ConfigVersion, NodeId};
-use oakwind_fleet::membership_config::{Member, MembershipConfig, MembershipSpec};
+use oakwind_fleet::membership::config::{Member, MembershipConfig, MembershipSpec};
 use serde::Deserialize;
 
 use super::error::ConfigError;
--- a/node/src/decision_log/files.rs
+++ b/node/src/decision_log/files.rs
@@ -5,8 +5,8 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-use oakwind_fleet::decision_record::Record;
-use oakwind_fleet::hash_chain::{self, Chain};
+use oakwind_fleet::audit::decision_record::Record;
+use oakwind_fleet::audit::hash_chain::{self, Chain};
 
 use super::DecisionLogMetrics;
 use crate::config::DecisionLogConfig;
--- a/node/src/decision_log/mod.rs
+++ b/node/src/decision_log/mod.rs
@@ -15,7 +15,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 
-use oakwind_fleet::decision_record::{Decision, Record, Versions};
+use oakwind_fleet::audit::decision_record::{Decision, Record, Versions};
 use oakwind_fleet::ids::ConfigVersion;
 use serde_json::Value;
 use sha2::{Digest, Sha256};
--- a/node/src/decision_log/reader.rs
+++ b/node/src/decision_log/reader.rs
@@ -4,8 +4,8 @@
 use std::io;
 use std::path::Path;
 
-use oakwind_fleet::decision_record::{FileBreak, Journal, Record};
-use oakwind_fleet::hash_chain::{self, Chain, ChainBreak, ChainError};
+use oakwind_fleet::audit::decision_record::{FileBreak, Journal, Record};
+use oakwind_fleet::audit::hash_chain::{self, Chain, ChainBreak, ChainError};
 
 use super::files::{log_files, END_FILE};
 
--- a/node/src/decision_log/writer.rs
+++ b/node/src/decision_log/writer.rs
@@ -8,7 +8,7 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-use oakwind_fleet::decision_record::Record;
+use oakwind_fleet::audit::decision_record::Record;
 
 use super::files::LogFiles;
 use super::{now_ms, DecisionLogError, DecisionLogMetrics};
--- a/node/src/dispatcher.rs
+++ b/node/src/dispatcher.rs
@@ -24,7 +24,7 @@
 use std::time::Duration;
 
 use oakwind_admission::{Action, Admission, Event, Settings};
-use oakwind_fleet::decision_record::Decision;
+use oakwind_fleet::audit::decision_record::Decision;
 use oakwind_settings::Parsed;
 use tokio::sync::watch;
 
--- a/node/src/dispatcher/runs.rs
+++ b/node/src/dispatcher/runs.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use oakwind_admission::{Event, Outcome as AdmissionOutcome, RequestId};
-use oakwind_fleet::decision_record::Decision;
+use oakwind_fleet::audit::decision_record::Decision;
 
 use super::attempts::Phase;
 use super::idempotency::HeldKey;
--- a/node/src/peers/completeness_marker.rs
+++ b/node/src/peers/completeness_marker.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 
 use oakwind_fleet::ids::Incarnation;
-use oakwind_fleet::staleness::StatePosition;
+use oakwind_fleet::recovery::staleness::StatePosition;
 
 use crate::log;
 
--- a/node/src/peers/driver.rs
+++ b/node/src/peers/driver.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use oakwind_admission::RequestId;
-use oakwind_fleet::claim_coordinator::ClaimOutcome;
+use oakwind_fleet::claims::coordinator::ClaimOutcome;
 use oakwind_fleet::message::RejectReason;
 use oakwind_fleet::replica_node::{Event, ReplicaNode, Settings, TICK_INTERVAL};
 use tokio::net::{TcpListener, TcpStream};
--- a/node/src/peers/message_codec/tests.rs
+++ b/node/src/peers/message_codec/tests.rs
@@ -3,9 +3,9 @@
 use super::*;
 use bytes::Bytes;
 use oakwind_fleet::ids::{ConfigVersion, Incarnation, NodeId};
-use oakwind_fleet::key_state::{ClaimId, CompletedRun, RunResult};
 use oakwind_fleet::message::{Completeness, ConfigSignature, ConflictingClaim, Hello, Page, RejectReason};
-use oakwind_fleet::staleness::StatePosition;
+use oakwind_fleet::recovery::staleness::StatePosition;
+use oakwind_fleet::replication::key_state::{ClaimId, CompletedRun, RunResult};
 
 fn claim() -> ClaimId {
     ClaimId { node: NodeId(1), incarnation: Incarnation(2), number: 3 }
--- a/node/src/peers/mod.rs
+++ b/node/src/peers/mod.rs
@@ -20,10 +20,10 @@
 
 use bytes::Bytes;
 use oakwind_admission::RequestId;
-use oakwind_fleet::claim_coordinator::{AttemptId, ClaimOutcome, RunRequest};
+use oakwind_fleet::claims::coordinator::{AttemptId, ClaimOutcome, RunRequest};
 use oakwind_fleet::ids::Incarnation;
-use oakwind_fleet::key_state::RunResult;
 use oakwind_fleet::replica_node::Event;
+use oakwind_fleet::replication::key_state::RunResult;
 use sha2::{Digest, Sha256};
 use tokio::sync::mpsc;
 
--- a/node/src/peers/replica_host.rs
+++ b/node/src/peers/replica_host.rs
@@ -3,12 +3,12 @@
 use std::collections::VecDeque;
 
 use oakwind_admission::RequestId;
-use oakwind_fleet::claim_coordinator::ClaimOutcome;
+use oakwind_fleet::claims::coordinator::ClaimOutcome;
 use oakwind_fleet::ids::{LinkId, NodeId};
-use oakwind_fleet::key_state::Key;
 use oakwind_fleet::message::{Hello, Message};
 use oakwind_fleet::replica_node::{Action, Event, Notification, ReplicaNode, StoreSequence};
-use oakwind_fleet::replica_table::StoredRecord;
+use oakwind_fleet::replication::key_state::Key;
+use oakwind_fleet::replication::replica_table::StoredRecord;
 use tokio::net::TcpStream;
 
 use super::completeness_marker::CompletenessMarker;
--- a/node/src/peers/vote_store.rs
+++ b/node/src/peers/vote_store.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use oakwind_fleet::message::ReplicaRecord;
 use oakwind_fleet::replica_node::RestoredState;
-use oakwind_fleet::replica_table::StoredRecord;
+use oakwind_fleet::replication::replica_table::StoredRecord;
 use oakwind_fleet::LATE_READ_GRACE;
 
 use super::completeness_marker::CompletenessMarker;
--- a/node/src/peers/vote_store/tests.rs
+++ b/node/src/peers/vote_store/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::test_support::{bytes, hex};
 use oakwind_fleet::ids::{Incarnation, NodeId};
-use oakwind_fleet::key_state::{ClaimId, CompletedRun, RunResult};
+use oakwind_fleet::replication::key_state::{ClaimId, CompletedRun, RunResult};
 
 /// The bytes in the folders of operators, which must not change.
 #[test]
--- a/node/src/run_gate.rs
+++ b/node/src/run_gate.rs
@@ -12,9 +12,9 @@
 
 use bytes::Bytes;
 use oakwind_admission::RequestId;
-use oakwind_fleet::claim_coordinator::ClaimOutcome;
+use oakwind_fleet::claims::coordinator::ClaimOutcome;
 use oakwind_fleet::ids::ConfigVersion;
-use oakwind_fleet::key_state::RunResult;
+use oakwind_fleet::replication::key_state::RunResult;
 
 use crate::clock::UnixTime;
 use crate::exchange::Request;
--- a/node/tests/sockets/fleet.rs
+++ b/node/tests/sockets/fleet.rs
@@ -2,8 +2,8 @@
 
 use crate::helper::*;
 use oakwind_fleet::ids::{ConfigVersion, Incarnation, NodeId};
-use oakwind_fleet::key_state::ClaimId;
 use oakwind_fleet::message::{ClaimRequest, ConfigSignature, Hello, Message, MESSAGE_KINDS};
+use oakwind_fleet::replication::key_state::ClaimId;
 use siphasher::sip::SipHasher13;
 use std::hash::Hasher;
 use std::io::{Read, Write};
