--- a/fault-harness/src/lib.rs
+++ b/fault-harness/src/lib.rs
@@ -6,6 +6,7 @@
 pub mod clock;
 pub mod experiment;
 pub mod history;
+pub mod loopback;
 pub mod model;
 pub mod mutant;
 pub mod node;
--- a/fault-harness/src/play/links.rs
+++ b/fault-harness/src/play/links.rs
@@ -11,6 +11,7 @@
 use tokio::task::spawn_local;
 
 use super::testbed::Testbed;
+use crate::loopback::{self, MAX_NETWORKS};
 use crate::relay::{Direction, Line};
 use crate::schedule::{generator, Stream};
 use crate::settings;
@@ -36,9 +37,9 @@
 
 impl Testbed {
     /// An address that belongs to this play and this node alone: a port that is free there stays free.
-    fn unique_address(&self, node: usize) -> Ipv4Addr {
-        let of_process = 100 + (std::process::id() % 150) as u8;
-        Ipv4Addr::new(127, of_process, (self.context.number % 250) as u8, node as u8 + 1)
+    fn unique_address(&self, node: usize) -> io::Result<Ipv4Addr> {
+        let network = (self.context.number % MAX_NETWORKS) as u8;
+        Ok(loopback::process_block()?.address(network, node as u8 + 1))
     }
 
     /// A line from one node to another, with random numbers of its own.
@@ -52,7 +53,7 @@
         let count = self.machines.len();
         let mut listen_addresses = Vec::new();
         for node in 0..count {
-            let socket = UdpSocket::bind((self.unique_address(node), 0)).await?;
+            let socket = UdpSocket::bind((self.unique_address(node)?, 0)).await?;
             listen_addresses.push(socket.local_addr()?);
         }
         let stand_ins = bind_stand_ins(count).await?;
@@ -81,7 +82,7 @@
         let count = self.machines.len();
         let mut listen_addresses = Vec::new();
         for node in 0..count {
-            let listener = TcpListener::bind((self.unique_address(node), 0)).await?;
+            let listener = TcpListener::bind((self.unique_address(node)?, 0)).await?;
             listen_addresses.push(listener.local_addr()?);
         }
         let mut lines = LinesByPair::new();
--- a/node/tests/sockets/endings.rs
+++ b/node/tests/sockets/endings.rs
@@ -1,7 +1,6 @@
 //! The moment in which something ends while something is still pending (docs/endings.md).
 
 use crate::helper::*;
-use crate::upgrade::Place;
 use std::io::Write;
 use std::os::unix::net::{UnixListener, UnixStream};
 
@@ -111,12 +110,15 @@
 }
 
 /// A process that takes over at this address from a predecessor that the test plays, which has sent nothing yet.
-fn start_successor(place: &Place, change: impl Fn(String) -> String) -> (Node, Server, Peer, UnixStream) {
-    let socket = place.json.replace(':', "_");
-    let before = UnixListener::bind(place.folder.join(format!("oakwind-{socket}.sock"))).unwrap();
+fn start_successor(
+    fixture: &UpgradeFixture,
+    change: impl Fn(String) -> String,
+) -> (Node, Server, Peer, UnixStream) {
+    let socket = fixture.json.replace(':', "_");
+    let before = UnixListener::bind(fixture.folder.join(format!("oakwind-{socket}.sock"))).unwrap();
     let vm = Server::new();
-    let text = config(&format!(r#""vm": "{}","#, vm.address)).replace("127.0.0.1:0", &place.json);
-    let mut node = Node::spawn(&change(text), None, Some(&place.folder));
+    let text = config(&format!(r#""vm": "{}","#, vm.address)).replace("127.0.0.1:0", &fixture.json);
+    let mut node = Node::spawn(&change(text), None, Some(&fixture.folder));
     // It checks first whether a process serves here, then takes over.
     drop(before.accept().unwrap());
     let link = vm.interpreter("0");
@@ -127,8 +129,8 @@
 
 #[test]
 fn a_predecessor_that_is_slow_to_hand_over_its_keys_delays_no_response() {
-    let place = Place::new("127.0.3.7");
-    let (mut node, _vm, mut link, mut before) = start_successor(&place, |text| text);
+    let fixture = UpgradeFixture::new();
+    let (mut node, _vm, mut link, mut before) = start_successor(&fixture, |text| text);
     let mut client = node.client();
     client.request(1, "a1", Some("slow"), 300);
     assert!(client.read_line().contains("-32011"), "it has not run, and its caller waits no longer");
@@ -143,9 +145,9 @@
 
 #[test]
 fn a_shutdown_notice_before_the_keys_are_handed_over_leaves_no_attempt_without_a_response() {
-    let place = Place::new("127.0.3.8");
+    let fixture = UpgradeFixture::new();
     // It stops before it would give up waiting for the keys.
-    let (node, _vm, _link, _before) = start_successor(&place, |text| text.replace("30000", "1000"));
+    let (node, _vm, _link, _before) = start_successor(&fixture, |text| text.replace("30000", "1000"));
     let mut client = node.client();
     client.request(1, "a1", Some("k"), LONG_LIMIT_MS);
     client.send(STATUS.replace(":1,", ":2,"));
@@ -177,7 +179,7 @@
 fn half_a_uwsgi_request_before_the_shutdown_notice_gets_its_response_once_it_is_complete() {
     let vm = Server::new();
     let text = grace(30_000_000)(config(&format!(r#""vm": "{}","#, vm.address)));
-    let mut node = Node::start(&text, Some("listen = '127.0.2.9:0'"));
+    let mut node = Node::start(&text, Some(&format!("listen = '{}:0'", unique_host())));
     let address = node.uwsgi_address();
     let mut link = vm.interpreter("0");
     let mut client = Peer::connect(address);
--- a/node/tests/sockets/fleet.rs
+++ b/node/tests/sockets/fleet.rs
@@ -7,11 +7,11 @@
 use siphasher::sip::SipHasher13;
 use std::hash::Hasher;
 use std::io::{Read, Write};
-use std::net::{SocketAddr, TcpStream};
+use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
 
 /// A fleet of three nodes on addresses that belong to one test, with a short idempotency window.
 struct Fleet {
-    host: &'static str,
+    host: Ipv4Addr,
     ports: Vec<u16>,
     version: u64,
 }
@@ -25,9 +25,10 @@
 }
 
 impl Fleet {
-    fn new(host: &'static str) -> Fleet {
-        // No other test has this host, so what is free there stays free.
-        let listeners = [(); 4].map(|()| std::net::TcpListener::bind((host, 0)).unwrap());
+    fn new() -> Fleet {
+        // Nobody else uses this host, so a port that is free now is still free when a node is to listen there.
+        let host = unique_host();
+        let listeners = [(); 4].map(|()| TcpListener::bind((host, 0)).unwrap());
         Fleet {
             host,
             ports: listeners.iter().map(|listener| listener.local_addr().unwrap().port()).collect(),
@@ -36,7 +37,7 @@
     }
 
     fn address(&self, n: usize) -> SocketAddr {
-        format!("{}:{}", self.host, self.ports[n - 1]).parse().unwrap()
+        SocketAddr::from((self.host, self.ports[n - 1]))
     }
 
     fn membership(&self, nodes: &[usize]) -> String {
@@ -78,7 +79,7 @@
 
 #[test]
 fn a_booking_runs_at_one_node_and_repeats_at_others_by_both_protocols_get_its_result() {
-    let fleet = Fleet::new("127.0.7.1");
+    let fleet = Fleet::new();
     let mut all = fleet.all();
     let mut clients: Vec<Peer> = all.iter().map(|(node, _)| node.client()).collect();
     clients[0].request(1, "a1", Some("k"), 1900);
@@ -104,7 +105,7 @@
 
 #[test]
 fn without_a_quorum_bookings_are_rejected_and_other_requests_run() {
-    let fleet = Fleet::new("127.0.7.2");
+    let fleet = Fleet::new();
     let mut all = fleet.all();
     all.truncate(1);
     let (mut node, mut vm) = all.remove(0);
@@ -146,7 +147,7 @@
 
 #[test]
 fn invalid_data_closes_a_link_is_logged_and_the_fleet_goes_on() {
-    let fleet = Fleet::new("127.0.7.3");
+    let fleet = Fleet::new();
     let (mut node, _vm) = fleet.start(1, &[1], "");
     let at = fleet.address(1);
     for invalid in [
@@ -185,7 +186,7 @@
 
 #[test]
 fn a_peer_of_a_later_build_is_granted_its_claims_and_its_new_fields_are_skipped() {
-    let fleet = Fleet::new("127.0.7.8");
+    let fleet = Fleet::new();
     let (mut node, _vm) = fleet.start(1, &[1], "");
     node.wait_for_log("fleet: replica table complete: keys=0");
     let (me, to) = (NodeId::of("n2"), NodeId::of("n1"));
@@ -227,7 +228,7 @@
 
 #[test]
 fn a_reload_adopts_a_newer_membership_configuration_and_rejects_others() {
-    let mut fleet = Fleet::new("127.0.7.4");
+    let mut fleet = Fleet::new();
     let mut all = fleet.all();
     fleet.version = 2;
     let next = fleet.file(1, &[1, 2, 3, 4], "");
@@ -253,7 +254,7 @@
 
 #[test]
 fn a_wrong_fleet_file_ends_the_start_with_a_line_that_names_the_key() {
-    let fleet = Fleet::new("127.0.7.5");
+    let fleet = Fleet::new();
     let config = file("config.json", &with_short_windows(&config(r#""vm": "127.0.0.1:1","#)));
     let check = |text: &str| {
         let path = file("fleet.toml", text);
@@ -291,13 +292,13 @@
 
 #[test]
 fn in_an_upgrade_the_successor_grants_claims_and_the_predecessor_finishes_its_runs() {
-    let fleet = Fleet::new("127.0.7.6");
-    let place = crate::upgrade::Place::new("127.0.7.7");
+    let fleet = Fleet::new();
+    let fixture = UpgradeFixture::new();
     let start = || {
         let vm = Server::new();
         let config = with_short_windows(&config(&format!(r#""vm": "{}","#, vm.address)))
-            .replace("127.0.0.1:0", &place.json);
-        let mut node = Node::with_fleet(&config, &fleet.file(1, &[1, 2, 3], ""), Some(&place.folder));
+            .replace("127.0.0.1:0", &fixture.json);
+        let mut node = Node::with_fleet(&config, &fleet.file(1, &[1, 2, 3], ""), Some(&fixture.folder));
         let link = vm.interpreter("0");
         node.wait_until_listening();
         (node, link)
--- a/node/tests/sockets/golden.rs
+++ b/node/tests/sockets/golden.rs
@@ -63,25 +63,28 @@
         folder
     };
     let (results, records) = (folder("results"), folder("records"));
-    let members = (1..=3)
-        .map(|n| format!("[[list.member]]\nname = 'n{n}'\naddress = '127.0.9.{n}:7199'\nzone = 'z{n}'\n"));
+    let hosts = [(); 3].map(|()| unique_host());
+    let [host, vrrp_peer, _] = hosts;
+    let members = hosts
+        .iter()
+        .zip(1..)
+        .map(|(host, n)| format!("[[list.member]]\nname = 'n{n}'\naddress = '{host}:7199'\nzone = 'z{n}'\n"));
     let members: String = members.collect();
     let files = [
         ("--config", "json", config(&format!(r#""vm": "{UNREACHABLE}", "ops": "127.0.0.1:0","#))),
         (
             "--uwsgi",
             "toml",
-            "listen = '127.0.9.1:0'\n[vrrp]\nvrid = 9\npriority = 100\ninterval_ms = 100\n\
-             addresses = ['127.0.1.1']\nlisten = '127.0.9.1:3112'\npeers = ['127.0.9.2:3112']\n"
-                .to_string(),
+            format!(
+                "listen = '{host}:0'\n[vrrp]\nvrid = 9\npriority = 100\ninterval_ms = 100\n\
+                 addresses = ['127.0.1.1']\nlisten = '{host}:3112'\npeers = ['{vrrp_peer}:3112']\n"
+            ),
         ),
         ("--remembered", "toml", format!("folder = '{}'\n", results.display())),
         (
             "--fleet",
             "toml",
-            format!(
-                "name = 'n1'\nlisten = '127.0.9.1:7199'\n[list]\nnumber = 1\nwindow_ms = 260000\n{members}"
-            ),
+            format!("name = 'n1'\nlisten = '{host}:7199'\n[list]\nnumber = 1\nwindow_ms = 260000\n{members}"),
         ),
         ("--records", "toml", format!("folder = '{}'\nfile_mb = 1\nfiles = 4\n", records.display())),
     ];
--- a/node/tests/sockets/helper/mod.rs
+++ b/node/tests/sockets/helper/mod.rs
@@ -3,19 +3,21 @@
 
 mod node;
 mod peer;
+mod upgrade_fixture;
 
 use std::io;
-use std::net::{SocketAddr, UdpSocket};
+use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
 use std::path::PathBuf;
 use std::process::{Command, Output, Stdio};
-use std::sync::atomic::{AtomicU32, Ordering};
+use std::sync::atomic::{AtomicU32, AtomicU8, Ordering};
 use std::time::Duration;
 
-use oakwind_fault_harness::wire;
 pub(crate) use oakwind_fault_harness::wire::DRAINING;
+use oakwind_fault_harness::{loopback, wire};
 
 pub(crate) use node::Node;
 pub(crate) use peer::{Peer, Server};
+pub(crate) use upgrade_fixture::UpgradeFixture;
 
 pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
@@ -107,6 +109,15 @@
     [&[0, low, high, 0], &block[..], body.as_bytes()].concat()
 }
 
+/// A loopback address that only the caller uses: neither another test of this process nor a second run of the tests on the
+/// same machine gets it. A port that is free there stays free.
+pub(crate) fn unique_host() -> Ipv4Addr {
+    static NEXT_HOST: AtomicU8 = AtomicU8::new(1);
+    let host = NEXT_HOST.fetch_add(1, Ordering::Relaxed);
+    assert_ne!(host, u8::MAX, "a block's network has no more hosts");
+    loopback::process_block().unwrap().address(0, host)
+}
+
 pub(crate) fn bind_udp(address: &str) -> UdpSocket {
     let socket = UdpSocket::bind(address).unwrap();
     socket.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
--- /dev/null
+++ b/node/tests/sockets/helper/upgrade_fixture.rs
@@ -0,0 +1,60 @@
+//! What two processes of one node share in an upgrade in place.
+
+use std::path::PathBuf;
+
+use tokio::net::TcpSocket;
+
+use super::{config, file, packet, unique_host, Node, Peer, Server};
+
+/// The addresses and the folder of a node that several processes serve one after the other.
+pub(crate) struct UpgradeFixture {
+    /// The JSON-RPC frontend's address.
+    pub json: String,
+    uwsgi: String,
+    /// The processes' `TMPDIR`.
+    pub folder: PathBuf,
+    _reserved: [TcpSocket; 2],
+}
+
+impl UpgradeFixture {
+    pub(crate) fn new() -> UpgradeFixture {
+        // Bound with SO_REUSEPORT, without listening, for as long as the test lasts: the ports stay this test's, and a
+        // copy that another test's child process inherits for a moment does not keep the node from listening.
+        let host = unique_host();
+        let reserved = [(); 2].map(|()| {
+            let socket = TcpSocket::new_v4().unwrap();
+            socket.set_reuseport(true).unwrap();
+            socket.bind((host, 0).into()).unwrap();
+            socket
+        });
+        let [json, uwsgi] = reserved.each_ref().map(|socket| socket.local_addr().unwrap().to_string());
+        let folder = file("folder", "").with_extension("d");
+        std::fs::create_dir(&folder).unwrap();
+        UpgradeFixture { json, uwsgi, folder, _reserved: reserved }
+    }
+
+    /// Starts one more process of the node, with an interpreter of its own whose link is up.
+    pub(crate) fn start(&self) -> (Node, Peer) {
+        let (node, link, _) = self.start_with_config();
+        (node, link)
+    }
+
+    /// The same, with the text of its configuration.
+    pub(crate) fn start_with_config(&self) -> (Node, Peer, String) {
+        let vm = Server::new();
+        let config = config(&format!(r#""vm": "{}","#, vm.address)).replace("127.0.0.1:0", &self.json);
+        let mut node =
+            Node::spawn(&config, Some(&format!("listen = '{}'\n", self.uwsgi)), Some(&self.folder));
+        let link = vm.interpreter("0");
+        node.wait_until_listening();
+        node.uwsgi_address();
+        (node, link, config)
+    }
+
+    /// As a uwsgi client: sends a request with this idempotency key.
+    pub(crate) fn uwsgi_request(&self, key: &str) -> Peer {
+        let mut client = Peer::connect(self.uwsgi.parse().unwrap());
+        client.send(packet(&[("PATH_INFO", "/book"), ("HTTP_IDEMPOTENCY_KEY", key)], "body"));
+        client
+    }
+}
--- a/node/tests/sockets/result_store.rs
+++ b/node/tests/sockets/result_store.rs
@@ -254,11 +254,11 @@
 
 #[test]
 fn an_upgrade_hands_the_folder_over_and_keys_of_both_processes_are_known_after_a_crash() {
-    let (folder, place) = (StoreFolder::new(""), crate::upgrade::Place::new("127.0.3.6"));
+    let (folder, fixture) = (StoreFolder::new(""), UpgradeFixture::new());
     let start = || {
         let vm = Server::new();
-        let config = config(&format!(r#""vm": "{}","#, vm.address)).replace("127.0.0.1:0", &place.json);
-        let mut node = Node::spawn_with(&config, None, Some(&place.folder), Some(&folder.text));
+        let config = config(&format!(r#""vm": "{}","#, vm.address)).replace("127.0.0.1:0", &fixture.json);
+        let mut node = Node::spawn_with(&config, None, Some(&fixture.folder), Some(&folder.text));
         let link = vm.interpreter("0");
         node.wait_until_listening();
         (node, link)
--- a/node/tests/sockets/upgrade.rs
+++ b/node/tests/sockets/upgrade.rs
@@ -1,63 +1,11 @@
 //! Upgrades in place: a successor takes over from the process that serves.
 
 use crate::helper::*;
-use std::net::ToSocketAddrs;
-use std::path::PathBuf;
-use tokio::net::TcpSocket;
-
-/// What two processes of one node share: addresses that only this test uses, and a folder.
-pub(crate) struct Place {
-    pub json: String,
-    uwsgi: String,
-    pub folder: PathBuf,
-    _held: [TcpSocket; 2],
-}
-
-impl Place {
-    pub(crate) fn new(host: &str) -> Place {
-        // Held, shared and deaf, for as long as the test lasts: nobody else gets these ports, and a copy that a child
-        // of another test holds for a moment shuts no process of the node out.
-        let held = [(); 2].map(|()| {
-            let socket = TcpSocket::new_v4().unwrap();
-            socket.set_reuseport(true).unwrap();
-            socket.bind((host, 0).to_socket_addrs().unwrap().next().unwrap()).unwrap();
-            socket
-        });
-        let [json, uwsgi] = held.each_ref().map(|held| held.local_addr().unwrap().to_string());
-        let folder = file("folder", "").with_extension("d");
-        std::fs::create_dir(&folder).unwrap();
-        Place { json, uwsgi, folder, _held: held }
-    }
-
-    /// Starts one more process of the node, with an interpreter of its own whose link is up.
-    fn start(&self) -> (Node, Peer) {
-        let (node, link, _) = self.start_by();
-        (node, link)
-    }
-
-    /// The same, with the text of its configuration.
-    fn start_by(&self) -> (Node, Peer, String) {
-        let vm = Server::new();
-        let config = config(&format!(r#""vm": "{}","#, vm.address)).replace("127.0.0.1:0", &self.json);
-        let mut node =
-            Node::spawn(&config, Some(&format!("listen = '{}'\n", self.uwsgi)), Some(&self.folder));
-        let link = vm.interpreter("0");
-        node.wait_until_listening();
-        node.uwsgi_address();
-        (node, link, config)
-    }
-
-    fn uwsgi(&self, key: &str) -> Peer {
-        let mut old = Peer::connect(self.uwsgi.parse().unwrap());
-        old.send(packet(&[("PATH_INFO", "/book"), ("HTTP_IDEMPOTENCY_KEY", key)], "body"));
-        old
-    }
-}
 
 #[test]
 fn a_successor_takes_over_the_clients_and_runs_no_key_that_its_predecessor_has() {
-    let place = Place::new("127.0.3.1");
-    let (mut old, mut old_vm) = place.start();
+    let fixture = UpgradeFixture::new();
+    let (mut old, mut old_vm) = fixture.start();
     let mut before = old.client();
     for (id, txn, key) in [(1, "a1", "ended"), (2, "a2", "runs"), (3, "a3", "fails")] {
         before.request(id, txn, Some(key), LONG_LIMIT_MS);
@@ -65,7 +13,7 @@
     }
     old_vm.send_run_result(1, "a1", "done", "first");
     let result = before.read_line().replace("\"id\":1,", "");
-    let (mut new, mut new_vm) = place.start();
+    let (mut new, mut new_vm) = fixture.start();
     new.wait_for_log("handover: completed");
     // Clients of the predecessor are notified and get their responses; new ones reach the successor alone.
     assert_eq!(before.read_any_line(), DRAINING);
@@ -73,10 +21,10 @@
     let mut client = new.client();
     client.request(1, "b1", Some("ended"), LONG_LIMIT_MS);
     assert_eq!(client.read_line().replace("\"id\":1,", ""), result);
-    assert!(place.uwsgi("ended").read_to_end().ends_with("first"), "over the other front as well");
+    assert!(fixture.uwsgi_request("ended").read_to_end().ends_with("first"), "over the other front as well");
     client.request(2, "b2", Some("runs"), LONG_LIMIT_MS);
     client.request(3, "b3", Some("fails"), LONG_LIMIT_MS);
-    let mut other = place.uwsgi("runs");
+    let mut other = fixture.uwsgi_request("runs");
     client.request(4, "b4", Some("fresh"), LONG_LIMIT_MS);
     assert_eq!(new_vm.next_run().0, "b4", "nothing else runs here");
     // The predecessor runs no key that it does not know.
@@ -98,9 +46,9 @@
 
 #[test]
 fn runs_lost_with_a_predecessor_have_failed_and_a_process_that_lost_its_successor_serves_on() {
-    let place = Place::new("127.0.3.2");
-    let (mut old, mut old_vm) = place.start();
-    let (mut new, _new_vm) = place.start();
+    let fixture = UpgradeFixture::new();
+    let (mut old, mut old_vm) = fixture.start();
+    let (mut new, _new_vm) = fixture.start();
     new.wait_for_log("handover: completed");
     old.wait_for_log("frontend: stopped listening: protocol=JSON-RPC");
     drop(new);
@@ -109,7 +57,7 @@
     let mut client = old.client();
     client.request(1, "a1", Some("k"), LONG_LIMIT_MS);
     old_vm.next_run();
-    let (mut new, _new_vm) = place.start();
+    let (mut new, _new_vm) = fixture.start();
     new.wait_for_log("handover: completed");
     let mut after = new.client();
     after.request(1, "b1", Some("k"), LONG_LIMIT_MS);
@@ -119,14 +67,14 @@
 
 #[test]
 fn a_process_whose_successor_has_a_successor_accepts_no_clients_again() {
-    let place = Place::new("127.0.3.5");
-    let (mut first, mut first_vm) = place.start();
+    let fixture = UpgradeFixture::new();
+    let (mut first, mut first_vm) = fixture.start();
     let mut before = first.client();
     before.request(1, "a1", Some("k"), LONG_LIMIT_MS);
     first_vm.next_run();
-    let (mut second, _second_vm) = place.start();
+    let (mut second, _second_vm) = fixture.start();
     second.wait_for_log("handover: completed");
-    let (mut third, mut third_vm) = place.start();
+    let (mut third, mut third_vm) = fixture.start();
     third.wait_for_log("handover: completed");
     first.wait_for_log("another process has taken over in turn");
     drop(second);
@@ -141,9 +89,9 @@
 
 #[test]
 fn a_file_that_was_replaced_during_an_upgrade_is_applied_by_the_successor() {
-    let place = Place::new("127.0.3.3");
-    let (old, _old_vm) = place.start();
-    let (mut new, mut new_vm, config) = place.start_by();
+    let fixture = UpgradeFixture::new();
+    let (old, _old_vm) = fixture.start();
+    let (mut new, mut new_vm, config) = fixture.start_with_config();
     new.wait_for_log("handover: completed");
     // A SIGHUP that reached the predecessor alone would be lost with it.
     new.replace_config(&config.replace("\"quote\"", "\"price\""));
@@ -157,11 +105,11 @@
 
 #[test]
 fn a_successor_that_is_stopped_before_it_can_serve_takes_nothing_over() {
-    let place = Place::new("127.0.3.4");
-    let (old, mut old_vm) = place.start();
+    let fixture = UpgradeFixture::new();
+    let (old, mut old_vm) = fixture.start();
     let vm = Server::new();
-    let text = config(&format!(r#""vm": "{}","#, vm.address)).replace("127.0.0.1:0", &place.json);
-    let new = Node::spawn(&text, None, Some(&place.folder));
+    let text = config(&format!(r#""vm": "{}","#, vm.address)).replace("127.0.0.1:0", &fixture.json);
+    let new = Node::spawn(&text, None, Some(&fixture.folder));
     let mut link = vm.accept();
     link.read_line();
     new.terminate();
--- a/node/tests/sockets/uwsgi.rs
+++ b/node/tests/sockets/uwsgi.rs
@@ -133,8 +133,9 @@
 
 #[test]
 fn a_drain_responds_to_what_was_read_and_then_accepts_nothing() {
-    // An address of its own, so that no other test listens there afterwards.
-    let (mut node, _vm, mut vm) = Node::with_interpreter("", Some("listen = '127.0.2.1:0'"));
+    // Its own host, so that nobody else listens there afterwards.
+    let uwsgi_file = format!("listen = '{}:0'", unique_host());
+    let (mut node, _vm, mut vm) = Node::with_interpreter("", Some(&uwsgi_file));
     let address = node.uwsgi_address();
     let mut client = Peer::connect(address);
     client.send(quote());
--- a/node/tests/sockets/vrrp.rs
+++ b/node/tests/sockets/vrrp.rs
@@ -13,8 +13,13 @@
     bytes
 }
 
+/// An address for advertisements that only the caller uses.
+fn vrrp_address() -> String {
+    format!("{}:3112", unique_host())
+}
+
 /// A uwsgi file with an address of its own, so that no other test listens there afterwards.
-fn front(priority: u8, listen: &str, peer: &str) -> String {
+fn uwsgi_file(priority: u8, listen: &str, peer: &str) -> String {
     let ip = listen.split(':').next().unwrap();
     format!(
         "listen = '{ip}:0'\n[vrrp]\nvrid = 9\npriority = {priority}\ninterval_ms = 100\n\
@@ -22,51 +27,52 @@
     )
 }
 
-/// The next advertisement that the peer gets, if it has this priority.
-fn hear(peer: &UdpSocket, priority: u8) {
+/// Waits until the peer gets an advertisement with this priority.
+fn wait_for_advertisement(peer: &UdpSocket, priority: u8) {
     while next_datagram(peer)[..] != advertisement(priority)[..] {}
 }
 
 #[test]
 fn the_listener_is_open_while_active_and_what_was_read_gets_its_response_after_that() {
-    let (listen, peer) = ("127.0.2.2:3112", bind_udp("127.0.2.3:3112"));
-    let file = front(100, listen, "127.0.2.3:3112");
+    let (listen, peer_address) = (vrrp_address(), vrrp_address());
+    let peer = bind_udp(&peer_address);
+    let file = uwsgi_file(100, &listen, &peer_address);
     let (mut node, _vm, mut vm) = Node::with_interpreter("", Some(&file));
     // No other router advertises, so this node becomes active.
-    hear(&peer, 100);
+    wait_for_advertisement(&peer, 100);
     let address = node.uwsgi_address();
     let mut client = Peer::connect(address);
     client.send(packet(&[("PATH_INFO", "/quote")], ""));
     let (id, ..) = vm.next_run();
     // A higher priority takes the role over; a lower one and bad packets do not.
     for bad in [&advertisement(99)[..], &advertisement(200)[..11], b"\x21\x09", b""] {
-        peer.send_to(bad, listen).unwrap();
+        peer.send_to(bad, &listen).unwrap();
     }
     node.wait_for_log("vrrp: datagram dropped");
-    peer.send_to(&advertisement(200), listen).unwrap();
+    peer.send_to(&advertisement(200), &listen).unwrap();
     node.wait_for_log("vrrp: role changed: vrid=9 role=Backup");
     node.wait_for_log("frontend: stopped listening: protocol=uwsgi");
     assert!(std::net::TcpStream::connect(address).is_err());
     vm.send_run_result(1, &id, "done", "still");
     assert!(client.read_to_end().ends_with("still"));
     // It gives the role up again, so this node takes it and serves.
-    peer.send_to(&advertisement(0), listen).unwrap();
+    peer.send_to(&advertisement(0), &listen).unwrap();
     node.wait_for_log("vrrp: role changed: vrid=9 role=Active");
     let address = node.uwsgi_address();
     let mut client = Peer::connect(address);
     client.send(packet(&[("PATH_INFO", "/status")], ""));
     assert!(client.read_to_end().contains("200 OK"));
     node.terminate();
-    hear(&peer, 0);
+    wait_for_advertisement(&peer, 0);
     node.assert_clean_exit();
 }
 
 #[test]
 fn of_two_nodes_one_is_active_and_the_other_takes_over_when_it_leaves() {
-    let (first, second) = ("127.0.2.4:3112", "127.0.2.5:3112");
-    let (mut low, _vm, _link) = Node::with_interpreter("", Some(&front(100, second, first)));
+    let (first, second) = (vrrp_address(), vrrp_address());
+    let (mut low, _vm, _link) = Node::with_interpreter("", Some(&uwsgi_file(100, &second, &first)));
     low.uwsgi_address();
-    let (mut high, _vm, _link) = Node::with_interpreter("", Some(&front(200, first, second)));
+    let (mut high, _vm, _link) = Node::with_interpreter("", Some(&uwsgi_file(200, &first, &second)));
     // The higher priority preempts.
     high.uwsgi_address();
     low.wait_for_log("vrrp: role changed: vrid=9 role=Backup");
