--- a/node/src/uwsgi/tests.rs
+++ b/node/src/uwsgi/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::test_support::hex;
 
 #[test]
 fn an_encoded_packet_is_decoded_and_a_cut_one_is_not() {
@@ -13,3 +14,10 @@
         assert!(whole.is_none() || cut == HEAD_BYTES + 2 + 9 + 2 + 5, "cut at {cut}");
     }
 }
+
+/// The bytes that uwsgi servers read, which must not change.
+#[test]
+fn a_packet_is_encoded_to_its_golden_bytes() {
+    let packet = encode_packet(&[("PATH_INFO", b"/book"), ("QUERY_STRING", b"")]).unwrap();
+    assert_eq!(hex(&packet), "002200000900504154485f494e464f05002f626f6f6b0c0051554552595f535452494e470000");
+}
