--- a/node/src/backend/interpreter/runs/tests.rs
+++ b/node/src/backend/interpreter/runs/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use oakwind_admission::{CallerId, ClassId, TenantId};
 use std::time::Duration;
 
 fn runs() -> Runs {
@@ -10,10 +11,10 @@
 fn run(txn: &'static str) -> RunCommand {
     RunCommand::Run(Rc::new(Request {
         txn: txn.into(),
-        class: 0,
-        tenant: 0,
+        class: ClassId(0),
+        tenant: TenantId(0),
         key: None,
-        caller: 1,
+        caller: CallerId(1),
         cost_hint: None,
         memory_kb: 1.0,
         rank: 0.0,
--- a/node/src/class_registry.rs
+++ b/node/src/class_registry.rs
@@ -4,7 +4,7 @@
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
 
-use oakwind_admission::{Class, Effect};
+use oakwind_admission::{Class, ClassId, Effect, TenantId};
 use oakwind_settings::Parsed;
 
 use crate::clock::UnixTime;
@@ -42,39 +42,39 @@
         self.settings.borrow().classes.clone()
     }
 
-    /// The position of a class whose requests are accepted now.
-    pub(crate) fn class_index(&self, name: &str, now: UnixTime) -> Option<u16> {
+    /// The class of this name, if its requests are accepted now.
+    pub(crate) fn class_id(&self, name: &str, now: UnixTime) -> Option<ClassId> {
         let settings = self.settings.borrow();
         let in_grace = now < self.replaced_at.get() + REMOVED_CLASS_GRACE;
         let removed: &[usize] = if in_grace { &[] } else { &settings.retired_classes };
-        index_of(&settings.classes, removed, name)
+        position_of(&settings.classes, removed, name).map(ClassId)
     }
 
     /// The name of a class; empty if there is none.
-    pub(crate) fn class_name(&self, class: u16) -> String {
-        self.settings.borrow().classes.get(usize::from(class)).cloned().unwrap_or_default()
+    pub(crate) fn class_name(&self, class: ClassId) -> String {
+        self.settings.borrow().classes.get(usize::from(class.0)).cloned().unwrap_or_default()
     }
 
-    /// The name of a tenant, if there is one at this position.
-    pub(crate) fn tenant_name(&self, tenant: u16) -> Option<String> {
-        self.settings.borrow().tenants.get(usize::from(tenant)).cloned()
+    /// The name of a tenant; none if there is no such tenant.
+    pub(crate) fn tenant_name(&self, tenant: TenantId) -> Option<String> {
+        self.settings.borrow().tenants.get(usize::from(tenant.0)).cloned()
     }
 
     /// Whether the requests of a class carry an idempotency key.
-    pub(crate) fn is_keyed(&self, class: u16) -> bool {
+    pub(crate) fn is_keyed(&self, class: ClassId) -> bool {
         self.class_setting(class, |class| class.effect == Effect::IdempotencyKey).unwrap_or(false)
     }
 
-    /// The position of a tenant. One that was removed keeps it, as its clients may not know yet.
-    pub(crate) fn tenant_index(&self, name: &str) -> Option<u16> {
-        index_of(&self.settings.borrow().tenants, &[], name)
+    /// The tenant of this name. One that was removed is still known, as its clients may not know yet.
+    pub(crate) fn tenant_id(&self, name: &str) -> Option<TenantId> {
+        position_of(&self.settings.borrow().tenants, &[], name).map(TenantId)
     }
 
     /// The deadline of a request: the one that was asked for, but none later than that of its class. So no request is
     /// queued for ever, and sums of times don't overflow.
     pub(crate) fn request_deadline(
         &self,
-        class: u16,
+        class: ClassId,
         now: UnixTime,
         requested: Option<UnixTime>,
     ) -> UnixTime {
@@ -84,23 +84,24 @@
 
     /// A request's cost hint within the time that its class has. One absurd hint does not spoil the mean that all
     /// estimates are made from.
-    pub(crate) fn bounded_cost_hint(&self, class: u16, cost_hint: Duration) -> Duration {
+    pub(crate) fn bounded_cost_hint(&self, class: ClassId, cost_hint: Duration) -> Duration {
         cost_hint.min(self.class_timeout(class))
     }
 
     /// How long clients wait for requests of a class.
-    fn class_timeout(&self, class: u16) -> Duration {
+    fn class_timeout(&self, class: ClassId) -> Duration {
         self.class_setting(class, |class| class.deadline).unwrap_or_default()
     }
 
-    fn class_setting<T>(&self, class: u16, read: impl FnOnce(&Class) -> T) -> Option<T> {
-        self.settings.borrow().settings.classes.get(usize::from(class)).map(read)
+    fn class_setting<T>(&self, class: ClassId, read: impl FnOnce(&Class) -> T) -> Option<T> {
+        self.settings.borrow().settings.classes.get(usize::from(class.0)).map(read)
     }
 }
 
-fn index_of(names: &[String], removed: &[usize], name: &str) -> Option<u16> {
-    let index = names.iter().position(|known| known == name).filter(|index| !removed.contains(index));
-    index.and_then(|index| u16::try_from(index).ok())
+fn position_of(names: &[String], removed: &[usize], name: &str) -> Option<u16> {
+    let position = names.iter().position(|known| known == name);
+    let position = position.filter(|position| !removed.contains(position));
+    position.and_then(|position| u16::try_from(position).ok())
 }
 
 #[cfg(test)]
--- a/node/src/class_registry/tests.rs
+++ b/node/src/class_registry/tests.rs
@@ -12,14 +12,17 @@
     let registry = ClassRegistry::new(parsed("book"));
     let at = Duration::from_secs(100);
     registry.replace_settings(registry.settings().followed_by(parsed("reserve")).unwrap(), at);
-    assert_eq!((registry.class_index("book", at), registry.class_index("reserve", at)), (Some(0), Some(1)));
+    assert_eq!(
+        (registry.class_id("book", at), registry.class_id("reserve", at)),
+        (Some(ClassId(0)), Some(ClassId(1)))
+    );
     let later = at + REMOVED_CLASS_GRACE;
     assert_eq!(
-        (registry.class_index("book", later), registry.class_index("reserve", later)),
-        (None, Some(1))
+        (registry.class_id("book", later), registry.class_id("reserve", later)),
+        (None, Some(ClassId(1)))
     );
     assert_eq!(
-        (registry.class_name(0), registry.is_keyed(0)),
+        (registry.class_name(ClassId(0)), registry.is_keyed(ClassId(0))),
         ("book".into(), true),
         "open requests keep it"
     );
--- a/node/src/decision_log/mod.rs
+++ b/node/src/decision_log/mod.rs
@@ -23,6 +23,7 @@
 use crate::clock;
 use crate::config::DecisionLogConfig;
 use crate::exchange::{Request, RequestOutcome};
+use crate::metrics::Metric;
 pub(crate) use reader::read_journal;
 use writer::LogWriter;
 
@@ -55,13 +56,13 @@
 
 impl DecisionLogMetrics {
     /// All counters by the names that operators know.
-    pub(crate) fn values(&self) -> Vec<(&'static str, u64)> {
+    pub(crate) fn values(&self) -> Vec<Metric> {
         let counters = [
             ("records_written", &self.written),
             ("records_dropped", &self.dropped),
             ("records_bytes", &self.bytes),
         ];
-        counters.map(|(name, value)| (name, value.load(Ordering::Relaxed))).into()
+        counters.map(|(name, counter)| Metric::new(name, counter.load(Ordering::Relaxed))).into()
     }
 
     fn count_written(&self, records: usize, bytes: usize) {
--- a/node/src/dispatcher.rs
+++ b/node/src/dispatcher.rs
@@ -127,7 +127,7 @@
     /// Records decisions in this log from now on.
     pub(crate) fn set_decision_log(&mut self, decision_log: DecisionLog) {
         let metrics = decision_log.metrics.clone();
-        self.endpoints.metrics.register(Box::new(move || metrics.values()));
+        self.endpoints.metrics.register(move || metrics.values());
         self.decision_log = Some(decision_log);
     }
 
@@ -303,7 +303,7 @@
     fn log_decision(&self, decision: Decision, request: &Request) {
         let Some(decision_log) = &self.decision_log else { return };
         decision_log.set_membership_version(self.run_gate.membership_version());
-        let class = self.settings.classes.get(usize::from(request.class)).map_or("", String::as_str);
+        let class = self.settings.classes.get(usize::from(request.class.0)).map_or("", String::as_str);
         decision_log.record(decision, request, self.key_of(request).as_deref(), class);
     }
 
--- a/node/src/dispatcher/submission.rs
+++ b/node/src/dispatcher/submission.rs
@@ -4,7 +4,7 @@
 
 use std::rc::Rc;
 
-use oakwind_admission::{Arrival, CallerId, ClassId, Effect, Event, RequestId, TenantId};
+use oakwind_admission::{Arrival, Effect, Event, RequestId};
 
 use super::attempts::{Attempt, Phase};
 use super::idempotency::KeyMatch;
@@ -97,13 +97,13 @@
         self.admission_events.push(Event::Arrived(Arrival {
             id,
             repeats,
-            class: ClassId(request.class),
-            tenant: TenantId(request.tenant),
+            class: request.class,
+            tenant: request.tenant,
             cost_hint: request.cost_hint,
             memory_kb: request.memory_kb,
             age: now.saturating_sub(request.received_at),
             rank: request.rank,
-            caller: CallerId(request.caller),
+            caller: request.caller,
             time_left: Some(request.deadline.saturating_sub(now)),
         }));
         let responder = Some(responder);
@@ -162,7 +162,7 @@
 
     /// The key of a request, if its class must not run twice.
     pub(super) fn key_of(&self, request: &Request) -> Option<IdempotencyKey> {
-        let class = self.settings.settings.classes.get(usize::from(request.class))?;
+        let class = self.settings.settings.classes.get(usize::from(request.class.0))?;
         request.key.clone().filter(|_| class.effect == Effect::IdempotencyKey)
     }
 
--- a/node/src/dispatcher/tests.rs
+++ b/node/src/dispatcher/tests.rs
@@ -2,16 +2,19 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
+use oakwind_admission::{CallerId, ClassId, TenantId};
 use tokio::sync::mpsc;
 use tokio::task::{spawn_local, LocalSet};
 
 use super::*;
-use crate::exchange::{self, BackendEndpoints, Endpoints, Exchange, SubmissionId, TransactionId};
+use crate::exchange::{
+    self, Answer, BackendEndpoints, Endpoints, Exchange, RequestTag, SubmissionId, TransactionId,
+};
 use crate::outcome::{digest, BodyDigest, Completion, IdempotencyRecord, RunState};
 
 /// Turns a test that would hang into one that fails.
 const GUARD: Duration = Duration::from_secs(60);
-const CLASS_BY_KEY: u16 = 1;
+const KEYED_CLASS: ClassId = ClassId(1);
 const DIGEST_SEED: u64 = 7;
 const SETTINGS: &str = r#"{"services": [
     {"name": "quote", "slo": 60000000, "deadline": 120000000, "effect": "repeatable"},
@@ -24,8 +27,8 @@
 struct Node {
     exchange: Exchange,
     backend: BackendEndpoints,
-    answer_queue: mpsc::Sender<(u64, RequestOutcome)>,
-    answers: mpsc::Receiver<(u64, RequestOutcome)>,
+    answer_queue: mpsc::Sender<Answer>,
+    answers: mpsc::Receiver<Answer>,
 }
 
 impl Node {
@@ -46,7 +49,7 @@
 
     /// Submits an attempt of a keyed class; its answer carries the tag.
     async fn submit(&self, tag: u64, key: &'static [u8], body: &'static [u8]) -> SubmissionId {
-        let responder = Responder::new(&self.answer_queue, tag).unwrap();
+        let responder = Responder::new(&self.answer_queue, RequestTag(tag)).unwrap();
         self.exchange.submit(request(tag, key, body), responder).await
     }
 
@@ -64,7 +67,8 @@
     }
 
     async fn next_answer(&mut self) -> (u64, RequestOutcome) {
-        self.answers.recv().await.unwrap()
+        let Answer { tag, outcome } = self.answers.recv().await.unwrap();
+        (tag.0, outcome)
     }
 
     /// Whether the backend has got no run by now.
@@ -79,10 +83,10 @@
     let now = clock::now();
     Request {
         txn: txn(tag),
-        class: CLASS_BY_KEY,
-        tenant: 0,
+        class: KEYED_CLASS,
+        tenant: TenantId(0),
         key: Some(Bytes::from_static(key)),
-        caller: 1,
+        caller: CallerId(1),
         cost_hint: None,
         memory_kb: 32.0,
         rank: 0.5,
--- a/node/src/exchange.rs
+++ b/node/src/exchange.rs
@@ -18,7 +18,7 @@
 pub(crate) use crate::outcome::{Completion, RequestOutcome};
 pub(crate) use command::{CallCommand, RunCommand};
 pub(crate) use event::{BackendEvent, CallOutcome, DispatcherEvent, HandoverState};
-pub(crate) use request::{Request, Responder, Submission, SubmissionId, TransactionId};
+pub(crate) use request::{Answer, Request, RequestTag, Responder, Submission, SubmissionId, TransactionId};
 pub(crate) use status::{NodeStatus, Shutdown};
 
 /// Events that may wait for the dispatcher. Who has more to report waits with them.
--- a/node/src/exchange/request.rs
+++ b/node/src/exchange/request.rs
@@ -4,6 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
+use oakwind_admission::{CallerId, ClassId, TenantId};
 use tokio::sync::mpsc;
 
 use crate::clock::UnixTime;
@@ -18,14 +19,14 @@
 pub(crate) struct Request {
     /// Its transaction id.
     pub(crate) txn: TransactionId,
-    /// Position of its class in the settings.
-    pub(crate) class: u16,
-    /// Position of its tenant in the settings.
-    pub(crate) tenant: u16,
+    /// Its class.
+    pub(crate) class: ClassId,
+    /// Its tenant.
+    pub(crate) tenant: TenantId,
     /// In keyed classes: the same for all attempts of one request.
     pub(crate) key: Option<IdempotencyKey>,
-    /// Number of the client that sent it.
-    pub(crate) caller: u32,
+    /// The client that sent it.
+    pub(crate) caller: CallerId,
     /// The work to expect, as time on one core.
     pub(crate) cost_hint: Option<Duration>,
     /// Memory booked for it while it is open, in KB.
@@ -67,35 +68,62 @@
     pub(crate) responder: Responder,
 }
 
+/// Identifies a request among those whose answers come by one queue.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
+pub(crate) struct RequestTag(pub(crate) u64);
+
+impl RequestTag {
+    /// The tag that follows this one.
+    pub(crate) fn next(self) -> RequestTag {
+        RequestTag(self.0 + 1)
+    }
+}
+
+/// The answer to a request, as its frontend receives it.
+#[derive(Debug)]
+pub(crate) struct Answer {
+    /// The request that it answers.
+    pub(crate) tag: RequestTag,
+    /// What the request came to.
+    pub(crate) outcome: RequestOutcome,
+}
+
+/// Where the answer to a request is counted.
+#[derive(Debug)]
+struct AnswerCounter {
+    metrics: Rc<Metrics>,
+    class: ClassId,
+}
+
 /// The right to give one request its outcome. Answering consumes it, so no request is answered twice. The answer has a
 /// place in the queue reserved from the start, so answering never waits.
 #[derive(Debug)]
 pub(crate) struct Responder {
-    tag: u64,
-    permit: Option<mpsc::OwnedPermit<(u64, RequestOutcome)>>,
-    /// Where the answer is counted, and for which class; set when the request is submitted.
-    counters: Option<(Rc<Metrics>, u16)>,
+    tag: RequestTag,
+    permit: Option<mpsc::OwnedPermit<Answer>>,
+    /// Set when the request is submitted.
+    counter: Option<AnswerCounter>,
 }
 
 impl Responder {
-    /// A responder that sends `tag` and the outcome to this queue, or `None` while the queue has no place to reserve.
-    pub(crate) fn new(answers: &mpsc::Sender<(u64, RequestOutcome)>, tag: u64) -> Option<Self> {
+    /// A responder that sends the answer with this tag to the queue, or `None` while the queue has no place to reserve.
+    pub(crate) fn new(answers: &mpsc::Sender<Answer>, tag: RequestTag) -> Option<Self> {
         let permit = answers.clone().try_reserve_owned().ok()?;
-        Some(Responder { tag, permit: Some(permit), counters: None })
+        Some(Responder { tag, permit: Some(permit), counter: None })
     }
 
     /// Counts the answer for a class.
-    pub(super) fn count_in(&mut self, metrics: Rc<Metrics>, class: u16) {
-        self.counters = Some((metrics, class));
+    pub(super) fn count_in(&mut self, metrics: Rc<Metrics>, class: ClassId) {
+        self.counter = Some(AnswerCounter { metrics, class });
     }
 
     /// Gives the request its outcome.
     pub(crate) fn answer(mut self, outcome: RequestOutcome) {
-        if let Some((metrics, class)) = &self.counters {
-            metrics.request_answered(*class, &outcome);
+        if let Some(counter) = &self.counter {
+            counter.metrics.request_answered(counter.class, &outcome);
         }
         if let Some(permit) = self.permit.take() {
-            permit.send((self.tag, outcome));
+            permit.send(Answer { tag: self.tag, outcome });
         }
     }
 }
@@ -103,8 +131,8 @@
 impl Drop for Responder {
     /// Counts the request as ended, whether it was answered or cancelled.
     fn drop(&mut self) {
-        if let Some((metrics, _)) = &self.counters {
-            metrics.request_finished();
+        if let Some(counter) = &self.counter {
+            counter.metrics.request_finished();
         }
     }
 }
--- a/node/src/frontend/jsonrpc/connection.rs
+++ b/node/src/frontend/jsonrpc/connection.rs
@@ -16,7 +16,7 @@
 use super::response::RpcError;
 use crate::class_registry::ClassRegistry;
 use crate::clock::{self, UnixTime};
-use crate::exchange::{Exchange, NodeStatus, RequestOutcome, SubmissionId};
+use crate::exchange::{Answer, Exchange, NodeStatus, RequestTag, SubmissionId};
 use crate::frontend::connection_limiter::{ConnectionGuard, MESSAGE_TIMEOUT};
 use crate::frontend::lingering_close;
 use crate::frontend::write_backlog::WriteBacklog;
@@ -63,11 +63,10 @@
     registry: Rc<ClassRegistry>,
     status: watch::Receiver<NodeStatus>,
     guard: ConnectionGuard,
-    /// Where outcomes come from, each with the tag of its request.
-    outcomes: mpsc::Sender<(u64, RequestOutcome)>,
-    /// Open requests by tag.
-    open: HashMap<u64, OpenRequest>,
-    next_tag: u64,
+    /// Where answers come in; each request gets a place in this queue.
+    answers: mpsc::Sender<Answer>,
+    open: HashMap<RequestTag, OpenRequest>,
+    next_tag: RequestTag,
     output: BytesMut,
     backlog: WriteBacklog,
     /// Whether the node was draining already when the client connected.
@@ -93,9 +92,9 @@
     registry: Rc<ClassRegistry>,
 ) {
     // A withdrawn request may hold its place in the channel for a moment longer than it is open.
-    let (sender, outcomes) = mpsc::channel(2 * MAX_OPEN_REQUESTS);
-    let mut connection = Connection::new(guard, exchange, registry, sender);
-    let ended = connection.run(&mut stream, outcomes).await;
+    let (answer_sender, answers) = mpsc::channel(2 * MAX_OPEN_REQUESTS);
+    let mut connection = Connection::new(guard, exchange, registry, answer_sender);
+    let ended = connection.run(&mut stream, answers).await;
     // Whatever ended the connection, nobody waits any more for what is still open on it.
     for request in std::mem::take(&mut connection.open).into_values() {
         connection.exchange.cancelled(request.submission).await;
@@ -111,18 +110,19 @@
         guard: ConnectionGuard,
         exchange: Exchange,
         registry: Rc<ClassRegistry>,
-        outcomes: mpsc::Sender<(u64, RequestOutcome)>,
+        answers: mpsc::Sender<Answer>,
     ) -> Self {
-        let (status, now) = (exchange.status(), clock::now());
+        let status = exchange.status();
+        let now = clock::now();
         let opened_while_draining = status.borrow().draining.is_some();
         Connection {
             exchange,
             registry,
             status,
             guard,
-            outcomes,
+            answers,
             open: HashMap::new(),
-            next_tag: 1,
+            next_tag: RequestTag(1),
             output: BytesMut::new(),
             backlog: WriteBacklog::default(),
             opened_while_draining,
@@ -137,11 +137,7 @@
     }
 
     /// Reads, submits and responds until the connection is to close.
-    async fn run(
-        &mut self,
-        stream: &mut TcpStream,
-        mut outcomes: mpsc::Receiver<(u64, RequestOutcome)>,
-    ) -> io::Result<()> {
+    async fn run(&mut self, stream: &mut TcpStream, mut answers: mpsc::Receiver<Answer>) -> io::Result<()> {
         let (mut reader, mut writer) = stream.split();
         let mut input = BytesMut::new();
         while let Some(wake_at) = self.check_deadlines(input.is_empty()).await? {
@@ -156,10 +152,10 @@
                         bytes => self.backlog.record_write(bytes),
                     }
                 }
-                Some((tag, outcome)) = outcomes.recv() => {
-                    self.respond(tag, &outcome);
-                    while let Ok((tag, outcome)) = outcomes.try_recv() {
-                        self.respond(tag, &outcome);
+                Some(answer) = answers.recv() => {
+                    self.respond(&answer);
+                    while let Ok(answer) = answers.try_recv() {
+                        self.respond(&answer);
                     }
                 }
                 read = reader.read_buf(&mut input), if reading => {
--- a/node/src/frontend/jsonrpc/connection/requests.rs
+++ b/node/src/frontend/jsonrpc/connection/requests.rs
@@ -4,7 +4,7 @@
 
 use super::{Connection, OpenRequest, MAX_LOGGED_BYTES, MAX_OPEN_REQUESTS};
 use crate::clock;
-use crate::exchange::{Request, RequestOutcome, Responder};
+use crate::exchange::{Answer, Request, Responder};
 use crate::frontend::jsonrpc::message::{Message, Withdrawal};
 use crate::frontend::jsonrpc::request;
 use crate::frontend::jsonrpc::response::{write_health, write_outcome, ErrorCode, ErrorResponse, RpcError};
@@ -51,7 +51,7 @@
         params: &str,
         line: &Bytes,
     ) -> Result<(), ErrorResponse> {
-        let Some(class) = self.registry.class_index(class, clock::now()) else {
+        let Some(class) = self.registry.class_id(class, clock::now()) else {
             let error = RpcError { code: ErrorCode::MethodNotFound, message: "no such method" };
             return Err(error.in_reply_to(id.as_ref()));
         };
@@ -69,8 +69,8 @@
 
     async fn submit(&mut self, id: Bytes, request: Request) -> Result<(), ErrorResponse> {
         let tag = self.next_tag;
-        self.next_tag += 1;
-        let responder = Responder::new(&self.outcomes, tag);
+        self.next_tag = tag.next();
+        let responder = Responder::new(&self.answers, tag);
         let Some(responder) = responder.filter(|_| self.open.len() < MAX_OPEN_REQUESTS) else {
             return Err(RpcError::invalid_request("32 requests are open here").in_reply_to(Some(&id)));
         };
@@ -90,10 +90,10 @@
     }
 
     /// Writes the response to a request.
-    pub(super) fn respond(&mut self, tag: u64, outcome: &RequestOutcome) {
+    pub(super) fn respond(&mut self, answer: &Answer) {
         // A request that was withdrawn meanwhile gets no response.
-        let Some(open) = self.open.remove(&tag) else { return };
+        let Some(open) = self.open.remove(&answer.tag) else { return };
         self.last_used = clock::now();
-        write_outcome(&mut self.output, &open.id, outcome);
+        write_outcome(&mut self.output, &open.id, &answer.outcome);
     }
 }
--- a/node/src/frontend/jsonrpc/request.rs
+++ b/node/src/frontend/jsonrpc/request.rs
@@ -6,6 +6,7 @@
 use base64::engine::general_purpose::STANDARD as BASE64;
 use base64::Engine;
 use bytes::Bytes;
+use oakwind_admission::{CallerId, ClassId, TenantId};
 use serde::Deserialize;
 
 use super::response::RpcError;
@@ -20,6 +21,8 @@
 const MAX_KEY_BYTES: usize = 64;
 /// Longest id of a request on all links, in hexadecimal digits.
 const MAX_TXN_DIGITS: usize = 16;
+/// The tenant of requests that name none.
+const DEFAULT_TENANT: TenantId = TenantId(0);
 /// Milliseconds in a second.
 const MILLIS_PER_SECOND: f64 = 1e3;
 
@@ -56,7 +59,7 @@
 /// Decodes the parameters of a request of this class. Texts stay slices of `line` where that is possible.
 pub(super) fn decode(
     registry: &ClassRegistry,
-    class: u16,
+    class: ClassId,
     params: &str,
     line: &Bytes,
 ) -> Result<Request, RpcError> {
@@ -67,7 +70,7 @@
     let now = clock::now();
     // A clock that runs ahead must not make a request newer than what the key table knows.
     let received_at = duration_from_millis(params.received_at_ms)?.min(now);
-    let tenant = params.tenant_index(registry)?;
+    let tenant = params.tenant(registry)?;
     let deadline = params.deadline(registry, class, received_at, now)?;
     let body = params.decode_body()?;
     let cost_hint = params.cost_ms.map(duration_from_millis).transpose()?;
@@ -76,7 +79,7 @@
         class,
         tenant,
         key,
-        caller: params.client,
+        caller: CallerId(params.client),
         cost_hint: cost_hint.map(|hint| registry.bounded_cost_hint(class, hint)),
         memory_kb: params.memory_kb,
         rank: params.rank,
@@ -112,11 +115,11 @@
         Ok(())
     }
 
-    /// The position of the tenant; the first one where none is named.
-    fn tenant_index(&self, registry: &ClassRegistry) -> Result<u16, RpcError> {
-        match registry.tenant_index(&self.tenant) {
-            Some(index) => Ok(index),
-            None if self.tenant.is_empty() => Ok(0),
+    /// The tenant; the first one of the settings where none is named.
+    fn tenant(&self, registry: &ClassRegistry) -> Result<TenantId, RpcError> {
+        match registry.tenant_id(&self.tenant) {
+            Some(tenant) => Ok(tenant),
+            None if self.tenant.is_empty() => Ok(DEFAULT_TENANT),
             None => Err(RpcError::invalid_params("no such team")),
         }
     }
@@ -124,7 +127,7 @@
     fn deadline(
         &self,
         registry: &ClassRegistry,
-        class: u16,
+        class: ClassId,
         received_at: UnixTime,
         now: UnixTime,
     ) -> Result<UnixTime, RpcError> {
--- a/node/src/frontend/uwsgi/mod.rs
+++ b/node/src/frontend/uwsgi/mod.rs
@@ -27,7 +27,7 @@
 use super::lingering_close;
 use crate::class_registry::ClassRegistry;
 use crate::clock;
-use crate::exchange::{Exchange, Request, RequestOutcome, Responder, TransactionId};
+use crate::exchange::{Exchange, Request, RequestOutcome, RequestTag, Responder, TransactionId};
 use crate::log;
 use request::{read_request, Target};
 use response::{encode_error, encode_health, encode_outcome};
@@ -38,6 +38,8 @@
 const READ_BUFFER_BYTES: usize = 4096;
 /// Bytes that are read at a time, and dropped, while the client waits for its response.
 const DROPPED_CHUNK_BYTES: usize = 1024;
+/// The one request of a connection.
+const ONLY_REQUEST: RequestTag = RequestTag(0);
 
 /// Why a packet was not served; no request was submitted.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -123,13 +125,13 @@
     frontend: &UwsgiFrontend,
     request: Request,
 ) -> io::Result<Option<RequestOutcome>> {
-    let (sender, mut outcomes) = mpsc::channel(1);
-    let Some(responder) = Responder::new(&sender, 0) else { return Ok(None) };
+    let (sender, mut answers) = mpsc::channel(1);
+    let Some(responder) = Responder::new(&sender, ONLY_REQUEST) else { return Ok(None) };
     let submission = frontend.exchange.submit(request, responder).await;
     let mut dropped = [0; DROPPED_CHUNK_BYTES];
     loop {
         tokio::select! {
-            received = outcomes.recv() => return Ok(received.map(|(_, outcome)| outcome)),
+            answer = answers.recv() => return Ok(answer.map(|answer| answer.outcome)),
             read = stream.read(&mut dropped) => if read.as_ref().map_or(true, |bytes| *bytes == 0) {
                 frontend.exchange.cancelled(submission).await;
                 return read.map(|_| None);
--- a/node/src/frontend/uwsgi/request.rs
+++ b/node/src/frontend/uwsgi/request.rs
@@ -4,6 +4,7 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
+use oakwind_admission::{CallerId, ClassId, TenantId};
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 
@@ -22,9 +23,9 @@
 /// The memory that is booked for a request that does not say, in KB.
 const DEFAULT_MEMORY_KB: f64 = 32.0;
 /// All clients of this frontend count as one in the decisions, as none keeps a connection.
-const CALLER: u32 = u32::MAX;
+const CALLER: CallerId = CallerId(u32::MAX);
 /// No position in the list of tenants: the request counts to no tenant's share.
-const NO_TENANT: u16 = u16::MAX;
+const NO_TENANT: TenantId = TenantId(u16::MAX);
 /// The rank of a request, which this protocol does not carry.
 const DEFAULT_RANK: f64 = 0.5;
 
@@ -102,13 +103,13 @@
         let variables = &packet.variables;
         let path = variables.text("PATH_INFO").ok_or(RequestError::BadRequest("PATH_INFO is missing"))?;
         let name = path.strip_prefix('/').unwrap_or(path);
-        let class = match self.registry.class_index(name, now) {
+        let class = match self.registry.class_id(name, now) {
             Some(class) => class,
             None if name == "status" => return Ok(Target::Health),
             None => return Err(RequestError::NotFound),
         };
         let key = self.idempotency_key(variables, class)?;
-        let tenant = self.tenant_index(variables)?;
+        let tenant = self.tenant(variables)?;
         let deadline = number(variables, "HTTP_X_DEADLINE")?.map(Duration::from_millis);
         let cost_hint = number(variables, "HTTP_X_COST")?.map(Duration::from_millis);
         let memory_kb = number(variables, "HTTP_X_RAM")?.map_or(DEFAULT_MEMORY_KB, |kb| kb as f64);
@@ -131,7 +132,7 @@
     }
 
     /// The idempotency key, in classes whose requests carry one.
-    fn idempotency_key(&self, variables: &Variables, class: u16) -> Result<Option<Bytes>, RequestError> {
+    fn idempotency_key(&self, variables: &Variables, class: ClassId) -> Result<Option<Bytes>, RequestError> {
         if !self.registry.is_keyed(class) {
             return Ok(None);
         }
@@ -144,9 +145,9 @@
         Ok(Some(key.clone()))
     }
 
-    fn tenant_index(&self, variables: &Variables) -> Result<u16, RequestError> {
+    fn tenant(&self, variables: &Variables) -> Result<TenantId, RequestError> {
         match variables.text("HTTP_X_TENANT") {
-            Some(name) => self.registry.tenant_index(name).ok_or(RequestError::BadRequest("no such tenant")),
+            Some(name) => self.registry.tenant_id(name).ok_or(RequestError::BadRequest("no such tenant")),
             None => Ok(NO_TENANT),
         }
     }
--- a/node/src/metrics.rs
+++ b/node/src/metrics.rs
@@ -3,6 +3,8 @@
 use std::cell::{Cell, RefCell};
 use std::fmt::{self, Debug, Formatter, Write};
 
+use oakwind_admission::ClassId;
+
 use crate::outcome::RequestOutcome;
 
 /// Every name begins with this.
@@ -33,12 +35,28 @@
     sources: RefCell<Vec<Source>>,
 }
 
-/// Reads the metrics that another module keeps, by name.
-struct Source(Box<dyn Fn() -> Vec<(&'static str, u64)>>);
+/// One metric at the moment when it is read.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) struct Metric {
+    /// Its name, without the prefix.
+    pub(crate) name: &'static str,
+    /// Its value.
+    pub(crate) value: u64,
+}
+
+impl Metric {
+    /// A metric by its name without the prefix.
+    pub(crate) fn new(name: &'static str, value: u64) -> Self {
+        Metric { name, value }
+    }
+}
+
+/// Reads the metrics that another module keeps.
+struct Source(Box<dyn Fn() -> Vec<Metric>>);
 
 impl Debug for Source {
-    fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        f.debug_list().entries((self.0)()).finish()
+    fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
+        formatter.debug_list().entries((self.0)()).finish()
     }
 }
 
@@ -54,7 +72,7 @@
     }
 
     /// Counts a response by its outcome.
-    pub(crate) fn request_answered(&self, class: u16, outcome: &RequestOutcome) {
+    pub(crate) fn request_answered(&self, class: ClassId, outcome: &RequestOutcome) {
         self.update_class(class, |counters| match outcome {
             RequestOutcome::Served(_) => counters.served += 1,
             RequestOutcome::Rejected { .. } => counters.rejected += 1,
@@ -63,7 +81,7 @@
     }
 
     /// Counts a run that was handed to the backend.
-    pub(crate) fn run_dispatched(&self, class: u16) {
+    pub(crate) fn run_dispatched(&self, class: ClassId) {
         self.update_class(class, |counters| counters.runs += 1);
     }
 
@@ -73,18 +91,18 @@
         counter.set(counter.get() + 1);
     }
 
-    /// Shows the metrics that another module keeps, after those from before. `read` returns them by name, without the
-    /// prefix.
-    pub(crate) fn register(&self, read: Box<dyn Fn() -> Vec<(&'static str, u64)>>) {
-        self.sources.borrow_mut().push(Source(read));
+    /// Shows the metrics that another module keeps, after those from before.
+    pub(crate) fn register(&self, read: impl Fn() -> Vec<Metric> + 'static) {
+        self.sources.borrow_mut().push(Source(Box::new(read)));
     }
 
-    fn update_class(&self, class: u16, update: impl FnOnce(&mut ClassCounters)) {
-        let (mut classes, class) = (self.classes.borrow_mut(), usize::from(class));
-        if classes.len() <= class {
-            classes.resize(class + 1, ClassCounters::default());
+    fn update_class(&self, class: ClassId, update: impl FnOnce(&mut ClassCounters)) {
+        let mut classes = self.classes.borrow_mut();
+        let position = usize::from(class.0);
+        if classes.len() <= position {
+            classes.resize(position + 1, ClassCounters::default());
         }
-        update(&mut classes[class]);
+        update(&mut classes[position]);
     }
 
     /// All metrics as text, a line each. `class_names` are the names of the classes by position.
@@ -94,16 +112,20 @@
         for (position, class) in class_names.iter().enumerate() {
             let ClassCounters { served, rejected, failed, runs } =
                 classes.get(position).copied().unwrap_or_default();
-            let counters =
-                [("answered", served), ("deferred", rejected), ("errored", failed), ("sends", runs)];
-            for (name, value) in counters {
+            let counters = [
+                Metric::new("answered", served),
+                Metric::new("deferred", rejected),
+                Metric::new("errored", failed),
+                Metric::new("sends", runs),
+            ];
+            for Metric { name, value } in counters {
                 write_metric(&mut text, &format!("{name}{{group=\"{class}\"}}"), value);
             }
         }
         write_metric(&mut text, "current", self.open_requests.get());
         write_metric(&mut text, "conf_loaded", self.reloads_applied.get());
         write_metric(&mut text, "conf_invalid", self.reloads_rejected.get());
-        for (name, value) in self.sources.borrow().iter().flat_map(|source| (source.0)()) {
+        for Metric { name, value } in self.sources.borrow().iter().flat_map(|source| (source.0)()) {
             write_metric(&mut text, name, value);
         }
         text
--- a/node/src/result_store/metrics.rs
+++ b/node/src/result_store/metrics.rs
@@ -3,6 +3,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use super::recovery::Damage;
+use crate::metrics::Metric;
 
 /// Counters that operators read; the writer thread updates them.
 #[derive(Debug, Default)]
@@ -25,7 +26,7 @@
 
 impl StoreMetrics {
     /// All counters by the names that operators know.
-    pub(crate) fn values(&self) -> Vec<(&'static str, u64)> {
+    pub(crate) fn values(&self) -> Vec<Metric> {
         let counters = [
             ("remembered_keys", &self.keys),
             ("remembered_bytes", &self.bytes),
@@ -35,7 +36,7 @@
             ("remembered_damaged", &self.damaged),
             ("remembered_noise_bytes", &self.unrecognized_bytes),
         ];
-        counters.map(|(name, value)| (name, value.load(Ordering::Relaxed))).into()
+        counters.map(|(name, counter)| Metric::new(name, counter.load(Ordering::Relaxed))).into()
     }
 
     /// Records what was damaged when the store was opened.
--- a/node/src/run_gate.rs
+++ b/node/src/run_gate.rs
@@ -60,11 +60,11 @@
     pub(crate) fn register_metrics(&self, metrics: &Metrics) {
         if let Some(store) = &self.store {
             let store = store.metrics.clone();
-            metrics.register(Box::new(move || store.values()));
+            metrics.register(move || store.values());
         }
         if let Some(peers) = &self.peers {
             let peers = peers.metrics.clone();
-            metrics.register(Box::new(move || peers.values()));
+            metrics.register(move || peers.values());
         }
     }
 
