--- a/node/src/backend/uwsgi.rs
+++ b/node/src/backend/uwsgi.rs
@@ -23,28 +23,11 @@
 use crate::log;
 use crate::sockets;
 use crate::uwsgi::encode_packet;
-use response::read_response;
+use response::{read_response, ServerOutcome};
 
 /// A run is left alone this long after its deadline: its result may still serve a later attempt.
 const LATE_RESULT_GRACE: Duration = Duration::from_secs(10);
 
-/// How an exchange with a server ended.
-#[derive(Debug, PartialEq)]
-enum ServerOutcome {
-    /// The server responded with 2xx and this body.
-    Succeeded(Bytes),
-    /// The server responded that it did not start.
-    Rejected,
-    /// The time ran out, here or at the server.
-    TimedOut,
-    /// The server failed, or its response was malformed.
-    Failed,
-    /// The connection broke before the response was complete.
-    CutOff,
-    /// No server could be connected to.
-    Unreachable,
-}
-
 /// Selects the addresses of the servers from those of all backends.
 pub(crate) type SelectAddresses = fn(&UpstreamAddresses) -> &Vec<SocketAddr>;
 
--- a/node/src/backend/uwsgi/response.rs
+++ b/node/src/backend/uwsgi/response.rs
@@ -4,12 +4,11 @@
 use std::num::ParseIntError;
 use std::str::Utf8Error;
 
-use bytes::BytesMut;
+use bytes::{Bytes, BytesMut};
 use thiserror::Error;
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 
-use super::ServerOutcome;
 use crate::http::{MAX_HEADER_FIELDS, MAX_HEAD_BYTES};
 
 /// Longest body of a response, in bytes.
@@ -49,6 +48,23 @@
     }
 }
 
+/// How an exchange with a server ended.
+#[derive(Debug, PartialEq)]
+pub(super) enum ServerOutcome {
+    /// The server responded with 2xx and this body.
+    Succeeded(Bytes),
+    /// The server responded that it did not start.
+    Rejected,
+    /// The time ran out, here or at the server.
+    TimedOut,
+    /// The server failed, or its response was malformed.
+    Failed,
+    /// The connection broke before the response was complete.
+    CutOff,
+    /// No server could be connected to.
+    Unreachable,
+}
+
 /// What the head of a response says.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct ResponseHead {
--- a/node/src/clock.rs
+++ b/node/src/clock.rs
@@ -118,6 +118,11 @@
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
 
+/// Now, in whole milliseconds.
+pub(crate) fn now_millis() -> u64 {
+    millis(now())
+}
+
 /// Sleeps until a point in time, for [`MAX_SLEEP`] at most.
 pub(crate) fn until(at: UnixTime) -> Sleep {
     let wait = at.saturating_sub(now()).min(MAX_SLEEP);
--- a/node/src/decision_log.rs
+++ b/node/src/decision_log.rs
@@ -5,14 +5,13 @@
 //! A thread of its own writes them. No request waits for the disk; a record that it cannot take in time is dropped and
 //! counted, and the log says how many were.
 
+mod error;
 mod files;
+mod metrics;
 mod reader;
 mod writer;
 
 use std::cell::RefCell;
-use std::io;
-use std::path::PathBuf;
-use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 
 use oakwind_fleet::decision_record::{Decision, Record, Versions};
@@ -23,58 +22,14 @@
 use crate::clock;
 use crate::config::DecisionLogConfig;
 use crate::exchange::{Request, RequestOutcome};
-use crate::metrics::Metric;
+pub(crate) use error::DecisionLogError;
+use metrics::DecisionLogMetrics;
 pub(crate) use reader::read_journal;
 use writer::LogWriter;
 
 /// Bytes of a SHA-256 digest that tell settings apart.
 const SETTINGS_DIGEST_BYTES: usize = 8;
 
-/// Why no decision can be recorded.
-#[derive(Debug, thiserror::Error)]
-pub(crate) enum DecisionLogError {
-    /// The folder cannot be used.
-    #[error("records file, folder: {}: {source}", folder.display())]
-    Folder {
-        /// The folder.
-        folder: PathBuf,
-        /// What is wrong with it.
-        source: io::Error,
-    },
-    /// The writer thread could not be started.
-    #[error("the writer thread of the decision log cannot be started: {0}")]
-    Thread(#[source] io::Error),
-}
-
-/// Counters that operators read.
-#[derive(Debug, Default)]
-pub(crate) struct DecisionLogMetrics {
-    written: AtomicU64,
-    dropped: AtomicU64,
-    bytes: AtomicU64,
-}
-
-impl DecisionLogMetrics {
-    /// All counters by the names that operators know.
-    pub(crate) fn values(&self) -> Vec<Metric> {
-        let counters = [
-            ("records_written", &self.written),
-            ("records_dropped", &self.dropped),
-            ("records_bytes", &self.bytes),
-        ];
-        counters.map(|(name, counter)| Metric::new(name, counter.load(Ordering::Relaxed))).into()
-    }
-
-    fn count_written(&self, records: usize, bytes: usize) {
-        self.written.fetch_add(records as u64, Ordering::Relaxed);
-        self.bytes.fetch_add(bytes as u64, Ordering::Relaxed);
-    }
-
-    fn count_dropped(&self) {
-        self.dropped.fetch_add(1, Ordering::Relaxed);
-    }
-}
-
 /// The handle of the dispatcher on the decision log. Once it is dropped, what waits is written and the log is closed.
 pub(crate) struct DecisionLog {
     writer: LogWriter,
@@ -101,7 +56,8 @@
             config: ConfigVersion::default(),
             program: env!("CARGO_PKG_VERSION").into(),
         };
-        let first = Record::ProcessStarted { at: now_ms(), node: node.into(), versions: versions.clone() };
+        let first =
+            Record::ProcessStarted { at: clock::now_millis(), node: node.into(), versions: versions.clone() };
         let metrics = Arc::<DecisionLogMetrics>::default();
         let writer = LogWriter::start(config, first, &metrics)?;
         Ok(DecisionLog { writer, versions: RefCell::new(versions), metrics })
@@ -123,7 +79,7 @@
     pub(crate) fn record(&self, decision: Decision, request: &Request, key: Option<&[u8]>, class: &str) {
         let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
         let record = Record::Attempt {
-            at: now_ms(),
+            at: clock::now_millis(),
             decision,
             txn: text(&request.txn),
             key: key.map(text),
@@ -151,10 +107,5 @@
     }
 }
 
-/// Now, in Unix milliseconds.
-fn now_ms() -> u64 {
-    clock::millis(clock::now())
-}
-
 #[cfg(test)]
 mod tests;
--- a/node/src/decision_log/files.rs
+++ b/node/src/decision_log/files.rs
@@ -8,7 +8,7 @@
 use oakwind_fleet::decision_record::Record;
 use oakwind_fleet::hash_chain::{self, Chain};
 
-use super::DecisionLogMetrics;
+use super::metrics::DecisionLogMetrics;
 use crate::config::DecisionLogConfig;
 
 /// Says which record was written last, so that a truncated log shows.
--- a/node/src/decision_log/writer.rs
+++ b/node/src/decision_log/writer.rs
@@ -10,8 +10,10 @@
 
 use oakwind_fleet::decision_record::Record;
 
+use super::error::DecisionLogError;
 use super::files::LogFiles;
-use super::{now_ms, DecisionLogError, DecisionLogMetrics};
+use super::metrics::DecisionLogMetrics;
+use crate::clock;
 use crate::config::DecisionLogConfig;
 use crate::log;
 
@@ -137,10 +139,10 @@
             batch.extend(self.records.try_iter().take(MAX_BATCH));
             let count = self.shared.unreported_drops.swap(0, Ordering::Relaxed);
             if count > 0 {
-                batch.push(Record::Dropped { at: now_ms(), count });
+                batch.push(Record::Dropped { at: clock::now_millis(), count });
             }
             files.append(&batch, &self.metrics)?;
         }
-        files.append(&[Record::ProcessStopped { at: now_ms() }], &self.metrics)
+        files.append(&[Record::ProcessStopped { at: clock::now_millis() }], &self.metrics)
     }
 }
--- a/node/src/frontend/uwsgi.rs
+++ b/node/src/frontend/uwsgi.rs
@@ -10,10 +10,11 @@
 //! | `HTTP_X_COST` | the work to expect, in milliseconds on one core |
 //! | `HTTP_X_RAM` | the memory that is booked for the request while it is queued, in KB, under 2,000 |
 
+mod context;
 mod request;
+mod request_ids;
 mod response;
 
-use std::cell::Cell;
 use std::io;
 use std::rc::Rc;
 use std::time::Duration;
@@ -25,11 +26,12 @@
 
 use super::connection_limiter::{ConnectionGuard, ConnectionState, MESSAGE_TIMEOUT};
 use super::lingering_close;
-use crate::class_registry::ClassRegistry;
 use crate::clock;
-use crate::exchange::{Exchange, Request, RequestOutcome, RequestTag, Responder, TransactionId};
+use crate::exchange::{Request, RequestOutcome, RequestTag, Responder};
 use crate::log;
-use request::{read_request, Target};
+pub(crate) use context::UwsgiFrontend;
+use request::{read_request, RequestError, Target};
+pub(crate) use request_ids::RequestIds;
 use response::{encode_error, encode_health, encode_outcome};
 
 /// How long a client may take to read its response.
@@ -41,43 +43,6 @@
 /// The one request of a connection.
 const ONLY_REQUEST: RequestTag = RequestTag(0);
 
-/// Why a packet was not served; no request was submitted.
-#[derive(Debug, Clone, Copy, PartialEq)]
-enum RequestError {
-    BadRequest(&'static str),
-    NotFound,
-    TooLarge(&'static str),
-}
-
-/// What all connections of this frontend share.
-pub(crate) struct UwsgiFrontend {
-    /// The way to the dispatcher.
-    pub(crate) exchange: Exchange,
-    /// The classes and tenants in the settings.
-    pub(crate) registry: Rc<ClassRegistry>,
-    /// Ids for the requests, which come without any.
-    pub(crate) ids: RequestIds,
-}
-
-/// A source of ids that are not used twice, here or by JSON-RPC clients, but by a chance of one in 2^64.
-pub(crate) struct RequestIds(Cell<u64>);
-
-impl RequestIds {
-    /// The ids that follow from a seed.
-    pub(crate) fn new(seed: u64) -> Self {
-        RequestIds(Cell::new(seed))
-    }
-
-    /// The next id: 16 hexadecimal digits of the splitmix64 sequence.
-    fn next(&self) -> TransactionId {
-        let state = self.0.get().wrapping_add(0x9e37_79b9_7f4a_7c15);
-        self.0.set(state);
-        let mixed = (state ^ (state >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-        let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-        format!("{:016x}", mixed ^ (mixed >> 31)).into()
-    }
-}
-
 /// Serves one connection to its end.
 pub(crate) async fn serve(mut stream: TcpStream, guard: ConnectionGuard, frontend: Rc<UwsgiFrontend>) {
     // A client whose connection breaks gets no response.
--- a/node/src/frontend/uwsgi/request.rs
+++ b/node/src/frontend/uwsgi/request.rs
@@ -8,7 +8,7 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 
-use super::{RequestError, UwsgiFrontend};
+use super::context::UwsgiFrontend;
 use crate::clock::UnixTime;
 use crate::exchange::Request;
 use crate::frontend::is_valid_memory;
@@ -29,6 +29,14 @@
 /// The rank of a request, which this protocol does not carry.
 const DEFAULT_RANK: f64 = 0.5;
 
+/// Why a packet was not served; no request was submitted.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub(super) enum RequestError {
+    BadRequest(&'static str),
+    NotFound,
+    TooLarge(&'static str),
+}
+
 /// A packet that was read completely.
 pub(super) struct ReceivedPacket {
     variables: Variables,
--- a/node/src/frontend/uwsgi/response.rs
+++ b/node/src/frontend/uwsgi/response.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 
-use super::RequestError;
+use super::request::RequestError;
 use crate::exchange::RequestOutcome;
 use crate::http;
 
--- a/node/src/handover.rs
+++ b/node/src/handover.rs
@@ -21,17 +21,12 @@
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use std::time::Duration;
 
 use tokio::net::UnixStream;
 
 pub(crate) use predecessor::serve_successors;
 pub(crate) use successor::take_over;
 
-/// The successor has to send its first line this soon after it connected, and the predecessor its whole table this soon
-/// after it was asked.
-const REPLY_TIMEOUT: Duration = Duration::from_secs(2);
-
 /// The socket where the process that serves this address waits for its successor. There is none without a folder for
 /// it, or where every process gets a port of its own.
 pub(crate) fn socket_path(listen: SocketAddr) -> Option<PathBuf> {
--- a/node/src/handover/message.rs
+++ b/node/src/handover/message.rs
@@ -12,6 +12,10 @@
 /// The successor has been succeeded itself.
 pub(super) const SUPERSEDED: &[u8] = b"PASSED\r\n";
 
+/// The successor has to send its first line this soon after it connected, and the predecessor its whole table this soon
+/// after it was asked.
+pub(super) const REPLY_TIMEOUT: Duration = Duration::from_secs(2);
+
 /// What the predecessor sends.
 #[derive(Debug, PartialEq)]
 pub(super) enum PredecessorMessage {
--- a/node/src/handover/predecessor.rs
+++ b/node/src/handover/predecessor.rs
@@ -8,8 +8,7 @@
 use tokio::net::{UnixListener, UnixStream};
 use tokio::sync::mpsc;
 
-use super::message::{self, PredecessorMessage, TAKE_OVER};
-use super::REPLY_TIMEOUT;
+use super::message::{self, PredecessorMessage, REPLY_TIMEOUT, TAKE_OVER};
 use crate::clock;
 use crate::exchange::{Exchange, HandoverState};
 use crate::log;
--- a/node/src/handover/successor.rs
+++ b/node/src/handover/successor.rs
@@ -8,8 +8,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::UnixStream;
 
-use super::message::{self, PredecessorMessage, SUPERSEDED, TAKE_OVER};
-use super::REPLY_TIMEOUT;
+use super::message::{self, PredecessorMessage, REPLY_TIMEOUT, SUPERSEDED, TAKE_OVER};
 use crate::clock;
 use crate::exchange::{Exchange, HandoverState};
 use crate::line_codec::ProtocolError;
--- a/node/src/peers/connection.rs
+++ b/node/src/peers/connection.rs
@@ -1,6 +1,5 @@
 //! One link with a peer: a task that reads and writes messages until either end closes it.
 
-use std::cell::{Cell, RefCell};
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -8,67 +7,21 @@
 
 use bytes::BytesMut;
 use oakwind_fleet::ids::LinkId;
-use oakwind_fleet::message::Message;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
-use tokio::sync::{mpsc, Notify};
+use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 
-use super::links::{count, LinkEvent, LinkMetrics};
-use super::message_codec::{decode, encode, Decoded, PREAMBLE};
+use super::link::{increase, LinkEvent, LinkMetrics, OutputQueue};
+use super::message_codec::{decode, Decoded, PREAMBLE};
 use crate::clock::{self, UnixTime};
 use crate::{log, sockets};
 
 /// By then after the start of a link it has to be connected, and the peer has to have sent its preamble.
 pub(super) const IDENTIFICATION_TIMEOUT: Duration = Duration::from_secs(1);
-/// Initial capacity of the buffer of a link's output, and of its input.
-const OUTPUT_BUFFER_BYTES: usize = 4096;
+/// Initial capacity of the buffer of a link's input.
 const INPUT_BUFFER_BYTES: usize = 16 * 1024;
 
-/// What waits to be written on a link, shared by its task and the table of links.
-pub(super) struct OutputQueue {
-    bytes: RefCell<BytesMut>,
-    changed: Notify,
-    closing: Cell<bool>,
-}
-
-/// What was added to an output queue.
-pub(super) struct Queued {
-    /// Bytes of the message.
-    pub(super) message_bytes: usize,
-    /// Bytes that wait now.
-    pub(super) waiting_bytes: usize,
-}
-
-impl OutputQueue {
-    /// A queue with the preamble of a link.
-    pub(super) fn new() -> Rc<OutputQueue> {
-        let mut bytes = BytesMut::with_capacity(OUTPUT_BUFFER_BYTES);
-        bytes.extend_from_slice(PREAMBLE);
-        Rc::new(OutputQueue { bytes: RefCell::new(bytes), changed: Notify::new(), closing: Cell::new(false) })
-    }
-
-    /// Adds a message.
-    pub(super) fn push(&self, message: &Message) -> Queued {
-        let mut bytes = self.bytes.borrow_mut();
-        let before = bytes.len();
-        encode(&mut bytes, message);
-        self.changed.notify_one();
-        Queued { message_bytes: bytes.len() - before, waiting_bytes: bytes.len() }
-    }
-
-    /// Has the task end; what waits is not written.
-    pub(super) fn close(&self) {
-        self.closing.set(true);
-        self.changed.notify_one();
-    }
-
-    /// Whether the task is to end.
-    pub(super) fn is_closing(&self) -> bool {
-        self.closing.get()
-    }
-}
-
 /// How a link comes about.
 pub(super) enum Origin {
     /// This node dials a peer.
@@ -103,7 +56,7 @@
             if let Err(e) = self.run(origin).await {
                 // Any other error may happen at any time, and a peer that is gone is noticed by what it does not answer.
                 if e.kind() == io::ErrorKind::InvalidData {
-                    count(&self.metrics.protocol_errors, 1);
+                    increase(&self.metrics.protocol_errors, 1);
                     log!("fleet: link closed, its peer sent invalid data: error={e}");
                 }
             }
@@ -130,7 +83,7 @@
                 return Ok(());
             }
             if writing.is_empty() {
-                writing = self.output.bytes.borrow_mut().split();
+                writing = self.output.take();
             }
             input.read_preamble()?;
             while let Some(decoded) = input.next_message()? {
@@ -141,12 +94,12 @@
             tokio::select! {
                 read = reader.read_buf(&mut input.bytes) => match read? {
                     0 => return Ok(()),
-                    read => count(&self.metrics.bytes_received, read),
+                    read => increase(&self.metrics.bytes_received, read),
                 },
                 written = writer.write_buf(&mut writing), if !writing.is_empty() => if written? == 0 {
                     return Err(io::ErrorKind::WriteZero.into());
                 },
-                () = self.output.changed.notified() => {}
+                () = self.output.changed() => {}
                 () = clock::until(preamble_deadline), if !input.has_preamble => {
                     return Err(io::ErrorKind::TimedOut.into());
                 }
@@ -158,11 +111,11 @@
     async fn report(&self, decoded: Decoded) -> bool {
         match decoded {
             Decoded::Message(message) => {
-                count(&self.metrics.messages_received, 1);
+                increase(&self.metrics.messages_received, 1);
                 self.events.send(LinkEvent::Received(self.link, message)).await.is_ok()
             }
             Decoded::UnknownKind => {
-                count(&self.metrics.unknown_kinds, 1);
+                increase(&self.metrics.unknown_kinds, 1);
                 true
             }
         }
--- a/node/src/peers/driver.rs
+++ b/node/src/peers/driver.rs
@@ -4,7 +4,6 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use oakwind_admission::RequestId;
 use oakwind_fleet::claim_coordinator::ClaimOutcome;
 use oakwind_fleet::message::RejectReason;
 use oakwind_fleet::replica_node::{Event, ReplicaNode, Settings, TICK_INTERVAL};
@@ -12,13 +11,15 @@
 use tokio::sync::mpsc;
 use tokio::time::{Interval, MissedTickBehavior};
 
+use super::claim::{request_of, ClaimResponse};
 use super::completeness_marker::CompletenessMarker;
-use super::links::{LinkEvent, LinkTable};
+use super::error::PeerStartError;
+use super::link::LinkEvent;
+use super::links::LinkTable;
 use super::metrics::PeerMetrics;
-use super::monotonic_clock::MonotonicClock;
+use super::monotonic_clock::{incarnation_now, MonotonicClock};
 use super::replica_host::ReplicaHost;
 use super::vote_store::{self, OpenVoteStore};
-use super::{incarnation_now, request_of, PeerStartError};
 use crate::clock;
 use crate::config::FleetConfig;
 use crate::exchange::Exchange;
@@ -34,8 +35,8 @@
 pub(super) struct Channels {
     /// Events from the handle.
     pub(super) events: mpsc::Receiver<Event>,
-    /// Outcomes for the handle.
-    pub(super) outcomes: mpsc::Sender<(RequestId, ClaimOutcome)>,
+    /// Responses for the handle.
+    pub(super) responses: mpsc::Sender<ClaimResponse>,
     /// Has the status of the backend, and receives whether this node is recovering.
     pub(super) exchange: Exchange,
 }
@@ -99,8 +100,9 @@
                 Some(Event::Activated(_)) => return true,
                 Some(Event::RunRequested(request)) => {
                     let outcome = ClaimOutcome::Rejected(RejectReason::NoQuorum);
+                    let response = ClaimResponse { id: request_of(request.attempt), outcome };
                     // The run gate ends only with the process.
-                    let _ = self.channels.outcomes.send((request_of(request.attempt), outcome)).await;
+                    let _ = self.channels.responses.send(response).await;
                 }
                 Some(_) => {}
                 None => return false,
@@ -253,9 +255,9 @@
 
     /// Reports what the replica node has decided to the rest of the process.
     async fn report(&mut self) {
-        for outcome in self.host.drain_outcomes() {
+        for response in self.host.drain_responses() {
             // The run gate ends only with the process.
-            let _ = self.channels.outcomes.send(outcome).await;
+            let _ = self.channels.responses.send(response).await;
         }
         if let Some(is_recovering) = self.host.drain_recovering_change() {
             self.channels.exchange.set_recovering(is_recovering).await;
--- a/node/src/peers/links.rs
+++ b/node/src/peers/links.rs
@@ -4,7 +4,6 @@
 //! Guarantees: the number of links is bounded each way, and so are the bytes that wait to be written on one. A peer that
 //! reads more slowly than it is sent to loses its link, and the next link tells it so.
 
-use std::cell::Cell;
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,7 +14,8 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 
-use super::connection::{Connection, Origin, OutputQueue, IDENTIFICATION_TIMEOUT};
+use super::connection::{Connection, Origin, IDENTIFICATION_TIMEOUT};
+use super::link::{increase, LinkEvent, LinkMetrics, OutputQueue};
 use crate::clock::{self, UnixTime};
 use crate::log;
 
@@ -28,39 +28,6 @@
 /// Failures beyond this do not lengthen the backoff, whose computation they might overflow.
 const MAX_COUNTED_FAILURES: u32 = 10;
 
-/// What a link reports.
-#[derive(Debug)]
-pub(crate) enum LinkEvent {
-    /// A message arrived.
-    Received(LinkId, Message),
-    /// The link is closed; all that it received was reported.
-    Closed(LinkId),
-}
-
-/// Counters of all links.
-#[derive(Debug, Default)]
-pub(crate) struct LinkMetrics {
-    /// Messages received.
-    pub(crate) messages_received: Cell<u64>,
-    /// Messages sent.
-    pub(crate) messages_sent: Cell<u64>,
-    /// Bytes received.
-    pub(crate) bytes_received: Cell<u64>,
-    /// Bytes sent.
-    pub(crate) bytes_sent: Cell<u64>,
-    /// Links that were closed because the peer read too slowly.
-    pub(crate) overflows: Cell<u64>,
-    /// Links that were closed because the peer sent bytes that are no message.
-    pub(crate) protocol_errors: Cell<u64>,
-    /// Messages of kinds that only a later build knows.
-    pub(crate) unknown_kinds: Cell<u64>,
-}
-
-/// Adds to a counter.
-pub(super) fn count(counter: &Cell<u64>, amount: usize) {
-    counter.set(counter.get() + amount as u64);
-}
-
 /// The process at the other end of a link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct RemoteProcess {
@@ -70,6 +37,15 @@
     pub(crate) incarnation: Incarnation,
 }
 
+/// A link and the node at its other end.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) struct KnownLink {
+    /// The link.
+    pub(crate) link: LinkId,
+    /// The node.
+    pub(crate) node: NodeId,
+}
+
 /// A link that was closed, if this node had dialed it.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct ClosedLink {
@@ -94,6 +70,15 @@
     last_used: UnixTime,
 }
 
+/// A link that this node dialed. The least recently used one comes first in the order, and of several the one of the
+/// lowest node.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct DialedLink {
+    last_used: UnixTime,
+    node: NodeId,
+    link: LinkId,
+}
+
 /// Why a peer is not dialed for a while.
 #[derive(Default)]
 struct DialBackoff {
@@ -185,17 +170,23 @@
         if self.dialed.len() < self.max_links {
             return true;
         }
-        let last_used = |link: &LinkId| Some(self.links.get(link)?.last_used);
-        let links = self.dialed.iter().filter_map(|(node, link)| Some((last_used(link)?, *node, *link)));
-        let Some((last_used, node, link)) = links.min() else { return false };
-        if now < last_used + IDENTIFICATION_TIMEOUT {
+        let Some(oldest) = self.least_recently_used_dialed() else { return false };
+        if now < oldest.last_used + IDENTIFICATION_TIMEOUT {
             return false;
         }
-        self.dialed.remove(&node);
-        self.close(link);
+        self.dialed.remove(&oldest.node);
+        self.close(oldest.link);
         true
     }
 
+    fn least_recently_used_dialed(&self) -> Option<DialedLink> {
+        let dialed = self.dialed.iter().filter_map(|(node, link)| {
+            let last_used = self.links.get(link)?.last_used;
+            Some(DialedLink { last_used, node: *node, link: *link })
+        });
+        dialed.min()
+    }
+
     /// Adds a connection that a peer has dialed; at the limit the least recently used one is closed.
     pub(crate) fn accept(&mut self, stream: TcpStream) {
         let accepted =
@@ -213,8 +204,9 @@
         let output = OutputQueue::new();
         let state = LinkState { output: output.clone(), remote: None, dialed, last_used: clock::now() };
         self.links.insert(link, state);
-        let (events, metrics) = (self.events.clone(), self.metrics.clone());
-        Connection { link, output, events, metrics }.spawn(origin);
+        let connection =
+            Connection { link, output, events: self.events.clone(), metrics: self.metrics.clone() };
+        connection.spawn(origin);
         link
     }
 
@@ -223,11 +215,11 @@
         let Some(state) = self.links.get_mut(&link) else { return };
         state.last_used = clock::now();
         let queued = state.output.push(message);
-        count(&self.metrics.messages_sent, 1);
-        count(&self.metrics.bytes_sent, queued.message_bytes);
+        increase(&self.metrics.messages_sent, 1);
+        increase(&self.metrics.bytes_sent, queued.message_bytes);
         if queued.waiting_bytes > MAX_OUTPUT_BYTES {
             log!("fleet: link closed, its peer reads too slowly: waiting_bytes={}", queued.waiting_bytes);
-            count(&self.metrics.overflows, 1);
+            increase(&self.metrics.overflows, 1);
             self.overflowed.extend(state.dialed);
             self.close(link);
         }
@@ -260,7 +252,8 @@
     /// The process at the other end of a link has identified itself.
     pub(crate) fn identify(&mut self, link: LinkId, remote: RemoteProcess) {
         let Some(state) = self.links.get_mut(&link) else { return };
-        (state.remote, state.last_used) = (Some(remote), clock::now());
+        state.remote = Some(remote);
+        state.last_used = clock::now();
         if state.dialed.is_some() {
             self.backoffs.remove(&remote.node);
             return;
@@ -273,10 +266,13 @@
         }
     }
 
-    /// The links whose other ends are known, with the nodes there.
-    pub(crate) fn known_nodes(&self) -> Vec<(LinkId, NodeId)> {
-        let node = |state: &LinkState| state.dialed.or(state.remote.map(|remote| remote.node));
-        self.links.iter().filter_map(|(link, state)| Some((*link, node(state)?))).collect()
+    /// The links whose other ends are known.
+    pub(crate) fn known_links(&self) -> Vec<KnownLink> {
+        let known = self.links.iter().filter_map(|(link, state)| {
+            let node = state.dialed.or(state.remote.map(|remote| remote.node))?;
+            Some(KnownLink { link: *link, node })
+        });
+        known.collect()
     }
 
     /// Removes a link that is closed; returns what it was if this node had dialed it.
--- a/node/src/peers/monotonic_clock.rs
+++ b/node/src/peers/monotonic_clock.rs
@@ -1,7 +1,9 @@
-//! The clock of the replica node: it never goes back when the system's clock does, nor stops while the process does.
+//! The clock of the replica node, which never goes back when the system's clock does, nor stops while the process does;
+//! and incarnations, which are numbered by the Unix clock.
 
 use std::time::{Duration, Instant};
 
+use oakwind_fleet::ids::Incarnation;
 use oakwind_fleet::Time;
 
 use crate::clock::{self, UnixTime};
@@ -28,7 +30,8 @@
 
     /// The time of a point on the Unix clock.
     pub(super) fn time_of(&self, at: UnixTime) -> Time {
-        let (now, unix_now) = (self.now(), clock::now());
+        let now = self.now();
+        let unix_now = clock::now();
         if at >= unix_now {
             now + (at - unix_now)
         } else {
@@ -36,3 +39,8 @@
         }
     }
 }
+
+/// The incarnation that begins now. It is above those of earlier processes, as the clock is.
+pub(super) fn incarnation_now() -> Incarnation {
+    Incarnation(u64::try_from(clock::now().as_micros()).unwrap_or(u64::MAX))
+}
--- a/node/src/peers/replica_host.rs
+++ b/node/src/peers/replica_host.rs
@@ -3,7 +3,6 @@
 use std::collections::VecDeque;
 
 use oakwind_admission::RequestId;
-use oakwind_fleet::claim_coordinator::ClaimOutcome;
 use oakwind_fleet::ids::{LinkId, NodeId};
 use oakwind_fleet::key_state::Key;
 use oakwind_fleet::message::{Hello, Message};
@@ -11,11 +10,12 @@
 use oakwind_fleet::replica_table::StoredRecord;
 use tokio::net::TcpStream;
 
+use super::claim::{request_of, ClaimResponse};
 use super::completeness_marker::CompletenessMarker;
-use super::links::{ClosedLink, LinkEvent, LinkTable, RemoteProcess};
+use super::link::LinkEvent;
+use super::links::{ClosedLink, KnownLink, LinkTable, RemoteProcess};
 use super::metrics::PeerMetrics;
 use super::monotonic_clock::MonotonicClock;
-use super::request_of;
 use super::vote_store::vote_record;
 use crate::log;
 use crate::result_store::ResultStore;
@@ -29,8 +29,8 @@
     marker: Option<CompletenessMarker>,
     /// Events that follow from what was done.
     pending_events: VecDeque<Event>,
-    /// Outcomes that are to be reported.
-    outcomes: Vec<(RequestId, ClaimOutcome)>,
+    /// Responses that are to be reported.
+    responses: Vec<ClaimResponse>,
     /// Whether peers may dial this process.
     accepts_links: bool,
     /// Whether the node is recovering, if that has changed and is to be reported.
@@ -51,7 +51,7 @@
             clock,
             marker,
             pending_events: VecDeque::new(),
-            outcomes: Vec::new(),
+            responses: Vec::new(),
             accepts_links: true,
             recovering_change: None,
         }
@@ -67,9 +67,9 @@
         self.links.accept(stream);
     }
 
-    /// The outcomes since the last call.
-    pub(super) fn drain_outcomes(&mut self) -> Vec<(RequestId, ClaimOutcome)> {
-        std::mem::take(&mut self.outcomes)
+    /// The responses since the last call.
+    pub(super) fn drain_responses(&mut self) -> Vec<ClaimResponse> {
+        std::mem::take(&mut self.responses)
     }
 
     /// Whether the node is recovering, if that has changed since the last call.
@@ -179,7 +179,9 @@
         match action {
             Action::Send(node, message) => self.send(node, &message),
             Action::Respond(link, message) => self.links.send_on(link, &message),
-            Action::NotifyAttempt(attempt, outcome) => self.outcomes.push((request_of(attempt), outcome)),
+            Action::NotifyAttempt(attempt, outcome) => {
+                self.responses.push(ClaimResponse { id: request_of(attempt), outcome });
+            }
             Action::Store { sequence, key, record } => self.store(sequence, key, record.as_ref(), store),
             Action::SendHello => self.send_hello_on_all_links(),
             Action::SetPermissions(permissions) => {
@@ -206,7 +208,7 @@
     }
 
     fn send_hello_on_all_links(&mut self) {
-        for (link, node) in self.links.known_nodes() {
+        for KnownLink { link, node } in self.links.known_links() {
             self.send_hello(link, node);
         }
         let members = self.node.configs().all_members();
--- a/node/src/result_store.rs
+++ b/node/src/result_store.rs
@@ -21,7 +21,6 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use oakwind_admission::RequestId;
 use tokio::sync::mpsc;
 
 use crate::clock;
@@ -31,8 +30,9 @@
 use metrics::StoreMetrics;
 use recovery::{Damage, RecoveredState, UncertainKeys};
 use segment_index::Limits;
-use segment_log::SegmentLog;
-use writer::StoreWriter;
+use segment_log::{OpenedLog, SegmentLog};
+pub(crate) use writer::StoreEvent;
+use writer::{StartedWriter, StoreWriter};
 
 /// Between two attempts to open a folder that the predecessor of this process still has open.
 const OPEN_RETRY_INTERVAL: Duration = Duration::from_millis(10);
@@ -55,20 +55,6 @@
     Thread(#[source] io::Error),
 }
 
-/// What the writer thread reports.
-#[derive(Debug)]
-pub(crate) enum StoreEvent {
-    /// A record was processed.
-    Written {
-        /// The request that it was written for.
-        request: RequestId,
-        /// Whether it survives a crash from now on; otherwise it may or may not be found by the next start.
-        durable: bool,
-    },
-    /// The folder that the predecessor had open is open here now.
-    Opened(RecoveredState),
-}
-
 /// The result store as its user sees it.
 pub(crate) struct ResultStore {
     config: ResultStoreConfig,
@@ -105,7 +91,7 @@
     ///
     /// If the folder cannot be used, or another process has it open.
     pub(crate) fn open(&mut self) -> Result<RecoveredState, StoreError> {
-        let (log, mut recovered) = open_log(&self.config, self.max_window)?;
+        let OpenedLog { log, mut recovered } = open_log(&self.config, self.max_window)?;
         report_recovery(&recovered, &self.metrics);
         self.uncertain_keys = std::mem::take(&mut recovered.uncertain_keys);
         self.start_writer(move |_| Some(log)).map_err(StoreError::Thread)?;
@@ -115,10 +101,11 @@
     /// Opens the folder in the background once the predecessor has closed it; a [`StoreEvent::Opened`] follows.
     pub(crate) fn open_after_predecessor(&mut self, loads_keys: bool) {
         self.loads_keys = loads_keys;
-        let (config, max_window) = (self.config.clone(), self.max_window);
+        let config = self.config.clone();
+        let max_window = self.max_window;
         let metrics = self.metrics.clone();
         let opened = self.start_writer(move |events| {
-            let (log, recovered) = open_with_retries(&config, max_window)?;
+            let OpenedLog { log, recovered } = open_with_retries(&config, max_window)?;
             report_recovery(&recovered, &metrics);
             // Nobody receives events any more only if the process ends.
             let _ = events.blocking_send(StoreEvent::Opened(recovered));
@@ -133,8 +120,10 @@
         &mut self,
         open: impl FnOnce(&mpsc::Sender<StoreEvent>) -> Option<SegmentLog> + Send + 'static,
     ) -> io::Result<()> {
-        let (writer, events) = StoreWriter::spawn(self.metrics.clone(), self.config.max_batch, open)?;
-        (self.writer, self.events) = (Some(writer), Some(events));
+        let StartedWriter { writer, events } =
+            StoreWriter::spawn(self.metrics.clone(), self.config.max_batch, open)?;
+        self.writer = Some(writer);
+        self.events = Some(events);
         Ok(())
     }
 
@@ -152,20 +141,14 @@
     }
 }
 
-fn open_log(
-    config: &ResultStoreConfig,
-    max_window: Duration,
-) -> Result<(SegmentLog, RecoveredState), StoreError> {
+fn open_log(config: &ResultStoreConfig, max_window: Duration) -> Result<OpenedLog, StoreError> {
     let limits = Limits { max_bytes: config.max_bytes };
     SegmentLog::open(&config.folder, SystemDisk, limits, max_window, clock::now())
         .map_err(|source| StoreError::Folder { folder: config.folder.clone(), source })
 }
 
 /// Opens the log of a folder that the predecessor may have open for a moment more; none if that takes too long.
-fn open_with_retries(
-    config: &ResultStoreConfig,
-    max_window: Duration,
-) -> Option<(SegmentLog, RecoveredState)> {
+fn open_with_retries(config: &ResultStoreConfig, max_window: Duration) -> Option<OpenedLog> {
     let give_up_at = clock::now() + OPEN_TIMEOUT;
     loop {
         match open_log(config, max_window) {
--- a/node/src/result_store/recovery.rs
+++ b/node/src/result_store/recovery.rs
@@ -85,7 +85,15 @@
     pub(crate) next_record: u64,
 }
 
-/// Learns what the segments hold, in the order of their numbers, at `now`. No key is uncertain for longer than
+/// The result of a recovery.
+pub(crate) struct Recovered {
+    /// The index of the segments that were read.
+    pub(crate) index: SegmentIndex,
+    /// What they hold.
+    pub(crate) state: RecoveredState,
+}
+
+/// Reads what the segments hold, in the order of their numbers, at `now`. No key is uncertain for longer than
 /// `max_window`, unless a record was kept for longer.
 pub(crate) fn recover(
     seed: u64,
@@ -93,7 +101,7 @@
     limits: Limits,
     max_window: Duration,
     now: UnixTime,
-) -> (SegmentIndex, RecoveredState) {
+) -> Recovered {
     let mut recovery = Recovery::new(seed, limits, max_window);
     for segment in segments {
         recovery.read_segment(&segment);
@@ -110,6 +118,12 @@
     Restart,
 }
 
+/// A record whose key or result cannot be read, as its header describes it.
+struct UnreadableRecord {
+    key_digest: u64,
+    expires_at: UnixTime,
+}
+
 /// A recovery under way.
 struct Recovery {
     seed: u64,
@@ -117,8 +131,7 @@
     damage: Damage,
     /// The last record of each key.
     last_records: HashMap<Bytes, Record>,
-    /// Digests of the keys of records that cannot be read, and until when these were to be remembered.
-    unreadable: Vec<(u64, UnixTime)>,
+    unreadable: Vec<UnreadableRecord>,
     /// Where records are missing.
     gaps: Vec<GapEnd>,
     /// The number of the next record if none is missing.
@@ -193,7 +206,8 @@
         self.observe_number(header.number, 1, GapEnd::NextRecord(header.written_at));
         self.observe_times(header.written_at, header.expires_at);
         self.damage.unreadable += 1;
-        self.unreadable.push((header.key_digest, header.expires_at));
+        self.unreadable
+            .push(UnreadableRecord { key_digest: header.key_digest, expires_at: header.expires_at });
     }
 
     /// So many records begin with this number: notices how many are missing before them.
@@ -213,7 +227,7 @@
         self.max_window = self.max_window.max(expires_at.saturating_sub(written_at));
     }
 
-    fn finish(mut self, now: UnixTime) -> (SegmentIndex, RecoveredState) {
+    fn finish(mut self, now: UnixTime) -> Recovered {
         // If the clock was set back, what remains of each key's time counts from now: otherwise entries would stay for as
         // long as the clock went back, and fill the store.
         let clock_setback = self.newest.saturating_sub(now);
@@ -222,7 +236,7 @@
         // What may have been lost at the end leaves a gap, so that the next start knows of it too.
         let next_record = self.expected.unwrap_or(0).saturating_add(u64::from(self.torn_end));
         let known = self.last_records.into_values();
-        let recovered = RecoveredState {
+        let state = RecoveredState {
             seed: self.seed,
             // What a damaged record said about a known key came later, or is no more than this one says.
             keys: known.filter_map(|record| idempotency_record(record, clock_setback)).collect(),
@@ -231,7 +245,7 @@
             clock_setback,
             next_record,
         };
-        (self.index, recovered)
+        Recovered { index: self.index, state }
     }
 
     fn uncertain_keys(&self, clock_setback: Duration, now: UnixTime) -> UncertainKeys {
@@ -243,7 +257,7 @@
         let gaps = self.gaps.iter().chain(torn_end);
         let all_until = gaps.map(|gap| written_by(gap) + self.max_window).max().unwrap_or_default();
         let mut uncertain = UncertainKeys { by_digest: HashMap::new(), all_until, seed: self.seed };
-        for (key_digest, expires_at) in &self.unreadable {
+        for UnreadableRecord { key_digest, expires_at } in &self.unreadable {
             uncertain.add(*key_digest, expires_at.saturating_sub(clock_setback));
         }
         uncertain
--- a/node/src/result_store/recovery/tests.rs
+++ b/node/src/result_store/recovery/tests.rs
@@ -55,7 +55,7 @@
 fn recovered(segments: &[BytesMut], now: UnixTime) -> RecoveredState {
     let segments =
         (1..).zip(segments).map(|(number, bytes)| Segment { number, bytes: bytes.clone().freeze() });
-    recover(SEED, segments, LIMITS, MAX_WINDOW, now).1
+    recover(SEED, segments, LIMITS, MAX_WINDOW, now).state
 }
 
 fn state_of<'a>(recovered: &'a RecoveredState, key: &[u8]) -> Option<&'a RunState> {
--- a/node/src/result_store/segment.rs
+++ b/node/src/result_store/segment.rs
@@ -71,25 +71,31 @@
     let mut items = Vec::new();
     let mut position = 0;
     while position < bytes.len() {
-        let (item, len) = scan_item(seed, &bytes.slice(position..));
-        items.push(item);
-        position += len;
+        let scanned = scan_item(seed, &bytes.slice(position..));
+        items.push(scanned.item);
+        position += scanned.len;
     }
     items
 }
 
-/// What the bytes begin with, and how many of them it takes.
-fn scan_item(seed: u64, bytes: &Bytes) -> (ScanItem, usize) {
+/// An item of a scan and how many bytes it takes.
+struct Scanned {
+    item: ScanItem,
+    len: usize,
+}
+
+/// What the bytes begin with.
+fn scan_item(seed: u64, bytes: &Bytes) -> Scanned {
     let Some(header) = RecordHeader::decode(seed, bytes) else {
         let len = next_header(seed, bytes, 1);
-        return (ScanItem::Unrecognized(len), len);
+        return Scanned { item: ScanItem::Unrecognized(len), len };
     };
     if let Some(record) = header.decode_payload(seed, bytes) {
-        return (ScanItem::Intact(record), header.record_len());
+        return Scanned { item: ScanItem::Intact(record), len: header.record_len() };
     }
     // The payload may have been cut off anywhere, so the next record can begin right behind the header.
     let len = next_header(seed, bytes, HEADER_BYTES);
-    (ScanItem::DamagedPayload(header), len)
+    Scanned { item: ScanItem::DamagedPayload(header), len }
 }
 
 /// The offset of the first intact record header at or behind `from`, or the end of the bytes.
--- a/node/src/result_store/segment_log.rs
+++ b/node/src/result_store/segment_log.rs
@@ -10,7 +10,7 @@
 
 use super::disk::{Disk, SystemDisk};
 use super::record::{Record, RecordState};
-use super::recovery::{recover, RecoveredState, Segment};
+use super::recovery::{recover, Recovered, RecoveredState, Segment};
 use super::segment::{scan, segment_number, segment_path, ScanItem, SegmentHeader, SEGMENT_HEADER_BYTES};
 use super::segment_index::{required_bytes, Limits, MaintenanceStep, SegmentIndex};
 use crate::clock::UnixTime;
@@ -35,6 +35,14 @@
     next_record: u64,
 }
 
+/// A log that was opened, and what was found in its folder.
+pub(crate) struct OpenedLog<D: Disk = SystemDisk> {
+    /// The log.
+    pub(crate) log: SegmentLog<D>,
+    /// What was in the folder.
+    pub(crate) recovered: RecoveredState,
+}
+
 impl<D: Disk> SegmentLog<D> {
     /// Opens a folder and recovers what is in it. No key counts as remembered for longer than `max_window`, unless a
     /// record says so.
@@ -48,12 +56,12 @@
         limits: Limits,
         max_window: Duration,
         now: UnixTime,
-    ) -> io::Result<(Self, RecoveredState)> {
+    ) -> io::Result<OpenedLog<D>> {
         let lock = lock_folder(path)?;
         let numbers = segment_numbers(path)?;
         let seed = open_seed(path, &numbers, &mut disk, now)?;
         let segments = numbers.into_iter().map(|number| read_segment(path, number, limits));
-        let (index, recovered) = recover(seed, segments, limits, max_window, now);
+        let Recovered { index, state: recovered } = recover(seed, segments, limits, max_window, now);
         let mut log = SegmentLog {
             path: path.into(),
             disk,
@@ -64,7 +72,7 @@
             next_record: recovered.next_record,
         };
         log.rotate(now)?;
-        Ok((log, recovered))
+        Ok(OpenedLog { log, recovered })
     }
 
     /// Writes the records for which there is capacity, with one wait for the disk. Returns for each whether it is durable.
@@ -92,13 +100,15 @@
     fn accept(&mut self, record: &mut Record, pending: &mut u64, now: UnixTime) -> bool {
         if record.result.len() > MAX_RESULT_BYTES {
             // It was delivered once; later attempts get 'failed'.
-            (record.state, record.result) = (RecordState::Failed, Bytes::new());
+            record.state = RecordState::Failed;
+            record.result = Bytes::new();
         }
         if !self.index.has_capacity(record, *pending) {
             return false;
         }
         *pending += required_bytes(record);
-        (record.number, record.written_at) = (self.next_record, now);
+        record.number = self.next_record;
+        record.written_at = now;
         self.next_record += 1;
         true
     }
--- a/node/src/result_store/segment_log/tests.rs
+++ b/node/src/result_store/segment_log/tests.rs
@@ -22,7 +22,7 @@
         TestFolder(path)
     }
 
-    fn open<D: Disk>(&self, disk: D, now: UnixTime) -> (SegmentLog<D>, RecoveredState) {
+    fn open<D: Disk>(&self, disk: D, now: UnixTime) -> OpenedLog<D> {
         SegmentLog::open(&self.0, disk, LIMITS, MAX_WINDOW, now).unwrap()
     }
 
@@ -96,7 +96,7 @@
 #[test]
 fn one_process_has_the_folder_open_and_the_next_one_recovers_what_it_wrote() {
     let folder = TestFolder::new();
-    let (mut log, _) = folder.open(SystemDisk, at(0));
+    let OpenedLog { mut log, .. } = folder.open(SystemDisk, at(0));
     let again = SegmentLog::open(&folder.0, SystemDisk, LIMITS, MAX_WINDOW, at(0));
     assert_eq!(again.err().unwrap().kind(), io::ErrorKind::WouldBlock);
     let records =
@@ -105,7 +105,7 @@
     drop(log);
     // The seed is known from the segments as well.
     std::fs::write(folder.0.join(SEED_FILE), b"damaged").unwrap();
-    let (_log, recovered) = folder.open(SystemDisk, at(2));
+    let OpenedLog { log: _log, recovered } = folder.open(SystemDisk, at(2));
     assert_eq!(recovered.keys[0].state, RunState::Succeeded(vec![7; 9].into()));
     assert_eq!(recovered.damage, Damage::default());
 }
@@ -113,7 +113,7 @@
 #[test]
 fn the_limit_holds_completions_always_have_capacity_and_expired_keys_free_theirs() {
     let folder = TestFolder::new();
-    let (mut log, _) = folder.open(SystemDisk, at(0));
+    let OpenedLog { mut log, .. } = folder.open(SystemDisk, at(0));
     let mut started = Vec::new();
     for n in 0.. {
         let key = format!("key {n}");
@@ -131,7 +131,7 @@
     assert_eq!(log.write(vec![record("more", RecordState::Started, 0, at(2))], at(2)), [false]);
     // No key was dropped to make room.
     drop(log);
-    let (mut log, recovered) = folder.open(SystemDisk, at(3));
+    let OpenedLog { mut log, recovered } = folder.open(SystemDisk, at(3));
     assert_eq!(recovered.keys.len(), started.len());
     let late = at(30_000);
     assert_eq!(log.write(vec![record("more", RecordState::Started, 0, late)], late), [true]);
@@ -139,7 +139,7 @@
     // A result that is too long counts as failed for later attempts.
     log.write(vec![record("more", RecordState::Succeeded, MAX_RESULT_BYTES + 1, late)], late);
     drop(log);
-    assert_eq!(folder.open(SystemDisk, late).1.keys[0].state, RunState::Failed);
+    assert_eq!(folder.open(SystemDisk, late).recovered.keys[0].state, RunState::Failed);
 }
 
 /// A seeded generator of numbers below a bound.
@@ -186,7 +186,7 @@
         let remaining = Rc::new(Cell::new(u32::MAX));
         let disk =
             FailingDisk { remaining: remaining.clone(), partial_bytes: self.random.below(300) as usize };
-        let (mut log, recovered) = self.folder.open(disk, at(self.now));
+        let OpenedLog { mut log, recovered } = self.folder.open(disk, at(self.now));
         self.assert_recovered(&recovered);
         remaining.set(100 + self.random.below(100) as u32);
         for _ in 0..150 {
--- a/node/src/result_store/writer.rs
+++ b/node/src/result_store/writer.rs
@@ -9,8 +9,8 @@
 
 use super::metrics::StoreMetrics;
 use super::record::Record;
+use super::recovery::RecoveredState;
 use super::segment_log::SegmentLog;
-use super::StoreEvent;
 use crate::clock;
 use crate::log;
 
@@ -18,8 +18,33 @@
 const QUEUE_CAPACITY: usize = 4096;
 const THREAD_NAME: &str = "result-store";
 
+/// What the writer thread reports.
+#[derive(Debug)]
+pub(crate) enum StoreEvent {
+    /// A record was processed.
+    Written {
+        /// The request that it was written for.
+        request: RequestId,
+        /// Whether it survives a crash from now on; otherwise it may or may not be found by the next start.
+        durable: bool,
+    },
+    /// The folder that the predecessor had open is open here now.
+    Opened(RecoveredState),
+}
+
 /// A record to be written for a request.
-type WriteRequest = (RequestId, Record);
+struct WriteRequest {
+    request: RequestId,
+    record: Record,
+}
+
+/// A writer whose thread has been started.
+pub(super) struct StartedWriter {
+    /// The queue to the thread.
+    pub(super) writer: StoreWriter,
+    /// What the thread reports.
+    pub(super) events: mpsc::Receiver<StoreEvent>,
+}
 
 /// The queue to the writer thread. Once it is dropped, the thread writes what it was given and closes the log.
 pub(crate) struct StoreWriter {
@@ -30,7 +55,7 @@
 impl StoreWriter {
     /// Queues a record; a [`StoreEvent::Written`] follows. Returns false if the queue is full, and then no event follows.
     pub(crate) fn write(&self, request: RequestId, record: Record) -> bool {
-        let queued = self.queue.try_send((request, record)).is_ok();
+        let queued = self.queue.try_send(WriteRequest { request, record }).is_ok();
         if !queued {
             log!("result store: write queue full: capacity={QUEUE_CAPACITY}");
             self.metrics.count_batch(0, 1);
@@ -48,7 +73,7 @@
         metrics: Arc<StoreMetrics>,
         max_batch: usize,
         open: impl FnOnce(&mpsc::Sender<StoreEvent>) -> Option<SegmentLog> + Send + 'static,
-    ) -> io::Result<(StoreWriter, mpsc::Receiver<StoreEvent>)> {
+    ) -> io::Result<StartedWriter> {
         let (queue, requests) = sync_channel(QUEUE_CAPACITY);
         let (events, event_receiver) = mpsc::channel(QUEUE_CAPACITY);
         let thread_metrics = metrics.clone();
@@ -56,7 +81,7 @@
             let log = open(&events);
             WriterThread { log, requests, events, max_batch, metrics: thread_metrics }.run();
         })?;
-        Ok((StoreWriter { queue, metrics }, event_receiver))
+        Ok(StartedWriter { writer: StoreWriter { queue, metrics }, events: event_receiver })
     }
 }
 
@@ -74,7 +99,8 @@
     fn run(mut self) {
         while let Ok(first) = self.requests.recv() {
             let more = std::iter::from_fn(|| self.requests.try_recv().ok()).take(self.max_batch - 1);
-            let (requests, records) = std::iter::once(first).chain(more).unzip();
+            let batch = std::iter::once(first).chain(more);
+            let (requests, records) = batch.map(|write| (write.request, write.record)).unzip();
             self.write_batch(requests, records);
         }
     }
--- a/node/src/run_gate.rs
+++ b/node/src/run_gate.rs
@@ -6,10 +6,9 @@
 //! at once.
 
 mod event;
+mod keyed_run;
 mod pending;
 
-use std::rc::Rc;
-
 use bytes::Bytes;
 use oakwind_admission::RequestId;
 use oakwind_fleet::claim_coordinator::ClaimOutcome;
@@ -17,30 +16,15 @@
 use oakwind_fleet::key_state::RunResult;
 
 use crate::clock::UnixTime;
-use crate::exchange::Request;
 use crate::metrics::Metrics;
-use crate::outcome::{BodyDigest, Completion, IdempotencyKey, StoredOutcome};
-use crate::peers::{ClaimParameters, Peers};
+use crate::outcome::{Completion, StoredOutcome};
+use crate::peers::{ClaimParameters, ClaimResponse, Peers};
 use crate::result_store::record::{Record, RecordState};
 use crate::result_store::{ResultStore, StoreEvent};
 pub(crate) use event::{Authorization, GateEvent};
+pub(crate) use keyed_run::KeyedRun;
 use pending::{PendingRun, PendingRuns, Vote};
 
-/// The run of an attempt that holds a key.
-#[derive(Debug, Clone)]
-pub(crate) struct KeyedRun {
-    /// The attempt.
-    pub(crate) id: RequestId,
-    /// Its request; none where another process of this node had it.
-    pub(crate) request: Option<Rc<Request>>,
-    /// Its key.
-    pub(crate) key: IdempotencyKey,
-    /// Digest of its body.
-    pub(crate) body_digest: BodyDigest,
-    /// When the key expires.
-    pub(crate) expires_at: UnixTime,
-}
-
 /// Everything that keeps keys beyond the process, if anything does.
 #[derive(Default)]
 pub(crate) struct RunGate {
@@ -83,7 +67,7 @@
         self.store.as_ref().is_some_and(|store| store.uncertain_keys.contains(key, now))
     }
 
-    /// Takes over from another process of this node, once that releases the store. With `recover`, what it left there
+    /// Acquires the store and the place in the fleet from another process of this node, once that releases them. With `recover`, what it left there
     /// is reported as [`GateEvent::Recovered`]; otherwise it has been transferred by other means.
     pub(crate) fn take_over(&mut self, recover: bool) {
         if let Some(store) = &mut self.store {
@@ -103,7 +87,7 @@
         }
     }
 
-    /// Leaves the store and the peers to the successor process. These runs may still start here.
+    /// Releases the store and the place in the fleet to the successor process. These runs may still start here.
     pub(crate) fn hand_over(&mut self, runs: &[KeyedRun]) {
         for run in runs {
             self.write(run, RecordState::Started, Bytes::new());
@@ -139,7 +123,7 @@
     fn claim(&self, run: &KeyedRun) -> Vote {
         let Some(peers) = &self.peers else { return Vote::Yes };
         let Some(request) = &run.request else { return Vote::No };
-        let asked = peers.request_claim(&ClaimParameters {
+        let requested = peers.request_claim(&ClaimParameters {
             id: run.id,
             key: run.key.clone(),
             body: &request.body[..],
@@ -147,7 +131,7 @@
             received_at: request.received_at,
             deadline: request.deadline,
         });
-        if asked {
+        if requested {
             Vote::Pending
         } else {
             Vote::No
@@ -259,15 +243,15 @@
                     None => std::future::pending().await,
                 }
             };
-            let claim_outcome = async {
+            let claim_response = async {
                 match peers {
-                    Some(peers) => peers.next_outcome().await,
+                    Some(peers) => peers.next_response().await,
                     None => std::future::pending().await,
                 }
             };
             let event = tokio::select! {
                 event = store_event => self.on_store_event(event),
-                (id, outcome) = claim_outcome => self.on_claim_outcome(id, outcome),
+                response = claim_response => self.on_claim_response(response),
             };
             if let Some(event) = event {
                 return event;
@@ -290,7 +274,8 @@
         }
     }
 
-    fn on_claim_outcome(&mut self, id: RequestId, outcome: ClaimOutcome) -> Option<GateEvent> {
+    fn on_claim_response(&mut self, response: ClaimResponse) -> Option<GateEvent> {
+        let ClaimResponse { id, outcome } = response;
         match outcome {
             ClaimOutcome::Granted | ClaimOutcome::Rejected(_)
                 if self.pending.waiting_to_start(id).is_some() =>
--- a/node/src/run_gate/pending.rs
+++ b/node/src/run_gate/pending.rs
@@ -4,7 +4,7 @@
 
 use oakwind_admission::RequestId;
 
-use super::KeyedRun;
+use super::keyed_run::KeyedRun;
 use crate::outcome::Completion;
 
 /// The answer of the store or of the peers to one question.
