--- a/node/src/dispatcher.rs
+++ b/node/src/dispatcher.rs
@@ -3,7 +3,7 @@
 //! owns the open attempts, the idempotency table and the timers, and knows no wire protocol.
 //!
 //! An attempt passes through the modules in this order: `submission` matches its key against the idempotency table and
-//! presents it to the admission module; `actions` carries out what that decides; `runs` has the run gate authorize the
+//! hands it to the admission module; `actions` carries out what that decides; `runs` has the run gate authorize the
 //! run and sends it to the backend; `calls` makes the calls that the run needs; `runs` completes it and answers its
 //! client and every attempt that waits for its key. `handover` transfers the table to another process of this node.
 //!
@@ -14,6 +14,7 @@
 mod attempts;
 mod calls;
 mod handover;
+mod handover_progress;
 mod idempotency;
 mod runs;
 mod submission;
@@ -37,13 +38,11 @@
 use crate::log;
 use crate::outcome::RequestOutcome;
 use crate::run_gate::RunGate;
-use attempts::{Attempt, AttemptTable, Phase};
-use handover::Handover;
+use attempts::{Attempt, AttemptTable, Phase, TIMEOUT_MARGIN};
+use handover_progress::HandoverProgress;
 use idempotency::IdempotencyTable;
 use timers::Timers;
 
-/// A request that fails this shortly before its deadline, or later, counts as timed out.
-const TIMEOUT_MARGIN: Duration = Duration::from_millis(60);
 /// How long the dispatcher sleeps where nothing is scheduled.
 const IDLE_WAKE_INTERVAL: Duration = Duration::from_secs(3600);
 
@@ -72,7 +71,7 @@
     attempts: AttemptTable,
     idempotency: IdempotencyTable,
     timers: Timers,
-    handover: Handover,
+    handover: HandoverProgress,
     run_gate: RunGate,
     decision_log: Option<DecisionLog>,
     /// Counts rejections without a decision.
@@ -102,7 +101,7 @@
             attempts: AttemptTable::default(),
             idempotency: IdempotencyTable::new(max_result_bytes),
             timers: Timers::default(),
-            handover: Handover::default(),
+            handover: HandoverProgress::default(),
             run_gate: RunGate::default(),
             decision_log: None,
             undecided_rejections: Cell::new(0),
@@ -169,7 +168,7 @@
     fn process_batch(&mut self) {
         let now = clock::now();
         self.follow_clock_jumps();
-        self.reject_expired_withheld(now);
+        self.reject_expired_buffered(now);
         self.fire_timers(now);
         loop {
             self.decide(now);
--- a/node/src/dispatcher/actions.rs
+++ b/node/src/dispatcher/actions.rs
@@ -4,8 +4,8 @@
 
 use oakwind_admission::{Action, Event, RequestId};
 
-use super::attempts::Phase;
-use super::{Dispatcher, TIMEOUT_MARGIN};
+use super::attempts::{Phase, TIMEOUT_MARGIN};
+use super::Dispatcher;
 use crate::clock::UnixTime;
 use crate::exchange::RunCommand;
 use crate::log;
--- a/node/src/dispatcher/attempts.rs
+++ b/node/src/dispatcher/attempts.rs
@@ -2,6 +2,7 @@
 
 use std::collections::HashMap;
 use std::rc::Rc;
+use std::time::Duration;
 
 use bytes::Bytes;
 use oakwind_admission::RequestId;
@@ -9,6 +10,9 @@
 use crate::clock::UnixTime;
 use crate::exchange::{Request, Responder, SubmissionId, TransactionId};
 
+/// A request that fails this shortly before its deadline, or later, counts as timed out.
+pub(super) const TIMEOUT_MARGIN: Duration = Duration::from_millis(60);
+
 /// One attempt of a request, from the moment it is read until it is answered and nothing of it runs.
 pub(super) struct Attempt {
     pub(super) id: RequestId,
--- a/node/src/dispatcher/handover.rs
+++ b/node/src/dispatcher/handover.rs
@@ -2,17 +2,17 @@
 //! its successor. `crate::handover` is the link between the two processes.
 //!
 //! While both processes live, no key runs twice: the predecessor rejects keys that it does not know once it has
-//! transferred its table, and the successor withholds attempts with keys until it has that table.
+//! transferred its table, and the successor buffers attempts with keys until it has that table.
 
-use std::collections::HashMap;
 use std::time::Duration;
 
 use oakwind_admission::RequestId;
 use tokio::sync::mpsc;
 
-use super::attempts::Phase;
-use super::idempotency::HeldKey;
-use super::{Dispatcher, TIMEOUT_MARGIN};
+use super::attempts::{Phase, TIMEOUT_MARGIN};
+use super::handover_progress::Successor;
+use super::idempotency::AssignedKey;
+use super::Dispatcher;
 use crate::clock::{self, UnixTime};
 use crate::exchange::{DispatcherEvent, HandoverState, Submission};
 use crate::log;
@@ -23,36 +23,6 @@
 /// notification still run here.
 const TRANSFER_DELAY: Duration = Duration::from_millis(100);
 
-/// What the dispatcher keeps for a handover, in either direction.
-#[derive(Default)]
-pub(super) struct Handover {
-    /// The process that takes over from this one.
-    pub(super) successor: Option<Successor>,
-    /// Attempts with keys that came before the predecessor's table. As many as connections allow at most.
-    pub(super) withheld: Vec<Submission>,
-    /// The predecessor's records with an outcome that is being stored, by the attempt that holds the key here.
-    storing: HashMap<RequestId, IdempotencyRecord>,
-}
-
-impl Handover {
-    /// When something is to be done for the handover.
-    pub(super) fn next_wake(&self) -> Option<UnixTime> {
-        let transfer = self.successor.as_ref().filter(|successor| !successor.transferred);
-        let transfer_at = transfer.map(|successor| successor.transfer_at);
-        let deadlines = self.withheld.iter().map(|withheld| withheld.request.deadline);
-        let reject_at = deadlines.map(|deadline| deadline.saturating_sub(TIMEOUT_MARGIN)).min();
-        transfer_at.into_iter().chain(reject_at).min()
-    }
-}
-
-/// The process that takes over from this one.
-pub(super) struct Successor {
-    updates: mpsc::Sender<HandoverState>,
-    /// When it gets the idempotency table.
-    transfer_at: UnixTime,
-    transferred: bool,
-}
-
 /// The predecessor's side: this process hands over.
 impl Dispatcher {
     /// A successor takes over: clients are sent to it, and it gets the idempotency table soon.
@@ -62,10 +32,10 @@
         self.update_status(|status| status.handed_over = true);
     }
 
-    /// The successor has ended before this process: this one serves on, unless it is to leave itself.
+    /// The successor has ended before this process: this one serves on, unless it drains itself.
     pub(super) fn successor_lost(&mut self) {
         self.handover.successor = None;
-        self.run_gate.take_over(true);
+        self.run_gate.acquire_stores(true);
         self.update_status(|status| status.handed_over &= status.draining.is_some());
     }
 
@@ -89,7 +59,7 @@
     fn release_stores(&mut self) {
         let queued = self.attempts.iter().filter(|attempt| attempt.phase == Phase::Queued);
         let runs: Vec<KeyedRun> = queued.filter_map(|attempt| self.keyed_run(attempt.id)).collect();
-        self.run_gate.hand_over(&runs);
+        self.run_gate.release_stores(&runs);
     }
 
     /// Reports the state of a run to the successor, if the attempt holds a key.
@@ -97,7 +67,9 @@
         if !self.state_is_transferred() {
             return;
         }
-        let Some(HeldKey { key, body_digest, expires_at }) = self.idempotency.held_by(id) else { return };
+        let Some(AssignedKey { key, body_digest, expires_at }) = self.idempotency.assigned_key(id) else {
+            return;
+        };
         let record = IdempotencyRecord { key, body_digest, expires_at, state };
         self.send_to_successor(HandoverState { digest_seed: 0, records: vec![record] });
     }
@@ -115,13 +87,13 @@
 impl Dispatcher {
     /// Takes in what the predecessor reports: its whole table at first, then the outcomes of its runs.
     pub(super) fn receive_state(&mut self, state: HandoverState) {
-        let is_whole_table = self.status().awaiting_state;
-        if is_whole_table {
+        let is_full_table = self.status().awaiting_state;
+        if is_full_table {
             self.idempotency.set_digest_seed(state.digest_seed);
             log!("handover: {} keys are known from the predecessor", state.records.len());
         }
         for record in state.records {
-            if is_whole_table {
+            if is_full_table {
                 // The predecessor has stored all this.
                 self.import_record(record, false);
             } else if let Some(holder) = self.start_storing(&record) {
@@ -130,10 +102,10 @@
                 self.import_record(record, true);
             }
         }
-        if is_whole_table {
-            self.run_gate.take_over(false);
+        if is_full_table {
+            self.run_gate.acquire_stores(false);
         }
-        self.admit_withheld();
+        self.submit_buffered();
     }
 
     /// Starts to store the outcome of a predecessor's run, so that it is stored before it is reported. Returns the
@@ -182,7 +154,7 @@
     /// The predecessor reports nothing more.
     pub(super) fn predecessor_done(&mut self) {
         self.fail_predecessor_runs();
-        self.admit_withheld();
+        self.submit_buffered();
         self.run_gate.predecessor_ended();
         self.update_status(|status| status.predecessor_alive = false);
     }
@@ -196,27 +168,27 @@
         self.complete_waiters(waiters, &StoredOutcome::Failed);
     }
 
-    /// Holds an attempt with a key back until the predecessor's table is known.
-    pub(super) fn withhold(&mut self, submission: Submission) {
-        self.handover.withheld.push(submission);
+    /// Buffers an attempt with a key until the predecessor's table is known.
+    pub(super) fn buffer_until_state_received(&mut self, submission: Submission) {
+        self.handover.buffered.push(submission);
     }
 
     /// Attempts with keys are decided about from now on.
-    fn admit_withheld(&mut self) {
+    fn submit_buffered(&mut self) {
         self.update_status(|status| status.awaiting_state = false);
-        let withheld = std::mem::take(&mut self.handover.withheld);
-        self.deferred.extend(withheld.into_iter().map(DispatcherEvent::Submitted));
+        let buffered = std::mem::take(&mut self.handover.buffered);
+        self.deferred.extend(buffered.into_iter().map(DispatcherEvent::Submitted));
     }
 
-    /// Rejects withheld attempts that can wait no longer, or all of them once this process is to leave. They are
-    /// answered in time even if the predecessor never reports its table.
-    pub(super) fn reject_expired_withheld(&mut self, now: UnixTime) {
+    /// Rejects buffered attempts that can wait no longer, or all of them once this process drains. They are answered in
+    /// time even if the predecessor never reports its table.
+    pub(super) fn reject_expired_buffered(&mut self, now: UnixTime) {
         let is_draining = self.status().draining.is_some();
         let has_expired =
-            |withheld: &Submission| is_draining || now + TIMEOUT_MARGIN >= withheld.request.deadline;
-        let withheld = std::mem::take(&mut self.handover.withheld);
-        let (expired, waiting): (Vec<_>, Vec<_>) = withheld.into_iter().partition(has_expired);
-        self.handover.withheld = waiting;
+            |submission: &Submission| is_draining || now + TIMEOUT_MARGIN >= submission.request.deadline;
+        let buffered = std::mem::take(&mut self.handover.buffered);
+        let (expired, waiting): (Vec<_>, Vec<_>) = buffered.into_iter().partition(has_expired);
+        self.handover.buffered = waiting;
         for submission in expired {
             let outcome = self.undecided_rejection();
             self.answer_submission(submission, outcome);
--- a/node/src/dispatcher/idempotency.rs
+++ b/node/src/dispatcher/idempotency.rs
@@ -40,7 +40,7 @@
 
 /// A key that an attempt holds.
 #[derive(Debug, Clone, PartialEq)]
-pub(crate) struct HeldKey {
+pub(crate) struct AssignedKey {
     /// The key.
     pub(crate) key: IdempotencyKey,
     /// Digest of the body that its attempts carry.
@@ -240,10 +240,10 @@
     }
 
     /// The key that this attempt holds.
-    pub(crate) fn held_by(&self, id: RequestId) -> Option<HeldKey> {
+    pub(crate) fn assigned_key(&self, id: RequestId) -> Option<AssignedKey> {
         let key = self.key_by_holder.get(&id)?;
         let entry = self.entries.get(key)?;
-        Some(HeldKey { key: key.clone(), body_digest: entry.body_digest, expires_at: entry.expires_at })
+        Some(AssignedKey { key: key.clone(), body_digest: entry.body_digest, expires_at: entry.expires_at })
     }
 
     /// Whether this attempt holds a key, so that the outcome of its run is stored.
--- a/node/src/dispatcher/runs.rs
+++ b/node/src/dispatcher/runs.rs
@@ -8,7 +8,7 @@
 use oakwind_fleet::decision_record::Decision;
 
 use super::attempts::Phase;
-use super::idempotency::HeldKey;
+use super::idempotency::AssignedKey;
 use super::Dispatcher;
 use crate::clock::{self, UnixTime};
 use crate::exchange::{CallCommand, Request, RunCommand, TransactionId};
@@ -227,7 +227,7 @@
 
     /// The run of an attempt that holds a key, as the run gate is asked about it.
     pub(super) fn keyed_run(&self, id: RequestId) -> Option<KeyedRun> {
-        let HeldKey { key, body_digest, expires_at } = self.idempotency.held_by(id)?;
+        let AssignedKey { key, body_digest, expires_at } = self.idempotency.assigned_key(id)?;
         let request = self.attempts.get(id).map(|attempt| attempt.request.clone());
         Some(KeyedRun { id, request, key, body_digest, expires_at })
     }
--- a/node/src/dispatcher/submission.rs
+++ b/node/src/dispatcher/submission.rs
@@ -1,6 +1,6 @@
 //! New attempts: which of them the admission module decides about, and which are answered without it.
 //!
-//! No attempt of a key is presented to the admission module while an earlier run of that key may be unknown here.
+//! No attempt of a key goes to the admission module while an earlier run of that key may be unknown here.
 
 use std::rc::Rc;
 
@@ -17,6 +17,9 @@
 /// The mean wait that a rejection without a decision advises, as a part of the longest one that callers follow.
 const UNDECIDED_RETRY_FRACTION: f64 = 0.25;
 
+/// The least factor by which the advised wait differs from its mean; the greatest is as far above 1.
+const MIN_RETRY_SPREAD: f64 = 0.5;
+
 /// The upper bits of a number, as many as an `f64` holds exactly, as a fraction from 0 to under 1.
 fn unit_fraction(bits: u64) -> f64 {
     (bits >> (u64::BITS - f64::MANTISSA_DIGITS)) as f64 / (1_u64 << f64::MANTISSA_DIGITS) as f64
@@ -39,7 +42,7 @@
         }
         match key {
             Some(key) => self.submit_keyed(submission, &request, key, now),
-            None => self.present(submission, None, now),
+            None => self.open_attempt(submission, None, now),
         }
     }
 
@@ -51,9 +54,9 @@
         now: UnixTime,
     ) {
         if self.status().awaiting_state {
-            return self.withhold(submission);
+            return self.buffer_until_state_received(submission);
         }
-        if let Some(outcome) = self.refuse_key(&key, request, now) {
+        if let Some(outcome) = self.outcome_without_decision(&key, request, now) {
             return self.answer_submission(submission, outcome);
         }
         // Of two attempts of one key in a batch, the second is matched against the outcome of the first.
@@ -61,8 +64,8 @@
             return self.deferred.push_back(DispatcherEvent::Submitted(submission));
         }
         match self.idempotency.match_attempt(key, &request.body, request.received_at) {
-            KeyMatch::New => self.present(submission, None, now),
-            KeyMatch::RepeatOf(prior) => self.present(submission, Some(prior), now),
+            KeyMatch::New => self.open_attempt(submission, None, now),
+            KeyMatch::RepeatOf(holder) => self.open_attempt(submission, Some(holder), now),
             KeyMatch::BodyMismatch => {
                 log!("dispatcher: a key came with another body than before: txn={:?}", request.txn);
                 self.answer_submission(submission, RequestOutcome::BodyMismatch);
@@ -70,8 +73,13 @@
         }
     }
 
-    /// Why an attempt with this key gets no decision, as the outcome that its client gets.
-    fn refuse_key(&self, key: &IdempotencyKey, request: &Request, now: UnixTime) -> Option<RequestOutcome> {
+    /// The outcome of an attempt with this key, if it cannot go to the admission module.
+    fn outcome_without_decision(
+        &self,
+        key: &IdempotencyKey,
+        request: &Request,
+        now: UnixTime,
+    ) -> Option<RequestOutcome> {
         if self.may_have_run_unrecorded(key, now) {
             log!("dispatcher: a key may have run, its stored record is damaged: txn={:?}", request.txn);
             return Some(RequestOutcome::Failed { timed_out: false });
@@ -90,8 +98,8 @@
         None
     }
 
-    /// Adds an attempt and lets the admission module decide about it. `repeats` is the attempt that holds its key.
-    fn present(&mut self, submission: Submission, repeats: Option<RequestId>, now: UnixTime) {
+    /// Opens an attempt, about which the admission module decides. `repeats` is the attempt that holds its key.
+    fn open_attempt(&mut self, submission: Submission, repeats: Option<RequestId>, now: UnixTime) {
         let Submission { request, id: submission_id, responder } = submission;
         let id = self.attempts.allocate_id();
         self.admission_events.push(Event::Arrived(Arrival {
@@ -155,7 +163,7 @@
     pub(super) fn undecided_rejection(&self) -> RequestOutcome {
         let settings = &self.settings.settings;
         let count = self.undecided_rejections.replace(self.undecided_rejections.get() + 1);
-        let spread = 0.5 + unit_fraction(digest(self.seed, &count.to_be_bytes()));
+        let spread = MIN_RETRY_SPREAD + unit_fraction(digest(self.seed, &count.to_be_bytes()));
         let wait = || settings.max_retry_after.mul_f64(UNDECIDED_RETRY_FRACTION * spread);
         RequestOutcome::Rejected { retry_after: settings.retry_after.then(wait), give_up: false }
     }
@@ -168,7 +176,7 @@
 
     /// The client of a submission has cancelled it, so it gets no answer.
     pub(super) fn cancel(&mut self, submission_id: &SubmissionId) {
-        self.handover.withheld.retain(|withheld| withheld.id != *submission_id);
+        self.handover.buffered.retain(|buffered| buffered.id != *submission_id);
         let Some(id) = self.attempts.id_of(&submission_id.txn) else { return };
         let Some(attempt) = self.attempts.get_mut(id) else { return };
         if attempt.submission_id == *submission_id && attempt.responder.take().is_some() {
--- a/node/src/dispatcher/tests.rs
+++ b/node/src/dispatcher/tests.rs
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn a_successor_withholds_keyed_attempts_until_it_has_the_table_and_runs_no_key_in_it() {
+fn a_successor_buffers_keyed_attempts_until_it_has_the_table_and_runs_no_key_in_it() {
     run(async {
         let mut node = Node::start(true).await;
         node.submit(1, b"known", b"body").await;
--- a/node/src/handover.rs
+++ b/node/src/handover.rs
@@ -11,7 +11,7 @@
 //! | predecessor | `ALL` | the table is complete; each `KEY` after that reports how a run ended |
 //!
 //! Between the two, neither process starts a run of a new key: the predecessor rejects keys that it does not know, and
-//! the successor withholds attempts with keys. So no key runs twice, whichever process gets its attempts.
+//! the successor buffers attempts with keys. So no key runs twice, whichever process gets its attempts.
 //!
 //! The other process may be of an older release, so the lines and the name of the socket are stable.
 
--- a/node/src/run_gate.rs
+++ b/node/src/run_gate.rs
@@ -69,7 +69,7 @@
 
     /// Acquires the store and the place in the fleet from another process of this node, once that releases them. With `recover`, what it left there
     /// is reported as [`GateEvent::Recovered`]; otherwise it has been transferred by other means.
-    pub(crate) fn take_over(&mut self, recover: bool) {
+    pub(crate) fn acquire_stores(&mut self, recover: bool) {
         if let Some(store) = &mut self.store {
             store.open_after_predecessor(recover);
         }
@@ -88,7 +88,7 @@
     }
 
     /// Releases the store and the place in the fleet to the successor process. These runs may still start here.
-    pub(crate) fn hand_over(&mut self, runs: &[KeyedRun]) {
+    pub(crate) fn release_stores(&mut self, runs: &[KeyedRun]) {
         for run in runs {
             self.write(run, RecordState::Started, Bytes::new());
         }
