--- a/examples/common/mod.rs
+++ b/examples/common/mod.rs
@@ -6,6 +6,9 @@
 
 use oakwind_fault_harness::clock::unix_now;
 
+/// What a log line says once the node is healthy, in this release and in the ones before.
+pub(crate) const HEALTHY: [&str; 2] = ["dispatcher: health changed: healthy=true", "health is good"];
+
 /// One answered request: when it was sent, and how long its response took.
 pub(crate) type Sample = (Instant, Duration);
 
--- a/examples/measure.rs
+++ b/examples/measure.rs
@@ -152,18 +152,18 @@
         let started_at = Instant::now();
         let mut child = command.spawn()?;
         let mut log = BufReader::new(child.stderr.take().ok_or(io::ErrorKind::BrokenPipe)?).lines();
-        let mut wait_for_line = |text: &str| loop {
+        let mut wait_for_line = |texts: &[&str]| loop {
             let line = log.next().ok_or(io::ErrorKind::UnexpectedEof)??;
-            if line.contains(text) {
+            if texts.iter().any(|text| line.contains(text)) {
                 return Ok::<String, io::Error>(line);
             }
         };
-        let line = wait_for_line("frontend: listening: protocol=JSON-RPC address=")?;
+        let line = wait_for_line(&["frontend: listening: protocol=JSON-RPC address="])?;
         let startup = started_at.elapsed();
         let json_address =
             line.rsplit('=').next().and_then(|word| word.parse().ok()).ok_or(io::ErrorKind::InvalidData)?;
         std::thread::spawn(move || common::run_stub_interpreter(&interpreter, &"r".repeat(result_bytes)));
-        wait_for_line("health is good")?;
+        wait_for_line(&common::HEALTHY)?;
         std::thread::spawn(move || log.for_each(drop));
         [config, durability_file].iter().for_each(|file| drop(std::fs::remove_file(file)));
         Ok(Node { child, json_address, startup })
--- a/examples/replicated.rs
+++ b/examples/replicated.rs
@@ -16,7 +16,7 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::time::{Duration, Instant};
 
-use common::{run_stub_interpreter, send_requests, Sample};
+use common::{run_stub_interpreter, send_requests, Sample, HEALTHY};
 use oakwind_fault_harness::process::Program;
 
 /// How often each measurement is repeated; the median is printed.
@@ -106,7 +106,7 @@
         node.admin_address = node.logged_address("admin: listening: address=")?;
         node.json_address = node.logged_address("frontend: listening: protocol=JSON-RPC address=")?;
         std::thread::spawn(move || run_stub_interpreter(&interpreter, "job 12345"));
-        node.wait_for_line("health is good")?;
+        node.wait_for_line(&HEALTHY)?;
         Ok(node)
     }
 
@@ -114,18 +114,18 @@
     fn start_all(&self) -> io::Result<Vec<Node>> {
         let mut nodes = (1..=3).map(|n| self.start(n)).collect::<io::Result<Vec<_>>>()?;
         for node in nodes.iter_mut().filter(|_| self.replicates) {
-            node.wait_for_line("fleet: replica table complete")?;
+            node.wait_for_line(&["fleet: replica table complete"])?;
         }
         Ok(nodes)
     }
 }
 
 impl Node {
-    /// Waits for a log line that contains `text`.
-    fn wait_for_line(&mut self, text: &str) -> io::Result<String> {
+    /// Waits for a log line that contains one of these texts.
+    fn wait_for_line(&mut self, texts: &[&str]) -> io::Result<String> {
         loop {
             let line = self.log.recv().map_err(|_| io::ErrorKind::UnexpectedEof)?;
-            if line.contains(text) {
+            if texts.iter().any(|text| line.contains(text)) {
                 return Ok(line);
             }
         }
@@ -133,7 +133,7 @@
 
     /// Waits for a log line that contains `text`, and returns the address at its end.
     fn logged_address(&mut self, text: &str) -> io::Result<SocketAddr> {
-        let line = self.wait_for_line(text)?;
+        let line = self.wait_for_line(&[text])?;
         line.rsplit('=')
             .next()
             .and_then(|address| address.parse().ok())
@@ -265,7 +265,7 @@
     std::thread::sleep(Duration::from_millis(1500));
     let started_at = Instant::now();
     let mut recovering = fleet.start(3)?;
-    let line = recovering.wait_for_line("fleet: replica table complete")?;
+    let line = recovering.wait_for_line(&["fleet: replica table complete"])?;
     let complete_at = Instant::now();
     let samples = load.join().map_err(|_| io::ErrorKind::Other)??;
     let latencies_between = |from: Instant, to: Instant| -> Vec<f64> {
--- a/node/src/admin.rs
+++ b/node/src/admin.rs
@@ -40,8 +40,8 @@
 /// Serves one connection to its end.
 pub(crate) async fn serve(mut stream: TcpStream, guard: ConnectionGuard, server: Rc<AdminServer>) {
     // A client whose connection breaks gets no response.
-    if let Err(e) = serve_call(&mut stream, &guard, &server).await {
-        log!("admin: connection lost: {e}");
+    if let Err(error) = serve_call(&mut stream, &guard, &server).await {
+        log!("admin: connection lost: error={error}");
     }
 }
 
--- a/node/src/backend/index.rs
+++ b/node/src/backend/index.rs
@@ -82,8 +82,8 @@
             None => match sockets::connect(address, deadline).await {
                 Ok(stream) => LineConnection::new(stream),
                 // A connection that was never made proves that the call never ran.
-                Err(e) => {
-                    log!("index: connection failed: {e}");
+                Err(error) => {
+                    log!("index: connection failed: address={address} error={error}");
                     return Ok(CallOutcome::Unreachable);
                 }
             },
@@ -151,8 +151,8 @@
 impl CallBackend for Index {
     async fn call(self: Rc<Self>, request: Rc<Request>, body: Bytes, deadline: UnixTime) -> CallOutcome {
         let outcome = self.exchange_messages(&request.txn, &body, deadline).await;
-        outcome.unwrap_or_else(|e| {
-            log!("index: connection lost during a call: {e}");
+        outcome.unwrap_or_else(|error| {
+            log!("index: connection lost during a call: txn={:?} error={error}", request.txn);
             CallOutcome::CutOff
         })
     }
--- a/node/src/backend/interpreter.rs
+++ b/node/src/backend/interpreter.rs
@@ -85,9 +85,11 @@
                 Wait::Done(Ok(stream)) => match self.run_link(LineConnection::new(stream)).await {
                     Ok(LinkEnd::CommandsClosed) => return,
                     Ok(LinkEnd::AddressChanged) => continue,
-                    Err(e) => log!("interpreter: link lost: {e}"),
+                    Err(error) => log!("interpreter: link lost: address={address} error={error}"),
                 },
-                Wait::Done(Err(e)) => log!("interpreter: connection failed: {e}"),
+                Wait::Done(Err(error)) => {
+                    log!("interpreter: connection failed: address={address} error={error}");
+                }
                 Wait::AddressChanged => continue,
                 Wait::CommandsClosed => return,
             }
@@ -179,7 +181,7 @@
         };
         // A clock that was set ahead meanwhile does not make the start of the interpreter a later one.
         let uptime = Duration::from_millis(message.numeric_field(2)?);
-        let started_at = clock::now().saturating_sub(clock::jumped() + uptime);
+        let started_at = clock::now().saturating_sub(clock::stepped_ahead() + uptime);
         if self.started_at.is_some_and(|known| started_at > known + RESTART_THRESHOLD) {
             self.process_restart().await;
         }
@@ -219,7 +221,8 @@
 
     /// Processes a command that was not carried out. A run that was not started ends here: its client waits for it.
     async fn process_error(&mut self, message: &Message) {
-        let (command, txn) = (message.field(1), message.field(2));
+        let command = message.field(1);
+        let txn = message.field(2);
         log!("interpreter: command rejected: command={command:?} txn={txn:?}");
         if command == "APPLY" && self.runs.remove(&txn) {
             self.exchange.report(BackendEvent::Ended(txn, Completion::NeverStarted)).await;
--- a/node/src/backend/uwsgi.rs
+++ b/node/src/backend/uwsgi.rs
@@ -31,6 +31,12 @@
 /// Selects the addresses of the servers from those of all backends.
 pub(crate) type SelectAddresses = fn(&UpstreamAddresses) -> &Vec<SocketAddr>;
 
+/// A connection to one of the servers.
+struct ServerConnection {
+    stream: TcpStream,
+    address: SocketAddr,
+}
+
 /// Servers that stand in for each other.
 pub(crate) struct Servers {
     addresses: watch::Receiver<UpstreamAddresses>,
@@ -50,15 +56,15 @@
     }
 
     /// Connects to the first server in turn that accepts. A failed attempt proves that nothing ran there.
-    async fn connect(&self, deadline: UnixTime) -> Option<TcpStream> {
+    async fn connect(&self, deadline: UnixTime) -> Option<ServerConnection> {
         let addresses = (self.select)(&self.addresses.borrow()).clone();
         let first = self.next.get();
         self.next.set(first.wrapping_add(1));
         for turn in 0..addresses.len() {
             let address = addresses[first.wrapping_add(turn) % addresses.len()];
             match sockets::connect(address, deadline).await {
-                Ok(stream) => return Some(stream),
-                Err(e) => log!("uwsgi server: connection failed: address={address}: {e}"),
+                Ok(stream) => return Some(ServerConnection { stream, address }),
+                Err(error) => log!("uwsgi server: connection failed: address={address} error={error}"),
             }
         }
         None
@@ -66,15 +72,16 @@
 
     /// Sends a request to one of the servers and waits for the outcome.
     async fn send(self: Rc<Self>, request: Rc<Request>, body: Bytes, deadline: UnixTime) -> ServerOutcome {
-        let Some(mut stream) = self.connect(deadline).await else { return ServerOutcome::Unreachable };
+        let Some(connection) = self.connect(deadline).await else { return ServerOutcome::Unreachable };
+        let ServerConnection { mut stream, address } = connection;
         let Some(packet) = self.encode(&request, body.len(), deadline) else {
             log!("uwsgi server: request too long for a packet: txn={:?}", request.txn);
             return ServerOutcome::Unreachable;
         };
         tokio::select! {
-            outcome = send_and_receive(&mut stream, &packet, &body) => outcome.unwrap_or_else(|e| {
-                log!("uwsgi server: no valid response: address={:?}: {e}", stream.peer_addr().ok());
-                if e.kind() == io::ErrorKind::InvalidData {
+            outcome = send_and_receive(&mut stream, &packet, &body) => outcome.unwrap_or_else(|error| {
+                log!("uwsgi server: no valid response: address={address} error={error}");
+                if error.kind() == io::ErrorKind::InvalidData {
                     ServerOutcome::Failed
                 } else {
                     ServerOutcome::CutOff
--- a/node/src/clock.rs
+++ b/node/src/clock.rs
@@ -1,8 +1,8 @@
 //! The clock of a process: the system's Unix clock, but it never goes back.
 //!
 //! Deadlines are points on it and travel with the requests that they bound. When the system's clock is set back, this one
-//! runs slower until the other has caught up. When the system's clock jumps ahead, as after a sleep of the machine, this
-//! one follows, and [`jumped`] returns by how much: stored keys must not expire early because of it.
+//! runs slower until the other has caught up. When the system's clock steps ahead, as after a sleep of the machine, this
+//! one follows, and [`stepped_ahead`] returns by how much: stored keys must not expire early because of it.
 
 use std::cell::RefCell;
 use std::sync::OnceLock;
@@ -15,8 +15,8 @@
 
 /// While the system's clock is behind, this one runs slower by one part in so many.
 const SLOWDOWN_DIVISOR: u32 = 20;
-/// What the system's clock gains on the monotonic one between two readings is a jump from this on.
-const JUMP_THRESHOLD: Duration = Duration::from_millis(500);
+/// What the system's clock gains on the monotonic one between two readings is a step from this on.
+const STEP_THRESHOLD: Duration = Duration::from_millis(500);
 /// The longest sleep: far enough for every deadline, near enough for the runtime's timer.
 const MAX_SLEEP: Duration = Duration::from_secs(86_400);
 /// For rehearsals: so long after its start, in milliseconds, the process sees the system's clock set by so many
@@ -32,25 +32,26 @@
     system: UnixTime,
     /// The last reading of the monotonic clock.
     monotonic: Duration,
-    /// All jumps ahead together.
-    jumped: Duration,
+    /// All steps ahead together.
+    stepped_ahead: Duration,
 }
 
 impl Follower {
     fn new(system: UnixTime, monotonic: Duration) -> Self {
-        Follower { returned: system, system, monotonic, jumped: Duration::ZERO }
+        Follower { returned: system, system, monotonic, stepped_ahead: Duration::ZERO }
     }
 
     fn now(&mut self, system: UnixTime, monotonic: Duration) -> UnixTime {
         let passed = monotonic.saturating_sub(self.monotonic);
         let gained = system.saturating_sub(self.system).saturating_sub(passed);
-        if gained >= JUMP_THRESHOLD {
-            // What only makes up for having been set back is no jump of this clock.
-            self.jumped += gained.min(system.saturating_sub(self.returned + passed));
+        if gained >= STEP_THRESHOLD {
+            // What only makes up for having been set back is no step of this clock.
+            self.stepped_ahead += gained.min(system.saturating_sub(self.returned + passed));
         }
         let slowed = passed.saturating_sub(passed / SLOWDOWN_DIVISOR);
         self.returned = system.max(self.returned + slowed);
-        (self.system, self.monotonic) = (system, monotonic);
+        self.system = system;
+        self.monotonic = monotonic;
         self.returned
     }
 }
@@ -108,9 +109,11 @@
     })
 }
 
-/// How far this clock has jumped ahead since the process started, in all.
-pub(crate) fn jumped() -> Duration {
-    CLOCK.with_borrow(|clock| clock.follower.as_ref().map_or(Duration::ZERO, |follower| follower.jumped))
+/// How far this clock has stepped ahead since the process started, in all.
+pub(crate) fn stepped_ahead() -> Duration {
+    CLOCK.with_borrow(|clock| {
+        clock.follower.as_ref().map_or(Duration::ZERO, |follower| follower.stepped_ahead)
+    })
 }
 
 /// A time in whole milliseconds, as it is written and sent.
--- a/node/src/clock/tests.rs
+++ b/node/src/clock/tests.rs
@@ -12,7 +12,7 @@
         let system = ms(1_000_000 + at + at / 1000);
         assert_eq!(follower.now(system, ms(at)), system);
     }
-    assert_eq!(follower.jumped, ms(0));
+    assert_eq!(follower.stepped_ahead, ms(0));
 }
 
 #[test]
@@ -25,19 +25,19 @@
         last = now;
     }
     assert_eq!(last, ms(1_000_000 + 11_900 - 400), "400 ms are caught up within 8 s");
-    assert_eq!(follower.jumped, ms(0));
+    assert_eq!(follower.stepped_ahead, ms(0));
 }
 
 #[test]
-fn a_jump_ahead_is_followed_and_counted_and_one_back_to_where_it_was_is_not() {
+fn a_step_ahead_is_followed_and_counted_and_one_back_to_where_it_was_is_not() {
     let mut follower = Follower::new(ms(1_000_000), ms(0));
     assert_eq!(follower.now(ms(1_060_100), ms(100)), ms(1_060_100));
-    assert_eq!(follower.jumped, ms(60_000));
+    assert_eq!(follower.stepped_ahead, ms(60_000));
     let back = follower.now(ms(1_000_200), ms(200));
     assert!(back > ms(1_060_100));
     let again = follower.now(ms(1_060_300), ms(300));
     assert!(again >= back && again < ms(1_060_400));
-    assert!(follower.jumped <= ms(60_010), "{:?}", follower.jumped);
+    assert!(follower.stepped_ahead <= ms(60_010), "{:?}", follower.stepped_ahead);
 }
 
 #[test]
--- a/node/src/decision_log/writer.rs
+++ b/node/src/decision_log/writer.rs
@@ -103,8 +103,9 @@
 impl WriterThread {
     fn run(self) {
         let folder = self.config.folder.clone();
-        if let Err(e) = self.lock_and_write() {
-            log!("decision log: failed, nothing more is recorded: folder={} error={e}", folder.display());
+        if let Err(error) = self.lock_and_write() {
+            let folder = folder.display();
+            log!("decision log: failed, nothing more is recorded: folder={folder} error={error}");
         }
     }
 
--- a/node/src/dispatcher.rs
+++ b/node/src/dispatcher.rs
@@ -76,8 +76,8 @@
     decision_log: Option<DecisionLog>,
     /// Counts rejections without a decision.
     undecided_rejections: Cell<u64>,
-    /// How far the clock had jumped ahead, in all, when that was last looked at.
-    observed_clock_jump: Duration,
+    /// How far the clock had stepped ahead, in all, when that was last looked at.
+    observed_clock_steps: Duration,
 }
 
 impl Dispatcher {
@@ -105,7 +105,7 @@
             run_gate: RunGate::default(),
             decision_log: None,
             undecided_rejections: Cell::new(0),
-            observed_clock_jump: Duration::ZERO,
+            observed_clock_steps: Duration::ZERO,
         }
     }
 
@@ -167,7 +167,7 @@
     /// Hands the batch to the admission module and carries out its actions, until nothing more follows from them.
     fn process_batch(&mut self) {
         let now = clock::now();
-        self.follow_clock_jumps();
+        self.follow_clock_steps();
         self.reject_expired_buffered(now);
         self.fire_timers(now);
         loop {
@@ -184,14 +184,14 @@
         self.update_drain_status(now);
     }
 
-    /// Extends keys by what the system's clock was set ahead.
-    fn follow_clock_jumps(&mut self) {
-        let total = clock::jumped();
-        let by = total.saturating_sub(self.observed_clock_jump);
-        if !by.is_zero() {
-            self.observed_clock_jump = total;
-            log!("dispatcher: the clock has jumped ahead: milliseconds={}", by.as_millis());
-            self.idempotency.extend_all(by);
+    /// Extends keys by what the system's clock has stepped ahead.
+    fn follow_clock_steps(&mut self) {
+        let total = clock::stepped_ahead();
+        let step = total.saturating_sub(self.observed_clock_steps);
+        if !step.is_zero() {
+            self.observed_clock_steps = total;
+            log!("dispatcher: clock stepped ahead: step_ms={}", step.as_millis());
+            self.idempotency.extend_all(step);
         }
     }
 
--- a/node/src/dispatcher/actions.rs
+++ b/node/src/dispatcher/actions.rs
@@ -92,7 +92,7 @@
 
     fn set_health(&mut self, healthy: bool) {
         if self.status().health != Some(healthy) {
-            log!("health is {}", if healthy { "good" } else { "bad" });
+            log!("dispatcher: health changed: healthy={healthy}");
         }
         self.update_status(|status| status.health = Some(healthy));
     }
--- a/node/src/dispatcher/handover.rs
+++ b/node/src/dispatcher/handover.rs
@@ -90,7 +90,7 @@
         let is_full_table = self.status().awaiting_state;
         if is_full_table {
             self.idempotency.set_digest_seed(state.digest_seed);
-            log!("handover: {} keys are known from the predecessor", state.records.len());
+            log!("handover: table received from the predecessor: keys={}", state.records.len());
         }
         for record in state.records {
             if is_full_table {
--- a/node/src/dispatcher/idempotency.rs
+++ b/node/src/dispatcher/idempotency.rs
@@ -310,7 +310,7 @@
         waiters
     }
 
-    /// Extends all keys after the clock jumped ahead, so that none expires early and runs a second time.
+    /// Extends all keys after the clock stepped ahead, so that none expires early and runs a second time.
     pub(crate) fn extend_all(&mut self, by: Duration) {
         self.entries.values_mut().for_each(|entry| entry.expires_at += by);
     }
--- a/node/src/dispatcher/idempotency/tests.rs
+++ b/node/src/dispatcher/idempotency/tests.rs
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn no_key_expires_early_when_the_clock_jumps_ahead() {
+fn no_key_expires_early_when_the_clock_steps_ahead() {
     let mut table = IdempotencyTable::new(1000);
     table.assign(&key(), b"b", A, at(117));
     table.extend_all(Duration::from_secs(3600));
--- a/node/src/frontend/uwsgi.rs
+++ b/node/src/frontend/uwsgi.rs
@@ -46,8 +46,8 @@
 /// Serves one connection to its end.
 pub(crate) async fn serve(mut stream: TcpStream, guard: ConnectionGuard, frontend: Rc<UwsgiFrontend>) {
     // A client whose connection breaks gets no response.
-    if let Err(e) = serve_request(&mut stream, &guard, &frontend).await {
-        log!("uwsgi: connection lost: {e}");
+    if let Err(error) = serve_request(&mut stream, &guard, &frontend).await {
+        log!("uwsgi: connection lost: error={error}");
     }
 }
 
@@ -73,7 +73,7 @@
             None => return Ok(()),
         },
         Err(error) => {
-            log!("uwsgi: request rejected: {error:?}");
+            log!("uwsgi: request rejected: error={error:?}");
             encode_error(error)
         }
     };
--- a/node/src/handover/predecessor.rs
+++ b/node/src/handover/predecessor.rs
@@ -24,8 +24,9 @@
         let _ = std::fs::remove_file(socket_path);
         let listener = match UnixListener::bind(socket_path) {
             Ok(listener) => listener,
-            Err(e) => {
-                return log!("handover: no upgrade in place is possible: {}: {e}", socket_path.display())
+            Err(error) => {
+                let socket = socket_path.display();
+                return log!("handover: no upgrade in place is possible: socket={socket} error={error}");
             }
         };
         loop {
@@ -58,8 +59,8 @@
 pub(super) async fn hand_over(listener: &UnixListener, exchange: &Exchange) -> HandoverOutcome {
     let mut successor = match listener.accept().await {
         Ok((successor, _)) => successor,
-        Err(e) => {
-            log!("handover: a successor was not accepted: {e}");
+        Err(error) => {
+            log!("handover: a successor was not accepted: error={error}");
             clock::until(clock::now() + REPLY_TIMEOUT).await;
             return HandoverOutcome::NotRequested;
         }
@@ -90,8 +91,8 @@
         tokio::select! {
             update = updates.recv() => {
                 let Some(update) = update else { return HandoverOutcome::SuccessorEnded };
-                if let Err(e) = send_update(successor, update, is_table).await {
-                    log!("handover: the successor is not reached: {e}");
+                if let Err(error) = send_update(successor, update, is_table).await {
+                    log!("handover: the successor is not reached: error={error}");
                     return HandoverOutcome::SuccessorEnded;
                 }
                 is_table = false;
--- a/node/src/handover/successor.rs
+++ b/node/src/handover/successor.rs
@@ -23,7 +23,7 @@
     };
     match received.await {
         Ok(()) => log!("handover: the predecessor has ended"),
-        Err(e) => log!("handover: the state of the predecessor is incomplete: {e}"),
+        Err(error) => log!("handover: the state of the predecessor is incomplete: error={error}"),
     }
     exchange.predecessor_done().await;
 }
--- a/node/src/heartbeat.rs
+++ b/node/src/heartbeat.rs
@@ -61,8 +61,8 @@
                 continue;
             }
         };
-        if let Err(e) = send(&mut socket, service, &format!("HB {name} {word}")).await {
-            log!("heartbeat: not sent: {e}");
+        if let Err(error) = send(&mut socket, service, &format!("HB {name} {word}")).await {
+            log!("heartbeat: not sent: service={service} error={error}");
         }
         if liveness == Liveness::Out {
             return;
--- a/node/src/log.rs
+++ b/node/src/log.rs
@@ -1,4 +1,6 @@
 //! The log: [`log!`](macro@crate::log) writes a line to standard error, a few a second from each place in the code.
+//!
+//! A line is `SECONDS COMPONENT: EVENT: KEY=VALUE ...`; an error comes last, as `error=...`, and may have spaces.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -7,7 +9,7 @@
 /// Lines that one place may write in a second.
 const MAX_LINES_PER_SECOND: u64 = 5;
 
-/// What one place in the code has written in the current second. However many mistakes a peer makes, they take neither
+/// What one place in the code has written in the current second. However many errors a peer causes, they take neither
 /// the node's core nor its supervisor's disk.
 pub(crate) struct RateLimiter {
     second: AtomicU64,
@@ -31,7 +33,8 @@
     }
 }
 
-/// Writes a line unless this place has written enough in this second. Takes the arguments of `format!`.
+/// Writes a line, `COMPONENT: EVENT: KEY=VALUE ...`, unless this place has written enough in this second. Takes the
+/// arguments of `format!`.
 #[macro_export]
 macro_rules! log {
     ($($arguments:tt)*) => {{
@@ -43,7 +46,8 @@
 /// What the macro expands to; not to be called otherwise.
 pub(crate) fn write(limiter: &RateLimiter, line: std::fmt::Arguments) {
     let now = clock::now();
-    let (seconds, millis) = (now.as_secs(), now.subsec_millis());
+    let seconds = now.as_secs();
+    let millis = now.subsec_millis();
     match limiter.admit(seconds) {
         Some(0) => eprintln!("{seconds}.{millis:03} {line}"),
         Some(suppressed) => eprintln!("{seconds}.{millis:03} {line} (suppressed={suppressed})"),
--- a/node/src/peers/completeness_marker.rs
+++ b/node/src/peers/completeness_marker.rs
@@ -55,7 +55,9 @@
                 .and_then(|()| fs::rename(&temporary, self.folder.join(MARKER_FILE)));
         match written {
             Ok(()) => self.written = Some(position),
-            Err(e) => log!("fleet: the completeness marker of the vote store is not written: error={e}"),
+            Err(error) => {
+                log!("fleet: the completeness marker of the vote store is not written: error={error}");
+            }
         }
     }
 
--- a/node/src/peers/connection.rs
+++ b/node/src/peers/connection.rs
@@ -53,11 +53,11 @@
     /// Starts the task.
     pub(super) fn spawn(self, origin: Origin) {
         spawn_local(async move {
-            if let Err(e) = self.run(origin).await {
+            if let Err(error) = self.run(origin).await {
                 // Any other error may happen at any time, and a peer that is gone is noticed by what it does not answer.
-                if e.kind() == io::ErrorKind::InvalidData {
+                if error.kind() == io::ErrorKind::InvalidData {
                     increase(&self.metrics.protocol_errors, 1);
-                    log!("fleet: link closed, its peer sent invalid data: error={e}");
+                    log!("fleet: link closed, its peer sent invalid data: error={error}");
                 }
             }
             // Nobody receives events any more only if the process ends.
--- a/node/src/peers/driver.rs
+++ b/node/src/peers/driver.rs
@@ -88,7 +88,8 @@
             self.opened = vote_store::open_with_retries(&self.config).await;
         }
         if let Some(listener) = &self.listener {
-            log!("fleet: peers connect to {}", listener.local_addr().unwrap_or(self.config.listen));
+            let address = listener.local_addr().unwrap_or(self.config.listen);
+            log!("fleet: listening: address={address}");
         }
         RunningDriver::start(self).run().await;
     }
@@ -231,8 +232,8 @@
     async fn on_accepted(&mut self, accepted: io::Result<TcpStream>) {
         match accepted {
             Ok(stream) => self.host.accept(stream),
-            Err(e) => {
-                log!("fleet: link not accepted: error={e}");
+            Err(error) => {
+                log!("fleet: link not accepted: error={error}");
                 clock::until(clock::now() + ACCEPT_RETRY_INTERVAL).await;
             }
         }
--- a/node/src/peers/vote_store.rs
+++ b/node/src/peers/vote_store.rs
@@ -61,8 +61,8 @@
     loop {
         match open(config) {
             Ok(opened) => return opened,
-            Err(e) if clock::now() >= give_up_at => {
-                log!("fleet: vote store not opened: {e}");
+            Err(error) if clock::now() >= give_up_at => {
+                log!("fleet: vote store not opened: error={error}");
                 return None;
             }
             Err(_) => clock::until(clock::now() + OPEN_RETRY_INTERVAL).await,
--- a/node/src/result_store.rs
+++ b/node/src/result_store.rs
@@ -111,8 +111,8 @@
             let _ = events.blocking_send(StoreEvent::Opened(recovered));
             Some(log)
         });
-        if let Err(e) = opened {
-            log!("result store: {}", StoreError::Thread(e));
+        if let Err(error) = opened.map_err(StoreError::Thread) {
+            log!("result store: not opened, nothing is stored: error={error}");
         }
     }
 
@@ -153,8 +153,8 @@
     loop {
         match open_log(config, max_window) {
             Ok(opened) => return Some(opened),
-            Err(e) if clock::now() >= give_up_at => {
-                log!("result store: not opened, nothing is stored: {e}");
+            Err(error) if clock::now() >= give_up_at => {
+                log!("result store: not opened, nothing is stored: error={error}");
                 return None;
             }
             Err(_) => std::thread::sleep(OPEN_RETRY_INTERVAL),
@@ -177,8 +177,8 @@
     }
     if !recovered.clock_setback.is_zero() {
         log!(
-            "result store: clock was set back, keys expire counted from now: by={:?}",
-            recovered.clock_setback
+            "result store: clock was set back, what is left of each key's window counts from now: setback_ms={}",
+            clock::millis(recovered.clock_setback)
         );
     }
 }
--- a/node/src/result_store/segment_log.rs
+++ b/node/src/result_store/segment_log.rs
@@ -77,8 +77,8 @@
 
     /// Writes the records for which there is capacity, with one wait for the disk. Returns for each whether it is durable.
     pub(crate) fn write(&mut self, mut records: Vec<Record>, now: UnixTime) -> Vec<bool> {
-        if let Err(e) = self.maintain(now) {
-            log!("result store: maintenance failed: error={e}");
+        if let Err(error) = self.maintain(now) {
+            log!("result store: maintenance failed: error={error}");
         }
         let mut pending = 0;
         let accepted: Vec<bool> =
@@ -89,8 +89,8 @@
             .filter(|(_, accepted)| **accepted)
             .map(|(record, _)| record)
             .collect();
-        if let Err(e) = self.append(&to_write) {
-            log!("result store: append failed: records={} error={e}", to_write.len());
+        if let Err(error) = self.append(&to_write) {
+            log!("result store: append failed: records={} error={error}", to_write.len());
             return vec![false; accepted.len()];
         }
         accepted
@@ -235,8 +235,8 @@
 
 /// Reads a segment. One that cannot be read counts as damaged, so that one bad file does not prevent the start.
 fn read_segment(folder: &Path, number: u64, limits: Limits) -> Segment {
-    let bytes = read_file(&segment_path(folder, number), limits.max_bytes).unwrap_or_else(|e| {
-        log!("result store: segment not readable: segment={number} error={e}");
+    let bytes = read_file(&segment_path(folder, number), limits.max_bytes).unwrap_or_else(|error| {
+        log!("result store: segment not readable: segment={number} error={error}");
         Vec::new()
     });
     Segment { number, bytes: bytes.into() }
--- a/node/src/run_gate.rs
+++ b/node/src/run_gate.rs
@@ -67,8 +67,9 @@
         self.store.as_ref().is_some_and(|store| store.uncertain_keys.contains(key, now))
     }
 
-    /// Acquires the store and the place in the fleet from another process of this node, once that releases them. With `recover`, what it left there
-    /// is reported as [`GateEvent::Recovered`]; otherwise it has been transferred by other means.
+    /// Acquires the store and the place in the fleet from another process of this node, once that releases them. With
+    /// `recover`, what it left there is reported as [`GateEvent::Recovered`]; otherwise it has been transferred by other
+    /// means.
     pub(crate) fn acquire_stores(&mut self, recover: bool) {
         if let Some(store) = &mut self.store {
             store.open_after_predecessor(recover);
--- a/node/src/server/accept.rs
+++ b/node/src/server/accept.rs
@@ -31,7 +31,7 @@
 
 /// Where a listener listens, with the port that the system chose for 0.
 pub(super) fn local_address(listener: &TcpListener) -> String {
-    listener.local_addr().map_or_else(|e| e.to_string(), |address| address.to_string())
+    listener.local_addr().map_or_else(|error| error.to_string(), |address| address.to_string())
 }
 
 /// The listener of a frontend, which is open while this process accepts clients.
@@ -62,10 +62,14 @@
                 Some(listener) => Ok(listener),
                 None => bind(protocol, self.address, self.shared),
             };
-            let Ok(listener) = listener.inspect_err(|e| log!("frontend: listener not opened: {e}")) else {
-                // The router that was active before may hold the address for a moment.
-                clock::until(clock::now() + REBIND_INTERVAL).await;
-                continue;
+            let listener = match listener {
+                Ok(listener) => listener,
+                Err(error) => {
+                    log!("frontend: listener not opened: protocol={protocol} error={error}");
+                    // The router that was active before may hold the address for a moment.
+                    clock::until(clock::now() + REBIND_INTERVAL).await;
+                    continue;
+                }
             };
             log!("frontend: listening: protocol={protocol} address={}", local_address(&listener));
             let closing = self.wait_until_inactive(&exchange);
@@ -117,7 +121,7 @@
         if let Some(guard) = limiter.admit() {
             spawn_local(serve(stream, guard));
         } else {
-            log!("frontend: connection rejected: all connections are busy");
+            log!("frontend: connection rejected, all connections are busy");
             spawn_local(frontend::reject(stream));
         }
     };
@@ -132,8 +136,8 @@
                 // A connection that was evicted for this one closes first, so that the descriptors suffice.
                 tokio::task::yield_now().await;
             }
-            Err(e) => {
-                log!("frontend: accept failed: {e}");
+            Err(error) => {
+                log!("frontend: accept failed: error={error}");
                 clock::until(clock::now() + ACCEPT_RETRY_INTERVAL).await;
             }
         }
--- a/node/src/server/reload.rs
+++ b/node/src/server/reload.rs
@@ -77,7 +77,7 @@
             }
             match candidate {
                 Ok(candidate) => self.apply(candidate, trigger).await,
-                Err(e) => log!("reload: rejected: {e}"),
+                Err(error) => log!("reload: rejected: error={error}"),
             }
         }
     }
@@ -125,7 +125,7 @@
     fn propose_membership(&self, fleet: FleetConfig) {
         let Some(events) = &self.fleet_events else { return };
         if events.try_send(Event::ConfigProposed(fleet.membership)).is_err() {
-            log!("reload: membership configuration not applied: the fleet's queue is full");
+            log!("reload: membership configuration not applied, the fleet's queue is full");
         }
     }
 }
--- a/node/src/vrrp.rs
+++ b/node/src/vrrp.rs
@@ -88,14 +88,14 @@
 /// The event that a datagram stands for, if it is an advertisement of this virtual router from one of its peers.
 fn decode_event(config: &VrrpConfig, datagram: &[u8], from: SocketAddr) -> Option<Event> {
     if !config.peers.iter().any(|peer| peer.ip() == from.ip()) {
-        log!("vrrp: datagram dropped: vrid={} from={from}: not a peer", config.vrid);
+        log!("vrrp: datagram dropped, not from a peer: vrid={} from={from}", config.vrid);
         return None;
     }
     let IpAddr::V4(sender) = from.ip() else { return None };
     match Advertisement::decode(datagram) {
         Ok(advertisement) if advertisement.vrid != config.vrid => {
             log!(
-                "vrrp: datagram dropped: vrid={} from={from}: it is of vrid={}",
+                "vrrp: datagram dropped, of another virtual router: vrid={} from={from} received_vrid={}",
                 config.vrid,
                 advertisement.vrid
             );
@@ -111,7 +111,7 @@
             Some(Event::Advertised { from: sender, advertisement })
         }
         Err(error) => {
-            log!("vrrp: datagram dropped: vrid={} from={from}: {error}", config.vrid);
+            log!("vrrp: datagram dropped, malformed: vrid={} from={from} error={error}", config.vrid);
             None
         }
     }
@@ -120,8 +120,8 @@
 async fn send(socket: &UdpSocket, peers: &[SocketAddr], advertisement: &Advertisement) {
     let bytes = advertisement.encode();
     for peer in peers {
-        if let Err(e) = socket.send_to(&bytes, peer).await {
-            log!("vrrp: advertisement not sent: vrid={} peer={peer}: {e}", advertisement.vrid);
+        if let Err(error) = socket.send_to(&bytes, peer).await {
+            log!("vrrp: advertisement not sent: vrid={} peer={peer} error={error}", advertisement.vrid);
         }
     }
 }
--- a/node/tests/sockets/endings.rs
+++ b/node/tests/sockets/endings.rs
@@ -134,7 +134,7 @@
     assert!(client.read_line().contains("-32011"), "it has not run, and its caller waits no longer");
     client.request(2, "a2", Some("known"), LONG_LIMIT_MS);
     before.write_all(b"SEED 1\r\nKEY 1 99999999999999 done 5 8\r\nknownjob\r\nALL\r\n").unwrap();
-    node.wait_for_log("handover: 1 keys are known from the predecessor");
+    node.wait_for_log("handover: table received from the predecessor: keys=1");
     // What was held back is decided on now: this key came with another body.
     assert!(client.read_line().contains("-32602"));
     client.request(3, "a3", Some("fresh"), LONG_LIMIT_MS);
@@ -170,7 +170,7 @@
     late.send(STATUS);
     node.resume();
     assert_eq!(late.read_to_end(), "");
-    node.wait_for_log("frontend: connection rejected: all connections are busy");
+    node.wait_for_log("frontend: connection rejected, all connections are busy");
 }
 
 #[test]
@@ -244,7 +244,7 @@
     // A time of receipt in the future counts as now, whenever the clock is set.
     client.send(request(1, "a1", "book", Some("k"), LONG_LIMIT_MS).replace("\"door\":", "\"door\":1"));
     link.next_run();
-    node.wait_for_log("the clock has jumped ahead");
+    node.wait_for_log("dispatcher: clock stepped ahead");
     drop(link);
     let mut link = vm.accept();
     link.read_line();
--- a/node/tests/sockets/fixtures.rs
+++ b/node/tests/sockets/fixtures.rs
@@ -72,7 +72,7 @@
     let mut node = start_at_the_time_of_the_fixtures("--remembered", &text, &vm);
     let _link = vm.interpreter("0");
     node.wait_for_log("result store: recovered: keys=5");
-    node.wait_for_log("health is good");
+    node.wait_for_log("dispatcher: health changed: healthy=true");
     let front = node.uwsgi_address();
     assert_repeats_get_what_the_first_attempts_got(front);
     // That it never ran is not on the disk, only that it may have begun.
@@ -96,7 +96,7 @@
     let mut link = vm.interpreter("0");
     node.wait_for_log("result store: recovered: keys=4");
     node.wait_for_log("fleet: quorum reached");
-    node.wait_for_log("health is good");
+    node.wait_for_log("dispatcher: health changed: healthy=true");
     let front = node.uwsgi_address();
     assert_repeats_get_what_the_first_attempts_got(front);
     let mut freed = book(front, "freed", "body");
--- a/node/tests/sockets/links.rs
+++ b/node/tests/sockets/links.rs
@@ -134,7 +134,7 @@
     for (bad, key) in [
         (good.replace(&new.1.address.to_string(), "nowhere"), "index: \"nowhere\""),
         (good.replace("by_key", "sometimes"), "effect"),
-        (good.replace("\"index\"", "\"none\""), "reload: rejected: index"),
+        (good.replace("\"index\"", "\"none\""), "reload: rejected: error=index"),
         ("{".into(), "reload: rejected"),
     ] {
         node.reload(&bad);
--- a/node/tests/sockets/result_store.rs
+++ b/node/tests/sockets/result_store.rs
@@ -69,7 +69,7 @@
     client.request(1, "b1", Some("ended"), LONG_LIMIT_MS);
     assert_eq!(client.read_line(), result);
     let mut link = vm.interpreter("0");
-    node.wait_for_log("health is good");
+    node.wait_for_log("dispatcher: health changed: healthy=true");
     client.request(1, "c1", Some("ended"), LONG_LIMIT_MS);
     assert_eq!(client.read_line(), result);
     client.send(request(2, "c2", "book", Some("ended"), LONG_LIMIT_MS).replace("Ym9keQ==", "b3RoZXI="));
@@ -180,7 +180,7 @@
         let mut node = folder.spawn(&vm, None);
         let front = node.uwsgi_address();
         let started = spawn_interpreter(&vm, holds_runs.clone(), self.runs.clone(), 0);
-        node.wait_for_log("health is good");
+        node.wait_for_log("dispatcher: health changed: healthy=true");
         let attempts = 3 + self.random.below(8);
         for attempt in 0..=attempts {
             let (json, is_last) = (self.random.below(2) == 0, attempt == attempts);
