--- a/node/src/admin.rs
+++ b/node/src/admin.rs
@@ -19,7 +19,7 @@
 use crate::exchange::Exchange;
 use crate::frontend::connection_limiter::{ConnectionGuard, ConnectionState, MESSAGE_TIMEOUT};
 use crate::frontend::lingering_close;
-use crate::http::{parse_call, response, Call, MAX_HEAD_BYTES};
+use crate::http::{parse_call, response, Call, Status, MAX_HEAD_BYTES};
 use crate::log;
 
 /// Connections at a time. One more evicts one on which no call has arrived yet.
@@ -27,7 +27,7 @@
 /// Initial capacity of the read buffer, in bytes.
 const READ_BUFFER_BYTES: usize = 1024;
 /// The header field of all responses.
-const PLAIN_TEXT: &str = "Content-Type: text/plain; charset=utf-8\r\n";
+const CONTENT_TYPE: &str = "Content-Type: text/plain; charset=utf-8\r\n";
 
 /// What all connections of operators share.
 pub(crate) struct AdminServer {
@@ -56,15 +56,15 @@
             }
             Ok(None) if input.len() <= MAX_HEAD_BYTES => {}
             Ok(None) => {
-                break plain_text(431, "Request Header Fields Too Large", "the head is too long\n");
+                break text_response(Status::HEADER_FIELDS_TOO_LARGE, "the head is too long\n");
             }
-            Err(e) => break plain_text(400, "Bad Request", &format!("{e}\n")),
+            Err(error) => break text_response(Status::BAD_REQUEST, &format!("{error}\n")),
         }
         tokio::select! {
             read = stream.read_buf(&mut input) => if read? == 0 { return Ok(()) },
             () = guard.evicted() => return lingering_close(stream, guard).await,
             () = clock::until(deadline) => {
-                break plain_text(408, "Request Timeout", "the call did not end in time\n");
+                break text_response(Status::REQUEST_TIMEOUT, "the call did not end in time\n");
             }
         }
     };
@@ -80,22 +80,22 @@
         match (&call.method[..], &call.path[..]) {
             ("GET", "/ops/readiness") => self.readiness(),
             ("GET", "/ops/stats") => {
-                plain_text(200, "OK", &self.exchange.metrics().render(&self.registry.class_names()))
+                text_response(Status::OK, &self.exchange.metrics().render(&self.registry.class_names()))
             }
             ("PUT", "/ops/drain/start") => self.set_maintenance(true).await,
             ("PUT", "/ops/drain/stop") => self.set_maintenance(false).await,
             (_, "/ops/readiness" | "/ops/stats" | "/ops/drain/start" | "/ops/drain/stop") => {
-                plain_text(405, "Method Not Allowed", "GET asks, PUT changes\n")
+                text_response(Status::METHOD_NOT_ALLOWED, "GET asks, PUT changes\n")
             }
-            _ => plain_text(404, "Not Found", "no such call\n"),
+            _ => text_response(Status::NOT_FOUND, "no such call\n"),
         }
     }
 
     fn readiness(&self) -> Bytes {
         if self.exchange.status().borrow().is_serving() {
-            plain_text(200, "OK", "ready\n")
+            text_response(Status::OK, "ready\n")
         } else {
-            plain_text(503, "Service Unavailable", "not ready\n")
+            text_response(Status::SERVICE_UNAVAILABLE, "not ready\n")
         }
     }
 
@@ -106,10 +106,10 @@
         let applied = status.wait_for(|status| status.maintenance == enabled).await;
         drop(applied);
         log!("admin: maintenance mode: enabled={enabled}");
-        plain_text(200, "OK", if enabled { "draining\n" } else { "serving\n" })
+        text_response(Status::OK, if enabled { "draining\n" } else { "serving\n" })
     }
 }
 
-fn plain_text(status: u16, reason: &str, body: &str) -> Bytes {
-    response(status, reason, PLAIN_TEXT, body.as_bytes())
+fn text_response(status: Status, body: &str) -> Bytes {
+    response(status, CONTENT_TYPE, body.as_bytes())
 }
--- a/node/src/backend.rs
+++ b/node/src/backend.rs
@@ -20,9 +20,16 @@
 /// Without commands for this long, idle connections are looked at.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
+/// A call that has ended.
+struct EndedCall<T> {
+    /// The request that it was made for.
+    txn: TransactionId,
+    outcome: T,
+}
+
 /// Calls in progress by the request that each is for. Each has a connection of its own.
 struct CallsInProgress<T> {
-    tasks: JoinSet<(TransactionId, T)>,
+    tasks: JoinSet<EndedCall<T>>,
     handles: HashMap<TransactionId, AbortHandle>,
     /// Bounds the connections, and so the descriptors of the process.
     connections: Arc<Semaphore>,
@@ -47,16 +54,17 @@
         no_connection: T,
     ) {
         self.cancel(&txn);
-        let (task_txn, connections) = (txn.clone(), self.connections.clone());
+        let connections = self.connections.clone();
+        let task_txn = txn.clone();
         let handle = self.tasks.spawn_local(async move {
             let permit = tokio::select! {
                 biased;
                 permit = connections.acquire_owned() => permit,
-                () = clock::until(deadline) => return (task_txn, no_connection),
+                () = clock::until(deadline) => return EndedCall { txn: task_txn, outcome: no_connection },
             };
             let outcome = call.await;
             drop(permit);
-            (task_txn, outcome)
+            EndedCall { txn: task_txn, outcome }
         });
         self.handles.insert(txn, handle);
     }
@@ -67,14 +75,14 @@
     }
 
     /// The next call that ended; waits for ever while none is in progress.
-    async fn next(&mut self) -> (TransactionId, T) {
+    async fn next(&mut self) -> EndedCall<T> {
         loop {
             match self.tasks.join_next_with_id().await {
-                Some(Ok((id, (txn, outcome)))) => {
+                Some(Ok((id, ended))) => {
                     // A call that was cancelled or replaced meanwhile has no outcome.
-                    if self.handles.get(&txn).is_some_and(|handle| handle.id() == id) {
-                        self.handles.remove(&txn);
-                        return (txn, outcome);
+                    if self.handles.get(&ended.txn).is_some_and(|handle| handle.id() == id) {
+                        self.handles.remove(&ended.txn);
+                        return ended;
                     }
                 }
                 Some(Err(_)) => {}
@@ -110,13 +118,15 @@
         tokio::select! {
             command = commands.recv() => match command {
                 None => return,
-                Some(CallCommand::Call { request, body, until }) => {
-                    let call = backend.clone().call(request.clone(), body, until);
-                    calls.start(request.txn.clone(), until, call, CallOutcome::Unreachable);
+                Some(CallCommand::Call { request, body, deadline }) => {
+                    let call = backend.clone().call(request.clone(), body, deadline);
+                    calls.start(request.txn.clone(), deadline, call, CallOutcome::Unreachable);
                 }
                 Some(CallCommand::GiveUp(txn)) => drop(calls.cancel(&txn)),
             },
-            (txn, outcome) = calls.next() => exchange.report(BackendEvent::CallEnded(txn, outcome)).await,
+            ended = calls.next() => {
+                exchange.report(BackendEvent::CallEnded(ended.txn, ended.outcome)).await;
+            }
             () = clock::until(clock::now() + IDLE_CHECK_INTERVAL) => backend.close_stale_connections(),
         }
     }
--- a/node/src/backend/interpreter.rs
+++ b/node/src/backend/interpreter.rs
@@ -34,6 +34,17 @@
 /// The interpreter has restarted if its start is later than the one that is known by this much.
 const RESTART_THRESHOLD: Duration = Duration::from_secs(1);
 
+// The fields of the interpreter's messages, after their kind: `BANNER STATE UPTIME`, `TOPS TAG GAUGE...`,
+// `VALUE NOTICE TXN COMPLETION`, `AWAIT NOTICE TXN`, `TRACE NOTICE ...` and `ERROR COMMAND TXN`.
+const BANNER_STATE_FIELD: usize = 1;
+const UPTIME_FIELD: usize = 2;
+const TAG_FIELD: usize = 1;
+const FIRST_GAUGE_FIELD: usize = 2;
+const NOTICE_FIELD: usize = 1;
+const COMMAND_FIELD: usize = 1;
+const TXN_FIELD: usize = 2;
+const COMPLETION_FIELD: usize = 3;
+
 /// Why a link ended that did not break.
 enum LinkEnd {
     /// No more commands can come.
@@ -117,7 +128,8 @@
 
     async fn run_link(&mut self, mut link: LineConnection) -> io::Result<LinkEnd> {
         encode(&mut link.output, &[b"CONNECT", self.last_notice.to_string().as_bytes()], None);
-        let (mut is_synced, mut incomplete_since) = (false, None);
+        let mut is_synced = false;
+        let mut incomplete_since = None;
         loop {
             while let Some(message) = line_codec::decode(&mut link.input, has_body)? {
                 incomplete_since = None;
@@ -157,10 +169,13 @@
     async fn process_message(&mut self, message: Message, output: &mut BytesMut) -> io::Result<bool> {
         match &message.field(0)[..] {
             b"BANNER" => self.process_banner(&message, output).await?,
-            b"TOPS" if message.field(1) == FENCE_TAG => return Ok(true),
-            b"TOPS" => self.exchange.report(BackendEvent::Gauges(message.numeric_fields(2)?)).await,
+            b"TOPS" if message.field(TAG_FIELD) == FENCE_TAG => return Ok(true),
+            b"TOPS" => {
+                let gauges = message.numeric_fields(FIRST_GAUGE_FIELD)?;
+                self.exchange.report(BackendEvent::Gauges(gauges)).await;
+            }
             b"VALUE" | b"AWAIT" | b"TRACE" => {
-                let notice: u64 = message.numeric_field(1)?;
+                let notice: u64 = message.numeric_field(NOTICE_FIELD)?;
                 if notice > self.last_notice {
                     self.last_notice = notice;
                     self.process_notice(notice, message).await?;
@@ -174,13 +189,13 @@
 
     /// Processes the first message on a link, which states whether and for how long the interpreter has been up.
     async fn process_banner(&mut self, message: &Message, output: &mut BytesMut) -> io::Result<()> {
-        let cold = match &message.field(1)[..] {
+        let cold = match &message.field(BANNER_STATE_FIELD)[..] {
             b"fresh" => true,
             b"seasoned" => false,
             _ => return Err(message.protocol_error().into()),
         };
         // A clock that was set ahead meanwhile does not make the start of the interpreter a later one.
-        let uptime = Duration::from_millis(message.numeric_field(2)?);
+        let uptime = Duration::from_millis(message.numeric_field(UPTIME_FIELD)?);
         let started_at = clock::now().saturating_sub(clock::stepped_ahead() + uptime);
         if self.started_at.is_some_and(|known| started_at > known + RESTART_THRESHOLD) {
             self.process_restart().await;
@@ -202,7 +217,7 @@
 
     /// Processes what the interpreter says of a run.
     async fn process_notice(&mut self, notice: u64, message: Message) -> io::Result<()> {
-        let txn = message.field(2);
+        let txn = message.field(TXN_FIELD);
         let body = message.body.clone().unwrap_or_default();
         match &message.field(0)[..] {
             b"VALUE" => {
@@ -221,8 +236,8 @@
 
     /// Processes a command that was not carried out. A run that was not started ends here: its client waits for it.
     async fn process_error(&mut self, message: &Message) {
-        let command = message.field(1);
-        let txn = message.field(2);
+        let command = message.field(COMMAND_FIELD);
+        let txn = message.field(TXN_FIELD);
         log!("interpreter: command rejected: command={command:?} txn={txn:?}");
         if command == "APPLY" && self.runs.remove(&txn) {
             self.exchange.report(BackendEvent::Ended(txn, Completion::NeverStarted)).await;
@@ -239,7 +254,7 @@
 }
 
 fn decode_completion(message: &Message, result: Bytes) -> Result<Completion, ProtocolError> {
-    match &message.field(3)[..] {
+    match &message.field(COMPLETION_FIELD)[..] {
         b"done" => Ok(Completion::Succeeded(result)),
         b"crashed" => Ok(Completion::Failed),
         b"aborted" => Ok(Completion::Cancelled),
--- a/node/src/backend/interpreter/runs.rs
+++ b/node/src/backend/interpreter/runs.rs
@@ -57,7 +57,8 @@
     /// Records that a run waits for a call since this notice.
     pub(super) fn await_call(&mut self, txn: &TransactionId, notice: u64) {
         if let Some(run) = self.runs.get_mut(txn) {
-            (run.call_notice, run.call_result) = (notice, None);
+            run.call_notice = notice;
+            run.call_result = None;
         }
     }
 
--- a/node/src/backend/uwsgi.rs
+++ b/node/src/backend/uwsgi.rs
@@ -22,11 +22,11 @@
 use crate::exchange::{BackendEvent, CallOutcome, Completion, Exchange, Request, RunCommand};
 use crate::log;
 use crate::sockets;
-use crate::uwsgi::encode_packet;
+use crate::uwsgi::{encode_packet, Variable};
 use response::{read_response, ServerOutcome};
 
 /// A run is left alone this long after its deadline: its result may still serve a later attempt.
-const LATE_RESULT_GRACE: Duration = Duration::from_secs(10);
+const RESULT_GRACE: Duration = Duration::from_secs(10);
 
 /// Selects the addresses of the servers from those of all backends.
 pub(crate) type SelectAddresses = fn(&UpstreamAddresses) -> &Vec<SocketAddr>;
@@ -95,19 +95,20 @@
     fn encode(&self, request: &Request, body_length: usize, deadline: UnixTime) -> Option<BytesMut> {
         let path = format!("/{}", self.registry.class_name(request.class));
         let tenant = self.registry.tenant_name(request.tenant);
-        let (length, deadline_ms) = (body_length.to_string(), deadline.as_millis().to_string());
-        let mut variables: Vec<(&str, &[u8])> = vec![
-            ("REQUEST_METHOD", b"POST"),
-            ("REQUEST_URI", path.as_bytes()),
-            ("PATH_INFO", path.as_bytes()),
-            ("QUERY_STRING", b""),
-            ("SERVER_PROTOCOL", b"HTTP/1.1"),
-            ("CONTENT_LENGTH", length.as_bytes()),
-            ("HTTP_X_REQUEST_ID", &request.txn),
-            ("HTTP_X_DEADLINE", deadline_ms.as_bytes()),
+        let length = body_length.to_string();
+        let deadline_ms = deadline.as_millis().to_string();
+        let mut variables = vec![
+            Variable::new("REQUEST_METHOD", b"POST"),
+            Variable::new("REQUEST_URI", path.as_bytes()),
+            Variable::new("PATH_INFO", path.as_bytes()),
+            Variable::new("QUERY_STRING", b""),
+            Variable::new("SERVER_PROTOCOL", b"HTTP/1.1"),
+            Variable::new("CONTENT_LENGTH", length.as_bytes()),
+            Variable::new("HTTP_X_REQUEST_ID", &request.txn),
+            Variable::new("HTTP_X_DEADLINE", deadline_ms.as_bytes()),
         ];
-        variables.extend(request.key.as_ref().map(|key| ("HTTP_IDEMPOTENCY_KEY", &key[..])));
-        variables.extend(tenant.as_ref().map(|tenant| ("HTTP_X_TENANT", tenant.as_bytes())));
+        variables.extend(request.key.as_ref().map(|key| Variable::new("HTTP_IDEMPOTENCY_KEY", key)));
+        variables.extend(tenant.as_ref().map(|tenant| Variable::new("HTTP_X_TENANT", tenant.as_bytes())));
         encode_packet(&variables)
     }
 }
@@ -132,8 +133,9 @@
             command = commands.recv() => match command {
                 None => return,
                 Some(RunCommand::Run(request)) => {
-                    let (txn, body) = (request.txn.clone(), request.body.clone());
-                    let deadline = request.deadline + LATE_RESULT_GRACE;
+                    let txn = request.txn.clone();
+                    let body = request.body.clone();
+                    let deadline = request.deadline + RESULT_GRACE;
                     let run = servers.clone().send(request, body, deadline);
                     runs.start(txn, deadline, run, ServerOutcome::Unreachable);
                 }
@@ -145,8 +147,8 @@
                 // These servers make their own calls, and nobody measures their cores.
                 Some(RunCommand::Resolve { .. } | RunCommand::Skip(_) | RunCommand::Gauges) => {}
             },
-            (txn, outcome) = runs.next() => {
-                exchange.report(BackendEvent::Ended(txn, completion(outcome))).await;
+            ended = runs.next() => {
+                exchange.report(BackendEvent::Ended(ended.txn, completion(ended.outcome))).await;
             }
         }
     }
--- a/node/src/backend/uwsgi/response.rs
+++ b/node/src/backend/uwsgi/response.rs
@@ -2,6 +2,7 @@
 
 use std::io;
 use std::num::ParseIntError;
+use std::ops::RangeInclusive;
 use std::str::Utf8Error;
 
 use bytes::{Bytes, BytesMut};
@@ -9,10 +10,16 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 
-use crate::http::{MAX_HEADER_FIELDS, MAX_HEAD_BYTES};
+use crate::http::{Status, MAX_HEADER_FIELDS, MAX_HEAD_BYTES};
 
 /// Longest body of a response, in bytes.
 const MAX_BODY_BYTES: usize = 256 * 1024;
+/// The status codes of a result.
+const SUCCESS_CODES: RangeInclusive<u16> = 200..=299;
+/// With Retry-After: the server did not start.
+const SERVICE_UNAVAILABLE: u16 = Status::SERVICE_UNAVAILABLE.code;
+/// The time ran out at the server.
+const GATEWAY_TIMEOUT: u16 = Status::GATEWAY_TIMEOUT.code;
 /// Initial capacity of the read buffer, in bytes.
 const READ_BUFFER_BYTES: usize = 8 * 1024;
 
@@ -100,8 +107,8 @@
     input.truncate(length);
     Ok(match head.status {
         status if is_success(status) => ServerOutcome::Succeeded(input.freeze()),
-        503 if head.has_retry_after => ServerOutcome::Rejected,
-        504 => ServerOutcome::TimedOut,
+        SERVICE_UNAVAILABLE if head.has_retry_after => ServerOutcome::Rejected,
+        GATEWAY_TIMEOUT => ServerOutcome::TimedOut,
         _ => ServerOutcome::Failed,
     })
 }
@@ -114,7 +121,7 @@
 }
 
 fn is_success(status: u16) -> bool {
-    (200..=299).contains(&status)
+    SUCCESS_CODES.contains(&status)
 }
 
 /// Decodes the head of a response; none while it is incomplete.
--- a/node/src/class_registry.rs
+++ b/node/src/class_registry.rs
@@ -61,7 +61,7 @@
     }
 
     /// Whether the requests of a class carry an idempotency key.
-    pub(crate) fn is_keyed(&self, class: ClassId) -> bool {
+    pub(crate) fn requires_key(&self, class: ClassId) -> bool {
         self.class_setting(class, |class| class.effect == Effect::IdempotencyKey).unwrap_or(false)
     }
 
--- a/node/src/class_registry/tests.rs
+++ b/node/src/class_registry/tests.rs
@@ -22,7 +22,7 @@
         (None, Some(ClassId(1)))
     );
     assert_eq!(
-        (registry.class_name(ClassId(0)), registry.is_keyed(ClassId(0))),
+        (registry.class_name(ClassId(0)), registry.requires_key(ClassId(0))),
         ("book".into(), true),
         "open requests keep it"
     );
--- a/node/src/commands/tables.rs
+++ b/node/src/commands/tables.rs
@@ -10,10 +10,14 @@
 /// Between two columns.
 const COLUMN_GAP: &str = "  ";
 
-const NODE_HEADINGS: [&str; 6] =
+const NODE_COLUMNS: usize = 6;
+const NODE_HEADINGS: [&str; NODE_COLUMNS] =
     ["node", "records", "from, to (Unix ms)", "dropped", "ended without a word", "chain"];
-const VERSION_HEADINGS: [&str; 7] = ["version", "id", "first used", "by", "nodes", "decisions", "replaced"];
-const ATTEMPT_HEADINGS: [&str; 9] =
+const VERSION_COLUMNS: usize = 7;
+const VERSION_HEADINGS: [&str; VERSION_COLUMNS] =
+    ["version", "id", "first used", "by", "nodes", "decisions", "replaced"];
+const ATTEMPT_COLUMNS: usize = 9;
+const ATTEMPT_HEADINGS: [&str; ATTEMPT_COLUMNS] =
     ["at (Unix ms)", "node", "did", "txn", "key", "class", "settings", "list", "program"];
 
 /// An audit's report: a table of nodes, a table of versions, and a line for each finding.
@@ -35,7 +39,7 @@
     text + "\n"
 }
 
-fn node_row(node: &JournalSummary) -> [String; 6] {
+fn node_row(node: &JournalSummary) -> [String; NODE_COLUMNS] {
     let span = node.span.map(|(from, until)| format!("{from} to {until}"));
     let chain = if node.breaks.is_empty() { "whole".into() } else { node.breaks.join("; ") };
     [
@@ -48,7 +52,7 @@
     ]
 }
 
-fn version_row(version: &VersionUse) -> [String; 7] {
+fn version_row(version: &VersionUse) -> [String; VERSION_COLUMNS] {
     let replaced = version.replaced.as_ref().map(|(at, by)| format!("{at} by {by}"));
     [
         version.kind.to_string().to_lowercase(),
@@ -85,7 +89,7 @@
 }
 
 /// The row of a decision; none if the record is no decision.
-fn attempt_row(node: &str, record: &Record) -> Option<[String; 9]> {
+fn attempt_row(node: &str, record: &Record) -> Option<[String; ATTEMPT_COLUMNS]> {
     let Record::Attempt { at, decision, txn, key, class, versions } = record else { return None };
     let has_membership = versions.config.0 != 0;
     let membership = if has_membership { versions.config.to_string() } else { NO_VALUE.into() };
--- a/node/src/config/fleet.rs
+++ b/node/src/config/fleet.rs
@@ -195,6 +195,6 @@
             window: Duration::from_millis(raw.window_ms),
             members: members.collect::<Result<_, ConfigError>>()?,
         };
-        MembershipConfig::new(spec).map_err(|e| ConfigError::Malformed(format!("fleet file, {e}")))
+        MembershipConfig::new(spec).map_err(|error| ConfigError::Malformed(format!("fleet file, {error}")))
     }
 }
--- a/node/src/config/missing_keys.rs
+++ b/node/src/config/missing_keys.rs
@@ -8,14 +8,14 @@
     match (before, after) {
         (Value::Object(before), Value::Object(after)) => {
             let missing = before.iter().flat_map(|(key, old)| match after.get(key) {
-                Some(new) => below(key, missing_keys(old, new)),
+                Some(new) => with_prefix(key, missing_keys(old, new)),
                 None => vec![key.clone()],
             });
             missing.collect()
         }
         (Value::Array(before), Value::Array(after)) => {
             let members = after.iter().enumerate();
-            members.flat_map(|(i, new)| below(&i.to_string(), missing_in_every(before, new))).collect()
+            members.flat_map(|(i, new)| with_prefix(&i.to_string(), missing_in_every(before, new))).collect()
         }
         (Value::Object(_) | Value::Array(_), _) => vec![String::new()],
         _ => Vec::new(),
@@ -30,7 +30,7 @@
 }
 
 /// Puts a key before paths; an empty path stands for the key itself.
-fn below(key: &str, paths: Vec<String>) -> Vec<String> {
+fn with_prefix(key: &str, paths: Vec<String>) -> Vec<String> {
     let join = |path: String| if path.is_empty() { key.to_string() } else { format!("{key}.{path}") };
     paths.into_iter().map(join).collect()
 }
--- a/node/src/config/node.rs
+++ b/node/src/config/node.rs
@@ -13,6 +13,7 @@
 use super::missing_keys::missing_keys;
 use super::parse::{parse_address, read_text, MEBIBYTE};
 use super::upstreams::UpstreamAddresses;
+use crate::hexadecimal;
 
 /// The fewest descriptors that a node can work with.
 const MIN_DESCRIPTORS: usize = 32;
@@ -93,19 +94,16 @@
     pub(crate) fn parse(text: &str) -> Result<Self, ConfigError> {
         let raw = parse_json(text)?;
         let settings = parse_settings(raw.settings)?;
-        let json = serde_json::from_str(text).map_err(|e| ConfigError::malformed(&e))?;
+        let json = serde_json::from_str(text).map_err(|error| ConfigError::malformed(&error))?;
         let seed = parse_seed(&raw.seed)?;
         check_descriptors(raw.limits.sockets)?;
-        let optional_address = |key: &str, text: &Option<String>| {
-            text.as_deref().map(|text| parse_address(key, text)).transpose()
-        };
         Ok(NodeConfig {
             listen: parse_address("listen", &raw.listen)?,
-            ops: optional_address("ops", &raw.ops)?,
+            ops: parse_optional_address("ops", raw.ops.as_deref())?,
             upstreams: UpstreamAddresses {
-                interpreter: optional_address("vm", &raw.vm)?,
-                membership_service: optional_address("members", &raw.members)?,
-                index: optional_address("index", &raw.index)?,
+                interpreter: parse_optional_address("vm", raw.vm.as_deref())?,
+                membership_service: parse_optional_address("members", raw.members.as_deref())?,
+                index: parse_optional_address("index", raw.index.as_deref())?,
                 uwsgi_run_servers: Vec::new(),
                 uwsgi_call_servers: Vec::new(),
             },
@@ -134,10 +132,15 @@
     }
 }
 
+/// An address that may be left out.
+fn parse_optional_address(key: &str, text: Option<&str>) -> Result<Option<SocketAddr>, ConfigError> {
+    text.map(|text| parse_address(key, text)).transpose()
+}
+
 fn parse_json(text: &str) -> Result<RawNodeConfig<'_>, ConfigError> {
     let mut json = serde_json::Deserializer::from_str(text);
-    let raw = serde_path_to_error::deserialize(&mut json).map_err(|e| malformed_json(&e))?;
-    json.end().map_err(|e| ConfigError::malformed(&e))?;
+    let raw = serde_path_to_error::deserialize(&mut json).map_err(|error| malformed_json(&error))?;
+    json.end().map_err(|error| ConfigError::malformed(&error))?;
     Ok(raw)
 }
 
@@ -148,7 +151,7 @@
 }
 
 fn parse_settings(raw: &RawValue) -> Result<Parsed, ConfigError> {
-    let parsed = oakwind_settings::parse(raw.get()).map_err(|e| ConfigError::malformed(&e))?;
+    let parsed = oakwind_settings::parse(raw.get()).map_err(|error| ConfigError::malformed(&error))?;
     let classes = &parsed.settings.classes;
     if parsed.classes.is_empty() {
         return Err(ConfigError::inconsistent("settings.services", "names no class"));
@@ -167,7 +170,7 @@
 }
 
 fn parse_seed(text: &str) -> Result<u64, ConfigError> {
-    u64::from_str_radix(text, 16).map_err(|_| ConfigError::Invalid {
+    hexadecimal::parse(text).ok_or_else(|| ConfigError::Invalid {
         key: "seed".into(),
         value: text.into(),
         expected: "hexadecimal",
--- a/node/src/config/parse.rs
+++ b/node/src/config/parse.rs
@@ -22,13 +22,14 @@
     file: &'static str,
     text: &'a str,
 ) -> Result<T, ConfigError> {
-    let malformed = |key: String, e: &toml::de::Error| {
-        let line = e.span().map_or(0, |span| line_at(text, span.start));
-        let message = first_line(&e.message());
+    let malformed = |key: String, error: &toml::de::Error| {
+        let line = error.span().map_or(0, |span| line_at(text, span.start));
+        let message = first_line(&error.message());
         ConfigError::MalformedOperatorsFile { file, line, key, message }
     };
-    let table = toml::Deserializer::parse(text).map_err(|e| malformed(String::new(), &e))?;
-    serde_path_to_error::deserialize(table).map_err(|e| malformed(format!(", {}", e.path()), e.inner()))
+    let table = toml::Deserializer::parse(text).map_err(|error| malformed(String::new(), &error))?;
+    serde_path_to_error::deserialize(table)
+        .map_err(|error| malformed(format!(", {}", error.path()), error.inner()))
 }
 
 /// The number, from 1, of the line that a byte of a text is on.
--- a/node/src/config/upstreams.rs
+++ b/node/src/config/upstreams.rs
@@ -17,22 +17,32 @@
     pub(crate) uwsgi_call_servers: Vec<SocketAddr>,
 }
 
+/// How many kinds of services there are.
+const UPSTREAM_KINDS: usize = 5;
+
+/// A kind of service, and whether none is configured.
+#[derive(PartialEq)]
+struct UpstreamKind {
+    key: &'static str,
+    is_absent: bool,
+}
+
 impl UpstreamAddresses {
     /// The key of the first kind of service that is configured here and was not at the start, or the other way round. A
     /// running node cannot take that over, only other addresses.
     pub(crate) fn first_incompatible_key(&self, at_start: &UpstreamAddresses) -> Option<&'static str> {
         let kinds = self.kinds().into_iter().zip(at_start.kinds());
-        kinds.into_iter().find(|(new, old)| new != old).map(|(new, _)| new.0)
+        kinds.into_iter().find(|(new, old)| new != old).map(|(new, _)| new.key)
     }
 
-    /// For each kind of service its key and whether it is absent.
-    fn kinds(&self) -> [(&'static str, bool); 5] {
+    /// All kinds of services.
+    fn kinds(&self) -> [UpstreamKind; UPSTREAM_KINDS] {
         [
-            ("runs", self.uwsgi_run_servers.is_empty()),
-            ("vm", self.interpreter.is_none()),
-            ("calls", self.uwsgi_call_servers.is_empty()),
-            ("index", self.index.is_none()),
-            ("members", self.membership_service.is_none()),
+            UpstreamKind { key: "runs", is_absent: self.uwsgi_run_servers.is_empty() },
+            UpstreamKind { key: "vm", is_absent: self.interpreter.is_none() },
+            UpstreamKind { key: "calls", is_absent: self.uwsgi_call_servers.is_empty() },
+            UpstreamKind { key: "index", is_absent: self.index.is_none() },
+            UpstreamKind { key: "members", is_absent: self.membership_service.is_none() },
         ]
     }
 }
--- a/node/src/config/uwsgi.rs
+++ b/node/src/config/uwsgi.rs
@@ -1,6 +1,7 @@
 //! The operators' file of the uwsgi frontend, with the servers behind it and its virtual router.
 
 use std::net::{Ipv4Addr, SocketAddr};
+use std::ops::RangeInclusive;
 use std::path::Path;
 use std::time::Duration;
 
@@ -9,6 +10,10 @@
 use super::error::ConfigError;
 use super::parse::{check_range, parse_address, parse_addresses, parse_operators_file, read_text};
 
+/// The numbers that a virtual router may have (RFC 9568, section 5.2.3).
+const VRID_RANGE: RangeInclusive<u64> = 1..=255;
+/// 0 is what an advertisement says when the active node gives the role up.
+const PRIORITY_RANGE: RangeInclusive<u64> = 1..=255;
 const DEFAULT_PRIORITY: u8 = 100;
 const DEFAULT_INTERVAL_MS: u64 = 1000;
 /// The unit of the interval between two advertisements.
@@ -118,9 +123,8 @@
     type Error = ConfigError;
 
     fn try_from(raw: RawVrrp) -> Result<Self, ConfigError> {
-        check_range("uwsgi file, vrrp.vrid", raw.vrid.into(), 1..=255)?;
-        // 0 is what an advertisement says when the active node gives the role up.
-        check_range("uwsgi file, vrrp.priority", raw.priority.into(), 1..=255)?;
+        check_range("uwsgi file, vrrp.vrid", raw.vrid.into(), VRID_RANGE)?;
+        check_range("uwsgi file, vrrp.priority", raw.priority.into(), PRIORITY_RANGE)?;
         let interval_key = "uwsgi file, vrrp.interval_ms";
         check_range(interval_key, raw.interval_ms, CENTISECOND_MS..=MAX_INTERVAL_MS)?;
         if !raw.interval_ms.is_multiple_of(CENTISECOND_MS) {
--- a/node/src/dispatcher.rs
+++ b/node/src/dispatcher.rs
@@ -204,8 +204,12 @@
 
     fn update_drain_status(&self, now: UnixTime) {
         let accepting = self.closing_at().is_none_or(|at| now < at);
-        let drained = self.status().draining.is_some() && !self.attempts.iter().any(|it| self.is_awaited(it));
-        self.update_status(|status| (status.accepting, status.drained) = (accepting, drained));
+        let drained =
+            self.status().draining.is_some() && !self.attempts.iter().any(|attempt| self.is_awaited(attempt));
+        self.update_status(|status| {
+            status.accepting = accepting;
+            status.drained = drained;
+        });
     }
 
     /// Whether somebody waits for an attempt: its client, or a successor for the outcome of its key.
@@ -228,7 +232,7 @@
             DispatcherEvent::SetMaintenance(on) => self.update_status(|status| status.maintenance = on),
             DispatcherEvent::SetRecovering(on) => self.update_status(|status| status.recovering = on),
             DispatcherEvent::Reconfigure { settings, digest } => self.reconfigure(*settings, &digest),
-            DispatcherEvent::HandOver(updates) => self.begin_handover(updates),
+            DispatcherEvent::BeginHandover(updates) => self.begin_handover(updates),
             DispatcherEvent::SuccessorLost => self.successor_lost(),
             DispatcherEvent::StateReceived(state) => self.receive_state(state),
             DispatcherEvent::PredecessorDone => self.predecessor_done(),
@@ -253,7 +257,8 @@
         if self.admission.is_some() {
             return;
         }
-        let (settings, now) = (Settings { cold, ..admission_settings(&self.settings) }, clock::now());
+        let settings = Settings { cold, ..admission_settings(&self.settings) };
+        let now = clock::now();
         let warm_at = cold.then_some(now + settings.warm_up_time);
         self.admission = Some(Admission::new(settings, self.seed, now));
         self.update_status(|status| status.warm_at = warm_at);
--- a/node/src/dispatcher/calls.rs
+++ b/node/src/dispatcher/calls.rs
@@ -22,14 +22,15 @@
         }
     }
 
-    /// Makes the call that a run waits for, and gives it up at `until`.
-    pub(super) fn start_call(&mut self, id: RequestId, now: UnixTime, until: UnixTime) {
+    /// Makes the call that a run waits for, and gives it up at the deadline.
+    pub(super) fn start_call(&mut self, id: RequestId, now: UnixTime, deadline: UnixTime) {
         let Some(attempt) = self.attempts.get_mut(id) else { return };
         let Phase::AwaitingCall { started_at, body } = &attempt.phase else { return };
-        let (started_at, body) = (*started_at, body.clone());
+        let started_at = *started_at;
+        let body = body.clone();
         let request = attempt.request.clone();
         attempt.phase = Phase::Calling { started_at, called_at: now, body: body.clone() };
-        self.send_call_command(CallCommand::Call { request, body, until });
+        self.send_call_command(CallCommand::Call { request, body, deadline });
     }
 
     /// Lets a run go on without the call that it waits for.
@@ -47,7 +48,8 @@
         let Some(id) = self.attempts.id_of(txn) else { return };
         let Some(attempt) = self.attempts.get_mut(id) else { return };
         let Phase::Calling { started_at, called_at, body } = &attempt.phase else { return };
-        let (started_at, body) = (*started_at, body.clone());
+        let started_at = *started_at;
+        let body = body.clone();
         let took = clock::now().saturating_sub(*called_at);
         let outcome = match call_outcome {
             CallOutcome::Ok(reply) => {
--- a/node/src/dispatcher/tests.rs
+++ b/node/src/dispatcher/tests.rs
@@ -226,7 +226,7 @@
         node.submit(1, b"key", b"body").await;
         node.next_run().await;
         let (updates, mut transferred) = mpsc::channel(8);
-        node.exchange.hand_over(updates).await;
+        node.exchange.begin_handover(updates).await;
         let table = transferred.recv().await.unwrap();
         let record = &table.records[0];
         assert_eq!(
--- a/node/src/dispatcher/timers.rs
+++ b/node/src/dispatcher/timers.rs
@@ -13,10 +13,17 @@
 /// Gauges older than this are reported as unknown.
 const MAX_GAUGE_AGE: Duration = Duration::from_millis(500);
 
+/// A timer that has not fired. The one that fires first comes first in the order.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct PendingTimer {
+    fires_at: UnixTime,
+    timer: TimerId,
+}
+
 /// The pending timers and the latest gauges.
 #[derive(Default)]
 pub(super) struct Timers {
-    pending: BinaryHeap<Reverse<(UnixTime, TimerId)>>,
+    pending: BinaryHeap<Reverse<PendingTimer>>,
     gauges: Gauges,
     gauges_read_at: UnixTime,
     gauges_requested: bool,
@@ -24,8 +31,8 @@
 
 impl Timers {
     /// Has a timer fire at a point in time.
-    pub(super) fn schedule(&mut self, at: UnixTime, timer: TimerId) {
-        self.pending.push(Reverse((at, timer)));
+    pub(super) fn schedule(&mut self, fires_at: UnixTime, timer: TimerId) {
+        self.pending.push(Reverse(PendingTimer { fires_at, timer }));
     }
 
     /// When the next timer fires or gauges are to be requested for it, whichever comes first.
@@ -54,7 +61,7 @@
         let gauges = if is_fresh { self.gauges } else { Gauges::default() };
         let mut fired = Vec::new();
         while self.next_firing().is_some_and(|at| at <= now) {
-            let Some(Reverse((_, timer))) = self.pending.pop() else { break };
+            let Some(Reverse(PendingTimer { timer, .. })) = self.pending.pop() else { break };
             self.gauges_requested = false;
             fired.push(Event::Timer(timer, gauges));
         }
@@ -62,7 +69,7 @@
     }
 
     fn next_firing(&self) -> Option<UnixTime> {
-        self.pending.peek().map(|Reverse((at, _))| *at)
+        self.pending.peek().map(|Reverse(next)| next.fires_at)
     }
 }
 
--- a/node/src/exchange.rs
+++ b/node/src/exchange.rs
@@ -133,8 +133,8 @@
     }
 
     /// A successor process takes over. `updates` gets the whole state at first, then every change of it.
-    pub(crate) async fn hand_over(&self, updates: mpsc::Sender<HandoverState>) {
-        self.send(DispatcherEvent::HandOver(updates)).await;
+    pub(crate) async fn begin_handover(&self, updates: mpsc::Sender<HandoverState>) {
+        self.send(DispatcherEvent::BeginHandover(updates)).await;
     }
 
     /// The successor process has ended.
--- a/node/src/exchange/command.rs
+++ b/node/src/exchange/command.rs
@@ -37,7 +37,7 @@
         /// The body that the run gave.
         body: Bytes,
         /// When the call is given up.
-        until: UnixTime,
+        deadline: UnixTime,
     },
     /// Give up the call of a run.
     GiveUp(TransactionId),
--- a/node/src/exchange/event.rs
+++ b/node/src/exchange/event.rs
@@ -31,7 +31,7 @@
         digest: String,
     },
     /// A successor process takes over; the state of this one is sent to it here.
-    HandOver(mpsc::Sender<HandoverState>),
+    BeginHandover(mpsc::Sender<HandoverState>),
     /// The successor process has ended.
     SuccessorLost,
     /// The predecessor's state, or a change of it.
--- a/node/src/frontend/connection_limiter.rs
+++ b/node/src/frontend/connection_limiter.rs
@@ -138,7 +138,8 @@
     pub(crate) fn set_state(&self, state: ConnectionState) {
         if let Some(slot) = self.limiter.slots.borrow_mut().get_mut(&self.id) {
             if slot.state != state {
-                (slot.state, slot.since) = (state, clock::now());
+                slot.state = state;
+                slot.since = clock::now();
             }
             slot.is_evicted &= state < ConnectionState::Busy;
             if state < ConnectionState::Flushing {
--- a/node/src/frontend/jsonrpc/connection/requests.rs
+++ b/node/src/frontend/jsonrpc/connection/requests.rs
@@ -36,7 +36,8 @@
                 Ok(())
             }
             "withdraw" => {
-                let withdrawal = Withdrawal::decode(params).map_err(|e| e.in_reply_to(id.as_ref()))?;
+                let withdrawal =
+                    Withdrawal::decode(params).map_err(|error| error.in_reply_to(id.as_ref()))?;
                 self.withdraw(&withdrawal).await;
                 Ok(())
             }
@@ -63,7 +64,7 @@
             return Err(RpcError::invalid_request("the id is in use").without_id());
         }
         let request = request::decode(&self.registry, class, params, line);
-        let request = request.map_err(|e| e.in_reply_to(Some(&id)))?;
+        let request = request.map_err(|error| error.in_reply_to(Some(&id)))?;
         self.submit(id, request).await
     }
 
--- a/node/src/frontend/jsonrpc/message.rs
+++ b/node/src/frontend/jsonrpc/message.rs
@@ -35,7 +35,7 @@
 impl<'a> Message<'a> {
     /// Decodes a line.
     pub(super) fn decode(line: &'a Bytes) -> Result<Self, ErrorResponse> {
-        let envelope: Envelope = serde_json::from_slice(line).map_err(|e| match e.classify() {
+        let envelope: Envelope = serde_json::from_slice(line).map_err(|error| match error.classify() {
             Category::Data => RpcError::invalid_request("not a request").without_id(),
             _ => RpcError { code: ErrorCode::ParseError, message: "not JSON" }.without_id(),
         })?;
--- a/node/src/frontend/jsonrpc/request.rs
+++ b/node/src/frontend/jsonrpc/request.rs
@@ -65,7 +65,7 @@
 ) -> Result<Request, RpcError> {
     let params: Params = serde_json::from_str(params)
         .map_err(|_| RpcError::invalid_params("a field is missing or of another kind"))?;
-    let key = params.idempotency_key(registry.is_keyed(class), line)?;
+    let key = params.idempotency_key(registry.requires_key(class), line)?;
     params.check_ranges()?;
     let now = clock::now();
     // A clock that runs ahead must not make a request newer than what the key table knows.
@@ -91,8 +91,8 @@
 
 impl Params<'_> {
     /// The idempotency key, in classes whose requests carry one.
-    fn idempotency_key(&self, is_keyed: bool, line: &Bytes) -> Result<Option<Bytes>, RpcError> {
-        if !is_keyed {
+    fn idempotency_key(&self, requires_key: bool, line: &Bytes) -> Result<Option<Bytes>, RpcError> {
+        if !requires_key {
             return Ok(None);
         }
         match &self.key {
--- a/node/src/frontend/uwsgi/request.rs
+++ b/node/src/frontend/uwsgi/request.rs
@@ -141,7 +141,7 @@
 
     /// The idempotency key, in classes whose requests carry one.
     fn idempotency_key(&self, variables: &Variables, class: ClassId) -> Result<Option<Bytes>, RequestError> {
-        if !self.registry.is_keyed(class) {
+        if !self.registry.requires_key(class) {
             return Ok(None);
         }
         let Some(key) = variables.get("HTTP_IDEMPOTENCY_KEY").filter(|key| !key.is_empty()) else {
--- a/node/src/frontend/uwsgi/response.rs
+++ b/node/src/frontend/uwsgi/response.rs
@@ -4,7 +4,7 @@
 
 use super::request::RequestError;
 use crate::exchange::RequestOutcome;
-use crate::http;
+use crate::http::{self, Status};
 
 /// When a rejected client may try again, in seconds, where the decision does not say.
 const DEFAULT_RETRY_AFTER_SECONDS: u128 = 1;
@@ -13,25 +13,25 @@
 /// The response to a health check.
 pub(super) fn encode_health(healthy: bool) -> Bytes {
     if healthy {
-        encode(200, "OK", "", b"up\n")
+        encode(Status::OK, "", b"up\n")
     } else {
-        encode(503, "Service Unavailable", "Retry-After: 1\r\n", b"down\n")
+        encode(Status::SERVICE_UNAVAILABLE, "Retry-After: 1\r\n", b"down\n")
     }
 }
 
 /// The response to a packet that can't be served.
 pub(super) fn encode_error(error: RequestError) -> Bytes {
     match error {
-        RequestError::BadRequest(what) => encode(400, "Bad Request", "", what.as_bytes()),
-        RequestError::NotFound => encode(404, "Not Found", "", b"no such class"),
-        RequestError::TooLarge(what) => encode(413, "Content Too Large", "", what.as_bytes()),
+        RequestError::BadRequest(what) => encode(Status::BAD_REQUEST, "", what.as_bytes()),
+        RequestError::NotFound => encode(Status::NOT_FOUND, "", b"no such class"),
+        RequestError::TooLarge(what) => encode(Status::CONTENT_TOO_LARGE, "", what.as_bytes()),
     }
 }
 
 /// The response to a request.
 pub(super) fn encode_outcome(outcome: &RequestOutcome) -> Bytes {
     match outcome {
-        RequestOutcome::Served(result) => encode(200, "OK", "", result),
+        RequestOutcome::Served(result) => encode(Status::OK, "", result),
         RequestOutcome::Rejected { retry_after, give_up } => {
             // Whole seconds, rounded up: an attempt that comes early would be rejected again.
             let seconds = retry_after.map_or(DEFAULT_RETRY_AFTER_SECONDS, |after| {
@@ -39,15 +39,15 @@
             });
             let give_up = if *give_up { "X-Give-Up: 1\r\n" } else { "" };
             let fields = format!("Retry-After: {seconds}\r\n{give_up}");
-            encode(503, "Service Unavailable", &fields, b"not now\n")
+            encode(Status::SERVICE_UNAVAILABLE, &fields, b"not now\n")
         }
-        RequestOutcome::Failed { timed_out: false } => encode(500, "Internal Server Error", "", b"failed\n"),
-        RequestOutcome::Failed { timed_out: true } => encode(504, "Gateway Timeout", "", b"out of time\n"),
-        RequestOutcome::BodyMismatch => encode(400, "Bad Request", "", b"the key is that of another body\n"),
+        RequestOutcome::Failed { timed_out: false } => encode(Status::INTERNAL_SERVER_ERROR, "", b"failed\n"),
+        RequestOutcome::Failed { timed_out: true } => encode(Status::GATEWAY_TIMEOUT, "", b"out of time\n"),
+        RequestOutcome::BodyMismatch => encode(Status::BAD_REQUEST, "", b"the key is that of another body\n"),
     }
 }
 
-fn encode(status: u16, reason: &str, fields: &str, body: &[u8]) -> Bytes {
+fn encode(status: Status, fields: &str, body: &[u8]) -> Bytes {
     let fields = format!("Content-Type: application/octet-stream\r\n{fields}");
-    http::response(status, reason, &fields, body)
+    http::response(status, &fields, body)
 }
--- a/node/src/handover/message.rs
+++ b/node/src/handover/message.rs
@@ -4,6 +4,7 @@
 
 use bytes::{Bytes, BytesMut};
 
+use crate::hexadecimal;
 use crate::line_codec::{self, Message, ProtocolError, MAX_BODY};
 use crate::outcome::{BodyDigest, IdempotencyRecord, RunState};
 
@@ -16,6 +17,12 @@
 /// after it was asked.
 pub(super) const REPLY_TIMEOUT: Duration = Duration::from_secs(2);
 
+/// The fields of the predecessor's messages, after their kind.
+const NUMBER_FIELD: usize = 1;
+const EXPIRY_FIELD: usize = 2;
+const STATE_FIELD: usize = 3;
+const KEY_LENGTH_FIELD: usize = 4;
+
 /// What the predecessor sends.
 #[derive(Debug, PartialEq)]
 pub(super) enum PredecessorMessage {
@@ -41,29 +48,29 @@
     Ok(Some(decoded))
 }
 
-/// The hexadecimal number that follows the kind of a message.
+/// The hexadecimal number that follows the kind of a message: the seed, or the digest of a body.
 fn hexadecimal(message: &Message) -> Result<u64, ProtocolError> {
-    let word = message.field(1);
-    let text = std::str::from_utf8(&word).ok();
-    text.and_then(|text| u64::from_str_radix(text, 16).ok()).ok_or_else(|| message.protocol_error())
+    let digits = message.field(NUMBER_FIELD);
+    let number = std::str::from_utf8(&digits).ok().and_then(hexadecimal::parse);
+    number.ok_or_else(|| message.protocol_error())
 }
 
 fn decode_record(message: &Message) -> Result<IdempotencyRecord, ProtocolError> {
     let key_and_result = message.body.clone().unwrap_or_default();
-    let key_length: usize = message.numeric_field(4)?;
+    let key_length: usize = message.numeric_field(KEY_LENGTH_FIELD)?;
     if key_length > key_and_result.len() {
         return Err(message.protocol_error());
     }
     // What is stored outlives the buffer that it was read into.
     let key = Bytes::copy_from_slice(&key_and_result[..key_length]);
-    let state = match &message.field(3)[..] {
+    let state = match &message.field(STATE_FIELD)[..] {
         b"open" => RunState::Pending,
         b"done" => RunState::Succeeded(Bytes::copy_from_slice(&key_and_result[key_length..])),
         b"failed" => RunState::Failed,
         b"free" => RunState::NeverStarted,
         _ => return Err(message.protocol_error()),
     };
-    let expires_at = Duration::from_millis(message.numeric_field(2)?);
+    let expires_at = Duration::from_millis(message.numeric_field(EXPIRY_FIELD)?);
     Ok(IdempotencyRecord { key, body_digest: BodyDigest(hexadecimal(message)?), expires_at, state })
 }
 
--- a/node/src/handover/predecessor.rs
+++ b/node/src/handover/predecessor.rs
@@ -30,7 +30,7 @@
             }
         };
         loop {
-            match hand_over(&listener, &exchange).await {
+            match run_handover(&listener, &exchange).await {
                 HandoverOutcome::NotRequested => {}
                 HandoverOutcome::Superseded => {
                     return log!("handover: another process has taken over in turn")
@@ -56,7 +56,7 @@
 }
 
 /// Hands over to the next process that connects. Returns once it is known how that ended.
-pub(super) async fn hand_over(listener: &UnixListener, exchange: &Exchange) -> HandoverOutcome {
+pub(super) async fn run_handover(listener: &UnixListener, exchange: &Exchange) -> HandoverOutcome {
     let mut successor = match listener.accept().await {
         Ok((successor, _)) => successor,
         Err(error) => {
@@ -76,7 +76,7 @@
     }
     log!("handover: a successor takes over");
     let (updates, queued_updates) = mpsc::channel(MAX_QUEUED_UPDATES);
-    exchange.hand_over(updates).await;
+    exchange.begin_handover(updates).await;
     send_updates(&mut successor, queued_updates).await
 }
 
--- a/node/src/handover/successor.rs
+++ b/node/src/handover/successor.rs
@@ -39,7 +39,7 @@
     Protocol(#[from] ProtocolError),
     /// The predecessor ended before it had sent its whole table.
     #[error("the predecessor ended before its table was complete")]
-    EndedEarly,
+    PredecessorEnded,
     /// The predecessor did not send its whole table in time.
     #[error("the table was not complete within {REPLY_TIMEOUT:?}")]
     TimedOut,
@@ -81,8 +81,10 @@
     predecessor.write_all(TAKE_OVER).await?;
     let table_deadline = clock::now() + REPLY_TIMEOUT;
     let mut status = exchange.status();
-    let (mut input, mut received) = (BytesMut::new(), Received::default());
-    let (mut is_superseded, mut superseded_sent) = (false, false);
+    let mut input = BytesMut::new();
+    let mut received = Received::default();
+    let mut is_superseded = false;
+    let mut superseded_sent = false;
     loop {
         received.decode(&mut input)?;
         if let Some(state) = received.drain_ready(exchange) {
@@ -91,7 +93,7 @@
         tokio::select! {
             read = predecessor.read_buf(&mut input) => match read? {
                 0 if received.table_complete => return Ok(()),
-                0 => return Err(HandoverError::EndedEarly),
+                0 => return Err(HandoverError::PredecessorEnded),
                 _ => {}
             },
             handed_over = status.wait_for(|status| status.handed_over), if !is_superseded => {
--- a/node/src/handover/tests/golden.rs
+++ b/node/src/handover/tests/golden.rs
@@ -11,7 +11,7 @@
 
 use crate::exchange::{self, DispatcherEndpoints, DispatcherEvent, Endpoints, HandoverState};
 use crate::handover::message::{decode, encode, PredecessorMessage};
-use crate::handover::predecessor::{hand_over, HandoverOutcome};
+use crate::handover::predecessor::{run_handover, HandoverOutcome};
 use crate::handover::{socket_path, take_over};
 use crate::outcome::{BodyDigest, IdempotencyRecord, RunState};
 
@@ -144,11 +144,11 @@
         let Endpoints { exchange, mut dispatcher, backend: _backend } = exchange::new(false, false);
         let path = socket("old");
         let listener = UnixListener::bind(&path).unwrap();
-        let old = hand_over(&listener, &exchange);
+        let old = run_handover(&listener, &exchange);
         let new = async {
             let mut new = UnixStream::connect(&path).await.unwrap();
             new.write_all(&bytes(TAKE)).await.unwrap();
-            let DispatcherEvent::HandOver(updates) = next(&mut dispatcher).await else { panic!() };
+            let DispatcherEvent::BeginHandover(updates) = next(&mut dispatcher).await else { panic!() };
             updates
                 .send(HandoverState { digest_seed: THE_SEED, records: vec![open(), done()] })
                 .await
@@ -176,14 +176,14 @@
             let mut new = UnixStream::connect(&path).await.unwrap();
             new.write_all(&bytes(PASSED)).await.unwrap();
         };
-        assert_eq!(tokio::join!(hand_over(&listener, &exchange), new).0, HandoverOutcome::NotRequested);
+        assert_eq!(tokio::join!(run_handover(&listener, &exchange), new).0, HandoverOutcome::NotRequested);
         let new = async {
             let mut new = UnixStream::connect(&path).await.unwrap();
             new.write_all(&bytes(TAKE)).await.unwrap();
-            let DispatcherEvent::HandOver(updates) = next(&mut dispatcher).await else { panic!() };
+            let DispatcherEvent::BeginHandover(updates) = next(&mut dispatcher).await else { panic!() };
             updates
         };
-        assert_eq!(tokio::join!(hand_over(&listener, &exchange), new).0, HandoverOutcome::SuccessorEnded);
+        assert_eq!(tokio::join!(run_handover(&listener, &exchange), new).0, HandoverOutcome::SuccessorEnded);
         std::fs::remove_file(path).unwrap();
     });
 }
--- a/node/src/heartbeat.rs
+++ b/node/src/heartbeat.rs
@@ -25,13 +25,13 @@
     /// It drains and is to be dropped.
     Out,
     /// Nothing for now: a successor reports under the same name, or recovery is not far enough for clients.
-    Silent,
+    Paused,
 }
 
 impl Liveness {
     fn of(status: &NodeStatus) -> Self {
         if status.handed_over || (status.recovering && status.draining.is_none()) {
-            Liveness::Silent
+            Liveness::Paused
         } else if status.draining.is_some() {
             Liveness::Out
         } else {
@@ -54,8 +54,8 @@
         let word = match liveness {
             Liveness::Up => "UP",
             Liveness::Out => "OUT",
-            Liveness::Silent => {
-                if status.wait_for(|status| Liveness::of(status) != Liveness::Silent).await.is_err() {
+            Liveness::Paused => {
+                if status.wait_for(|status| Liveness::of(status) != Liveness::Paused).await.is_err() {
                     return;
                 }
                 continue;
--- a/node/src/heartbeat/tests.rs
+++ b/node/src/heartbeat/tests.rs
@@ -18,8 +18,8 @@
 fn a_node_reports_unless_it_recovers_or_a_successor_reports_under_its_name() {
     assert_eq!(Liveness::of(&status(|_| {})), Liveness::Up);
     assert_eq!(Liveness::of(&status(|status| status.maintenance = true)), Liveness::Up);
-    assert_eq!(Liveness::of(&status(|status| status.recovering = true)), Liveness::Silent);
-    assert_eq!(Liveness::of(&status(|status| status.handed_over = true)), Liveness::Silent);
+    assert_eq!(Liveness::of(&status(|status| status.recovering = true)), Liveness::Paused);
+    assert_eq!(Liveness::of(&status(|status| status.handed_over = true)), Liveness::Paused);
 }
 
 #[test]
@@ -34,5 +34,5 @@
         draining(status);
         status.handed_over = true;
     };
-    assert_eq!(Liveness::of(&status(handed_over)), Liveness::Silent);
+    assert_eq!(Liveness::of(&status(handed_over)), Liveness::Paused);
 }
--- a/node/src/http.rs
+++ b/node/src/http.rs
@@ -7,6 +7,45 @@
 /// Most header fields in a head.
 pub(crate) const MAX_HEADER_FIELDS: usize = 64;
 
+/// The version in the status line of responses.
+const VERSION: &str = "HTTP/1.1";
+
+/// The status of a response.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) struct Status {
+    /// The status code.
+    pub(crate) code: u16,
+    /// The reason phrase.
+    pub(crate) reason: &'static str,
+}
+
+impl Status {
+    /// The request was served.
+    pub(crate) const OK: Status = Status::new(200, "OK");
+    /// The request is malformed.
+    pub(crate) const BAD_REQUEST: Status = Status::new(400, "Bad Request");
+    /// There is nothing at the path.
+    pub(crate) const NOT_FOUND: Status = Status::new(404, "Not Found");
+    /// The path has no such method.
+    pub(crate) const METHOD_NOT_ALLOWED: Status = Status::new(405, "Method Not Allowed");
+    /// The request was not complete in time.
+    pub(crate) const REQUEST_TIMEOUT: Status = Status::new(408, "Request Timeout");
+    /// The request is too long.
+    pub(crate) const CONTENT_TOO_LARGE: Status = Status::new(413, "Content Too Large");
+    /// The head of the request is too long.
+    pub(crate) const HEADER_FIELDS_TOO_LARGE: Status = Status::new(431, "Request Header Fields Too Large");
+    /// The request failed.
+    pub(crate) const INTERNAL_SERVER_ERROR: Status = Status::new(500, "Internal Server Error");
+    /// The request is not served now.
+    pub(crate) const SERVICE_UNAVAILABLE: Status = Status::new(503, "Service Unavailable");
+    /// The request ran out of time.
+    pub(crate) const GATEWAY_TIMEOUT: Status = Status::new(504, "Gateway Timeout");
+
+    const fn new(code: u16, reason: &'static str) -> Self {
+        Status { code, reason }
+    }
+}
+
 /// The request line of a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Call {
@@ -33,11 +72,11 @@
 }
 
 /// A response after which the connection is closed. Each of the header `fields` ends in CR LF.
-pub(crate) fn response(status: u16, reason: &str, fields: &str, body: &[u8]) -> Bytes {
+pub(crate) fn response(status: Status, fields: &str, body: &[u8]) -> Bytes {
+    let Status { code, reason } = status;
     let length = body.len();
-    let head = format!(
-        "HTTP/1.1 {status} {reason}\r\nContent-Length: {length}\r\n{fields}Connection: close\r\n\r\n"
-    );
+    let head =
+        format!("{VERSION} {code} {reason}\r\nContent-Length: {length}\r\n{fields}Connection: close\r\n\r\n");
     [head.as_bytes(), body].concat().into()
 }
 
--- a/node/src/line_codec.rs
+++ b/node/src/line_codec.rs
@@ -22,8 +22,8 @@
 const READ_BUFFER_BYTES: usize = 64 * 1024;
 /// Free space that is kept in the read buffer for each read, in bytes.
 const READ_CHUNK_BYTES: usize = 16 * 1024;
-/// Bytes of an unknown line that an error message shows.
-const SHOWN_LINE_BYTES: usize = 80;
+/// Bytes of an unknown line that an error message quotes.
+const MAX_QUOTED_BYTES: usize = 80;
 /// Ends a line and a body.
 const CRLF: &[u8] = b"\r\n";
 
@@ -94,7 +94,7 @@
 
     /// The error that shows this message as one that was not expected.
     pub(crate) fn protocol_error(&self) -> ProtocolError {
-        let shown = &self.line[..self.line.len().min(SHOWN_LINE_BYTES)];
+        let shown = &self.line[..self.line.len().min(MAX_QUOTED_BYTES)];
         ProtocolError::Unexpected(shown.escape_ascii().to_string())
     }
 }
@@ -190,7 +190,7 @@
     /// Whether the connection is open and nothing has arrived on it, as far as is known without waiting.
     pub(crate) fn is_idle(&self) -> bool {
         let read = self.stream.try_read(&mut [0]);
-        self.input.is_empty() && read.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
+        self.input.is_empty() && read.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
     }
 
     /// Whether more may be added to the output.
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -12,6 +12,7 @@
 mod frontend;
 mod handover;
 mod heartbeat;
+mod hexadecimal;
 mod http;
 mod line_codec;
 mod log;
@@ -107,8 +108,8 @@
     match run(arguments.command) {
         Ok(Verdict::Good) => ExitCode::SUCCESS,
         Ok(Verdict::Bad) => ExitCode::FAILURE,
-        Err(e) => {
-            eprintln!("oakwind: {e}");
+        Err(error) => {
+            eprintln!("oakwind: {error}");
             ExitCode::FAILURE
         }
     }
--- a/node/src/result_store/record.rs
+++ b/node/src/result_store/record.rs
@@ -32,14 +32,11 @@
 }
 
 impl RecordState {
+    const ALL: [RecordState; 4] =
+        [RecordState::Started, RecordState::Succeeded, RecordState::Failed, RecordState::NeverStarted];
+
     fn from_code(code: u16) -> Option<RecordState> {
-        match code {
-            1 => Some(RecordState::Started),
-            2 => Some(RecordState::Succeeded),
-            3 => Some(RecordState::Failed),
-            4 => Some(RecordState::NeverStarted),
-            _ => None,
-        }
+        RecordState::ALL.into_iter().find(|state| *state as u16 == code)
     }
 }
 
--- a/node/src/result_store/segment.rs
+++ b/node/src/result_store/segment.rs
@@ -7,6 +7,7 @@
 
 use super::record::{Record, RecordHeader, HEADER_BYTES, RECORD_MAGIC};
 use crate::clock::{millis, UnixTime};
+use crate::hexadecimal;
 use crate::outcome::digest;
 
 /// Bytes of a segment before its first record.
@@ -115,7 +116,7 @@
 /// The number of the segment that a file name stands for, if it is one.
 pub(crate) fn segment_number(file_name: &str) -> Option<u64> {
     let digits = file_name.strip_prefix(FILE_PREFIX)?.strip_suffix(FILE_SUFFIX)?;
-    u64::from_str_radix(digits, 16).ok()
+    hexadecimal::parse(digits)
 }
 
 #[cfg(test)]
--- a/node/src/result_store/segment_index.rs
+++ b/node/src/result_store/segment_index.rs
@@ -16,6 +16,9 @@
 const SEGMENTS_PER_STORE: u64 = 16;
 /// Keys take up to this part of the store; the rest is left to compaction.
 const LIVE_SHARE: u64 = 2;
+/// The oldest segment is compacted once all together take more than three quarters of the store.
+const COMPACTION_NUMERATOR: u64 = 3;
+const COMPACTION_DENOMINATOR: u64 = 4;
 /// How often expired keys are looked for.
 const EXPIRY_SCAN_INTERVAL: Duration = Duration::from_secs(1);
 
@@ -32,9 +35,9 @@
         self.max_bytes / SEGMENTS_PER_STORE
     }
 
-    /// Above this length the oldest segment is compacted: three quarters of the limit.
+    /// Above this length the oldest segment is compacted.
     fn compaction_threshold(self) -> u64 {
-        self.max_bytes / 4 * 3
+        self.max_bytes / COMPACTION_DENOMINATOR * COMPACTION_NUMERATOR
     }
 }
 
--- a/node/src/server/capacity.rs
+++ b/node/src/server/capacity.rs
@@ -11,6 +11,13 @@
 /// Connections that are shared out even where `limits.sockets` leaves fewer.
 const MIN_CONNECTIONS: usize = 8;
 
+/// With a uwsgi frontend, JSON-RPC clients get half of the connections, uwsgi clients a quarter and each backend an eighth.
+const JSONRPC_DIVISOR: usize = 2;
+const UWSGI_DIVISOR: usize = 4;
+const BACKEND_DIVISOR: usize = 8;
+/// Without one, JSON-RPC clients get two of three shares and each backend one.
+const SHARES_WITHOUT_UWSGI: usize = 3;
+
 /// How many connections each side of the node may have at a time.
 #[derive(Debug)]
 pub(super) struct ConnectionCapacity {
@@ -31,12 +38,16 @@
         let connections = loaded.node.max_descriptors.saturating_sub(reserved).max(MIN_CONNECTIONS);
         if loaded.uwsgi.is_some() {
             ConnectionCapacity {
-                jsonrpc: connections / 2,
-                uwsgi: connections / 4,
-                per_backend: connections / 8,
+                jsonrpc: connections / JSONRPC_DIVISOR,
+                uwsgi: connections / UWSGI_DIVISOR,
+                per_backend: connections / BACKEND_DIVISOR,
             }
         } else {
-            ConnectionCapacity { jsonrpc: connections * 2 / 3, uwsgi: 0, per_backend: connections / 3 }
+            ConnectionCapacity {
+                jsonrpc: 2 * connections / SHARES_WITHOUT_UWSGI,
+                uwsgi: 0,
+                per_backend: connections / SHARES_WITHOUT_UWSGI,
+            }
         }
     }
 }
--- a/node/src/server/shutdown.rs
+++ b/node/src/server/shutdown.rs
@@ -1,6 +1,5 @@
 //! Signals, and the drain between the shutdown notice and the end of the process.
 
-use std::future::Future;
 use std::io;
 use std::time::Duration;
 
@@ -15,47 +14,50 @@
 
 /// The signals that a node handles.
 pub(super) struct Signals {
-    terminate: Signal,
-    interrupt: Signal,
+    /// The shutdown notice.
+    pub(super) shutdown: ShutdownSignals,
     /// SIGHUP: read the configuration files again.
     pub(super) hangup: Signal,
 }
 
+/// SIGTERM and SIGINT: either is the shutdown notice.
+pub(super) struct ShutdownSignals {
+    terminate: Signal,
+    interrupt: Signal,
+}
+
 impl Signals {
     /// Installs the handlers; without them each of the signals would end the process.
     pub(super) fn install() -> io::Result<Self> {
-        Ok(Signals {
-            terminate: signal(SignalKind::terminate())?,
-            interrupt: signal(SignalKind::interrupt())?,
-            hangup: signal(SignalKind::hangup())?,
-        })
+        let terminate = signal(SignalKind::terminate())?;
+        let interrupt = signal(SignalKind::interrupt())?;
+        let hangup = signal(SignalKind::hangup())?;
+        Ok(Signals { shutdown: ShutdownSignals { terminate, interrupt }, hangup })
     }
+}
 
-    /// Separates the shutdown notice, SIGTERM or SIGINT, from SIGHUP.
-    pub(super) fn split(self) -> (impl Future<Output = ()>, Signal) {
-        let Signals { mut terminate, mut interrupt, hangup } = self;
-        let shutdown = async move {
-            tokio::select! {
-                _ = terminate.recv() => {}
-                _ = interrupt.recv() => {}
-            }
-        };
-        (shutdown, hangup)
+impl ShutdownSignals {
+    /// Waits for the shutdown notice.
+    async fn received(&mut self) {
+        tokio::select! {
+            _ = self.terminate.recv() => {}
+            _ = self.interrupt.recv() => {}
+        }
     }
 }
 
 /// Waits for the shutdown notice and then drains the node. Returns once the process may end.
 pub(super) async fn drain_on_notice(
-    notice: impl Future<Output = ()>,
+    mut signals: ShutdownSignals,
     exchange: &Exchange,
     stop_after: Duration,
     limiters: [&ConnectionLimiter; 2],
 ) {
-    notice.await;
+    signals.received().await;
     let stop_at = clock::now() + stop_after;
     exchange.drain(stop_at).await;
     tokio::select! {
-        () = exit_early(exchange, stop_at, limiters) => {}
+        () = flushed_before_stop(exchange, stop_at, limiters) => {}
         () = all_closed(exchange, limiters) => {}
     }
 }
@@ -70,7 +72,11 @@
 
 /// Waits until shortly before the process is stopped, and then until every response is written: idle connections need
 /// not end by themselves, but a response that is still to be written does not get lost.
-async fn exit_early(exchange: &Exchange, stop_at: UnixTime, [jsonrpc, uwsgi]: [&ConnectionLimiter; 2]) {
+async fn flushed_before_stop(
+    exchange: &Exchange,
+    stop_at: UnixTime,
+    [jsonrpc, uwsgi]: [&ConnectionLimiter; 2],
+) {
     let mut status = exchange.status();
     clock::until(stop_at.saturating_sub(EXIT_MARGIN)).await;
     let drained = status.wait_for(|status| status.drained).await;
--- a/node/src/server/startup.rs
+++ b/node/src/server/startup.rs
@@ -53,10 +53,19 @@
     is_upgrade: bool,
 }
 
+/// The result store at the start of a process.
+#[derive(Default)]
+struct StartingStore {
+    /// None if none is configured.
+    store: Option<ResultStore>,
+    /// What it has from earlier processes; none if there is no store, or the predecessor still has it.
+    recovered: Option<HandoverState>,
+}
+
 /// Runs a node until it has drained.
 pub(super) async fn run(files: &ConfigFiles, loaded: Configuration) -> Result<(), StartupError> {
     // Comes first: a signal without a handler ends the process.
-    let (shutdown_notice, hangup) = Signals::install().map_err(StartupError::Signals)?.split();
+    let Signals { shutdown, hangup } = Signals::install().map_err(StartupError::Signals)?;
     let handover_socket = handover::socket_path(loaded.node.listen);
     let is_upgrade = handover::has_predecessor(handover_socket.as_deref()).await;
     // A process that takes over is as far in its recovery as its predecessor was.
@@ -93,7 +102,7 @@
         fleet_events,
     };
     tokio::select! {
-        () = drain_on_notice(shutdown_notice, &node.exchange, node.config.stop_timeout, limiters) => {}
+        () = drain_on_notice(shutdown, &node.exchange, node.config.stop_timeout, limiters) => {}
         () = reloader.run() => {}
         () = share_during_upgrade(&node.exchange, limiters) => {}
         failed = node.serve_clients(active) => return failed.map(|never| match never {}),
@@ -132,7 +141,8 @@
     /// Starts what runs requests, the interpreter or uwsgi servers, and what takes their calls, the index or uwsgi
     /// servers.
     fn start_backends(&self, endpoints: BackendEndpoints) {
-        let (addresses, exchange) = (&self.upstream_addresses, &self.exchange);
+        let addresses = &self.upstream_addresses;
+        let exchange = &self.exchange;
         let connections = self.backend_connections;
         let initial = addresses.borrow().clone();
         if initial.uwsgi_run_servers.is_empty() {
@@ -169,8 +179,9 @@
         let config = &self.config;
         let result_memory = config.max_memory_bytes / RESULT_MEMORY_DIVISOR;
         let mut dispatcher = Dispatcher::new(endpoints, config.settings.clone(), config.seed, result_memory);
-        let (store, restored) = self.open_result_store(result_store)?.unzip();
-        let (mut peers, mut fleet_events) = (None, None);
+        let StartingStore { store, recovered } = self.open_result_store(result_store)?;
+        let mut peers = None;
+        let mut fleet_events = None;
         if let Some(fleet) = fleet {
             let (handle, driver) = peers::new(fleet, config.seed, self.is_upgrade, self.exchange.clone())
                 .map_err(StartupError::Peers)?;
@@ -178,7 +189,7 @@
             peers = Some(handle);
             spawn_local(driver.run());
         }
-        dispatcher.set_run_gate(RunGate::new(store, peers), restored.flatten());
+        dispatcher.set_run_gate(RunGate::new(store, peers), recovered);
         if let Some(log_config) = decision_log {
             let settings_digest = settings_digest(&config.json["settings"]);
             let log = DecisionLog::start(&log_config, &config.name, settings_digest)
@@ -194,15 +205,15 @@
     fn open_result_store(
         &self,
         store_config: Option<config::ResultStoreConfig>,
-    ) -> Result<Option<(ResultStore, Option<HandoverState>)>, StartupError> {
-        let Some(store_config) = store_config else { return Ok(None) };
+    ) -> Result<StartingStore, StartupError> {
+        let Some(store_config) = store_config else { return Ok(StartingStore::default()) };
         let mut store = ResultStore::closed(store_config, self.config.max_idempotency_window());
         if self.is_upgrade {
-            return Ok(Some((store, None)));
+            return Ok(StartingStore { store: Some(store), recovered: None });
         }
         let recovered = store.open().map_err(StartupError::ResultStore)?;
-        let restored = HandoverState { digest_seed: recovered.seed, records: recovered.keys };
-        Ok(Some((store, Some(restored))))
+        let recovered = HandoverState { digest_seed: recovered.seed, records: recovered.keys };
+        Ok(StartingStore { store: Some(store), recovered: Some(recovered) })
     }
 
     /// Opens the frontends, reports to the membership service, and takes part in upgrades in place. Returns only where
@@ -249,7 +260,8 @@
             shared: self.shares_listeners(),
             active: always_active(),
         };
-        let (exchange, registry) = (self.exchange.clone(), self.registry.clone());
+        let exchange = self.exchange.clone();
+        let registry = self.registry.clone();
         let serve = move |stream, guard| jsonrpc::serve(stream, guard, exchange.clone(), registry.clone());
         let limiter = self.jsonrpc_limiter.clone();
         spawn_local(frontend.run(Some(listener), self.exchange.clone(), limiter, serve));
--- a/node/src/test_support.rs
+++ b/node/src/test_support.rs
@@ -1,5 +1,7 @@
 //! What several unit tests share: bytes in hexadecimal, as golden tests have them.
 
+use crate::hexadecimal;
+
 /// Bytes as hexadecimal digits.
 pub(crate) fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
@@ -7,5 +9,6 @@
 
 /// The bytes that hexadecimal digits stand for.
 pub(crate) fn bytes(hex: &str) -> Vec<u8> {
-    (0..hex.len()).step_by(2).map(|at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap()).collect()
+    let numbers = (0..hex.len()).step_by(2).map(|at| hexadecimal::parse(&hex[at..at + 2]).unwrap());
+    numbers.map(|number| u8::try_from(number).unwrap()).collect()
 }
--- a/node/src/uwsgi.rs
+++ b/node/src/uwsgi.rs
@@ -29,7 +29,28 @@
 
 /// The variables of a packet, as slices of the buffer that it was read into.
 #[derive(Debug, Default, PartialEq)]
-pub(crate) struct Variables(Vec<(Bytes, Bytes)>);
+pub(crate) struct Variables(Vec<ReceivedVariable>);
+
+/// A variable that was decoded.
+#[derive(Debug, PartialEq)]
+struct ReceivedVariable {
+    name: Bytes,
+    value: Bytes,
+}
+
+/// A variable that is to be encoded.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct Variable<'a> {
+    name: &'a str,
+    value: &'a [u8],
+}
+
+impl<'a> Variable<'a> {
+    /// A variable with its value.
+    pub(crate) fn new(name: &'a str, value: &'a [u8]) -> Self {
+        Variable { name, value }
+    }
+}
 
 impl Variables {
     /// Decodes the variables of a packet; none if their lengths do not add up.
@@ -37,14 +58,15 @@
         let mut variables = Vec::new();
         while !block.is_empty() {
             let name = split_off_text(&mut block)?;
-            variables.push((name, split_off_text(&mut block)?));
+            let value = split_off_text(&mut block)?;
+            variables.push(ReceivedVariable { name, value });
         }
         Some(Variables(variables))
     }
 
     /// The value of a variable; the last one where the name occurs more than once.
     pub(crate) fn get(&self, name: &str) -> Option<&Bytes> {
-        self.0.iter().rev().find(|(known, _)| known == name.as_bytes()).map(|(_, value)| value)
+        self.0.iter().rev().find(|variable| variable.name == name.as_bytes()).map(|variable| &variable.value)
     }
 
     /// The value of a variable as text, unless it is absent or empty.
@@ -63,10 +85,10 @@
 }
 
 /// Encodes a request packet with these variables; none if they are too long for one.
-pub(crate) fn encode_packet(variables: &[(&str, &[u8])]) -> Option<BytesMut> {
+pub(crate) fn encode_packet(variables: &[Variable]) -> Option<BytesMut> {
     let mut block = BytesMut::new();
     block.put_slice(&[0; HEAD_BYTES]);
-    for (name, value) in variables {
+    for Variable { name, value } in variables {
         for part in [name.as_bytes(), value] {
             block.put_u16_le(u16::try_from(part.len()).ok()?);
             block.put_slice(part);
--- a/node/src/uwsgi/tests.rs
+++ b/node/src/uwsgi/tests.rs
@@ -3,7 +3,8 @@
 
 #[test]
 fn an_encoded_packet_is_decoded_and_a_cut_one_is_not() {
-    let packet = encode_packet(&[("PATH_INFO", b"/book"), ("EMPTY", b"")]).unwrap().freeze();
+    let packet =
+        encode_packet(&[Variable::new("PATH_INFO", b"/book"), Variable::new("EMPTY", b"")]).unwrap().freeze();
     let head = PacketHead::parse(&packet).unwrap();
     assert_eq!((head.modifier1, head.size, head.modifier2), (0, packet.len() - HEAD_BYTES, 0));
     let variables = Variables::parse(packet.slice(HEAD_BYTES..)).unwrap();
@@ -18,6 +19,7 @@
 /// The bytes that uwsgi servers read, which must not change.
 #[test]
 fn a_packet_is_encoded_to_its_golden_bytes() {
-    let packet = encode_packet(&[("PATH_INFO", b"/book"), ("QUERY_STRING", b"")]).unwrap();
+    let packet =
+        encode_packet(&[Variable::new("PATH_INFO", b"/book"), Variable::new("QUERY_STRING", b"")]).unwrap();
     assert_eq!(hex(&packet), "002200000900504154485f494e464f05002f626f6f6b0c0051554552595f535452494e470000");
 }
--- a/node/src/vrrp/machine.rs
+++ b/node/src/vrrp/machine.rs
@@ -12,6 +12,11 @@
 /// The priority in an advertisement by which the active router releases its role.
 const RELEASE_PRIORITY: u8 = 0;
 
+/// The skew time is this part of the interval for each step that the priority is below this number (RFC 9568, section 6.1).
+const SKEW_DIVISOR: u32 = 256;
+/// The active router counts as down after so many intervals without an advertisement, and the skew time.
+const MISSED_ADVERTISEMENTS: u32 = 3;
+
 /// The configuration of a virtual router.
 #[derive(Debug, Clone)]
 pub(crate) struct Parameters {
@@ -97,14 +102,14 @@
     pub(crate) fn handle(&mut self, now: UnixTime, event: Event) -> Vec<Output> {
         match (self.role, event) {
             (Role::Initialize, Event::Startup) if self.parameters.priority == OWNER_PRIORITY => {
-                self.become_active(now)
+                self.transition_to_active(now)
             }
             (Role::Initialize, Event::Startup) => {
                 self.active_interval = self.parameters.interval;
-                self.become_backup(now);
+                self.transition_to_backup(now);
                 Vec::new()
             }
-            (Role::Backup, Event::Tick) if now >= self.timer => self.become_active(now),
+            (Role::Backup, Event::Tick) if now >= self.timer => self.transition_to_active(now),
             (Role::Backup, Event::Advertised { advertisement, .. }) => {
                 self.advertised_while_backup(now, &advertisement);
                 Vec::new()
@@ -143,19 +148,19 @@
         let local = (self.parameters.priority, self.parameters.local);
         if (advertisement.priority, from) > local {
             self.active_interval = advertisement.interval;
-            self.become_backup(now);
+            self.transition_to_backup(now);
             return Vec::new();
         }
         // A router that has released the role, or claims it with less priority, learns at once which one is active.
         self.advertise(now)
     }
 
-    fn become_active(&mut self, now: UnixTime) -> Vec<Output> {
+    fn transition_to_active(&mut self, now: UnixTime) -> Vec<Output> {
         self.role = Role::Active;
         self.advertise(now)
     }
 
-    fn become_backup(&mut self, now: UnixTime) {
+    fn transition_to_backup(&mut self, now: UnixTime) {
         self.role = Role::Backup;
         self.timer = now + self.down_interval();
     }
@@ -172,12 +177,12 @@
 
     /// The skew time: shorter for higher priorities, so that the best backup takes over first.
     fn skew(&self) -> Duration {
-        self.active_interval * (256 - u32::from(self.parameters.priority)) / 256
+        self.active_interval * (SKEW_DIVISOR - u32::from(self.parameters.priority)) / SKEW_DIVISOR
     }
 
     /// How long after the last advertisement the active router counts as down.
     fn down_interval(&self) -> Duration {
-        3 * self.active_interval + self.skew()
+        MISSED_ADVERTISEMENTS * self.active_interval + self.skew()
     }
 }
 
--- a/node/src/vrrp/packet.rs
+++ b/node/src/vrrp/packet.rs
@@ -9,6 +9,10 @@
 const VERSION: u8 = 3;
 /// The packet type of an advertisement.
 const ADVERTISEMENT_TYPE: u8 = 1;
+/// The version and the packet type share the first byte.
+const VERSION_SHIFT: u32 = 4;
+const TYPE_MASK: u8 = 0xf;
+const VERSION_AND_TYPE: u8 = VERSION << VERSION_SHIFT | ADVERTISEMENT_TYPE;
 /// Bytes before the addresses.
 const HEAD_BYTES: usize = 8;
 /// Where the checksum stands in the head.
@@ -20,6 +24,9 @@
 /// The bits of the field that the interval takes.
 const INTERVAL_MASK: u16 = 0xfff;
 
+/// The lower 16 bits of a sum.
+const WORD_MASK: u32 = 0xffff;
+
 /// An advertisement.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Advertisement {
@@ -61,8 +68,7 @@
     pub(crate) fn encode(&self) -> Vec<u8> {
         let centiseconds =
             (self.interval.as_millis() as u64 / CENTISECOND_MS).min(u64::from(INTERVAL_MASK)) as u16;
-        let mut bytes =
-            vec![VERSION << 4 | ADVERTISEMENT_TYPE, self.vrid, self.priority, self.addresses.len() as u8];
+        let mut bytes = vec![VERSION_AND_TYPE, self.vrid, self.priority, self.addresses.len() as u8];
         bytes.extend(centiseconds.to_be_bytes());
         bytes.extend([0, 0]);
         for address in &self.addresses {
@@ -83,11 +89,13 @@
         else {
             return Err(Malformed::Short);
         };
-        if first >> 4 != VERSION {
-            return Err(Malformed::Version(first >> 4));
+        let version = first >> VERSION_SHIFT;
+        if version != VERSION {
+            return Err(Malformed::Version(version));
         }
-        if first & 0xf != ADVERTISEMENT_TYPE {
-            return Err(Malformed::Kind(first & 0xf));
+        let packet_type = first & TYPE_MASK;
+        if packet_type != ADVERTISEMENT_TYPE {
+            return Err(Malformed::Kind(packet_type));
         }
         let addresses = &bytes[HEAD_BYTES..];
         if addresses.len() < ADDRESS_BYTES * usize::from(count) {
@@ -106,7 +114,8 @@
         }
         let addresses = addresses
             .chunks_exact(ADDRESS_BYTES)
-            .map(|octets| Ipv4Addr::new(octets[0], octets[1], octets[2], octets[3]))
+            .filter_map(|octets| octets.first_chunk::<ADDRESS_BYTES>())
+            .map(|octets| Ipv4Addr::from(*octets))
             .collect();
         Ok(Advertisement {
             vrid,
@@ -119,10 +128,10 @@
 
 /// The one's complement of the one's complement sum, over the packet alone as the RFC has it for IPv4.
 fn checksum(bytes: &[u8]) -> u16 {
-    let words = bytes.chunks(2).map(|pair| u32::from(pair[0]) << 8 | u32::from(*pair.get(1).unwrap_or(&0)));
-    let mut sum: u32 = words.sum();
-    while sum > 0xffff {
-        sum = (sum & 0xffff) + (sum >> 16);
+    let words = bytes.chunks(2).map(|pair| u16::from_be_bytes([pair[0], *pair.get(1).unwrap_or(&0)]));
+    let mut sum: u32 = words.map(u32::from).sum();
+    while sum > WORD_MASK {
+        sum = (sum & WORD_MASK) + (sum >> u16::BITS);
     }
     !(sum as u16)
 }
