--- a/node/src/backend/uwsgi/response.rs
+++ b/node/src/backend/uwsgi/response.rs
@@ -2,18 +2,24 @@
 
 use std::io;
 use std::num::ParseIntError;
+use std::ops::RangeInclusive;
 use std::str::Utf8Error;
 
-use bytes::BytesMut;
+use bytes::{Bytes, BytesMut};
 use thiserror::Error;
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 
-use super::ServerOutcome;
-use crate::http::{MAX_HEADER_FIELDS, MAX_HEAD_BYTES};
+use crate::http::{Status, MAX_HEADER_FIELDS, MAX_HEAD_BYTES};
 
 /// Longest body of a response, in bytes.
 const MAX_BODY_BYTES: usize = 256 * 1024;
+/// The status codes of a result.
+const SUCCESS_CODES: RangeInclusive<u16> = 200..=299;
+/// With Retry-After: the server did not start.
+const SERVICE_UNAVAILABLE: u16 = Status::SERVICE_UNAVAILABLE.code;
+/// The time ran out at the server.
+const GATEWAY_TIMEOUT: u16 = Status::GATEWAY_TIMEOUT.code;
 /// Initial capacity of the read buffer, in bytes.
 const READ_BUFFER_BYTES: usize = 8 * 1024;
 
@@ -49,6 +55,23 @@
     }
 }
 
+/// How an exchange with a server ended.
+#[derive(Debug, PartialEq)]
+pub(super) enum ServerOutcome {
+    /// The server responded with 2xx and this body.
+    Succeeded(Bytes),
+    /// The server responded that it did not start.
+    Rejected,
+    /// The time ran out, here or at the server.
+    TimedOut,
+    /// The server failed, or its response was malformed.
+    Failed,
+    /// The connection broke before the response was complete.
+    CutOff,
+    /// No server could be connected to.
+    Unreachable,
+}
+
 /// What the head of a response says.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct ResponseHead {
@@ -84,8 +107,8 @@
     input.truncate(length);
     Ok(match head.status {
         status if is_success(status) => ServerOutcome::Succeeded(input.freeze()),
-        503 if head.has_retry_after => ServerOutcome::Rejected,
-        504 => ServerOutcome::TimedOut,
+        SERVICE_UNAVAILABLE if head.has_retry_after => ServerOutcome::Rejected,
+        GATEWAY_TIMEOUT => ServerOutcome::TimedOut,
         _ => ServerOutcome::Failed,
     })
 }
@@ -98,7 +121,7 @@
 }
 
 fn is_success(status: u16) -> bool {
-    (200..=299).contains(&status)
+    SUCCESS_CODES.contains(&status)
 }
 
 /// Decodes the head of a response; none while it is incomplete.
--- a/node/src/dispatcher.rs
+++ b/node/src/dispatcher.rs
@@ -3,7 +3,7 @@
 //! owns the open attempts, the idempotency table and the timers, and knows no wire protocol.
 //!
 //! An attempt passes through the modules in this order: `submission` matches its key against the idempotency table and
-//! presents it to the admission module; `actions` carries out what that decides; `runs` has the run gate authorize the
+//! hands it to the admission module; `actions` carries out what that decides; `runs` has the run gate authorize the
 //! run and sends it to the backend; `calls` makes the calls that the run needs; `runs` completes it and answers its
 //! client and every attempt that waits for its key. `handover` transfers the table to another process of this node.
 //!
@@ -14,6 +14,7 @@
 mod attempts;
 mod calls;
 mod handover;
+mod handover_progress;
 mod idempotency;
 mod runs;
 mod submission;
@@ -37,13 +38,11 @@
 use crate::log;
 use crate::outcome::RequestOutcome;
 use crate::run_gate::RunGate;
-use attempts::{Attempt, AttemptTable, Phase};
-use handover::Handover;
+use attempts::{Attempt, AttemptTable, Phase, TIMEOUT_MARGIN};
+use handover_progress::HandoverProgress;
 use idempotency::IdempotencyTable;
 use timers::Timers;
 
-/// A request that fails this shortly before its deadline, or later, counts as timed out.
-const TIMEOUT_MARGIN: Duration = Duration::from_millis(60);
 /// How long the dispatcher sleeps where nothing is scheduled.
 const IDLE_WAKE_INTERVAL: Duration = Duration::from_secs(3600);
 
@@ -72,13 +71,13 @@
     attempts: AttemptTable,
     idempotency: IdempotencyTable,
     timers: Timers,
-    handover: Handover,
+    handover: HandoverProgress,
     run_gate: RunGate,
     decision_log: Option<DecisionLog>,
     /// Counts rejections without a decision.
     undecided_rejections: Cell<u64>,
-    /// How far the clock had jumped ahead, in all, when that was last looked at.
-    observed_clock_jump: Duration,
+    /// How far the clock had stepped ahead, in all, when that was last looked at.
+    observed_clock_steps: Duration,
 }
 
 impl Dispatcher {
@@ -102,11 +101,11 @@
             attempts: AttemptTable::default(),
             idempotency: IdempotencyTable::new(max_result_bytes),
             timers: Timers::default(),
-            handover: Handover::default(),
+            handover: HandoverProgress::default(),
             run_gate: RunGate::default(),
             decision_log: None,
             undecided_rejections: Cell::new(0),
-            observed_clock_jump: Duration::ZERO,
+            observed_clock_steps: Duration::ZERO,
         }
     }
 
@@ -127,7 +126,7 @@
     /// Records decisions in this log from now on.
     pub(crate) fn set_decision_log(&mut self, decision_log: DecisionLog) {
         let metrics = decision_log.metrics.clone();
-        self.endpoints.metrics.register(Box::new(move || metrics.values()));
+        self.endpoints.metrics.register(move || metrics.values());
         self.decision_log = Some(decision_log);
     }
 
@@ -168,8 +167,8 @@
     /// Hands the batch to the admission module and carries out its actions, until nothing more follows from them.
     fn process_batch(&mut self) {
         let now = clock::now();
-        self.follow_clock_jumps();
-        self.reject_expired_withheld(now);
+        self.follow_clock_steps();
+        self.reject_expired_buffered(now);
         self.fire_timers(now);
         loop {
             self.decide(now);
@@ -185,14 +184,14 @@
         self.update_drain_status(now);
     }
 
-    /// Extends keys by what the system's clock was set ahead.
-    fn follow_clock_jumps(&mut self) {
-        let total = clock::jumped();
-        let by = total.saturating_sub(self.observed_clock_jump);
-        if !by.is_zero() {
-            self.observed_clock_jump = total;
-            log!("dispatcher: the clock has jumped ahead: milliseconds={}", by.as_millis());
-            self.idempotency.extend_all(by);
+    /// Extends keys by what the system's clock has stepped ahead.
+    fn follow_clock_steps(&mut self) {
+        let total = clock::stepped_ahead();
+        let step = total.saturating_sub(self.observed_clock_steps);
+        if !step.is_zero() {
+            self.observed_clock_steps = total;
+            log!("dispatcher: clock stepped ahead: step_ms={}", step.as_millis());
+            self.idempotency.extend_all(step);
         }
     }
 
@@ -205,8 +204,12 @@
 
     fn update_drain_status(&self, now: UnixTime) {
         let accepting = self.closing_at().is_none_or(|at| now < at);
-        let drained = self.status().draining.is_some() && !self.attempts.iter().any(|it| self.is_awaited(it));
-        self.update_status(|status| (status.accepting, status.drained) = (accepting, drained));
+        let drained =
+            self.status().draining.is_some() && !self.attempts.iter().any(|attempt| self.is_awaited(attempt));
+        self.update_status(|status| {
+            status.accepting = accepting;
+            status.drained = drained;
+        });
     }
 
     /// Whether somebody waits for an attempt: its client, or a successor for the outcome of its key.
@@ -229,7 +232,7 @@
             DispatcherEvent::SetMaintenance(on) => self.update_status(|status| status.maintenance = on),
             DispatcherEvent::SetRecovering(on) => self.update_status(|status| status.recovering = on),
             DispatcherEvent::Reconfigure { settings, digest } => self.reconfigure(*settings, &digest),
-            DispatcherEvent::HandOver(updates) => self.begin_handover(updates),
+            DispatcherEvent::BeginHandover(updates) => self.begin_handover(updates),
             DispatcherEvent::SuccessorLost => self.successor_lost(),
             DispatcherEvent::StateReceived(state) => self.receive_state(state),
             DispatcherEvent::PredecessorDone => self.predecessor_done(),
@@ -254,7 +257,8 @@
         if self.admission.is_some() {
             return;
         }
-        let (settings, now) = (Settings { cold, ..admission_settings(&self.settings) }, clock::now());
+        let settings = Settings { cold, ..admission_settings(&self.settings) };
+        let now = clock::now();
         let warm_at = cold.then_some(now + settings.warm_up_time);
         self.admission = Some(Admission::new(settings, self.seed, now));
         self.update_status(|status| status.warm_at = warm_at);
@@ -303,7 +307,7 @@
     fn log_decision(&self, decision: Decision, request: &Request) {
         let Some(decision_log) = &self.decision_log else { return };
         decision_log.set_membership_version(self.run_gate.membership_version());
-        let class = self.settings.classes.get(usize::from(request.class)).map_or("", String::as_str);
+        let class = self.settings.classes.get(usize::from(request.class.0)).map_or("", String::as_str);
         decision_log.record(decision, request, self.key_of(request).as_deref(), class);
     }
 
--- a/node/src/exchange.rs
+++ b/node/src/exchange.rs
@@ -18,7 +18,7 @@
 pub(crate) use crate::outcome::{Completion, RequestOutcome};
 pub(crate) use command::{CallCommand, RunCommand};
 pub(crate) use event::{BackendEvent, CallOutcome, DispatcherEvent, HandoverState};
-pub(crate) use request::{Request, Responder, Submission, SubmissionId, TransactionId};
+pub(crate) use request::{Answer, Request, RequestTag, Responder, Submission, SubmissionId, TransactionId};
 pub(crate) use status::{NodeStatus, Shutdown};
 
 /// Events that may wait for the dispatcher. Who has more to report waits with them.
@@ -133,8 +133,8 @@
     }
 
     /// A successor process takes over. `updates` gets the whole state at first, then every change of it.
-    pub(crate) async fn hand_over(&self, updates: mpsc::Sender<HandoverState>) {
-        self.send(DispatcherEvent::HandOver(updates)).await;
+    pub(crate) async fn begin_handover(&self, updates: mpsc::Sender<HandoverState>) {
+        self.send(DispatcherEvent::BeginHandover(updates)).await;
     }
 
     /// The successor process has ended.
--- a/node/src/handover/predecessor.rs
+++ b/node/src/handover/predecessor.rs
@@ -8,8 +8,7 @@
 use tokio::net::{UnixListener, UnixStream};
 use tokio::sync::mpsc;
 
-use super::message::{self, PredecessorMessage, TAKE_OVER};
-use super::REPLY_TIMEOUT;
+use super::message::{self, PredecessorMessage, REPLY_TIMEOUT, TAKE_OVER};
 use crate::clock;
 use crate::exchange::{Exchange, HandoverState};
 use crate::log;
@@ -25,12 +24,13 @@
         let _ = std::fs::remove_file(socket_path);
         let listener = match UnixListener::bind(socket_path) {
             Ok(listener) => listener,
-            Err(e) => {
-                return log!("handover: no upgrade in place is possible: {}: {e}", socket_path.display())
+            Err(error) => {
+                let socket = socket_path.display();
+                return log!("handover: no upgrade in place is possible: socket={socket} error={error}");
             }
         };
         loop {
-            match hand_over(&listener, &exchange).await {
+            match run_handover(&listener, &exchange).await {
                 HandoverOutcome::NotRequested => {}
                 HandoverOutcome::Superseded => {
                     return log!("handover: another process has taken over in turn")
@@ -56,11 +56,11 @@
 }
 
 /// Hands over to the next process that connects. Returns once it is known how that ended.
-pub(super) async fn hand_over(listener: &UnixListener, exchange: &Exchange) -> HandoverOutcome {
+pub(super) async fn run_handover(listener: &UnixListener, exchange: &Exchange) -> HandoverOutcome {
     let mut successor = match listener.accept().await {
         Ok((successor, _)) => successor,
-        Err(e) => {
-            log!("handover: a successor was not accepted: {e}");
+        Err(error) => {
+            log!("handover: a successor was not accepted: error={error}");
             clock::until(clock::now() + REPLY_TIMEOUT).await;
             return HandoverOutcome::NotRequested;
         }
@@ -76,7 +76,7 @@
     }
     log!("handover: a successor takes over");
     let (updates, queued_updates) = mpsc::channel(MAX_QUEUED_UPDATES);
-    exchange.hand_over(updates).await;
+    exchange.begin_handover(updates).await;
     send_updates(&mut successor, queued_updates).await
 }
 
@@ -91,8 +91,8 @@
         tokio::select! {
             update = updates.recv() => {
                 let Some(update) = update else { return HandoverOutcome::SuccessorEnded };
-                if let Err(e) = send_update(successor, update, is_table).await {
-                    log!("handover: the successor is not reached: {e}");
+                if let Err(error) = send_update(successor, update, is_table).await {
+                    log!("handover: the successor is not reached: error={error}");
                     return HandoverOutcome::SuccessorEnded;
                 }
                 is_table = false;
--- a/node/src/result_store/segment_log.rs
+++ b/node/src/result_store/segment_log.rs
@@ -10,7 +10,7 @@
 
 use super::disk::{Disk, SystemDisk};
 use super::record::{Record, RecordState};
-use super::recovery::{recover, RecoveredState, Segment};
+use super::recovery::{recover, Recovered, RecoveredState, Segment};
 use super::segment::{scan, segment_number, segment_path, ScanItem, SegmentHeader, SEGMENT_HEADER_BYTES};
 use super::segment_index::{required_bytes, Limits, MaintenanceStep, SegmentIndex};
 use crate::clock::UnixTime;
@@ -35,6 +35,14 @@
     next_record: u64,
 }
 
+/// A log that was opened, and what was found in its folder.
+pub(crate) struct OpenedLog<D: Disk = SystemDisk> {
+    /// The log.
+    pub(crate) log: SegmentLog<D>,
+    /// What was in the folder.
+    pub(crate) recovered: RecoveredState,
+}
+
 impl<D: Disk> SegmentLog<D> {
     /// Opens a folder and recovers what is in it. No key counts as remembered for longer than `max_window`, unless a
     /// record says so.
@@ -48,12 +56,12 @@
         limits: Limits,
         max_window: Duration,
         now: UnixTime,
-    ) -> io::Result<(Self, RecoveredState)> {
+    ) -> io::Result<OpenedLog<D>> {
         let lock = lock_folder(path)?;
         let numbers = segment_numbers(path)?;
         let seed = open_seed(path, &numbers, &mut disk, now)?;
         let segments = numbers.into_iter().map(|number| read_segment(path, number, limits));
-        let (index, recovered) = recover(seed, segments, limits, max_window, now);
+        let Recovered { index, state: recovered } = recover(seed, segments, limits, max_window, now);
         let mut log = SegmentLog {
             path: path.into(),
             disk,
@@ -64,13 +72,13 @@
             next_record: recovered.next_record,
         };
         log.rotate(now)?;
-        Ok((log, recovered))
+        Ok(OpenedLog { log, recovered })
     }
 
     /// Writes the records for which there is capacity, with one wait for the disk. Returns for each whether it is durable.
     pub(crate) fn write(&mut self, mut records: Vec<Record>, now: UnixTime) -> Vec<bool> {
-        if let Err(e) = self.maintain(now) {
-            log!("result store: maintenance failed: error={e}");
+        if let Err(error) = self.maintain(now) {
+            log!("result store: maintenance failed: error={error}");
         }
         let mut pending = 0;
         let accepted: Vec<bool> =
@@ -81,8 +89,8 @@
             .filter(|(_, accepted)| **accepted)
             .map(|(record, _)| record)
             .collect();
-        if let Err(e) = self.append(&to_write) {
-            log!("result store: append failed: records={} error={e}", to_write.len());
+        if let Err(error) = self.append(&to_write) {
+            log!("result store: append failed: records={} error={error}", to_write.len());
             return vec![false; accepted.len()];
         }
         accepted
@@ -92,13 +100,15 @@
     fn accept(&mut self, record: &mut Record, pending: &mut u64, now: UnixTime) -> bool {
         if record.result.len() > MAX_RESULT_BYTES {
             // It was delivered once; later attempts get 'failed'.
-            (record.state, record.result) = (RecordState::Failed, Bytes::new());
+            record.state = RecordState::Failed;
+            record.result = Bytes::new();
         }
         if !self.index.has_capacity(record, *pending) {
             return false;
         }
         *pending += required_bytes(record);
-        (record.number, record.written_at) = (self.next_record, now);
+        record.number = self.next_record;
+        record.written_at = now;
         self.next_record += 1;
         true
     }
@@ -225,8 +235,8 @@
 
 /// Reads a segment. One that cannot be read counts as damaged, so that one bad file does not prevent the start.
 fn read_segment(folder: &Path, number: u64, limits: Limits) -> Segment {
-    let bytes = read_file(&segment_path(folder, number), limits.max_bytes).unwrap_or_else(|e| {
-        log!("result store: segment not readable: segment={number} error={e}");
+    let bytes = read_file(&segment_path(folder, number), limits.max_bytes).unwrap_or_else(|error| {
+        log!("result store: segment not readable: segment={number} error={error}");
         Vec::new()
     });
     Segment { number, bytes: bytes.into() }
