--- a/fleet/src/audit/tests.rs
+++ b/fleet/src/audit/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::audit::decision_record::{Decision, Versions};
 use crate::audit::hash_chain::{ChainBreak, ChainError};
 use crate::ids::ConfigVersion;
 
@@ -33,8 +34,8 @@
     let report = audit(&[one, two], &OPTIONS);
     let is_settings = |version: &&VersionUse| version.kind == VersionKind::Settings;
     let settings: Vec<&VersionUse> = report.versions.iter().filter(is_settings).collect();
-    assert_eq!(settings[0].first, (50, "n2".into()));
-    assert_eq!(settings[0].replaced, Some((900, "s2".into())));
+    assert_eq!(settings[0].first, FirstUse { at: 50, node: "n2".into() });
+    assert_eq!(settings[0].replaced, Some(Replacement { at: 900, id: "s2".into() }));
     assert_eq!((settings[1].nodes.len(), settings[1].decisions, settings[1].last), (2, 2, 1500));
     assert!(report.is_clean());
 }
@@ -118,7 +119,7 @@
     let journals = [one, two];
     let explained = |txn_or_key| {
         let records = explain(&journals, txn_or_key);
-        records.iter().map(|(node, record)| (*node, record.at())).collect::<Vec<_>>()
+        records.iter().map(|found| (found.node, found.record.at())).collect::<Vec<_>>()
     };
     assert_eq!(explained("k"), [("n1", 100), ("n2", 200), ("n1", 300)]);
     assert_eq!(explained("b"), [("n2", 200)]);
--- a/fleet/src/claims/coordinator/claim.rs
+++ b/fleet/src/claims/coordinator/claim.rs
@@ -161,7 +161,8 @@
     /// Returns the message that replicas are sent in the claim's state.
     pub(super) fn request(&self, now: Time) -> Option<Message> {
         let retain_ms = millis_ceil(self.expires_at.saturating_sub(now));
-        let (claim, key, body) = (self.id, self.key.clone(), self.body);
+        let Claim { id: claim, body, .. } = *self;
+        let key = self.key.clone();
         match &self.state {
             ClaimState::Collecting => {
                 let config_versions = self.groups.iter().map(|group| group.version).collect();
@@ -169,8 +170,13 @@
             }
             ClaimState::AwaitingRemoteRun => Some(Message::QueryKey { claim, key }),
             ClaimState::Replicating { result, .. } => {
-                let (received_at, node_index) = (self.received_unix_ms, self.node_index);
-                let run = CompletedRun { received_at, node_index, claim, result: result.clone(), body };
+                let run = CompletedRun {
+                    received_at: self.received_unix_ms,
+                    node_index: self.node_index,
+                    claim,
+                    result: result.clone(),
+                    body,
+                };
                 Some(Message::Completed { key, retain_ms, run })
             }
             ClaimState::Granted => None,
--- a/fleet/src/lib.rs
+++ b/fleet/src/lib.rs
@@ -12,11 +12,12 @@
 //! - [`recovery`]: the stages in which a node comes back, whether its restored state is the latest, and the
 //!   transfer of what it lacks.
 //! - [`audit`]: what nodes record of their decisions, and what those records show.
-//! - [`message`] and [`ids`]: the peer protocol.
+//! - [`message`], [`envelope`] and [`ids`]: the peer protocol.
 
 pub mod audit;
 pub mod claims;
 mod digest;
+pub mod envelope;
 pub mod ids;
 pub mod membership;
 pub mod message;
--- a/fleet/src/membership/active_configs.rs
+++ b/fleet/src/membership/active_configs.rs
@@ -161,7 +161,8 @@
     ///
     /// Returns why it can't be adopted.
     pub fn propose(&mut self, config: Arc<MembershipConfig>) -> Result<Proposal, ProposalError> {
-        let (version, newest) = (config.version(), self.newest().version());
+        let version = config.version();
+        let newest = self.newest().version();
         if version < newest {
             return Err(ProposalError::Outdated { proposed: version, newest });
         }
--- a/fleet/src/membership/config.rs
+++ b/fleet/src/membership/config.rs
@@ -6,6 +6,7 @@
 //! configuration alone and never on who is reachable, so that two halves of a partitioned fleet can't
 //! choose different replicas.
 
+use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -148,6 +149,13 @@
     }
 }
 
+/// A member that may hold a replica of a key; the highest score comes first.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Candidate {
+    score: u64,
+    index: usize,
+}
+
 /// A valid membership configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct MembershipConfig {
@@ -230,22 +238,22 @@
     /// Returns the members that hold replicas of a key, the highest score first.
     pub fn replicas_of(&self, key: &[u8]) -> Vec<NodeId> {
         let key = mix(digest(DigestKind::Key, key));
-        let score = |index: usize| (mix(self.ids[index].0 ^ key), index);
+        let candidate = |index: usize| Candidate { score: mix(self.ids[index].0 ^ key), index };
         // The best member of each zone, and then, if there are fewer zones than replicas, the best of the
         // others.
-        let mut best: Vec<Option<(u64, usize)>> = vec![None; self.zone_count];
+        let mut best_by_zone: Vec<Option<Candidate>> = vec![None; self.zone_count];
         for (index, zone) in self.zones.iter().enumerate() {
-            best[*zone] = best[*zone].max(Some(score(index)));
+            best_by_zone[*zone] = best_by_zone[*zone].max(Some(candidate(index)));
         }
-        let mut chosen: Vec<(u64, usize)> = best.into_iter().flatten().collect();
-        chosen.sort_unstable_by(|a, b| b.cmp(a));
+        let mut chosen: Vec<Candidate> = best_by_zone.into_iter().flatten().collect();
+        chosen.sort_unstable_by_key(|candidate| Reverse(*candidate));
         chosen.truncate(self.replica_count());
         while chosen.len() < self.replica_count() {
-            let others = (0..self.ids.len()).map(score).filter(|other| !chosen.contains(other));
+            let others = (0..self.ids.len()).map(candidate).filter(|other| !chosen.contains(other));
             let Some(next) = others.max() else { break };
             chosen.push(next);
         }
-        chosen.into_iter().map(|(_, index)| self.ids[index]).collect()
+        chosen.into_iter().map(|candidate| self.ids[candidate.index]).collect()
     }
 
     /// Returns the most replicas of one key that these nodes can hold together.
--- a/fleet/src/membership/failure_detector.rs
+++ b/fleet/src/membership/failure_detector.rs
@@ -361,7 +361,7 @@
     fn send_indirect_probes(&mut self, out: &mut Vec<Outbound>) {
         let Some(probe) = &mut self.probe else { return };
         probe.is_indirect = true;
-        let (target, seq) = (probe.target, probe.seq);
+        let Probe { target, seq, .. } = *probe;
         let alive = self.members.iter().filter(|(_, member)| member.liveness == Liveness::Alive);
         let mut others: Vec<NodeId> = alive.map(|(node, _)| *node).filter(|node| *node != target).collect();
         let (chosen, _) = others.partial_shuffle(&mut self.rng, INDIRECT_PROBES);
--- a/fleet/src/recovery/stages.rs
+++ b/fleet/src/recovery/stages.rs
@@ -206,7 +206,8 @@
     }
 
     fn enter(&mut self, now: Time, to: Stage, reason: TransitionReason) -> Transition {
-        let (from, elapsed) = (self.stage, now.saturating_sub(self.entered_at));
+        let from = self.stage;
+        let elapsed = now.saturating_sub(self.entered_at);
         self.stage = to;
         self.entered_at = now;
         self.accepts_clients |= to > Stage::Starting;
--- a/fleet/src/recovery/state_transfer.rs
+++ b/fleet/src/recovery/state_transfer.rs
@@ -13,6 +13,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
+use crate::envelope::Request;
 use crate::ids::{Incarnation, NodeId};
 use crate::message::{Completeness, Message, Page, ReplicaRecord, TablePosition};
 use crate::recovery::token_bucket::TokenBucket;
@@ -181,7 +182,7 @@
         now: Time,
         is_complete: bool,
         incarnation_of: impl Fn(NodeId) -> Option<Incarnation>,
-        out: &mut Vec<(NodeId, Message)>,
+        out: &mut Vec<Request>,
     ) {
         if self.open_donors == 0 && (is_complete || now < self.next_recheck_at) {
             return;
@@ -209,7 +210,7 @@
         is_complete: bool,
         mut free: usize,
         incarnation_of: impl Fn(NodeId) -> Option<Incarnation>,
-        out: &mut Vec<(NodeId, Message)>,
+        out: &mut Vec<Request>,
     ) {
         for donor in &mut self.donors {
             if free == 0 {
@@ -236,7 +237,8 @@
                 donor.progress = Progress::Rechecking(now);
                 Some(TablePosition::end(incarnation))
             };
-            out.push((donor.node, Message::Pull { round: self.round, from }));
+            let message = Message::Pull { round: self.round, from };
+            out.push(Request { to: donor.node, message });
             free -= 1;
         }
     }
--- a/fleet/src/recovery/state_transfer/tests.rs
+++ b/fleet/src/recovery/state_transfer/tests.rs
@@ -24,7 +24,7 @@
         Message::Pull { from, .. } => from.map(|from: TablePosition| from.expires_ns),
         _ => unreachable!(),
     };
-    out.into_iter().map(|(node, message)| (node.0, position(message))).collect()
+    out.into_iter().map(|request| (request.to.0, position(request.message))).collect()
 }
 
 #[test]
--- a/fleet/src/replica_node.rs
+++ b/fleet/src/replica_node.rs
@@ -18,6 +18,7 @@
 use std::time::Duration;
 
 use crate::claims::coordinator::ClaimCoordinator;
+use crate::envelope::{ReceivedMessage, Response};
 use crate::ids::{Incarnation, LinkId, NodeId};
 use crate::membership::active_configs::ActiveConfigs;
 use crate::membership::config::MembershipConfig;
@@ -89,7 +90,7 @@
     loopback: VecDeque<Message>,
     last_sequence: StoreSequence,
     /// Responses that are sent once a change is stored.
-    awaiting_store: BTreeMap<StoreSequence, Vec<(LinkId, Message)>>,
+    awaiting_store: BTreeMap<StoreSequence, Vec<Response>>,
     /// Peers with a configuration that conflicts with an active one.
     conflicting_peers: BTreeSet<NodeId>,
     metrics: ReplicaMetrics,
@@ -236,7 +237,13 @@
         }
         self.handle_event(now, event, out);
         while let Some(message) = self.loopback.pop_front() {
-            self.handle_message(now, LinkId::LOOPBACK, self.id, self.incarnation, message, out);
+            let received = ReceivedMessage {
+                link: LinkId::LOOPBACK,
+                from: self.id,
+                incarnation: self.incarnation,
+                message,
+            };
+            self.handle_message(now, received, out);
         }
     }
 
@@ -249,9 +256,7 @@
             Event::RunCancelled(attempt) => {
                 self.with_claims(out, |claims, actions| claims.release(attempt, actions));
             }
-            Event::MessageReceived { link, from, incarnation, message } => {
-                self.handle_message(now, link, from, incarnation, message, out);
-            }
+            Event::MessageReceived(received) => self.handle_message(now, received, out),
             Event::PeerUnreachable(node) => {
                 self.with_claims(out, |claims, actions| claims.handle_unreachable(now, node, actions));
                 self.with_failure_detector(out, |detector, outbound| {
--- a/fleet/src/replica_node/event.rs
+++ b/fleet/src/replica_node/event.rs
@@ -5,6 +5,7 @@
 
 use super::notification::Notification;
 use crate::claims::coordinator::{AttemptId, ClaimOutcome, RunRequest};
+use crate::envelope::ReceivedMessage;
 use crate::ids::{Incarnation, LinkId, NodeId};
 use crate::membership::config::MembershipConfig;
 use crate::message::Message;
@@ -57,16 +58,7 @@
     /// The run of an attempt never started and never will.
     RunCancelled(AttemptId),
     /// A peer has sent a message.
-    MessageReceived {
-        /// The link that it came by.
-        link: LinkId,
-        /// The peer.
-        from: NodeId,
-        /// The incarnation that the peer introduced itself with on the link.
-        incarnation: Incarnation,
-        /// The message.
-        message: Message,
-    },
+    MessageReceived(ReceivedMessage),
     /// A peer can't be reached now.
     PeerUnreachable(NodeId),
     /// The link to a peer broke, with the messages that were on it.
--- a/fleet/src/replica_node/messages.rs
+++ b/fleet/src/replica_node/messages.rs
@@ -3,6 +3,7 @@
 use std::time::Duration;
 
 use super::{Action, Notification, Participation, ReplicaNode};
+use crate::envelope::{ReceivedMessage, Request, Response};
 use crate::ids::{Incarnation, LinkId, NodeId};
 use crate::message::{ClaimRequest, Hello, Message, RejectReason};
 use crate::recovery::donor::PageRequest;
@@ -12,15 +13,8 @@
 use crate::Time;
 
 impl ReplicaNode {
-    pub(super) fn handle_message(
-        &mut self,
-        now: Time,
-        link: LinkId,
-        from: NodeId,
-        incarnation: Incarnation,
-        message: Message,
-        out: &mut Vec<Action>,
-    ) {
+    pub(super) fn handle_message(&mut self, now: Time, received: ReceivedMessage, out: &mut Vec<Action>) {
+        let ReceivedMessage { link, from, incarnation, message } = received;
         // A hello changes the incarnation that its link stands for.
         let incarnation = if let Message::Hello(hello) = &message { hello.incarnation } else { incarnation };
         if from != self.id {
@@ -161,10 +155,10 @@
         }
         let outcome = self.table.claim(now, link, request, &self.configs);
         let is_granted =
-            outcome.responses.iter().any(|(_, message)| matches!(message, Message::Granted { .. }));
+            outcome.responses.iter().any(|response| matches!(response.message, Message::Granted { .. }));
         let is_config_mismatch = matches!(
             outcome.responses[..],
-            [(_, Message::Uncertain { reason: RejectReason::ConfigMismatch, .. })]
+            [Response { message: Message::Uncertain { reason: RejectReason::ConfigMismatch, .. }, .. }]
         );
         if is_config_mismatch {
             let hello = Message::Hello(self.hello(from));
@@ -190,15 +184,15 @@
     fn apply_table_outcome(&mut self, now: Time, outcome: TableOutcome, out: &mut Vec<Action>) {
         let TableOutcome { responses, queries, changed_key, conflict } = outcome;
         self.report_conflicts(conflict, out);
-        for (node, message) in queries {
-            self.send(node, message, out);
+        for Request { to, message } in queries {
+            self.send(to, message, out);
         }
         if let Some(key) = changed_key.filter(|_| self.is_durable) {
             let sequence = self.store(&key, now, out);
             self.awaiting_store.insert(sequence, responses);
             return;
         }
-        for (link, message) in responses {
+        for Response { link, message } in responses {
             self.respond(link, message, out);
         }
     }
--- a/fleet/src/replica_node/notification.rs
+++ b/fleet/src/replica_node/notification.rs
@@ -103,8 +103,7 @@
                 "a peer has another membership configuration of the same version: node={node} version={version}"
             ),
             Notification::DuplicateRun(RunConflict { retained, dropped }) => {
-                let (retained, dropped) = (retained.claim, dropped.claim);
-                write!(f, "conflict: a key ran twice: retained={retained} dropped={dropped}")
+                write!(f, "conflict: a key ran twice: retained={} dropped={}", retained.claim, dropped.claim)
             }
             Notification::CapacityExceeded { donor } => {
                 write!(f, "no capacity for all records of a donor: donor={donor}")
--- a/fleet/src/replica_node/state_sync.rs
+++ b/fleet/src/replica_node/state_sync.rs
@@ -2,6 +2,7 @@
 //! transfers.
 
 use super::{Action, Notification, ReplicaNode, StoreSequence};
+use crate::envelope::{Request, Response};
 use crate::ids::NodeId;
 use crate::message::{detach, Liveness, Message, Page, RejectReason};
 use crate::recovery::donor::PageRequest;
@@ -14,7 +15,8 @@
     /// Stores what is known of a key. Returns the number of the change.
     pub(super) fn store(&mut self, key: &Key, now: Time, out: &mut Vec<Action>) -> StoreSequence {
         self.last_sequence += 1;
-        let (sequence, record) = (self.last_sequence, self.table.stored_record(key, now));
+        let sequence = self.last_sequence;
+        let record = self.table.stored_record(key, now);
         out.push(Action::Store { sequence, key: detach(key), record });
         sequence
     }
@@ -22,7 +24,7 @@
     /// Sends the responses that waited for a change to be stored. What could not be stored must not be
     /// promised.
     pub(super) fn finish_store(&mut self, sequence: StoreSequence, stored: bool, out: &mut Vec<Action>) {
-        for (link, message) in self.awaiting_store.remove(&sequence).unwrap_or_default() {
+        for Response { link, message } in self.awaiting_store.remove(&sequence).unwrap_or_default() {
             let message = match message {
                 Message::Granted { claim, .. } if !stored => {
                     Message::Uncertain { claim, reason: RejectReason::NotDurable }
@@ -35,7 +37,7 @@
     }
 
     pub(super) fn handle_page_request(&mut self, now: Time, request: PageRequest, out: &mut Vec<Action>) {
-        let (link, round) = (request.link, request.round);
+        let PageRequest { link, round, .. } = request;
         if let Some(deferral) = self.donor.request(now, request) {
             self.metrics.transfers_deferred += 1;
             let retry_after_ms = millis_ceil(deferral);
@@ -85,12 +87,13 @@
     /// Requests the next pages from donors that are alive.
     pub(super) fn request_pages(&mut self, now: Time, out: &mut Vec<Action>) {
         let mut requests = Vec::new();
-        let (detector, table) = (&self.failure_detector, &self.table);
+        let detector = &self.failure_detector;
+        let table = &self.table;
         let is_alive = |node| detector.liveness(node) == Liveness::Alive;
         let incarnation_of = |node| is_alive(node).then(|| table.incarnation_of(node));
         self.state_transfer.tick(now, table.is_complete(), incarnation_of, &mut requests);
-        for (node, message) in requests {
-            self.send(node, message, out);
+        for Request { to, message } in requests {
+            self.send(to, message, out);
         }
     }
 
--- a/fleet/src/replica_node/tests.rs
+++ b/fleet/src/replica_node/tests.rs
@@ -2,6 +2,7 @@
 
 use super::*;
 use crate::claims::coordinator::{AttemptId, ClaimOutcome, RunRequest};
+use crate::envelope::ReceivedMessage;
 use crate::ids::ConfigVersion;
 use crate::message::{ClaimRequest, RejectReason};
 use crate::replication::key_state::{ClaimId, Key, RunResult};
@@ -184,8 +185,12 @@
         })
     };
     let (first, second) = (Incarnation(1), Incarnation(2));
-    let of_second =
-        Event::MessageReceived { link: LinkId(99), from: id(1), incarnation: second, message: hello(second) };
+    let of_second = Event::MessageReceived(ReceivedMessage {
+        link: LinkId(99),
+        from: id(1),
+        incarnation: second,
+        message: hello(second),
+    });
     fleet.handle(id(2), of_second);
     fleet.handle(id(2), received(id(1), first, hello(first)));
     assert!(fleet.has_notified(1, Notification::Superseded { incarnation: second }));
@@ -260,7 +265,8 @@
     let node = fleet.nodes.get_mut(&id(2)).unwrap();
     let link = LinkId(5);
     let message = Message::Claim(request);
-    let event = Event::MessageReceived { link, from: id(1), incarnation: Incarnation(1), message };
+    let event =
+        Event::MessageReceived(ReceivedMessage { link, from: id(1), incarnation: Incarnation(1), message });
     node.handle(now, event, &mut out);
     let sequence = match &out[..] {
         [Action::Store { sequence, record: Some(record), .. }] => {
--- a/fleet/src/replica_node/tests/fixture.rs
+++ b/fleet/src/replica_node/tests/fixture.rs
@@ -23,7 +23,7 @@
 }
 
 pub(super) fn received(from: NodeId, incarnation: Incarnation, message: Message) -> Event {
-    Event::MessageReceived { link: link_of(from), from, incarnation, message }
+    Event::MessageReceived(ReceivedMessage { link: link_of(from), from, incarnation, message })
 }
 
 /// A fleet of nodes in their first incarnation.
--- a/fleet/src/replication/replica_table/entry.rs
+++ b/fleet/src/replication/replica_table/entry.rs
@@ -8,6 +8,15 @@
 /// A generous estimate of the memory that an entry takes in addition to its key and its result, in bytes.
 pub const ENTRY_OVERHEAD_BYTES: usize = 512;
 
+/// An attempt that waits for a key's run.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
+pub(super) struct Waiter {
+    /// The link that it asked on.
+    pub(super) link: LinkId,
+    /// The claim that it asked for.
+    pub(super) claim: ClaimId,
+}
+
 /// A key's entry in the table.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct Entry {
@@ -15,8 +24,8 @@
     /// The claim that this replica has granted.
     pub(super) vote: Option<ClaimId>,
     pub(super) state: KeyState,
-    /// Attempts that wait for the key's run, and the links that they asked on.
-    pub(super) waiters: Vec<(LinkId, ClaimId)>,
+    /// Attempts that wait for the key's run.
+    pub(super) waiters: Vec<Waiter>,
     /// When the node of the claim that started was last asked what became of it.
     pub(super) claim_queried_at: Option<Time>,
 }
--- a/fleet/src/replication/replica_table/outcome.rs
+++ b/fleet/src/replication/replica_table/outcome.rs
@@ -2,8 +2,8 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::ids::{LinkId, NodeId};
-use crate::message::{Message, ReplicaRecord};
+use crate::envelope::{Request, Response};
+use crate::message::ReplicaRecord;
 use crate::replication::key_state::{ClaimId, Key, RunConflict};
 
 /// What a node stores on disk of one key. The fields are encoded by position.
@@ -18,10 +18,10 @@
 /// What follows from a message to the replica.
 #[derive(Debug, Default)]
 pub struct TableOutcome {
-    /// Responses, by the link that they go back on.
-    pub responses: Vec<(LinkId, Message)>,
+    /// Responses to the attempts that have asked for the key.
+    pub responses: Vec<Response>,
     /// Queries to other nodes.
-    pub queries: Vec<(NodeId, Message)>,
+    pub queries: Vec<Request>,
     /// The key whose entry changed and must be stored before the responses are sent.
     pub changed_key: Option<Key>,
     /// Two runs of one key that have both completed.
--- a/fleet/src/replication/replica_table/tests.rs
+++ b/fleet/src/replication/replica_table/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::envelope::{Request, Response};
 use crate::ids::ConfigVersion;
 use crate::ids::LinkId;
 use crate::message::TablePosition;
@@ -36,7 +37,7 @@
 
 fn response(outcome: &TableOutcome) -> &Message {
     assert_eq!(outcome.responses.len(), 1);
-    &outcome.responses[0].1
+    &outcome.responses[0].message
 }
 
 fn run(number: u64, result: &'static str) -> CompletedRun {
@@ -62,7 +63,9 @@
     let other = table.claim(at(2), OTHER_LINK, &request(2, "k"), &configs);
     let Message::Blocked { conflict, .. } = response(&other) else { panic!("{other:?}") };
     assert_eq!((conflict.claim, &conflict.completed), (claim(1), &None));
-    assert!(matches!(other.queries[..], [(node, Message::QueryClaim { .. })] if node == id(2)));
+    assert!(
+        matches!(other.queries[..], [Request { to, message: Message::QueryClaim { .. } }] if to == id(2))
+    );
     assert!(is_granted(&table.claim(at(3), LINK, &request(3, "l"), &configs)), "another key");
 }
 
@@ -78,8 +81,13 @@
         }
         _ => false,
     };
-    assert!(completed.responses.iter().any(|(link, message)| *link == OTHER_LINK && is_result(message)));
-    assert!(completed.responses.contains(&(LINK, Message::Stored { claim: claim(1), stored: true })));
+    assert!(completed
+        .responses
+        .iter()
+        .any(|response| response.link == OTHER_LINK && is_result(&response.message)));
+    assert!(completed
+        .responses
+        .contains(&Response { link: LINK, message: Message::Stored { claim: claim(1), stored: true } }));
     assert!(is_result(response(&table.claim(at(3), LinkId(3), &request(2, "k"), &configs))));
 }
 
@@ -91,7 +99,8 @@
     let unknown = table.release(at(2), &"k".into(), claim(9));
     assert!(unknown.responses.is_empty(), "that claim is unknown");
     let released = table.release(at(2), &"k".into(), claim(1));
-    assert_eq!(released.responses, [(OTHER_LINK, Message::KeyFree { claim: claim(2) })]);
+    let response = Response { link: OTHER_LINK, message: Message::KeyFree { claim: claim(2) } };
+    assert_eq!(released.responses, [response]);
     let key = released.changed_key.unwrap();
     assert_eq!((key.as_ref(), table.stored_record(&key, at(2))), (&b"k"[..], None));
     assert_eq!(table.size(), TableSize { keys: 0, bytes: 0 });
--- a/fleet/src/replication/replica_table/voting.rs
+++ b/fleet/src/replication/replica_table/voting.rs
@@ -3,8 +3,9 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use super::entry::Entry;
+use super::entry::{Entry, Waiter};
 use super::{ReplicaTable, TableOutcome};
+use crate::envelope::{Request, Response};
 use crate::ids::{Incarnation, LinkId, NodeId};
 use crate::membership::active_configs::ActiveConfigs;
 use crate::message::{detach, ClaimRequest, ConflictingClaim, Message, RejectReason};
@@ -27,7 +28,7 @@
     ) -> TableOutcome {
         let mut outcome = TableOutcome::default();
         let response = self.respond_to_claim(now, link, request, configs, &mut outcome);
-        outcome.responses.push((link, response));
+        outcome.responses.push(Response { link, message: response });
         outcome
     }
 
@@ -39,7 +40,8 @@
         configs: &ActiveConfigs,
         outcome: &mut TableOutcome,
     ) -> Message {
-        let (claim, key) = (request.claim, &request.key);
+        let ClaimRequest { claim, key, .. } = request;
+        let claim = *claim;
         // A quorum in another active configuration might not learn of a claim that was not made in it.
         if configs.iter().any(|config| !request.config_versions.contains(&config.version())) {
             return Message::Uncertain { claim, reason: RejectReason::ConfigMismatch };
@@ -99,16 +101,15 @@
         }
         let others = || entry.state.started.iter().filter(|(started, _)| **started != claim);
         let granted = others().find(|(started, _)| Some(**started) == entry.vote);
-        let (started, body) = granted.or_else(|| others().next())?;
-        let (started, body) = (*started, *body);
-        let waiter = (link, claim);
+        let (&started, &body) = granted.or_else(|| others().next())?;
+        let waiter = Waiter { link, claim };
         if entry.waiters.len() < MAX_WAITERS_PER_KEY && !entry.waiters.contains(&waiter) {
             entry.waiters.push(waiter);
         }
         if entry.claim_queried_at.is_none_or(|queried_at| now >= queried_at + CLAIM_QUERY_INTERVAL) {
             entry.claim_queried_at = Some(now);
             let query = Message::QueryClaim { key: key.clone(), claim: started, body };
-            outcome.queries.push((started.node, query));
+            outcome.queries.push(Request { to: started.node, message: query });
         }
         let conflict = ConflictingClaim { claim: started, body, completed: None, expired_ms };
         Some(Message::Blocked { claim, conflict })
@@ -129,7 +130,7 @@
             None if self.can_vote_for(key, configs) => Message::KeyFree { claim },
             None => Message::Uncertain { claim, reason: RejectReason::Recovering },
         };
-        outcome.responses.push((link, response));
+        outcome.responses.push(Response { link, message: response });
         outcome
     }
 
@@ -149,7 +150,7 @@
         if stored {
             self.store_run(now + Duration::from_millis(retain_ms), key, run, &mut outcome);
         }
-        outcome.responses.push((link, Message::Stored { claim, stored }));
+        outcome.responses.push(Response { link, message: Message::Stored { claim, stored } });
         outcome
     }
 
@@ -161,7 +162,7 @@
         });
         outcome.changed_key = Some(key.clone());
         let Some(kept) = kept else { return };
-        let notify = |(link, claim)| (link, blocked_by_run(claim, &kept, 0));
+        let notify = |Waiter { link, claim }| Response { link, message: blocked_by_run(claim, &kept, 0) };
         outcome.responses.extend(waiters.into_iter().map(notify));
     }
 
@@ -184,7 +185,7 @@
             }
         });
         outcome.changed_key = Some(key.clone());
-        let notify = |(link, claim)| (link, Message::KeyFree { claim });
+        let notify = |Waiter { link, claim }| Response { link, message: Message::KeyFree { claim } };
         outcome.responses = waiters.into_iter().map(notify).collect();
         outcome
     }
--- a/fleet/tests/model/main.rs
+++ b/fleet/tests/model/main.rs
@@ -9,6 +9,7 @@
 
 #[path = "../common/mod.rs"]
 mod common;
+mod delivery;
 mod system;
 mod transitions;
 
--- a/fleet/tests/model/system.rs
+++ b/fleet/tests/model/system.rs
@@ -5,10 +5,11 @@
 use std::time::Duration;
 
 use oakwind_fleet::claims::coordinator::{AttemptId, ClaimAction, ClaimCoordinator, ClaimOutcome};
-use oakwind_fleet::ids::{ConfigVersion, Incarnation, LinkId, NodeId};
+use oakwind_fleet::envelope::{Request, Response};
+use oakwind_fleet::ids::{Incarnation, NodeId};
 use oakwind_fleet::membership::active_configs::ActiveConfigs;
 use oakwind_fleet::membership::config::MembershipConfig;
-use oakwind_fleet::message::{Completeness, Message};
+use oakwind_fleet::message::Message;
 use oakwind_fleet::replication::key_state::{Key, RunResult};
 use oakwind_fleet::replication::replica_table::{ReplicaTable, TableOutcome};
 use oakwind_fleet::Time;
@@ -163,12 +164,12 @@
     }
 }
 
-fn apply_outcome(state: &mut State, node: Node, outcome: TableOutcome) {
+pub(crate) fn apply_outcome(state: &mut State, node: Node, outcome: TableOutcome) {
     let incarnation = state.incarnations[node.0];
-    for (link, message) in outcome.responses {
+    for Response { link, message } in outcome.responses {
         state.net.insert(Envelope { from: node, incarnation, to: Node(link.0 as usize - 1), message });
     }
-    for (to, message) in outcome.queries {
+    for Request { to, message } in outcome.queries {
         let to = node_of(to);
         state.net.insert(Envelope { from: node, incarnation, to, message });
     }
@@ -202,103 +203,4 @@
             }
         }
     }
-
-    pub(crate) fn deliver(&self, state: &mut State, envelope: Envelope) {
-        let Envelope { from, incarnation, to, message } = envelope;
-        let n = to.0;
-        // A link begins with the incarnation of the sender.
-        if from != to {
-            state.tables[n].record_incarnation(id(from), incarnation);
-        }
-        let link = LinkId(from.0 as u64 + 1);
-        let mut actions = Vec::new();
-        match message {
-            Message::Claim(request) => {
-                if self.mutant == Some(Mutant::VotesChange) {
-                    if let Some(vote) = state.tables[n].vote(&KEY) {
-                        state.tables[n].release(NOW, &KEY, vote);
-                    }
-                }
-                let configs = match self.mutant {
-                    Some(Mutant::NewestConfigAlone) => {
-                        let newest = if request.config_versions.contains(&ConfigVersion(2)) {
-                            config(2, &[0, 1, 3])
-                        } else {
-                            config(1, &[0, 1, 2])
-                        };
-                        ActiveConfigs::new(id(to), newest)
-                    }
-                    _ => state.configs[n].clone(),
-                };
-                let outcome = state.tables[n].claim(NOW, link, &request, &configs);
-                apply_outcome(state, to, outcome);
-            }
-            Message::QueryKey { claim, key } => {
-                let configs = state.configs[n].clone();
-                let outcome = state.tables[n].query_key(NOW, link, claim, &key, &configs);
-                apply_outcome(state, to, outcome);
-            }
-            Message::Completed { key, retain_ms, run } => {
-                let outcome = state.tables[n].complete_run(NOW, link, &key, retain_ms, run);
-                apply_outcome(state, to, outcome);
-            }
-            Message::Release { key, claim } => {
-                let outcome = state.tables[n].release(NOW, &key, claim);
-                apply_outcome(state, to, outcome);
-            }
-            Message::QueryClaim { key, claim, body } if n < ATTEMPTS => {
-                if let Some(message) = state.claims[n].resolve(NOW, &key, claim, body, false) {
-                    let incarnation = state.incarnations[n];
-                    state.net.insert(Envelope { from: to, incarnation, to: from, message });
-                }
-            }
-            Message::Pull { round, from: position } => {
-                let read = state.tables[n].page(NOW, id(from), round, position.as_ref(), &state.configs[n]);
-                let page = read.page;
-                let (incarnation, message) = (state.incarnations[n], Message::Page(page));
-                state.net.insert(Envelope { from: to, incarnation, to: from, message });
-            }
-            // The round is the incarnation that asked: a page for an earlier one is ignored.
-            Message::Page(page) if u64::from(page.round) == state.incarnations[n].0 => {
-                state.tables[n].merge_records(NOW, page.records);
-                state.tables[n].record_sync(id(from), page.completeness);
-                if self.mutant == Some(Mutant::CatchesUpWithOne) {
-                    (0..NODES).for_each(|other| {
-                        state.tables[n].record_sync(id(Node(other)), Completeness::Complete);
-                    });
-                }
-            }
-            response if n < ATTEMPTS && response.is_response() => {
-                let response = match (self.mutant, response) {
-                    (Some(Mutant::UncertainIsGranted), Message::Uncertain { claim, .. })
-                    | (Some(Mutant::EarlierIncarnationsCount), Message::Granted { claim, .. }) => {
-                        Message::Granted { claim, incarnations: vec![] }
-                    }
-                    (_, response) => response,
-                };
-                let incarnation = if self.mutant == Some(Mutant::EarlierIncarnationsCount) {
-                    Incarnation(1)
-                } else {
-                    incarnation
-                };
-                let enough = matches!(
-                    (self.mutant, &response),
-                    (Some(Mutant::OneGrant), Message::Granted { .. })
-                        | (Some(Mutant::OneReplicaStores), Message::Stored { .. })
-                );
-                let all: Vec<Node> = if enough { (0..NODES).map(Node).collect() } else { vec![from] };
-                for from in all {
-                    state.claims[n].handle_response(
-                        NOW,
-                        id(from),
-                        incarnation,
-                        response.clone(),
-                        &mut actions,
-                    );
-                }
-                apply_actions(state, to, actions);
-            }
-            _ => {}
-        }
-    }
 }
--- a/fleet/tests/model/transitions.rs
+++ b/fleet/tests/model/transitions.rs
@@ -72,73 +72,18 @@
 
     fn next_state(&self, last: &State, action: Act) -> Option<State> {
         let mut state = last.clone();
-        let mut actions = Vec::new();
         match action {
-            Act::StartAttempt(n) => {
-                state.attempts[n] = Attempt::Claiming;
-                let request = RunRequest {
-                    attempt: AttemptId(n as u64),
-                    key: KEY,
-                    body: 1,
-                    expires_at: DEADLINE,
-                    received_at: NOW,
-                    received_unix_ms: n as u64,
-                    deadline: DEADLINE,
-                };
-                state.claims[n].request_run(NOW, request, &state.configs[n], &mut actions);
-                apply_actions(&mut state, Node(n), actions);
-            }
+            Act::StartAttempt(n) => start_attempt(&mut state, n),
             Act::Deliver(envelope) => self.deliver(&mut state, *envelope),
-            Act::CompleteRun(n) => {
-                // An attempt that timed out has had its answer.
-                state.attempts[n] = if state.timed_out[n] { Attempt::Failed } else { Attempt::Replicating };
-                let result = RunResult::Succeeded(Key::from_static(b"job"));
-                state.claims[n].complete_run(NOW, AttemptId(n as u64), result, &mut actions);
-                apply_actions(&mut state, Node(n), actions);
-            }
-            Act::TimeOut(n) => {
-                state.timed_out[n] = true;
-                if self.mutant == Some(Mutant::ReleasesRunningClaim) && state.attempts[n] == Attempt::Running
-                {
-                    state.claims[n].release(AttemptId(n as u64), &mut actions);
-                    state.attempts[n] = Attempt::Failed;
-                } else if self.mutant != Some(Mutant::WaitsPastDeadline) {
-                    state.claims[n].tick(DEADLINE, |_| true, &mut actions);
-                }
-                apply_actions(&mut state, Node(n), actions);
-            }
-            Act::Restart(node) => {
-                let n = node.0;
-                state.restarts += 1;
-                state.incarnations[n] = state.incarnations[n].next();
-                state.restarted[n] = true;
-                let kept = self.mutant == Some(Mutant::VotesWithoutState);
-                state.tables[n] = ReplicaTable::new(id(node), state.incarnations[n], 1 << 20, kept, NOW);
-                if n < ATTEMPTS {
-                    // The attempt has no process left to answer.
-                    state.claims[n] = ClaimCoordinator::new(id(node), state.incarnations[n]);
-                    if state.attempts[n] != Attempt::NotStarted {
-                        state.attempts[n] = Attempt::Failed;
-                    }
-                }
-            }
+            Act::CompleteRun(n) => complete_run(&mut state, n),
+            Act::TimeOut(n) => self.time_out(&mut state, n),
+            Act::Restart(node) => self.restart(&mut state, node),
             Act::Pull(node, donor) => {
                 let incarnation = state.incarnations[node.0];
                 let message = Message::Pull { round: incarnation.0 as u32, from: None };
                 state.net.insert(Envelope { from: node, incarnation, to: donor, message });
             }
-            Act::AdoptConfig(node) => {
-                let n = node.0;
-                let adopted = state.configs[n].propose(config(2, &[0, 1, 3]));
-                assert_eq!(adopted, Ok(Proposal::Adopted));
-                if self.mutant == Some(Mutant::NewestConfigAlone) {
-                    state.configs[n] = ActiveConfigs::new(id(node), config(2, &[0, 1, 3]));
-                }
-                if n < ATTEMPTS {
-                    state.claims[n].reconfigure(NOW, &state.configs[n], &mut actions);
-                    apply_actions(&mut state, node, actions);
-                }
-            }
+            Act::AdoptConfig(node) => self.adopt_config(&mut state, node),
         }
         (state != *last).then_some(state)
     }
@@ -176,3 +121,73 @@
         ]
     }
 }
+
+fn start_attempt(state: &mut State, n: usize) {
+    state.attempts[n] = Attempt::Claiming;
+    let request = RunRequest {
+        attempt: AttemptId(n as u64),
+        key: KEY,
+        body: 1,
+        expires_at: DEADLINE,
+        received_at: NOW,
+        received_unix_ms: n as u64,
+        deadline: DEADLINE,
+    };
+    let mut actions = Vec::new();
+    state.claims[n].request_run(NOW, request, &state.configs[n], &mut actions);
+    apply_actions(state, Node(n), actions);
+}
+
+fn complete_run(state: &mut State, n: usize) {
+    // An attempt that timed out has had its answer.
+    state.attempts[n] = if state.timed_out[n] { Attempt::Failed } else { Attempt::Replicating };
+    let result = RunResult::Succeeded(Key::from_static(b"job"));
+    let mut actions = Vec::new();
+    state.claims[n].complete_run(NOW, AttemptId(n as u64), result, &mut actions);
+    apply_actions(state, Node(n), actions);
+}
+
+impl System {
+    fn time_out(&self, state: &mut State, n: usize) {
+        state.timed_out[n] = true;
+        let mut actions = Vec::new();
+        if self.mutant == Some(Mutant::ReleasesRunningClaim) && state.attempts[n] == Attempt::Running {
+            state.claims[n].release(AttemptId(n as u64), &mut actions);
+            state.attempts[n] = Attempt::Failed;
+        } else if self.mutant != Some(Mutant::WaitsPastDeadline) {
+            state.claims[n].tick(DEADLINE, |_| true, &mut actions);
+        }
+        apply_actions(state, Node(n), actions);
+    }
+
+    /// Restarts a node without its state.
+    fn restart(&self, state: &mut State, node: Node) {
+        let n = node.0;
+        state.restarts += 1;
+        state.incarnations[n] = state.incarnations[n].next();
+        state.restarted[n] = true;
+        let is_complete = self.mutant == Some(Mutant::VotesWithoutState);
+        state.tables[n] = ReplicaTable::new(id(node), state.incarnations[n], 1 << 20, is_complete, NOW);
+        if n < ATTEMPTS {
+            // The attempt has no process left to answer.
+            state.claims[n] = ClaimCoordinator::new(id(node), state.incarnations[n]);
+            if state.attempts[n] != Attempt::NotStarted {
+                state.attempts[n] = Attempt::Failed;
+            }
+        }
+    }
+
+    fn adopt_config(&self, state: &mut State, node: Node) {
+        let n = node.0;
+        let adopted = state.configs[n].propose(config(2, &[0, 1, 3]));
+        assert_eq!(adopted, Ok(Proposal::Adopted));
+        if self.mutant == Some(Mutant::NewestConfigAlone) {
+            state.configs[n] = ActiveConfigs::new(id(node), config(2, &[0, 1, 3]));
+        }
+        if n < ATTEMPTS {
+            let mut actions = Vec::new();
+            state.claims[n].reconfigure(NOW, &state.configs[n], &mut actions);
+            apply_actions(state, node, actions);
+        }
+    }
+}
--- a/fleet/tests/sim/main.rs
+++ b/fleet/tests/sim/main.rs
@@ -8,10 +8,13 @@
 mod simulator;
 
 use std::collections::BTreeSet;
+use std::sync::Arc;
 use std::time::Duration;
 
 use common::config;
+use oakwind_fleet::membership::config::MembershipConfig;
 use oakwind_fleet::replica_node::ReplicaNode;
+use oakwind_fleet::Time;
 use rand::seq::SliceRandom;
 use rand::Rng;
 
@@ -24,16 +27,22 @@
     first..first + set("OAKWIND_SIM_SEEDS").unwrap_or(usual)
 }
 
-/// Random faults for some seconds, then calm. Returns what was observed.
-fn faults(seed: u64, nodes: usize, keys: usize, durable: bool) -> Observed {
-    let zones = 3;
-    let mut sim = Sim::new(seed, nodes, zones, durable, UNRELIABLE);
-    sim.play(ms(3000));
-    let (from, over) = (ms(3000), ms(12_000));
-    sim.load(0..keys, from, over, nodes);
+/// How long the fleet runs before the load and the faults begin.
+const SETTLING_TIME: Duration = Duration::from_secs(3);
+/// How long load and faults last.
+const FAULT_TIME: Duration = Duration::from_secs(12);
+/// The zones of the fleet.
+const ZONES: usize = 3;
+
+/// A random moment while faults happen.
+fn random_moment(sim: &mut Sim) -> Time {
+    SETTLING_TIME + FAULT_TIME.mul_f64(sim.rng.random())
+}
+
+fn schedule_kills(sim: &mut Sim, nodes: usize, durable: bool) {
     for _ in 0..(nodes / 4).min(24) {
         let node = sim.rng.random_range(0..nodes);
-        let at = from + over.mul_f64(sim.rng.random());
+        let at = random_moment(sim);
         let disk = [Disk::Intact, Disk::Lost, Disk::OldCopy][sim.rng.random_range(0..3)];
         let down = ms(sim.rng.random_range(50..2000));
         if disk == Disk::OldCopy && durable {
@@ -42,47 +51,73 @@
         }
         sim.at(at, node, SimEvent::Kill { down, disk });
     }
+}
+
+fn schedule_suspensions(sim: &mut Sim, nodes: usize) {
     for _ in 0..(nodes / 8).min(12) {
         let node = sim.rng.random_range(0..nodes);
-        let at = from + over.mul_f64(sim.rng.random());
-        let slept = ms(sim.rng.random_range(500..4000));
-        sim.at(at, node, SimEvent::Suspend(slept));
+        let at = random_moment(sim);
+        let suspended_for = ms(sim.rng.random_range(500..4000));
+        sim.at(at, node, SimEvent::Suspend(suspended_for));
     }
+}
+
+fn schedule_partitions(sim: &mut Sim) {
     for _ in 0..2 {
-        let zone = sim.rng.random_range(0..zones);
-        let at = from + over.mul_f64(sim.rng.random());
+        let zone = sim.rng.random_range(0..ZONES);
+        let at = random_moment(sim);
         let until = at + ms(sim.rng.random_range(500..3000));
         sim.at(at, 0, SimEvent::Partition { zone, until });
     }
-    // One node leaves and one joins; every node learns it at another time.
+}
+
+/// One node leaves and one joins; every node learns it at another time. Returns the configuration that follows.
+fn schedule_config_change(sim: &mut Sim, nodes: usize) -> Arc<MembershipConfig> {
     let next: Vec<usize> = (0..=nodes).filter(|n| *n != 1).collect();
-    let next = config(2, &next, zones, WINDOW);
-    let mut told: Vec<usize> = (0..nodes).filter(|n| *n != 1).collect();
-    told.shuffle(&mut sim.rng);
-    for node in told {
-        let at = from + ms(4000) + ms(sim.rng.random_range(0..3000));
+    let next = config(2, &next, ZONES, WINDOW);
+    let mut notified: Vec<usize> = (0..nodes).filter(|n| *n != 1).collect();
+    notified.shuffle(&mut sim.rng);
+    for node in notified {
+        let at = SETTLING_TIME + ms(4000) + ms(sim.rng.random_range(0..3000));
         sim.at(at, node, SimEvent::Propose(next.clone()));
     }
-    sim.at(from + ms(5000), nodes, SimEvent::Start);
-    sim.play(from + ms(4500));
-    sim.config = next;
-    sim.play(from + over + ms(6000));
-    // Once the faults are over, requests run again on every node.
+    sim.at(SETTLING_TIME + ms(5000), nodes, SimEvent::Start);
+    next
+}
+
+/// Once the faults are over, requests run again on every node.
+fn check_service_after_faults(sim: &mut Sim, nodes: usize, keys: usize) {
     sim.link_quality = RELIABLE;
-    sim.play(from + over + ms(16_000));
-    let in_trouble = std::mem::take(&mut sim.observed.ended);
+    sim.play(SETTLING_TIME + FAULT_TIME + ms(16_000));
+    let ended_before = std::mem::take(&mut sim.observed.ended);
     let now = sim.now;
     sim.load(keys..keys + 200, now, ms(1000), nodes);
     sim.play(now + ms(5000));
-    let calm = std::mem::replace(&mut sim.observed.ended, in_trouble);
+    let ended_after = std::mem::replace(&mut sim.observed.ended, ended_before);
     // Attempts at the node that is no member any more are rejected.
-    if calm.get("granted").is_none_or(|granted| *granted < 180) {
-        let first = (0..nodes)
-            .find(|n| sim.machines[*n].replica.as_ref().is_some_and(|replica| !replica.has_quorum()));
+    if ended_after.get("granted").is_none_or(|granted| *granted < 180) {
+        let lacks_quorum =
+            |n: &usize| sim.machines[*n].replica.as_ref().is_some_and(|replica| !replica.has_quorum());
+        let first = (0..nodes).find(lacks_quorum);
         sim.observed
             .violations
-            .push(format!("of 200 requests after the faults: {calm:?}; without a quorum: {first:?}"));
+            .push(format!("of 200 requests after the faults: {ended_after:?}; without a quorum: {first:?}"));
     }
+}
+
+/// Random faults for some seconds, then calm. Returns what was observed.
+fn faults(seed: u64, nodes: usize, keys: usize, durable: bool) -> Observed {
+    let mut sim = Sim::new(seed, nodes, ZONES, durable, UNRELIABLE);
+    sim.play(SETTLING_TIME);
+    sim.load(0..keys, SETTLING_TIME, FAULT_TIME, nodes);
+    schedule_kills(&mut sim, nodes, durable);
+    schedule_suspensions(&mut sim, nodes);
+    schedule_partitions(&mut sim);
+    let next = schedule_config_change(&mut sim, nodes);
+    sim.play(SETTLING_TIME + ms(4500));
+    sim.config = next;
+    sim.play(SETTLING_TIME + FAULT_TIME + ms(6000));
+    check_service_after_faults(&mut sim, nodes, keys);
     sim.observed
 }
 
@@ -181,8 +216,10 @@
         complete = complete.or(all(ReplicaNode::is_complete).then(|| sim.now - up));
     }
     assert!(sim.observed.violations.is_empty(), "{:#?}", sim.observed.violations);
-    let pages_sent =
-        |node: usize| sim.observed.pages.iter().filter(|((from, _), _)| *from == node).map(|(_, n)| n).sum();
+    let pages_sent = |node: usize| {
+        let by_node = sim.observed.pages.iter().filter(|(interval, _)| interval.node == node);
+        by_node.map(|(_, count)| count).sum()
+    };
     Recovery {
         caught_up: caught_up.unwrap_or(ms(30_000)),
         complete: complete.unwrap_or(ms(30_000)),
--- a/fleet/tests/sim/simulator.rs
+++ b/fleet/tests/sim/simulator.rs
@@ -2,12 +2,14 @@
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
+use std::ops::RangeInclusive;
 use std::sync::Arc;
 use std::time::Duration;
 
 use crate::common::{config, name};
 use crate::machine::{DiskContents, Machine, Scheduled, SimEvent};
 use oakwind_fleet::claims::coordinator::{AttemptId, ClaimOutcome, RunRequest};
+use oakwind_fleet::envelope::ReceivedMessage;
 use oakwind_fleet::ids::{Incarnation, LinkId, NodeId};
 use oakwind_fleet::membership::config::MembershipConfig;
 use oakwind_fleet::message::{Message, ReplicaRecord};
@@ -29,25 +31,48 @@
 }
 
 /// What goes wrong on the links.
-#[derive(Clone, Copy)]
+#[derive(Clone)]
 pub(crate) struct LinkQuality {
     loss: f64,
     duplication: f64,
-    delay: (u64, u64),
+    /// The bounds of the delay in milliseconds.
+    delay_ms: RangeInclusive<u64>,
+}
+
+/// A run of a key.
+#[derive(Debug)]
+pub(crate) struct ObservedRun {
+    at: Time,
+    attempt: AttemptId,
+}
+
+/// An attempt at a key.
+#[derive(Debug)]
+pub(crate) struct ObservedAttempt {
+    key: usize,
+    has_run: bool,
+}
+
+/// What a node sends in a tenth of a second.
+#[derive(Debug, PartialEq, Eq, Hash)]
+pub(crate) struct SendingInterval {
+    pub(crate) node: usize,
+    tenth_of_second: u128,
 }
 
 #[derive(Debug, Default)]
 pub(crate) struct Observed {
-    pub(crate) runs: HashMap<usize, Vec<(Time, u64)>>,
-    /// Attempts by number: the key, and whether it has run.
-    pub(crate) attempts: BTreeMap<u64, (usize, bool)>,
+    /// All runs, by key.
+    pub(crate) runs: HashMap<usize, Vec<ObservedRun>>,
+    /// Attempts by number.
+    pub(crate) attempts: BTreeMap<u64, ObservedAttempt>,
     pub(crate) ended: BTreeMap<String, usize>,
     pub(crate) violations: Vec<String>,
     pub(crate) conflicts: usize,
     pub(crate) stale_states: usize,
     pub(crate) messages: u64,
-    /// Pages that a node sent, by tenth of a second.
-    pub(crate) pages: HashMap<(usize, u128), u64>,
+    /// The number of pages that a node sent.
+    pub(crate) pages: HashMap<SendingInterval, u64>,
 }
 
 pub(crate) struct Sim {
@@ -156,17 +181,18 @@
     fn carry(&mut self, from: usize, to: usize, to_process: Option<u64>, message: Message) {
         self.observed.messages += 1;
         if matches!(message, Message::Page(_)) {
-            *self.observed.pages.entry((from, self.now.as_millis() / 100)).or_default() += 1;
+            let interval = SendingInterval { node: from, tenth_of_second: self.now.as_millis() / 100 };
+            *self.observed.pages.entry(interval).or_default() += 1;
         }
         if self.is_partitioned(from, to) || self.rng.random::<f64>() < self.link_quality.loss {
             return;
         }
-        let (low, high) = self.link_quality.delay;
+        let delay_ms = self.link_quality.delay_ms.clone();
         let link = LinkId((self.machines[from].process << 16) | (from as u64 + 1));
         let incarnation = Incarnation(self.machines[from].process);
         let copies = if self.rng.random::<f64>() < self.link_quality.duplication { 2 } else { 1 };
         for _ in 0..copies {
-            let mut delay = ms(self.rng.random_range(low..=high));
+            let mut delay = ms(self.rng.random_range(delay_ms.clone()));
             if self.rng.random::<f64>() < self.link_quality.loss {
                 delay += ms(1000);
             }
@@ -177,12 +203,12 @@
                 return;
             }
             self.number += 1;
-            let event = Event::MessageReceived {
+            let event = Event::MessageReceived(ReceivedMessage {
                 link,
                 from: NodeId::of(&name(from)),
                 incarnation,
                 message: message.clone(),
-            };
+            });
             let process = to_process.unwrap_or(self.machines[to].process);
             let (number, sim_event) = (self.number, SimEvent::Event(event));
             self.queue.push(Reverse(Scheduled { at, number, node: to, process, sim_event }));
@@ -242,12 +268,12 @@
     }
 
     fn notify(&mut self, node: usize, attempt: AttemptId, outcome: ClaimOutcome) {
-        let Some((key, ran)) = self.observed.attempts.get_mut(&attempt.0) else { return };
-        let key = *key;
+        let Some(observed) = self.observed.attempts.get_mut(&attempt.0) else { return };
+        let key = observed.key;
         let name = match &outcome {
             ClaimOutcome::Granted => "granted",
             ClaimOutcome::Rejected(reason) => {
-                if *ran {
+                if observed.has_run {
                     self.observed
                         .violations
                         .push(format!("token {} of key {key} ran and is rejected: {reason:?}", attempt.0));
@@ -270,15 +296,15 @@
         };
         *self.observed.ended.entry(name.to_string()).or_default() += 1;
         if outcome == ClaimOutcome::Granted {
-            *ran = true;
+            observed.has_run = true;
             let runs = self.observed.runs.entry(key).or_default();
-            if let Some((first, by)) = runs.last() {
+            if let Some(previous) = runs.last() {
                 self.observed.violations.push(format!(
-                    "key {key} runs by token {} at {node} at {:?}, and did by {by} at {first:?}",
-                    attempt.0, self.now
+                    "key {key} runs by token {} at {node} at {:?}, and did by {} at {:?}",
+                    attempt.0, self.now, previous.attempt.0, previous.at
                 ));
             }
-            runs.push((self.now, attempt.0));
+            runs.push(ObservedRun { at: self.now, attempt });
             let over = self.now + ms(self.rng.random_range(5..80));
             self.at(over, node, SimEvent::EndRun(attempt));
         }
@@ -320,7 +346,7 @@
             SimEvent::Event(event) => self.event(node, event),
             SimEvent::Attempt(key) => self.start_attempt(node, key),
             SimEvent::EndRun(attempt) => {
-                let key = self.observed.attempts[&attempt.0].0;
+                let key = self.observed.attempts[&attempt.0].key;
                 let result = RunResult::Succeeded(Key::from(format!("job of {key}")));
                 self.event(node, Event::RunCompleted(attempt, result));
             }
@@ -358,7 +384,7 @@
     fn start_attempt(&mut self, node: usize, key: usize) {
         self.last_attempt += 1;
         let attempt = self.last_attempt;
-        self.observed.attempts.insert(attempt, (key, false));
+        self.observed.attempts.insert(attempt, ObservedAttempt { key, has_run: false });
         let request = RunRequest {
             attempt: AttemptId(attempt),
             key: Key::from(format!("key {key}")),
@@ -384,5 +410,5 @@
     }
 }
 
-pub(crate) const RELIABLE: LinkQuality = LinkQuality { loss: 0.0, duplication: 0.0, delay: (1, 3) };
-pub(crate) const UNRELIABLE: LinkQuality = LinkQuality { loss: 0.01, duplication: 0.02, delay: (1, 40) };
+pub(crate) const RELIABLE: LinkQuality = LinkQuality { loss: 0.0, duplication: 0.0, delay_ms: 1..=3 };
+pub(crate) const UNRELIABLE: LinkQuality = LinkQuality { loss: 0.01, duplication: 0.02, delay_ms: 1..=40 };
--- a/node/src/commands/tables.rs
+++ b/node/src/commands/tables.rs
@@ -3,7 +3,7 @@
 use std::iter;
 
 use oakwind_fleet::audit::decision_record::{Decision, Record};
-use oakwind_fleet::audit::{DuplicateRun, JournalSummary, Report, Straggler, VersionUse};
+use oakwind_fleet::audit::{DuplicateRun, JournalSummary, NodeRecord, Report, Straggler, VersionUse};
 
 /// What stands in a cell without a value.
 const NO_VALUE: &str = "-";
@@ -40,7 +40,7 @@
 }
 
 fn node_row(node: &JournalSummary) -> [String; NODE_COLUMNS] {
-    let span = node.span.map(|(from, until)| format!("{from} to {until}"));
+    let span = node.span.map(|span| format!("{} to {}", span.first, span.last));
     let chain = if node.breaks.is_empty() { "whole".into() } else { node.breaks.join("; ") };
     [
         node.node.clone(),
@@ -53,12 +53,13 @@
 }
 
 fn version_row(version: &VersionUse) -> [String; VERSION_COLUMNS] {
-    let replaced = version.replaced.as_ref().map(|(at, by)| format!("{at} by {by}"));
+    let replaced =
+        version.replaced.as_ref().map(|replacement| format!("{} by {}", replacement.at, replacement.id));
     [
         version.kind.to_string().to_lowercase(),
         version.id.clone(),
-        version.first.0.to_string(),
-        version.first.1.clone(),
+        version.first.at.to_string(),
+        version.first.node.clone(),
         version.nodes.len().to_string(),
         version.decisions.to_string(),
         replaced.unwrap_or_else(|| NO_VALUE.into()),
@@ -84,12 +85,13 @@
 }
 
 /// What the nodes did with an attempt or a key, a row for each decision.
-pub(super) fn explanation(records: &[(&str, &Record)]) -> String {
-    table(&ATTEMPT_HEADINGS, records.iter().filter_map(|(node, record)| attempt_row(node, record)))
+pub(super) fn explanation(records: &[NodeRecord<'_>]) -> String {
+    table(&ATTEMPT_HEADINGS, records.iter().filter_map(attempt_row))
 }
 
 /// The row of a decision; none if the record is no decision.
-fn attempt_row(node: &str, record: &Record) -> Option<[String; ATTEMPT_COLUMNS]> {
+fn attempt_row(found: &NodeRecord<'_>) -> Option<[String; ATTEMPT_COLUMNS]> {
+    let NodeRecord { node, record } = *found;
     let Record::Attempt { at, decision, txn, key, class, versions } = record else { return None };
     let has_membership = versions.config.0 != 0;
     let membership = if has_membership { versions.config.to_string() } else { NO_VALUE.into() };
--- a/node/src/peers/replica_host.rs
+++ b/node/src/peers/replica_host.rs
@@ -3,6 +3,7 @@
 use std::collections::VecDeque;
 
 use oakwind_admission::RequestId;
+use oakwind_fleet::envelope::ReceivedMessage;
 use oakwind_fleet::ids::{LinkId, NodeId};
 use oakwind_fleet::message::{Hello, Message};
 use oakwind_fleet::replica_node::{Action, Event, Notification, ReplicaNode, StoreSequence};
@@ -120,7 +121,7 @@
             self.links.close(link);
             return None;
         };
-        Some(Event::MessageReceived { link, from, incarnation, message })
+        Some(Event::MessageReceived(ReceivedMessage { link, from, incarnation, message }))
     }
 
     /// The peer of a link says who it is. Returns false and closes the link if that is no member, or the peer takes this
