--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -19,6 +19,7 @@
 pub(crate) use error::ConfigError;
 pub(crate) use fleet::FleetConfig;
 pub(crate) use node::NodeConfig;
+use parse::OperatorsFile;
 pub(crate) use result_store::ResultStoreConfig;
 pub(crate) use upstreams::UpstreamAddresses;
 pub(crate) use uwsgi::{UwsgiConfig, VrrpConfig};
--- a/node/src/config/decision_log.rs
+++ b/node/src/config/decision_log.rs
@@ -1,12 +1,12 @@
 //! The operators' file that makes a node record its decisions.
 
 use std::ops::RangeInclusive;
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 
 use serde::Deserialize;
 
 use super::error::ConfigError;
-use super::parse::{check_absolute, check_range, parse_operators_file, read_text, MEBIBYTE};
+use super::parse::{check_absolute, check_range, OperatorsFile, MEBIBYTE};
 
 const FILE_MB_RANGE: RangeInclusive<u64> = 1..=1024;
 const DEFAULT_FILE_MB: u64 = 8;
@@ -26,7 +26,7 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct RawDecisionLog {
+pub(super) struct RawDecisionLog {
     folder: PathBuf,
     #[serde(default = "default_file_mb")]
     file_mb: u64,
@@ -42,23 +42,11 @@
     DEFAULT_FILES
 }
 
-impl DecisionLogConfig {
-    /// Reads and checks a file.
-    ///
-    /// # Errors
-    ///
-    /// If it cannot be read or is not valid.
-    pub(crate) fn read(path: &Path) -> Result<Self, ConfigError> {
-        DecisionLogConfig::parse(&read_text(path)?)
-    }
+impl OperatorsFile for DecisionLogConfig {
+    const FILE: &'static str = "records";
+    type Raw = RawDecisionLog;
 
-    /// Parses and checks the text of a file.
-    ///
-    /// # Errors
-    ///
-    /// If it is not valid.
-    pub(crate) fn parse(text: &str) -> Result<Self, ConfigError> {
-        let raw: RawDecisionLog = parse_operators_file("records", text)?;
+    fn from_raw(raw: RawDecisionLog) -> Result<Self, ConfigError> {
         check_absolute("records file, folder", &raw.folder)?;
         check_range("records file, file_mb", raw.file_mb, FILE_MB_RANGE)?;
         check_range("records file, files", raw.files as u64, FILES_RANGE)?;
--- a/node/src/config/fleet.rs
+++ b/node/src/config/fleet.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 
 use super::error::ConfigError;
 use super::node::NodeConfig;
-use super::parse::{check_absolute, check_range, parse_address, parse_operators_file, read_text, MEBIBYTE};
+use super::parse::{check_absolute, check_range, parse_address, OperatorsFile, MEBIBYTE};
 use super::result_store::{default_file_mb, ResultStoreConfig, DEFAULT_BATCH, FILE_MB_RANGE};
 
 const MEMORY_MB_RANGE: RangeInclusive<u64> = 1..=65_536;
@@ -52,7 +52,7 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct RawFleet {
+pub(super) struct RawFleet {
     name: String,
     listen: String,
     #[serde(default = "default_memory_mb")]
@@ -113,23 +113,11 @@
     DEFAULT_ZONE.into()
 }
 
-impl FleetConfig {
-    /// Reads and checks a file.
-    ///
-    /// # Errors
-    ///
-    /// If it cannot be read or is not valid.
-    pub(crate) fn read(path: &Path) -> Result<Self, ConfigError> {
-        FleetConfig::parse(&read_text(path)?)
-    }
+impl OperatorsFile for FleetConfig {
+    const FILE: &'static str = "fleet";
+    type Raw = RawFleet;
 
-    /// Parses and checks the text of a file.
-    ///
-    /// # Errors
-    ///
-    /// If it is not valid.
-    pub(crate) fn parse(text: &str) -> Result<Self, ConfigError> {
-        let raw: RawFleet = parse_operators_file("fleet", text)?;
+    fn from_raw(raw: RawFleet) -> Result<Self, ConfigError> {
         check_range("fleet file, memory_mb", raw.memory_mb, MEMORY_MB_RANGE)?;
         check_range("fleet file, links", raw.links as u64, LINKS_RANGE)?;
         check_range("fleet file, kb_per_s", raw.kb_per_s, KB_PER_S_RANGE)?;
@@ -154,7 +142,9 @@
             name: raw.name,
         })
     }
+}
 
+impl FleetConfig {
     /// Fails unless this fits the platform's configuration.
     pub(super) fn check_against(&self, node: &NodeConfig) -> Result<(), ConfigError> {
         let window = node.max_idempotency_window();
--- a/node/src/config/parse.rs
+++ b/node/src/config/parse.rs
@@ -1,9 +1,10 @@
-//! What the configuration files have in common: reading, addresses, ranges, paths.
+//! What the configuration files have in common: reading, parsing, addresses, ranges, paths.
 
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 use std::path::Path;
 
+use serde::de::DeserializeOwned;
 use serde::Deserialize;
 
 use super::error::{first_line, ConfigError};
@@ -17,11 +18,41 @@
         .map_err(|source| ConfigError::Unreadable { path: path.to_path_buf(), source })
 }
 
-/// Parses an operators' file in TOML. An error names the line and the key.
-pub(super) fn parse_operators_file<'a, T: Deserialize<'a>>(
-    file: &'static str,
-    text: &'a str,
-) -> Result<T, ConfigError> {
+/// A file that operators write, in TOML.
+pub(super) trait OperatorsFile: Sized {
+    /// What errors call it.
+    const FILE: &'static str;
+    /// Its keys as they are written.
+    type Raw: DeserializeOwned;
+
+    /// Checks the values of the keys.
+    ///
+    /// # Errors
+    ///
+    /// If one of them is not valid.
+    fn from_raw(raw: Self::Raw) -> Result<Self, ConfigError>;
+
+    /// Parses and checks the text of a file.
+    ///
+    /// # Errors
+    ///
+    /// If it is not valid.
+    fn parse(text: &str) -> Result<Self, ConfigError> {
+        Self::from_raw(parse_toml(Self::FILE, text)?)
+    }
+
+    /// Reads and checks a file.
+    ///
+    /// # Errors
+    ///
+    /// If it cannot be read or is not valid.
+    fn read(path: &Path) -> Result<Self, ConfigError> {
+        Self::parse(&read_text(path)?)
+    }
+}
+
+/// Parses a file in TOML. An error names the line and the key.
+fn parse_toml<'a, T: Deserialize<'a>>(file: &'static str, text: &'a str) -> Result<T, ConfigError> {
     let malformed = |key: String, error: &toml::de::Error| {
         let line = error.span().map_or(0, |span| line_at(text, span.start));
         let message = first_line(&error.message());
--- a/node/src/config/result_store.rs
+++ b/node/src/config/result_store.rs
@@ -1,12 +1,12 @@
 //! The operators' file that makes idempotency keys and results outlast the process.
 
 use std::ops::RangeInclusive;
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 
 use serde::Deserialize;
 
 use super::error::ConfigError;
-use super::parse::{check_absolute, check_range, parse_operators_file, read_text, MEBIBYTE};
+use super::parse::{check_absolute, check_range, OperatorsFile, MEBIBYTE};
 
 /// The size that a store may have, in mebibytes.
 pub(super) const FILE_MB_RANGE: RangeInclusive<u64> = 4..=65_536;
@@ -27,7 +27,7 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct RawResultStore {
+pub(super) struct RawResultStore {
     folder: PathBuf,
     #[serde(default = "default_file_mb")]
     file_mb: u64,
@@ -43,23 +43,11 @@
     DEFAULT_BATCH
 }
 
-impl ResultStoreConfig {
-    /// Reads and checks a file.
-    ///
-    /// # Errors
-    ///
-    /// If it cannot be read or is not valid.
-    pub(crate) fn read(path: &Path) -> Result<Self, ConfigError> {
-        ResultStoreConfig::parse(&read_text(path)?)
-    }
+impl OperatorsFile for ResultStoreConfig {
+    const FILE: &'static str = "remembered";
+    type Raw = RawResultStore;
 
-    /// Parses and checks the text of a file.
-    ///
-    /// # Errors
-    ///
-    /// If it is not valid.
-    pub(crate) fn parse(text: &str) -> Result<Self, ConfigError> {
-        let raw: RawResultStore = parse_operators_file("remembered", text)?;
+    fn from_raw(raw: RawResultStore) -> Result<Self, ConfigError> {
         check_absolute("remembered file, folder", &raw.folder)?;
         check_range("remembered file, file_mb", raw.file_mb, FILE_MB_RANGE)?;
         check_range("remembered file, batch", raw.batch as u64, BATCH_RANGE)?;
--- a/node/src/config/tests.rs
+++ b/node/src/config/tests.rs
@@ -4,6 +4,25 @@
     "settings": {"services": [{"name": "quote", "slo": 1, "deadline": 2, "effect": "repeatable"}],
     "specifics": {"cores": 2, "memoryKb": 64.5}, "safety": {"drainGrace": 8, "fallMultiple": 3}}}"#;
 
+/// A change of a valid file, and the key that the error then names.
+struct InvalidChange {
+    from: &'static str,
+    to: &'static str,
+    key: &'static str,
+}
+
+const fn change(from: &'static str, to: &'static str, key: &'static str) -> InvalidChange {
+    InvalidChange { from, to, key }
+}
+
+/// Fails unless the error after each change is one line that names the key.
+fn assert_errors_name_keys<F: OperatorsFile + std::fmt::Debug>(valid: &str, changes: &[InvalidChange]) {
+    for InvalidChange { from, to, key } in changes {
+        let line = F::parse(&valid.replace(from, to)).unwrap_err().to_string();
+        assert!(line.contains(key) && !line.contains('\n'), "{line:?} names {key}");
+    }
+}
+
 /// The error of the small configuration with a change.
 fn error_after(from: &str, to: &str) -> String {
     assert!(SMALL.contains(from));
@@ -61,53 +80,47 @@
 
 #[test]
 fn an_error_of_a_result_store_file_is_one_line_that_names_the_key() {
-    let good = "folder = '/var/lib/oakwind'\nfile_mb = 8\n";
-    assert_eq!(ResultStoreConfig::parse(good).unwrap().max_batch, 1024);
-    for (from, to, key) in [
-        ("folder = '/var/lib/oakwind'", "", "folder"),
-        ("'/var", "'var", "folder"),
-        ("8", "1", "file_mb"),
-        ("8", "8\nbatch = 0", "batch"),
-        ("8", "8\nsurprise = 1", "surprise"),
-    ] {
-        let line = ResultStoreConfig::parse(&good.replace(from, to)).unwrap_err().to_string();
-        assert!(line.contains(key) && !line.contains('\n'), "{line:?} names {key}");
-    }
+    let valid = "folder = '/var/lib/oakwind'\nfile_mb = 8\n";
+    assert_eq!(ResultStoreConfig::parse(valid).unwrap().max_batch, 1024);
+    let changes = [
+        change("folder = '/var/lib/oakwind'", "", "folder"),
+        change("'/var", "'var", "folder"),
+        change("8", "1", "file_mb"),
+        change("8", "8\nbatch = 0", "batch"),
+        change("8", "8\nsurprise = 1", "surprise"),
+    ];
+    assert_errors_name_keys::<ResultStoreConfig>(valid, &changes);
 }
 
 #[test]
-fn an_error_of_a_uwsgi_file_names_the_key() {
-    let good = "listen = '127.0.0.1:0'\n[vrrp]\nvrid = 7\naddresses = ['127.0.1.1']\n\
+fn an_error_of_a_uwsgi_file_is_one_line_that_names_the_key() {
+    let valid = "listen = '127.0.0.1:0'\n[vrrp]\nvrid = 7\naddresses = ['127.0.1.1']\n\
                 listen = '127.0.0.1:0'\npeers = []\n";
-    assert_eq!(UwsgiConfig::parse(good).unwrap().vrrp.unwrap().priority, 100);
-    for (from, to, key) in [
-        ("vrid = 7", "vrid = 0", "vrrp.vrid"),
-        ("vrid = 7", "", "vrid"),
-        ("vrid = 7", "vrid = 7\ninterval_ms = 5", "vrrp.interval_ms"),
-        ("peers = []", "peers = ['x']", "vrrp.peers"),
-        ("peers = []", "peers = 3", "vrrp.peers"),
-        ("[vrrp]", "surprise = 1\n[vrrp]", "surprise"),
-    ] {
-        let line = UwsgiConfig::parse(&good.replace(from, to)).unwrap_err().to_string();
-        assert!(line.contains(key), "{line:?} names {key}");
-    }
+    assert_eq!(UwsgiConfig::parse(valid).unwrap().vrrp.unwrap().priority, 100);
+    let changes = [
+        change("vrid = 7", "vrid = 0", "vrrp.vrid"),
+        change("vrid = 7", "", "vrid"),
+        change("vrid = 7", "vrid = 7\ninterval_ms = 5", "vrrp.interval_ms"),
+        change("peers = []", "peers = ['x']", "vrrp.peers"),
+        change("peers = []", "peers = 3", "vrrp.peers"),
+        change("[vrrp]", "surprise = 1\n[vrrp]", "surprise"),
+    ];
+    assert_errors_name_keys::<UwsgiConfig>(valid, &changes);
 }
 
 #[test]
 fn an_error_of_a_decision_log_file_is_one_line_that_names_the_key() {
-    let good = "folder = '/var/lib/oakwind'\nfile_mb = 8\n";
-    assert_eq!(DecisionLogConfig::parse(good).unwrap().max_files, 8);
-    for (from, to, key) in [
-        ("'/var/lib/oakwind'", "'here'", "records file, folder"),
-        ("8", "0", "records file, file_mb"),
-        ("8", "1025", "records file, file_mb"),
-        ("8", "8\nfiles = 1", "records file, files"),
-        ("8", "8\nfiles = 1001", "records file, files"),
-        ("8", "8\nsurprise = 1", "surprise"),
-    ] {
-        let line = DecisionLogConfig::parse(&good.replace(from, to)).unwrap_err().to_string();
-        assert!(line.contains(key) && !line.contains('\n'), "{line:?} names {key}");
-    }
+    let valid = "folder = '/var/lib/oakwind'\nfile_mb = 8\n";
+    assert_eq!(DecisionLogConfig::parse(valid).unwrap().max_files, 8);
+    let changes = [
+        change("'/var/lib/oakwind'", "'here'", "records file, folder"),
+        change("8", "0", "records file, file_mb"),
+        change("8", "1025", "records file, file_mb"),
+        change("8", "8\nfiles = 1", "records file, files"),
+        change("8", "8\nfiles = 1001", "records file, files"),
+        change("8", "8\nsurprise = 1", "surprise"),
+    ];
+    assert_errors_name_keys::<DecisionLogConfig>(valid, &changes);
 }
 
 /// The values of keys that a file leaves out, which operators rely on.
--- a/node/src/config/uwsgi.rs
+++ b/node/src/config/uwsgi.rs
@@ -2,13 +2,12 @@
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::ops::RangeInclusive;
-use std::path::Path;
 use std::time::Duration;
 
 use serde::Deserialize;
 
 use super::error::ConfigError;
-use super::parse::{check_range, parse_address, parse_addresses, parse_operators_file, read_text};
+use super::parse::{check_range, parse_address, parse_addresses, OperatorsFile};
 
 /// The numbers that a virtual router may have (RFC 9568, section 5.2.3).
 const VRID_RANGE: RangeInclusive<u64> = 1..=255;
@@ -57,7 +56,7 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct RawUwsgi {
+pub(super) struct RawUwsgi {
     listen: String,
     #[serde(default)]
     runs: Vec<String>,
@@ -93,23 +92,11 @@
     true
 }
 
-impl UwsgiConfig {
-    /// Reads and checks a file.
-    ///
-    /// # Errors
-    ///
-    /// If it cannot be read or is not valid.
-    pub(crate) fn read(path: &Path) -> Result<Self, ConfigError> {
-        UwsgiConfig::parse(&read_text(path)?)
-    }
+impl OperatorsFile for UwsgiConfig {
+    const FILE: &'static str = "uwsgi";
+    type Raw = RawUwsgi;
 
-    /// Parses and checks the text of a file.
-    ///
-    /// # Errors
-    ///
-    /// If it is not valid.
-    pub(crate) fn parse(text: &str) -> Result<Self, ConfigError> {
-        let raw: RawUwsgi = parse_operators_file("uwsgi", text)?;
+    fn from_raw(raw: RawUwsgi) -> Result<Self, ConfigError> {
         Ok(UwsgiConfig {
             listen: parse_address("uwsgi file, listen", &raw.listen)?,
             run_servers: parse_addresses("uwsgi file, runs", &raw.runs)?,
