--- a/node/src/dispatcher/tests.rs
+++ b/node/src/dispatcher/tests.rs
@@ -53,6 +53,12 @@
         self.exchange.submit(request(tag, key, body), responder).await
     }
 
+    /// Submits an attempt that the backend is to run, and waits until it has got the command.
+    async fn submit_and_start(&mut self, tag: u64, key: &'static [u8], body: &'static [u8]) {
+        self.submit(tag, key, body).await;
+        assert_eq!(self.next_run().await.txn, txn(tag));
+    }
+
     /// The next request that the backend is to run.
     async fn next_run(&mut self) -> Rc<Request> {
         loop {
@@ -128,8 +134,7 @@
 fn a_repeated_attempt_gets_the_result_of_the_first_and_does_not_run() {
     run(async {
         let mut node = Node::start(false).await;
-        node.submit(1, b"key", b"body").await;
-        assert_eq!(node.next_run().await.txn, txn(1));
+        node.submit_and_start(1, b"key", b"body").await;
         node.submit(2, b"key", b"body").await;
         node.complete(1, succeeded(b"result")).await;
         assert_eq!(node.next_answer().await, (1, served(b"result")));
@@ -144,8 +149,7 @@
 fn a_known_key_with_another_body_is_answered_as_a_mismatch() {
     run(async {
         let mut node = Node::start(false).await;
-        node.submit(1, b"key", b"body").await;
-        node.next_run().await;
+        node.submit_and_start(1, b"key", b"body").await;
         node.submit(2, b"key", b"another body").await;
         assert_eq!(node.next_answer().await, (2, RequestOutcome::BodyMismatch));
         assert!(node.runs_nothing());
@@ -156,15 +160,13 @@
 fn a_run_that_never_started_is_rejected_and_frees_its_key() {
     run(async {
         let mut node = Node::start(false).await;
-        node.submit(1, b"key", b"body").await;
-        node.next_run().await;
+        node.submit_and_start(1, b"key", b"body").await;
         node.complete(1, Completion::NeverStarted).await;
         assert!(matches!(
             node.next_answer().await,
             (1, RequestOutcome::Rejected { retry_after: Some(_), .. })
         ));
-        node.submit(2, b"key", b"body").await;
-        assert_eq!(node.next_run().await.txn, txn(2));
+        node.submit_and_start(2, b"key", b"body").await;
     });
 }
 
@@ -223,8 +225,7 @@
 fn a_predecessor_transfers_its_table_then_outcomes_and_rejects_new_keys() {
     run(async {
         let mut node = Node::start(false).await;
-        node.submit(1, b"key", b"body").await;
-        node.next_run().await;
+        node.submit_and_start(1, b"key", b"body").await;
         let (updates, mut transferred) = mpsc::channel(8);
         node.exchange.begin_handover(updates).await;
         let table = transferred.recv().await.unwrap();
@@ -250,8 +251,7 @@
 fn after_the_shutdown_notice_the_node_has_drained_once_its_runs_have_ended() {
     run(async {
         let mut node = Node::start(false).await;
-        node.submit(1, b"key", b"body").await;
-        node.next_run().await;
+        node.submit_and_start(1, b"key", b"body").await;
         node.exchange.drain(clock::now() + GUARD).await;
         let mut status = node.exchange.status();
         status.wait_for(|status| status.draining.is_some()).await.unwrap();
@@ -268,8 +268,7 @@
 fn a_cancelled_submission_gets_no_answer_and_a_transaction_id_can_be_open_once() {
     run(async {
         let mut node = Node::start(false).await;
-        node.submit(1, b"key", b"body").await;
-        node.next_run().await;
+        node.submit_and_start(1, b"key", b"body").await;
         node.submit(1, b"other", b"body").await;
         assert_eq!(node.next_answer().await, (1, RequestOutcome::Failed { timed_out: false }));
         let submission = node.submit(2, b"another", b"body").await;
--- a/node/src/handover/tests/golden.rs
+++ b/node/src/handover/tests/golden.rs
@@ -30,14 +30,14 @@
     [SEED, OPEN, DONE, ALL].concat()
 }
 
-const THE_SEED: u64 = 0xfedc_ba98_7654_3210;
+const DIGEST_SEED: u64 = 0xfedc_ba98_7654_3210;
 
-fn record_of(key: &'static [u8], body: u64, millis: u64, fate: RunState) -> IdempotencyRecord {
+fn record_of(key: &'static [u8], body: u64, millis: u64, state: RunState) -> IdempotencyRecord {
     IdempotencyRecord {
         key: Bytes::from_static(key),
         body_digest: BodyDigest(body),
         expires_at: Duration::from_millis(millis),
-        state: fate,
+        state,
     }
 }
 
@@ -123,7 +123,7 @@
 
 #[test]
 fn the_digest_of_a_body_is_the_same_in_every_release() {
-    assert_eq!(format!("{:x}", crate::outcome::digest(THE_SEED, b"a body")), "368d9b8f0942b73b");
+    assert_eq!(format!("{:x}", crate::outcome::digest(DIGEST_SEED, b"a body")), "368d9b8f0942b73b");
     assert_eq!(format!("{:x}", crate::outcome::digest(0, b"")), "d1fba762150c532c");
 }
 
@@ -150,7 +150,7 @@
             new.write_all(&bytes(TAKE)).await.unwrap();
             let DispatcherEvent::BeginHandover(updates) = next(&mut dispatcher).await else { panic!() };
             updates
-                .send(HandoverState { digest_seed: THE_SEED, records: vec![open(), done()] })
+                .send(HandoverState { digest_seed: DIGEST_SEED, records: vec![open(), done()] })
                 .await
                 .unwrap();
             assert_eq!(read(&mut new, &whole_table()).await, whole_table());
@@ -200,7 +200,7 @@
             assert_eq!(read(&mut old, TAKE).await, TAKE);
             old.write_all(&bytes(&whole_table())).await.unwrap();
             let DispatcherEvent::StateReceived(state) = next(&mut dispatcher).await else { panic!() };
-            assert_eq!((state.digest_seed, state.records), (THE_SEED, vec![open(), done()]));
+            assert_eq!((state.digest_seed, state.records), (DIGEST_SEED, vec![open(), done()]));
             dispatcher.status.send_modify(|status| status.awaiting_state = false);
             old.write_all(&bytes(FAILED)).await.unwrap();
             let DispatcherEvent::StateReceived(state) = next(&mut dispatcher).await else { panic!() };
@@ -228,7 +228,7 @@
             let (mut old, _) = listener.accept().await.unwrap();
             old.write_all(&bytes(&[SEED, ALL].concat())).await.unwrap();
             let DispatcherEvent::StateReceived(state) = next(&mut dispatcher).await else { panic!() };
-            assert_eq!((state.digest_seed, state.records), (THE_SEED, vec![]));
+            assert_eq!((state.digest_seed, state.records), (DIGEST_SEED, vec![]));
             dispatcher.status.send_modify(|status| status.awaiting_state = false);
         };
         tokio::join!(take_over(path.clone(), exchange), old);
--- a/node/src/result_store/recovery/tests.rs
+++ b/node/src/result_store/recovery/tests.rs
@@ -73,9 +73,12 @@
     assert!(!state.uncertain_keys.contains(b"other", at(108)));
 }
 
+/// Whether damage hits a range of bytes in a segment.
+type DamagePredicate<'a> = dyn Fn(usize, &Range<usize>) -> bool + 'a;
+
 /// Which bytes are damaged, and whether that shows.
 struct Damaged<'a> {
-    hits: &'a dyn Fn(usize, &Range<usize>) -> bool,
+    hits: &'a DamagePredicate<'a>,
     is_detectable: bool,
     description: String,
 }
--- a/node/tests/sockets/golden.rs
+++ b/node/tests/sockets/golden.rs
@@ -3,6 +3,68 @@
 
 use crate::helper::*;
 
+/// The metrics of every node.
+const METRICS: &str = "\
+    svc_answered{group=\"quote\"}\n\
+    svc_deferred{group=\"quote\"}\n\
+    svc_errored{group=\"quote\"}\n\
+    svc_sends{group=\"quote\"}\n\
+    svc_answered{group=\"book\"}\n\
+    svc_deferred{group=\"book\"}\n\
+    svc_errored{group=\"book\"}\n\
+    svc_sends{group=\"book\"}\n\
+    svc_current\n\
+    svc_conf_loaded\n\
+    svc_conf_invalid";
+
+/// The metrics of the result store, the fleet and the decision log.
+const OPTIONAL_METRICS: &str = "\
+    svc_remembered_keys\n\
+    svc_remembered_bytes\n\
+    svc_remembered_written\n\
+    svc_remembered_refused\n\
+    svc_remembered_syncs\n\
+    svc_remembered_damaged\n\
+    svc_remembered_noise_bytes\n\
+    svc_fleet_granted\n\
+    svc_fleet_turned\n\
+    svc_fleet_became\n\
+    svc_fleet_unknown\n\
+    svc_fleet_held\n\
+    svc_fleet_unheld\n\
+    svc_fleet_votes\n\
+    svc_fleet_votes_refused\n\
+    svc_fleet_learnt\n\
+    svc_fleet_given\n\
+    svc_fleet_conflicts\n\
+    svc_fleet_slept\n\
+    svc_fleet_sent_away\n\
+    svc_fleet_outdated\n\
+    svc_fleet_list\n\
+    svc_fleet_lists\n\
+    svc_fleet_stage\n\
+    svc_fleet_waits_ms\n\
+    svc_fleet_level\n\
+    svc_fleet_sound\n\
+    svc_fleet_alive\n\
+    svc_fleet_suspect\n\
+    svc_fleet_lost\n\
+    svc_fleet_behind\n\
+    svc_fleet_open\n\
+    svc_fleet_keys\n\
+    svc_fleet_bytes\n\
+    svc_fleet_links\n\
+    svc_fleet_links_cut\n\
+    svc_fleet_nonsense\n\
+    svc_fleet_later_frames\n\
+    svc_fleet_frames_in\n\
+    svc_fleet_frames_out\n\
+    svc_fleet_bytes_in\n\
+    svc_fleet_bytes_out\n\
+    svc_records_written\n\
+    svc_records_dropped\n\
+    svc_records_bytes";
+
 /// The names of all metrics in the order in which they are shown, with their classes and without their values.
 fn metric_names(ops: std::net::SocketAddr) -> String {
     let stats = admin_call(ops, "GET /ops/stats");
@@ -37,26 +99,15 @@
     String::from_utf8(line).unwrap()
 }
 
-#[test]
-fn a_plain_node_shows_these_metrics() {
-    let mut node = Node::start(&config(&format!(r#""vm": "{UNREACHABLE}", "ops": "127.0.0.1:0","#)), None);
-    insta::assert_snapshot!(metric_names(node.admin_address()), @r#"
-    svc_answered{group="quote"}
-    svc_deferred{group="quote"}
-    svc_errored{group="quote"}
-    svc_sends{group="quote"}
-    svc_answered{group="book"}
-    svc_deferred{group="book"}
-    svc_errored{group="book"}
-    svc_sends{group="book"}
-    svc_current
-    svc_conf_loaded
-    svc_conf_invalid
-    "#);
+/// A file of a configuration and the option that names it.
+struct ConfigurationFile {
+    option: &'static str,
+    extension: &'static str,
+    text: String,
 }
 
-#[test]
-fn a_node_with_every_optional_part_shows_these_metrics() {
+/// The files of a node with every optional part.
+fn files_of_all_parts() -> [ConfigurationFile; 5] {
     let folder = |name: &str| {
         let folder = file(name, "").with_extension("d");
         std::fs::create_dir(&folder).unwrap();
@@ -66,7 +117,7 @@
     let members = (1..=3)
         .map(|n| format!("[[list.member]]\nname = 'n{n}'\naddress = '127.0.9.{n}:7199'\nzone = 'z{n}'\n"));
     let members: String = members.collect();
-    let files = [
+    [
         ("--config", "json", config(&format!(r#""vm": "{UNREACHABLE}", "ops": "127.0.0.1:0","#))),
         (
             "--uwsgi",
@@ -84,73 +135,28 @@
             ),
         ),
         ("--records", "toml", format!("folder = '{}'\nfile_mb = 1\nfiles = 4\n", records.display())),
-    ];
+    ]
+    .map(|(option, extension, text)| ConfigurationFile { option, extension, text })
+}
+
+#[test]
+fn a_plain_node_shows_these_metrics() {
+    let mut node = Node::start(&config(&format!(r#""vm": "{UNREACHABLE}", "ops": "127.0.0.1:0","#)), None);
+    assert_eq!(metric_names(node.admin_address()), METRICS);
+}
+
+#[test]
+fn a_node_with_every_optional_part_shows_these_metrics() {
+    let files = files_of_all_parts();
     let mut command = oakwind(&["serve"]);
-    for (option, kind, text) in files {
-        command.arg(option).arg(file(&format!("golden.{kind}"), &text));
+    for ConfigurationFile { option, extension, text } in files {
+        command.arg(option).arg(file(&format!("golden.{extension}"), &text));
     }
     let mut node = Node::from_command(command);
     let ops = node.admin_address();
     // These are shown once the fleet's part has run for the first time; the other names from the start.
     while !metric_names(ops).contains("svc_fleet_bytes_out") {}
-    insta::assert_snapshot!(metric_names(ops), @r#"
-    svc_answered{group="quote"}
-    svc_deferred{group="quote"}
-    svc_errored{group="quote"}
-    svc_sends{group="quote"}
-    svc_answered{group="book"}
-    svc_deferred{group="book"}
-    svc_errored{group="book"}
-    svc_sends{group="book"}
-    svc_current
-    svc_conf_loaded
-    svc_conf_invalid
-    svc_remembered_keys
-    svc_remembered_bytes
-    svc_remembered_written
-    svc_remembered_refused
-    svc_remembered_syncs
-    svc_remembered_damaged
-    svc_remembered_noise_bytes
-    svc_fleet_granted
-    svc_fleet_turned
-    svc_fleet_became
-    svc_fleet_unknown
-    svc_fleet_held
-    svc_fleet_unheld
-    svc_fleet_votes
-    svc_fleet_votes_refused
-    svc_fleet_learnt
-    svc_fleet_given
-    svc_fleet_conflicts
-    svc_fleet_slept
-    svc_fleet_sent_away
-    svc_fleet_outdated
-    svc_fleet_list
-    svc_fleet_lists
-    svc_fleet_stage
-    svc_fleet_waits_ms
-    svc_fleet_level
-    svc_fleet_sound
-    svc_fleet_alive
-    svc_fleet_suspect
-    svc_fleet_lost
-    svc_fleet_behind
-    svc_fleet_open
-    svc_fleet_keys
-    svc_fleet_bytes
-    svc_fleet_links
-    svc_fleet_links_cut
-    svc_fleet_nonsense
-    svc_fleet_later_frames
-    svc_fleet_frames_in
-    svc_fleet_frames_out
-    svc_fleet_bytes_in
-    svc_fleet_bytes_out
-    svc_records_written
-    svc_records_dropped
-    svc_records_bytes
-    "#);
+    assert_eq!(metric_names(ops), [METRICS, OPTIONAL_METRICS].join("\n"));
 }
 
 #[test]
--- a/node/tests/sockets/jsonrpc.rs
+++ b/node/tests/sockets/jsonrpc.rs
@@ -28,17 +28,14 @@
     insta::assert_snapshot!(client.read_line(), @r#"{"jsonrpc":"2.0","id":1,"result":{"content":"am9iIDU="}}"#);
 }
 
-#[test]
-fn bad_lines_get_the_standard_errors_and_the_connection_stays_open() {
-    let (mut node, _vm, _link) = Node::with_interpreter("", None);
-    let mut client = node.client();
-    let mut responses = Vec::new();
+/// Lines that can't be served, and one health check among them.
+fn invalid_lines() -> Vec<String> {
     let method_call = |id: u32, method: &str, extra: &str| {
         format!(
             r#"{{"jsonrpc":"2.0","id":{id},"method":"{method}","params":{{"txn":"a","door":1,"limit":1,"ram":1{extra}}}}}"#
         )
     };
-    for line in [
+    let lines: [&str; 20] = [
         "{\"jsonrpc\":",
         "\u{0}\u{fffd}",
         "[]",
@@ -59,7 +56,16 @@
         &method_call(14, "quote", r#","team":"nobody""#),
         &method_call(15, "book", &format!(r#","unique":"{}""#, "k".repeat(65))),
         &method_call(16, "quote", &format!(r#","content":"{}""#, "AAAA".repeat(700))),
-    ] {
+    ];
+    lines.map(String::from).to_vec()
+}
+
+#[test]
+fn invalid_lines_get_the_standard_errors_and_the_connection_stays_open() {
+    let (mut node, _vm, _link) = Node::with_interpreter("", None);
+    let mut client = node.client();
+    let mut responses = Vec::new();
+    for line in invalid_lines() {
         client.send(format!("{line}\n"));
         responses.push(client.read_line());
     }
@@ -92,7 +98,11 @@
     insta::assert_snapshot!(client.read_line(), @r#"{"jsonrpc":"2.0","id":null,"error":{"code":-32600,"message":"the line is too long"}}"#);
     assert_eq!(client.read_line(), "", "it is closed");
     node.wait_for_log("jsonrpc: message rejected");
-    // A client that sends nothing else is disconnected, and so is one that never completes a message or sends nothing.
+}
+
+#[test]
+fn a_client_that_sends_only_invalid_or_incomplete_lines_or_nothing_is_disconnected() {
+    let (node, _vm, _link) = Node::with_interpreter("", None);
     let mut client = node.client();
     client.send("?\n".repeat(100));
     assert_eq!(client.read_to_end().lines().count(), 17);
--- a/node/tests/sockets/links.rs
+++ b/node/tests/sockets/links.rs
@@ -2,6 +2,26 @@
 
 use crate::helper::*;
 
+/// A node whose runs make calls to an index, and what stands in for its peers.
+struct NodeWithIndex {
+    _node: Node,
+    _interpreter: Server,
+    /// The link to the interpreter.
+    link: Peer,
+    index: Server,
+    client: Peer,
+}
+
+impl NodeWithIndex {
+    fn start() -> NodeWithIndex {
+        let index = Server::new();
+        let links = format!(r#""index": "{}","#, index.address);
+        let (node, interpreter, link) = Node::with_interpreter(&links, None);
+        let client = node.client();
+        NodeWithIndex { _node: node, _interpreter: interpreter, link, index, client }
+    }
+}
+
 #[test]
 fn after_a_broken_link_all_notices_are_read_before_any_run_is_sent_again() {
     let (node, server, mut vm) = Node::with_interpreter("", None);
@@ -66,9 +86,8 @@
 
 #[test]
 fn a_call_goes_to_the_index_and_its_reply_comes_back_unchanged() {
-    let index = Server::new();
-    let (node, _vm, mut vm) = Node::with_interpreter(&format!(r#""index": "{}","#, index.address), None);
-    let mut client = node.client();
+    let mut with_index = NodeWithIndex::start();
+    let NodeWithIndex { link: vm, index, client, .. } = &mut with_index;
     client.request(1, "a1", Some("k"), LONG_LIMIT_MS);
     vm.next_run();
     vm.send("AWAIT 1 a1 4\r\ncall\r\n");
@@ -84,9 +103,8 @@
 
 #[test]
 fn a_call_that_was_cut_off_is_not_repeated_for_a_write_and_skipped_for_a_read() {
-    let index = Server::new();
-    let (node, _vm, mut vm) = Node::with_interpreter(&format!(r#""index": "{}","#, index.address), None);
-    let mut client = node.client();
+    let mut with_index = NodeWithIndex::start();
+    let NodeWithIndex { link: vm, index, client, .. } = &mut with_index;
     client.request(1, "a1", Some("k"), LONG_LIMIT_MS);
     vm.next_run();
     vm.send("AWAIT 1 a1 1\r\nc\r\n");
@@ -158,9 +176,8 @@
 
 #[test]
 fn a_malformed_reply_fails_no_call_but_its_own_and_stray_replies_fail_none() {
-    let index = Server::new();
-    let (node, _vm, mut vm) = Node::with_interpreter(&format!(r#""index": "{}","#, index.address), None);
-    let mut client = node.client();
+    let mut with_index = NodeWithIndex::start();
+    let NodeWithIndex { link: vm, index, client, .. } = &mut with_index;
     let mut calls: Vec<Peer> = (1..=4)
         .map(|id| {
             let txn = format!("a{id}");
