--- a/examples/common/mod.rs
+++ b/examples/common/mod.rs
@@ -9,28 +9,53 @@
 /// What a log line says once the node is healthy, in this release and in the ones before.
 pub(crate) const HEALTHY: [&str; 2] = ["dispatcher: health changed: healthy=true", "health is good"];
 
-/// One answered request: when it was sent, and how long its response took.
-pub(crate) type Sample = (Instant, Duration);
+/// One answered request.
+pub(crate) struct Sample {
+    /// When it was sent.
+    pub(crate) sent_at: Instant,
+    /// When its response came.
+    answered_at: Instant,
+}
+
+impl Sample {
+    /// How long its response took.
+    pub(crate) fn latency(&self) -> Duration {
+        self.answered_at - self.sent_at
+    }
+}
+
+/// The answers to a number of requests.
+pub(crate) struct Answers {
+    /// A sample for each request.
+    pub(crate) samples: Vec<Sample>,
+    /// How many of the requests were served.
+    pub(crate) served: usize,
+}
 
 /// Sends `count` requests of a class over one connection, at most `concurrency` of them outstanding at a time.
 ///
-/// Ids and idempotency keys count up from `first_key + 1`; requests of the class `book` carry a key. Returns a sample for
-/// each response, and how many requests were served.
+/// Ids and idempotency keys count up from `first_key + 1`; requests of the class `book` carry a key. Returns the answers.
 pub(crate) fn send_requests(
     address: SocketAddr,
     class: &str,
     concurrency: usize,
     count: usize,
     first_key: usize,
-) -> io::Result<(Vec<Sample>, usize)> {
+) -> io::Result<Answers> {
     let stream = TcpStream::connect(address)?;
     stream.set_nodelay(true)?;
-    let (mut output, mut input) = (stream.try_clone()?, BufReader::new(stream));
-    let (mut sent, mut samples, mut served, mut line) = (Vec::new(), Vec::new(), 0, String::new());
+    let mut output = stream.try_clone()?;
+    let mut input = BufReader::new(stream);
+    let mut sent = Vec::new();
+    let mut samples = Vec::new();
+    let mut served = 0;
+    let mut line = String::new();
     while samples.len() < count {
         while sent.len() < count && sent.len() - samples.len() < concurrency {
-            let (id, received_at) = (sent.len() + 1, unix_now().as_millis());
-            let (txn, key) = (first_key + id, first_key + id);
+            let id = sent.len() + 1;
+            let received_at = unix_now().as_millis();
+            let key = first_key + id;
+            let txn = key;
             let unique = if class == "book" { format!(r#""unique":"{key:032x}","#) } else { String::new() };
             let request = format!(
                 r#"{{"jsonrpc":"2.0","id":{id},"method":"{class}","params":{{"txn":"{txn:x}","door":{received_at},"lb":1,"limit":100000,"cpu":1.5,"ram":2.5,{unique}"content":"Ym9keQ=="}}}}"#
@@ -46,17 +71,19 @@
         let id = line.split("\"id\":").nth(1).and_then(|rest| rest.split(',').next()?.parse::<usize>().ok());
         let Some(sent_at) = id.and_then(|id| sent.get(id - 1)) else { continue };
         served += usize::from(line.contains("\"result\""));
-        samples.push((*sent_at, sent_at.elapsed()));
+        samples.push(Sample { sent_at: *sent_at, answered_at: Instant::now() });
     }
-    Ok((samples, served))
+    Ok(Answers { samples, served })
 }
 
 /// Serves one connection as a stub interpreter that completes every run at once with the given result.
 pub(crate) fn run_stub_interpreter(listener: &TcpListener, result: &str) -> io::Result<()> {
     let (stream, _) = listener.accept()?;
     stream.set_nodelay(true)?;
-    let (mut output, mut input) = (stream.try_clone()?, BufReader::new(stream));
-    let (mut line, mut notice) = (String::new(), 0);
+    let mut output = stream.try_clone()?;
+    let mut input = BufReader::new(stream);
+    let mut line = String::new();
+    let mut notice = 0;
     loop {
         line.clear();
         if input.read_line(&mut line)? == 0 {
--- a/examples/measure.rs
+++ b/examples/measure.rs
@@ -15,6 +15,8 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
+use common::{Answers, Sample};
+
 /// The settings of the node: one keyed class, and limits that the load does not reach.
 const SETTINGS: &str = r#"{"services": [{"name": "book", "slo": 60000000, "deadline": 120000000, "effect": "by_key",
     "window": 600000000, "worth": 2.0, "lateWorth": 0.2}],
@@ -63,7 +65,7 @@
     }
     let mut node = Node::start(&folder, Durability::ResultStore(1024), MAX_RESULT_BYTES)?;
     let initial_peak = node.peak_memory_kb()?;
-    let served = node.send_keyed_requests(32, 50_000)?.1;
+    let served = node.send_keyed_requests(32, 50_000)?.served;
     println!("\nAt the memory limit (192 MB for the process) {served} results of {MAX_RESULT_BYTES} bytes are kept and all more are");
     println!(
         "rejected; the process peaked at {} MB, from {} MB at its start.",
@@ -91,13 +93,17 @@
     for (name, durability) in variants {
         for (concurrency, count) in LOADS {
             let mut node = Node::start(folder, *durability, 0)?;
-            let (cpu_before, started_at) = (node.cpu_seconds()?, Instant::now());
-            let mut latencies = node.send_keyed_requests(concurrency, count)?.0;
-            let (elapsed, cpu) = (started_at.elapsed().as_secs_f64(), node.cpu_seconds()? - cpu_before);
+            let cpu_before = node.cpu_seconds()?;
+            let started_at = Instant::now();
+            let samples = node.send_keyed_requests(concurrency, count)?.samples;
+            let mut latencies: Vec<Duration> = samples.iter().map(Sample::latency).collect();
+            let elapsed = started_at.elapsed().as_secs_f64();
+            let cpu = node.cpu_seconds()? - cpu_before;
             latencies.sort();
             let percentile =
                 |fraction: f64| latencies[(latencies.len() as f64 * fraction) as usize].as_secs_f64() * 1e3;
-            let (rate, cpu_us) = (count as f64 / elapsed, cpu * 1e6 / count as f64);
+            let rate = count as f64 / elapsed;
+            let cpu_us = cpu * 1e6 / count as f64;
             println!(
                 "| {name} | {concurrency} | {rate:.0} | {:.2} | {:.2} | {cpu_us:.0} |",
                 percentile(0.5),
@@ -125,11 +131,9 @@
 impl Node {
     fn start(folder: &Path, durability: Durability, result_bytes: usize) -> io::Result<Node> {
         let interpreter = TcpListener::bind("127.0.0.1:0")?;
-        let (temporary, process) = (std::env::temp_dir(), std::process::id());
-        let (config, durability_file) = (
-            temporary.join(format!("measure-{process}.json")),
-            temporary.join(format!("measure-{process}.toml")),
-        );
+        let process = std::process::id();
+        let config = std::env::temp_dir().join(format!("measure-{process}.json"));
+        let durability_file = std::env::temp_dir().join(format!("measure-{process}.toml"));
         let address = interpreter.local_addr()?;
         let text = format!(
             r#"{{"name": "n1", "listen": "127.0.0.1:0", "seed": "1", "stop_ms": 9000, "vm": "{address}", "settings": {SETTINGS}}}"#
@@ -183,15 +187,9 @@
         Ok(line.and_then(|line| line.split_whitespace().next()?.parse().ok()).unwrap_or_default())
     }
 
-    /// Sends `count` keyed requests, `concurrency` of them outstanding at a time; returns their latencies, and how many
-    /// were served.
-    fn send_keyed_requests(
-        &mut self,
-        concurrency: usize,
-        count: usize,
-    ) -> io::Result<(Vec<Duration>, usize)> {
-        let (samples, served) = common::send_requests(self.json_address, "book", concurrency, count, 0)?;
-        Ok((samples.into_iter().map(|(_, latency)| latency).collect(), served))
+    /// Sends `count` keyed requests, `concurrency` of them outstanding at a time.
+    fn send_keyed_requests(&mut self, concurrency: usize, count: usize) -> io::Result<Answers> {
+        common::send_requests(self.json_address, "book", concurrency, count, 0)
     }
 
     /// Kills the node and empties the folder.
--- a/examples/replicated.rs
+++ b/examples/replicated.rs
@@ -16,14 +16,21 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::time::{Duration, Instant};
 
-use common::{run_stub_interpreter, send_requests, Sample, HEALTHY};
+use common::{run_stub_interpreter, send_requests, Answers, Sample, HEALTHY};
 use oakwind_fault_harness::process::Program;
 
 /// How often each measurement is repeated; the median is printed.
 const ROUNDS: usize = 3;
-/// The concurrency of each measurement, and its number of requests. The higher concurrency comes first: the admitted rate
-/// follows recent throughput, so a burst after a trickle would be rejected in part.
-const LOADS: [(usize, usize); 2] = [(32, 12_000), (1, 1_500)];
+/// The requests of a measurement.
+#[derive(Clone, Copy)]
+struct Load {
+    concurrency: usize,
+    count: usize,
+}
+
+/// The higher concurrency comes first: the admitted rate follows recent throughput, so a burst after a trickle would be
+/// rejected in part.
+const LOADS: [Load; 2] = [Load { concurrency: 32, count: 12_000 }, Load { concurrency: 1, count: 1_500 }];
 /// How many keys a node that lost its state has to be sent.
 const TRANSFERRED_KEYS: usize = 40_000;
 
@@ -72,7 +79,8 @@
     /// Starts node `n`, counted from one, and waits until its interpreter is healthy.
     fn start(&self, n: usize) -> io::Result<Node> {
         let interpreter = TcpListener::bind("127.0.0.1:0")?;
-        let (config, fleet) = (self.folder.join(format!("{n}.json")), self.folder.join(format!("{n}.toml")));
+        let config = self.folder.join(format!("{n}.json"));
+        let fleet = self.folder.join(format!("{n}.toml"));
         let text = format!(
             r#"{{"name": "n{n}", "listen": "127.0.0.1:0", "ops": "127.0.0.1:0", "seed": "1", "stop_ms": 9000, "vm": "{}",
                 "limits": {{"memory_mb": 1024, "sockets": 1024}}, "settings": {}}}"#,
@@ -152,7 +160,8 @@
 }
 
 /// Fails unless every request was served.
-fn require_all_served((samples, served): (Vec<Sample>, usize)) -> io::Result<Vec<Sample>> {
+fn require_all_served(answers: Answers) -> io::Result<Vec<Sample>> {
+    let Answers { samples, served } = answers;
     match samples.len() - served {
         0 => Ok(samples),
         unserved => {
@@ -171,76 +180,138 @@
     percentile(&mut values, 0.5)
 }
 
+/// A build and whether its nodes replicate.
+struct Variant {
+    name: &'static str,
+    program: PathBuf,
+    replicates: bool,
+}
+
+/// A variant with its running nodes.
+struct RunningVariant {
+    name: &'static str,
+    nodes: Vec<Node>,
+    /// Its ports and its folder.
+    _fleet: Fleet,
+}
+
+/// What one round of a measurement gives.
+struct Measurement {
+    requests_per_second: f64,
+    median_ms: f64,
+    p99_ms: f64,
+    cpu_us_per_request: f64,
+    messages_per_request: f64,
+    bytes_per_request: f64,
+}
+
+/// What all nodes of a variant together have sent to each other.
+struct Traffic {
+    messages: f64,
+    bytes: f64,
+}
+
+impl RunningVariant {
+    fn start(variant: Variant) -> io::Result<RunningVariant> {
+        let fleet = Fleet::new(&variant.program, 10, variant.replicates)?;
+        let nodes = fleet.start_all()?;
+        Ok(RunningVariant { name: variant.name, nodes, _fleet: fleet })
+    }
+
+    /// The CPU time that all nodes together have used, in milliseconds.
+    fn cpu_ms(&self) -> f64 {
+        let usages = self.nodes.iter().filter_map(|node| node.program.usage());
+        usages.map(|usage| usage.cpu_ms as f64).sum()
+    }
+
+    fn traffic(&self) -> Traffic {
+        let sum = |name| self.nodes.iter().map(|node| node.metric(name).unwrap_or(0.0)).sum();
+        Traffic { messages: sum("svc_fleet_frames_out"), bytes: sum("svc_fleet_bytes_out") }
+    }
+
+    /// Sends requests of a class to the first node, with keys that count up from `first_key + 1`.
+    fn measure(&self, class: &str, load: Load, first_key: usize) -> io::Result<Measurement> {
+        let Load { concurrency, count } = load;
+        let before = self.traffic();
+        let cpu_before_ms = self.cpu_ms();
+        let started_at = Instant::now();
+        let answers = send_requests(self.nodes[0].json_address, class, concurrency, count, first_key)?;
+        let samples = require_all_served(answers)?;
+        let elapsed = started_at.elapsed().as_secs_f64();
+        let cpu_ms = self.cpu_ms() - cpu_before_ms;
+        // Metrics are updated with each tick of a node; wait until they cover the requests.
+        std::thread::sleep(Duration::from_millis(120));
+        let after = self.traffic();
+        let mut latencies: Vec<f64> = samples.iter().map(latency_ms).collect();
+        let per_request = |total: f64| total / count as f64;
+        Ok(Measurement {
+            requests_per_second: count as f64 / elapsed,
+            median_ms: percentile(&mut latencies, 0.5),
+            p99_ms: percentile(&mut latencies, 0.99),
+            cpu_us_per_request: per_request(cpu_ms * 1e3),
+            messages_per_request: per_request(after.messages - before.messages),
+            bytes_per_request: per_request(after.bytes - before.bytes),
+        })
+    }
+}
+
+fn latency_ms(sample: &Sample) -> f64 {
+    sample.latency().as_secs_f64() * 1e3
+}
+
 fn main() -> io::Result<()> {
     let built = std::env::current_exe()?.with_file_name("").join("../oakwind");
-    let mut variants = vec![("off", built.clone(), false), ("on", built.clone(), true)];
+    let mut variants = vec![
+        Variant { name: "off", program: built.clone(), replicates: false },
+        Variant { name: "on", program: built.clone(), replicates: true },
+    ];
     if let Some(other) = std::env::args().nth(1) {
-        variants.insert(0, ("off, other build", other.into(), false));
-    }
-    let mut fleets = Vec::new();
-    for (name, program, replicates) in &variants {
-        let fleet = Fleet::new(program, 10, *replicates)?;
-        let nodes = fleet.start_all()?;
-        fleets.push((*name, fleet, nodes));
+        variants.insert(0, Variant { name: "off, other build", program: other.into(), replicates: false });
     }
+    let variants = variants.into_iter().map(RunningVariant::start).collect::<io::Result<Vec<_>>>()?;
     println!("| replication | class | concurrent requests | requests/s | median ms | p99 ms | CPU us per request, all nodes | messages per request | bytes per request |");
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     let mut first_key = 0;
     for class in ["quote", "book"] {
-        for (concurrency, count) in LOADS {
-            let mut rows: Vec<Vec<[f64; 6]>> = vec![Vec::new(); fleets.len()];
-            for _ in 0..ROUNDS {
-                for (variant, (_, _, nodes)) in fleets.iter().enumerate() {
-                    let cpu_ms = || {
-                        nodes
-                            .iter()
-                            .filter_map(|node| node.program.usage())
-                            .map(|usage| usage.cpu_ms as f64)
-                            .sum::<f64>()
-                    };
-                    let sum = |name| nodes.iter().map(|node| node.metric(name).unwrap_or(0.0)).sum::<f64>();
-                    let (messages_before, bytes_before) =
-                        (sum("svc_fleet_frames_out"), sum("svc_fleet_bytes_out"));
-                    let (cpu_before, started_at) = (cpu_ms(), Instant::now());
-                    let samples = require_all_served(send_requests(
-                        nodes[0].json_address,
-                        class,
-                        concurrency,
-                        count,
-                        first_key,
-                    )?)?;
-                    let elapsed = started_at.elapsed().as_secs_f64();
-                    let cpu_us = (cpu_ms() - cpu_before) * 1e3 / count as f64;
-                    // Metrics are updated with each tick of a node; wait until they cover the requests.
-                    std::thread::sleep(Duration::from_millis(120));
-                    let messages = (sum("svc_fleet_frames_out") - messages_before) / count as f64;
-                    let bytes = (sum("svc_fleet_bytes_out") - bytes_before) / count as f64;
-                    let mut latencies: Vec<f64> =
-                        samples.iter().map(|(_, latency)| latency.as_secs_f64() * 1e3).collect();
-                    let rate = count as f64 / elapsed;
-                    rows[variant].push([
-                        rate,
-                        percentile(&mut latencies, 0.5),
-                        percentile(&mut latencies, 0.99),
-                        cpu_us,
-                        messages,
-                        bytes,
-                    ]);
-                    first_key += count;
-                }
-            }
-            for ((name, ..), rows) in fleets.iter().zip(rows) {
-                let median_of_column = |column: usize| median(rows.iter().map(|row| row[column]).collect());
-                let [rate, median_ms, p99_ms, cpu_us, messages, bytes] =
-                    [0, 1, 2, 3, 4, 5].map(median_of_column);
-                println!("| {name} | {class} | {concurrency} | {rate:.0} | {median_ms:.2} | {p99_ms:.2} | {cpu_us:.0} | {messages:.1} | {bytes:.0} |");
-            }
+        for load in LOADS {
+            measure_load(&variants, class, load, &mut first_key)?;
         }
     }
-    drop(fleets);
+    drop(variants);
     measure_state_transfer(&built)
 }
 
+/// Measures a load in alternating rounds and prints a row for each variant. Advances `first_key` past the keys used.
+fn measure_load(
+    variants: &[RunningVariant],
+    class: &str,
+    load: Load,
+    first_key: &mut usize,
+) -> io::Result<()> {
+    let mut rounds: Vec<Vec<Measurement>> = variants.iter().map(|_| Vec::new()).collect();
+    for _ in 0..ROUNDS {
+        for (variant, measurements) in variants.iter().zip(&mut rounds) {
+            measurements.push(variant.measure(class, load, *first_key)?);
+            *first_key += load.count;
+        }
+    }
+    for (variant, measurements) in variants.iter().zip(&rounds) {
+        let median_of = |value: fn(&Measurement) -> f64| median(measurements.iter().map(value).collect());
+        println!(
+            "| {} | {class} | {} | {:.0} | {:.2} | {:.2} | {:.0} | {:.1} | {:.0} |",
+            variant.name,
+            load.concurrency,
+            median_of(|measurement| measurement.requests_per_second),
+            median_of(|measurement| measurement.median_ms),
+            median_of(|measurement| measurement.p99_ms),
+            median_of(|measurement| measurement.cpu_us_per_request),
+            median_of(|measurement| measurement.messages_per_request),
+            median_of(|measurement| measurement.bytes_per_request),
+        );
+    }
+    Ok(())
+}
+
 /// Measures the state transfer to a node that restarts without state, while keyed requests run at one of its donors.
 fn measure_state_transfer(program: &Path) -> io::Result<()> {
     let fleet = Fleet::new(program, 40, true)?;
@@ -269,13 +340,11 @@
     let complete_at = Instant::now();
     let samples = load.join().map_err(|_| io::ErrorKind::Other)??;
     let latencies_between = |from: Instant, to: Instant| -> Vec<f64> {
-        let within = samples.iter().filter(|(sent_at, _)| *sent_at >= from && *sent_at < to);
-        within.map(|(_, latency)| latency.as_secs_f64() * 1e3).collect()
+        let within = samples.iter().filter(|sample| sample.sent_at >= from && sample.sent_at < to);
+        within.map(latency_ms).collect()
     };
-    let (mut before, mut during) = (
-        latencies_between(started_at - Duration::from_millis(1200), started_at),
-        latencies_between(started_at, complete_at),
-    );
+    let mut before = latencies_between(started_at - Duration::from_millis(1200), started_at);
+    let mut during = latencies_between(started_at, complete_at);
     println!(
         "\nState transfer: complete {} ms after the start of the process; {line}",
         (complete_at - started_at).as_millis()
