--- a/node/src/backend.rs
+++ b/node/src/backend.rs
@@ -125,7 +125,7 @@
                 Some(CallCommand::GiveUp(txn)) => drop(calls.cancel(&txn)),
             },
             ended = calls.next() => {
-                exchange.report(BackendEvent::CallEnded(ended.txn, ended.outcome)).await;
+                exchange.report(BackendEvent::CallEnded { txn: ended.txn, outcome: ended.outcome }).await;
             }
             () = clock::until(clock::now() + IDLE_CHECK_INTERVAL) => backend.close_stale_connections(),
         }
--- a/node/src/backend/index.rs
+++ b/node/src/backend/index.rs
@@ -58,7 +58,7 @@
     fn idle_connection(&self, txn: &TransactionId) -> Option<LineConnection> {
         self.close_stale_connections();
         let mut idle = self.idle.borrow_mut();
-        let usable = idle.iter().rposition(|connection| connection.last_txn != txn)?;
+        let usable = idle.iter().rposition(|connection| connection.last_txn != *txn)?;
         Some(idle.remove(usable).connection)
     }
 
@@ -89,7 +89,7 @@
             },
         };
         let remaining_ms = deadline.saturating_sub(clock::now()).as_millis().max(1).to_string();
-        encode(&mut connection.output, &[b"GET", txn, remaining_ms.as_bytes()], Some(body));
+        encode(&mut connection.output, &[b"GET", txn.as_bytes(), remaining_ms.as_bytes()], Some(body));
         let outcome = receive_response(&mut connection, txn, deadline).await?;
         if let Some(outcome) = outcome {
             self.keep_idle(connection, address, txn.clone());
@@ -110,10 +110,11 @@
     loop {
         while let Some(message) = line_codec::decode(&mut connection.input, has_body)? {
             let outcome = decode_outcome(&message)?;
-            if message.field(0) == txn {
+            if message.field(0) == txn.as_bytes() {
                 return Ok(Some(outcome));
             }
-            log!("index: unexpected response ignored: txn={:?}", message.field(0));
+            let received = TransactionId::from(message.field(0));
+            log!("index: unexpected response ignored: txn={received}");
             incomplete_since = None;
         }
         incomplete_since =
@@ -152,7 +153,7 @@
     async fn call(self: Rc<Self>, request: Rc<Request>, body: Bytes, deadline: UnixTime) -> CallOutcome {
         let outcome = self.exchange_messages(&request.txn, &body, deadline).await;
         outcome.unwrap_or_else(|error| {
-            log!("index: connection lost during a call: txn={:?} error={error}", request.txn);
+            log!("index: connection lost during a call: txn={} error={error}", request.txn);
             CallOutcome::CutOff
         })
     }
--- a/node/src/backend/interpreter.rs
+++ b/node/src/backend/interpreter.rs
@@ -17,7 +17,7 @@
 use crate::class_registry::ClassRegistry;
 use crate::clock::{self, UnixTime};
 use crate::config::UpstreamAddresses;
-use crate::exchange::{BackendEvent, Completion, Exchange, RunCommand};
+use crate::exchange::{BackendEvent, Completion, Exchange, RunCommand, TransactionId};
 use crate::line_codec::{self, encode, LineConnection, Message, ProtocolError};
 use crate::log;
 use crate::sockets;
@@ -211,19 +211,19 @@
         log!("interpreter: restarted: lost_runs={}", self.runs.len());
         self.last_notice = 0;
         for txn in self.runs.remove_all() {
-            self.exchange.report(BackendEvent::Ended(txn, Completion::Failed)).await;
+            self.exchange.report(BackendEvent::RunEnded { txn, completion: Completion::Failed }).await;
         }
     }
 
     /// Processes what the interpreter says of a run.
     async fn process_notice(&mut self, notice: u64, message: Message) -> io::Result<()> {
-        let txn = message.field(TXN_FIELD);
+        let txn = TransactionId::from(message.field(TXN_FIELD));
         let body = message.body.clone().unwrap_or_default();
         match &message.field(0)[..] {
             b"VALUE" => {
                 let completion = decode_completion(&message, body)?;
                 self.runs.remove(&txn);
-                self.exchange.report(BackendEvent::Ended(txn, completion)).await;
+                self.exchange.report(BackendEvent::RunEnded { txn, completion }).await;
             }
             b"AWAIT" => {
                 self.runs.await_call(&txn, notice);
@@ -237,10 +237,10 @@
     /// Processes a command that was not carried out. A run that was not started ends here: its client waits for it.
     async fn process_error(&mut self, message: &Message) {
         let command = message.field(COMMAND_FIELD);
-        let txn = message.field(TXN_FIELD);
-        log!("interpreter: command rejected: command={command:?} txn={txn:?}");
+        let txn = TransactionId::from(message.field(TXN_FIELD));
+        log!("interpreter: command rejected: command={} txn={txn}", command.escape_ascii());
         if command == "APPLY" && self.runs.remove(&txn) {
-            self.exchange.report(BackendEvent::Ended(txn, Completion::NeverStarted)).await;
+            self.exchange.report(BackendEvent::RunEnded { txn, completion: Completion::NeverStarted }).await;
         }
     }
 }
--- a/node/src/backend/interpreter/runs.rs
+++ b/node/src/backend/interpreter/runs.rs
@@ -114,18 +114,18 @@
 
     fn encode_run(&self, run: &Run, output: &mut BytesMut) {
         let class = self.registry.class_name(run.request.class);
-        encode(output, &[b"APPLY", &run.request.txn, class.as_bytes()], Some(&run.request.body));
+        encode(output, &[b"APPLY", run.request.txn.as_bytes(), class.as_bytes()], Some(&run.request.body));
     }
 }
 
 fn encode_stop(run: &Run, output: &mut BytesMut) {
     if run.is_stopped {
-        encode(output, &[b"BREAK", &run.request.txn], None);
+        encode(output, &[b"BREAK", run.request.txn.as_bytes()], None);
     }
 }
 
 fn encode_call_result(run: &Run, output: &mut BytesMut) {
-    let txn = &run.request.txn;
+    let txn = run.request.txn.as_bytes();
     match &run.call_result {
         Some(CallResult::Reply(reply)) => encode(output, &[b"RESOLVE", txn], Some(reply)),
         Some(CallResult::Skipped) => {
--- a/node/src/backend/uwsgi.rs
+++ b/node/src/backend/uwsgi.rs
@@ -75,7 +75,7 @@
         let Some(connection) = self.connect(deadline).await else { return ServerOutcome::Unreachable };
         let ServerConnection { mut stream, address } = connection;
         let Some(packet) = self.encode(&request, body.len(), deadline) else {
-            log!("uwsgi server: request too long for a packet: txn={:?}", request.txn);
+            log!("uwsgi server: request too long for a packet: txn={}", request.txn);
             return ServerOutcome::Unreachable;
         };
         tokio::select! {
@@ -104,7 +104,7 @@
             Variable::new("QUERY_STRING", b""),
             Variable::new("SERVER_PROTOCOL", b"HTTP/1.1"),
             Variable::new("CONTENT_LENGTH", length.as_bytes()),
-            Variable::new("HTTP_X_REQUEST_ID", &request.txn),
+            Variable::new("HTTP_X_REQUEST_ID", request.txn.as_bytes()),
             Variable::new("HTTP_X_DEADLINE", deadline_ms.as_bytes()),
         ];
         variables.extend(request.key.as_ref().map(|key| Variable::new("HTTP_IDEMPOTENCY_KEY", key)));
@@ -141,14 +141,14 @@
                 }
                 Some(RunCommand::Stop(txn)) => {
                     if runs.cancel(&txn) {
-                        exchange.report(BackendEvent::Ended(txn, Completion::Cancelled)).await;
+                        exchange.report(BackendEvent::RunEnded { txn, completion: Completion::Cancelled }).await;
                     }
                 }
                 // These servers make their own calls, and nobody measures their cores.
                 Some(RunCommand::Resolve { .. } | RunCommand::Skip(_) | RunCommand::Gauges) => {}
             },
             ended = runs.next() => {
-                exchange.report(BackendEvent::Ended(ended.txn, completion(ended.outcome))).await;
+                exchange.report(BackendEvent::RunEnded { txn: ended.txn, completion: completion(ended.outcome) }).await;
             }
         }
     }
--- a/node/src/clock/tests.rs
+++ b/node/src/clock/tests.rs
@@ -6,44 +6,44 @@
 
 #[test]
 fn time_is_the_systems_while_that_runs_evenly() {
-    let mut follower = Follower::new(ms(1_000_000), ms(0));
+    let mut clock = SlewedClock::new(ms(1_000_000), ms(0));
     for at in (0..5_000).step_by(37) {
         // The system's clock may be steered by a little.
         let system = ms(1_000_000 + at + at / 1000);
-        assert_eq!(follower.now(system, ms(at)), system);
+        assert_eq!(clock.now(system, ms(at)), system);
     }
-    assert_eq!(follower.stepped_ahead, ms(0));
+    assert_eq!(clock.stepped_ahead, ms(0));
 }
 
 #[test]
 fn after_the_systems_clock_is_set_back_time_runs_slower_until_it_has_caught_up() {
-    let mut follower = Follower::new(ms(1_000_000), ms(0));
-    let mut last = follower.now(ms(1_001_000), ms(1_000));
+    let mut clock = SlewedClock::new(ms(1_000_000), ms(0));
+    let mut last = clock.now(ms(1_001_000), ms(1_000));
     for at in (1_100..12_000).step_by(100) {
-        let now = follower.now(ms(1_000_000 + at - 400), ms(at));
+        let now = clock.now(ms(1_000_000 + at - 400), ms(at));
         assert!(now > last && now - last <= ms(100), "{at}: {last:?} {now:?}");
         last = now;
     }
     assert_eq!(last, ms(1_000_000 + 11_900 - 400), "400 ms are caught up within 8 s");
-    assert_eq!(follower.stepped_ahead, ms(0));
+    assert_eq!(clock.stepped_ahead, ms(0));
 }
 
 #[test]
 fn a_step_ahead_is_followed_and_counted_and_one_back_to_where_it_was_is_not() {
-    let mut follower = Follower::new(ms(1_000_000), ms(0));
-    assert_eq!(follower.now(ms(1_060_100), ms(100)), ms(1_060_100));
-    assert_eq!(follower.stepped_ahead, ms(60_000));
-    let back = follower.now(ms(1_000_200), ms(200));
+    let mut clock = SlewedClock::new(ms(1_000_000), ms(0));
+    assert_eq!(clock.now(ms(1_060_100), ms(100)), ms(1_060_100));
+    assert_eq!(clock.stepped_ahead, ms(60_000));
+    let back = clock.now(ms(1_000_200), ms(200));
     assert!(back > ms(1_060_100));
-    let again = follower.now(ms(1_060_300), ms(300));
+    let again = clock.now(ms(1_060_300), ms(300));
     assert!(again >= back && again < ms(1_060_400));
-    assert!(follower.stepped_ahead <= ms(60_010), "{:?}", follower.stepped_ahead);
+    assert!(clock.stepped_ahead <= ms(60_010), "{:?}", clock.stepped_ahead);
 }
 
 #[test]
-fn a_rehearsed_change_names_when_and_by_how_much() {
-    let change = |after, by_ms| Some(RehearsedChange { after, by_ms });
-    assert_eq!(RehearsedChange::parse("3000:-3600000"), change(ms(3000), -3_600_000));
-    assert_eq!(RehearsedChange::parse("0:60000"), change(ms(0), 60_000));
-    assert_eq!(["3000", "-1:0", "a:b"].map(RehearsedChange::parse), [None; 3]);
+fn a_simulated_step_names_when_and_by_how_much() {
+    let step = |after, by_ms| Some(SimulatedStep { after, by_ms });
+    assert_eq!(SimulatedStep::parse("3000:-3600000"), step(ms(3000), -3_600_000));
+    assert_eq!(SimulatedStep::parse("0:60000"), step(ms(0), 60_000));
+    assert_eq!(["3000", "-1:0", "a:b"].map(SimulatedStep::parse), [None; 3]);
 }
--- a/node/src/decision_log.rs
+++ b/node/src/decision_log.rs
@@ -81,7 +81,7 @@
         let record = Record::Attempt {
             at: clock::now_millis(),
             decision,
-            txn: text(&request.txn),
+            txn: text(request.txn.as_bytes()),
             key: key.map(text),
             class: class.into(),
             versions: self.versions.borrow().clone(),
--- a/node/src/dispatcher.rs
+++ b/node/src/dispatcher.rs
@@ -242,9 +242,9 @@
     fn on_backend_event(&mut self, event: BackendEvent) {
         match event {
             BackendEvent::Up { cold } => self.start_admission(cold),
-            BackendEvent::Ended(txn, completion) => self.run_ended(&txn, completion),
+            BackendEvent::RunEnded { txn, completion } => self.run_ended(&txn, completion),
             BackendEvent::CallNeeded { txn, body } => self.call_needed(&txn, body),
-            BackendEvent::CallEnded(txn, outcome) => self.call_ended(&txn, outcome),
+            BackendEvent::CallEnded { txn, outcome } => self.call_ended(&txn, outcome),
             BackendEvent::Gauges(values) => {
                 let gauges = oakwind_settings::gauges(&self.settings.gauges, &values);
                 self.timers.set_gauges(clock::now(), gauges);
--- a/node/src/dispatcher/calls.rs
+++ b/node/src/dispatcher/calls.rs
@@ -13,7 +13,7 @@
     /// A run waits for a call: the admission module decides whether it is made.
     pub(super) fn call_needed(&mut self, txn: &TransactionId, body: Bytes) {
         let Some(id) = self.attempts.id_of(txn) else {
-            return log!("dispatcher: a call is needed for an attempt that is not open: txn={txn:?}");
+            return log!("dispatcher: a call is needed for an attempt that is not open: txn={txn}");
         };
         let Some(attempt) = self.attempts.get_mut(id) else { return };
         if let Phase::Running { started_at } = attempt.phase {
--- a/node/src/dispatcher/runs.rs
+++ b/node/src/dispatcher/runs.rs
@@ -26,7 +26,7 @@
         let request = attempt.request.clone();
         // Whatever asks for it, no key runs a second time.
         if self.key_of(&request).is_some_and(|key| !self.idempotency.try_start(&key, id)) {
-            log!("dispatcher: an attempt of a key that has run is not run: txn={:?}", request.txn);
+            log!("dispatcher: an attempt of a key that has run is not run: txn={}", request.txn);
             self.answer_attempt(id, RequestOutcome::Failed { timed_out: false });
             let outcome = AdmissionOutcome::Error;
             self.admission_events.push(Event::Finished { id, outcome, took: Duration::ZERO });
@@ -63,11 +63,11 @@
     /// The backend reports the end of a run. The run gate stores that before it is reported to anybody.
     pub(super) fn run_ended(&mut self, txn: &TransactionId, completion: Completion) {
         let Some(id) = self.attempts.id_of(txn) else {
-            return log!("dispatcher: a run ended of an attempt that is not open: txn={txn:?}");
+            return log!("dispatcher: a run ended of an attempt that is not open: txn={txn}");
         };
         let Some(attempt) = self.attempts.get(id) else { return };
         if attempt.phase.started_at().is_none() {
-            return log!("dispatcher: a run ended that was never started: txn={txn:?}");
+            return log!("dispatcher: a run ended that was never started: txn={txn}");
         }
         if completion == Completion::NeverStarted {
             self.run_gate.run_never_started(id);
@@ -167,9 +167,9 @@
     pub(super) fn on_gate_event(&mut self, event: GateEvent) {
         match event {
             GateEvent::Authorized { id, granted } => self.on_authorization(id, granted),
-            GateEvent::Completed(id, completion) => self.on_completion_stored(id, completion),
+            GateEvent::Completed { id, completion } => self.on_completion_stored(id, completion),
             GateEvent::RunningElsewhere(id) => self.release_to_remote_run(id),
-            GateEvent::RemoteOutcome(id, outcome) => self.complete_remote_run(id, &outcome),
+            GateEvent::RemoteOutcome { id, outcome } => self.complete_remote_run(id, &outcome),
             GateEvent::OutcomeUnknown(id) => self.abandon_key(id, RequestOutcome::Failed { timed_out: true }),
             GateEvent::BodyMismatch(id) => self.abandon_key(id, RequestOutcome::BodyMismatch),
             GateEvent::Recovered(records) => self.import_recovered(records),
--- a/node/src/dispatcher/submission.rs
+++ b/node/src/dispatcher/submission.rs
@@ -31,7 +31,7 @@
         let request = submission.request.clone();
         // The backends could not tell two open attempts with one transaction id apart.
         if self.attempts.id_of(&request.txn).is_some() {
-            log!("dispatcher: a transaction id was used again while it is open: txn={:?}", request.txn);
+            log!("dispatcher: a transaction id was used again while it is open: txn={}", request.txn);
             return self.answer_submission(submission, RequestOutcome::Failed { timed_out: false });
         }
         let now = clock::now();
@@ -67,7 +67,7 @@
             KeyMatch::New => self.open_attempt(submission, None, now),
             KeyMatch::RepeatOf(holder) => self.open_attempt(submission, Some(holder), now),
             KeyMatch::BodyMismatch => {
-                log!("dispatcher: a key came with another body than before: txn={:?}", request.txn);
+                log!("dispatcher: a key came with another body than before: txn={}", request.txn);
                 self.answer_submission(submission, RequestOutcome::BodyMismatch);
             }
         }
@@ -81,7 +81,7 @@
         now: UnixTime,
     ) -> Option<RequestOutcome> {
         if self.may_have_run_unrecorded(key, now) {
-            log!("dispatcher: a key may have run, its stored record is damaged: txn={:?}", request.txn);
+            log!("dispatcher: a key may have run, its stored record is damaged: txn={}", request.txn);
             return Some(RequestOutcome::Failed { timed_out: false });
         }
         if self.idempotency.contains(key) {
--- a/node/src/exchange/event.rs
+++ b/node/src/exchange/event.rs
@@ -58,7 +58,12 @@
         cold: bool,
     },
     /// A run has ended.
-    Ended(TransactionId, Completion),
+    RunEnded {
+        /// The attempt that ran.
+        txn: TransactionId,
+        /// How it ended.
+        completion: Completion,
+    },
     /// A run waits for a call.
     CallNeeded {
         /// The attempt that runs.
@@ -67,7 +72,12 @@
         body: Bytes,
     },
     /// The call of a run has ended.
-    CallEnded(TransactionId, CallOutcome),
+    CallEnded {
+        /// The attempt that runs.
+        txn: TransactionId,
+        /// How the call ended.
+        outcome: CallOutcome,
+    },
     /// The gauges, in the order of the settings.
     Gauges(Vec<f64>),
 }
--- a/node/src/exchange/request.rs
+++ b/node/src/exchange/request.rs
@@ -1,5 +1,6 @@
 //! Requests and the right to answer them.
 
+use std::fmt::{self, Display, Formatter};
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -11,8 +12,29 @@
 use crate::metrics::Metrics;
 use crate::outcome::{IdempotencyKey, RequestOutcome};
 
-/// Identifies one attempt on all connections: up to 16 hexadecimal digits, new with every attempt.
-pub(crate) type TransactionId = Bytes;
+/// Identifies one attempt on all connections: up to 16 hexadecimal digits, new with every attempt. What a peer sends in
+/// its place may be any bytes.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub(crate) struct TransactionId(Bytes);
+
+impl TransactionId {
+    /// The id as it is written on connections.
+    pub(crate) fn as_bytes(&self) -> &[u8] {
+        &self.0
+    }
+}
+
+impl<T: Into<Bytes>> From<T> for TransactionId {
+    fn from(id: T) -> Self {
+        TransactionId(id.into())
+    }
+}
+
+impl Display for TransactionId {
+    fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
+        self.0.escape_ascii().fmt(formatter)
+    }
+}
 
 /// One attempt of a request, as a frontend read it.
 #[derive(Debug, Clone)]
--- a/node/src/frontend/jsonrpc/connection/requests.rs
+++ b/node/src/frontend/jsonrpc/connection/requests.rs
@@ -82,7 +82,7 @@
     }
 
     async fn withdraw(&mut self, withdrawal: &Withdrawal<'_>) {
-        let named = |open: &OpenRequest| withdrawal.names(&open.id, &open.submission.txn);
+        let named = |open: &OpenRequest| withdrawal.names(&open.id, open.submission.txn.as_bytes());
         // A request that got its response meanwhile is not open any more.
         let Some(tag) = self.open.iter().find(|(_, open)| named(open)).map(|(tag, _)| *tag) else { return };
         if let Some(open) = self.open.remove(&tag) {
--- a/node/src/frontend/jsonrpc/request.rs
+++ b/node/src/frontend/jsonrpc/request.rs
@@ -75,7 +75,7 @@
     let body = params.decode_body()?;
     let cost_hint = params.cost_ms.map(duration_from_millis).transpose()?;
     Ok(Request {
-        txn: slice_of(line, &params.txn),
+        txn: slice_of(line, &params.txn).into(),
         class,
         tenant,
         key,
--- a/node/src/peers/connection.rs
+++ b/node/src/peers/connection.rs
@@ -112,7 +112,7 @@
         match decoded {
             Decoded::Message(message) => {
                 increase(&self.metrics.messages_received, 1);
-                self.events.send(LinkEvent::Received(self.link, message)).await.is_ok()
+                self.events.send(LinkEvent::Received { link: self.link, message }).await.is_ok()
             }
             Decoded::UnknownKind => {
                 increase(&self.metrics.unknown_kinds, 1);
--- a/node/src/peers/link.rs
+++ b/node/src/peers/link.rs
@@ -17,7 +17,12 @@
 #[derive(Debug)]
 pub(crate) enum LinkEvent {
     /// A message arrived.
-    Received(LinkId, Message),
+    Received {
+        /// The link.
+        link: LinkId,
+        /// The message.
+        message: Message,
+    },
     /// The link is closed; all that it received was reported.
     Closed(LinkId),
 }
--- a/node/src/peers/replica_host.rs
+++ b/node/src/peers/replica_host.rs
@@ -100,7 +100,7 @@
     /// What a link reports, as an event of the node; none if the link's peer has to identify itself first.
     pub(super) fn on_link_event(&mut self, event: LinkEvent) -> Option<Event> {
         match event {
-            LinkEvent::Received(link, message) => self.on_message(link, message),
+            LinkEvent::Received { link, message } => self.on_message(link, message),
             LinkEvent::Closed(link) => {
                 let ClosedLink { node, was_identified } = self.links.remove(link)?;
                 // Messages that were on an identified link may have arrived.
--- a/node/src/run_gate.rs
+++ b/node/src/run_gate.rs
@@ -285,7 +285,9 @@
                 self.resolve(id)
             }
             // The dispatcher knows already that it waits for another node's run.
-            ClaimOutcome::Rejected(_) => Some(GateEvent::RemoteOutcome(id, StoredOutcome::NeverStarted)),
+            ClaimOutcome::Rejected(_) => {
+                Some(GateEvent::RemoteOutcome { id, outcome: StoredOutcome::NeverStarted })
+            }
             ClaimOutcome::Granted => None,
             ClaimOutcome::Replicated(replicated) => {
                 self.pending.waiting_to_complete(id)?.peers = Vote::of(replicated);
@@ -301,7 +303,7 @@
                     RunResult::Succeeded(result) => StoredOutcome::Succeeded(result),
                     RunResult::Failed => StoredOutcome::Failed,
                 };
-                Some(GateEvent::RemoteOutcome(id, outcome))
+                Some(GateEvent::RemoteOutcome { id, outcome })
             }
             ClaimOutcome::Unknown => {
                 self.cancel_start(id);
@@ -337,8 +339,8 @@
         };
         Some(match (store, peers) {
             (_, Vote::No) => GateEvent::OutcomeUnknown(id),
-            (Vote::No, _) => GateEvent::Completed(id, Completion::Failed),
-            _ => GateEvent::Completed(id, completion),
+            (Vote::No, _) => GateEvent::Completed { id, completion: Completion::Failed },
+            _ => GateEvent::Completed { id, completion },
         })
     }
 }
--- a/node/src/run_gate/event.rs
+++ b/node/src/run_gate/event.rs
@@ -28,13 +28,23 @@
     /// The run must not start, as another node may run its key. The outcome of that follows.
     RunningElsewhere(RequestId),
     /// The outcome of another node's run of the key; the run must not start.
-    RemoteOutcome(RequestId, StoredOutcome),
+    RemoteOutcome {
+        /// The attempt.
+        id: RequestId,
+        /// The outcome.
+        outcome: StoredOutcome,
+    },
     /// The outcome of another node's run is not known in time, or too few replicas have the result of the own run.
     OutcomeUnknown(RequestId),
     /// The key came with another body before.
     BodyMismatch(RequestId),
     /// The run has ended so, and that is stored.
-    Completed(RequestId, Completion),
+    Completed {
+        /// The attempt.
+        id: RequestId,
+        /// How it ended.
+        completion: Completion,
+    },
     /// What the store had from earlier processes.
     Recovered(Vec<IdempotencyRecord>),
 }
