--- a/node/src/class_registry.rs
+++ b/node/src/class_registry.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use oakwind_admission::{Class, ClassId, Effect, TenantId};
-use oakwind_settings::Parsed;
+use oakwind_settings::NamedSettings;
 
 use crate::clock::UnixTime;
 
@@ -15,24 +15,24 @@
 /// The names and bounds in the settings in force. Frontends and backends share it.
 #[derive(Debug)]
 pub(crate) struct ClassRegistry {
-    settings: RefCell<Parsed>,
+    settings: RefCell<NamedSettings>,
     /// When these settings came into force.
     replaced_at: Cell<UnixTime>,
 }
 
 impl ClassRegistry {
     /// The registry of these settings.
-    pub(crate) fn new(settings: Parsed) -> Self {
+    pub(crate) fn new(settings: NamedSettings) -> Self {
         ClassRegistry { settings: RefCell::new(settings), replaced_at: Cell::default() }
     }
 
     /// The settings in force.
-    pub(crate) fn settings(&self) -> Parsed {
+    pub(crate) fn settings(&self) -> NamedSettings {
         self.settings.borrow().clone()
     }
 
     /// Puts other settings into force, which keep the positions of the ones before.
-    pub(crate) fn replace_settings(&self, settings: Parsed, now: UnixTime) {
+    pub(crate) fn replace_settings(&self, settings: NamedSettings, now: UnixTime) {
         self.replaced_at.set(now);
         *self.settings.borrow_mut() = settings;
     }
--- a/node/src/class_registry/tests.rs
+++ b/node/src/class_registry/tests.rs
@@ -11,7 +11,7 @@
     };
     let registry = ClassRegistry::new(parsed("book"));
     let at = Duration::from_secs(100);
-    registry.replace_settings(registry.settings().followed_by(parsed("reserve")).unwrap(), at);
+    registry.replace_settings(registry.settings().reloaded_with(parsed("reserve")).unwrap(), at);
     assert_eq!(
         (registry.class_id("book", at), registry.class_id("reserve", at)),
         (Some(ClassId(0)), Some(ClassId(1)))
--- a/node/src/config/node.rs
+++ b/node/src/config/node.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use oakwind_admission::{Class, Effect};
-use oakwind_settings::Parsed;
+use oakwind_settings::NamedSettings;
 use serde::Deserialize;
 use serde_json::value::{RawValue, Value};
 
@@ -42,7 +42,7 @@
     /// Bytes of memory that the process may take.
     pub(crate) max_memory_bytes: usize,
     /// The settings of the admission module, with the names in them.
-    pub(crate) settings: Parsed,
+    pub(crate) settings: NamedSettings,
     /// The whole file.
     pub(crate) json: Value,
 }
@@ -150,7 +150,7 @@
     ConfigError::Malformed(if has_key { first_line(error) } else { first_line(error.inner()) })
 }
 
-fn parse_settings(raw: &RawValue) -> Result<Parsed, ConfigError> {
+fn parse_settings(raw: &RawValue) -> Result<NamedSettings, ConfigError> {
     let parsed = oakwind_settings::parse(raw.get()).map_err(|error| ConfigError::malformed(&error))?;
     let classes = &parsed.settings.classes;
     if parsed.classes.is_empty() {
--- a/node/src/dispatcher.rs
+++ b/node/src/dispatcher.rs
@@ -26,7 +26,7 @@
 
 use oakwind_admission::{Action, Admission, Event, Settings};
 use oakwind_fleet::audit::decision_record::Decision;
-use oakwind_settings::Parsed;
+use oakwind_settings::NamedSettings;
 use tokio::sync::watch;
 
 use crate::clock::{self, UnixTime};
@@ -48,14 +48,14 @@
 
 /// The settings of the admission module. Its memory is the interpreter's, where requests are booked. Keys are kept in
 /// this process, whose table has a bound of its own, so they are booked with nothing there.
-fn admission_settings(settings: &Parsed) -> Settings {
+fn admission_settings(settings: &NamedSettings) -> Settings {
     Settings { key_memory_kb: 0.0, ..settings.settings.clone() }
 }
 
 /// Drives the admission module and carries out its actions.
 pub(crate) struct Dispatcher {
     endpoints: DispatcherEndpoints,
-    settings: Parsed,
+    settings: NamedSettings,
     /// Seeds the admission module's random numbers, and the spread of advised waits.
     seed: u64,
     /// None until a backend can run requests.
@@ -85,7 +85,7 @@
     /// attempts take `max_result_bytes` at most.
     pub(crate) fn new(
         endpoints: DispatcherEndpoints,
-        settings: Parsed,
+        settings: NamedSettings,
         seed: u64,
         max_result_bytes: usize,
     ) -> Self {
@@ -269,7 +269,7 @@
     }
 
     /// Takes over other settings. What has come by now is decided by the ones that it came under.
-    fn reconfigure(&mut self, settings: Parsed, digest: &str) {
+    fn reconfigure(&mut self, settings: NamedSettings, digest: &str) {
         self.decide(clock::now());
         self.settings = settings;
         if let Some(decision_log) = &self.decision_log {
--- a/node/src/exchange.rs
+++ b/node/src/exchange.rs
@@ -10,7 +10,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-use oakwind_settings::Parsed;
+use oakwind_settings::NamedSettings;
 use tokio::sync::{mpsc, watch};
 
 use crate::clock::UnixTime;
@@ -128,7 +128,7 @@
     }
 
     /// Other settings apply from now on. They must follow the present ones, and `digest` names them in decision records.
-    pub(crate) async fn reconfigure(&self, settings: Parsed, digest: String) {
+    pub(crate) async fn reconfigure(&self, settings: NamedSettings, digest: String) {
         self.send(DispatcherEvent::Reconfigure { settings: Box::new(settings), digest }).await;
     }
 
--- a/node/src/exchange/event.rs
+++ b/node/src/exchange/event.rs
@@ -1,7 +1,7 @@
 //! Events for the dispatcher: from frontends, backends, operators and the link to another process of this node.
 
 use bytes::Bytes;
-use oakwind_settings::Parsed;
+use oakwind_settings::NamedSettings;
 use tokio::sync::mpsc;
 
 use super::request::{Submission, SubmissionId, TransactionId};
@@ -26,7 +26,7 @@
     /// Other settings apply from now on.
     Reconfigure {
         /// The settings, which follow the present ones.
-        settings: Box<Parsed>,
+        settings: Box<NamedSettings>,
         /// Their digest in decision records.
         digest: String,
     },
--- a/node/src/server/reload.rs
+++ b/node/src/server/reload.rs
@@ -4,7 +4,7 @@
 //! configuration of the fleet. Everything else in the files takes effect at a restart or an upgrade.
 
 use oakwind_fleet::replica_node::Event;
-use oakwind_settings::{Parsed, SettingsError};
+use oakwind_settings::{NamedSettings, SettingsError};
 use thiserror::Error;
 use tokio::signal::unix::Signal;
 use tokio::sync::{mpsc, watch};
@@ -45,7 +45,7 @@
 struct Candidate {
     config: NodeConfig,
     /// The settings, merged with the ones in force.
-    settings: Parsed,
+    settings: NamedSettings,
     fleet: Option<FleetConfig>,
 }
 
@@ -92,7 +92,7 @@
         if let Some(key) = config.first_missing_key(current) {
             return Err(ReloadError::KeyMissing(key));
         }
-        let settings = self.registry.settings().followed_by(config.settings.clone());
+        let settings = self.registry.settings().reloaded_with(config.settings.clone());
         Ok(Candidate { settings: settings.map_err(ReloadError::Settings)?, config, fleet })
     }
 
--- a/settings/src/json.rs
+++ b/settings/src/json.rs
@@ -1,103 +1,107 @@
-//! The JSON form of the settings; the keys are given by the simulator and the operators' files.
+//! The JSON form of the settings. The keys are given by the simulator and the operators' files; the fields have the
+//! names of the admission module's settings.
 
 use serde::Deserialize;
 
-/// The whole settings params.
+/// All settings.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub(crate) struct Params {
-    pub(crate) services: Vec<Service>,
-    pub(crate) specifics: Specifics,
-    pub(crate) safety: Safety,
+pub(crate) struct SettingsJson {
+    #[serde(rename = "services")]
+    pub(crate) classes: Vec<ClassJson>,
+    pub(crate) specifics: ServerJson,
+    pub(crate) safety: SafetyJson,
     #[serde(default)]
-    pub(crate) limits: Limits,
+    pub(crate) limits: LimitsJson,
     #[serde(default)]
-    pub(crate) tenants: Vec<Tenant>,
+    pub(crate) tenants: Vec<TenantJson>,
     /// `work` if weights apply per unit of work.
-    #[serde(default)]
-    pub(crate) counted_by: String,
+    #[serde(default, rename = "countedBy")]
+    pub(crate) weight_unit: String,
     /// Fraction of the weight beyond a tenant's quota.
-    #[serde(default = "one")]
-    pub(crate) over_share_worth: f64,
+    #[serde(default = "one", rename = "overShareWorth")]
+    pub(crate) over_quota_weight: f64,
     #[serde(default)]
     pub(crate) servers: u32,
     /// Shortest time between two calls of the module, in microseconds.
-    #[serde(default)]
-    pub(crate) tick: u64,
+    #[serde(default, rename = "tick")]
+    pub(crate) min_handle_interval_us: u64,
 }
 
 /// A class of requests; times are in microseconds.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub(crate) struct Service {
+pub(crate) struct ClassJson {
     #[serde(default)]
     pub(crate) name: String,
     /// Latency objective.
-    pub(crate) slo: u64,
-    pub(crate) deadline: u64,
+    #[serde(rename = "slo")]
+    pub(crate) latency_objective_us: u64,
+    #[serde(rename = "deadline")]
+    pub(crate) deadline_us: u64,
     /// Extension of the latency objective, as a multiple of the work.
-    #[serde(default)]
-    pub(crate) aim_stretch: f64,
+    #[serde(default, rename = "aimStretch")]
+    pub(crate) objective_stretch: f64,
     /// `repeatable`, `by_key` or `once`.
     pub(crate) effect: String,
     /// Idempotency window.
-    #[serde(default)]
-    pub(crate) window: u64,
+    #[serde(default, rename = "window")]
+    pub(crate) window_us: u64,
     /// Weight of a request.
-    #[serde(default = "one")]
-    pub(crate) worth: f64,
+    #[serde(default = "one", rename = "worth")]
+    pub(crate) weight: f64,
     /// Fraction of the weight after the latency objective.
-    #[serde(default)]
-    pub(crate) late_worth: f64,
+    #[serde(default, rename = "lateWorth")]
+    pub(crate) late_weight: f64,
 }
 
 /// What is specific to one server; times are in microseconds.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub(crate) struct Specifics {
+pub(crate) struct ServerJson {
     pub(crate) cores: u32,
     pub(crate) memory_kb: f64,
     /// Memory of a running request, as a multiple of a queued one's.
-    #[serde(default = "one")]
-    pub(crate) run_factor: f64,
+    #[serde(default = "one", rename = "runFactor")]
+    pub(crate) running_memory_factor: f64,
     /// Memory of a retained idempotency key.
-    #[serde(default)]
-    pub(crate) entry_kb: f64,
+    #[serde(default, rename = "entryKb")]
+    pub(crate) key_memory_kb: f64,
     /// `off`, `shared` or `tier`.
-    #[serde(default)]
-    pub(crate) depends_on: String,
+    #[serde(default, rename = "dependsOn")]
+    pub(crate) dependency: String,
     #[serde(default)]
     pub(crate) callers: u32,
     /// Share of the dependency's concurrent calls.
-    #[serde(default)]
-    pub(crate) calls_out: f64,
+    #[serde(default, rename = "callsOut")]
+    pub(crate) dependency_share: f64,
     /// Period over which the share is a mean.
-    #[serde(default)]
-    pub(crate) share_span: u64,
+    #[serde(default, rename = "shareSpan")]
+    pub(crate) share_span_us: u64,
     /// How long the dependency goes on with a call that timed out.
-    #[serde(default)]
-    pub(crate) stays_for: u64,
+    #[serde(default, rename = "staysFor")]
+    pub(crate) linger_us: u64,
     /// Whether each class calls the dependency, in the order of the services.
-    #[serde(default)]
-    pub(crate) class_calls: Vec<bool>,
+    #[serde(default, rename = "classCalls")]
+    pub(crate) calls_by_class: Vec<bool>,
     /// Fraction of the weight without the call, in the order of the services.
-    #[serde(default)]
-    pub(crate) class_skip_worth: Vec<f64>,
+    #[serde(default, rename = "classSkipWorth")]
+    pub(crate) skip_weight_by_class: Vec<f64>,
     /// How long a response may be reused.
-    #[serde(default)]
-    pub(crate) fresh: u64,
+    #[serde(default, rename = "fresh")]
+    pub(crate) response_reuse_us: u64,
     /// Names of the gauges, in the order of their values.
     #[serde(default)]
     pub(crate) gauges: Vec<String>,
     /// Idle timeout of connections at the callers.
-    #[serde(default)]
-    pub(crate) idle: u64,
+    #[serde(default, rename = "idle")]
+    pub(crate) idle_timeout_us: u64,
     /// Whether the server has to warm up.
-    #[serde(default)]
-    pub(crate) just_started: bool,
+    #[serde(default, rename = "justStarted")]
+    pub(crate) is_cold: bool,
     /// Whether arrivals carry the time left.
-    #[serde(default)]
-    pub(crate) passes_deadline: bool,
+    #[serde(default, rename = "passesDeadline")]
+    pub(crate) sends_deadline: bool,
     /// `off`, `drop` or `pause`.
     #[serde(default)]
     pub(crate) preemption: String,
@@ -109,31 +113,34 @@
 /// Limits that keep the server from overload collapse; times are in microseconds.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub(crate) struct Safety {
+pub(crate) struct SafetyJson {
     /// Speed at a cold start, as a fraction of full speed.
-    #[serde(default = "one")]
-    pub(crate) cold_share: f64,
+    #[serde(default = "one", rename = "coldShare")]
+    pub(crate) cold_speed: f64,
     /// Grace period of a drain.
-    pub(crate) drain_grace: u64,
+    #[serde(rename = "drainGrace")]
+    pub(crate) drain_grace_us: u64,
     /// Maximum concurrency per core.
-    pub(crate) fall_multiple: f64,
+    #[serde(rename = "fallMultiple")]
+    pub(crate) max_concurrency_per_core: f64,
     /// Longest time that warming up takes.
-    #[serde(default)]
-    pub(crate) warm_after: u64,
+    #[serde(default, rename = "warmAfter")]
+    pub(crate) warm_up_time_us: u64,
 }
 
 /// What callers honor; times are in microseconds.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
-pub(crate) struct Limits {
-    pub(crate) max_retry_after: u64,
+pub(crate) struct LimitsJson {
+    #[serde(rename = "maxRetryAfter")]
+    pub(crate) max_retry_after_us: u64,
     pub(crate) retry_after: bool,
 }
 
 /// A tenant and its quota.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub(crate) struct Tenant {
+pub(crate) struct TenantJson {
     #[serde(default)]
     pub(crate) name: String,
     /// Requests per second over all servers.
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -10,12 +10,12 @@
 use oakwind_admission::{Class, Dependency, Effect, Gauges, Preemption, Settings, Signal};
 
 pub use error::SettingsError;
-use json::{Params, Service, Specifics};
+use json::{ClassJson, ServerJson, SettingsJson};
 use positions::Positions;
 
 /// Settings, with the names of the listed items in the order of their positions.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Parsed {
+pub struct NamedSettings {
     /// The settings of the admission module.
     pub settings: Settings,
     /// The names of the gauges.
@@ -30,14 +30,14 @@
     pub retired_tenants: Vec<usize>,
 }
 
-impl Parsed {
+impl NamedSettings {
     /// The settings that replace `self` at a reload: classes and tenants with a known name keep its position, those
     /// that are left out are retired, and new ones come after them.
     ///
     /// # Errors
     ///
     /// If there would be more than 1,000 names of a kind.
-    pub fn followed_by(&self, new: Parsed) -> Result<Parsed, SettingsError> {
+    pub fn reloaded_with(&self, new: NamedSettings) -> Result<NamedSettings, SettingsError> {
         let classes = Positions::merge(
             "services",
             &self.classes,
@@ -52,7 +52,7 @@
             new.tenants,
             new.settings.tenant_quotas,
         )?;
-        Ok(Parsed {
+        Ok(NamedSettings {
             settings: Settings { classes: classes.values, tenant_quotas: tenants.values, ..new.settings },
             gauges: new.gauges,
             classes: classes.names,
@@ -68,87 +68,91 @@
 /// # Errors
 ///
 /// If the text is no JSON, a key is missing or has a value that cannot be used.
-pub fn parse(text: &str) -> Result<Parsed, SettingsError> {
-    let mut json = serde_json::Deserializer::from_str(text);
-    let params: Params = serde_path_to_error::deserialize(&mut json)
+pub fn parse(text: &str) -> Result<NamedSettings, SettingsError> {
+    let mut deserializer = serde_json::Deserializer::from_str(text);
+    let json: SettingsJson = serde_path_to_error::deserialize(&mut deserializer)
         .map_err(|error| SettingsError::InvalidJson(error.to_string()))?;
-    json.end().map_err(|error| SettingsError::InvalidJson(error.to_string()))?;
-    let settings = settings(&params)?;
-    Ok(Parsed {
+    deserializer.end().map_err(|error| SettingsError::InvalidJson(error.to_string()))?;
+    let settings = settings(&json)?;
+    Ok(NamedSettings {
         settings,
-        gauges: params.specifics.gauges,
-        classes: params.services.into_iter().map(|service| service.name).collect(),
-        tenants: params.tenants.into_iter().map(|tenant| tenant.name).collect(),
+        gauges: json.specifics.gauges,
+        classes: json.classes.into_iter().map(|class| class.name).collect(),
+        tenants: json.tenants.into_iter().map(|tenant| tenant.name).collect(),
         retired_classes: Vec::new(),
         retired_tenants: Vec::new(),
     })
 }
 
-fn settings(params: &Params) -> Result<Settings, SettingsError> {
-    let specifics = &params.specifics;
-    let classes = params
-        .services
+fn settings(json: &SettingsJson) -> Result<Settings, SettingsError> {
+    let server = &json.specifics;
+    let classes = json
+        .classes
         .iter()
         .enumerate()
-        .map(|(position, service)| class(service, position, specifics))
+        .map(|(position, class_json)| class(class_json, position, server))
         .collect::<Result<_, _>>()?;
     Ok(Settings {
         classes,
-        tenant_quotas: params.tenants.iter().map(|tenant| tenant.quota_per_s).collect(),
-        over_quota_weight: params.over_share_worth,
-        weight_by_work: params.counted_by == "work",
-        servers: params.servers,
-        callers: specifics.callers,
-        cores: specifics.cores,
-        memory_kb: specifics.memory_kb,
-        running_memory_factor: specifics.run_factor,
-        key_memory_kb: specifics.entry_kb,
-        dependency: dependency(specifics)?,
-        preemption: preemption(&specifics.preemption)?,
-        signal: signal(&specifics.signal)?,
-        response_reuse: Duration::from_micros(specifics.fresh),
-        cold: specifics.just_started,
-        cold_speed: params.safety.cold_share,
-        warm_up_time: Duration::from_micros(params.safety.warm_after),
-        sends_deadline: specifics.passes_deadline,
-        idle: Duration::from_micros(specifics.idle),
-        retry_after: params.limits.retry_after,
-        max_retry_after: Duration::from_micros(params.limits.max_retry_after),
-        drain_grace: Duration::from_micros(params.safety.drain_grace),
-        max_concurrency_per_core: params.safety.fall_multiple,
-        tick: Duration::from_micros(params.tick),
+        tenant_quotas: json.tenants.iter().map(|tenant| tenant.quota_per_s).collect(),
+        over_quota_weight: json.over_quota_weight,
+        weight_by_work: json.weight_unit == "work",
+        servers: json.servers,
+        callers: server.callers,
+        cores: server.cores,
+        memory_kb: server.memory_kb,
+        running_memory_factor: server.running_memory_factor,
+        key_memory_kb: server.key_memory_kb,
+        dependency: dependency(server)?,
+        preemption: preemption(&server.preemption)?,
+        signal: signal(&server.signal)?,
+        response_reuse: Duration::from_micros(server.response_reuse_us),
+        cold: server.is_cold,
+        cold_speed: json.safety.cold_speed,
+        warm_up_time: Duration::from_micros(json.safety.warm_up_time_us),
+        sends_deadline: server.sends_deadline,
+        idle: Duration::from_micros(server.idle_timeout_us),
+        retry_after: json.limits.retry_after,
+        max_retry_after: Duration::from_micros(json.limits.max_retry_after_us),
+        drain_grace: Duration::from_micros(json.safety.drain_grace_us),
+        max_concurrency_per_core: json.safety.max_concurrency_per_core,
+        tick: Duration::from_micros(json.min_handle_interval_us),
     })
 }
 
-fn class(service: &Service, position: usize, specifics: &Specifics) -> Result<Class, SettingsError> {
+fn class(class: &ClassJson, position: usize, server: &ServerJson) -> Result<Class, SettingsError> {
     Ok(Class {
-        latency_objective: Duration::from_micros(service.slo),
-        objective_stretch: service.aim_stretch,
-        deadline: Duration::from_micros(service.deadline),
-        effect: match service.effect.as_str() {
-            "repeatable" => Effect::Idempotent,
-            "by_key" => Effect::IdempotencyKey,
-            "once" => Effect::AtMostOnce,
-            other => return unknown("effect", other),
-        },
-        window: Duration::from_micros(service.window),
-        weight: service.worth,
-        late_weight: service.late_worth,
-        calls: specifics.class_calls.get(position).copied().unwrap_or(false),
-        skip_weight: specifics.class_skip_worth.get(position).copied().unwrap_or(0.0),
+        latency_objective: Duration::from_micros(class.latency_objective_us),
+        objective_stretch: class.objective_stretch,
+        deadline: Duration::from_micros(class.deadline_us),
+        effect: effect(&class.effect)?,
+        window: Duration::from_micros(class.window_us),
+        weight: class.weight,
+        late_weight: class.late_weight,
+        calls: server.calls_by_class.get(position).copied().unwrap_or(false),
+        skip_weight: server.skip_weight_by_class.get(position).copied().unwrap_or(0.0),
     })
 }
 
-fn dependency(specifics: &Specifics) -> Result<Dependency, SettingsError> {
-    match specifics.depends_on.as_str() {
+fn effect(value: &str) -> Result<Effect, SettingsError> {
+    match value {
+        "repeatable" => Ok(Effect::Idempotent),
+        "by_key" => Ok(Effect::IdempotencyKey),
+        "once" => Ok(Effect::AtMostOnce),
+        other => unknown_value("effect", other),
+    }
+}
+
+fn dependency(server: &ServerJson) -> Result<Dependency, SettingsError> {
+    match server.dependency.as_str() {
         "" | "off" => Ok(Dependency::Off),
         "shared" => Ok(Dependency::Shared {
-            share: specifics.calls_out,
-            span: Duration::from_micros(specifics.share_span),
-            linger: Duration::from_micros(specifics.stays_for),
+            share: server.dependency_share,
+            span: Duration::from_micros(server.share_span_us),
+            linger: Duration::from_micros(server.linger_us),
         }),
         "tier" => Ok(Dependency::Tier),
-        other => unknown("dependsOn", other),
+        other => unknown_value("dependsOn", other),
     }
 }
 
@@ -157,7 +161,7 @@
         "" | "off" => Ok(Preemption::Off),
         "drop" => Ok(Preemption::Drop),
         "pause" => Ok(Preemption::Pause),
-        other => unknown("preemption", other),
+        other => unknown_value("preemption", other),
     }
 }
 
@@ -167,12 +171,12 @@
         "level" => Ok(Signal::Level),
         "credit" => Ok(Signal::Credit),
         "weight" => Ok(Signal::Weight),
-        other => unknown("signal", other),
+        other => unknown_value("signal", other),
     }
 }
 
 /// The error for a value that is not one of the words known for `key`.
-fn unknown<T>(key: &'static str, value: &str) -> Result<T, SettingsError> {
+fn unknown_value<T>(key: &'static str, value: &str) -> Result<T, SettingsError> {
     Err(SettingsError::UnknownValue { key, value: value.to_owned() })
 }
 
--- a/settings/src/tests.rs
+++ b/settings/src/tests.rs
@@ -34,12 +34,12 @@
         parsed.settings.classes[1].weight = 7.0;
         parsed
     };
-    let followed = named(["a", "b"]).followed_by(named(["c", "a"])).unwrap();
+    let followed = named(["a", "b"]).reloaded_with(named(["c", "a"])).unwrap();
     assert_eq!(followed.classes, ["a", "b", "c"]);
     assert_eq!(followed.retired_classes, [1]);
     let weights: Vec<f64> = followed.settings.classes.iter().map(|class| class.weight).collect();
     assert_eq!(weights, [7.0, 7.0, 1.0]);
-    let back = followed.followed_by(named(["b", "x"])).unwrap();
+    let back = followed.reloaded_with(named(["b", "x"])).unwrap();
     assert_eq!((back.classes.len(), back.retired_classes), (4, vec![0, 2]));
 }
 
