--- a/node/src/dispatcher/tests.rs
+++ b/node/src/dispatcher/tests.rs
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn requests_are_rejected_while_no_backend_is_up_and_each_is_told_another_wait() {
+fn requests_are_rejected_while_no_backend_is_up_and_each_is_advised_another_wait() {
     run(async {
         let mut node = Node::start_without_backend(false);
         let mut waits = Vec::new();
--- a/node/src/frontend/connection_limiter/tests.rs
+++ b/node/src/frontend/connection_limiter/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use futures_util::FutureExt;
 
-fn is_told_to_close(guard: &ConnectionGuard) -> bool {
+fn is_notified_of_eviction(guard: &ConnectionGuard) -> bool {
     guard.evicted().now_or_never().is_some()
 }
 
@@ -12,7 +12,7 @@
     guards[..3].iter().for_each(|guard| guard.set_state(ConnectionState::Busy));
     limiter.set_shared(true);
     assert_eq!(
-        guards.iter().map(is_told_to_close).collect::<Vec<_>>(),
+        guards.iter().map(is_notified_of_eviction).collect::<Vec<_>>(),
         [false, false, false, true],
         "busy ones are not evicted"
     );
@@ -20,10 +20,10 @@
     let guards = [limiter.admit().unwrap(), limiter.admit().unwrap()];
     guards[1].set_state(ConnectionState::Busy);
     let _third = limiter.admit().unwrap();
-    assert_eq!(guards.each_ref().map(is_told_to_close), [true, false]);
+    assert_eq!(guards.each_ref().map(is_notified_of_eviction), [true, false]);
     limiter.set_shared(false);
     let all = [limiter.admit().unwrap(), limiter.admit().unwrap()];
-    assert!(!all.iter().any(is_told_to_close) && !is_told_to_close(&guards[1]));
+    assert!(!all.iter().any(is_notified_of_eviction) && !is_notified_of_eviction(&guards[1]));
 }
 
 #[test]
@@ -33,7 +33,7 @@
     guards[0].set_state(ConnectionState::Busy);
     guards[1].set_state(ConnectionState::Idle);
     let fourth = limiter.admit().unwrap();
-    assert_eq!(guards.iter().map(is_told_to_close).collect::<Vec<_>>(), [false, false, true]);
+    assert_eq!(guards.iter().map(is_notified_of_eviction).collect::<Vec<_>>(), [false, false, true]);
     fourth.set_state(ConnectionState::Busy);
     drop(guards);
     let (_fifth, sixth) = (limiter.admit().unwrap(), limiter.admit().unwrap());
@@ -47,7 +47,7 @@
     let newest = limiter.admit().unwrap();
     // A request came on the one that was evicted: it stays and is counted.
     last.set_state(ConnectionState::Busy);
-    assert!(limiter.admit().is_some() && is_told_to_close(&newest));
+    assert!(limiter.admit().is_some() && is_notified_of_eviction(&newest));
 }
 
 #[test]
@@ -58,13 +58,13 @@
     guards[1].set_state(ConnectionState::Idle);
     let third = limiter.admit().unwrap();
     third.set_state(ConnectionState::Busy);
-    assert_eq!(guards.each_ref().map(is_told_to_close), [false, true]);
+    assert_eq!(guards.each_ref().map(is_notified_of_eviction), [false, true]);
     assert!(
         limiter.all_flushed().now_or_never().is_none(),
         "one waits for its response, one has not read it"
     );
     let fourth = limiter.admit().unwrap();
-    assert!(is_told_to_close(&guards[0]), "it is evicted before one that waits for its response");
+    assert!(is_notified_of_eviction(&guards[0]), "it is evicted before one that waits for its response");
     drop(guards);
     third.set_state(ConnectionState::Idle);
     assert!(limiter.all_flushed().now_or_never().is_some());
--- a/node/tests/sockets/cli.rs
+++ b/node/tests/sockets/cli.rs
@@ -2,7 +2,7 @@
 
 use crate::helper::*;
 
-fn problem(arguments: &[&str]) -> String {
+fn error_output(arguments: &[&str]) -> String {
     let output = output(arguments);
     assert!(!output.status.success());
     String::from_utf8(output.stderr).unwrap()
@@ -10,8 +10,8 @@
 
 #[test]
 fn version_says_the_version() {
-    let said = output(&["version"]).stdout;
-    assert_eq!(String::from_utf8(said).unwrap(), format!("oakwind {}\n", env!("CARGO_PKG_VERSION")));
+    let version = output(&["version"]).stdout;
+    assert_eq!(String::from_utf8(version).unwrap(), format!("oakwind {}\n", env!("CARGO_PKG_VERSION")));
 }
 
 #[test]
@@ -29,17 +29,17 @@
             if key == "listen" {
                 arguments.extend(["--uwsgi", uwsgi.to_str().unwrap()]);
             }
-            let line = problem(&arguments);
+            let line = error_output(&arguments);
             assert!(
                 line.starts_with("oakwind: ") && line.lines().count() == 1 && line.contains(key),
                 "{line}"
             );
         }
     }
-    assert!(problem(&["serve"]).contains("BALANCER_CONFIG"));
-    let said = output(&["check-config", "--config", good.to_str().unwrap()]);
-    assert!(said.status.success());
-    assert_eq!(String::from_utf8(said.stdout).unwrap(), "n1: can be served\n");
+    assert!(error_output(&["serve"]).contains("BALANCER_CONFIG"));
+    let checked = output(&["check-config", "--config", good.to_str().unwrap()]);
+    assert!(checked.status.success());
+    assert_eq!(String::from_utf8(checked.stdout).unwrap(), "n1: can be served\n");
 }
 
 #[test]
@@ -50,7 +50,7 @@
     for (config, uwsgi) in
         [(platform.to_str().unwrap(), "deploy/uwsgi.toml"), (&example, "examples/uwsgi.toml")]
     {
-        let said = output(&["check-config", "--config", config, "--uwsgi", &format!("{root}/{uwsgi}")]);
-        assert!(said.status.success(), "{uwsgi}: {}", String::from_utf8_lossy(&said.stderr));
+        let checked = output(&["check-config", "--config", config, "--uwsgi", &format!("{root}/{uwsgi}")]);
+        assert!(checked.status.success(), "{uwsgi}: {}", String::from_utf8_lossy(&checked.stderr));
     }
 }
--- a/node/tests/sockets/endings.rs
+++ b/node/tests/sockets/endings.rs
@@ -13,7 +13,7 @@
     (node, vm, link)
 }
 
-fn grace(us: u64) -> impl Fn(String) -> String {
+fn with_drain_grace(us: u64) -> impl Fn(String) -> String {
     move |text| text.replace("\"drainGrace\": 200000", &format!("\"drainGrace\": {us}"))
 }
 
@@ -22,15 +22,15 @@
 #[test]
 fn what_arrives_after_an_idle_connection_is_closed_is_not_run_and_not_reset() {
     let (node, _vm, mut link) = node_with(|text| text.replace("\"idle\": 30000000", "\"idle\": 100000"));
-    let mut resting = node.client();
-    resting.request(1, "a1", None, LONG_LIMIT_MS);
+    let mut idle = node.client();
+    idle.request(1, "a1", None, LONG_LIMIT_MS);
     link.next_run();
     link.send_run_result(1, "a1", "done", "x");
-    assert!(resting.read_line().contains("result"));
-    assert_eq!(resting.read_any_line(), DRAINING);
-    assert_eq!(resting.read_to_end(), "", "it ends");
-    resting.request(2, "a2", None, LONG_LIMIT_MS);
-    assert!(resting.accepts("half a li"), "no reset answers what was on its way");
+    assert!(idle.read_line().contains("result"));
+    assert_eq!(idle.read_any_line(), DRAINING);
+    assert_eq!(idle.read_to_end(), "", "it ends");
+    idle.request(2, "a2", None, LONG_LIMIT_MS);
+    assert!(idle.accepts("half a li"), "no reset answers what was on its way");
     let mut other = node.client();
     other.request(1, "b1", None, LONG_LIMIT_MS);
     assert_eq!(link.next_run().0, "b1", "the request after the end was not sent on");
@@ -38,7 +38,7 @@
 
 #[test]
 fn half_a_line_before_the_shutdown_notice_gets_its_response_once_it_is_complete() {
-    let (node, _vm, mut link) = node_with(grace(30_000_000));
+    let (node, _vm, mut link) = node_with(with_drain_grace(30_000_000));
     let mut client = node.client();
     let line = request(1, "a1", "quote", None, LONG_LIMIT_MS);
     client.send(&line[..40]);
@@ -54,7 +54,7 @@
 
 #[test]
 fn a_request_that_is_complete_only_after_the_grace_is_rejected_and_never_run() {
-    let (node, _vm, mut link) = node_with(grace(0));
+    let (node, _vm, mut link) = node_with(with_drain_grace(0));
     let mut client = node.client();
     // A time of receipt in the future counts as now.
     let line = request(1, "a1", "quote", None, LONG_LIMIT_MS).replace("\"door\":", "\"door\":1");
@@ -71,7 +71,7 @@
 
 #[test]
 fn connections_that_were_queued_before_the_listener_closed_are_served() {
-    let (node, _vm, _link) = node_with(grace(0));
+    let (node, _vm, _link) = node_with(with_drain_grace(0));
     while node.health() != "up" {}
     // More than the runtime does in one turn of a task.
     node.pause();
@@ -113,29 +113,29 @@
 /// A process that takes over at this address from a predecessor that the test plays, which has sent nothing yet.
 fn start_successor(place: &Place, change: impl Fn(String) -> String) -> (Node, Server, Peer, UnixStream) {
     let socket = place.json.replace(':', "_");
-    let before = UnixListener::bind(place.folder.join(format!("oakwind-{socket}.sock"))).unwrap();
+    let predecessor = UnixListener::bind(place.folder.join(format!("oakwind-{socket}.sock"))).unwrap();
     let vm = Server::new();
     let text = config(&format!(r#""vm": "{}","#, vm.address)).replace("127.0.0.1:0", &place.json);
     let mut node = Node::spawn(&change(text), None, Some(&place.folder));
     // It checks first whether a process serves here, then takes over.
-    drop(before.accept().unwrap());
+    drop(predecessor.accept().unwrap());
     let link = vm.interpreter("0");
     node.wait_until_listening();
-    let (told, _) = before.accept().unwrap();
-    (node, vm, link, told)
+    let (handover, _) = predecessor.accept().unwrap();
+    (node, vm, link, handover)
 }
 
 #[test]
 fn a_predecessor_that_is_slow_to_hand_over_its_keys_delays_no_response() {
     let place = Place::new("127.0.3.7");
-    let (mut node, _vm, mut link, mut before) = start_successor(&place, |text| text);
+    let (mut node, _vm, mut link, mut predecessor) = start_successor(&place, |text| text);
     let mut client = node.client();
     client.request(1, "a1", Some("slow"), 300);
     assert!(client.read_line().contains("-32011"), "it has not run, and its caller waits no longer");
     client.request(2, "a2", Some("known"), LONG_LIMIT_MS);
-    before.write_all(b"SEED 1\r\nKEY 1 99999999999999 done 5 8\r\nknownjob\r\nALL\r\n").unwrap();
+    predecessor.write_all(b"SEED 1\r\nKEY 1 99999999999999 done 5 8\r\nknownjob\r\nALL\r\n").unwrap();
     node.wait_for_log("handover: table received from the predecessor: keys=1");
-    // What was held back is decided on now: this key came with another body.
+    // What was buffered is decided on now: this key came with another body.
     assert!(client.read_line().contains("-32602"));
     client.request(3, "a3", Some("fresh"), LONG_LIMIT_MS);
     assert_eq!(link.next_run().0, "a3");
@@ -176,7 +176,7 @@
 #[test]
 fn half_a_uwsgi_request_before_the_shutdown_notice_gets_its_response_once_it_is_complete() {
     let vm = Server::new();
-    let text = grace(30_000_000)(config(&format!(r#""vm": "{}","#, vm.address)));
+    let text = with_drain_grace(30_000_000)(config(&format!(r#""vm": "{}","#, vm.address)));
     let mut node = Node::start(&text, Some("listen = '127.0.2.9:0'"));
     let address = node.uwsgi_address();
     let mut link = vm.interpreter("0");
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn an_interpreter_is_recognised_though_the_clock_was_set_ahead_meanwhile() {
+fn an_interpreter_is_recognized_though_the_clock_was_set_ahead_meanwhile() {
     let vm = Server::new();
     let path = file("config.json", &config(&format!(r#""vm": "{}","#, vm.address)));
     let mut command = oakwind(&["serve", "--config", path.to_str().unwrap()]);
--- a/node/tests/sockets/fleet.rs
+++ b/node/tests/sockets/fleet.rs
@@ -261,9 +261,9 @@
             ["check-config", "--config", config.to_str().unwrap(), "--fleet", path.to_str().unwrap()];
         let ended = output(&arguments);
         assert!(!ended.status.success());
-        let said = String::from_utf8(ended.stderr).unwrap();
-        assert_eq!(said.lines().count(), 1, "{said}");
-        said
+        let error = String::from_utf8(ended.stderr).unwrap();
+        assert_eq!(error.lines().count(), 1, "{error}");
+        error
     };
     let good = fleet.file(1, &[1, 2, 3], "");
     for (from, to, names) in [
@@ -277,8 +277,8 @@
         ("zone = 'z1'", "zone = ''", "list.members[0]"),
         ("zone = 'z1'", "zones = 'z1'", "zones"),
     ] {
-        let said = check(&good.replace(from, to));
-        assert!(said.contains(names), "{said}");
+        let error = check(&good.replace(from, to));
+        assert!(error.contains(names), "{error}");
     }
     let path = file("fleet.toml", &good);
     let arguments = ["check-config", "--config", config.to_str().unwrap(), "--fleet", path.to_str().unwrap()];
--- a/node/tests/sockets/jsonrpc.rs
+++ b/node/tests/sockets/jsonrpc.rs
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn a_client_that_copier_the_id_of_an_open_request_can_not_withdraw_it() {
+fn a_client_that_copies_the_id_of_an_open_request_can_not_withdraw_it() {
     let (node, _vm, mut vm) = Node::with_interpreter("", None);
     let (mut client, mut copier) = (node.client(), node.client());
     client.request(1, "a1", Some("k"), LONG_LIMIT_MS);
--- a/node/tests/sockets/result_store.rs
+++ b/node/tests/sockets/result_store.rs
@@ -124,8 +124,8 @@
 }
 
 /// Sends a booking to either frontend. Its body is its key, so that a run shows which key it is of.
-fn send_booking(node: &Node, front: std::net::SocketAddr, key: &str, id: u32, json: bool) -> Peer {
-    let mut client = if json { node.client() } else { Peer::connect(front) };
+fn send_booking(node: &Node, uwsgi: std::net::SocketAddr, key: &str, id: u32, json: bool) -> Peer {
+    let mut client = if json { node.client() } else { Peer::connect(uwsgi) };
     if json {
         let text = request(id, &format!("{id:x}"), "book", Some(key), LONG_LIMIT_MS);
         client.send(text.replace("Ym9keQ==", &BASE64.encode(key)));
--- a/node/tests/sockets/upgrade.rs
+++ b/node/tests/sockets/upgrade.rs
@@ -10,23 +10,23 @@
     pub json: String,
     uwsgi: String,
     pub folder: PathBuf,
-    _held: [TcpSocket; 2],
+    _reserved: [TcpSocket; 2],
 }
 
 impl Place {
     pub(crate) fn new(host: &str) -> Place {
-        // Held, shared and deaf, for as long as the test lasts: nobody else gets these ports, and a copy that a child
-        // of another test holds for a moment shuts no process of the node out.
-        let held = [(); 2].map(|()| {
+        // Bound, shared and not listening, for as long as the test lasts: nobody else gets these ports, and a copy that a
+        // child of another test has for a moment shuts no process of the node out.
+        let reserved = [(); 2].map(|()| {
             let socket = TcpSocket::new_v4().unwrap();
             socket.set_reuseport(true).unwrap();
             socket.bind((host, 0).to_socket_addrs().unwrap().next().unwrap()).unwrap();
             socket
         });
-        let [json, uwsgi] = held.each_ref().map(|held| held.local_addr().unwrap().to_string());
+        let [json, uwsgi] = reserved.each_ref().map(|reserved| reserved.local_addr().unwrap().to_string());
         let folder = file("folder", "").with_extension("d");
         std::fs::create_dir(&folder).unwrap();
-        Place { json, uwsgi, folder, _held: held }
+        Place { json, uwsgi, folder, _reserved: reserved }
     }
 
     /// Starts one more process of the node, with an interpreter of its own whose link is up.
--- a/node/tests/sockets/uwsgi.rs
+++ b/node/tests/sockets/uwsgi.rs
@@ -10,10 +10,11 @@
     packet(&[("PATH_INFO", "/book"), ("HTTP_IDEMPOTENCY_KEY", key)], "body")
 }
 
-/// The status line, the fields that matter and the body of a response.
-fn brief(response: &str) -> String {
-    let kept = response.lines().filter(|l| !l.starts_with("Content-Type") && !l.starts_with("Connection"));
-    kept.filter(|line| !line.is_empty()).collect::<Vec<_>>().join(" | ")
+/// The status line, the fields that matter and the body of a response, on one line.
+fn summary(response: &str) -> String {
+    let shown =
+        response.lines().filter(|line| !line.starts_with("Content-Type") && !line.starts_with("Connection"));
+    shown.filter(|line| !line.is_empty()).collect::<Vec<_>>().join(" | ")
 }
 
 #[test]
@@ -27,21 +28,21 @@
         let (id, class, body) = vm.next_run();
         assert_eq!((&class[..], &body[..]), ("quote", "body"));
         vm.send_run_result(notice, &id, end, if end == "done" { "price" } else { "" });
-        answers.push(brief(&client.read_to_end()));
+        answers.push(summary(&client.read_to_end()));
     }
     // Nobody ends this run, and its caller waits until a moment that it names itself.
     let mut client = Peer::connect(address);
     let soon = (now_ms() + 300).to_string();
     client.send(packet(&[("PATH_INFO", "/quote"), ("HTTP_X_DEADLINE", &soon)], ""));
     let (id, ..) = vm.next_run();
-    answers.push(brief(&client.read_to_end()));
+    answers.push(summary(&client.read_to_end()));
     assert_eq!(vm.next_command().0, ["BREAK", &id]);
     // And one that never ran.
     let mut client = Peer::connect(address);
     client.send(quote());
     let (id, ..) = vm.next_run();
     vm.send(format!("ERROR APPLY {id}\r\n"));
-    answers.push(brief(&client.read_to_end()));
+    answers.push(summary(&client.read_to_end()));
     insta::assert_snapshot!(answers.join("\n"), @r"
     HTTP/1.1 200 OK | Content-Length: 5 | price
     HTTP/1.1 500 Internal Server Error | Content-Length: 7 | failed
@@ -51,7 +52,7 @@
 }
 
 #[test]
-fn bad_requests_get_a_response_and_are_closed() {
+fn invalid_requests_get_a_response_and_are_closed() {
     let (mut node, _vm, _link) = Node::with_interpreter("", Some(UWSGI));
     let address = node.uwsgi_address();
     let long = "x".repeat(17_000);
@@ -70,7 +71,7 @@
     let answers = requests.map(|request| {
         let mut client = Peer::connect(address);
         client.send(request);
-        brief(&client.read_to_end())
+        summary(&client.read_to_end())
     });
     insta::assert_snapshot!(answers.join("\n"), @r"
     HTTP/1.1 400 Bad Request | Content-Length: 22 | modifiers other than 0
@@ -119,11 +120,11 @@
     assert_eq!(vm.next_run().0, "b1", "no second run of the first key");
     vm.send_run_result(1, &ran, "done", "job 5");
     assert!(json.read_line().contains(r#""id":1,"result":{"content":"am9iIDU="}"#));
-    assert_eq!(brief(&uwsgi.read_to_end()), "HTTP/1.1 200 OK | Content-Length: 5 | job 5");
+    assert_eq!(summary(&uwsgi.read_to_end()), "HTTP/1.1 200 OK | Content-Length: 5 | job 5");
     // The other way round, once the run is over.
     let mut late = Peer::connect(address);
     late.send(book("one"));
-    assert_eq!(brief(&late.read_to_end()), "HTTP/1.1 200 OK | Content-Length: 5 | job 5");
+    assert_eq!(summary(&late.read_to_end()), "HTTP/1.1 200 OK | Content-Length: 5 | job 5");
     vm.send_run_result(2, "b1", "crashed", "");
     let mut failed = Peer::connect(address);
     assert!(json.read_line().contains("-32000"));
@@ -142,7 +143,7 @@
     node.terminate();
     node.wait_for_log("frontend: stopped listening: protocol=uwsgi");
     vm.send_run_result(1, &id, "done", "late");
-    assert_eq!(brief(&client.read_to_end()), "HTTP/1.1 200 OK | Content-Length: 4 | late");
+    assert_eq!(summary(&client.read_to_end()), "HTTP/1.1 200 OK | Content-Length: 4 | late");
     assert!(std::net::TcpStream::connect(address).is_err());
     node.assert_clean_exit();
 }
@@ -170,22 +171,22 @@
     assert!(json.read_line().contains(r#""result":{"content":"am9iIDU="}"#));
     // The next in turn is down: the one after it takes the request, as a refused connection ran nothing.
     let address = node.uwsgi_address();
-    let ask = |answer: &[u8]| {
+    let respond_with = |answer: &[u8]| {
         let mut client = Peer::connect(address);
         client.send(quote());
         let (mut server, ..) = first.next_uwsgi_request();
         server.send(answer);
         drop(server);
-        brief(&client.read_to_end())
+        summary(&client.read_to_end())
     };
     let answers = [
-        ask(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nto the end"),
+        respond_with(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nto the end"),
         // Nothing tells this from a result that was cut off.
-        ask(b"HTTP/1.0 200 OK\r\n\r\nto the end"),
-        ask(b"HTTP/1.1 503 Busy\r\nRetry-After: 3\r\n\r\n"),
-        ask(b"HTTP/1.1 503 Busy\r\n\r\n"),
-        ask(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ncut"),
-        ask(b"nonsense\r\n\r\n"),
+        respond_with(b"HTTP/1.0 200 OK\r\n\r\nto the end"),
+        respond_with(b"HTTP/1.1 503 Busy\r\nRetry-After: 3\r\n\r\n"),
+        respond_with(b"HTTP/1.1 503 Busy\r\n\r\n"),
+        respond_with(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ncut"),
+        respond_with(b"nonsense\r\n\r\n"),
     ];
     insta::assert_snapshot!(answers.join("\n"), @r"
     HTTP/1.1 200 OK | Content-Length: 10 | to the end
@@ -205,13 +206,13 @@
 #[test]
 fn calls_go_to_uwsgi_servers_where_they_are_configured() {
     let store = Server::new();
-    let front = format!("listen = '127.0.0.1:0'\ncalls = ['{}']\n", store.address);
-    let (mut node, _vm, mut vm) = Node::with_interpreter("", Some(&front));
+    let uwsgi_file = format!("listen = '127.0.0.1:0'\ncalls = ['{}']\n", store.address);
+    let (mut node, _vm, mut vm) = Node::with_interpreter("", Some(&uwsgi_file));
     let mut client = Peer::connect(node.uwsgi_address());
     client.send(book("k"));
     let (id, ..) = vm.next_run();
     vm.send(format!("AWAIT 1 {id} 4\r\ncall\r\n"));
-    // Turned away, it never ran, so it may be made again though it is a write.
+    // Rejected, it never ran, so it may be made again though it is a write.
     let (mut server, ..) = store.next_uwsgi_request();
     server.send("HTTP/1.1 503 Busy\r\nRetry-After: 1\r\n\r\n");
     drop(server);
@@ -221,7 +222,7 @@
     let (resolve, reply) = vm.next_command();
     assert_eq!((&resolve[0][..], &resolve[1], &reply[..]), ("RESOLVE", &id, "reply"));
     vm.send_run_result(2, &id, "done", "ok");
-    assert_eq!(brief(&client.read_to_end()), "HTTP/1.1 200 OK | Content-Length: 2 | ok");
+    assert_eq!(summary(&client.read_to_end()), "HTTP/1.1 200 OK | Content-Length: 2 | ok");
 }
 
 #[test]
@@ -234,7 +235,7 @@
     let (ran, ..) = vm.next_run();
     uwsgi.send(&other);
     assert_eq!(
-        brief(&uwsgi.read_to_end()),
+        summary(&uwsgi.read_to_end()),
         "HTTP/1.1 400 Bad Request | Content-Length: 32 | the key is that of another body"
     );
     vm.send_run_result(1, &ran, "done", "job 5");
@@ -242,11 +243,11 @@
     let mut uwsgi = Peer::connect(address);
     uwsgi.send(&other);
     assert!(uwsgi.read_to_end().starts_with("HTTP/1.1 400 "), "nor when the result is there");
-    json.send(JSON_OTHER);
+    json.send(REQUEST_WITH_ANOTHER_BODY);
     insta::assert_snapshot!(json.read_line(), @r#"{"jsonrpc":"2.0","id":2,"error":{"code":-32602,"message":"unique is the key of another body"}}"#);
 }
 
-const JSON_OTHER: &str = concat!(
+const REQUEST_WITH_ANOTHER_BODY: &str = concat!(
     r#"{"jsonrpc":"2.0","id":2,"method":"book","params":{"txn":"a2","door":1e12,"limit":1e12,"ram":1,"#,
     r#""unique":"one","content":"eHg="}}"#,
     "\n"
@@ -260,7 +261,7 @@
     let mut link = vm.interpreter("0");
     let address = node.uwsgi_address();
     // Both frontends together have 16 connections here.
-    let mut silent: Vec<Peer> = (0..16).flat_map(|_| [node.client(), Peer::connect(address)]).collect();
+    let mut idle: Vec<Peer> = (0..16).flat_map(|_| [node.client(), Peer::connect(address)]).collect();
     let (mut json, mut uwsgi) = (node.client(), Peer::connect(address));
     json.request(1, "a1", None, LONG_LIMIT_MS);
     uwsgi.send(quote());
@@ -270,12 +271,12 @@
     }
     assert!(json.read_line().contains("result"));
     assert!(uwsgi.read_to_end().starts_with("HTTP/1.1 200 "));
-    assert!(silent[0].is_closed() && silent[1].is_closed(), "the oldest went for the last");
+    assert!(idle[0].is_closed() && idle[1].is_closed(), "the oldest went for the last");
     // Half a request gets a response at its deadline.
     let mut slow = Peer::connect(address);
     slow.send([0, 9]);
     assert_eq!(
-        brief(&slow.read_to_end()),
+        summary(&slow.read_to_end()),
         "HTTP/1.1 400 Bad Request | Content-Length: 38 | the request did not come whole in time"
     );
 }
@@ -301,8 +302,8 @@
     after.send(quote());
     let (mut server, ..) = new.next_uwsgi_request();
     server.send("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nnew");
-    assert_eq!(brief(&after.read_to_end()), "HTTP/1.1 200 OK | Content-Length: 3 | new");
+    assert_eq!(summary(&after.read_to_end()), "HTTP/1.1 200 OK | Content-Length: 3 | new");
     // What runs at the old address ends there.
     running.send("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold");
-    assert_eq!(brief(&before.read_to_end()), "HTTP/1.1 200 OK | Content-Length: 3 | old");
+    assert_eq!(summary(&before.read_to_end()), "HTTP/1.1 200 OK | Content-Length: 3 | old");
 }
--- a/node/tests/sockets/vrrp.rs
+++ b/node/tests/sockets/vrrp.rs
@@ -14,7 +14,7 @@
 }
 
 /// A uwsgi file with an address of its own, so that no other test listens there afterwards.
-fn front(priority: u8, listen: &str, peer: &str) -> String {
+fn uwsgi_file(priority: u8, listen: &str, peer: &str) -> String {
     let ip = listen.split(':').next().unwrap();
     format!(
         "listen = '{ip}:0'\n[vrrp]\nvrid = 9\npriority = {priority}\ninterval_ms = 100\n\
@@ -22,18 +22,18 @@
     )
 }
 
-/// The next advertisement that the peer gets, if it has this priority.
-fn hear(peer: &UdpSocket, priority: u8) {
+/// Waits until the peer gets an advertisement with this priority.
+fn wait_for_advertisement(peer: &UdpSocket, priority: u8) {
     while next_datagram(peer)[..] != advertisement(priority)[..] {}
 }
 
 #[test]
 fn the_listener_is_open_while_active_and_what_was_read_gets_its_response_after_that() {
     let (listen, peer) = ("127.0.2.2:3112", bind_udp("127.0.2.3:3112"));
-    let file = front(100, listen, "127.0.2.3:3112");
+    let file = uwsgi_file(100, listen, "127.0.2.3:3112");
     let (mut node, _vm, mut vm) = Node::with_interpreter("", Some(&file));
     // No other router advertises, so this node becomes active.
-    hear(&peer, 100);
+    wait_for_advertisement(&peer, 100);
     let address = node.uwsgi_address();
     let mut client = Peer::connect(address);
     client.send(packet(&[("PATH_INFO", "/quote")], ""));
@@ -57,16 +57,16 @@
     client.send(packet(&[("PATH_INFO", "/status")], ""));
     assert!(client.read_to_end().contains("200 OK"));
     node.terminate();
-    hear(&peer, 0);
+    wait_for_advertisement(&peer, 0);
     node.assert_clean_exit();
 }
 
 #[test]
 fn of_two_nodes_one_is_active_and_the_other_takes_over_when_it_leaves() {
     let (first, second) = ("127.0.2.4:3112", "127.0.2.5:3112");
-    let (mut low, _vm, _link) = Node::with_interpreter("", Some(&front(100, second, first)));
+    let (mut low, _vm, _link) = Node::with_interpreter("", Some(&uwsgi_file(100, second, first)));
     low.uwsgi_address();
-    let (mut high, _vm, _link) = Node::with_interpreter("", Some(&front(200, first, second)));
+    let (mut high, _vm, _link) = Node::with_interpreter("", Some(&uwsgi_file(200, first, second)));
     // The higher priority preempts.
     high.uwsgi_address();
     low.wait_for_log("vrrp: role changed: vrid=9 role=Backup");
--- a/node/tests/sockets/windows.rs
+++ b/node/tests/sockets/windows.rs
@@ -3,7 +3,7 @@
 use crate::helper::*;
 
 /// A window of three seconds, and deadlines that are as short: long enough for a slow machine to begin a run.
-fn short() -> (Node, Server, Peer) {
+fn node_with_short_window() -> (Node, Server, Peer) {
     let vm = Server::new();
     let text = config(&format!(r#""vm": "{}","#, vm.address))
         .replace("\"by_key\", \"window\": 120000000", "\"by_key\", \"window\": 3000000")
@@ -14,27 +14,27 @@
     (node, vm, link)
 }
 
-const SHORT: u32 = 3_000;
+const WINDOW_MS: u32 = 3_000;
 
 /// Waits until no attempt that arrives is within the window of an earlier one, with the margin that the node adds.
-fn window_passes() {
-    let over = now_ms() + 4_000;
-    while now_ms() < over {
+fn wait_until_window_has_passed() {
+    let passed_at = now_ms() + 4_000;
+    while now_ms() < passed_at {
         std::thread::sleep(std::time::Duration::from_millis(10));
     }
 }
 
 #[test]
 fn inside_the_idempotency_window_a_repeat_gets_the_first_result_and_outside_it_runs() {
-    let (node, _vm, mut link) = short();
+    let (node, _vm, mut link) = node_with_short_window();
     let mut client = node.client();
-    let first = request(1, "a1", "book", Some("k"), SHORT);
+    let first = request(1, "a1", "book", Some("k"), WINDOW_MS);
     client.send(&first);
     link.next_run();
     link.send_run_result(1, "a1", "done", "job 1");
     assert!(client.read_line().contains("am9iIDE="));
     // The time of receipt counts, not when the attempt is read; this one was received with the first.
-    window_passes();
+    wait_until_window_has_passed();
     client.send(
         first
             .replace("\"id\":1", "\"id\":2")
@@ -43,25 +43,25 @@
     );
     let late = client.read_line();
     assert!(late.contains("\"id\":2,\"result\":{\"content\":\"am9iIDE=\"}"), "{late}");
-    client.request(3, "a3", Some("k"), SHORT);
+    client.request(3, "a3", Some("k"), WINDOW_MS);
     assert_eq!(link.next_run().0, "a3", "its window is over, so it is a new request");
 }
 
 #[test]
 fn while_the_first_attempt_runs_no_repeat_runs_however_late() {
-    let (node, _vm, mut link) = short();
+    let (node, _vm, mut link) = node_with_short_window();
     let mut client = node.client();
-    client.request(1, "a1", Some("k"), SHORT);
+    client.request(1, "a1", Some("k"), WINDOW_MS);
     link.next_run();
     assert!(client.read_line().contains("-32001"), "its time ran out, and it may still have its effect");
-    window_passes();
-    client.request(2, "a2", Some("k"), SHORT);
+    wait_until_window_has_passed();
+    client.request(2, "a2", Some("k"), WINDOW_MS);
     // The next that runs is another key.
-    client.request(3, "b1", Some("l"), SHORT);
+    client.request(3, "b1", Some("l"), WINDOW_MS);
     assert_eq!(link.next_run().0, "b1");
     link.send_run_result(1, "a1", "done", "job 1");
-    let joined = client.read_line();
-    assert!(joined.contains("\"id\":2,\"result\":{\"content\":\"am9iIDE=\"}"), "{joined}");
+    let coalesced = client.read_line();
+    assert!(coalesced.contains("\"id\":2,\"result\":{\"content\":\"am9iIDE=\"}"), "{coalesced}");
 }
 
 #[test]
