--- /dev/null
+++ b/fault-harness/tests/old_form.rs
@@ -0,0 +1,89 @@
+//! Scenarios and histories in their first form are still read, and mean what they meant. The files in
+//! `fixtures/old-form` were written for, or by, a build that knew no other form; the figures are that build's.
+
+use std::path::{Path, PathBuf};
+
+use oakwind_fault_harness::check::{check, Rule, Verdict};
+use oakwind_fault_harness::history::History;
+use oakwind_fault_harness::predict::predict;
+use oakwind_fault_harness::scenario::Scenario;
+use oakwind_fault_harness::statistics::statistics;
+
+fn fixture(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/old-form").join(name)
+}
+
+fn history(name: &str) -> History {
+    History::read(&fixture(name)).unwrap()
+}
+
+/// How often each rule is broken.
+fn counts(verdict: &Verdict) -> Vec<(Rule, usize)> {
+    verdict.by_rule().into_iter().collect()
+}
+
+#[test]
+fn a_scenario_in_the_old_form_is_read_with_every_key() {
+    let scenario = Scenario::read(&fixture("scenario.toml"), &[]).unwrap();
+    assert_eq!(scenario.faults.len(), 17);
+    let figures = statistics(&predict(&scenario, None));
+    assert_eq!((figures.asked, figures.served, figures.p99_ms), (9235, 0.9843458231221709, 451.839));
+    assert_eq!(figures.tries, 1.4123443421765025);
+}
+
+#[test]
+fn a_recorded_play_in_the_old_form_has_the_verdict_and_the_statistics_that_it_had() {
+    let history = history("history.jsonl");
+    assert_eq!(history.seen.len(), 1622);
+    let verdict = check(&history);
+    assert_eq!(counts(&verdict), []);
+    assert_eq!((verdict.written, verdict.excused, verdict.twice_in_fleet), (361, 4, 0));
+    let figures = statistics(&history);
+    assert_eq!(
+        (figures.asked, figures.served, figures.worst_ten),
+        (195, 0.5051666666666667, 0.5051666666666667)
+    );
+    assert_eq!(
+        figures.parts,
+        [0.49230769230769234, 0.11282051282051282, 0.3487179487179487, 0.046153846153846156]
+    );
+    assert_eq!((figures.throughput, figures.median_ms, figures.p99_ms), (23.6, 64.255, 426.751));
+    assert_eq!((figures.tries, figures.connected), (1.8512820512820514, [3.8, 10.0, 4.0]));
+    assert_eq!((figures.most, figures.cpu_us_a_try), ([7420, 27], 969.5290858725762));
+    let back = figures.back.unwrap();
+    assert_eq!((back.before, back.from_start, back.least), (0.9893939393939394, None, 0.3114854517611026));
+    let faults: Vec<&str> = figures.bands.iter().map(|band| band.text.as_str()).collect();
+    assert_eq!(faults, ["kill n1", "link n2", "link n3", "fronts 1", "stop n2", "below", "leave n3"]);
+}
+
+#[test]
+fn every_event_in_the_old_form_counts_as_it_did() {
+    let history = history("every-event.jsonl");
+    assert_eq!(history.seen.len(), 87);
+    let verdict = check(&history);
+    let expected = [
+        (Rule::Lost, 2),
+        (Rule::AnsweredTwice, 1),
+        (Rule::RunTwice, 4),
+        (Rule::RefusedAndRan, 2),
+        (Rule::ForeignResult, 1),
+        (Rule::Spoilt, 1),
+        (Rule::LimitPassed, 4),
+        (Rule::Crashed, 1),
+        (Rule::TwoActive, 1),
+    ];
+    assert_eq!(counts(&verdict), expected);
+    let times: Vec<f64> = verdict.breaches.iter().map(|breach| breach.t).collect();
+    assert_eq!(
+        times,
+        [
+            325.0, 400.0, 412.5, 550.0, 562.5, 587.5, 637.5, 650.0, 800.0, 800.0, 812.5, 887.5, 925.0, 987.5,
+            1050.0, 1150.0, 29_000.0
+        ]
+    );
+    assert_eq!((verdict.written, verdict.excused, verdict.twice_in_fleet), (10, 0, 5));
+    let figures = statistics(&history);
+    assert_eq!((figures.asked, figures.served, figures.parts), (5, 0.3, [0.4, 0.0, 0.2, 0.4]));
+    assert_eq!((figures.median_ms, figures.p99_ms, figures.tries), (312.575, 425.215, 2.0));
+    assert_eq!((figures.most, figures.cpu_us_a_try), ([4000, 120], 700.0));
+}
