--- a/fault-harness/src/check/answers.rs
+++ b/fault-harness/src/check/answers.rs
@@ -5,7 +5,7 @@
 use super::Checker;
 use crate::history::{Drop, Event, Kind};
 use crate::model::Ms;
-use crate::scenario::Once;
+use crate::scenario::RunScope;
 
 impl Checker<'_> {
     /// Checks an answer, or what came in the place of one.
@@ -46,7 +46,7 @@
     /// A result has to be that of a run of the same key, at the same node unless keys are the fleet's.
     fn check_result(&mut self, t: Ms, id: u64, node: usize, result: &str) {
         let results = self.attempts.key_of(id).map_or(&[][..], |key| self.runs.results_of(key));
-        let is_valid_at = |at: usize| self.parameters.once == Once::Fleet || at == node;
+        let is_valid_at = |at: usize| self.parameters.run_once_per == RunScope::Fleet || at == node;
         if results.iter().any(|made| made.result == result && is_valid_at(made.node)) {
             return;
         }
--- a/fault-harness/src/check/runs.rs
+++ b/fault-harness/src/check/runs.rs
@@ -6,7 +6,7 @@
 use super::Checker;
 use crate::history::Event;
 use crate::model::Ms;
-use crate::scenario::Once;
+use crate::scenario::RunScope;
 
 /// A run of a keyed request.
 #[derive(Debug, Clone, Copy)]
@@ -102,10 +102,10 @@
     fn check_key(&mut self, request: usize, run: Run) {
         let Some(request) = self.attempts.request(request) else { return };
         let Some(class) = self.parameters.classes.get(request.class) else { return };
-        if class.window <= 0.0 {
+        if class.idempotency_window <= 0.0 {
             return;
         }
-        let mut earlier = self.runs.within_window(request.key, run.written_at, class.window);
+        let mut earlier = self.runs.within_window(request.key, run.written_at, class.idempotency_window);
         let first_in_fleet = earlier.next().copied();
         let is_same_state = |other: &Run| other.node == run.node && other.generation == run.generation;
         let first_at_node = first_in_fleet.into_iter().chain(earlier.copied()).find(is_same_state);
@@ -130,7 +130,7 @@
     }
 
     fn record_second_run_in_fleet(&mut self, key: usize, first: &Run, second: &Run) {
-        if self.parameters.once != Once::Fleet {
+        if self.parameters.run_once_per != RunScope::Fleet {
             return;
         }
         let text = format!(
--- a/fault-harness/src/check/tests.rs
+++ b/fault-harness/src/check/tests.rs
@@ -1,16 +1,16 @@
 use super::*;
 use crate::history::{ClassParameters, Drop, Kind, Observation, ProcessExit};
-use crate::scenario::Once;
+use crate::scenario::RunScope;
 
-fn terms(once: Once) -> RuleParameters {
-    let class = |name: &str, window| ClassParameters {
+fn terms(run_once_per: RunScope) -> RuleParameters {
+    let class = |name: &str, idempotency_window| ClassParameters {
         name: name.into(),
-        aim: 500.0,
+        latency_objective: 500.0,
         deadline: 1000.0,
-        window,
-        worth: 1.0,
-        late_worth: 0.0,
-        skip_worth: 0.0,
+        idempotency_window,
+        weight: 1.0,
+        late_weight: 0.0,
+        skip_weight: 0.0,
     };
     RuleParameters {
         scenario: "x".into(),
@@ -18,7 +18,7 @@
         seconds: 10.0,
         nodes: 2,
         classes: vec![class("quote", 0.0), class("book", 5000.0)],
-        once,
+        run_once_per,
         slack: 150.0,
         drain_grace: 2000.0,
         sockets: 100,
@@ -47,15 +47,15 @@
     Event::Answered { txn, kind: Kind::Refused { later: None, giveup: false } }
 }
 
-fn broken_in(once: Once, events: Vec<(Ms, Event)>) -> Vec<Rule> {
+fn broken_in(run_once_per: RunScope, events: Vec<(Ms, Event)>) -> Vec<Rule> {
     let mut seen: Vec<Observation> = events.into_iter().map(|(t, what)| Observation { t, what }).collect();
     seen.push(Observation { t: 20_000.0, what: Event::Fault { text: String::new(), until: 0.0 } });
-    let verdict = check(&History { terms: terms(once), seen });
+    let verdict = check(&History { terms: terms(run_once_per), seen });
     verdict.breaches.into_iter().map(|breach| breach.rule).collect()
 }
 
 fn broken(events: Vec<(Ms, Event)>) -> Vec<Rule> {
-    broken_in(Once::Node, events)
+    broken_in(RunScope::Node, events)
 }
 
 /// A booking that is served as it should be.
@@ -165,7 +165,7 @@
     let lost = restart().into_iter().chain([(150.0, Event::Wiped { node: 0 })]).collect();
     assert_eq!(broken(then(again(lost, 0))), []);
     assert_eq!(broken(then(again(vec![], 1))), []);
-    assert_eq!(broken_in(Once::Fleet, then(again(vec![], 1))), [Rule::RunTwiceInFleet]);
+    assert_eq!(broken_in(RunScope::Fleet, then(again(vec![], 1))), [Rule::RunTwiceInFleet]);
 }
 
 #[test]
@@ -200,7 +200,7 @@
     let elsewhere =
         vec![(100.0, asked(1, 1, Some(0))), (100.0, wrote(2, 1, 1, 1100.0)), (101.0, served(2, "r1"))];
     assert_eq!(broken(then(elsewhere.clone())), [Rule::ForeignResult], "another node's");
-    assert_eq!(broken_in(Once::Fleet, then(elsewhere)), [], "the fleet's is as good");
+    assert_eq!(broken_in(RunScope::Fleet, then(elsewhere)), [], "the fleet's is as good");
     let kept = vec![
         (60.0, Event::Wiped { node: 0 }),
         (100.0, asked(1, 1, Some(0))),
--- a/fault-harness/src/history.rs
+++ b/fault-harness/src/history.rs
@@ -9,25 +9,30 @@
 
 use crate::model::frontend::End;
 use crate::model::Ms;
-use crate::scenario::Once;
+use crate::scenario::RunScope;
 
 /// What the checker and the statistics need to know of a class.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ClassParameters {
     /// Its name.
     pub name: String,
-    /// Answers within this are worth all.
-    pub aim: Ms,
+    /// Its latency objective: an answer within this time earns the full weight.
+    #[serde(alias = "aim")]
+    pub latency_objective: Ms,
     /// How long a client waits.
     pub deadline: Ms,
-    /// How long a key may come again; 0 in classes without keys.
-    pub window: Ms,
-    /// What one is worth for each millisecond of its mean work.
-    pub worth: f64,
-    /// The part of that for an answer after the aim.
-    pub late_worth: f64,
-    /// The part that is left without the call.
-    pub skip_worth: f64,
+    /// How long an idempotency key may come again; 0 in classes without keys.
+    #[serde(alias = "window")]
+    pub idempotency_window: Ms,
+    /// Weight of a request: that of the scenario times its mean work in milliseconds.
+    #[serde(alias = "worth")]
+    pub weight: f64,
+    /// Fraction of the weight that an answer after the latency objective earns.
+    #[serde(alias = "late_worth")]
+    pub late_weight: f64,
+    /// Fraction of the weight that is earned without the call of the dependency.
+    #[serde(alias = "skip_worth")]
+    pub skip_weight: f64,
 }
 
 /// The parameters that a play is checked by.
@@ -43,11 +48,12 @@
     pub nodes: usize,
     /// The classes.
     pub classes: Vec<ClassParameters>,
-    /// Among whom a key may run once.
-    pub once: Once,
-    /// After an answer's due time it still counts for so long.
+    /// Within what an idempotency key may run once.
+    #[serde(alias = "once")]
+    pub run_once_per: RunScope,
+    /// An answer still counts that comes so long after its deadline.
     pub slack: Ms,
-    /// What comes later than this after the notice to leave is not run.
+    /// What arrives later than this after the shutdown notice is not run.
     pub drain_grace: Ms,
     /// Descriptors that a program may hold.
     pub sockets: u64,
--- a/fault-harness/src/model/frontend.rs
+++ b/fault-harness/src/model/frontend.rs
@@ -5,7 +5,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::Ms;
-use crate::scenario::{Choose, Fronts, RepeatAt};
+use crate::scenario::{Frontends, LoadBalancing, RepeatAt};
 
 /// An attempt is not begun with less than this left.
 pub const LATEST_RETRY_MARGIN: Ms = 5.0;
@@ -13,7 +13,7 @@
 /// One frontend: what it knows and how it chooses.
 #[derive(Debug, Clone)]
 pub struct Front {
-    choose: Choose,
+    load_balancing: LoadBalancing,
     heeds: bool,
     retries: i64,
     backoff: Ms,
@@ -29,13 +29,19 @@
 
 impl Front {
     /// A frontend with these habits.
-    pub fn new(fronts: &Fronts, choose: Choose, heeds: bool, nodes: usize, mut rng: ChaCha8Rng) -> Front {
+    pub fn new(
+        fronts: &Frontends,
+        load_balancing: LoadBalancing,
+        heeds: bool,
+        nodes: usize,
+        mut rng: ChaCha8Rng,
+    ) -> Front {
         Front {
-            choose,
+            load_balancing,
             heeds,
             retries: fronts.retries,
             backoff: fronts.backoff_ms,
-            walk: fronts.walk,
+            walk: fronts.try_next_node,
             client_retries: fronts.client_retries,
             next: rng.random_range(0..nodes),
             away: vec![0.0; nodes],
@@ -63,10 +69,10 @@
         if among.is_empty() {
             return None;
         }
-        let picked = match self.choose {
-            Choose::Round => *among.iter().find(|node| **node >= self.next).unwrap_or(&among[0]),
-            Choose::Chance => among[self.rng.random_range(0..among.len())],
-            Choose::Least => {
+        let picked = match self.load_balancing {
+            LoadBalancing::RoundRobin => *among.iter().find(|node| **node >= self.next).unwrap_or(&among[0]),
+            LoadBalancing::Random => among[self.rng.random_range(0..among.len())],
+            LoadBalancing::LeastRequests => {
                 let start = self.rng.random_range(0..among.len());
                 let turned = among[start..].iter().chain(&among[..start]);
                 turned.copied().min_by_key(|node| self.out[*node]).unwrap_or(among[0])
--- a/fault-harness/src/model/frontend/tests.rs
+++ b/fault-harness/src/model/frontend/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use rand::SeedableRng;
 
-fn front(habits: Fronts, heeds: bool) -> Front {
-    let mut front = Front::new(&habits, habits.choose[0], heeds, 3, ChaCha8Rng::seed_from_u64(1));
+fn front(habits: Frontends, heeds: bool) -> Front {
+    let mut front = Front::new(&habits, habits.load_balancing[0], heeds, 3, ChaCha8Rng::seed_from_u64(1));
     front.next = 0;
     front
 }
@@ -12,7 +12,10 @@
 
 #[test]
 fn one_that_walks_goes_through_its_list_and_then_gives_up() {
-    let mut front = front(Fronts { walk: true, retries: 0, client_retries: 0, ..Fronts::default() }, false);
+    let mut front = front(
+        Frontends { try_next_node: true, retries: 0, client_retries: 0, ..Frontends::default() },
+        false,
+    );
     let mut journey = Journey::new(1000.0, Pin::Free, &front);
     assert_eq!(journey.go(0.0, &mut front, &ALL), Step::Try(0));
     assert_eq!(journey.answered(1.0, 0, NO, &mut front, &ALL), Step::Try(1));
@@ -24,7 +27,7 @@
 fn advice_is_followed_by_those_who_heed_it() {
     let advice = Answer::Refused { later: Some(500.0), giveup: false };
     for (heeds, next) in [(true, 1), (false, 0)] {
-        let mut front = front(Fronts { retries: 0, client_retries: 0, ..Fronts::default() }, heeds);
+        let mut front = front(Frontends { retries: 0, client_retries: 0, ..Frontends::default() }, heeds);
         let mut first = Journey::new(1000.0, Pin::Free, &front);
         first.go(0.0, &mut front, &ALL);
         first.answered(1.0, 0, advice, &mut front, &ALL);
@@ -36,7 +39,7 @@
 
 #[test]
 fn a_walk_ends_where_it_was_asked_to_stay_away_from_the_rest() {
-    let habits = Fronts { walk: true, retries: 0, client_retries: 0, ..Fronts::default() };
+    let habits = Frontends { try_next_node: true, retries: 0, client_retries: 0, ..Frontends::default() };
     let mut front = front(habits, true);
     front.away = vec![0.0, 500.0, 500.0];
     let mut journey = Journey::new(1000.0, Pin::Free, &front);
@@ -46,7 +49,7 @@
 
 #[test]
 fn without_a_limit_it_goes_on_to_the_deadline() {
-    let mut front = front(Fronts { retries: -1, client_retries: 0, ..Fronts::default() }, false);
+    let mut front = front(Frontends { retries: -1, client_retries: 0, ..Frontends::default() }, false);
     let mut journey = Journey::new(1000.0, Pin::Free, &front);
     let (mut now, mut tries, mut step) = (0.0, 0, Step::Wait(0.0));
     let end = loop {
@@ -67,7 +70,7 @@
 
 #[test]
 fn a_client_asks_again_once_and_a_repeat_is_tried_once_where_it_has_to_go() {
-    let mut front = front(Fronts { retries: 0, client_retries: 1, ..Fronts::default() }, false);
+    let mut front = front(Frontends { retries: 0, client_retries: 1, ..Frontends::default() }, false);
     let mut journey = Journey::new(1000.0, Pin::Free, &front);
     journey.go(0.0, &mut front, &ALL);
     let Step::Wait(until) = journey.answered(1.0, 0, NO, &mut front, &ALL) else {
@@ -85,7 +88,7 @@
 
 #[test]
 fn with_nobody_on_the_list_the_front_end_turns_it_away_itself() {
-    let mut front = front(Fronts { client_retries: 0, ..Fronts::default() }, false);
+    let mut front = front(Frontends { client_retries: 0, ..Frontends::default() }, false);
     let mut journey = Journey::new(1000.0, Pin::Free, &front);
     assert_eq!(journey.go(0.0, &mut front, &[false; 3]), Step::Over(End::Refused));
 }
--- a/fault-harness/src/node/lifecycle.rs
+++ b/fault-harness/src/node/lifecycle.rs
@@ -9,7 +9,7 @@
 use crate::history::{Event, ProcessExit};
 use crate::model::Ms;
 use crate::process::{Program, Signal};
-use crate::scenario::{Fault, Folder};
+use crate::scenario::{Fault, StoredState};
 
 /// A node whose interpreter died is restarted after this.
 const RESTART_DELAY_AFTER_DEATH: Ms = 2000.0;
@@ -29,7 +29,7 @@
 #[derive(Debug, Clone)]
 pub(super) struct PlannedRestart {
     after: Ms,
-    folder: Folder,
+    folder: StoredState,
     draw: u64,
     program: Option<String>,
     clock: Option<String>,
@@ -76,7 +76,7 @@
             *self.list.borrow_mut() = before;
         }
         self.state_folders.prepare(planned.folder, planned.draw)?;
-        if planned.folder != Folder::Keep || !self.context.scenario.fleet.folder {
+        if planned.folder != StoredState::Intact || !self.context.scenario.fleet.folder {
             self.context.note(Event::Wiped { node: self.node });
         }
         self.interpreter.start();
@@ -85,7 +85,7 @@
 
     fn plan_restart(&self, down: Option<Ms>, fault: &Fault, draw: u64) {
         let (program, clock) = (fault.program.clone(), fault.clock.clone());
-        let (folder, old_list) = (fault.folder, fault.old_list);
+        let (folder, old_list) = (fault.folder, fault.previous_membership);
         *self.planned_restart.borrow_mut() =
             down.map(|after| PlannedRestart { after, folder, draw, program, clock, old_list });
     }
@@ -164,7 +164,7 @@
         if self.interpreter.fallen().is_some() {
             *self.planned_restart.borrow_mut() = Some(PlannedRestart {
                 after: RESTART_DELAY_AFTER_DEATH,
-                folder: Folder::Keep,
+                folder: StoredState::Intact,
                 draw: 0,
                 program: None,
                 clock: None,
--- a/fault-harness/src/node/state_folders.rs
+++ b/fault-harness/src/node/state_folders.rs
@@ -4,7 +4,7 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-use crate::scenario::Folder;
+use crate::scenario::StoredState;
 
 /// The folder of keys and results.
 const RESULTS: &str = "remembered";
@@ -53,17 +53,17 @@
     }
 
     /// Leaves both as a restarted node is to find them; the draw decides where a file is cut.
-    pub(super) fn prepare(&self, state: Folder, draw: u64) -> io::Result<()> {
+    pub(super) fn prepare(&self, state: StoredState, draw: u64) -> io::Result<()> {
         for name in [RESULTS, VOTES] {
             let folder = self.root.join(name);
             match state {
-                Folder::Keep => {}
-                Folder::Lost => remove_files(&folder)?,
-                Folder::Old => {
+                StoredState::Intact => {}
+                StoredState::Erased => remove_files(&folder)?,
+                StoredState::Stale => {
                     remove_files(&folder)?;
                     copy_files(&self.copy_of(name), &folder)?;
                 }
-                Folder::Cut => cut_newest(&folder, draw)?,
+                StoredState::Truncated => cut_newest(&folder, draw)?,
             }
         }
         Ok(())
--- a/fault-harness/src/play.rs
+++ b/fault-harness/src/play.rs
@@ -93,7 +93,7 @@
     if let Some(vrrp) = &fleet.vrrp {
         testbed.connect_router(vrrp.interval_ms).await?;
     }
-    if fleet.peers.as_ref().is_some_and(|peers| peers.on) {
+    if fleet.peers.as_ref().is_some_and(|peers| peers.enabled) {
         testbed.connect_peers().await?;
     }
     for machine in &testbed.machines {
--- a/fault-harness/src/play/disturbance.rs
+++ b/fault-harness/src/play/disturbance.rs
@@ -10,7 +10,7 @@
 use crate::node::Machine;
 use crate::play_context::PlayContext;
 use crate::relay::Line;
-use crate::scenario::{Directions, Link, Traffic, What};
+use crate::scenario::{Directions, FaultKind, Link, Traffic};
 use crate::schedule::Strike;
 
 /// The line between a node and a frontend, by their positions.
@@ -83,10 +83,10 @@
             let Some(machine) = self.machines.get(*node) else { continue };
             for link in between {
                 match link {
-                    Link::Clients => self.add_client_lines(strike, *node, machine, &mut lines),
-                    Link::Vm => lines.services.push((machine.vm.clone(), None)),
-                    Link::Below => lines.services.push((machine.below.clone(), None)),
-                    Link::Members => lines.services.push((machine.members.clone(), None)),
+                    Link::Frontends => self.add_client_lines(strike, *node, machine, &mut lines),
+                    Link::Interpreter => lines.services.push((machine.vm.clone(), None)),
+                    Link::Dependency => lines.services.push((machine.below.clone(), None)),
+                    Link::Registry => lines.services.push((machine.members.clone(), None)),
                     Link::Peers => {
                         add_router_lines(strike, machine, way, &mut lines);
                         self.add_peer_lines(strike, machine, way, &mut lines);
@@ -107,9 +107,9 @@
     ) {
         let zones = &self.context.scenario.fleet.zones;
         for (frontend, line) in machine.clients.iter().enumerate() {
-            let zone = &zones[self.context.schedule.fronts[frontend].zone];
+            let zone = &zones[self.context.schedule.frontends[frontend].zone];
             let is_cut_off_too = strike.fault.zone.as_ref() == Some(zone);
-            if strike.fault.what != What::Partition || !is_cut_off_too {
+            if strike.fault.what != FaultKind::Partition || !is_cut_off_too {
                 lines.services.push((line.clone(), Some(ClientLink { node, frontend })));
             }
         }
@@ -151,7 +151,7 @@
 
 /// Whether another node is on the same side of a partition: such nodes hear each other.
 fn are_cut_off_together(strike: &Strike, other: usize) -> bool {
-    strike.fault.what == What::Partition && strike.whom.contains(&other)
+    strike.fault.what == FaultKind::Partition && strike.whom.contains(&other)
 }
 
 fn opposite(way: Directions) -> Directions {
--- a/fault-harness/src/play/faults.rs
+++ b/fault-harness/src/play/faults.rs
@@ -8,7 +8,7 @@
 use crate::history::Event;
 use crate::model::Ms;
 use crate::node::Machine;
-use crate::scenario::{Directions, Fault, Link, Traffic, What};
+use crate::scenario::{Directions, Fault, FaultKind, Link, Traffic};
 use crate::schedule::{At, Strike};
 
 /// One node hears of a membership configuration so much later than the one before it.
@@ -61,24 +61,24 @@
     /// Does what a fault does, and sees to its end.
     fn strike(self: &Rc<Self>, strike: &Strike) {
         let fault = &strike.fault;
-        let lasts = fault.for_s.unwrap_or(0.0) * 1000.0;
+        let lasts = fault.duration_s.unwrap_or(0.0) * 1000.0;
         let down = fault.down_s.map(|seconds| seconds * 1000.0);
         let until = self.context.now() + lasts.max(down.unwrap_or(0.0));
         self.context.note(Event::Fault { text: describe(strike), until });
         let struck = || self.machines_of(strike);
         match fault.what {
-            What::Kill => struck().for_each(|machine| machine.kill(down, fault, strike.draw)),
-            What::Leave => struck().for_each(|machine| machine.leave(down, fault, strike.draw)),
-            What::Reload => struck().for_each(|machine| machine.reload()),
-            What::Stop => self.pause(strike, until),
-            What::Slow => self.slow_down(strike, until),
-            What::Partition => self.partition(strike, until),
-            What::Link => self.disturb(strike, &fault.between, fault.way, &fault.traffic, until),
-            What::Below => self.weaken_dependency(fault.factor, until),
-            What::Members => self.deafen_members(until),
-            What::Fronts => self.restart_frontends(strike),
-            What::Unlist => self.remove_from_membership(&strike.whom),
-            What::Enlist => self.change_membership(|listed| listed.extend(&strike.whom)),
+            FaultKind::Kill => struck().for_each(|machine| machine.kill(down, fault, strike.draw)),
+            FaultKind::Shutdown => struck().for_each(|machine| machine.leave(down, fault, strike.draw)),
+            FaultKind::Reload => struck().for_each(|machine| machine.reload()),
+            FaultKind::Pause => self.pause(strike, until),
+            FaultKind::Slow => self.slow_down(strike, until),
+            FaultKind::Partition => self.partition(strike, until),
+            FaultKind::Link => self.disturb(strike, &fault.between, fault.direction, &fault.traffic, until),
+            FaultKind::Dependency => self.weaken_dependency(fault.factor, until),
+            FaultKind::Registry => self.deafen_members(until),
+            FaultKind::Frontends => self.restart_frontends(strike),
+            FaultKind::RemoveMembers => self.remove_from_membership(&strike.whom),
+            FaultKind::AddMembers => self.change_membership(|listed| listed.extend(&strike.whom)),
         }
     }
 
@@ -99,8 +99,8 @@
     }
 
     fn partition(self: &Rc<Self>, strike: &Strike, until: Ms) {
-        let silent = Traffic { silent: true, ..Traffic::default() };
-        let links = [Link::Clients, Link::Below, Link::Members, Link::Peers];
+        let silent = Traffic { blackhole: true, ..Traffic::default() };
+        let links = [Link::Frontends, Link::Dependency, Link::Registry, Link::Peers];
         self.disturb(strike, &links, Directions::Both, &silent, until);
     }
 
@@ -166,11 +166,11 @@
 
 /// A fault in words, for the history and the charts.
 fn describe(strike: &Strike) -> String {
-    let what = format!("{:?}", strike.fault.what).to_lowercase();
+    let what = strike.fault.what.name();
     match (&strike.fault.zone, strike.whom.len()) {
-        (_, 0) => what,
+        (_, 0) => what.to_string(),
         (Some(zone), _) => format!("{what} {zone}"),
-        (None, 1) if strike.fault.what != What::Fronts => format!("{what} n{}", strike.whom[0] + 1),
+        (None, 1) if strike.fault.what != FaultKind::Frontends => format!("{what} n{}", strike.whom[0] + 1),
         (None, count) => format!("{what} {count}"),
     }
 }
--- a/fault-harness/src/play/links.rs
+++ b/fault-harness/src/play/links.rs
@@ -107,7 +107,7 @@
     /// The membership configuration that a node starts with, and its version.
     fn initial_membership(&self, node: usize) -> (u64, Vec<usize>) {
         let count = self.machines.len();
-        let later = self.context.scenario.fleet.peers.as_ref().map_or(0, |peers| peers.later);
+        let later = self.context.scenario.fleet.peers.as_ref().map_or(0, |peers| peers.joining_nodes);
         if node < count - later {
             (1, (0..count - later).collect())
         } else {
--- a/fault-harness/src/play/testbed.rs
+++ b/fault-harness/src/play/testbed.rs
@@ -59,9 +59,9 @@
         folder: &Path,
     ) -> io::Result<Testbed> {
         let context = PlayContext::new(scenario.clone(), schedule(scenario, seed), seed);
-        let lapse = scenario.members.lapse_s * 1000.0;
+        let lapse = scenario.registry.heartbeat_timeout_s * 1000.0;
         let members = Rc::new(RefCell::new(Members::new(scenario.fleet.nodes, lapse)));
-        let dependency = scenario.below.clone().map(|shape| Tier::new(context.clone(), shape));
+        let dependency = scenario.dependency.clone().map(|shape| Tier::new(context.clone(), shape));
         if let Some(dependency) = &dependency {
             spawn_local(dependency.clone().work());
         }
@@ -106,12 +106,13 @@
         if scenario.fleet.peers.is_none() {
             return READY_TIMEOUT;
         }
-        let window = scenario.classes.iter().map(|class| class.window_ms).max().unwrap_or(0);
+        let window = scenario.classes.iter().map(|class| class.idempotency_window_ms).max().unwrap_or(0);
         READY_TIMEOUT + window as f64
     }
 
     async fn is_ready(&self, now: Ms) -> bool {
-        let latest = self.context.schedule.fronts.iter().map(|front| front.late).fold(0.0, f64::max);
+        let latest =
+            self.context.schedule.frontends.iter().map(|front| front.registry_delay).fold(0.0, f64::max);
         let listed = self.members.borrow_mut().listed_at(now, now - latest);
         for (machine, is_listed) in self.machines.iter().zip(&listed) {
             if !*is_listed || !machine.healthy().await {
@@ -131,7 +132,7 @@
     let mut factory = LineFactory { context, made: 0 };
     let mut machines = Vec::new();
     for node in 0..scenario.fleet.nodes {
-        let clients = (0..scenario.fronts.count).map(|_| factory.line()).collect();
+        let clients = (0..scenario.frontends.count).map(|_| factory.line()).collect();
         let services = [factory.line(), factory.line(), factory.line()];
         let machine = Machine::new(
             context.clone(),
@@ -163,6 +164,6 @@
         attempts: Rc::default(),
         first_nodes: Rc::default(),
     };
-    let count = context.scenario.fronts.count;
+    let count = context.scenario.frontends.count;
     (0..count).map(|position| FrontEnd::new(context.clone(), position, shared.clone())).collect()
 }
--- a/fault-harness/src/play_context.rs
+++ b/fault-harness/src/play_context.rs
@@ -8,7 +8,7 @@
 use crate::clock::Clock;
 use crate::history::{ClassParameters, Event, History, Observation, RuleParameters};
 use crate::model::Ms;
-use crate::scenario::{Happening, Scenario};
+use crate::scenario::{NodeEvent, Scenario};
 use crate::schedule::Schedule;
 
 /// A request that was written to a node, as the interpreter may be told of it.
@@ -21,7 +21,7 @@
 }
 
 /// Called with the node, what it did, and how often it has by now.
-type Listener = Box<dyn Fn(usize, Happening, u64)>;
+type Listener = Box<dyn Fn(usize, NodeEvent, u64)>;
 
 /// One play.
 pub struct PlayContext {
@@ -39,7 +39,7 @@
     pub number: u32,
     seen: RefCell<Vec<Observation>>,
     written: RefCell<HashMap<u64, Written>>,
-    counts: RefCell<HashMap<(usize, Happening), u64>>,
+    counts: RefCell<HashMap<(usize, NodeEvent), u64>>,
     listener: RefCell<Option<Listener>>,
 }
 
@@ -81,7 +81,7 @@
     }
 
     /// Whom to tell of what nodes do.
-    pub fn listen(&self, listener: impl Fn(usize, Happening, u64) + 'static) {
+    pub fn listen(&self, listener: impl Fn(usize, NodeEvent, u64) + 'static) {
         *self.listener.borrow_mut() = Some(Box::new(listener));
     }
 
@@ -91,7 +91,7 @@
     }
 
     /// A node has done something.
-    pub fn happened(&self, node: usize, what: Happening) {
+    pub fn happened(&self, node: usize, what: NodeEvent) {
         let count = {
             let mut counts = self.counts.borrow_mut();
             let count = counts.entry((node, what)).or_default();
@@ -137,12 +137,12 @@
 pub fn terms(scenario: &Scenario, seed: u64) -> RuleParameters {
     let classes = scenario.classes.iter().map(|class| ClassParameters {
         name: class.name.clone(),
-        aim: class.aim_ms as f64,
+        latency_objective: class.latency_objective_ms as f64,
         deadline: class.deadline_ms as f64,
-        window: if class.keyed { class.window_ms as f64 } else { 0.0 },
-        worth: class.worth * class.work_ms,
-        late_worth: class.late_worth,
-        skip_worth: class.skip_worth,
+        idempotency_window: if class.idempotency_key { class.idempotency_window_ms as f64 } else { 0.0 },
+        weight: class.weight * class.work_ms,
+        late_weight: class.late_weight,
+        skip_weight: class.skip_weight,
     });
     RuleParameters {
         scenario: scenario.name.clone(),
@@ -150,7 +150,7 @@
         seconds: scenario.seconds,
         nodes: scenario.fleet.nodes,
         classes: classes.collect(),
-        once: scenario.rules.once,
+        run_once_per: scenario.rules.run_once_per,
         slack: scenario.rules.slack_ms,
         drain_grace: crate::settings::DRAIN_GRACE_MS,
         sockets: scenario.fleet.sockets,
--- a/fault-harness/src/predict.rs
+++ b/fault-harness/src/predict.rs
@@ -68,9 +68,15 @@
             let make = InterpreterSpec::of(&scenario.fleet, *speed);
             Node::new(InterpreterModel::new(make, 0.0, scenario.fleet.cold))
         });
-        let frontends = schedule.fronts.iter().enumerate().map(|(position, front)| {
+        let frontends = schedule.frontends.iter().enumerate().map(|(position, front)| {
             let rng = generator(seed, Stream::Habits, position as u64);
-            Front::new(&scenario.fronts, front.choose, front.heeds, scenario.fleet.nodes, rng)
+            Front::new(
+                &scenario.frontends,
+                front.load_balancing,
+                front.honours_retry_after,
+                scenario.fleet.nodes,
+                rng,
+            )
         });
         Prediction {
             nodes: nodes.collect(),
@@ -82,9 +88,9 @@
             first_nodes: HashMap::new(),
             attempts: BTreeMap::new(),
             next_attempt: 1,
-            dependency: scenario.below.as_ref().map(|below| Below::new(below.slots, below.queue)),
+            dependency: scenario.dependency.as_ref().map(|below| Below::new(below.slots, below.queue)),
             rng: generator(seed, Stream::Calls, 0),
-            members: Members::new(scenario.fleet.nodes, scenario.members.lapse_s * 1000.0),
+            members: Members::new(scenario.fleet.nodes, scenario.registry.heartbeat_timeout_s * 1000.0),
             seen: Vec::new(),
             schedule,
         }
--- a/fault-harness/src/predict/clients.rs
+++ b/fault-harness/src/predict/clients.rs
@@ -37,7 +37,7 @@
 
     fn step(&mut self, request: usize, next: impl FnOnce(&mut Journey, Ms, &mut Front, &[bool]) -> Step) {
         let frontend = self.schedule.requests[request].front;
-        let seen_at = self.now - self.schedule.fronts[frontend].late;
+        let seen_at = self.now - self.schedule.frontends[frontend].registry_delay;
         let listed = self.members.listed_at(self.now, seen_at);
         let Some(open) = self.open_requests.get_mut(&request) else { return };
         match next(&mut open.journey, self.now, &mut self.frontends[frontend], &listed) {
--- a/fault-harness/src/predict/faults.rs
+++ b/fault-harness/src/predict/faults.rs
@@ -6,18 +6,18 @@
 use crate::model::frontend::Answer;
 use crate::model::interpreter::{InterpreterModel, InterpreterSpec};
 use crate::model::Ms;
-use crate::scenario::{Fault, What};
+use crate::scenario::{Fault, FaultKind};
 
 impl Prediction<'_> {
     /// A fault begins.
     pub(super) fn begin_fault(&mut self, position: usize) {
         let strike = &self.schedule.strikes[position];
-        let Fault { what, for_s, down_s, .. } = strike.fault;
-        let lasts = for_s.or(down_s).unwrap_or(0.0) * 1000.0;
-        let text = format!("{what:?} {}", strike.whom.len()).to_lowercase();
+        let Fault { what, duration_s, down_s, .. } = strike.fault;
+        let lasts = duration_s.or(down_s).unwrap_or(0.0) * 1000.0;
+        let text = format!("{} {}", what.name(), strike.whom.len());
         let until = self.now + lasts;
         self.note(Event::Fault { text, until });
-        if for_s.is_some() {
+        if duration_s.is_some() {
             self.queue.schedule(until, ScheduledEvent::FaultEnd(position));
         }
         self.set_fault(position, true);
@@ -28,29 +28,29 @@
         let strike = self.schedule.strikes[position].clone();
         let factor = if on { strike.fault.factor } else { 1.0 };
         match strike.fault.what {
-            What::Below => {
+            FaultKind::Dependency => {
                 if let Some(dependency) = &mut self.dependency {
                     dependency.weaken(factor);
                 }
             }
-            What::Members => self.members.deaf(self.now, on),
-            What::Fronts => strike.whom.iter().for_each(|front| self.frontends[*front].restart()),
+            FaultKind::Registry => self.members.deaf(self.now, on),
+            FaultKind::Frontends => strike.whom.iter().for_each(|front| self.frontends[*front].restart()),
             _ => strike.whom.iter().for_each(|node| self.set_node_fault(*node, &strike.fault, on)),
         }
     }
 
     fn set_node_fault(&mut self, node: usize, fault: &Fault, on: bool) {
         match fault.what {
-            What::Kill | What::Leave if on => {
+            FaultKind::Kill | FaultKind::Shutdown if on => {
                 self.take_down(node, fault.down_s.map(|seconds| seconds * 1000.0));
             }
-            What::Stop => {
+            FaultKind::Pause => {
                 self.nodes[node].is_paused = on;
                 self.note(Event::Still { node, still: on });
                 let happened = self.nodes[node].vm.set_paused(self.now, on);
                 self.take_in(node, happened);
             }
-            What::Slow => {
+            FaultKind::Slow => {
                 let happened = self.nodes[node].vm.advance(self.now);
                 self.nodes[node].vm.factor = if on { fault.factor } else { 1.0 };
                 self.take_in(node, happened);
--- a/fault-harness/src/predict/server.rs
+++ b/fault-harness/src/predict/server.rs
@@ -93,7 +93,7 @@
         let (request, node, deadline) = (attempt.request, attempt.node, attempt.deadline);
         let sent = &self.schedule.requests[request];
         let (key, memory_kb, frontend) = (sent.repeats.unwrap_or(request), sent.kb, sent.front);
-        let is_keyed = self.scenario.classes[sent.class].keyed;
+        let is_keyed = self.scenario.classes[sent.class].idempotency_key;
         self.note(Event::Wrote { txn: id, n: request, node, front: frontend, due: deadline });
         self.nodes[node].vm.hold(self.now, id, memory_kb);
         let known = if is_keyed { self.nodes[node].keys.get_mut(&key) } else { None };
@@ -130,7 +130,8 @@
             let Some(id) = self.nodes[node].queue.pop_front() else { return };
             let Some(attempt) = self.attempts.get(&id).filter(|attempt| attempt.is_open) else { continue };
             let sent = &self.schedule.requests[attempt.request];
-            let work = Work { txn: id, work: sent.work, calls: self.scenario.classes[sent.class].calls };
+            let work =
+                Work { txn: id, work: sent.work, calls: self.scenario.classes[sent.class].calls_dependency };
             self.note(Event::Began { txn: id, node });
             let happened = self.nodes[node].vm.run(self.now, work);
             self.take_in(node, happened);
@@ -200,7 +201,7 @@
     /// A run calls the dependency.
     fn call(&mut self, node: usize, id: u64) {
         let Some(deadline) = self.attempts.get(&id).map(|attempt| attempt.deadline) else { return };
-        let Some(shape) = &self.scenario.below else { return };
+        let Some(shape) = &self.scenario.dependency else { return };
         let time = call_time(&mut self.rng, shape.work_ms, shape.cv);
         let now = self.now;
         if self.dependency.as_mut().is_some_and(|dependency| dependency.call(now, id, time, deadline)) {
@@ -219,7 +220,7 @@
         let Some(attempt) = self.attempts.get(&id) else { return };
         let node = attempt.node;
         let class = &self.scenario.classes[self.schedule.requests[attempt.request].class];
-        if !is_done && class.skip_worth <= 0.0 {
+        if !is_done && class.skip_weight <= 0.0 {
             self.answer(id, Kind::Failed, Answer::Failed);
         }
         let happened = self.nodes[node].vm.go_on(self.now, id);
--- a/fault-harness/src/predict/tests.rs
+++ b/fault-harness/src/predict/tests.rs
@@ -4,7 +4,7 @@
 
 fn scenario(load: f64, more: &str) -> Scenario {
     let text = format!(
-        "name = 'x'\nseconds = 20\n[fleet]\nnodes = 4\n[[class]]\nname = 'quote'\nshare = 3\nwork_ms = 20\ncv = 0.0\naim_ms = 400\ndeadline_ms = 900\n[[class]]\nname = 'book'\nshare = 1\nwork_ms = 40\nkeyed = true\nwindow_ms = 9000\naim_ms = 400\ndeadline_ms = 900\n[load]\nload = {load}\nrepeats = 0.3\n{more}"
+        "name = 'x'\nseconds = 20\n[fleet]\nnodes = 4\n[[class]]\nname = 'quote'\nshare = 3\nwork_ms = 20\ncv = 0.0\nlatency_objective_ms = 400\ndeadline_ms = 900\n[[class]]\nname = 'book'\nshare = 1\nwork_ms = 40\nidempotency_key = true\nidempotency_window_ms = 9000\nlatency_objective_ms = 400\ndeadline_ms = 900\n[load]\nload = {load}\nrepeat_fraction = 0.3\n{more}"
     );
     Scenario::parse(&text, &[]).unwrap()
 }
@@ -24,7 +24,7 @@
 
 #[test]
 fn one_seed_gives_one_history() {
-    let scenario = scenario(0.9, "[[fault]]\nat_s = 5\nwhat = 'kill'\npart = 0.5\ndown_s = 1.0\n");
+    let scenario = scenario(0.9, "[[fault]]\nat_s = 5\nwhat = 'kill'\nfraction = 0.5\ndown_s = 1.0\n");
     assert_eq!(predict(&scenario, Some(3)), predict(&scenario, Some(3)));
     assert_ne!(predict(&scenario, Some(3)), predict(&scenario, Some(4)));
 }
@@ -34,7 +34,7 @@
     let over = statistics(&predict(&scenario(1.6, ""), None));
     assert!(over.served < 0.9 && over.parts[2] > 0.05, "{:?}", over.parts);
     let history =
-        predict(&scenario(0.9, "[[fault]]\nat_s = 5\nwhat = 'kill'\npart = 0.5\ndown_s = 1.0\n"), None);
+        predict(&scenario(0.9, "[[fault]]\nat_s = 5\nwhat = 'kill'\nfraction = 0.5\ndown_s = 1.0\n"), None);
     assert_eq!(check(&history).breaches, []);
     let back = statistics(&history).back.unwrap();
     assert!(back.least < 0.9 && back.from_start.is_some_and(|s| s > 1.0), "{back:?}");
@@ -42,7 +42,7 @@
 
 #[test]
 fn a_kill_that_ends_many_open_attempts_gives_one_history() {
-    let kills = "[[fault]]\nat_s = 2\nagain_s = 2\nwhat = 'kill'\npart = 0.75\ndown_s = 0.2\n";
+    let kills = "[[fault]]\nat_s = 2\nrepeat_every_s = 2\nwhat = 'kill'\nfraction = 0.75\ndown_s = 0.2\n";
     let scenario = scenario(1.5, kills);
     let first = predict(&scenario, Some(1));
     for _ in 0..5 {
--- a/fault-harness/src/relay.rs
+++ b/fault-harness/src/relay.rs
@@ -56,10 +56,10 @@
         };
         let mut all = Traffic::default();
         for (_, _, traffic) in self.wrong.iter().filter(|(_, way, _)| meant(way)) {
-            all.cut |= traffic.cut;
-            all.silent |= traffic.silent;
+            all.disconnect |= traffic.disconnect;
+            all.blackhole |= traffic.blackhole;
             all.delay_ms += traffic.delay_ms;
-            all.spread_ms += traffic.spread_ms;
+            all.jitter_ms += traffic.jitter_ms;
             all.loss = all.loss.max(traffic.loss);
             all.duplicate = all.duplicate.max(traffic.duplicate);
             all.reorder = all.reorder.max(traffic.reorder);
@@ -72,11 +72,11 @@
     }
 
     fn cut(&self) -> bool {
-        self.wrong.iter().any(|(_, _, traffic)| traffic.cut)
+        self.wrong.iter().any(|(_, _, traffic)| traffic.disconnect)
     }
 
     fn silent(&self) -> bool {
-        self.wrong.iter().any(|(_, _, traffic)| traffic.silent)
+        self.wrong.iter().any(|(_, _, traffic)| traffic.blackhole)
     }
 }
 
@@ -98,7 +98,7 @@
     /// Something goes wrong, until it is mended by the same number.
     pub fn disturb(&self, number: u64, way: Directions, traffic: &Traffic) {
         self.condition.send_modify(|condition| {
-            condition.resets += u64::from(traffic.reset || traffic.cut);
+            condition.resets += u64::from(traffic.reset || traffic.disconnect);
             condition.wrong.push((number, way, traffic.clone()));
         });
     }
@@ -201,7 +201,7 @@
         let write = async {
             while let Some((due, piece)) = take.recv().await {
                 self.clock.until(due).await;
-                self.wait(|condition| !condition.now(direction).silent).await;
+                self.wait(|condition| !condition.now(direction).blackhole).await;
                 let rate = self.now(direction).kb_per_s;
                 if rate > 0.0 {
                     tokio::time::sleep(Duration::from_secs_f64(piece.len() as f64 / (rate * 1000.0))).await;
@@ -214,8 +214,8 @@
     }
 
     fn delay(&self, wrong: &Traffic) -> Ms {
-        let spread = if wrong.spread_ms > 0.0 {
-            self.rng.borrow_mut().random_range(0.0..wrong.spread_ms)
+        let spread = if wrong.jitter_ms > 0.0 {
+            self.rng.borrow_mut().random_range(0.0..wrong.jitter_ms)
         } else {
             0.0
         };
@@ -238,7 +238,7 @@
         while !deliver.is_closed() {
             let Ok(length) = socket.recv(&mut bytes).await else { continue };
             let wrong = self.now(direction);
-            if wrong.cut || wrong.silent || self.chance(wrong.loss) {
+            if wrong.disconnect || wrong.blackhole || self.chance(wrong.loss) {
                 continue;
             }
             let copies = if self.chance(wrong.duplicate) { 2 } else { 1 };
--- a/fault-harness/src/relay/tests.rs
+++ b/fault-harness/src/relay/tests.rs
@@ -35,7 +35,7 @@
         let node = echo().await;
         let mut end = line.open(node).await.unwrap();
         assert!(echoes(&mut end, b"before").await);
-        line.disturb(1, Directions::Both, &Traffic { cut: true, ..Traffic::default() });
+        line.disturb(1, Directions::Both, &Traffic { disconnect: true, ..Traffic::default() });
         assert!(!echoes(&mut end, b"within").await);
         assert!(line.open(node).await.is_err());
         line.mend(1);
@@ -47,7 +47,7 @@
 fn silence_one_way_holds_back_what_goes_that_way_and_lets_it_pass_in_the_end() {
     run(|line| async move {
         let mut end = line.open(echo().await).await.unwrap();
-        line.disturb(1, Directions::From, &Traffic { silent: true, ..Traffic::default() });
+        line.disturb(1, Directions::From, &Traffic { blackhole: true, ..Traffic::default() });
         end.write_all(b"hello").await.unwrap();
         let mut got = [0; 5];
         let early = tokio::time::timeout(Duration::from_millis(50), end.read_exact(&mut got)).await;
@@ -62,7 +62,7 @@
 fn delays_add_up_and_keep_the_order_of_a_stream() {
     run(|line| async move {
         let mut end = line.open(echo().await).await.unwrap();
-        line.disturb(1, Directions::To, &Traffic { delay_ms: 30.0, spread_ms: 20.0, ..Traffic::default() });
+        line.disturb(1, Directions::To, &Traffic { delay_ms: 30.0, jitter_ms: 20.0, ..Traffic::default() });
         let before = line.clock.now();
         let text: Vec<u8> = (0..=255).collect();
         for byte in &text {
--- a/fault-harness/src/scenario.rs
+++ b/fault-harness/src/scenario.rs
@@ -4,6 +4,7 @@
 mod defaults;
 mod fault;
 mod fleet;
+mod former_keys;
 mod load;
 mod overrides;
 mod rules;
@@ -14,21 +15,21 @@
 
 use serde::Deserialize;
 
-pub use fault::{Directions, Fault, Folder, Happening, Link, Traffic, What, When};
+pub use fault::{Directions, Fault, FaultKind, Link, NodeEvent, StoredState, Traffic, Trigger};
 pub use fleet::{Fleet, Replication, Vrrp};
-pub use load::{Class, Load, RepeatAt, Step};
-pub use rules::{Once, Rules};
-pub use services::{Below, Choose, Fronts, Members};
+pub use load::{Class, Load, LoadStep, RepeatAt};
+pub use rules::{Rules, RunScope};
+pub use services::{Dependency, Frontends, LoadBalancing, Registry};
 
 /// A scenario as it is written. Times ending in `_s` are seconds, in `_ms` milliseconds.
-#[derive(Debug, Clone, Deserialize)]
+#[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
     /// What it is called in reports.
     pub name: String,
     /// What it is about, in a sentence.
-    #[serde(default)]
-    pub about: String,
+    #[serde(default, alias = "about")]
+    pub description: String,
     /// How long load is sent.
     pub seconds: f64,
     /// What the random numbers begin with.
@@ -42,13 +43,14 @@
     /// The requests that clients send.
     pub load: Load,
     /// The frontends and the clients behind them.
-    #[serde(default)]
-    pub fronts: Fronts,
+    #[serde(default, alias = "fronts")]
+    pub frontends: Frontends,
     /// The dependency, if requests call one.
-    pub below: Option<Below>,
-    /// The membership service.
-    #[serde(default)]
-    pub members: Members,
+    #[serde(alias = "below")]
+    pub dependency: Option<Dependency>,
+    /// The registry that nodes send heartbeats to and frontends take the list of nodes from.
+    #[serde(default, alias = "members")]
+    pub registry: Registry,
     /// What the checker holds the fleet to.
     #[serde(default)]
     pub rules: Rules,
--- a/fault-harness/src/scenario/fleet.rs
+++ b/fault-harness/src/scenario/fleet.rs
@@ -7,7 +7,7 @@
 use super::defaults::{eight, quarter};
 
 /// The nodes, each with an interpreter of its own.
-#[derive(Debug, Clone, Deserialize)]
+#[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
     /// How many; they are called n1, n2 and so on.
@@ -73,7 +73,7 @@
 }
 
 /// The virtual router that the nodes are: the first one has the highest priority, the next ones less.
-#[derive(Debug, Clone, Deserialize)]
+#[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Vrrp {
     /// Between two advertisements, whole hundredths of a second.
@@ -81,24 +81,27 @@
 }
 
 /// How nodes share the outcomes of keyed requests.
-#[derive(Debug, Clone, Deserialize)]
+#[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Replication {
     /// Off, to see what the same faults do without it.
-    pub on: bool,
+    #[serde(alias = "on")]
+    pub enabled: bool,
     /// Replicas of each key.
-    pub copies: usize,
+    #[serde(alias = "copies")]
+    pub replicas: usize,
     /// Between two probes.
     pub probe_ms: u64,
     /// Whether what a node has granted is in a folder that outlasts it.
     pub folder: bool,
-    /// Nodes at the end that are on no list yet when the scenario begins.
-    pub later: usize,
+    /// Nodes, the last ones, that are in no membership configuration yet when the scenario begins.
+    #[serde(alias = "later")]
+    pub joining_nodes: usize,
 }
 
 impl Default for Replication {
     fn default() -> Self {
-        Replication { on: true, copies: 3, probe_ms: 250, folder: false, later: 0 }
+        Replication { enabled: true, replicas: 3, probe_ms: 250, folder: false, joining_nodes: 0 }
     }
 }
 
--- /dev/null
+++ b/fault-harness/src/scenario/former_keys.rs
@@ -0,0 +1,72 @@
+//! The keys that scenarios had in their first form. Files in that form are still read, through `serde(alias)` at each key;
+//! this table lets an override find the key of a file in the other form.
+
+/// A key with the name that it had.
+struct Renamed {
+    former: &'static str,
+    present: &'static str,
+}
+
+/// All renamed keys. None of these names means something else in another table.
+const RENAMED: &[Renamed] = &[
+    // Of the scenario.
+    Renamed { former: "about", present: "description" },
+    Renamed { former: "fronts", present: "frontends" },
+    Renamed { former: "below", present: "dependency" },
+    Renamed { former: "members", present: "registry" },
+    // Of `[fleet.peers]`.
+    Renamed { former: "on", present: "enabled" },
+    Renamed { former: "copies", present: "replicas" },
+    Renamed { former: "later", present: "joining_nodes" },
+    // Of `[[class]]`.
+    Renamed { former: "aim_ms", present: "latency_objective_ms" },
+    Renamed { former: "worth", present: "weight" },
+    Renamed { former: "late_worth", present: "late_weight" },
+    Renamed { former: "keyed", present: "idempotency_key" },
+    Renamed { former: "window_ms", present: "idempotency_window_ms" },
+    Renamed { former: "calls", present: "calls_dependency" },
+    Renamed { former: "skip_worth", present: "skip_weight" },
+    // Of `[load]`.
+    Renamed { former: "repeats", present: "repeat_fraction" },
+    // Of `[[load.step]]`.
+    Renamed { former: "times", present: "rate_factor" },
+    Renamed { former: "costly", present: "costly_fraction" },
+    Renamed { former: "costly_times", present: "costly_factor" },
+    // Of `[frontends]`.
+    Renamed { former: "choose", present: "load_balancing" },
+    Renamed { former: "walk", present: "try_next_node" },
+    Renamed { former: "heed", present: "retry_after_honoured" },
+    Renamed { former: "list_late_ms", present: "registry_delay_ms" },
+    Renamed { former: "idle_s", present: "idle_timeout_s" },
+    // Of `[registry]`.
+    Renamed { former: "lapse_s", present: "heartbeat_timeout_s" },
+    // Of `[rules]`.
+    Renamed { former: "once", present: "run_once_per" },
+    // Of `[[fault]]`.
+    Renamed { former: "again_s", present: "repeat_every_s" },
+    Renamed { former: "for_s", present: "duration_s" },
+    Renamed { former: "part", present: "fraction" },
+    Renamed { former: "every_s", present: "wave_interval_s" },
+    Renamed { former: "way", present: "direction" },
+    Renamed { former: "old_list", present: "previous_membership" },
+    // Of the traffic of a fault.
+    Renamed { former: "cut", present: "disconnect" },
+    Renamed { former: "silent", present: "blackhole" },
+    Renamed { former: "spread_ms", present: "jitter_ms" },
+];
+
+/// Tables whose keys are names that the scenario's author gives.
+const TABLES_OF_NAMES: [&str; 3] = ["tenants", "programs", "clocks"];
+
+/// The form of a key that a table has it in, or its present form if the table does not have it.
+pub(super) fn as_written(parent: Option<&str>, key: &str, table: &toml::Table) -> String {
+    let is_name = parent.is_some_and(|parent| TABLES_OF_NAMES.contains(&parent));
+    let renamed = RENAMED.iter().find(|renamed| renamed.former == key || renamed.present == key);
+    match renamed {
+        Some(renamed) if !is_name => {
+            let form = if table.contains_key(renamed.former) { renamed.former } else { renamed.present };
+            form.to_string()
+        }
+        _ => key.to_string(),
+    }
+}
--- a/fault-harness/src/scenario/rules.rs
+++ b/fault-harness/src/scenario/rules.rs
@@ -2,29 +2,30 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Among whom a key may run once.
+/// Within what an idempotency key may run once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Once {
-    /// At each node.
+pub enum RunScope {
+    /// Each node.
     #[default]
     Node,
-    /// In the whole fleet.
+    /// The whole fleet.
     Fleet,
 }
 
 /// What the checker holds the fleet to.
-#[derive(Debug, Clone, Deserialize)]
+#[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rules {
-    /// Among whom a key may run once.
-    pub once: Once,
-    /// An answer counts that comes so long after its due time.
+    /// Within what an idempotency key may run once.
+    #[serde(alias = "once")]
+    pub run_once_per: RunScope,
+    /// An answer still counts that comes so long after its deadline.
     pub slack_ms: f64,
 }
 
 impl Default for Rules {
     fn default() -> Self {
-        Rules { once: Once::Node, slack_ms: 150.0 }
+        Rules { run_once_per: RunScope::Node, slack_ms: 150.0 }
     }
 }
--- a/fault-harness/src/scenario/services.rs
+++ b/fault-harness/src/scenario/services.rs
@@ -1,65 +1,73 @@
-//! The tables of everything around the nodes: `[fronts]`, `[below]` (the dependency that all nodes share) and `[members]`.
+//! The tables of everything around the nodes: `[frontends]`, `[dependency]`, which all nodes share, and `[registry]`.
 
 use serde::Deserialize;
 
 use super::defaults::half;
 
-/// How a frontend chooses a node.
+/// How a frontend picks a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
-#[serde(rename_all = "lowercase")]
-pub enum Choose {
+#[serde(rename_all = "snake_case")]
+pub enum LoadBalancing {
     /// The next one on its list.
-    Round,
-    /// The one with the fewest of its own requests out.
-    Least,
-    /// Any one, by chance.
-    Chance,
+    #[serde(alias = "round")]
+    RoundRobin,
+    /// The one with the fewest open requests of this frontend.
+    #[serde(alias = "least")]
+    LeastRequests,
+    /// Any one, at random.
+    #[serde(alias = "chance")]
+    Random,
 }
 
 /// The frontends and the clients behind them.
-#[derive(Debug, Clone, Deserialize)]
+#[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Fronts {
+pub struct Frontends {
     /// How many.
     pub count: usize,
-    /// How they choose a node; they take turns in this list.
-    pub choose: Vec<Choose>,
-    /// How often one retries after a refusal or a failure; -1 knows no limit but the deadline.
+    /// How they pick a node; frontends take turns in this list.
+    #[serde(alias = "choose")]
+    pub load_balancing: Vec<LoadBalancing>,
+    /// How often one retries after a rejection or a failure; -1 means no limit but the deadline.
     pub retries: i64,
-    /// How long it waits between two attempts, where no advice is heeded.
+    /// The mean wait between two attempts, in milliseconds.
     pub backoff_ms: f64,
-    /// After a refusal it goes on through its list at once.
-    pub walk: bool,
-    /// The part of frontends that heed advice: to stay away, and not to try elsewhere.
-    pub heed: f64,
+    /// After a rejection it tries the next node on its list at once.
+    #[serde(alias = "walk")]
+    pub try_next_node: bool,
+    /// The fraction of frontends that honour Retry-After, and the wish that no other node be tried.
+    #[serde(alias = "heed")]
+    pub retry_after_honoured: f64,
     /// How often a client retries by itself, with the same key, unmarked.
     pub client_retries: u32,
-    /// How late they see the list of nodes, between these.
-    pub list_late_ms: [f64; 2],
-    /// They close connections idle for this long.
-    pub idle_s: f64,
+    /// How late they see a change of the registry: between these, drawn for each frontend.
+    #[serde(alias = "list_late_ms")]
+    pub registry_delay_ms: [f64; 2],
+    /// They close connections that are idle for this long.
+    #[serde(alias = "idle_s")]
+    pub idle_timeout_s: f64,
 }
 
-impl Default for Fronts {
+impl Default for Frontends {
     fn default() -> Self {
-        Fronts {
+        Frontends {
             count: 4,
-            choose: vec![Choose::Round],
+            load_balancing: vec![LoadBalancing::RoundRobin],
             retries: 1,
             backoff_ms: 50.0,
-            walk: false,
-            heed: 0.6,
+            try_next_node: false,
+            retry_after_honoured: 0.6,
             client_retries: 1,
-            list_late_ms: [500.0, 1500.0],
-            idle_s: 10.0,
+            registry_delay_ms: [500.0, 1500.0],
+            idle_timeout_s: 10.0,
         }
     }
 }
 
 /// The dependency that all nodes share.
-#[derive(Debug, Clone, Deserialize)]
+#[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Below {
+pub struct Dependency {
     /// Calls that it works on at a time.
     pub slots: usize,
     /// Mean time of one.
@@ -67,21 +75,22 @@
     /// How far that is spread.
     #[serde(default = "half")]
     pub cv: f64,
-    /// Calls that may wait; more are refused.
+    /// Calls that may be queued; more are rejected.
     #[serde(default)]
     pub queue: usize,
 }
 
-/// The membership service.
-#[derive(Debug, Clone, Deserialize)]
+/// The registry: the service that nodes send heartbeats to and frontends take the list of nodes from.
+#[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Members {
-    /// A node is off the list so long after its last report.
-    pub lapse_s: f64,
+pub struct Registry {
+    /// A node is taken off the list so long after its last heartbeat.
+    #[serde(alias = "lapse_s")]
+    pub heartbeat_timeout_s: f64,
 }
 
-impl Default for Members {
+impl Default for Registry {
     fn default() -> Self {
-        Members { lapse_s: 3.0 }
+        Registry { heartbeat_timeout_s: 3.0 }
     }
 }
--- a/fault-harness/src/scenario/tests.rs
+++ b/fault-harness/src/scenario/tests.rs
@@ -1,21 +1,21 @@
 use super::*;
 
-const PLAIN: &str = "name = 'x'\nseconds = 10\n[fleet]\nnodes = 3\n[[class]]\nname = 'quote'\nshare = 1\nwork_ms = 20\naim_ms = 100\ndeadline_ms = 300\n[load]\nrate = 50\n";
+const PLAIN: &str = "name = 'x'\nseconds = 10\n[fleet]\nnodes = 3\n[[class]]\nname = 'quote'\nshare = 1\nwork_ms = 20\nlatency_objective_ms = 100\ndeadline_ms = 300\n[load]\nrate = 50\n";
 
 #[test]
 fn every_mistake_is_a_line_that_names_its_key() {
-    let wrong = PLAIN.replace("nodes = 3", "nodes = 0").replace("aim_ms = 100", "aim_ms = 400")
-        + "[[fault]]\nwhat = 'kill'\nnodes = ['n9']\nclock = '7'\n[[fault]]\nat_s = 3\nwhat = 'stop'\npart = 2.0\n";
+    let wrong = PLAIN.replace("nodes = 3", "nodes = 0").replace("latency_objective_ms = 100", "latency_objective_ms = 400")
+        + "[[fault]]\nwhat = 'kill'\nnodes = ['n9']\nclock = '7'\n[[fault]]\nat_s = 3\nwhat = 'pause'\nfraction = 2.0\n";
     let mistakes = Scenario::parse(&wrong, &[]).unwrap_err();
     let keys: Vec<&str> = mistakes.iter().filter_map(|line| line.split(": ").next()).collect();
     let wanted = [
         "fleet.nodes",
-        "class[0].aim_ms",
+        "class[0].latency_objective_ms",
         "fault[0].at_s",
         "fault[0].nodes",
         "fault[0].clock",
-        "fault[1].part",
-        "fault[1].for_s",
+        "fault[1].fraction",
+        "fault[1].duration_s",
     ];
     assert!(wanted.iter().all(|key| keys.contains(key)), "{mistakes:?}");
     assert!(mistakes.iter().all(|line| line.lines().count() == 1));
--- a/fault-harness/src/scenario/validation.rs
+++ b/fault-harness/src/scenario/validation.rs
@@ -1,7 +1,8 @@
 //! Checks a scenario whole before anything starts: a function for each table, a line for each mistake.
 
 use super::{
-    Class, Fault, Fleet, Folder, Fronts, Load, Mistakes, Replication, Scenario, Step, Traffic, What,
+    Class, Fault, FaultKind, Fleet, Frontends, Load, LoadStep, Mistakes, Replication, Scenario, StoredState,
+    Traffic,
 };
 
 /// Requests that one scenario may ask for. Guards the memory, where the whole history stays until the end.
@@ -45,7 +46,7 @@
     }
     check_rate(scenario, &mut findings);
     check_load(&scenario.load, &mut findings);
-    check_frontends(&scenario.fronts, &mut findings);
+    check_frontends(&scenario.frontends, &mut findings);
     check_services(scenario, &mut findings);
     let node_names = scenario.node_names();
     for (position, fault) in scenario.faults.iter().enumerate() {
@@ -88,9 +89,13 @@
 }
 
 fn check_replication(replication: &Replication, nodes: usize, findings: &mut Findings) {
-    findings.require((1..=MAX_REPLICAS).contains(&replication.copies), "fleet.peers.copies", "1 to 9");
+    findings.require((1..=MAX_REPLICAS).contains(&replication.replicas), "fleet.peers.replicas", "1 to 9");
     findings.require(replication.probe_ms >= 50, "fleet.peers.probe_ms", "50 or more");
-    findings.require(replication.later < nodes, "fleet.peers.later", "fewer than there are nodes");
+    findings.require(
+        replication.joining_nodes < nodes,
+        "fleet.peers.joining_nodes",
+        "fewer than there are nodes",
+    );
 }
 
 /// The nodes that `fleet.programs` and `fleet.clocks` name.
@@ -116,11 +121,20 @@
     require(class.share > 0.0, "share", "above 0");
     require(class.work_ms > 0.0, "work_ms", "above 0");
     require(class.cv >= 0.0, "cv", "0 or more");
-    let aim_is_met_in_time = class.aim_ms > 0 && class.aim_ms <= class.deadline_ms;
-    require(aim_is_met_in_time, "aim_ms", "above 0 and at most the deadline");
-    require(!class.keyed || class.window_ms > 0, "window_ms", "above 0 in a keyed class");
-    require(!class.calls || scenario.below.is_some(), "calls", "there is no tier below");
-    require(is_fraction(class.late_worth), "late_worth", "0 to 1");
+    let is_within_deadline =
+        class.latency_objective_ms > 0 && class.latency_objective_ms <= class.deadline_ms;
+    require(is_within_deadline, "latency_objective_ms", "above 0 and at most the deadline");
+    require(
+        !class.idempotency_key || class.idempotency_window_ms > 0,
+        "idempotency_window_ms",
+        "above 0 in a class with idempotency keys",
+    );
+    require(
+        !class.calls_dependency || scenario.dependency.is_some(),
+        "calls_dependency",
+        "there is no [dependency]",
+    );
+    require(is_fraction(class.late_weight), "late_weight", "0 to 1");
 }
 
 /// The rate of requests, which follows from `[load]`, `[fleet]` and the classes together.
@@ -129,7 +143,7 @@
     findings.require(load.rate.is_some() != load.load.is_some(), "load", "either rate or load");
     let rate = scenario.rate();
     findings.require(rate > 0.0 && rate.is_finite(), "load.rate", "above 0");
-    let highest_factor = load.steps.iter().map(|step| step.times).fold(1.0, f64::max);
+    let highest_factor = load.steps.iter().map(|step| step.rate_factor).fold(1.0, f64::max);
     let most_requests = rate * scenario.seconds * highest_factor;
     findings.require(most_requests <= MAX_REQUESTS, "load.rate", "over 300000 requests in all");
 }
@@ -141,9 +155,9 @@
     findings.require(
         !load.tenants.is_empty() && load.tenants.values().all(|share| *share > 0.0),
         "load.tenants",
-        "at least one, each part above 0",
+        "at least one, each share above 0",
     );
-    findings.require(is_fraction(load.repeats), "load.repeats", "0 to 1");
+    findings.require(is_fraction(load.repeat_fraction), "load.repeat_fraction", "0 to 1");
     findings.require(
         is_interval(load.repeat_after_ms),
         "load.repeat_after_ms",
@@ -151,36 +165,36 @@
     );
 }
 
-fn check_step(position: usize, step: &Step, findings: &mut Findings) {
+fn check_step(position: usize, step: &LoadStep, findings: &mut Findings) {
     let mut require = |holds: bool, name: &str, requirement: &str| {
         findings.require(holds, &format!("load.step[{position}].{name}"), requirement);
     };
     require(step.from_s >= 0.0 && step.from_s < step.to_s, "from_s", "before to_s");
-    require(step.times >= 0.0, "times", "0 or more");
-    require(is_fraction(step.costly), "costly", "0 to 1");
+    require(step.rate_factor >= 0.0, "rate_factor", "0 or more");
+    require(is_fraction(step.costly_fraction), "costly_fraction", "0 to 1");
 }
 
-fn check_frontends(frontends: &Fronts, findings: &mut Findings) {
-    findings.require((1..=MAX_FRONTENDS).contains(&frontends.count), "fronts.count", "1 to 64");
-    findings.require(!frontends.choose.is_empty(), "fronts.choose", "at least one");
-    findings.require(is_fraction(frontends.heed), "fronts.heed", "0 to 1");
-    findings.require(frontends.retries >= -1, "fronts.retries", "-1 or more");
-    findings.require(frontends.backoff_ms > 0.0, "fronts.backoff_ms", "above 0");
+fn check_frontends(frontends: &Frontends, findings: &mut Findings) {
+    findings.require((1..=MAX_FRONTENDS).contains(&frontends.count), "frontends.count", "1 to 64");
+    findings.require(!frontends.load_balancing.is_empty(), "frontends.load_balancing", "at least one");
+    findings.require(is_fraction(frontends.retry_after_honoured), "frontends.retry_after_honoured", "0 to 1");
+    findings.require(frontends.retries >= -1, "frontends.retries", "-1 or more");
+    findings.require(frontends.backoff_ms > 0.0, "frontends.backoff_ms", "above 0");
     findings.require(
-        is_interval(frontends.list_late_ms),
-        "fronts.list_late_ms",
+        is_interval(frontends.registry_delay_ms),
+        "frontends.registry_delay_ms",
         "two numbers, the lower first",
     );
 }
 
-/// `[below]`, `[rules]` and `[members]`.
+/// `[dependency]`, `[rules]` and `[registry]`.
 fn check_services(scenario: &Scenario, findings: &mut Findings) {
-    if let Some(below) = &scenario.below {
-        findings.require(below.slots > 0, "below.slots", "above 0");
-        findings.require(below.work_ms > 0.0, "below.work_ms", "above 0");
+    if let Some(dependency) = &scenario.dependency {
+        findings.require(dependency.slots > 0, "dependency.slots", "above 0");
+        findings.require(dependency.work_ms > 0.0, "dependency.work_ms", "above 0");
     }
     findings.require(scenario.rules.slack_ms >= 0.0, "rules.slack_ms", "0 or more");
-    findings.require(scenario.members.lapse_s > 0.0, "members.lapse_s", "above 0");
+    findings.require(scenario.registry.heartbeat_timeout_s > 0.0, "members.heartbeat_timeout_s", "above 0");
 }
 
 /// The check of one `[[fault]]`.
@@ -210,8 +224,9 @@
     fn check_time(&mut self) {
         let fault = self.fault;
         self.require(fault.at_s.is_some() != fault.when.is_some(), "at_s", "either at_s or when");
-        let repeats_rightly = fault.again_s.is_none_or(|again| again >= 1.0 && fault.at_s.is_some());
-        self.require(repeats_rightly, "again_s", "1 or more, with at_s");
+        let repeats_rightly =
+            fault.repeat_every_s.is_none_or(|interval| interval >= 1.0 && fault.at_s.is_some());
+        self.require(repeats_rightly, "repeat_every_s", "1 or more, with at_s");
         let seconds = self.scenario.seconds;
         let is_within = fault.at_s.is_none_or(|at| at >= 0.0 && at < seconds);
         self.require(is_within, "at_s", "within the scenario's seconds");
@@ -222,22 +237,22 @@
     /// What it strikes, and in how many waves.
     fn check_targets(&mut self) {
         let fault = self.fault;
-        let selectors = [!fault.nodes.is_empty(), fault.zone.is_some(), fault.part.is_some()];
+        let selectors = [!fault.nodes.is_empty(), fault.zone.is_some(), fault.fraction.is_some()];
         let given = selectors.iter().filter(|given| **given).count();
-        let strikes_nodes = !matches!(fault.what, What::Below | What::Members);
+        let strikes_nodes = !matches!(fault.what, FaultKind::Dependency | FaultKind::Registry);
         self.require(
             !strikes_nodes || given == 1,
             "nodes",
-            "one of nodes, zone and part says whom it strikes",
+            "one of nodes, zone and fraction names its targets",
         );
         for node in &fault.nodes {
             self.require(self.node_names.contains(node), "nodes", &format!("there is no node {node:?}"));
         }
         let is_zone = fault.zone.as_ref().is_none_or(|zone| self.scenario.fleet.zones.contains(zone));
         self.require(is_zone, "zone", "there is no such zone");
-        self.require(fault.part.is_none_or(is_positive_fraction), "part", "above 0 and at most 1");
-        let counts_frontends = fault.what != What::Fronts || fault.part.is_some();
-        self.require(counts_frontends, "part", "of the front ends, for `fronts`");
+        self.require(fault.fraction.is_none_or(is_positive_fraction), "fraction", "above 0 and at most 1");
+        let counts_frontends = fault.what != FaultKind::Frontends || fault.fraction.is_some();
+        self.require(counts_frontends, "fraction", "of the frontends, for `frontends`");
         self.require(fault.waves >= 1, "waves", "1 or more");
     }
 
@@ -252,30 +267,35 @@
         let fault = self.fault;
         let lasts = matches!(
             fault.what,
-            What::Stop | What::Slow | What::Partition | What::Link | What::Below | What::Members
+            FaultKind::Pause
+                | FaultKind::Slow
+                | FaultKind::Partition
+                | FaultKind::Link
+                | FaultKind::Dependency
+                | FaultKind::Registry
         );
         let only_resets =
-            fault.what == What::Link && fault.traffic == Traffic { reset: true, ..Traffic::default() };
-        let has_duration = fault.for_s.is_some_and(|seconds| seconds > 0.0);
-        self.require(!lasts || only_resets || has_duration, "for_s", "above 0: this fault lasts");
+            fault.what == FaultKind::Link && fault.traffic == Traffic { reset: true, ..Traffic::default() };
+        let has_duration = fault.duration_s.is_some_and(|seconds| seconds > 0.0);
+        self.require(!lasts || only_resets || has_duration, "duration_s", "above 0: this fault lasts");
         self.require(fault.factor >= 0.0, "factor", "0 or more");
     }
 
     /// The links and their traffic, and the folder that a restarted node finds.
     fn check_traffic(&mut self) {
         let (fault, fleet) = (self.fault, &self.scenario.fleet);
-        let is_link = fault.what == What::Link;
+        let is_link = fault.what == FaultKind::Link;
         self.require(!is_link || !fault.between.is_empty(), "between", "says whose traffic suffers");
         let changes_traffic = fault.traffic != Traffic::default();
         self.require(!is_link || changes_traffic, "traffic", "says what happens to it");
         let has_folder = fleet.folder || fleet.peers.as_ref().is_some_and(|peers| peers.folder);
         self.require(
-            fault.folder == Folder::Keep || has_folder,
+            fault.folder == StoredState::Intact || has_folder,
             "folder",
             "neither fleet.folder nor fleet.peers.folder is on",
         );
         let fractions = [fault.traffic.loss, fault.traffic.duplicate, fault.traffic.reorder];
-        self.require(fractions.into_iter().all(is_fraction), "traffic", "parts are 0 to 1");
+        self.require(fractions.into_iter().all(is_fraction), "traffic", "fractions are 0 to 1");
     }
 }
 
--- a/fault-harness/src/schedule.rs
+++ b/fault-harness/src/schedule.rs
@@ -6,7 +6,7 @@
 use rand_distr::{Distribution, Exp, LogNormal, Normal};
 
 use crate::model::Ms;
-use crate::scenario::{Choose, Fault, Happening, Scenario, What};
+use crate::scenario::{Fault, FaultKind, LoadBalancing, NodeEvent, Scenario};
 
 /// What is drawn, each from a stream of its own, so that a change of one leaves the others as they were.
 #[derive(Debug, Clone, Copy)]
@@ -36,11 +36,11 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct FrontendProfile {
     /// How it chooses.
-    pub choose: Choose,
-    /// Whether it heeds advice.
-    pub heeds: bool,
-    /// How late it sees the list.
-    pub late: Ms,
+    pub load_balancing: LoadBalancing,
+    /// Whether it honours Retry-After.
+    pub honours_retry_after: bool,
+    /// How late it sees changes of the registry.
+    pub registry_delay: Ms,
     /// Its zone.
     pub zone: usize,
 }
@@ -72,7 +72,7 @@
     /// At this time.
     Time(Ms),
     /// Once a node has done something so many times.
-    Event(usize, Happening, u64),
+    Event(usize, NodeEvent, u64),
 }
 
 /// A fault with those it strikes.
@@ -96,7 +96,7 @@
     /// Speeds of the nodes' cores.
     pub speeds: Vec<f64>,
     /// The frontends.
-    pub fronts: Vec<FrontendProfile>,
+    pub frontends: Vec<FrontendProfile>,
     /// All requests, by time.
     pub requests: Vec<ClientRequest>,
     /// All faults.
@@ -108,17 +108,18 @@
     let mut rng = generator(seed, Stream::Fleet, 0);
     let [low, high] = scenario.fleet.speed;
     let speeds: Vec<f64> = (0..scenario.fleet.nodes).map(|_| between(&mut rng, low, high)).collect();
-    let habits = &scenario.fronts;
-    let fronts: Vec<FrontendProfile> = (0..habits.count)
+    let habits = &scenario.frontends;
+    let frontends: Vec<FrontendProfile> = (0..habits.count)
         .map(|i| FrontendProfile {
-            choose: habits.choose[i % habits.choose.len()],
+            load_balancing: habits.load_balancing[i % habits.load_balancing.len()],
             // Spread evenly, so that few frontends have the share that is asked for.
-            heeds: ((i + 1) as f64 * habits.heed).floor() > (i as f64 * habits.heed).floor(),
-            late: between(&mut rng, habits.list_late_ms[0], habits.list_late_ms[1]),
+            honours_retry_after: ((i + 1) as f64 * habits.retry_after_honoured).floor()
+                > (i as f64 * habits.retry_after_honoured).floor(),
+            registry_delay: between(&mut rng, habits.registry_delay_ms[0], habits.registry_delay_ms[1]),
             zone: scenario.zone_of(i),
         })
         .collect();
-    Schedule { requests: requests(scenario, seed), strikes: strikes(scenario, seed), speeds, fronts }
+    Schedule { requests: requests(scenario, seed), strikes: strikes(scenario, seed), speeds, frontends }
 }
 
 fn between(rng: &mut ChaCha8Rng, low: f64, high: f64) -> f64 {
@@ -155,25 +156,25 @@
     let step_at =
         |at: Ms| load.steps.iter().find(|step| at >= step.from_s * 1000.0 && at < step.to_s * 1000.0);
     // Arrivals at the highest rate are thinned out to the rate of the moment.
-    let most = load.steps.iter().map(|step| step.times).fold(1.0, f64::max);
+    let most = load.steps.iter().map(|step| step.rate_factor).fold(1.0, f64::max);
     let Ok(gaps) = Exp::new(scenario.rate() * most / 1000.0) else { return Vec::new() };
     let errors = Normal::new(0.0, load.hint_error.max(0.0)).ok();
     let tenants: Vec<(&String, &f64)> = load.tenants.iter().collect();
     let (mut all, mut at) = (Vec::new(), gaps.sample(&mut rng));
     while at < end {
         let step = step_at(at);
-        if rng.random::<f64>() * most < step.map_or(1.0, |step| step.times) {
+        if rng.random::<f64>() * most < step.map_or(1.0, |step| step.rate_factor) {
             let class = by_share(&mut rng, scenario.classes.iter().map(|class| class.share));
             let shape = &scenario.classes[class];
             let mut work = spread(&mut rng, shape.work_ms, shape.cv);
             let error = errors.map_or(0.0, |errors| errors.sample(&mut rng));
             let hint = work * error.exp();
             // What makes a request costly is not in its hint.
-            if step.is_some_and(|step| rng.random::<f64>() < step.costly) {
-                work *= step.map_or(1.0, |step| step.costly_times);
+            if step.is_some_and(|step| rng.random::<f64>() < step.costly_fraction) {
+                work *= step.map_or(1.0, |step| step.costly_factor);
             }
             let tenant = tenants[by_share(&mut rng, tenants.iter().map(|(_, share)| **share))].0.clone();
-            let front = rng.random_range(0..scenario.fronts.count);
+            let front = rng.random_range(0..scenario.frontends.count);
             let kb = between(&mut rng, 14.0, 45.0);
             all.push(ClientRequest { at, class, tenant, front, work, hint, kb, repeats: None });
         }
@@ -182,9 +183,9 @@
     let [low, high] = load.repeat_after_ms;
     let firsts = all.len();
     for first in 0..firsts {
-        let keyed = scenario.classes[all[first].class].keyed;
+        let keyed = scenario.classes[all[first].class].idempotency_key;
         let (chance, after) = (rng.random::<f64>(), between(&mut rng, low, high));
-        if keyed && chance < load.repeats {
+        if keyed && chance < load.repeat_fraction {
             let at = all[first].at + after;
             if at < end {
                 all.push(ClientRequest { at, repeats: Some(first), ..all[first].clone() });
@@ -204,7 +205,7 @@
             let at = strike_at(fault, time, &names);
             let targets = draw_targets(&mut rng, scenario, fault, &names);
             for (wave, whom) in waves(fault, &targets).into_iter().enumerate() {
-                let after = delay + wave as f64 * fault.every_s * 1000.0;
+                let after = delay + wave as f64 * fault.wave_interval_s * 1000.0;
                 all.push(Strike { at: at.clone(), after, fault: fault.clone(), whom, draw: rng.random() });
             }
         }
@@ -214,7 +215,7 @@
 
 /// The times in seconds at which a fault strikes; one that waits for an event has one that counts for nothing.
 fn strike_times(fault: &Fault, seconds: f64) -> Vec<f64> {
-    let (first, interval) = (fault.at_s.unwrap_or(0.0), fault.again_s.unwrap_or(f64::INFINITY));
+    let (first, interval) = (fault.at_s.unwrap_or(0.0), fault.repeat_every_s.unwrap_or(f64::INFINITY));
     let repeats = ((seconds - first) / interval).floor().max(0.0) as usize;
     let offset = |n: usize| if n == 0 { 0.0 } else { n as f64 * interval };
     (0..=repeats).map(|n| first + offset(n)).collect()
@@ -233,8 +234,9 @@
 
 /// The nodes or frontends that a fault strikes. Those of several waves keep the order in which they were drawn.
 fn draw_targets(rng: &mut ChaCha8Rng, scenario: &Scenario, fault: &Fault, names: &[String]) -> Vec<usize> {
-    let count = if fault.what == What::Fronts { scenario.fronts.count } else { scenario.fleet.nodes };
-    let mut targets: Vec<usize> = match (fault.part, &fault.zone) {
+    let count =
+        if fault.what == FaultKind::Frontends { scenario.frontends.count } else { scenario.fleet.nodes };
+    let mut targets: Vec<usize> = match (fault.fraction, &fault.zone) {
         (Some(part), _) => draw_part(rng, count, part),
         (None, Some(zone)) => {
             (0..count).filter(|i| scenario.fleet.zones[scenario.zone_of(*i)] == *zone).collect()
--- a/fault-harness/src/schedule/tests.rs
+++ b/fault-harness/src/schedule/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 
 fn scenario(more: &str) -> Scenario {
-    let text = "name = 'x'\nseconds = 20\n[fleet]\nnodes = 10\nspeed = [0.9, 1.1]\n[[class]]\nname = 'quote'\nshare = 3\nwork_ms = 20\naim_ms = 100\ndeadline_ms = 300\n[[class]]\nname = 'book'\nshare = 1\nwork_ms = 40\nkeyed = true\nwindow_ms = 9000\naim_ms = 100\ndeadline_ms = 300\n[load]\nrate = 200\nrepeats = 0.5\n[[load.step]]\nfrom_s = 10\nto_s = 15\ntimes = 3\n";
+    let text = "name = 'x'\nseconds = 20\n[fleet]\nnodes = 10\nspeed = [0.9, 1.1]\n[[class]]\nname = 'quote'\nshare = 3\nwork_ms = 20\nlatency_objective_ms = 100\ndeadline_ms = 300\n[[class]]\nname = 'book'\nshare = 1\nwork_ms = 40\nidempotency_key = true\nidempotency_window_ms = 9000\nlatency_objective_ms = 100\ndeadline_ms = 300\n[load]\nrate = 200\nrepeat_fraction = 0.5\n[[load.step]]\nfrom_s = 10\nto_s = 15\nrate_factor = 3\n";
     Scenario::parse(&format!("{text}{more}"), &[]).unwrap()
 }
 
 #[test]
 fn one_seed_gives_one_plan_and_another_gives_another() {
-    let scenario = scenario("[[fault]]\nat_s = 3\nwhat = 'kill'\npart = 0.7\n");
+    let scenario = scenario("[[fault]]\nat_s = 3\nwhat = 'kill'\nfraction = 0.7\n");
     let (one, same, other) = (schedule(&scenario, 4), schedule(&scenario, 4), schedule(&scenario, 5));
     assert_eq!(one.requests, same.requests);
     assert_eq!(one.strikes[0].whom, same.strikes[0].whom);
@@ -32,7 +32,8 @@
 #[test]
 fn a_fault_that_strikes_again_strikes_others() {
     let strikes =
-        schedule(&scenario("[[fault]]\nat_s = 1\nagain_s = 4\nwhat = 'kill'\npart = 0.3\n"), 1).strikes;
+        schedule(&scenario("[[fault]]\nat_s = 1\nrepeat_every_s = 4\nwhat = 'kill'\nfraction = 0.3\n"), 1)
+            .strikes;
     let times: Vec<At> = strikes.iter().map(|strike| strike.at.clone()).collect();
     assert_eq!(times, [1000.0, 5000.0, 9000.0, 13_000.0, 17_000.0].map(At::Time));
     assert!(strikes.iter().any(|strike| strike.whom != strikes[0].whom));
@@ -40,7 +41,9 @@
 
 #[test]
 fn waves_strike_everyone_once_and_zones_whole() {
-    let scenario = scenario("[[fault]]\nat_s = 1\nwhat = 'leave'\npart = 1.0\nwaves = 4\nevery_s = 2.0\n");
+    let scenario = scenario(
+        "[[fault]]\nat_s = 1\nwhat = 'shutdown'\nfraction = 1.0\nwaves = 4\nwave_interval_s = 2.0\n",
+    );
     let strikes = schedule(&scenario, 1).strikes;
     let mut whom: Vec<usize> = strikes.iter().flat_map(|strike| strike.whom.clone()).collect();
     whom.sort_unstable();
--- a/fault-harness/src/settings.rs
+++ b/fault-harness/src/settings.rs
@@ -28,7 +28,7 @@
 
 /// The platform's configuration of a node.
 pub fn config(scenario: &Scenario, name: &str, seed: u64, peers: &Peers) -> String {
-    let calls = scenario.below.is_some();
+    let calls = scenario.dependency.is_some();
     let mut config = json!({
         "name": name, "listen": "127.0.0.1:0", "vm": peers.vm, "members": peers.members,
         "seed": format!("{seed:x}"), "stop_ms": scenario.fleet.stop_ms,
@@ -48,9 +48,9 @@
         .classes
         .iter()
         .map(|class| {
-            json!({"name": class.name, "slo": class.aim_ms * 1000, "deadline": class.deadline_ms * 1000,
-                "effect": if class.keyed { "by_key" } else { "repeatable" },
-                "window": class.window_ms * 1000, "worth": class.worth, "lateWorth": class.late_worth})
+            json!({"name": class.name, "slo": class.latency_objective_ms * 1000, "deadline": class.deadline_ms * 1000,
+                "effect": if class.idempotency_key { "by_key" } else { "repeatable" },
+                "window": class.idempotency_window_ms * 1000, "worth": class.weight, "lateWorth": class.late_weight})
         })
         .collect();
     let shares: f64 = scenario.load.tenants.values().sum();
@@ -66,10 +66,10 @@
     json!({
         "services": services, "countedBy": "work", "overShareWorth": 0.1, "servers": fleet.nodes, "tick": 4000,
         "specifics": {"cores": fleet.cores, "memoryKb": fleet.memory_kb, "runFactor": fleet.run_factor, "entryKb": 1.0,
-            "dependsOn": if scenario.below.is_some() { "tier" } else { "off" }, "callers": scenario.fronts.count,
-            "classCalls": of_classes(|class| json!(class.calls)),
-            "classSkipWorth": of_classes(|class| json!(class.skip_worth)),
-            "idle": micros(scenario.fronts.idle_s * 1000.0), "passesDeadline": true, "preemption": "pause",
+            "dependsOn": if scenario.dependency.is_some() { "tier" } else { "off" }, "callers": scenario.frontends.count,
+            "classCalls": of_classes(|class| json!(class.calls_dependency)),
+            "classSkipWorth": of_classes(|class| json!(class.skip_weight)),
+            "idle": micros(scenario.frontends.idle_timeout_s * 1000.0), "passesDeadline": true, "preemption": "pause",
             "gauges": ["cpu_busy", "runnable", "mem_used"]},
         "safety": {"coldShare": fleet.warm_from, "warmAfter": micros(fleet.warm_s * 1000.0),
             "drainGrace": micros(DRAIN_GRACE_MS), "fallMultiple": FALL_MULTIPLE},
@@ -118,8 +118,12 @@
     listed: &[usize],
 ) -> String {
     let Some(peers) = &scenario.fleet.peers else { return String::new() };
-    let longest =
-        scenario.classes.iter().map(|class| class.window_ms.max(class.deadline_ms)).max().unwrap_or(0);
+    let longest = scenario
+        .classes
+        .iter()
+        .map(|class| class.idempotency_window_ms.max(class.deadline_ms))
+        .max()
+        .unwrap_or(0);
     let names = scenario.node_names();
     let mut text = format!(
         "name = '{}'\nlisten = '{}'\nmemory_mb = {FOLDER_MB}\nlinks = {}\nprobe_ms = {}\n",
@@ -132,7 +136,7 @@
         text += &format!("folder = '{}'\nfile_mb = {FOLDER_MB}\n", folder.display());
     }
     text +=
-        &format!("[list]\nnumber = {number}\ncopies = {}\nwindow_ms = {}\n", peers.copies, longest + 1000);
+        &format!("[list]\nnumber = {number}\ncopies = {}\nwindow_ms = {}\n", peers.replicas, longest + 1000);
     for other in listed {
         let zone = &scenario.fleet.zones[scenario.zone_of(*other)];
         text += &format!(
--- a/fault-harness/src/stand_in/dependency.rs
+++ b/fault-harness/src/stand_in/dependency.rs
@@ -12,7 +12,7 @@
 use crate::history::Event;
 use crate::model::dependency::{Below, Ended};
 use crate::play_context::PlayContext;
-use crate::scenario::Below as Shape;
+use crate::scenario::Dependency as Shape;
 use crate::schedule::{call_time, generator, Stream};
 
 /// Replies that wait on one connection.
--- a/fault-harness/src/stand_in/frontends.rs
+++ b/fault-harness/src/stand_in/frontends.rs
@@ -19,7 +19,7 @@
 use crate::model::Ms;
 use crate::play_context::{PlayContext, Written};
 use crate::relay::Line;
-use crate::scenario::Happening;
+use crate::scenario::NodeEvent;
 use crate::wire;
 use connection::{Connection, OpenAttempt};
 
@@ -74,16 +74,16 @@
 impl FrontEnd {
     /// A frontend of the plan.
     pub fn new(context: Rc<PlayContext>, number: usize, shared: Shared) -> Rc<FrontEnd> {
-        let schedule = &context.schedule.fronts[number];
+        let schedule = &context.schedule.frontends[number];
         let rng = crate::schedule::generator(context.seed, crate::schedule::Stream::Habits, number as u64);
         let habits = Front::new(
-            &context.scenario.fronts,
-            schedule.choose,
-            schedule.heeds,
+            &context.scenario.frontends,
+            schedule.load_balancing,
+            schedule.honours_retry_after,
             context.scenario.fleet.nodes,
             rng,
         );
-        let late = schedule.late;
+        let late = schedule.registry_delay;
         let Shared { nodes, members, attempts, first_nodes } = shared;
         Rc::new(FrontEnd {
             context,
@@ -167,7 +167,7 @@
         context.writes(txn, Written { n, node });
         context.note(Event::Wrote { txn, n, node, front: self.number, due });
         self.nodes[node].interpreter.holds(txn, context.schedule.requests[n].kb);
-        context.happened(node, Happening::Written);
+        context.happened(node, NodeEvent::AttemptWritten);
         // Where the connection has ended meanwhile, its end answers.
         let _ = out.send(line).await;
         let listen_until = due + context.scenario.rules.slack_ms + LISTEN_MARGIN;
@@ -210,7 +210,7 @@
         let context = &self.context;
         let request = &context.schedule.requests[n];
         let class = &context.scenario.classes[request.class];
-        let key = class.keyed.then(|| format!("{:032x}", request.repeats.unwrap_or(n)));
+        let key = class.idempotency_key.then(|| format!("{:032x}", request.repeats.unwrap_or(n)));
         wire::Request {
             id,
             txn: &format!("{txn:016x}"),
@@ -275,7 +275,7 @@
 
     /// Closes connections that are idle, and forgets those that have ended; for as long as the play.
     pub async fn tidy(self: Rc<Self>) {
-        let idle = self.context.scenario.fronts.idle_s * 1000.0;
+        let idle = self.context.scenario.frontends.idle_timeout_s * 1000.0;
         loop {
             let now = self.context.now();
             for connection in self.connections.borrow().iter() {
--- a/fault-harness/src/stand_in/frontends/connection.rs
+++ b/fault-harness/src/stand_in/frontends/connection.rs
@@ -14,7 +14,7 @@
 use crate::model::frontend::Answer;
 use crate::model::Ms;
 use crate::play_context::PlayContext;
-use crate::scenario::Happening;
+use crate::scenario::NodeEvent;
 use crate::wire::{self, NodeMessage};
 
 /// The longest answer, in bytes.
@@ -130,7 +130,7 @@
         };
         self.answered.borrow_mut().insert(id, open.txn);
         if matches!(kind, Kind::Served(_)) {
-            context.happened(self.node, Happening::Served);
+            context.happened(self.node, NodeEvent::AttemptServed);
         }
         context.note(Event::Answered { txn: open.txn, kind });
         interpreter.over(open.txn);
--- a/fault-harness/src/stand_in/interpreter.rs
+++ b/fault-harness/src/stand_in/interpreter.rs
@@ -13,7 +13,7 @@
 use crate::model::interpreter::{InterpreterEvent, InterpreterModel, InterpreterSpec};
 use crate::model::Ms;
 use crate::play_context::PlayContext;
-use crate::scenario::Happening;
+use crate::scenario::NodeEvent;
 use crate::wire;
 
 /// Notices that are kept for links to come.
@@ -256,7 +256,7 @@
             state.began.remove(&id).map_or(0.0, |began| self.context.now() - began)
         };
         self.context.note(Event::Ended { txn: id, node: self.node, result: result.clone() });
-        self.context.happened(self.node, Happening::Ended);
+        self.context.happened(self.node, NodeEvent::RunEnded);
         self.notify(|notice| {
             wire::value(
                 notice,
--- a/fault-harness/src/stand_in/interpreter/link.rs
+++ b/fault-harness/src/stand_in/interpreter/link.rs
@@ -10,7 +10,7 @@
 use crate::history::Event;
 use crate::model::interpreter::Work;
 use crate::model::Ms;
-use crate::scenario::Happening;
+use crate::scenario::NodeEvent;
 use crate::wire;
 
 /// Answers to commands that wait to be written.
@@ -177,12 +177,15 @@
             return true;
         }
         let request = &self.context.schedule.requests[written.n];
-        let work =
-            Work { txn: id, work: request.work, calls: self.context.scenario.classes[request.class].calls };
+        let work = Work {
+            txn: id,
+            work: request.work,
+            calls: self.context.scenario.classes[request.class].calls_dependency,
+        };
         self.state.borrow_mut().began.insert(id, self.context.now());
         self.context.note(Event::Began { txn: id, node: self.node });
         self.change(|vm, now| vm.run(now, work));
-        self.context.happened(self.node, Happening::Began);
+        self.context.happened(self.node, NodeEvent::RunStarted);
         true
     }
 }
--- a/fault-harness/src/statistics/accumulator.rs
+++ b/fault-harness/src/statistics/accumulator.rs
@@ -103,10 +103,10 @@
     fn request_sent(&mut self, t: Ms, request: usize, class: usize) {
         self.requests += 1;
         self.offered.insert(request, OfferedRequest { sent_at: t, class });
-        let worth = self.parameters.classes[class].worth;
+        let weight = self.parameters.classes[class].weight;
         if let Some(second) = self.second_mut(t) {
             second.asked += 1;
-            second.asked_worth += worth;
+            second.asked_worth += weight;
         }
     }
 
@@ -115,7 +115,7 @@
         match end {
             End::Served => self.request_served(t, offered, 1.0),
             End::Poorer => {
-                let fraction = self.parameters.classes[offered.class].skip_worth;
+                let fraction = self.parameters.classes[offered.class].skip_weight;
                 self.request_served(t, offered, fraction);
             }
             End::Refused => {
@@ -136,11 +136,11 @@
         let parameters = self.parameters;
         let class = &parameters.classes[offered.class];
         let latency = t - offered.sent_at;
-        let is_in_time = latency <= class.aim;
+        let is_in_time = latency <= class.latency_objective;
         let Some(second) = self.second_mut(offered.sent_at) else { return };
         second.in_time += u64::from(is_in_time);
         second.late += u64::from(!is_in_time);
-        second.served_worth += class.worth * fraction * if is_in_time { 1.0 } else { class.late_worth };
+        second.served_worth += class.weight * fraction * if is_in_time { 1.0 } else { class.late_weight };
         if let Some(latencies) = &mut self.latencies {
             latencies.saturating_record((latency * 1000.0) as u64);
         }
--- a/fault-harness/src/warm_up_bound.rs
+++ b/fault-harness/src/warm_up_bound.rs
@@ -3,7 +3,7 @@
 
 use crate::model::interpreter::InterpreterSpec;
 use crate::model::Ms;
-use crate::scenario::{Scenario, What};
+use crate::scenario::{FaultKind, Scenario};
 use crate::schedule::{At, Schedule};
 
 /// Capacity is looked at this often.
@@ -52,19 +52,19 @@
         // What waits for an event has no time in the plan.
         let At::Time(at) = strike.at else { continue };
         let (from, fault) = (at + strike.after, &strike.fault);
-        let lasts = fault.for_s.map_or(f64::INFINITY, |s| s * 1000.0);
+        let lasts = fault.duration_s.map_or(f64::INFINITY, |s| s * 1000.0);
         let down = fault.down_s.map_or(f64::INFINITY, |s| s * 1000.0);
         let (until, factor, cold) = match fault.what {
-            What::Kill | What::Leave => (from + down, 0.0, true),
-            What::Stop | What::Partition => (from + lasts, 0.0, false),
-            What::Slow => (from + lasts, fault.factor, false),
-            What::Link
-            | What::Below
-            | What::Members
-            | What::Fronts
-            | What::Reload
-            | What::Unlist
-            | What::Enlist => continue,
+            FaultKind::Kill | FaultKind::Shutdown => (from + down, 0.0, true),
+            FaultKind::Pause | FaultKind::Partition => (from + lasts, 0.0, false),
+            FaultKind::Slow => (from + lasts, fault.factor, false),
+            FaultKind::Link
+            | FaultKind::Dependency
+            | FaultKind::Registry
+            | FaultKind::Frontends
+            | FaultKind::Reload
+            | FaultKind::RemoveMembers
+            | FaultKind::AddMembers => continue,
         };
         dents.extend(strike.whom.iter().map(|node| Dent { node: *node, from, until, factor, cold }));
     }
--- a/fault-harness/tests/mutants.rs
+++ b/fault-harness/tests/mutants.rs
@@ -10,10 +10,10 @@
 
 /// Deadlines are long and the load is small: no verdict hangs on the machine's speed.
 const SCENARIO: &str = "name = 'mutants'\nseconds = 2\n[fleet]\nnodes = 3\n[rules]\nslack_ms = 4000\n\
-    [[class]]\nname = 'quote'\nshare = 1\nwork_ms = 10\naim_ms = 900\ndeadline_ms = 1500\n\
-    [[class]]\nname = 'book'\nshare = 1\nwork_ms = 10\nkeyed = true\nwindow_ms = 60000\naim_ms = 900\ndeadline_ms = 1500\n\
-    [load]\nrate = 60\nrepeats = 1.0\nrepeat_after_ms = [50, 400]\n\
-    [fronts]\ncount = 2\nretries = 0\nclient_retries = 0\nlist_late_ms = [0, 0]\n";
+    [[class]]\nname = 'quote'\nshare = 1\nwork_ms = 10\nlatency_objective_ms = 900\ndeadline_ms = 1500\n\
+    [[class]]\nname = 'book'\nshare = 1\nwork_ms = 10\nidempotency_key = true\nidempotency_window_ms = 60000\nlatency_objective_ms = 900\ndeadline_ms = 1500\n\
+    [load]\nrate = 60\nrepeat_fraction = 1.0\nrepeat_after_ms = [50, 400]\n\
+    [frontends]\ncount = 2\nretries = 0\nclient_retries = 0\nregistry_delay_ms = [0, 0]\n";
 
 fn build(mutant: &str) -> Build {
     let path = PathBuf::from(env!("CARGO_BIN_EXE_oakwind-fault-harness"));
--- a/fault-harness/tests/old_form.rs
+++ b/fault-harness/tests/old_form.rs
@@ -13,6 +13,10 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/old-form").join(name)
 }
 
+fn present_form(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/present-form").join(name)
+}
+
 fn history(name: &str) -> History {
     History::read(&fixture(name)).unwrap()
 }
@@ -31,6 +35,69 @@
     assert_eq!(figures.tries, 1.4123443421765025);
 }
 
+#[test]
+fn a_scenario_means_the_same_in_both_forms() {
+    let old = Scenario::read(&fixture("scenario.toml"), &[]).unwrap();
+    let present = Scenario::read(&present_form("scenario.toml"), &[]).unwrap();
+    assert_eq!(old, present);
+}
+
+/// A key in its old and its present form, and a value that the fixtures do not have.
+const OVERRIDES: [(&str, &str, &str); 14] = [
+    ("about", "description", "'other'"),
+    ("fleet.peers.copies", "fleet.peers.replicas", "3"),
+    ("class.0.aim_ms", "class.0.latency_objective_ms", "300"),
+    ("class.1.worth", "class.1.weight", "3.5"),
+    ("class.1.window_ms", "class.1.idempotency_window_ms", "7000"),
+    ("load.repeats", "load.repeat_fraction", "0.1"),
+    ("load.step.0.times", "load.step.0.rate_factor", "1.1"),
+    ("fronts.heed", "frontends.retry_after_honoured", "0.9"),
+    ("fronts.count", "frontends.count", "6"),
+    ("below.slots", "dependency.slots", "7"),
+    ("members.lapse_s", "registry.heartbeat_timeout_s", "4.0"),
+    ("rules.once", "rules.run_once_per", "node"),
+    ("fault.0.part", "fault.0.fraction", "0.6"),
+    ("fault.8.traffic.cut", "fault.8.traffic.disconnect", "false"),
+];
+
+#[test]
+fn an_override_in_either_form_replaces_the_value_of_a_file_in_either_form() {
+    for (old_key, present_key, value) in OVERRIDES {
+        let read = |path: &Path, key: &str| Scenario::read(path, &[(key.into(), value.into())]).unwrap();
+        let expected = read(&present_form("scenario.toml"), present_key);
+        assert_ne!(expected, Scenario::read(&present_form("scenario.toml"), &[]).unwrap(), "{present_key}");
+        assert_eq!(read(&present_form("scenario.toml"), old_key), expected, "{old_key}");
+        assert_eq!(read(&fixture("scenario.toml"), old_key), expected, "{old_key} in an old file");
+        assert_eq!(read(&fixture("scenario.toml"), present_key), expected, "{present_key} in an old file");
+    }
+}
+
+#[test]
+fn of_two_overrides_in_two_forms_the_later_one_counts() {
+    let changes = [("fronts.count".into(), "6".into()), ("frontends.count".into(), "7".into())];
+    for path in [fixture("scenario.toml"), present_form("scenario.toml")] {
+        assert_eq!(Scenario::read(&path, &changes).unwrap().frontends.count, 7);
+    }
+}
+
+#[test]
+fn a_tenant_whose_name_was_once_a_key_keeps_its_name() {
+    let changes = [("load.tenants.below".into(), "0.3".into())];
+    let scenario = Scenario::read(&present_form("scenario.toml"), &changes).unwrap();
+    assert_eq!(scenario.load.tenants["below"], 0.3);
+}
+
+#[test]
+fn a_file_with_one_key_in_both_forms_is_turned_down_with_the_name_of_the_key() {
+    let text = std::fs::read_to_string(present_form("scenario.toml")).unwrap();
+    let both = text.replace("probe_ms = 300", "probe_ms = 300\ncopies = 2");
+    let message = Scenario::parse(&both, &[]).unwrap_err().join("\n");
+    assert!(
+        message.starts_with("fleet.peers") && message.contains("duplicate field `replicas`"),
+        "{message}"
+    );
+}
+
 #[test]
 fn a_recorded_play_in_the_old_form_has_the_verdict_and_the_statistics_that_it_had() {
     let history = history("history.jsonl");
--- a/node/tests/recovery.rs
+++ b/node/tests/recovery.rs
@@ -22,10 +22,10 @@
         ("fleet.nodes", "5"),
         ("seconds", "9"),
         ("load.load", "0.4"),
-        ("load.repeats", "0.7"),
+        ("load.repeat_fraction", "0.7"),
         ("load.repeat_after_ms", "[20.0, 2500.0]"),
         ("rules.slack_ms", "3000"),
-        ("class.1.window_ms", "3000"),
+        ("class.1.idempotency_window_ms", "3000"),
         ("fault", &faults),
     ];
     let (history, verdict) = plays::play_without_violations("return", &[&shortened, overrides]);
@@ -90,7 +90,7 @@
 
 #[test]
 fn keyed_requests_wait_one_window_when_all_stores_are_lost() {
-    let kill = "{at_s = 2, what = 'kill', part = 1.0, down_s = 0.3, folder = 'lost'}";
+    let kill = "{at_s = 2, what = 'kill', fraction = 1.0, down_s = 0.3, folder = 'erased'}";
     let (history, _) = assert_recovery(&[kill], &[("seconds", "20")]);
     let restarted_at = first_start(&history, 2000.0);
     let first_run = keyed_runs(&history)
@@ -108,7 +108,7 @@
 fn recovery_completes_when_a_second_failure_strikes_during_it() {
     let kill = "{at_s = 2, what = 'kill', nodes = ['n1', 'n2', 'n3', 'n4'], down_s = 0.5}";
     let second_kill = "{at_s = 2.8, what = 'kill', nodes = ['n2', 'n4', 'n5'], down_s = 0.5}";
-    let cut_links = "{at_s = 3.6, what = 'link', for_s = 1.0, nodes = ['n1'], between = ['peers'], traffic = {cut = true}}";
+    let cut_links = "{at_s = 3.6, what = 'link', duration_s = 1.0, nodes = ['n1'], between = ['peers'], traffic = {disconnect = true}}";
     let (history, _) =
         assert_recovery(&[kill, second_kill, cut_links], &[("seconds", "12"), ("fleet.warm_s", "2")]);
     assert!(nodes_that_logged(&history, 2800.0, RECOVERED).is_superset(&node_indices(&[1, 2, 3, 4, 5])));
@@ -116,8 +116,8 @@
 
 #[test]
 fn recovery_completes_when_donors_are_killed_during_state_transfer() {
-    let lose_store = "{at_s = 3, what = 'kill', nodes = ['n1'], down_s = 0.3, folder = 'lost'}";
-    let slow_links = "{at_s = 3, what = 'link', for_s = 1.5, nodes = ['n1'], between = ['peers'], traffic = {delay_ms = 60}}";
+    let lose_store = "{at_s = 3, what = 'kill', nodes = ['n1'], down_s = 0.3, folder = 'erased'}";
+    let slow_links = "{at_s = 3, what = 'link', duration_s = 1.5, nodes = ['n1'], between = ['peers'], traffic = {delay_ms = 60}}";
     let kill_donors = "{at_s = 3.5, what = 'kill', nodes = ['n2', 'n3'], down_s = 0.4}";
     let (history, _) =
         assert_recovery(&[lose_store, slow_links, kill_donors], &[("seconds", "12"), ("fleet.warm_s", "2")]);
@@ -127,15 +127,16 @@
 #[test]
 fn recovery_completes_when_a_node_never_warms_up() {
     let kill = "{at_s = 2, what = 'kill', nodes = ['n1', 'n2'], down_s = 0.5}";
-    let slow_node = "{at_s = 2.6, what = 'slow', nodes = ['n1'], factor = 0.1, for_s = 9}";
+    let slow_node = "{at_s = 2.6, what = 'slow', nodes = ['n1'], factor = 0.1, duration_s = 9}";
     let (history, _) = assert_recovery(&[kill, slow_node], &[("seconds", "12"), ("fleet.warm_s", "2")]);
     assert!(nodes_that_logged(&history, 2500.0, RECOVERED).is_superset(&node_indices(&[1, 2])));
 }
 
 #[test]
 fn nodes_that_restart_with_the_previous_configuration_adopt_the_current_one() {
-    let next_version = "{at_s = 1, what = 'unlist', nodes = ['n5']}";
-    let kill = "{at_s = 2.5, what = 'kill', nodes = ['n1', 'n2', 'n3'], down_s = 0.5, old_list = true}";
+    let next_version = "{at_s = 1, what = 'remove_members', nodes = ['n5']}";
+    let kill =
+        "{at_s = 2.5, what = 'kill', nodes = ['n1', 'n2', 'n3'], down_s = 0.5, previous_membership = true}";
     let (history, _) = assert_recovery(&[next_version, kill], &[("seconds", "12"), ("fleet.warm_s", "2")]);
     let updated =
         nodes_that_logged(&history, 2500.0, "membership configuration received from a peer: version=2");
@@ -148,7 +149,7 @@
 
 #[test]
 fn a_restored_stale_store_is_detected_and_counts_as_lost() {
-    let restore_stale = "{at_s = 6, what = 'kill', nodes = ['n2'], down_s = 0.3, folder = 'old'}";
+    let restore_stale = "{at_s = 6, what = 'kill', nodes = ['n2'], down_s = 0.3, folder = 'stale'}";
     let (history, _) = assert_recovery(&[restore_stale], &[("seconds", "12"), ("fleet.warm_s", "2")]);
     assert_eq!(
         nodes_that_logged(&history, 6000.0, "restored state is stale and counts as lost"),
