--- a/fault-harness/src/check.rs
+++ b/fault-harness/src/check.rs
@@ -25,11 +25,11 @@
 
 /// Checks a history.
 pub fn check(history: &History) -> Verdict {
-    let mut checker = Checker::new(&history.terms);
-    for observation in &history.seen {
-        checker.observe(observation.t, &observation.what);
+    let mut checker = Checker::new(&history.parameters);
+    for observation in &history.observations {
+        checker.observe(observation.at, &observation.event);
     }
-    checker.finish(history.seen.last().map_or(0.0, |last| last.t))
+    checker.finish(history.observations.last().map_or(0.0, |last| last.at))
 }
 
 /// The state of a check. Each family of rules is a module with methods of its own.
@@ -62,7 +62,7 @@
         self.observe_answer(t, event);
         self.observe_run(t, event);
         self.observe_process(t, event);
-        self.router.observe(t, event, self.parameters.two_active, &mut self.breaches);
+        self.router.observe(t, event, self.parameters.max_dual_active, &mut self.breaches);
     }
 
     fn finish(mut self, end: Ms) -> Verdict {
--- a/fault-harness/src/check/answers.rs
+++ b/fault-harness/src/check/answers.rs
@@ -3,7 +3,7 @@
 use super::attempts::Attempt;
 use super::verdict::Rule;
 use super::Checker;
-use crate::history::{Drop, Event, Kind};
+use crate::history::{ConnectionLoss, Event, Response};
 use crate::model::Ms;
 use crate::scenario::RunScope;
 
@@ -11,9 +11,11 @@
     /// Checks an answer, or what came in the place of one.
     pub(super) fn observe_answer(&mut self, t: Ms, event: &Event) {
         match event {
-            Event::Answered { txn, kind } => self.check_answer(t, *txn, kind),
-            Event::Stray { node, txn: Some(txn), .. } => self.record_second_answer(t, *txn, *node),
-            Event::Stray { node, txn: None, text } => {
+            Event::AttemptAnswered { attempt, response } => self.check_answer(t, *attempt, response),
+            Event::UnexpectedLine { node, attempt: Some(attempt), .. } => {
+                self.record_second_answer(t, *attempt, *node);
+            }
+            Event::UnexpectedLine { node, attempt: None, text } => {
                 let text = format!("n{} says what is no answer: {text}", node + 1);
                 self.breaches.record(t, Rule::Lost, text);
             }
@@ -21,19 +23,19 @@
         }
     }
 
-    fn check_answer(&mut self, t: Ms, id: u64, kind: &Kind) {
+    fn check_answer(&mut self, t: Ms, id: u64, kind: &Response) {
         let Some(attempt) = self.attempts.get(id) else { return };
         let node = attempt.node;
         if attempt.answered.is_some() {
             return self.record_second_answer(t, id, node);
         }
         match kind {
-            Kind::Refused { .. } if attempt.has_run => {
+            Response::Rejected { .. } if attempt.has_run => {
                 let text = format!("try {id:016x} at n{} had run when it was refused", node + 1);
                 self.breaches.record(t, Rule::RefusedAndRan, text);
             }
-            Kind::Served(result) => self.check_result(t, id, node, result),
-            Kind::Refused { .. } | Kind::Failed => {}
+            Response::Served(result) => self.check_result(t, id, node, result),
+            Response::Rejected { .. } | Response::Failed => {}
         }
         self.attempts.update(id, |attempt| attempt.answered = Some((t, kind.clone())));
     }
@@ -79,10 +81,10 @@
     let is_answered = attempt.answered.as_ref().is_some_and(|(at, _)| *at <= answer_by);
     let is_withdrawn = attempt.withdrawn_at.is_some_and(|at| at <= answer_by);
     let loses_nothing = match attempt.dropped {
-        Some((_, Drop::Crossed)) => true,
+        Some((_, ConnectionLoss::CrossedClose)) => true,
         // A new connection that is closed, having run nothing, has failed; nothing is lost.
-        Some((_, Drop::Fresh)) => !attempt.has_run,
-        Some((_, Drop::Used)) | None => false,
+        Some((_, ConnectionLoss::NewConnection)) => !attempt.has_run,
+        Some((_, ConnectionLoss::UsedConnection)) | None => false,
     };
     is_answered || is_withdrawn || loses_nothing
 }
--- a/fault-harness/src/check/attempts.rs
+++ b/fault-harness/src/check/attempts.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use crate::history::{Drop, Event, Kind};
+use crate::history::{ConnectionLoss, Event, Response};
 use crate::model::Ms;
 
 /// One attempt of a request at one node.
@@ -19,11 +19,11 @@
     /// When its caller stops waiting.
     pub(super) deadline: Ms,
     /// When and how it was answered.
-    pub(super) answered: Option<(Ms, Kind)>,
+    pub(super) answered: Option<(Ms, Response)>,
     /// When its caller cancelled it.
     pub(super) withdrawn_at: Option<Ms>,
     /// When and why its connection ended without an answer.
-    pub(super) dropped: Option<(Ms, Drop)>,
+    pub(super) dropped: Option<(Ms, ConnectionLoss)>,
     /// Whether the interpreter began to run it.
     pub(super) has_run: bool,
 }
@@ -45,7 +45,7 @@
 
     /// Whether it was rejected.
     pub(super) fn is_rejected(&self) -> bool {
-        matches!(self.answered, Some((_, Kind::Refused { .. })))
+        matches!(self.answered, Some((_, Response::Rejected { .. })))
     }
 }
 
@@ -69,14 +69,19 @@
     /// Takes in the events that concern attempts alone.
     pub(super) fn observe(&mut self, t: Ms, event: &Event) {
         match event {
-            Event::Asked { n, class, repeats } => {
-                self.requests.insert(*n, Request { key: repeats.unwrap_or(*n), class: *class });
+            Event::RequestSent { request, class, repeats } => {
+                let key = repeats.unwrap_or(*request);
+                self.requests.insert(*request, Request { key, class: *class });
             }
-            Event::Wrote { txn, n, node, front, due } => {
+            Event::AttemptWritten { attempt: txn, request: n, node, frontend: front, deadline: due } => {
                 self.by_id.insert(*txn, Attempt::new(*n, *node, *front, t, *due));
             }
-            Event::Withdrew { txn } => self.update(*txn, |attempt| attempt.withdrawn_at = Some(t)),
-            Event::Dropped { txn, why } => self.update(*txn, |attempt| attempt.dropped = Some((t, *why))),
+            Event::AttemptCancelled { attempt: txn } => {
+                self.update(*txn, |attempt| attempt.withdrawn_at = Some(t))
+            }
+            Event::ConnectionLost { attempt: txn, loss: why } => {
+                self.update(*txn, |attempt| attempt.dropped = Some((t, *why)))
+            }
             _ => {}
         }
     }
--- a/fault-harness/src/check/excuses.rs
+++ b/fault-harness/src/check/excuses.rs
@@ -43,16 +43,16 @@
     /// Takes in the events that begin or end an interval.
     pub(super) fn observe(&mut self, t: Ms, event: &Event) {
         match event {
-            Event::Up { node, .. } => self.killed.entry(*node).or_default().set(t, false),
+            Event::NodeUp { node, .. } => self.killed.entry(*node).or_default().set(t, false),
             // A program that exits by itself answers first what it has read: only a kill is an excuse.
-            Event::Down { node, way: ProcessExit::Killed } => {
+            Event::NodeDown { node, exit: ProcessExit::Killed } => {
                 self.killed.entry(*node).or_default().set(t, true);
             }
-            Event::Still { node, still } => self.paused.entry(*node).or_default().set(t, *still),
-            Event::Disturbed { node, front, on } => {
+            Event::Paused { node, paused: still } => self.paused.entry(*node).or_default().set(t, *still),
+            Event::LinkDisturbed { node, frontend: front, disturbed: on } => {
                 self.disturbed.entry((*node, *front)).or_default().set(t, *on);
             }
-            Event::Late { by } => self.harness_late.0.push((t - by, t)),
+            Event::HarnessDelayed { delay: by } => self.harness_late.0.push((t - by, t)),
             _ => {}
         }
     }
--- a/fault-harness/src/check/processes.rs
+++ b/fault-harness/src/check/processes.rs
@@ -31,16 +31,16 @@
     /// Checks what was seen of a node's processes.
     pub(super) fn observe_process(&mut self, t: Ms, event: &Event) {
         match event {
-            Event::Sample { node, rss_kb, files, .. } => {
+            Event::ResourceSample { node, memory_kb: rss_kb, descriptors: files, .. } => {
                 self.check_limit(t, *node, Resource::Memory, *rss_kb, self.parameters.memory_kb);
-                self.check_limit(t, *node, Resource::Descriptors, *files, self.parameters.sockets);
+                self.check_limit(t, *node, Resource::Descriptors, *files, self.parameters.descriptors);
             }
-            Event::Down { node, way } => self.check_exit(t, *node, way),
-            Event::Fell { node, text } => {
+            Event::NodeDown { node, exit: way } => self.check_exit(t, *node, way),
+            Event::InterpreterDied { node, cause: text } => {
                 let text = format!("the interpreter of n{} has died: {text}", node + 1);
                 self.breaches.record(t, Rule::LimitPassed, text);
             }
-            Event::Spoilt { node, text } => {
+            Event::Corrupted { node, text } => {
                 self.breaches.record(t, Rule::Spoilt, format!("n{}: {text}", node + 1));
             }
             _ => {}
@@ -61,11 +61,11 @@
                 let text = format!("n{} ended by itself: {status}", node + 1);
                 self.breaches.record(t, Rule::Crashed, text);
             }
-            ProcessExit::Overstayed => {
+            ProcessExit::ShutdownTimedOut => {
                 let text = format!("n{} was still there when its time to leave was over", node + 1);
                 self.breaches.record(t, Rule::LimitPassed, text);
             }
-            ProcessExit::Killed | ProcessExit::Left => {}
+            ProcessExit::Killed | ProcessExit::ShutDown => {}
         }
     }
 }
--- a/fault-harness/src/check/router.rs
+++ b/fault-harness/src/check/router.rs
@@ -49,12 +49,22 @@
 
     fn follow(&mut self, event: &Event) {
         match event {
-            Event::Role { node, active: true } => drop(self.active.insert(*node)),
-            Event::Role { node, active: false } | Event::Down { node, .. } => drop(self.active.remove(node)),
-            Event::Still { node, still: true } => drop(self.paused.insert(*node)),
-            Event::Still { node, still: false } => drop(self.paused.remove(node)),
-            Event::Peers { on: true } => self.disturbances += 1,
-            Event::Peers { on: false } => self.disturbances = self.disturbances.saturating_sub(1),
+            Event::RouterRole { node, active: true } => {
+                self.active.insert(*node);
+            }
+            Event::RouterRole { node, active: false } | Event::NodeDown { node, .. } => {
+                self.active.remove(node);
+            }
+            Event::Paused { node, paused: true } => {
+                self.paused.insert(*node);
+            }
+            Event::Paused { node, paused: false } => {
+                self.paused.remove(node);
+            }
+            Event::PeerLinksDisturbed { disturbed: true } => self.disturbances += 1,
+            Event::PeerLinksDisturbed { disturbed: false } => {
+                self.disturbances = self.disturbances.saturating_sub(1)
+            }
             _ => {}
         }
     }
--- a/fault-harness/src/check/runs.rs
+++ b/fault-harness/src/check/runs.rs
@@ -65,15 +65,15 @@
     /// Takes in the events that concern runs, and checks each run that begins.
     pub(super) fn observe_run(&mut self, t: Ms, event: &Event) {
         match event {
-            Event::Began { txn, node } => self.check_run(t, *txn, *node),
-            Event::Ended { txn, node, result: Some(result) } => {
+            Event::RunStarted { attempt: txn, node } => self.check_run(t, *txn, *node),
+            Event::RunEnded { attempt: txn, node, result: Some(result) } => {
                 let Some(key) = self.attempts.key_of(*txn) else { return };
                 let made = RunResult { node: *node, result: result.clone() };
                 self.runs.results.entry(key).or_default().push(made);
             }
-            Event::Wiped { node } => *self.runs.generations.entry(*node).or_default() += 1,
-            Event::Notice { node } => drop(self.runs.shutdown_notices.insert(*node, t)),
-            Event::Up { node, .. } => drop(self.runs.shutdown_notices.remove(node)),
+            Event::StateLost { node } => *self.runs.generations.entry(*node).or_default() += 1,
+            Event::ShutdownNotice { node } => drop(self.runs.shutdown_notices.insert(*node, t)),
+            Event::NodeUp { node, .. } => drop(self.runs.shutdown_notices.remove(node)),
             _ => {}
         }
     }
--- a/fault-harness/src/check/tests.rs
+++ b/fault-harness/src/check/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::history::{ClassParameters, Drop, Kind, Observation, ProcessExit};
+use crate::history::{ClassParameters, ConnectionLoss, Observation, ProcessExit, Response};
 use crate::scenario::RunScope;
 
 fn terms(run_once_per: RunScope) -> RuleParameters {
@@ -21,36 +21,40 @@
         run_once_per,
         slack: 150.0,
         drain_grace: 2000.0,
-        sockets: 100,
+        descriptors: 100,
         memory_kb: 1000,
-        two_active: 500.0,
+        max_dual_active: 500.0,
     }
 }
 
 fn asked(n: usize, class: usize, repeats: Option<usize>) -> Event {
-    Event::Asked { n, class, repeats }
+    Event::RequestSent { request: n, class, repeats }
 }
 
 fn wrote(txn: u64, n: usize, node: usize, due: Ms) -> Event {
-    Event::Wrote { txn, n, node, front: 0, due }
+    Event::AttemptWritten { attempt: txn, request: n, node, frontend: 0, deadline: due }
 }
 
 fn ended(txn: u64, node: usize, result: &str) -> Event {
-    Event::Ended { txn, node, result: Some(result.into()) }
+    Event::RunEnded { attempt: txn, node, result: Some(result.into()) }
 }
 
 fn served(txn: u64, result: &str) -> Event {
-    Event::Answered { txn, kind: Kind::Served(result.into()) }
+    Event::AttemptAnswered { attempt: txn, response: Response::Served(result.into()) }
 }
 
 fn refused(txn: u64) -> Event {
-    Event::Answered { txn, kind: Kind::Refused { later: None, giveup: false } }
+    Event::AttemptAnswered {
+        attempt: txn,
+        response: Response::Rejected { retry_after: None, give_up: false },
+    }
 }
 
 fn broken_in(run_once_per: RunScope, events: Vec<(Ms, Event)>) -> Vec<Rule> {
-    let mut seen: Vec<Observation> = events.into_iter().map(|(t, what)| Observation { t, what }).collect();
-    seen.push(Observation { t: 20_000.0, what: Event::Fault { text: String::new(), until: 0.0 } });
-    let verdict = check(&History { terms: terms(run_once_per), seen });
+    let mut seen: Vec<Observation> =
+        events.into_iter().map(|(at, event)| Observation { at, event }).collect();
+    seen.push(Observation { at: 20_000.0, event: Event::FaultInjected { text: String::new(), until: 0.0 } });
+    let verdict = check(&History { parameters: terms(run_once_per), observations: seen });
     verdict.breaches.into_iter().map(|breach| breach.rule).collect()
 }
 
@@ -63,7 +67,7 @@
     vec![
         (0.0, asked(0, 1, None)),
         (0.0, wrote(1, 0, 0, 1000.0)),
-        (1.0, Event::Began { txn: 1, node: 0 }),
+        (1.0, Event::RunStarted { attempt: 1, node: 0 }),
         (50.0, ended(1, 0, "r1")),
         (51.0, served(1, "r1")),
     ]
@@ -83,7 +87,7 @@
         (101.0, served(2, "r1")),
         (9000.0, asked(2, 1, Some(0))),
         (9000.0, wrote(3, 2, 0, 10_000.0)),
-        (9001.0, Event::Began { txn: 3, node: 0 }),
+        (9001.0, Event::RunStarted { attempt: 3, node: 0 }),
         (9050.0, ended(3, 0, "r3")),
         (9051.0, served(3, "r3")),
     ];
@@ -99,38 +103,55 @@
     assert_eq!(open(vec![]), [Rule::Lost]);
     assert_eq!(open(vec![(1200.0, refused(1))]), [Rule::Lost], "too late");
     assert_eq!(open(vec![(1100.0, refused(1))]), []);
-    assert_eq!(open(vec![(900.0, Event::Withdrew { txn: 1 })]), []);
-    assert_eq!(open(vec![(500.0, Event::Down { node: 0, way: ProcessExit::Killed })]), []);
-    assert_eq!(open(vec![(500.0, Event::Down { node: 0, way: ProcessExit::Left })]), [Rule::Lost], "it left");
+    assert_eq!(open(vec![(900.0, Event::AttemptCancelled { attempt: 1 })]), []);
+    assert_eq!(open(vec![(500.0, Event::NodeDown { node: 0, exit: ProcessExit::Killed })]), []);
     assert_eq!(
-        open(vec![(500.0, Event::Down { node: 1, way: ProcessExit::Killed })]),
+        open(vec![(500.0, Event::NodeDown { node: 0, exit: ProcessExit::ShutDown })]),
+        [Rule::Lost],
+        "it left"
+    );
+    assert_eq!(
+        open(vec![(500.0, Event::NodeDown { node: 1, exit: ProcessExit::Killed })]),
         [Rule::Lost],
         "another node's end is none"
     );
     assert_eq!(
         open(vec![
-            (500.0, Event::Still { node: 0, still: true }),
-            (600.0, Event::Still { node: 0, still: false })
+            (500.0, Event::Paused { node: 0, paused: true }),
+            (600.0, Event::Paused { node: 0, paused: false })
         ]),
         []
     );
     let disturbed = |front| {
         vec![
-            (10.0, Event::Disturbed { node: 0, front, on: true }),
-            (20.0, Event::Disturbed { node: 0, front, on: false }),
+            (10.0, Event::LinkDisturbed { node: 0, frontend: front, disturbed: true }),
+            (20.0, Event::LinkDisturbed { node: 0, frontend: front, disturbed: false }),
         ]
     };
     assert_eq!((open(disturbed(Some(0))), open(disturbed(None))), (vec![], vec![]));
     assert_eq!(open(disturbed(Some(1))), [Rule::Lost]);
-    assert_eq!(open(vec![(700.0, Event::Late { by: 100.0 })]), []);
-    for (why, broken) in [(Drop::Crossed, 0), (Drop::Fresh, 0), (Drop::Used, 1)] {
-        assert_eq!(open(vec![(5.0, Event::Dropped { txn: 1, why })]).len(), broken, "{why:?}");
+    assert_eq!(open(vec![(700.0, Event::HarnessDelayed { delay: 100.0 })]), []);
+    for (why, broken) in [
+        (ConnectionLoss::CrossedClose, 0),
+        (ConnectionLoss::NewConnection, 0),
+        (ConnectionLoss::UsedConnection, 1),
+    ] {
+        assert_eq!(
+            open(vec![(5.0, Event::ConnectionLost { attempt: 1, loss: why })]).len(),
+            broken,
+            "{why:?}"
+        );
     }
-    let ran =
-        vec![(4.0, Event::Began { txn: 1, node: 0 }), (5.0, Event::Dropped { txn: 1, why: Drop::Fresh })];
+    let ran = vec![
+        (4.0, Event::RunStarted { attempt: 1, node: 0 }),
+        (5.0, Event::ConnectionLost { attempt: 1, loss: ConnectionLoss::NewConnection }),
+    ];
     assert_eq!(open(ran), [Rule::Lost], "it ran");
     assert_eq!(
-        open(vec![(5.0, refused(1)), (6.0, Event::Stray { node: 0, txn: None, text: "noise".into() })]),
+        open(vec![
+            (5.0, refused(1)),
+            (6.0, Event::UnexpectedLine { node: 0, attempt: None, text: "noise".into() })
+        ]),
         [Rule::Lost]
     );
 }
@@ -138,7 +159,7 @@
 #[test]
 fn a_second_answer_is_told_wherever_it_comes() {
     assert_eq!(broken(then(vec![(60.0, served(1, "r1"))])), [Rule::AnsweredTwice]);
-    let stray = Event::Stray { node: 0, txn: Some(1), text: String::new() };
+    let stray = Event::UnexpectedLine { node: 0, attempt: Some(1), text: String::new() };
     assert_eq!(broken(then(vec![(60.0, stray)])), [Rule::AnsweredTwice]);
 }
 
@@ -148,7 +169,7 @@
         let run = vec![
             (300.0, asked(1, 1, Some(0))),
             (300.0, wrote(2, 1, node, 1300.0)),
-            (301.0, Event::Began { txn: 2, node }),
+            (301.0, Event::RunStarted { attempt: 2, node }),
             (350.0, ended(2, node, "r2")),
             (351.0, served(2, "r2")),
         ];
@@ -157,12 +178,12 @@
     assert_eq!(broken(then(again(vec![], 0))), [Rule::RunTwice]);
     let restart = || {
         vec![
-            (100.0, Event::Down { node: 0, way: ProcessExit::Killed }),
-            (200.0, Event::Up { node: 0, cold: true }),
+            (100.0, Event::NodeDown { node: 0, exit: ProcessExit::Killed }),
+            (200.0, Event::NodeUp { node: 0, cold: true }),
         ]
     };
     assert_eq!(broken(then(again(restart(), 0))), [Rule::RunTwice]);
-    let lost = restart().into_iter().chain([(150.0, Event::Wiped { node: 0 })]).collect();
+    let lost = restart().into_iter().chain([(150.0, Event::StateLost { node: 0 })]).collect();
     assert_eq!(broken(then(again(lost, 0))), []);
     assert_eq!(broken(then(again(vec![], 1))), []);
     assert_eq!(broken_in(RunScope::Fleet, then(again(vec![], 1))), [Rule::RunTwiceInFleet]);
@@ -172,18 +193,24 @@
 fn a_refusal_of_what_ran_or_runs_later_is_told() {
     let begin = || vec![(0.0, asked(0, 0, None)), (0.0, wrote(1, 0, 0, 1000.0))];
     let with = |more: Vec<(Ms, Event)>| broken(begin().into_iter().chain(more).collect());
-    assert_eq!(with(vec![(1.0, Event::Began { txn: 1, node: 0 }), (9.0, refused(1))]), [Rule::RefusedAndRan]);
-    assert_eq!(with(vec![(1.0, refused(1)), (9.0, Event::Began { txn: 1, node: 0 })]), [Rule::RefusedAndRan]);
+    assert_eq!(
+        with(vec![(1.0, Event::RunStarted { attempt: 1, node: 0 }), (9.0, refused(1))]),
+        [Rule::RefusedAndRan]
+    );
+    assert_eq!(
+        with(vec![(1.0, refused(1)), (9.0, Event::RunStarted { attempt: 1, node: 0 })]),
+        [Rule::RefusedAndRan]
+    );
 }
 
 #[test]
 fn what_comes_too_long_after_the_notice_to_leave_must_not_run() {
     let run = |at: Ms| {
         broken(vec![
-            (0.0, Event::Notice { node: 0 }),
+            (0.0, Event::ShutdownNotice { node: 0 }),
             (at, asked(0, 0, None)),
             (at, wrote(1, 0, 0, at + 1000.0)),
-            (at + 1.0, Event::Began { txn: 1, node: 0 }),
+            (at + 1.0, Event::RunStarted { attempt: 1, node: 0 }),
             (at + 2.0, ended(1, 0, "r")),
             (at + 3.0, served(1, "r")),
         ])
@@ -202,7 +229,7 @@
     assert_eq!(broken(then(elsewhere.clone())), [Rule::ForeignResult], "another node's");
     assert_eq!(broken_in(RunScope::Fleet, then(elsewhere)), [], "the fleet's is as good");
     let kept = vec![
-        (60.0, Event::Wiped { node: 0 }),
+        (60.0, Event::StateLost { node: 0 }),
         (100.0, asked(1, 1, Some(0))),
         (100.0, wrote(2, 1, 0, 1100.0)),
         (101.0, served(2, "r1")),
@@ -212,23 +239,29 @@
 
 #[test]
 fn two_with_the_role_of_one_router_are_told_unless_they_could_not_hear_each_other() {
-    let role = |node, active| Event::Role { node, active };
+    let role = |node, active| Event::RouterRole { node, active };
     let two = |more: Vec<(Ms, Event)>| {
         let begin = vec![(0.0, role(0, true)), (100.0, role(1, true))];
         broken(begin.into_iter().chain(more).collect())
     };
     assert_eq!(two(vec![]), [Rule::TwoActive]);
     assert_eq!(two(vec![(500.0, role(1, false))]), []);
-    assert_eq!(two(vec![(500.0, Event::Down { node: 0, way: ProcessExit::Killed })]), []);
-    let apart = || vec![(200.0, Event::Peers { on: true }), (9000.0, Event::Peers { on: false })];
+    assert_eq!(two(vec![(500.0, Event::NodeDown { node: 0, exit: ProcessExit::Killed })]), []);
+    let apart = || {
+        vec![
+            (200.0, Event::PeerLinksDisturbed { disturbed: true }),
+            (9000.0, Event::PeerLinksDisturbed { disturbed: false }),
+        ]
+    };
     assert_eq!(two(apart()), [Rule::TwoActive], "still two long after they hear each other again");
     assert_eq!(two(apart().into_iter().chain([(9300.0, role(1, false))]).collect()), []);
-    assert_eq!(two(vec![(200.0, Event::Still { node: 0, still: true })]), []);
+    assert_eq!(two(vec![(200.0, Event::Paused { node: 0, paused: true })]), []);
 }
 
 #[test]
 fn limits_crashes_and_spoilt_commands_are_told() {
-    let sample = |rss_kb, files| Event::Sample { node: 0, rss_kb, files, cpu_ms: 1 };
+    let sample =
+        |rss_kb, files| Event::ResourceSample { node: 0, memory_kb: rss_kb, descriptors: files, cpu_ms: 1 };
     assert_eq!(broken(vec![(1.0, sample(900, 90))]), []);
     assert_eq!(
         broken(vec![(1.0, sample(1100, 90)), (2.0, sample(1200, 90))]),
@@ -236,15 +269,22 @@
         "told once"
     );
     assert_eq!(broken(vec![(1.0, sample(900, 101))]), [Rule::LimitPassed]);
-    assert_eq!(broken(vec![(1.0, Event::Fell { node: 0, text: "x".into() })]), [Rule::LimitPassed]);
     assert_eq!(
-        broken(vec![(1.0, Event::Down { node: 0, way: ProcessExit::Overstayed })]),
+        broken(vec![(1.0, Event::InterpreterDied { node: 0, cause: "x".into() })]),
         [Rule::LimitPassed]
     );
     assert_eq!(
-        broken(vec![(1.0, Event::Down { node: 0, way: ProcessExit::Crashed("1".into()) })]),
+        broken(vec![(1.0, Event::NodeDown { node: 0, exit: ProcessExit::ShutdownTimedOut })]),
+        [Rule::LimitPassed]
+    );
+    assert_eq!(
+        broken(vec![(1.0, Event::NodeDown { node: 0, exit: ProcessExit::Crashed("1".into()) })]),
         [Rule::Crashed]
     );
-    assert_eq!(broken(vec![(1.0, Event::Spoilt { node: 0, text: "x".into() })]), [Rule::Spoilt]);
-    assert_eq!(broken(vec![(1.0, Event::Began { txn: 7, node: 0 })]), [Rule::Spoilt], "never written");
+    assert_eq!(broken(vec![(1.0, Event::Corrupted { node: 0, text: "x".into() })]), [Rule::Spoilt]);
+    assert_eq!(
+        broken(vec![(1.0, Event::RunStarted { attempt: 7, node: 0 })]),
+        [Rule::Spoilt],
+        "never written"
+    );
 }
--- a/fault-harness/src/main.rs
+++ b/fault-harness/src/main.rs
@@ -277,7 +277,7 @@
 fn check_one(arguments: &Check) -> Result<usize, String> {
     let history =
         History::read(&arguments.history).map_err(|e| format!("{}: {e}", arguments.history.display()))?;
-    let outcome = Outcome::of(&history.terms.scenario, &history, None);
+    let outcome = Outcome::of(&history.parameters.scenario, &history, None);
     print!("{}", report::rows(std::slice::from_ref(&outcome)));
     print_outcomes(&[outcome], None)
 }
--- a/fault-harness/src/model/frontend.rs
+++ b/fault-harness/src/model/frontend.rs
@@ -108,18 +108,21 @@
 
 /// How a client's request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-#[serde(rename_all = "lowercase")]
-pub enum End {
+#[serde(rename_all = "snake_case")]
+pub enum RequestOutcome {
     /// Served.
     Served,
-    /// Served without its call.
-    Poorer,
-    /// Refused.
-    Refused,
+    /// Served without the call of the dependency.
+    #[serde(alias = "poorer")]
+    Degraded,
+    /// Rejected by the last attempt, or by the frontend.
+    #[serde(alias = "refused")]
+    Rejected,
     /// Failed.
     Failed,
     /// No answer in time.
-    Silent,
+    #[serde(alias = "silent")]
+    TimedOut,
 }
 
 /// What is to be done next.
@@ -130,7 +133,7 @@
     /// Wait until then.
     Wait(Ms),
     /// It is over.
-    Over(End),
+    Over(RequestOutcome),
 }
 
 /// Where a request has to go.
@@ -166,7 +169,7 @@
     tried: Vec<usize>,
     retries: i64,
     client_retries: u32,
-    last: End,
+    last: RequestOutcome,
 }
 
 impl Journey {
@@ -178,7 +181,7 @@
             tried: Vec::new(),
             retries: front.retries,
             client_retries: front.client_retries,
-            last: End::Refused,
+            last: RequestOutcome::Rejected,
         }
     }
 
@@ -214,10 +217,12 @@
     ) -> Step {
         front.out[node] = front.out[node].saturating_sub(1);
         match answer {
-            Answer::Served { poorer } => return Step::Over(if poorer { End::Poorer } else { End::Served }),
-            Answer::Silent => return Step::Over(End::Silent),
-            Answer::Refused { .. } => self.last = End::Refused,
-            Answer::Failed | Answer::Gone => self.last = End::Failed,
+            Answer::Served { poorer } => {
+                return Step::Over(if poorer { RequestOutcome::Degraded } else { RequestOutcome::Served })
+            }
+            Answer::Silent => return Step::Over(RequestOutcome::TimedOut),
+            Answer::Refused { .. } => self.last = RequestOutcome::Rejected,
+            Answer::Failed | Answer::Gone => self.last = RequestOutcome::Failed,
         }
         if self.pin != Pin::Free {
             return Step::Over(self.last);
--- a/fault-harness/src/model/frontend/tests.rs
+++ b/fault-harness/src/model/frontend/tests.rs
@@ -20,7 +20,7 @@
     assert_eq!(journey.go(0.0, &mut front, &ALL), Step::Try(0));
     assert_eq!(journey.answered(1.0, 0, NO, &mut front, &ALL), Step::Try(1));
     assert_eq!(journey.answered(2.0, 1, NO, &mut front, &ALL), Step::Try(2));
-    assert_eq!(journey.answered(3.0, 2, NO, &mut front, &ALL), Step::Over(End::Refused));
+    assert_eq!(journey.answered(3.0, 2, NO, &mut front, &ALL), Step::Over(RequestOutcome::Rejected));
 }
 
 #[test]
@@ -44,7 +44,7 @@
     front.away = vec![0.0, 500.0, 500.0];
     let mut journey = Journey::new(1000.0, Pin::Free, &front);
     assert_eq!(journey.go(0.0, &mut front, &ALL), Step::Try(0));
-    assert_eq!(journey.answered(1.0, 0, NO, &mut front, &ALL), Step::Over(End::Refused));
+    assert_eq!(journey.answered(1.0, 0, NO, &mut front, &ALL), Step::Over(RequestOutcome::Rejected));
 }
 
 #[test]
@@ -65,7 +65,7 @@
             Step::Over(end) => break end,
         };
     };
-    assert!(end == End::Failed && tries > 10 && now < 1000.0, "{tries} tries until {now}");
+    assert!(end == RequestOutcome::Failed && tries > 10 && now < 1000.0, "{tries} tries until {now}");
 }
 
 #[test]
@@ -77,18 +77,18 @@
         panic!("the client asks again")
     };
     assert_eq!(journey.go(until, &mut front, &ALL), Step::Try(1));
-    assert_eq!(journey.answered(until, 1, NO, &mut front, &ALL), Step::Over(End::Refused));
+    assert_eq!(journey.answered(until, 1, NO, &mut front, &ALL), Step::Over(RequestOutcome::Rejected));
     let mut repeat = Journey::new(1000.0, Pin::To(2), &front);
     assert_eq!(repeat.go(0.0, &mut front, &ALL), Step::Try(2));
-    assert_eq!(repeat.answered(1.0, 2, NO, &mut front, &ALL), Step::Over(End::Refused));
+    assert_eq!(repeat.answered(1.0, 2, NO, &mut front, &ALL), Step::Over(RequestOutcome::Rejected));
     let mut elsewhere = Journey::new(1000.0, Pin::Not(2), &front);
     assert!(matches!(elsewhere.go(0.0, &mut front, &ALL), Step::Try(0 | 1)));
-    assert_eq!(elsewhere.go(0.0, &mut front, &[false, false, true]), Step::Over(End::Refused));
+    assert_eq!(elsewhere.go(0.0, &mut front, &[false, false, true]), Step::Over(RequestOutcome::Rejected));
 }
 
 #[test]
 fn with_nobody_on_the_list_the_front_end_turns_it_away_itself() {
     let mut front = front(Frontends { client_retries: 0, ..Frontends::default() }, false);
     let mut journey = Journey::new(1000.0, Pin::Free, &front);
-    assert_eq!(journey.go(0.0, &mut front, &[false; 3]), Step::Over(End::Refused));
+    assert_eq!(journey.go(0.0, &mut front, &[false; 3]), Step::Over(RequestOutcome::Rejected));
 }
--- a/fault-harness/src/node.rs
+++ b/fault-harness/src/node.rs
@@ -166,7 +166,7 @@
                         ["HB", name, "OUT"] if name == self.name() => false,
                         _ => {
                             let text = format!("a report that is none: {words}");
-                            self.context.note(Event::Spoilt { node: self.node, text });
+                            self.context.note(Event::Corrupted { node: self.node, text });
                             continue;
                         }
                     };
@@ -256,14 +256,14 @@
             self.can_vote.set(true);
         }
         if let Some(text) = line.fleet {
-            self.context.note(Event::Said { node: self.node, text });
+            self.context.note(Event::FleetLogged { node: self.node, text });
         }
         if let Some(active) = line.router_active {
-            self.context.note(Event::Role { node: self.node, active });
+            self.context.note(Event::RouterRole { node: self.node, active });
         }
         if let Some(address) = line.serving_at {
             self.address.send_replace(Some(address));
-            self.context.note(Event::Up { node: self.node, cold: self.interpreter.cold() });
+            self.context.note(Event::NodeUp { node: self.node, cold: self.interpreter.cold() });
         }
     }
 
--- a/fault-harness/src/node/lifecycle.rs
+++ b/fault-harness/src/node/lifecycle.rs
@@ -45,23 +45,23 @@
             (Some(Ending::Over), _) => return,
             // That was noted when it was killed.
             (Some(Ending::Killed), _) => None,
-            (Some(Ending::Leaving), Some(status)) if status.success() => Some(ProcessExit::Left),
+            (Some(Ending::Leaving), Some(status)) if status.success() => Some(ProcessExit::ShutDown),
             (_, status) => {
                 Some(ProcessExit::Crashed(status.map_or("unknown".into(), |status| status.to_string())))
             }
         };
         self.interpreter.end();
         if let Some(way) = way {
-            self.context.note(Event::Down { node: self.node, way });
+            self.context.note(Event::NodeDown { node: self.node, exit: way });
         }
         let Some(planned) = self.planned_restart.borrow_mut().take() else { return };
         let machine = self.clone();
         spawn_local(async move {
             machine.context.clock.until(machine.context.now() + planned.after).await;
             if let Err(e) = machine.restart(&planned) {
-                machine.context.note(Event::Down {
+                machine.context.note(Event::NodeDown {
                     node: machine.node,
-                    way: ProcessExit::Crashed(format!("not started again: {e}")),
+                    exit: ProcessExit::Crashed(format!("not started again: {e}")),
                 });
             }
         });
@@ -77,7 +77,7 @@
         }
         self.state_folders.prepare(planned.folder, planned.draw)?;
         if planned.folder != StoredState::Intact || !self.context.scenario.fleet.folder {
-            self.context.note(Event::Wiped { node: self.node });
+            self.context.note(Event::StateLost { node: self.node });
         }
         self.interpreter.start();
         self.start()
@@ -105,7 +105,7 @@
             let _ = program.signal(Signal::KILL);
             if ending == Ending::Killed {
                 // Noted before its connections are seen to end.
-                self.context.note(Event::Down { node: self.node, way: ProcessExit::Killed });
+                self.context.note(Event::NodeDown { node: self.node, exit: ProcessExit::Killed });
                 self.address.send_replace(None);
             }
         }
@@ -122,12 +122,14 @@
         };
         self.plan_restart(down, fault, draw);
         self.ending.set(Some(Ending::Leaving));
-        self.context.note(Event::Notice { node: self.node });
+        self.context.note(Event::ShutdownNotice { node: self.node });
         let (machine, stop) = (self.clone(), self.context.now() + self.context.scenario.fleet.stop_ms as f64);
         spawn_local(async move {
             machine.context.clock.until(stop).await;
             if machine.program.borrow().as_ref().is_some_and(|program| program.id() == id) {
-                machine.context.note(Event::Down { node: machine.node, way: ProcessExit::Overstayed });
+                machine
+                    .context
+                    .note(Event::NodeDown { node: machine.node, exit: ProcessExit::ShutdownTimedOut });
                 machine.end(Ending::Killed);
             }
         });
@@ -150,7 +152,7 @@
         if !program_only {
             self.interpreter.set_paused(paused);
         }
-        self.context.note(Event::Still { node: self.node, still: paused });
+        self.context.note(Event::Paused { node: self.node, paused });
     }
 
     /// Notes what its program takes, and ends it where its interpreter has died.
@@ -159,7 +161,12 @@
         let usage = self.program.borrow().as_ref().filter(|_| self.has_logged.get()).and_then(Program::usage);
         if let Some(usage) = usage {
             let (rss_kb, files, cpu_ms) = (usage.rss_kb, usage.files, usage.cpu_ms);
-            self.context.note(Event::Sample { node: self.node, rss_kb, files, cpu_ms });
+            self.context.note(Event::ResourceSample {
+                node: self.node,
+                memory_kb: rss_kb,
+                descriptors: files,
+                cpu_ms,
+            });
         }
         if self.interpreter.fallen().is_some() {
             *self.planned_restart.borrow_mut() = Some(PlannedRestart {
--- a/fault-harness/src/play/disturbance.rs
+++ b/fault-harness/src/play/disturbance.rs
@@ -42,13 +42,17 @@
 
     fn note_clients(&self, on: bool, context: &PlayContext) {
         for link in self.services.iter().filter_map(|(_, link)| *link) {
-            context.note(Event::Disturbed { node: link.node, front: Some(link.frontend), on });
+            context.note(Event::LinkDisturbed {
+                node: link.node,
+                frontend: Some(link.frontend),
+                disturbed: on,
+            });
         }
     }
 
     fn note_peers(&self, on: bool, context: &PlayContext) {
         if !self.peers.is_empty() {
-            context.note(Event::Peers { on });
+            context.note(Event::PeerLinksDisturbed { disturbed: on });
         }
     }
 }
--- a/fault-harness/src/play/faults.rs
+++ b/fault-harness/src/play/faults.rs
@@ -64,7 +64,7 @@
         let lasts = fault.duration_s.unwrap_or(0.0) * 1000.0;
         let down = fault.down_s.map(|seconds| seconds * 1000.0);
         let until = self.context.now() + lasts.max(down.unwrap_or(0.0));
-        self.context.note(Event::Fault { text: describe(strike), until });
+        self.context.note(Event::FaultInjected { text: describe(strike), until });
         let struck = || self.machines_of(strike);
         match fault.what {
             FaultKind::Kill => struck().for_each(|machine| machine.kill(down, fault, strike.draw)),
--- a/fault-harness/src/play/monitoring.rs
+++ b/fault-harness/src/play/monitoring.rs
@@ -34,7 +34,7 @@
         context.clock.until(expected).await;
         let by = context.now() - expected;
         if by > LATE_THRESHOLD {
-            context.note(Event::Late { by });
+            context.note(Event::HarnessDelayed { delay: by });
         }
     }
 }
--- a/fault-harness/src/play_context.rs
+++ b/fault-harness/src/play_context.rs
@@ -67,7 +67,7 @@
 
     /// Keeps what was seen.
     pub fn note(&self, what: Event) {
-        self.seen.borrow_mut().push(Observation { t: self.now(), what });
+        self.seen.borrow_mut().push(Observation { at: self.now(), event: what });
     }
 
     /// An attempt is about to be written.
@@ -116,14 +116,14 @@
         let begun = self.begun.get();
         let mut seen = std::mem::take(&mut *self.seen.borrow_mut());
         for entry in &mut seen {
-            entry.t -= begun;
-            match &mut entry.what {
-                Event::Wrote { due, .. } => *due -= begun,
-                Event::Fault { until, .. } => *until -= begun,
+            entry.at -= begun;
+            match &mut entry.event {
+                Event::AttemptWritten { deadline: due, .. } => *due -= begun,
+                Event::FaultInjected { until, .. } => *until -= begun,
                 _ => {}
             }
         }
-        History { terms: terms(&self.scenario, self.seed), seen }
+        History { parameters: terms(&self.scenario, self.seed), observations: seen }
     }
 }
 
@@ -153,10 +153,10 @@
         run_once_per: scenario.rules.run_once_per,
         slack: scenario.rules.slack_ms,
         drain_grace: crate::settings::DRAIN_GRACE_MS,
-        sockets: scenario.fleet.sockets,
+        descriptors: scenario.fleet.sockets,
         memory_kb: scenario.fleet.memory_mb * 1024,
         // A node that hears a higher priority gives way at once; it is heard within an interval.
-        two_active: scenario.fleet.vrrp.as_ref().map_or(0.0, |vrrp| 2.0 * vrrp.interval_ms as f64)
+        max_dual_active: scenario.fleet.vrrp.as_ref().map_or(0.0, |vrrp| 2.0 * vrrp.interval_ms as f64)
             + scenario.rules.slack_ms,
     }
 }
--- a/fault-harness/src/predict.rs
+++ b/fault-harness/src/predict.rs
@@ -48,7 +48,7 @@
     dependency: Option<Below>,
     rng: ChaCha8Rng,
     members: Members,
-    seen: Vec<Observation>,
+    observations: Vec<Observation>,
 }
 
 /// Plays a scenario in virtual time and returns what would be seen.
@@ -58,7 +58,7 @@
     prediction.report();
     prediction.now = 0.0;
     prediction.run();
-    History { terms: terms(scenario, seed), seen: prediction.seen }
+    History { parameters: terms(scenario, seed), observations: prediction.observations }
 }
 
 impl<'a> Prediction<'a> {
@@ -91,13 +91,13 @@
             dependency: scenario.dependency.as_ref().map(|below| Below::new(below.slots, below.queue)),
             rng: generator(seed, Stream::Calls, 0),
             members: Members::new(scenario.fleet.nodes, scenario.registry.heartbeat_timeout_s * 1000.0),
-            seen: Vec::new(),
+            observations: Vec::new(),
             schedule,
         }
     }
 
     fn note(&mut self, what: Event) {
-        self.seen.push(Observation { t: self.now, what });
+        self.observations.push(Observation { at: self.now, event: what });
     }
 
     fn run(&mut self) {
--- a/fault-harness/src/predict/clients.rs
+++ b/fault-harness/src/predict/clients.rs
@@ -16,7 +16,7 @@
     /// A client sends a request.
     pub(super) fn send(&mut self, request: usize) {
         let sent = self.schedule.requests[request].clone();
-        self.note(Event::Asked { n: request, class: sent.class, repeats: sent.repeats });
+        self.note(Event::RequestSent { request, class: sent.class, repeats: sent.repeats });
         let first_node = sent.repeats.and_then(|first| self.first_nodes.get(&first).copied());
         let pin = Pin::of(sent.repeats.is_some(), first_node, self.scenario.load.repeat_at);
         let deadline = self.now + self.scenario.classes[sent.class].deadline_ms as f64;
@@ -50,7 +50,7 @@
             Step::Over(end) => {
                 let tries = open.attempts;
                 self.open_requests.remove(&request);
-                self.note(Event::Over { n: request, end, tries });
+                self.note(Event::RequestEnded { request, outcome: end, attempts: tries });
             }
         }
     }
--- a/fault-harness/src/predict/faults.rs
+++ b/fault-harness/src/predict/faults.rs
@@ -16,7 +16,7 @@
         let lasts = duration_s.or(down_s).unwrap_or(0.0) * 1000.0;
         let text = format!("{} {}", what.name(), strike.whom.len());
         let until = self.now + lasts;
-        self.note(Event::Fault { text, until });
+        self.note(Event::FaultInjected { text, until });
         if duration_s.is_some() {
             self.queue.schedule(until, ScheduledEvent::FaultEnd(position));
         }
@@ -46,7 +46,7 @@
             }
             FaultKind::Pause => {
                 self.nodes[node].is_paused = on;
-                self.note(Event::Still { node, still: on });
+                self.note(Event::Paused { node, paused: on });
                 let happened = self.nodes[node].vm.set_paused(self.now, on);
                 self.take_in(node, happened);
             }
@@ -64,8 +64,8 @@
         if !self.nodes[node].is_up {
             return;
         }
-        self.note(Event::Down { node, way: ProcessExit::Killed });
-        self.note(Event::Wiped { node });
+        self.note(Event::NodeDown { node, exit: ProcessExit::Killed });
+        self.note(Event::StateLost { node });
         let now = self.now;
         let vm = self.cold_interpreter(node);
         let place = &mut self.nodes[node];
@@ -94,7 +94,7 @@
     pub(super) fn restart(&mut self, node: usize) {
         self.nodes[node].vm = self.cold_interpreter(node);
         self.nodes[node].is_up = true;
-        self.note(Event::Up { node, cold: true });
+        self.note(Event::NodeUp { node, cold: true });
         self.report();
     }
 
--- a/fault-harness/src/predict/server.rs
+++ b/fault-harness/src/predict/server.rs
@@ -4,7 +4,7 @@
 
 use super::event_queue::ScheduledEvent;
 use super::Prediction;
-use crate::history::{Event, Kind};
+use crate::history::{Event, Response};
 use crate::model::dependency::Ended;
 use crate::model::frontend::Answer;
 use crate::model::interpreter::{InterpreterEvent, InterpreterModel, Work};
@@ -77,7 +77,7 @@
     pub(super) fn time_out(&mut self, id: u64) {
         let Some(attempt) = self.attempts.get_mut(&id).filter(|attempt| attempt.is_open) else { return };
         if attempt.is_read {
-            return self.answer(id, Kind::Failed, Answer::Failed);
+            return self.answer(id, Response::Failed, Answer::Failed);
         }
         attempt.is_open = false;
         let (request, node) = (attempt.request, attempt.node);
@@ -94,14 +94,14 @@
         let sent = &self.schedule.requests[request];
         let (key, memory_kb, frontend) = (sent.repeats.unwrap_or(request), sent.kb, sent.front);
         let is_keyed = self.scenario.classes[sent.class].idempotency_key;
-        self.note(Event::Wrote { txn: id, n: request, node, front: frontend, due: deadline });
+        self.note(Event::AttemptWritten { attempt: id, request, node, frontend, deadline });
         self.nodes[node].vm.hold(self.now, id, memory_kb);
         let known = if is_keyed { self.nodes[node].keys.get_mut(&key) } else { None };
         match known {
             Some(KeyState::Done(result)) => {
                 let result = result.clone();
                 let poorer = result.ends_with(" poorer");
-                self.answer(id, Kind::Served(result), Answer::Served { poorer });
+                self.answer(id, Response::Served(result), Answer::Served { poorer });
             }
             Some(KeyState::Running(waiting)) => waiting.push(id),
             None => self.enqueue(id, node, is_keyed.then_some(key)),
@@ -114,7 +114,7 @@
         let capacity = QUEUE_PER_CORE * self.scenario.fleet.cores as usize;
         let place = &mut self.nodes[node];
         if place.queue.len() >= capacity {
-            let rejected = Kind::Refused { later: Some(RETRY_AFTER), giveup: false };
+            let rejected = Response::Rejected { retry_after: Some(RETRY_AFTER), give_up: false };
             let answer = Answer::Refused { later: Some(RETRY_AFTER), giveup: false };
             return self.answer(id, rejected, answer);
         }
@@ -132,7 +132,7 @@
             let sent = &self.schedule.requests[attempt.request];
             let work =
                 Work { txn: id, work: sent.work, calls: self.scenario.classes[sent.class].calls_dependency };
-            self.note(Event::Began { txn: id, node });
+            self.note(Event::RunStarted { attempt: id, node });
             let happened = self.nodes[node].vm.run(self.now, work);
             self.take_in(node, happened);
         }
@@ -153,7 +153,7 @@
                 InterpreterEvent::Aborted(id) => self.run_over(node, id, None),
                 InterpreterEvent::AtCall(id) => self.call(node, id),
                 InterpreterEvent::Fell(why) => {
-                    self.note(Event::Fell { node, text: why.into() });
+                    self.note(Event::InterpreterDied { node, cause: why.into() });
                     self.take_down(node, Some(RESTART_DELAY));
                 }
             }
@@ -165,7 +165,7 @@
 
     /// A run is over: its attempt is answered, and all that joined it.
     fn run_over(&mut self, node: usize, id: u64, result: Option<String>) {
-        self.note(Event::Ended { txn: id, node, result: result.clone() });
+        self.note(Event::RunEnded { attempt: id, node, result: result.clone() });
         let Some(attempt) = self.attempts.get(&id) else { return };
         let request = attempt.request;
         let key = self.schedule.requests[request].repeats.unwrap_or(request);
@@ -173,9 +173,9 @@
         for id in joined.into_iter().chain([id]) {
             match &result {
                 Some(result) => {
-                    self.answer(id, Kind::Served(result.clone()), Answer::Served { poorer: false });
+                    self.answer(id, Response::Served(result.clone()), Answer::Served { poorer: false });
                 }
-                None => self.answer(id, Kind::Failed, Answer::Failed),
+                None => self.answer(id, Response::Failed, Answer::Failed),
             }
         }
     }
@@ -205,7 +205,7 @@
         let time = call_time(&mut self.rng, shape.work_ms, shape.cv);
         let now = self.now;
         if self.dependency.as_mut().is_some_and(|dependency| dependency.call(now, id, time, deadline)) {
-            self.note(Event::Called { txn: id, node });
+            self.note(Event::DependencyCalled { attempt: id, node });
         } else {
             self.call_over(Ended::Slow(id));
         }
@@ -221,18 +221,18 @@
         let node = attempt.node;
         let class = &self.scenario.classes[self.schedule.requests[attempt.request].class];
         if !is_done && class.skip_weight <= 0.0 {
-            self.answer(id, Kind::Failed, Answer::Failed);
+            self.answer(id, Response::Failed, Answer::Failed);
         }
         let happened = self.nodes[node].vm.go_on(self.now, id);
         self.take_in(node, happened);
     }
 
     /// Answers an attempt whose caller still waits.
-    fn answer(&mut self, id: u64, kind: Kind, answer: Answer) {
+    fn answer(&mut self, id: u64, kind: Response, answer: Answer) {
         let Some(attempt) = self.attempts.get_mut(&id).filter(|attempt| attempt.is_open) else { return };
         attempt.is_open = false;
         let (request, node) = (attempt.request, attempt.node);
-        self.note(Event::Answered { txn: id, kind });
+        self.note(Event::AttemptAnswered { attempt: id, response: kind });
         let happened = self.nodes[node].vm.over(self.now, id);
         self.attempt_over(request, node, answer);
         self.take_in(node, happened);
--- a/fault-harness/src/report.rs
+++ b/fault-harness/src/report.rs
@@ -38,8 +38,8 @@
     pub fn of(label: &str, history: &History, floor: Option<f64>) -> Outcome {
         Outcome {
             label: label.into(),
-            scenario: history.terms.scenario.clone(),
-            seed: history.terms.seed,
+            scenario: history.parameters.scenario.clone(),
+            seed: history.parameters.seed,
             verdict: check(history),
             figures: statistics(history),
             floor,
--- a/fault-harness/src/stand_in/dependency.rs
+++ b/fault-harness/src/stand_in/dependency.rs
@@ -158,7 +158,7 @@
             let _ = reply.try_send(format!("{id:016x} SHED\r\n"));
             return None;
         }
-        self.context.note(Event::Called { txn: id, node });
+        self.context.note(Event::DependencyCalled { attempt: id, node });
         self.calls
             .borrow_mut()
             .insert(number, Call { node, txn: id, interpreter: interpreter.clone(), reply: reply.clone() });
--- a/fault-harness/src/stand_in/frontends.rs
+++ b/fault-harness/src/stand_in/frontends.rs
@@ -108,7 +108,7 @@
         let ask = &self.context.schedule.requests[n];
         let class = &self.context.scenario.classes[ask.class];
         let asked = self.context.now();
-        self.context.note(Event::Asked { n, class: ask.class, repeats: ask.repeats });
+        self.context.note(Event::RequestSent { request: n, class: ask.class, repeats: ask.repeats });
         let first = ask.repeats.and_then(|first| self.first_nodes.borrow().get(&first).copied());
         let pin = Pin::of(ask.repeats.is_some(), first, self.context.scenario.load.repeat_at);
         let due = asked + class.deadline_ms as f64;
@@ -132,7 +132,7 @@
                 Step::Over(end) => break end,
             };
         };
-        self.context.note(Event::Over { n, end, tries: attempts });
+        self.context.note(Event::RequestEnded { request: n, outcome: end, attempts });
     }
 
     /// One attempt at a node. It is sent again, once, if it crosses a close.
@@ -165,7 +165,13 @@
         let open = OpenAttempt { txn, written_at: now, was_alone, reply: Some(reply) };
         connection.open.borrow_mut().insert(id, open);
         context.writes(txn, Written { n, node });
-        context.note(Event::Wrote { txn, n, node, front: self.number, due });
+        context.note(Event::AttemptWritten {
+            attempt: txn,
+            request: n,
+            node,
+            frontend: self.number,
+            deadline: due,
+        });
         self.nodes[node].interpreter.holds(txn, context.schedule.requests[n].kb);
         context.happened(node, NodeEvent::AttemptWritten);
         // Where the connection has ended meanwhile, its end answers.
@@ -229,7 +235,7 @@
 
     /// Tells the node that nobody waits for an attempt any more.
     fn withdraw(&self, connection: &Connection, id: u64, txn: u64, out: &mpsc::Sender<String>) {
-        self.context.note(Event::Withdrew { txn });
+        self.context.note(Event::AttemptCancelled { attempt: txn });
         self.nodes[connection.node].interpreter.over(txn);
         if let Some(open) = connection.open.borrow_mut().get_mut(&id) {
             open.reply = None;
@@ -254,7 +260,7 @@
         }
         let address = (*endpoints.address.borrow()).ok_or(std::io::ErrorKind::ConnectionRefused)?;
         let stream = endpoints.lines[self.number].open(address).await?;
-        self.context.note(Event::Connected { node, front: self.number });
+        self.context.note(Event::ConnectionOpened { node, frontend: self.number });
         endpoints.interpreter.connected();
         let (out, lines) = mpsc::channel(WRITE_QUEUE);
         let connection = Rc::new(Connection {
@@ -296,7 +302,7 @@
             connection.is_draining.set(true);
             connection.out.borrow_mut().take();
             for open in std::mem::take(&mut *connection.open.borrow_mut()).into_values() {
-                self.context.note(Event::Withdrew { txn: open.txn });
+                self.context.note(Event::AttemptCancelled { attempt: open.txn });
                 self.nodes[connection.node].interpreter.over(open.txn);
                 if let Some(reply) = open.reply {
                     // Its client may have stopped waiting.
--- a/fault-harness/src/stand_in/frontends/connection.rs
+++ b/fault-harness/src/stand_in/frontends/connection.rs
@@ -10,7 +10,7 @@
 use tokio::sync::{mpsc, oneshot};
 
 use super::Interpreter;
-use crate::history::{Drop, Event, Kind};
+use crate::history::{ConnectionLoss, Event, Response};
 use crate::model::frontend::Answer;
 use crate::model::Ms;
 use crate::play_context::PlayContext;
@@ -93,11 +93,11 @@
             let answered = !self.answered.borrow().is_empty();
             let crossed = answered && open.was_alone && now - open.written_at <= CROSSING_TOLERANCE;
             let why = match (crossed, answered) {
-                (true, _) => Drop::Crossed,
-                (false, true) => Drop::Used,
-                (false, false) => Drop::Fresh,
+                (true, _) => ConnectionLoss::CrossedClose,
+                (false, true) => ConnectionLoss::UsedConnection,
+                (false, false) => ConnectionLoss::NewConnection,
             };
-            context.note(Event::Dropped { txn: open.txn, why });
+            context.note(Event::ConnectionLost { attempt: open.txn, loss: why });
             if !crossed {
                 // Its client may have stopped waiting.
                 let _ = reply.send(Answer::Gone);
@@ -113,15 +113,17 @@
                 match BASE64.decode(&content).ok().and_then(|bytes| String::from_utf8(bytes).ok()) {
                     Some(result) => {
                         let poorer = result.ends_with(" poorer");
-                        (id, Kind::Served(result), Answer::Served { poorer })
+                        (id, Response::Served(result), Answer::Served { poorer })
                     }
                     None => return self.record_stray(context, None, line),
                 }
             }
-            NodeMessage::Refused(id, later, giveup) => {
-                (id, Kind::Refused { later, giveup }, Answer::Refused { later, giveup })
-            }
-            NodeMessage::Failed(id) => (id, Kind::Failed, Answer::Failed),
+            NodeMessage::Refused(id, later, giveup) => (
+                id,
+                Response::Rejected { retry_after: later, give_up: giveup },
+                Answer::Refused { later, giveup },
+            ),
+            NodeMessage::Failed(id) => (id, Response::Failed, Answer::Failed),
             NodeMessage::Status(..) | NodeMessage::Noise => return self.record_stray(context, None, line),
         };
         let Some(open) = self.open.borrow_mut().remove(&id) else {
@@ -129,10 +131,10 @@
             return self.record_stray(context, txn, line);
         };
         self.answered.borrow_mut().insert(id, open.txn);
-        if matches!(kind, Kind::Served(_)) {
+        if matches!(kind, Response::Served(_)) {
             context.happened(self.node, NodeEvent::AttemptServed);
         }
-        context.note(Event::Answered { txn: open.txn, kind });
+        context.note(Event::AttemptAnswered { attempt: open.txn, response: kind });
         interpreter.over(open.txn);
         if let Some(reply) = open.reply {
             // Its client may have stopped waiting.
@@ -142,6 +144,6 @@
 
     fn record_stray(&self, context: &PlayContext, txn: Option<u64>, line: &str) {
         let text = line.chars().take(200).collect();
-        context.note(Event::Stray { node: self.node, txn, text });
+        context.note(Event::UnexpectedLine { node: self.node, attempt: txn, text });
     }
 }
--- a/fault-harness/src/stand_in/interpreter.rs
+++ b/fault-harness/src/stand_in/interpreter.rs
@@ -241,7 +241,7 @@
                     self.notify(|notice| wire::await_call(notice, &format!("{id:016x}"), &body));
                 }
                 InterpreterEvent::Fell(why) => {
-                    self.context.note(Event::Fell { node: self.node, text: why.into() });
+                    self.context.note(Event::InterpreterDied { node: self.node, cause: why.into() });
                     *self.fell.borrow_mut() = Some(why);
                 }
             }
@@ -255,7 +255,7 @@
             state.replies.remove(&id);
             state.began.remove(&id).map_or(0.0, |began| self.context.now() - began)
         };
-        self.context.note(Event::Ended { txn: id, node: self.node, result: result.clone() });
+        self.context.note(Event::RunEnded { attempt: id, node: self.node, result: result.clone() });
         self.context.happened(self.node, NodeEvent::RunEnded);
         self.notify(|notice| {
             wire::value(
--- a/fault-harness/src/stand_in/interpreter/link.rs
+++ b/fault-harness/src/stand_in/interpreter/link.rs
@@ -143,7 +143,7 @@
         let reply = self.state.borrow_mut().replies.remove(&id);
         if reply.as_ref().is_none_or(|reply| reply.as_bytes() != body) {
             let text = format!("the reply to the call of {id:016x} is not the one that came");
-            self.context.note(Event::Spoilt { node: self.node, text });
+            self.context.note(Event::Corrupted { node: self.node, text });
         }
         self.change(|vm, now| vm.go_on(now, id));
     }
@@ -166,7 +166,7 @@
         });
         let Some(written) = intact else {
             let text = format!("APPLY {id:016x} {class}: no such request came here, or its body is another");
-            self.context.note(Event::Spoilt { node: self.node, text });
+            self.context.note(Event::Corrupted { node: self.node, text });
             return false;
         };
         if self.state.borrow().vm.runs(id) {
@@ -183,7 +183,7 @@
             calls: self.context.scenario.classes[request.class].calls_dependency,
         };
         self.state.borrow_mut().began.insert(id, self.context.now());
-        self.context.note(Event::Began { txn: id, node: self.node });
+        self.context.note(Event::RunStarted { attempt: id, node: self.node });
         self.change(|vm, now| vm.run(now, work));
         self.context.happened(self.node, NodeEvent::RunStarted);
         true
--- a/fault-harness/src/statistics.rs
+++ b/fault-harness/src/statistics.rs
@@ -93,9 +93,9 @@
 
 /// Computes all statistics of a history.
 pub fn statistics(history: &History) -> Statistics {
-    let mut accumulator = Accumulator::new(&history.terms);
-    for observation in &history.seen {
-        accumulator.observe(observation.t, &observation.what);
+    let mut accumulator = Accumulator::new(&history.parameters);
+    for observation in &history.observations {
+        accumulator.observe(observation.at, &observation.event);
     }
     accumulator.finish()
 }
--- a/fault-harness/src/statistics/accumulator.rs
+++ b/fault-harness/src/statistics/accumulator.rs
@@ -7,7 +7,7 @@
 use super::recovery::{back, worst};
 use super::{Band, Second, Statistics};
 use crate::history::{Event, RuleParameters};
-use crate::model::frontend::End;
+use crate::model::frontend::RequestOutcome;
 use crate::model::Ms;
 
 /// The longest latency that is told apart, in microseconds: ten minutes.
@@ -70,19 +70,19 @@
     pub(super) fn observe(&mut self, t: Ms, event: &Event) {
         match event {
             // Repeats are there to be answered rightly; they have no weight.
-            Event::Asked { n, class, repeats: None } => self.request_sent(t, *n, *class),
-            Event::Over { n, end, .. } => self.request_over(t, *n, *end),
-            Event::Wrote { .. } => self.attempt_written(t),
-            Event::Connected { node, .. } => self.connection_opened(t, *node),
-            Event::Began { .. } => {
+            Event::RequestSent { request: n, class, repeats: None } => self.request_sent(t, *n, *class),
+            Event::RequestEnded { request: n, outcome: end, .. } => self.request_over(t, *n, *end),
+            Event::AttemptWritten { .. } => self.attempt_written(t),
+            Event::ConnectionOpened { node, .. } => self.connection_opened(t, *node),
+            Event::RunStarted { .. } => {
                 if let Some(second) = self.second_mut(t) {
                     second.began += 1;
                 }
             }
-            Event::Fault { text, until } => {
+            Event::FaultInjected { text, until } => {
                 self.bands.push(Band { text: text.clone(), from: t / 1000.0, until: until / 1000.0 });
             }
-            Event::Sample { node, rss_kb, files, cpu_ms } => {
+            Event::ResourceSample { node, memory_kb: rss_kb, descriptors: files, cpu_ms } => {
                 self.resources.sampled(*node, *rss_kb, *files, *cpu_ms);
             }
             _ => {}
@@ -110,20 +110,20 @@
         }
     }
 
-    fn request_over(&mut self, t: Ms, request: usize, end: End) {
+    fn request_over(&mut self, t: Ms, request: usize, end: RequestOutcome) {
         let Some(offered) = self.offered.get(&request).copied() else { return };
         match end {
-            End::Served => self.request_served(t, offered, 1.0),
-            End::Poorer => {
+            RequestOutcome::Served => self.request_served(t, offered, 1.0),
+            RequestOutcome::Degraded => {
                 let fraction = self.parameters.classes[offered.class].skip_weight;
                 self.request_served(t, offered, fraction);
             }
-            End::Refused => {
+            RequestOutcome::Rejected => {
                 if let Some(second) = self.second_mut(offered.sent_at) {
                     second.refused += 1;
                 }
             }
-            End::Failed | End::Silent => {
+            RequestOutcome::Failed | RequestOutcome::TimedOut => {
                 if let Some(second) = self.second_mut(offered.sent_at) {
                     second.failed += 1;
                 }
--- a/fault-harness/tests/old_form.rs
+++ b/fault-harness/tests/old_form.rs
@@ -101,7 +101,7 @@
 #[test]
 fn a_recorded_play_in_the_old_form_has_the_verdict_and_the_statistics_that_it_had() {
     let history = history("history.jsonl");
-    assert_eq!(history.seen.len(), 1622);
+    assert_eq!(history.observations.len(), 1622);
     let verdict = check(&history);
     assert_eq!(counts(&verdict), []);
     assert_eq!((verdict.written, verdict.excused, verdict.twice_in_fleet), (361, 4, 0));
@@ -126,7 +126,7 @@
 #[test]
 fn every_event_in_the_old_form_counts_as_it_did() {
     let history = history("every-event.jsonl");
-    assert_eq!(history.seen.len(), 87);
+    assert_eq!(history.observations.len(), 87);
     let verdict = check(&history);
     let expected = [
         (Rule::Lost, 2),
@@ -154,3 +154,21 @@
     assert_eq!((figures.median_ms, figures.p99_ms, figures.tries), (312.575, 425.215, 2.0));
     assert_eq!((figures.most, figures.cpu_us_a_try), ([4000, 120], 700.0));
 }
+
+#[test]
+fn a_history_in_the_old_form_is_written_in_the_present_one_and_means_the_same() {
+    for name in ["history.jsonl", "every-event.jsonl"] {
+        let old = history(name);
+        let copy = std::env::temp_dir().join(format!("oakwind-present-{}-{name}", std::process::id()));
+        old.write(&copy).unwrap();
+        let text = std::fs::read_to_string(&copy).unwrap();
+        let present = History::read(&copy).unwrap();
+        std::fs::remove_file(&copy).unwrap();
+        assert!(present == old, "{name}");
+        for former in
+            ["\"e\":", "\"t\":", "\"txn\":", "\"n\":", "\"wrote\"", "\"due\":", "\"refused\"", "\"aim\":"]
+        {
+            assert!(!text.contains(former), "{name} still has {former}");
+        }
+    }
+}
--- a/node/tests/recovery.rs
+++ b/node/tests/recovery.rs
@@ -35,22 +35,29 @@
 
 /// The nodes that logged a line containing `text` later than `after`, in milliseconds of the play.
 fn nodes_that_logged(history: &History, after: f64, text: &str) -> BTreeSet<usize> {
-    let nodes = history.seen.iter().filter(|seen| seen.t > after).filter_map(|seen| match &seen.what {
-        Event::Said { node, text: line } if line.contains(text) => Some(*node),
-        _ => None,
-    });
+    let nodes =
+        history.observations.iter().filter(|seen| seen.at > after).filter_map(|seen| match &seen.event {
+            Event::FleetLogged { node, text: line } if line.contains(text) => Some(*node),
+            _ => None,
+        });
     nodes.collect()
 }
 
 /// The start of each run of a keyed request: its time in milliseconds of the play, and its node.
 fn keyed_runs(history: &History) -> Vec<(f64, usize)> {
     let (mut keyed_requests, mut attempts, mut runs) = (BTreeSet::new(), HashMap::new(), Vec::new());
-    for seen in &history.seen {
-        match &seen.what {
-            Event::Asked { n, class: KEYED_CLASS, .. } => drop(keyed_requests.insert(*n)),
-            Event::Wrote { txn, n, .. } => drop(attempts.insert(*txn, *n)),
-            Event::Began { txn, node } if attempts.get(txn).is_some_and(|n| keyed_requests.contains(n)) => {
-                runs.push((seen.t, *node));
+    for seen in &history.observations {
+        match &seen.event {
+            Event::RequestSent { request, class: KEYED_CLASS, .. } => {
+                keyed_requests.insert(*request);
+            }
+            Event::AttemptWritten { attempt, request, .. } => {
+                attempts.insert(*attempt, *request);
+            }
+            Event::RunStarted { attempt, node }
+                if attempts.get(attempt).is_some_and(|request| keyed_requests.contains(request)) =>
+            {
+                runs.push((seen.at, *node));
             }
             _ => {}
         }
@@ -60,8 +67,11 @@
 
 /// The time of the first node start later than `after`, in milliseconds of the play.
 fn first_start(history: &History, after: f64) -> f64 {
-    let start = history.seen.iter().find(|seen| seen.t > after && matches!(seen.what, Event::Up { .. }));
-    start.map(|seen| seen.t).expect("no node started again")
+    let start = history
+        .observations
+        .iter()
+        .find(|seen| seen.at > after && matches!(seen.event, Event::NodeUp { .. }));
+    start.map(|seen| seen.at).expect("no node started again")
 }
 
 /// The indices of the nodes with these numbers, which count from one.
--- a/node/tests/replication.rs
+++ b/node/tests/replication.rs
@@ -6,7 +6,7 @@
 
 use std::collections::HashMap;
 
-use oakwind_fault_harness::history::{Event, Kind};
+use oakwind_fault_harness::history::{Event, Response};
 
 /// The index of the class `book`, whose requests carry an idempotency key.
 const KEYED_CLASS: usize = 1;
@@ -30,15 +30,17 @@
     assert_eq!(verdict.twice_in_fleet, 0);
     // A fleet that serves no keyed request trivially runs none twice.
     let (mut keyed_requests, mut keyed_attempts, mut served) = (HashMap::new(), HashMap::new(), 0);
-    for seen in &history.seen {
-        match &seen.what {
-            Event::Asked { n, class, .. } => drop(keyed_requests.insert(*n, *class == KEYED_CLASS)),
-            Event::Wrote { txn, n, .. } => {
-                let keyed = keyed_requests.get(n) == Some(&true);
-                keyed_attempts.insert(*txn, keyed);
+    for seen in &history.observations {
+        match &seen.event {
+            Event::RequestSent { request, class, .. } => {
+                keyed_requests.insert(*request, *class == KEYED_CLASS);
             }
-            Event::Answered { txn, kind: Kind::Served(_) } => {
-                served += u32::from(keyed_attempts.get(txn) == Some(&true));
+            Event::AttemptWritten { attempt, request, .. } => {
+                let keyed = keyed_requests.get(request) == Some(&true);
+                keyed_attempts.insert(*attempt, keyed);
+            }
+            Event::AttemptAnswered { attempt, response: Response::Served(_) } => {
+                served += u32::from(keyed_attempts.get(attempt) == Some(&true));
             }
             _ => {}
         }
