--- a/fault-harness/src/model/dependency.rs
+++ b/fault-harness/src/model/dependency.rs
@@ -9,100 +9,123 @@
 
 /// How a call ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ended {
-    /// It went well.
-    Done(CallId),
-    /// Its time ran out before or in its work.
-    Slow(CallId),
+pub enum CallEnd {
+    /// It succeeded.
+    Completed(CallId),
+    /// Its deadline passed before or during its work.
+    TimedOut(CallId),
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Call {
     id: CallId,
     work: Ms,
-    until: Ms,
+    deadline: Ms,
 }
 
-/// The tier.
+/// A call that has a slot.
+#[derive(Debug, Clone, Copy)]
+struct ActiveCall {
+    ends_at: Ms,
+    call: Call,
+}
+
+/// The dependency.
 #[derive(Debug, Clone)]
-pub struct Below {
+pub struct Dependency {
     slots: usize,
-    queue: usize,
-    /// What is left of the slots.
-    factor: f64,
-    /// Calls being worked on, by when they end.
-    working: BTreeMap<CallId, (Ms, Call)>,
-    waiting: VecDeque<Call>,
+    queue_limit: usize,
+    /// The fraction of the slots that a fault leaves.
+    capacity_factor: f64,
+    active: BTreeMap<CallId, ActiveCall>,
+    queue: VecDeque<Call>,
 }
 
-impl Below {
-    /// One with so many slots and room for so many to wait.
-    pub fn new(slots: usize, queue: usize) -> Below {
-        Below { slots, queue, factor: 1.0, working: BTreeMap::new(), waiting: VecDeque::new() }
+impl Dependency {
+    /// A dependency with so many slots and so many places in its queue.
+    pub fn new(slots: usize, queue_limit: usize) -> Dependency {
+        Dependency {
+            slots,
+            queue_limit,
+            capacity_factor: 1.0,
+            active: BTreeMap::new(),
+            queue: VecDeque::new(),
+        }
     }
 
-    /// Leaves it a part of its slots; what is being worked on goes on.
-    pub fn weaken(&mut self, factor: f64) {
-        self.factor = factor;
+    /// Leaves it a fraction of its slots; calls that have one keep it.
+    pub fn set_capacity_factor(&mut self, factor: f64) {
+        self.capacity_factor = factor;
     }
 
-    fn room(&self) -> usize {
-        (self.slots as f64 * self.factor).round() as usize
+    fn capacity(&self) -> usize {
+        (self.slots as f64 * self.capacity_factor).round() as usize
     }
 
-    /// A call that takes so long and is given up at `until`. False if it is refused.
-    pub fn call(&mut self, now: Ms, id: CallId, work: Ms, until: Ms) -> bool {
-        let call = Call { id, work, until };
-        if self.working.len() < self.room() {
-            self.begin(now, call);
-        } else if self.waiting.len() < self.queue && self.room() > 0 {
-            self.waiting.push_back(call);
+    /// A call that takes so long and is of no use after its deadline. False if it is rejected.
+    pub fn call(&mut self, now: Ms, id: CallId, work: Ms, deadline: Ms) -> bool {
+        let call = Call { id, work, deadline };
+        if self.active.len() < self.capacity() {
+            self.start(now, call);
+        } else if self.queue.len() < self.queue_limit && self.capacity() > 0 {
+            self.queue.push_back(call);
         } else {
             return false;
         }
         true
     }
 
-    fn begin(&mut self, now: Ms, call: Call) {
-        self.working.insert(call.id, ((now + call.work).min(call.until), call));
+    fn start(&mut self, now: Ms, call: Call) {
+        let ends_at = (now + call.work).min(call.deadline);
+        self.active.insert(call.id, ActiveCall { ends_at, call });
     }
 
-    /// A call is given up. What is worked on keeps its slot to its end.
-    pub fn give_up(&mut self, id: CallId) {
-        self.waiting.retain(|call| call.id != id);
+    /// A call is cancelled. One that has a slot keeps it to its end.
+    pub fn cancel(&mut self, id: CallId) {
+        self.queue.retain(|call| call.id != id);
     }
 
     /// When something will happen.
     pub fn next(&self) -> Option<Ms> {
-        let working = self.working.values().map(|(end, _)| *end);
-        let waiting = self.waiting.iter().map(|call| call.until);
-        working.chain(waiting).min_by(f64::total_cmp)
+        let ends = self.active.values().map(|active| active.ends_at);
+        let deadlines = self.queue.iter().map(|call| call.deadline);
+        ends.chain(deadlines).min_by(f64::total_cmp)
     }
 
-    /// Lets time pass, and tells which calls ended.
-    pub fn advance(&mut self, now: Ms) -> Vec<Ended> {
+    /// Lets time pass, and returns which calls ended.
+    pub fn advance(&mut self, now: Ms) -> Vec<CallEnd> {
         let mut ended = Vec::new();
         while let Some(at) = self.next().filter(|at| *at <= now) {
-            let over: Vec<CallId> =
-                self.working.iter().filter(|(_, (end, _))| *end <= at).map(|(id, _)| *id).collect();
-            for id in over {
-                let Some((end, call)) = self.working.remove(&id) else { continue };
-                ended.push(if end < call.until { Ended::Done(id) } else { Ended::Slow(id) });
-            }
-            self.waiting.retain(|call| {
-                let overdue = call.until <= at;
-                if overdue {
-                    ended.push(Ended::Slow(call.id));
-                }
-                !overdue
-            });
-            while self.working.len() < self.room() {
-                let Some(call) = self.waiting.pop_front() else { break };
-                self.begin(at, call);
+            self.end_active(at, &mut ended);
+            self.time_out_queued(at, &mut ended);
+            while self.active.len() < self.capacity() {
+                let Some(call) = self.queue.pop_front() else { break };
+                self.start(at, call);
             }
         }
         ended
     }
+
+    fn end_active(&mut self, at: Ms, ended: &mut Vec<CallEnd>) {
+        self.active.retain(|id, active| {
+            let is_over = active.ends_at <= at;
+            if is_over {
+                let in_time = active.ends_at < active.call.deadline;
+                ended.push(if in_time { CallEnd::Completed(*id) } else { CallEnd::TimedOut(*id) });
+            }
+            !is_over
+        });
+    }
+
+    fn time_out_queued(&mut self, at: Ms, ended: &mut Vec<CallEnd>) {
+        self.queue.retain(|call| {
+            let is_overdue = call.deadline <= at;
+            if is_overdue {
+                ended.push(CallEnd::TimedOut(call.id));
+            }
+            !is_overdue
+        });
+    }
 }
 
 #[cfg(test)]
--- a/fault-harness/src/model/frontend.rs
+++ b/fault-harness/src/model/frontend.rs
@@ -1,5 +1,5 @@
-//! The habits of frontends and of the clients behind them: which node they choose, and what they do after each
-//! answer. A journey is one client's request from its first try to its end.
+//! The behaviour of frontends and of the clients behind them: which node an attempt goes to, and what follows each
+//! outcome of an attempt. A [`ClientCall`] is one client's request from its first attempt to its end.
 
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -9,101 +9,125 @@
 
 /// An attempt is not begun with less than this left.
 pub const LATEST_RETRY_MARGIN: Ms = 5.0;
+/// A frontend waits between these multiples of its backoff before it retries.
+const FRONTEND_JITTER: std::ops::Range<f64> = 0.5..1.5;
+/// A client waits between these multiples of the backoff before it retries by itself.
+const CLIENT_JITTER: std::ops::Range<f64> = 2.0..6.0;
 
-/// One frontend: what it knows and how it chooses.
+/// One frontend: what it knows of the nodes and how it picks one.
 #[derive(Debug, Clone)]
-pub struct Front {
+pub struct Frontend {
     load_balancing: LoadBalancing,
-    heeds: bool,
+    honours_retry_after: bool,
     retries: i64,
     backoff: Ms,
-    walk: bool,
+    try_next_node: bool,
     client_retries: u32,
-    next: usize,
-    /// Until when it was asked to stay away from each node.
-    away: Vec<Ms>,
-    /// Its requests out at each node.
-    out: Vec<u32>,
+    next_node: usize,
+    /// For each node, until when its Retry-After asks this frontend to stay away.
+    avoid_until: Vec<Ms>,
+    /// For each node, this frontend's open attempts there.
+    open_attempts: Vec<u32>,
     rng: ChaCha8Rng,
 }
 
-impl Front {
-    /// A frontend with these habits.
+impl Frontend {
+    /// A frontend of a scenario, which knows so many nodes.
     pub fn new(
-        fronts: &Frontends,
+        settings: &Frontends,
         load_balancing: LoadBalancing,
-        heeds: bool,
+        honours_retry_after: bool,
         nodes: usize,
         mut rng: ChaCha8Rng,
-    ) -> Front {
-        Front {
+    ) -> Frontend {
+        Frontend {
             load_balancing,
-            heeds,
-            retries: fronts.retries,
-            backoff: fronts.backoff_ms,
-            walk: fronts.try_next_node,
-            client_retries: fronts.client_retries,
-            next: rng.random_range(0..nodes),
-            away: vec![0.0; nodes],
-            out: vec![0; nodes],
+            honours_retry_after,
+            retries: settings.retries,
+            backoff: settings.backoff_ms,
+            try_next_node: settings.try_next_node,
+            client_retries: settings.client_retries,
+            next_node: rng.random_range(0..nodes),
+            avoid_until: vec![0.0; nodes],
+            open_attempts: vec![0; nodes],
             rng,
         }
     }
 
     /// It restarts and knows nothing of before.
     pub fn restart(&mut self) {
-        self.away.fill(0.0);
-        self.out.fill(0);
+        self.avoid_until.fill(0.0);
+        self.open_attempts.fill(0);
     }
 
-    /// The nodes on the list that it was not asked to stay away from, without those tried.
-    fn willing(&self, now: Ms, listed: &[bool], tried: &[usize]) -> Vec<usize> {
-        let willing = |node: &usize| listed[*node] && !(self.heeds && self.away[*node] > now);
-        (0..listed.len()).filter(|node| willing(node) && !tried.contains(node)).collect()
+    /// The listed nodes that it may send to, without those already tried.
+    fn eligible_nodes(&self, now: Ms, listed: &[bool], tried: &[usize]) -> Vec<usize> {
+        let is_avoided = |node: usize| self.honours_retry_after && self.avoid_until[node] > now;
+        let is_eligible = |node: &usize| listed[*node] && !is_avoided(*node) && !tried.contains(node);
+        (0..listed.len()).filter(is_eligible).collect()
     }
 
+    /// Picks a node, one that was not tried if there is any.
     fn pick(&mut self, now: Ms, listed: &[bool], tried: &[usize]) -> Option<usize> {
-        let nodes = listed.len();
-        let fresh = self.willing(now, listed, tried);
-        let among = if fresh.is_empty() { self.willing(now, listed, &[]) } else { fresh };
-        if among.is_empty() {
+        let mut candidates = self.eligible_nodes(now, listed, tried);
+        if candidates.is_empty() {
+            candidates = self.eligible_nodes(now, listed, &[]);
+        }
+        if candidates.is_empty() {
             return None;
         }
         let picked = match self.load_balancing {
-            LoadBalancing::RoundRobin => *among.iter().find(|node| **node >= self.next).unwrap_or(&among[0]),
-            LoadBalancing::Random => among[self.rng.random_range(0..among.len())],
-            LoadBalancing::LeastRequests => {
-                let start = self.rng.random_range(0..among.len());
-                let turned = among[start..].iter().chain(&among[..start]);
-                turned.copied().min_by_key(|node| self.out[*node]).unwrap_or(among[0])
+            LoadBalancing::RoundRobin => {
+                let following = candidates.iter().find(|node| **node >= self.next_node);
+                *following.unwrap_or(&candidates[0])
             }
+            LoadBalancing::Random => candidates[self.rng.random_range(0..candidates.len())],
+            LoadBalancing::LeastRequests => self.least_loaded(&candidates),
         };
-        self.next = (picked + 1) % nodes;
+        self.next_node = (picked + 1) % listed.len();
         Some(picked)
     }
+
+    /// The candidate with the fewest open attempts; of several, the first one from a random position on.
+    fn least_loaded(&mut self, candidates: &[usize]) -> usize {
+        let start = self.rng.random_range(0..candidates.len());
+        let rotated = candidates[start..].iter().chain(&candidates[..start]);
+        rotated.copied().min_by_key(|node| self.open_attempts[*node]).unwrap_or(candidates[0])
+    }
+
+    /// Takes in the Retry-After of a node, if this frontend honours it.
+    fn note_retry_after(&mut self, now: Ms, node: usize, retry_after: Option<Ms>) {
+        if let Some(delay) = retry_after.filter(|_| self.honours_retry_after) {
+            self.avoid_until[node] = self.avoid_until[node].max(now + delay);
+        }
+    }
+
+    fn jittered_backoff(&mut self, jitter: std::ops::Range<f64>) -> Ms {
+        self.backoff * self.rng.random_range(jitter)
+    }
 }
 
-/// What came of an attempt.
+/// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Answer {
-    /// Served; `poorer` if made without its call.
+pub enum AttemptOutcome {
+    /// Served; `degraded` if without the call of the dependency.
     Served {
-        /// The call was left out.
-        poorer: bool,
+        /// The call was skipped.
+        degraded: bool,
     },
-    /// Turned away, with advice.
-    Refused {
-        /// How long to stay away.
-        later: Option<Ms>,
+    /// Rejected.
+    Rejected {
+        /// How long to stay away (Retry-After).
+        retry_after: Option<Ms>,
         /// The wish that no other node be tried.
-        giveup: bool,
+        give_up: bool,
     },
     /// Failed.
     Failed,
     /// The connection ended without an answer, or there was none.
-    Gone,
-    /// The time ran out.
-    Silent,
+    ConnectionLost,
+    /// The caller's time ran out.
+    TimedOut,
 }
 
 /// How a client's request ended.
@@ -125,147 +149,164 @@
     TimedOut,
 }
 
-/// What is to be done next.
+/// What is to be done next for a client's request.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Step {
-    /// Try this node.
-    Try(usize),
+pub enum NextStep {
+    /// Send an attempt to this node.
+    Attempt(usize),
     /// Wait until then.
-    Wait(Ms),
+    WaitUntil(Ms),
     /// It is over.
-    Over(RequestOutcome),
+    Finished(RequestOutcome),
 }
 
-/// Where a request has to go.
+/// Which nodes the attempts of a request may go to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Pin {
-    /// To this node, once.
-    To(usize),
-    /// To any but this one, once.
-    Not(usize),
-    /// Once, wherever the frontend likes.
-    Once,
-    /// Wherever the frontend likes, as often as it likes.
-    Free,
+pub enum Affinity {
+    /// One attempt, at this node.
+    Sticky(usize),
+    /// One attempt, at any node but this one.
+    Avoid(usize),
+    /// One attempt, wherever the frontend picks.
+    SingleAttempt,
+    /// Any number of attempts, wherever the frontend picks.
+    None,
 }
 
-impl Pin {
-    /// Where a request goes that repeats no other, or one that was first tried at a node, if at any.
-    pub fn of(repeats: bool, first: Option<usize>, at: RepeatAt) -> Pin {
-        match (repeats, first, at) {
-            (false, ..) => Pin::Free,
-            (true, Some(node), RepeatAt::Same) => Pin::To(node),
-            (true, Some(node), RepeatAt::Other) => Pin::Not(node),
-            (true, ..) => Pin::Once,
+impl Affinity {
+    /// The affinity of a request that repeats no other, or of one that was first sent to a node, if to any.
+    pub fn of(is_repeat: bool, first_node: Option<usize>, repeat_at: RepeatAt) -> Affinity {
+        match (is_repeat, first_node, repeat_at) {
+            (false, ..) => Affinity::None,
+            (true, Some(node), RepeatAt::Same) => Affinity::Sticky(node),
+            (true, Some(node), RepeatAt::Other) => Affinity::Avoid(node),
+            (true, ..) => Affinity::SingleAttempt,
         }
     }
 }
 
-/// One client's request on its way.
+/// One client's request, from its first attempt to its end.
 #[derive(Debug, Clone)]
-pub struct Journey {
-    due: Ms,
-    pin: Pin,
+pub struct ClientCall {
+    deadline: Ms,
+    affinity: Affinity,
     tried: Vec<usize>,
     retries: i64,
     client_retries: u32,
-    last: RequestOutcome,
+    /// How it ends if no further attempt is made.
+    last_outcome: RequestOutcome,
 }
 
-impl Journey {
-    /// A request whose client waits until `due`.
-    pub fn new(due: Ms, pin: Pin, front: &Front) -> Journey {
-        Journey {
-            due,
-            pin,
+impl ClientCall {
+    /// A request whose client waits until `deadline`.
+    pub fn new(deadline: Ms, affinity: Affinity, frontend: &Frontend) -> ClientCall {
+        ClientCall {
+            deadline,
+            affinity,
             tried: Vec::new(),
-            retries: front.retries,
-            client_retries: front.client_retries,
-            last: RequestOutcome::Rejected,
+            retries: frontend.retries,
+            client_retries: frontend.client_retries,
+            last_outcome: RequestOutcome::Rejected,
         }
     }
 
     /// What to do now: at its start, and whenever a wait is over.
-    pub fn go(&mut self, now: Ms, front: &mut Front, listed: &[bool]) -> Step {
-        if now + LATEST_RETRY_MARGIN >= self.due {
-            return Step::Over(self.last);
+    pub fn proceed(&mut self, now: Ms, frontend: &mut Frontend, listed: &[bool]) -> NextStep {
+        if now + LATEST_RETRY_MARGIN >= self.deadline {
+            return NextStep::Finished(self.last_outcome);
         }
-        let node = match self.pin {
-            Pin::To(node) => Some(node),
-            Pin::Not(node) => front.pick(now, listed, &[node]).filter(|picked| *picked != node),
-            Pin::Once | Pin::Free => front.pick(now, listed, &self.tried),
+        let node = match self.affinity {
+            Affinity::Sticky(node) => Some(node),
+            Affinity::Avoid(node) => frontend.pick(now, listed, &[node]).filter(|picked| *picked != node),
+            Affinity::SingleAttempt | Affinity::None => frontend.pick(now, listed, &self.tried),
         };
         match node {
             Some(node) => {
                 self.tried.push(node);
-                front.out[node] += 1;
-                Step::Try(node)
+                frontend.open_attempts[node] += 1;
+                NextStep::Attempt(node)
             }
             // No node takes it: the frontend rejects the request itself.
-            None => self.abandoned(now, front),
+            None => self.retry_by_client(now, frontend),
         }
     }
 
-    /// An attempt has ended.
-    pub fn answered(
+    /// What to do after an attempt has ended.
+    pub fn on_outcome(
         &mut self,
         now: Ms,
         node: usize,
-        answer: Answer,
-        front: &mut Front,
+        outcome: AttemptOutcome,
+        frontend: &mut Frontend,
         listed: &[bool],
-    ) -> Step {
-        front.out[node] = front.out[node].saturating_sub(1);
-        match answer {
-            Answer::Served { poorer } => {
-                return Step::Over(if poorer { RequestOutcome::Degraded } else { RequestOutcome::Served })
+    ) -> NextStep {
+        frontend.open_attempts[node] = frontend.open_attempts[node].saturating_sub(1);
+        match outcome {
+            AttemptOutcome::Served { degraded: false } => NextStep::Finished(RequestOutcome::Served),
+            AttemptOutcome::Served { degraded: true } => NextStep::Finished(RequestOutcome::Degraded),
+            AttemptOutcome::TimedOut => NextStep::Finished(RequestOutcome::TimedOut),
+            AttemptOutcome::Rejected { retry_after, give_up } => {
+                self.last_outcome = RequestOutcome::Rejected;
+                if self.affinity == Affinity::None {
+                    frontend.note_retry_after(now, node, retry_after);
+                }
+                self.on_rejection(now, give_up, frontend, listed)
+            }
+            AttemptOutcome::Failed | AttemptOutcome::ConnectionLost => {
+                self.last_outcome = RequestOutcome::Failed;
+                self.on_failure(now, frontend, listed)
             }
-            Answer::Silent => return Step::Over(RequestOutcome::TimedOut),
-            Answer::Refused { .. } => self.last = RequestOutcome::Rejected,
-            Answer::Failed | Answer::Gone => self.last = RequestOutcome::Failed,
         }
-        if self.pin != Pin::Free {
-            return Step::Over(self.last);
+    }
+
+    fn on_rejection(&mut self, now: Ms, give_up: bool, frontend: &mut Frontend, listed: &[bool]) -> NextStep {
+        if self.affinity != Affinity::None {
+            return NextStep::Finished(self.last_outcome);
         }
-        let refused = matches!(answer, Answer::Refused { .. });
-        if let Answer::Refused { later, giveup } = answer {
-            if let Some(later) = later.filter(|_| front.heeds) {
-                front.away[node] = front.away[node].max(now + later);
-            }
-            if giveup && front.heeds {
-                return self.abandoned(now, front);
-            }
+        if give_up && frontend.honours_retry_after {
+            return self.retry_by_client(now, frontend);
         }
-        let left = !front.willing(now, listed, &self.tried).is_empty();
-        if refused && front.walk && left {
-            return self.go(now, front, listed);
+        if frontend.try_next_node && !frontend.eligible_nodes(now, listed, &self.tried).is_empty() {
+            return self.proceed(now, frontend, listed);
         }
-        if self.retries != 0 {
-            self.retries -= 1;
-            if !left {
-                self.tried.clear();
-            }
-            return self.wait(now + front.backoff * front.rng.random_range(0.5..1.5));
+        self.retry(now, frontend, listed)
+    }
+
+    fn on_failure(&mut self, now: Ms, frontend: &mut Frontend, listed: &[bool]) -> NextStep {
+        if self.affinity != Affinity::None {
+            return NextStep::Finished(self.last_outcome);
+        }
+        self.retry(now, frontend, listed)
+    }
+
+    /// The frontend retries after its backoff, if it has a retry left.
+    fn retry(&mut self, now: Ms, frontend: &mut Frontend, listed: &[bool]) -> NextStep {
+        if self.retries == 0 {
+            return self.retry_by_client(now, frontend);
+        }
+        self.retries -= 1;
+        if frontend.eligible_nodes(now, listed, &self.tried).is_empty() {
+            self.tried.clear();
         }
-        self.abandoned(now, front)
+        self.wait_until(now + frontend.jittered_backoff(FRONTEND_JITTER))
     }
 
     /// The frontend has given up; the client may retry by itself.
-    fn abandoned(&mut self, now: Ms, front: &mut Front) -> Step {
-        if self.client_retries == 0 || self.pin != Pin::Free {
-            return Step::Over(self.last);
+    fn retry_by_client(&mut self, now: Ms, frontend: &mut Frontend) -> NextStep {
+        if self.client_retries == 0 || self.affinity != Affinity::None {
+            return NextStep::Finished(self.last_outcome);
         }
         self.client_retries -= 1;
-        self.retries = front.retries;
+        self.retries = frontend.retries;
         self.tried.clear();
-        self.wait(now + front.backoff * front.rng.random_range(2.0..6.0))
+        self.wait_until(now + frontend.jittered_backoff(CLIENT_JITTER))
     }
 
-    fn wait(&self, until: Ms) -> Step {
-        if until + LATEST_RETRY_MARGIN >= self.due {
-            Step::Over(self.last)
+    fn wait_until(&self, until: Ms) -> NextStep {
+        if until + LATEST_RETRY_MARGIN >= self.deadline {
+            NextStep::Finished(self.last_outcome)
         } else {
-            Step::Wait(until)
+            NextStep::WaitUntil(until)
         }
     }
 }
--- a/fault-harness/src/model/frontend/tests.rs
+++ b/fault-harness/src/model/frontend/tests.rs
@@ -1,94 +1,121 @@
 use super::*;
 use rand::SeedableRng;
 
-fn front(habits: Frontends, heeds: bool) -> Front {
-    let mut front = Front::new(&habits, habits.load_balancing[0], heeds, 3, ChaCha8Rng::seed_from_u64(1));
-    front.next = 0;
-    front
+fn frontend(settings: Frontends, honours_retry_after: bool) -> Frontend {
+    let mut frontend = Frontend::new(
+        &settings,
+        settings.load_balancing[0],
+        honours_retry_after,
+        3,
+        ChaCha8Rng::seed_from_u64(1),
+    );
+    frontend.next_node = 0;
+    frontend
 }
 
 const ALL: [bool; 3] = [true; 3];
-const NO: Answer = Answer::Refused { later: None, giveup: false };
+const REJECTED: AttemptOutcome = AttemptOutcome::Rejected { retry_after: None, give_up: false };
 
 #[test]
-fn one_that_walks_goes_through_its_list_and_then_gives_up() {
-    let mut front = front(
+fn one_that_attempts_the_next_node_goes_through_its_list_and_then_gives_up() {
+    let mut frontend = frontend(
         Frontends { try_next_node: true, retries: 0, client_retries: 0, ..Frontends::default() },
         false,
     );
-    let mut journey = Journey::new(1000.0, Pin::Free, &front);
-    assert_eq!(journey.go(0.0, &mut front, &ALL), Step::Try(0));
-    assert_eq!(journey.answered(1.0, 0, NO, &mut front, &ALL), Step::Try(1));
-    assert_eq!(journey.answered(2.0, 1, NO, &mut front, &ALL), Step::Try(2));
-    assert_eq!(journey.answered(3.0, 2, NO, &mut front, &ALL), Step::Over(RequestOutcome::Rejected));
+    let mut call = ClientCall::new(1000.0, Affinity::None, &frontend);
+    assert_eq!(call.proceed(0.0, &mut frontend, &ALL), NextStep::Attempt(0));
+    assert_eq!(call.on_outcome(1.0, 0, REJECTED, &mut frontend, &ALL), NextStep::Attempt(1));
+    assert_eq!(call.on_outcome(2.0, 1, REJECTED, &mut frontend, &ALL), NextStep::Attempt(2));
+    assert_eq!(
+        call.on_outcome(3.0, 2, REJECTED, &mut frontend, &ALL),
+        NextStep::Finished(RequestOutcome::Rejected)
+    );
 }
 
 #[test]
-fn advice_is_followed_by_those_who_heed_it() {
-    let advice = Answer::Refused { later: Some(500.0), giveup: false };
-    for (heeds, next) in [(true, 1), (false, 0)] {
-        let mut front = front(Frontends { retries: 0, client_retries: 0, ..Frontends::default() }, heeds);
-        let mut first = Journey::new(1000.0, Pin::Free, &front);
-        first.go(0.0, &mut front, &ALL);
-        first.answered(1.0, 0, advice, &mut front, &ALL);
-        front.next = 0;
-        let mut second = Journey::new(1000.0, Pin::Free, &front);
-        assert_eq!(second.go(2.0, &mut front, &ALL), Step::Try(next));
+fn retry_after_is_honoured_by_those_that_do() {
+    let rejected = AttemptOutcome::Rejected { retry_after: Some(500.0), give_up: false };
+    for (honours_retry_after, next) in [(true, 1), (false, 0)] {
+        let mut frontend = frontend(
+            Frontends { retries: 0, client_retries: 0, ..Frontends::default() },
+            honours_retry_after,
+        );
+        let mut first = ClientCall::new(1000.0, Affinity::None, &frontend);
+        first.proceed(0.0, &mut frontend, &ALL);
+        first.on_outcome(1.0, 0, rejected, &mut frontend, &ALL);
+        frontend.next_node = 0;
+        let mut second = ClientCall::new(1000.0, Affinity::None, &frontend);
+        assert_eq!(second.proceed(2.0, &mut frontend, &ALL), NextStep::Attempt(next));
     }
 }
 
 #[test]
-fn a_walk_ends_where_it_was_asked_to_stay_away_from_the_rest() {
-    let habits = Frontends { try_next_node: true, retries: 0, client_retries: 0, ..Frontends::default() };
-    let mut front = front(habits, true);
-    front.away = vec![0.0, 500.0, 500.0];
-    let mut journey = Journey::new(1000.0, Pin::Free, &front);
-    assert_eq!(journey.go(0.0, &mut front, &ALL), Step::Try(0));
-    assert_eq!(journey.answered(1.0, 0, NO, &mut front, &ALL), Step::Over(RequestOutcome::Rejected));
+fn the_next_node_is_not_tried_before_its_retry_after_is_over() {
+    let settings = Frontends { try_next_node: true, retries: 0, client_retries: 0, ..Frontends::default() };
+    let mut frontend = frontend(settings, true);
+    frontend.avoid_until = vec![0.0, 500.0, 500.0];
+    let mut call = ClientCall::new(1000.0, Affinity::None, &frontend);
+    assert_eq!(call.proceed(0.0, &mut frontend, &ALL), NextStep::Attempt(0));
+    assert_eq!(
+        call.on_outcome(1.0, 0, REJECTED, &mut frontend, &ALL),
+        NextStep::Finished(RequestOutcome::Rejected)
+    );
 }
 
 #[test]
 fn without_a_limit_it_goes_on_to_the_deadline() {
-    let mut front = front(Frontends { retries: -1, client_retries: 0, ..Frontends::default() }, false);
-    let mut journey = Journey::new(1000.0, Pin::Free, &front);
-    let (mut now, mut tries, mut step) = (0.0, 0, Step::Wait(0.0));
+    let mut frontend = frontend(Frontends { retries: -1, client_retries: 0, ..Frontends::default() }, false);
+    let mut call = ClientCall::new(1000.0, Affinity::None, &frontend);
+    let (mut now, mut attempts, mut step) = (0.0, 0, NextStep::WaitUntil(0.0));
     let end = loop {
         step = match step {
-            Step::Wait(until) => {
+            NextStep::WaitUntil(until) => {
                 now = until;
-                journey.go(now, &mut front, &ALL)
+                call.proceed(now, &mut frontend, &ALL)
             }
-            Step::Try(node) => {
-                tries += 1;
-                journey.answered(now, node, Answer::Failed, &mut front, &ALL)
+            NextStep::Attempt(node) => {
+                attempts += 1;
+                call.on_outcome(now, node, AttemptOutcome::Failed, &mut frontend, &ALL)
             }
-            Step::Over(end) => break end,
+            NextStep::Finished(end) => break end,
         };
     };
-    assert!(end == RequestOutcome::Failed && tries > 10 && now < 1000.0, "{tries} tries until {now}");
+    assert!(
+        end == RequestOutcome::Failed && attempts > 10 && now < 1000.0,
+        "{attempts} attempts until {now}"
+    );
 }
 
 #[test]
-fn a_client_asks_again_once_and_a_repeat_is_tried_once_where_it_has_to_go() {
-    let mut front = front(Frontends { retries: 0, client_retries: 1, ..Frontends::default() }, false);
-    let mut journey = Journey::new(1000.0, Pin::Free, &front);
-    journey.go(0.0, &mut front, &ALL);
-    let Step::Wait(until) = journey.answered(1.0, 0, NO, &mut front, &ALL) else {
-        panic!("the client asks again")
+fn a_client_retries_once_and_a_repeat_is_attempted_once_where_its_affinity_says() {
+    let mut frontend = frontend(Frontends { retries: 0, client_retries: 1, ..Frontends::default() }, false);
+    let mut call = ClientCall::new(1000.0, Affinity::None, &frontend);
+    call.proceed(0.0, &mut frontend, &ALL);
+    let NextStep::WaitUntil(until) = call.on_outcome(1.0, 0, REJECTED, &mut frontend, &ALL) else {
+        panic!("the client retries")
     };
-    assert_eq!(journey.go(until, &mut front, &ALL), Step::Try(1));
-    assert_eq!(journey.answered(until, 1, NO, &mut front, &ALL), Step::Over(RequestOutcome::Rejected));
-    let mut repeat = Journey::new(1000.0, Pin::To(2), &front);
-    assert_eq!(repeat.go(0.0, &mut front, &ALL), Step::Try(2));
-    assert_eq!(repeat.answered(1.0, 2, NO, &mut front, &ALL), Step::Over(RequestOutcome::Rejected));
-    let mut elsewhere = Journey::new(1000.0, Pin::Not(2), &front);
-    assert!(matches!(elsewhere.go(0.0, &mut front, &ALL), Step::Try(0 | 1)));
-    assert_eq!(elsewhere.go(0.0, &mut front, &[false, false, true]), Step::Over(RequestOutcome::Rejected));
+    assert_eq!(call.proceed(until, &mut frontend, &ALL), NextStep::Attempt(1));
+    assert_eq!(
+        call.on_outcome(until, 1, REJECTED, &mut frontend, &ALL),
+        NextStep::Finished(RequestOutcome::Rejected)
+    );
+    let mut repeat = ClientCall::new(1000.0, Affinity::Sticky(2), &frontend);
+    assert_eq!(repeat.proceed(0.0, &mut frontend, &ALL), NextStep::Attempt(2));
+    assert_eq!(
+        repeat.on_outcome(1.0, 2, REJECTED, &mut frontend, &ALL),
+        NextStep::Finished(RequestOutcome::Rejected)
+    );
+    let mut elsewhere = ClientCall::new(1000.0, Affinity::Avoid(2), &frontend);
+    assert!(matches!(elsewhere.proceed(0.0, &mut frontend, &ALL), NextStep::Attempt(0 | 1)));
+    assert_eq!(
+        elsewhere.proceed(0.0, &mut frontend, &[false, false, true]),
+        NextStep::Finished(RequestOutcome::Rejected)
+    );
 }
 
 #[test]
-fn with_nobody_on_the_list_the_front_end_turns_it_away_itself() {
-    let mut front = front(Frontends { client_retries: 0, ..Frontends::default() }, false);
-    let mut journey = Journey::new(1000.0, Pin::Free, &front);
-    assert_eq!(journey.go(0.0, &mut front, &[false; 3]), Step::Over(RequestOutcome::Rejected));
+fn with_no_node_listed_the_frontend_rejects_by_itself() {
+    let mut frontend = frontend(Frontends { client_retries: 0, ..Frontends::default() }, false);
+    let mut call = ClientCall::new(1000.0, Affinity::None, &frontend);
+    assert_eq!(call.proceed(0.0, &mut frontend, &[false; 3]), NextStep::Finished(RequestOutcome::Rejected));
 }
--- a/fault-harness/src/model/registry.rs
+++ b/fault-harness/src/model/registry.rs
@@ -1,67 +1,81 @@
-//! The membership service: which nodes are listed, and which were at an earlier time, as frontends see the list with
-//! a delay.
+//! The registry: which nodes are listed, and which were at an earlier time, as frontends see the list with a delay.
 
 use super::Ms;
 
 #[derive(Debug, Clone, Default)]
 struct Entry {
-    /// When it last reported.
-    heard: Option<Ms>,
+    /// When the last heartbeat came; none for a node that left or timed out.
+    last_heartbeat: Option<Ms>,
+    listed: bool,
+}
+
+/// A change of the list.
+#[derive(Debug, Clone, Copy)]
+struct Change {
+    at: Ms,
+    node: usize,
+    /// Whether the node is listed from then on.
     listed: bool,
 }
 
 /// The service.
 #[derive(Debug, Clone)]
-pub struct Members {
-    lapse: Ms,
+pub struct Registry {
+    heartbeat_timeout: Ms,
     entries: Vec<Entry>,
-    /// Every change, in order: when, which node, whether it is listed from then on.
-    changes: Vec<(Ms, usize, bool)>,
-    deaf: bool,
+    /// Every change, in order.
+    changes: Vec<Change>,
+    is_unreachable: bool,
 }
 
-impl Members {
-    /// A service that drops nodes which have not reported for so long.
-    pub fn new(nodes: usize, lapse: Ms) -> Members {
-        Members { lapse, entries: vec![Entry::default(); nodes], changes: Vec::new(), deaf: false }
+impl Registry {
+    /// A registry that drops nodes whose last heartbeat is so long ago.
+    pub fn new(nodes: usize, heartbeat_timeout: Ms) -> Registry {
+        Registry {
+            heartbeat_timeout,
+            entries: vec![Entry::default(); nodes],
+            changes: Vec::new(),
+            is_unreachable: false,
+        }
     }
 
     /// A node reports that it is up, or that it leaves.
-    pub fn report(&mut self, now: Ms, node: usize, up: bool) {
-        if self.deaf {
+    pub fn on_heartbeat(&mut self, now: Ms, node: usize, is_up: bool) {
+        if self.is_unreachable {
             return;
         }
-        self.entries[node].heard = up.then_some(now);
-        self.list(now, node, up);
+        self.entries[node].last_heartbeat = is_up.then_some(now);
+        self.set_listed(now, node, is_up);
     }
 
-    /// Hears nobody from now on, or hears again; no entry lapses meanwhile.
-    pub fn deaf(&mut self, now: Ms, deaf: bool) {
+    /// Receives no heartbeats from now on, or receives them again; no entry times out meanwhile.
+    pub fn set_unreachable(&mut self, now: Ms, is_unreachable: bool) {
         self.advance(now);
-        if self.deaf && !deaf {
-            self.entries.iter_mut().filter(|entry| entry.listed).for_each(|entry| entry.heard = Some(now));
+        if self.is_unreachable && !is_unreachable {
+            for entry in self.entries.iter_mut().filter(|entry| entry.listed) {
+                entry.last_heartbeat = Some(now);
+            }
         }
-        self.deaf = deaf;
+        self.is_unreachable = is_unreachable;
     }
 
-    fn list(&mut self, at: Ms, node: usize, listed: bool) {
+    fn set_listed(&mut self, at: Ms, node: usize, listed: bool) {
         if self.entries[node].listed != listed {
             self.entries[node].listed = listed;
-            self.changes.push((at, node, listed));
+            self.changes.push(Change { at, node, listed });
         }
     }
 
-    /// Lets time pass: nodes that do not report are dropped.
+    /// Lets time pass: nodes whose heartbeats have stopped are dropped.
     pub fn advance(&mut self, now: Ms) {
-        if self.deaf {
+        if self.is_unreachable {
             return;
         }
         for node in 0..self.entries.len() {
-            if let Some(over) =
-                self.entries[node].heard.map(|heard| heard + self.lapse).filter(|over| *over <= now)
-            {
-                self.entries[node].heard = None;
-                self.list(over, node, false);
+            let times_out_at = self.entries[node].last_heartbeat.map(|last| last + self.heartbeat_timeout);
+            if let Some(at) = times_out_at.filter(|at| *at <= now) {
+                self.entries[node].last_heartbeat = None;
+                self.set_listed(at, node, false);
             }
         }
     }
@@ -70,8 +84,8 @@
     pub fn listed_at(&mut self, now: Ms, at: Ms) -> Vec<bool> {
         self.advance(now);
         let mut listed = vec![false; self.entries.len()];
-        for (_, node, up) in self.changes.iter().filter(|(when, ..)| *when <= at) {
-            listed[*node] = *up;
+        for change in self.changes.iter().filter(|change| change.at <= at) {
+            listed[change.node] = change.listed;
         }
         listed
     }
--- a/fault-harness/src/node.rs
+++ b/fault-harness/src/node.rs
@@ -19,7 +19,7 @@
 use tokio::task::spawn_local;
 
 use crate::history::Event;
-use crate::model::registry::Members;
+use crate::model::registry::Registry;
 use crate::play_context::PlayContext;
 use crate::process::Program;
 use crate::program_log::LogLine;
@@ -143,7 +143,7 @@
     }
 
     /// Plays what the node connects to, for as long as the play.
-    pub async fn serve_peers(self: Rc<Self>, tier: Option<Rc<Tier>>, members: Rc<RefCell<Members>>) {
+    pub async fn serve_peers(self: Rc<Self>, tier: Option<Rc<Tier>>, members: Rc<RefCell<Registry>>) {
         let Ok((vm, index, reports)) = self.listeners().await else { return };
         let (vm_put, mut vm_ends) = mpsc::channel(STAND_IN_QUEUE);
         let (index_put, mut index_ends) = mpsc::channel(STAND_IN_QUEUE);
@@ -170,7 +170,7 @@
                             continue;
                         }
                     };
-                    members.borrow_mut().report(self.context.now(), self.node, up);
+                    members.borrow_mut().on_heartbeat(self.context.now(), self.node, up);
                 }
                 else => return,
             }
--- a/fault-harness/src/play/faults.rs
+++ b/fault-harness/src/play/faults.rs
@@ -116,11 +116,11 @@
 
     /// The membership service hears nobody until then.
     fn deafen_members(&self, until: Ms) {
-        self.members.borrow_mut().deaf(self.context.now(), true);
+        self.members.borrow_mut().set_unreachable(self.context.now(), true);
         let (members, clock) = (self.members.clone(), self.context.clock);
         spawn_local(async move {
             clock.until(until).await;
-            members.borrow_mut().deaf(clock.now(), false);
+            members.borrow_mut().set_unreachable(clock.now(), false);
         });
     }
 
--- a/fault-harness/src/play/testbed.rs
+++ b/fault-harness/src/play/testbed.rs
@@ -8,7 +8,7 @@
 use tokio::task::spawn_local;
 
 use super::Options;
-use crate::model::registry::Members;
+use crate::model::registry::Registry;
 use crate::model::Ms;
 use crate::node::Machine;
 use crate::play_context::PlayContext;
@@ -30,7 +30,7 @@
     pub(super) frontends: Vec<Rc<FrontEnd>>,
     /// The dependency, if requests call one.
     pub(super) dependency: Option<Rc<Tier>>,
-    pub(super) members: Rc<RefCell<Members>>,
+    pub(super) members: Rc<RefCell<Registry>>,
     /// Strikes whose event has not come yet.
     pub(super) pending_strikes: RefCell<Vec<Strike>>,
     /// The number of the next disturbance of links.
@@ -60,7 +60,7 @@
     ) -> io::Result<Testbed> {
         let context = PlayContext::new(scenario.clone(), schedule(scenario, seed), seed);
         let lapse = scenario.registry.heartbeat_timeout_s * 1000.0;
-        let members = Rc::new(RefCell::new(Members::new(scenario.fleet.nodes, lapse)));
+        let members = Rc::new(RefCell::new(Registry::new(scenario.fleet.nodes, lapse)));
         let dependency = scenario.dependency.clone().map(|shape| Tier::new(context.clone(), shape));
         if let Some(dependency) = &dependency {
             spawn_local(dependency.clone().work());
@@ -151,7 +151,7 @@
 fn frontends(
     context: &Rc<PlayContext>,
     machines: &[Rc<Machine>],
-    members: &Rc<RefCell<Members>>,
+    members: &Rc<RefCell<Registry>>,
 ) -> Vec<Rc<FrontEnd>> {
     let endpoints = machines.iter().map(|machine| NodeEndpoints {
         address: machine.address.subscribe(),
--- a/fault-harness/src/predict.rs
+++ b/fault-harness/src/predict.rs
@@ -13,10 +13,10 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::history::{Event, History, Observation};
-use crate::model::dependency::Below;
-use crate::model::frontend::Front;
+use crate::model::dependency::Dependency;
+use crate::model::frontend::Frontend;
 use crate::model::interpreter::{InterpreterModel, InterpreterSpec};
-use crate::model::registry::Members;
+use crate::model::registry::Registry;
 use crate::model::Ms;
 use crate::play_context::terms;
 use crate::scenario::Scenario;
@@ -39,15 +39,15 @@
     now: Ms,
     queue: EventQueue,
     nodes: Vec<Node>,
-    frontends: Vec<Front>,
+    frontends: Vec<Frontend>,
     open_requests: HashMap<usize, OpenRequest>,
     /// The node that each request went to first.
     first_nodes: HashMap<usize, usize>,
     attempts: BTreeMap<u64, Attempt>,
     next_attempt: u64,
-    dependency: Option<Below>,
+    dependency: Option<Dependency>,
     rng: ChaCha8Rng,
-    members: Members,
+    members: Registry,
     observations: Vec<Observation>,
 }
 
@@ -70,7 +70,7 @@
         });
         let frontends = schedule.frontends.iter().enumerate().map(|(position, front)| {
             let rng = generator(seed, Stream::Habits, position as u64);
-            Front::new(
+            Frontend::new(
                 &scenario.frontends,
                 front.load_balancing,
                 front.honours_retry_after,
@@ -88,9 +88,9 @@
             first_nodes: HashMap::new(),
             attempts: BTreeMap::new(),
             next_attempt: 1,
-            dependency: scenario.dependency.as_ref().map(|below| Below::new(below.slots, below.queue)),
+            dependency: scenario.dependency.as_ref().map(|below| Dependency::new(below.slots, below.queue)),
             rng: generator(seed, Stream::Calls, 0),
-            members: Members::new(scenario.fleet.nodes, scenario.registry.heartbeat_timeout_s * 1000.0),
+            members: Registry::new(scenario.fleet.nodes, scenario.registry.heartbeat_timeout_s * 1000.0),
             observations: Vec::new(),
             schedule,
         }
@@ -126,7 +126,7 @@
         let nodes = self.nodes.iter().enumerate();
         let nodes = nodes.filter_map(|(position, node)| Some((node.vm.next()?, position)));
         let node = nodes.min_by(|a, b| a.0.total_cmp(&b.0));
-        let call = self.dependency.as_ref().and_then(Below::next);
+        let call = self.dependency.as_ref().and_then(Dependency::next);
         let candidates = [node.map(|(at, _)| at), call, self.queue.next_at()];
         let next = candidates.into_iter().flatten().fold(f64::INFINITY, f64::min);
         if next > end {
@@ -165,7 +165,7 @@
     fn report(&mut self) {
         for (position, node) in self.nodes.iter().enumerate() {
             if node.is_up && !node.is_paused {
-                self.members.report(self.now, position, true);
+                self.members.on_heartbeat(self.now, position, true);
             }
         }
     }
--- a/fault-harness/src/predict/faults.rs
+++ b/fault-harness/src/predict/faults.rs
@@ -3,7 +3,7 @@
 use super::event_queue::ScheduledEvent;
 use super::Prediction;
 use crate::history::{Event, ProcessExit};
-use crate::model::frontend::Answer;
+use crate::model::frontend::AttemptOutcome;
 use crate::model::interpreter::{InterpreterModel, InterpreterSpec};
 use crate::model::Ms;
 use crate::scenario::{Fault, FaultKind};
@@ -30,10 +30,10 @@
         match strike.fault.what {
             FaultKind::Dependency => {
                 if let Some(dependency) = &mut self.dependency {
-                    dependency.weaken(factor);
+                    dependency.set_capacity_factor(factor);
                 }
             }
-            FaultKind::Registry => self.members.deaf(self.now, on),
+            FaultKind::Registry => self.members.set_unreachable(self.now, on),
             FaultKind::Frontends => strike.whom.iter().for_each(|front| self.frontends[*front].restart()),
             _ => strike.whom.iter().for_each(|node| self.set_node_fault(*node, &strike.fault, on)),
         }
@@ -52,7 +52,7 @@
             }
             FaultKind::Slow => {
                 let happened = self.nodes[node].vm.advance(self.now);
-                self.nodes[node].vm.factor = if on { fault.factor } else { 1.0 };
+                self.nodes[node].vm.speed_factor = if on { fault.factor } else { 1.0 };
                 self.take_in(node, happened);
             }
             _ => {}
@@ -85,7 +85,7 @@
             if let Some(attempt) = self.attempts.get_mut(&id) {
                 attempt.is_open = false;
                 let request = attempt.request;
-                self.attempt_over(request, node, Answer::Gone);
+                self.attempt_over(request, node, AttemptOutcome::ConnectionLost);
             }
         }
     }
--- a/fault-harness/src/predict/server.rs
+++ b/fault-harness/src/predict/server.rs
@@ -5,9 +5,9 @@
 use super::event_queue::ScheduledEvent;
 use super::Prediction;
 use crate::history::{Event, Response};
-use crate::model::dependency::Ended;
-use crate::model::frontend::Answer;
-use crate::model::interpreter::{InterpreterEvent, InterpreterModel, Work};
+use crate::model::dependency::CallEnd;
+use crate::model::frontend::AttemptOutcome;
+use crate::model::interpreter::{InterpreterEvent, InterpreterModel, RunRequest};
 use crate::model::Ms;
 use crate::schedule::call_time;
 
@@ -60,7 +60,7 @@
     /// An attempt comes to a node.
     pub(super) fn arrive(&mut self, request: usize, node: usize) {
         if !self.nodes[node].is_up {
-            return self.attempt_over(request, node, Answer::Gone);
+            return self.attempt_over(request, node, AttemptOutcome::ConnectionLost);
         }
         let id = self.next_attempt;
         self.next_attempt += 1;
@@ -69,7 +69,7 @@
         let attempt = Attempt { request, node, deadline, is_open: true, is_read: false };
         self.attempts.insert(id, attempt);
         self.queue.schedule(deadline, ScheduledEvent::AttemptTimeout(id));
-        let happened = self.nodes[node].vm.read(self.now, id, self.scenario.fleet.read_ms);
+        let happened = self.nodes[node].vm.start_reading(self.now, id, self.scenario.fleet.read_ms);
         self.take_in(node, happened);
     }
 
@@ -77,12 +77,12 @@
     pub(super) fn time_out(&mut self, id: u64) {
         let Some(attempt) = self.attempts.get_mut(&id).filter(|attempt| attempt.is_open) else { return };
         if attempt.is_read {
-            return self.answer(id, Response::Failed, Answer::Failed);
+            return self.answer(id, Response::Failed, AttemptOutcome::Failed);
         }
         attempt.is_open = false;
         let (request, node) = (attempt.request, attempt.node);
-        let happened = self.nodes[node].vm.unread(self.now, id);
-        self.attempt_over(request, node, Answer::Silent);
+        let happened = self.nodes[node].vm.cancel_reading(self.now, id);
+        self.attempt_over(request, node, AttemptOutcome::TimedOut);
         self.take_in(node, happened);
     }
 
@@ -95,13 +95,13 @@
         let (key, memory_kb, frontend) = (sent.repeats.unwrap_or(request), sent.kb, sent.front);
         let is_keyed = self.scenario.classes[sent.class].idempotency_key;
         self.note(Event::AttemptWritten { attempt: id, request, node, frontend, deadline });
-        self.nodes[node].vm.hold(self.now, id, memory_kb);
+        self.nodes[node].vm.admit_request(self.now, id, memory_kb);
         let known = if is_keyed { self.nodes[node].keys.get_mut(&key) } else { None };
         match known {
             Some(KeyState::Done(result)) => {
                 let result = result.clone();
                 let poorer = result.ends_with(" poorer");
-                self.answer(id, Response::Served(result), Answer::Served { poorer });
+                self.answer(id, Response::Served(result), AttemptOutcome::Served { degraded: poorer });
             }
             Some(KeyState::Running(waiting)) => waiting.push(id),
             None => self.enqueue(id, node, is_keyed.then_some(key)),
@@ -115,7 +115,7 @@
         let place = &mut self.nodes[node];
         if place.queue.len() >= capacity {
             let rejected = Response::Rejected { retry_after: Some(RETRY_AFTER), give_up: false };
-            let answer = Answer::Refused { later: Some(RETRY_AFTER), giveup: false };
+            let answer = AttemptOutcome::Rejected { retry_after: Some(RETRY_AFTER), give_up: false };
             return self.answer(id, rejected, answer);
         }
         if let Some(key) = key {
@@ -130,10 +130,13 @@
             let Some(id) = self.nodes[node].queue.pop_front() else { return };
             let Some(attempt) = self.attempts.get(&id).filter(|attempt| attempt.is_open) else { continue };
             let sent = &self.schedule.requests[attempt.request];
-            let work =
-                Work { txn: id, work: sent.work, calls: self.scenario.classes[sent.class].calls_dependency };
+            let work = RunRequest {
+                attempt: id,
+                work: sent.work,
+                calls_dependency: self.scenario.classes[sent.class].calls_dependency,
+            };
             self.note(Event::RunStarted { attempt: id, node });
-            let happened = self.nodes[node].vm.run(self.now, work);
+            let happened = self.nodes[node].vm.start_run(self.now, work);
             self.take_in(node, happened);
         }
     }
@@ -141,18 +144,18 @@
     fn has_capacity(&self, node: usize) -> bool {
         let most = (f64::from(self.scenario.fleet.cores) * RUNS_PER_CORE).ceil();
         let node = &self.nodes[node];
-        node.is_up && !node.is_paused && node.vm.gauges(self.now)[1] < most
+        node.is_up && !node.is_paused && node.vm.gauges(self.now).runnable < most
     }
 
     /// Takes in what happened at the interpreter of a node.
     pub(super) fn take_in(&mut self, node: usize, happened: Vec<InterpreterEvent>) {
         for what in happened {
             match what {
-                InterpreterEvent::Read(id) => self.read(id),
-                InterpreterEvent::Done(id) => self.run_over(node, id, Some(format!("job {id:016x}"))),
+                InterpreterEvent::RequestRead(id) => self.read(id),
+                InterpreterEvent::Completed(id) => self.run_over(node, id, Some(format!("job {id:016x}"))),
                 InterpreterEvent::Aborted(id) => self.run_over(node, id, None),
-                InterpreterEvent::AtCall(id) => self.call(node, id),
-                InterpreterEvent::Fell(why) => {
+                InterpreterEvent::CallStarted(id) => self.call(node, id),
+                InterpreterEvent::Died(why) => {
                     self.note(Event::InterpreterDied { node, cause: why.into() });
                     self.take_down(node, Some(RESTART_DELAY));
                 }
@@ -173,9 +176,13 @@
         for id in joined.into_iter().chain([id]) {
             match &result {
                 Some(result) => {
-                    self.answer(id, Response::Served(result.clone()), Answer::Served { poorer: false });
+                    self.answer(
+                        id,
+                        Response::Served(result.clone()),
+                        AttemptOutcome::Served { degraded: false },
+                    );
                 }
-                None => self.answer(id, Response::Failed, Answer::Failed),
+                None => self.answer(id, Response::Failed, AttemptOutcome::Failed),
             }
         }
     }
@@ -207,33 +214,33 @@
         if self.dependency.as_mut().is_some_and(|dependency| dependency.call(now, id, time, deadline)) {
             self.note(Event::DependencyCalled { attempt: id, node });
         } else {
-            self.call_over(Ended::Slow(id));
+            self.call_over(CallEnd::TimedOut(id));
         }
     }
 
     /// A call is over; where it failed, the run goes on without it or the request fails.
-    pub(super) fn call_over(&mut self, end: Ended) {
+    pub(super) fn call_over(&mut self, end: CallEnd) {
         let (id, is_done) = match end {
-            Ended::Done(id) => (id, true),
-            Ended::Slow(id) => (id, false),
+            CallEnd::Completed(id) => (id, true),
+            CallEnd::TimedOut(id) => (id, false),
         };
         let Some(attempt) = self.attempts.get(&id) else { return };
         let node = attempt.node;
         let class = &self.scenario.classes[self.schedule.requests[attempt.request].class];
         if !is_done && class.skip_weight <= 0.0 {
-            self.answer(id, Response::Failed, Answer::Failed);
+            self.answer(id, Response::Failed, AttemptOutcome::Failed);
         }
-        let happened = self.nodes[node].vm.go_on(self.now, id);
+        let happened = self.nodes[node].vm.resume_run(self.now, id);
         self.take_in(node, happened);
     }
 
     /// Answers an attempt whose caller still waits.
-    fn answer(&mut self, id: u64, kind: Response, answer: Answer) {
+    fn answer(&mut self, id: u64, kind: Response, answer: AttemptOutcome) {
         let Some(attempt) = self.attempts.get_mut(&id).filter(|attempt| attempt.is_open) else { return };
         attempt.is_open = false;
         let (request, node) = (attempt.request, attempt.node);
         self.note(Event::AttemptAnswered { attempt: id, response: kind });
-        let happened = self.nodes[node].vm.over(self.now, id);
+        let happened = self.nodes[node].vm.release_request(self.now, id);
         self.attempt_over(request, node, answer);
         self.take_in(node, happened);
     }
--- a/fault-harness/src/stand_in/dependency.rs
+++ b/fault-harness/src/stand_in/dependency.rs
@@ -10,7 +10,7 @@
 
 use super::{command, interpreter::Interpreter, txn};
 use crate::history::Event;
-use crate::model::dependency::{Below, Ended};
+use crate::model::dependency::{CallEnd, Dependency};
 use crate::play_context::PlayContext;
 use crate::scenario::Dependency as Shape;
 use crate::schedule::{call_time, generator, Stream};
@@ -29,7 +29,7 @@
 pub struct Tier {
     context: Rc<PlayContext>,
     shape: Shape,
-    model: RefCell<Below>,
+    model: RefCell<Dependency>,
     calls: RefCell<HashMap<u64, Call>>,
     next: Cell<u64>,
     rng: RefCell<ChaCha8Rng>,
@@ -39,7 +39,8 @@
 impl Tier {
     /// The tier of a scenario.
     pub fn new(context: Rc<PlayContext>, shape: Shape) -> Rc<Tier> {
-        let (model, rng) = (Below::new(shape.slots, shape.queue), generator(context.seed, Stream::Calls, 0));
+        let (model, rng) =
+            (Dependency::new(shape.slots, shape.queue), generator(context.seed, Stream::Calls, 0));
         Rc::new(Tier {
             context,
             shape,
@@ -53,7 +54,7 @@
 
     /// Leaves it a part of its slots.
     pub fn weaken(&self, factor: f64) {
-        self.model.borrow_mut().weaken(factor);
+        self.model.borrow_mut().set_capacity_factor(factor);
         self.poke.notify_one();
     }
 
@@ -68,8 +69,8 @@
             let ended = self.model.borrow_mut().advance(self.context.now());
             for end in ended {
                 let (id, done) = match end {
-                    Ended::Done(id) => (id, true),
-                    Ended::Slow(id) => (id, false),
+                    CallEnd::Completed(id) => (id, true),
+                    CallEnd::TimedOut(id) => (id, false),
                 };
                 // A call that was given up is nobody's any more.
                 let Some(call) = self.calls.borrow_mut().remove(&id) else { continue };
@@ -122,7 +123,7 @@
         // Closing a connection gives up every call on it.
         for call in mine {
             if self.calls.borrow_mut().remove(&call).is_some() {
-                self.model.borrow_mut().give_up(call);
+                self.model.borrow_mut().cancel(call);
             }
         }
     }
@@ -132,7 +133,7 @@
             self.calls.borrow().iter().filter(|(_, call)| meant(call)).map(|(id, _)| *id).collect();
         for id in ids {
             self.calls.borrow_mut().remove(&id);
-            self.model.borrow_mut().give_up(id);
+            self.model.borrow_mut().cancel(id);
         }
     }
 
--- a/fault-harness/src/stand_in/frontends.rs
+++ b/fault-harness/src/stand_in/frontends.rs
@@ -14,8 +14,8 @@
 
 use super::interpreter::Interpreter;
 use crate::history::Event;
-use crate::model::frontend::{Answer, Front, Journey, Pin, Step, LATEST_RETRY_MARGIN};
-use crate::model::registry::Members;
+use crate::model::frontend::{Affinity, AttemptOutcome, ClientCall, Frontend, NextStep, LATEST_RETRY_MARGIN};
+use crate::model::registry::Registry;
 use crate::model::Ms;
 use crate::play_context::{PlayContext, Written};
 use crate::relay::Line;
@@ -49,9 +49,9 @@
     context: Rc<PlayContext>,
     number: usize,
     late: Ms,
-    habits: RefCell<Front>,
+    habits: RefCell<Frontend>,
     nodes: Rc<Vec<NodeEndpoints>>,
-    members: Rc<RefCell<Members>>,
+    members: Rc<RefCell<Registry>>,
     connections: RefCell<Vec<Rc<Connection>>>,
     attempts: Rc<Cell<u64>>,
     /// The node that each request went to first.
@@ -64,7 +64,7 @@
     /// The endpoints of all nodes.
     pub nodes: Rc<Vec<NodeEndpoints>>,
     /// The membership service.
-    pub members: Rc<RefCell<Members>>,
+    pub members: Rc<RefCell<Registry>>,
     /// Attempts so far, of all frontends.
     pub attempts: Rc<Cell<u64>>,
     /// The node that each request went to first.
@@ -76,7 +76,7 @@
     pub fn new(context: Rc<PlayContext>, number: usize, shared: Shared) -> Rc<FrontEnd> {
         let schedule = &context.schedule.frontends[number];
         let rng = crate::schedule::generator(context.seed, crate::schedule::Stream::Habits, number as u64);
-        let habits = Front::new(
+        let habits = Frontend::new(
             &context.scenario.frontends,
             schedule.load_balancing,
             schedule.honours_retry_after,
@@ -110,46 +110,52 @@
         let asked = self.context.now();
         self.context.note(Event::RequestSent { request: n, class: ask.class, repeats: ask.repeats });
         let first = ask.repeats.and_then(|first| self.first_nodes.borrow().get(&first).copied());
-        let pin = Pin::of(ask.repeats.is_some(), first, self.context.scenario.load.repeat_at);
+        let pin = Affinity::of(ask.repeats.is_some(), first, self.context.scenario.load.repeat_at);
         let due = asked + class.deadline_ms as f64;
-        let mut journey = Journey::new(due, pin, &self.habits.borrow());
-        let mut step = journey.go(asked, &mut self.habits.borrow_mut(), &self.listed());
+        let mut journey = ClientCall::new(due, pin, &self.habits.borrow());
+        let mut step = journey.proceed(asked, &mut self.habits.borrow_mut(), &self.listed());
         let mut attempts = 0;
         let end = loop {
             step = match step {
-                Step::Try(node) => {
+                NextStep::Attempt(node) => {
                     attempts += 1;
                     self.first_nodes.borrow_mut().entry(n).or_insert(node);
                     let answer = self.attempt(node, n, due).await;
                     let listed = self.listed();
-                    journey.answered(self.context.now(), node, answer, &mut self.habits.borrow_mut(), &listed)
+                    journey.on_outcome(
+                        self.context.now(),
+                        node,
+                        answer,
+                        &mut self.habits.borrow_mut(),
+                        &listed,
+                    )
                 }
-                Step::Wait(until) => {
+                NextStep::WaitUntil(until) => {
                     self.context.clock.until(until).await;
                     let listed = self.listed();
-                    journey.go(self.context.now(), &mut self.habits.borrow_mut(), &listed)
+                    journey.proceed(self.context.now(), &mut self.habits.borrow_mut(), &listed)
                 }
-                Step::Over(end) => break end,
+                NextStep::Finished(end) => break end,
             };
         };
         self.context.note(Event::RequestEnded { request: n, outcome: end, attempts });
     }
 
     /// One attempt at a node. It is sent again, once, if it crosses a close.
-    async fn attempt(&self, node: usize, n: usize, due: Ms) -> Answer {
+    async fn attempt(&self, node: usize, n: usize, due: Ms) -> AttemptOutcome {
         for again in [true, false] {
-            let Ok(connection) = self.connection(node).await else { return Answer::Gone };
+            let Ok(connection) = self.connection(node).await else { return AttemptOutcome::ConnectionLost };
             match self.send(&connection, n, due).await {
                 Some(answer) => return answer,
                 None if again => {}
                 None => break,
             }
         }
-        Answer::Gone
+        AttemptOutcome::ConnectionLost
     }
 
     /// Writes an attempt and waits for its answer; none where it crossed a close.
-    async fn send(&self, connection: &Rc<Connection>, n: usize, due: Ms) -> Option<Answer> {
+    async fn send(&self, connection: &Rc<Connection>, n: usize, due: Ms) -> Option<AttemptOutcome> {
         let (context, node) = (&self.context, connection.node);
         let txn = FIRST_ATTEMPT_ID + self.attempts.replace(self.attempts.get() + 1);
         let id = connection.next_id.replace(connection.next_id.get() + 1);
@@ -182,13 +188,13 @@
             answer = &mut answer => answer.ok(),
             () = context.clock.until(listen_until) => {
                 self.withdraw(connection, id, txn, &out);
-                Some(Answer::Silent)
+                Some(AttemptOutcome::TimedOut)
             }
         }
     }
 
     /// Waits until the node's machine has read an attempt; an answer if it will not be written.
-    async fn wait_until_read(&self, connection: &Connection, txn: u64, due: Ms) -> Option<Answer> {
+    async fn wait_until_read(&self, connection: &Connection, txn: u64, due: Ms) -> Option<AttemptOutcome> {
         let (context, interpreter) = (&self.context, &self.nodes[connection.node].interpreter);
         if context.scenario.fleet.read_ms <= 0.0 {
             return None;
@@ -202,12 +208,12 @@
         connection.unread.set(connection.unread.get() - 1);
         match read {
             // Nobody writes what its client no longer waits for.
-            Some(true) if context.now() + LATEST_RETRY_MARGIN >= due => Some(Answer::Silent),
+            Some(true) if context.now() + LATEST_RETRY_MARGIN >= due => Some(AttemptOutcome::TimedOut),
             Some(true) => None,
-            Some(false) => Some(Answer::Gone),
+            Some(false) => Some(AttemptOutcome::ConnectionLost),
             None => {
                 interpreter.unread(txn);
-                Some(Answer::Silent)
+                Some(AttemptOutcome::TimedOut)
             }
         }
     }
@@ -306,7 +312,7 @@
                 self.nodes[connection.node].interpreter.over(open.txn);
                 if let Some(reply) = open.reply {
                     // Its client may have stopped waiting.
-                    let _ = reply.send(Answer::Gone);
+                    let _ = reply.send(AttemptOutcome::ConnectionLost);
                 }
             }
         }
--- a/fault-harness/src/stand_in/frontends/connection.rs
+++ b/fault-harness/src/stand_in/frontends/connection.rs
@@ -11,7 +11,7 @@
 
 use super::Interpreter;
 use crate::history::{ConnectionLoss, Event, Response};
-use crate::model::frontend::Answer;
+use crate::model::frontend::AttemptOutcome;
 use crate::model::Ms;
 use crate::play_context::PlayContext;
 use crate::scenario::NodeEvent;
@@ -28,7 +28,7 @@
     pub(super) written_at: Ms,
     /// Nothing else was open when it was written.
     pub(super) was_alone: bool,
-    pub(super) reply: Option<oneshot::Sender<Answer>>,
+    pub(super) reply: Option<oneshot::Sender<AttemptOutcome>>,
 }
 
 /// A connection with a node.
@@ -100,7 +100,7 @@
             context.note(Event::ConnectionLost { attempt: open.txn, loss: why });
             if !crossed {
                 // Its client may have stopped waiting.
-                let _ = reply.send(Answer::Gone);
+                let _ = reply.send(AttemptOutcome::ConnectionLost);
             }
         }
     }
@@ -113,7 +113,7 @@
                 match BASE64.decode(&content).ok().and_then(|bytes| String::from_utf8(bytes).ok()) {
                     Some(result) => {
                         let poorer = result.ends_with(" poorer");
-                        (id, Response::Served(result), Answer::Served { poorer })
+                        (id, Response::Served(result), AttemptOutcome::Served { degraded: poorer })
                     }
                     None => return self.record_stray(context, None, line),
                 }
@@ -121,9 +121,9 @@
             NodeMessage::Refused(id, later, giveup) => (
                 id,
                 Response::Rejected { retry_after: later, give_up: giveup },
-                Answer::Refused { later, giveup },
+                AttemptOutcome::Rejected { retry_after: later, give_up: giveup },
             ),
-            NodeMessage::Failed(id) => (id, Response::Failed, Answer::Failed),
+            NodeMessage::Failed(id) => (id, Response::Failed, AttemptOutcome::Failed),
             NodeMessage::Status(..) | NodeMessage::Noise => return self.record_stray(context, None, line),
         };
         let Some(open) = self.open.borrow_mut().remove(&id) else {
--- a/fault-harness/src/stand_in/interpreter.rs
+++ b/fault-harness/src/stand_in/interpreter.rs
@@ -121,7 +121,7 @@
 
     /// Whether it is cold.
     pub fn cold(&self) -> bool {
-        self.state.borrow().vm.cold()
+        self.state.borrow().vm.is_cold()
     }
 
     /// What it has died of, told once.
@@ -138,7 +138,7 @@
     pub fn slow(&self, factor: f64) {
         self.change(|vm, now| {
             let happened = vm.advance(now);
-            vm.factor = factor;
+            vm.speed_factor = factor;
             happened
         });
     }
@@ -149,14 +149,14 @@
         let (tell, read) = oneshot::channel();
         let work = self.context.scenario.fleet.read_ms;
         self.state.borrow_mut().unread.insert(id, tell);
-        self.change(|vm, now| vm.read(now, id, work));
+        self.change(|vm, now| vm.start_reading(now, id, work));
         read
     }
 
     /// Nobody waits any more for a request that is still to be read.
     pub fn unread(&self, id: u64) {
         self.state.borrow_mut().unread.remove(&id);
-        self.change(|vm, now| vm.unread(now, id));
+        self.change(|vm, now| vm.cancel_reading(now, id));
     }
 
     /// Whether so much lies unread that no more connections are taken.
@@ -167,7 +167,7 @@
     /// A request was written to the node.
     pub fn holds(&self, id: u64, kb: f64) {
         self.change(|vm, now| {
-            vm.hold(now, id, kb);
+            vm.admit_request(now, id, kb);
             Vec::new()
         });
     }
@@ -175,18 +175,18 @@
     /// A frontend opened a connection.
     pub fn connected(&self) {
         let work = self.context.scenario.fleet.connect_ms;
-        self.change(|vm, now| vm.connect(now, work));
+        self.change(|vm, now| vm.accept_connection(now, work));
     }
 
     /// A request is over for its caller.
     pub fn over(&self, id: u64) {
-        self.change(|vm, now| vm.over(now, id));
+        self.change(|vm, now| vm.release_request(now, id));
     }
 
     /// Whether a run waits for its call with this body.
     pub fn waits(&self, id: u64, body: &[u8]) -> bool {
         let state = self.state.borrow();
-        state.vm.at_call(id) && body == Interpreter::call_body(id, state.incarnation).as_bytes()
+        state.vm.is_at_call(id) && body == Interpreter::call_body(id, state.incarnation).as_bytes()
     }
 
     /// The dependency has replied; the node has to hand on just that.
@@ -220,13 +220,13 @@
     fn handle(&self, happened: Vec<InterpreterEvent>) {
         for what in happened {
             match what {
-                InterpreterEvent::Read(id) => {
+                InterpreterEvent::RequestRead(id) => {
                     if let Some(tell) = self.state.borrow_mut().unread.remove(&id) {
                         // Its frontend may have given up.
                         let _ = tell.send(());
                     }
                 }
-                InterpreterEvent::Done(id) => {
+                InterpreterEvent::Completed(id) => {
                     let result = {
                         let state = self.state.borrow();
                         let poorer = if state.poorer.contains(&id) { " poorer" } else { "" };
@@ -235,12 +235,12 @@
                     self.ended(id, "done", Some(result));
                 }
                 InterpreterEvent::Aborted(id) => self.ended(id, "aborted", None),
-                InterpreterEvent::AtCall(id) => {
+                InterpreterEvent::CallStarted(id) => {
                     let incarnation = self.state.borrow().incarnation;
                     let body = Interpreter::call_body(id, incarnation);
                     self.notify(|notice| wire::await_call(notice, &format!("{id:016x}"), &body));
                 }
-                InterpreterEvent::Fell(why) => {
+                InterpreterEvent::Died(why) => {
                     self.context.note(Event::InterpreterDied { node: self.node, cause: why.into() });
                     *self.fell.borrow_mut() = Some(why);
                 }
--- a/fault-harness/src/stand_in/interpreter/link.rs
+++ b/fault-harness/src/stand_in/interpreter/link.rs
@@ -8,7 +8,7 @@
 use super::super::{command, txn};
 use super::Interpreter;
 use crate::history::Event;
-use crate::model::interpreter::Work;
+use crate::model::interpreter::RunRequest;
 use crate::model::Ms;
 use crate::scenario::NodeEvent;
 use crate::wire;
@@ -62,7 +62,7 @@
     fn banner(&self) -> String {
         let state = self.state.borrow();
         let up_for = self.context.now() - state.started;
-        if state.vm.cold() {
+        if state.vm.is_cold() {
             wire::banner(true, up_for as u64)
         } else {
             wire::banner(false, (up_for + UP_BEFORE_PLAY) as u64)
@@ -116,16 +116,16 @@
         match (words[0].as_str(), id) {
             ("TOP", _) => {
                 let gauges = self.state.borrow().vm.gauges(self.context.now());
-                return Some(wire::tops(words.get(1)?, &gauges));
+                return Some(wire::tops(words.get(1)?, &gauges.as_array()));
             }
             ("APPLY", Some(id)) => {
                 if !self.apply(id, words.get(2)?, body) {
                     return Some(format!("ERROR APPLY {}\r\n", words[1]));
                 }
             }
-            ("BREAK", Some(id)) => self.change(|vm, now| vm.pause(now, id)),
+            ("BREAK", Some(id)) => self.change(|vm, now| vm.pause_run(now, id)),
             ("CONTINUE", Some(id)) => {
-                self.change(|vm, now| if vm.at_call(id) { Vec::new() } else { vm.go_on(now, id) });
+                self.change(|vm, now| if vm.is_at_call(id) { Vec::new() } else { vm.resume_run(now, id) });
             }
             ("RESOLVE", Some(id)) => self.resolve(id, body),
             ("STUB", Some(id)) => self.skip_call(id),
@@ -137,7 +137,7 @@
     /// Resumes a run with the reply to its call.
     fn resolve(&self, id: u64, body: &[u8]) {
         // A command that crossed the end of its run resolves nothing.
-        if !self.state.borrow().vm.at_call(id) {
+        if !self.state.borrow().vm.is_at_call(id) {
             return;
         }
         let reply = self.state.borrow_mut().replies.remove(&id);
@@ -145,14 +145,14 @@
             let text = format!("the reply to the call of {id:016x} is not the one that came");
             self.context.note(Event::Corrupted { node: self.node, text });
         }
-        self.change(|vm, now| vm.go_on(now, id));
+        self.change(|vm, now| vm.resume_run(now, id));
     }
 
     /// Resumes a run without its call; its result will be poorer.
     fn skip_call(&self, id: u64) {
-        if self.state.borrow().vm.at_call(id) {
+        if self.state.borrow().vm.is_at_call(id) {
             self.state.borrow_mut().poorer.insert(id);
-            self.change(|vm, now| vm.go_on(now, id));
+            self.change(|vm, now| vm.resume_run(now, id));
         }
     }
 
@@ -169,22 +169,22 @@
             self.context.note(Event::Corrupted { node: self.node, text });
             return false;
         };
-        if self.state.borrow().vm.runs(id) {
+        if self.state.borrow().vm.has_run(id) {
             return true;
         }
-        if !self.state.borrow().vm.holds(id) {
+        if !self.state.borrow().vm.has_request(id) {
             self.notify(|notice| wire::value(notice, &format!("{id:016x}"), "stale", 0, ""));
             return true;
         }
         let request = &self.context.schedule.requests[written.n];
-        let work = Work {
-            txn: id,
+        let work = RunRequest {
+            attempt: id,
             work: request.work,
-            calls: self.context.scenario.classes[request.class].calls_dependency,
+            calls_dependency: self.context.scenario.classes[request.class].calls_dependency,
         };
         self.state.borrow_mut().began.insert(id, self.context.now());
         self.context.note(Event::RunStarted { attempt: id, node: self.node });
-        self.change(|vm, now| vm.run(now, work));
+        self.change(|vm, now| vm.start_run(now, work));
         self.context.happened(self.node, NodeEvent::RunStarted);
         true
     }
