--- a/fault-harness/src/model/mod.rs
+++ b/fault-harness/src/model/mod.rs
@@ -9,5 +9,18 @@
 /// Milliseconds since the load began; what was before that is below 0.
 pub type Ms = f64;
 
+/// Milliseconds in a second.
+pub const MS_PER_SECOND: Ms = 1000.0;
+
+/// Seconds as milliseconds.
+pub fn ms_of_seconds(seconds: f64) -> Ms {
+    seconds * MS_PER_SECOND
+}
+
+/// Milliseconds as seconds.
+pub fn seconds_of_ms(ms: Ms) -> f64 {
+    ms / MS_PER_SECOND
+}
+
 /// Times closer together than this are one.
 pub const MOMENT: Ms = 1e-6;
--- a/fault-harness/src/play.rs
+++ b/fault-harness/src/play.rs
@@ -123,14 +123,14 @@
     for position in order {
         let request = &requests[position];
         context.clock.until(context.begun.get() + request.at).await;
-        spawn_local(testbed.frontends[request.front].clone().client(position));
+        spawn_local(testbed.frontends[request.frontend].clone().client(position));
     }
 }
 
 /// Ends all programs; faults that still wait do not strike.
 fn stop(testbed: &Testbed) {
     testbed.context.deafen();
-    testbed.pending_strikes.borrow_mut().clear();
+    testbed.pending_injections.borrow_mut().clear();
     for machine in &testbed.machines {
         machine.end(Ending::Over);
     }
--- a/fault-harness/src/play/disturbance.rs
+++ b/fault-harness/src/play/disturbance.rs
@@ -11,7 +11,7 @@
 use crate::play_context::PlayContext;
 use crate::relay::Line;
 use crate::scenario::{Directions, FaultKind, Link, Traffic};
-use crate::schedule::Strike;
+use crate::schedule::Injection;
 
 /// The line between a node and a frontend, by their positions.
 #[derive(Debug, Clone, Copy)]
@@ -61,14 +61,14 @@
     /// Disturbs lines of the nodes struck, until then.
     pub(super) fn disturb(
         &self,
-        strike: &Strike,
+        injection: &Injection,
         between: &[Link],
         way: Directions,
         traffic: &Traffic,
         until: Ms,
     ) {
         let number = self.next_disturbance.replace(self.next_disturbance.get() + 1);
-        let lines = self.disturbed_lines(strike, between, way);
+        let lines = self.disturbed_lines(injection, between, way);
         lines.note_clients(true, &self.context);
         lines.disturb(number, way, traffic);
         lines.note_peers(true, &self.context);
@@ -81,19 +81,19 @@
         });
     }
 
-    fn disturbed_lines(&self, strike: &Strike, between: &[Link], way: Directions) -> DisturbedLines {
+    fn disturbed_lines(&self, injection: &Injection, between: &[Link], way: Directions) -> DisturbedLines {
         let mut lines = DisturbedLines::default();
-        for node in &strike.whom {
+        for node in &injection.targets {
             let Some(machine) = self.machines.get(*node) else { continue };
             for link in between {
                 match link {
-                    Link::Frontends => self.add_client_lines(strike, *node, machine, &mut lines),
+                    Link::Frontends => self.add_client_lines(injection, *node, machine, &mut lines),
                     Link::Interpreter => lines.services.push((machine.vm.clone(), None)),
                     Link::Dependency => lines.services.push((machine.below.clone(), None)),
                     Link::Registry => lines.services.push((machine.members.clone(), None)),
                     Link::Peers => {
-                        add_router_lines(strike, machine, way, &mut lines);
-                        self.add_peer_lines(strike, machine, way, &mut lines);
+                        add_router_lines(injection, machine, way, &mut lines);
+                        self.add_peer_lines(injection, machine, way, &mut lines);
                     }
                 }
             }
@@ -104,7 +104,7 @@
     /// Lines with frontends. Frontends within a zone that is cut off still reach its nodes.
     fn add_client_lines(
         &self,
-        strike: &Strike,
+        injection: &Injection,
         node: usize,
         machine: &Rc<Machine>,
         lines: &mut DisturbedLines,
@@ -112,8 +112,8 @@
         let zones = &self.context.scenario.fleet.zones;
         for (frontend, line) in machine.clients.iter().enumerate() {
             let zone = &zones[self.context.schedule.frontends[frontend].zone];
-            let is_cut_off_too = strike.fault.zone.as_ref() == Some(zone);
-            if strike.fault.what != FaultKind::Partition || !is_cut_off_too {
+            let is_cut_off_too = injection.fault.zone.as_ref() == Some(zone);
+            if injection.fault.what != FaultKind::Partition || !is_cut_off_too {
                 lines.services.push((line.clone(), Some(ClientLink { node, frontend })));
             }
         }
@@ -122,16 +122,16 @@
     /// Connections among nodes that replicate. A line is named after the node that dials it.
     fn add_peer_lines(
         &self,
-        strike: &Strike,
+        injection: &Injection,
         machine: &Rc<Machine>,
         way: Directions,
         lines: &mut DisturbedLines,
     ) {
         let names = self.context.scenario.node_names();
-        let with = &strike.fault.with;
+        let with = &injection.fault.with;
         for (other, dialled, dials) in &*machine.links.borrow() {
             let is_meant = with.is_empty() || with.contains(&names[*other]);
-            if is_meant && !are_cut_off_together(strike, *other) {
+            if is_meant && !are_cut_off_together(injection, *other) {
                 lines.peers.extend([(dialled.clone(), way), (dials.clone(), opposite(way))]);
             }
         }
@@ -139,9 +139,14 @@
 }
 
 /// Datagrams of the virtual router, which have a line for each direction.
-fn add_router_lines(strike: &Strike, machine: &Rc<Machine>, way: Directions, lines: &mut DisturbedLines) {
+fn add_router_lines(
+    injection: &Injection,
+    machine: &Rc<Machine>,
+    way: Directions,
+    lines: &mut DisturbedLines,
+) {
     for (other, to, from) in &*machine.peers.borrow() {
-        if are_cut_off_together(strike, *other) {
+        if are_cut_off_together(injection, *other) {
             continue;
         }
         if way != Directions::From {
@@ -154,8 +159,8 @@
 }
 
 /// Whether another node is on the same side of a partition: such nodes hear each other.
-fn are_cut_off_together(strike: &Strike, other: usize) -> bool {
-    strike.fault.what == FaultKind::Partition && strike.whom.contains(&other)
+fn are_cut_off_together(injection: &Injection, other: usize) -> bool {
+    injection.fault.what == FaultKind::Partition && injection.targets.contains(&other)
 }
 
 fn opposite(way: Directions) -> Directions {
--- a/fault-harness/src/play/faults.rs
+++ b/fault-harness/src/play/faults.rs
@@ -9,7 +9,7 @@
 use crate::model::Ms;
 use crate::node::Machine;
 use crate::scenario::{Directions, Fault, FaultKind, Link, Traffic};
-use crate::schedule::{At, Strike};
+use crate::schedule::{Injection, InjectionTime};
 
 /// One node hears of a membership configuration so much later than the one before it.
 const ANNOUNCEMENT_INTERVAL: Ms = 100.0;
@@ -18,90 +18,92 @@
     /// Arms the faults: those with a time, and those that wait for an event.
     pub(super) fn arm(self: &Rc<Self>) {
         let begun = self.context.begun.get();
-        for strike in &self.context.schedule.strikes {
-            match strike.at {
-                At::Time(at) => self.strike_at(begun + at + strike.after, strike.clone()),
-                At::Event(..) => self.pending_strikes.borrow_mut().push(strike.clone()),
+        for injection in &self.context.schedule.injections {
+            match injection.at {
+                InjectionTime::Time(at) => self.strike_at(begun + at + injection.delay, injection.clone()),
+                InjectionTime::Event { .. } => self.pending_injections.borrow_mut().push(injection.clone()),
             }
         }
         let listening = Rc::downgrade(self);
         self.context.listen(move |node, what, count| {
             let Some(testbed) = listening.upgrade() else { return };
-            testbed.strike_on(At::Event(node, what, count));
+            testbed.strike_on(InjectionTime::Event { node, event: what, count });
         });
     }
 
-    fn strike_at(self: &Rc<Self>, at: Ms, strike: Strike) {
+    fn strike_at(self: &Rc<Self>, at: Ms, injection: Injection) {
         let testbed = self.clone();
         spawn_local(async move {
             testbed.context.clock.until(at).await;
-            testbed.strike(&strike);
+            testbed.strike(&injection);
         });
     }
 
     /// Strikes with the faults that wait for this event.
-    fn strike_on(self: &Rc<Self>, event: At) {
-        let strikes: Vec<Strike> = {
-            let mut pending = self.pending_strikes.borrow_mut();
+    fn strike_on(self: &Rc<Self>, event: InjectionTime) {
+        let strikes: Vec<Injection> = {
+            let mut pending = self.pending_injections.borrow_mut();
             let (now, later) =
-                std::mem::take(&mut *pending).into_iter().partition(|strike| strike.at == event);
+                std::mem::take(&mut *pending).into_iter().partition(|injection| injection.at == event);
             *pending = later;
             now
         };
-        for strike in strikes {
-            if strike.after == 0.0 {
+        for injection in strikes {
+            if injection.delay == 0.0 {
                 // At once: a moment later the node would be further on.
-                self.strike(&strike);
+                self.strike(&injection);
             } else {
-                self.strike_at(self.context.now() + strike.after, strike);
+                self.strike_at(self.context.now() + injection.delay, injection);
             }
         }
     }
 
     /// Does what a fault does, and sees to its end.
-    fn strike(self: &Rc<Self>, strike: &Strike) {
-        let fault = &strike.fault;
+    fn strike(self: &Rc<Self>, injection: &Injection) {
+        let fault = &injection.fault;
         let lasts = fault.duration_s.unwrap_or(0.0) * 1000.0;
         let down = fault.down_s.map(|seconds| seconds * 1000.0);
         let until = self.context.now() + lasts.max(down.unwrap_or(0.0));
-        self.context.note(Event::FaultInjected { text: describe(strike), until });
-        let struck = || self.machines_of(strike);
+        self.context.note(Event::FaultInjected { text: describe(injection), until });
+        let struck = || self.machines_of(injection);
         match fault.what {
-            FaultKind::Kill => struck().for_each(|machine| machine.kill(down, fault, strike.draw)),
-            FaultKind::Shutdown => struck().for_each(|machine| machine.leave(down, fault, strike.draw)),
+            FaultKind::Kill => struck().for_each(|machine| machine.kill(down, fault, injection.random)),
+            FaultKind::Shutdown => struck().for_each(|machine| machine.leave(down, fault, injection.random)),
             FaultKind::Reload => struck().for_each(|machine| machine.reload()),
-            FaultKind::Pause => self.pause(strike, until),
-            FaultKind::Slow => self.slow_down(strike, until),
-            FaultKind::Partition => self.partition(strike, until),
-            FaultKind::Link => self.disturb(strike, &fault.between, fault.direction, &fault.traffic, until),
+            FaultKind::Pause => self.pause(injection, until),
+            FaultKind::Slow => self.slow_down(injection, until),
+            FaultKind::Partition => self.partition(injection, until),
+            FaultKind::Link => {
+                self.disturb(injection, &fault.between, fault.direction, &fault.traffic, until)
+            }
             FaultKind::Dependency => self.weaken_dependency(fault.factor, until),
             FaultKind::Registry => self.deafen_members(until),
-            FaultKind::Frontends => self.restart_frontends(strike),
-            FaultKind::RemoveMembers => self.remove_from_membership(&strike.whom),
-            FaultKind::AddMembers => self.change_membership(|listed| listed.extend(&strike.whom)),
+            FaultKind::Frontends => self.restart_frontends(injection),
+            FaultKind::RemoveMembers => self.remove_from_membership(&injection.targets),
+            FaultKind::AddMembers => self.change_membership(|listed| listed.extend(&injection.targets)),
         }
     }
 
-    fn machines_of<'a>(&'a self, strike: &'a Strike) -> impl Iterator<Item = &'a Rc<Machine>> {
-        strike.whom.iter().filter_map(|node| self.machines.get(*node))
+    fn machines_of<'a>(&'a self, injection: &'a Injection) -> impl Iterator<Item = &'a Rc<Machine>> {
+        injection.targets.iter().filter_map(|node| self.machines.get(*node))
     }
 
-    fn pause(self: &Rc<Self>, strike: &Strike, until: Ms) {
-        let program_only = strike.fault.program_only;
-        self.machines_of(strike).for_each(|machine| machine.set_paused(true, program_only));
-        self.undo_at(until, strike, |machine, fault| machine.set_paused(false, fault.program_only));
+    fn pause(self: &Rc<Self>, injection: &Injection, until: Ms) {
+        let program_only = injection.fault.program_only;
+        self.machines_of(injection).for_each(|machine| machine.set_paused(true, program_only));
+        self.undo_at(until, injection, |machine, fault| machine.set_paused(false, fault.program_only));
     }
 
-    fn slow_down(self: &Rc<Self>, strike: &Strike, until: Ms) {
-        let factor = strike.fault.factor;
-        self.machines_of(strike).for_each(|machine| machine.interpreter.slow(factor));
-        self.undo_at(until, strike, |machine, _| machine.interpreter.slow(1.0));
+    fn slow_down(self: &Rc<Self>, injection: &Injection, until: Ms) {
+        let factor = injection.fault.factor;
+        self.machines_of(injection).for_each(|machine| machine.interpreter.slow(factor));
+        self.undo_at(until, injection, |machine, _| machine.interpreter.slow(1.0));
     }
 
-    fn partition(self: &Rc<Self>, strike: &Strike, until: Ms) {
+    fn partition(self: &Rc<Self>, injection: &Injection, until: Ms) {
         let silent = Traffic { blackhole: true, ..Traffic::default() };
         let links = [Link::Frontends, Link::Dependency, Link::Registry, Link::Peers];
-        self.disturb(strike, &links, Directions::Both, &silent, until);
+        self.disturb(injection, &links, Directions::Both, &silent, until);
     }
 
     fn weaken_dependency(&self, factor: f64, until: Ms) {
@@ -124,8 +126,8 @@
         });
     }
 
-    fn restart_frontends(&self, strike: &Strike) {
-        let struck = strike.whom.iter().filter_map(|position| self.frontends.get(*position));
+    fn restart_frontends(&self, injection: &Injection) {
+        let struck = injection.targets.iter().filter_map(|position| self.frontends.get(*position));
         struck.for_each(|frontend| frontend.restart());
     }
 
@@ -155,22 +157,29 @@
     }
 
     /// Undoes a fault for all nodes that it struck.
-    fn undo_at(self: &Rc<Self>, at: Ms, strike: &Strike, undo: impl Fn(&Rc<Machine>, &Fault) + 'static) {
-        let (testbed, strike) = (self.clone(), strike.clone());
+    fn undo_at(
+        self: &Rc<Self>,
+        at: Ms,
+        injection: &Injection,
+        undo: impl Fn(&Rc<Machine>, &Fault) + 'static,
+    ) {
+        let (testbed, injection) = (self.clone(), injection.clone());
         spawn_local(async move {
             testbed.context.clock.until(at).await;
-            testbed.machines_of(&strike).for_each(|machine| undo(machine, &strike.fault));
+            testbed.machines_of(&injection).for_each(|machine| undo(machine, &injection.fault));
         });
     }
 }
 
 /// A fault in words, for the history and the charts.
-fn describe(strike: &Strike) -> String {
-    let what = strike.fault.what.name();
-    match (&strike.fault.zone, strike.whom.len()) {
+fn describe(injection: &Injection) -> String {
+    let what = injection.fault.what.name();
+    match (&injection.fault.zone, injection.targets.len()) {
         (_, 0) => what.to_string(),
         (Some(zone), _) => format!("{what} {zone}"),
-        (None, 1) if strike.fault.what != FaultKind::Frontends => format!("{what} n{}", strike.whom[0] + 1),
+        (None, 1) if injection.fault.what != FaultKind::Frontends => {
+            format!("{what} n{}", injection.targets[0] + 1)
+        }
         (None, count) => format!("{what} {count}"),
     }
 }
--- a/fault-harness/src/play/links.rs
+++ b/fault-harness/src/play/links.rs
@@ -12,7 +12,7 @@
 
 use super::testbed::Testbed;
 use crate::relay::{Direction, Line};
-use crate::schedule::{generator, Stream};
+use crate::schedule::{generator, RandomStream};
 use crate::settings;
 
 /// Lines among nodes have numbers from here on, which decide their random numbers.
@@ -44,7 +44,7 @@
     /// A line from one node to another, with random numbers of its own.
     fn line_between(&self, from: usize, to: usize) -> Line {
         let number = (FIRST_PEER_LINE + from * self.machines.len() + to) as u64;
-        Line::new(self.context.clock, generator(self.context.seed, Stream::Links, number))
+        Line::new(self.context.clock, generator(self.context.seed, RandomStream::Links, number))
     }
 
     /// Joins all nodes to one virtual router, each pair by a line in each direction.
--- a/fault-harness/src/play/testbed.rs
+++ b/fault-harness/src/play/testbed.rs
@@ -14,7 +14,7 @@
 use crate::play_context::PlayContext;
 use crate::relay::Line;
 use crate::scenario::Scenario;
-use crate::schedule::{generator, schedule, Stream, Strike};
+use crate::schedule::{generator, schedule, Injection, RandomStream};
 use crate::stand_in::dependency::Tier;
 use crate::stand_in::frontends::{FrontEnd, NodeEndpoints, Shared};
 
@@ -32,7 +32,7 @@
     pub(super) dependency: Option<Rc<Tier>>,
     pub(super) members: Rc<RefCell<Registry>>,
     /// Strikes whose event has not come yet.
-    pub(super) pending_strikes: RefCell<Vec<Strike>>,
+    pub(super) pending_injections: RefCell<Vec<Injection>>,
     /// The number of the next disturbance of links.
     pub(super) next_disturbance: Cell<u64>,
 }
@@ -46,7 +46,7 @@
 impl LineFactory<'_> {
     fn line(&mut self) -> Line {
         self.made += 1;
-        Line::new(self.context.clock, generator(self.context.seed, Stream::Links, self.made))
+        Line::new(self.context.clock, generator(self.context.seed, RandomStream::Links, self.made))
     }
 }
 
@@ -77,7 +77,7 @@
             frontends,
             dependency,
             members,
-            pending_strikes: RefCell::default(),
+            pending_injections: RefCell::default(),
             next_disturbance: Cell::new(1),
         })
     }
--- a/fault-harness/src/predict.rs
+++ b/fault-harness/src/predict.rs
@@ -20,7 +20,7 @@
 use crate::model::Ms;
 use crate::play_context::terms;
 use crate::scenario::Scenario;
-use crate::schedule::{generator, schedule, At, Schedule, Stream};
+use crate::schedule::{generator, schedule, InjectionTime, RandomStream, Schedule};
 use clients::OpenRequest;
 use event_queue::{EventQueue, ScheduledEvent};
 use server::{Attempt, Node};
@@ -69,7 +69,7 @@
             Node::new(InterpreterModel::new(make, 0.0, scenario.fleet.cold))
         });
         let frontends = schedule.frontends.iter().enumerate().map(|(position, front)| {
-            let rng = generator(seed, Stream::Habits, position as u64);
+            let rng = generator(seed, RandomStream::Frontends, position as u64);
             Frontend::new(
                 &scenario.frontends,
                 front.load_balancing,
@@ -89,7 +89,7 @@
             attempts: BTreeMap::new(),
             next_attempt: 1,
             dependency: scenario.dependency.as_ref().map(|below| Dependency::new(below.slots, below.queue)),
-            rng: generator(seed, Stream::Calls, 0),
+            rng: generator(seed, RandomStream::Calls, 0),
             members: Registry::new(scenario.fleet.nodes, scenario.registry.heartbeat_timeout_s * 1000.0),
             observations: Vec::new(),
             schedule,
@@ -112,9 +112,9 @@
         for (position, request) in self.schedule.requests.iter().enumerate() {
             self.queue.schedule(request.at, ScheduledEvent::ClientRequest(position));
         }
-        for (position, strike) in self.schedule.strikes.iter().enumerate() {
-            if let At::Time(at) = strike.at {
-                self.queue.schedule(at + strike.after, ScheduledEvent::FaultStart(position));
+        for (position, injection) in self.schedule.injections.iter().enumerate() {
+            if let InjectionTime::Time(at) = injection.at {
+                self.queue.schedule(at + injection.delay, ScheduledEvent::FaultStart(position));
             }
         }
         self.queue.schedule(0.0, ScheduledEvent::Report);
--- a/fault-harness/src/predict/clients.rs
+++ b/fault-harness/src/predict/clients.rs
@@ -20,7 +20,7 @@
         let first_node = sent.repeats.and_then(|first| self.first_nodes.get(&first).copied());
         let pin = Affinity::of(sent.repeats.is_some(), first_node, self.scenario.load.repeat_at);
         let deadline = self.now + self.scenario.classes[sent.class].deadline_ms as f64;
-        let journey = ClientCall::new(deadline, pin, &self.frontends[sent.front]);
+        let journey = ClientCall::new(deadline, pin, &self.frontends[sent.frontend]);
         self.open_requests.insert(request, OpenRequest { journey, attempts: 0 });
         self.step(request, ClientCall::proceed);
     }
@@ -42,7 +42,7 @@
         request: usize,
         next: impl FnOnce(&mut ClientCall, Ms, &mut Frontend, &[bool]) -> NextStep,
     ) {
-        let frontend = self.schedule.requests[request].front;
+        let frontend = self.schedule.requests[request].frontend;
         let seen_at = self.now - self.schedule.frontends[frontend].registry_delay;
         let listed = self.members.listed_at(self.now, seen_at);
         let Some(open) = self.open_requests.get_mut(&request) else { return };
--- a/fault-harness/src/predict/event_queue.rs
+++ b/fault-harness/src/predict/event_queue.rs
@@ -5,7 +5,7 @@
 
 use crate::model::Ms;
 
-/// Something that will happen. Requests, strikes and nodes go by their positions, attempts by their ids.
+/// Something that will happen. Requests, injections and nodes go by their positions, attempts by their ids.
 #[derive(Debug)]
 pub(super) enum ScheduledEvent {
     /// A client sends a request.
--- a/fault-harness/src/predict/faults.rs
+++ b/fault-harness/src/predict/faults.rs
@@ -11,10 +11,10 @@
 impl Prediction<'_> {
     /// A fault begins.
     pub(super) fn begin_fault(&mut self, position: usize) {
-        let strike = &self.schedule.strikes[position];
-        let Fault { what, duration_s, down_s, .. } = strike.fault;
+        let injection = &self.schedule.injections[position];
+        let Fault { what, duration_s, down_s, .. } = injection.fault;
         let lasts = duration_s.or(down_s).unwrap_or(0.0) * 1000.0;
-        let text = format!("{} {}", what.name(), strike.whom.len());
+        let text = format!("{} {}", what.name(), injection.targets.len());
         let until = self.now + lasts;
         self.note(Event::FaultInjected { text, until });
         if duration_s.is_some() {
@@ -23,19 +23,21 @@
         self.set_fault(position, true);
     }
 
-    /// Sets a fault on or off for all that it strikes.
+    /// Sets a fault on or off for all that it injections.
     pub(super) fn set_fault(&mut self, position: usize, on: bool) {
-        let strike = self.schedule.strikes[position].clone();
-        let factor = if on { strike.fault.factor } else { 1.0 };
-        match strike.fault.what {
+        let injection = self.schedule.injections[position].clone();
+        let factor = if on { injection.fault.factor } else { 1.0 };
+        match injection.fault.what {
             FaultKind::Dependency => {
                 if let Some(dependency) = &mut self.dependency {
                     dependency.set_capacity_factor(factor);
                 }
             }
             FaultKind::Registry => self.members.set_unreachable(self.now, on),
-            FaultKind::Frontends => strike.whom.iter().for_each(|front| self.frontends[*front].restart()),
-            _ => strike.whom.iter().for_each(|node| self.set_node_fault(*node, &strike.fault, on)),
+            FaultKind::Frontends => {
+                injection.targets.iter().for_each(|front| self.frontends[*front].restart())
+            }
+            _ => injection.targets.iter().for_each(|node| self.set_node_fault(*node, &injection.fault, on)),
         }
     }
 
--- a/fault-harness/src/predict/server.rs
+++ b/fault-harness/src/predict/server.rs
@@ -92,7 +92,7 @@
         attempt.is_read = true;
         let (request, node, deadline) = (attempt.request, attempt.node, attempt.deadline);
         let sent = &self.schedule.requests[request];
-        let (key, memory_kb, frontend) = (sent.repeats.unwrap_or(request), sent.kb, sent.front);
+        let (key, memory_kb, frontend) = (sent.repeats.unwrap_or(request), sent.memory_kb, sent.frontend);
         let is_keyed = self.scenario.classes[sent.class].idempotency_key;
         self.note(Event::AttemptWritten { attempt: id, request, node, frontend, deadline });
         self.nodes[node].vm.admit_request(self.now, id, memory_kb);
--- a/fault-harness/src/relay/tests.rs
+++ b/fault-harness/src/relay/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
-use crate::schedule::{generator, Stream};
+use crate::schedule::{generator, RandomStream};
 use tokio::task::LocalSet;
 
 fn run<F: std::future::Future<Output = ()>>(test: impl FnOnce(Line) -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(LocalSet::new().run_until(async {
-        test(Line::new(Clock::begin(), generator(1, Stream::Links, 0))).await;
+        test(Line::new(Clock::begin(), generator(1, RandomStream::Links, 0))).await;
     }));
 }
 
--- a/fault-harness/src/schedule/tests.rs
+++ b/fault-harness/src/schedule/tests.rs
@@ -10,9 +10,9 @@
     let scenario = scenario("[[fault]]\nat_s = 3\nwhat = 'kill'\nfraction = 0.7\n");
     let (one, same, other) = (schedule(&scenario, 4), schedule(&scenario, 4), schedule(&scenario, 5));
     assert_eq!(one.requests, same.requests);
-    assert_eq!(one.strikes[0].whom, same.strikes[0].whom);
+    assert_eq!(one.injections[0].targets, same.injections[0].targets);
     assert_ne!(one.requests, other.requests);
-    assert_eq!(one.strikes[0].whom.len(), 7);
+    assert_eq!(one.injections[0].targets.len(), 7);
 }
 
 #[test]
@@ -30,23 +30,26 @@
 }
 
 #[test]
-fn a_fault_that_strikes_again_strikes_others() {
-    let strikes =
+fn a_repeated_fault_hits_other_targets() {
+    let injections =
         schedule(&scenario("[[fault]]\nat_s = 1\nrepeat_every_s = 4\nwhat = 'kill'\nfraction = 0.3\n"), 1)
-            .strikes;
-    let times: Vec<At> = strikes.iter().map(|strike| strike.at.clone()).collect();
-    assert_eq!(times, [1000.0, 5000.0, 9000.0, 13_000.0, 17_000.0].map(At::Time));
-    assert!(strikes.iter().any(|strike| strike.whom != strikes[0].whom));
+            .injections;
+    let times: Vec<InjectionTime> = injections.iter().map(|injection| injection.at.clone()).collect();
+    assert_eq!(times, [1000.0, 5000.0, 9000.0, 13_000.0, 17_000.0].map(InjectionTime::Time));
+    assert!(injections.iter().any(|injection| injection.targets != injections[0].targets));
 }
 
 #[test]
-fn waves_strike_everyone_once_and_zones_whole() {
+fn waves_hit_every_target_once() {
     let scenario = scenario(
         "[[fault]]\nat_s = 1\nwhat = 'shutdown'\nfraction = 1.0\nwaves = 4\nwave_interval_s = 2.0\n",
     );
-    let strikes = schedule(&scenario, 1).strikes;
-    let mut whom: Vec<usize> = strikes.iter().flat_map(|strike| strike.whom.clone()).collect();
-    whom.sort_unstable();
-    assert_eq!(whom, (0..10).collect::<Vec<_>>());
-    assert_eq!(strikes.iter().map(|strike| strike.after).collect::<Vec<_>>(), [0.0, 2000.0, 4000.0, 6000.0]);
+    let injections = schedule(&scenario, 1).injections;
+    let mut targets: Vec<usize> = injections.iter().flat_map(|injection| injection.targets.clone()).collect();
+    targets.sort_unstable();
+    assert_eq!(targets, (0..10).collect::<Vec<_>>());
+    assert_eq!(
+        injections.iter().map(|injection| injection.delay).collect::<Vec<_>>(),
+        [0.0, 2000.0, 4000.0, 6000.0]
+    );
 }
--- a/fault-harness/src/stand_in/dependency.rs
+++ b/fault-harness/src/stand_in/dependency.rs
@@ -13,7 +13,7 @@
 use crate::model::dependency::{CallEnd, Dependency};
 use crate::play_context::PlayContext;
 use crate::scenario::Dependency as Shape;
-use crate::schedule::{call_time, generator, Stream};
+use crate::schedule::{call_time, generator, RandomStream};
 
 /// Replies that wait on one connection.
 const REPLIES: usize = 256;
@@ -40,7 +40,7 @@
     /// The tier of a scenario.
     pub fn new(context: Rc<PlayContext>, shape: Shape) -> Rc<Tier> {
         let (model, rng) =
-            (Dependency::new(shape.slots, shape.queue), generator(context.seed, Stream::Calls, 0));
+            (Dependency::new(shape.slots, shape.queue), generator(context.seed, RandomStream::Calls, 0));
         Rc::new(Tier {
             context,
             shape,
--- a/fault-harness/src/stand_in/frontends.rs
+++ b/fault-harness/src/stand_in/frontends.rs
@@ -75,7 +75,8 @@
     /// A frontend of the plan.
     pub fn new(context: Rc<PlayContext>, number: usize, shared: Shared) -> Rc<FrontEnd> {
         let schedule = &context.schedule.frontends[number];
-        let rng = crate::schedule::generator(context.seed, crate::schedule::Stream::Habits, number as u64);
+        let rng =
+            crate::schedule::generator(context.seed, crate::schedule::RandomStream::Frontends, number as u64);
         let habits = Frontend::new(
             &context.scenario.frontends,
             schedule.load_balancing,
@@ -178,7 +179,7 @@
             frontend: self.number,
             deadline: due,
         });
-        self.nodes[node].interpreter.holds(txn, context.schedule.requests[n].kb);
+        self.nodes[node].interpreter.holds(txn, context.schedule.requests[n].memory_kb);
         context.happened(node, NodeEvent::AttemptWritten);
         // Where the connection has ended meanwhile, its end answers.
         let _ = out.send(line).await;
@@ -231,8 +232,8 @@
             front: self.number,
             team: &request.tenant,
             limit: (due - arrived_at).max(1.0) as u64,
-            cpu: request.hint.max(0.01),
-            ram: request.kb,
+            cpu: request.cost_hint.max(0.01),
+            ram: request.memory_kb,
             key: key.as_deref(),
             content: &BASE64.encode(context.body(n)),
         }
--- a/fault-harness/src/warm_up_bound.rs
+++ b/fault-harness/src/warm_up_bound.rs
@@ -4,7 +4,7 @@
 use crate::model::interpreter::InterpreterSpec;
 use crate::model::Ms;
 use crate::scenario::{FaultKind, Scenario};
-use crate::schedule::{At, Schedule};
+use crate::schedule::{InjectionTime, Schedule};
 
 /// Capacity is looked at this often.
 const STEP: Ms = 50.0;
@@ -48,10 +48,10 @@
 
 fn dents(scenario: &Scenario, schedule: &Schedule) -> Vec<Dent> {
     let mut dents = Vec::new();
-    for strike in &schedule.strikes {
+    for injection in &schedule.injections {
         // What waits for an event has no time in the plan.
-        let At::Time(at) = strike.at else { continue };
-        let (from, fault) = (at + strike.after, &strike.fault);
+        let InjectionTime::Time(at) = injection.at else { continue };
+        let (from, fault) = (at + injection.delay, &injection.fault);
         let lasts = fault.duration_s.map_or(f64::INFINITY, |s| s * 1000.0);
         let down = fault.down_s.map_or(f64::INFINITY, |s| s * 1000.0);
         let (until, factor, cold) = match fault.what {
@@ -66,7 +66,7 @@
             | FaultKind::RemoveMembers
             | FaultKind::AddMembers => continue,
         };
-        dents.extend(strike.whom.iter().map(|node| Dent { node: *node, from, until, factor, cold }));
+        dents.extend(injection.targets.iter().map(|node| Dent { node: *node, from, until, factor, cold }));
     }
     if scenario.fleet.cold {
         let cold = |node| Dent { node, from: 0.0, until: 0.0, factor: 1.0, cold: true };
