--- a/fault-harness/src/charts.rs
+++ b/fault-harness/src/charts.rs
@@ -35,8 +35,8 @@
 /// The charts of a play.
 pub fn charts(statistics: &Statistics) -> Vec<Chart> {
     let share = |second: &Second| {
-        if second.asked_worth > 0.0 {
-            second.served_worth / second.asked_worth * 100.0
+        if second.requested_weight > 0.0 {
+            second.served_weight / second.requested_weight * 100.0
         } else {
             100.0
         }
@@ -47,9 +47,9 @@
             "Requests a second",
             "requests",
             vec![
-                Curve { name: "asked", colour: GREY, of: |s| s.asked as f64 },
+                Curve { name: "asked", colour: GREY, of: |s| s.requests as f64 },
                 Curve { name: "in time", colour: BLUE, of: |s| s.in_time as f64 },
-                Curve { name: "refused", colour: ORANGE, of: |s| s.refused as f64 },
+                Curve { name: "refused", colour: ORANGE, of: |s| s.rejected as f64 },
                 Curve { name: "failed", colour: RED, of: |s| s.failed as f64 },
             ],
         ),
@@ -57,9 +57,9 @@
             "Tries, runs and new connections a second",
             "work",
             vec![
-                Curve { name: "tries", colour: GREY, of: |s| s.tries as f64 },
-                Curve { name: "runs", colour: BLUE, of: |s| s.began as f64 },
-                Curve { name: "connections", colour: ORANGE, of: |s| s.connected as f64 },
+                Curve { name: "tries", colour: GREY, of: |s| s.attempts as f64 },
+                Curve { name: "runs", colour: BLUE, of: |s| s.runs as f64 },
+                Curve { name: "connections", colour: ORANGE, of: |s| s.connections as f64 },
             ],
         ),
     ];
--- a/fault-harness/src/charts/tests.rs
+++ b/fault-harness/src/charts/tests.rs
@@ -4,16 +4,16 @@
 fn a_chart_has_its_curves_and_its_bands() {
     let seconds: Vec<Second> = (0..20)
         .map(|i| Second {
-            asked: 10,
+            requests: 10,
             in_time: i,
-            asked_worth: 10.0,
-            served_worth: i as f64,
+            requested_weight: 10.0,
+            served_weight: i as f64,
             ..Second::default()
         })
         .collect();
     let bands = [Band { text: "kill".into(), from: 5.0, until: 7.0 }];
     let curves = [
-        Curve { name: "asked", colour: GREY, of: |s| s.asked as f64 },
+        Curve { name: "asked", colour: GREY, of: |s| s.requests as f64 },
         Curve { name: "in time", colour: BLUE, of: |s| s.in_time as f64 },
     ];
     let svg = draw("Requests", &seconds, &bands, &curves).unwrap();
--- a/fault-harness/src/check.rs
+++ b/fault-harness/src/check.rs
@@ -1,6 +1,6 @@
 //! The rules, as a function of a history. Each has a test with a history that breaks it.
 //!
-//! An attempt is excused from being lost where the harness itself was in the way: its node was killed or paused, its link
+//! An attempt may go unanswered where the harness itself was in the way: its node was killed or paused, its link
 //! was disturbed, or the harness ran late, at some moment between the attempt's writing and its deadline.
 
 mod answers;
@@ -15,7 +15,7 @@
 
 use attempts::Attempts;
 use excuses::Excuses;
-use processes::PassedLimits;
+use processes::ExceededLimits;
 use router::RouterRoles;
 use runs::Runs;
 use verdict::Breaches;
@@ -39,7 +39,7 @@
     attempts: Attempts,
     runs: Runs,
     excuses: Excuses,
-    passed_limits: PassedLimits,
+    exceeded_limits: ExceededLimits,
     router: RouterRoles,
 }
 
@@ -51,26 +51,26 @@
             attempts: Attempts::default(),
             runs: Runs::default(),
             excuses: Excuses::default(),
-            passed_limits: PassedLimits::default(),
+            exceeded_limits: ExceededLimits::default(),
             router: RouterRoles::default(),
         }
     }
 
-    fn observe(&mut self, t: Ms, event: &Event) {
-        self.excuses.observe(t, event);
-        self.attempts.observe(t, event);
-        self.observe_answer(t, event);
-        self.observe_run(t, event);
-        self.observe_process(t, event);
-        self.router.observe(t, event, self.parameters.max_dual_active, &mut self.breaches);
+    fn observe(&mut self, at: Ms, event: &Event) {
+        self.excuses.observe(at, event);
+        self.attempts.observe(at, event);
+        self.observe_answer(at, event);
+        self.observe_run(at, event);
+        self.observe_process(at, event);
+        self.router.observe(at, event, self.parameters.max_dual_active, &mut self.breaches);
     }
 
     fn finish(mut self, end: Ms) -> Verdict {
-        let excused = self.check_lost(end);
+        let excused = self.check_unanswered(end);
         Verdict {
             written: self.attempts.len(),
             excused,
-            twice_in_fleet: self.runs.twice_in_fleet,
+            duplicate_runs_in_fleet: self.runs.duplicate_runs_in_fleet,
             breaches: self.breaches.into_sorted(),
         }
     }
--- a/fault-harness/src/check/answers.rs
+++ b/fault-harness/src/check/answers.rs
@@ -1,6 +1,6 @@
 //! The rules about answers: each attempt gets one, in time, and it agrees with what was run.
 
-use super::attempts::Attempt;
+use super::attempts::{Answer, Attempt};
 use super::verdict::Rule;
 use super::Checker;
 use crate::history::{ConnectionLoss, Event, Response};
@@ -9,67 +9,68 @@
 
 impl Checker<'_> {
     /// Checks an answer, or what came in the place of one.
-    pub(super) fn observe_answer(&mut self, t: Ms, event: &Event) {
+    pub(super) fn observe_answer(&mut self, at: Ms, event: &Event) {
         match event {
-            Event::AttemptAnswered { attempt, response } => self.check_answer(t, *attempt, response),
+            Event::AttemptAnswered { attempt, response } => self.check_answer(at, *attempt, response),
             Event::UnexpectedLine { node, attempt: Some(attempt), .. } => {
-                self.record_second_answer(t, *attempt, *node);
+                self.record_second_answer(at, *attempt, *node);
             }
             Event::UnexpectedLine { node, attempt: None, text } => {
-                let text = format!("n{} says what is no answer: {text}", node + 1);
-                self.breaches.record(t, Rule::Lost, text);
+                let text = format!("n{} sent a line that is no answer: {text}", node + 1);
+                self.breaches.record(at, Rule::Unanswered, text);
             }
             _ => {}
         }
     }
 
-    fn check_answer(&mut self, t: Ms, id: u64, kind: &Response) {
+    fn check_answer(&mut self, at: Ms, id: u64, response: &Response) {
         let Some(attempt) = self.attempts.get(id) else { return };
         let node = attempt.node;
-        if attempt.answered.is_some() {
-            return self.record_second_answer(t, id, node);
+        if attempt.answer.is_some() {
+            return self.record_second_answer(at, id, node);
         }
-        match kind {
+        match response {
             Response::Rejected { .. } if attempt.has_run => {
-                let text = format!("try {id:016x} at n{} had run when it was refused", node + 1);
-                self.breaches.record(t, Rule::RefusedAndRan, text);
+                let text = format!("attempt {id:016x} at n{} had run when it was rejected", node + 1);
+                self.breaches.record(at, Rule::RejectedAndRan, text);
             }
-            Response::Served(result) => self.check_result(t, id, node, result),
+            Response::Served(result) => self.check_result(at, id, node, result),
             Response::Rejected { .. } | Response::Failed => {}
         }
-        self.attempts.update(id, |attempt| attempt.answered = Some((t, kind.clone())));
+        let answer = Answer { at, response: response.clone() };
+        self.attempts.update(id, |attempt| attempt.answer = Some(answer));
     }
 
-    fn record_second_answer(&mut self, t: Ms, id: u64, node: usize) {
-        let text = format!("try {id:016x} at n{} is answered again", node + 1);
-        self.breaches.record(t, Rule::AnsweredTwice, text);
+    fn record_second_answer(&mut self, at: Ms, id: u64, node: usize) {
+        let text = format!("attempt {id:016x} at n{} is answered again", node + 1);
+        self.breaches.record(at, Rule::DuplicateAnswer, text);
     }
 
     /// A result has to be that of a run of the same key, at the same node unless keys are the fleet's.
-    fn check_result(&mut self, t: Ms, id: u64, node: usize, result: &str) {
+    fn check_result(&mut self, at: Ms, id: u64, node: usize, result: &str) {
         let results = self.attempts.key_of(id).map_or(&[][..], |key| self.runs.results_of(key));
-        let is_valid_at = |at: usize| self.parameters.run_once_per == RunScope::Fleet || at == node;
+        let is_valid_at = |made_at: usize| self.parameters.run_once_per == RunScope::Fleet || made_at == node;
         if results.iter().any(|made| made.result == result && is_valid_at(made.node)) {
             return;
         }
         let text =
-            format!("try {id:016x} at n{} got {result:?}, which no run of its key made there", node + 1);
-        self.breaches.record(t, Rule::ForeignResult, text);
+            format!("attempt {id:016x} at n{} got {result:?}, which no run of its key made there", node + 1);
+        self.breaches.record(at, Rule::ForeignResult, text);
     }
 
     /// Records every attempt that got no answer in time, and returns how many were excused.
-    pub(super) fn check_lost(&mut self, end: Ms) -> usize {
+    pub(super) fn check_unanswered(&mut self, end: Ms) -> usize {
         let mut excused = 0;
         for (id, attempt) in self.attempts.iter() {
             let answer_by = attempt.deadline + self.parameters.slack;
             if answer_by > end || needs_no_answer(attempt, answer_by) {
                 continue;
             }
-            let until = attempt.dropped.map_or(answer_by, |(at, _)| at.min(answer_by));
+            let until = attempt.loss.map_or(answer_by, |loss| loss.at.min(answer_by));
             if self.excuses.cover(attempt, until) {
                 excused += 1;
             } else {
-                self.breaches.record(answer_by, Rule::Lost, describe_loss(id, attempt));
+                self.breaches.record(answer_by, Rule::Unanswered, describe_unanswered(id, attempt));
             }
         }
         excused
@@ -78,24 +79,24 @@
 
 /// Whether an attempt was answered or cancelled in time, or its connection ended in a way that loses nothing.
 fn needs_no_answer(attempt: &Attempt, answer_by: Ms) -> bool {
-    let is_answered = attempt.answered.as_ref().is_some_and(|(at, _)| *at <= answer_by);
-    let is_withdrawn = attempt.withdrawn_at.is_some_and(|at| at <= answer_by);
-    let loses_nothing = match attempt.dropped {
-        Some((_, ConnectionLoss::CrossedClose)) => true,
+    let is_answered = attempt.answer.as_ref().is_some_and(|answer| answer.at <= answer_by);
+    let is_cancelled = attempt.cancelled_at.is_some_and(|at| at <= answer_by);
+    let loses_nothing = match attempt.loss.map(|loss| loss.connection) {
+        Some(ConnectionLoss::CrossedClose) => true,
         // A new connection that is closed, having run nothing, has failed; nothing is lost.
-        Some((_, ConnectionLoss::NewConnection)) => !attempt.has_run,
-        Some((_, ConnectionLoss::UsedConnection)) | None => false,
+        Some(ConnectionLoss::NewConnection) => !attempt.has_run,
+        Some(ConnectionLoss::UsedConnection) | None => false,
     };
-    is_answered || is_withdrawn || loses_nothing
+    is_answered || is_cancelled || loses_nothing
 }
 
-fn describe_loss(id: u64, attempt: &Attempt) -> String {
-    let lateness = match &attempt.answered {
-        Some((at, _)) => format!("one came {:.0} ms late", at - attempt.deadline),
+fn describe_unanswered(id: u64, attempt: &Attempt) -> String {
+    let lateness = match &attempt.answer {
+        Some(answer) => format!("one came {:.0} ms late", answer.at - attempt.deadline),
         None => "none ever came".into(),
     };
     format!(
-        "try {id:016x} at n{}, written at {:.0} ms, got no answer by its due time: {lateness}",
+        "attempt {id:016x} at n{}, written at {:.0} ms, got no answer by its deadline: {lateness}",
         attempt.node + 1,
         attempt.written_at
     )
--- a/fault-harness/src/check/attempts.rs
+++ b/fault-harness/src/check/attempts.rs
@@ -5,6 +5,20 @@
 use crate::history::{ConnectionLoss, Event, Response};
 use crate::model::Ms;
 
+/// The answer to an attempt, with its time.
+#[derive(Debug)]
+pub(super) struct Answer {
+    pub(super) at: Ms,
+    pub(super) response: Response,
+}
+
+/// The loss of an attempt's connection, with its time.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct Loss {
+    pub(super) at: Ms,
+    pub(super) connection: ConnectionLoss,
+}
+
 /// One attempt of a request at one node.
 #[derive(Debug)]
 pub(super) struct Attempt {
@@ -18,12 +32,12 @@
     pub(super) written_at: Ms,
     /// When its caller stops waiting.
     pub(super) deadline: Ms,
-    /// When and how it was answered.
-    pub(super) answered: Option<(Ms, Response)>,
+    /// Its first answer.
+    pub(super) answer: Option<Answer>,
     /// When its caller cancelled it.
-    pub(super) withdrawn_at: Option<Ms>,
-    /// When and why its connection ended without an answer.
-    pub(super) dropped: Option<(Ms, ConnectionLoss)>,
+    pub(super) cancelled_at: Option<Ms>,
+    /// The loss of its connection, without an answer.
+    pub(super) loss: Option<Loss>,
     /// Whether the interpreter began to run it.
     pub(super) has_run: bool,
 }
@@ -36,16 +50,16 @@
             frontend,
             written_at,
             deadline,
-            answered: None,
-            withdrawn_at: None,
-            dropped: None,
+            answer: None,
+            cancelled_at: None,
+            loss: None,
             has_run: false,
         }
     }
 
     /// Whether it was rejected.
     pub(super) fn is_rejected(&self) -> bool {
-        matches!(self.answered, Some((_, Response::Rejected { .. })))
+        matches!(self.answer, Some(Answer { response: Response::Rejected { .. }, .. }))
     }
 }
 
@@ -67,20 +81,21 @@
 
 impl Attempts {
     /// Takes in the events that concern attempts alone.
-    pub(super) fn observe(&mut self, t: Ms, event: &Event) {
+    pub(super) fn observe(&mut self, at: Ms, event: &Event) {
         match event {
             Event::RequestSent { request, class, repeats } => {
                 let key = repeats.unwrap_or(*request);
                 self.requests.insert(*request, Request { key, class: *class });
             }
-            Event::AttemptWritten { attempt: txn, request: n, node, frontend: front, deadline: due } => {
-                self.by_id.insert(*txn, Attempt::new(*n, *node, *front, t, *due));
+            Event::AttemptWritten { attempt, request, node, frontend, deadline } => {
+                self.by_id.insert(*attempt, Attempt::new(*request, *node, *frontend, at, *deadline));
             }
-            Event::AttemptCancelled { attempt: txn } => {
-                self.update(*txn, |attempt| attempt.withdrawn_at = Some(t))
+            Event::AttemptCancelled { attempt } => {
+                self.update(*attempt, |attempt| attempt.cancelled_at = Some(at));
             }
-            Event::ConnectionLost { attempt: txn, loss: why } => {
-                self.update(*txn, |attempt| attempt.dropped = Some((t, *why)))
+            Event::ConnectionLost { attempt, loss } => {
+                let loss = Loss { at, connection: *loss };
+                self.update(*attempt, |attempt| attempt.loss = Some(loss));
             }
             _ => {}
         }
--- a/fault-harness/src/check/excuses.rs
+++ b/fault-harness/src/check/excuses.rs
@@ -1,4 +1,4 @@
-//! Intervals in which the harness itself kept a node from answering; an attempt that falls into one is not lost.
+//! Intervals in which the harness itself kept a node from answering; an attempt that falls into one may go unanswered.
 
 use std::collections::HashMap;
 
@@ -6,26 +6,40 @@
 use crate::history::{Event, ProcessExit};
 use crate::model::Ms;
 
+/// A stretch of time; it ends at infinity while its condition still holds.
+#[derive(Debug, Clone, Copy)]
+struct Interval {
+    begin: Ms,
+    end: Ms,
+}
+
 /// Intervals of time in which a condition held; the last may still be open.
 #[derive(Debug, Default)]
-struct Intervals(Vec<(Ms, Ms)>);
+struct Intervals(Vec<Interval>);
 
 impl Intervals {
     /// Notes that the condition holds from now on, or no longer does.
-    fn set(&mut self, t: Ms, on: bool) {
-        let open_end = self.0.last_mut().map(|(_, end)| end).filter(|end| end.is_infinite());
-        match (open_end, on) {
-            (Some(end), false) => *end = t,
-            (None, true) => self.0.push((t, f64::INFINITY)),
+    fn set(&mut self, at: Ms, holds: bool) {
+        let open = self.0.last_mut().filter(|interval| interval.end.is_infinite());
+        match (open, holds) {
+            (Some(interval), false) => interval.end = at,
+            (None, true) => self.0.push(Interval { begin: at, end: f64::INFINITY }),
             (Some(_), true) | (None, false) => {}
         }
     }
 
     fn overlap(&self, from: Ms, to: Ms) -> bool {
-        self.0.iter().any(|(begin, end)| *begin <= to && *end >= from)
+        self.0.iter().any(|interval| interval.begin <= to && interval.end >= from)
     }
 }
 
+/// The link between a node and a frontend.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
+struct ClientLink {
+    node: usize,
+    frontend: usize,
+}
+
 /// Where and when the harness was in the way.
 #[derive(Debug, Default)]
 pub(super) struct Excuses {
@@ -33,26 +47,34 @@
     killed: HashMap<usize, Intervals>,
     /// By node: its process was paused.
     paused: HashMap<usize, Intervals>,
-    /// By node and frontend, or by node alone where the traffic of all frontends suffered.
-    disturbed: HashMap<(usize, Option<usize>), Intervals>,
-    /// The harness itself ran late.
-    harness_late: Intervals,
+    /// By node and frontend: the traffic between them suffered.
+    disturbed_links: HashMap<ClientLink, Intervals>,
+    /// By node: the traffic of all frontends with it suffered.
+    disturbed_nodes: HashMap<usize, Intervals>,
+    /// The harness itself was delayed.
+    harness_delayed: Intervals,
 }
 
 impl Excuses {
     /// Takes in the events that begin or end an interval.
-    pub(super) fn observe(&mut self, t: Ms, event: &Event) {
+    pub(super) fn observe(&mut self, at: Ms, event: &Event) {
         match event {
-            Event::NodeUp { node, .. } => self.killed.entry(*node).or_default().set(t, false),
+            Event::NodeUp { node, .. } => self.killed.entry(*node).or_default().set(at, false),
             // A program that exits by itself answers first what it has read: only a kill is an excuse.
             Event::NodeDown { node, exit: ProcessExit::Killed } => {
-                self.killed.entry(*node).or_default().set(t, true);
+                self.killed.entry(*node).or_default().set(at, true);
+            }
+            Event::Paused { node, paused } => self.paused.entry(*node).or_default().set(at, *paused),
+            Event::LinkDisturbed { node, frontend: Some(frontend), disturbed } => {
+                let link = ClientLink { node: *node, frontend: *frontend };
+                self.disturbed_links.entry(link).or_default().set(at, *disturbed);
+            }
+            Event::LinkDisturbed { node, frontend: None, disturbed } => {
+                self.disturbed_nodes.entry(*node).or_default().set(at, *disturbed);
             }
-            Event::Paused { node, paused: still } => self.paused.entry(*node).or_default().set(t, *still),
-            Event::LinkDisturbed { node, frontend: front, disturbed: on } => {
-                self.disturbed.entry((*node, *front)).or_default().set(t, *on);
+            Event::HarnessDelayed { delay } => {
+                self.harness_delayed.0.push(Interval { begin: at - delay, end: at });
             }
-            Event::HarnessDelayed { delay: by } => self.harness_late.0.push((t - by, t)),
             _ => {}
         }
     }
@@ -62,10 +84,12 @@
         let overlap = |intervals: Option<&Intervals>| {
             intervals.is_some_and(|intervals| intervals.overlap(attempt.written_at, until))
         };
-        overlap(self.killed.get(&attempt.node))
-            || overlap(self.paused.get(&attempt.node))
-            || overlap(self.disturbed.get(&(attempt.node, None)))
-            || overlap(self.disturbed.get(&(attempt.node, Some(attempt.frontend))))
-            || self.harness_late.overlap(attempt.written_at, until)
+        let node = attempt.node;
+        let link = ClientLink { node, frontend: attempt.frontend };
+        overlap(self.killed.get(&node))
+            || overlap(self.paused.get(&node))
+            || overlap(self.disturbed_nodes.get(&node))
+            || overlap(self.disturbed_links.get(&link))
+            || overlap(Some(&self.harness_delayed))
     }
 }
--- a/fault-harness/src/check/processes.rs
+++ b/fault-harness/src/check/processes.rs
@@ -23,47 +23,48 @@
     }
 }
 
-/// The limits that were already found passed, by node.
+/// The limits that were already found exceeded, by node.
 #[derive(Debug, Default)]
-pub(super) struct PassedLimits(BTreeSet<(usize, Resource)>);
+pub(super) struct ExceededLimits(BTreeSet<(usize, Resource)>);
 
 impl Checker<'_> {
     /// Checks what was seen of a node's processes.
-    pub(super) fn observe_process(&mut self, t: Ms, event: &Event) {
+    pub(super) fn observe_process(&mut self, at: Ms, event: &Event) {
         match event {
-            Event::ResourceSample { node, memory_kb: rss_kb, descriptors: files, .. } => {
-                self.check_limit(t, *node, Resource::Memory, *rss_kb, self.parameters.memory_kb);
-                self.check_limit(t, *node, Resource::Descriptors, *files, self.parameters.descriptors);
+            Event::ResourceSample { node, memory_kb, descriptors, .. } => {
+                self.check_limit(at, *node, Resource::Memory, *memory_kb, self.parameters.memory_kb);
+                self.check_limit(at, *node, Resource::Descriptors, *descriptors, self.parameters.descriptors);
             }
-            Event::NodeDown { node, exit: way } => self.check_exit(t, *node, way),
-            Event::InterpreterDied { node, cause: text } => {
-                let text = format!("the interpreter of n{} has died: {text}", node + 1);
-                self.breaches.record(t, Rule::LimitPassed, text);
+            Event::NodeDown { node, exit } => self.check_exit(at, *node, exit),
+            Event::InterpreterDied { node, cause } => {
+                let text = format!("the interpreter of n{} has died: {cause}", node + 1);
+                self.breaches.record(at, Rule::LimitExceeded, text);
             }
             Event::Corrupted { node, text } => {
-                self.breaches.record(t, Rule::Spoilt, format!("n{}: {text}", node + 1));
+                self.breaches.record(at, Rule::Corrupted, format!("n{}: {text}", node + 1));
             }
             _ => {}
         }
     }
 
-    /// A limit that is passed is one breach, however long it stays passed.
-    fn check_limit(&mut self, t: Ms, node: usize, resource: Resource, value: u64, limit: u64) {
-        if value > limit && self.passed_limits.0.insert((node, resource)) {
+    /// A limit that is exceeded is one breach, however long it stays so.
+    fn check_limit(&mut self, at: Ms, node: usize, resource: Resource, value: u64, limit: u64) {
+        if value > limit && self.exceeded_limits.0.insert((node, resource)) {
             let text = format!("n{}: {}: {value} of {limit}", node + 1, resource.label());
-            self.breaches.record(t, Rule::LimitPassed, text);
+            self.breaches.record(at, Rule::LimitExceeded, text);
         }
     }
 
-    fn check_exit(&mut self, t: Ms, node: usize, exit: &ProcessExit) {
+    fn check_exit(&mut self, at: Ms, node: usize, exit: &ProcessExit) {
         match exit {
             ProcessExit::Crashed(status) => {
                 let text = format!("n{} ended by itself: {status}", node + 1);
-                self.breaches.record(t, Rule::Crashed, text);
+                self.breaches.record(at, Rule::Crashed, text);
             }
             ProcessExit::ShutdownTimedOut => {
-                let text = format!("n{} was still there when its time to leave was over", node + 1);
-                self.breaches.record(t, Rule::LimitPassed, text);
+                let text =
+                    format!("n{} was still running when its time for a graceful shutdown was over", node + 1);
+                self.breaches.record(at, Rule::LimitExceeded, text);
             }
             ProcessExit::Killed | ProcessExit::ShutDown => {}
         }
--- a/fault-harness/src/check/router.rs
+++ b/fault-harness/src/check/router.rs
@@ -28,7 +28,7 @@
 
 impl RouterRoles {
     /// Takes in an event, and records a conflict that has lasted too long.
-    pub(super) fn observe(&mut self, t: Ms, event: &Event, longest_conflict: Ms, breaches: &mut Breaches) {
+    pub(super) fn observe(&mut self, at: Ms, event: &Event, longest_conflict: Ms, breaches: &mut Breaches) {
         self.follow(event);
         let can_hear = self.disturbances == 0 && self.paused.is_empty();
         if !can_hear || self.active.len() < 2 {
@@ -36,13 +36,13 @@
             return;
         }
         let since = match self.conflict {
-            Conflict::None => t,
+            Conflict::None => at,
             Conflict::Since(since) => since,
             Conflict::Reported => return,
         };
         self.conflict = Conflict::Since(since);
-        if t - since > longest_conflict {
-            breaches.record(t, Rule::TwoActive, self.describe());
+        if at - since > longest_conflict {
+            breaches.record(at, Rule::DualActive, self.describe());
             self.conflict = Conflict::Reported;
         }
     }
--- a/fault-harness/src/check/runs.rs
+++ b/fault-harness/src/check/runs.rs
@@ -41,7 +41,7 @@
     /// When each node was told to shut down.
     shutdown_notices: HashMap<usize, Ms>,
     /// Keys that ran more than once in the fleet within their window.
-    pub(super) twice_in_fleet: usize,
+    pub(super) duplicate_runs_in_fleet: usize,
 }
 
 impl Runs {
@@ -63,39 +63,40 @@
 
 impl Checker<'_> {
     /// Takes in the events that concern runs, and checks each run that begins.
-    pub(super) fn observe_run(&mut self, t: Ms, event: &Event) {
+    pub(super) fn observe_run(&mut self, at: Ms, event: &Event) {
         match event {
-            Event::RunStarted { attempt: txn, node } => self.check_run(t, *txn, *node),
-            Event::RunEnded { attempt: txn, node, result: Some(result) } => {
-                let Some(key) = self.attempts.key_of(*txn) else { return };
+            Event::RunStarted { attempt, node } => self.check_run(at, *attempt, *node),
+            Event::RunEnded { attempt, node, result: Some(result) } => {
+                let Some(key) = self.attempts.key_of(*attempt) else { return };
                 let made = RunResult { node: *node, result: result.clone() };
                 self.runs.results.entry(key).or_default().push(made);
             }
             Event::StateLost { node } => *self.runs.generations.entry(*node).or_default() += 1,
-            Event::ShutdownNotice { node } => drop(self.runs.shutdown_notices.insert(*node, t)),
+            Event::ShutdownNotice { node } => drop(self.runs.shutdown_notices.insert(*node, at)),
             Event::NodeUp { node, .. } => drop(self.runs.shutdown_notices.remove(node)),
             _ => {}
         }
     }
 
-    fn check_run(&mut self, t: Ms, id: u64, node: usize) {
+    fn check_run(&mut self, at: Ms, id: u64, node: usize) {
         self.attempts.update(id, |attempt| attempt.has_run = true);
         let Some(attempt) = self.attempts.get(id) else {
             let text = format!("n{} runs {id:016x}, which was never written", node + 1);
-            return self.breaches.record(t, Rule::Spoilt, text);
+            return self.breaches.record(at, Rule::Corrupted, text);
         };
-        let (written_at, request) = (attempt.written_at, attempt.request);
+        let written_at = attempt.written_at;
+        let request = attempt.request;
         if attempt.is_rejected() {
-            let text = format!("try {id:016x} at n{} runs after it was refused", node + 1);
-            self.breaches.record(t, Rule::RefusedAndRan, text);
+            let text = format!("attempt {id:016x} at n{} runs after it was rejected", node + 1);
+            self.breaches.record(at, Rule::RejectedAndRan, text);
         }
         let grace = self.parameters.drain_grace + self.parameters.slack;
         if self.runs.shutdown_notices.get(&node).is_some_and(|notice| written_at > notice + grace) {
-            let text = format!("try {id:016x} came to n{} too long after the notice to leave", node + 1);
-            self.breaches.record(t, Rule::RunAfterNotice, text);
+            let text = format!("attempt {id:016x} came to n{} too long after its shutdown notice", node + 1);
+            self.breaches.record(at, Rule::RunAfterShutdownNotice, text);
         }
         let generation = self.runs.generation(node);
-        self.check_key(request, Run { attempt: id, node, generation, written_at, started_at: t });
+        self.check_key(request, Run { attempt: id, node, generation, written_at, started_at: at });
     }
 
     /// Checks a run against earlier ones of its key, if its class has keys.
@@ -114,7 +115,7 @@
             self.record_second_run(request.key, &first, &run);
         }
         if let Some(first) = first_in_fleet {
-            self.runs.twice_in_fleet += 1;
+            self.runs.duplicate_runs_in_fleet += 1;
             self.record_second_run_in_fleet(request.key, &first, &run);
         }
     }
@@ -126,7 +127,7 @@
             first.attempt,
             second.attempt
         );
-        self.breaches.record(second.started_at, Rule::RunTwice, text);
+        self.breaches.record(second.started_at, Rule::DuplicateRun, text);
     }
 
     fn record_second_run_in_fleet(&mut self, key: usize, first: &Run, second: &Run) {
@@ -141,6 +142,6 @@
             first.started_at,
             first.attempt
         );
-        self.breaches.record(second.started_at, Rule::RunTwiceInFleet, text);
+        self.breaches.record(second.started_at, Rule::DuplicateRunInFleet, text);
     }
 }
--- a/fault-harness/src/check/tests.rs
+++ b/fault-harness/src/check/tests.rs
@@ -100,19 +100,19 @@
         let begin = vec![(0.0, asked(0, 0, None)), (0.0, wrote(1, 0, 0, 1000.0))];
         broken(begin.into_iter().chain(more).collect())
     };
-    assert_eq!(open(vec![]), [Rule::Lost]);
-    assert_eq!(open(vec![(1200.0, refused(1))]), [Rule::Lost], "too late");
+    assert_eq!(open(vec![]), [Rule::Unanswered]);
+    assert_eq!(open(vec![(1200.0, refused(1))]), [Rule::Unanswered], "too late");
     assert_eq!(open(vec![(1100.0, refused(1))]), []);
     assert_eq!(open(vec![(900.0, Event::AttemptCancelled { attempt: 1 })]), []);
     assert_eq!(open(vec![(500.0, Event::NodeDown { node: 0, exit: ProcessExit::Killed })]), []);
     assert_eq!(
         open(vec![(500.0, Event::NodeDown { node: 0, exit: ProcessExit::ShutDown })]),
-        [Rule::Lost],
+        [Rule::Unanswered],
         "it left"
     );
     assert_eq!(
         open(vec![(500.0, Event::NodeDown { node: 1, exit: ProcessExit::Killed })]),
-        [Rule::Lost],
+        [Rule::Unanswered],
         "another node's end is none"
     );
     assert_eq!(
@@ -129,7 +129,7 @@
         ]
     };
     assert_eq!((open(disturbed(Some(0))), open(disturbed(None))), (vec![], vec![]));
-    assert_eq!(open(disturbed(Some(1))), [Rule::Lost]);
+    assert_eq!(open(disturbed(Some(1))), [Rule::Unanswered]);
     assert_eq!(open(vec![(700.0, Event::HarnessDelayed { delay: 100.0 })]), []);
     for (why, broken) in [
         (ConnectionLoss::CrossedClose, 0),
@@ -146,21 +146,21 @@
         (4.0, Event::RunStarted { attempt: 1, node: 0 }),
         (5.0, Event::ConnectionLost { attempt: 1, loss: ConnectionLoss::NewConnection }),
     ];
-    assert_eq!(open(ran), [Rule::Lost], "it ran");
+    assert_eq!(open(ran), [Rule::Unanswered], "it ran");
     assert_eq!(
         open(vec![
             (5.0, refused(1)),
             (6.0, Event::UnexpectedLine { node: 0, attempt: None, text: "noise".into() })
         ]),
-        [Rule::Lost]
+        [Rule::Unanswered]
     );
 }
 
 #[test]
 fn a_second_answer_is_told_wherever_it_comes() {
-    assert_eq!(broken(then(vec![(60.0, served(1, "r1"))])), [Rule::AnsweredTwice]);
+    assert_eq!(broken(then(vec![(60.0, served(1, "r1"))])), [Rule::DuplicateAnswer]);
     let stray = Event::UnexpectedLine { node: 0, attempt: Some(1), text: String::new() };
-    assert_eq!(broken(then(vec![(60.0, stray)])), [Rule::AnsweredTwice]);
+    assert_eq!(broken(then(vec![(60.0, stray)])), [Rule::DuplicateAnswer]);
 }
 
 #[test]
@@ -175,18 +175,18 @@
         ];
         before.into_iter().chain(run).collect::<Vec<_>>()
     };
-    assert_eq!(broken(then(again(vec![], 0))), [Rule::RunTwice]);
+    assert_eq!(broken(then(again(vec![], 0))), [Rule::DuplicateRun]);
     let restart = || {
         vec![
             (100.0, Event::NodeDown { node: 0, exit: ProcessExit::Killed }),
             (200.0, Event::NodeUp { node: 0, cold: true }),
         ]
     };
-    assert_eq!(broken(then(again(restart(), 0))), [Rule::RunTwice]);
+    assert_eq!(broken(then(again(restart(), 0))), [Rule::DuplicateRun]);
     let lost = restart().into_iter().chain([(150.0, Event::StateLost { node: 0 })]).collect();
     assert_eq!(broken(then(again(lost, 0))), []);
     assert_eq!(broken(then(again(vec![], 1))), []);
-    assert_eq!(broken_in(RunScope::Fleet, then(again(vec![], 1))), [Rule::RunTwiceInFleet]);
+    assert_eq!(broken_in(RunScope::Fleet, then(again(vec![], 1))), [Rule::DuplicateRunInFleet]);
 }
 
 #[test]
@@ -195,11 +195,11 @@
     let with = |more: Vec<(Ms, Event)>| broken(begin().into_iter().chain(more).collect());
     assert_eq!(
         with(vec![(1.0, Event::RunStarted { attempt: 1, node: 0 }), (9.0, refused(1))]),
-        [Rule::RefusedAndRan]
+        [Rule::RejectedAndRan]
     );
     assert_eq!(
         with(vec![(1.0, refused(1)), (9.0, Event::RunStarted { attempt: 1, node: 0 })]),
-        [Rule::RefusedAndRan]
+        [Rule::RejectedAndRan]
     );
 }
 
@@ -216,7 +216,7 @@
         ])
     };
     assert_eq!(run(1900.0), []);
-    assert_eq!(run(2500.0), [Rule::RunAfterNotice]);
+    assert_eq!(run(2500.0), [Rule::RunAfterShutdownNotice]);
 }
 
 #[test]
@@ -244,7 +244,7 @@
         let begin = vec![(0.0, role(0, true)), (100.0, role(1, true))];
         broken(begin.into_iter().chain(more).collect())
     };
-    assert_eq!(two(vec![]), [Rule::TwoActive]);
+    assert_eq!(two(vec![]), [Rule::DualActive]);
     assert_eq!(two(vec![(500.0, role(1, false))]), []);
     assert_eq!(two(vec![(500.0, Event::NodeDown { node: 0, exit: ProcessExit::Killed })]), []);
     let apart = || {
@@ -253,7 +253,7 @@
             (9000.0, Event::PeerLinksDisturbed { disturbed: false }),
         ]
     };
-    assert_eq!(two(apart()), [Rule::TwoActive], "still two long after they hear each other again");
+    assert_eq!(two(apart()), [Rule::DualActive], "still two long after they hear each other again");
     assert_eq!(two(apart().into_iter().chain([(9300.0, role(1, false))]).collect()), []);
     assert_eq!(two(vec![(200.0, Event::Paused { node: 0, paused: true })]), []);
 }
@@ -265,26 +265,26 @@
     assert_eq!(broken(vec![(1.0, sample(900, 90))]), []);
     assert_eq!(
         broken(vec![(1.0, sample(1100, 90)), (2.0, sample(1200, 90))]),
-        [Rule::LimitPassed],
+        [Rule::LimitExceeded],
         "told once"
     );
-    assert_eq!(broken(vec![(1.0, sample(900, 101))]), [Rule::LimitPassed]);
+    assert_eq!(broken(vec![(1.0, sample(900, 101))]), [Rule::LimitExceeded]);
     assert_eq!(
         broken(vec![(1.0, Event::InterpreterDied { node: 0, cause: "x".into() })]),
-        [Rule::LimitPassed]
+        [Rule::LimitExceeded]
     );
     assert_eq!(
         broken(vec![(1.0, Event::NodeDown { node: 0, exit: ProcessExit::ShutdownTimedOut })]),
-        [Rule::LimitPassed]
+        [Rule::LimitExceeded]
     );
     assert_eq!(
         broken(vec![(1.0, Event::NodeDown { node: 0, exit: ProcessExit::Crashed("1".into()) })]),
         [Rule::Crashed]
     );
-    assert_eq!(broken(vec![(1.0, Event::Corrupted { node: 0, text: "x".into() })]), [Rule::Spoilt]);
+    assert_eq!(broken(vec![(1.0, Event::Corrupted { node: 0, text: "x".into() })]), [Rule::Corrupted]);
     assert_eq!(
         broken(vec![(1.0, Event::RunStarted { attempt: 7, node: 0 })]),
-        [Rule::Spoilt],
+        [Rule::Corrupted],
         "never written"
     );
 }
--- a/fault-harness/src/check/verdict.rs
+++ b/fault-harness/src/check/verdict.rs
@@ -11,34 +11,34 @@
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
     /// An attempt got no answer by its deadline, or one that can't be read.
-    Lost,
+    Unanswered,
     /// An attempt was answered twice.
-    AnsweredTwice,
+    DuplicateAnswer,
     /// An idempotency key ran twice at a node within its window.
-    RunTwice,
+    DuplicateRun,
     /// An idempotency key ran twice in the fleet within its window.
-    RunTwiceInFleet,
+    DuplicateRunInFleet,
     /// An attempt was rejected that had run, or that runs later.
-    RefusedAndRan,
+    RejectedAndRan,
     /// An attempt ran that came after the shutdown notice and its grace period.
-    RunAfterNotice,
+    RunAfterShutdownNotice,
     /// An attempt was served with a result that no run of its key made.
     ForeignResult,
     /// What reached the interpreter differs from what was sent.
-    Spoilt,
-    /// A limit was passed: memory, descriptors, concurrency on the cores, or the time for a graceful shutdown.
-    LimitPassed,
+    Corrupted,
+    /// A limit was exceeded: memory, descriptors, concurrency on the cores, or the time for a graceful shutdown.
+    LimitExceeded,
     /// The program ended by itself.
     Crashed,
     /// Two nodes had the role of the virtual router for too long, though they could hear each other.
-    TwoActive,
+    DualActive,
 }
 
 /// One breach of a rule.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Breach {
     /// When the rule was broken.
-    pub t: Ms,
+    pub at: Ms,
     /// Which rule.
     pub rule: Rule,
     /// What happened, with the attempt, the node and the key.
@@ -52,10 +52,10 @@
     pub breaches: Vec<Breach>,
     /// Attempts written to nodes.
     pub written: usize,
-    /// Those among them that were excused from being lost.
+    /// Those among them that were excused from an answer.
     pub excused: usize,
     /// Keys that ran more than once in the fleet within their window, whether or not the scenario forbids it.
-    pub twice_in_fleet: usize,
+    pub duplicate_runs_in_fleet: usize,
 }
 
 impl Verdict {
@@ -73,13 +73,13 @@
 
 impl Breaches {
     /// Records a breach.
-    pub(super) fn record(&mut self, t: Ms, rule: Rule, text: String) {
-        self.0.push(Breach { t, rule, text });
+    pub(super) fn record(&mut self, at: Ms, rule: Rule, text: String) {
+        self.0.push(Breach { at, rule, text });
     }
 
     /// All breaches by time; those of one moment stay in the order in which they were found.
     pub(super) fn into_sorted(mut self) -> Vec<Breach> {
-        self.0.sort_by(|a, b| a.t.total_cmp(&b.t));
+        self.0.sort_by(|earlier, later| earlier.at.total_cmp(&later.at));
         self.0
     }
 }
--- a/fault-harness/src/predict/tests.rs
+++ b/fault-harness/src/predict/tests.rs
@@ -32,12 +32,12 @@
 #[test]
 fn overload_is_refused_and_a_killed_half_is_missed_until_it_is_warm() {
     let over = statistics(&predict(&scenario(1.6, ""), None));
-    assert!(over.served < 0.9 && over.parts[2] > 0.05, "{:?}", over.parts);
+    assert!(over.served < 0.9 && over.outcomes.rejected > 0.05, "{:?}", over.outcomes);
     let history =
         predict(&scenario(0.9, "[[fault]]\nat_s = 5\nwhat = 'kill'\nfraction = 0.5\ndown_s = 1.0\n"), None);
     assert_eq!(check(&history).breaches, []);
-    let back = statistics(&history).back.unwrap();
-    assert!(back.least < 0.9 && back.from_start.is_some_and(|s| s > 1.0), "{back:?}");
+    let recovery = statistics(&history).recovery.unwrap();
+    assert!(recovery.least < 0.9 && recovery.from_start.is_some_and(|s| s > 1.0), "{recovery:?}");
 }
 
 #[test]
--- a/fault-harness/src/report.rs
+++ b/fault-harness/src/report.rs
@@ -61,22 +61,22 @@
 pub const COLUMNS: [Column; 14] = [
     Column {
         name: "asked/s",
-        of: |o| Some(o.figures.asked as f64 / o.figures.seconds.len() as f64),
+        of: |o| Some(o.figures.requests as f64 / o.figures.seconds.len() as f64),
         digits: 0,
     },
     Column { name: "served", of: |o| Some(o.figures.served), digits: 3 },
-    Column { name: "worst 10 s", of: |o| Some(o.figures.worst_ten), digits: 3 },
-    Column { name: "refused", of: |o| Some(o.figures.parts[2]), digits: 3 },
-    Column { name: "failed", of: |o| Some(o.figures.parts[3]), digits: 3 },
+    Column { name: "worst 10 s", of: |o| Some(o.figures.worst_stretch), digits: 3 },
+    Column { name: "refused", of: |o| Some(o.figures.outcomes.rejected), digits: 3 },
+    Column { name: "failed", of: |o| Some(o.figures.outcomes.failed), digits: 3 },
     Column { name: "median ms", of: |o| Some(o.figures.median_ms), digits: 0 },
     Column { name: "99% ms", of: |o| Some(o.figures.p99_ms), digits: 0 },
-    Column { name: "tries", of: |o| Some(o.figures.tries), digits: 2 },
-    Column { name: "connections/s", of: |o| Some(o.figures.connected[0]), digits: 1 },
-    Column { name: "most/s", of: |o| Some(o.figures.connected[1]), digits: 0 },
-    Column { name: "most/s a node", of: |o| Some(o.figures.connected[2]), digits: 0 },
-    Column { name: "back s", of: |o| o.figures.back.as_ref()?.from_start, digits: 0 },
+    Column { name: "tries", of: |o| Some(o.figures.attempts_per_request), digits: 2 },
+    Column { name: "connections/s", of: |o| Some(o.figures.connections.mean), digits: 1 },
+    Column { name: "most/s", of: |o| Some(o.figures.connections.busiest_second), digits: 0 },
+    Column { name: "most/s a node", of: |o| Some(o.figures.connections.busiest_node), digits: 0 },
+    Column { name: "back s", of: |o| o.figures.recovery.as_ref()?.from_start, digits: 0 },
     Column { name: "floor s", of: |o| o.floor, digits: 1 },
-    Column { name: "twice", of: |o| Some(o.verdict.twice_in_fleet as f64), digits: 0 },
+    Column { name: "twice", of: |o| Some(o.verdict.duplicate_runs_in_fleet as f64), digits: 0 },
 ];
 
 /// A value as it stands in a table, and a dash where there is none.
@@ -125,7 +125,7 @@
     let mut text = String::new();
     for breach in verdict.breaches.iter().take(MAX_SHOWN) {
         // Writing to memory does not fail.
-        let _ = writeln!(text, "{:>9.0} ms  {:?}: {}", breach.t, breach.rule, breach.text);
+        let _ = writeln!(text, "{:>9.0} ms  {:?}: {}", breach.at, breach.rule, breach.text);
     }
     if verdict.breaches.len() > MAX_SHOWN {
         let _ = writeln!(text, "and {} more; the history has them all", verdict.breaches.len() - MAX_SHOWN);
--- a/fault-harness/src/statistics.rs
+++ b/fault-harness/src/statistics.rs
@@ -9,35 +9,37 @@
 use crate::history::History;
 use accumulator::Accumulator;
 
+pub use recovery::Recovery;
+
 /// One second of a play, by when requests were sent.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Second {
     /// Weight of the requests sent.
-    pub asked_worth: f64,
+    pub requested_weight: f64,
     /// Weight served: all of it within the latency objective, a fraction after it.
-    pub served_worth: f64,
+    pub served_weight: f64,
     /// Requests sent.
-    pub asked: u64,
+    pub requests: u64,
     /// Served within their latency objective.
     pub in_time: u64,
-    /// Served later.
+    /// Served after it.
     pub late: u64,
     /// Rejected by the last attempt.
-    pub refused: u64,
+    pub rejected: u64,
     /// Failed, or without an answer.
     pub failed: u64,
     /// Attempts written in this second.
-    pub tries: u64,
+    pub attempts: u64,
     /// Connections opened by frontends in this second.
-    pub connected: u64,
-    /// Runs begun in this second.
-    pub began: u64,
+    pub connections: u64,
+    /// Runs started in this second.
+    pub runs: u64,
 }
 
 /// A fault as a stretch of time.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Band {
-    /// What.
+    /// What it was, and for which nodes.
     pub text: String,
     /// From when, in seconds.
     pub from: f64,
@@ -45,17 +47,37 @@
     pub until: f64,
 }
 
-/// How long a fleet took to recover.
-#[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Return {
-    /// The fraction of the weight requested that was served before the first fault.
-    pub before: f64,
-    /// Seconds from the first fault's start until service is back and stays; none if it is not by the end.
-    pub from_start: Option<f64>,
-    /// The same from the end of the last fault.
-    pub from_end: Option<f64>,
-    /// The least that a second served meanwhile, as a part of `before`.
-    pub least: f64,
+/// The fractions of requests by their outcome.
+#[derive(Debug, Clone, Copy, PartialEq, Serialize)]
+pub struct OutcomeFractions {
+    /// Served within their latency objective.
+    pub in_time: f64,
+    /// Served after it.
+    pub late: f64,
+    /// Rejected by the last attempt.
+    pub rejected: f64,
+    /// Failed, or without an answer.
+    pub failed: f64,
+}
+
+/// Connections that frontends opened, a second.
+#[derive(Debug, Clone, Copy, PartialEq, Serialize)]
+pub struct ConnectionRates {
+    /// In the mean.
+    pub mean: f64,
+    /// In the second with the most.
+    pub busiest_second: f64,
+    /// The same with one node.
+    pub busiest_node: f64,
+}
+
+/// The most that one program took.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
+pub struct PeakUse {
+    /// Memory.
+    pub memory_kb: u64,
+    /// Open descriptors.
+    pub descriptors: u64,
 }
 
 /// All figures of a play.
@@ -66,29 +88,29 @@
     /// The faults.
     pub bands: Vec<Band>,
     /// Requests sent, without repeats.
-    pub asked: u64,
+    pub requests: u64,
     /// The fraction of the weight requested that was served.
     pub served: f64,
-    /// The same in the worst ten seconds.
-    pub worst_ten: f64,
-    /// The fractions of requests that were served in time, served late, rejected and failed.
-    pub parts: [f64; 4],
+    /// The same in the ten seconds in which it was least.
+    pub worst_stretch: f64,
+    /// The fractions of requests by their outcome.
+    pub outcomes: OutcomeFractions,
     /// Requests served, a second.
     pub throughput: f64,
-    /// Milliseconds from asking to the answer of those served: half of them, and 99 in 100.
+    /// Median latency of the requests served, in milliseconds from the sending of the request.
     pub median_ms: f64,
-    /// The same for 99 in 100.
+    /// Their 99th percentile.
     pub p99_ms: f64,
     /// Attempts for each request.
-    pub tries: f64,
-    /// Connections that frontends opened, a second: in the mean, at most, and at most with one node.
-    pub connected: [f64; 3],
+    pub attempts_per_request: f64,
+    /// Connections that frontends opened.
+    pub connections: ConnectionRates,
     /// The recovery, where there was a fault.
-    pub back: Option<Return>,
-    /// The most that one program took: memory in KB, and descriptors.
-    pub most: [u64; 2],
-    /// Time of the cores that programs took, in microseconds for each attempt.
-    pub cpu_us_a_try: f64,
+    pub recovery: Option<Recovery>,
+    /// The most that one program took.
+    pub peak_use: PeakUse,
+    /// CPU time of the programs, in microseconds for each attempt.
+    pub cpu_us_per_attempt: f64,
 }
 
 /// Computes all statistics of a history.
--- a/fault-harness/src/statistics/accumulator.rs
+++ b/fault-harness/src/statistics/accumulator.rs
@@ -4,22 +4,27 @@
 
 use hdrhistogram::Histogram;
 
-use super::recovery::{back, worst};
-use super::{Band, Second, Statistics};
+use super::recovery::{recovery, worst_stretch};
+use super::{Band, ConnectionRates, OutcomeFractions, PeakUse, Second, Statistics};
 use crate::history::{Event, RuleParameters};
 use crate::model::frontend::RequestOutcome;
-use crate::model::Ms;
+use crate::model::{seconds_of_ms, Ms};
 
 /// The longest latency that is told apart, in microseconds: ten minutes.
 const MAX_LATENCY_US: u64 = 600_000_000;
 /// Significant digits of latencies.
 const LATENCY_DIGITS: u8 = 3;
 /// The length of the worst stretch, in seconds.
-const WORST_STRETCH: usize = 10;
+const STRETCH_SECONDS: usize = 10;
+/// Microseconds in a millisecond.
+const US_PER_MS: f64 = 1000.0;
+/// The quantiles of latencies that are told.
+const MEDIAN: f64 = 0.5;
+const P99: f64 = 0.99;
 
 /// A request that a client sent.
 #[derive(Debug, Clone, Copy)]
-struct OfferedRequest {
+struct SentRequest {
     sent_at: Ms,
     class: usize,
 }
@@ -27,8 +32,7 @@
 /// What programs took of the machine.
 #[derive(Debug, Default)]
 struct ResourceUse {
-    most_memory_kb: u64,
-    most_descriptors: u64,
+    peak: PeakUse,
     /// The last reading of each node's CPU time.
     last_cpu_ms: HashMap<usize, u64>,
     total_cpu_ms: u64,
@@ -38,14 +42,14 @@
 pub(super) struct Accumulator<'a> {
     parameters: &'a RuleParameters,
     seconds: Vec<Second>,
-    offered: HashMap<usize, OfferedRequest>,
+    sent: HashMap<usize, SentRequest>,
     /// Requests sent, without repeats.
     requests: u64,
     attempts: u64,
     bands: Vec<Band>,
     latencies: Option<Histogram<u64>>,
-    /// Connections opened, by node and second.
-    connections: HashMap<(usize, usize), u64>,
+    /// Connections opened with each node, by second.
+    connections: HashMap<usize, Vec<u64>>,
     resources: ResourceUse,
 }
 
@@ -55,7 +59,7 @@
         Accumulator {
             parameters,
             seconds: vec![Second::default(); count],
-            offered: HashMap::new(),
+            sent: HashMap::new(),
             requests: 0,
             attempts: 0,
             bands: Vec::new(),
@@ -67,96 +71,97 @@
     }
 
     /// Takes in an event.
-    pub(super) fn observe(&mut self, t: Ms, event: &Event) {
+    pub(super) fn observe(&mut self, at: Ms, event: &Event) {
         match event {
             // Repeats are there to be answered rightly; they have no weight.
-            Event::RequestSent { request: n, class, repeats: None } => self.request_sent(t, *n, *class),
-            Event::RequestEnded { request: n, outcome: end, .. } => self.request_over(t, *n, *end),
-            Event::AttemptWritten { .. } => self.attempt_written(t),
-            Event::ConnectionOpened { node, .. } => self.connection_opened(t, *node),
+            Event::RequestSent { request, class, repeats: None } => self.count_request(at, *request, *class),
+            Event::RequestEnded { request, outcome, .. } => self.count_outcome(at, *request, *outcome),
+            Event::AttemptWritten { .. } => self.count_attempt(at),
+            Event::ConnectionOpened { node, .. } => self.count_connection(at, *node),
             Event::RunStarted { .. } => {
-                if let Some(second) = self.second_mut(t) {
-                    second.began += 1;
+                if let Some(second) = self.second_mut(at) {
+                    second.runs += 1;
                 }
             }
             Event::FaultInjected { text, until } => {
-                self.bands.push(Band { text: text.clone(), from: t / 1000.0, until: until / 1000.0 });
+                let (from, until) = (seconds_of_ms(at), seconds_of_ms(*until));
+                self.bands.push(Band { text: text.clone(), from, until });
             }
-            Event::ResourceSample { node, memory_kb: rss_kb, descriptors: files, cpu_ms } => {
-                self.resources.sampled(*node, *rss_kb, *files, *cpu_ms);
+            Event::ResourceSample { node, memory_kb, descriptors, cpu_ms } => {
+                let sample = PeakUse { memory_kb: *memory_kb, descriptors: *descriptors };
+                self.resources.add_sample(*node, sample, *cpu_ms);
             }
             _ => {}
         }
     }
 
     /// The position of the second that a time falls into, if load was sent in it.
-    fn second_of(&self, t: Ms) -> Option<usize> {
-        let second = (t >= 0.0).then_some((t / 1000.0) as usize);
+    fn second_of(&self, at: Ms) -> Option<usize> {
+        let second = (at >= 0.0).then_some(seconds_of_ms(at) as usize);
         second.filter(|second| *second < self.seconds.len())
     }
 
-    fn second_mut(&mut self, t: Ms) -> Option<&mut Second> {
-        let second = self.second_of(t)?;
+    fn second_mut(&mut self, at: Ms) -> Option<&mut Second> {
+        let second = self.second_of(at)?;
         self.seconds.get_mut(second)
     }
 
-    fn request_sent(&mut self, t: Ms, request: usize, class: usize) {
+    fn count_request(&mut self, sent_at: Ms, request: usize, class: usize) {
         self.requests += 1;
-        self.offered.insert(request, OfferedRequest { sent_at: t, class });
-        let weight = self.parameters.classes[class].weight;
-        if let Some(second) = self.second_mut(t) {
-            second.asked += 1;
-            second.asked_worth += weight;
+        self.sent.insert(request, SentRequest { sent_at, class });
+        let weight = self.parameters.classes.get(class).map_or(0.0, |class| class.weight);
+        if let Some(second) = self.second_mut(sent_at) {
+            second.requests += 1;
+            second.requested_weight += weight;
         }
     }
 
-    fn request_over(&mut self, t: Ms, request: usize, end: RequestOutcome) {
-        let Some(offered) = self.offered.get(&request).copied() else { return };
-        match end {
-            RequestOutcome::Served => self.request_served(t, offered, 1.0),
-            RequestOutcome::Degraded => {
-                let fraction = self.parameters.classes[offered.class].skip_weight;
-                self.request_served(t, offered, fraction);
-            }
+    fn count_outcome(&mut self, at: Ms, request: usize, outcome: RequestOutcome) {
+        let Some(sent) = self.sent.get(&request).copied() else { return };
+        match outcome {
+            RequestOutcome::Served => self.count_served(at, sent, false),
+            RequestOutcome::Degraded => self.count_served(at, sent, true),
             RequestOutcome::Rejected => {
-                if let Some(second) = self.second_mut(offered.sent_at) {
-                    second.refused += 1;
+                if let Some(second) = self.second_mut(sent.sent_at) {
+                    second.rejected += 1;
                 }
             }
             RequestOutcome::Failed | RequestOutcome::TimedOut => {
-                if let Some(second) = self.second_mut(offered.sent_at) {
+                if let Some(second) = self.second_mut(sent.sent_at) {
                     second.failed += 1;
                 }
             }
         }
     }
 
-    /// Counts a request that was served, with this fraction of its weight.
-    fn request_served(&mut self, t: Ms, offered: OfferedRequest, fraction: f64) {
+    fn count_served(&mut self, at: Ms, sent: SentRequest, is_degraded: bool) {
         let parameters = self.parameters;
-        let class = &parameters.classes[offered.class];
-        let latency = t - offered.sent_at;
+        let Some(class) = parameters.classes.get(sent.class) else { return };
+        let latency = at - sent.sent_at;
         let is_in_time = latency <= class.latency_objective;
-        let Some(second) = self.second_mut(offered.sent_at) else { return };
+        let call_fraction = if is_degraded { class.skip_weight } else { 1.0 };
+        let time_fraction = if is_in_time { 1.0 } else { class.late_weight };
+        let Some(second) = self.second_mut(sent.sent_at) else { return };
         second.in_time += u64::from(is_in_time);
         second.late += u64::from(!is_in_time);
-        second.served_worth += class.weight * fraction * if is_in_time { 1.0 } else { class.late_weight };
+        second.served_weight += class.weight * call_fraction * time_fraction;
         if let Some(latencies) = &mut self.latencies {
-            latencies.saturating_record((latency * 1000.0) as u64);
+            latencies.saturating_record((latency * US_PER_MS) as u64);
         }
     }
 
-    fn attempt_written(&mut self, t: Ms) {
+    fn count_attempt(&mut self, at: Ms) {
         self.attempts += 1;
-        if let Some(second) = self.second_mut(t) {
-            second.tries += 1;
+        if let Some(second) = self.second_mut(at) {
+            second.attempts += 1;
         }
     }
 
-    fn connection_opened(&mut self, t: Ms, node: usize) {
-        let Some(second) = self.second_of(t) else { return };
-        self.seconds[second].connected += 1;
-        *self.connections.entry((node, second)).or_default() += 1;
+    fn count_connection(&mut self, at: Ms, node: usize) {
+        let Some(second) = self.second_of(at) else { return };
+        self.seconds[second].connections += 1;
+        let by_second = self.connections.entry(node).or_insert_with(|| vec![0; self.seconds.len()]);
+        by_second[second] += 1;
     }
 
     fn sum(&self, of: fn(&Second) -> f64) -> f64 {
@@ -166,45 +171,47 @@
     /// A latency in milliseconds that this fraction of the requests served does not exceed.
     fn latency_ms(&self, quantile: f64) -> f64 {
         let latencies = self.latencies.as_ref();
-        latencies.map_or(0.0, |latencies| latencies.value_at_quantile(quantile) as f64 / 1000.0)
+        latencies.map_or(0.0, |latencies| latencies.value_at_quantile(quantile) as f64 / US_PER_MS)
     }
 
-    /// The fractions of requests that were served in time, served late, rejected and failed.
-    fn outcome_fractions(&self) -> [f64; 4] {
-        let sent = self.sum(|second| second.asked as f64);
-        [
-            ratio(self.sum(|second| second.in_time as f64), sent),
-            ratio(self.sum(|second| second.late as f64), sent),
-            ratio(self.sum(|second| second.refused as f64), sent),
-            ratio(self.sum(|second| second.failed as f64), sent),
-        ]
+    fn outcome_fractions(&self) -> OutcomeFractions {
+        let requests = self.sum(|second| second.requests as f64);
+        OutcomeFractions {
+            in_time: ratio(self.sum(|second| second.in_time as f64), requests),
+            late: ratio(self.sum(|second| second.late as f64), requests),
+            rejected: ratio(self.sum(|second| second.rejected as f64), requests),
+            failed: ratio(self.sum(|second| second.failed as f64), requests),
+        }
     }
 
-    /// Connections opened a second: in the mean, at most, and at most with one node.
-    fn connection_rates(&self) -> [f64; 3] {
-        let busiest_second = self.seconds.iter().map(|second| second.connected).max().unwrap_or(0);
-        let busiest_node = self.connections.values().max().copied().unwrap_or(0);
-        let mean = self.sum(|second| second.connected as f64) / self.seconds.len() as f64;
-        [mean, busiest_second as f64, busiest_node as f64]
+    fn connection_rates(&self) -> ConnectionRates {
+        let busiest_second = self.seconds.iter().map(|second| second.connections).max().unwrap_or(0);
+        let busiest_node = self.connections.values().flatten().max().copied().unwrap_or(0);
+        ConnectionRates {
+            mean: self.sum(|second| second.connections as f64) / self.seconds.len() as f64,
+            busiest_second: busiest_second as f64,
+            busiest_node: busiest_node as f64,
+        }
     }
 
     /// The statistics of all that was seen.
     pub(super) fn finish(self) -> Statistics {
         let served_count = self.sum(|second| (second.in_time + second.late) as f64);
-        let cpu_us = self.resources.total_cpu_ms as f64 * 1000.0;
+        let requested_weight = self.sum(|second| second.requested_weight);
+        let cpu_us = self.resources.total_cpu_ms as f64 * US_PER_MS;
         Statistics {
-            asked: self.requests,
-            served: ratio(self.sum(|second| second.served_worth), self.sum(|second| second.asked_worth)),
-            worst_ten: worst(&self.seconds, WORST_STRETCH),
-            parts: self.outcome_fractions(),
+            requests: self.requests,
+            served: ratio(self.sum(|second| second.served_weight), requested_weight),
+            worst_stretch: worst_stretch(&self.seconds, STRETCH_SECONDS),
+            outcomes: self.outcome_fractions(),
             throughput: served_count / self.parameters.seconds,
-            median_ms: self.latency_ms(0.5),
-            p99_ms: self.latency_ms(0.99),
-            tries: ratio(self.attempts as f64, self.requests as f64),
-            connected: self.connection_rates(),
-            back: back(&self.seconds, &self.bands),
-            most: [self.resources.most_memory_kb, self.resources.most_descriptors],
-            cpu_us_a_try: ratio(cpu_us, self.attempts as f64),
+            median_ms: self.latency_ms(MEDIAN),
+            p99_ms: self.latency_ms(P99),
+            attempts_per_request: ratio(self.attempts as f64, self.requests as f64),
+            connections: self.connection_rates(),
+            recovery: recovery(&self.seconds, &self.bands),
+            peak_use: self.resources.peak,
+            cpu_us_per_attempt: ratio(cpu_us, self.attempts as f64),
             bands: self.bands,
             seconds: self.seconds,
         }
@@ -212,9 +219,9 @@
 }
 
 impl ResourceUse {
-    fn sampled(&mut self, node: usize, memory_kb: u64, descriptors: u64, cpu_ms: u64) {
-        self.most_memory_kb = self.most_memory_kb.max(memory_kb);
-        self.most_descriptors = self.most_descriptors.max(descriptors);
+    fn add_sample(&mut self, node: usize, sample: PeakUse, cpu_ms: u64) {
+        self.peak.memory_kb = self.peak.memory_kb.max(sample.memory_kb);
+        self.peak.descriptors = self.peak.descriptors.max(sample.descriptors);
         let before = self.last_cpu_ms.insert(node, cpu_ms).unwrap_or(0);
         // A program that was restarted counts from 0.
         self.total_cpu_ms += if cpu_ms >= before { cpu_ms - before } else { cpu_ms };
--- a/fault-harness/src/statistics/tests.rs
+++ b/fault-harness/src/statistics/tests.rs
@@ -1,8 +1,8 @@
-use super::recovery::{back, worst};
+use super::recovery::{recovery, worst_stretch};
 use super::*;
 
-fn second(asked: f64, served: f64) -> Second {
-    Second { asked_worth: asked, served_worth: served, ..Second::default() }
+fn second(requested: f64, served: f64) -> Second {
+    Second { requested_weight: requested, served_weight: served, ..Second::default() }
 }
 
 fn band(from: f64, until: f64) -> Band {
@@ -10,28 +10,28 @@
 }
 
 #[test]
-fn a_fleet_is_back_when_it_serves_nine_tenths_of_before_and_goes_on_to() {
+fn a_fleet_has_recovered_when_it_serves_nine_tenths_of_before_and_goes_on_to() {
     let served = [10., 10., 10., 10., 10., 10., 2., 2., 4., 9., 3., 6., 9., 10., 10., 10.];
     let seconds: Vec<Second> = served.iter().map(|served| second(10.0, *served)).collect();
-    let back = back(&seconds, &[band(6.0, 8.0)]).unwrap();
-    assert_eq!(back.before, 1.0);
+    let recovery = recovery(&seconds, &[band(6.0, 8.0)]).unwrap();
+    assert_eq!(recovery.before, 1.0);
     // The second from 13 on is the first of those that stay above 0.9 with their neighbours.
-    assert_eq!((back.from_start, back.from_end), (Some(7.0), Some(5.0)));
-    assert_eq!(back.least, 0.2);
+    assert_eq!((recovery.from_start, recovery.from_end), (Some(7.0), Some(5.0)));
+    assert_eq!(recovery.least, 0.2);
 }
 
 #[test]
-fn one_that_never_comes_back_has_no_time_and_one_that_never_fell_has_none_to_wait() {
+fn one_that_never_recovers_has_no_time_and_one_that_never_served_less_has_none_to_wait() {
     let low: Vec<Second> = (0..20).map(|i| second(10.0, if i < 8 { 9.0 } else { 5.0 })).collect();
-    assert_eq!(back(&low, &[band(8.0, 9.0)]).unwrap().from_start, None);
+    assert_eq!(recovery(&low, &[band(8.0, 9.0)]).unwrap().from_start, None);
     let even: Vec<Second> = (0..20).map(|_| second(10.0, 7.0)).collect();
-    assert_eq!(back(&even, &[band(8.0, 9.0)]).unwrap().from_start, Some(0.0));
-    assert!(back(&even, &[]).is_none());
+    assert_eq!(recovery(&even, &[band(8.0, 9.0)]).unwrap().from_start, Some(0.0));
+    assert!(recovery(&even, &[]).is_none());
 }
 
 #[test]
 fn the_worst_ten_seconds_are_a_stretch() {
     let seconds: Vec<Second> =
         (0..30).map(|i| second(10.0, if (10..20).contains(&i) { 4.0 } else { 8.0 })).collect();
-    assert!((worst(&seconds, 10) - 0.4).abs() < 1e-9);
+    assert!((worst_stretch(&seconds, 10) - 0.4).abs() < 1e-9);
 }
--- a/fault-harness/tests/mutants.rs
+++ b/fault-harness/tests/mutants.rs
@@ -40,22 +40,22 @@
 
 #[test]
 fn a_node_that_forgets_its_keys_runs_them_twice() {
-    assert_eq!(rules_broken_by("runs-twice"), [Rule::RunTwice]);
+    assert_eq!(rules_broken_by("runs-twice"), [Rule::DuplicateRun]);
 }
 
 #[test]
 fn a_node_that_gives_no_answer_loses_requests() {
-    assert_eq!(rules_broken_by("loses-answers"), [Rule::Lost]);
+    assert_eq!(rules_broken_by("loses-answers"), [Rule::Unanswered]);
 }
 
 #[test]
 fn a_node_that_answers_again_is_heard() {
-    assert_eq!(rules_broken_by("answers-twice"), [Rule::AnsweredTwice]);
+    assert_eq!(rules_broken_by("answers-twice"), [Rule::DuplicateAnswer]);
 }
 
 #[test]
 fn a_node_that_refuses_what_ran_breaks_its_promise() {
-    assert_eq!(rules_broken_by("refuses-what-ran"), [Rule::RefusedAndRan]);
+    assert_eq!(rules_broken_by("refuses-what-ran"), [Rule::RejectedAndRan]);
 }
 
 #[test]
@@ -65,7 +65,7 @@
 
 #[test]
 fn a_body_that_is_changed_on_its_way_is_seen_by_the_interpreter() {
-    assert!(rules_broken_by("changes-bodies").contains(&Rule::Spoilt));
+    assert!(rules_broken_by("changes-bodies").contains(&Rule::Corrupted));
 }
 
 #[test]
--- a/fault-harness/tests/old_form.rs
+++ b/fault-harness/tests/old_form.rs
@@ -7,7 +7,7 @@
 use oakwind_fault_harness::history::History;
 use oakwind_fault_harness::predict::predict;
 use oakwind_fault_harness::scenario::Scenario;
-use oakwind_fault_harness::statistics::statistics;
+use oakwind_fault_harness::statistics::{statistics, Statistics};
 
 fn fixture(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/old-form").join(name)
@@ -26,13 +26,30 @@
     verdict.by_rule().into_iter().collect()
 }
 
+/// The fractions of requests served in time, served late, rejected and failed.
+fn fractions(figures: &Statistics) -> [f64; 4] {
+    let outcomes = figures.outcomes;
+    [outcomes.in_time, outcomes.late, outcomes.rejected, outcomes.failed]
+}
+
+/// Connections a second: in the mean, at most, and at most with one node.
+fn connection_rates(figures: &Statistics) -> [f64; 3] {
+    let connections = figures.connections;
+    [connections.mean, connections.busiest_second, connections.busiest_node]
+}
+
+/// The most memory in KB and the most descriptors.
+fn peak_use(figures: &Statistics) -> [u64; 2] {
+    [figures.peak_use.memory_kb, figures.peak_use.descriptors]
+}
+
 #[test]
 fn a_scenario_in_the_old_form_is_read_with_every_key() {
     let scenario = Scenario::read(&fixture("scenario.toml"), &[]).unwrap();
     assert_eq!(scenario.faults.len(), 17);
     let figures = statistics(&predict(&scenario, None));
-    assert_eq!((figures.asked, figures.served, figures.p99_ms), (9235, 0.9843458231221709, 451.839));
-    assert_eq!(figures.tries, 1.4123443421765025);
+    assert_eq!((figures.requests, figures.served, figures.p99_ms), (9235, 0.9843458231221709, 451.839));
+    assert_eq!(figures.attempts_per_request, 1.4123443421765025);
 }
 
 #[test]
@@ -104,21 +121,27 @@
     assert_eq!(history.observations.len(), 1622);
     let verdict = check(&history);
     assert_eq!(counts(&verdict), []);
-    assert_eq!((verdict.written, verdict.excused, verdict.twice_in_fleet), (361, 4, 0));
+    assert_eq!((verdict.written, verdict.excused, verdict.duplicate_runs_in_fleet), (361, 4, 0));
     let figures = statistics(&history);
     assert_eq!(
-        (figures.asked, figures.served, figures.worst_ten),
+        (figures.requests, figures.served, figures.worst_stretch),
         (195, 0.5051666666666667, 0.5051666666666667)
     );
     assert_eq!(
-        figures.parts,
+        fractions(&figures),
         [0.49230769230769234, 0.11282051282051282, 0.3487179487179487, 0.046153846153846156]
     );
     assert_eq!((figures.throughput, figures.median_ms, figures.p99_ms), (23.6, 64.255, 426.751));
-    assert_eq!((figures.tries, figures.connected), (1.8512820512820514, [3.8, 10.0, 4.0]));
-    assert_eq!((figures.most, figures.cpu_us_a_try), ([7420, 27], 969.5290858725762));
-    let back = figures.back.unwrap();
-    assert_eq!((back.before, back.from_start, back.least), (0.9893939393939394, None, 0.3114854517611026));
+    assert_eq!(
+        (figures.attempts_per_request, connection_rates(&figures)),
+        (1.8512820512820514, [3.8, 10.0, 4.0])
+    );
+    assert_eq!((peak_use(&figures), figures.cpu_us_per_attempt), ([7420, 27], 969.5290858725762));
+    let recovery = figures.recovery.unwrap();
+    assert_eq!(
+        (recovery.before, recovery.from_start, recovery.least),
+        (0.9893939393939394, None, 0.3114854517611026)
+    );
     let faults: Vec<&str> = figures.bands.iter().map(|band| band.text.as_str()).collect();
     assert_eq!(faults, ["kill n1", "link n2", "link n3", "fronts 1", "stop n2", "below", "leave n3"]);
 }
@@ -129,18 +152,18 @@
     assert_eq!(history.observations.len(), 87);
     let verdict = check(&history);
     let expected = [
-        (Rule::Lost, 2),
-        (Rule::AnsweredTwice, 1),
-        (Rule::RunTwice, 4),
-        (Rule::RefusedAndRan, 2),
+        (Rule::Unanswered, 2),
+        (Rule::DuplicateAnswer, 1),
+        (Rule::DuplicateRun, 4),
+        (Rule::RejectedAndRan, 2),
         (Rule::ForeignResult, 1),
-        (Rule::Spoilt, 1),
-        (Rule::LimitPassed, 4),
+        (Rule::Corrupted, 1),
+        (Rule::LimitExceeded, 4),
         (Rule::Crashed, 1),
-        (Rule::TwoActive, 1),
+        (Rule::DualActive, 1),
     ];
     assert_eq!(counts(&verdict), expected);
-    let times: Vec<f64> = verdict.breaches.iter().map(|breach| breach.t).collect();
+    let times: Vec<f64> = verdict.breaches.iter().map(|breach| breach.at).collect();
     assert_eq!(
         times,
         [
@@ -148,11 +171,11 @@
             1050.0, 1150.0, 29_000.0
         ]
     );
-    assert_eq!((verdict.written, verdict.excused, verdict.twice_in_fleet), (10, 0, 5));
+    assert_eq!((verdict.written, verdict.excused, verdict.duplicate_runs_in_fleet), (10, 0, 5));
     let figures = statistics(&history);
-    assert_eq!((figures.asked, figures.served, figures.parts), (5, 0.3, [0.4, 0.0, 0.2, 0.4]));
-    assert_eq!((figures.median_ms, figures.p99_ms, figures.tries), (312.575, 425.215, 2.0));
-    assert_eq!((figures.most, figures.cpu_us_a_try), ([4000, 120], 700.0));
+    assert_eq!((figures.requests, figures.served, fractions(&figures)), (5, 0.3, [0.4, 0.0, 0.2, 0.4]));
+    assert_eq!((figures.median_ms, figures.p99_ms, figures.attempts_per_request), (312.575, 425.215, 2.0));
+    assert_eq!((peak_use(&figures), figures.cpu_us_per_attempt), ([4000, 120], 700.0));
 }
 
 #[test]
--- a/node/tests/recovery.rs
+++ b/node/tests/recovery.rs
@@ -29,7 +29,7 @@
         ("fault", &faults),
     ];
     let (history, verdict) = plays::play_without_violations("return", &[&shortened, overrides]);
-    assert_eq!(verdict.twice_in_fleet, 0);
+    assert_eq!(verdict.duplicate_runs_in_fleet, 0);
     (history, verdict)
 }
 
--- a/node/tests/replication.rs
+++ b/node/tests/replication.rs
@@ -27,7 +27,7 @@
         ("fault", &faults),
     ];
     let (history, verdict) = plays::play_without_violations("replicated", &[&shortened, overrides]);
-    assert_eq!(verdict.twice_in_fleet, 0);
+    assert_eq!(verdict.duplicate_runs_in_fleet, 0);
     // A fleet that serves no keyed request trivially runs none twice.
     let (mut keyed_requests, mut keyed_attempts, mut served) = (HashMap::new(), HashMap::new(), 0);
     for seen in &history.observations {
