--- a/fault-harness/src/check/router.rs
+++ b/fault-harness/src/check/router.rs
@@ -28,7 +28,7 @@
 
 impl RouterRoles {
     /// Takes in an event, and records a conflict that has lasted too long.
-    pub(super) fn observe(&mut self, t: Ms, event: &Event, longest_conflict: Ms, breaches: &mut Breaches) {
+    pub(super) fn observe(&mut self, at: Ms, event: &Event, longest_conflict: Ms, breaches: &mut Breaches) {
         self.follow(event);
         let can_hear = self.disturbances == 0 && self.paused.is_empty();
         if !can_hear || self.active.len() < 2 {
@@ -36,25 +36,35 @@
             return;
         }
         let since = match self.conflict {
-            Conflict::None => t,
+            Conflict::None => at,
             Conflict::Since(since) => since,
             Conflict::Reported => return,
         };
         self.conflict = Conflict::Since(since);
-        if t - since > longest_conflict {
-            breaches.record(t, Rule::TwoActive, self.describe());
+        if at - since > longest_conflict {
+            breaches.record(at, Rule::DualActive, self.describe());
             self.conflict = Conflict::Reported;
         }
     }
 
     fn follow(&mut self, event: &Event) {
         match event {
-            Event::Role { node, active: true } => drop(self.active.insert(*node)),
-            Event::Role { node, active: false } | Event::Down { node, .. } => drop(self.active.remove(node)),
-            Event::Still { node, still: true } => drop(self.paused.insert(*node)),
-            Event::Still { node, still: false } => drop(self.paused.remove(node)),
-            Event::Peers { on: true } => self.disturbances += 1,
-            Event::Peers { on: false } => self.disturbances = self.disturbances.saturating_sub(1),
+            Event::RouterRole { node, active: true } => {
+                self.active.insert(*node);
+            }
+            Event::RouterRole { node, active: false } | Event::NodeDown { node, .. } => {
+                self.active.remove(node);
+            }
+            Event::Paused { node, paused: true } => {
+                self.paused.insert(*node);
+            }
+            Event::Paused { node, paused: false } => {
+                self.paused.remove(node);
+            }
+            Event::PeerLinksDisturbed { disturbed: true } => self.disturbances += 1,
+            Event::PeerLinksDisturbed { disturbed: false } => {
+                self.disturbances = self.disturbances.saturating_sub(1)
+            }
             _ => {}
         }
     }
--- a/fault-harness/src/predict.rs
+++ b/fault-harness/src/predict.rs
@@ -8,19 +8,19 @@
 mod faults;
 mod server;
 
-use std::collections::HashMap;
+use std::collections::{BTreeMap, HashMap};
 
 use rand_chacha::ChaCha8Rng;
 
 use crate::history::{Event, History, Observation};
-use crate::model::dependency::Below;
-use crate::model::frontend::Front;
+use crate::model::dependency::Dependency;
+use crate::model::frontend::Frontend;
 use crate::model::interpreter::{InterpreterModel, InterpreterSpec};
-use crate::model::registry::Members;
+use crate::model::registry::Registry;
 use crate::model::Ms;
 use crate::play_context::terms;
 use crate::scenario::Scenario;
-use crate::schedule::{generator, schedule, At, Schedule, Stream};
+use crate::schedule::{generator, schedule, InjectionTime, RandomStream, Schedule};
 use clients::OpenRequest;
 use event_queue::{EventQueue, ScheduledEvent};
 use server::{Attempt, Node};
@@ -39,16 +39,16 @@
     now: Ms,
     queue: EventQueue,
     nodes: Vec<Node>,
-    frontends: Vec<Front>,
+    frontends: Vec<Frontend>,
     open_requests: HashMap<usize, OpenRequest>,
     /// The node that each request went to first.
     first_nodes: HashMap<usize, usize>,
-    attempts: HashMap<u64, Attempt>,
+    attempts: BTreeMap<u64, Attempt>,
     next_attempt: u64,
-    dependency: Option<Below>,
+    dependency: Option<Dependency>,
     rng: ChaCha8Rng,
-    members: Members,
-    seen: Vec<Observation>,
+    members: Registry,
+    observations: Vec<Observation>,
 }
 
 /// Plays a scenario in virtual time and returns what would be seen.
@@ -58,7 +58,7 @@
     prediction.report();
     prediction.now = 0.0;
     prediction.run();
-    History { terms: terms(scenario, seed), seen: prediction.seen }
+    History { parameters: terms(scenario, seed), observations: prediction.observations }
 }
 
 impl<'a> Prediction<'a> {
@@ -68,9 +68,15 @@
             let make = InterpreterSpec::of(&scenario.fleet, *speed);
             Node::new(InterpreterModel::new(make, 0.0, scenario.fleet.cold))
         });
-        let frontends = schedule.fronts.iter().enumerate().map(|(position, front)| {
-            let rng = generator(seed, Stream::Habits, position as u64);
-            Front::new(&scenario.fronts, front.choose, front.heeds, scenario.fleet.nodes, rng)
+        let frontends = schedule.frontends.iter().enumerate().map(|(position, front)| {
+            let rng = generator(seed, RandomStream::Frontends, position as u64);
+            Frontend::new(
+                &scenario.frontends,
+                front.load_balancing,
+                front.honours_retry_after,
+                scenario.fleet.nodes,
+                rng,
+            )
         });
         Prediction {
             nodes: nodes.collect(),
@@ -80,18 +86,18 @@
             queue: EventQueue::default(),
             open_requests: HashMap::new(),
             first_nodes: HashMap::new(),
-            attempts: HashMap::new(),
+            attempts: BTreeMap::new(),
             next_attempt: 1,
-            dependency: scenario.below.as_ref().map(|below| Below::new(below.slots, below.queue)),
-            rng: generator(seed, Stream::Calls, 0),
-            members: Members::new(scenario.fleet.nodes, scenario.members.lapse_s * 1000.0),
-            seen: Vec::new(),
+            dependency: scenario.dependency.as_ref().map(|below| Dependency::new(below.slots, below.queue)),
+            rng: generator(seed, RandomStream::Calls, 0),
+            members: Registry::new(scenario.fleet.nodes, scenario.registry.heartbeat_timeout_s * 1000.0),
+            observations: Vec::new(),
             schedule,
         }
     }
 
     fn note(&mut self, what: Event) {
-        self.seen.push(Observation { t: self.now, what });
+        self.observations.push(Observation { at: self.now, event: what });
     }
 
     fn run(&mut self) {
@@ -106,9 +112,9 @@
         for (position, request) in self.schedule.requests.iter().enumerate() {
             self.queue.schedule(request.at, ScheduledEvent::ClientRequest(position));
         }
-        for (position, strike) in self.schedule.strikes.iter().enumerate() {
-            if let At::Time(at) = strike.at {
-                self.queue.schedule(at + strike.after, ScheduledEvent::FaultStart(position));
+        for (position, injection) in self.schedule.injections.iter().enumerate() {
+            if let InjectionTime::Time(at) = injection.at {
+                self.queue.schedule(at + injection.delay, ScheduledEvent::FaultStart(position));
             }
         }
         self.queue.schedule(0.0, ScheduledEvent::Report);
@@ -120,7 +126,7 @@
         let nodes = self.nodes.iter().enumerate();
         let nodes = nodes.filter_map(|(position, node)| Some((node.vm.next()?, position)));
         let node = nodes.min_by(|a, b| a.0.total_cmp(&b.0));
-        let call = self.dependency.as_ref().and_then(Below::next);
+        let call = self.dependency.as_ref().and_then(Dependency::next);
         let candidates = [node.map(|(at, _)| at), call, self.queue.next_at()];
         let next = candidates.into_iter().flatten().fold(f64::INFINITY, f64::min);
         if next > end {
@@ -159,7 +165,7 @@
     fn report(&mut self) {
         for (position, node) in self.nodes.iter().enumerate() {
             if node.is_up && !node.is_paused {
-                self.members.report(self.now, position, true);
+                self.members.on_heartbeat(self.now, position, true);
             }
         }
     }
--- a/fault-harness/src/stand_in/frontends.rs
+++ b/fault-harness/src/stand_in/frontends.rs
@@ -14,12 +14,12 @@
 
 use super::interpreter::Interpreter;
 use crate::history::Event;
-use crate::model::frontend::{Answer, Front, Journey, Pin, Step, LATEST_RETRY_MARGIN};
-use crate::model::registry::Members;
+use crate::model::frontend::{Affinity, AttemptOutcome, ClientCall, Frontend, NextStep, LATEST_RETRY_MARGIN};
+use crate::model::registry::Registry;
 use crate::model::Ms;
 use crate::play_context::{PlayContext, Written};
 use crate::relay::Line;
-use crate::scenario::Happening;
+use crate::scenario::NodeEvent;
 use crate::wire;
 use connection::{Connection, OpenAttempt};
 
@@ -49,9 +49,9 @@
     context: Rc<PlayContext>,
     number: usize,
     late: Ms,
-    habits: RefCell<Front>,
+    habits: RefCell<Frontend>,
     nodes: Rc<Vec<NodeEndpoints>>,
-    members: Rc<RefCell<Members>>,
+    members: Rc<RefCell<Registry>>,
     connections: RefCell<Vec<Rc<Connection>>>,
     attempts: Rc<Cell<u64>>,
     /// The node that each request went to first.
@@ -64,7 +64,7 @@
     /// The endpoints of all nodes.
     pub nodes: Rc<Vec<NodeEndpoints>>,
     /// The membership service.
-    pub members: Rc<RefCell<Members>>,
+    pub members: Rc<RefCell<Registry>>,
     /// Attempts so far, of all frontends.
     pub attempts: Rc<Cell<u64>>,
     /// The node that each request went to first.
@@ -74,16 +74,17 @@
 impl FrontEnd {
     /// A frontend of the plan.
     pub fn new(context: Rc<PlayContext>, number: usize, shared: Shared) -> Rc<FrontEnd> {
-        let schedule = &context.schedule.fronts[number];
-        let rng = crate::schedule::generator(context.seed, crate::schedule::Stream::Habits, number as u64);
-        let habits = Front::new(
-            &context.scenario.fronts,
-            schedule.choose,
-            schedule.heeds,
+        let schedule = &context.schedule.frontends[number];
+        let rng =
+            crate::schedule::generator(context.seed, crate::schedule::RandomStream::Frontends, number as u64);
+        let habits = Frontend::new(
+            &context.scenario.frontends,
+            schedule.load_balancing,
+            schedule.honours_retry_after,
             context.scenario.fleet.nodes,
             rng,
         );
-        let late = schedule.late;
+        let late = schedule.registry_delay;
         let Shared { nodes, members, attempts, first_nodes } = shared;
         Rc::new(FrontEnd {
             context,
@@ -108,48 +109,54 @@
         let ask = &self.context.schedule.requests[n];
         let class = &self.context.scenario.classes[ask.class];
         let asked = self.context.now();
-        self.context.note(Event::Asked { n, class: ask.class, repeats: ask.repeats });
+        self.context.note(Event::RequestSent { request: n, class: ask.class, repeats: ask.repeats });
         let first = ask.repeats.and_then(|first| self.first_nodes.borrow().get(&first).copied());
-        let pin = Pin::of(ask.repeats.is_some(), first, self.context.scenario.load.repeat_at);
+        let pin = Affinity::of(ask.repeats.is_some(), first, self.context.scenario.load.repeat_at);
         let due = asked + class.deadline_ms as f64;
-        let mut journey = Journey::new(due, pin, &self.habits.borrow());
-        let mut step = journey.go(asked, &mut self.habits.borrow_mut(), &self.listed());
+        let mut journey = ClientCall::new(due, pin, &self.habits.borrow());
+        let mut step = journey.proceed(asked, &mut self.habits.borrow_mut(), &self.listed());
         let mut attempts = 0;
         let end = loop {
             step = match step {
-                Step::Try(node) => {
+                NextStep::Attempt(node) => {
                     attempts += 1;
                     self.first_nodes.borrow_mut().entry(n).or_insert(node);
                     let answer = self.attempt(node, n, due).await;
                     let listed = self.listed();
-                    journey.answered(self.context.now(), node, answer, &mut self.habits.borrow_mut(), &listed)
+                    journey.on_outcome(
+                        self.context.now(),
+                        node,
+                        answer,
+                        &mut self.habits.borrow_mut(),
+                        &listed,
+                    )
                 }
-                Step::Wait(until) => {
+                NextStep::WaitUntil(until) => {
                     self.context.clock.until(until).await;
                     let listed = self.listed();
-                    journey.go(self.context.now(), &mut self.habits.borrow_mut(), &listed)
+                    journey.proceed(self.context.now(), &mut self.habits.borrow_mut(), &listed)
                 }
-                Step::Over(end) => break end,
+                NextStep::Finished(end) => break end,
             };
         };
-        self.context.note(Event::Over { n, end, tries: attempts });
+        self.context.note(Event::RequestEnded { request: n, outcome: end, attempts });
     }
 
     /// One attempt at a node. It is sent again, once, if it crosses a close.
-    async fn attempt(&self, node: usize, n: usize, due: Ms) -> Answer {
+    async fn attempt(&self, node: usize, n: usize, due: Ms) -> AttemptOutcome {
         for again in [true, false] {
-            let Ok(connection) = self.connection(node).await else { return Answer::Gone };
+            let Ok(connection) = self.connection(node).await else { return AttemptOutcome::ConnectionLost };
             match self.send(&connection, n, due).await {
                 Some(answer) => return answer,
                 None if again => {}
                 None => break,
             }
         }
-        Answer::Gone
+        AttemptOutcome::ConnectionLost
     }
 
     /// Writes an attempt and waits for its answer; none where it crossed a close.
-    async fn send(&self, connection: &Rc<Connection>, n: usize, due: Ms) -> Option<Answer> {
+    async fn send(&self, connection: &Rc<Connection>, n: usize, due: Ms) -> Option<AttemptOutcome> {
         let (context, node) = (&self.context, connection.node);
         let txn = FIRST_ATTEMPT_ID + self.attempts.replace(self.attempts.get() + 1);
         let id = connection.next_id.replace(connection.next_id.get() + 1);
@@ -165,9 +172,15 @@
         let open = OpenAttempt { txn, written_at: now, was_alone, reply: Some(reply) };
         connection.open.borrow_mut().insert(id, open);
         context.writes(txn, Written { n, node });
-        context.note(Event::Wrote { txn, n, node, front: self.number, due });
-        self.nodes[node].interpreter.holds(txn, context.schedule.requests[n].kb);
-        context.happened(node, Happening::Written);
+        context.note(Event::AttemptWritten {
+            attempt: txn,
+            request: n,
+            node,
+            frontend: self.number,
+            deadline: due,
+        });
+        self.nodes[node].interpreter.holds(txn, context.schedule.requests[n].memory_kb);
+        context.happened(node, NodeEvent::AttemptWritten);
         // Where the connection has ended meanwhile, its end answers.
         let _ = out.send(line).await;
         let listen_until = due + context.scenario.rules.slack_ms + LISTEN_MARGIN;
@@ -176,13 +189,13 @@
             answer = &mut answer => answer.ok(),
             () = context.clock.until(listen_until) => {
                 self.withdraw(connection, id, txn, &out);
-                Some(Answer::Silent)
+                Some(AttemptOutcome::TimedOut)
             }
         }
     }
 
     /// Waits until the node's machine has read an attempt; an answer if it will not be written.
-    async fn wait_until_read(&self, connection: &Connection, txn: u64, due: Ms) -> Option<Answer> {
+    async fn wait_until_read(&self, connection: &Connection, txn: u64, due: Ms) -> Option<AttemptOutcome> {
         let (context, interpreter) = (&self.context, &self.nodes[connection.node].interpreter);
         if context.scenario.fleet.read_ms <= 0.0 {
             return None;
@@ -196,12 +209,12 @@
         connection.unread.set(connection.unread.get() - 1);
         match read {
             // Nobody writes what its client no longer waits for.
-            Some(true) if context.now() + LATEST_RETRY_MARGIN >= due => Some(Answer::Silent),
+            Some(true) if context.now() + LATEST_RETRY_MARGIN >= due => Some(AttemptOutcome::TimedOut),
             Some(true) => None,
-            Some(false) => Some(Answer::Gone),
+            Some(false) => Some(AttemptOutcome::ConnectionLost),
             None => {
                 interpreter.unread(txn);
-                Some(Answer::Silent)
+                Some(AttemptOutcome::TimedOut)
             }
         }
     }
@@ -210,7 +223,7 @@
         let context = &self.context;
         let request = &context.schedule.requests[n];
         let class = &context.scenario.classes[request.class];
-        let key = class.keyed.then(|| format!("{:032x}", request.repeats.unwrap_or(n)));
+        let key = class.idempotency_key.then(|| format!("{:032x}", request.repeats.unwrap_or(n)));
         wire::Request {
             id,
             txn: &format!("{txn:016x}"),
@@ -219,8 +232,8 @@
             front: self.number,
             team: &request.tenant,
             limit: (due - arrived_at).max(1.0) as u64,
-            cpu: request.hint.max(0.01),
-            ram: request.kb,
+            cpu: request.cost_hint.max(0.01),
+            ram: request.memory_kb,
             key: key.as_deref(),
             content: &BASE64.encode(context.body(n)),
         }
@@ -229,7 +242,7 @@
 
     /// Tells the node that nobody waits for an attempt any more.
     fn withdraw(&self, connection: &Connection, id: u64, txn: u64, out: &mpsc::Sender<String>) {
-        self.context.note(Event::Withdrew { txn });
+        self.context.note(Event::AttemptCancelled { attempt: txn });
         self.nodes[connection.node].interpreter.over(txn);
         if let Some(open) = connection.open.borrow_mut().get_mut(&id) {
             open.reply = None;
@@ -254,7 +267,7 @@
         }
         let address = (*endpoints.address.borrow()).ok_or(std::io::ErrorKind::ConnectionRefused)?;
         let stream = endpoints.lines[self.number].open(address).await?;
-        self.context.note(Event::Connected { node, front: self.number });
+        self.context.note(Event::ConnectionOpened { node, frontend: self.number });
         endpoints.interpreter.connected();
         let (out, lines) = mpsc::channel(WRITE_QUEUE);
         let connection = Rc::new(Connection {
@@ -275,7 +288,7 @@
 
     /// Closes connections that are idle, and forgets those that have ended; for as long as the play.
     pub async fn tidy(self: Rc<Self>) {
-        let idle = self.context.scenario.fronts.idle_s * 1000.0;
+        let idle = self.context.scenario.frontends.idle_timeout_s * 1000.0;
         loop {
             let now = self.context.now();
             for connection in self.connections.borrow().iter() {
@@ -296,11 +309,11 @@
             connection.is_draining.set(true);
             connection.out.borrow_mut().take();
             for open in std::mem::take(&mut *connection.open.borrow_mut()).into_values() {
-                self.context.note(Event::Withdrew { txn: open.txn });
+                self.context.note(Event::AttemptCancelled { attempt: open.txn });
                 self.nodes[connection.node].interpreter.over(open.txn);
                 if let Some(reply) = open.reply {
                     // Its client may have stopped waiting.
-                    let _ = reply.send(Answer::Gone);
+                    let _ = reply.send(AttemptOutcome::ConnectionLost);
                 }
             }
         }
--- a/fault-harness/tests/mutants.rs
+++ b/fault-harness/tests/mutants.rs
@@ -10,10 +10,10 @@
 
 /// Deadlines are long and the load is small: no verdict hangs on the machine's speed.
 const SCENARIO: &str = "name = 'mutants'\nseconds = 2\n[fleet]\nnodes = 3\n[rules]\nslack_ms = 4000\n\
-    [[class]]\nname = 'quote'\nshare = 1\nwork_ms = 10\naim_ms = 900\ndeadline_ms = 1500\n\
-    [[class]]\nname = 'book'\nshare = 1\nwork_ms = 10\nkeyed = true\nwindow_ms = 60000\naim_ms = 900\ndeadline_ms = 1500\n\
-    [load]\nrate = 60\nrepeats = 1.0\nrepeat_after_ms = [50, 400]\n\
-    [fronts]\ncount = 2\nretries = 0\nclient_retries = 0\nlist_late_ms = [0, 0]\n";
+    [[class]]\nname = 'quote'\nshare = 1\nwork_ms = 10\nlatency_objective_ms = 900\ndeadline_ms = 1500\n\
+    [[class]]\nname = 'book'\nshare = 1\nwork_ms = 10\nidempotency_key = true\nidempotency_window_ms = 60000\nlatency_objective_ms = 900\ndeadline_ms = 1500\n\
+    [load]\nrate = 60\nrepeat_fraction = 1.0\nrepeat_after_ms = [50, 400]\n\
+    [frontends]\ncount = 2\nretries = 0\nclient_retries = 0\nregistry_delay_ms = [0, 0]\n";
 
 fn build(mutant: &str) -> Build {
     let path = PathBuf::from(env!("CARGO_BIN_EXE_oakwind-fault-harness"));
@@ -40,22 +40,22 @@
 
 #[test]
 fn a_node_that_forgets_its_keys_runs_them_twice() {
-    assert_eq!(rules_broken_by("runs-twice"), [Rule::RunTwice]);
+    assert_eq!(rules_broken_by("runs-twice"), [Rule::DuplicateRun]);
 }
 
 #[test]
 fn a_node_that_gives_no_answer_loses_requests() {
-    assert_eq!(rules_broken_by("loses-answers"), [Rule::Lost]);
+    assert_eq!(rules_broken_by("loses-answers"), [Rule::Unanswered]);
 }
 
 #[test]
 fn a_node_that_answers_again_is_heard() {
-    assert_eq!(rules_broken_by("answers-twice"), [Rule::AnsweredTwice]);
+    assert_eq!(rules_broken_by("answers-twice"), [Rule::DuplicateAnswer]);
 }
 
 #[test]
 fn a_node_that_refuses_what_ran_breaks_its_promise() {
-    assert_eq!(rules_broken_by("refuses-what-ran"), [Rule::RefusedAndRan]);
+    assert_eq!(rules_broken_by("refuses-what-ran"), [Rule::RejectedAndRan]);
 }
 
 #[test]
@@ -65,7 +65,7 @@
 
 #[test]
 fn a_body_that_is_changed_on_its_way_is_seen_by_the_interpreter() {
-    assert!(rules_broken_by("changes-bodies").contains(&Rule::Spoilt));
+    assert!(rules_broken_by("changes-bodies").contains(&Rule::Corrupted));
 }
 
 #[test]
