--- a/admission/tests/model/actions.rs
+++ b/admission/tests/model/actions.rs
@@ -7,8 +7,17 @@
 use crate::{ServerModel, State};
 
 impl ServerModel {
+    /// Carries out the actions of a batch and checks that each is allowed.
+    pub(crate) fn apply_all(&mut self, actions: &[Action]) {
+        let mut failed = Vec::new();
+        for action in actions {
+            self.apply(action, &mut failed);
+        }
+        self.end_failed(failed);
+    }
+
     /// Carries out an action and checks that it is allowed. Failed attempts are added to `failed`.
-    pub(crate) fn apply(&mut self, action: &Action, failed: &mut Vec<RequestId>) {
+    fn apply(&mut self, action: &Action, failed: &mut Vec<RequestId>) {
         match *action {
             Action::Run(id) => self.run(id),
             Action::Reject { id, .. } => self.reject(id),
@@ -102,7 +111,7 @@
             });
             assert!(!ran_before, "one effect ran twice");
         }
-        let length = 20_000 + self.random.below(600_000);
+        let length = self.shortest_run_micros + self.random.below(self.run_spread_micros);
         let attempt = self.attempts.get_mut(&id).expect("known");
         attempt.state = State::Running;
         attempt.ever_run = true;
@@ -129,7 +138,7 @@
     }
 
     /// Ends the attempts that were failed while they were not running.
-    pub(crate) fn end_failed(&mut self, failed: Vec<RequestId>) {
+    fn end_failed(&mut self, failed: Vec<RequestId>) {
         for id in failed {
             match self.attempts[&id].state {
                 State::Queued | State::Paused | State::Coalesced => {
--- a/admission/tests/model/main.rs
+++ b/admission/tests/model/main.rs
@@ -8,6 +8,7 @@
 mod progress;
 mod random;
 mod settings;
+mod trace;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -70,6 +71,13 @@
     calls: f64,
     /// When the abandoned calls end at the dependency.
     lingering: Vec<u64>,
+    /// How many of a hundred calls return in a step.
+    call_return_percent: u64,
+    /// A returned call has one of this many outcomes; the first five are failures.
+    call_outcomes: u64,
+    /// The shortest time of a run, and how much longer it may be.
+    shortest_run_micros: u64,
+    run_spread_micros: u64,
 }
 
 /// Time of the first event.
@@ -104,6 +112,10 @@
             concurrency_span: Duration::from_millis(1500 + 500 * (seed % 4)),
             calls: 0.0,
             lingering: Vec::new(),
+            call_return_percent: 8,
+            call_outcomes: 8,
+            shortest_run_micros: 20_000,
+            run_spread_micros: 600_000,
         }
     }
 
@@ -134,11 +146,7 @@
             actions.clear();
             let events = std::mem::take(&mut self.events);
             admission.handle(Duration::from_micros(self.now), &events, &mut actions);
-            let mut failed = Vec::new();
-            for action in &actions {
-                self.apply(action, &mut failed);
-            }
-            self.end_failed(failed);
+            self.apply_all(&actions);
             let mut step = STEP_MICROS * (1 + self.random.below(8));
             if suspends && self.now > suspended_at {
                 // The process is suspended and not blamed for deadlines that pass meanwhile.
--- a/admission/tests/model/progress.rs
+++ b/admission/tests/model/progress.rs
@@ -14,7 +14,9 @@
             let percent = self.random.below(100);
             let now = self.now;
             let answered_or_cancelled = |attempt: &Attempt| attempt.answers > 0 || attempt.cancelled;
-            let Some(attempt) = self.attempts.get_mut(&id) else { continue };
+            let Some(attempt) = self.attempts.get_mut(&id) else {
+                continue;
+            };
             let took = Duration::from_micros(now.saturating_sub(attempt.started_at));
             match attempt.state {
                 State::Running if stalled || now < attempt.ends_at => {}
@@ -34,8 +36,8 @@
                     attempt.state = State::Ended;
                     self.events.push(Event::Finished { id, outcome, took });
                 }
-                State::Calling if percent < 8 => {
-                    let outcome = match self.random.below(8) {
+                State::Calling if percent < self.call_return_percent => {
+                    let outcome = match self.random.below(self.call_outcomes) {
                         0 => Outcome::Error,
                         1 => Outcome::Rejected,
                         2 => Outcome::TimedOut,
@@ -74,7 +76,9 @@
     }
 
     fn cancel(&mut self, id: RequestId) {
-        let Some(attempt) = self.attempts.get_mut(&id) else { return };
+        let Some(attempt) = self.attempts.get_mut(&id) else {
+            return;
+        };
         if attempt.state == State::Ended || attempt.cancelled {
             return;
         }
@@ -88,7 +92,9 @@
     }
 
     pub(crate) fn end_waiting_for_call(&mut self, id: RequestId) {
-        let Some(attempt) = self.attempts.get_mut(&id) else { return };
+        let Some(attempt) = self.attempts.get_mut(&id) else {
+            return;
+        };
         if attempt.state == State::Calling {
             self.lingering.push(self.now + LINGER_MICROS);
         }
--- /dev/null
+++ b/admission/tests/model/trace/perturbations.rs
@@ -0,0 +1,119 @@
+//! What the trace adds to the events of the server model: other callers, ages and hints of arrivals, retries of
+//! idempotent requests, unknown classes, arrivals reported twice and runs that are rejected before they start.
+
+use std::time::Duration;
+
+use oakwind_admission::{Action, Arrival, CallerId, ClassId, Effect, Event, Gauges, Outcome, RequestId};
+
+use super::driver::Scenario;
+use super::plan::GaugeMode;
+use crate::State;
+
+/// Identifiers from here on belong to arrivals of classes that do not exist; the model does not know them.
+const FIRST_UNKNOWN_ID: u32 = 1_000_000;
+
+impl Scenario {
+    /// Adds the arrivals of a step.
+    pub(super) fn add_arrivals(&mut self) {
+        let percent = self.plan.arrival_percent(self.model.now);
+        while self.random.chance(percent) {
+            self.model.arrive();
+            let Some(Event::Arrived(arrival)) = self.model.events.pop() else {
+                continue;
+            };
+            let arrival = self.vary(arrival);
+            let reported_twice = arrival.repeats.is_none() && self.random.chance(2);
+            self.model.events.push(Event::Arrived(arrival.clone()));
+            if reported_twice {
+                self.model.events.push(Event::Arrived(arrival));
+            }
+        }
+        if self.random.below(500) == 0 {
+            let id = RequestId(FIRST_UNKNOWN_ID + self.model.next_id);
+            self.model.events.push(Event::Arrived(Arrival::new(id, ClassId(99))));
+        }
+    }
+
+    fn vary(&mut self, mut arrival: Arrival) -> Arrival {
+        arrival.caller = CallerId(self.random.below(self.plan.callers) as u32);
+        if self.random.chance(2) {
+            arrival.cost_hint = Some(Duration::ZERO);
+        }
+        // Which attempt a retry with a key names depends on when it arrived: the model has settled that.
+        let class = usize::from(arrival.class.0);
+        if self.model.settings.classes[class].effect != Effect::IdempotencyKey {
+            self.vary_age(&mut arrival);
+            self.vary_retry(&mut arrival);
+        }
+        arrival
+    }
+
+    fn vary_age(&mut self, arrival: &mut Arrival) {
+        if self.random.chance(2) {
+            let age = Duration::from_millis(self.random.below(1000));
+            arrival.age = age;
+            let arrived = self.model.now - age.as_micros() as u64;
+            self.model.attempts.get_mut(&arrival.id).expect("just added").arrived = arrived;
+        }
+    }
+
+    /// Some arrivals repeat one of the last attempts of their class.
+    fn vary_retry(&mut self, arrival: &mut Arrival) {
+        let named = RequestId(arrival.id.0.saturating_sub(1 + self.random.below(11) as u32));
+        let class = usize::from(arrival.class.0);
+        let same_class = self.model.attempts.get(&named).is_some_and(|attempt| attempt.class == class);
+        if same_class && self.random.chance(15) {
+            arrival.repeats = Some(named);
+            self.model.attempts.get_mut(&arrival.id).expect("just added").retry_of = Some(named);
+        }
+    }
+
+    /// Whether the model knows the request that an action is about.
+    pub(super) fn is_known(action: &Action) -> bool {
+        !matches!(action, Action::Reject { id, .. } if id.0 >= FIRST_UNKNOWN_ID)
+    }
+
+    /// Some runs are rejected before they start, such as for want of a connection to a worker.
+    pub(super) fn reject_some_runs(&mut self, actions: &[Action]) {
+        for action in actions {
+            let Action::Run(id) = *action else { continue };
+            let attempt = self.model.attempts.get_mut(&id).expect("known");
+            if attempt.state != State::Running || !self.random.chance(3) {
+                continue;
+            }
+            attempt.state = State::Ended;
+            attempt.ever_run = false;
+            let took = Duration::from_millis(1);
+            self.model.events.push(Event::Finished { id, outcome: Outcome::Rejected, took });
+        }
+    }
+
+    /// The time that a call took since its own start.
+    pub(super) fn correct_call_times(&mut self) {
+        for event in &mut self.model.events {
+            if let Event::CallReturned { id, took, .. } = event {
+                if let Some(called_at) = self.called_at.get(id) {
+                    *took = Duration::from_micros(self.model.now - called_at);
+                }
+            }
+        }
+    }
+
+    /// Sets what the next timers say of the load.
+    pub(super) fn set_gauges(&mut self) {
+        let running =
+            self.model.attempts.values().filter(|attempt| attempt.state == State::Running).count() as f64;
+        let cores = f64::from(self.model.settings.cores);
+        let other = self.random.below(3) as f64;
+        let busy = Some((running / cores).min(1.0) * (0.85 + self.random.below(15) as f64 / 100.0));
+        let in_flood = (self.model.now / 6_000_000).is_multiple_of(3);
+        self.model.gauges = match self.plan.gauge_mode {
+            GaugeMode::Absent => Gauges::default(),
+            GaugeMode::BusyOnly => Gauges { busy, runnable: None },
+            GaugeMode::Measured => Gauges { busy, runnable: Some(running + other) },
+            GaugeMode::ReadOverload if in_flood => Gauges { busy, runnable: Some(running * 4.0 + 12.0) },
+            GaugeMode::ReadOverload => Gauges { busy, runnable: Some(running) },
+            GaugeMode::WaitingForIo => Gauges { busy, runnable: Some((running / 2.0).floor()) },
+        };
+    }
+}
