--- a/admission/src/admission.rs
+++ b/admission/src/admission.rs
@@ -1,217 +1,244 @@
-//! Admission control and scheduling of one server, without clock or I/O. The types are in `interface.rs`.
+//! Admission control and scheduling of one server, without clock or I/O.
 //!
-//! One permitted rate governs arrivals under overload; it changes at most every two seconds, by latency,
-//! overload answers from below and use. The rest keeps the four rules (one answer in time, no effect twice,
-//! a safe drain, no fall-over) and orders what runs.
+//! [`Admission::handle`] shows the order of decisions for a batch of events. Each decision has a type or a function in
+//! a module of its own; here they are composed. From the design: one permitted rate governs arrivals under overload
+//! and changes at most every two seconds, by latency, overload answers from below and use. The rest keeps the four
+//! rules (one answer in time, no effect twice, a safe drain, no fall-over) and orders what runs.
 
+mod call_start;
 mod calls;
-mod lifecycle;
-mod rate;
-mod request;
-mod scheduling;
-mod signal;
+mod class_estimates;
+mod concurrency_limit;
+mod constants;
+mod context;
+mod deadlines;
+mod drain;
+mod events;
+mod idle_connections;
+mod load_signal;
+mod memory;
+mod overload;
+mod priority;
+mod quantities;
+mod read_overload;
+mod request_intake;
+mod requests;
+mod retry_advice;
+mod run_queue;
+mod running_mean;
+mod shedding;
+mod stall;
+mod time;
+mod timer_watch;
+mod warm_up;
 
-use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use crate::interface::{Action, Event, Gauges, Outcome, RequestId, Settings, TimerId};
-use calls::Calls;
-use rate::LatencySample;
-use request::{ClassStats, Mean, Phase, Request};
-use signal::{Connections, RecentArrival};
-
-/// Seconds between two timers: deadlines, gauges and revisions are looked at this often.
-const TIMER_PERIOD: f64 = 0.05;
-/// Seconds between two changes of the permitted rate, at the least.
-const RATE_WINDOW: f64 = 2.0;
-/// Latency is over target beyond this part of the latency objective.
-const LATENCY_TARGET: f64 = 0.4;
-/// Arrivals among which a priority is ranked, and from which the signal is computed.
-const RECENT_ARRIVALS: usize = 64;
-/// Samples that are evidence enough: the standard error of fewer is over a quarter.
-const MIN_SAMPLES: f64 = 16.0;
-/// Weight of a new sample in the running means.
-const MEAN_WEIGHT: f64 = 0.1;
-/// Part of the survivable concurrency, and of the dependency's share, that is ever used.
-const USED_CAPACITY: f64 = 0.75;
-/// Part of the memory that is ever used.
-const USED_MEMORY: f64 = 0.9;
-/// Busy part of the cores below which the run limit rises while requests are queued.
-const BUSY_LOW: f64 = 0.92;
-/// Seconds without a timer after which load estimates are stale: longer than any pause of a machine.
-const STALE_AFTER: f64 = 5.0 * RATE_WINDOW;
-/// Part of its mean work that a running request is assumed to need still, at the least.
-const REMAINING_WORK: f64 = 0.5;
+use crate::interface::{Action, Event, RequestId, Settings, TimerId};
+use call_start::CallDecision;
+use calls::DependencyCalls;
+use class_estimates::ClassEstimates;
+use concurrency_limit::{survivable_concurrency, ConcurrencyLimit};
+use constants::TIMER_PERIOD;
+use context::Context;
+use drain::Drain;
+use idle_connections::IdleConnectionLimit;
+use load_signal::LoadSignal;
+use memory::MemoryUse;
+use overload::OverloadControl;
+use quantities::Fraction;
+use read_overload::ReadOverload;
+use requests::request::Request;
+use requests::{Advice, OpenRequests};
+use retry_advice::RetryAdvice;
+use run_queue::RunLimits;
+use stall::StallDetector;
+use time::{Instant, Span};
+use timer_watch::TimerWatch;
+use warm_up::WarmUp;
+
+/// The one timer that the module sets.
+const TIMER: TimerId = TimerId(0);
 
 /// The admission control and scheduling of one server.
-#[derive(Debug, Default)]
+#[derive(Debug)]
 pub struct Admission {
     settings: Settings,
-    random: u64,
-    now: f64,
-    opened: bool,
-    booted_at: f64,
-    requests: BTreeMap<RequestId, Request>,
-    /// Attempts that ended without a run in this batch, and the repeats that replaced them.
-    ended_unrun: BTreeMap<RequestId, Option<RequestId>>,
-    key_expiry: BTreeMap<RequestId, f64>,
-    class_stats: Vec<ClassStats>,
-    /// Recent arrivals a second: all, then of each tenant; and all while little was rejected.
-    arrival_rates: Vec<f64>,
-    arrival_rates_at: f64,
-    usual_arrivals: Mean,
-    latencies: VecDeque<LatencySample>,
-    rate: Option<f64>,
-    tokens: f64,
-    filled_at: f64,
-    /// The current window, and the requests handled in it.
-    window_start: f64,
-    handled: f64,
-    penalized_until: f64,
-    run_limit: f64,
-    shed_level: f64,
-    recent: VecDeque<RecentArrival>,
-    advertised: Option<f64>,
-    calls: Calls,
-    /// During a drain: when all has to be answered.
-    stop_at: Option<f64>,
-    longest_timer_delay: f64,
-    last_timer_at: f64,
-    /// When a run or a part of one last ended, and whether that is too long ago.
-    progress_at: f64,
-    stalled: bool,
-    last_runnable: f64,
-    /// Running requests that wait for I/O, by the gauge of runnable work.
-    off_cpu: f64,
-    connections: Connections,
-    /// The part of runnable work that is not runs: reads, health checks and new connections.
-    overhead: Mean,
+    now: Instant,
+    /// Whether the initial actions were taken.
+    started: bool,
+    requests: OpenRequests,
+    estimates: ClassEstimates,
+    overload: OverloadControl,
+    concurrency: ConcurrencyLimit,
+    warm_up: WarmUp,
+    calls: DependencyCalls,
+    stall: StallDetector,
+    drain: Drain,
+    timers: TimerWatch,
+    read_overload: ReadOverload,
+    connections: IdleConnectionLimit,
+    signal: LoadSignal,
+    retry_advice: RetryAdvice,
 }
 
 impl Admission {
     /// Starts at `now`; `seed` feeds the random numbers.
     pub fn new(settings: Settings, seed: u64, now: Duration) -> Self {
-        let now = now.as_secs_f64();
-        let cores = f64::from(settings.cores.max(1));
+        let now = Instant::from_clock(now);
         Admission {
-            random: seed | 1,
             now,
-            booted_at: now,
-            last_timer_at: now,
-            filled_at: now,
-            arrival_rates_at: now,
-            calls: Calls::new(&settings.dependency, now),
-            window_start: now,
-            run_limit: cores,
-            overhead: Mean { average: 0.0, readings: MIN_SAMPLES },
-            connections: Connections::new(settings.idle.as_secs_f64()),
-            last_runnable: f64::INFINITY,
-            class_stats: vec![ClassStats::default(); settings.classes.len()],
-            arrival_rates: vec![0.0; settings.tenant_quotas.len() + 1],
+            started: false,
+            requests: OpenRequests::default(),
+            estimates: ClassEstimates::new(settings.classes.len()),
+            overload: OverloadControl::new(settings.tenant_quotas.len(), now),
+            concurrency: ConcurrencyLimit::new(f64::from(settings.cores.max(1))),
+            warm_up: WarmUp::new(&settings, now),
+            calls: DependencyCalls::new(&settings.dependency, now),
+            stall: StallDetector::new(now),
+            drain: Drain::default(),
+            timers: TimerWatch::new(now),
+            read_overload: ReadOverload::new(),
+            connections: IdleConnectionLimit::new(Span::from(settings.idle)),
+            signal: LoadSignal::default(),
+            retry_advice: RetryAdvice::new(seed),
             settings,
-            ..Admission::default()
         }
     }
 
-    /// Applies new settings. Classes and tenants keep their positions; those left out at the end stay.
+    /// Applies new settings. Classes and tenants keep their positions; those left out at the end stay. How the server
+    /// warms up was settled at its start.
     pub fn reconfigure(&mut self, mut settings: Settings) {
-        let (known, quotas) = (settings.classes.len(), settings.tenant_quotas.len());
-        settings.classes.extend(self.settings.classes.drain(..).skip(known));
-        settings.tenant_quotas.extend(self.settings.tenant_quotas.drain(..).skip(quotas));
-        self.class_stats.resize(settings.classes.len(), ClassStats::default());
-        self.arrival_rates.resize(settings.tenant_quotas.len() + 1, 0.0);
+        let classes = settings.classes.len();
+        settings.classes.extend(self.settings.classes.drain(..).skip(classes));
+        let tenants = settings.tenant_quotas.len();
+        settings.tenant_quotas.extend(self.settings.tenant_quotas.drain(..).skip(tenants));
+        self.estimates.resize(settings.classes.len());
+        self.overload.resize(settings.tenant_quotas.len());
         if settings.dependency != self.settings.dependency {
             self.calls.reconfigure(&settings.dependency);
         }
-        // How the server warms up was settled at its start.
-        let Settings { cold, cold_speed, warm_up_time, .. } = self.settings;
-        self.settings = Settings { cold, cold_speed, warm_up_time, ..settings };
+        self.settings = settings;
     }
 
     /// Applies events that happened at `now` and appends the actions that follow.
     pub fn handle(&mut self, now: Duration, events: &[Event], out: &mut Vec<Action>) {
-        self.now = self.now.max(now.as_secs_f64());
-        self.ended_unrun.clear();
-        if !std::mem::replace(&mut self.opened, true) {
-            out.push(Action::SetHealth { good: true, cheap: true });
-            out.push(Action::IdleLimit(self.settings.idle));
-            out.push(Action::SetTimer(TimerId(0), seconds(TIMER_PERIOD)));
-        }
+        self.now = self.now.max(Instant::from_clock(now));
+        self.requests.start_batch();
+        self.announce_start(out);
         for event in events {
-            match event {
-                Event::Arrived(arrival) => self.arrive(arrival, out),
-                Event::Finished { id, outcome, took } => self.run_finished(*id, *outcome, *took),
-                Event::CallNeeded(id) => self.call_needed(*id),
-                Event::CallReturned { id, outcome, took } => self.call_returned(*id, *outcome, *took),
-                Event::Cancelled(id) => self.cancel(*id, out),
-                Event::Drain(left) => self.drain(*left, out),
-                Event::Timer(_, gauges) => self.on_timer(gauges, out),
-            }
+            self.apply(event, out);
         }
         self.enforce_deadlines(out);
-        self.shed_unmeetable(out);
+        self.shed_load(out);
         self.start_calls(out);
         self.start_runs(out);
     }
 
     /// Requests a second permitted under overload; none before the first window has seeded it.
     pub fn permitted_rate(&self) -> Option<f64> {
-        self.rate
+        self.overload.permitted_rate().map(quantities::RequestRate::value)
     }
 
-    fn run_finished(&mut self, id: RequestId, outcome: Outcome, took: Duration) {
-        if outcome == Outcome::Rejected {
-            // It never started: its key is free, and it tells nothing of the cores.
-            self.key_expiry.remove(&id);
-            self.requests.remove(&id);
+    fn announce_start(&mut self, out: &mut Vec<Action>) {
+        if std::mem::replace(&mut self.started, true) {
             return;
         }
-        self.progress_at = self.now;
-        let Some(request) = self.requests.get_mut(&id) else { return };
-        if request.phase == Phase::Calling {
-            let (waited, took) = (self.now - request.call_needed_at, self.now - request.call_sent_at);
-            self.calls.ended(self.now, took, waited, true, true);
-        }
-        let Some(request) = self.requests.remove(&id) else { return };
-        if outcome != Outcome::Ok || request.phase == Phase::Coalesced {
-            return;
+        out.push(Action::SetHealth { good: true, cheap: true });
+        out.push(Action::IdleLimit(self.settings.idle));
+        out.push(Action::SetTimer(TIMER, TIMER_PERIOD.to_duration()));
+    }
+
+    fn context(&self) -> Context<'_> {
+        Context::new(self.now, &self.settings, self.requests.table(), &self.estimates)
+    }
+
+    fn survivable_concurrency(&self) -> f64 {
+        survivable_concurrency(&self.context(), self.warm_up.fraction(self.now))
+    }
+
+    fn max_at_calls(&self) -> usize {
+        self.calls.max_at_calls(&self.context(), self.survivable_concurrency())
+    }
+
+    /// What a rejected caller is told.
+    fn advice(&mut self, give_up: bool) -> Advice {
+        let retry_after = self.retry_advice.retry_after(&self.settings, self.signal.shed_fraction());
+        Advice { retry_after, give_up }
+    }
+
+    /// Rejects a queued request. The caller should give up if other servers are taken to reject it as well, and not if
+    /// this server alone is in a state in which it rejects.
+    fn reject(&mut self, id: RequestId, out: &mut Vec<Action>) {
+        let is_warming_up = self.warm_up.fraction(self.now) < Fraction::ALL;
+        let rejects_alone = self.drain.is_draining() || self.stall.is_stalled() || is_warming_up;
+        let others_reject =
+            self.read_overload.is_overloaded() || self.overload.arrival_rates().exceed_usual(self.now);
+        let advice = self.advice(!rejects_alone && others_reject);
+        self.requests.reject(id, advice, out);
+    }
+
+    /// Answers what would miss its deadline before the next timer, and what can't meet its objective any more.
+    fn enforce_deadlines(&mut self, out: &mut Vec<Action>) {
+        for id in deadlines::requests_to_answer(&self.context(), self.stall.is_stalled()) {
+            if self.requests.is_queued(id) {
+                self.reject(id, out);
+            } else {
+                self.requests.fail(id, &self.settings, out);
+            }
         }
-        let on_cores = (took.as_secs_f64() - request.time_at_calls).max(0.001) / request.relative_cost;
-        self.class_stats[request.class].on_cores.add(on_cores, MEAN_WEIGHT);
-        if !request.answered {
-            self.handled += 1.0;
-            let of_objective = self.objective_used(&request);
-            let (at, may_call) = (self.now, request.may_call);
-            self.latencies.push_back(LatencySample { at, of_objective, may_call });
+    }
+
+    fn shed_load(&mut self, out: &mut Vec<Action>) {
+        let recent_answers = self.overload.has_recent_answers();
+        let concurrency = self.concurrency.running();
+        for id in shedding::requests_to_shed(&self.context(), concurrency, recent_answers) {
+            self.overload.request_shed(id);
+            self.reject(id, out);
         }
     }
 
-    fn on_timer(&mut self, gauges: &Gauges, out: &mut Vec<Action>) {
-        let now = self.now;
-        self.longest_timer_delay = self.longest_timer_delay.max(now - self.last_timer_at - TIMER_PERIOD);
-        if now - self.last_timer_at > STALE_AFTER {
-            self.reset_load_estimates();
+    /// Starts the calls that the limit allows, the highest priority first.
+    fn start_calls(&mut self, out: &mut Vec<Action>) {
+        let calling = self.requests.table().count(Request::is_calling);
+        let mut in_progress = self.calls.update_balance(self.now, calling);
+        let at_bound = self.requests.table().at_calls() >= self.max_at_calls();
+        for id in call_start::awaiting_calls(self.requests.table()) {
+            let Some(request) = self.requests.table().get(id) else { continue };
+            let decision = call_start::decide_call(request, &self.context(), &self.calls, at_bound);
+            let Some(request) = self.requests.table_mut().get_mut(id) else { continue };
+            match decision {
+                CallDecision::Skip => {
+                    request.continue_run(self.now);
+                    out.push(Action::SkipCall(id));
+                }
+                CallDecision::Fail => self.requests.fail(id, &self.settings, out),
+                CallDecision::Call { timeout } if self.calls.limit().allows_call(self.now, in_progress) => {
+                    in_progress += 1.0;
+                    request.send_call(self.now);
+                    out.push(Action::Call(id, timeout.to_duration()));
+                }
+                CallDecision::Call { .. } => {}
+            }
         }
-        self.last_timer_at = now;
-        self.detect_stall(out);
-        self.key_expiry.retain(|_, until| *until > now);
-        self.latencies.retain(|sample| sample.at >= now - RATE_WINDOW);
-        self.calls.ended.retain(|call| call.at >= now - RATE_WINDOW);
-        let runnable = gauges.runnable.unwrap_or(0.0);
-        let other = (runnable - self.count_in(Phase::Running) as f64).max(0.0);
-        self.overhead.add(other / runnable.max(1.0), MEAN_WEIGHT / 2.0);
-        self.revise();
-        let (idle, callers) = (self.settings.idle.as_secs_f64(), f64::from(self.settings.callers.max(1)));
-        let (read_overload, spare) = (self.read_overload(), gauges.busy.is_some_and(|b| b < BUSY_LOW));
-        if let Some(limit) = self.connections.tune(now, idle, callers, read_overload, spare) {
-            out.push(Action::IdleLimit(seconds(limit)));
+    }
+
+    fn start_runs(&mut self, out: &mut Vec<Action>) {
+        let limits = RunLimits {
+            concurrency: self.concurrency.running(),
+            survivable: self.survivable_concurrency(),
+            at_calls: self.max_at_calls(),
+        };
+        let context = self.context();
+        let memory = MemoryUse::of(&context, self.requests.keys());
+        for id in run_queue::runs_to_start(&context, memory, &limits) {
+            if let Some(request) = self.requests.table_mut().get_mut(id) {
+                request.start_run(self.now);
+                out.push(Action::Run(id));
+            }
         }
-        self.adjust_run_limit(gauges);
-        self.update_signal(out);
-        out.push(Action::SetTimer(TimerId(0), seconds(TIMER_PERIOD)));
     }
 }
 
-fn seconds(time: f64) -> Duration {
-    Duration::from_secs_f64(time.clamp(0.0, 1e6))
-}
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/admission/src/admission/call_start.rs
@@ -0,0 +1,63 @@
+//! What becomes of a request that waits for a call: the call is started or skipped, or the request waits or fails.
+
+use crate::admission::calls::DependencyCalls;
+use crate::admission::constants::{MIN_REMAINING_WORK, TIMER_PERIOD};
+use crate::admission::context::Context;
+use crate::admission::requests::request::{Request, Run};
+use crate::admission::requests::table::{Entry, RequestTable};
+use crate::admission::time::Span;
+use crate::interface::{Effect, RequestId};
+
+/// The shortest timeout of a call: shorter than any answer.
+const MIN_TIMEOUT: Span = Span::from_seconds(0.001);
+
+/// What to do with a request that waits for a call.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub(crate) enum CallDecision {
+    /// It goes on without the call.
+    Skip,
+    /// It fails.
+    Fail,
+    /// It calls with this timeout as soon as the call limit allows.
+    Call { timeout: Span },
+}
+
+/// The unanswered requests that wait for a call: the highest priority first, then the earliest objective.
+pub(crate) fn awaiting_calls(requests: &RequestTable) -> Vec<RequestId> {
+    let is_waiting = |entry: &Entry| entry.request.is_awaiting_call() && !entry.request.answered;
+    let mut waiting: Vec<Entry> = requests.iter().filter(is_waiting).collect();
+    waiting.sort_by(|first, second| {
+        let by_priority = second.request.priority.total_cmp(first.request.priority);
+        by_priority.then(first.request.objective_at.total_cmp(second.request.objective_at))
+    });
+    waiting.into_iter().map(|entry| entry.id).collect()
+}
+
+/// What to do with `request`, which waits for a call; `at_bound` tells that as many wait at calls as may.
+pub(crate) fn decide_call(
+    request: &Request,
+    context: &Context,
+    calls: &DependencyCalls,
+    at_bound: bool,
+) -> CallDecision {
+    let now = context.now;
+    let class = context.class_of(request);
+    let work = context.estimates.work_of(request).unwrap_or(Span::ZERO) * MIN_REMAINING_WORK;
+    let time_for_call = request.objective_at - now - work;
+    let failed_calls = request.phase.run().map(|run: &Run| run.failed_calls).unwrap_or_default();
+    let skippable = class.skip_weight > 0.0;
+    let unmeetable = now < request.objective_at && time_for_call < calls.typical_time();
+    if skippable && (at_bound || failed_calls.any() || unmeetable) {
+        return CallDecision::Skip;
+    }
+    let late = at_bound && class.effect == Effect::Idempotent && now > request.objective_at;
+    if late || failed_calls.exhausted() {
+        return CallDecision::Fail;
+    }
+    let until_deadline = request.deadline - now - TIMER_PERIOD;
+    let timeout = if skippable && time_for_call > Span::ZERO { time_for_call } else { until_deadline };
+    CallDecision::Call { timeout: timeout.min(calls.limit().max_call_time()).max(MIN_TIMEOUT) }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/admission/src/admission/calls/limit.rs
@@ -0,0 +1,126 @@
+//! How many calls to a shared dependency are in progress at once, so that all servers together do not overload it.
+//!
+//! A balance of call-seconds keeps the mean of concurrent calls within this server's share, over the period that the
+//! dependency averages over. Within it, the limit falls with slow calls and rises with quick ones. The share may be
+//! less than one call: then calls are spaced in time.
+
+use std::collections::VecDeque;
+
+use crate::admission::constants::{MIN_DIVISOR, TIMER_PERIOD, USED_CAPACITY};
+use crate::admission::time::{Instant, Span};
+use crate::interface::Dependency;
+
+/// A quick call raises the limit by this fraction of the share: twenty of them restore it.
+const RISE: f64 = 0.05;
+/// A slow call lowers the limit by this fraction of it: faster than it rises, since a dependency that is overloaded
+/// serves nobody.
+const CUT: f64 = 0.2;
+/// The limit never falls below this fraction of the share: all servers together still use the dependency.
+const MIN_SHARE: f64 = 0.22;
+/// One call may take up to this fraction of the share: it must not use up all of it.
+const MAX_SHARE_OF_ONE_CALL: f64 = 0.5;
+/// The share where no dependency is shared, in calls, and its averaging time: more than any server uses.
+const UNSHARED_CALLS: f64 = 1e6;
+const UNSHARED_AVERAGING_TIME: Span = Span::from_seconds(1e6);
+
+/// How a call ended.
+pub(crate) struct CallEnd {
+    /// Time since the call was started.
+    pub(crate) duration: Span,
+    /// Whether it was slow or rejected, which lowers the limit.
+    pub(crate) slow: bool,
+    /// Whether it was given up while the dependency goes on with it.
+    pub(crate) lingers: bool,
+}
+
+/// The limit of concurrent calls.
+#[derive(Debug)]
+pub(crate) struct CallLimit {
+    /// This server's part of the concurrent calls that the dependency survives, as a mean.
+    share: f64,
+    /// The period over which that mean is taken.
+    averaging_time: Span,
+    /// How long the dependency goes on with a call that was given up.
+    linger: Span,
+    /// Concurrent calls; up to the share.
+    limit: f64,
+    /// Call-seconds of the share that were not used.
+    balance: Span,
+    balanced_at: Instant,
+    /// Spaces calls in time while the limit is below one.
+    next_call_at: Instant,
+    /// When the dependency ends the calls that were given up.
+    lingering_until: VecDeque<Instant>,
+}
+
+impl CallLimit {
+    /// The limit at the start: the whole share.
+    pub(crate) fn new(dependency: &Dependency, now: Instant) -> Self {
+        let mut limit = CallLimit {
+            share: 0.0,
+            averaging_time: Span::ZERO,
+            linger: Span::ZERO,
+            limit: 0.0,
+            balance: Span::ZERO,
+            balanced_at: now,
+            next_call_at: Instant::DISTANT_PAST,
+            lingering_until: VecDeque::new(),
+        };
+        limit.reconfigure(dependency);
+        limit
+    }
+
+    /// Applies the settings of another dependency; the limit is its whole share.
+    pub(crate) fn reconfigure(&mut self, dependency: &Dependency) {
+        if let Dependency::Shared { share, span, linger } = *dependency {
+            self.share = share.max(0.0);
+            self.averaging_time = Span::from(span);
+            self.linger = Span::from(linger);
+        } else {
+            self.share = UNSHARED_CALLS;
+            self.averaging_time = UNSHARED_AVERAGING_TIME;
+            self.linger = Span::ZERO;
+        }
+        self.limit = self.share;
+    }
+
+    /// Brings the balance up to `now`, with `calling` calls in progress since the last time. Returns the calls that
+    /// the dependency works on, with those that were given up.
+    pub(crate) fn update_balance(&mut self, now: Instant, calling: usize) -> f64 {
+        self.lingering_until.retain(|until| *until > now);
+        let in_progress = calling as f64 + self.lingering_until.len() as f64;
+        let max_balance = self.share * self.averaging_time * (1.0 - USED_CAPACITY);
+        let unused = (self.share * USED_CAPACITY - in_progress) * (now - self.balanced_at);
+        self.balance = (self.balance + unused).min(max_balance);
+        self.balanced_at = now;
+        in_progress
+    }
+
+    /// Whether a call may start while so many are in progress.
+    pub(crate) fn allows_call(&self, now: Instant, in_progress: f64) -> bool {
+        let below_limit = in_progress < self.limit.floor().max(1.0);
+        below_limit && self.balance >= Span::ZERO && now >= self.next_call_at
+    }
+
+    /// The longest time for which one call may use the share.
+    pub(crate) fn max_call_time(&self) -> Span {
+        let usable = self.share * self.averaging_time * MAX_SHARE_OF_ONE_CALL - self.linger;
+        usable.max(TIMER_PERIOD)
+    }
+
+    /// A call has ended: adjusts the limit and, below one, the time of the next call.
+    pub(crate) fn call_ended(&mut self, now: Instant, call: &CallEnd) {
+        if call.lingers {
+            self.lingering_until.push_back(now + self.linger);
+        }
+        let change = if call.slow { -CUT * self.limit } else { RISE * self.share };
+        self.limit = (self.limit + change).clamp(MIN_SHARE * self.share, self.share);
+        if self.limit < 1.0 {
+            let pause = call.duration * (1.0 / self.limit.max(MIN_DIVISOR) - 1.0);
+            self.next_call_at = now + pause.min(self.averaging_time);
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/admission/src/admission/calls/tests.rs
@@ -0,0 +1,51 @@
+use super::{DependencyCalls, EndedCall};
+use crate::admission::requests::request::Request;
+use crate::admission::tests::fixtures::{at, awaiting_call, priority, queued, seconds, ServerState};
+use crate::interface::{Class, Dependency, Outcome, Settings};
+
+fn settings(dependency: Dependency) -> Settings {
+    let class = Class { calls: true, ..Class::default() };
+    Settings { classes: vec![class], dependency, cores: 2, ..Settings::default() }
+}
+
+fn calls_to(dependency: Dependency) -> DependencyCalls {
+    DependencyCalls::new(&dependency, at(0.0))
+}
+
+fn end_slow_calls(calls: &mut DependencyCalls, count: usize) {
+    let call =
+        EndedCall { outcome: Outcome::Ok, duration: seconds(0.5), waited: seconds(0.5), objective: seconds(1.0) };
+    (0..count).for_each(|_| calls.call_returned(at(0.0), &call));
+}
+
+#[test]
+fn twice_the_cores_may_wait_at_calls_while_they_are_quick_and_as_many_as_end_in_time_otherwise() {
+    let state = ServerState::new(settings(Dependency::Off));
+    let mut calls = calls_to(Dependency::Off);
+    assert_eq!(calls.max_at_calls(&state.context(0.0), 6.0), 4);
+    end_slow_calls(&mut calls, 4);
+    assert_eq!(calls.max_at_calls(&state.context(0.0), 6.0), 1);
+}
+
+#[test]
+fn calls_to_a_tier_are_bounded_by_the_survivable_concurrency() {
+    let state = ServerState::new(settings(Dependency::Tier));
+    let calls = calls_to(Dependency::Tier);
+    assert_eq!(calls.max_at_calls(&state.context(0.0), 12.0), 10);
+    assert_eq!(calls.max_at_calls(&state.context(0.0), 3.0), 2);
+}
+
+#[test]
+fn at_the_bound_only_arrivals_of_high_priority_that_will_call_are_admitted() {
+    let caller = |weight| Request { may_call: true, priority: priority(weight), ..queued() };
+    let requests = vec![awaiting_call(), awaiting_call(), caller(1.0)];
+    let state = ServerState::with_requests(settings(Dependency::Off), requests);
+    let mut calls = calls_to(Dependency::Off);
+    let mut admits = |request, bound| calls.admit(&request, &state.context(0.0), bound);
+    assert!(admits(caller(1.0), 4), "below the bound");
+    assert!(!admits(caller(1.0), 2), "two go first");
+    assert!(!admits(caller(1.0), 4), "it is throttled for a while");
+    assert!(admits(caller(2.0), 2) && admits(queued(), 2));
+    calls.reset();
+    assert!(!calls.are_throttled(at(0.0)));
+}
--- /dev/null
+++ b/admission/src/admission/concurrency_limit/tests.rs
@@ -0,0 +1,47 @@
+use super::{survivable_concurrency, ConcurrencyLimit};
+use crate::admission::quantities::Fraction;
+use crate::admission::tests::fixtures::{queued, running, ServerState};
+use crate::interface::{Gauges, Settings};
+
+const IDLE: Gauges = Gauges { busy: Some(0.5), runnable: Some(1.0) };
+const CROWDED: Gauges = Gauges { busy: Some(1.0), runnable: Some(9.0) };
+
+fn server() -> ServerState {
+    let settings = Settings { cores: 2, ..Settings::default() };
+    ServerState::with_requests(settings, vec![running(), running(), queued()])
+}
+
+#[test]
+fn the_limit_rises_while_cores_are_idle_and_requests_are_queued() {
+    let mut limit = ConcurrencyLimit::new(2.0);
+    limit.adjust(&IDLE, &server().context(0.0), 6.0);
+    assert_eq!(limit.on_cores(), 2.25);
+    let empty = ServerState::new(Settings { cores: 2, ..Settings::default() });
+    limit.adjust(&IDLE, &empty.context(0.0), 6.0);
+    assert_eq!(limit.on_cores(), 2.25, "nothing is queued");
+}
+
+#[test]
+fn the_limit_falls_while_too_much_is_runnable_and_stays_between_cores_and_ceiling() {
+    let state = server();
+    let mut limit = ConcurrencyLimit::new(2.0);
+    (0..100).for_each(|_| limit.adjust(&IDLE, &state.context(0.0), 6.0));
+    assert_eq!(limit.on_cores(), 6.0);
+    (0..100).for_each(|_| limit.adjust(&CROWDED, &state.context(0.0), 6.0));
+    assert_eq!(limit.on_cores(), 2.0);
+}
+
+#[test]
+fn runs_that_wait_for_io_are_beyond_the_limit() {
+    let mut limit = ConcurrencyLimit::new(2.0);
+    limit.adjust(&Gauges { busy: Some(1.0), runnable: Some(1.0) }, &server().context(0.0), 6.0);
+    assert_eq!(limit.running(), 3.0);
+}
+
+#[test]
+fn fewer_concurrent_runs_are_survivable_while_the_server_warms_up() {
+    let settings = Settings { cores: 4, max_concurrency_per_core: 5.0, ..Settings::default() };
+    let state = ServerState::new(settings);
+    assert_eq!(survivable_concurrency(&state.context(0.0), Fraction::ALL), 15.0);
+    assert_eq!(survivable_concurrency(&state.context(0.0), Fraction::new(0.25)), 6.0);
+}
--- /dev/null
+++ b/admission/src/admission/constants.rs
@@ -0,0 +1,38 @@
+//! Numbers that several decisions share; a number of one decision stands with it.
+
+use crate::admission::time::Span;
+
+/// The time between two timers: deadlines, gauges and the permitted rate are looked at this often. A twentieth of a
+/// second is well below every latency objective and costs twenty wake-ups a second.
+pub(crate) const TIMER_PERIOD: Span = Span::from_seconds(0.05);
+
+/// The shortest time between two changes of the permitted rate, as in the design; recent calls, arrivals and
+/// latencies are looked back on for as long.
+pub(crate) const RATE_WINDOW: Span = Span::from_seconds(2.0);
+
+/// Latency is over target beyond this fraction of the latency objective: well above ordinary latency, and early
+/// enough that admitted requests still meet their objective.
+pub(crate) const LATENCY_TARGET: f64 = 0.4;
+
+/// Samples that are evidence enough: the standard error of fewer is over a quarter.
+pub(crate) const MIN_SAMPLES: f64 = 16.0;
+
+/// Weight of a new sample in the running means: the last ten or so decide.
+pub(crate) const MEAN_WEIGHT: f64 = 0.1;
+
+/// Weight of a new sample in the slower means: about the last twenty decide.
+pub(crate) const SLOW_MEAN_WEIGHT: f64 = MEAN_WEIGHT / 2.0;
+
+/// The fraction of the survivable concurrency, and of this server's share of the dependency, that is ever used: the
+/// rest covers what starts before a measurement shows it.
+pub(crate) const USED_CAPACITY: f64 = 0.75;
+
+/// The fraction of the memory that is ever used: the rest is for what the server itself needs.
+pub(crate) const USED_MEMORY: f64 = 0.9;
+
+/// The fraction of its estimated work that a running request is assumed to need still, at the least: estimates are
+/// means, and what has run for longer than the mean is not about to end.
+pub(crate) const MIN_REMAINING_WORK: f64 = 0.5;
+
+/// The shortest latency objective, work, limit or warm-up time that something is divided by.
+pub(crate) const MIN_DIVISOR: f64 = 1e-3;
--- /dev/null
+++ b/admission/src/admission/drain/tests.rs
@@ -0,0 +1,31 @@
+use super::Drain;
+use crate::admission::tests::fixtures::{at, seconds};
+use crate::admission::time::{Instant, Span};
+
+#[test]
+fn without_a_notice_nothing_has_to_end() {
+    let drain = Drain::default();
+    assert!(!drain.is_draining() && drain.may_run(at(1e6)));
+    assert_eq!(drain.stop_at(), Instant::DISTANT_FUTURE);
+}
+
+#[test]
+fn a_tenth_of_the_drain_and_the_longest_timer_delay_are_reserved_for_answers() {
+    let mut drain = Drain::default();
+    drain.start(at(0.0), seconds(10.0), seconds(1.0), seconds(0.5));
+    assert_eq!(drain.stop_at(), at(8.5));
+}
+
+#[test]
+fn a_short_drain_reserves_no_more_than_half() {
+    let mut drain = Drain::default();
+    drain.start(at(0.0), seconds(0.125), seconds(1.0), seconds(3.0));
+    assert_eq!(drain.stop_at(), at(0.0625));
+}
+
+#[test]
+fn arrivals_after_the_grace_period_must_not_run() {
+    let mut drain = Drain::default();
+    drain.start(at(0.0), seconds(10.0), seconds(1.0), Span::ZERO);
+    assert!(drain.is_draining() && drain.may_run(at(1.0)) && !drain.may_run(at(1.01)));
+}
--- /dev/null
+++ b/admission/src/admission/events.rs
@@ -0,0 +1,200 @@
+//! What each event changes: which decisions it concerns, and in which order.
+
+use super::{Admission, TIMER};
+use crate::admission::calls::EndedCall;
+use crate::admission::concurrency_limit::{is_spare, survivable_concurrency};
+use crate::admission::constants::TIMER_PERIOD;
+use crate::admission::context::Context;
+use crate::admission::idle_connections::ConnectionLoad;
+use crate::admission::load_signal::SignalLoad;
+use crate::admission::memory::MemoryUse;
+use crate::admission::overload::recent_arrivals::RecentArrival;
+use crate::admission::quantities::Fraction;
+use crate::admission::request_intake;
+use crate::admission::requests::push_rejection;
+use crate::admission::requests::request::Phase;
+use crate::admission::time::Span;
+use crate::interface::{Action, Arrival, Effect, Event, Gauges, Outcome, RequestId};
+
+impl Admission {
+    /// Applies one event to the decisions that it concerns.
+    pub(super) fn apply(&mut self, event: &Event, out: &mut Vec<Action>) {
+        match event {
+            Event::Arrived(arrival) => self.arrive(arrival, out),
+            Event::Finished { id, outcome, took } => self.run_finished(*id, *outcome, Span::from(*took)),
+            Event::CallNeeded(id) => self.call_needed(*id),
+            Event::CallReturned { id, outcome, took } => {
+                self.call_returned(*id, *outcome, Span::from(*took));
+            }
+            Event::Cancelled(id) => self.requests.needs_no_answer(*id, &self.settings, out),
+            Event::Drain(left) => self.start_drain(Span::from(*left), out),
+            Event::Timer(_, gauges) => self.on_timer(gauges, out),
+        }
+    }
+
+    /// Queues an arrival, lets it share the outcome of the attempt that it repeats, or rejects it.
+    fn arrive(&mut self, arrival: &Arrival, out: &mut Vec<Action>) {
+        let id = arrival.id;
+        let class = usize::from(arrival.class.0);
+        if self.requests.table().contains(id) {
+            return;
+        }
+        if class >= self.settings.classes.len() {
+            let advice = self.advice(true);
+            return push_rejection(id, advice, out);
+        }
+        self.overload.count_arrival(arrival.tenant, self.now);
+        self.connections.request_from(arrival.caller, self.now, Span::from(self.settings.idle));
+        let request = request_intake::new_request(
+            arrival,
+            &self.settings,
+            &mut self.estimates,
+            self.overload.arrival_rates(),
+            &self.drain,
+            self.now,
+        );
+        let priority = request.priority;
+        let original = self.requests.original_of(arrival.repeats, class, &self.settings);
+        self.requests.table_mut().insert(id, request);
+        if let Some(original) = original {
+            return self.share_outcome(id, original, out);
+        }
+        let admitted = self.admits(id);
+        let rank = Fraction::new(arrival.rank);
+        self.overload.record_arrival(RecentArrival { id, at: self.now, rank, priority, admitted });
+        if !admitted {
+            self.reject(id, out);
+        } else if self.settings.classes[class].effect == Effect::IdempotencyKey {
+            self.requests.retain_key(id, &self.settings, self.now, out);
+        }
+    }
+
+    /// Whether an arrival, in the table already, stays queued: there is time and memory for it, calls allow it, and it
+    /// finds a token.
+    fn admits(&mut self, id: RequestId) -> bool {
+        let max_at_calls = self.max_at_calls();
+        let context = Context::new(self.now, &self.settings, self.requests.table(), &self.estimates);
+        let Some(request) = context.requests.get(id) else { return false };
+        let can_queue = request_intake::can_queue(request, &context, self.requests.keys(), &self.drain);
+        if self.stall.is_stalled() || !can_queue || !self.calls.admit(request, &context, max_at_calls) {
+            return false;
+        }
+        self.overload.admit(request.priority, &context, self.calls.are_throttled(self.now))
+    }
+
+    /// A retry replaces a queued attempt or shares the outcome of one that has started: no effect occurs twice.
+    fn share_outcome(&mut self, id: RequestId, original: RequestId, out: &mut Vec<Action>) {
+        let memory_fits = MemoryUse::of(&self.context(), self.requests.keys()).fits();
+        let Some(request) = self.requests.table().get(id) else { return };
+        let may_run = self.drain.may_run(request.arrived_at);
+        match (self.requests.is_queued(original), memory_fits) {
+            (true, true) if may_run => {
+                self.requests.take_place(id, original);
+                self.requests.retain_key(id, &self.settings, self.now, out);
+                let advice = self.advice(true);
+                self.requests.reject_replaced(original, id, advice, out);
+            }
+            (true, _) => self.reject(id, out),
+            (false, true) => self.requests.coalesce(id, out),
+            (false, false) => self.requests.fail(id, &self.settings, out),
+        }
+    }
+
+    fn run_finished(&mut self, id: RequestId, outcome: Outcome, took: Span) {
+        if outcome == Outcome::Rejected {
+            // It never started: its key is free, and it tells nothing of the cores.
+            return self.requests.run_rejected(id);
+        }
+        self.stall.progress(self.now);
+        let Some(request) = self.requests.table_mut().remove(id) else { return };
+        if let Phase::Calling { needed_at, sent_at, .. } = request.phase {
+            self.calls.call_abandoned(self.now, self.now - sent_at, self.now - needed_at);
+        }
+        if outcome != Outcome::Ok || request.is_coalesced() {
+            return;
+        }
+        let time_at_calls = request.phase.run().map_or(Span::ZERO, |run| run.time_at_calls);
+        self.estimates.run_ended(&request, took - time_at_calls);
+        if !request.answered {
+            let context = Context::new(self.now, &self.settings, self.requests.table(), &self.estimates);
+            self.overload.request_answered(&request, &context);
+        }
+    }
+
+    fn call_needed(&mut self, id: RequestId) {
+        self.stall.progress(self.now);
+        if let Some(request) = self.requests.table_mut().get_mut(id) {
+            request.need_call(self.now);
+        }
+    }
+
+    fn call_returned(&mut self, id: RequestId, outcome: Outcome, took: Span) {
+        if outcome == Outcome::Rejected {
+            self.overload.penalize(self.now);
+        }
+        let Some(request) = self.requests.table_mut().get_mut(id) else { return };
+        let Phase::Calling { needed_at, .. } = request.phase else { return };
+        let class = &self.settings.classes[request.class];
+        if outcome == Outcome::Ok {
+            request.continue_run(self.now);
+        } else {
+            let never_ran = matches!(outcome, Outcome::Rejected | Outcome::Unreachable);
+            request.fail_call(never_ran || class.effect == Effect::Idempotent);
+        }
+        let objective = Span::from(class.latency_objective);
+        let call = EndedCall { outcome, duration: took, waited: self.now - needed_at, objective };
+        self.calls.call_returned(self.now, &call);
+    }
+
+    fn start_drain(&mut self, left: Span, out: &mut Vec<Action>) {
+        let grace = Span::from(self.settings.drain_grace.saturating_sub(self.settings.tick));
+        self.drain.start(self.now, left, grace, self.timers.longest_delay());
+        self.requests.answer_by(self.drain.stop_at());
+        out.push(Action::SetHealth { good: false, cheap: true });
+    }
+
+    /// Looks at everything that changes with time or with the gauges.
+    fn on_timer(&mut self, gauges: &Gauges, out: &mut Vec<Action>) {
+        if self.timers.timer_came(self.now) {
+            self.reset_load_estimates();
+        }
+        self.detect_stall(out);
+        self.requests.expire_keys(self.now);
+        self.calls.drop_expired(self.now);
+        let context = Context::new(self.now, &self.settings, self.requests.table(), &self.estimates);
+        self.read_overload.update(gauges, context.requests);
+        let read_overload = self.read_overload.is_overloaded();
+        self.overload.on_timer(&context, self.calls.are_throttled(self.now));
+        let load = ConnectionLoad { flood: read_overload, spare: gauges.busy.is_some_and(is_spare) };
+        if let Some(limit) = self.connections.adjust(&load, &context) {
+            out.push(Action::IdleLimit(limit.to_duration()));
+        }
+        let survivable = survivable_concurrency(&context, self.warm_up.fraction(self.now));
+        self.concurrency.adjust(gauges, &context, survivable);
+        let concurrency_limit = self.concurrency.on_cores();
+        let load = SignalLoad { recent: self.overload.recent_arrivals(), read_overload, concurrency_limit };
+        if let Some(value) = self.signal.update(&load, &context) {
+            out.push(Action::Advertise(value));
+        }
+        out.push(Action::SetTimer(TIMER, TIMER_PERIOD.to_duration()));
+    }
+
+    /// After a long standstill nothing is known of the load, as at a start.
+    fn reset_load_estimates(&mut self) {
+        self.overload.reset(self.now);
+        self.calls.reset();
+        self.signal.reset();
+    }
+
+    /// Reports bad health while the server is stalled; during a drain it does so anyway.
+    fn detect_stall(&mut self, out: &mut Vec<Action>) {
+        if self.concurrency.is_idle(self.requests.table()) {
+            self.stall.progress(self.now);
+        }
+        let context = Context::new(self.now, &self.settings, self.requests.table(), &self.estimates);
+        let changed = self.stall.update(&context, self.overload.permitted_rate().is_some());
+        if changed && !self.drain.is_draining() {
+            out.push(Action::SetHealth { good: !self.stall.is_stalled(), cheap: true });
+        }
+    }
+}
--- /dev/null
+++ b/admission/src/admission/idle_connections.rs
@@ -0,0 +1,84 @@
+//! How long idle connections stay open: the more callers return to theirs, the longer.
+//!
+//! A connection kept open costs memory, a closed one a new handshake. In a flood of connections all are kept for as
+//! long as callers keep them, to spare the handshakes.
+
+use std::collections::BTreeMap;
+
+use crate::admission::constants::{MEAN_WEIGHT, MIN_SAMPLES, RATE_WINDOW, SLOW_MEAN_WEIGHT, TIMER_PERIOD};
+use crate::admission::context::Context;
+use crate::admission::quantities::Fraction;
+use crate::admission::running_mean::RunningMean;
+use crate::admission::time::{Instant, Span};
+use crate::interface::CallerId;
+
+/// The minimum that a flood has set falls by this fraction with each timer while cores have time to spare, and slower
+/// by the number of timers in a rate window while they have not.
+const FALL_IF_SPARE: f64 = MEAN_WEIGHT;
+/// The minimum applies while it is longer than this; then it has come down from a flood far enough.
+const SHORTEST_MINIMUM: Span = Span::from_seconds(1.0);
+/// A change by less than a fifth of the limit is not worth telling.
+const MIN_CHANGE: f64 = 0.2;
+
+/// What the limit depends on, beside the context.
+pub(crate) struct ConnectionLoad {
+    /// Whether reads and new connections overload the cores.
+    pub(crate) flood: bool,
+    /// Whether the cores have time to spare.
+    pub(crate) spare: bool,
+}
+
+/// The limit of the time that a connection may be idle.
+#[derive(Debug)]
+pub(crate) struct IdleConnectionLimit {
+    last_request_at: BTreeMap<CallerId, Instant>,
+    /// The fraction of the requests whose caller returned within the timeout.
+    returning: RunningMean,
+    limit: Span,
+    /// The limit's minimum after a flood.
+    minimum: Span,
+}
+
+impl IdleConnectionLimit {
+    /// Connections are kept for `limit` at first; all callers are taken to return.
+    pub(crate) fn new(limit: Span) -> Self {
+        IdleConnectionLimit {
+            last_request_at: BTreeMap::new(),
+            returning: RunningMean::assumed(Fraction::ALL.value(), MIN_SAMPLES),
+            limit,
+            minimum: Span::ZERO,
+        }
+    }
+
+    /// A request has come from this caller.
+    pub(crate) fn request_from(&mut self, caller: CallerId, now: Instant, caller_timeout: Span) {
+        let before = self.last_request_at.insert(caller, now);
+        let returned = before.is_some_and(|at| now - at <= caller_timeout);
+        self.returning.add(if returned { 1.0 } else { 0.0 }, SLOW_MEAN_WEIGHT);
+    }
+
+    /// Adjusts the limit; returns the new one if it has changed by enough. It falls with the square of the fraction of
+    /// callers that return.
+    pub(crate) fn adjust(&mut self, load: &ConnectionLoad, context: &Context) -> Option<Span> {
+        let timeout = Span::from(context.settings.idle);
+        self.last_request_at.retain(|_, at| context.now - *at <= timeout);
+        let active_callers = (self.last_request_at.len() as f64 / context.callers()).min(1.0);
+        let returning = self.returning.or_zero() * active_callers;
+        self.adjust_minimum(load, timeout);
+        let minimum = if self.minimum > SHORTEST_MINIMUM { self.minimum } else { TIMER_PERIOD };
+        let target = (timeout * returning.powi(2)).max(minimum);
+        if target.distance(self.limit) > MIN_CHANGE * self.limit {
+            self.limit = target;
+            return Some(target);
+        }
+        None
+    }
+
+    fn adjust_minimum(&mut self, load: &ConnectionLoad, timeout: Span) {
+        let fall = if load.spare { FALL_IF_SPARE } else { FALL_IF_SPARE * TIMER_PERIOD / RATE_WINDOW };
+        self.minimum = if load.flood { timeout } else { (self.minimum * (1.0 - fall)).max(TIMER_PERIOD) };
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/admission/src/admission/idle_connections/tests.rs
@@ -0,0 +1,39 @@
+use std::time::Duration;
+
+use super::{ConnectionLoad, IdleConnectionLimit};
+use crate::admission::tests::fixtures::{at, seconds, ServerState};
+use crate::admission::time::Span;
+use crate::interface::{CallerId, Settings};
+
+const CALM: ConnectionLoad = ConnectionLoad { flood: false, spare: true };
+const FLOOD: ConnectionLoad = ConnectionLoad { flood: true, spare: false };
+
+/// A server with ten callers that keep connections for 20 seconds.
+fn server() -> ServerState {
+    let idle = Duration::from_secs(20);
+    ServerState::new(Settings { idle, callers: 10, ..Settings::default() })
+}
+
+fn adjusted(limit: &mut IdleConnectionLimit, load: &ConnectionLoad) -> Option<Span> {
+    limit.adjust(load, &server().context(0.0))
+}
+
+#[test]
+fn the_limit_falls_with_the_square_of_the_fraction_of_callers_that_return() {
+    let mut limit = IdleConnectionLimit::new(seconds(20.0));
+    for _ in 0..200 {
+        (0..5).for_each(|caller| limit.request_from(CallerId(caller), at(0.0), seconds(20.0)));
+    }
+    let half_of_callers = adjusted(&mut limit, &CALM).expect("a new limit");
+    assert!(half_of_callers > seconds(4.5) && half_of_callers < seconds(5.0), "{half_of_callers:?}");
+    assert_eq!(adjusted(&mut limit, &CALM), None, "no change is worth telling");
+}
+
+#[test]
+fn in_a_flood_connections_are_kept_as_long_as_callers_keep_them_and_then_released() {
+    let mut limit = IdleConnectionLimit::new(seconds(0.5));
+    assert_eq!(adjusted(&mut limit, &FLOOD), Some(seconds(20.0)));
+    let limits: Vec<Span> = (0..60).filter_map(|_| adjusted(&mut limit, &CALM)).collect();
+    assert_eq!(limits.last(), Some(&seconds(0.05)));
+    assert!(limits.len() > 5, "in steps");
+}
--- /dev/null
+++ b/admission/src/admission/load_signal.rs
@@ -0,0 +1,114 @@
+//! The load signal: the value that callers are told, so that what would be rejected is not sent at all.
+//!
+//! It moves in small steps, so that callers do not move together, and falls by itself to find new capacity.
+
+use crate::admission::context::Context;
+use crate::admission::overload::recent_arrivals::{RecentArrival, RecentArrivals};
+use crate::admission::quantities::Fraction;
+use crate::admission::time::Instant;
+use crate::interface::Signal;
+
+/// With each timer the shed fraction falls by this much: from full to none in five seconds.
+const FALL: f64 = 0.01;
+/// It rises by this fraction of its distance to the target: ten times as fast, since overload hurts at once.
+const RISE: f64 = 10.0 * FALL;
+/// The highest shed fraction: some arrivals must come to show whether capacity has returned.
+const MAX_SHED_FRACTION: f64 = 0.95;
+/// An admitted arrival outweighs this many rejected ones of its rank.
+const ADMITTED_WEIGHT: f64 = 2.0;
+/// The same while reading is overloaded: then reading itself must be shed.
+const ADMITTED_WEIGHT_READING: f64 = 0.5;
+/// The search for the rank ends when the balance is this many admitted arrivals below its best.
+const SEARCH_DEPTH: f64 = 2.0;
+/// A change by less than a hundredth of the advertised value is not worth telling.
+const MIN_CHANGE: f64 = 0.01;
+/// Values below this count as this when a change is compared with them.
+const SMALL_VALUE: f64 = 0.1;
+
+/// What the signal depends on, beside the context.
+pub(crate) struct SignalLoad<'a> {
+    pub(crate) recent: &'a RecentArrivals,
+    /// Whether reading requests overloads the cores.
+    pub(crate) read_overload: bool,
+    /// The limit of running requests.
+    pub(crate) concurrency_limit: f64,
+}
+
+/// The load signal.
+#[derive(Debug, Default)]
+pub(crate) struct LoadSignal {
+    /// How much of the arrivals is to be kept away.
+    shed_fraction: Fraction,
+    advertised: Option<f64>,
+}
+
+impl LoadSignal {
+    /// How much of the arrivals is to be kept away.
+    pub(crate) fn shed_fraction(&self) -> Fraction {
+        self.shed_fraction
+    }
+
+    /// Nothing is to be kept away, as at a start.
+    pub(crate) fn reset(&mut self) {
+        self.shed_fraction = Fraction::NONE;
+    }
+
+    /// Moves the shed fraction; returns the value to advertise if it has changed by enough.
+    pub(crate) fn update(&mut self, load: &SignalLoad, context: &Context) -> Option<f64> {
+        let target = match context.settings.signal {
+            Signal::Level => rank_to_shed(load, context.now),
+            Signal::Off | Signal::Credit | Signal::Weight => load.recent.rejected_fraction(context.now),
+        };
+        self.move_towards(target);
+        let value = self.value(load, context)?;
+        let worth_telling = self
+            .advertised
+            .is_none_or(|advertised| (advertised - value).abs() > MIN_CHANGE * advertised.max(SMALL_VALUE));
+        if !worth_telling {
+            return None;
+        }
+        self.advertised = Some(value);
+        Some(value)
+    }
+
+    fn move_towards(&mut self, target: Fraction) {
+        let level = self.shed_fraction.value();
+        let rise = RISE * (target.value() - level).max(0.0);
+        let fall = if rise > 0.0 { 0.0 } else { FALL };
+        self.shed_fraction = Fraction::new((level + rise - fall).clamp(0.0, MAX_SHED_FRACTION));
+    }
+
+    /// The shed fraction in the terms of the callers.
+    fn value(&self, load: &SignalLoad, context: &Context) -> Option<f64> {
+        let level = self.shed_fraction.value();
+        match context.settings.signal {
+            Signal::Off => None,
+            Signal::Level => Some(level),
+            Signal::Weight => Some(1.0 - level),
+            Signal::Credit => Some(load.concurrency_limit * context.callers().powf(-level)),
+        }
+    }
+}
+
+/// The rank below which rejections outweigh admissions.
+fn rank_to_shed(load: &SignalLoad, now: Instant) -> Fraction {
+    let mut by_rank: Vec<&RecentArrival> = load.recent.in_window(now).collect();
+    by_rank.sort_by(|first, second| first.rank.value().total_cmp(&second.rank.value()));
+    let admitted_weight = if load.read_overload { ADMITTED_WEIGHT_READING } else { ADMITTED_WEIGHT };
+    let mut best_balance = 0.0;
+    let mut best_rank = Fraction::NONE;
+    let mut balance = 0.0;
+    for arrival in by_rank {
+        balance += if arrival.admitted { -admitted_weight } else { 1.0 };
+        if balance > best_balance {
+            best_balance = balance;
+            best_rank = arrival.rank;
+        } else if !load.read_overload && balance < best_balance - SEARCH_DEPTH * admitted_weight {
+            break;
+        }
+    }
+    best_rank
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/admission/src/admission/load_signal/tests.rs
@@ -0,0 +1,48 @@
+use super::{LoadSignal, SignalLoad};
+use crate::admission::overload::recent_arrivals::{RecentArrival, RecentArrivals};
+use crate::admission::quantities::Fraction;
+use crate::admission::tests::fixtures::{at, priority, ServerState};
+use crate::interface::{RequestId, Settings, Signal};
+
+/// Arrivals of ranks from 0 to 1, of which those below `rejected_below` were rejected.
+fn arrivals(rejected_below: f64) -> RecentArrivals {
+    let mut recent = RecentArrivals::default();
+    for number in 0..40_u32 {
+        let rank = f64::from(number) / 40.0;
+        let admitted = rank >= rejected_below;
+        let (id, rank) = (RequestId(number), Fraction::new(rank));
+        recent.add(RecentArrival { id, at: at(0.0), rank, priority: priority(1.0), admitted });
+    }
+    recent
+}
+
+/// What is advertised over so many timers.
+fn advertised(signal: &mut LoadSignal, kind: Signal, recent: &RecentArrivals, timers: u32) -> Vec<f64> {
+    let state = ServerState::new(Settings { signal: kind, callers: 4, ..Settings::default() });
+    let load = SignalLoad { recent, read_overload: false, concurrency_limit: 8.0 };
+    (0..timers).filter_map(|_| signal.update(&load, &state.context(0.1))).collect()
+}
+
+#[test]
+fn the_level_approaches_the_rank_below_which_rejections_outweigh_admissions() {
+    let levels = advertised(&mut LoadSignal::default(), Signal::Level, &arrivals(0.5), 200);
+    assert!(levels.windows(2).filter(|pair| pair[1] > pair[0]).count() > 5, "in small steps");
+    assert!(levels.iter().all(|level| *level < 0.5));
+    assert!(levels.last().is_some_and(|level| *level > 0.4), "{levels:?}");
+}
+
+#[test]
+fn the_level_falls_by_itself_once_nothing_is_rejected() {
+    let mut signal = LoadSignal::default();
+    advertised(&mut signal, Signal::Level, &arrivals(0.5), 200);
+    let levels = advertised(&mut signal, Signal::Level, &arrivals(0.0), 60);
+    assert_eq!(levels.last(), Some(&0.0));
+}
+
+#[test]
+fn an_idle_server_advertises_its_concurrency_as_credit_and_the_full_weight() {
+    let first = |kind| advertised(&mut LoadSignal::default(), kind, &arrivals(0.0), 1);
+    assert_eq!(first(Signal::Credit), [8.0]);
+    assert_eq!(first(Signal::Weight), [1.0]);
+    assert!(first(Signal::Off).is_empty());
+}
--- /dev/null
+++ b/admission/src/admission/overload.rs
@@ -0,0 +1,131 @@
+//! Overload control: which arrivals are admitted by load, as the design has it. It composes the permitted rate, the
+//! latencies and penalties that cut it, and the arrivals that it is compared with.
+
+pub(crate) mod arrival_rates;
+pub(crate) mod detector;
+pub(crate) mod latency;
+pub(crate) mod permitted_rate;
+pub(crate) mod recent_arrivals;
+pub(crate) mod token_bucket;
+
+use crate::admission::context::Context;
+use crate::admission::priority::Priority;
+use crate::admission::quantities::RequestRate;
+use crate::admission::requests::request::Request;
+use crate::admission::time::Instant;
+use crate::interface::{RequestId, TenantId};
+use arrival_rates::ArrivalRates;
+use detector::OverloadDetector;
+use latency::{LatencySample, LatencyTracker};
+use permitted_rate::{PermittedRate, WindowLoad};
+use recent_arrivals::{RecentArrival, RecentArrivals};
+
+/// The permitted rate and everything that decides on it.
+#[derive(Debug)]
+pub(crate) struct OverloadControl {
+    permitted_rate: PermittedRate,
+    overload: OverloadDetector,
+    latencies: LatencyTracker,
+    arrival_rates: ArrivalRates,
+    recent_arrivals: RecentArrivals,
+}
+
+impl OverloadControl {
+    /// Nothing is known of the load of so many tenants.
+    pub(crate) fn new(tenants: usize, now: Instant) -> Self {
+        OverloadControl {
+            permitted_rate: PermittedRate::new(now),
+            overload: OverloadDetector::new(),
+            latencies: LatencyTracker::default(),
+            arrival_rates: ArrivalRates::new(tenants, now),
+            recent_arrivals: RecentArrivals::default(),
+        }
+    }
+
+    /// Adds tenants up to this number.
+    pub(crate) fn resize(&mut self, tenants: usize) {
+        self.arrival_rates.resize(tenants);
+    }
+
+    /// Forgets the load, as at a start; the latencies of the last window stay.
+    pub(crate) fn reset(&mut self, now: Instant) {
+        self.permitted_rate.reset(now);
+        self.overload = OverloadDetector::new();
+        self.arrival_rates.reset(now);
+        self.recent_arrivals.clear();
+    }
+
+    /// Requests a second permitted under overload; none before the first window has seeded it.
+    pub(crate) fn permitted_rate(&self) -> Option<RequestRate> {
+        self.permitted_rate.get()
+    }
+
+    /// The arrival rates, all and by tenant.
+    pub(crate) fn arrival_rates(&self) -> &ArrivalRates {
+        &self.arrival_rates
+    }
+
+    /// The most recent arrivals and which of them were admitted.
+    pub(crate) fn recent_arrivals(&self) -> &RecentArrivals {
+        &self.recent_arrivals
+    }
+
+    /// Whether requests were answered with success in the last rate window.
+    pub(crate) fn has_recent_answers(&self) -> bool {
+        !self.latencies.is_empty()
+    }
+
+    /// Counts an arrival of this tenant.
+    pub(crate) fn count_arrival(&mut self, tenant: TenantId, now: Instant) {
+        self.arrival_rates.count(tenant, now);
+    }
+
+    /// Records an arrival and whether it was admitted.
+    pub(crate) fn record_arrival(&mut self, arrival: RecentArrival) {
+        self.recent_arrivals.add(arrival);
+    }
+
+    /// An admitted request was shed after all.
+    pub(crate) fn request_shed(&mut self, id: RequestId) {
+        self.recent_arrivals.shed(id);
+    }
+
+    /// A call was rejected from below.
+    pub(crate) fn penalize(&mut self, now: Instant) {
+        self.overload.penalize(now);
+    }
+
+    /// A request was answered with success: it was handled, and its latency counts.
+    pub(crate) fn request_answered(&mut self, request: &Request, context: &Context) {
+        self.permitted_rate.count_handled();
+        self.latencies.add(LatencySample {
+            at: context.now,
+            objective_used: context.objective_used(request),
+            may_call: request.may_call,
+        });
+    }
+
+    /// Whether an arrival of this priority finds a token, or needs none.
+    pub(crate) fn admit(&mut self, priority: Priority, context: &Context, calls_throttled: bool) -> bool {
+        let rank = self.recent_arrivals.rank_of(priority);
+        self.permitted_rate.admit(rank, context.now, || {
+            self.overload.is_overloaded(context, &self.latencies, calls_throttled)
+        })
+    }
+
+    /// At a timer: at the end of a rate window, revises the permitted rate.
+    pub(crate) fn on_timer(&mut self, context: &Context, calls_throttled: bool) {
+        let now = context.now;
+        self.latencies.drop_expired(now);
+        if !self.permitted_rate.window_has_ended(now) {
+            return;
+        }
+        self.arrival_rates.window_ended(self.recent_arrivals.rejected_fraction(now), now);
+        let load = WindowLoad {
+            penalized: self.overload.penalized_after(self.permitted_rate.window_start()),
+            latency_exceeds_target: self.latencies.exceeds_target(context, calls_throttled),
+            capacity: context.capacity(),
+        };
+        self.permitted_rate.end_window(&load, now);
+    }
+}
--- /dev/null
+++ b/admission/src/admission/overload/detector/tests.rs
@@ -0,0 +1,35 @@
+use super::OverloadDetector;
+use crate::admission::overload::latency::LatencyTracker;
+use crate::admission::requests::request::Request;
+use crate::admission::tests::fixtures::{at, queued, running, ServerState};
+use crate::interface::Settings;
+
+fn is_overloaded(requests: Vec<Request>, now: f64, calls_throttled: bool) -> bool {
+    let state = ServerState::with_requests(Settings::default(), requests);
+    OverloadDetector::new().is_overloaded(&state.context(now), &LatencyTracker::default(), calls_throttled)
+}
+
+#[test]
+fn overload_is_latency_over_target_while_more_than_one_request_is_queued() {
+    assert!(is_overloaded(vec![queued(), queued()], 0.5, false));
+    assert!(!is_overloaded(vec![queued(), queued()], 0.3, false), "latency is on target");
+    assert!(!is_overloaded(vec![queued(), running()], 0.5, false), "one is next");
+}
+
+#[test]
+fn what_is_throttled_for_calls_is_no_overload() {
+    let caller = || Request { may_call: true, ..queued() };
+    assert!(is_overloaded(vec![caller(), caller()], 0.5, false));
+    assert!(!is_overloaded(vec![caller(), caller()], 0.5, true));
+}
+
+#[test]
+fn a_penalty_is_overload_for_one_rate_window() {
+    let state = ServerState::new(Settings::default());
+    let mut detector = OverloadDetector::new();
+    detector.penalize(at(1.0));
+    let latencies = LatencyTracker::default();
+    let overloaded = |now| detector.is_overloaded(&state.context(now), &latencies, false);
+    assert!(overloaded(2.9) && !overloaded(3.0));
+    assert!(detector.penalized_after(at(0.5)) && !detector.penalized_after(at(1.0)));
+}
--- /dev/null
+++ b/admission/src/admission/overload/token_bucket/tests.rs
@@ -0,0 +1,29 @@
+use super::TokenBucket;
+use crate::admission::quantities::{Fraction, RequestRate};
+use crate::admission::tests::fixtures::at;
+
+const TEN_PER_SECOND: RequestRate = RequestRate::per_second(10.0);
+
+/// How many of a hundred arrivals of this rank a bucket admits that was filled for so many seconds.
+fn admitted(fill_seconds: f64, rank: f64, overloaded: bool) -> usize {
+    let mut bucket = TokenBucket::new(at(0.0));
+    let mut takes = || bucket.take(TEN_PER_SECOND, Fraction::new(rank), at(fill_seconds), || overloaded);
+    (0..100).filter(|_| takes()).count()
+}
+
+#[test]
+fn a_bucket_holds_at_most_a_second_of_the_rate() {
+    assert_eq!(admitted(60.0, 1.0, true), admitted(1.0, 1.0, true));
+}
+
+#[test]
+fn the_lowest_priority_finds_part_of_the_bucket_reserved_and_the_highest_may_borrow() {
+    assert_eq!(admitted(1.0, 0.0, true), 4);
+    assert_eq!(admitted(1.0, 1.0, true), 14);
+    assert_eq!(admitted(0.0, 0.0, true), 0);
+}
+
+#[test]
+fn every_arrival_is_admitted_without_overload() {
+    assert_eq!(admitted(0.0, 0.0, false), 100);
+}
--- /dev/null
+++ b/admission/src/admission/read_overload/tests.rs
@@ -0,0 +1,15 @@
+use super::ReadOverload;
+use crate::admission::requests::table::RequestTable;
+use crate::interface::Gauges;
+
+#[test]
+fn reading_is_overloaded_once_most_of_what_is_runnable_is_no_run_for_a_while() {
+    let mut reading = ReadOverload::new();
+    let flood = Gauges { busy: None, runnable: Some(10.0) };
+    let mut overloaded_after = |timers| {
+        (0..timers).for_each(|_| reading.update(&flood, &RequestTable::default()));
+        reading.is_overloaded()
+    };
+    assert!(!overloaded_after(5));
+    assert!(overloaded_after(30));
+}
--- /dev/null
+++ b/admission/src/admission/requests.rs
@@ -0,0 +1,188 @@
+//! The life of a request, from its arrival to its final answer, and the key that outlives it.
+//!
+//! Every request is answered once. One that was queued and never ran is rejected, one that has started fails; its key
+//! is released with a rejection only.
+
+pub(crate) mod ended_attempts;
+pub(crate) mod idempotency_keys;
+pub(crate) mod request;
+pub(crate) mod table;
+
+use std::time::Duration;
+
+use crate::admission::time::{Instant, Span};
+use crate::interface::{Action, Effect, Preemption, RequestId, Settings};
+use ended_attempts::EndedAttempts;
+use idempotency_keys::RetainedKeys;
+use request::{Phase, Request};
+use table::RequestTable;
+
+/// The open requests, the retained keys, and the attempts that ended in this batch.
+#[derive(Debug, Default)]
+pub(crate) struct OpenRequests {
+    table: RequestTable,
+    keys: RetainedKeys,
+    ended_attempts: EndedAttempts,
+}
+
+/// What a rejected caller is told.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct Advice {
+    /// How long it should wait before a retry.
+    pub(crate) retry_after: Option<Duration>,
+    /// Whether it should not retry on another server.
+    pub(crate) give_up: bool,
+}
+
+impl OpenRequests {
+    /// The table of the open requests.
+    pub(crate) fn table(&self) -> &RequestTable {
+        &self.table
+    }
+
+    /// The table of the open requests, to be changed.
+    pub(crate) fn table_mut(&mut self) -> &mut RequestTable {
+        &mut self.table
+    }
+
+    /// The retained keys.
+    pub(crate) fn keys(&self) -> &RetainedKeys {
+        &self.keys
+    }
+
+    /// Starts a new batch of events.
+    pub(crate) fn start_batch(&mut self) {
+        self.ended_attempts.clear();
+    }
+
+    /// Everything has to be answered by this time.
+    pub(crate) fn answer_by(&mut self, stop_at: Instant) {
+        for request in self.table.values_mut() {
+            request.deadline = request.deadline.min(stop_at);
+            request.objective_at = request.objective_at.min(request.deadline);
+        }
+    }
+
+    /// Drops the keys whose time has passed.
+    pub(crate) fn expire_keys(&mut self, now: Instant) {
+        self.keys.expire(now);
+    }
+
+    /// The attempt whose outcome a retry of this class shares, if it shares one: that which it names, or its successor
+    /// if it ended in this batch.
+    pub(crate) fn original_of(
+        &self,
+        named: Option<RequestId>,
+        class: usize,
+        settings: &Settings,
+    ) -> Option<RequestId> {
+        let original = self.ended_attempts.successor_of(named?)?;
+        let reuses_response = !settings.response_reuse.is_zero() && !self.is_queued(original);
+        let shares_outcome = match settings.classes[class].effect {
+            Effect::IdempotencyKey => true,
+            Effect::Idempotent => reuses_response,
+            Effect::AtMostOnce => false,
+        };
+        shares_outcome.then_some(original)
+    }
+
+    /// Whether this request is queued.
+    pub(crate) fn is_queued(&self, id: RequestId) -> bool {
+        self.table.get(id).is_some_and(Request::is_queued)
+    }
+
+    /// The retry `id` takes the place of the queued attempt `replaced`, whose objective it keeps; both stay open for
+    /// the moment. `replaced` loses its key.
+    pub(crate) fn take_place(&mut self, id: RequestId, replaced: RequestId) {
+        let objective_at = self.table.get(replaced).map(|request| request.objective_at);
+        if let (Some(request), Some(objective_at)) = (self.table.get_mut(id), objective_at) {
+            request.objective_at = request.objective_at.min(objective_at);
+        }
+        self.keys.release(replaced);
+    }
+
+    /// Rejects the attempt whose place the retry `id` has taken.
+    pub(crate) fn reject_replaced(
+        &mut self,
+        replaced: RequestId,
+        id: RequestId,
+        advice: Advice,
+        out: &mut Vec<Action>,
+    ) {
+        push_rejection(replaced, advice, out);
+        self.table.remove(replaced);
+        self.ended_attempts.replaced(replaced, id);
+    }
+
+    /// The retry `id` waits for the outcome of the attempt that it names.
+    pub(crate) fn coalesce(&mut self, id: RequestId, out: &mut Vec<Action>) {
+        if let Some(request) = self.table.get_mut(id) {
+            request.phase = Phase::Coalesced;
+            out.push(Action::Coalesce(id));
+        }
+    }
+
+    /// Retains the key of a request before its run.
+    pub(crate) fn retain_key(
+        &mut self,
+        id: RequestId,
+        settings: &Settings,
+        now: Instant,
+        out: &mut Vec<Action>,
+    ) {
+        let Some(request) = self.table.get(id) else { return };
+        let window = Span::from(settings.classes[request.class].window);
+        let retention = self.keys.retain(id, window, request.deadline - now, now);
+        out.push(Action::RetainKey(id, retention.to_duration()));
+    }
+
+    /// Rejects a queued request and releases its key.
+    pub(crate) fn reject(&mut self, id: RequestId, advice: Advice, out: &mut Vec<Action>) {
+        push_rejection(id, advice, out);
+        self.remove_queued(id, out);
+    }
+
+    /// Fails a request that has started; it is preempted where its effect may be repeated.
+    pub(crate) fn fail(&mut self, id: RequestId, settings: &Settings, out: &mut Vec<Action>) {
+        out.push(Action::Fail(id));
+        self.needs_no_answer(id, settings, out);
+    }
+
+    /// A request needs no answer any more. A queued one ends; a run goes on unless it may be repeated and preempted.
+    pub(crate) fn needs_no_answer(&mut self, id: RequestId, settings: &Settings, out: &mut Vec<Action>) {
+        let Some(request) = self.table.get_mut(id) else { return };
+        request.answered = true;
+        let is_idempotent = settings.classes[request.class].effect == Effect::Idempotent;
+        let preemptible = is_idempotent && settings.preemption != Preemption::Off;
+        match request.phase {
+            Phase::Queued => self.remove_queued(id, out),
+            Phase::Coalesced => {
+                self.table.remove(id);
+            }
+            Phase::Running(_) if preemptible => out.push(Action::Pause(id)),
+            Phase::Running(_) | Phase::AwaitingCall { .. } | Phase::Calling { .. } => {}
+        }
+    }
+
+    /// The server rejected a run before it started: the key is free again.
+    pub(crate) fn run_rejected(&mut self, id: RequestId) {
+        self.keys.release(id);
+        self.table.remove(id);
+    }
+
+    fn remove_queued(&mut self, id: RequestId, out: &mut Vec<Action>) {
+        self.table.remove(id);
+        self.ended_attempts.ended(id);
+        if self.keys.release(id) {
+            out.push(Action::ReleaseKey(id));
+        }
+    }
+}
+
+/// Rejects an attempt that has no place in the table, or loses it.
+pub(crate) fn push_rejection(id: RequestId, advice: Advice, out: &mut Vec<Action>) {
+    out.push(Action::Reject { id, retry_after: advice.retry_after, give_up: advice.give_up });
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/admission/src/admission/requests/table.rs
@@ -0,0 +1,83 @@
+//! The table of open requests, in the order of their identifiers.
+
+use std::collections::BTreeMap;
+
+use crate::admission::requests::request::Request;
+use crate::interface::RequestId;
+
+/// An open request with its identifier.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct Entry<'a> {
+    pub(crate) id: RequestId,
+    pub(crate) request: &'a Request,
+}
+
+/// The open requests.
+#[derive(Debug, Default)]
+pub(crate) struct RequestTable {
+    requests: BTreeMap<RequestId, Request>,
+}
+
+impl RequestTable {
+    pub(crate) fn contains(&self, id: RequestId) -> bool {
+        self.requests.contains_key(&id)
+    }
+
+    pub(crate) fn get(&self, id: RequestId) -> Option<&Request> {
+        self.requests.get(&id)
+    }
+
+    pub(crate) fn get_mut(&mut self, id: RequestId) -> Option<&mut Request> {
+        self.requests.get_mut(&id)
+    }
+
+    pub(crate) fn insert(&mut self, id: RequestId, request: Request) {
+        self.requests.insert(id, request);
+    }
+
+    pub(crate) fn remove(&mut self, id: RequestId) -> Option<Request> {
+        self.requests.remove(&id)
+    }
+
+    /// All open requests with their identifiers.
+    pub(crate) fn iter(&self) -> impl Iterator<Item = Entry<'_>> {
+        self.requests.iter().map(|(id, request)| Entry { id: *id, request })
+    }
+
+    /// All open requests.
+    pub(crate) fn values(&self) -> impl Iterator<Item = &Request> {
+        self.requests.values()
+    }
+
+    /// All open requests, to be changed.
+    pub(crate) fn values_mut(&mut self) -> impl Iterator<Item = &mut Request> {
+        self.requests.values_mut()
+    }
+
+    /// How many requests meet the condition.
+    pub(crate) fn count(&self, condition: impl Fn(&Request) -> bool) -> usize {
+        self.requests.values().filter(|request| condition(request)).count()
+    }
+
+    /// How many requests run on a core.
+    pub(crate) fn running(&self) -> usize {
+        self.count(Request::is_running)
+    }
+
+    /// How many requests wait at a call.
+    pub(crate) fn at_calls(&self) -> usize {
+        self.count(Request::is_at_call)
+    }
+
+    /// Memory of all requests, in kB; started ones need `running_factor` times their memory while queued.
+    pub(crate) fn memory_kb(&self, running_factor: f64) -> f64 {
+        let memory_of = |request: &Request| {
+            if request.has_started() {
+                request.memory_kb * running_factor
+            } else {
+                request.memory_kb
+            }
+        };
+        self.requests.values().map(memory_of).sum()
+    }
+}
--- /dev/null
+++ b/admission/src/admission/run_queue.rs
@@ -0,0 +1,62 @@
+//! Which queued requests run next: the order of the queue, and how far the limits of concurrency, memory and calls
+//! let it move.
+
+use crate::admission::context::Context;
+use crate::admission::memory::{extra_memory_of_run, MemoryUse};
+use crate::admission::requests::request::Request;
+use crate::admission::requests::table::{Entry, RequestTable};
+use crate::interface::RequestId;
+
+/// How many more requests may run.
+pub(crate) struct RunLimits {
+    /// The limit of running requests by the concurrency limit.
+    pub(crate) concurrency: f64,
+    /// The concurrent requests that the server survives, those at calls included.
+    pub(crate) survivable: f64,
+    /// How many requests may wait at calls.
+    pub(crate) at_calls: usize,
+}
+
+/// The queued requests in the order in which they run: the highest tier of priorities first, within a tier the
+/// earliest latency objective.
+pub(crate) fn queue_order(requests: &RequestTable) -> Vec<RequestId> {
+    let mut queue: Vec<Entry> = requests.iter().filter(|entry| entry.request.is_queued()).collect();
+    queue.sort_by(|first, second| {
+        let first_tier = first.request.priority.scheduling_tier();
+        let second_tier = second.request.priority.scheduling_tier();
+        let by_objective = first.request.objective_at.total_cmp(second.request.objective_at);
+        second_tier.total_cmp(&first_tier).then(by_objective).then(first.id.cmp(&second.id))
+    });
+    queue.into_iter().map(|entry| entry.id).collect()
+}
+
+/// The queued requests that start now, in order. What does not fit the memory or would call beyond the bound is passed
+/// over.
+pub(crate) fn runs_to_start(context: &Context, mut memory: MemoryUse, limits: &RunLimits) -> Vec<RequestId> {
+    let survivable_on_cores = limits.survivable - context.requests.at_calls() as f64;
+    let mut running = context.requests.running() as f64;
+    let mut starting = Vec::new();
+    for id in queue_order(context.requests) {
+        if running + 1.0 > limits.concurrency || running + 1.0 > survivable_on_cores {
+            break;
+        }
+        let Some(request) = context.requests.get(id) else { continue };
+        let with_run = memory.with(extra_memory_of_run(request, context.settings));
+        if with_run.is_exceeded() || calls_are_full(request, context.requests, limits.at_calls) {
+            continue;
+        }
+        memory = with_run;
+        running += 1.0;
+        starting.push(id);
+    }
+    starting
+}
+
+/// Whether as many requests of its priority or above wait at calls as may.
+fn calls_are_full(request: &Request, requests: &RequestTable, max_at_calls: usize) -> bool {
+    let goes_first = |other: &Request| other.is_at_call() && other.priority >= request.priority;
+    request.may_call && requests.count(goes_first) >= max_at_calls
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/admission/src/admission/tests.rs
@@ -0,0 +1,3 @@
+//! What the unit tests of the decisions share.
+
+pub(crate) mod fixtures;
