--- a/admission/tests/admission/common.rs
+++ b/admission/tests/admission/common.rs
@@ -33,6 +33,21 @@
     Event::Arrived(Arrival { repeats: Some(RequestId(of)), ..Arrival::new(RequestId(id), ClassId(0)) })
 }
 
+/// The run of a request has ended with success after so many milliseconds.
+pub(crate) fn finished_event(id: u32, took_millis: u64) -> Event {
+    Event::Finished { id: RequestId(id), outcome: Outcome::Ok, took: ms(took_millis) }
+}
+
+/// The run of a request has come to a call.
+pub(crate) fn call_needed_event(id: u32) -> Event {
+    Event::CallNeeded(RequestId(id))
+}
+
+/// The call of a request has ended after so many milliseconds.
+pub(crate) fn call_returned_event(id: u32, outcome: Outcome, took_millis: u64) -> Event {
+    Event::CallReturned { id: RequestId(id), outcome, took: ms(took_millis) }
+}
+
 /// A timer without gauges.
 pub(crate) fn timer_event() -> Event {
     Event::Timer(TimerId(0), Gauges::default())
@@ -48,3 +63,14 @@
 pub(crate) fn is_run_of(action: &Action, id: u32) -> bool {
     *action == Action::Run(RequestId(id))
 }
+
+/// The requests that the actions run.
+pub(crate) fn runs_of(actions: &[Action]) -> Vec<RequestId> {
+    let run = |action: &Action| if let Action::Run(id) = action { Some(*id) } else { None };
+    actions.iter().filter_map(run).collect()
+}
+
+/// How many of the actions make a call.
+pub(crate) fn count_calls(actions: &[Action]) -> usize {
+    actions.iter().filter(|action| matches!(action, Action::Call(..))).count()
+}
--- a/admission/tests/admission/connections.rs
+++ b/admission/tests/admission/connections.rs
@@ -4,7 +4,7 @@
 
 use oakwind_admission::*;
 
-use crate::common::{handle_at, ms, started_admission, timer_event};
+use crate::common::{finished_event, handle_at, ms, started_admission, timer_event};
 
 /// The idle limits set over ten seconds with an arrival every 50 ms, from `callers` callers in turn.
 fn idle_limits_with_callers(callers: u32) -> Vec<Duration> {
@@ -13,7 +13,7 @@
     for n in 0..200 {
         let mut arrival = Arrival::new(RequestId(n + 1), ClassId(0));
         arrival.caller = CallerId(n % callers);
-        let done = Event::Finished { id: RequestId(n), outcome: Outcome::Ok, took: ms(5) };
+        let done = finished_event(n, 5);
         let actions =
             handle_at(&mut admission, u64::from(n) * 50, &[done, Event::Arrived(arrival), timer_event()]);
         limits.extend(actions.iter().filter_map(|a| match a {
--- a/admission/tests/admission/lifecycle.rs
+++ b/admission/tests/admission/lifecycle.rs
@@ -5,8 +5,8 @@
 use oakwind_admission::*;
 
 use crate::common::{
-    arrival_event, handle_at, idempotency_key_settings, is_run_of, ms, retry_event, started_admission,
-    timer_event,
+    arrival_event, call_needed_event, finished_event, handle_at, idempotency_key_settings, is_run_of, ms,
+    retry_event, started_admission, timer_event,
 };
 
 #[test]
@@ -68,7 +68,7 @@
     let mut admission = started_admission(zero_settings);
     let unknown = Event::Arrived(Arrival::new(RequestId(2), ClassId(9)));
     let actions = handle_at(&mut admission, 1, &[arrival_event(1), unknown, timer_event()]);
-    assert_eq!(actions.iter().filter(|a| matches!(a, Action::Reject { .. })).count(), 2);
+    assert_eq!(actions.iter().filter(|action| matches!(action, Action::Reject { .. })).count(), 2);
 }
 
 #[test]
@@ -89,7 +89,7 @@
     let mut id = 0;
     for n in 1..=60 {
         id += 1;
-        let done = Event::Finished { id: RequestId(id - 1), outcome: Outcome::Ok, took: ms(50) };
+        let done = finished_event(id - 1, 50);
         handle_at(&mut admission, 50 * n, &[done, timer_event(), arrival_event(id)]);
     }
     let stalled: Vec<_> =
@@ -97,13 +97,13 @@
     assert!(stalled.contains(&Action::SetHealth { good: false, cheap: true }), "{stalled:?}");
     let rejected = handle_at(&mut admission, 4500, &[arrival_event(1000)]);
     assert!(
-        rejected.iter().any(|a| matches!(a, Action::Reject { give_up: false, .. })),
+        rejected.iter().any(|action| matches!(action, Action::Reject { give_up: false, .. })),
         "another server may accept it"
     );
-    let done = Event::Finished { id: RequestId(id), outcome: Outcome::Ok, took: ms(1500) };
+    let done = finished_event(id, 1500);
     let after = handle_at(&mut admission, 4550, &[done, timer_event(), arrival_event(1001)]);
     assert!(after.contains(&Action::SetHealth { good: true, cheap: true }));
-    assert!(!after.iter().any(|a| matches!(a, Action::Reject { .. })), "it recovers at once");
+    assert!(!after.iter().any(|action| matches!(action, Action::Reject { .. })), "it recovers at once");
 }
 
 #[test]
@@ -140,7 +140,7 @@
         let (mut answered, mut now) = (std::collections::BTreeSet::new(), 0);
         for id in 1..=200 {
             now += if id % 50 == 0 { 10_000 } else { 50 };
-            let mut events = vec![timer_event(), arrival_event(id), Event::CallNeeded(RequestId(id - 1))];
+            let mut events = vec![timer_event(), arrival_event(id), call_needed_event(id - 1)];
             events.push(Event::Finished { id: RequestId(9999), outcome: Outcome::Ok, took: zero });
             for action in handle_at(&mut admission, now, &events) {
                 if let Action::Reject { id, .. } | Action::Fail(id) = action {
@@ -163,7 +163,7 @@
     handle_at(&mut admission, 0, &[arrival_event(1), arrival_event(2)]);
     let second = |id| Event::Arrived(Arrival::new(RequestId(id), ClassId(1)));
     let unknown = handle_at(&mut admission, 1, &[second(3)]);
-    assert!(unknown.iter().any(|a| matches!(a, Action::Reject { id: RequestId(3), .. })));
+    assert!(unknown.iter().any(|action| matches!(action, Action::Reject { id: RequestId(3), .. })));
     let classes = vec![idempotency_key_settings().classes[0].clone(), Class::default()];
     admission.reconfigure(Settings { classes, cores: 2, ..idempotency_key_settings() });
     // A shorter list of classes leaves the positions of open requests valid.
@@ -174,8 +174,8 @@
     });
     let actions = handle_at(&mut admission, 5, &[retry_event(4, 1), second(5)]);
     assert!(actions.contains(&Action::Coalesce(RequestId(4))), "the key of request 1 is still retained");
-    let done = |id| Event::Finished { id: RequestId(id), outcome: Outcome::Ok, took: ms(15) };
+    let done = |id| finished_event(id, 15);
     let mut runs = actions;
     runs.extend((1..=2).flat_map(|id| handle_at(&mut admission, 20 * u64::from(id), &[done(id)])));
-    assert_eq!([2, 5].map(|id| runs.iter().filter(|a| is_run_of(a, id)).count()), [1, 1]);
+    assert_eq!([2, 5].map(|id| runs.iter().filter(|action| is_run_of(action, id)).count()), [1, 1]);
 }
--- a/admission/tests/admission/main.rs
+++ b/admission/tests/admission/main.rs
@@ -6,4 +6,7 @@
 mod connections;
 mod idempotency;
 mod lifecycle;
+mod permitted_rate;
+mod random;
 mod scheduling;
+mod slow_start;
--- a/admission/tests/admission/scheduling.rs
+++ b/admission/tests/admission/scheduling.rs
@@ -2,7 +2,10 @@
 
 use oakwind_admission::*;
 
-use crate::common::{arrival_event, handle_at, is_run_of, ms, started_admission, timer_event};
+use crate::common::{
+    arrival_event, call_needed_event, finished_event, handle_at, is_run_of, ms, runs_of, started_admission,
+    timer_event,
+};
 
 #[test]
 fn a_cold_server_runs_fewer_requests_than_its_warm_concurrency_limit() {
@@ -16,7 +19,7 @@
     };
     let mut admission = started_admission(cold);
     let events: Vec<_> = (1..=20).map(arrival_event).collect();
-    let runs = handle_at(&mut admission, 0, &events).iter().filter(|a| matches!(a, Action::Run(_))).count();
+    let runs = runs_of(&handle_at(&mut admission, 0, &events)).len();
     assert!((1..=4).contains(&runs), "{runs} on 4 cores");
 }
 
@@ -25,13 +28,9 @@
     let class = Class { latency_objective: ms(2000), deadline: ms(20_000), ..Class::default() };
     let mut admission = started_admission(Settings { classes: vec![class], ..Settings::default() });
     handle_at(&mut admission, 0, &[arrival_event(1)]);
-    handle_at(&mut admission, 1, &[Event::Finished { id: RequestId(1), outcome: Outcome::Ok, took: ms(1) }]);
+    handle_at(&mut admission, 1, &[finished_event(1, 1)]);
     handle_at(&mut admission, 1000, &[arrival_event(2)]);
-    handle_at(
-        &mut admission,
-        2500,
-        &[Event::Finished { id: RequestId(2), outcome: Outcome::Ok, took: ms(1500) }],
-    );
+    handle_at(&mut admission, 2500, &[finished_event(2, 1500)]);
     handle_at(&mut admission, 3000, &[arrival_event(3)]);
     // Four are queued behind a running one: by the mean of both runs the last cannot start in time.
     let actions = handle_at(
@@ -39,7 +38,7 @@
         3001,
         &[arrival_event(4), arrival_event(5), arrival_event(6), arrival_event(7)],
     );
-    assert!(actions.iter().any(|a| matches!(a, Action::Reject { .. })), "{actions:?}");
+    assert!(actions.iter().any(|action| matches!(action, Action::Reject { .. })), "{actions:?}");
 }
 
 #[test]
@@ -51,7 +50,7 @@
     let all: Vec<_> = (1..=40).map(arrival_event).collect();
     let mut actions = handle_at(&mut admission, 0, &all);
     let mut ran = 0;
-    while let Some(id) = actions.iter().find_map(|a| if let Action::Run(id) = a { Some(*id) } else { None }) {
+    while let Some(id) = runs_of(&actions).first().copied() {
         ran += 1;
         let done = Event::Finished { id, outcome: Outcome::Ok, took: ms(1) };
         actions = handle_at(&mut admission, ran, &[done]);
@@ -70,7 +69,7 @@
         );
         let gauges = Gauges { runnable: Some(runnable), busy: Some(1.0) };
         let actions = handle_at(&mut admission, 50, &[Event::Timer(TimerId(0), gauges)]);
-        actions.iter().filter(|a| matches!(a, Action::Run(_))).count()
+        runs_of(&actions).len()
     };
     assert_eq!((runs_with(2.0), runs_with(1.0), runs_with(0.0)), (0, 1, 2));
 }
@@ -84,7 +83,7 @@
         ..Settings::default()
     });
     handle_at(&mut admission, 0, &[arrival_event(1)]);
-    handle_at(&mut admission, 10, &[Event::CallNeeded(RequestId(1)), arrival_event(2), arrival_event(3)]);
+    handle_at(&mut admission, 10, &[call_needed_event(1), arrival_event(2), arrival_event(3)]);
     let answers: Vec<_> = (1..40).flat_map(|n| handle_at(&mut admission, 50 * n, &[timer_event()])).collect();
     assert!(answers.contains(&Action::Fail(RequestId(1))), "it waited at a call past its latency objective");
     let rejected = |a: &&Action| matches!(a, Action::Reject { id: RequestId(3), retry_after: Some(_), .. });
@@ -103,9 +102,9 @@
     handle_at(&mut admission, 0, &[arrival_event(1)]);
     let late = Event::Arrived(Arrival::new(RequestId(4), ClassId(1)));
     handle_at(&mut admission, 10, &[arrival_event(2), arrival_event(3), late]);
-    let done = Event::Finished { id: RequestId(1), outcome: Outcome::Ok, took: ms(20) };
+    let done = finished_event(1, 20);
     let actions = handle_at(&mut admission, 20, &[done]);
-    assert!(actions.iter().any(|a| is_run_of(a, 4)), "{actions:?}");
+    assert!(actions.iter().any(|action| is_run_of(action, 4)), "{actions:?}");
 }
 
 #[test]
@@ -119,7 +118,7 @@
             .iter()
             .any(|action| is_run_of(action, id));
         at += took;
-        let done = Event::Finished { id: RequestId(id), outcome: Outcome::Ok, took: ms(took) };
+        let done = finished_event(id, took);
         handle_at(&mut admission, at, &[done, timer_event()]);
         // Nothing finishes for about two seconds.
         at += 2_050;
@@ -129,7 +128,9 @@
     assert!((1..=20).all(|id| once(id, 900)), "each alone, on slow cores");
     assert!((21..=60).all(|id| once(id, 50)), "and once the cores are fast again");
     let queue: Vec<Event> = (100..106).map(arrival_event).collect();
-    assert!(!handle_at(&mut admission, 180_000, &queue).iter().any(|a| matches!(a, Action::Reject { .. })));
+    assert!(!handle_at(&mut admission, 180_000, &queue)
+        .iter()
+        .any(|action| matches!(action, Action::Reject { .. })));
 }
 
 #[test]
@@ -137,7 +138,7 @@
     let class = Class { latency_objective: ms(200), deadline: ms(1000), ..Class::default() };
     let mut admission = started_admission(Settings { classes: vec![class], ..Settings::default() });
     for n in 1..=200 {
-        let done = Event::Finished { id: RequestId(n - 1), outcome: Outcome::Ok, took: ms(40) };
+        let done = finished_event(n - 1, 40);
         handle_at(&mut admission, 50 * u64::from(n), &[done, timer_event(), arrival_event(n)]);
     }
     let before = admission.permitted_rate();
--- a/admission/tests/model/actions.rs
+++ b/admission/tests/model/actions.rs
@@ -4,7 +4,7 @@
 
 use oakwind_admission::{Action, Effect, Event, Outcome, Preemption, RequestId, Signal};
 
-use crate::{ServerModel, State};
+use crate::{ServerModel, State, RUN_AFTER_CALL_MICROS};
 
 impl ServerModel {
     /// Carries out the actions of a batch and checks that each is allowed.
@@ -25,55 +25,12 @@
                 self.answer(id);
                 failed.push(id);
             }
-            Action::Coalesce(id) => {
-                let attempt = self.attempts.get_mut(&id).expect("known");
-                assert!(attempt.retry_of.is_some(), "coalesced an attempt that is no retry");
-                if attempt.state == State::Queued {
-                    attempt.state = State::Coalesced;
-                }
-            }
-            Action::RetainKey(id, duration) => {
-                let effect = self.attempts[&id].effect;
-                if self.class(id).effect == Effect::IdempotencyKey {
-                    self.retained_keys.insert(effect, (id, self.now + duration.as_micros() as u64));
-                }
-            }
+            Action::Coalesce(id) => self.coalesce(id),
+            Action::RetainKey(id, retention) => self.retain_key(id, retention),
             Action::ReleaseKey(id) => self.retained_keys.retain(|_, entry| entry.0 != id),
-            Action::Call(id, _) => {
-                let class = self.class(id).effect;
-                let attempt = self.attempts.get_mut(&id).expect("known");
-                if attempt.state == State::AwaitingCall {
-                    assert!(
-                        !attempt.call_may_have_run || class == Effect::Idempotent,
-                        "retried a call that may have run"
-                    );
-                    attempt.state = State::Calling;
-                }
-            }
-            Action::SkipCall(id) => {
-                assert!(self.class(id).skip_weight > 0.0);
-                let ends_at = self.now + 50_000;
-                let attempt = self.attempts.get_mut(&id).expect("known");
-                if attempt.state == State::AwaitingCall {
-                    attempt.state = State::Running;
-                    attempt.ends_at = ends_at;
-                }
-            }
-            Action::Pause(id) => {
-                assert_ne!(self.settings.preemption, Preemption::Off);
-                let drop_work = self.settings.preemption == Preemption::Drop;
-                let attempt = self.attempts.get_mut(&id).expect("known");
-                if attempt.state == State::Running {
-                    let answered_or_cancelled = attempt.answers > 0 || attempt.cancelled;
-                    attempt.state = match (answered_or_cancelled, drop_work) {
-                        (true, _) => State::Ended,
-                        (false, true) => State::Queued,
-                        (false, false) => State::Paused,
-                    };
-                    let took = Duration::ZERO;
-                    self.events.push(Event::Finished { id, outcome: Outcome::Cancelled, took });
-                }
-            }
+            Action::Call(id, _) => self.call(id),
+            Action::SkipCall(id) => self.skip_call(id),
+            Action::Pause(id) => self.pause(id),
             Action::SetTimer(timer, span) => self.timers.push((self.now + span.as_micros() as u64, timer)),
             Action::Advertise(value) => {
                 assert_ne!(self.settings.signal, Signal::Off);
@@ -83,6 +40,59 @@
         }
     }
 
+    fn coalesce(&mut self, id: RequestId) {
+        let attempt = self.attempts.get_mut(&id).expect("known");
+        assert!(attempt.retry_of.is_some(), "coalesced an attempt that is no retry");
+        if attempt.state == State::Queued {
+            attempt.state = State::Coalesced;
+        }
+    }
+
+    fn retain_key(&mut self, id: RequestId, retention: Duration) {
+        let effect = self.attempts[&id].effect;
+        if self.class(id).effect == Effect::IdempotencyKey {
+            self.retained_keys.insert(effect, (id, self.now + retention.as_micros() as u64));
+        }
+    }
+
+    fn call(&mut self, id: RequestId) {
+        let class = self.class(id).effect;
+        let attempt = self.attempts.get_mut(&id).expect("known");
+        if attempt.state == State::AwaitingCall {
+            assert!(
+                !attempt.call_may_have_run || class == Effect::Idempotent,
+                "retried a call that may have run"
+            );
+            attempt.state = State::Calling;
+        }
+    }
+
+    fn skip_call(&mut self, id: RequestId) {
+        assert!(self.class(id).skip_weight > 0.0);
+        let ends_at = self.now + RUN_AFTER_CALL_MICROS;
+        let attempt = self.attempts.get_mut(&id).expect("known");
+        if attempt.state == State::AwaitingCall {
+            attempt.state = State::Running;
+            attempt.ends_at = ends_at;
+        }
+    }
+
+    fn pause(&mut self, id: RequestId) {
+        assert_ne!(self.settings.preemption, Preemption::Off);
+        let loses_progress = self.settings.preemption == Preemption::Drop;
+        let attempt = self.attempts.get_mut(&id).expect("known");
+        if attempt.state == State::Running {
+            let answered_or_cancelled = attempt.answers > 0 || attempt.cancelled;
+            attempt.state = match (answered_or_cancelled, loses_progress) {
+                (true, _) => State::Ended,
+                (false, true) => State::Queued,
+                (false, false) => State::Paused,
+            };
+            let took = Duration::ZERO;
+            self.events.push(Event::Finished { id, outcome: Outcome::Cancelled, took });
+        }
+    }
+
     fn run(&mut self, id: RequestId) {
         let now = self.now;
         let class = self.class(id).clone();
--- a/admission/tests/model/main.rs
+++ b/admission/tests/model/main.rs
@@ -84,6 +84,8 @@
 const START_MICROS: u64 = 1_000_000;
 /// How long an abandoned call stays in progress at the dependency.
 const LINGER_MICROS: u64 = 200_000;
+/// How long a run goes on after a call.
+const RUN_AFTER_CALL_MICROS: u64 = 50_000;
 /// Unit of the steps of virtual time.
 const STEP_MICROS: u64 = 2_000;
 /// How long after its deadline an answer still counts, in microseconds.
--- a/admission/tests/model/settings.rs
+++ b/admission/tests/model/settings.rs
@@ -11,18 +11,16 @@
     Duration::from_millis(n)
 }
 
-/// Random settings of a server.
-pub(crate) fn random_settings(random: &mut SeededRandom) -> Settings {
+/// A random class; deadlines of a wide range are from half a second to a minute.
+fn random_class(random: &mut SeededRandom, wide_range: bool) -> Class {
     let effects = [Effect::Idempotent, Effect::IdempotencyKey, Effect::AtMostOnce];
-    // In half of the scenarios deadlines range from half a second to a minute.
-    let wide = random.chance(50);
-    let class = |random: &mut SeededRandom| Class {
-        latency_objective: if wide {
+    Class {
+        latency_objective: if wide_range {
             ms(100) * 200_f64.powf(random.below(100) as f64 / 100.0) as u32
         } else {
             ms(300 + random.below(2000))
         },
-        deadline: if wide {
+        deadline: if wide_range {
             ms(500) * 120_f64.powf(random.below(101) as f64 / 100.0) as u32
         } else {
             ms(1500 + random.below(4000))
@@ -34,9 +32,11 @@
         calls: random.chance(50),
         skip_weight: if random.chance(30) { 0.5 } else { 0.0 },
         ..Class::default()
-    };
-    let classes = (0..=random.below(4)).map(|_| class(random)).collect();
-    let dependency = match random.below(3) {
+    }
+}
+
+fn random_dependency(random: &mut SeededRandom) -> Dependency {
+    match random.below(3) {
         0 => Dependency::Off,
         1 => Dependency::Tier,
         _ => Dependency::Shared {
@@ -44,7 +44,14 @@
             span: ms(5000),
             linger: ms(200),
         },
-    };
+    }
+}
+
+/// Random settings of a server.
+pub(crate) fn random_settings(random: &mut SeededRandom) -> Settings {
+    let wide_range = random.chance(50);
+    let classes = (0..=random.below(4)).map(|_| random_class(random, wide_range)).collect();
+    let dependency = random_dependency(random);
     let preemption = random.below(3) as usize;
     Settings {
         classes,
--- a/admission/tests/model/trace/perturbations.rs
+++ b/admission/tests/model/trace/perturbations.rs
@@ -18,9 +18,7 @@
         let percent = self.plan.arrival_percent(self.model.now);
         while self.random.chance(percent) {
             self.model.arrive();
-            let Some(Event::Arrived(arrival)) = self.model.events.pop() else {
-                continue;
-            };
+            let Some(Event::Arrived(arrival)) = self.model.events.pop() else { continue };
             let arrival = self.vary(arrival);
             let reported_twice = arrival.repeats.is_none() && self.random.chance(2);
             self.model.events.push(Event::Arrived(arrival.clone()));
--- a/admission/tests/model/trace/recording.rs
+++ b/admission/tests/model/trace/recording.rs
@@ -103,9 +103,7 @@
         }
         Action::Fail(id) => format!("fail {}", id.0),
         Action::Coalesce(id) => format!("coalesce {}", id.0),
-        Action::RetainKey(id, retention) => {
-            format!("retain_key {} {}", id.0, nanoseconds(retention))
-        }
+        Action::RetainKey(id, retention) => format!("retain_key {} {}", id.0, nanoseconds(retention)),
         Action::ReleaseKey(id) => format!("release_key {}", id.0),
         Action::Call(id, timeout) => format!("call {} {}", id.0, nanoseconds(timeout)),
         Action::SkipCall(id) => format!("skip_call {}", id.0),
