--- a/admission/tests/rate.rs
+++ b/admission/tests/admission/permitted_rate.rs
@@ -4,6 +4,11 @@
 
 use oakwind_admission::*;
 
+use crate::random::LinearCongruential;
+
+/// Steps of a server in a second.
+const STEPS_PER_SECOND: u32 = 20;
+
 /// A server that is advanced in steps of 50 ms; each run takes the time that its step is given.
 struct ServerFixture {
     admission: Admission,
@@ -206,10 +211,10 @@
 
 /// Offers an uneven stream of about `per_second` requests a second for `seconds`.
 fn run_uneven(server: &mut ServerFixture, seconds: u32, per_second: u32, run_millis: u64) {
-    let mut random = 7u64;
-    for _ in 0..seconds * 20 {
-        random = random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        server.run(1, u32::from((random >> 33) % 20 < u64::from(per_second)), run_millis);
+    let mut random = LinearCongruential::new(7);
+    for _ in 0..seconds * STEPS_PER_SECOND {
+        let arrives = random.below(u64::from(STEPS_PER_SECOND)) < u64::from(per_second);
+        server.run(1, u32::from(arrives), run_millis);
     }
 }
 
@@ -257,6 +262,28 @@
     assert!(server.rate() > 1.5 && server.rejected.len() < rejected + 20, "{}", server.rate());
 }
 
+/// Offers each server of the fleet a request in each step of a second with this chance. Returns the fraction of the
+/// requests that was rejected, or kept away by the advertised level.
+fn lost_fraction(fleet: &mut [ServerFixture], random: &mut LinearCongruential, chance: f64) -> f64 {
+    let mut offered = 0.0;
+    let mut kept_away = 0.0;
+    let rejected_before: usize = fleet.iter().map(|server| server.rejected.len()).sum();
+    for _ in 0..STEPS_PER_SECOND {
+        for server in &mut *fleet {
+            let arrives = random.fraction() < chance;
+            let rank = random.fraction();
+            let level = server.advertised.unwrap_or(0.0);
+            let is_sent = arrives && rank >= level;
+            offered += f64::from(u8::from(arrives));
+            kept_away += f64::from(u8::from(arrives && !is_sent));
+            let sent_ranks: &[f64] = if is_sent { &[rank] } else { &[] };
+            server.step_with_ranks(sent_ranks, 250, Outcome::Ok);
+        }
+    }
+    let rejected: usize = fleet.iter().map(|server| server.rejected.len()).sum();
+    (kept_away + (rejected - rejected_before) as f64) / offered
+}
+
 #[test]
 fn servers_that_recover_together_do_not_oscillate() {
     let class = Class {
@@ -267,32 +294,12 @@
     let settings = Settings { cores: 2, servers: 50, classes: vec![class], ..settings() };
     let mut fleet: Vec<ServerFixture> =
         (1..=50).map(|seed| ServerFixture::seeded(settings.clone(), seed * 77)).collect();
-    let mut random = 11u64;
-    let mut next_random = || {
-        random = random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        (random >> 40) as f64 / (1u64 << 24) as f64
-    };
-    // For each second, the fraction of the requests that was rejected or kept away by the level.
-    let mut lost_fractions = Vec::new();
-    for second in 0..90 {
-        // Each server can handle eight requests a second; it is offered 16 for half a minute, then five.
-        let chance = if second < 30 { 0.8 } else { 0.25 };
-        let (mut asked, mut kept_away) = (0.0, 0.0);
-        let rejected_before: usize = fleet.iter().map(|server| server.rejected.len()).sum();
-        for _ in 0..20 {
-            for server in &mut fleet {
-                let (asks, rank) = (next_random() < chance, next_random());
-                let wanted: Vec<f64> = asks.then_some(rank).into_iter().collect();
-                let level = server.advertised.unwrap_or(0.0);
-                let sent: Vec<f64> = wanted.iter().copied().filter(|rank| *rank >= level).collect();
-                asked += wanted.len() as f64;
-                kept_away += (wanted.len() - sent.len()) as f64;
-                server.step_with_ranks(&sent, 250, Outcome::Ok);
-            }
-        }
-        let rejected: usize = fleet.iter().map(|server| server.rejected.len()).sum();
-        lost_fractions.push((kept_away + (rejected - rejected_before) as f64) / asked);
-    }
+    let mut random = LinearCongruential::new(11);
+    // For each second, the fraction of the requests that was rejected or kept away by the level. Each server can handle
+    // eight requests a second; it is offered 16 for half a minute, then five.
+    let lost_fractions: Vec<f64> = (0..90)
+        .map(|second| lost_fraction(&mut fleet, &mut random, if second < 30 { 0.8 } else { 0.25 }))
+        .collect();
     assert!(
         lost_fractions[20..30].iter().all(|fraction| (0.3..0.7).contains(fraction)),
         "overload: {:?}",
