--- a/node/src/dispatcher/runs.rs
+++ b/node/src/dispatcher/runs.rs
@@ -93,17 +93,13 @@
         if completion == Completion::NeverStarted {
             self.log_decision(Decision::NeverStarted, &request);
         }
-        let failed = RequestOutcome::Failed { timed_out: false };
-        let (outcome, answer, stored) = match completion {
-            Completion::Succeeded(result) => {
-                let stored = StoredOutcome::Succeeded(self.owned_if_stored(id, &result));
-                (AdmissionOutcome::Ok, RequestOutcome::Served(result), stored)
-            }
-            Completion::Failed => (AdmissionOutcome::Error, failed, StoredOutcome::Failed),
-            Completion::Cancelled => (AdmissionOutcome::Cancelled, failed, StoredOutcome::Failed),
-            Completion::Skipped => (AdmissionOutcome::Skipped, failed, StoredOutcome::Failed),
-            Completion::NeverStarted => {
-                (AdmissionOutcome::Rejected, self.undecided_rejection(), StoredOutcome::NeverStarted)
+        let outcome = admission_outcome(&completion);
+        let stored = self.stored_outcome(id, &completion);
+        let answer = match completion {
+            Completion::Succeeded(result) => RequestOutcome::Served(result),
+            Completion::NeverStarted => self.undecided_rejection(),
+            Completion::Failed | Completion::Cancelled | Completion::Skipped => {
+                RequestOutcome::Failed { timed_out: false }
             }
         };
         self.answer_attempt(id, answer);
@@ -112,6 +108,15 @@
         self.attempts.remove(id);
     }
 
+    /// What is stored of a run that ended so.
+    fn stored_outcome(&self, id: RequestId, completion: &Completion) -> StoredOutcome {
+        match completion {
+            Completion::Succeeded(result) => StoredOutcome::Succeeded(self.owned_if_stored(id, result)),
+            Completion::NeverStarted => StoredOutcome::NeverStarted,
+            Completion::Failed | Completion::Cancelled | Completion::Skipped => StoredOutcome::Failed,
+        }
+    }
+
     /// A copy of a result that is to be stored, as that outlives the buffer it was read into; empty if it is not.
     fn owned_if_stored(&self, id: RequestId, result: &Bytes) -> Bytes {
         if self.idempotency.is_holder(id) {
@@ -239,3 +244,14 @@
         }
     }
 }
+
+/// How the admission module counts a run that ended so.
+fn admission_outcome(completion: &Completion) -> AdmissionOutcome {
+    match completion {
+        Completion::Succeeded(_) => AdmissionOutcome::Ok,
+        Completion::Failed => AdmissionOutcome::Error,
+        Completion::Cancelled => AdmissionOutcome::Cancelled,
+        Completion::Skipped => AdmissionOutcome::Skipped,
+        Completion::NeverStarted => AdmissionOutcome::Rejected,
+    }
+}
--- a/node/src/dispatcher/tests.rs
+++ b/node/src/dispatcher/tests.rs
@@ -69,7 +69,7 @@
     }
 
     async fn complete(&self, tag: u64, completion: Completion) {
-        self.exchange.report(BackendEvent::RunEnded { txn: txn(tag), completion: completion }).await;
+        self.exchange.report(BackendEvent::RunEnded { txn: txn(tag), completion }).await;
     }
 
     async fn next_answer(&mut self) -> (u64, RequestOutcome) {
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -28,7 +28,6 @@
 mod uwsgi;
 mod vrrp;
 
-use std::error::Error;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -115,7 +114,21 @@
     }
 }
 
-fn run(command: Command) -> Result<Verdict, Box<dyn Error>> {
+/// Why a command ended without a result.
+#[derive(Debug, thiserror::Error)]
+enum ProgramError {
+    /// The node did not start.
+    #[error("{0}")]
+    Startup(#[from] server::StartupError),
+    /// The configuration can't be served.
+    #[error("{0}")]
+    Config(#[from] config::ConfigError),
+    /// The decision logs can't be queried.
+    #[error("{0}")]
+    Query(#[from] commands::CommandError),
+}
+
+fn run(command: Command) -> Result<Verdict, ProgramError> {
     match command {
         Command::Serve(command) => server::serve(&command.into())?,
         Command::CheckConfig(command) => check_config(&command.into())?,
--- a/node/src/peers/vote_store.rs
+++ b/node/src/peers/vote_store.rs
@@ -14,7 +14,7 @@
 use crate::clock::{self, UnixTime};
 use crate::config::FleetConfig;
 use crate::log;
-use crate::outcome::{IdempotencyRecord, RunState};
+use crate::outcome::{BodyDigest, IdempotencyRecord, RunState};
 use crate::result_store::record::{Record, RecordState};
 use crate::result_store::recovery::{Damage, RecoveredState};
 use crate::result_store::{ResultStore, StoreError};
@@ -24,7 +24,7 @@
 /// How long such a folder is waited for.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(2);
 /// Votes carry the digest of the body themselves.
-const NO_BODY_DIGEST: u64 = 0;
+const NO_BODY_DIGEST: BodyDigest = BodyDigest(0);
 
 /// An open folder.
 pub(crate) struct OpenVoteStore {
--- a/node/src/result_store/record.rs
+++ b/node/src/result_store/record.rs
@@ -9,7 +9,7 @@
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
 use crate::clock::{millis, UnixTime};
-use crate::outcome::digest;
+use crate::outcome::{digest, BodyDigest};
 
 /// Bytes of a record before its key.
 pub(crate) const HEADER_BYTES: usize = 60;
@@ -50,7 +50,7 @@
     /// Until when its key is remembered.
     pub(crate) expires_at: UnixTime,
     /// The digest of the body that all attempts with this key carry.
-    pub(crate) body_digest: u64,
+    pub(crate) body_digest: BodyDigest,
     /// The state of the key's run.
     pub(crate) state: RecordState,
     /// The idempotency key.
@@ -63,7 +63,7 @@
     /// A record to be written; the log assigns its number and time when it accepts it.
     pub(crate) fn new(
         key: Bytes,
-        body_digest: u64,
+        body_digest: BodyDigest,
         expires_at: UnixTime,
         state: RecordState,
         result: Bytes,
@@ -82,7 +82,7 @@
         let mut header = BytesMut::with_capacity(HEADER_BYTES);
         header.put_u64(self.number);
         header.put_u64(digest(seed, &self.key));
-        header.put_u64(self.body_digest);
+        header.put_u64(self.body_digest.0);
         header.put_u64(millis(self.expires_at));
         header.put_u64(millis(self.written_at));
         header.put_u16(self.state as u16);
@@ -108,7 +108,7 @@
     pub(crate) written_at: UnixTime,
     /// Until when its key is remembered.
     pub(crate) expires_at: UnixTime,
-    body_digest: u64,
+    body_digest: BodyDigest,
     state: RecordState,
     key_len: usize,
     payload_len: usize,
@@ -124,7 +124,7 @@
         }
         let number = header.get_u64();
         let key_digest = header.get_u64();
-        let body_digest = header.get_u64();
+        let body_digest = BodyDigest(header.get_u64());
         let expires_at = Duration::from_millis(header.get_u64());
         let written_at = Duration::from_millis(header.get_u64());
         let state = RecordState::from_code(header.get_u16())?;
--- a/node/src/result_store/record/tests.rs
+++ b/node/src/result_store/record/tests.rs
@@ -9,7 +9,7 @@
         number: 0x0a0b,
         written_at: Duration::from_millis(1_796_189_334_822),
         expires_at: Duration::from_millis(1_796_275_334_922),
-        body_digest: 0xf0f1_f2f3_f4f5_f6f7,
+        body_digest: BodyDigest(0xf0f1_f2f3_f4f5_f6f7),
         state,
         key: Bytes::from_static(b"key"),
         result: Bytes::from_static(result),
--- a/node/src/result_store/recovery.rs
+++ b/node/src/result_store/recovery.rs
@@ -10,15 +10,15 @@
 use bytes::Bytes;
 
 use super::record::{Record, RecordHeader, RecordState};
-use super::segment::{scan, ScanItem, SegmentHeader, SEGMENT_HEADER_BYTES};
+use super::segment::{scan, ScanItem, SegmentHeader, SegmentNumber, SEGMENT_HEADER_BYTES};
 use super::segment_index::{Limits, SegmentIndex};
 use crate::clock::UnixTime;
-use crate::outcome::{digest, BodyDigest, IdempotencyRecord, RunState};
+use crate::outcome::{digest, IdempotencyRecord, RunState};
 
 /// A segment as it was read.
 pub(crate) struct Segment {
     /// Its number, from its file name.
-    pub(crate) number: u64,
+    pub(crate) number: SegmentNumber,
     /// All its bytes.
     pub(crate) bytes: Bytes,
 }
@@ -274,7 +274,7 @@
     };
     Some(IdempotencyRecord {
         key: record.key,
-        body_digest: BodyDigest(record.body_digest),
+        body_digest: record.body_digest,
         expires_at: record.expires_at.saturating_sub(clock_setback),
         state,
     })
--- a/node/src/result_store/recovery/tests.rs
+++ b/node/src/result_store/recovery/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::outcome::BodyDigest;
 use crate::result_store::record::HEADER_BYTES;
 use bytes::BytesMut;
 use std::ops::Range;
@@ -42,7 +43,8 @@
         if bytes.is_empty() {
             put_header(number, at(90 + number), bytes);
         }
-        let (body_digest, start) = (u64::from(key.as_bytes()[0]), bytes.len());
+        let body_digest = BodyDigest(u64::from(key.as_bytes()[0]));
+        let start = bytes.len();
         let (key, result) = (Bytes::from(key), Bytes::from(result));
         let (written_at, expires_at) = (at(90 + number), at(107 + number));
         let record = Record { number, written_at, expires_at, body_digest, state, key, result };
@@ -53,8 +55,9 @@
 }
 
 fn recovered(segments: &[BytesMut], now: UnixTime) -> RecoveredState {
-    let segments =
-        (1..).zip(segments).map(|(number, bytes)| Segment { number, bytes: bytes.clone().freeze() });
+    let segments = (1..)
+        .zip(segments)
+        .map(|(number, bytes)| Segment { number: SegmentNumber(number), bytes: bytes.clone().freeze() });
     recover(SEED, segments, LIMITS, MAX_WINDOW, now).state
 }
 
@@ -183,7 +186,7 @@
         number: 5,
         written_at: at(100),
         expires_at: at(117),
-        body_digest: 1,
+        body_digest: BodyDigest(1),
         state: RecordState::Started,
         key: "forged".into(),
         result: Bytes::new(),
--- a/node/src/result_store/segment.rs
+++ b/node/src/result_store/segment.rs
@@ -1,5 +1,6 @@
 //! The byte format of a segment file: a header, then records. Finds the intact records among damaged bytes.
 
+use std::fmt::{self, Display, Formatter};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
@@ -20,6 +21,26 @@
 const FILE_PREFIX: &str = "keys-";
 const FILE_SUFFIX: &str = ".log";
 
+/// The number of a segment. Segments are numbered in the order in which they are created.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct SegmentNumber(pub(crate) u64);
+
+impl SegmentNumber {
+    /// The first segment of a store.
+    pub(crate) const FIRST: SegmentNumber = SegmentNumber(1);
+
+    /// The number that follows this one.
+    pub(crate) fn next(self) -> SegmentNumber {
+        SegmentNumber(self.0 + 1)
+    }
+}
+
+impl Display for SegmentNumber {
+    fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
+        self.0.fmt(formatter)
+    }
+}
+
 /// The header of a segment.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct SegmentHeader {
@@ -109,14 +130,15 @@
 }
 
 /// The path of a segment file.
-pub(crate) fn segment_path(folder: &Path, number: u64) -> PathBuf {
+pub(crate) fn segment_path(folder: &Path, segment: SegmentNumber) -> PathBuf {
+    let number = segment.0;
     folder.join(format!("{FILE_PREFIX}{number:016x}{FILE_SUFFIX}"))
 }
 
 /// The number of the segment that a file name stands for, if it is one.
-pub(crate) fn segment_number(file_name: &str) -> Option<u64> {
+pub(crate) fn segment_number(file_name: &str) -> Option<SegmentNumber> {
     let digits = file_name.strip_prefix(FILE_PREFIX)?.strip_suffix(FILE_SUFFIX)?;
-    hexadecimal::parse(digits)
+    hexadecimal::parse(digits).map(SegmentNumber)
 }
 
 #[cfg(test)]
--- a/node/src/result_store/segment/tests.rs
+++ b/node/src/result_store/segment/tests.rs
@@ -17,8 +17,8 @@
 
 #[test]
 fn a_segment_file_is_named_by_its_number_in_hexadecimal() {
-    let path = segment_path(Path::new("/folder"), 0x1f);
+    let path = segment_path(Path::new("/folder"), SegmentNumber(0x1f));
     assert_eq!(path, Path::new("/folder/keys-000000000000001f.log"));
-    assert_eq!(segment_number("keys-000000000000001f.log"), Some(0x1f));
+    assert_eq!(segment_number("keys-000000000000001f.log"), Some(SegmentNumber(0x1f)));
     assert_eq!(segment_number("seed"), None);
 }
--- a/node/src/result_store/segment_index.rs
+++ b/node/src/result_store/segment_index.rs
@@ -9,6 +9,7 @@
 use bytes::Bytes;
 
 use super::record::{Record, RecordState, HEADER_BYTES};
+use super::segment::SegmentNumber;
 use crate::clock::UnixTime;
 use crate::outcome::{LATE_READ_GRACE, MAX_RESULT_BYTES};
 
@@ -47,15 +48,15 @@
     /// Begin a new segment.
     Rotate,
     /// Remove the segment of this number: none of its records is current.
-    Remove(u64),
+    Remove(SegmentNumber),
     /// Write the current records of the segment of this number again, then remove it.
-    Compact(u64),
+    Compact(SegmentNumber),
 }
 
 /// A segment as the index knows it.
 #[derive(Debug)]
 struct SegmentEntry {
-    number: u64,
+    number: SegmentNumber,
     bytes: u64,
     /// Records in it that are the last of their key.
     current_records: u64,
@@ -64,7 +65,8 @@
 /// Where the last record of a key is.
 #[derive(Debug)]
 struct RecordLocation {
-    segment: u64,
+    segment: SegmentNumber,
+    /// The number of the record.
     record: u64,
     bytes: u64,
     expires_at: UnixTime,
@@ -102,7 +104,7 @@
     }
 
     /// A segment of so many bytes follows those before.
-    pub(crate) fn add_segment(&mut self, number: u64, bytes: u64) {
+    pub(crate) fn add_segment(&mut self, number: SegmentNumber, bytes: u64) {
         self.segments.push_back(SegmentEntry { number, bytes, current_records: 0 });
     }
 
@@ -217,13 +219,13 @@
     }
 
     /// The segment of this number was removed.
-    pub(crate) fn remove_segment(&mut self, number: u64) {
+    pub(crate) fn remove_segment(&mut self, number: SegmentNumber) {
         self.segments.retain(|segment| segment.number != number);
     }
 
     /// The number for a new segment.
-    pub(crate) fn next_segment_number(&self) -> u64 {
-        self.segments.back().map_or(1, |segment| segment.number + 1)
+    pub(crate) fn next_segment_number(&self) -> SegmentNumber {
+        self.segments.back().map_or(SegmentNumber::FIRST, |segment| segment.number.next())
     }
 
     /// Bytes of all segments.
--- a/node/src/result_store/segment_log.rs
+++ b/node/src/result_store/segment_log.rs
@@ -11,7 +11,9 @@
 use super::disk::{Disk, SystemDisk};
 use super::record::{Record, RecordState};
 use super::recovery::{recover, Recovered, RecoveredState, Segment};
-use super::segment::{scan, segment_number, segment_path, ScanItem, SegmentHeader, SEGMENT_HEADER_BYTES};
+use super::segment::{
+    scan, segment_number, segment_path, ScanItem, SegmentHeader, SegmentNumber, SEGMENT_HEADER_BYTES,
+};
 use super::segment_index::{required_bytes, Limits, MaintenanceStep, SegmentIndex};
 use crate::clock::UnixTime;
 use crate::log;
@@ -166,7 +168,7 @@
         Ok(())
     }
 
-    fn remove_segment(&mut self, number: u64) -> io::Result<()> {
+    fn remove_segment(&mut self, number: SegmentNumber) -> io::Result<()> {
         remove_if_present(&mut self.disk, &segment_path(&self.path, number))?;
         self.index.remove_segment(number);
         Ok(())
@@ -174,7 +176,7 @@
 
     /// Writes the current records of the oldest segment again, durably, and only then removes it: a crash at any moment
     /// leaves each record at least once.
-    fn compact(&mut self, number: u64) -> io::Result<()> {
+    fn compact(&mut self, number: SegmentNumber) -> io::Result<()> {
         let bytes = Bytes::from(read_file(&segment_path(&self.path, number), u64::MAX)?);
         let mut current = Vec::new();
         for item in scan(self.seed, &bytes.slice(bytes.len().min(SEGMENT_HEADER_BYTES)..)) {
@@ -214,7 +216,12 @@
 
 /// Reads the seed, from a segment if its own file is damaged, and writes that file again then. A store without any gets a
 /// new seed.
-fn open_seed(path: &Path, segments: &[u64], disk: &mut impl Disk, now: UnixTime) -> io::Result<u64> {
+fn open_seed(
+    path: &Path,
+    segments: &[SegmentNumber],
+    disk: &mut impl Disk,
+    now: UnixTime,
+) -> io::Result<u64> {
     let seed_path = path.join(SEED_FILE);
     if let Some(header) = read_header(&seed_path) {
         return Ok(header.seed);
@@ -234,7 +241,7 @@
 }
 
 /// Reads a segment. One that cannot be read counts as damaged, so that one bad file does not prevent the start.
-fn read_segment(folder: &Path, number: u64, limits: Limits) -> Segment {
+fn read_segment(folder: &Path, number: SegmentNumber, limits: Limits) -> Segment {
     let bytes = read_file(&segment_path(folder, number), limits.max_bytes).unwrap_or_else(|error| {
         log!("result store: segment not readable: segment={number} error={error}");
         Vec::new()
@@ -243,7 +250,7 @@
 }
 
 /// The numbers of the segments in a folder, in ascending order.
-fn segment_numbers(folder: &Path) -> io::Result<Vec<u64>> {
+fn segment_numbers(folder: &Path) -> io::Result<Vec<SegmentNumber>> {
     let mut numbers = Vec::new();
     for entry in std::fs::read_dir(folder)? {
         numbers.extend(entry?.file_name().to_str().and_then(segment_number));
--- a/node/src/result_store/segment_log/tests.rs
+++ b/node/src/result_store/segment_log/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::outcome::BodyDigest;
 use crate::outcome::RunState;
 use crate::result_store::recovery::Damage;
 use std::cell::Cell;
@@ -86,7 +87,7 @@
 fn record(key: &str, state: RecordState, result_len: usize, now: UnixTime) -> Record {
     let expires_at = now + Duration::from_secs(10);
     let (key, result) = (Bytes::copy_from_slice(key.as_bytes()), Bytes::from(vec![7; result_len]));
-    Record { written_at: now, ..Record::new(key, 1, expires_at, state, result) }
+    Record { written_at: now, ..Record::new(key, BodyDigest(1), expires_at, state, result) }
 }
 
 fn at(millis: u64) -> UnixTime {
--- a/node/src/run_gate.rs
+++ b/node/src/run_gate.rs
@@ -226,7 +226,7 @@
     fn write(&self, run: &KeyedRun, state: RecordState, result: Bytes) -> Vote {
         let writer = self.store.as_ref().and_then(|store| store.writer.as_ref());
         let Some(writer) = writer else { return Vote::Yes };
-        let record = Record::new(run.key.clone(), run.body_digest.0, run.expires_at, state, result);
+        let record = Record::new(run.key.clone(), run.body_digest, run.expires_at, state, result);
         if writer.write(run.id, record) {
             Vote::Pending
         } else {
