--- a/node/src/decision_log.rs
+++ b/node/src/decision_log.rs
@@ -14,7 +14,7 @@
 use std::cell::RefCell;
 use std::sync::Arc;
 
-use oakwind_fleet::decision_record::{Decision, Record, Versions};
+use oakwind_fleet::audit::decision_record::{Decision, Record, Versions};
 use oakwind_fleet::ids::ConfigVersion;
 use serde_json::Value;
 use sha2::{Digest, Sha256};
--- a/node/src/peers.rs
+++ b/node/src/peers.rs
@@ -20,9 +20,9 @@
 use std::rc::Rc;
 
 use oakwind_admission::RequestId;
-use oakwind_fleet::claim_coordinator::RunRequest;
-use oakwind_fleet::key_state::RunResult;
+use oakwind_fleet::claims::coordinator::RunRequest;
 use oakwind_fleet::replica_node::Event;
+use oakwind_fleet::replication::key_state::RunResult;
 use tokio::sync::mpsc;
 
 use crate::clock;
@@ -87,7 +87,7 @@
     }
 
     /// A run has finished; for a success
-    /// [`Replicated`](oakwind_fleet::claim_coordinator::ClaimOutcome::Replicated) follows. Returns false if the queue is full.
+    /// [`Replicated`](oakwind_fleet::claims::coordinator::ClaimOutcome::Replicated) follows. Returns false if the queue is full.
     pub(crate) fn run_finished(&self, id: RequestId, result: RunResult) -> bool {
         self.send(Event::RunCompleted(attempt_of(id), result))
     }
--- a/node/src/peers/claim.rs
+++ b/node/src/peers/claim.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use oakwind_admission::RequestId;
-use oakwind_fleet::claim_coordinator::{AttemptId, ClaimOutcome};
+use oakwind_fleet::claims::coordinator::{AttemptId, ClaimOutcome};
 use sha2::{Digest, Sha256};
 
 use crate::clock::UnixTime;
