--- a/node/src/dispatcher.rs
+++ b/node/src/dispatcher.rs
@@ -33,7 +33,7 @@
 use crate::decision_log::{self, DecisionLog};
 use crate::exchange::{
     BackendEvent, DispatcherEndpoints, DispatcherEvent, HandoverState, NodeStatus, Request, Responder,
-    RunCommand, Shutdown,
+    RunCommand, ShutdownNotice,
 };
 use crate::log;
 use crate::outcome::RequestOutcome;
@@ -263,7 +263,7 @@
         self.admission = Some(Admission::new(settings, self.seed, now));
         self.update_status(|status| status.warm_at = warm_at);
         let draining = self.status().draining;
-        if let Some(Shutdown { stops_at, .. }) = draining {
+        if let Some(ShutdownNotice { stops_at, .. }) = draining {
             self.admission_events.push(Event::Drain(stops_at.saturating_sub(clock::now())));
         }
     }
@@ -293,7 +293,7 @@
         }
         if self.status().draining.is_none() {
             self.admission_events.push(Event::Drain(stops_at.saturating_sub(now)));
-            self.update_status(|status| status.draining = Some(Shutdown { stops_at, noticed_at: now }));
+            self.update_status(|status| status.draining = Some(ShutdownNotice { stops_at, noticed_at: now }));
         }
     }
 
--- a/node/src/dispatcher/handover.rs
+++ b/node/src/dispatcher/handover.rs
@@ -11,12 +11,13 @@
 
 use super::attempts::{Phase, TIMEOUT_MARGIN};
 use super::handover_progress::Successor;
-use super::idempotency::AssignedKey;
+use super::idempotency::{AssignedKey, ImportedOutcome};
 use super::Dispatcher;
 use crate::clock::{self, UnixTime};
 use crate::exchange::{DispatcherEvent, HandoverState, Submission};
 use crate::log;
 use crate::outcome::{Completion, IdempotencyRecord, RunState, StoredOutcome};
+use crate::result_store::KeySource;
 use crate::run_gate::KeyedRun;
 
 /// The idempotency table is transferred this long after clients are sent to the successor. Requests that cross that
@@ -35,7 +36,7 @@
     /// The successor has ended before this process: this one serves on, unless it drains itself.
     pub(super) fn successor_lost(&mut self) {
         self.handover.successor = None;
-        self.run_gate.acquire_stores(true);
+        self.run_gate.acquire_stores(KeySource::Store);
         self.update_status(|status| status.handed_over &= status.draining.is_some());
     }
 
@@ -95,15 +96,15 @@
         for record in state.records {
             if is_full_table {
                 // The predecessor has stored all this.
-                self.import_record(record, false);
+                self.import_record(record);
             } else if let Some(holder) = self.start_storing(&record) {
                 self.handover.storing.insert(holder, record);
             } else {
-                self.import_record(record, true);
+                self.import_and_store_record(record);
             }
         }
         if is_full_table {
-            self.run_gate.acquire_stores(false);
+            self.run_gate.acquire_stores(KeySource::Predecessor);
         }
         self.submit_buffered();
     }
@@ -127,26 +128,36 @@
         if !matches!(completion, Completion::Succeeded(_)) {
             record.state = RunState::Failed;
         }
-        self.import_record(record, false);
+        self.import_record(record);
         true
     }
 
-    /// Adds what the predecessor knows of a key to the idempotency table, and stores its outcome if `store` is set.
-    fn import_record(&mut self, record: IdempotencyRecord, store: bool) {
+    /// Adds what the predecessor knows of a key to the idempotency table.
+    fn import_record(&mut self, record: IdempotencyRecord) {
+        if let Some(imported) = self.import(record) {
+            self.complete_waiters(imported.waiters, &imported.outcome);
+        }
+    }
+
+    /// The same, and stores the outcome of the key if the record has one.
+    fn import_and_store_record(&mut self, record: IdempotencyRecord) {
         let key = record.key.clone();
-        let id = self.attempts.allocate_id();
-        let Some(imported) = self.idempotency.import(record, id) else { return };
-        if let Some(holder) = self.idempotency.holder(&key).filter(|_| store) {
+        let Some(imported) = self.import(record) else { return };
+        if let Some(holder) = self.idempotency.holder(&key) {
             self.store_outcome(holder, &imported.outcome);
         }
         self.complete_waiters(imported.waiters, &imported.outcome);
     }
 
+    fn import(&mut self, record: IdempotencyRecord) -> Option<ImportedOutcome> {
+        let id = self.attempts.allocate_id();
+        self.idempotency.import(record, id)
+    }
+
     /// Takes in what the stores had from earlier processes. What started there and has no outcome has failed.
     pub(super) fn import_recovered(&mut self, records: Vec<IdempotencyRecord>) {
         for record in records {
-            let id = self.attempts.allocate_id();
-            self.idempotency.import(record, id);
+            self.import(record);
         }
         self.fail_predecessor_runs();
     }
@@ -162,7 +173,7 @@
     /// Counts all runs of earlier processes without an outcome as failed.
     fn fail_predecessor_runs(&mut self) {
         for record in std::mem::take(&mut self.handover.storing).into_values() {
-            self.import_record(record, false);
+            self.import_record(record);
         }
         let waiters = self.idempotency.fail_predecessor_runs();
         self.complete_waiters(waiters, &StoredOutcome::Failed);
--- a/node/src/dispatcher/tests.rs
+++ b/node/src/dispatcher/tests.rs
@@ -8,7 +8,7 @@
 
 use super::*;
 use crate::exchange::{
-    self, Answer, BackendEndpoints, Endpoints, Exchange, RequestTag, SubmissionId, TransactionId,
+    self, Answer, BackendEndpoints, Endpoints, Exchange, RequestTag, StartMode, SubmissionId, TransactionId,
 };
 use crate::outcome::{digest, BodyDigest, Completion, IdempotencyRecord, RunState};
 
@@ -40,7 +40,8 @@
     }
 
     fn start_without_backend(awaiting_state: bool) -> Node {
-        let Endpoints { exchange, dispatcher, backend } = exchange::new(awaiting_state, false);
+        let Endpoints { exchange, dispatcher, backend } =
+            exchange::new(StartMode { awaiting_state, recovering: false });
         let settings = oakwind_settings::parse(SETTINGS).unwrap();
         spawn_local(Dispatcher::new(dispatcher, settings, 1, 1 << 20).run());
         let (answer_queue, answers) = mpsc::channel(16);
--- a/node/src/exchange.rs
+++ b/node/src/exchange.rs
@@ -19,7 +19,7 @@
 pub(crate) use command::{CallCommand, RunCommand};
 pub(crate) use event::{BackendEvent, CallOutcome, DispatcherEvent, HandoverState};
 pub(crate) use request::{Answer, Request, RequestTag, Responder, Submission, SubmissionId, TransactionId};
-pub(crate) use status::{NodeStatus, Shutdown};
+pub(crate) use status::{NodeStatus, ShutdownNotice, StartMode};
 
 /// Events that may wait for the dispatcher. Who has more to report waits with them.
 const EVENT_QUEUE_CAPACITY: usize = 1024;
@@ -68,13 +68,12 @@
     pub(crate) backend: BackendEndpoints,
 }
 
-/// Creates an exchange. `awaiting_state`: a predecessor process is to transfer its state. `recovering`: the node is not
-/// ready for clients.
-pub(crate) fn new(awaiting_state: bool, recovering: bool) -> Endpoints {
+/// Creates an exchange.
+pub(crate) fn new(mode: StartMode) -> Endpoints {
     let (events, dispatcher_events) = mpsc::channel(EVENT_QUEUE_CAPACITY);
     let (runs, backend_runs) = mpsc::channel(COMMAND_QUEUE_CAPACITY);
     let (calls, backend_calls) = mpsc::channel(COMMAND_QUEUE_CAPACITY);
-    let (published, status) = watch::channel(NodeStatus::new(awaiting_state, recovering));
+    let (published, status) = watch::channel(NodeStatus::new(mode));
     let metrics = Rc::new(Metrics::default());
     let dispatcher = DispatcherEndpoints {
         events: dispatcher_events,
--- a/node/src/exchange/status.rs
+++ b/node/src/exchange/status.rs
@@ -6,7 +6,7 @@
 
 /// The shutdown notice.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) struct Shutdown {
+pub(crate) struct ShutdownNotice {
     /// When the process is stopped.
     pub(crate) stops_at: UnixTime,
     /// When the notice came.
@@ -27,7 +27,7 @@
     /// Connections that are idle for this long are closed; `None` until the admission module has started.
     pub(crate) idle_timeout: Option<Duration>,
     /// The shutdown notice, once it has come.
-    pub(crate) draining: Option<Shutdown>,
+    pub(crate) draining: Option<ShutdownNotice>,
     /// A successor process serves new clients; this one answers what it has read.
     pub(crate) handed_over: bool,
     /// The predecessor's state is still to come.
@@ -40,9 +40,19 @@
     pub(crate) drained: bool,
 }
 
+/// How a process starts.
+#[derive(Debug, Clone, Copy, Default)]
+pub(crate) struct StartMode {
+    /// A predecessor process is to transfer its state.
+    pub(crate) awaiting_state: bool,
+    /// The node is recovering and not ready for clients.
+    pub(crate) recovering: bool,
+}
+
 impl NodeStatus {
     /// The status of a process that has only just started.
-    pub(super) fn new(awaiting_state: bool, recovering: bool) -> Self {
+    pub(super) fn new(mode: StartMode) -> Self {
+        let StartMode { awaiting_state, recovering } = mode;
         NodeStatus {
             health: None,
             maintenance: false,
--- a/node/src/handover/tests/golden.rs
+++ b/node/src/handover/tests/golden.rs
@@ -9,7 +9,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{UnixListener, UnixStream};
 
-use crate::exchange::{self, DispatcherEndpoints, DispatcherEvent, Endpoints, HandoverState};
+use crate::exchange::{self, DispatcherEndpoints, DispatcherEvent, Endpoints, HandoverState, StartMode};
 use crate::handover::message::{decode, encode, PredecessorMessage};
 use crate::handover::predecessor::{run_handover, HandoverOutcome};
 use crate::handover::{socket_path, take_over};
@@ -30,6 +30,8 @@
     [SEED, OPEN, DONE, ALL].concat()
 }
 
+/// A process that has a predecessor.
+const AWAITING_STATE: StartMode = StartMode { awaiting_state: true, recovering: false };
 const DIGEST_SEED: u64 = 0xfedc_ba98_7654_3210;
 
 fn record_of(key: &'static [u8], body: u64, millis: u64, state: RunState) -> IdempotencyRecord {
@@ -141,7 +143,7 @@
 #[test]
 fn the_predecessor_answers_take_with_its_whole_table_and_reports_outcomes_after_it() {
     run(async {
-        let Endpoints { exchange, mut dispatcher, backend: _backend } = exchange::new(false, false);
+        let Endpoints { exchange, mut dispatcher, backend: _backend } = exchange::new(StartMode::default());
         let path = socket("old");
         let listener = UnixListener::bind(&path).unwrap();
         let old = run_handover(&listener, &exchange);
@@ -169,7 +171,7 @@
 #[test]
 fn the_predecessor_accepts_no_other_first_message_and_notices_that_a_successor_ends() {
     run(async {
-        let Endpoints { exchange, mut dispatcher, backend: _backend } = exchange::new(false, false);
+        let Endpoints { exchange, mut dispatcher, backend: _backend } = exchange::new(StartMode::default());
         let path = socket("first");
         let listener = UnixListener::bind(&path).unwrap();
         let new = async {
@@ -191,7 +193,7 @@
 #[test]
 fn the_successor_sends_take_receives_the_table_and_outcomes_and_says_when_it_is_superseded() {
     run(async {
-        let Endpoints { exchange, mut dispatcher, backend: _backend } = exchange::new(true, false);
+        let Endpoints { exchange, mut dispatcher, backend: _backend } = exchange::new(AWAITING_STATE);
         let path = socket("new");
         let listener = UnixListener::bind(&path).unwrap();
         let new = take_over(path.clone(), exchange);
@@ -221,7 +223,7 @@
 #[test]
 fn an_empty_table_is_transferred_as_well() {
     run(async {
-        let Endpoints { exchange, mut dispatcher, backend: _backend } = exchange::new(true, false);
+        let Endpoints { exchange, mut dispatcher, backend: _backend } = exchange::new(AWAITING_STATE);
         let path = socket("empty");
         let listener = UnixListener::bind(&path).unwrap();
         let old = async {
@@ -240,7 +242,7 @@
 fn of_a_table_that_is_cut_off_or_not_understood_nothing_is_passed_on() {
     for sent in [[SEED, OPEN].concat(), [SEED, TAKE, ALL].concat()] {
         run(async {
-            let Endpoints { exchange, mut dispatcher, backend: _backend } = exchange::new(true, false);
+            let Endpoints { exchange, mut dispatcher, backend: _backend } = exchange::new(AWAITING_STATE);
             let path = socket("cut");
             let listener = UnixListener::bind(&path).unwrap();
             let old = async {
--- a/node/src/heartbeat/tests.rs
+++ b/node/src/heartbeat/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
-use crate::exchange::{self, Endpoints, Shutdown};
+use crate::exchange::{self, Endpoints, ShutdownNotice, StartMode};
 
 /// The status of a process that has just started, with changes.
 fn status(change: impl FnOnce(&mut NodeStatus)) -> NodeStatus {
-    let Endpoints { exchange, .. } = exchange::new(false, false);
+    let Endpoints { exchange, .. } = exchange::new(StartMode::default());
     let mut status = exchange.status().borrow().clone();
     change(&mut status);
     status
@@ -11,7 +11,7 @@
 
 fn draining(status: &mut NodeStatus) {
     let now = clock::now();
-    status.draining = Some(Shutdown { stops_at: now, noticed_at: now });
+    status.draining = Some(ShutdownNotice { stops_at: now, noticed_at: now });
 }
 
 #[test]
--- a/node/src/peers/driver.rs
+++ b/node/src/peers/driver.rs
@@ -23,8 +23,9 @@
 use crate::clock;
 use crate::config::FleetConfig;
 use crate::exchange::Exchange;
+use crate::log;
 use crate::result_store::{ResultStore, StoreEvent};
-use crate::{log, sockets};
+use crate::sockets::{self, AddressUse};
 
 /// Events of links that may wait; a link that has more waits.
 const LINK_EVENT_CAPACITY: usize = 1024;
@@ -73,7 +74,7 @@
     /// If one of them cannot be used.
     pub(super) fn open(&mut self) -> Result<(), PeerStartError> {
         let address = self.config.listen;
-        let listener = sockets::listen(address, false);
+        let listener = sockets::listen(address, AddressUse::Exclusive);
         self.listener = Some(listener.map_err(|source| PeerStartError::Listen { address, source })?);
         self.opened = vote_store::open(&self.config)?;
         Ok(())
@@ -216,7 +217,7 @@
     fn on_tick(&mut self) -> Event {
         if self.host.accepts_links() && self.listener.is_none() {
             // The other process may have the address for a moment more.
-            self.listener = sockets::listen(self.config.listen, false).ok();
+            self.listener = sockets::listen(self.config.listen, AddressUse::Exclusive).ok();
         }
         self.host.update_metrics(&self.metrics);
         // Before any node hears of it.
--- a/node/src/result_store.rs
+++ b/node/src/result_store.rs
@@ -55,6 +55,15 @@
     Thread(#[source] io::Error),
 }
 
+/// Where a process learns the keys of the one that had the store open before it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) enum KeySource {
+    /// That process transfers them.
+    Predecessor,
+    /// They are read from the store.
+    Store,
+}
+
 /// The result store as its user sees it.
 pub(crate) struct ResultStore {
     config: ResultStoreConfig,
@@ -63,8 +72,8 @@
     /// None while another process of this node has the folder open.
     pub(crate) writer: Option<StoreWriter>,
     events: Option<mpsc::Receiver<StoreEvent>>,
-    /// Whether the keys in the folder are to be loaded once it is open: the predecessor did not hand them over.
-    pub(crate) loads_keys: bool,
+    /// Where the keys of the process that had the folder open come from.
+    pub(crate) key_source: KeySource,
     /// Keys that may have run, as damage to the folder left that uncertain.
     pub(crate) uncertain_keys: UncertainKeys,
     /// Counters for operators.
@@ -79,7 +88,7 @@
             max_window,
             writer: None,
             events: None,
-            loads_keys: false,
+            key_source: KeySource::Predecessor,
             uncertain_keys: UncertainKeys::default(),
             metrics: Arc::default(),
         }
@@ -99,8 +108,8 @@
     }
 
     /// Opens the folder in the background once the predecessor has closed it; a [`StoreEvent::Opened`] follows.
-    pub(crate) fn open_after_predecessor(&mut self, loads_keys: bool) {
-        self.loads_keys = loads_keys;
+    pub(crate) fn open_after_predecessor(&mut self, key_source: KeySource) {
+        self.key_source = key_source;
         let config = self.config.clone();
         let max_window = self.max_window;
         let metrics = self.metrics.clone();
--- a/node/src/run_gate.rs
+++ b/node/src/run_gate.rs
@@ -20,7 +20,7 @@
 use crate::outcome::{Completion, StoredOutcome};
 use crate::peers::{ClaimParameters, ClaimResponse, Peers};
 use crate::result_store::record::{Record, RecordState};
-use crate::result_store::{ResultStore, StoreEvent};
+use crate::result_store::{KeySource, ResultStore, StoreEvent};
 pub(crate) use event::{Authorization, GateEvent};
 pub(crate) use keyed_run::KeyedRun;
 use pending::{PendingRun, PendingRuns, Vote};
@@ -67,16 +67,15 @@
         self.store.as_ref().is_some_and(|store| store.uncertain_keys.contains(key, now))
     }
 
-    /// Acquires the store and the place in the fleet from another process of this node, once that releases them. With
-    /// `recover`, what it left there is reported as [`GateEvent::Recovered`]; otherwise it has been transferred by other
-    /// means.
-    pub(crate) fn acquire_stores(&mut self, recover: bool) {
+    /// Acquires the store and the place in the fleet from another process of this node, once that releases them. Where the
+    /// keys are to come from the store, [`GateEvent::Recovered`] reports them.
+    pub(crate) fn acquire_stores(&mut self, keys: KeySource) {
         if let Some(store) = &mut self.store {
-            store.open_after_predecessor(recover);
+            store.open_after_predecessor(keys);
         }
         if let Some(peers) = &self.peers {
             peers.activate();
-            peers.set_predecessor_running(!recover);
+            peers.set_predecessor_running(keys == KeySource::Predecessor);
         }
     }
 
@@ -270,7 +269,7 @@
                 let store = self.store.as_mut()?;
                 store.uncertain_keys = recovered.uncertain_keys;
                 // Otherwise the predecessor has transferred all this, and more of late.
-                store.loads_keys.then_some(GateEvent::Recovered(recovered.keys))
+                (store.key_source == KeySource::Store).then_some(GateEvent::Recovered(recovered.keys))
             }
         }
     }
--- a/node/src/server/accept.rs
+++ b/node/src/server/accept.rs
@@ -13,20 +13,21 @@
 use crate::exchange::Exchange;
 use crate::frontend;
 use crate::frontend::connection_limiter::{ConnectionGuard, ConnectionLimiter};
-use crate::{clock, log, sockets};
+use crate::sockets::{self, AddressUse};
+use crate::{clock, log};
 
 /// Between two attempts to open a listener.
 const REBIND_INTERVAL: Duration = Duration::from_millis(100);
 /// After a failed accept: the process does not spin while the system has no descriptors left.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Opens a listener. With `shared` another process may listen at the same address.
+/// Opens a listener; an error names the configuration key.
 pub(super) fn bind(
     key: &'static str,
     address: SocketAddr,
-    shared: bool,
+    address_use: AddressUse,
 ) -> Result<TcpListener, StartupError> {
-    sockets::listen(address, shared).map_err(|source| StartupError::Bind { key, address, source })
+    sockets::listen(address, address_use).map_err(|source| StartupError::Bind { key, address, source })
 }
 
 /// Where a listener listens, with the port that the system chose for 0.
@@ -41,7 +42,7 @@
     /// Where it listens.
     pub(super) address: SocketAddr,
     /// Whether a successor may listen at the same address.
-    pub(super) shared: bool,
+    pub(super) address_use: AddressUse,
     /// Whether this node has the active role of its virtual router; always true without one.
     pub(super) active: watch::Receiver<bool>,
 }
@@ -60,7 +61,7 @@
         while self.wait_until_active(&exchange).await {
             let listener = match opened.take() {
                 Some(listener) => Ok(listener),
-                None => bind(protocol, self.address, self.shared),
+                None => bind(protocol, self.address, self.address_use),
             };
             let listener = match listener {
                 Ok(listener) => listener,
--- a/node/src/server/startup.rs
+++ b/node/src/server/startup.rs
@@ -22,12 +22,15 @@
 use crate::config::{self, ConfigFiles, Configuration, NodeConfig, UpstreamAddresses, UwsgiConfig};
 use crate::decision_log::{settings_digest, DecisionLog};
 use crate::dispatcher::Dispatcher;
-use crate::exchange::{self, BackendEndpoints, DispatcherEndpoints, Endpoints, Exchange, HandoverState};
+use crate::exchange::{
+    self, BackendEndpoints, DispatcherEndpoints, Endpoints, Exchange, HandoverState, StartMode,
+};
 use crate::frontend::connection_limiter::ConnectionLimiter;
 use crate::frontend::uwsgi::{RequestIds, UwsgiFrontend};
 use crate::frontend::{jsonrpc, uwsgi as uwsgi_frontend};
 use crate::result_store::ResultStore;
 use crate::run_gate::RunGate;
+use crate::sockets::AddressUse;
 use crate::{clock, handover, heartbeat, log, peers, vrrp};
 
 /// Results that are stored for repeats take one part in so many of the memory of the process.
@@ -69,8 +72,9 @@
     let handover_socket = handover::socket_path(loaded.node.listen);
     let is_upgrade = handover::has_predecessor(handover_socket.as_deref()).await;
     // A process that takes over is as far in its recovery as its predecessor was.
-    let starts_recovering = loaded.fleet.is_some() && !is_upgrade;
-    let Endpoints { exchange, dispatcher, backend } = exchange::new(is_upgrade, starts_recovering);
+    let recovering = loaded.fleet.is_some() && !is_upgrade;
+    let mode = StartMode { awaiting_state: is_upgrade, recovering };
+    let Endpoints { exchange, dispatcher, backend } = exchange::new(mode);
     let capacity = ConnectionCapacity::new(&loaded);
     let Configuration { node: config, uwsgi, result_store, fleet, decision_log } = loaded;
     let (address_publisher, upstream_addresses) = watch::channel(config.upstreams.clone());
@@ -115,7 +119,7 @@
     /// Opens the admin interface, if one is configured. It responds from now on, whatever the load.
     fn start_admin(&self) -> Result<(), StartupError> {
         let Some(address) = self.config.ops else { return Ok(()) };
-        let listener = bind("ops", address, false)?;
+        let listener = bind("ops", address, AddressUse::Exclusive)?;
         log!("admin: listening: address={}", local_address(&listener));
         let server =
             Rc::new(AdminServer { exchange: self.exchange.clone(), registry: self.registry.clone() });
@@ -253,11 +257,11 @@
     }
 
     fn open_jsonrpc_frontend(&self) -> Result<(), StartupError> {
-        let listener = bind("listen", self.config.listen, self.shares_listeners())?;
+        let listener = bind("listen", self.config.listen, self.address_use())?;
         let frontend = FrontendListener {
             protocol: "JSON-RPC",
             address: self.config.listen,
-            shared: self.shares_listeners(),
+            address_use: self.address_use(),
             active: always_active(),
         };
         let exchange = self.exchange.clone();
@@ -277,12 +281,12 @@
         // An address that can't be opened ends the start, where it is to be open from the start.
         let listener = match vrrp_active {
             Some(_) => None,
-            None => Some(bind("uwsgi listen", uwsgi.listen, self.shares_listeners())?),
+            None => Some(bind("uwsgi listen", uwsgi.listen, self.address_use())?),
         };
         let frontend = FrontendListener {
             protocol: "uwsgi",
             address: uwsgi.listen,
-            shared: self.shares_listeners(),
+            address_use: self.address_use(),
             active: vrrp_active.unwrap_or_else(always_active),
         };
         let context = Rc::new(UwsgiFrontend {
@@ -297,8 +301,12 @@
     }
 
     /// Whether a successor may listen at the same addresses while this process serves.
-    fn shares_listeners(&self) -> bool {
-        self.handover_socket.is_some()
+    fn address_use(&self) -> AddressUse {
+        if self.handover_socket.is_some() {
+            AddressUse::Shared
+        } else {
+            AddressUse::Exclusive
+        }
     }
 }
 
--- a/node/src/sockets.rs
+++ b/node/src/sockets.rs
@@ -12,15 +12,24 @@
 /// Connections that the system may queue until they are accepted.
 const ACCEPT_BACKLOG: u32 = 1024;
 
-/// Opens a listener. With `shared` another process may listen at the same address.
+/// Whether other processes may listen at the same address.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) enum AddressUse {
+    /// They may not.
+    Exclusive,
+    /// They may, as processes of one node do in an upgrade in place.
+    Shared,
+}
+
+/// Opens a listener.
 ///
 /// # Errors
 ///
 /// Where the system does not grant the address.
-pub(crate) fn listen(address: SocketAddr, shared: bool) -> io::Result<TcpListener> {
+pub(crate) fn listen(address: SocketAddr, address_use: AddressUse) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
-    socket.set_reuseport(shared)?;
+    socket.set_reuseport(address_use == AddressUse::Shared)?;
     socket.bind(address)?;
     socket.listen(ACCEPT_BACKLOG)
 }
--- a/node/src/sockets/tests.rs
+++ b/node/src/sockets/tests.rs
@@ -12,7 +12,7 @@
 #[test]
 fn no_connection_delays_small_writes_whichever_side_opened_it() {
     run(async {
-        let listener = listen(local(), false).unwrap();
+        let listener = listen(local(), AddressUse::Exclusive).unwrap();
         let address = listener.local_addr().unwrap();
         let until = clock::now() + Duration::from_secs(60);
         let (first, _second) =
@@ -26,7 +26,7 @@
 #[test]
 fn closing_a_listener_returns_every_connection_that_the_system_has_queued() {
     run(async {
-        let listener = listen(local(), false).unwrap();
+        let listener = listen(local(), AddressUse::Exclusive).unwrap();
         let address = listener.local_addr().unwrap();
         // More than the runtime does in one turn of a task; nothing was asked of the listener before.
         let clients: Vec<_> = (0..300).map(|_| std::net::TcpStream::connect(address).unwrap()).collect();
