--- a/fault-harness/src/scenario.rs
+++ b/fault-harness/src/scenario.rs
@@ -2,6 +2,7 @@
 //! each mistake is one line that names its key. `docs/fault-harness.md` explains every key.
 
 mod defaults;
+mod error;
 mod fault;
 mod fleet;
 mod former_keys;
@@ -15,6 +16,9 @@
 
 use serde::Deserialize;
 
+use crate::model::MS_PER_SECOND;
+
+pub use error::{ScenarioError, ScenarioErrors};
 pub use fault::{Directions, Fault, FaultKind, Link, NodeEvent, StoredState, Traffic, Trigger};
 pub use fleet::{Fleet, Replication, Vrrp};
 pub use load::{Class, Load, LoadStep, RepeatAt};
@@ -59,17 +63,15 @@
     pub faults: Vec<Fault>,
 }
 
-/// What is wrong with a scenario: a line for each mistake, which names its key.
-pub type Mistakes = Vec<String>;
-
 impl Scenario {
     /// Reads and checks a file, with some keys set to other values.
     ///
     /// # Errors
     ///
-    /// If the file cannot be read, or with a line for each mistake in it.
-    pub fn read(path: &Path, changes: &[(String, String)]) -> Result<Scenario, Mistakes> {
-        let text = std::fs::read_to_string(path).map_err(|e| vec![format!("{}: {e}", path.display())])?;
+    /// If the file cannot be read, or with every mistake in it.
+    pub fn read(path: &Path, changes: &[(String, String)]) -> Result<Scenario, ScenarioErrors> {
+        let text = std::fs::read_to_string(path)
+            .map_err(|source| ScenarioError::Unreadable { path: path.into(), source })?;
         Scenario::parse(&text, changes)
     }
 
@@ -77,20 +79,21 @@
     ///
     /// # Errors
     ///
-    /// A line for each mistake.
-    pub fn parse(text: &str, changes: &[(String, String)]) -> Result<Scenario, Mistakes> {
-        let mut table: toml::Table =
-            text.parse().map_err(|e: toml::de::Error| vec![first_line(&e.to_string(), text, e.span())])?;
+    /// Every mistake.
+    pub fn parse(text: &str, changes: &[(String, String)]) -> Result<Scenario, ScenarioErrors> {
+        let mut table: toml::Table = text.parse().map_err(|error| syntax_error(&error, text))?;
         for (key, value) in changes {
-            overrides::set(&mut table, key, value).map_err(|e| vec![e])?;
+            overrides::set(&mut table, key, value)?;
         }
-        let scenario: Scenario = serde_path_to_error::deserialize(table)
-            .map_err(|e| vec![format!("{}: {}", e.path(), e.inner().message())])?;
-        let mistakes = validation::mistakes(&scenario);
-        if mistakes.is_empty() {
+        let scenario: Scenario = serde_path_to_error::deserialize(table).map_err(|error| {
+            let message = error.inner().message().to_string();
+            ScenarioError::Malformed { key: error.path().to_string(), message }
+        })?;
+        let errors = validation::validate(&scenario);
+        if errors.is_empty() {
             Ok(scenario)
         } else {
-            Err(mistakes)
+            Err(errors.into())
         }
     }
 
@@ -111,14 +114,15 @@
         match (self.load.rate, self.load.load) {
             (Some(rate), _) => rate,
             (None, load) => {
-                load.unwrap_or(0.0) * self.capacity() * 1000.0 / (self.mean_work() + self.fleet.read_ms)
+                load.unwrap_or(0.0) * self.capacity() * MS_PER_SECOND
+                    / (self.mean_work() + self.fleet.read_ms)
             }
         }
     }
 
     /// The names of all nodes, in order.
     pub fn node_names(&self) -> Vec<String> {
-        (1..=self.fleet.nodes).map(|n| format!("n{n}")).collect()
+        (1..=self.fleet.nodes).map(|number| format!("n{number}")).collect()
     }
 
     /// The zone of a node or of a frontend, by position.
@@ -127,10 +131,12 @@
     }
 }
 
-/// A parser's message in one line with the line that it is about.
-fn first_line(message: &str, text: &str, span: Option<std::ops::Range<usize>>) -> String {
-    let line = span.map_or(1, |span| text[..span.start.min(text.len())].matches('\n').count() + 1);
-    format!("line {line}: {}", message.lines().last().unwrap_or_default())
+/// The error of a text that is not TOML: the last line of the parser's message, and the line that it is about.
+fn syntax_error(error: &toml::de::Error, text: &str) -> ScenarioError {
+    let start = error.span().map_or(0, |span| span.start.min(text.len()));
+    let line = text.get(..start).unwrap_or(text).matches('\n').count() + 1;
+    let message = error.to_string().lines().last().unwrap_or_default().to_string();
+    ScenarioError::Syntax { line, message }
 }
 
 #[cfg(test)]
--- a/fault-harness/src/scenario/fault.rs
+++ b/fault-harness/src/scenario/fault.rs
@@ -1,10 +1,10 @@
-//! The `[[fault]]` tables: what goes wrong, when, and which nodes it strikes.
+//! The `[[fault]]` tables: what goes wrong, when, and its targets.
 
 use serde::Deserialize;
 
 use super::defaults::{half, one_f64, one_usize};
 
-/// What goes wrong, when, and whom it strikes.
+/// What goes wrong, when, and for which nodes.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
@@ -138,6 +138,24 @@
 }
 
 impl FaultKind {
+    /// Whether it lasts for a while, which the scenario has to give.
+    pub fn has_duration(self) -> bool {
+        match self {
+            FaultKind::Pause
+            | FaultKind::Slow
+            | FaultKind::Partition
+            | FaultKind::Link
+            | FaultKind::Dependency
+            | FaultKind::Registry => true,
+            FaultKind::Kill
+            | FaultKind::Shutdown
+            | FaultKind::Frontends
+            | FaultKind::Reload
+            | FaultKind::RemoveMembers
+            | FaultKind::AddMembers => false,
+        }
+    }
+
     /// Its name in scenarios, reports and charts.
     pub fn name(self) -> &'static str {
         match self {
--- a/fault-harness/src/scenario/tests.rs
+++ b/fault-harness/src/scenario/tests.rs
@@ -6,7 +6,8 @@
 fn every_mistake_is_a_line_that_names_its_key() {
     let wrong = PLAIN.replace("nodes = 3", "nodes = 0").replace("latency_objective_ms = 100", "latency_objective_ms = 400")
         + "[[fault]]\nwhat = 'kill'\nnodes = ['n9']\nclock = '7'\n[[fault]]\nat_s = 3\nwhat = 'pause'\nfraction = 2.0\n";
-    let mistakes = Scenario::parse(&wrong, &[]).unwrap_err();
+    let errors = Scenario::parse(&wrong, &[]).unwrap_err();
+    let mistakes: Vec<String> = errors.iter().map(ToString::to_string).collect();
     let keys: Vec<&str> = mistakes.iter().filter_map(|line| line.split(": ").next()).collect();
     let wanted = [
         "fleet.nodes",
@@ -23,7 +24,7 @@
 
 #[test]
 fn an_unknown_key_a_wrong_kind_and_broken_text_are_told_with_their_place() {
-    let at = |text: &str| Scenario::parse(text, &[]).unwrap_err().join("\n");
+    let at = |text: &str| Scenario::parse(text, &[]).unwrap_err().to_string();
     assert!(at(&PLAIN.replace("nodes = 3", "nodes = 3\ncolour = 'red'")).starts_with("fleet"), "unknown");
     assert!(at(&PLAIN.replace("nodes = 3", "nodes = 'many'")).starts_with("fleet.nodes: "));
     assert!(at(&PLAIN.replace("[load]", "[load")).starts_with("line 11: "));
@@ -34,7 +35,7 @@
     let set = |key: &str, value: &str| Scenario::parse(PLAIN, &[(key.into(), value.into())]);
     assert_eq!(set("fleet.nodes", "5").unwrap().fleet.nodes, 5);
     assert_eq!(set("class.0.work_ms", "7.5").unwrap().classes[0].work_ms, 7.5);
-    assert!(set("class.4.work_ms", "7").unwrap_err()[0].starts_with("class.4.work_ms: "));
+    assert!(set("class.4.work_ms", "7").unwrap_err().to_string().starts_with("class.4.work_ms: "));
     assert!(set("fleet.nodes", "none").is_err());
 }
 
@@ -43,3 +44,36 @@
     let half = PLAIN.replace("rate = 50", "load = 0.5");
     assert!((Scenario::parse(&half, &[]).unwrap().rate() - 150.0).abs() < 1e-9);
 }
+
+#[test]
+fn an_error_says_of_which_kind_it_is_with_the_key_and_the_value() {
+    let only_error = |text: &str| {
+        let errors = Scenario::parse(text, &[]).unwrap_err();
+        assert_eq!(errors.iter().count(), 1, "{errors}");
+        errors
+    };
+    let errors = only_error(&PLAIN.replace("nodes = 3", "nodes = 65"));
+    assert_eq!(errors.to_string(), "fleet.nodes: 1 to 64, not 65");
+    assert!(matches!(errors.iter().next(), Some(ScenarioError::NotAllowed { value, .. }) if value == "65"));
+    let errors = only_error(&PLAIN.replace("nodes = 3", "nodes = 3\nclocks = {n3 = '7'}"));
+    assert_eq!(errors.to_string(), "fleet.clocks.n3: \"7\" is not AT:BY in milliseconds");
+    assert!(matches!(errors.iter().next(), Some(ScenarioError::InvalidClock { .. })));
+    let errors = only_error(&PLAIN.replace("nodes = 3", "nodes = 3\nprograms = {other = ['n4']}"));
+    assert_eq!(errors.to_string(), "fleet.programs.other: there is no node \"n4\"");
+    let errors = only_error(&PLAIN.replace("rate = 50", "rate = 50\nload = 0.5"));
+    assert!(matches!(errors.iter().next(), Some(ScenarioError::Inconsistent { key, .. }) if key == "load"));
+    let errors = only_error(&PLAIN.replace("rate = 50", "rate = 50000"));
+    assert_eq!(errors.to_string(), "load.rate: 500000 requests in all, over 300000");
+    let errors =
+        only_error(&format!("{PLAIN}[[fault]]\nat_s = 1\nwhat = 'partition'\nzone = 'x'\nduration_s = 1\n"));
+    assert_eq!(errors.to_string(), "fault[0].zone: there is no zone \"x\"");
+}
+
+#[test]
+fn an_override_of_what_is_no_table_or_no_position_names_its_key() {
+    let error = |key: &str| Scenario::parse(PLAIN, &[(key.into(), "1".into())]).unwrap_err();
+    let errors = error("seconds.first");
+    assert!(matches!(errors.iter().next(), Some(ScenarioError::NotATable { .. })));
+    assert_eq!(errors.to_string(), "seconds.first: seconds is no table");
+    assert!(matches!(error("class.7.cv").iter().next(), Some(ScenarioError::NoSuchPosition { .. })));
+}
--- a/fault-harness/tests/old_form.rs
+++ b/fault-harness/tests/old_form.rs
@@ -108,7 +108,7 @@
 fn a_file_with_one_key_in_both_forms_is_turned_down_with_the_name_of_the_key() {
     let text = std::fs::read_to_string(present_form("scenario.toml")).unwrap();
     let both = text.replace("probe_ms = 300", "probe_ms = 300\ncopies = 2");
-    let message = Scenario::parse(&both, &[]).unwrap_err().join("\n");
+    let message = Scenario::parse(&both, &[]).unwrap_err().to_string();
     assert!(
         message.starts_with("fleet.peers") && message.contains("duplicate field `replicas`"),
         "{message}"
