--- a/fault-harness/src/node.rs
+++ b/fault-harness/src/node.rs
@@ -24,7 +24,7 @@
 use crate::process::Program;
 use crate::program_log::LogLine;
 use crate::relay::{Direction, Line};
-use crate::settings::{self, Peers};
+use crate::settings::{self, ServiceAddresses};
 use crate::stand_in::dependency::Tier;
 use crate::stand_in::interpreter::Interpreter;
 use crate::wire::{self, NodeMessage};
@@ -62,7 +62,7 @@
     /// The file that makes it one of the virtual router.
     pub router: RefCell<Option<String>>,
     /// The addresses at which it meets its peers, if nodes replicate.
-    pub place: RefCell<Option<settings::Place>>,
+    pub place: RefCell<Option<settings::PeerAddresses>>,
     /// The membership configuration that it is given next: its version, and the nodes in it.
     pub list: RefCell<(u64, Vec<usize>)>,
     /// The one before that.
@@ -80,7 +80,7 @@
     folder: PathBuf,
     state_folders: StateFolders,
     log_enabled: bool,
-    listeners: Cell<Option<Peers>>,
+    listeners: Cell<Option<ServiceAddresses>>,
     program: RefCell<Option<Program>>,
     ending: Cell<Option<Ending>>,
     planned_restart: RefCell<Option<PlannedRestart>>,
@@ -181,8 +181,11 @@
         let any = (Ipv4Addr::LOCALHOST, 0);
         let (vm, index) = (TcpListener::bind(any).await?, TcpListener::bind(any).await?);
         let reports = UdpSocket::bind(any).await?;
-        let peers =
-            Peers { vm: vm.local_addr()?, index: index.local_addr()?, members: reports.local_addr()? };
+        let peers = ServiceAddresses {
+            interpreter: vm.local_addr()?,
+            dependency: index.local_addr()?,
+            registry: reports.local_addr()?,
+        };
         self.listeners.set(Some(peers));
         Ok((vm, index, reports))
     }
@@ -210,7 +213,7 @@
         command.arg("serve").arg("--config").arg(&config).args(build.arguments);
         if self.context.scenario.fleet.folder {
             let file = self.folder.join("remembered.toml");
-            std::fs::write(&file, settings::remembered(&self.state_folders.results()))?;
+            std::fs::write(&file, settings::result_store(&self.state_folders.results()))?;
             command.arg("--remembered").arg(&file);
         }
         if let Some(router) = &*self.router.borrow() {
--- a/fault-harness/src/play/links.rs
+++ b/fault-harness/src/play/links.rs
@@ -94,8 +94,8 @@
             lines.insert((from, to), line);
         }
         for (node, machine) in self.machines.iter().enumerate() {
-            let (listen, reaches) = (listen_addresses[node], dial_addresses[node].clone());
-            *machine.place.borrow_mut() = Some(settings::Place { listen, reaches });
+            let (listen, dial) = (listen_addresses[node], dial_addresses[node].clone());
+            *machine.place.borrow_mut() = Some(settings::PeerAddresses { listen, dial });
             *machine.list.borrow_mut() = self.initial_membership(node);
             *machine.links.borrow_mut() = others(count, node)
                 .map(|other| (other, lines[&(node, other)].clone(), lines[&(other, node)].clone()))
