--- a/fault-harness/src/history.rs
+++ b/fault-harness/src/history.rs
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 
-pub use event::{ConnectionLoss, Event, Observation, ProcessExit, Response};
+pub use event::{ConnectionLoss, Event, Observation, ProcessExit, Response, DEGRADED_SUFFIX};
 pub use file::HistoryError;
 
 use crate::model::Ms;
--- a/fault-harness/src/history/event.rs
+++ b/fault-harness/src/history/event.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::model::frontend::RequestOutcome;
+use crate::model::frontend::{AttemptOutcome, RequestOutcome};
 use crate::model::Ms;
 
 /// The answer to an attempt.
@@ -25,6 +25,24 @@
     Failed,
 }
 
+/// The end of a result that was made without the call of the dependency.
+pub const DEGRADED_SUFFIX: &str = " poorer";
+
+impl Response {
+    /// The outcome of the attempt that got this answer.
+    pub fn outcome(&self) -> AttemptOutcome {
+        match self {
+            Response::Served(result) => {
+                AttemptOutcome::Served { degraded: result.ends_with(DEGRADED_SUFFIX) }
+            }
+            Response::Rejected { retry_after, give_up } => {
+                AttemptOutcome::Rejected { retry_after: *retry_after, give_up: *give_up }
+            }
+            Response::Failed => AttemptOutcome::Failed,
+        }
+    }
+}
+
 /// On which connection an attempt was when that ended without its answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
--- a/fault-harness/src/predict.rs
+++ b/fault-harness/src/predict.rs
@@ -17,7 +17,7 @@
 use crate::model::frontend::Frontend;
 use crate::model::interpreter::{InterpreterModel, InterpreterSpec};
 use crate::model::registry::Registry;
-use crate::model::Ms;
+use crate::model::{ms_of_seconds, Ms};
 use crate::play_context::terms;
 use crate::scenario::Scenario;
 use crate::schedule::{generator, schedule, InjectionTime, RandomStream, Schedule};
@@ -25,13 +25,20 @@
 use event_queue::{EventQueue, ScheduledEvent};
 use server::{Attempt, Node};
 
-/// Between two reports of a node.
-const REPORT_INTERVAL: Ms = 300.0;
-/// When nodes report first: before the load, so that every frontend has them on its list.
-const FIRST_REPORT: Ms = -1e5;
+/// Between two heartbeats of a node.
+const HEARTBEAT_INTERVAL: Ms = 300.0;
+/// When nodes send their first heartbeat: before the load, so that every frontend has them on its list.
+const FIRST_HEARTBEAT: Ms = -1e5;
 /// After the load, the prediction goes on until the longest deadline is over, and this.
 const PAUSE_AFTER_DEADLINES: Ms = 1000.0;
 
+/// When something happens next in the interpreter of a node.
+#[derive(Clone, Copy)]
+struct NextInterpreterEvent {
+    at: Ms,
+    node: usize,
+}
+
 /// A prediction in progress.
 struct Prediction<'a> {
     scenario: &'a Scenario,
@@ -47,7 +54,7 @@
     next_attempt: u64,
     dependency: Option<Dependency>,
     rng: ChaCha8Rng,
-    members: Registry,
+    registry: Registry,
     observations: Vec<Observation>,
 }
 
@@ -55,7 +62,7 @@
 pub fn predict(scenario: &Scenario, seed: Option<u64>) -> History {
     let seed = seed.unwrap_or(scenario.seed);
     let mut prediction = Prediction::new(scenario, seed);
-    prediction.report();
+    prediction.send_heartbeats();
     prediction.now = 0.0;
     prediction.run();
     History { parameters: terms(scenario, seed), observations: prediction.observations }
@@ -65,15 +72,15 @@
     fn new(scenario: &'a Scenario, seed: u64) -> Self {
         let schedule = schedule(scenario, seed);
         let nodes = schedule.speeds.iter().map(|speed| {
-            let make = InterpreterSpec::of(&scenario.fleet, *speed);
-            Node::new(InterpreterModel::new(make, 0.0, scenario.fleet.cold))
+            let spec = InterpreterSpec::of(&scenario.fleet, *speed);
+            Node::new(InterpreterModel::new(spec, 0.0, scenario.fleet.cold))
         });
-        let frontends = schedule.frontends.iter().enumerate().map(|(position, front)| {
+        let frontends = schedule.frontends.iter().enumerate().map(|(position, profile)| {
             let rng = generator(seed, RandomStream::Frontends, position as u64);
             Frontend::new(
                 &scenario.frontends,
-                front.load_balancing,
-                front.honours_retry_after,
+                profile.load_balancing,
+                profile.honours_retry_after,
                 scenario.fleet.nodes,
                 rng,
             )
@@ -82,32 +89,38 @@
             nodes: nodes.collect(),
             frontends: frontends.collect(),
             scenario,
-            now: FIRST_REPORT,
+            now: FIRST_HEARTBEAT,
             queue: EventQueue::default(),
             open_requests: HashMap::new(),
             first_nodes: HashMap::new(),
             attempts: BTreeMap::new(),
             next_attempt: 1,
-            dependency: scenario.dependency.as_ref().map(|below| Dependency::new(below.slots, below.queue)),
+            dependency: scenario
+                .dependency
+                .as_ref()
+                .map(|settings| Dependency::new(settings.slots, settings.queue)),
             rng: generator(seed, RandomStream::Calls, 0),
-            members: Registry::new(scenario.fleet.nodes, scenario.registry.heartbeat_timeout_s * 1000.0),
+            registry: Registry::new(
+                scenario.fleet.nodes,
+                ms_of_seconds(scenario.registry.heartbeat_timeout_s),
+            ),
             observations: Vec::new(),
             schedule,
         }
     }
 
-    fn note(&mut self, what: Event) {
-        self.observations.push(Observation { at: self.now, event: what });
+    fn note(&mut self, event: Event) {
+        self.observations.push(Observation { at: self.now, event });
     }
 
     fn run(&mut self) {
         self.schedule_all();
         let longest = self.scenario.classes.iter().map(|class| class.deadline_ms).max().unwrap_or(0) as f64;
-        let end = self.scenario.seconds * 1000.0 + longest + PAUSE_AFTER_DEADLINES;
+        let end = ms_of_seconds(self.scenario.seconds) + longest + PAUSE_AFTER_DEADLINES;
         while self.advance(end) {}
     }
 
-    /// Schedules all requests, all faults that have a time, and the first report.
+    /// Schedules all requests, all faults that have a time, and the first heartbeat.
     fn schedule_all(&mut self) {
         for (position, request) in self.schedule.requests.iter().enumerate() {
             self.queue.schedule(request.at, ScheduledEvent::ClientRequest(position));
@@ -117,55 +130,61 @@
                 self.queue.schedule(at + injection.delay, ScheduledEvent::FaultStart(position));
             }
         }
-        self.queue.schedule(0.0, ScheduledEvent::Report);
+        self.queue.schedule(0.0, ScheduledEvent::Heartbeat);
     }
 
     /// Lets time pass until the next thing happens at a node, in the dependency or in the queue, and takes it in. Returns
     /// whether the end was not reached.
     fn advance(&mut self, end: Ms) -> bool {
-        let nodes = self.nodes.iter().enumerate();
-        let nodes = nodes.filter_map(|(position, node)| Some((node.vm.next()?, position)));
-        let node = nodes.min_by(|a, b| a.0.total_cmp(&b.0));
+        let interpreter = self.next_interpreter_event();
         let call = self.dependency.as_ref().and_then(Dependency::next);
-        let candidates = [node.map(|(at, _)| at), call, self.queue.next_at()];
+        let candidates = [interpreter.map(|next| next.at), call, self.queue.next_at()];
         let next = candidates.into_iter().flatten().fold(f64::INFINITY, f64::min);
         if next > end {
             return false;
         }
         self.now = next.max(self.now);
-        if let Some((_, position)) = node.filter(|(at, _)| *at <= next) {
-            let happened = self.nodes[position].vm.advance(self.now);
-            self.take_in(position, happened);
+        if let Some(due) = interpreter.filter(|due| due.at <= next) {
+            let events = self.nodes[due.node].vm.advance(self.now);
+            self.take_in(due.node, events);
         } else if call.is_some_and(|at| at <= next) {
             let dependency = self.dependency.as_mut();
             let ended = dependency.map(|dependency| dependency.advance(self.now)).unwrap_or_default();
-            ended.into_iter().for_each(|end| self.call_over(end));
+            ended.into_iter().for_each(|end| self.end_call(end));
         } else if let Some(event) = self.queue.pop() {
             self.handle(event);
         }
         true
     }
 
+    /// When something happens next in an interpreter, and at which node; the first of several at the same time.
+    fn next_interpreter_event(&self) -> Option<NextInterpreterEvent> {
+        let nodes = self.nodes.iter().enumerate();
+        let next =
+            nodes.filter_map(|(node, state)| Some(NextInterpreterEvent { at: state.vm.next()?, node }));
+        next.min_by(|one, other| one.at.total_cmp(&other.at))
+    }
+
     fn handle(&mut self, event: ScheduledEvent) {
         match event {
             ScheduledEvent::ClientRequest(request) => self.send(request),
-            ScheduledEvent::Resume(request) => self.resume(request),
+            ScheduledEvent::WaitOver(request) => self.proceed_after_wait(request),
             ScheduledEvent::AttemptTimeout(attempt) => self.time_out(attempt),
             ScheduledEvent::FaultStart(position) => self.begin_fault(position),
             ScheduledEvent::FaultEnd(position) => self.set_fault(position, false),
             ScheduledEvent::NodeRestart(node) => self.restart(node),
-            ScheduledEvent::Report => {
-                self.report();
-                self.queue.schedule(self.now + REPORT_INTERVAL, ScheduledEvent::Report);
+            ScheduledEvent::Heartbeat => {
+                self.send_heartbeats();
+                self.queue.schedule(self.now + HEARTBEAT_INTERVAL, ScheduledEvent::Heartbeat);
             }
         }
     }
 
-    /// All nodes that are up report to the membership service.
-    fn report(&mut self) {
+    /// All nodes that are up send a heartbeat to the registry.
+    fn send_heartbeats(&mut self) {
         for (position, node) in self.nodes.iter().enumerate() {
             if node.is_up && !node.is_paused {
-                self.members.on_heartbeat(self.now, position, true);
+                self.registry.on_heartbeat(self.now, position, true);
             }
         }
     }
--- a/fault-harness/src/predict/clients.rs
+++ b/fault-harness/src/predict/clients.rs
@@ -8,7 +8,7 @@
 
 /// A request that is not over yet.
 pub(super) struct OpenRequest {
-    journey: ClientCall,
+    call: ClientCall,
     attempts: u32,
 }
 
@@ -18,22 +18,22 @@
         let sent = self.schedule.requests[request].clone();
         self.note(Event::RequestSent { request, class: sent.class, repeats: sent.repeats });
         let first_node = sent.repeats.and_then(|first| self.first_nodes.get(&first).copied());
-        let pin = Affinity::of(sent.repeats.is_some(), first_node, self.scenario.load.repeat_at);
+        let affinity = Affinity::of(sent.repeats.is_some(), first_node, self.scenario.load.repeat_at);
         let deadline = self.now + self.scenario.classes[sent.class].deadline_ms as f64;
-        let journey = ClientCall::new(deadline, pin, &self.frontends[sent.frontend]);
-        self.open_requests.insert(request, OpenRequest { journey, attempts: 0 });
+        let call = ClientCall::new(deadline, affinity, &self.frontends[sent.frontend]);
+        self.open_requests.insert(request, OpenRequest { call, attempts: 0 });
         self.step(request, ClientCall::proceed);
     }
 
     /// Goes on with a request after a wait.
-    pub(super) fn resume(&mut self, request: usize) {
+    pub(super) fn proceed_after_wait(&mut self, request: usize) {
         self.step(request, ClientCall::proceed);
     }
 
-    /// An attempt of a request is over.
-    pub(super) fn attempt_over(&mut self, request: usize, node: usize, answer: AttemptOutcome) {
-        self.step(request, |journey, now, front, listed| {
-            journey.on_outcome(now, node, answer, front, listed)
+    /// An attempt of a request has ended.
+    pub(super) fn end_attempt(&mut self, request: usize, node: usize, outcome: AttemptOutcome) {
+        self.step(request, |call, now, frontend, listed| {
+            call.on_outcome(now, node, outcome, frontend, listed)
         });
     }
 
@@ -44,19 +44,19 @@
     ) {
         let frontend = self.schedule.requests[request].frontend;
         let seen_at = self.now - self.schedule.frontends[frontend].registry_delay;
-        let listed = self.members.listed_at(self.now, seen_at);
+        let listed = self.registry.listed_at(self.now, seen_at);
         let Some(open) = self.open_requests.get_mut(&request) else { return };
-        match next(&mut open.journey, self.now, &mut self.frontends[frontend], &listed) {
+        match next(&mut open.call, self.now, &mut self.frontends[frontend], &listed) {
             NextStep::Attempt(node) => {
                 open.attempts += 1;
                 self.first_nodes.entry(request).or_insert(node);
                 self.arrive(request, node);
             }
-            NextStep::WaitUntil(until) => self.queue.schedule(until, ScheduledEvent::Resume(request)),
-            NextStep::Finished(end) => {
-                let tries = open.attempts;
+            NextStep::WaitUntil(until) => self.queue.schedule(until, ScheduledEvent::WaitOver(request)),
+            NextStep::Finished(outcome) => {
+                let attempts = open.attempts;
                 self.open_requests.remove(&request);
-                self.note(Event::RequestEnded { request, outcome: end, attempts: tries });
+                self.note(Event::RequestEnded { request, outcome, attempts });
             }
         }
     }
--- a/fault-harness/src/predict/event_queue.rs
+++ b/fault-harness/src/predict/event_queue.rs
@@ -11,7 +11,7 @@
     /// A client sends a request.
     ClientRequest(usize),
     /// A frontend goes on with a request after a wait.
-    Resume(usize),
+    WaitOver(usize),
     /// The caller of an attempt stops waiting.
     AttemptTimeout(u64),
     /// A fault begins.
@@ -20,8 +20,8 @@
     FaultEnd(usize),
     /// A node is up again.
     NodeRestart(usize),
-    /// All nodes report to the membership service.
-    Report,
+    /// All nodes send a heartbeat to the registry.
+    Heartbeat,
 }
 
 /// An event with its time.
--- a/fault-harness/src/predict/faults.rs
+++ b/fault-harness/src/predict/faults.rs
@@ -5,7 +5,7 @@
 use crate::history::{Event, ProcessExit};
 use crate::model::frontend::AttemptOutcome;
 use crate::model::interpreter::{InterpreterModel, InterpreterSpec};
-use crate::model::Ms;
+use crate::model::{ms_of_seconds, Ms};
 use crate::scenario::{Fault, FaultKind};
 
 impl Prediction<'_> {
@@ -13,7 +13,7 @@
     pub(super) fn begin_fault(&mut self, position: usize) {
         let injection = &self.schedule.injections[position];
         let Fault { what, duration_s, down_s, .. } = injection.fault;
-        let lasts = duration_s.or(down_s).unwrap_or(0.0) * 1000.0;
+        let lasts = ms_of_seconds(duration_s.or(down_s).unwrap_or(0.0));
         let text = format!("{} {}", what.name(), injection.targets.len());
         let until = self.now + lasts;
         self.note(Event::FaultInjected { text, until });
@@ -23,7 +23,7 @@
         self.set_fault(position, true);
     }
 
-    /// Sets a fault on or off for all that it injections.
+    /// Sets a fault on or off for all its targets.
     pub(super) fn set_fault(&mut self, position: usize, on: bool) {
         let injection = self.schedule.injections[position].clone();
         let factor = if on { injection.fault.factor } else { 1.0 };
@@ -33,9 +33,10 @@
                     dependency.set_capacity_factor(factor);
                 }
             }
-            FaultKind::Registry => self.members.set_unreachable(self.now, on),
+            FaultKind::Registry => self.registry.set_unreachable(self.now, on),
             FaultKind::Frontends => {
-                injection.targets.iter().for_each(|front| self.frontends[*front].restart())
+                let targets = injection.targets.iter();
+                targets.for_each(|frontend| self.frontends[*frontend].restart());
             }
             _ => injection.targets.iter().for_each(|node| self.set_node_fault(*node, &injection.fault, on)),
         }
@@ -44,18 +45,18 @@
     fn set_node_fault(&mut self, node: usize, fault: &Fault, on: bool) {
         match fault.what {
             FaultKind::Kill | FaultKind::Shutdown if on => {
-                self.take_down(node, fault.down_s.map(|seconds| seconds * 1000.0));
+                self.take_down(node, fault.down_s.map(ms_of_seconds));
             }
             FaultKind::Pause => {
                 self.nodes[node].is_paused = on;
                 self.note(Event::Paused { node, paused: on });
-                let happened = self.nodes[node].vm.set_paused(self.now, on);
-                self.take_in(node, happened);
+                let events = self.nodes[node].vm.set_paused(self.now, on);
+                self.take_in(node, events);
             }
             FaultKind::Slow => {
-                let happened = self.nodes[node].vm.advance(self.now);
+                let events = self.nodes[node].vm.advance(self.now);
                 self.nodes[node].vm.speed_factor = if on { fault.factor } else { 1.0 };
-                self.take_in(node, happened);
+                self.take_in(node, events);
             }
             _ => {}
         }
@@ -71,7 +72,8 @@
         let now = self.now;
         let vm = self.cold_interpreter(node);
         let place = &mut self.nodes[node];
-        (place.is_up, place.vm) = (false, vm);
+        place.is_up = false;
+        place.vm = vm;
         place.queue.clear();
         place.keys.clear();
         self.fail_open_attempts(node);
@@ -82,12 +84,12 @@
 
     fn fail_open_attempts(&mut self, node: usize) {
         let at_node = self.attempts.iter().filter(|(_, attempt)| attempt.is_open && attempt.node == node);
-        let lost: Vec<u64> = at_node.map(|(id, _)| *id).collect();
-        for id in lost {
+        let open: Vec<u64> = at_node.map(|(id, _)| *id).collect();
+        for id in open {
             if let Some(attempt) = self.attempts.get_mut(&id) {
                 attempt.is_open = false;
                 let request = attempt.request;
-                self.attempt_over(request, node, AttemptOutcome::ConnectionLost);
+                self.end_attempt(request, node, AttemptOutcome::ConnectionLost);
             }
         }
     }
@@ -97,11 +99,11 @@
         self.nodes[node].vm = self.cold_interpreter(node);
         self.nodes[node].is_up = true;
         self.note(Event::NodeUp { node, cold: true });
-        self.report();
+        self.send_heartbeats();
     }
 
     fn cold_interpreter(&self, node: usize) -> InterpreterModel {
-        let make = InterpreterSpec::of(&self.scenario.fleet, self.schedule.speeds[node]);
-        InterpreterModel::new(make, self.now, true)
+        let spec = InterpreterSpec::of(&self.scenario.fleet, self.schedule.speeds[node]);
+        InterpreterModel::new(spec, self.now, true)
     }
 }
--- a/fault-harness/src/predict/server.rs
+++ b/fault-harness/src/predict/server.rs
@@ -9,7 +9,7 @@
 use crate::model::frontend::AttemptOutcome;
 use crate::model::interpreter::{InterpreterEvent, InterpreterModel, RunRequest};
 use crate::model::Ms;
-use crate::schedule::call_time;
+use crate::schedule::{call_time, ClientRequest};
 
 /// Runs at a time, for each core.
 const RUNS_PER_CORE: f64 = 1.25;
@@ -60,7 +60,7 @@
     /// An attempt comes to a node.
     pub(super) fn arrive(&mut self, request: usize, node: usize) {
         if !self.nodes[node].is_up {
-            return self.attempt_over(request, node, AttemptOutcome::ConnectionLost);
+            return self.end_attempt(request, node, AttemptOutcome::ConnectionLost);
         }
         let id = self.next_attempt;
         self.next_attempt += 1;
@@ -69,121 +69,112 @@
         let attempt = Attempt { request, node, deadline, is_open: true, is_read: false };
         self.attempts.insert(id, attempt);
         self.queue.schedule(deadline, ScheduledEvent::AttemptTimeout(id));
-        let happened = self.nodes[node].vm.start_reading(self.now, id, self.scenario.fleet.read_ms);
-        self.take_in(node, happened);
+        let events = self.nodes[node].vm.start_reading(self.now, id, self.scenario.fleet.read_ms);
+        self.take_in(node, events);
+    }
+
+    /// An attempt whose caller still waits.
+    fn open_attempt(&mut self, id: u64) -> Option<&mut Attempt> {
+        self.attempts.get_mut(&id).filter(|attempt| attempt.is_open)
     }
 
     /// The caller of an attempt stops waiting.
     pub(super) fn time_out(&mut self, id: u64) {
-        let Some(attempt) = self.attempts.get_mut(&id).filter(|attempt| attempt.is_open) else { return };
+        let Some(attempt) = self.open_attempt(id) else { return };
         if attempt.is_read {
-            return self.answer(id, Response::Failed, AttemptOutcome::Failed);
+            return self.answer(id, Response::Failed);
         }
         attempt.is_open = false;
-        let (request, node) = (attempt.request, attempt.node);
-        let happened = self.nodes[node].vm.cancel_reading(self.now, id);
-        self.attempt_over(request, node, AttemptOutcome::TimedOut);
-        self.take_in(node, happened);
+        let Attempt { request, node, .. } = *attempt;
+        let events = self.nodes[node].vm.cancel_reading(self.now, id);
+        self.end_attempt(request, node, AttemptOutcome::TimedOut);
+        self.take_in(node, events);
     }
 
     /// An attempt was read: it is answered, joins a run of its key, is queued or rejected.
-    fn read(&mut self, id: u64) {
-        let Some(attempt) = self.attempts.get_mut(&id).filter(|attempt| attempt.is_open) else { return };
+    fn on_read(&mut self, id: u64) {
+        let Some(attempt) = self.open_attempt(id) else { return };
         attempt.is_read = true;
-        let (request, node, deadline) = (attempt.request, attempt.node, attempt.deadline);
-        let sent = &self.schedule.requests[request];
-        let (key, memory_kb, frontend) = (sent.repeats.unwrap_or(request), sent.memory_kb, sent.frontend);
-        let is_keyed = self.scenario.classes[sent.class].idempotency_key;
+        let Attempt { request, node, deadline, .. } = *attempt;
+        let ClientRequest { class, frontend, memory_kb, repeats, .. } = self.schedule.requests[request];
         self.note(Event::AttemptWritten { attempt: id, request, node, frontend, deadline });
         self.nodes[node].vm.admit_request(self.now, id, memory_kb);
-        let known = if is_keyed { self.nodes[node].keys.get_mut(&key) } else { None };
-        match known {
+        let has_key = self.scenario.classes[class].idempotency_key;
+        let key = has_key.then_some(repeats.unwrap_or(request));
+        match key.and_then(|key| self.nodes[node].keys.get_mut(&key)) {
             Some(KeyState::Done(result)) => {
-                let result = result.clone();
-                let poorer = result.ends_with(" poorer");
-                self.answer(id, Response::Served(result), AttemptOutcome::Served { degraded: poorer });
+                let response = Response::Served(result.clone());
+                self.answer(id, response);
             }
-            Some(KeyState::Running(waiting)) => waiting.push(id),
-            None => self.enqueue(id, node, is_keyed.then_some(key)),
+            Some(KeyState::Running(joined)) => joined.push(id),
+            None => self.enqueue(id, node, key),
         }
-        self.start(node);
+        self.start_queued(node);
     }
 
     /// Queues an attempt, or rejects it where the queue is full.
     fn enqueue(&mut self, id: u64, node: usize, key: Option<usize>) {
         let capacity = QUEUE_PER_CORE * self.scenario.fleet.cores as usize;
-        let place = &mut self.nodes[node];
-        if place.queue.len() >= capacity {
+        let state = &mut self.nodes[node];
+        if state.queue.len() >= capacity {
             let rejected = Response::Rejected { retry_after: Some(RETRY_AFTER), give_up: false };
-            let answer = AttemptOutcome::Rejected { retry_after: Some(RETRY_AFTER), give_up: false };
-            return self.answer(id, rejected, answer);
+            return self.answer(id, rejected);
         }
         if let Some(key) = key {
-            place.keys.insert(key, KeyState::Running(Vec::new()));
+            state.keys.insert(key, KeyState::Running(Vec::new()));
         }
-        place.queue.push_back(id);
+        state.queue.push_back(id);
     }
 
     /// Starts queued attempts as long as there is capacity on the cores.
-    fn start(&mut self, node: usize) {
+    fn start_queued(&mut self, node: usize) {
         while self.has_capacity(node) {
             let Some(id) = self.nodes[node].queue.pop_front() else { return };
-            let Some(attempt) = self.attempts.get(&id).filter(|attempt| attempt.is_open) else { continue };
-            let sent = &self.schedule.requests[attempt.request];
-            let work = RunRequest {
-                attempt: id,
-                work: sent.work,
-                calls_dependency: self.scenario.classes[sent.class].calls_dependency,
-            };
+            let Some(request) = self.open_attempt(id).map(|attempt| attempt.request) else { continue };
+            let sent = &self.schedule.requests[request];
+            let calls_dependency = self.scenario.classes[sent.class].calls_dependency;
+            let run = RunRequest { attempt: id, work: sent.work, calls_dependency };
             self.note(Event::RunStarted { attempt: id, node });
-            let happened = self.nodes[node].vm.start_run(self.now, work);
-            self.take_in(node, happened);
+            let events = self.nodes[node].vm.start_run(self.now, run);
+            self.take_in(node, events);
         }
     }
 
     fn has_capacity(&self, node: usize) -> bool {
-        let most = (f64::from(self.scenario.fleet.cores) * RUNS_PER_CORE).ceil();
-        let node = &self.nodes[node];
-        node.is_up && !node.is_paused && node.vm.gauges(self.now).runnable < most
+        let max_runs = (f64::from(self.scenario.fleet.cores) * RUNS_PER_CORE).ceil();
+        let state = &self.nodes[node];
+        state.is_up && !state.is_paused && state.vm.gauges(self.now).runnable < max_runs
     }
 
     /// Takes in what happened at the interpreter of a node.
-    pub(super) fn take_in(&mut self, node: usize, happened: Vec<InterpreterEvent>) {
-        for what in happened {
-            match what {
-                InterpreterEvent::RequestRead(id) => self.read(id),
-                InterpreterEvent::Completed(id) => self.run_over(node, id, Some(format!("job {id:016x}"))),
-                InterpreterEvent::Aborted(id) => self.run_over(node, id, None),
-                InterpreterEvent::CallStarted(id) => self.call(node, id),
-                InterpreterEvent::Died(why) => {
-                    self.note(Event::InterpreterDied { node, cause: why.into() });
+    pub(super) fn take_in(&mut self, node: usize, events: Vec<InterpreterEvent>) {
+        for event in events {
+            match event {
+                InterpreterEvent::RequestRead(id) => self.on_read(id),
+                InterpreterEvent::Completed(id) => self.end_run(node, id, Some(format!("job {id:016x}"))),
+                InterpreterEvent::Aborted(id) => self.end_run(node, id, None),
+                InterpreterEvent::CallStarted(id) => self.call_dependency(node, id),
+                InterpreterEvent::Died(cause) => {
+                    self.note(Event::InterpreterDied { node, cause: cause.into() });
                     self.take_down(node, Some(RESTART_DELAY));
                 }
             }
         }
         if self.nodes[node].is_up {
-            self.start(node);
+            self.start_queued(node);
         }
     }
 
     /// A run is over: its attempt is answered, and all that joined it.
-    fn run_over(&mut self, node: usize, id: u64, result: Option<String>) {
+    fn end_run(&mut self, node: usize, id: u64, result: Option<String>) {
         self.note(Event::RunEnded { attempt: id, node, result: result.clone() });
         let Some(attempt) = self.attempts.get(&id) else { return };
         let request = attempt.request;
         let key = self.schedule.requests[request].repeats.unwrap_or(request);
         let joined = self.finish_key(node, key, result.as_ref());
+        let response = result.map_or(Response::Failed, Response::Served);
         for id in joined.into_iter().chain([id]) {
-            match &result {
-                Some(result) => {
-                    self.answer(
-                        id,
-                        Response::Served(result.clone()),
-                        AttemptOutcome::Served { degraded: false },
-                    );
-                }
-                None => self.answer(id, Response::Failed, AttemptOutcome::Failed),
-            }
+            self.answer(id, response.clone());
         }
     }
 
@@ -206,42 +197,40 @@
     }
 
     /// A run calls the dependency.
-    fn call(&mut self, node: usize, id: u64) {
+    fn call_dependency(&mut self, node: usize, id: u64) {
         let Some(deadline) = self.attempts.get(&id).map(|attempt| attempt.deadline) else { return };
-        let Some(shape) = &self.scenario.dependency else { return };
-        let time = call_time(&mut self.rng, shape.work_ms, shape.cv);
-        let now = self.now;
-        if self.dependency.as_mut().is_some_and(|dependency| dependency.call(now, id, time, deadline)) {
+        let Some(settings) = &self.scenario.dependency else { return };
+        let Some(dependency) = &mut self.dependency else { return };
+        let time = call_time(&mut self.rng, settings.work_ms, settings.cv);
+        if dependency.call(self.now, id, time, deadline) {
             self.note(Event::DependencyCalled { attempt: id, node });
         } else {
-            self.call_over(CallEnd::TimedOut(id));
+            self.end_call(CallEnd::TimedOut(id));
         }
     }
 
     /// A call is over; where it failed, the run goes on without it or the request fails.
-    pub(super) fn call_over(&mut self, end: CallEnd) {
-        let (id, is_done) = match end {
-            CallEnd::Completed(id) => (id, true),
-            CallEnd::TimedOut(id) => (id, false),
-        };
+    pub(super) fn end_call(&mut self, end: CallEnd) {
+        let (CallEnd::Completed(id) | CallEnd::TimedOut(id)) = end;
         let Some(attempt) = self.attempts.get(&id) else { return };
         let node = attempt.node;
         let class = &self.scenario.classes[self.schedule.requests[attempt.request].class];
-        if !is_done && class.skip_weight <= 0.0 {
-            self.answer(id, Response::Failed, AttemptOutcome::Failed);
+        if matches!(end, CallEnd::TimedOut(_)) && class.skip_weight <= 0.0 {
+            self.answer(id, Response::Failed);
         }
-        let happened = self.nodes[node].vm.resume_run(self.now, id);
-        self.take_in(node, happened);
+        let events = self.nodes[node].vm.resume_run(self.now, id);
+        self.take_in(node, events);
     }
 
     /// Answers an attempt whose caller still waits.
-    fn answer(&mut self, id: u64, kind: Response, answer: AttemptOutcome) {
-        let Some(attempt) = self.attempts.get_mut(&id).filter(|attempt| attempt.is_open) else { return };
+    fn answer(&mut self, id: u64, response: Response) {
+        let Some(attempt) = self.open_attempt(id) else { return };
         attempt.is_open = false;
-        let (request, node) = (attempt.request, attempt.node);
-        self.note(Event::AttemptAnswered { attempt: id, response: kind });
-        let happened = self.nodes[node].vm.release_request(self.now, id);
-        self.attempt_over(request, node, answer);
-        self.take_in(node, happened);
+        let Attempt { request, node, .. } = *attempt;
+        let outcome = response.outcome();
+        self.note(Event::AttemptAnswered { attempt: id, response });
+        let events = self.nodes[node].vm.release_request(self.now, id);
+        self.end_attempt(request, node, outcome);
+        self.take_in(node, events);
     }
 }
