--- a/fault-harness/src/clock.rs
+++ b/fault-harness/src/clock.rs
@@ -4,29 +4,29 @@
 
 use tokio::time::Instant;
 
-use crate::model::Ms;
+use crate::model::{ms_of_seconds, seconds_of_ms, Ms};
 
 /// The clock of one play.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     start: Instant,
-    unix: Duration,
+    unix_start: Duration,
 }
 
 impl Clock {
     /// One that begins now.
     pub fn begin() -> Clock {
-        Clock { start: Instant::now(), unix: unix_now() }
+        Clock { start: Instant::now(), unix_start: unix_now() }
     }
 
     /// Now.
     pub fn now(&self) -> Ms {
-        self.start.elapsed().as_secs_f64() * 1000.0
+        ms_of_seconds(self.start.elapsed().as_secs_f64())
     }
 
     /// A moment on the Unix clock, in milliseconds.
     pub fn unix_ms(&self, at: Ms) -> u64 {
-        (self.unix.as_secs_f64() * 1000.0 + at).max(0.0) as u64
+        (ms_of_seconds(self.unix_start.as_secs_f64()) + at).max(0.0) as u64
     }
 
     /// Waits until then. What is due already is not held up for the timer's next millisecond.
@@ -35,7 +35,8 @@
             return;
         }
         if at.is_finite() {
-            tokio::time::sleep_until(self.start + Duration::from_secs_f64(at.max(0.0) / 1000.0)).await;
+            let since_start = Duration::from_secs_f64(seconds_of_ms(at.max(0.0)));
+            tokio::time::sleep_until(self.start + since_start).await;
         } else {
             std::future::pending::<()>().await;
         }
--- a/fault-harness/src/model/interpreter.rs
+++ b/fault-harness/src/model/interpreter.rs
@@ -2,14 +2,19 @@
 //! one is slow and warms up. A run can be paused and keeps its memory. The interpreter dies of too much concurrency or
 //! memory, as the platform's rules say.
 
+mod gauges;
 mod load_history;
+mod run;
 mod spec;
 
 use std::collections::{BTreeMap, VecDeque};
 
 use super::{Ms, MOMENT};
 use load_history::{Gauge, LoadHistory};
+use run::{Chore, OpenRequest, Run, RunState};
 
+pub use gauges::Gauges;
+pub use run::RunRequest;
 pub use spec::InterpreterSpec;
 
 /// The concurrency that kills is a mean over so long.
@@ -25,57 +30,6 @@
 /// A mean concurrency over this many times the cores, when warm, kills it.
 pub const FALL_MULTIPLE: f64 = 8.0;
 
-/// A request to run.
-#[derive(Debug, Clone, Copy)]
-pub struct RunRequest {
-    /// Its attempt.
-    pub attempt: u64,
-    /// Work on a core of speed 1.
-    pub work: Ms,
-    /// Whether it calls the dependency half way through.
-    pub calls_dependency: bool,
-}
-
-#[derive(Debug, Clone, Copy, PartialEq)]
-enum RunState {
-    /// On the cores.
-    Running,
-    /// Off them, with its progress.
-    Paused,
-    /// It waits for its call.
-    WaitingForCall,
-}
-
-#[derive(Debug, Clone)]
-struct Run {
-    remaining: Ms,
-    /// The work that remains when the call is made; none after it, or without one.
-    call_at: Option<Ms>,
-    state: RunState,
-}
-
-impl Run {
-    fn is_running(&self) -> bool {
-        self.state == RunState::Running
-    }
-}
-
-/// A request that was written to the node and is not over.
-#[derive(Debug, Clone, Copy)]
-struct OpenRequest {
-    memory_kb: f64,
-    /// From when on it counts against the memory.
-    counts_from: Ms,
-}
-
-/// Work beside the runs: reading a request, or a new connection.
-#[derive(Debug, Clone, Copy)]
-struct Chore {
-    remaining: Ms,
-    /// The attempt that is read.
-    reads: Option<u64>,
-}
-
 /// What has happened in an interpreter.
 #[derive(Debug, Clone, PartialEq)]
 pub enum InterpreterEvent {
@@ -91,24 +45,6 @@
     Died(&'static str),
 }
 
-/// What an interpreter reports of itself.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Gauges {
-    /// The fraction of the cores that was busy of late.
-    pub cpu_busy: f64,
-    /// How many runs and chores are on the cores.
-    pub runnable: f64,
-    /// The fraction of the memory in use.
-    pub memory_used: f64,
-}
-
-impl Gauges {
-    /// All of them, in the order of the interpreter's protocol.
-    pub fn as_array(&self) -> [f64; 3] {
-        [self.cpu_busy, self.runnable, self.memory_used]
-    }
-}
-
 /// The interpreter.
 #[derive(Debug, Clone)]
 pub struct InterpreterModel {
--- /dev/null
+++ b/fault-harness/src/model/interpreter/gauges.rs
@@ -0,0 +1,19 @@
+//! What an interpreter reports of itself.
+
+/// What an interpreter reports of itself.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct Gauges {
+    /// The fraction of the cores that was busy of late.
+    pub cpu_busy: f64,
+    /// How many runs and chores are on the cores.
+    pub runnable: f64,
+    /// The fraction of the memory in use.
+    pub memory_used: f64,
+}
+
+impl Gauges {
+    /// All of them, in the order of the interpreter's protocol.
+    pub fn as_array(&self) -> [f64; 3] {
+        [self.cpu_busy, self.runnable, self.memory_used]
+    }
+}
--- /dev/null
+++ b/fault-harness/src/model/interpreter/run.rs
@@ -0,0 +1,57 @@
+//! What an interpreter works on: runs of requests, and chores beside them.
+
+use crate::model::Ms;
+
+/// A request to run.
+#[derive(Debug, Clone, Copy)]
+pub struct RunRequest {
+    /// Its attempt.
+    pub attempt: u64,
+    /// Work on a core of speed 1.
+    pub work: Ms,
+    /// Whether it calls the dependency half way through.
+    pub calls_dependency: bool,
+}
+
+/// Where a run is.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub(super) enum RunState {
+    /// On the cores.
+    Running,
+    /// Off them, with its progress.
+    Paused,
+    /// It waits for its call.
+    WaitingForCall,
+}
+
+/// A run, from its start to its end.
+#[derive(Debug, Clone)]
+pub(super) struct Run {
+    pub(super) remaining: Ms,
+    /// The work that remains when the call is made; none after it, or without one.
+    pub(super) call_at: Option<Ms>,
+    pub(super) state: RunState,
+}
+
+impl Run {
+    /// Whether it is on the cores.
+    pub(super) fn is_running(&self) -> bool {
+        self.state == RunState::Running
+    }
+}
+
+/// A request that was written to the node and is not over.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct OpenRequest {
+    pub(super) memory_kb: f64,
+    /// From when on it counts against the memory.
+    pub(super) counts_from: Ms,
+}
+
+/// Work beside the runs: reading a request, or a new connection.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct Chore {
+    pub(super) remaining: Ms,
+    /// The attempt that is read.
+    pub(super) reads: Option<u64>,
+}
--- a/fault-harness/src/model/interpreter/spec.rs
+++ b/fault-harness/src/model/interpreter/spec.rs
@@ -1,6 +1,6 @@
 //! The size and speed of an interpreter, and how it warms up.
 
-use crate::model::Ms;
+use crate::model::{ms_of_seconds, Ms};
 use crate::scenario::Fleet;
 
 /// The size and speed of an interpreter.
@@ -31,7 +31,7 @@
             cores: f64::from(fleet.cores),
             speed,
             warm_from: fleet.warm_from,
-            warm_ms: fleet.warm_s * 1000.0,
+            warm_ms: ms_of_seconds(fleet.warm_s),
             thrash_at: fleet.thrash_at,
             thrash: fleet.thrash,
             memory_kb: fleet.memory_kb,
--- a/fault-harness/src/warm_up_bound.rs
+++ b/fault-harness/src/warm_up_bound.rs
@@ -1,89 +1,115 @@
-//! How fast a fleet could be back if warming up were all that kept it: what its cores can do, moment by moment, by the
-//! plan alone.
+//! How fast a fleet could recover if warming up were all that kept it: what its cores can do, moment by moment, by the
+//! schedule alone.
 
 use crate::model::interpreter::InterpreterSpec;
-use crate::model::Ms;
-use crate::scenario::{FaultKind, Scenario};
+use crate::model::{ms_of_seconds, seconds_of_ms, Ms, MS_PER_SECOND};
+use crate::scenario::{Fault, FaultKind, Scenario};
 use crate::schedule::{InjectionTime, Schedule};
 
-/// Capacity is looked at this often.
+/// Capacity is computed this often.
 const STEP: Ms = 50.0;
-/// Service is back where this part of what was asked for, or of what warm cores can do, can be done again.
-const BACK: f64 = 0.9;
+/// Service has recovered where this fraction of what is requested, or of what warm cores can do, can be served again.
+const RECOVERED_FRACTION: f64 = 0.9;
 
 /// A stretch in which a node does less.
-struct Dent {
+struct Slowdown {
     node: usize,
     from: Ms,
-    until: Ms,
+    effect: Effect,
+}
+
+/// What a fault does to a node's capacity.
+#[derive(Clone, Copy)]
+struct Effect {
+    /// How long it lasts.
+    duration: Ms,
+    /// The fraction of the capacity that is left meanwhile.
     factor: f64,
-    /// It is cold when that is over.
-    cold: bool,
+    /// Whether the node is cold when it is over.
+    is_cold_after: bool,
+}
+
+impl Slowdown {
+    fn until(&self) -> Ms {
+        self.from + self.effect.duration
+    }
 }
 
 /// Seconds from the first fault until the cores can do enough again and go on to; none without faults that take cores
 /// away, and none where they never can.
 pub fn warm_up_bound(scenario: &Scenario, schedule: &Schedule) -> Option<f64> {
-    let dents = dents(scenario, schedule);
-    let first = dents.iter().map(|dent| dent.from).fold(f64::INFINITY, f64::min);
+    let slowdowns = slowdowns(scenario, schedule);
+    let first = slowdowns.iter().map(|slowdown| slowdown.from).fold(f64::INFINITY, f64::min);
     if !first.is_finite() {
         return None;
     }
-    let makes: Vec<InterpreterSpec> =
+    let specs: Vec<InterpreterSpec> =
         schedule.speeds.iter().map(|speed| InterpreterSpec::of(&scenario.fleet, *speed)).collect();
-    let capacity =
-        |at: Ms| -> f64 { makes.iter().enumerate().map(|(node, make)| able(make, node, at, &dents)).sum() };
-    let whole: f64 = makes.iter().map(|make| make.cores * make.speed).sum();
-    let asked = scenario.rate() / 1000.0 * (scenario.mean_work() + scenario.fleet.read_ms);
-    let needed = BACK * asked.min(whole);
-    let end = scenario.seconds * 1000.0;
+    let capacity_at = |at: Ms| -> f64 {
+        let by_node = specs.iter().enumerate();
+        by_node.map(|(node, spec)| node_capacity(spec, node, at, &slowdowns)).sum()
+    };
+    let warm_capacity: f64 = specs.iter().map(|spec| spec.cores * spec.speed).sum();
+    let requested = scenario.rate() / MS_PER_SECOND * (scenario.mean_work() + scenario.fleet.read_ms);
+    let needed = RECOVERED_FRACTION * requested.min(warm_capacity);
+    let end = ms_of_seconds(scenario.seconds);
     let steps = ((end - first) / STEP).ceil().max(0.0) as usize;
-    let bad = (0..steps).rfind(|step| capacity(first + *step as f64 * STEP) < needed);
-    match bad {
+    let last_insufficient = (0..steps).rfind(|step| capacity_at(first + *step as f64 * STEP) < needed);
+    match last_insufficient {
         Some(step) if step + 1 >= steps => None,
-        Some(step) => Some((step + 1) as f64 * STEP / 1000.0),
+        Some(step) => Some(seconds_of_ms((step + 1) as f64 * STEP)),
         None => Some(0.0),
     }
 }
 
-fn dents(scenario: &Scenario, schedule: &Schedule) -> Vec<Dent> {
-    let mut dents = Vec::new();
+fn slowdowns(scenario: &Scenario, schedule: &Schedule) -> Vec<Slowdown> {
+    let mut slowdowns = Vec::new();
     for injection in &schedule.injections {
-        // What waits for an event has no time in the plan.
+        // What waits for an event has no time in the schedule.
         let InjectionTime::Time(at) = injection.at else { continue };
-        let (from, fault) = (at + injection.delay, &injection.fault);
-        let lasts = fault.duration_s.map_or(f64::INFINITY, |s| s * 1000.0);
-        let down = fault.down_s.map_or(f64::INFINITY, |s| s * 1000.0);
-        let (until, factor, cold) = match fault.what {
-            FaultKind::Kill | FaultKind::Shutdown => (from + down, 0.0, true),
-            FaultKind::Pause | FaultKind::Partition => (from + lasts, 0.0, false),
-            FaultKind::Slow => (from + lasts, fault.factor, false),
-            FaultKind::Link
-            | FaultKind::Dependency
-            | FaultKind::Registry
-            | FaultKind::Frontends
-            | FaultKind::Reload
-            | FaultKind::RemoveMembers
-            | FaultKind::AddMembers => continue,
-        };
-        dents.extend(injection.targets.iter().map(|node| Dent { node: *node, from, until, factor, cold }));
+        let Some(effect) = effect_of(&injection.fault) else { continue };
+        let from = at + injection.delay;
+        let targets = injection.targets.iter();
+        slowdowns.extend(targets.map(|node| Slowdown { node: *node, from, effect }));
     }
     if scenario.fleet.cold {
-        let cold = |node| Dent { node, from: 0.0, until: 0.0, factor: 1.0, cold: true };
-        dents.extend((0..scenario.fleet.nodes).map(cold));
+        let effect = Effect { duration: 0.0, factor: 1.0, is_cold_after: true };
+        slowdowns.extend((0..scenario.fleet.nodes).map(|node| Slowdown { node, from: 0.0, effect }));
+    }
+    slowdowns
+}
+
+/// What a fault does to the capacity of its targets, if anything.
+fn effect_of(fault: &Fault) -> Option<Effect> {
+    let lasts = fault.duration_s.map_or(f64::INFINITY, ms_of_seconds);
+    let is_down = fault.down_s.map_or(f64::INFINITY, ms_of_seconds);
+    match fault.what {
+        FaultKind::Kill | FaultKind::Shutdown => {
+            Some(Effect { duration: is_down, factor: 0.0, is_cold_after: true })
+        }
+        FaultKind::Pause | FaultKind::Partition => {
+            Some(Effect { duration: lasts, factor: 0.0, is_cold_after: false })
+        }
+        FaultKind::Slow => Some(Effect { duration: lasts, factor: fault.factor, is_cold_after: false }),
+        FaultKind::Link
+        | FaultKind::Dependency
+        | FaultKind::Registry
+        | FaultKind::Frontends
+        | FaultKind::Reload
+        | FaultKind::RemoveMembers
+        | FaultKind::AddMembers => None,
     }
-    dents
 }
 
-fn able(make: &InterpreterSpec, node: usize, at: Ms, dents: &[Dent]) -> f64 {
-    let mine = || dents.iter().filter(|dent| dent.node == node && dent.from <= at);
-    let factor = mine().filter(|dent| at < dent.until).map(|dent| dent.factor).fold(1.0, f64::min);
-    let since = mine()
-        .filter(|dent| dent.cold && dent.until <= at)
-        .map(|dent| dent.until)
-        .fold(f64::NEG_INFINITY, f64::max);
-    let warm_fraction = if since.is_finite() { make.warm_fraction(at - since) } else { 1.0 };
-    make.cores * make.speed * factor * warm_fraction
+/// What the cores of a node can do at a time.
+fn node_capacity(spec: &InterpreterSpec, node: usize, at: Ms, slowdowns: &[Slowdown]) -> f64 {
+    let begun = || slowdowns.iter().filter(|slowdown| slowdown.node == node && slowdown.from <= at);
+    let lasting = begun().filter(|slowdown| at < slowdown.until());
+    let factor = lasting.map(|slowdown| slowdown.effect.factor).fold(1.0, f64::min);
+    let restarted = begun().filter(|slowdown| slowdown.effect.is_cold_after && slowdown.until() <= at);
+    let cold_since = restarted.map(Slowdown::until).fold(f64::NEG_INFINITY, f64::max);
+    let warm_fraction = if cold_since.is_finite() { spec.warm_fraction(at - cold_since) } else { 1.0 };
+    spec.cores * spec.speed * factor * warm_fraction
 }
 
 #[cfg(test)]
