--- a/fault-harness/src/check/router.rs
+++ b/fault-harness/src/check/router.rs
@@ -63,7 +63,7 @@
             }
             Event::PeerLinksDisturbed { disturbed: true } => self.disturbances += 1,
             Event::PeerLinksDisturbed { disturbed: false } => {
-                self.disturbances = self.disturbances.saturating_sub(1)
+                self.disturbances = self.disturbances.saturating_sub(1);
             }
             _ => {}
         }
--- a/fault-harness/src/check/tests.rs
+++ b/fault-harness/src/check/tests.rs
@@ -2,7 +2,7 @@
 use crate::history::{ClassParameters, ConnectionLoss, Observation, ProcessExit, Response};
 use crate::scenario::RunScope;
 
-fn terms(run_once_per: RunScope) -> RuleParameters {
+fn parameters(run_once_per: RunScope) -> RuleParameters {
     let class = |name: &str, idempotency_window| ClassParameters {
         name: name.into(),
         latency_objective: 500.0,
@@ -27,34 +27,31 @@
     }
 }
 
-fn asked(n: usize, class: usize, repeats: Option<usize>) -> Event {
-    Event::RequestSent { request: n, class, repeats }
+fn request_sent(request: usize, class: usize, repeats: Option<usize>) -> Event {
+    Event::RequestSent { request, class, repeats }
 }
 
-fn wrote(txn: u64, n: usize, node: usize, due: Ms) -> Event {
-    Event::AttemptWritten { attempt: txn, request: n, node, frontend: 0, deadline: due }
+fn attempt_written(attempt: u64, request: usize, node: usize, deadline: Ms) -> Event {
+    Event::AttemptWritten { attempt, request, node, frontend: 0, deadline }
 }
 
-fn ended(txn: u64, node: usize, result: &str) -> Event {
-    Event::RunEnded { attempt: txn, node, result: Some(result.into()) }
+fn run_ended(attempt: u64, node: usize, result: &str) -> Event {
+    Event::RunEnded { attempt, node, result: Some(result.into()) }
 }
 
-fn served(txn: u64, result: &str) -> Event {
-    Event::AttemptAnswered { attempt: txn, response: Response::Served(result.into()) }
+fn served(attempt: u64, result: &str) -> Event {
+    Event::AttemptAnswered { attempt, response: Response::Served(result.into()) }
 }
 
-fn refused(txn: u64) -> Event {
-    Event::AttemptAnswered {
-        attempt: txn,
-        response: Response::Rejected { retry_after: None, give_up: false },
-    }
+fn rejected(attempt: u64) -> Event {
+    Event::AttemptAnswered { attempt, response: Response::Rejected { retry_after: None, give_up: false } }
 }
 
 fn broken_in(run_once_per: RunScope, events: Vec<(Ms, Event)>) -> Vec<Rule> {
     let mut seen: Vec<Observation> =
         events.into_iter().map(|(at, event)| Observation { at, event }).collect();
     seen.push(Observation { at: 20_000.0, event: Event::FaultInjected { text: String::new(), until: 0.0 } });
-    let verdict = check(&History { parameters: terms(run_once_per), observations: seen });
+    let verdict = check(&History { parameters: parameters(run_once_per), observations: seen });
     verdict.breaches.into_iter().map(|breach| breach.rule).collect()
 }
 
@@ -65,10 +62,10 @@
 /// A booking that is served as it should be.
 fn booked() -> Vec<(Ms, Event)> {
     vec![
-        (0.0, asked(0, 1, None)),
-        (0.0, wrote(1, 0, 0, 1000.0)),
+        (0.0, request_sent(0, 1, None)),
+        (0.0, attempt_written(1, 0, 0, 1000.0)),
         (1.0, Event::RunStarted { attempt: 1, node: 0 }),
-        (50.0, ended(1, 0, "r1")),
+        (50.0, run_ended(1, 0, "r1")),
         (51.0, served(1, "r1")),
     ]
 }
@@ -82,78 +79,73 @@
     assert_eq!(broken(booked()), []);
     // A repeat gets the first one's result; another after the window runs again.
     let repeat = vec![
-        (100.0, asked(1, 1, Some(0))),
-        (100.0, wrote(2, 1, 0, 1100.0)),
+        (100.0, request_sent(1, 1, Some(0))),
+        (100.0, attempt_written(2, 1, 0, 1100.0)),
         (101.0, served(2, "r1")),
-        (9000.0, asked(2, 1, Some(0))),
-        (9000.0, wrote(3, 2, 0, 10_000.0)),
+        (9000.0, request_sent(2, 1, Some(0))),
+        (9000.0, attempt_written(3, 2, 0, 10_000.0)),
         (9001.0, Event::RunStarted { attempt: 3, node: 0 }),
-        (9050.0, ended(3, 0, "r3")),
+        (9050.0, run_ended(3, 0, "r3")),
         (9051.0, served(3, "r3")),
     ];
     assert_eq!(broken(then(repeat)), []);
 }
 
+/// The rules that are broken when an attempt is written at 0 with a deadline of 1000, and these events follow.
+fn broken_by_open_attempt(events: Vec<(Ms, Event)>) -> Vec<Rule> {
+    let begin = vec![(0.0, request_sent(0, 0, None)), (0.0, attempt_written(1, 0, 0, 1000.0))];
+    broken(begin.into_iter().chain(events).collect())
+}
+
 #[test]
-fn a_request_without_an_answer_in_time_is_lost_unless_the_rig_was_in_the_way() {
-    let open = |more: Vec<(Ms, Event)>| {
-        let begin = vec![(0.0, asked(0, 0, None)), (0.0, wrote(1, 0, 0, 1000.0))];
-        broken(begin.into_iter().chain(more).collect())
-    };
-    assert_eq!(open(vec![]), [Rule::Unanswered]);
-    assert_eq!(open(vec![(1200.0, refused(1))]), [Rule::Unanswered], "too late");
-    assert_eq!(open(vec![(1100.0, refused(1))]), []);
-    assert_eq!(open(vec![(900.0, Event::AttemptCancelled { attempt: 1 })]), []);
-    assert_eq!(open(vec![(500.0, Event::NodeDown { node: 0, exit: ProcessExit::Killed })]), []);
-    assert_eq!(
-        open(vec![(500.0, Event::NodeDown { node: 0, exit: ProcessExit::ShutDown })]),
-        [Rule::Unanswered],
-        "it left"
-    );
+fn an_attempt_without_an_answer_in_time_is_unanswered_unless_it_was_cancelled() {
+    assert_eq!(broken_by_open_attempt(vec![]), [Rule::Unanswered]);
+    assert_eq!(broken_by_open_attempt(vec![(1200.0, rejected(1))]), [Rule::Unanswered], "too late");
+    assert_eq!(broken_by_open_attempt(vec![(1100.0, rejected(1))]), []);
+    assert_eq!(broken_by_open_attempt(vec![(900.0, Event::AttemptCancelled { attempt: 1 })]), []);
+    let noise = Event::UnexpectedLine { node: 0, attempt: None, text: "noise".into() };
+    assert_eq!(broken_by_open_attempt(vec![(5.0, rejected(1)), (6.0, noise)]), [Rule::Unanswered]);
+}
+
+#[test]
+fn an_attempt_may_go_unanswered_when_its_node_was_killed_or_paused() {
+    let down = |node, exit| vec![(500.0, Event::NodeDown { node, exit })];
+    assert_eq!(broken_by_open_attempt(down(0, ProcessExit::Killed)), []);
+    assert_eq!(broken_by_open_attempt(down(0, ProcessExit::ShutDown)), [Rule::Unanswered], "it shut down");
     assert_eq!(
-        open(vec![(500.0, Event::NodeDown { node: 1, exit: ProcessExit::Killed })]),
+        broken_by_open_attempt(down(1, ProcessExit::Killed)),
         [Rule::Unanswered],
-        "another node's end is none"
-    );
-    assert_eq!(
-        open(vec![
-            (500.0, Event::Paused { node: 0, paused: true }),
-            (600.0, Event::Paused { node: 0, paused: false })
-        ]),
-        []
+        "another node's end is no excuse"
     );
-    let disturbed = |front| {
+    let paused = vec![
+        (500.0, Event::Paused { node: 0, paused: true }),
+        (600.0, Event::Paused { node: 0, paused: false }),
+    ];
+    assert_eq!(broken_by_open_attempt(paused), []);
+}
+
+#[test]
+fn an_attempt_may_go_unanswered_when_its_link_was_disturbed_or_the_harness_delayed() {
+    let disturbed = |frontend| {
         vec![
-            (10.0, Event::LinkDisturbed { node: 0, frontend: front, disturbed: true }),
-            (20.0, Event::LinkDisturbed { node: 0, frontend: front, disturbed: false }),
+            (10.0, Event::LinkDisturbed { node: 0, frontend, disturbed: true }),
+            (20.0, Event::LinkDisturbed { node: 0, frontend, disturbed: false }),
         ]
     };
-    assert_eq!((open(disturbed(Some(0))), open(disturbed(None))), (vec![], vec![]));
-    assert_eq!(open(disturbed(Some(1))), [Rule::Unanswered]);
-    assert_eq!(open(vec![(700.0, Event::HarnessDelayed { delay: 100.0 })]), []);
-    for (why, broken) in [
-        (ConnectionLoss::CrossedClose, 0),
-        (ConnectionLoss::NewConnection, 0),
-        (ConnectionLoss::UsedConnection, 1),
-    ] {
-        assert_eq!(
-            open(vec![(5.0, Event::ConnectionLost { attempt: 1, loss: why })]).len(),
-            broken,
-            "{why:?}"
-        );
-    }
-    let ran = vec![
-        (4.0, Event::RunStarted { attempt: 1, node: 0 }),
-        (5.0, Event::ConnectionLost { attempt: 1, loss: ConnectionLoss::NewConnection }),
-    ];
-    assert_eq!(open(ran), [Rule::Unanswered], "it ran");
-    assert_eq!(
-        open(vec![
-            (5.0, refused(1)),
-            (6.0, Event::UnexpectedLine { node: 0, attempt: None, text: "noise".into() })
-        ]),
-        [Rule::Unanswered]
-    );
+    assert_eq!(broken_by_open_attempt(disturbed(Some(0))), []);
+    assert_eq!(broken_by_open_attempt(disturbed(None)), []);
+    assert_eq!(broken_by_open_attempt(disturbed(Some(1))), [Rule::Unanswered]);
+    assert_eq!(broken_by_open_attempt(vec![(700.0, Event::HarnessDelayed { delay: 100.0 })]), []);
+}
+
+#[test]
+fn an_attempt_whose_connection_was_lost_is_unanswered_if_it_ran_or_others_were_answered_there() {
+    let lost = |loss| (5.0, Event::ConnectionLost { attempt: 1, loss });
+    assert_eq!(broken_by_open_attempt(vec![lost(ConnectionLoss::CrossedClose)]), []);
+    assert_eq!(broken_by_open_attempt(vec![lost(ConnectionLoss::NewConnection)]), []);
+    assert_eq!(broken_by_open_attempt(vec![lost(ConnectionLoss::UsedConnection)]), [Rule::Unanswered]);
+    let ran = vec![(4.0, Event::RunStarted { attempt: 1, node: 0 }), lost(ConnectionLoss::NewConnection)];
+    assert_eq!(broken_by_open_attempt(ran), [Rule::Unanswered], "it ran");
 }
 
 #[test]
@@ -167,10 +159,10 @@
 fn a_key_that_runs_again_at_its_node_is_told_also_after_a_restart_but_not_after_its_memory_was_lost() {
     let again = |before: Vec<(Ms, Event)>, node: usize| {
         let run = vec![
-            (300.0, asked(1, 1, Some(0))),
-            (300.0, wrote(2, 1, node, 1300.0)),
+            (300.0, request_sent(1, 1, Some(0))),
+            (300.0, attempt_written(2, 1, node, 1300.0)),
             (301.0, Event::RunStarted { attempt: 2, node }),
-            (350.0, ended(2, node, "r2")),
+            (350.0, run_ended(2, node, "r2")),
             (351.0, served(2, "r2")),
         ];
         before.into_iter().chain(run).collect::<Vec<_>>()
@@ -190,28 +182,28 @@
 }
 
 #[test]
-fn a_refusal_of_what_ran_or_runs_later_is_told() {
-    let begin = || vec![(0.0, asked(0, 0, None)), (0.0, wrote(1, 0, 0, 1000.0))];
+fn a_rejection_of_what_ran_or_runs_later_is_told() {
+    let begin = || vec![(0.0, request_sent(0, 0, None)), (0.0, attempt_written(1, 0, 0, 1000.0))];
     let with = |more: Vec<(Ms, Event)>| broken(begin().into_iter().chain(more).collect());
     assert_eq!(
-        with(vec![(1.0, Event::RunStarted { attempt: 1, node: 0 }), (9.0, refused(1))]),
+        with(vec![(1.0, Event::RunStarted { attempt: 1, node: 0 }), (9.0, rejected(1))]),
         [Rule::RejectedAndRan]
     );
     assert_eq!(
-        with(vec![(1.0, refused(1)), (9.0, Event::RunStarted { attempt: 1, node: 0 })]),
+        with(vec![(1.0, rejected(1)), (9.0, Event::RunStarted { attempt: 1, node: 0 })]),
         [Rule::RejectedAndRan]
     );
 }
 
 #[test]
-fn what_comes_too_long_after_the_notice_to_leave_must_not_run() {
+fn what_comes_too_long_after_the_shutdown_notice_must_not_run() {
     let run = |at: Ms| {
         broken(vec![
             (0.0, Event::ShutdownNotice { node: 0 }),
-            (at, asked(0, 0, None)),
-            (at, wrote(1, 0, 0, at + 1000.0)),
+            (at, request_sent(0, 0, None)),
+            (at, attempt_written(1, 0, 0, at + 1000.0)),
             (at + 1.0, Event::RunStarted { attempt: 1, node: 0 }),
-            (at + 2.0, ended(1, 0, "r")),
+            (at + 2.0, run_ended(1, 0, "r")),
             (at + 3.0, served(1, "r")),
         ])
     };
@@ -224,14 +216,17 @@
     let mut other = booked();
     other[4].1 = served(1, "r9");
     assert_eq!(broken(other), [Rule::ForeignResult]);
-    let elsewhere =
-        vec![(100.0, asked(1, 1, Some(0))), (100.0, wrote(2, 1, 1, 1100.0)), (101.0, served(2, "r1"))];
+    let elsewhere = vec![
+        (100.0, request_sent(1, 1, Some(0))),
+        (100.0, attempt_written(2, 1, 1, 1100.0)),
+        (101.0, served(2, "r1")),
+    ];
     assert_eq!(broken(then(elsewhere.clone())), [Rule::ForeignResult], "another node's");
     assert_eq!(broken_in(RunScope::Fleet, then(elsewhere)), [], "the fleet's is as good");
     let kept = vec![
         (60.0, Event::StateLost { node: 0 }),
-        (100.0, asked(1, 1, Some(0))),
-        (100.0, wrote(2, 1, 0, 1100.0)),
+        (100.0, request_sent(1, 1, Some(0))),
+        (100.0, attempt_written(2, 1, 0, 1100.0)),
         (101.0, served(2, "r1")),
     ];
     assert_eq!(broken(then(kept)), [], "a folder that was cut may still have it");
@@ -259,7 +254,7 @@
 }
 
 #[test]
-fn limits_crashes_and_spoilt_commands_are_told() {
+fn limits_crashes_and_corrupted_commands_are_told() {
     let sample =
         |rss_kb, files| Event::ResourceSample { node: 0, memory_kb: rss_kb, descriptors: files, cpu_ms: 1 };
     assert_eq!(broken(vec![(1.0, sample(900, 90))]), []);
--- a/fault-harness/src/predict.rs
+++ b/fault-harness/src/predict.rs
@@ -168,7 +168,7 @@
     fn handle(&mut self, event: ScheduledEvent) {
         match event {
             ScheduledEvent::ClientRequest(request) => self.send(request),
-            ScheduledEvent::WaitOver(request) => self.proceed_after_wait(request),
+            ScheduledEvent::BackoffElapsed(request) => self.proceed_after_backoff(request),
             ScheduledEvent::AttemptTimeout(attempt) => self.time_out(attempt),
             ScheduledEvent::FaultStart(position) => self.begin_fault(position),
             ScheduledEvent::FaultEnd(position) => self.set_fault(position, false),
--- a/fault-harness/src/predict/clients.rs
+++ b/fault-harness/src/predict/clients.rs
@@ -25,8 +25,8 @@
         self.step(request, ClientCall::proceed);
     }
 
-    /// Goes on with a request after a wait.
-    pub(super) fn proceed_after_wait(&mut self, request: usize) {
+    /// Goes on with a request after its backoff.
+    pub(super) fn proceed_after_backoff(&mut self, request: usize) {
         self.step(request, ClientCall::proceed);
     }
 
@@ -52,7 +52,7 @@
                 self.first_nodes.entry(request).or_insert(node);
                 self.arrive(request, node);
             }
-            NextStep::WaitUntil(until) => self.queue.schedule(until, ScheduledEvent::WaitOver(request)),
+            NextStep::WaitUntil(until) => self.queue.schedule(until, ScheduledEvent::BackoffElapsed(request)),
             NextStep::Finished(outcome) => {
                 let attempts = open.attempts;
                 self.open_requests.remove(&request);
--- a/fault-harness/src/predict/event_queue.rs
+++ b/fault-harness/src/predict/event_queue.rs
@@ -11,7 +11,7 @@
     /// A client sends a request.
     ClientRequest(usize),
     /// A frontend goes on with a request after a wait.
-    WaitOver(usize),
+    BackoffElapsed(usize),
     /// The caller of an attempt stops waiting.
     AttemptTimeout(u64),
     /// A fault begins.
--- a/fault-harness/src/report.rs
+++ b/fault-harness/src/report.rs
@@ -65,7 +65,7 @@
         digits: 0,
     },
     Column { name: "served", of: |o| Some(o.figures.served), digits: 3 },
-    Column { name: "worst 10 s", of: |o| Some(o.figures.worst_stretch), digits: 3 },
+    Column { name: "worst 10 s", of: |o| Some(o.figures.lowest_served), digits: 3 },
     Column { name: "refused", of: |o| Some(o.figures.outcomes.rejected), digits: 3 },
     Column { name: "failed", of: |o| Some(o.figures.outcomes.failed), digits: 3 },
     Column { name: "median ms", of: |o| Some(o.figures.median_ms), digits: 0 },
--- a/fault-harness/src/scenario.rs
+++ b/fault-harness/src/scenario.rs
@@ -37,7 +37,7 @@
     /// How long load is sent.
     pub seconds: f64,
     /// What the random numbers begin with.
-    #[serde(default = "defaults::one_u64")]
+    #[serde(default = "defaults::seed")]
     pub seed: u64,
     /// The nodes.
     pub fleet: Fleet,
--- a/fault-harness/src/scenario/fault.rs
+++ b/fault-harness/src/scenario/fault.rs
@@ -2,7 +2,7 @@
 
 use serde::Deserialize;
 
-use super::defaults::{half, one_f64, one_usize};
+use super::defaults;
 
 /// What goes wrong, when, and for which nodes.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
@@ -29,10 +29,10 @@
     #[serde(alias = "part")]
     pub fraction: Option<f64>,
     /// Its targets are hit in so many waves.
-    #[serde(default = "one_usize")]
+    #[serde(default = "defaults::waves")]
     pub waves: usize,
     /// Between two waves.
-    #[serde(default = "one_f64", alias = "every_s")]
+    #[serde(default = "defaults::wave_interval_s", alias = "every_s")]
     pub wave_interval_s: f64,
     /// After `kill` and `shutdown`: how long until the node is started again; absent, it stays down.
     pub down_s: Option<f64>,
@@ -40,7 +40,7 @@
     #[serde(default)]
     pub folder: StoredState,
     /// For `slow`: what is left of the speed. For `dependency`: what is left of the slots.
-    #[serde(default = "half")]
+    #[serde(default = "defaults::fault_factor")]
     pub factor: f64,
     /// For `pause`: the interpreter goes on.
     #[serde(default)]
--- a/fault-harness/src/scenario/fleet.rs
+++ b/fault-harness/src/scenario/fleet.rs
@@ -4,7 +4,12 @@
 
 use serde::Deserialize;
 
-use super::defaults::{eight, quarter};
+use super::defaults;
+
+/// Replicas of a key, unless a scenario says otherwise.
+const DEFAULT_REPLICAS: usize = 3;
+/// Time between two probes, unless a scenario says otherwise, in milliseconds.
+const DEFAULT_PROBE_MS: u64 = 250;
 
 /// The nodes, each with an interpreter of its own.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
@@ -13,34 +18,34 @@
     /// How many; they are called n1, n2 and so on.
     pub nodes: usize,
     /// The zones, which nodes and frontends are dealt out to in turn.
-    #[serde(default = "one_zone")]
+    #[serde(default = "defaults::zones")]
     pub zones: Vec<String>,
     /// Cores of each interpreter.
-    #[serde(default = "two_u32")]
+    #[serde(default = "defaults::cores")]
     pub cores: u32,
     /// Speeds of the cores are drawn between these.
-    #[serde(default = "even")]
+    #[serde(default = "defaults::speed")]
     pub speed: [f64; 2],
     /// A fresh interpreter begins with this part of its speed.
-    #[serde(default = "quarter")]
+    #[serde(default = "defaults::warm_from")]
     pub warm_from: f64,
     /// It is at full speed after so long, rising evenly.
-    #[serde(default = "eight")]
+    #[serde(default = "defaults::warm_s")]
     pub warm_s: f64,
     /// Whether interpreters are cold when the scenario begins.
     #[serde(default)]
     pub cold: bool,
     /// Past so many on the cores, for each core, less is done in total.
-    #[serde(default = "thrash_at")]
+    #[serde(default = "defaults::thrash_at")]
     pub thrash_at: f64,
     /// The part that is done at twice that crowd; it falls evenly to there and stays.
-    #[serde(default = "thrash")]
+    #[serde(default = "defaults::thrash")]
     pub thrash: f64,
     /// Memory of an interpreter, for requests held and running.
-    #[serde(default = "memory_kb")]
+    #[serde(default = "defaults::memory_kb")]
     pub memory_kb: f64,
     /// A running request takes this many times the memory of one that is held.
-    #[serde(default = "eight")]
+    #[serde(default = "defaults::run_factor")]
     pub run_factor: f64,
     /// Work on a core for each request that is read, whatever becomes of it.
     #[serde(default)]
@@ -49,13 +54,13 @@
     #[serde(default)]
     pub connect_ms: f64,
     /// How long after SIGTERM the process is stopped.
-    #[serde(default = "stop_ms")]
+    #[serde(default = "defaults::stop_ms")]
     pub stop_ms: u64,
     /// Descriptors that the program may hold.
-    #[serde(default = "sockets")]
+    #[serde(default = "defaults::sockets")]
     pub sockets: u64,
     /// Memory that the program may take.
-    #[serde(default = "memory_mb")]
+    #[serde(default = "defaults::memory_mb")]
     pub memory_mb: u64,
     /// Whether each node has a folder that keeps keys and results over restarts.
     #[serde(default)]
@@ -101,42 +106,12 @@
 
 impl Default for Replication {
     fn default() -> Self {
-        Replication { enabled: true, replicas: 3, probe_ms: 250, folder: false, joining_nodes: 0 }
+        Replication {
+            enabled: true,
+            replicas: DEFAULT_REPLICAS,
+            probe_ms: DEFAULT_PROBE_MS,
+            folder: false,
+            joining_nodes: 0,
+        }
     }
 }
-
-fn one_zone() -> Vec<String> {
-    vec!["here".into()]
-}
-
-fn two_u32() -> u32 {
-    2
-}
-
-fn even() -> [f64; 2] {
-    [1.0, 1.0]
-}
-
-fn thrash_at() -> f64 {
-    1.4
-}
-
-fn thrash() -> f64 {
-    0.7
-}
-
-fn memory_kb() -> f64 {
-    24_000.0
-}
-
-fn stop_ms() -> u64 {
-    6_000
-}
-
-fn sockets() -> u64 {
-    512
-}
-
-fn memory_mb() -> u64 {
-    64
-}
--- a/fault-harness/src/scenario/load.rs
+++ b/fault-harness/src/scenario/load.rs
@@ -4,7 +4,7 @@
 
 use serde::Deserialize;
 
-use super::defaults::{eight, half, one_f64, quarter};
+use super::defaults;
 
 /// A class of requests.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
@@ -17,7 +17,7 @@
     /// Mean work on one core of speed 1.
     pub work_ms: f64,
     /// How far work is spread: standard deviation over mean.
-    #[serde(default = "half")]
+    #[serde(default = "defaults::variation")]
     pub cv: f64,
     /// The latency objective: an answer within this time earns the full weight.
     #[serde(alias = "aim_ms")]
@@ -25,7 +25,7 @@
     /// How long a client waits.
     pub deadline_ms: u64,
     /// Weight of a request, for each millisecond of its mean work.
-    #[serde(default = "one_f64", alias = "worth")]
+    #[serde(default = "defaults::weight", alias = "worth")]
     pub weight: f64,
     /// Fraction of the weight that an answer between latency objective and deadline earns.
     #[serde(default, alias = "late_worth")]
@@ -56,17 +56,17 @@
     #[serde(default, rename = "step")]
     pub steps: Vec<LoadStep>,
     /// The tenants that send requests, and the fraction of each.
-    #[serde(default = "one_tenant")]
+    #[serde(default = "defaults::tenants")]
     pub tenants: BTreeMap<String, f64>,
     /// How wrong hints of cost are: the standard deviation of their logarithm.
-    #[serde(default = "quarter")]
+    #[serde(default = "defaults::hint_error")]
     pub hint_error: f64,
     /// The fraction of requests with an idempotency key that clients send a second time, not marked as a retry, whatever
     /// came of the first.
     #[serde(default, alias = "repeats")]
     pub repeat_fraction: f64,
     /// How long after the first they do, between these.
-    #[serde(default = "repeat_after")]
+    #[serde(default = "defaults::repeat_after_ms")]
     pub repeat_after_ms: [f64; 2],
     /// Where a repeat goes.
     #[serde(default)]
@@ -95,20 +95,12 @@
     /// When it is over.
     pub to_s: f64,
     /// The rate, as a multiple of the usual one.
-    #[serde(default = "one_f64", alias = "times")]
+    #[serde(default = "defaults::rate_factor", alias = "times")]
     pub rate_factor: f64,
     /// The fraction of the requests that are costly.
     #[serde(default, alias = "costly")]
     pub costly_fraction: f64,
     /// The work of a costly request, as a multiple of what it was drawn as.
-    #[serde(default = "eight", alias = "costly_times")]
+    #[serde(default = "defaults::costly_factor", alias = "costly_times")]
     pub costly_factor: f64,
 }
-
-fn repeat_after() -> [f64; 2] {
-    [200.0, 3000.0]
-}
-
-fn one_tenant() -> BTreeMap<String, f64> {
-    BTreeMap::from([("acme".into(), 1.0)])
-}
--- a/fault-harness/src/scenario/rules.rs
+++ b/fault-harness/src/scenario/rules.rs
@@ -13,6 +13,9 @@
     Fleet,
 }
 
+/// How long after its deadline an answer still counts, unless a scenario says otherwise.
+const DEFAULT_SLACK_MS: f64 = 150.0;
+
 /// What the checker holds the fleet to.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
@@ -26,6 +29,6 @@
 
 impl Default for Rules {
     fn default() -> Self {
-        Rules { run_once_per: RunScope::Node, slack_ms: 150.0 }
+        Rules { run_once_per: RunScope::Node, slack_ms: DEFAULT_SLACK_MS }
     }
 }
--- a/fault-harness/src/scenario/services.rs
+++ b/fault-harness/src/scenario/services.rs
@@ -2,7 +2,20 @@
 
 use serde::Deserialize;
 
-use super::defaults::half;
+use super::defaults;
+
+/// How many frontends there are, unless a scenario says otherwise.
+const DEFAULT_FRONTENDS: usize = 4;
+/// Their mean wait between two attempts, in milliseconds.
+const DEFAULT_BACKOFF_MS: f64 = 50.0;
+/// The fraction of them that honours Retry-After.
+const DEFAULT_RETRY_AFTER_HONOURED: f64 = 0.6;
+/// How late they see a change of the registry, in milliseconds: between these.
+const DEFAULT_REGISTRY_DELAY_MS: [f64; 2] = [500.0, 1500.0];
+/// After how many seconds they close an idle connection.
+const DEFAULT_IDLE_TIMEOUT_S: f64 = 10.0;
+/// After how many seconds without a heartbeat the registry drops a node.
+const DEFAULT_HEARTBEAT_TIMEOUT_S: f64 = 3.0;
 
 /// How a frontend picks a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
@@ -51,15 +64,15 @@
 impl Default for Frontends {
     fn default() -> Self {
         Frontends {
-            count: 4,
+            count: DEFAULT_FRONTENDS,
             load_balancing: vec![LoadBalancing::RoundRobin],
             retries: 1,
-            backoff_ms: 50.0,
+            backoff_ms: DEFAULT_BACKOFF_MS,
             try_next_node: false,
-            retry_after_honoured: 0.6,
+            retry_after_honoured: DEFAULT_RETRY_AFTER_HONOURED,
             client_retries: 1,
-            registry_delay_ms: [500.0, 1500.0],
-            idle_timeout_s: 10.0,
+            registry_delay_ms: DEFAULT_REGISTRY_DELAY_MS,
+            idle_timeout_s: DEFAULT_IDLE_TIMEOUT_S,
         }
     }
 }
@@ -73,7 +86,7 @@
     /// Mean time of one.
     pub work_ms: f64,
     /// How far that is spread.
-    #[serde(default = "half")]
+    #[serde(default = "defaults::variation")]
     pub cv: f64,
     /// Calls that may be queued; more are rejected.
     #[serde(default)]
@@ -91,6 +104,6 @@
 
 impl Default for Registry {
     fn default() -> Self {
-        Registry { heartbeat_timeout_s: 3.0 }
+        Registry { heartbeat_timeout_s: DEFAULT_HEARTBEAT_TIMEOUT_S }
     }
 }
--- a/fault-harness/src/settings.rs
+++ b/fault-harness/src/settings.rs
@@ -19,7 +19,7 @@
 /// The settings' time between two decisions of the policy, in microseconds.
 const TICK_US: u64 = 4000;
 /// The weight of a request beyond its tenant's quota, as a fraction.
-const OVER_QUOTA_WEIGHT: f64 = 0.1;
+const OVER_QUOTA_FRACTION: f64 = 0.1;
 /// Memory that the interpreter takes for each request beside its own, in KB.
 const ENTRY_KB: f64 = 1.0;
 /// A node's folder takes so much at the most, and its replica table as much memory.
@@ -64,7 +64,7 @@
     let fleet = &scenario.fleet;
     json!({
         "services": scenario.classes.iter().map(service).collect::<Vec<_>>(),
-        "countedBy": "work", "overShareWorth": OVER_QUOTA_WEIGHT, "servers": fleet.nodes, "tick": TICK_US,
+        "countedBy": "work", "overShareWorth": OVER_QUOTA_FRACTION, "servers": fleet.nodes, "tick": TICK_US,
         "specifics": specifics(scenario),
         "safety": {"coldShare": fleet.warm_from, "warmAfter": us_of_ms(ms_of_seconds(fleet.warm_s)),
             "drainGrace": us_of_ms(DRAIN_GRACE_MS), "fallMultiple": FALL_MULTIPLE},
--- a/fault-harness/src/statistics.rs
+++ b/fault-harness/src/statistics.rs
@@ -23,7 +23,7 @@
     /// Served within their latency objective.
     pub in_time: u64,
     /// Served after it.
-    pub late: u64,
+    pub after_objective: u64,
     /// Rejected by the last attempt.
     pub rejected: u64,
     /// Failed, or without an answer.
@@ -53,7 +53,7 @@
     /// Served within their latency objective.
     pub in_time: f64,
     /// Served after it.
-    pub late: f64,
+    pub after_objective: f64,
     /// Rejected by the last attempt.
     pub rejected: f64,
     /// Failed, or without an answer.
@@ -92,7 +92,7 @@
     /// The fraction of the weight requested that was served.
     pub served: f64,
     /// The same in the ten seconds in which it was least.
-    pub worst_stretch: f64,
+    pub lowest_served: f64,
     /// The fractions of requests by their outcome.
     pub outcomes: OutcomeFractions,
     /// Requests served, a second.
--- a/fault-harness/src/statistics/accumulator.rs
+++ b/fault-harness/src/statistics/accumulator.rs
@@ -4,7 +4,7 @@
 
 use hdrhistogram::Histogram;
 
-use super::recovery::{recovery, worst_stretch};
+use super::recovery::{lowest_served_fraction, recovery};
 use super::{Band, ConnectionRates, OutcomeFractions, PeakUse, Second, Statistics};
 use crate::history::{Event, RuleParameters};
 use crate::model::frontend::RequestOutcome;
@@ -24,8 +24,8 @@
 
 /// A request that a client sent.
 #[derive(Debug, Clone, Copy)]
-struct SentRequest {
-    sent_at: Ms,
+struct RequestStart {
+    at: Ms,
     class: usize,
 }
 
@@ -42,7 +42,7 @@
 pub(super) struct Accumulator<'a> {
     parameters: &'a RuleParameters,
     seconds: Vec<Second>,
-    sent: HashMap<usize, SentRequest>,
+    starts: HashMap<usize, RequestStart>,
     /// Requests sent, without repeats.
     requests: u64,
     attempts: u64,
@@ -59,7 +59,7 @@
         Accumulator {
             parameters,
             seconds: vec![Second::default(); count],
-            sent: HashMap::new(),
+            starts: HashMap::new(),
             requests: 0,
             attempts: 0,
             bands: Vec::new(),
@@ -84,7 +84,8 @@
                 }
             }
             Event::FaultInjected { text, until } => {
-                let (from, until) = (seconds_of_ms(at), seconds_of_ms(*until));
+                let from = seconds_of_ms(at);
+                let until = seconds_of_ms(*until);
                 self.bands.push(Band { text: text.clone(), from, until });
             }
             Event::ResourceSample { node, memory_kb, descriptors, cpu_ms } => {
@@ -106,44 +107,44 @@
         self.seconds.get_mut(second)
     }
 
-    fn count_request(&mut self, sent_at: Ms, request: usize, class: usize) {
+    fn count_request(&mut self, at: Ms, request: usize, class: usize) {
         self.requests += 1;
-        self.sent.insert(request, SentRequest { sent_at, class });
+        self.starts.insert(request, RequestStart { at, class });
         let weight = self.parameters.classes.get(class).map_or(0.0, |class| class.weight);
-        if let Some(second) = self.second_mut(sent_at) {
+        if let Some(second) = self.second_mut(at) {
             second.requests += 1;
             second.requested_weight += weight;
         }
     }
 
     fn count_outcome(&mut self, at: Ms, request: usize, outcome: RequestOutcome) {
-        let Some(sent) = self.sent.get(&request).copied() else { return };
+        let Some(start) = self.starts.get(&request).copied() else { return };
         match outcome {
-            RequestOutcome::Served => self.count_served(at, sent, false),
-            RequestOutcome::Degraded => self.count_served(at, sent, true),
+            RequestOutcome::Served => self.count_served(at, start, false),
+            RequestOutcome::Degraded => self.count_served(at, start, true),
             RequestOutcome::Rejected => {
-                if let Some(second) = self.second_mut(sent.sent_at) {
+                if let Some(second) = self.second_mut(start.at) {
                     second.rejected += 1;
                 }
             }
             RequestOutcome::Failed | RequestOutcome::TimedOut => {
-                if let Some(second) = self.second_mut(sent.sent_at) {
+                if let Some(second) = self.second_mut(start.at) {
                     second.failed += 1;
                 }
             }
         }
     }
 
-    fn count_served(&mut self, at: Ms, sent: SentRequest, is_degraded: bool) {
+    fn count_served(&mut self, at: Ms, start: RequestStart, is_degraded: bool) {
         let parameters = self.parameters;
-        let Some(class) = parameters.classes.get(sent.class) else { return };
-        let latency = at - sent.sent_at;
+        let Some(class) = parameters.classes.get(start.class) else { return };
+        let latency = at - start.at;
         let is_in_time = latency <= class.latency_objective;
         let call_fraction = if is_degraded { class.skip_weight } else { 1.0 };
         let time_fraction = if is_in_time { 1.0 } else { class.late_weight };
-        let Some(second) = self.second_mut(sent.sent_at) else { return };
+        let Some(second) = self.second_mut(start.at) else { return };
         second.in_time += u64::from(is_in_time);
-        second.late += u64::from(!is_in_time);
+        second.after_objective += u64::from(!is_in_time);
         second.served_weight += class.weight * call_fraction * time_fraction;
         if let Some(latencies) = &mut self.latencies {
             latencies.saturating_record((latency * US_PER_MS) as u64);
@@ -178,7 +179,7 @@
         let requests = self.sum(|second| second.requests as f64);
         OutcomeFractions {
             in_time: ratio(self.sum(|second| second.in_time as f64), requests),
-            late: ratio(self.sum(|second| second.late as f64), requests),
+            after_objective: ratio(self.sum(|second| second.after_objective as f64), requests),
             rejected: ratio(self.sum(|second| second.rejected as f64), requests),
             failed: ratio(self.sum(|second| second.failed as f64), requests),
         }
@@ -196,13 +197,13 @@
 
     /// The statistics of all that was seen.
     pub(super) fn finish(self) -> Statistics {
-        let served_count = self.sum(|second| (second.in_time + second.late) as f64);
+        let served_count = self.sum(|second| (second.in_time + second.after_objective) as f64);
         let requested_weight = self.sum(|second| second.requested_weight);
         let cpu_us = self.resources.total_cpu_ms as f64 * US_PER_MS;
         Statistics {
             requests: self.requests,
             served: ratio(self.sum(|second| second.served_weight), requested_weight),
-            worst_stretch: worst_stretch(&self.seconds, STRETCH_SECONDS),
+            lowest_served: lowest_served_fraction(&self.seconds, STRETCH_SECONDS),
             outcomes: self.outcome_fractions(),
             throughput: served_count / self.parameters.seconds,
             median_ms: self.latency_ms(MEDIAN),
--- a/fault-harness/src/statistics/recovery.rs
+++ b/fault-harness/src/statistics/recovery.rs
@@ -26,8 +26,8 @@
     pub least: f64,
 }
 
-/// The fraction of the weight that is served in the worst stretch of so many seconds.
-pub(super) fn worst_stretch(seconds: &[Second], length: usize) -> f64 {
+/// The fraction of the weight that is served in the stretch of so many seconds in which it is lowest.
+pub(super) fn lowest_served_fraction(seconds: &[Second], length: usize) -> f64 {
     let fractions = seconds.windows(length.min(seconds.len())).map(served_fraction);
     fractions.fold(f64::INFINITY, f64::min).min(1.0)
 }
--- a/fault-harness/src/statistics/tests.rs
+++ b/fault-harness/src/statistics/tests.rs
@@ -1,4 +1,4 @@
-use super::recovery::{recovery, worst_stretch};
+use super::recovery::{lowest_served_fraction, recovery};
 use super::*;
 
 fn second(requested: f64, served: f64) -> Second {
@@ -33,5 +33,5 @@
 fn the_worst_ten_seconds_are_a_stretch() {
     let seconds: Vec<Second> =
         (0..30).map(|i| second(10.0, if (10..20).contains(&i) { 4.0 } else { 8.0 })).collect();
-    assert!((worst_stretch(&seconds, 10) - 0.4).abs() < 1e-9);
+    assert!((lowest_served_fraction(&seconds, 10) - 0.4).abs() < 1e-9);
 }
--- a/fault-harness/tests/old_form.rs
+++ b/fault-harness/tests/old_form.rs
@@ -29,7 +29,7 @@
 /// The fractions of requests served in time, served late, rejected and failed.
 fn fractions(figures: &Statistics) -> [f64; 4] {
     let outcomes = figures.outcomes;
-    [outcomes.in_time, outcomes.late, outcomes.rejected, outcomes.failed]
+    [outcomes.in_time, outcomes.after_objective, outcomes.rejected, outcomes.failed]
 }
 
 /// Connections a second: in the mean, at most, and at most with one node.
@@ -124,7 +124,7 @@
     assert_eq!((verdict.written, verdict.excused, verdict.duplicate_runs_in_fleet), (361, 4, 0));
     let figures = statistics(&history);
     assert_eq!(
-        (figures.requests, figures.served, figures.worst_stretch),
+        (figures.requests, figures.served, figures.lowest_served),
         (195, 0.5051666666666667, 0.5051666666666667)
     );
     assert_eq!(
