--- a/fault-harness/src/scenario/tests.rs
+++ b/fault-harness/src/scenario/tests.rs
@@ -78,11 +78,16 @@
     assert!(matches!(error("class.7.cv").iter().next(), Some(ScenarioError::NoSuchPosition { .. })));
 }
 
+/// A scenario that has a table of each kind with the required keys alone.
+fn with_defaults() -> Scenario {
+    let tables = "[[load.step]]\nfrom_s = 1\nto_s = 2\n[dependency]\nslots = 1\nwork_ms = 1\n[fleet.peers]\n[[fault]]\nat_s = 1\nwhat = 'kill'\nnodes = ['n1']\n";
+    Scenario::parse(&format!("{PLAIN}{tables}"), &[]).unwrap()
+}
+
 #[test]
-fn keys_that_are_left_out_have_the_defaults_that_the_page_gives() {
-    let text = format!("{PLAIN}[[load.step]]\nfrom_s = 1\nto_s = 2\n[dependency]\nslots = 1\nwork_ms = 1\n[fleet.peers]\n[[fault]]\nat_s = 1\nwhat = 'kill'\nnodes = ['n1']\n");
-    let scenario = Scenario::parse(&text, &[]).unwrap();
-    let (fleet, class, load) = (&scenario.fleet, &scenario.classes[0], &scenario.load);
+fn keys_of_the_fleet_that_are_left_out_have_the_defaults_that_the_page_gives() {
+    let scenario = with_defaults();
+    let fleet = &scenario.fleet;
     assert_eq!((scenario.seed, fleet.cores, fleet.speed), (1, 2, [1.0, 1.0]));
     assert_eq!((fleet.warm_from, fleet.warm_s, fleet.cold), (0.25, 8.0, false));
     assert_eq!((fleet.thrash_at, fleet.thrash, fleet.memory_kb, fleet.run_factor), (1.4, 0.7, 24_000.0, 8.0));
@@ -91,21 +96,32 @@
     let peers = fleet.peers.as_ref().unwrap();
     assert_eq!((peers.enabled, peers.replicas, peers.probe_ms), (true, 3, 250));
     assert_eq!((peers.folder, peers.joining_nodes), (false, 0));
+}
+
+#[test]
+fn keys_of_classes_and_the_load_that_are_left_out_have_the_defaults_that_the_page_gives() {
+    let scenario = with_defaults();
+    let class = &scenario.classes[0];
     assert_eq!((class.cv, class.weight, class.late_weight, class.skip_weight), (0.5, 1.0, 0.0, 0.0));
-    assert!(!class.idempotency_key && !class.calls_dependency);
+    assert_eq!((class.idempotency_key, class.calls_dependency), (false, false));
+    let load = &scenario.load;
     assert_eq!((load.hint_error, load.repeat_fraction, load.repeat_after_ms), (0.25, 0.0, [200.0, 3000.0]));
     assert_eq!((load.tenants["acme"], load.repeat_at), (1.0, RepeatAt::Same));
     let step = &load.steps[0];
     assert_eq!((step.rate_factor, step.costly_fraction, step.costly_factor), (1.0, 0.0, 8.0));
+}
+
+#[test]
+fn keys_of_services_and_faults_that_are_left_out_have_the_defaults_that_the_page_gives() {
+    let scenario = with_defaults();
     let frontends = &scenario.frontends;
     assert_eq!((frontends.count, frontends.retries, frontends.backoff_ms), (4, 1, 50.0));
     assert_eq!(frontends.load_balancing, [LoadBalancing::RoundRobin]);
     assert_eq!((frontends.retry_after_honoured, frontends.try_next_node), (0.6, false));
     assert_eq!((frontends.client_retries, frontends.registry_delay_ms), (1, [500.0, 1500.0]));
-    assert_eq!(frontends.idle_timeout_s, 10.0);
+    assert_eq!((frontends.idle_timeout_s, scenario.registry.heartbeat_timeout_s), (10.0, 3.0));
     let dependency = scenario.dependency.as_ref().unwrap();
     assert_eq!((dependency.cv, dependency.queue), (0.5, 0));
-    assert_eq!(scenario.registry.heartbeat_timeout_s, 3.0);
     assert_eq!((scenario.rules.run_once_per, scenario.rules.slack_ms), (RunScope::Node, 150.0));
     let fault = &scenario.faults[0];
     assert_eq!((fault.waves, fault.wave_interval_s, fault.factor), (1, 1.0, 0.5));
