--- a/fault-harness/src/play/faults.rs
+++ b/fault-harness/src/play/faults.rs
@@ -74,7 +74,7 @@
             FaultKind::Slow => self.slow_down(injection, until),
             FaultKind::Partition => self.partition(injection, until),
             FaultKind::Link => {
-                self.disturb(injection, &fault.between, fault.direction, &fault.traffic, until)
+                self.disturb(injection, &fault.between, fault.direction, &fault.traffic, until);
             }
             FaultKind::Dependency => self.weaken_dependency(fault.factor, until),
             FaultKind::Registry => self.deafen_members(until),
--- a/fault-harness/tests/old_form.rs
+++ b/fault-harness/tests/old_form.rs
@@ -48,8 +48,8 @@
     let scenario = Scenario::read(&fixture("scenario.toml"), &[]).unwrap();
     assert_eq!(scenario.faults.len(), 17);
     let figures = statistics(&predict(&scenario, None));
-    assert_eq!((figures.requests, figures.served, figures.p99_ms), (9235, 0.9843458231221709, 451.839));
-    assert_eq!(figures.attempts_per_request, 1.4123443421765025);
+    assert_eq!((figures.requests, figures.served, figures.p99_ms), (9235, 0.984_345_823_122_170_9, 451.839));
+    assert_eq!(figures.attempts_per_request, 1.412_344_342_176_502_5);
 }
 
 #[test]
@@ -125,22 +125,27 @@
     let figures = statistics(&history);
     assert_eq!(
         (figures.requests, figures.served, figures.lowest_served),
-        (195, 0.5051666666666667, 0.5051666666666667)
+        (195, 0.505_166_666_666_666_7, 0.505_166_666_666_666_7)
     );
     assert_eq!(
         fractions(&figures),
-        [0.49230769230769234, 0.11282051282051282, 0.3487179487179487, 0.046153846153846156]
+        [
+            0.492_307_692_307_692_34,
+            0.112_820_512_820_512_82,
+            0.348_717_948_717_948_7,
+            0.046_153_846_153_846_156
+        ]
     );
     assert_eq!((figures.throughput, figures.median_ms, figures.p99_ms), (23.6, 64.255, 426.751));
     assert_eq!(
         (figures.attempts_per_request, connection_rates(&figures)),
-        (1.8512820512820514, [3.8, 10.0, 4.0])
+        (1.851_282_051_282_051_4, [3.8, 10.0, 4.0])
     );
-    assert_eq!((peak_use(&figures), figures.cpu_us_per_attempt), ([7420, 27], 969.5290858725762));
+    assert_eq!((peak_use(&figures), figures.cpu_us_per_attempt), ([7420, 27], 969.529_085_872_576_2));
     let recovery = figures.recovery.unwrap();
     assert_eq!(
         (recovery.before, recovery.from_start, recovery.least),
-        (0.9893939393939394, None, 0.3114854517611026)
+        (0.989_393_939_393_939_4, None, 0.311_485_451_761_102_6)
     );
     let faults: Vec<&str> = figures.bands.iter().map(|band| band.text.as_str()).collect();
     assert_eq!(faults, ["kill n1", "link n2", "link n3", "fronts 1", "stop n2", "below", "leave n3"]);
