--- a/fault-harness/src/check/runs.rs
+++ b/fault-harness/src/check/runs.rs
@@ -38,7 +38,7 @@
     results: HashMap<usize, Vec<RunResult>>,
     /// The generation of each node's stored state.
     generations: HashMap<usize, usize>,
-    /// When each node was told to shut down.
+    /// When each node got its shutdown notice.
     shutdown_notices: HashMap<usize, Ms>,
     /// Keys that ran more than once in the fleet within their window.
     pub(super) duplicate_runs_in_fleet: usize,
--- a/fault-harness/src/model/interpreter/tests.rs
+++ b/fault-harness/src/model/interpreter/tests.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn cores_are_shared_and_a_crowd_gets_less_done() {
+fn cores_are_shared_and_high_concurrency_gets_less_done() {
     let mut vm = InterpreterModel::new(spec(), 0.0, false);
     for txn in 0..2 {
         vm.admit_request(0.0, txn, 1.0);
@@ -41,7 +41,7 @@
         vm.admit_request(at, txn, 1.0);
         vm.start_run(at, work(txn, 100.0));
     }
-    // Six on two cores are at twice the crowd of 1.5: half is left of a third.
+    // Six on two cores are at twice the concurrency of 1.5: half is left of a third.
     let (end, _) = next(&mut vm);
     assert!((end - at - 600.0).abs() < 1e-3, "{}", end - at);
 }
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_cold_one_does_what_its_warmth_allows() {
+fn a_cold_interpreter_does_what_its_warm_up_allows() {
     let mut vm = InterpreterModel::new(spec(), 0.0, true);
     vm.admit_request(0.0, 1, 1.0);
     vm.start_run(0.0, work(1, 8000.0));
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn standing_still_nothing_is_done_and_memory_stays() {
+fn while_paused_nothing_is_done_and_memory_stays() {
     let mut vm = InterpreterModel::new(spec(), 0.0, false);
     vm.admit_request(0.0, 1, 10.0);
     vm.start_run(0.0, work(1, 100.0));
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn it_dies_of_a_crowd_that_lasts_and_of_memory_and_a_cold_one_of_a_smaller_crowd() {
+fn it_dies_of_lasting_concurrency_and_of_memory_and_a_cold_one_of_lower_concurrency() {
     let concurrency = |count: u64, cold: bool, until: Ms| {
         let mut vm = InterpreterModel::new(InterpreterSpec { memory_kb: 1e9, ..spec() }, 0.0, cold);
         for txn in 0..count {
@@ -137,11 +137,11 @@
         }
         vm.advance(until)
     };
-    let fell = [InterpreterEvent::Died("too many on its cores")];
-    assert_eq!(concurrency(17, false, 2100.0), fell);
+    let died = [InterpreterEvent::Died("too many on its cores")];
+    assert_eq!(concurrency(17, false, 2100.0), died);
     assert!(concurrency(17, false, 1000.0).is_empty(), "a mean over 2 s");
     assert!(concurrency(15, false, 2100.0).is_empty());
-    assert_eq!(concurrency(12, true, 2100.0), fell);
+    assert_eq!(concurrency(12, true, 2100.0), died);
     let mut vm = InterpreterModel::new(spec(), 0.0, false);
     vm.admit_request(0.0, 1, 1200.0);
     assert!(vm.advance(50.0).is_empty(), "it is not counted yet");
--- a/fault-harness/src/model/registry/tests.rs
+++ b/fault-harness/src/model/registry/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn who_is_silent_lapses_and_lists_are_seen_late() {
+fn a_node_without_heartbeats_is_dropped_and_changes_are_seen_late() {
     let mut registry = Registry::new(2, 3000.0);
     registry.on_heartbeat(0.0, 0, true);
     registry.on_heartbeat(1000.0, 1, true);
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn while_it_hears_nobody_no_entry_lapses() {
+fn while_it_is_unreachable_no_node_is_dropped() {
     let mut registry = Registry::new(1, 3000.0);
     registry.on_heartbeat(0.0, 0, true);
     registry.set_unreachable(1000.0, true);
--- a/fault-harness/src/predict.rs
+++ b/fault-harness/src/predict.rs
@@ -144,9 +144,9 @@
             return false;
         }
         self.now = next.max(self.now);
-        if let Some(due) = interpreter.filter(|due| due.at <= next) {
-            let events = self.nodes[due.node].vm.advance(self.now);
-            self.take_in(due.node, events);
+        if let Some(first) = interpreter.filter(|first| first.at <= next) {
+            let events = self.nodes[first.node].vm.advance(self.now);
+            self.take_in(first.node, events);
         } else if call.is_some_and(|at| at <= next) {
             let dependency = self.dependency.as_mut();
             let ended = dependency.map(|dependency| dependency.advance(self.now)).unwrap_or_default();
--- a/fault-harness/src/predict/tests.rs
+++ b/fault-harness/src/predict/tests.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn overload_is_refused_and_a_killed_half_is_missed_until_it_is_warm() {
+fn overload_is_rejected_and_a_killed_half_is_missed_until_it_is_warm() {
     let over = statistics(&predict(&scenario(1.6, ""), None));
     assert!(over.served < 0.9 && over.outcomes.rejected > 0.05, "{:?}", over.outcomes);
     let history =
--- a/fault-harness/src/scenario/fleet.rs
+++ b/fault-harness/src/scenario/fleet.rs
@@ -38,7 +38,7 @@
     /// Past so many on the cores, for each core, less is done in total.
     #[serde(default = "defaults::thrash_at")]
     pub thrash_at: f64,
-    /// The part that is done at twice that crowd; it falls evenly to there and stays.
+    /// The fraction that is done at twice that concurrency; it falls evenly to there and stays.
     #[serde(default = "defaults::thrash")]
     pub thrash: f64,
     /// Memory of an interpreter, for requests held and running.
--- a/fault-harness/src/schedule/random.rs
+++ b/fault-harness/src/schedule/random.rs
@@ -23,10 +23,10 @@
     Calls,
 }
 
-/// The bits of a stream's number that tell several generators of one purpose apart.
+/// The bits of a stream's number that distinguish several generators for one purpose.
 const NUMBER_BITS: u32 = 32;
 
-/// A generator for one purpose (`ChaCha` with 8 rounds); `number` tells several for the same purpose apart.
+/// A generator for one purpose (`ChaCha` with 8 rounds); `number` distinguishes several for the same purpose.
 pub fn generator(seed: u64, stream: RandomStream, number: u64) -> ChaCha8Rng {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     rng.set_stream((stream as u64) << NUMBER_BITS | number);
--- a/fault-harness/src/statistics/accumulator.rs
+++ b/fault-harness/src/statistics/accumulator.rs
@@ -10,7 +10,7 @@
 use crate::model::frontend::RequestOutcome;
 use crate::model::{seconds_of_ms, Ms};
 
-/// The longest latency that is told apart, in microseconds: ten minutes.
+/// The longest latency that is distinguished, in microseconds: ten minutes.
 const MAX_LATENCY_US: u64 = 600_000_000;
 /// Significant digits of latencies.
 const LATENCY_DIGITS: u8 = 3;
@@ -18,7 +18,7 @@
 const STRETCH_SECONDS: usize = 10;
 /// Microseconds in a millisecond.
 const US_PER_MS: f64 = 1000.0;
-/// The quantiles of latencies that are told.
+/// The quantiles of latencies that are reported.
 const MEDIAN: f64 = 0.5;
 const P99: f64 = 0.99;
 
--- a/fault-harness/tests/old_form.rs
+++ b/fault-harness/tests/old_form.rs
@@ -89,6 +89,35 @@
     }
 }
 
+/// Every key of a table that holds no other keys, as a dotted path, with its value.
+fn leaves(prefix: &str, value: &toml::Value, found: &mut Vec<(String, String)>) {
+    let path = |key: &str| if prefix.is_empty() { key.to_string() } else { format!("{prefix}.{key}") };
+    match value {
+        toml::Value::Table(table) => table.iter().for_each(|(key, value)| leaves(&path(key), value, found)),
+        toml::Value::Array(list) if list.iter().all(toml::Value::is_table) => {
+            let items = list.iter().enumerate();
+            items.for_each(|(position, item)| leaves(&path(&position.to_string()), item, found));
+        }
+        leaf => found.push((prefix.to_string(), leaf.to_string())),
+    }
+}
+
+#[test]
+fn every_key_of_a_file_in_one_form_can_be_set_in_a_file_of_the_other() {
+    let files = [fixture("scenario.toml"), present_form("scenario.toml")];
+    let expected = Scenario::read(&files[0], &[]).unwrap();
+    for (keys_of, file) in [(&files[0], &files[1]), (&files[1], &files[0])] {
+        let table: toml::Table = std::fs::read_to_string(keys_of).unwrap().parse().unwrap();
+        let mut found = Vec::new();
+        leaves("", &toml::Value::Table(table), &mut found);
+        assert!(found.len() > 150, "only {} keys", found.len());
+        for (key, value) in found {
+            let scenario = Scenario::read(file, &[(key.clone(), value.clone())]);
+            assert_eq!(scenario.unwrap(), expected, "{key} = {value}");
+        }
+    }
+}
+
 #[test]
 fn of_two_overrides_in_two_forms_the_later_one_counts() {
     let changes = [("fronts.count".into(), "6".into()), ("frontends.count".into(), "7".into())];
