--- a/fault-harness/src/scenario/fault.rs
+++ b/fault-harness/src/scenario/fault.rs
@@ -1,10 +1,10 @@
-//! The `[[fault]]` tables: what goes wrong, when, and which nodes it strikes.
+//! The `[[fault]]` tables: what goes wrong, when, and its targets.
 
 use serde::Deserialize;
 
-use super::defaults::{half, one_f64, one_usize};
+use super::defaults;
 
-/// What goes wrong, when, and whom it strikes.
+/// What goes wrong, when, and for which nodes.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
@@ -29,10 +29,10 @@
     #[serde(alias = "part")]
     pub fraction: Option<f64>,
     /// Its targets are hit in so many waves.
-    #[serde(default = "one_usize")]
+    #[serde(default = "defaults::waves")]
     pub waves: usize,
     /// Between two waves.
-    #[serde(default = "one_f64", alias = "every_s")]
+    #[serde(default = "defaults::wave_interval_s", alias = "every_s")]
     pub wave_interval_s: f64,
     /// After `kill` and `shutdown`: how long until the node is started again; absent, it stays down.
     pub down_s: Option<f64>,
@@ -40,7 +40,7 @@
     #[serde(default)]
     pub folder: StoredState,
     /// For `slow`: what is left of the speed. For `dependency`: what is left of the slots.
-    #[serde(default = "half")]
+    #[serde(default = "defaults::fault_factor")]
     pub factor: f64,
     /// For `pause`: the interpreter goes on.
     #[serde(default)]
@@ -138,6 +138,24 @@
 }
 
 impl FaultKind {
+    /// Whether it lasts for a while, which the scenario has to give.
+    pub fn has_duration(self) -> bool {
+        match self {
+            FaultKind::Pause
+            | FaultKind::Slow
+            | FaultKind::Partition
+            | FaultKind::Link
+            | FaultKind::Dependency
+            | FaultKind::Registry => true,
+            FaultKind::Kill
+            | FaultKind::Shutdown
+            | FaultKind::Frontends
+            | FaultKind::Reload
+            | FaultKind::RemoveMembers
+            | FaultKind::AddMembers => false,
+        }
+    }
+
     /// Its name in scenarios, reports and charts.
     pub fn name(self) -> &'static str {
         match self {
