--- a/fault-harness/src/charts.rs
+++ b/fault-harness/src/charts.rs
@@ -1,6 +1,9 @@
 //! Charts of a play as SVG.
 
+use std::num::ParseFloatError;
+
 use plotters::prelude::*;
+use thiserror::Error;
 
 use crate::statistics::{Band, Second, Statistics};
 
@@ -86,33 +89,63 @@
     draw_lines(title, "seconds", seconds.len() as f64, bands, &lines)
 }
 
+/// Why a table cannot be drawn.
+#[derive(Debug, Error)]
+pub enum TableError {
+    /// The first line does not name at least two columns.
+    #[error("no line that names two columns")]
+    NoColumns,
+    /// A cell is not a number.
+    #[error("{cell:?}: {source}")]
+    NotANumber {
+        /// What is in the cell.
+        cell: String,
+        /// Why it is not a number.
+        source: ParseFloatError,
+    },
+    /// A line has more or fewer cells than there are columns.
+    #[error("a line of {cells} cells where {columns} are named")]
+    WrongWidth {
+        /// The line's cells.
+        cells: usize,
+        /// The columns that the first line names.
+        columns: usize,
+    },
+    /// The chart cannot be drawn with these numbers.
+    #[error("it can't be drawn")]
+    NotDrawable,
+}
+
 /// Draws a table of numbers: its first line names the columns, the first column is drawn along, the others are lines.
 ///
 /// # Errors
 ///
-/// What is wrong with it.
-pub fn of_table(title: &str, table: &str) -> Result<String, String> {
+/// If the table is malformed or cannot be drawn.
+pub fn of_table(title: &str, table: &str) -> Result<String, TableError> {
     let mut lines = table.lines().map(|line| line.split(',').map(str::trim).collect::<Vec<_>>());
-    let heads = lines.next().filter(|heads| heads.len() > 1).ok_or("no line that names two columns")?;
+    let columns = lines.next().filter(|columns| columns.len() > 1).ok_or(TableError::NoColumns)?;
     let mut rows: Vec<Vec<f64>> = Vec::new();
     for line in lines {
-        let row = line.iter().map(|cell| cell.parse::<f64>().map_err(|e| format!("{cell:?}: {e}")));
-        let row = row.collect::<Result<Vec<f64>, String>>()?;
-        if row.len() != heads.len() {
-            return Err(format!("a line of {} cells where {} are named", row.len(), heads.len()));
+        let row = line.into_iter().map(parse_cell).collect::<Result<Vec<f64>, _>>()?;
+        if row.len() != columns.len() {
+            return Err(TableError::WrongWidth { cells: row.len(), columns: columns.len() });
         }
         rows.push(row);
     }
     let colours = [BLUE, ORANGE, RED, GREY];
-    let drawn: Vec<Line> = (1..heads.len())
-        .map(|i| Line {
-            name: heads[i].into(),
-            colour: colours[(i - 1) % colours.len()],
-            points: rows.iter().map(|row| (row[0], row[i])).collect(),
+    let drawn: Vec<Line> = (1..columns.len())
+        .map(|column| Line {
+            name: columns[column].into(),
+            colour: colours[(column - 1) % colours.len()],
+            points: rows.iter().map(|row| (row[0], row[column])).collect(),
         })
         .collect();
     let end = rows.iter().map(|row| row[0]).fold(1.0, f64::max);
-    draw_lines(title, heads[0], end, &[], &drawn).ok_or_else(|| "it can't be drawn".into())
+    draw_lines(title, columns[0], end, &[], &drawn).ok_or(TableError::NotDrawable)
+}
+
+fn parse_cell(cell: &str) -> Result<f64, TableError> {
+    cell.parse().map_err(|source| TableError::NotANumber { cell: cell.into(), source })
 }
 
 fn draw_lines(title: &str, along: &str, end: f64, bands: &[Band], lines: &[Line]) -> Option<String> {
--- a/fault-harness/src/charts/tests.rs
+++ b/fault-harness/src/charts/tests.rs
@@ -27,6 +27,6 @@
     let svg = of_table("Pages", "nodes,pages in 100 ms,in all\n12,8,56\n300,143,900\n").unwrap();
     assert!(svg.contains("pages in 100 ms") && svg.contains("nodes"));
     assert!(of_table("x", "nodes\n1\n").is_err() && of_table("x", "").is_err());
-    assert!(of_table("x", "a,b\n1,x\n").unwrap_err().contains("\"x\""));
-    assert!(of_table("x", "a,b\n1\n").unwrap_err().contains("1 cells"));
+    assert!(of_table("x", "a,b\n1,x\n").unwrap_err().to_string().contains("\"x\""));
+    assert!(of_table("x", "a,b\n1\n").unwrap_err().to_string().contains("1 cells"));
 }
--- /dev/null
+++ b/fault-harness/src/commands/check.rs
@@ -0,0 +1,30 @@
+//! `check`: checks a recorded history again.
+
+use std::path::PathBuf;
+use std::process::ExitCode;
+
+use argh::FromArgs;
+use oakwind_fault_harness::history::History;
+use oakwind_fault_harness::report::{self, Outcome};
+
+use super::output::conclude;
+use super::CommandError;
+
+/// Check the history of a play again.
+#[derive(FromArgs)]
+#[argh(subcommand, name = "check")]
+pub(crate) struct Check {
+    /// a history.jsonl
+    #[argh(positional)]
+    history: PathBuf,
+}
+
+impl Check {
+    pub(crate) fn run(&self) -> Result<ExitCode, CommandError> {
+        let history = History::read(&self.history)
+            .map_err(|source| CommandError::File { path: self.history.clone(), source })?;
+        let outcomes = [Outcome::of(&history.terms.scenario, &history, None)];
+        print!("{}", report::rows(&outcomes));
+        conclude(&outcomes, None)
+    }
+}
--- /dev/null
+++ b/fault-harness/src/commands/error.rs
@@ -0,0 +1,66 @@
+//! The errors of subcommands.
+
+use std::fmt::Write as _;
+use std::io;
+use std::path::{Path, PathBuf};
+
+use oakwind_fault_harness::charts::TableError;
+use oakwind_fault_harness::node::ProgramOptionError;
+use oakwind_fault_harness::scenario::Mistakes;
+use thiserror::Error;
+
+/// Why a subcommand could not be run.
+#[derive(Debug, Error)]
+pub(crate) enum CommandError {
+    /// `play` was given no file.
+    #[error("name at least one scenario")]
+    NoScenario,
+    /// An assignment has no equals sign.
+    #[error("{0}: is not KEY=VALUE")]
+    NotAnAssignment(String),
+    /// A scenario cannot be read, or has mistakes; a line for each.
+    #[error("{}", mistakes_with_path(path, mistakes))]
+    Scenario {
+        /// The scenario's file.
+        path: PathBuf,
+        /// Its mistakes.
+        mistakes: Mistakes,
+    },
+    /// A file cannot be read or written.
+    #[error("{}: {source}", path.display())]
+    File {
+        /// The file.
+        path: PathBuf,
+        /// Why.
+        source: io::Error,
+    },
+    /// A table cannot be drawn.
+    #[error("{}: {source}", path.display())]
+    Table {
+        /// The table's file.
+        path: PathBuf,
+        /// Why.
+        source: TableError,
+    },
+    /// An option `--program` is malformed.
+    #[error(transparent)]
+    Program(#[from] ProgramOptionError),
+    /// The path of the harness itself, beside which the program is, is not known.
+    #[error("the path of this executable is not known: {0}")]
+    OwnPath(io::Error),
+    /// A play could not be started, or was interrupted.
+    #[error(transparent)]
+    Play(io::Error),
+    /// The mutant could not serve.
+    #[error(transparent)]
+    Mutant(io::Error),
+}
+
+fn mistakes_with_path(path: &Path, mistakes: &Mistakes) -> String {
+    let mut text = String::new();
+    for mistake in mistakes {
+        // Writing to memory does not fail.
+        let _ = writeln!(text, "{}: {mistake}", path.display());
+    }
+    text
+}
--- /dev/null
+++ b/fault-harness/src/commands/output.rs
@@ -0,0 +1,31 @@
+//! What commands print of plays, and the files of results.
+
+use std::io;
+use std::path::Path;
+use std::process::ExitCode;
+
+use oakwind_fault_harness::report::{self, Outcome};
+
+use super::CommandError;
+
+/// Prints the rules broken in all plays and stores the results, if they have a directory. The status is a failure if a
+/// rule was broken.
+pub(crate) fn conclude(outcomes: &[Outcome], out: Option<&Path>) -> Result<ExitCode, CommandError> {
+    if let Some(out) = out {
+        store_results(outcomes, out).map_err(|source| CommandError::File { path: out.into(), source })?;
+    }
+    for outcome in outcomes.iter().filter(|outcome| !outcome.verdict.breaches.is_empty()) {
+        println!("{} with seed {}:", outcome.label, outcome.seed);
+        print!("{}", report::breaches(&outcome.verdict));
+    }
+    let broken: usize = outcomes.iter().map(|outcome| outcome.verdict.breaches.len()).sum();
+    println!("{broken} rules broken");
+    Ok(if broken == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+}
+
+/// Writes the results, a play a line, and the page with charts.
+fn store_results(outcomes: &[Outcome], out: &Path) -> io::Result<()> {
+    let lines = outcomes.iter().map(serde_json::to_string).collect::<Result<Vec<_>, _>>()?;
+    std::fs::write(out.join("results.jsonl"), lines.join("\n") + "\n")?;
+    report::page(outcomes, &out.join("report.html"))
+}
--- a/fault-harness/src/node.rs
+++ b/fault-harness/src/node.rs
@@ -31,7 +31,7 @@
 use lifecycle::PlannedRestart;
 use state_folders::StateFolders;
 
-pub use builds::{Build, Programs};
+pub use builds::{Build, ProgramOptionError, Programs};
 pub use lifecycle::Ending;
 
 /// Lines of a log that wait to be read; a program that logs more is blocked.
--- a/fault-harness/src/play.rs
+++ b/fault-harness/src/play.rs
@@ -8,7 +8,6 @@
 mod testbed;
 mod workspace;
 
-use std::collections::BTreeMap;
 use std::io;
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -18,7 +17,7 @@
 
 use crate::history::History;
 use crate::model::Ms;
-use crate::node::{Build, Ending, Programs};
+use crate::node::{Ending, Programs};
 use crate::scenario::Scenario;
 use testbed::Testbed;
 use workspace::Workspace;
@@ -135,22 +134,3 @@
         machine.end(Ending::Over);
     }
 }
-
-/// The builds of the program: the default one, and others given as NAME=PATH with arguments behind the path.
-///
-/// # Errors
-///
-/// If one does not have that form.
-pub fn programs(default: PathBuf, named: &[String]) -> Result<Programs, String> {
-    let mut others = BTreeMap::new();
-    for entry in named {
-        let Some((name, command)) = entry.split_once('=') else {
-            return Err(format!("--program {entry}: is not NAME=PATH"));
-        };
-        let mut words = command.split_whitespace();
-        let path = words.next().map(PathBuf::from).unwrap_or_default();
-        others.insert(name.to_string(), Build { path, arguments: words.map(String::from).collect() });
-    }
-    let default = others.get("default").cloned().unwrap_or(Build { path: default, arguments: Vec::new() });
-    Ok(Programs { default, others })
-}
