--- a/fault-harness/src/charts.rs
+++ b/fault-harness/src/charts.rs
@@ -1,28 +1,19 @@
-//! Charts of a play as SVG.
+//! Charts as SVG: of a play second by second, with its faults as bands, and of any table of numbers.
 
-use std::num::ParseFloatError;
+mod drawing;
+mod table;
 
-use plotters::prelude::*;
-use thiserror::Error;
+use plotters::style::RGBColor;
 
 use crate::statistics::{Band, Second, Statistics};
+use drawing::{Drawing, Point, Series, BLUE, GREY, ORANGE, RED};
 
-const SIZE: (u32, u32) = (860, 230);
-/// Colours that can be told apart with colour blindness.
-const BLUE: RGBColor = RGBColor(31, 97, 160);
-const ORANGE: RGBColor = RGBColor(204, 102, 0);
-const GREY: RGBColor = RGBColor(120, 120, 120);
-const RED: RGBColor = RGBColor(170, 40, 60);
-const BAND: RGBColor = RGBColor(235, 224, 200);
-/// The font's size in points.
-const TEXT: i32 = 13;
+pub use table::{of_table, TableError};
 
-/// One line of a chart.
-struct Curve {
-    name: &'static str,
-    colour: RGBColor,
-    of: fn(&Second) -> f64,
-}
+/// What an axis of shares ends at.
+const PERCENT: f64 = 100.0;
+/// A second is drawn at its middle.
+const MIDDLE_OF_SECOND: f64 = 0.5;
 
 /// A chart: its name and its SVG.
 #[derive(Debug, Clone, serde::Serialize)]
@@ -35,168 +26,73 @@
     pub svg: String,
 }
 
-/// The charts of a play.
-pub fn charts(statistics: &Statistics) -> Vec<Chart> {
-    let share = |second: &Second| {
-        if second.asked_worth > 0.0 {
-            second.served_worth / second.asked_worth * 100.0
-        } else {
-            100.0
-        }
-    };
-    let wanted: [(&str, &str, Vec<Curve>); 3] = [
-        ("Worth served, of 100 asked for", "served", vec![Curve { name: "served", colour: BLUE, of: share }]),
-        (
-            "Requests a second",
-            "requests",
-            vec![
-                Curve { name: "asked", colour: GREY, of: |s| s.asked as f64 },
-                Curve { name: "in time", colour: BLUE, of: |s| s.in_time as f64 },
-                Curve { name: "refused", colour: ORANGE, of: |s| s.refused as f64 },
-                Curve { name: "failed", colour: RED, of: |s| s.failed as f64 },
-            ],
-        ),
-        (
-            "Tries, runs and new connections a second",
-            "work",
-            vec![
-                Curve { name: "tries", colour: GREY, of: |s| s.tries as f64 },
-                Curve { name: "runs", colour: BLUE, of: |s| s.began as f64 },
-                Curve { name: "connections", colour: ORANGE, of: |s| s.connected as f64 },
-            ],
-        ),
-    ];
-    let drawn = wanted.into_iter().filter_map(|(title, name, curves)| {
-        Some(Chart { title, name, svg: draw(title, &statistics.seconds, &statistics.bands, &curves)? })
-    });
-    drawn.collect()
-}
-
-/// A line as it is drawn.
-struct Line {
-    name: String,
+/// A figure of each second, as one line of a chart.
+struct Curve {
+    name: &'static str,
     colour: RGBColor,
-    points: Vec<(f64, f64)>,
+    value: fn(&Second) -> f64,
 }
 
-/// Draws one of a play; nothing where there is nothing to draw, or it can't be drawn.
-fn draw(title: &str, seconds: &[Second], bands: &[Band], curves: &[Curve]) -> Option<String> {
-    let line = |curve: &Curve| {
-        let points = seconds.iter().enumerate().map(|(i, second)| (i as f64 + 0.5, (curve.of)(second)));
-        Line { name: curve.name.into(), colour: curve.colour, points: points.collect() }
-    };
-    let lines: Vec<Line> = curves.iter().map(line).collect();
-    draw_lines(title, "seconds", seconds.len() as f64, bands, &lines)
+impl Curve {
+    const fn new(name: &'static str, colour: RGBColor, value: fn(&Second) -> f64) -> Curve {
+        Curve { name, colour, value }
+    }
 }
 
-/// Why a table cannot be drawn.
-#[derive(Debug, Error)]
-pub enum TableError {
-    /// The first line does not name at least two columns.
-    #[error("no line that names two columns")]
-    NoColumns,
-    /// A cell is not a number.
-    #[error("{cell:?}: {source}")]
-    NotANumber {
-        /// What is in the cell.
-        cell: String,
-        /// Why it is not a number.
-        source: ParseFloatError,
-    },
-    /// A line has more or fewer cells than there are columns.
-    #[error("a line of {cells} cells where {columns} are named")]
-    WrongWidth {
-        /// The line's cells.
-        cells: usize,
-        /// The columns that the first line names.
-        columns: usize,
-    },
-    /// The chart cannot be drawn with these numbers.
-    #[error("it can't be drawn")]
-    NotDrawable,
+/// The charts of a play: the share served, what became of requests, and the work that they caused.
+pub fn charts(statistics: &Statistics) -> Vec<Chart> {
+    let served = [Curve::new("served", BLUE, served_percent)];
+    let requests = [
+        Curve::new("sent", GREY, |second| second.asked as f64),
+        Curve::new("within objective", BLUE, |second| second.in_time as f64),
+        Curve::new("rejected", ORANGE, |second| second.refused as f64),
+        Curve::new("failed", RED, |second| second.failed as f64),
+    ];
+    let work = [
+        Curve::new("attempts", GREY, |second| second.tries as f64),
+        Curve::new("runs", BLUE, |second| second.began as f64),
+        Curve::new("connections", ORANGE, |second| second.connected as f64),
+    ];
+    let drawn = [
+        chart("Weight served, percent of what was sent", "served", statistics, &served),
+        chart("Requests per second", "requests", statistics, &requests),
+        chart("Attempts, runs and new connections per second", "work", statistics, &work),
+    ];
+    drawn.into_iter().flatten().collect()
 }
 
-/// Draws a table of numbers: its first line names the columns, the first column is drawn along, the others are lines.
-///
-/// # Errors
-///
-/// If the table is malformed or cannot be drawn.
-pub fn of_table(title: &str, table: &str) -> Result<String, TableError> {
-    let mut lines = table.lines().map(|line| line.split(',').map(str::trim).collect::<Vec<_>>());
-    let columns = lines.next().filter(|columns| columns.len() > 1).ok_or(TableError::NoColumns)?;
-    let mut rows: Vec<Vec<f64>> = Vec::new();
-    for line in lines {
-        let row = line.into_iter().map(parse_cell).collect::<Result<Vec<f64>, _>>()?;
-        if row.len() != columns.len() {
-            return Err(TableError::WrongWidth { cells: row.len(), columns: columns.len() });
-        }
-        rows.push(row);
+/// The share of a second's weight that was served; all of it where nothing was sent.
+fn served_percent(second: &Second) -> f64 {
+    if second.asked_worth > 0.0 {
+        second.served_worth / second.asked_worth * PERCENT
+    } else {
+        PERCENT
     }
-    let colours = [BLUE, ORANGE, RED, GREY];
-    let drawn: Vec<Line> = (1..columns.len())
-        .map(|column| Line {
-            name: columns[column].into(),
-            colour: colours[(column - 1) % colours.len()],
-            points: rows.iter().map(|row| (row[0], row[column])).collect(),
-        })
-        .collect();
-    let end = rows.iter().map(|row| row[0]).fold(1.0, f64::max);
-    draw_lines(title, columns[0], end, &[], &drawn).ok_or(TableError::NotDrawable)
 }
 
-fn parse_cell(cell: &str) -> Result<f64, TableError> {
-    cell.parse().map_err(|source| TableError::NotANumber { cell: cell.into(), source })
+/// Nothing where it cannot be drawn.
+fn chart(
+    title: &'static str,
+    name: &'static str,
+    statistics: &Statistics,
+    curves: &[Curve],
+) -> Option<Chart> {
+    let svg = draw(title, &statistics.seconds, &statistics.bands, curves)?;
+    Some(Chart { title, name, svg })
 }
 
-fn draw_lines(title: &str, along: &str, end: f64, bands: &[Band], lines: &[Line]) -> Option<String> {
-    let values = lines.iter().flat_map(|line| line.points.iter().map(|(_, value)| *value));
-    let top = values.fold(1.0, f64::max) * 1.05;
-    let mut svg = String::new();
-    {
-        let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
-        area.fill(&WHITE).ok()?;
-        let mut chart = ChartBuilder::on(&area)
-            .caption(title, ("sans-serif", TEXT + 2))
-            .margin(8)
-            .x_label_area_size(26)
-            .y_label_area_size(44)
-            .build_cartesian_2d(0.0..end, 0.0..top)
-            .ok()?;
-        for band in bands {
-            // One that has no length is drawn as a line.
-            let until = band.until.max(band.from + end / 400.0).min(end);
-            chart.draw_series([Rectangle::new([(band.from, 0.0), (until, top)], BAND.filled())]).ok()?;
-        }
-        chart
-            .configure_mesh()
-            .disable_x_mesh()
-            .light_line_style(WHITE)
-            .bold_line_style(RGBColor(230, 230, 230))
-            .label_style(("sans-serif", TEXT - 1))
-            .x_labels(12)
-            .y_labels(5)
-            .x_desc(along)
-            .draw()
-            .ok()?;
-        for line in lines {
-            let style = line.colour.stroke_width(2);
-            let drawn = chart.draw_series(LineSeries::new(line.points.iter().copied(), style)).ok()?;
-            let name = line.name.as_str();
-            drawn.label(name).legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], style));
-        }
-        if lines.len() > 1 {
-            chart
-                .configure_series_labels()
-                .position(SeriesLabelPosition::UpperRight)
-                .background_style(WHITE.mix(0.85))
-                .border_style(RGBColor(200, 200, 200))
-                .label_font(("sans-serif", TEXT - 1))
-                .draw()
-                .ok()?;
-        }
-        area.present().ok()?;
-    }
-    Some(svg)
+fn draw(title: &str, seconds: &[Second], bands: &[Band], curves: &[Curve]) -> Option<String> {
+    let series: Vec<Series> = curves.iter().map(|curve| series(curve, seconds)).collect();
+    let end = seconds.len() as f64;
+    Drawing { title, x_label: "seconds", end, bands, series: &series }.to_svg()
+}
+
+fn series(curve: &Curve, seconds: &[Second]) -> Series {
+    let points = seconds
+        .iter()
+        .enumerate()
+        .map(|(position, second)| Point { x: position as f64 + MIDDLE_OF_SECOND, y: (curve.value)(second) });
+    Series { name: curve.name.into(), colour: curve.colour, points: points.collect() }
 }
 
 #[cfg(test)]
--- /dev/null
+++ b/fault-harness/src/charts/drawing.rs
@@ -0,0 +1,139 @@
+//! Drawing of series of points as SVG, with faults as bands behind them.
+
+use plotters::coord::types::RangedCoordf64;
+use plotters::prelude::*;
+
+use crate::statistics::Band;
+
+/// Colours that can be told apart with colour blindness.
+pub(super) const BLUE: RGBColor = RGBColor(31, 97, 160);
+pub(super) const ORANGE: RGBColor = RGBColor(204, 102, 0);
+pub(super) const GREY: RGBColor = RGBColor(120, 120, 120);
+pub(super) const RED: RGBColor = RGBColor(170, 40, 60);
+const BAND_COLOUR: RGBColor = RGBColor(235, 224, 200);
+const GRID_COLOUR: RGBColor = RGBColor(230, 230, 230);
+const LEGEND_BORDER_COLOUR: RGBColor = RGBColor(200, 200, 200);
+
+/// Width and height in pixels, as all sizes below.
+const SIZE: (u32, u32) = (860, 230);
+const MARGIN: u32 = 8;
+const X_LABEL_HEIGHT: u32 = 26;
+const Y_LABEL_WIDTH: u32 = 44;
+const FONT: &str = "sans-serif";
+const TITLE_FONT_SIZE: i32 = 15;
+const LABEL_FONT_SIZE: i32 = 12;
+const LINE_WIDTH: u32 = 2;
+const LEGEND_LINE_LENGTH: i32 = 16;
+/// The legend lets the lines behind it show through.
+const LEGEND_OPACITY: f64 = 0.85;
+/// Labels along each axis, at most.
+const X_LABELS: usize = 12;
+const Y_LABELS: usize = 5;
+/// The highest point stays below the upper edge.
+const HEADROOM: f64 = 1.05;
+/// A band is at least this part of the width, so that a fault that lasts no time is seen.
+const LEAST_BAND_WIDTH: f64 = 1.0 / 400.0;
+
+type Chart<'area> = ChartContext<'area, SVGBackend<'area>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
+
+/// A point of a line.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct Point {
+    pub(super) x: f64,
+    pub(super) y: f64,
+}
+
+/// A named line.
+pub(super) struct Series {
+    pub(super) name: String,
+    pub(super) colour: RGBColor,
+    pub(super) points: Vec<Point>,
+}
+
+/// What is to be drawn.
+pub(super) struct Drawing<'a> {
+    pub(super) title: &'a str,
+    /// What the horizontal axis shows.
+    pub(super) x_label: &'a str,
+    /// Where the horizontal axis ends.
+    pub(super) end: f64,
+    pub(super) bands: &'a [Band],
+    pub(super) series: &'a [Series],
+}
+
+impl Drawing<'_> {
+    /// The drawing as SVG; nothing where its numbers cannot be drawn.
+    pub(super) fn to_svg(&self) -> Option<String> {
+        let mut svg = String::new();
+        let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
+        area.fill(&WHITE).ok()?;
+        let mut chart = ChartBuilder::on(&area)
+            .caption(self.title, (FONT, TITLE_FONT_SIZE))
+            .margin(MARGIN)
+            .x_label_area_size(X_LABEL_HEIGHT)
+            .y_label_area_size(Y_LABEL_WIDTH)
+            .build_cartesian_2d(0.0..self.end, 0.0..self.top())
+            .ok()?;
+        self.draw_bands(&mut chart)?;
+        self.draw_axes(&mut chart)?;
+        for series in self.series {
+            draw_series(&mut chart, series)?;
+        }
+        if self.series.len() > 1 {
+            draw_legend(&mut chart)?;
+        }
+        area.present().ok()?;
+        drop(chart);
+        drop(area);
+        Some(svg)
+    }
+
+    /// Where the vertical axis ends.
+    fn top(&self) -> f64 {
+        let points = self.series.iter().flat_map(|series| &series.points);
+        points.map(|point| point.y).fold(1.0, f64::max) * HEADROOM
+    }
+
+    fn draw_bands(&self, chart: &mut Chart) -> Option<()> {
+        for band in self.bands {
+            let until = band.until.max(band.from + self.end * LEAST_BAND_WIDTH).min(self.end);
+            let corners = [(band.from, 0.0), (until, self.top())];
+            chart.draw_series([Rectangle::new(corners, BAND_COLOUR.filled())]).ok()?;
+        }
+        Some(())
+    }
+
+    fn draw_axes(&self, chart: &mut Chart) -> Option<()> {
+        chart
+            .configure_mesh()
+            .disable_x_mesh()
+            .light_line_style(WHITE)
+            .bold_line_style(GRID_COLOUR)
+            .label_style((FONT, LABEL_FONT_SIZE))
+            .x_labels(X_LABELS)
+            .y_labels(Y_LABELS)
+            .x_desc(self.x_label)
+            .draw()
+            .ok()
+    }
+}
+
+fn draw_series(chart: &mut Chart, series: &Series) -> Option<()> {
+    let style = series.colour.stroke_width(LINE_WIDTH);
+    let points = series.points.iter().map(|point| (point.x, point.y));
+    let drawn = chart.draw_series(LineSeries::new(points, style)).ok()?;
+    let legend_line = move |(x, y)| PathElement::new([(x, y), (x + LEGEND_LINE_LENGTH, y)], style);
+    drawn.label(series.name.as_str()).legend(legend_line);
+    Some(())
+}
+
+fn draw_legend(chart: &mut Chart) -> Option<()> {
+    chart
+        .configure_series_labels()
+        .position(SeriesLabelPosition::UpperRight)
+        .background_style(WHITE.mix(LEGEND_OPACITY))
+        .border_style(LEGEND_BORDER_COLOUR)
+        .label_font((FONT, LABEL_FONT_SIZE))
+        .draw()
+        .ok()
+}
--- a/fault-harness/src/charts/tests.rs
+++ b/fault-harness/src/charts/tests.rs
@@ -13,8 +13,8 @@
         .collect();
     let bands = [Band { text: "kill".into(), from: 5.0, until: 7.0 }];
     let curves = [
-        Curve { name: "asked", colour: GREY, of: |s| s.asked as f64 },
-        Curve { name: "in time", colour: BLUE, of: |s| s.in_time as f64 },
+        Curve { name: "asked", colour: GREY, value: |second| second.asked as f64 },
+        Curve { name: "in time", colour: BLUE, value: |second| second.in_time as f64 },
     ];
     let svg = draw("Requests", &seconds, &bands, &curves).unwrap();
     assert!(svg.starts_with("<svg") && svg.contains("Requests") && svg.contains("in time"));
--- a/fault-harness/src/commands/check.rs
+++ b/fault-harness/src/commands/check.rs
@@ -23,7 +23,7 @@
     pub(crate) fn run(&self) -> Result<ExitCode, CommandError> {
         let history = History::read(&self.history)
             .map_err(|source| CommandError::File { path: self.history.clone(), source })?;
-        let outcomes = [Outcome::of(&history.terms.scenario, &history, None)];
+        let outcomes = [Outcome::from_history(&history.terms.scenario, &history, None)];
         print!("{}", report::rows(&outcomes));
         conclude(&outcomes, None)
     }
--- a/fault-harness/src/commands/error.rs
+++ b/fault-harness/src/commands/error.rs
@@ -5,7 +5,10 @@
 use std::path::{Path, PathBuf};
 
 use oakwind_fault_harness::charts::TableError;
+use oakwind_fault_harness::experiment::ExperimentError;
+use oakwind_fault_harness::mutant::MutantError;
 use oakwind_fault_harness::node::ProgramOptionError;
+use oakwind_fault_harness::report::ReportError;
 use oakwind_fault_harness::scenario::Mistakes;
 use thiserror::Error;
 
@@ -26,7 +29,7 @@
         /// Its mistakes.
         mistakes: Mistakes,
     },
-    /// A file cannot be read or written.
+    /// A file cannot be read.
     #[error("{}: {source}", path.display())]
     File {
         /// The file.
@@ -48,12 +51,15 @@
     /// The path of the harness itself, beside which the program is, is not known.
     #[error("the path of this executable is not known: {0}")]
     OwnPath(io::Error),
-    /// A play could not be started, or was interrupted.
+    /// An experiment did not reach its end.
     #[error(transparent)]
-    Play(io::Error),
+    Experiment(#[from] ExperimentError),
+    /// The results cannot be written.
+    #[error(transparent)]
+    Report(#[from] ReportError),
     /// The mutant could not serve.
     #[error(transparent)]
-    Mutant(io::Error),
+    Mutant(#[from] MutantError),
 }
 
 fn mistakes_with_path(path: &Path, mistakes: &Mistakes) -> String {
--- a/fault-harness/src/commands/experiment_options.rs
+++ b/fault-harness/src/commands/experiment_options.rs
@@ -33,7 +33,7 @@
 
     /// Plays all, with progress on standard error if that is wanted.
     pub(crate) fn run(&self, jobs: Vec<Job>, progress: bool) -> Result<Vec<Outcome>, CommandError> {
-        experiment::run(jobs, self.jobs, progress).map_err(CommandError::Play)
+        Ok(experiment::run(jobs, self.jobs, progress)?)
     }
 }
 
--- a/fault-harness/src/commands/output.rs
+++ b/fault-harness/src/commands/output.rs
@@ -1,6 +1,5 @@
 //! What commands print of plays, and the files of results.
 
-use std::io;
 use std::path::Path;
 use std::process::ExitCode;
 
@@ -12,7 +11,7 @@
 /// rule was broken.
 pub(crate) fn conclude(outcomes: &[Outcome], out: Option<&Path>) -> Result<ExitCode, CommandError> {
     if let Some(out) = out {
-        store_results(outcomes, out).map_err(|source| CommandError::File { path: out.into(), source })?;
+        report::store_results(outcomes, out)?;
     }
     for outcome in outcomes.iter().filter(|outcome| !outcome.verdict.breaches.is_empty()) {
         println!("{} with seed {}:", outcome.label, outcome.seed);
@@ -22,10 +21,3 @@
     println!("{broken} rules broken");
     Ok(if broken == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
-
-/// Writes the results, a play a line, and the page with charts.
-fn store_results(outcomes: &[Outcome], out: &Path) -> io::Result<()> {
-    let lines = outcomes.iter().map(serde_json::to_string).collect::<Result<Vec<_>, _>>()?;
-    std::fs::write(out.join("results.jsonl"), lines.join("\n") + "\n")?;
-    report::page(outcomes, &out.join("report.html"))
-}
--- a/fault-harness/src/commands/predict.rs
+++ b/fault-harness/src/commands/predict.rs
@@ -37,7 +37,7 @@
             let seed = self.seed.unwrap_or(scenario.seed);
             let history = predict(&scenario, Some(seed));
             let bound = warm_up_bound(&scenario, &schedule(&scenario, seed));
-            outcomes.push(Outcome::of(&scenario.name, &history, bound));
+            outcomes.push(Outcome::from_history(&scenario.name, &history, bound));
         }
         print!("{}", report::rows(&outcomes));
         conclude(&outcomes, None)
--- a/fault-harness/src/commands/serve.rs
+++ b/fault-harness/src/commands/serve.rs
@@ -27,7 +27,7 @@
     pub(crate) fn run(self) -> Result<ExitCode, CommandError> {
         // Accepted, as nodes are started with it, but a plain node stores nothing.
         drop(self.result_store);
-        mutant::serve(&self.config, &self.mutant).map_err(CommandError::Mutant)?;
+        mutant::serve(&self.config, &self.mutant)?;
         Ok(ExitCode::SUCCESS)
     }
 }
--- a/fault-harness/src/experiment.rs
+++ b/fault-harness/src/experiment.rs
@@ -1,161 +1,148 @@
 //! Experiments: many plays side by side, one key varied or two builds compared in turns.
 
+mod comparison;
+
 use std::collections::VecDeque;
-use std::io;
 use std::path::PathBuf;
-use std::sync::mpsc::channel;
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::mpsc::{channel, Receiver, Sender};
+use std::sync::{Mutex, MutexGuard, PoisonError};
+
+use thiserror::Error;
 
 use crate::node::Programs;
-use crate::play::{play, Options};
-use crate::report::{self, cell, Outcome, COLUMNS};
+use crate::play::{play, Options, PlayError};
+use crate::report::{self, Outcome, ReportError};
 use crate::scenario::Scenario;
 use crate::schedule::schedule;
 use crate::warm_up_bound::warm_up_bound;
 
+pub use comparison::{compared, spread};
+
+/// Why an experiment ended before all of it was played.
+#[derive(Debug, Error)]
+pub enum ExperimentError {
+    /// A play did not reach its end.
+    #[error(transparent)]
+    Play(#[from] PlayError),
+    /// The files of a play cannot be written.
+    #[error(transparent)]
+    Report(#[from] ReportError),
+}
+
 /// One play of an experiment.
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// What it is called.
+    /// What it is called in tables.
     pub label: String,
     /// What is played.
     pub scenario: Scenario,
     /// Its seed.
     pub seed: u64,
-    /// The program, and others.
+    /// The builds of the program.
     pub programs: Programs,
-    /// Where its files are kept.
+    /// The directory for its files; none are kept without it.
     pub out: Option<PathBuf>,
 }
 
-/// Plays them, so many at a time, and returns what came of each, in their order.
+/// A job that waits, with its position among all.
+struct QueuedJob {
+    position: usize,
+    job: Job,
+}
+
+/// What a worker reports of a job.
+struct FinishedJob {
+    position: usize,
+    result: Result<Outcome, ExperimentError>,
+}
+
+/// The jobs that no worker has taken yet.
+struct JobQueue(Mutex<VecDeque<QueuedJob>>);
+
+impl JobQueue {
+    fn new(jobs: Vec<Job>) -> JobQueue {
+        let queued = jobs.into_iter().enumerate().map(|(position, job)| QueuedJob { position, job });
+        JobQueue(Mutex::new(queued.collect()))
+    }
+
+    fn lock(&self) -> MutexGuard<'_, VecDeque<QueuedJob>> {
+        // A worker that panicked has left the queue as it was.
+        self.0.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    fn take(&self) -> Option<QueuedJob> {
+        self.lock().pop_front()
+    }
+
+    fn cancel_all(&self) {
+        self.lock().clear();
+    }
+}
+
+/// Plays all jobs, at most `max_parallel` at a time, and returns their outcomes in the order of the jobs.
 ///
 /// # Errors
 ///
-/// The first that any of them met.
-pub fn run(jobs: Vec<Job>, at_a_time: usize, progress: bool) -> io::Result<Vec<Outcome>> {
+/// The first error of any job; those that wait are not played then.
+pub fn run(jobs: Vec<Job>, max_parallel: usize, progress: bool) -> Result<Vec<Outcome>, ExperimentError> {
     let count = jobs.len();
-    let waiting: Arc<Mutex<VecDeque<(usize, Job)>>> =
-        Arc::new(Mutex::new(jobs.into_iter().enumerate().collect()));
-    let (tell, told) = channel();
+    // A single play shows its own progress.
+    let progress_of_play = progress && count == 1;
+    let queue = JobQueue::new(jobs);
+    let (sender, finished) = channel();
     std::thread::scope(|scope| {
-        for _ in 0..at_a_time.clamp(1, count.max(1)) {
-            let (waiting, tell) = (waiting.clone(), tell.clone());
-            scope.spawn(move || loop {
-                let next = waiting.lock().unwrap_or_else(PoisonError::into_inner).pop_front();
-                let Some((position, job)) = next else { return };
-                let done = one(&job, progress && count == 1);
-                let failed = done.is_err();
-                if tell.send((position, done)).is_err() || failed {
-                    waiting.lock().unwrap_or_else(PoisonError::into_inner).clear();
-                    return;
-                }
-            });
+        for _ in 0..max_parallel.clamp(1, count.max(1)) {
+            let sender = sender.clone();
+            scope.spawn(|| work(&queue, sender, progress_of_play));
         }
-        drop(tell);
-        let mut outcomes: Vec<Option<Outcome>> = vec![None; count];
-        for (done, (position, outcome)) in told.iter().enumerate() {
-            let outcome = outcome?;
-            if progress && count > 1 {
-                eprintln!(
-                    "{} of {count}: {} with seed {}: {} broken",
-                    done + 1,
-                    outcome.label,
-                    outcome.seed,
-                    outcome.verdict.breaches.len()
-                );
-            }
-            outcomes[position] = Some(outcome);
-        }
-        Ok(outcomes.into_iter().flatten().collect())
+        // The channel ends with the last worker.
+        drop(sender);
+        collect(&finished, count, progress && count > 1)
     })
 }
 
-fn one(job: &Job, progress: bool) -> io::Result<Outcome> {
-    let options =
-        Options { seed: Some(job.seed), programs: job.programs.clone(), out: job.out.clone(), progress };
-    let history = play(&job.scenario, &options)?;
-    let least = warm_up_bound(&job.scenario, &schedule(&job.scenario, job.seed));
-    let outcome = Outcome::of(&job.label, &history, least);
-    if let Some(out) = &job.out {
-        report::keep(&outcome, &history, out)?;
+/// Plays one job after the other until none is left, or one fails.
+fn work(queue: &JobQueue, finished: Sender<FinishedJob>, progress: bool) {
+    while let Some(QueuedJob { position, job }) = queue.take() {
+        let result = play_job(&job, progress);
+        let has_failed = result.is_err();
+        let is_stopped = finished.send(FinishedJob { position, result }).is_err();
+        if has_failed || is_stopped {
+            queue.cancel_all();
+        }
     }
-    Ok(outcome)
 }
 
-/// The figures of repeated plays: the mean of each and, behind it, the least and the most.
-pub fn spread(outcomes: &[Outcome]) -> String {
-    let mut labels: Vec<&str> = Vec::new();
-    for outcome in outcomes {
-        if !labels.contains(&outcome.label.as_str()) {
-            labels.push(&outcome.label);
+/// Collects the outcomes of all jobs in their order, with a line of progress for each if that is wanted.
+fn collect(
+    finished: &Receiver<FinishedJob>,
+    count: usize,
+    progress: bool,
+) -> Result<Vec<Outcome>, ExperimentError> {
+    let mut outcomes: Vec<Option<Outcome>> = vec![None; count];
+    for (done, job) in finished.iter().enumerate() {
+        let outcome = job.result?;
+        if progress {
+            print_progress(done + 1, count, &outcome);
         }
+        outcomes[job.position] = Some(outcome);
     }
-    let heads = ["play", "runs"]
-        .map(String::from)
-        .into_iter()
-        .chain(COLUMNS.iter().map(|c| c.name.into()))
-        .chain(["broken".into()]);
-    let row = |label: &&str| {
-        let mine: Vec<&Outcome> = outcomes.iter().filter(|o| o.label == *label).collect();
-        let cells =
-            COLUMNS.iter().map(|column| spread_of(mine.iter().map(|o| (column.of)(o)), column.digits));
-        let broken: usize = mine.iter().map(|o| o.verdict.breaches.len()).sum();
-        [label.to_string(), mine.len().to_string()]
-            .into_iter()
-            .chain(cells)
-            .chain([broken.to_string()])
-            .collect::<Vec<_>>()
-    };
-    report::table(&heads.collect::<Vec<_>>(), &labels.iter().map(row).collect::<Vec<_>>())
+    Ok(outcomes.into_iter().flatten().collect())
 }
 
-/// A mean with the least and the most; where some plays have none, how many.
-fn spread_of(values: impl Iterator<Item = Option<f64>>, digits: usize) -> String {
-    let all: Vec<Option<f64>> = values.collect();
-    let some: Vec<f64> = all.iter().flatten().copied().collect();
-    if some.is_empty() {
-        return "-".into();
-    }
-    let mean = some.iter().sum::<f64>() / some.len() as f64;
-    let (least, most) = (
-        some.iter().copied().fold(f64::INFINITY, f64::min),
-        some.iter().copied().fold(f64::NEG_INFINITY, f64::max),
-    );
-    let (shown, low, high) = (cell(Some(mean), digits), cell(Some(least), digits), cell(Some(most), digits));
-    let range = if low == high { shown } else { format!("{shown} ({low}-{high})") };
-    let none = all.len() - some.len();
-    if none > 0 {
-        format!("{range}, {none} never")
-    } else {
-        range
-    }
+fn print_progress(done: usize, count: usize, outcome: &Outcome) {
+    let Outcome { label, seed, verdict, .. } = outcome;
+    eprintln!("{done} of {count}: {label} with seed {seed}: {} broken", verdict.breaches.len());
 }
 
-/// Two sides played in turns, with the same seeds: for each figure the ratio of the second to the first, with its
-/// spread over the pairs.
-pub fn compared(first: &[Outcome], second: &[Outcome]) -> String {
-    let rows: Vec<Vec<String>> = COLUMNS
-        .iter()
-        .map(|column| {
-            let of = |side: &[Outcome]| side.iter().map(|o| (column.of)(o)).collect::<Vec<_>>();
-            let (a, b) = (of(first), of(second));
-            let ratios = a.iter().zip(&b).map(|(a, b)| match (a, b) {
-                (Some(a), Some(b)) if *a != 0.0 => Some(b / a),
-                _ => None,
-            });
-            let ratios = spread_of(ratios, 3);
-            vec![
-                column.name.into(),
-                spread_of(a.into_iter(), column.digits),
-                spread_of(b.into_iter(), column.digits),
-                ratios,
-            ]
-        })
-        .collect();
-    let label = |side: &[Outcome]| side.first().map_or(String::new(), |o| o.label.clone());
-    report::table(&["figure".into(), label(first), label(second), "ratio".into()], &rows)
+fn play_job(job: &Job, progress: bool) -> Result<Outcome, ExperimentError> {
+    let options =
+        Options { seed: Some(job.seed), programs: job.programs.clone(), out: job.out.clone(), progress };
+    let history = play(&job.scenario, &options)?;
+    let warm_up_bound_s = warm_up_bound(&job.scenario, &schedule(&job.scenario, job.seed));
+    let outcome = Outcome::from_history(&job.label, &history, warm_up_bound_s);
+    if let Some(directory) = &job.out {
+        report::store_play(&outcome, &history, directory)?;
+    }
+    Ok(outcome)
 }
-
-#[cfg(test)]
-mod tests;
--- a/fault-harness/src/mutant.rs
+++ b/fault-harness/src/mutant.rs
@@ -1,256 +1,232 @@
-//! A plain node in the program's place, which can be told to break a rule. It shows that the checker sees what breaks,
-//! through the sockets and not only in a history that was made up.
+//! A plain node in the program's place, which can be told to break a rule. It shows that the checker finds violations
+//! through the sockets, and not only in a history that was made up.
+
+mod connections;
+mod fault;
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::io;
 use std::net::SocketAddr;
-use std::path::Path;
+use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
 use base64::engine::general_purpose::STANDARD as BASE64;
 use base64::Engine;
+use serde::Deserialize;
 use serde_json::{json, Value};
-use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
-use tokio::net::{TcpListener, TcpStream, UdpSocket};
+use thiserror::Error;
 use tokio::sync::mpsc;
-use tokio::task::{spawn_local, LocalSet};
-
-/// Every so many requests the fault shows.
-const EVERY: u64 = 5;
-/// Lines that wait on a connection.
-const MAX_QUEUED_LINES: usize = 1024;
+use tokio::task::LocalSet;
+
+use crate::wire;
+use fault::Fault;
+
+/// The fault shows at every so many requests.
+const FAULT_PERIOD: u64 = 5;
+/// The error code of a request whose run failed.
+const RUN_FAILED: i64 = -32000;
+
+/// Why a mutant cannot serve.
+#[derive(Debug, Error)]
+pub enum MutantError {
+    /// There is no such fault.
+    #[error("no fault is called {0:?}")]
+    UnknownFault(String),
+    /// The configuration cannot be read.
+    #[error("{}: {source}", path.display())]
+    Config {
+        /// The configuration's file.
+        path: PathBuf,
+        /// Why.
+        source: io::Error,
+    },
+    /// A socket cannot be opened, or the connection with the interpreter has ended.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+}
 
-/// What is wrong with it.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Fault {
-    Nothing,
-    /// Keys are not known again.
-    DuplicateRun,
-    /// Some answers are never given.
-    LosesAnswers,
-    /// Some answers are given twice.
-    DuplicateAnswer,
-    /// Some of what ran is refused.
-    RefusesWhatRan,
-    /// Some get the result of another request.
-    MixesResults,
-    /// Some bodies reach the interpreter changed.
-    ChangesBodies,
+/// What a mutant reads of a node's configuration.
+#[derive(Debug, Clone, Deserialize)]
+struct Config {
+    name: String,
+    listen: SocketAddr,
+    /// The address of the interpreter.
+    vm: SocketAddr,
+    /// The address of the membership service.
+    members: SocketAddr,
 }
 
-impl Fault {
-    fn named(name: &str) -> Option<Fault> {
-        Some(match name {
-            "" => Fault::Nothing,
-            "runs-twice" => Fault::DuplicateRun,
-            "loses-answers" => Fault::LosesAnswers,
-            "answers-twice" => Fault::DuplicateAnswer,
-            "refuses-what-ran" => Fault::RefusesWhatRan,
-            "mixes-results" => Fault::MixesResults,
-            "changes-bodies" => Fault::ChangesBodies,
-            _ => return None,
-        })
+impl Config {
+    fn read(path: &Path) -> Result<Config, MutantError> {
+        let read = || -> io::Result<Config> { Ok(serde_json::from_str(&std::fs::read_to_string(path)?)?) };
+        read().map_err(|source| MutantError::Config { path: path.to_path_buf(), source })
     }
 }
 
-struct Waiting {
+/// Serves until it is killed, with the fault of this name; with an empty name, there is none.
+///
+/// # Errors
+///
+/// If there is no such fault, the configuration cannot be read, or the connection with the interpreter ends.
+pub fn serve(config: &Path, fault: &str) -> Result<(), MutantError> {
+    let fault = Fault::named(fault).ok_or_else(|| MutantError::UnknownFault(fault.into()))?;
+    let config = Config::read(config)?;
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    Ok(runtime.block_on(LocalSet::new().run_until(connections::serve(fault, config)))?)
+}
+
+/// An attempt without an answer.
+struct OpenAttempt {
     id: u64,
     key: Option<String>,
     answers: mpsc::Sender<String>,
 }
 
-/// A key that ran: its result once there is one, and the attempts that wait for it.
-type Known = (Option<String>, Vec<Waiting>);
+impl OpenAttempt {
+    /// Sends an answer; a client that has disconnected misses it.
+    fn answer(&self, answer: &Value) {
+        let _ = self.answers.try_send(response(self.id, answer));
+    }
 
-struct Node {
-    fault: Fault,
-    commands: mpsc::Sender<String>,
-    open: RefCell<HashMap<String, Waiting>>,
-    keys: RefCell<HashMap<String, Known>>,
-    count: Cell<u64>,
-    last: RefCell<String>,
+    fn answer_result(&self, result: &str) {
+        self.answer(&json!({"result": {"content": BASE64.encode(result)}}));
+    }
+
+    fn answer_failed(&self) {
+        self.answer(&json!({"error": {"code": RUN_FAILED, "message": "failed"}}));
+    }
+
+    fn answer_refused(&self) {
+        self.answer(&json!({"error": {"code": wire::REFUSED, "message": "not now"}}));
+    }
 }
 
-/// Serves until it is killed, with the fault of this name; without one, there is none.
-///
-/// # Errors
-///
-/// Where there is no such fault, the configuration can't be read, or its interpreter is gone.
-pub fn serve(config: &Path, name: &str) -> io::Result<()> {
-    let fault = Fault::named(name)
-        .ok_or_else(|| io::Error::new(io::ErrorKind::InvalidInput, format!("no fault is called {name:?}")))?;
-    let config: Value = serde_json::from_str(&std::fs::read_to_string(config)?)?;
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    runtime.block_on(LocalSet::new().run_until(run(fault, config)))
+/// What is known of an idempotency key.
+#[derive(Default)]
+struct KeyState {
+    /// The result, once there is one.
+    result: Option<String>,
+    /// Attempts that wait for it.
+    waiting: Vec<OpenAttempt>,
 }
 
-fn address(config: &Value, key: &str) -> io::Result<SocketAddr> {
-    let text = config[key].as_str().unwrap_or_default();
-    text.parse().map_err(|_| io::Error::new(io::ErrorKind::InvalidInput, format!("{key}: {text:?}")))
+/// What the interpreter reports of a run that is over.
+struct FinishedRun {
+    txn: String,
+    succeeded: bool,
+    result: String,
 }
 
-async fn run(fault: Fault, config: Value) -> io::Result<()> {
-    let vm = TcpStream::connect(address(&config, "vm")?).await?;
-    let (reader, mut writer) = vm.into_split();
-    let (commands, mut queue) = mpsc::channel::<String>(MAX_QUEUED_LINES);
-    let node = Rc::new(Node {
-        fault,
-        commands,
-        open: RefCell::default(),
-        keys: RefCell::default(),
-        count: Cell::new(0),
-        last: RefCell::default(),
-    });
-    writer.write_all(b"CONNECT 0\r\n").await?;
-    spawn_local(async move {
-        while let Some(command) = queue.recv().await {
-            if writer.write_all(command.as_bytes()).await.is_err() {
-                return;
-            }
-        }
-    });
-    let listener = TcpListener::bind(address(&config, "listen")?).await?;
-    eprintln!("frontend: listening: protocol=JSON-RPC address={}", listener.local_addr()?);
-    let taking = node.clone();
-    spawn_local(async move {
-        while let Ok((stream, _)) = listener.accept().await {
-            spawn_local(taking.clone().client(stream));
-        }
-    });
-    let (members, name) =
-        (address(&config, "members")?, config["name"].as_str().unwrap_or_default().to_string());
-    spawn_local(async move {
-        let Ok(socket) = UdpSocket::bind("127.0.0.1:0").await else { return };
-        loop {
-            // A report that is lost is made up for by the next.
-            let _ = socket.send_to(format!("HB {name} UP").as_bytes(), members).await;
-            tokio::time::sleep(std::time::Duration::from_millis(300)).await;
-        }
-    });
-    node.notices(BufReader::new(reader)).await
+/// The node, apart from its connections.
+struct Mutant {
+    fault: Fault,
+    /// Commands for the interpreter.
+    commands: mpsc::Sender<String>,
+    open: RefCell<HashMap<String, OpenAttempt>>,
+    keys: RefCell<HashMap<String, KeyState>>,
+    /// How often the fault could have shown.
+    occasions: Cell<u64>,
+    previous_result: RefCell<String>,
 }
 
-impl Node {
-    /// Whether the fault shows this time.
-    fn shows(&self, fault: Fault) -> bool {
-        self.fault == fault && self.count.replace(self.count.get() + 1) % EVERY == EVERY - 1
+impl Mutant {
+    fn new(fault: Fault, commands: mpsc::Sender<String>) -> Rc<Mutant> {
+        Rc::new(Mutant {
+            fault,
+            commands,
+            open: RefCell::default(),
+            keys: RefCell::default(),
+            occasions: Cell::new(0),
+            previous_result: RefCell::default(),
+        })
     }
 
-    async fn client(self: Rc<Self>, stream: TcpStream) {
-        let (reader, mut writer) = stream.into_split();
-        let (answers, mut lines) = mpsc::channel::<String>(MAX_QUEUED_LINES);
-        spawn_local(async move {
-            while let Some(line) = lines.recv().await {
-                if writer.write_all(line.as_bytes()).await.is_err() {
-                    return;
-                }
-            }
-        });
-        let mut input = BufReader::new(reader).lines();
-        while let Ok(Some(line)) = input.next_line().await {
-            let Ok(request) = serde_json::from_str::<Value>(&line) else { return };
-            let id = request["id"].as_u64().unwrap_or_default();
-            match request["method"].as_str() {
-                Some("status") => drop(answers.try_send(response(id, &json!({"result": {"up": true}})))),
-                Some("withdraw") | None => {}
-                Some(class) => self.request(id, class, &request["params"], &answers),
-            }
-        }
+    /// Whether this fault shows this time.
+    fn shows(&self, fault: Fault) -> bool {
+        self.fault == fault
+            && self.occasions.replace(self.occasions.get() + 1) % FAULT_PERIOD == FAULT_PERIOD - 1
     }
 
     fn request(&self, id: u64, class: &str, params: &Value, answers: &mpsc::Sender<String>) {
         let text = |key: &str| params[key].as_str().unwrap_or_default().to_string();
-        let (txn, key) = (text("txn"), params["unique"].as_str().map(String::from));
-        let waiting = Waiting { id, key: key.clone(), answers: answers.clone() };
+        let txn = text("txn");
+        let key = params["unique"].as_str().map(String::from);
+        let attempt = OpenAttempt { id, key, answers: answers.clone() };
+        let Some(attempt) = self.join_earlier_run(attempt) else { return };
         let body = BASE64.decode(text("content")).unwrap_or_default();
         let mut body = String::from_utf8_lossy(&body).into_owned();
-        if let Some(key) = key.filter(|_| self.fault != Fault::DuplicateRun) {
-            let mut keys = self.keys.borrow_mut();
-            match keys.get_mut(&key) {
-                Some((Some(result), _)) => return answer(&waiting, Some(result)),
-                Some((None, joined)) => return joined.push(waiting),
-                None => drop(keys.insert(key, (None, Vec::new()))),
-            }
-        }
         if self.shows(Fault::ChangesBodies) {
             body.push(' ');
         }
-        self.open.borrow_mut().insert(txn.clone(), waiting);
+        self.open.borrow_mut().insert(txn.clone(), attempt);
         self.command(format!("APPLY {txn} {class} {}\r\n{body}\r\n", body.len()));
     }
 
+    /// Answers an attempt whose key has a result, or lets it wait for one. Returns the attempt if it has to run.
+    fn join_earlier_run(&self, attempt: OpenAttempt) -> Option<OpenAttempt> {
+        if self.fault == Fault::DuplicateRun {
+            return Some(attempt);
+        }
+        let Some(key) = attempt.key.clone() else { return Some(attempt) };
+        let mut keys = self.keys.borrow_mut();
+        let Some(known) = keys.get_mut(&key) else {
+            keys.insert(key, KeyState::default());
+            return Some(attempt);
+        };
+        match &known.result {
+            Some(result) => attempt.answer_result(result),
+            None => known.waiting.push(attempt),
+        }
+        None
+    }
+
     fn command(&self, text: String) {
         // A queue that is full loses the command, which the checker will see.
         let _ = self.commands.try_send(text);
     }
 
-    async fn notices(&self, mut input: BufReader<tokio::net::tcp::OwnedReadHalf>) -> io::Result<()> {
-        loop {
-            let mut line = String::new();
-            if input.read_line(&mut line).await? == 0 {
-                return Err(io::ErrorKind::UnexpectedEof.into());
-            }
-            let words: Vec<&str> = line.trim_end().split(' ').collect();
-            match words[..] {
-                ["VALUE", _, txn, end, _, length] => {
-                    let mut body = vec![0; length.parse::<usize>().unwrap_or(0) + 2];
-                    input.read_exact(&mut body).await?;
-                    body.truncate(body.len() - 2);
-                    self.ended(txn, end, String::from_utf8_lossy(&body).into_owned());
-                }
-                ["AWAIT", notice, txn, length] => {
-                    let mut body = vec![0; length.parse::<usize>().unwrap_or(0) + 2];
-                    input.read_exact(&mut body).await?;
-                    self.command(format!("STUB {txn} {notice}\r\n"));
-                }
-                _ => {}
+    fn finished(&self, run: FinishedRun) {
+        let Some(attempt) = self.open.borrow_mut().remove(&run.txn) else { return };
+        let result = Some(&run.result).filter(|_| run.succeeded);
+        if let (Some(key), Some(result)) = (&attempt.key, result) {
+            self.store_result(key, result);
+        }
+        let previous = self.previous_result.replace(run.result.clone());
+        if self.shows(Fault::LosesAnswers) {
+            return;
+        }
+        if self.shows(Fault::RefusesWhatRan) {
+            return attempt.answer_refused();
+        }
+        if self.shows(Fault::MixesResults) {
+            return attempt.answer_result(&previous);
+        }
+        let answers = if self.shows(Fault::DuplicateAnswer) { 2 } else { 1 };
+        for _ in 0..answers {
+            match result {
+                Some(result) => attempt.answer_result(result),
+                None => attempt.answer_failed(),
             }
         }
     }
 
-    fn ended(&self, txn: &str, end: &str, result: String) {
-        let Some(waiting) = self.open.borrow_mut().remove(txn) else { return };
-        let done = (end == "done").then_some(&result);
-        if let (Some(key), Some(result)) = (&waiting.key, done) {
-            if let Some((kept, joined)) = self.keys.borrow_mut().get_mut(key) {
-                *kept = Some(result.clone());
-                joined.drain(..).for_each(|waiting| answer(&waiting, Some(result)));
-            }
-        }
-        let before = self.last.replace(result.clone());
-        if self.shows(Fault::LosesAnswers) {
-        } else if self.shows(Fault::RefusesWhatRan) {
-            drop(
-                waiting.answers.try_send(response(
-                    waiting.id,
-                    &json!({"error": {"code": -32011, "message": "not now"}}),
-                )),
-            );
-        } else if self.shows(Fault::MixesResults) {
-            answer(&waiting, Some(&before));
-        } else {
-            answer(&waiting, done);
-            if self.shows(Fault::DuplicateAnswer) {
-                answer(&waiting, done);
-            }
+    /// Stores a key's result and answers the attempts that wait for it.
+    fn store_result(&self, key: &str, result: &str) {
+        let mut keys = self.keys.borrow_mut();
+        let Some(known) = keys.get_mut(key) else { return };
+        known.result = Some(result.into());
+        for attempt in known.waiting.drain(..) {
+            attempt.answer_result(result);
         }
     }
 }
 
-fn response(id: u64, what: &Value) -> String {
+/// A JSON-RPC response with these members, as a line.
+fn response(id: u64, members: &Value) -> String {
     let mut message = json!({"jsonrpc": "2.0", "id": id});
-    for (key, value) in what.as_object().into_iter().flatten() {
+    for (key, value) in members.as_object().into_iter().flatten() {
         message[key] = value.clone();
     }
     format!("{message}\n")
 }
-
-fn answer(waiting: &Waiting, result: Option<&String>) {
-    let what = match result {
-        Some(result) => json!({"result": {"content": BASE64.encode(result)}}),
-        None => json!({"error": {"code": -32000, "message": "failed"}}),
-    };
-    // A client that has gone is owed nothing.
-    let _ = waiting.answers.try_send(response(waiting.id, &what));
-}
--- a/fault-harness/src/node.rs
+++ b/fault-harness/src/node.rs
@@ -2,6 +2,7 @@
 //! to all of them.
 
 mod builds;
+mod error;
 mod lifecycle;
 mod state_folders;
 
@@ -32,6 +33,7 @@
 use state_folders::StateFolders;
 
 pub use builds::{Build, ProgramOptionError, Programs};
+pub use error::StartError;
 pub use lifecycle::Ending;
 
 /// Lines of a log that wait to be read; a program that logs more is blocked.
@@ -100,10 +102,10 @@
         programs: &Programs,
         folder: &Path,
         log_enabled: bool,
-    ) -> io::Result<Rc<Machine>> {
+    ) -> Result<Rc<Machine>, StartError> {
         let name = format!("n{}", node + 1);
         let folder = folder.join(&name);
-        let state_folders = StateFolders::create(&folder)?;
+        let state_folders = StateFolders::create(&folder).map_err(StartError::file(&folder))?;
         let build = context.scenario.fleet.programs.iter().find(|(_, nodes)| nodes.contains(&name));
         let build = build.map(|(build, _)| build.clone());
         let clock = context.scenario.fleet.clocks.get(&name).cloned();
@@ -138,7 +140,8 @@
         }))
     }
 
-    fn name(&self) -> String {
+    /// Its name in scenarios and reports.
+    pub fn name(&self) -> String {
         format!("n{}", self.node + 1)
     }
 
@@ -192,34 +195,36 @@
     /// # Errors
     ///
     /// Where the program can't be started.
-    pub async fn begin(self: &Rc<Self>) -> io::Result<()> {
+    pub async fn begin(self: &Rc<Self>) -> Result<(), StartError> {
         while self.listeners.get().is_none() {
             tokio::task::yield_now().await;
         }
         self.start()
     }
 
-    fn start(self: &Rc<Self>) -> io::Result<()> {
-        let Some(peers) = self.listeners.get() else { return Err(io::ErrorKind::NotConnected.into()) };
+    fn start(self: &Rc<Self>) -> Result<(), StartError> {
+        let Some(peers) = self.listeners.get() else { return Err(StartError::NoListeners) };
         let seed = self.context.seed.wrapping_mul(1000).wrapping_add(self.node as u64)
             ^ (self.context.now() as u64) << 32;
         let config = self.folder.join("config.json");
-        std::fs::write(&config, settings::config(&self.context.scenario, &self.name(), seed, &peers))?;
+        std::fs::write(&config, settings::config(&self.context.scenario, &self.name(), seed, &peers))
+            .map_err(StartError::file(&config))?;
         let build = self.programs.named(self.build.borrow().as_deref())?;
-        let mut command = Command::new(build.path);
+        let mut command = Command::new(&build.path);
         command.arg("serve").arg("--config").arg(&config).args(build.arguments);
         if self.context.scenario.fleet.folder {
             let file = self.folder.join("remembered.toml");
-            std::fs::write(&file, settings::remembered(&self.state_folders.results()))?;
+            std::fs::write(&file, settings::remembered(&self.state_folders.results()))
+                .map_err(StartError::file(&file))?;
             command.arg("--remembered").arg(&file);
         }
         if let Some(router) = &*self.router.borrow() {
             let file = self.folder.join("uwsgi.toml");
-            std::fs::write(&file, router)?;
+            std::fs::write(&file, router).map_err(StartError::file(&file))?;
             command.arg("--uwsgi").arg(&file);
         }
         if self.place.borrow().is_some() {
-            command.arg("--fleet").arg(self.write_list()?);
+            command.arg("--fleet").arg(self.write_list().map_err(StartError::file(&self.folder))?);
         }
         command.env_remove("TMPDIR").env_remove("BALANCER_CONFIG").env_remove(CLOCK_VARIABLE);
         if let Some(clock) = &*self.clock.borrow() {
@@ -227,7 +232,8 @@
         }
         let (say, mut log) = mpsc::channel::<String>(LOG_QUEUE);
         // Once the play is over nobody reads any more.
-        let program = Program::start(&mut command, move |line| drop(say.blocking_send(line)))?;
+        let program = Program::start(&mut command, move |line| drop(say.blocking_send(line)))
+            .map_err(|source| StartError::Program { path: build.path, source })?;
         *self.program.borrow_mut() = Some(program);
         self.ending.set(None);
         self.has_logged.set(false);
--- a/fault-harness/src/node/builds.rs
+++ b/fault-harness/src/node/builds.rs
@@ -1,11 +1,12 @@
 //! The builds of the program that nodes run.
 
 use std::collections::BTreeMap;
-use std::io;
 use std::path::PathBuf;
 
 use thiserror::Error;
 
+use super::StartError;
+
 /// The name of the build that nodes run unless the scenario says otherwise.
 const DEFAULT_BUILD: &str = "default";
 
@@ -54,16 +55,9 @@
     }
 
     /// The build with this name, or the default one.
-    pub(super) fn named(&self, name: Option<&str>) -> io::Result<Build> {
-        match name {
-            None => Ok(self.default.clone()),
-            Some(name) => self.others.get(name).cloned().ok_or_else(|| {
-                io::Error::new(
-                    io::ErrorKind::NotFound,
-                    format!("no --program {name}=PATH names the build {name:?}"),
-                )
-            }),
-        }
+    pub(super) fn named(&self, name: Option<&str>) -> Result<Build, StartError> {
+        let Some(name) = name else { return Ok(self.default.clone()) };
+        self.others.get(name).cloned().ok_or_else(|| StartError::UnknownBuild(name.into()))
     }
 }
 
--- a/fault-harness/src/node/lifecycle.rs
+++ b/fault-harness/src/node/lifecycle.rs
@@ -1,11 +1,10 @@
 //! How a node's program ends and is restarted, and what faults do to its process.
 
-use std::io;
 use std::rc::Rc;
 
 use tokio::task::spawn_local;
 
-use super::Machine;
+use super::{Machine, StartError};
 use crate::history::{Event, ProcessExit};
 use crate::model::Ms;
 use crate::process::{Program, Signal};
@@ -67,7 +66,7 @@
         });
     }
 
-    fn restart(self: &Rc<Self>, planned: &PlannedRestart) -> io::Result<()> {
+    fn restart(self: &Rc<Self>, planned: &PlannedRestart) -> Result<(), StartError> {
         if let Some(build) = &planned.program {
             *self.build.borrow_mut() = Some(build.clone());
         }
@@ -75,7 +74,7 @@
         if let Some(before) = self.list_before.borrow_mut().take().filter(|_| planned.old_list) {
             *self.list.borrow_mut() = before;
         }
-        self.state_folders.prepare(planned.folder, planned.draw)?;
+        self.state_folders.prepare(planned.folder, planned.draw).map_err(StartError::file(&self.folder))?;
         if planned.folder != Folder::Keep || !self.context.scenario.fleet.folder {
             self.context.note(Event::Wiped { node: self.node });
         }
--- a/fault-harness/src/play.rs
+++ b/fault-harness/src/play.rs
@@ -2,13 +2,13 @@
 //! it started.
 
 mod disturbance;
+mod error;
 mod faults;
 mod links;
 mod monitoring;
 mod testbed;
 mod workspace;
 
-use std::io;
 use std::path::PathBuf;
 use std::rc::Rc;
 
@@ -22,6 +22,8 @@
 use testbed::Testbed;
 use workspace::Workspace;
 
+pub use error::PlayError;
+
 /// Between the last node's readiness and the load.
 const PAUSE_BEFORE_LOAD: Ms = 500.0;
 /// After the load, the play goes on until the longest deadline is over, and this.
@@ -45,16 +47,16 @@
 /// # Errors
 ///
 /// If the program can't be started or does not serve, and if the play is interrupted.
-pub fn play(scenario: &Scenario, options: &Options) -> io::Result<History> {
+pub fn play(scenario: &Scenario, options: &Options) -> Result<History, PlayError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let set = LocalSet::new();
     let history = runtime.block_on(set.run_until(async {
-        let (mut interrupt, mut terminate) =
-            (signal(SignalKind::interrupt())?, signal(SignalKind::terminate())?);
+        let mut interrupt = signal(SignalKind::interrupt())?;
+        let mut terminate = signal(SignalKind::terminate())?;
         tokio::select! {
             played = run(scenario, options) => played,
-            _ = interrupt.recv() => Err(interrupted()),
-            _ = terminate.recv() => Err(interrupted()),
+            _ = interrupt.recv() => Err(PlayError::Interrupted),
+            _ = terminate.recv() => Err(PlayError::Interrupted),
         }
     }));
     // Tasks hold the machines, and with them the processes.
@@ -62,11 +64,7 @@
     history
 }
 
-fn interrupted() -> io::Error {
-    io::Error::new(io::ErrorKind::Interrupted, "interrupted; every process is ended")
-}
-
-async fn run(scenario: &Scenario, options: &Options) -> io::Result<History> {
+async fn run(scenario: &Scenario, options: &Options) -> Result<History, PlayError> {
     let seed = options.seed.unwrap_or(scenario.seed);
     let workspace = Workspace::new(options.out.as_deref())?;
     let testbed = Rc::new(Testbed::new(scenario, options, seed, &workspace.path)?);
@@ -87,7 +85,7 @@
 }
 
 /// Connects the nodes with each other, starts them and waits until they serve.
-async fn start_nodes(testbed: &Testbed) -> io::Result<()> {
+async fn start_nodes(testbed: &Testbed) -> Result<(), PlayError> {
     let fleet = &testbed.context.scenario.fleet;
     if let Some(vrrp) = &fleet.vrrp {
         testbed.connect_router(vrrp.interval_ms).await?;
--- a/fault-harness/src/play/testbed.rs
+++ b/fault-harness/src/play/testbed.rs
@@ -1,16 +1,15 @@
 //! The nodes of a play and everything they talk to, set up but not started.
 
 use std::cell::{Cell, RefCell};
-use std::io;
 use std::path::Path;
 use std::rc::Rc;
 
 use tokio::task::spawn_local;
 
-use super::Options;
+use super::{Options, PlayError};
 use crate::model::registry::Members;
 use crate::model::Ms;
-use crate::node::Machine;
+use crate::node::{Machine, StartError};
 use crate::play_context::PlayContext;
 use crate::relay::Line;
 use crate::scenario::Scenario;
@@ -57,7 +56,7 @@
         options: &Options,
         seed: u64,
         folder: &Path,
-    ) -> io::Result<Testbed> {
+    ) -> Result<Testbed, PlayError> {
         let context = PlayContext::new(scenario.clone(), schedule(scenario, seed), seed);
         let lapse = scenario.members.lapse_s * 1000.0;
         let members = Rc::new(RefCell::new(Members::new(scenario.fleet.nodes, lapse)));
@@ -83,18 +82,14 @@
     }
 
     /// Waits until every node serves and every frontend sees it on its list.
-    pub(super) async fn ready(&self) -> io::Result<()> {
-        let deadline = self.context.now() + self.ready_timeout();
+    pub(super) async fn ready(&self) -> Result<(), PlayError> {
+        let timeout = self.ready_timeout();
+        let deadline = self.context.now() + timeout;
         loop {
             let now = self.context.now();
-            if self.is_ready(now).await {
-                return Ok(());
-            }
+            let Some(node) = self.first_unready(now).await else { return Ok(()) };
             if now > deadline {
-                return Err(io::Error::new(
-                    io::ErrorKind::TimedOut,
-                    "not every node serves in time after its start",
-                ));
+                return Err(PlayError::NotReady { node, timeout });
             }
             self.context.clock.until(now + READY_POLL_INTERVAL).await;
         }
@@ -110,23 +105,28 @@
         READY_TIMEOUT + window as f64
     }
 
-    async fn is_ready(&self, now: Ms) -> bool {
+    /// The name of a node that does not serve yet, or is not on every frontend's list.
+    async fn first_unready(&self, now: Ms) -> Option<String> {
         let latest = self.context.schedule.fronts.iter().map(|front| front.late).fold(0.0, f64::max);
         let listed = self.members.borrow_mut().listed_at(now, now - latest);
         for (machine, is_listed) in self.machines.iter().zip(&listed) {
             if !*is_listed || !machine.healthy().await {
-                return false;
+                return Some(machine.name());
             }
             // Keyed requests run once the nodes that hold replicas can vote.
             if machine.place.borrow().is_some() && !machine.can_vote.get() {
-                return false;
+                return Some(machine.name());
             }
         }
-        true
+        None
     }
 }
 
-fn machines(context: &Rc<PlayContext>, options: &Options, folder: &Path) -> io::Result<Vec<Rc<Machine>>> {
+fn machines(
+    context: &Rc<PlayContext>,
+    options: &Options,
+    folder: &Path,
+) -> Result<Vec<Rc<Machine>>, StartError> {
     let scenario = &context.scenario;
     let mut factory = LineFactory { context, made: 0 };
     let mut machines = Vec::new();
--- a/fault-harness/src/report.rs
+++ b/fault-harness/src/report.rs
@@ -1,134 +1,91 @@
-//! What is told of a play: a table on the terminal, JSON lines, and one HTML page with charts.
+//! Reports of plays: a table and the rules broken for the terminal, an HTML page with charts, and the files of one play.
+
+mod table;
 
 use std::fmt::Write as _;
 use std::io;
-use std::path::Path;
+use std::path::{Path, PathBuf};
 
-use minijinja::{context, Environment};
+use minijinja::{context, Environment, Value};
 use serde::Serialize;
+use thiserror::Error;
 
 use crate::charts::charts;
 use crate::check::{check, Verdict};
 use crate::history::History;
 use crate::statistics::{statistics, Statistics};
 
+pub use table::{format_value, headings, rows, table, Column, COLUMNS};
+
+/// The template of the page.
 const PAGE: &str = include_str!("../templates/report.html");
 /// Breaches that a terminal is shown.
-const MAX_SHOWN: usize = 12;
+const MAX_BREACHES_PRINTED: usize = 12;
+/// Breaches that the page lists for a play.
+const MAX_BREACHES_ON_PAGE: usize = 100;
+
+/// Why a report cannot be written.
+#[derive(Debug, Error)]
+pub enum ReportError {
+    /// A file or a directory cannot be written.
+    #[error("{}: {source}", path.display())]
+    Write {
+        /// The file or directory.
+        path: PathBuf,
+        /// Why.
+        source: io::Error,
+    },
+    /// Results cannot be written as JSON.
+    #[error("results cannot be written as JSON: {0}")]
+    Json(#[from] serde_json::Error),
+    /// The page cannot be made from its template.
+    #[error("the page cannot be made from its template: {0}")]
+    Template(#[from] minijinja::Error),
+}
 
-/// A play worked out.
+/// What a play resulted in.
 #[derive(Debug, Clone, Serialize)]
 pub struct Outcome {
-    /// What it was, where several were played.
+    /// What the play is called among several.
     pub label: String,
     /// The scenario's name.
     pub scenario: String,
     /// The seed.
     pub seed: u64,
-    /// The rules.
+    /// The rules broken.
     pub verdict: Verdict,
-    /// The figures.
-    pub figures: Statistics,
-    /// The seconds that warm-up alone would have needed to be back.
-    pub floor: Option<f64>,
+    /// The statistics.
+    #[serde(rename = "figures")]
+    pub statistics: Statistics,
+    /// The seconds to full service that warming up alone would have needed; none without a fault.
+    #[serde(rename = "floor")]
+    pub warm_up_bound_s: Option<f64>,
 }
 
 impl Outcome {
-    /// Works a history out.
-    pub fn of(label: &str, history: &History, floor: Option<f64>) -> Outcome {
+    /// Checks a history and computes its statistics.
+    pub fn from_history(label: &str, history: &History, warm_up_bound_s: Option<f64>) -> Outcome {
         Outcome {
             label: label.into(),
             scenario: history.terms.scenario.clone(),
             seed: history.terms.seed,
             verdict: check(history),
-            figures: statistics(history),
-            floor,
+            statistics: statistics(history),
+            warm_up_bound_s,
         }
     }
 }
 
-/// A figure that tables show: its heading, how to get it, and its digits.
-pub struct Column {
-    /// The heading.
-    pub name: &'static str,
-    /// The value, if there is one.
-    pub of: fn(&Outcome) -> Option<f64>,
-    /// Digits after the point.
-    pub digits: usize,
-}
-
-/// What tables show, in order.
-pub const COLUMNS: [Column; 14] = [
-    Column {
-        name: "asked/s",
-        of: |o| Some(o.figures.asked as f64 / o.figures.seconds.len() as f64),
-        digits: 0,
-    },
-    Column { name: "served", of: |o| Some(o.figures.served), digits: 3 },
-    Column { name: "worst 10 s", of: |o| Some(o.figures.worst_ten), digits: 3 },
-    Column { name: "refused", of: |o| Some(o.figures.parts[2]), digits: 3 },
-    Column { name: "failed", of: |o| Some(o.figures.parts[3]), digits: 3 },
-    Column { name: "median ms", of: |o| Some(o.figures.median_ms), digits: 0 },
-    Column { name: "99% ms", of: |o| Some(o.figures.p99_ms), digits: 0 },
-    Column { name: "tries", of: |o| Some(o.figures.tries), digits: 2 },
-    Column { name: "connections/s", of: |o| Some(o.figures.connected[0]), digits: 1 },
-    Column { name: "most/s", of: |o| Some(o.figures.connected[1]), digits: 0 },
-    Column { name: "most/s a node", of: |o| Some(o.figures.connected[2]), digits: 0 },
-    Column { name: "back s", of: |o| o.figures.back.as_ref()?.from_start, digits: 0 },
-    Column { name: "floor s", of: |o| o.floor, digits: 1 },
-    Column { name: "twice", of: |o| Some(o.verdict.twice_in_fleet as f64), digits: 0 },
-];
-
-/// A value as it stands in a table, and a dash where there is none.
-pub fn cell(value: Option<f64>, digits: usize) -> String {
-    value.map_or("-".into(), |value| format!("{value:.digits$}"))
-}
-
-/// A table in Markdown, which a terminal shows as well.
-pub fn table(heads: &[String], rows: &[Vec<String>]) -> String {
-    let width = |i: usize| {
-        rows.iter().map(|row| row[i].chars().count()).chain([heads[i].chars().count()]).max().unwrap_or(0)
-    };
-    let widths: Vec<usize> = (0..heads.len()).map(width).collect();
-    let line = |cells: &[String]| {
-        let padded: Vec<String> =
-            cells.iter().zip(&widths).map(|(cell, width)| format!("{cell:<width$}")).collect();
-        format!("| {} |\n", padded.join(" | "))
-    };
-    let rule: Vec<String> = widths.iter().map(|width| "-".repeat(*width)).collect();
-    let mut text = line(heads) + &line(&rule);
-    rows.iter().for_each(|row| text.push_str(&line(row)));
-    text
-}
-
-/// The rows of some plays, one each.
-pub fn rows(outcomes: &[Outcome]) -> String {
-    let heads: Vec<String> = ["play", "seed"]
-        .map(String::from)
-        .into_iter()
-        .chain(COLUMNS.iter().map(|c| c.name.into()))
-        .chain(["broken".into()])
-        .collect();
-    let row = |outcome: &Outcome| {
-        let cells = COLUMNS.iter().map(|column| cell((column.of)(outcome), column.digits));
-        [outcome.label.clone(), outcome.seed.to_string()]
-            .into_iter()
-            .chain(cells)
-            .chain([outcome.verdict.breaches.len().to_string()])
-            .collect()
-    };
-    table(&heads, &outcomes.iter().map(row).collect::<Vec<_>>())
-}
-
-/// What broke, a line each, as far as a terminal is shown it.
+/// The rules broken in a play for the terminal: the first breaches, a line each, and how often each rule was broken.
 pub fn breaches(verdict: &Verdict) -> String {
     let mut text = String::new();
-    for breach in verdict.breaches.iter().take(MAX_SHOWN) {
+    for breach in verdict.breaches.iter().take(MAX_BREACHES_PRINTED) {
         // Writing to memory does not fail.
         let _ = writeln!(text, "{:>9.0} ms  {:?}: {}", breach.t, breach.rule, breach.text);
     }
-    if verdict.breaches.len() > MAX_SHOWN {
-        let _ = writeln!(text, "and {} more; the history has them all", verdict.breaches.len() - MAX_SHOWN);
+    let not_printed = verdict.breaches.len().saturating_sub(MAX_BREACHES_PRINTED);
+    if not_printed > 0 {
+        let _ = writeln!(text, "and {not_printed} more; the history has them all");
     }
     for (rule, count) in verdict.by_rule() {
         let _ = writeln!(text, "broken {count} times: {rule:?}");
@@ -140,42 +97,69 @@
 ///
 /// # Errors
 ///
-/// Where the file can't be written.
-pub fn page(outcomes: &[Outcome], path: &Path) -> io::Result<()> {
+/// If the page cannot be made or its file cannot be written.
+pub fn page(outcomes: &[Outcome], path: &Path) -> Result<(), ReportError> {
     let mut environment = Environment::new();
     environment.set_auto_escape_callback(|_| minijinja::AutoEscape::Html);
-    let plays: Vec<_> = outcomes
-        .iter()
-        .map(|outcome| {
-            let cells: Vec<(&str, String)> =
-                COLUMNS.iter().map(|c| (c.name, cell((c.of)(outcome), c.digits))).collect();
-            context! {
-                label => outcome.label, scenario => outcome.scenario, seed => outcome.seed, cells => cells,
-                charts => charts(&outcome.figures), bands => outcome.figures.bands,
-                breaches => outcome.verdict.breaches.iter().take(100).collect::<Vec<_>>(),
-                broken => outcome.verdict.breaches.len(), written => outcome.verdict.written,
-                excused => outcome.verdict.excused,
-            }
-        })
-        .collect();
-    let drawn = environment.render_str(PAGE, context! { plays => plays });
-    std::fs::write(path, drawn.map_err(io::Error::other)?)
+    let plays: Vec<Value> = outcomes.iter().map(play_on_page).collect();
+    let html = environment.render_str(PAGE, context! { plays => plays })?;
+    write(path, &html)
 }
 
-/// Writes all that is kept of one play into a folder: its history, its seconds, its charts.
+/// What the template is told of a play.
+fn play_on_page(outcome: &Outcome) -> Value {
+    let Outcome { label, scenario, seed, verdict, statistics, .. } = outcome;
+    let cells: Vec<[String; 2]> =
+        COLUMNS.iter().map(|column| [column.heading.into(), column.cell(outcome)]).collect();
+    let breaches: Vec<_> = verdict.breaches.iter().take(MAX_BREACHES_ON_PAGE).collect();
+    context! {
+        label, scenario, seed, cells, breaches,
+        charts => charts(statistics),
+        bands => statistics.bands,
+        broken => verdict.breaches.len(),
+        written => verdict.written,
+        excused => verdict.excused,
+    }
+}
+
+/// Writes the results of several plays into a directory: `results.jsonl`, a play a line, and the page.
+///
+/// # Errors
+///
+/// If a file cannot be written.
+pub fn store_results(outcomes: &[Outcome], directory: &Path) -> Result<(), ReportError> {
+    write(&directory.join("results.jsonl"), &json_lines(outcomes)?)?;
+    page(outcomes, &directory.join("report.html"))
+}
+
+/// Writes all files of one play into a directory: its history, its seconds, its charts and its page.
 ///
 /// # Errors
 ///
-/// Where a file can't be written.
-pub fn keep(outcome: &Outcome, history: &History, folder: &Path) -> io::Result<()> {
-    std::fs::create_dir_all(folder)?;
-    history.write(&folder.join("history.jsonl"))?;
-    let seconds = outcome.figures.seconds.iter().map(serde_json::to_string).collect::<Result<Vec<_>, _>>()?;
-    std::fs::write(folder.join("seconds.jsonl"), seconds.join("\n") + "\n")?;
-    for chart in charts(&outcome.figures) {
-        std::fs::write(folder.join(format!("{}.svg", chart.name)), chart.svg)?;
+/// If a file cannot be written.
+pub fn store_play(outcome: &Outcome, history: &History, directory: &Path) -> Result<(), ReportError> {
+    std::fs::create_dir_all(directory).map_err(|source| write_error(directory, source))?;
+    let history_file = directory.join("history.jsonl");
+    history.write(&history_file).map_err(|source| write_error(&history_file, source))?;
+    write(&directory.join("seconds.jsonl"), &json_lines(&outcome.statistics.seconds)?)?;
+    for chart in charts(&outcome.statistics) {
+        write(&directory.join(format!("{}.svg", chart.name)), &chart.svg)?;
     }
-    page(std::slice::from_ref(outcome), &folder.join("report.html"))
+    page(std::slice::from_ref(outcome), &directory.join("report.html"))
+}
+
+/// Each value as a line of JSON.
+fn json_lines<T: Serialize>(values: &[T]) -> Result<String, serde_json::Error> {
+    let lines = values.iter().map(serde_json::to_string).collect::<Result<Vec<_>, _>>()?;
+    Ok(lines.join("\n") + "\n")
+}
+
+fn write(path: &Path, text: &str) -> Result<(), ReportError> {
+    std::fs::write(path, text).map_err(|source| write_error(path, source))
+}
+
+fn write_error(path: &Path, source: io::Error) -> ReportError {
+    ReportError::Write { path: path.to_path_buf(), source }
 }
 
 #[cfg(test)]
--- /dev/null
+++ b/fault-harness/src/report/table.rs
@@ -0,0 +1,101 @@
+//! Tables of plays in Markdown, which can be read on a terminal as well.
+
+use super::Outcome;
+
+/// The positions of rejected and failed requests among the outcome fractions of a play.
+const REJECTED: usize = 2;
+const FAILED: usize = 3;
+/// The positions of the connections opened per second: the mean, the most, and the most with one node.
+const MEAN_CONNECTIONS: usize = 0;
+const PEAK_CONNECTIONS: usize = 1;
+const PEAK_CONNECTIONS_PER_NODE: usize = 2;
+
+/// A figure that tables show.
+pub struct Column {
+    /// Its heading.
+    pub heading: &'static str,
+    /// Digits after the decimal point.
+    pub digits: usize,
+    /// The figure of a play, if it has one.
+    pub value: fn(&Outcome) -> Option<f64>,
+}
+
+impl Column {
+    const fn new(heading: &'static str, digits: usize, value: fn(&Outcome) -> Option<f64>) -> Column {
+        Column { heading, digits, value }
+    }
+
+    /// The figure of a play as text.
+    pub fn cell(&self, outcome: &Outcome) -> String {
+        format_value((self.value)(outcome), self.digits)
+    }
+}
+
+/// What tables show, in order.
+pub const COLUMNS: [Column; 14] = [
+    Column::new("requests/s", 0, |outcome| {
+        Some(outcome.statistics.asked as f64 / outcome.statistics.seconds.len() as f64)
+    }),
+    Column::new("served", 3, |outcome| Some(outcome.statistics.served)),
+    Column::new("worst 10 s", 3, |outcome| Some(outcome.statistics.worst_ten)),
+    Column::new("rejected", 3, |outcome| Some(outcome.statistics.parts[REJECTED])),
+    Column::new("failed", 3, |outcome| Some(outcome.statistics.parts[FAILED])),
+    Column::new("median ms", 0, |outcome| Some(outcome.statistics.median_ms)),
+    Column::new("p99 ms", 0, |outcome| Some(outcome.statistics.p99_ms)),
+    Column::new("attempts", 2, |outcome| Some(outcome.statistics.tries)),
+    Column::new("connections/s", 1, |outcome| Some(outcome.statistics.connected[MEAN_CONNECTIONS])),
+    Column::new("peak connections/s", 0, |outcome| Some(outcome.statistics.connected[PEAK_CONNECTIONS])),
+    Column::new("peak connections/s of a node", 0, |outcome| {
+        Some(outcome.statistics.connected[PEAK_CONNECTIONS_PER_NODE])
+    }),
+    Column::new("time to full service s", 0, |outcome| outcome.statistics.back.as_ref()?.from_start),
+    Column::new("warm-up bound s", 1, |outcome| outcome.warm_up_bound_s),
+    Column::new("duplicate runs", 0, |outcome| Some(outcome.verdict.twice_in_fleet as f64)),
+];
+
+/// A value with this many digits after the decimal point, and a dash where there is none.
+pub fn format_value(value: Option<f64>, digits: usize) -> String {
+    value.map_or("-".into(), |value| format!("{value:.digits$}"))
+}
+
+/// A table, with its columns aligned.
+pub fn table(headings: &[String], rows: &[Vec<String>]) -> String {
+    let widths: Vec<usize> = (0..headings.len()).map(|column| column_width(headings, rows, column)).collect();
+    let rule: Vec<String> = widths.iter().map(|width| "-".repeat(*width)).collect();
+    let mut text = line(headings, &widths) + &line(&rule, &widths);
+    for row in rows {
+        text.push_str(&line(row, &widths));
+    }
+    text
+}
+
+/// The width of a column's longest cell, in characters.
+fn column_width(headings: &[String], rows: &[Vec<String>], column: usize) -> usize {
+    let cells = rows.iter().map(|row| row[column].chars().count());
+    cells.fold(headings[column].chars().count(), usize::max)
+}
+
+fn line(cells: &[String], widths: &[usize]) -> String {
+    let padded: Vec<String> =
+        cells.iter().zip(widths).map(|(cell, width)| format!("{cell:<width$}")).collect();
+    format!("| {} |\n", padded.join(" | "))
+}
+
+/// The headings of a table of plays: two of its own, then all figures, then the rules broken.
+pub fn headings(own: [&str; 2]) -> Vec<String> {
+    let figures = COLUMNS.iter().map(|column| column.heading);
+    own.into_iter().chain(figures).chain(["broken"]).map(String::from).collect()
+}
+
+/// A table of plays, a row each.
+pub fn rows(outcomes: &[Outcome]) -> String {
+    let rows: Vec<Vec<String>> = outcomes.iter().map(row).collect();
+    table(&headings(["play", "seed"]), &rows)
+}
+
+fn row(outcome: &Outcome) -> Vec<String> {
+    let mut cells = vec![outcome.label.clone(), outcome.seed.to_string()];
+    cells.extend(COLUMNS.iter().map(|column| column.cell(outcome)));
+    cells.push(outcome.verdict.breaches.len().to_string());
+    cells
+}
--- a/fault-harness/src/report/tests.rs
+++ b/fault-harness/src/report/tests.rs
@@ -6,7 +6,7 @@
 fn a_page_holds_the_figures_and_the_charts_and_escapes_what_is_named() {
     let text = "name = 'a <b> fleet'\nseconds = 5\n[fleet]\nnodes = 2\n[[class]]\nname = 'quote'\nshare = 1\nwork_ms = 20\naim_ms = 100\ndeadline_ms = 300\n[load]\nload = 0.5\n[[fault]]\nat_s = 2\nwhat = 'slow'\nnodes = ['n1']\nfor_s = 1.0\n";
     let history = predict(&Scenario::parse(text, &[]).unwrap(), None);
-    let outcome = Outcome::of("calm", &history, None);
+    let outcome = Outcome::from_history("calm", &history, None);
     let path = std::env::temp_dir().join(format!("oakwind-fault-harness-page-{}.html", std::process::id()));
     page(&[outcome], &path).unwrap();
     let html = std::fs::read_to_string(&path).unwrap();
--- a/fault-harness/src/wire.rs
+++ b/fault-harness/src/wire.rs
@@ -137,7 +137,7 @@
 }
 
 /// The code of a refusal.
-const REFUSED: i64 = -32011;
+pub const REFUSED: i64 = -32011;
 
 /// Reads a line of a node's.
 pub fn parse_node_message(line: &str) -> NodeMessage {
