--- a/fault-harness/src/node/lifecycle.rs
+++ b/fault-harness/src/node/lifecycle.rs
@@ -1,5 +1,6 @@
 //! How a node's program ends and is restarted, and what faults do to its process.
 
+use std::process::ExitStatus;
 use std::rc::Rc;
 
 use tokio::task::spawn_local;
@@ -18,61 +19,84 @@
 pub enum Ending {
     /// A fault kills it.
     Killed,
-    /// It has notice to leave.
-    Leaving,
-    /// The play is over.
-    Over,
+    /// It was told to shut down.
+    ShuttingDown,
+    /// The play has ended.
+    PlayEnded,
 }
 
 /// How a node is restarted after its program has ended.
 #[derive(Debug, Clone)]
 pub(super) struct PlannedRestart {
-    after: Ms,
+    delay: Ms,
     folder: Folder,
     draw: u64,
     program: Option<String>,
     clock: Option<String>,
-    old_list: bool,
+    previous_membership: bool,
+}
+
+impl PlannedRestart {
+    /// With the state that the program left, and nothing else changed.
+    fn unchanged(delay: Ms) -> PlannedRestart {
+        PlannedRestart {
+            delay,
+            folder: Folder::Keep,
+            draw: 0,
+            program: None,
+            clock: None,
+            previous_membership: false,
+        }
+    }
+
+    /// As a fault says; the draw decides where a file is cut.
+    fn after_fault(delay: Ms, fault: &Fault, draw: u64) -> PlannedRestart {
+        PlannedRestart {
+            delay,
+            folder: fault.folder,
+            draw,
+            program: fault.program.clone(),
+            clock: fault.clock.clone(),
+            previous_membership: fault.old_list,
+        }
+    }
 }
 
 impl Machine {
-    /// Its program has ended.
+    /// Handles the end of its program.
     pub(super) fn on_exit(self: &Rc<Self>) {
         let status = self.program.borrow_mut().take().and_then(|mut program| program.wait().ok());
         self.address.send_replace(None);
-        let way = match (self.ending.replace(None), status) {
-            (Some(Ending::Over), _) => return,
-            // That was noted when it was killed.
-            (Some(Ending::Killed), _) => None,
-            (Some(Ending::Leaving), Some(status)) if status.success() => Some(ProcessExit::Left),
-            (_, status) => {
-                Some(ProcessExit::Crashed(status.map_or("unknown".into(), |status| status.to_string())))
-            }
-        };
+        let ending = self.ending.replace(None);
+        if ending == Some(Ending::PlayEnded) {
+            return;
+        }
         self.interpreter.end();
-        if let Some(way) = way {
-            self.context.note(Event::Down { node: self.node, way });
+        if let Some(exit) = process_exit(ending, status) {
+            self.note_down(exit);
         }
         let Some(planned) = self.planned_restart.borrow_mut().take() else { return };
         let machine = self.clone();
         spawn_local(async move {
-            machine.context.clock.until(machine.context.now() + planned.after).await;
-            if let Err(e) = machine.restart(&planned) {
-                machine.context.note(Event::Down {
-                    node: machine.node,
-                    way: ProcessExit::Crashed(format!("not started again: {e}")),
-                });
+            machine.context.clock.until(machine.context.now() + planned.delay).await;
+            if let Err(error) = machine.restart(&planned) {
+                machine.note_down(ProcessExit::Crashed(format!("not started again: {error}")));
             }
         });
     }
 
+    fn note_down(&self, exit: ProcessExit) {
+        self.context.note(Event::Down { node: self.node, way: exit });
+    }
+
     fn restart(self: &Rc<Self>, planned: &PlannedRestart) -> Result<(), StartError> {
         if let Some(build) = &planned.program {
             *self.build.borrow_mut() = Some(build.clone());
         }
         self.clock.borrow_mut().clone_from(&planned.clock);
-        if let Some(before) = self.list_before.borrow_mut().take().filter(|_| planned.old_list) {
-            *self.list.borrow_mut() = before;
+        let previous = self.previous_membership.borrow_mut().take();
+        if let Some(previous) = previous.filter(|_| planned.previous_membership) {
+            *self.membership.borrow_mut() = previous;
         }
         self.state_folders.prepare(planned.folder, planned.draw).map_err(StartError::file(&self.folder))?;
         if planned.folder != Folder::Keep || !self.context.scenario.fleet.folder {
@@ -82,51 +106,43 @@
         self.start()
     }
 
-    fn plan_restart(&self, down: Option<Ms>, fault: &Fault, draw: u64) {
-        let (program, clock) = (fault.program.clone(), fault.clock.clone());
-        let (folder, old_list) = (fault.folder, fault.old_list);
-        *self.planned_restart.borrow_mut() =
-            down.map(|after| PlannedRestart { after, folder, draw, program, clock, old_list });
+    fn plan_restart(&self, planned: Option<PlannedRestart>) {
+        *self.planned_restart.borrow_mut() = planned;
     }
 
-    /// Kills it with its interpreter; it is restarted after a while, if the fault says so.
+    /// Kills it with its interpreter; it is restarted after `down`, if that is given.
     pub fn kill(&self, down: Option<Ms>, fault: &Fault, draw: u64) {
-        self.plan_restart(down, fault, draw);
+        self.plan_restart(down.map(|delay| PlannedRestart::after_fault(delay, fault, draw)));
         self.end(Ending::Killed);
         self.interpreter.end();
     }
 
     /// Ends its program at once, if there is one.
     pub fn end(&self, ending: Ending) {
-        if let Some(program) = &*self.program.borrow() {
-            self.ending.set(Some(ending));
-            // It may have ended already.
-            let _ = program.signal(Signal::KILL);
-            if ending == Ending::Killed {
-                // Noted before its connections are seen to end.
-                self.context.note(Event::Down { node: self.node, way: ProcessExit::Killed });
-                self.address.send_replace(None);
-            }
+        let program = self.program.borrow();
+        let Some(program) = &*program else { return };
+        self.ending.set(Some(ending));
+        // It may have ended already.
+        let _ = program.signal(Signal::KILL);
+        if ending == Ending::Killed {
+            // Noted before its connections are seen to end.
+            self.note_down(ProcessExit::Killed);
+            self.address.send_replace(None);
         }
     }
 
-    /// Tells it to shut down; it is killed when its time for that is over.
-    pub fn leave(self: &Rc<Self>, down: Option<Ms>, fault: &Fault, draw: u64) {
-        let Some(id) = self.program.borrow().as_ref().map(|program| {
-            // It may have ended already.
-            let _ = program.signal(Signal::TERM);
-            program.id()
-        }) else {
-            return;
-        };
-        self.plan_restart(down, fault, draw);
-        self.ending.set(Some(Ending::Leaving));
+    /// Tells it to shut down; it is killed when its time for that is over. It is restarted like after [`Machine::kill`].
+    pub fn shut_down(self: &Rc<Self>, down: Option<Ms>, fault: &Fault, draw: u64) {
+        let Some(id) = self.signal(Signal::TERM) else { return };
+        self.plan_restart(down.map(|delay| PlannedRestart::after_fault(delay, fault, draw)));
+        self.ending.set(Some(Ending::ShuttingDown));
         self.context.note(Event::Notice { node: self.node });
-        let (machine, stop) = (self.clone(), self.context.now() + self.context.scenario.fleet.stop_ms as f64);
+        let machine = self.clone();
+        let deadline = self.context.now() + self.context.scenario.fleet.stop_ms as f64;
         spawn_local(async move {
-            machine.context.clock.until(stop).await;
+            machine.context.clock.until(deadline).await;
             if machine.program.borrow().as_ref().is_some_and(|program| program.id() == id) {
-                machine.context.note(Event::Down { node: machine.node, way: ProcessExit::Overstayed });
+                machine.note_down(ProcessExit::Overstayed);
                 machine.end(Ending::Killed);
             }
         });
@@ -134,42 +150,52 @@
 
     /// Tells it to read its files again.
     pub fn reload(&self) {
-        if let Some(program) = &*self.program.borrow() {
-            // It may have ended already.
-            let _ = program.signal(Signal::HUP);
-        }
+        self.signal(Signal::HUP);
+    }
+
+    /// Sends a signal to its program, if there is one, and returns the program's id.
+    fn signal(&self, signal: Signal) -> Option<u32> {
+        let program = self.program.borrow();
+        let program = program.as_ref()?;
+        // It may have ended already.
+        let _ = program.signal(signal);
+        Some(program.id())
     }
 
     /// Pauses it, or resumes it.
     pub fn set_paused(&self, paused: bool, program_only: bool) {
-        if let Some(program) = &*self.program.borrow() {
-            // It may have ended already.
-            let _ = program.signal(if paused { Signal::STOP } else { Signal::CONT });
-        }
+        self.signal(if paused { Signal::STOP } else { Signal::CONT });
         if !program_only {
             self.interpreter.set_paused(paused);
         }
         self.context.note(Event::Still { node: self.node, still: paused });
     }
 
-    /// Notes what its program takes, and ends it where its interpreter has died.
-    pub fn sample(self: &Rc<Self>) {
+    /// Notes the resources that its program takes, and ends it where its interpreter has died.
+    pub fn sample(&self) {
         // Until it logs, its process may still be a copy of this one, with all that this one has open.
         let usage = self.program.borrow().as_ref().filter(|_| self.has_logged.get()).and_then(Program::usage);
         if let Some(usage) = usage {
-            let (rss_kb, files, cpu_ms) = (usage.rss_kb, usage.files, usage.cpu_ms);
-            self.context.note(Event::Sample { node: self.node, rss_kb, files, cpu_ms });
-        }
-        if self.interpreter.fallen().is_some() {
-            *self.planned_restart.borrow_mut() = Some(PlannedRestart {
-                after: RESTART_DELAY_AFTER_DEATH,
-                folder: Folder::Keep,
-                draw: 0,
-                program: None,
-                clock: None,
-                old_list: false,
+            self.context.note(Event::Sample {
+                node: self.node,
+                rss_kb: usage.rss_kb,
+                files: usage.files,
+                cpu_ms: usage.cpu_ms,
             });
+        }
+        if self.interpreter.take_cause_of_death().is_some() {
+            self.plan_restart(Some(PlannedRestart::unchanged(RESTART_DELAY_AFTER_DEATH)));
             self.end(Ending::Killed);
         }
     }
 }
+
+/// How a program ended, for the history; none where that was noted when it was killed.
+fn process_exit(ending: Option<Ending>, status: Option<ExitStatus>) -> Option<ProcessExit> {
+    match (ending, status) {
+        (Some(Ending::Killed), _) => None,
+        (Some(Ending::ShuttingDown), Some(status)) if status.success() => Some(ProcessExit::Left),
+        (_, Some(status)) => Some(ProcessExit::Crashed(status.to_string())),
+        (_, None) => Some(ProcessExit::Crashed("unknown".into())),
+    }
+}
--- /dev/null
+++ b/fault-harness/src/node/services.rs
@@ -0,0 +1,92 @@
+//! The services that a node connects to: its interpreter, the dependency and the membership service. Each node reaches
+//! them at addresses of its own, through its relays.
+
+use std::cell::RefCell;
+use std::io;
+use std::net::Ipv4Addr;
+use std::rc::Rc;
+
+use tokio::net::{TcpListener, UdpSocket};
+use tokio::sync::mpsc;
+use tokio::task::spawn_local;
+
+use super::Machine;
+use crate::history::Event;
+use crate::model::registry::Members;
+use crate::relay::Direction;
+use crate::settings::Peers;
+use crate::stand_in::dependency::Tier;
+
+/// Connections or datagrams that wait for a service.
+const SERVICE_QUEUE: usize = 64;
+
+/// The sockets on which services listen for one node.
+struct ServiceListeners {
+    interpreter: TcpListener,
+    dependency: TcpListener,
+    registry: UdpSocket,
+}
+
+impl ServiceListeners {
+    async fn bind() -> io::Result<ServiceListeners> {
+        let any_port = (Ipv4Addr::LOCALHOST, 0);
+        Ok(ServiceListeners {
+            interpreter: TcpListener::bind(any_port).await?,
+            dependency: TcpListener::bind(any_port).await?,
+            registry: UdpSocket::bind(any_port).await?,
+        })
+    }
+
+    fn addresses(&self) -> io::Result<Peers> {
+        Ok(Peers {
+            vm: self.interpreter.local_addr()?,
+            index: self.dependency.local_addr()?,
+            members: self.registry.local_addr()?,
+        })
+    }
+}
+
+impl Machine {
+    /// Serves what the node connects to, for as long as the play.
+    pub async fn serve_services(self: Rc<Self>, dependency: Option<Rc<Tier>>, members: Rc<RefCell<Members>>) {
+        let Ok(listeners) = ServiceListeners::bind().await else { return };
+        let Ok(addresses) = listeners.addresses() else { return };
+        self.service_addresses.set(Some(addresses));
+        let (interpreter_sender, mut interpreter_links) = mpsc::channel(SERVICE_QUEUE);
+        let (dependency_sender, mut dependency_links) = mpsc::channel(SERVICE_QUEUE);
+        let (report_sender, mut reports) = mpsc::channel(SERVICE_QUEUE);
+        let registry = Rc::new(listeners.registry);
+        spawn_local(self.relays.interpreter.clone().accept(listeners.interpreter, interpreter_sender));
+        spawn_local(self.relays.dependency.clone().accept(listeners.dependency, dependency_sender));
+        spawn_local(self.relays.registry.clone().datagrams(registry, Direction::From, report_sender));
+        loop {
+            tokio::select! {
+                Some(link) = interpreter_links.recv() => {
+                    spawn_local(self.interpreter.clone().serve(link));
+                }
+                Some(link) = dependency_links.recv() => {
+                    if let Some(dependency) = &dependency {
+                        spawn_local(dependency.clone().serve(self.node, self.interpreter.clone(), link));
+                    }
+                }
+                Some(report) = reports.recv() => self.on_report(&report, &members),
+                else => return,
+            }
+        }
+    }
+
+    /// Hands a report for the membership service on, if it is one of this node's.
+    fn on_report(&self, report: &[u8], members: &RefCell<Members>) {
+        let text = String::from_utf8_lossy(report);
+        let words: Vec<&str> = text.split(' ').collect();
+        let is_up = match words[..] {
+            ["HB", name, "UP"] if name == self.name() => true,
+            ["HB", name, "OUT"] if name == self.name() => false,
+            _ => {
+                let text = format!("not a report of this node: {text}");
+                return self.context.note(Event::Spoilt { node: self.node, text });
+            }
+        };
+        members.borrow_mut().report(self.context.now(), self.node, is_up);
+    }
+}
--- a/fault-harness/src/play.rs
+++ b/fault-harness/src/play.rs
@@ -127,8 +127,8 @@
 /// Ends all programs; faults that still wait do not strike.
 fn stop(testbed: &Testbed) {
     testbed.context.deafen();
-    testbed.pending_strikes.borrow_mut().clear();
+    testbed.pending_faults.borrow_mut().clear();
     for machine in &testbed.machines {
-        machine.end(Ending::Over);
+        machine.end(Ending::PlayEnded);
     }
 }
--- a/fault-harness/src/play/disturbance.rs
+++ b/fault-harness/src/play/disturbance.rs
@@ -1,4 +1,4 @@
-//! Disturbed links: which lines a fault on links or a partition concerns, and for how long.
+//! Disturbed links: which relays a fault on links or a partition concerns, and for how long.
 
 use std::rc::Rc;
 
@@ -9,39 +9,79 @@
 use crate::model::Ms;
 use crate::node::Machine;
 use crate::play_context::PlayContext;
-use crate::relay::Line;
+use crate::relay::Relay;
 use crate::scenario::{Directions, Link, Traffic, What};
 use crate::schedule::Strike;
 
-/// The line between a node and a frontend, by their positions.
+/// What happens to the traffic of some links.
+pub(super) struct LinkFault<'a> {
+    /// Which links of the nodes are meant.
+    pub(super) links: &'a [Link],
+    /// Which direction suffers, as seen from the nodes.
+    pub(super) directions: Directions,
+    /// What it suffers.
+    pub(super) traffic: &'a Traffic,
+    /// When it ends.
+    pub(super) until: Ms,
+}
+
+/// The link between a node and a frontend, by their positions.
 #[derive(Debug, Clone, Copy)]
-struct ClientLink {
+struct FrontendLink {
     node: usize,
     frontend: usize,
 }
 
-/// The lines that a fault disturbs.
+/// A relay between a node and anything but another node.
+struct ServiceRelay {
+    relay: Relay,
+    /// The link, where it is one with a frontend.
+    frontend: Option<FrontendLink>,
+}
+
+/// A relay between two nodes.
+struct PeerRelay {
+    relay: Relay,
+    /// Which direction suffers, as seen from the end that opens connections.
+    directions: Directions,
+}
+
+/// The relays that a fault disturbs.
 #[derive(Default)]
-struct DisturbedLines {
-    /// Lines of a node with everything but other nodes; those with frontends say which.
-    services: Vec<(Line, Option<ClientLink>)>,
-    /// Lines among nodes, and which direction suffers.
-    peers: Vec<(Line, Directions)>,
+struct DisturbedRelays {
+    services: Vec<ServiceRelay>,
+    peers: Vec<PeerRelay>,
 }
 
-impl DisturbedLines {
-    fn disturb(&self, number: u64, way: Directions, traffic: &Traffic) {
-        self.services.iter().for_each(|(line, _)| line.disturb(number, way, traffic));
-        self.peers.iter().for_each(|(line, way)| line.disturb(number, *way, traffic));
+impl DisturbedRelays {
+    fn add_service(&mut self, relay: &Relay) {
+        self.services.push(ServiceRelay { relay: relay.clone(), frontend: None });
     }
 
-    fn mend(&self, number: u64) {
-        self.services.iter().for_each(|(line, _)| line.mend(number));
-        self.peers.iter().for_each(|(line, _)| line.mend(number));
+    fn add_peer(&mut self, relay: &Relay, directions: Directions) {
+        self.peers.push(PeerRelay { relay: relay.clone(), directions });
     }
 
-    fn note_clients(&self, on: bool, context: &PlayContext) {
-        for link in self.services.iter().filter_map(|(_, link)| *link) {
+    fn disturb(&self, number: u64, directions: Directions, traffic: &Traffic) {
+        for service in &self.services {
+            service.relay.disturb(number, directions, traffic);
+        }
+        for peer in &self.peers {
+            peer.relay.disturb(number, peer.directions, traffic);
+        }
+    }
+
+    fn restore(&self, number: u64) {
+        for service in &self.services {
+            service.relay.restore(number);
+        }
+        for peer in &self.peers {
+            peer.relay.restore(number);
+        }
+    }
+
+    fn note_frontends(&self, on: bool, context: &PlayContext) {
+        for link in self.services.iter().filter_map(|service| service.frontend) {
             context.note(Event::Disturbed { node: link.node, front: Some(link.frontend), on });
         }
     }
@@ -54,108 +94,109 @@
 }
 
 impl Testbed {
-    /// Disturbs lines of the nodes struck, until then.
-    pub(super) fn disturb(
-        &self,
-        strike: &Strike,
-        between: &[Link],
-        way: Directions,
-        traffic: &Traffic,
-        until: Ms,
-    ) {
+    /// Disturbs links of the nodes that a fault is injected into, until it ends.
+    pub(super) fn disturb(&self, strike: &Strike, fault: &LinkFault) {
         let number = self.next_disturbance.replace(self.next_disturbance.get() + 1);
-        let lines = self.disturbed_lines(strike, between, way);
-        lines.note_clients(true, &self.context);
-        lines.disturb(number, way, traffic);
-        lines.note_peers(true, &self.context);
+        let relays = self.disturbed_relays(strike, fault);
+        relays.note_frontends(true, &self.context);
+        relays.disturb(number, fault.directions, fault.traffic);
+        relays.note_peers(true, &self.context);
         let context = self.context.clone();
+        let until = fault.until;
         spawn_local(async move {
             context.clock.until(until).await;
-            lines.mend(number);
-            lines.note_clients(false, &context);
-            lines.note_peers(false, &context);
+            relays.restore(number);
+            relays.note_frontends(false, &context);
+            relays.note_peers(false, &context);
         });
     }
 
-    fn disturbed_lines(&self, strike: &Strike, between: &[Link], way: Directions) -> DisturbedLines {
-        let mut lines = DisturbedLines::default();
+    fn disturbed_relays(&self, strike: &Strike, fault: &LinkFault) -> DisturbedRelays {
+        let mut disturbed = DisturbedRelays::default();
         for node in &strike.whom {
             let Some(machine) = self.machines.get(*node) else { continue };
-            for link in between {
+            for link in fault.links {
                 match link {
-                    Link::Clients => self.add_client_lines(strike, *node, machine, &mut lines),
-                    Link::Vm => lines.services.push((machine.vm.clone(), None)),
-                    Link::Below => lines.services.push((machine.below.clone(), None)),
-                    Link::Members => lines.services.push((machine.members.clone(), None)),
+                    Link::Clients => self.add_frontend_relays(strike, *node, machine, &mut disturbed),
+                    Link::Vm => disturbed.add_service(&machine.relays.interpreter),
+                    Link::Below => disturbed.add_service(&machine.relays.dependency),
+                    Link::Members => disturbed.add_service(&machine.relays.registry),
                     Link::Peers => {
-                        add_router_lines(strike, machine, way, &mut lines);
-                        self.add_peer_lines(strike, machine, way, &mut lines);
+                        add_router_relays(strike, machine, fault.directions, &mut disturbed);
+                        self.add_peer_relays(strike, machine, fault.directions, &mut disturbed);
                     }
                 }
             }
         }
-        lines
+        disturbed
     }
 
-    /// Lines with frontends. Frontends within a zone that is cut off still reach its nodes.
-    fn add_client_lines(
+    /// Relays with frontends. Frontends within a zone that is cut off still reach its nodes.
+    fn add_frontend_relays(
         &self,
         strike: &Strike,
         node: usize,
         machine: &Rc<Machine>,
-        lines: &mut DisturbedLines,
+        disturbed: &mut DisturbedRelays,
     ) {
         let zones = &self.context.scenario.fleet.zones;
-        for (frontend, line) in machine.clients.iter().enumerate() {
+        for (frontend, relay) in machine.relays.frontends.iter().enumerate() {
             let zone = &zones[self.context.schedule.fronts[frontend].zone];
             let is_cut_off_too = strike.fault.zone.as_ref() == Some(zone);
             if strike.fault.what != What::Partition || !is_cut_off_too {
-                lines.services.push((line.clone(), Some(ClientLink { node, frontend })));
+                let link = FrontendLink { node, frontend };
+                disturbed.services.push(ServiceRelay { relay: relay.clone(), frontend: Some(link) });
             }
         }
     }
 
-    /// Connections among nodes that replicate. A line is named after the node that dials it.
-    fn add_peer_lines(
+    /// Relays for connections among nodes that replicate.
+    fn add_peer_relays(
         &self,
         strike: &Strike,
         machine: &Rc<Machine>,
-        way: Directions,
-        lines: &mut DisturbedLines,
+        directions: Directions,
+        disturbed: &mut DisturbedRelays,
     ) {
         let names = self.context.scenario.node_names();
         let with = &strike.fault.with;
-        for (other, dialled, dials) in &*machine.links.borrow() {
-            let is_meant = with.is_empty() || with.contains(&names[*other]);
-            if is_meant && !are_cut_off_together(strike, *other) {
-                lines.peers.extend([(dialled.clone(), way), (dials.clone(), opposite(way))]);
+        for relays in &*machine.peer_relays.borrow() {
+            let is_meant = with.is_empty() || with.contains(&names[relays.peer]);
+            if is_meant && !are_cut_off_together(strike, relays.peer) {
+                disturbed.add_peer(&relays.opened_here, directions);
+                disturbed.add_peer(&relays.opened_by_peer, opposite(directions));
             }
         }
     }
 }
 
-/// Datagrams of the virtual router, which have a line for each direction.
-fn add_router_lines(strike: &Strike, machine: &Rc<Machine>, way: Directions, lines: &mut DisturbedLines) {
-    for (other, to, from) in &*machine.peers.borrow() {
-        if are_cut_off_together(strike, *other) {
+/// Relays for datagrams of the virtual router, one for each direction.
+fn add_router_relays(
+    strike: &Strike,
+    machine: &Rc<Machine>,
+    directions: Directions,
+    disturbed: &mut DisturbedRelays,
+) {
+    for relays in &*machine.router_relays.borrow() {
+        if are_cut_off_together(strike, relays.peer) {
             continue;
         }
-        if way != Directions::From {
-            lines.peers.push((to.clone(), Directions::Both));
+        if directions != Directions::From {
+            disturbed.add_peer(&relays.incoming, Directions::Both);
         }
-        if way != Directions::To {
-            lines.peers.push((from.clone(), Directions::Both));
+        if directions != Directions::To {
+            disturbed.add_peer(&relays.outgoing, Directions::Both);
         }
     }
 }
 
-/// Whether another node is on the same side of a partition: such nodes hear each other.
+/// Whether another node is on the same side of a partition: such nodes reach each other.
 fn are_cut_off_together(strike: &Strike, other: usize) -> bool {
     strike.fault.what == What::Partition && strike.whom.contains(&other)
 }
 
-fn opposite(way: Directions) -> Directions {
-    match way {
+fn opposite(directions: Directions) -> Directions {
+    match directions {
         Directions::Both => Directions::Both,
         Directions::To => Directions::From,
         Directions::From => Directions::To,
--- a/fault-harness/src/play/faults.rs
+++ b/fault-harness/src/play/faults.rs
@@ -1,17 +1,21 @@
-//! The faults of a play: when each strikes, what it does, and how it ends.
+//! The faults of a play: when each is injected, what it does, and how it ends.
 
+use std::cmp::Reverse;
 use std::rc::Rc;
 
 use tokio::task::spawn_local;
 
+use super::disturbance::LinkFault;
 use super::testbed::Testbed;
 use crate::history::Event;
 use crate::model::Ms;
-use crate::node::Machine;
+use crate::node::{Machine, Membership};
 use crate::scenario::{Directions, Fault, Link, Traffic, What};
 use crate::schedule::{At, Strike};
 
-/// One node hears of a membership configuration so much later than the one before it.
+/// A second has so many milliseconds.
+const MS_PER_S: f64 = 1000.0;
+/// One node learns of a membership configuration so much later than the one before it.
 const ANNOUNCEMENT_INTERVAL: Ms = 100.0;
 
 impl Testbed {
@@ -20,65 +24,69 @@
         let begun = self.context.begun.get();
         for strike in &self.context.schedule.strikes {
             match strike.at {
-                At::Time(at) => self.strike_at(begun + at + strike.after, strike.clone()),
-                At::Event(..) => self.pending_strikes.borrow_mut().push(strike.clone()),
+                At::Time(at) => self.inject_at(begun + at + strike.after, strike.clone()),
+                At::Event(..) => self.pending_faults.borrow_mut().push(strike.clone()),
             }
         }
-        let listening = Rc::downgrade(self);
-        self.context.listen(move |node, what, count| {
-            let Some(testbed) = listening.upgrade() else { return };
-            testbed.strike_on(At::Event(node, what, count));
+        let testbed = Rc::downgrade(self);
+        self.context.listen(move |node, event, count| {
+            let Some(testbed) = testbed.upgrade() else { return };
+            testbed.inject_on(At::Event(node, event, count));
         });
     }
 
-    fn strike_at(self: &Rc<Self>, at: Ms, strike: Strike) {
+    fn inject_at(self: &Rc<Self>, at: Ms, strike: Strike) {
         let testbed = self.clone();
         spawn_local(async move {
             testbed.context.clock.until(at).await;
-            testbed.strike(&strike);
+            testbed.inject(&strike);
         });
     }
 
-    /// Strikes with the faults that wait for this event.
-    fn strike_on(self: &Rc<Self>, event: At) {
-        let strikes: Vec<Strike> = {
-            let mut pending = self.pending_strikes.borrow_mut();
-            let (now, later) =
-                std::mem::take(&mut *pending).into_iter().partition(|strike| strike.at == event);
-            *pending = later;
-            now
-        };
-        for strike in strikes {
+    /// Injects the faults that wait for this event.
+    fn inject_on(self: &Rc<Self>, event: At) {
+        for strike in self.take_pending(event) {
             if strike.after == 0.0 {
                 // At once: a moment later the node would be further on.
-                self.strike(&strike);
+                self.inject(&strike);
             } else {
-                self.strike_at(self.context.now() + strike.after, strike);
+                self.inject_at(self.context.now() + strike.after, strike);
             }
         }
     }
 
-    /// Does what a fault does, and sees to its end.
-    fn strike(self: &Rc<Self>, strike: &Strike) {
+    fn take_pending(&self, event: At) -> Vec<Strike> {
+        let mut pending = self.pending_faults.borrow_mut();
+        let all = std::mem::take(&mut *pending);
+        let (due, waiting) = all.into_iter().partition(|strike| strike.at == event);
+        *pending = waiting;
+        due
+    }
+
+    /// Injects a fault now, and ends it at its time.
+    fn inject(self: &Rc<Self>, strike: &Strike) {
         let fault = &strike.fault;
-        let lasts = fault.for_s.unwrap_or(0.0) * 1000.0;
-        let down = fault.down_s.map(|seconds| seconds * 1000.0);
-        let until = self.context.now() + lasts.max(down.unwrap_or(0.0));
+        let duration = fault.for_s.map_or(0.0, milliseconds);
+        let down = fault.down_s.map(milliseconds);
+        let until = self.context.now() + duration.max(down.unwrap_or(0.0));
         self.context.note(Event::Fault { text: describe(strike), until });
-        let struck = || self.machines_of(strike);
         match fault.what {
-            What::Kill => struck().for_each(|machine| machine.kill(down, fault, strike.draw)),
-            What::Leave => struck().for_each(|machine| machine.leave(down, fault, strike.draw)),
-            What::Reload => struck().for_each(|machine| machine.reload()),
+            What::Kill => {
+                self.machines_of(strike).for_each(|machine| machine.kill(down, fault, strike.draw));
+            }
+            What::Leave => {
+                self.machines_of(strike).for_each(|machine| machine.shut_down(down, fault, strike.draw));
+            }
+            What::Reload => self.machines_of(strike).for_each(|machine| machine.reload()),
             What::Stop => self.pause(strike, until),
             What::Slow => self.slow_down(strike, until),
             What::Partition => self.partition(strike, until),
-            What::Link => self.disturb(strike, &fault.between, fault.way, &fault.traffic, until),
+            What::Link => self.disturb_links(strike, until),
             What::Below => self.weaken_dependency(fault.factor, until),
-            What::Members => self.deafen_members(until),
+            What::Members => self.interrupt_registry(until),
             What::Fronts => self.restart_frontends(strike),
             What::Unlist => self.remove_from_membership(&strike.whom),
-            What::Enlist => self.change_membership(|listed| listed.extend(&strike.whom)),
+            What::Enlist => self.change_membership(|members| members.extend(&strike.whom)),
         }
     }
 
@@ -98,10 +106,18 @@
         self.undo_at(until, strike, |machine, _| machine.interpreter.slow(1.0));
     }
 
-    fn partition(self: &Rc<Self>, strike: &Strike, until: Ms) {
-        let silent = Traffic { silent: true, ..Traffic::default() };
+    fn partition(&self, strike: &Strike, until: Ms) {
         let links = [Link::Clients, Link::Below, Link::Members, Link::Peers];
-        self.disturb(strike, &links, Directions::Both, &silent, until);
+        let traffic = Traffic { silent: true, ..Traffic::default() };
+        self.disturb(
+            strike,
+            &LinkFault { links: &links, directions: Directions::Both, traffic: &traffic, until },
+        );
+    }
+
+    fn disturb_links(&self, strike: &Strike, until: Ms) {
+        let Fault { between, way, traffic, .. } = &strike.fault;
+        self.disturb(strike, &LinkFault { links: between, directions: *way, traffic, until });
     }
 
     fn weaken_dependency(&self, factor: f64, until: Ms) {
@@ -114,10 +130,11 @@
         });
     }
 
-    /// The membership service hears nobody until then.
-    fn deafen_members(&self, until: Ms) {
+    /// The membership service receives no reports until then.
+    fn interrupt_registry(&self, until: Ms) {
         self.members.borrow_mut().deaf(self.context.now(), true);
-        let (members, clock) = (self.members.clone(), self.context.clock);
+        let members = self.members.clone();
+        let clock = self.context.clock;
         spawn_local(async move {
             clock.until(until).await;
             members.borrow_mut().deaf(clock.now(), false);
@@ -135,28 +152,30 @@
 
     /// Announces the next membership configuration to all nodes, one after the other.
     fn change_membership(&self, change: impl FnOnce(&mut Vec<usize>)) {
-        let newest = self.machines.iter().map(|machine| machine.list.borrow().clone());
-        let Some((version, before)) = newest.min_by_key(|(version, _)| std::cmp::Reverse(*version)) else {
-            return;
-        };
-        let mut listed = before.clone();
-        change(&mut listed);
-        listed.sort_unstable();
-        listed.dedup();
+        let newest = self.machines.iter().map(|machine| machine.membership.borrow().clone());
+        // The first of those with the highest version.
+        let Some(current) = newest.min_by_key(|membership| Reverse(membership.version)) else { return };
+        let mut nodes = current.nodes.clone();
+        change(&mut nodes);
+        nodes.sort_unstable();
+        nodes.dedup();
         // Nodes that join later are in it already.
-        let version = if listed == before { version } else { version + 1 };
+        let version = if nodes == current.nodes { current.version } else { current.version + 1 };
+        let next = Membership { version, nodes };
         for (position, machine) in self.machines.iter().cloned().enumerate() {
-            let (clock, listed) = (self.context.clock, listed.clone());
+            let clock = self.context.clock;
+            let membership = next.clone();
             spawn_local(async move {
                 clock.until(clock.now() + position as f64 * ANNOUNCEMENT_INTERVAL).await;
-                machine.apply_membership(version, &listed);
+                machine.apply_membership(&membership);
             });
         }
     }
 
-    /// Undoes a fault for all nodes that it struck.
+    /// Undoes a fault for all nodes that it was injected into.
     fn undo_at(self: &Rc<Self>, at: Ms, strike: &Strike, undo: impl Fn(&Rc<Machine>, &Fault) + 'static) {
-        let (testbed, strike) = (self.clone(), strike.clone());
+        let testbed = self.clone();
+        let strike = strike.clone();
         spawn_local(async move {
             testbed.context.clock.until(at).await;
             testbed.machines_of(&strike).for_each(|machine| undo(machine, &strike.fault));
@@ -164,6 +183,10 @@
     }
 }
 
+fn milliseconds(seconds: f64) -> Ms {
+    seconds * MS_PER_S
+}
+
 /// A fault in words, for the history and the charts.
 fn describe(strike: &Strike) -> String {
     let what = format!("{:?}", strike.fault.what).to_lowercase();
--- a/fault-harness/src/play/links.rs
+++ b/fault-harness/src/play/links.rs
@@ -1,4 +1,4 @@
-//! The links among nodes: each pair of nodes talks through a line in each direction, so that each can be disturbed alone.
+//! The links among nodes: each ordered pair of nodes has a relay of its own, so that each can be disturbed alone.
 
 use std::collections::HashMap;
 use std::io;
@@ -11,22 +11,40 @@
 use tokio::task::spawn_local;
 
 use super::testbed::Testbed;
-use crate::relay::{Direction, Line};
+use crate::node::{Membership, PeerRelays, RouterRelays};
+use crate::relay::{Direction, Relay};
 use crate::schedule::{generator, Stream};
 use crate::settings;
 
-/// Lines among nodes have numbers from here on, which decide their random numbers.
-const FIRST_PEER_LINE: usize = 1 << 16;
-/// Datagrams or connections that wait to be handed on.
+/// Relays among nodes have numbers from here on, which decide their random numbers.
+const FIRST_PEER_RELAY: usize = 1 << 16;
+/// Datagrams or connections that wait to be forwarded.
 const QUEUE_CAPACITY: usize = 64;
+/// The loopback addresses of plays are 127.100.0.0 to 127.249.249.255: the second number is drawn from the process, the
+/// third from the play.
+const FIRST_LOOPBACK_NETWORK: u32 = 100;
+const LOOPBACK_NETWORKS: u32 = 150;
+const PLAYS_PER_LOOPBACK_NETWORK: u32 = 250;
+/// The versions of the first two membership configurations.
+const FIRST_MEMBERSHIP: u64 = 1;
+const SECOND_MEMBERSHIP: u64 = 2;
 
-/// Lines by the node that they come from and the node that they go to.
-type LinesByPair = HashMap<(usize, usize), Line>;
+/// Two different nodes, in order.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
+struct Pair {
+    from: usize,
+    to: usize,
+}
+
+impl Pair {
+    fn reversed(self) -> Pair {
+        Pair { from: self.to, to: self.from }
+    }
+}
 
 /// Every ordered pair of different nodes.
-fn pairs(count: usize) -> impl Iterator<Item = (usize, usize)> {
-    let all = (0..count).flat_map(move |from| (0..count).map(move |to| (from, to)));
-    all.filter(|(from, to)| from != to)
+fn pairs(count: usize) -> impl Iterator<Item = Pair> {
+    (0..count).flat_map(move |from| others(count, from).map(move |to| Pair { from, to }))
 }
 
 /// All nodes but one.
@@ -37,17 +55,18 @@
 impl Testbed {
     /// An address that belongs to this play and this node alone: a port that is free there stays free.
     fn unique_address(&self, node: usize) -> Ipv4Addr {
-        let of_process = 100 + (std::process::id() % 150) as u8;
-        Ipv4Addr::new(127, of_process, (self.context.number % 250) as u8, node as u8 + 1)
+        let network = FIRST_LOOPBACK_NETWORK + std::process::id() % LOOPBACK_NETWORKS;
+        let play = self.context.number % PLAYS_PER_LOOPBACK_NETWORK;
+        Ipv4Addr::new(127, network as u8, play as u8, node as u8 + 1)
     }
 
-    /// A line from one node to another, with random numbers of its own.
-    fn line_between(&self, from: usize, to: usize) -> Line {
-        let number = (FIRST_PEER_LINE + from * self.machines.len() + to) as u64;
-        Line::new(self.context.clock, generator(self.context.seed, Stream::Links, number))
+    /// A relay from one node to another, with random numbers of its own.
+    fn relay_between(&self, pair: Pair) -> Relay {
+        let number = (FIRST_PEER_RELAY + pair.from * self.machines.len() + pair.to) as u64;
+        Relay::new(self.context.clock, generator(self.context.seed, Stream::Links, number))
     }
 
-    /// Joins all nodes to one virtual router, each pair by a line in each direction.
+    /// Joins all nodes to one virtual router, each pair by a relay in each direction.
     pub(super) async fn connect_router(&self, interval_ms: u64) -> io::Result<()> {
         let count = self.machines.len();
         let mut listen_addresses = Vec::new();
@@ -56,27 +75,35 @@
             listen_addresses.push(socket.local_addr()?);
         }
         let stand_ins = bind_stand_ins(count).await?;
-        let mut lines = LinesByPair::new();
-        for (from, to) in pairs(count) {
-            let line = self.line_between(from, to);
-            lines.insert((from, to), line.clone());
-            // What `from` sends to its stand-in of `to` comes to `to` from its stand-in of `from`.
-            let (incoming, outgoing) = (stand_ins[from][to].clone(), stand_ins[to][from].clone());
-            forward_datagrams(line, incoming, outgoing, listen_addresses[to]);
+        let mut relays = HashMap::new();
+        for pair in pairs(count) {
+            let relay = self.relay_between(pair);
+            relays.insert(pair, relay.clone());
+            // What `from` sends to its stand-in of `to` reaches `to` from its stand-in of `from`.
+            let incoming = stand_ins[pair.from][pair.to].clone();
+            let outgoing = stand_ins[pair.to][pair.from].clone();
+            forward_datagrams(relay, incoming, outgoing, listen_addresses[pair.to]);
         }
         for (node, machine) in self.machines.iter().enumerate() {
             let peers = others(count, node).map(|other| stand_ins[node][other].local_addr());
             let peers = peers.collect::<io::Result<Vec<_>>>()?;
-            let file = settings::router(node, interval_ms, listen_addresses[node], &peers);
-            *machine.router.borrow_mut() = Some(file);
-            *machine.peers.borrow_mut() = others(count, node)
-                .map(|other| (other, lines[&(other, node)].clone(), lines[&(node, other)].clone()))
-                .collect();
+            let config = settings::router(node, interval_ms, listen_addresses[node], &peers);
+            *machine.router_config.borrow_mut() = Some(config);
+            let router_relays = others(count, node).map(|peer| {
+                let outgoing = Pair { from: node, to: peer };
+                let incoming = outgoing.reversed();
+                RouterRelays {
+                    peer,
+                    incoming: relays[&incoming].clone(),
+                    outgoing: relays[&outgoing].clone(),
+                }
+            });
+            *machine.router_relays.borrow_mut() = router_relays.collect();
         }
         Ok(())
     }
 
-    /// Connects all nodes that replicate, each pair by a line for each one that dials.
+    /// Connects all nodes that replicate, each pair by a relay for each one that opens connections.
     pub(super) async fn connect_peers(&self) -> io::Result<()> {
         let count = self.machines.len();
         let mut listen_addresses = Vec::new();
@@ -84,56 +111,65 @@
             let listener = TcpListener::bind((self.unique_address(node), 0)).await?;
             listen_addresses.push(listener.local_addr()?);
         }
-        let mut lines = LinesByPair::new();
+        let mut relays = HashMap::new();
         let mut dial_addresses = vec![listen_addresses.clone(); count];
-        for (from, to) in pairs(count) {
-            let line = self.line_between(from, to);
+        for pair in pairs(count) {
+            let relay = self.relay_between(pair);
             let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
-            dial_addresses[from][to] = listener.local_addr()?;
-            forward_connections(line.clone(), listener, listen_addresses[to]);
-            lines.insert((from, to), line);
+            dial_addresses[pair.from][pair.to] = listener.local_addr()?;
+            forward_connections(relay.clone(), listener, listen_addresses[pair.to]);
+            relays.insert(pair, relay);
         }
         for (node, machine) in self.machines.iter().enumerate() {
-            let (listen, reaches) = (listen_addresses[node], dial_addresses[node].clone());
-            *machine.place.borrow_mut() = Some(settings::Place { listen, reaches });
-            *machine.list.borrow_mut() = self.initial_membership(node);
-            *machine.links.borrow_mut() = others(count, node)
-                .map(|other| (other, lines[&(node, other)].clone(), lines[&(other, node)].clone()))
-                .collect();
+            let addresses =
+                settings::Place { listen: listen_addresses[node], reaches: dial_addresses[node].clone() };
+            *machine.peer_addresses.borrow_mut() = Some(addresses);
+            *machine.membership.borrow_mut() = self.initial_membership(node);
+            let peer_relays = others(count, node).map(|peer| {
+                let here = Pair { from: node, to: peer };
+                let by_peer = here.reversed();
+                PeerRelays {
+                    peer,
+                    opened_here: relays[&here].clone(),
+                    opened_by_peer: relays[&by_peer].clone(),
+                }
+            });
+            *machine.peer_relays.borrow_mut() = peer_relays.collect();
         }
         Ok(())
     }
 
-    /// The membership configuration that a node starts with, and its version.
-    fn initial_membership(&self, node: usize) -> (u64, Vec<usize>) {
+    /// The membership configuration that a node starts with.
+    fn initial_membership(&self, node: usize) -> Membership {
         let count = self.machines.len();
         let later = self.context.scenario.fleet.peers.as_ref().map_or(0, |peers| peers.later);
-        if node < count - later {
-            (1, (0..count - later).collect())
+        let initial_members = count - later;
+        if node < initial_members {
+            Membership { version: FIRST_MEMBERSHIP, nodes: (0..initial_members).collect() }
         } else {
-            // One that joins later knows the configuration that it is in.
-            (2, (0..count).collect())
+            // A node that joins later knows the configuration that it is in.
+            Membership { version: SECOND_MEMBERSHIP, nodes: (0..count).collect() }
         }
     }
 }
 
-/// For each node, the sockets that stand for the others.
+/// For each node, the sockets that stand in for the others.
 async fn bind_stand_ins(count: usize) -> io::Result<Vec<Vec<Rc<UdpSocket>>>> {
     let mut stand_ins = Vec::new();
     for _ in 0..count {
-        let mut others = Vec::new();
+        let mut of_node = Vec::new();
         for _ in 0..count {
-            others.push(Rc::new(UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await?));
+            of_node.push(Rc::new(UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await?));
         }
-        stand_ins.push(others);
+        stand_ins.push(of_node);
     }
     Ok(stand_ins)
 }
 
-/// Forwards datagrams from one socket to an address, through a line.
-fn forward_datagrams(line: Line, incoming: Rc<UdpSocket>, outgoing: Rc<UdpSocket>, address: SocketAddr) {
+/// Forwards datagrams from one socket to an address, through a relay.
+fn forward_datagrams(relay: Relay, incoming: Rc<UdpSocket>, outgoing: Rc<UdpSocket>, address: SocketAddr) {
     let (sender, mut receiver) = mpsc::channel::<Vec<u8>>(QUEUE_CAPACITY);
-    spawn_local(line.datagrams(incoming, Direction::To, sender));
+    spawn_local(relay.datagrams(incoming, Direction::To, sender));
     spawn_local(async move {
         while let Some(datagram) = receiver.recv().await {
             // A datagram may be lost.
@@ -142,17 +178,17 @@
     });
 }
 
-/// Forwards each connection that a listener accepts to an address, through a line.
-fn forward_connections(line: Line, listener: TcpListener, address: SocketAddr) {
+/// Forwards each connection that a listener accepts to an address, through a relay.
+fn forward_connections(relay: Relay, listener: TcpListener, address: SocketAddr) {
     let (sender, mut receiver) = mpsc::channel::<DuplexStream>(QUEUE_CAPACITY);
-    spawn_local(line.accept(listener, sender));
+    spawn_local(relay.accept(listener, sender));
     spawn_local(async move {
         while let Some(mut end) = receiver.recv().await {
             spawn_local(async move {
-                // Where nobody listens, the end is dropped, and with it the link.
+                // Where nobody listens, the end is dropped, and with it the connection.
                 let Ok(mut stream) = TcpStream::connect(address).await else { return };
                 let _ = stream.set_nodelay(true);
-                // A link may end at any time.
+                // A connection may end at any time.
                 let _ = copy_bidirectional(&mut end, &mut stream).await;
             });
         }
--- a/fault-harness/src/play/testbed.rs
+++ b/fault-harness/src/play/testbed.rs
@@ -9,9 +9,9 @@
 use super::{Options, PlayError};
 use crate::model::registry::Members;
 use crate::model::Ms;
-use crate::node::{Machine, StartError};
+use crate::node::{Machine, ServiceRelays, StartError};
 use crate::play_context::PlayContext;
-use crate::relay::Line;
+use crate::relay::Relay;
 use crate::scenario::Scenario;
 use crate::schedule::{generator, schedule, Stream, Strike};
 use crate::stand_in::dependency::Tier;
@@ -30,22 +30,22 @@
     /// The dependency, if requests call one.
     pub(super) dependency: Option<Rc<Tier>>,
     pub(super) members: Rc<RefCell<Members>>,
-    /// Strikes whose event has not come yet.
-    pub(super) pending_strikes: RefCell<Vec<Strike>>,
+    /// Faults whose event has not occurred yet.
+    pub(super) pending_faults: RefCell<Vec<Strike>>,
     /// The number of the next disturbance of links.
     pub(super) next_disturbance: Cell<u64>,
 }
 
-/// Makes lines with numbers that count up; the number decides a line's random numbers.
-struct LineFactory<'a> {
+/// Makes relays with numbers that count up; the number decides a relay's random numbers.
+struct RelayFactory<'a> {
     context: &'a PlayContext,
     made: u64,
 }
 
-impl LineFactory<'_> {
-    fn line(&mut self) -> Line {
+impl RelayFactory<'_> {
+    fn relay(&mut self) -> Relay {
         self.made += 1;
-        Line::new(self.context.clock, generator(self.context.seed, Stream::Links, self.made))
+        Relay::new(self.context.clock, generator(self.context.seed, Stream::Links, self.made))
     }
 }
 
@@ -67,7 +67,7 @@
         let machines = machines(&context, options, folder)?;
         for machine in &machines {
             spawn_local(machine.interpreter.clone().work());
-            spawn_local(machine.clone().serve_peers(dependency.clone(), members.clone()));
+            spawn_local(machine.clone().serve_services(dependency.clone(), members.clone()));
         }
         let frontends = frontends(&context, &machines, &members);
         Ok(Testbed {
@@ -76,7 +76,7 @@
             frontends,
             dependency,
             members,
-            pending_strikes: RefCell::default(),
+            pending_faults: RefCell::default(),
             next_disturbance: Cell::new(1),
         })
     }
@@ -110,11 +110,11 @@
         let latest = self.context.schedule.fronts.iter().map(|front| front.late).fold(0.0, f64::max);
         let listed = self.members.borrow_mut().listed_at(now, now - latest);
         for (machine, is_listed) in self.machines.iter().zip(&listed) {
-            if !*is_listed || !machine.healthy().await {
+            if !*is_listed || !machine.is_healthy().await {
                 return Some(machine.name());
             }
             // Keyed requests run once the nodes that hold replicas can vote.
-            if machine.place.borrow().is_some() && !machine.can_vote.get() {
+            if machine.peer_addresses.borrow().is_some() && !machine.can_vote.get() {
                 return Some(machine.name());
             }
         }
@@ -128,20 +128,17 @@
     folder: &Path,
 ) -> Result<Vec<Rc<Machine>>, StartError> {
     let scenario = &context.scenario;
-    let mut factory = LineFactory { context, made: 0 };
+    let mut factory = RelayFactory { context, made: 0 };
     let mut machines = Vec::new();
     for node in 0..scenario.fleet.nodes {
-        let clients = (0..scenario.fronts.count).map(|_| factory.line()).collect();
-        let services = [factory.line(), factory.line(), factory.line()];
-        let machine = Machine::new(
-            context.clone(),
-            node,
-            services,
-            clients,
-            &options.programs,
-            folder,
-            options.out.is_some(),
-        )?;
+        let relays = ServiceRelays {
+            frontends: (0..scenario.fronts.count).map(|_| factory.relay()).collect(),
+            interpreter: factory.relay(),
+            dependency: factory.relay(),
+            registry: factory.relay(),
+        };
+        let log_enabled = options.out.is_some();
+        let machine = Machine::new(context.clone(), node, relays, &options.programs, folder, log_enabled)?;
         machines.push(machine);
     }
     Ok(machines)
@@ -154,7 +151,7 @@
 ) -> Vec<Rc<FrontEnd>> {
     let endpoints = machines.iter().map(|machine| NodeEndpoints {
         address: machine.address.subscribe(),
-        lines: machine.clients.clone(),
+        relays: machine.relays.frontends.clone(),
         interpreter: machine.interpreter.clone(),
     });
     let shared = Shared {
--- /dev/null
+++ b/fault-harness/src/relay/condition.rs
@@ -0,0 +1,77 @@
+//! The disturbances of a relay, and what they add up to.
+
+use super::Direction;
+use crate::scenario::{Directions, Traffic};
+
+/// One disturbance.
+#[derive(Debug, Clone, PartialEq)]
+pub(super) struct Disturbance {
+    /// The number by which it is ended.
+    pub(super) number: u64,
+    pub(super) directions: Directions,
+    pub(super) traffic: Traffic,
+}
+
+impl Disturbance {
+    fn concerns(&self, direction: Direction) -> bool {
+        match self.directions {
+            Directions::Both => true,
+            Directions::To => direction == Direction::To,
+            Directions::From => direction == Direction::From,
+        }
+    }
+}
+
+/// The condition of a relay.
+#[derive(Debug, Clone, Default, PartialEq)]
+pub(super) struct Condition {
+    disturbances: Vec<Disturbance>,
+    /// How often connections were reset.
+    pub(super) resets: u64,
+}
+
+impl Condition {
+    pub(super) fn add(&mut self, disturbance: Disturbance) {
+        let is_reset = disturbance.traffic.reset || disturbance.traffic.cut;
+        self.resets += u64::from(is_reset);
+        self.disturbances.push(disturbance);
+    }
+
+    pub(super) fn remove(&mut self, number: u64) {
+        self.disturbances.retain(|disturbance| disturbance.number != number);
+    }
+
+    /// What traffic in a direction suffers from all disturbances: delays add up, of the rest the worst counts.
+    pub(super) fn traffic(&self, direction: Direction) -> Traffic {
+        let mut total = Traffic::default();
+        for disturbance in self.disturbances.iter().filter(|disturbance| disturbance.concerns(direction)) {
+            let traffic = &disturbance.traffic;
+            total.cut |= traffic.cut;
+            total.silent |= traffic.silent;
+            total.delay_ms += traffic.delay_ms;
+            total.spread_ms += traffic.spread_ms;
+            total.loss = total.loss.max(traffic.loss);
+            total.duplicate = total.duplicate.max(traffic.duplicate);
+            total.reorder = total.reorder.max(traffic.reorder);
+            total.kb_per_s = lower_rate(total.kb_per_s, traffic.kb_per_s);
+        }
+        total
+    }
+
+    pub(super) fn is_cut(&self) -> bool {
+        self.disturbances.iter().any(|disturbance| disturbance.traffic.cut)
+    }
+
+    pub(super) fn is_silent(&self) -> bool {
+        self.disturbances.iter().any(|disturbance| disturbance.traffic.silent)
+    }
+}
+
+/// The lower of two rates, where 0 is no limit.
+fn lower_rate(first: f64, second: f64) -> f64 {
+    if first > 0.0 && second > 0.0 {
+        first.min(second)
+    } else {
+        first.max(second)
+    }
+}
--- a/fault-harness/src/relay/tests.rs
+++ b/fault-harness/src/relay/tests.rs
@@ -1,11 +1,16 @@
+use std::time::Duration;
+
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::UdpSocket;
+
 use super::*;
 use crate::schedule::{generator, Stream};
 use tokio::task::LocalSet;
 
-fn run<F: std::future::Future<Output = ()>>(test: impl FnOnce(Line) -> F) {
+fn run<F: std::future::Future<Output = ()>>(test: impl FnOnce(Relay) -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(LocalSet::new().run_until(async {
-        test(Line::new(Clock::begin(), generator(1, Stream::Links, 0))).await;
+        test(Relay::new(Clock::begin(), generator(1, Stream::Links, 0))).await;
     }));
 }
 
@@ -30,29 +35,29 @@
 }
 
 #[test]
-fn a_cut_ends_what_is_open_and_refuses_what_is_new_until_it_is_mended() {
-    run(|line| async move {
+fn a_cut_ends_what_is_open_and_refuses_what_is_new_until_it_is_restored() {
+    run(|relay| async move {
         let node = echo().await;
-        let mut end = line.open(node).await.unwrap();
+        let mut end = relay.open(node).await.unwrap();
         assert!(echoes(&mut end, b"before").await);
-        line.disturb(1, Directions::Both, &Traffic { cut: true, ..Traffic::default() });
+        relay.disturb(1, Directions::Both, &Traffic { cut: true, ..Traffic::default() });
         assert!(!echoes(&mut end, b"within").await);
-        assert!(line.open(node).await.is_err());
-        line.mend(1);
-        assert!(echoes(&mut line.open(node).await.unwrap(), b"after").await);
+        assert!(relay.open(node).await.is_err());
+        relay.restore(1);
+        assert!(echoes(&mut relay.open(node).await.unwrap(), b"after").await);
     });
 }
 
 #[test]
 fn silence_one_way_holds_back_what_goes_that_way_and_lets_it_pass_in_the_end() {
-    run(|line| async move {
-        let mut end = line.open(echo().await).await.unwrap();
-        line.disturb(1, Directions::From, &Traffic { silent: true, ..Traffic::default() });
+    run(|relay| async move {
+        let mut end = relay.open(echo().await).await.unwrap();
+        relay.disturb(1, Directions::From, &Traffic { silent: true, ..Traffic::default() });
         end.write_all(b"hello").await.unwrap();
         let mut got = [0; 5];
         let early = tokio::time::timeout(Duration::from_millis(50), end.read_exact(&mut got)).await;
         assert!(early.is_err(), "nothing passes");
-        line.mend(1);
+        relay.restore(1);
         end.read_exact(&mut got).await.unwrap();
         assert_eq!(&got, b"hello");
     });
@@ -60,38 +65,38 @@
 
 #[test]
 fn delays_add_up_and_keep_the_order_of_a_stream() {
-    run(|line| async move {
-        let mut end = line.open(echo().await).await.unwrap();
-        line.disturb(1, Directions::To, &Traffic { delay_ms: 30.0, spread_ms: 20.0, ..Traffic::default() });
-        let before = line.clock.now();
+    run(|relay| async move {
+        let mut end = relay.open(echo().await).await.unwrap();
+        relay.disturb(1, Directions::To, &Traffic { delay_ms: 30.0, spread_ms: 20.0, ..Traffic::default() });
+        let before = relay.clock.now();
         let text: Vec<u8> = (0..=255).collect();
         for byte in &text {
             end.write_all(&[*byte]).await.unwrap();
         }
         let mut got = vec![0; text.len()];
         end.read_exact(&mut got).await.unwrap();
-        assert!(got == text && line.clock.now() - before >= 30.0);
+        assert!(got == text && relay.clock.now() - before >= 30.0);
     });
 }
 
 #[test]
 fn datagrams_are_lost_and_doubled_by_chance() {
-    run(|line| async move {
-        let count = |wrong: Traffic| {
-            let line = line.clone();
+    run(|relay| async move {
+        let count = |traffic: Traffic| {
+            let relay = relay.clone();
             async move {
                 let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
                 let address = socket.local_addr().unwrap();
-                line.disturb(1, Directions::Both, &wrong);
+                relay.disturb(1, Directions::Both, &traffic);
                 let (deliver, mut got) = mpsc::channel(1024);
-                let carried = spawn_local(line.clone().datagrams(Rc::new(socket), Direction::To, deliver));
+                let carried = spawn_local(relay.clone().datagrams(Rc::new(socket), Direction::To, deliver));
                 let from = UdpSocket::bind("127.0.0.1:0").await.unwrap();
                 for _ in 0..200 {
                     from.send_to(b"x", address).await.unwrap();
                     tokio::task::yield_now().await;
                 }
                 // Whatever is lost, the last one that is not marks the end.
-                line.mend(1);
+                relay.restore(1);
                 let mut number = 0;
                 loop {
                     from.send_to(b"end", address).await.unwrap();
--- a/fault-harness/src/stand_in/frontends.rs
+++ b/fault-harness/src/stand_in/frontends.rs
@@ -18,7 +18,7 @@
 use crate::model::registry::Members;
 use crate::model::Ms;
 use crate::play_context::{PlayContext, Written};
-use crate::relay::Line;
+use crate::relay::Relay;
 use crate::scenario::Happening;
 use crate::wire;
 use connection::{Connection, OpenAttempt};
@@ -38,8 +38,8 @@
 pub struct NodeEndpoints {
     /// Its current address; none while it is down.
     pub address: watch::Receiver<Option<SocketAddr>>,
-    /// The line from each frontend.
-    pub lines: Vec<Line>,
+    /// The relay from each frontend.
+    pub relays: Vec<Relay>,
     /// Its interpreter, which is told what was written.
     pub interpreter: Rc<Interpreter>,
 }
@@ -253,7 +253,7 @@
             return Err(std::io::ErrorKind::ConnectionRefused.into());
         }
         let address = (*endpoints.address.borrow()).ok_or(std::io::ErrorKind::ConnectionRefused)?;
-        let stream = endpoints.lines[self.number].open(address).await?;
+        let stream = endpoints.relays[self.number].open(address).await?;
         self.context.note(Event::Connected { node, front: self.number });
         endpoints.interpreter.connected();
         let (out, lines) = mpsc::channel(WRITE_QUEUE);
--- a/fault-harness/src/stand_in/interpreter.rs
+++ b/fault-harness/src/stand_in/interpreter.rs
@@ -124,8 +124,8 @@
         self.state.borrow().vm.cold()
     }
 
-    /// What it has died of, told once.
-    pub fn fallen(&self) -> Option<&'static str> {
+    /// What it has died of, returned once.
+    pub fn take_cause_of_death(&self) -> Option<&'static str> {
         self.fell.borrow_mut().take()
     }
 
