--- a/fault-harness/src/commands/scenario_file/tests.rs
+++ b/fault-harness/src/commands/scenario_file/tests.rs
@@ -24,7 +24,7 @@
         std::env::temp_dir().join(format!("oakwind-fault-harness-mistakes-{}.toml", std::process::id()));
     let scenario =
         "name = 'x'\nseconds = 0\n[fleet]\nnodes = 2\n[load]\nrate = 10\n[[class]]\nname = 'quote'\n\
-                    share = 1\nwork_ms = 20\naim_ms = 100\ndeadline_ms = 300\n";
+                    share = 1\nwork_ms = 20\nlatency_objective_ms = 100\ndeadline_ms = 300\n";
     std::fs::write(&path, scenario).unwrap();
     let error = read_scenario(&path, &[assignment("fleet.nodes", "0")]).unwrap_err();
     std::fs::remove_file(&path).unwrap();
--- a/fault-harness/src/node/lifecycle.rs
+++ b/fault-harness/src/node/lifecycle.rs
@@ -9,7 +9,7 @@
 use crate::history::{Event, ProcessExit};
 use crate::model::Ms;
 use crate::process::{Program, Signal};
-use crate::scenario::{Fault, Folder};
+use crate::scenario::{Fault, StoredState};
 
 /// A node whose interpreter died is restarted after this.
 const RESTART_DELAY_AFTER_DEATH: Ms = 2000.0;
@@ -29,7 +29,7 @@
 #[derive(Debug, Clone)]
 pub(super) struct PlannedRestart {
     delay: Ms,
-    folder: Folder,
+    folder: StoredState,
     draw: u64,
     program: Option<String>,
     clock: Option<String>,
@@ -41,7 +41,7 @@
     fn unchanged(delay: Ms) -> PlannedRestart {
         PlannedRestart {
             delay,
-            folder: Folder::Keep,
+            folder: StoredState::Intact,
             draw: 0,
             program: None,
             clock: None,
@@ -57,7 +57,7 @@
             draw,
             program: fault.program.clone(),
             clock: fault.clock.clone(),
-            previous_membership: fault.old_list,
+            previous_membership: fault.previous_membership,
         }
     }
 }
@@ -99,7 +99,7 @@
             *self.membership.borrow_mut() = previous;
         }
         self.state_folders.prepare(planned.folder, planned.draw).map_err(StartError::file(&self.folder))?;
-        if planned.folder != Folder::Keep || !self.context.scenario.fleet.folder {
+        if planned.folder != StoredState::Intact || !self.context.scenario.fleet.folder {
             self.context.note(Event::Wiped { node: self.node });
         }
         self.interpreter.start();
--- a/fault-harness/src/play/disturbance.rs
+++ b/fault-harness/src/play/disturbance.rs
@@ -10,7 +10,7 @@
 use crate::node::Machine;
 use crate::play_context::PlayContext;
 use crate::relay::Relay;
-use crate::scenario::{Directions, Link, Traffic, What};
+use crate::scenario::{Directions, FaultKind, Link, Traffic};
 use crate::schedule::Strike;
 
 /// What happens to the traffic of some links.
@@ -117,10 +117,10 @@
             let Some(machine) = self.machines.get(*node) else { continue };
             for link in fault.links {
                 match link {
-                    Link::Clients => self.add_frontend_relays(strike, *node, machine, &mut disturbed),
-                    Link::Vm => disturbed.add_service(&machine.relays.interpreter),
-                    Link::Below => disturbed.add_service(&machine.relays.dependency),
-                    Link::Members => disturbed.add_service(&machine.relays.registry),
+                    Link::Frontends => self.add_frontend_relays(strike, *node, machine, &mut disturbed),
+                    Link::Interpreter => disturbed.add_service(&machine.relays.interpreter),
+                    Link::Dependency => disturbed.add_service(&machine.relays.dependency),
+                    Link::Registry => disturbed.add_service(&machine.relays.registry),
                     Link::Peers => {
                         add_router_relays(strike, machine, fault.directions, &mut disturbed);
                         self.add_peer_relays(strike, machine, fault.directions, &mut disturbed);
@@ -141,9 +141,9 @@
     ) {
         let zones = &self.context.scenario.fleet.zones;
         for (frontend, relay) in machine.relays.frontends.iter().enumerate() {
-            let zone = &zones[self.context.schedule.fronts[frontend].zone];
+            let zone = &zones[self.context.schedule.frontends[frontend].zone];
             let is_cut_off_too = strike.fault.zone.as_ref() == Some(zone);
-            if strike.fault.what != What::Partition || !is_cut_off_too {
+            if strike.fault.what != FaultKind::Partition || !is_cut_off_too {
                 let link = FrontendLink { node, frontend };
                 disturbed.services.push(ServiceRelay { relay: relay.clone(), frontend: Some(link) });
             }
@@ -192,7 +192,7 @@
 
 /// Whether another node is on the same side of a partition: such nodes reach each other.
 fn are_cut_off_together(strike: &Strike, other: usize) -> bool {
-    strike.fault.what == What::Partition && strike.whom.contains(&other)
+    strike.fault.what == FaultKind::Partition && strike.whom.contains(&other)
 }
 
 fn opposite(directions: Directions) -> Directions {
--- a/fault-harness/src/play/faults.rs
+++ b/fault-harness/src/play/faults.rs
@@ -10,7 +10,7 @@
 use crate::history::Event;
 use crate::model::Ms;
 use crate::node::{Machine, Membership};
-use crate::scenario::{Directions, Fault, Link, Traffic, What};
+use crate::scenario::{Directions, Fault, FaultKind, Link, Traffic};
 use crate::schedule::{At, Strike};
 
 /// A second has so many milliseconds.
@@ -66,27 +66,27 @@
     /// Injects a fault now, and ends it at its time.
     fn inject(self: &Rc<Self>, strike: &Strike) {
         let fault = &strike.fault;
-        let duration = fault.for_s.map_or(0.0, milliseconds);
+        let duration = fault.duration_s.map_or(0.0, milliseconds);
         let down = fault.down_s.map(milliseconds);
         let until = self.context.now() + duration.max(down.unwrap_or(0.0));
         self.context.note(Event::Fault { text: describe(strike), until });
         match fault.what {
-            What::Kill => {
+            FaultKind::Kill => {
                 self.machines_of(strike).for_each(|machine| machine.kill(down, fault, strike.draw));
             }
-            What::Leave => {
+            FaultKind::Shutdown => {
                 self.machines_of(strike).for_each(|machine| machine.shut_down(down, fault, strike.draw));
             }
-            What::Reload => self.machines_of(strike).for_each(|machine| machine.reload()),
-            What::Stop => self.pause(strike, until),
-            What::Slow => self.slow_down(strike, until),
-            What::Partition => self.partition(strike, until),
-            What::Link => self.disturb_links(strike, until),
-            What::Below => self.weaken_dependency(fault.factor, until),
-            What::Members => self.interrupt_registry(until),
-            What::Fronts => self.restart_frontends(strike),
-            What::Unlist => self.remove_from_membership(&strike.whom),
-            What::Enlist => self.change_membership(|members| members.extend(&strike.whom)),
+            FaultKind::Reload => self.machines_of(strike).for_each(|machine| machine.reload()),
+            FaultKind::Pause => self.pause(strike, until),
+            FaultKind::Slow => self.slow_down(strike, until),
+            FaultKind::Partition => self.partition(strike, until),
+            FaultKind::Link => self.disturb_links(strike, until),
+            FaultKind::Dependency => self.weaken_dependency(fault.factor, until),
+            FaultKind::Registry => self.interrupt_registry(until),
+            FaultKind::Frontends => self.restart_frontends(strike),
+            FaultKind::RemoveMembers => self.remove_from_membership(&strike.whom),
+            FaultKind::AddMembers => self.change_membership(|members| members.extend(&strike.whom)),
         }
     }
 
@@ -107,8 +107,8 @@
     }
 
     fn partition(&self, strike: &Strike, until: Ms) {
-        let links = [Link::Clients, Link::Below, Link::Members, Link::Peers];
-        let traffic = Traffic { silent: true, ..Traffic::default() };
+        let links = [Link::Frontends, Link::Dependency, Link::Registry, Link::Peers];
+        let traffic = Traffic { blackhole: true, ..Traffic::default() };
         self.disturb(
             strike,
             &LinkFault { links: &links, directions: Directions::Both, traffic: &traffic, until },
@@ -116,8 +116,8 @@
     }
 
     fn disturb_links(&self, strike: &Strike, until: Ms) {
-        let Fault { between, way, traffic, .. } = &strike.fault;
-        self.disturb(strike, &LinkFault { links: between, directions: *way, traffic, until });
+        let Fault { between, direction, traffic, .. } = &strike.fault;
+        self.disturb(strike, &LinkFault { links: between, directions: *direction, traffic, until });
     }
 
     fn weaken_dependency(&self, factor: f64, until: Ms) {
@@ -189,11 +189,11 @@
 
 /// A fault in words, for the history and the charts.
 fn describe(strike: &Strike) -> String {
-    let what = format!("{:?}", strike.fault.what).to_lowercase();
+    let what = strike.fault.what.name();
     match (&strike.fault.zone, strike.whom.len()) {
-        (_, 0) => what,
+        (_, 0) => what.to_string(),
         (Some(zone), _) => format!("{what} {zone}"),
-        (None, 1) if strike.fault.what != What::Fronts => format!("{what} n{}", strike.whom[0] + 1),
+        (None, 1) if strike.fault.what != FaultKind::Frontends => format!("{what} n{}", strike.whom[0] + 1),
         (None, count) => format!("{what} {count}"),
     }
 }
--- a/fault-harness/src/play/links.rs
+++ b/fault-harness/src/play/links.rs
@@ -142,7 +142,7 @@
     /// The membership configuration that a node starts with.
     fn initial_membership(&self, node: usize) -> Membership {
         let count = self.machines.len();
-        let later = self.context.scenario.fleet.peers.as_ref().map_or(0, |peers| peers.later);
+        let later = self.context.scenario.fleet.peers.as_ref().map_or(0, |peers| peers.joining_nodes);
         let initial_members = count - later;
         if node < initial_members {
             Membership { version: FIRST_MEMBERSHIP, nodes: (0..initial_members).collect() }
--- a/fault-harness/src/play/testbed.rs
+++ b/fault-harness/src/play/testbed.rs
@@ -58,9 +58,9 @@
         folder: &Path,
     ) -> Result<Testbed, PlayError> {
         let context = PlayContext::new(scenario.clone(), schedule(scenario, seed), seed);
-        let lapse = scenario.members.lapse_s * 1000.0;
+        let lapse = scenario.registry.heartbeat_timeout_s * 1000.0;
         let members = Rc::new(RefCell::new(Members::new(scenario.fleet.nodes, lapse)));
-        let dependency = scenario.below.clone().map(|shape| Tier::new(context.clone(), shape));
+        let dependency = scenario.dependency.clone().map(|shape| Tier::new(context.clone(), shape));
         if let Some(dependency) = &dependency {
             spawn_local(dependency.clone().work());
         }
@@ -101,13 +101,19 @@
         if scenario.fleet.peers.is_none() {
             return READY_TIMEOUT;
         }
-        let window = scenario.classes.iter().map(|class| class.window_ms).max().unwrap_or(0);
+        let window = scenario.classes.iter().map(|class| class.idempotency_window_ms).max().unwrap_or(0);
         READY_TIMEOUT + window as f64
     }
 
     /// The name of a node that does not serve yet, or is not on every frontend's list.
     async fn first_unready(&self, now: Ms) -> Option<String> {
-        let latest = self.context.schedule.fronts.iter().map(|front| front.late).fold(0.0, f64::max);
+        let latest = self
+            .context
+            .schedule
+            .frontends
+            .iter()
+            .map(|frontend| frontend.registry_delay)
+            .fold(0.0, f64::max);
         let listed = self.members.borrow_mut().listed_at(now, now - latest);
         for (machine, is_listed) in self.machines.iter().zip(&listed) {
             if !*is_listed || !machine.is_healthy().await {
@@ -132,7 +138,7 @@
     let mut machines = Vec::new();
     for node in 0..scenario.fleet.nodes {
         let relays = ServiceRelays {
-            frontends: (0..scenario.fronts.count).map(|_| factory.relay()).collect(),
+            frontends: (0..scenario.frontends.count).map(|_| factory.relay()).collect(),
             interpreter: factory.relay(),
             dependency: factory.relay(),
             registry: factory.relay(),
@@ -160,6 +166,6 @@
         attempts: Rc::default(),
         first_nodes: Rc::default(),
     };
-    let count = context.scenario.fronts.count;
+    let count = context.scenario.frontends.count;
     (0..count).map(|position| FrontEnd::new(context.clone(), position, shared.clone())).collect()
 }
--- a/fault-harness/src/relay.rs
+++ b/fault-harness/src/relay.rs
@@ -61,10 +61,10 @@
     ///
     /// # Errors
     ///
-    /// If the relay is cut, or the node does not accept the connection.
+    /// If the relay is disconnected, or the node does not accept the connection.
     pub async fn open(&self, node: SocketAddr) -> io::Result<DuplexStream> {
         self.wait_until_connectable().await;
-        if self.is_cut() {
+        if self.is_disconnected() {
             return Err(io::ErrorKind::ConnectionReset.into());
         }
         let stream = TcpStream::connect(node).await?;
@@ -74,7 +74,7 @@
     /// Accepts the connections that a node opens and hands out the other end of each. Ends with the listener.
     pub async fn accept(self, listener: TcpListener, ends: mpsc::Sender<DuplexStream>) {
         while let Ok((stream, _)) = listener.accept().await {
-            if self.is_cut() {
+            if self.is_disconnected() {
                 continue;
             }
             let relay = self.clone();
@@ -92,13 +92,13 @@
         self.condition.borrow().traffic(direction)
     }
 
-    fn is_cut(&self) -> bool {
-        self.condition.borrow().is_cut()
+    fn is_disconnected(&self) -> bool {
+        self.condition.borrow().is_disconnected()
     }
 
     /// Waits until a new connection comes through, or is refused.
     async fn wait_until_connectable(&self) {
-        self.wait_for(|condition| condition.is_cut() || !condition.is_silent()).await;
+        self.wait_for(|condition| condition.is_disconnected() || !condition.is_blackholed()).await;
     }
 
     async fn wait_for(&self, holds: impl FnMut(&Condition) -> bool) {
@@ -108,12 +108,12 @@
 
     /// Draws the delay of a chunk or datagram.
     fn draw_delay(&self, traffic: &Traffic) -> Ms {
-        let spread = if traffic.spread_ms > 0.0 {
-            self.rng.borrow_mut().random_range(0.0..traffic.spread_ms)
+        let jitter = if traffic.jitter_ms > 0.0 {
+            self.rng.borrow_mut().random_range(0.0..traffic.jitter_ms)
         } else {
             0.0
         };
-        traffic.delay_ms + spread
+        traffic.delay_ms + jitter
     }
 
     /// Draws whether something of this probability happens.
--- a/fault-harness/src/relay/condition.rs
+++ b/fault-harness/src/relay/condition.rs
@@ -32,7 +32,7 @@
 
 impl Condition {
     pub(super) fn add(&mut self, disturbance: Disturbance) {
-        let is_reset = disturbance.traffic.reset || disturbance.traffic.cut;
+        let is_reset = disturbance.traffic.reset || disturbance.traffic.disconnect;
         self.resets += u64::from(is_reset);
         self.disturbances.push(disturbance);
     }
@@ -46,10 +46,10 @@
         let mut total = Traffic::default();
         for disturbance in self.disturbances.iter().filter(|disturbance| disturbance.concerns(direction)) {
             let traffic = &disturbance.traffic;
-            total.cut |= traffic.cut;
-            total.silent |= traffic.silent;
+            total.disconnect |= traffic.disconnect;
+            total.blackhole |= traffic.blackhole;
             total.delay_ms += traffic.delay_ms;
-            total.spread_ms += traffic.spread_ms;
+            total.jitter_ms += traffic.jitter_ms;
             total.loss = total.loss.max(traffic.loss);
             total.duplicate = total.duplicate.max(traffic.duplicate);
             total.reorder = total.reorder.max(traffic.reorder);
@@ -58,12 +58,12 @@
         total
     }
 
-    pub(super) fn is_cut(&self) -> bool {
-        self.disturbances.iter().any(|disturbance| disturbance.traffic.cut)
+    pub(super) fn is_disconnected(&self) -> bool {
+        self.disturbances.iter().any(|disturbance| disturbance.traffic.disconnect)
     }
 
-    pub(super) fn is_silent(&self) -> bool {
-        self.disturbances.iter().any(|disturbance| disturbance.traffic.silent)
+    pub(super) fn is_blackholed(&self) -> bool {
+        self.disturbances.iter().any(|disturbance| disturbance.traffic.blackhole)
     }
 }
 
--- a/fault-harness/src/relay/datagrams.rs
+++ b/fault-harness/src/relay/datagrams.rs
@@ -30,7 +30,7 @@
         while !deliver.is_closed() {
             let Ok(length) = socket.recv(&mut buffer).await else { continue };
             let traffic = self.traffic(direction);
-            if traffic.cut || traffic.silent || self.draw(traffic.loss) {
+            if traffic.disconnect || traffic.blackhole || self.draw(traffic.loss) {
                 continue;
             }
             let copies = if self.draw(traffic.duplicate) { 2 } else { 1 };
--- a/fault-harness/src/relay/stream.rs
+++ b/fault-harness/src/relay/stream.rs
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Delivers each chunk at its time, not during silence, and no faster than the rate allows.
+    /// Delivers each chunk at its time, not while it is blackholed, and no faster than the rate allows.
     async fn write_chunks(
         &self,
         direction: Direction,
@@ -99,7 +99,7 @@
     ) -> io::Result<()> {
         while let Some(chunk) = chunks.recv().await {
             self.clock.until(chunk.deliver_at).await;
-            self.wait_for(|condition| !condition.traffic(direction).silent).await;
+            self.wait_for(|condition| !condition.traffic(direction).blackhole).await;
             let bytes_per_s = self.traffic(direction).kb_per_s * BYTES_PER_KB;
             if bytes_per_s > 0.0 {
                 tokio::time::sleep(Duration::from_secs_f64(chunk.bytes.len() as f64 / bytes_per_s)).await;
