--- a/fault-harness/src/mutant.rs
+++ b/fault-harness/src/mutant.rs
@@ -97,8 +97,8 @@
         self.answer(&json!({"error": {"code": RUN_FAILED, "message": "failed"}}));
     }
 
-    fn answer_refused(&self) {
-        self.answer(&json!({"error": {"code": wire::REFUSED, "message": "not now"}}));
+    fn answer_rejected(&self) {
+        self.answer(&json!({"error": {"code": wire::REJECTED, "message": "not now"}}));
     }
 }
 
@@ -197,7 +197,7 @@
             return;
         }
         if self.shows(Fault::RefusesWhatRan) {
-            return attempt.answer_refused();
+            return attempt.answer_rejected();
         }
         if self.shows(Fault::MixesResults) {
             return attempt.answer_result(&previous);
--- a/fault-harness/src/node.rs
+++ b/fault-harness/src/node.rs
@@ -149,7 +149,7 @@
         }
         if let Some(address) = line.serving_at {
             self.address.send_replace(Some(address));
-            self.context.note(Event::Up { node: self.node, cold: self.interpreter.cold() });
+            self.context.note(Event::Up { node: self.node, cold: self.interpreter.is_cold() });
         }
     }
 
@@ -177,7 +177,7 @@
         let sent = stream.write_all(wire::STATUS.as_bytes()).await;
         sent.is_ok()
             && BufReader::new(&mut stream).read_line(&mut answer).await.is_ok()
-            && matches!(wire::parse_node_message(answer.trim_end()), NodeMessage::Status(_, true))
+            && matches!(wire::parse_node_message(answer.trim_end()), NodeMessage::Status { up: true, .. })
     }
 }
 
--- a/fault-harness/src/node/lifecycle.rs
+++ b/fault-harness/src/node/lifecycle.rs
@@ -71,7 +71,7 @@
         if ending == Some(Ending::PlayEnded) {
             return;
         }
-        self.interpreter.end();
+        self.interpreter.stop();
         if let Some(exit) = process_exit(ending, status) {
             self.note_down(exit);
         }
@@ -114,7 +114,7 @@
     pub fn kill(&self, down: Option<Ms>, fault: &Fault, draw: u64) {
         self.plan_restart(down.map(|delay| PlannedRestart::after_fault(delay, fault, draw)));
         self.end(Ending::Killed);
-        self.interpreter.end();
+        self.interpreter.stop();
     }
 
     /// Ends its program at once, if there is one.
--- a/fault-harness/src/node/services.rs
+++ b/fault-harness/src/node/services.rs
@@ -15,7 +15,7 @@
 use crate::model::registry::Members;
 use crate::relay::Direction;
 use crate::settings::Peers;
-use crate::stand_in::dependency::Tier;
+use crate::stand_in::dependency::Dependency;
 
 /// Connections or datagrams that wait for a service.
 const SERVICE_QUEUE: usize = 64;
@@ -48,7 +48,11 @@
 
 impl Machine {
     /// Serves what the node connects to, for as long as the play.
-    pub async fn serve_services(self: Rc<Self>, dependency: Option<Rc<Tier>>, members: Rc<RefCell<Members>>) {
+    pub async fn serve_services(
+        self: Rc<Self>,
+        dependency: Option<Rc<Dependency>>,
+        members: Rc<RefCell<Members>>,
+    ) {
         let Ok(listeners) = ServiceListeners::bind().await else { return };
         let Ok(addresses) = listeners.addresses() else { return };
         self.service_addresses.set(Some(addresses));
--- a/fault-harness/src/play.rs
+++ b/fault-harness/src/play.rs
@@ -70,7 +70,7 @@
     let testbed = Rc::new(Testbed::new(scenario, options, seed, &workspace.path)?);
     start_nodes(&testbed).await?;
     let context = &testbed.context;
-    context.begun.set(context.now() + PAUSE_BEFORE_LOAD);
+    context.load_start.set(context.now() + PAUSE_BEFORE_LOAD);
     for machine in &testbed.machines {
         machine.keep_copy();
     }
@@ -78,10 +78,10 @@
     testbed.arm();
     send_load(&testbed).await;
     let longest = scenario.classes.iter().map(|class| class.deadline_ms).max().unwrap_or(0) as f64;
-    let load_end = context.begun.get() + scenario.seconds * 1000.0;
+    let load_end = context.load_start.get() + scenario.seconds * 1000.0;
     context.clock.until(load_end + longest + scenario.rules.slack_ms + PAUSE_AFTER_DEADLINES).await;
     stop(&testbed);
-    Ok(context.history())
+    Ok(context.take_history())
 }
 
 /// Connects the nodes with each other, starts them and waits until they serve.
@@ -119,14 +119,14 @@
     order.sort_by(|a, b| requests[*a].at.total_cmp(&requests[*b].at));
     for position in order {
         let request = &requests[position];
-        context.clock.until(context.begun.get() + request.at).await;
+        context.clock.until(context.load_start.get() + request.at).await;
         spawn_local(testbed.frontends[request.front].clone().client(position));
     }
 }
 
 /// Ends all programs; faults that still wait do not strike.
 fn stop(testbed: &Testbed) {
-    testbed.context.deafen();
+    testbed.context.remove_listener();
     testbed.pending_faults.borrow_mut().clear();
     for machine in &testbed.machines {
         machine.end(Ending::PlayEnded);
--- a/fault-harness/src/play/faults.rs
+++ b/fault-harness/src/play/faults.rs
@@ -21,17 +21,17 @@
 impl Testbed {
     /// Arms the faults: those with a time, and those that wait for an event.
     pub(super) fn arm(self: &Rc<Self>) {
-        let begun = self.context.begun.get();
+        let load_start = self.context.load_start.get();
         for strike in &self.context.schedule.strikes {
             match strike.at {
-                At::Time(at) => self.inject_at(begun + at + strike.after, strike.clone()),
+                At::Time(at) => self.inject_at(load_start + at + strike.after, strike.clone()),
                 At::Event(..) => self.pending_faults.borrow_mut().push(strike.clone()),
             }
         }
         let testbed = Rc::downgrade(self);
-        self.context.listen(move |node, event, count| {
+        self.context.set_listener(move |occurrence| {
             let Some(testbed) = testbed.upgrade() else { return };
-            testbed.inject_on(At::Event(node, event, count));
+            testbed.inject_on(At::Event(occurrence.node, occurrence.event, occurrence.count));
         });
     }
 
@@ -102,8 +102,8 @@
 
     fn slow_down(self: &Rc<Self>, strike: &Strike, until: Ms) {
         let factor = strike.fault.factor;
-        self.machines_of(strike).for_each(|machine| machine.interpreter.slow(factor));
-        self.undo_at(until, strike, |machine, _| machine.interpreter.slow(1.0));
+        self.machines_of(strike).for_each(|machine| machine.interpreter.set_speed_factor(factor));
+        self.undo_at(until, strike, |machine, _| machine.interpreter.set_speed_factor(1.0));
     }
 
     fn partition(&self, strike: &Strike, until: Ms) {
--- a/fault-harness/src/play/monitoring.rs
+++ b/fault-harness/src/play/monitoring.rs
@@ -43,7 +43,7 @@
 pub(super) async fn print_progress(testbed: Rc<Testbed>) {
     let context = &testbed.context;
     loop {
-        let at = (context.now() - context.begun.get()) / 1000.0;
+        let at = (context.now() - context.load_start.get()) / 1000.0;
         let up = testbed.machines.iter().filter(|machine| machine.address.borrow().is_some()).count();
         eprintln!(
             "{}: {:.0} of {:.0} s, {up} of {} nodes up",
--- a/fault-harness/src/play/testbed.rs
+++ b/fault-harness/src/play/testbed.rs
@@ -14,7 +14,7 @@
 use crate::relay::Relay;
 use crate::scenario::Scenario;
 use crate::schedule::{generator, schedule, Stream, Strike};
-use crate::stand_in::dependency::Tier;
+use crate::stand_in::dependency::Dependency;
 use crate::stand_in::frontends::{FrontEnd, NodeEndpoints, Shared};
 
 /// All nodes serve within this, or the play does not begin.
@@ -28,7 +28,7 @@
     pub(super) machines: Vec<Rc<Machine>>,
     pub(super) frontends: Vec<Rc<FrontEnd>>,
     /// The dependency, if requests call one.
-    pub(super) dependency: Option<Rc<Tier>>,
+    pub(super) dependency: Option<Rc<Dependency>>,
     pub(super) members: Rc<RefCell<Members>>,
     /// Faults whose event has not occurred yet.
     pub(super) pending_faults: RefCell<Vec<Strike>>,
@@ -60,7 +60,7 @@
         let context = PlayContext::new(scenario.clone(), schedule(scenario, seed), seed);
         let lapse = scenario.registry.heartbeat_timeout_s * 1000.0;
         let members = Rc::new(RefCell::new(Members::new(scenario.fleet.nodes, lapse)));
-        let dependency = scenario.dependency.clone().map(|shape| Tier::new(context.clone(), shape));
+        let dependency = scenario.dependency.clone().map(|shape| Dependency::new(context.clone(), shape));
         if let Some(dependency) = &dependency {
             spawn_local(dependency.clone().work());
         }
--- a/fault-harness/src/play_context.rs
+++ b/fault-harness/src/play_context.rs
@@ -11,35 +11,55 @@
 use crate::scenario::{NodeEvent, Scenario};
 use crate::schedule::Schedule;
 
-/// A request that was written to a node, as the interpreter may be told of it.
+/// Memory is configured in MB and sampled in KB.
+const KB_PER_MB: u64 = 1024;
+
+/// An attempt that was written to a node.
 #[derive(Debug, Clone, Copy)]
-pub struct Written {
+pub struct WrittenAttempt {
     /// The request.
-    pub n: usize,
+    pub request: usize,
     /// The node.
     pub node: usize,
 }
 
-/// Called with the node, what it did, and how often it has by now.
-type Listener = Box<dyn Fn(usize, NodeEvent, u64)>;
+/// An event of a node, and how often it has occurred there.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct Occurrence {
+    /// The node.
+    pub node: usize,
+    /// What it did.
+    pub event: NodeEvent,
+    /// How often it has done that by now.
+    pub count: u64,
+}
+
+/// Events of a node, to be counted.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
+struct EventKey {
+    node: usize,
+    event: NodeEvent,
+}
+
+type Listener = Box<dyn Fn(Occurrence)>;
 
 /// One play.
 pub struct PlayContext {
     /// Its clock; everything in the play tells time by it.
     pub clock: Clock,
     /// When the load began, on that clock.
-    pub begun: Cell<Ms>,
+    pub load_start: Cell<Ms>,
     /// The scenario.
     pub scenario: Scenario,
-    /// What it came to.
+    /// The schedule drawn from the scenario and the seed.
     pub schedule: Schedule,
     /// The seed.
     pub seed: u64,
     /// A number that no other play of this process has.
     pub number: u32,
-    seen: RefCell<Vec<Observation>>,
-    written: RefCell<HashMap<u64, Written>>,
-    counts: RefCell<HashMap<(usize, NodeEvent), u64>>,
+    observations: RefCell<Vec<Observation>>,
+    attempts: RefCell<HashMap<u64, WrittenAttempt>>,
+    event_counts: RefCell<HashMap<EventKey, u64>>,
     listener: RefCell<Option<Listener>>,
 }
 
@@ -48,82 +68,84 @@
     pub fn new(scenario: Scenario, schedule: Schedule, seed: u64) -> Rc<PlayContext> {
         Rc::new(PlayContext {
             clock: Clock::begin(),
-            begun: Cell::new(0.0),
+            load_start: Cell::new(0.0),
             scenario,
             schedule,
             seed,
             number: unique_number(),
-            seen: RefCell::default(),
-            written: RefCell::default(),
-            counts: RefCell::default(),
+            observations: RefCell::default(),
+            attempts: RefCell::default(),
+            event_counts: RefCell::default(),
             listener: RefCell::default(),
         })
     }
 
-    /// Now.
+    /// The time on the play's clock.
     pub fn now(&self) -> Ms {
         self.clock.now()
     }
 
-    /// Keeps what was seen.
+    /// Adds an event to the history.
     pub fn note(&self, what: Event) {
-        self.seen.borrow_mut().push(Observation { t: self.now(), what });
+        self.observations.borrow_mut().push(Observation { t: self.now(), what });
     }
 
-    /// An attempt is about to be written.
-    pub fn writes(&self, txn: u64, written: Written) {
-        self.written.borrow_mut().insert(txn, written);
+    /// Records an attempt that is about to be written.
+    pub fn record_attempt(&self, txn: u64, attempt: WrittenAttempt) {
+        self.attempts.borrow_mut().insert(txn, attempt);
     }
 
-    /// What is known of an attempt.
-    pub fn written(&self, txn: u64) -> Option<Written> {
-        self.written.borrow().get(&txn).copied()
+    /// An attempt that was written.
+    pub fn attempt(&self, txn: u64) -> Option<WrittenAttempt> {
+        self.attempts.borrow().get(&txn).copied()
     }
 
-    /// Whom to tell of what nodes do.
-    pub fn listen(&self, listener: impl Fn(usize, NodeEvent, u64) + 'static) {
+    /// Sets the listener for events of nodes.
+    pub fn set_listener(&self, listener: impl Fn(Occurrence) + 'static) {
         *self.listener.borrow_mut() = Some(Box::new(listener));
     }
 
-    /// Ends the telling, and with it what the listener holds.
-    pub fn deafen(&self) {
+    /// Removes the listener, and with it all that it holds.
+    pub fn remove_listener(&self) {
         self.listener.borrow_mut().take();
     }
 
-    /// A node has done something.
-    pub fn happened(&self, node: usize, what: NodeEvent) {
-        let count = {
-            let mut counts = self.counts.borrow_mut();
-            let count = counts.entry((node, what)).or_default();
-            *count += 1;
-            *count
-        };
+    /// Counts an event of a node and calls the listener.
+    pub fn record_event(&self, node: usize, event: NodeEvent) {
+        let count = self.count(EventKey { node, event });
         if let Some(listener) = &*self.listener.borrow() {
-            listener(node, what, count);
+            listener(Occurrence { node, event, count });
         }
     }
 
+    fn count(&self, key: EventKey) -> u64 {
+        let mut counts = self.event_counts.borrow_mut();
+        let count = counts.entry(key).or_default();
+        *count += 1;
+        *count
+    }
+
     /// The body of a request: its number, work and class, which is all that the interpreter goes by.
-    pub fn body(&self, n: usize) -> String {
-        let ask = &self.schedule.requests[n];
+    pub fn body(&self, request: usize) -> String {
+        let scheduled = &self.schedule.requests[request];
         // Repeats carry the body of the request that they repeat.
-        let n = ask.repeats.unwrap_or(n);
-        format!("{n} {:.3} {}", ask.work, self.scenario.classes[ask.class].name)
+        let original = scheduled.repeats.unwrap_or(request);
+        format!("{original} {:.3} {}", scheduled.work, self.scenario.classes[scheduled.class].name)
     }
 
-    /// The history so far; times count from when the load began.
-    pub fn history(&self) -> History {
-        let begun = self.begun.get();
-        let mut seen = std::mem::take(&mut *self.seen.borrow_mut());
-        for entry in &mut seen {
-            entry.t -= begun;
-            match &mut entry.what {
-                Event::Wrote { due, .. } => *due -= begun,
-                Event::Fault { until, .. } => *until -= begun,
+    /// Takes the history so far; times count from when the load began.
+    pub fn take_history(&self) -> History {
+        let load_start = self.load_start.get();
+        let mut observations = self.observations.take();
+        for observation in &mut observations {
+            observation.t -= load_start;
+            match &mut observation.what {
+                Event::Wrote { due, .. } => *due -= load_start,
+                Event::Fault { until, .. } => *until -= load_start,
                 _ => {}
             }
         }
-        History { terms: terms(&self.scenario, self.seed), seen }
+        History { terms: rule_parameters(&self.scenario, self.seed), seen: observations }
     }
 }
 
@@ -133,8 +155,8 @@
     NEXT.fetch_add(1, Ordering::Relaxed)
 }
 
-/// The terms that a scenario is checked by.
-pub fn terms(scenario: &Scenario, seed: u64) -> RuleParameters {
+/// The parameters that a play of a scenario is checked by.
+pub fn rule_parameters(scenario: &Scenario, seed: u64) -> RuleParameters {
     let classes = scenario.classes.iter().map(|class| ClassParameters {
         name: class.name.clone(),
         latency_objective: class.latency_objective_ms as f64,
@@ -154,7 +176,7 @@
         slack: scenario.rules.slack_ms,
         drain_grace: crate::settings::DRAIN_GRACE_MS,
         sockets: scenario.fleet.sockets,
-        memory_kb: scenario.fleet.memory_mb * 1024,
+        memory_kb: scenario.fleet.memory_mb * KB_PER_MB,
         // A node that hears a higher priority gives way at once; it is heard within an interval.
         two_active: scenario.fleet.vrrp.as_ref().map_or(0.0, |vrrp| 2.0 * vrrp.interval_ms as f64)
             + scenario.rules.slack_ms,
--- a/fault-harness/src/predict.rs
+++ b/fault-harness/src/predict.rs
@@ -18,7 +18,7 @@
 use crate::model::interpreter::{InterpreterModel, InterpreterSpec};
 use crate::model::registry::Members;
 use crate::model::Ms;
-use crate::play_context::terms;
+use crate::play_context::rule_parameters;
 use crate::scenario::Scenario;
 use crate::schedule::{generator, schedule, At, Schedule, Stream};
 use clients::OpenRequest;
@@ -58,7 +58,7 @@
     prediction.report();
     prediction.now = 0.0;
     prediction.run();
-    History { terms: terms(scenario, seed), seen: prediction.seen }
+    History { terms: rule_parameters(scenario, seed), seen: prediction.seen }
 }
 
 impl<'a> Prediction<'a> {
--- a/fault-harness/src/stand_in/dependency.rs
+++ b/fault-harness/src/stand_in/dependency.rs
@@ -1,4 +1,4 @@
-//! The dependency on a socket: calls of all nodes go to it, and its replies come back.
+//! The dependency on a socket: the calls of all nodes come in, and its replies go out.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -8,53 +8,93 @@
 use tokio::io::{AsyncWriteExt, BufReader, DuplexStream};
 use tokio::sync::{mpsc, Notify};
 
-use super::{command, interpreter::Interpreter, txn};
+use super::{interpreter::Interpreter, Command};
 use crate::history::Event;
 use crate::model::dependency::{Below, Ended};
+use crate::model::Ms;
 use crate::play_context::PlayContext;
-use crate::scenario::Dependency as Shape;
+use crate::scenario::Dependency as DependencyShape;
 use crate::schedule::{call_time, generator, Stream};
 
-/// Replies that wait on one connection.
-const REPLIES: usize = 256;
+/// Replies that wait to be written on one connection.
+const REPLY_QUEUE: usize = 256;
 
-struct Call {
+/// The arguments of `GET`: the transaction, the timeout, and the length of the body.
+const CALL_ARGUMENTS: usize = 3;
+
+/// A connection of a node, as its calls know it.
+#[derive(Clone)]
+struct Caller {
     node: usize,
-    txn: u64,
     interpreter: Rc<Interpreter>,
-    reply: mpsc::Sender<String>,
+    replies: mpsc::Sender<String>,
+}
+
+impl Caller {
+    fn reply(&self, text: String) {
+        // The connection may have ended, and its calls with it.
+        let _ = self.replies.try_send(text);
+    }
+}
+
+/// A call that is to be made.
+struct CallRequest<'a> {
+    txn: u64,
+    /// How long the caller waits.
+    timeout: Ms,
+    body: &'a [u8],
+}
+
+impl CallRequest<'_> {
+    /// The call that a command asks for, if it asks for one.
+    fn of(command: &Command) -> Option<CallRequest<'_>> {
+        if command.argument_count() != CALL_ARGUMENTS {
+            return None;
+        }
+        let timeout = command.argument(1)?.parse().ok()?;
+        Some(CallRequest { txn: command.txn()?, timeout, body: &command.body })
+    }
+}
+
+/// A call that has no reply yet.
+struct OpenCall {
+    txn: u64,
+    caller: Caller,
 }
 
 /// The dependency that all nodes share.
-pub struct Tier {
+pub struct Dependency {
     context: Rc<PlayContext>,
-    shape: Shape,
+    shape: DependencyShape,
     model: RefCell<Below>,
-    calls: RefCell<HashMap<u64, Call>>,
-    next: Cell<u64>,
+    /// Open calls by their numbers in the model.
+    calls: RefCell<HashMap<u64, OpenCall>>,
+    next_call: Cell<u64>,
     rng: RefCell<ChaCha8Rng>,
-    poke: Notify,
+    /// Something has changed in what will happen next.
+    changed: Notify,
 }
 
-impl Tier {
-    /// The tier of a scenario.
-    pub fn new(context: Rc<PlayContext>, shape: Shape) -> Rc<Tier> {
-        let (model, rng) = (Below::new(shape.slots, shape.queue), generator(context.seed, Stream::Calls, 0));
-        Rc::new(Tier {
+impl Dependency {
+    /// The dependency of a scenario.
+    pub fn new(context: Rc<PlayContext>, shape: DependencyShape) -> Rc<Dependency> {
+        let model = Below::new(shape.slots, shape.queue);
+        let rng = generator(context.seed, Stream::Calls, 0);
+        Rc::new(Dependency {
             context,
             shape,
             model: RefCell::new(model),
             calls: RefCell::default(),
-            next: Cell::new(1),
+            next_call: Cell::new(1),
             rng: RefCell::new(rng),
-            poke: Notify::new(),
+            changed: Notify::new(),
         })
     }
 
-    /// Leaves it a part of its slots.
+    /// Leaves it a fraction of its slots.
     pub fn weaken(&self, factor: f64) {
         self.model.borrow_mut().weaken(factor);
-        self.poke.notify_one();
+        self.changed.notify_one();
     }
 
     /// Works on calls, for as long as the play.
@@ -63,52 +103,46 @@
             let next = self.model.borrow().next().unwrap_or(f64::INFINITY);
             tokio::select! {
                 () = self.context.clock.until(next) => {}
-                () = self.poke.notified() => {}
+                () = self.changed.notified() => {}
             }
             let ended = self.model.borrow_mut().advance(self.context.now());
             for end in ended {
-                let (id, done) = match end {
-                    Ended::Done(id) => (id, true),
-                    Ended::Slow(id) => (id, false),
-                };
-                // A call that was given up is nobody's any more.
-                let Some(call) = self.calls.borrow_mut().remove(&id) else { continue };
-                let text = if done { format!("reply {id} to {:016x}", call.txn) } else { String::new() };
-                let told = if done {
-                    format!("{:016x} HIT {}\r\n{text}\r\n", call.txn, text.len())
-                } else {
-                    format!("{:016x} SLOW\r\n", call.txn)
-                };
-                if done {
-                    call.interpreter.replied(call.txn, &text);
-                }
-                // The connection may have ended, and the call with it.
-                let _ = call.reply.try_send(told);
+                self.on_ended(end);
             }
         }
     }
 
-    /// Serves one connection of a node's.
+    fn on_ended(&self, end: Ended) {
+        let (number, is_done) = match end {
+            Ended::Done(number) => (number, true),
+            Ended::Slow(number) => (number, false),
+        };
+        // Nobody waits for a call that was given up.
+        let Some(call) = self.calls.borrow_mut().remove(&number) else { return };
+        if is_done {
+            let body = format!("reply {number} to {:016x}", call.txn);
+            call.caller.interpreter.record_reply(call.txn, &body);
+            call.caller.reply(format!("{:016x} HIT {}\r\n{body}\r\n", call.txn, body.len()));
+        } else {
+            call.caller.reply(format!("{:016x} SLOW\r\n", call.txn));
+        }
+    }
+
+    /// Serves one connection of a node.
     pub async fn serve(self: Rc<Self>, node: usize, interpreter: Rc<Interpreter>, stream: DuplexStream) {
         let (reader, mut writer) = tokio::io::split(stream);
         let mut input = BufReader::new(reader);
-        let (reply, mut replies) = mpsc::channel::<String>(REPLIES);
-        let mut mine = Vec::new();
-        let listening = async {
-            while let Some((words, body)) = command(&mut input).await {
-                match (words[0].as_str(), txn(words.get(1)), &words[..]) {
-                    ("GET", Some(id), [_, _, wait, _]) => {
-                        let Ok(wait) = wait.parse::<f64>() else { return };
-                        if let Some(call) = self.called(node, &interpreter, id, wait, &body, &reply) {
-                            mine.push(call);
-                        }
-                    }
-                    ("STOP", Some(id), _) => self.give_up(|call| call.node == node && call.txn == id),
-                    _ => return,
+        let (sender, mut replies) = mpsc::channel::<String>(REPLY_QUEUE);
+        let caller = Caller { node, interpreter, replies: sender };
+        let mut own_calls = Vec::new();
+        let reading = async {
+            while let Some(command) = Command::read(&mut input).await {
+                if self.execute(&command, &caller, &mut own_calls).is_none() {
+                    return;
                 }
             }
         };
-        let speaking = async {
+        let writing = async {
             while let Some(text) = replies.recv().await {
                 if writer.write_all(text.as_bytes()).await.is_err() {
                     return;
@@ -116,53 +150,58 @@
             }
         };
         tokio::select! {
-            () = listening => {}
-            () = speaking => {}
+            () = reading => {}
+            () = writing => {}
         }
         // Closing a connection gives up every call on it.
-        for call in mine {
-            if self.calls.borrow_mut().remove(&call).is_some() {
-                self.model.borrow_mut().give_up(call);
+        for number in own_calls {
+            if self.calls.borrow_mut().remove(&number).is_some() {
+                self.model.borrow_mut().give_up(number);
             }
         }
     }
 
-    fn give_up(&self, meant: impl Fn(&Call) -> bool) {
-        let ids: Vec<u64> =
-            self.calls.borrow().iter().filter(|(_, call)| meant(call)).map(|(id, _)| *id).collect();
-        for id in ids {
-            self.calls.borrow_mut().remove(&id);
-            self.model.borrow_mut().give_up(id);
+    /// Executes a command; none where it is malformed.
+    fn execute(&self, command: &Command, caller: &Caller, own_calls: &mut Vec<u64>) -> Option<()> {
+        match command.name() {
+            "GET" => own_calls.extend(self.call(&CallRequest::of(command)?, caller)),
+            "STOP" => self.give_up(caller.node, command.txn()?),
+            _ => return None,
+        }
+        Some(())
+    }
+
+    /// Gives up a node's call for a transaction, if there is one.
+    fn give_up(&self, node: usize, txn: u64) {
+        let is_meant = |call: &OpenCall| call.caller.node == node && call.txn == txn;
+        let calls = self.calls.borrow();
+        let numbers: Vec<u64> =
+            calls.iter().filter(|(_, call)| is_meant(call)).map(|(number, _)| *number).collect();
+        drop(calls);
+        for number in numbers {
+            self.calls.borrow_mut().remove(&number);
+            self.model.borrow_mut().give_up(number);
         }
     }
 
-    /// Takes a call on; its number, unless it is answered at once.
-    fn called(
-        &self,
-        node: usize,
-        interpreter: &Rc<Interpreter>,
-        id: u64,
-        wait: f64,
-        body: &[u8],
-        reply: &mpsc::Sender<String>,
-    ) -> Option<u64> {
-        if !interpreter.waits(id, body) {
-            let _ = reply.try_send(format!("{id:016x} NOBODY\r\n"));
+    /// Begins a call and returns its number, unless it is answered at once.
+    fn call(&self, request: &CallRequest, caller: &Caller) -> Option<u64> {
+        let CallRequest { txn, timeout, body } = *request;
+        if !caller.interpreter.expects_call(txn, body) {
+            caller.reply(format!("{txn:016x} NOBODY\r\n"));
             return None;
         }
-        self.give_up(|call| call.node == node && call.txn == id);
-        let number = self.next.replace(self.next.get() + 1);
-        let time = call_time(&mut self.rng.borrow_mut(), self.shape.work_ms, self.shape.cv);
+        self.give_up(caller.node, txn);
+        let number = self.next_call.replace(self.next_call.get() + 1);
+        let work = call_time(&mut self.rng.borrow_mut(), self.shape.work_ms, self.shape.cv);
         let now = self.context.now();
-        if !self.model.borrow_mut().call(now, number, time, now + wait) {
-            let _ = reply.try_send(format!("{id:016x} SHED\r\n"));
+        if !self.model.borrow_mut().call(now, number, work, now + timeout) {
+            caller.reply(format!("{txn:016x} SHED\r\n"));
             return None;
         }
-        self.context.note(Event::Called { txn: id, node });
-        self.calls
-            .borrow_mut()
-            .insert(number, Call { node, txn: id, interpreter: interpreter.clone(), reply: reply.clone() });
-        self.poke.notify_one();
+        self.context.note(Event::Called { txn, node: caller.node });
+        self.calls.borrow_mut().insert(number, OpenCall { txn, caller: caller.clone() });
+        self.changed.notify_one();
         Some(number)
     }
 }
--- a/fault-harness/src/stand_in/frontends.rs
+++ b/fault-harness/src/stand_in/frontends.rs
@@ -17,7 +17,7 @@
 use crate::model::frontend::{Answer, Front, Journey, Pin, Step, LATEST_RETRY_MARGIN};
 use crate::model::registry::Members;
 use crate::model::Ms;
-use crate::play_context::{PlayContext, Written};
+use crate::play_context::{PlayContext, WrittenAttempt};
 use crate::relay::Relay;
 use crate::scenario::NodeEvent;
 use crate::wire;
@@ -164,10 +164,10 @@
         connection.last_used.set(now);
         let open = OpenAttempt { txn, written_at: now, was_alone, reply: Some(reply) };
         connection.open.borrow_mut().insert(id, open);
-        context.writes(txn, Written { n, node });
+        context.record_attempt(txn, WrittenAttempt { request: n, node });
         context.note(Event::Wrote { txn, n, node, front: self.number, due });
-        self.nodes[node].interpreter.holds(txn, context.schedule.requests[n].kb);
-        context.happened(node, NodeEvent::AttemptWritten);
+        self.nodes[node].interpreter.hold_request(txn, context.schedule.requests[n].kb);
+        context.record_event(node, NodeEvent::AttemptWritten);
         // Where the connection has ended meanwhile, its end answers.
         let _ = out.send(line).await;
         let listen_until = due + context.scenario.rules.slack_ms + LISTEN_MARGIN;
@@ -190,7 +190,7 @@
         connection.unread.set(connection.unread.get() + 1);
         let read = tokio::select! {
             biased;
-            read = interpreter.reads(txn) => Some(read.is_ok()),
+            read = interpreter.read_request(txn) => Some(read.is_ok()),
             () = context.clock.until(due) => None,
         };
         connection.unread.set(connection.unread.get() - 1);
@@ -200,7 +200,7 @@
             Some(true) => None,
             Some(false) => Some(Answer::Gone),
             None => {
-                interpreter.unread(txn);
+                interpreter.cancel_read(txn);
                 Some(Answer::Silent)
             }
         }
@@ -215,13 +215,13 @@
             id,
             txn: &format!("{txn:016x}"),
             class: &class.name,
-            door: context.clock.unix_ms(arrived_at),
-            front: self.number,
-            team: &request.tenant,
-            limit: (due - arrived_at).max(1.0) as u64,
-            cpu: request.hint.max(0.01),
-            ram: request.kb,
-            key: key.as_deref(),
+            received_at: context.clock.unix_ms(arrived_at),
+            frontend: self.number,
+            tenant: &request.tenant,
+            time_limit_ms: (due - arrived_at).max(1.0) as u64,
+            cost_hint_ms: request.hint.max(0.01),
+            memory_kb: request.kb,
+            idempotency_key: key.as_deref(),
             content: &BASE64.encode(context.body(n)),
         }
         .to_string()
@@ -230,7 +230,7 @@
     /// Tells the node that nobody waits for an attempt any more.
     fn withdraw(&self, connection: &Connection, id: u64, txn: u64, out: &mpsc::Sender<String>) {
         self.context.note(Event::Withdrew { txn });
-        self.nodes[connection.node].interpreter.over(txn);
+        self.nodes[connection.node].interpreter.release_request(txn);
         if let Some(open) = connection.open.borrow_mut().get_mut(&id) {
             open.reply = None;
         }
@@ -255,7 +255,7 @@
         let address = (*endpoints.address.borrow()).ok_or(std::io::ErrorKind::ConnectionRefused)?;
         let stream = endpoints.relays[self.number].open(address).await?;
         self.context.note(Event::Connected { node, front: self.number });
-        endpoints.interpreter.connected();
+        endpoints.interpreter.accept_connection();
         let (out, lines) = mpsc::channel(WRITE_QUEUE);
         let connection = Rc::new(Connection {
             node,
@@ -297,7 +297,7 @@
             connection.out.borrow_mut().take();
             for open in std::mem::take(&mut *connection.open.borrow_mut()).into_values() {
                 self.context.note(Event::Withdrew { txn: open.txn });
-                self.nodes[connection.node].interpreter.over(open.txn);
+                self.nodes[connection.node].interpreter.release_request(open.txn);
                 if let Some(reply) = open.reply {
                     // Its client may have stopped waiting.
                     let _ = reply.send(Answer::Gone);
--- a/fault-harness/src/stand_in/frontends/connection.rs
+++ b/fault-harness/src/stand_in/frontends/connection.rs
@@ -88,7 +88,7 @@
         self.out.borrow_mut().take();
         let now = context.now();
         for open in std::mem::take(&mut *self.open.borrow_mut()).into_values() {
-            interpreter.over(open.txn);
+            interpreter.release_request(open.txn);
             let Some(reply) = open.reply else { continue };
             let answered = !self.answered.borrow().is_empty();
             let crossed = answered && open.was_alone && now - open.written_at <= CROSSING_TOLERANCE;
@@ -109,20 +109,22 @@
         self.last_used.set(context.now());
         let (id, kind, answer) = match wire::parse_node_message(line) {
             NodeMessage::Draining => return self.is_draining.set(true),
-            NodeMessage::Served(id, content) => {
+            NodeMessage::Served { id, content } => {
                 match BASE64.decode(&content).ok().and_then(|bytes| String::from_utf8(bytes).ok()) {
                     Some(result) => {
-                        let poorer = result.ends_with(" poorer");
+                        let poorer = result.ends_with(wire::WITHOUT_CALL_SUFFIX);
                         (id, Kind::Served(result), Answer::Served { poorer })
                     }
                     None => return self.record_stray(context, None, line),
                 }
             }
-            NodeMessage::Refused(id, later, giveup) => {
+            NodeMessage::Rejected { id, retry_after: later, give_up: giveup } => {
                 (id, Kind::Refused { later, giveup }, Answer::Refused { later, giveup })
             }
-            NodeMessage::Failed(id) => (id, Kind::Failed, Answer::Failed),
-            NodeMessage::Status(..) | NodeMessage::Noise => return self.record_stray(context, None, line),
+            NodeMessage::Failed { id } => (id, Kind::Failed, Answer::Failed),
+            NodeMessage::Status { .. } | NodeMessage::Unrecognized => {
+                return self.record_stray(context, None, line)
+            }
         };
         let Some(open) = self.open.borrow_mut().remove(&id) else {
             let txn = self.answered.borrow().get(&id).copied();
@@ -130,10 +132,10 @@
         };
         self.answered.borrow_mut().insert(id, open.txn);
         if matches!(kind, Kind::Served(_)) {
-            context.happened(self.node, NodeEvent::AttemptServed);
+            context.record_event(self.node, NodeEvent::AttemptServed);
         }
         context.note(Event::Answered { txn: open.txn, kind });
-        interpreter.over(open.txn);
+        interpreter.release_request(open.txn);
         if let Some(reply) = open.reply {
             // Its client may have stopped waiting.
             let _ = reply.send(answer);
--- a/fault-harness/src/stand_in/interpreter.rs
+++ b/fault-harness/src/stand_in/interpreter.rs
@@ -7,7 +7,8 @@
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::rc::Rc;
 
-use tokio::sync::{oneshot, watch, Notify};
+use tokio::sync::oneshot::{self, Receiver, Sender};
+use tokio::sync::{watch, Notify};
 
 use crate::history::Event;
 use crate::model::interpreter::{InterpreterEvent, InterpreterModel, InterpreterSpec};
@@ -17,39 +18,52 @@
 use crate::wire;
 
 /// Notices that are kept for links to come.
-const RETAINED_RUNS: usize = 4000;
+const RETAINED_NOTICES: usize = 4000;
+
+/// A notice to the node.
+struct Notice {
+    number: u64,
+    text: String,
+}
+
+/// How a run ended.
+enum RunEnd {
+    Done(String),
+    Aborted,
+}
 
 struct State {
-    vm: InterpreterModel,
+    model: InterpreterModel,
     /// The incarnation of the node that it belongs to.
     incarnation: u64,
-    started: Ms,
-    notices: VecDeque<(u64, String)>,
-    last: u64,
-    began: HashMap<u64, Ms>,
-    /// Replies of the dependency, until they are handed on.
+    started_at: Ms,
+    notices: VecDeque<Notice>,
+    last_notice: u64,
+    /// When each run began.
+    run_starts: HashMap<u64, Ms>,
+    /// Replies of the dependency, until the node hands them on.
     replies: HashMap<u64, String>,
     /// Runs that go on without their call.
-    poorer: HashSet<u64>,
-    /// Requests that are still to be read.
-    unread: HashMap<u64, oneshot::Sender<()>>,
-    up: bool,
+    without_call: HashSet<u64>,
+    /// Frontends that wait until their request is read.
+    unread: HashMap<u64, Sender<()>>,
+    is_up: bool,
 }
 
 impl State {
-    /// One that starts now and has run nothing.
-    fn fresh(vm: InterpreterModel, incarnation: u64, started: Ms) -> State {
+    /// The state of an interpreter that starts now and has run nothing.
+    fn new(model: InterpreterModel, incarnation: u64, started_at: Ms) -> State {
         State {
-            vm,
+            model,
             incarnation,
-            started,
+            started_at,
             notices: VecDeque::new(),
-            last: 0,
-            began: HashMap::new(),
+            last_notice: 0,
+            run_starts: HashMap::new(),
             replies: HashMap::new(),
-            poorer: HashSet::new(),
+            without_call: HashSet::new(),
             unread: HashMap::new(),
-            up: true,
+            is_up: true,
         }
     }
 }
@@ -60,225 +74,219 @@
     node: usize,
     state: RefCell<State>,
     /// Something has changed in what will happen next.
-    poke: Notify,
+    changed: Notify,
     /// The number of the last notice.
-    last_command: watch::Sender<u64>,
+    last_notice: watch::Sender<u64>,
     /// The number of the current link; older ones have ended.
     link: watch::Sender<u64>,
-    /// What it has died of; its node goes with it.
-    fell: RefCell<Option<&'static str>>,
+    /// Why it has died; its node is restarted with it.
+    cause_of_death: RefCell<Option<&'static str>>,
 }
 
 impl Interpreter {
-    /// One that is up, and has been for long unless it is cold.
+    /// An interpreter that is up, and has been for long unless it is cold.
     pub fn new(context: Rc<PlayContext>, node: usize, cold: bool) -> Rc<Interpreter> {
-        let state = State::fresh(Interpreter::make(&context, node, cold), 1, context.now());
+        let state = State::new(Interpreter::model(&context, node, cold), 1, context.now());
         Rc::new(Interpreter {
             context,
             node,
             state: RefCell::new(state),
-            poke: Notify::new(),
-            last_command: watch::channel(0).0,
+            changed: Notify::new(),
+            last_notice: watch::channel(0).0,
             link: watch::channel(0).0,
-            fell: RefCell::new(None),
+            cause_of_death: RefCell::new(None),
         })
     }
 
-    fn make(context: &PlayContext, node: usize, cold: bool) -> InterpreterModel {
-        InterpreterModel::new(
-            InterpreterSpec::of(&context.scenario.fleet, context.schedule.speeds[node]),
-            context.now(),
-            cold,
-        )
+    fn model(context: &PlayContext, node: usize, cold: bool) -> InterpreterModel {
+        let spec = InterpreterSpec::of(&context.scenario.fleet, context.schedule.speeds[node]);
+        InterpreterModel::new(spec, context.now(), cold)
     }
 
-    /// It ends, with its node; all that it ran is gone.
-    pub fn end(&self) {
-        {
-            let mut state = self.state.borrow_mut();
-            state.up = false;
-            state.unread.clear();
-            state.vm = Interpreter::make(&self.context, self.node, true);
-        }
+    /// Stops with its node; all that it ran is lost.
+    pub fn stop(&self) {
+        let model = Interpreter::model(&self.context, self.node, true);
+        let mut state = self.state.borrow_mut();
+        state.is_up = false;
+        state.unread.clear();
+        state.model = model;
+        drop(state);
         self.link.send_modify(|link| *link += 1);
     }
 
-    /// It starts with a new incarnation of its node, cold.
+    /// Starts with a new incarnation of its node, cold.
     pub fn start(&self) {
-        {
-            let mut state = self.state.borrow_mut();
-            let incarnation = state.incarnation + 1;
-            *state = State::fresh(
-                Interpreter::make(&self.context, self.node, true),
-                incarnation,
-                self.context.now(),
-            );
-        }
-        self.fell.borrow_mut().take();
-        self.last_command.send_replace(0);
-        self.poke.notify_one();
+        let model = Interpreter::model(&self.context, self.node, true);
+        let incarnation = self.state.borrow().incarnation + 1;
+        self.state.replace(State::new(model, incarnation, self.context.now()));
+        self.cause_of_death.take();
+        self.last_notice.send_replace(0);
+        self.changed.notify_one();
     }
 
     /// Whether it is cold.
-    pub fn cold(&self) -> bool {
-        self.state.borrow().vm.cold()
+    pub fn is_cold(&self) -> bool {
+        self.state.borrow().model.cold()
     }
 
-    /// What it has died of, returned once.
+    /// Why it has died, returned once.
     pub fn take_cause_of_death(&self) -> Option<&'static str> {
-        self.fell.borrow_mut().take()
+        self.cause_of_death.take()
     }
 
     /// Pauses it, or resumes it.
     pub fn set_paused(&self, paused: bool) {
-        self.change(|vm, now| vm.set_paused(now, paused));
+        self.update(|model, now| model.set_paused(now, paused));
     }
 
-    /// Has a part of its speed from now on.
-    pub fn slow(&self, factor: f64) {
-        self.change(|vm, now| {
-            let happened = vm.advance(now);
-            vm.factor = factor;
-            happened
+    /// Sets the fraction of its speed that it has from now on.
+    pub fn set_speed_factor(&self, factor: f64) {
+        self.update(|model, now| {
+            let events = model.advance(now);
+            model.factor = factor;
+            events
         });
     }
 
-    /// A request has come to the node's machine: reading it takes the cores, and the node has it only then. What is
-    /// returned tells when; it never does if the machine ends before.
-    pub fn reads(&self, id: u64) -> oneshot::Receiver<()> {
-        let (tell, read) = oneshot::channel();
+    /// Begins to read a request, which takes the cores; the node has it only once it is read. The receiver is told when;
+    /// it is dropped if the interpreter stops before.
+    pub fn read_request(&self, txn: u64) -> Receiver<()> {
+        let (sender, receiver) = oneshot::channel();
         let work = self.context.scenario.fleet.read_ms;
-        self.state.borrow_mut().unread.insert(id, tell);
-        self.change(|vm, now| vm.read(now, id, work));
-        read
+        self.state.borrow_mut().unread.insert(txn, sender);
+        self.update(|model, now| model.read(now, txn, work));
+        receiver
     }
 
-    /// Nobody waits any more for a request that is still to be read.
-    pub fn unread(&self, id: u64) {
-        self.state.borrow_mut().unread.remove(&id);
-        self.change(|vm, now| vm.unread(now, id));
+    /// Gives up reading a request that nobody waits for any more.
+    pub fn cancel_read(&self, txn: u64) {
+        self.state.borrow_mut().unread.remove(&txn);
+        self.update(|model, now| model.unread(now, txn));
     }
 
-    /// Whether so much lies unread that no more connections are taken.
+    /// Whether so much is unread that no more connections are accepted.
     pub fn is_overloaded(&self) -> bool {
-        self.state.borrow().vm.is_overloaded()
+        self.state.borrow().model.is_overloaded()
     }
 
-    /// A request was written to the node.
-    pub fn holds(&self, id: u64, kb: f64) {
-        self.change(|vm, now| {
-            vm.hold(now, id, kb);
+    /// Holds a request that was written to the node.
+    pub fn hold_request(&self, txn: u64, memory_kb: f64) {
+        self.update(|model, now| {
+            model.hold(now, txn, memory_kb);
             Vec::new()
         });
     }
 
-    /// A frontend opened a connection.
-    pub fn connected(&self) {
+    /// Does the work of a connection that a frontend has opened.
+    pub fn accept_connection(&self) {
         let work = self.context.scenario.fleet.connect_ms;
-        self.change(|vm, now| vm.connect(now, work));
+        self.update(|model, now| model.connect(now, work));
     }
 
-    /// A request is over for its caller.
-    pub fn over(&self, id: u64) {
-        self.change(|vm, now| vm.over(now, id));
+    /// Releases a request whose caller no longer waits.
+    pub fn release_request(&self, txn: u64) {
+        self.update(|model, now| model.over(now, txn));
     }
 
     /// Whether a run waits for its call with this body.
-    pub fn waits(&self, id: u64, body: &[u8]) -> bool {
+    pub fn expects_call(&self, txn: u64, body: &[u8]) -> bool {
         let state = self.state.borrow();
-        state.vm.at_call(id) && body == Interpreter::call_body(id, state.incarnation).as_bytes()
+        state.model.at_call(txn) && body == Interpreter::call_body(txn, state.incarnation).as_bytes()
     }
 
-    /// The dependency has replied; the node has to hand on just that.
-    pub fn replied(&self, id: u64, reply: &str) {
-        self.state.borrow_mut().replies.insert(id, reply.into());
+    /// Records the dependency's reply; the node has to hand on just that.
+    pub fn record_reply(&self, txn: u64, reply: &str) {
+        self.state.borrow_mut().replies.insert(txn, reply.into());
     }
 
-    fn call_body(id: u64, incarnation: u64) -> String {
-        format!("call of {id:016x} in life {incarnation}")
+    fn call_body(txn: u64, incarnation: u64) -> String {
+        format!("call of {txn:016x} in life {incarnation}")
     }
 
-    fn change(&self, change: impl FnOnce(&mut InterpreterModel, Ms) -> Vec<InterpreterEvent>) {
-        let happened = change(&mut self.state.borrow_mut().vm, self.context.now());
-        self.handle(happened);
-        self.poke.notify_one();
+    /// Changes the model and handles what comes of it.
+    fn update(&self, change: impl FnOnce(&mut InterpreterModel, Ms) -> Vec<InterpreterEvent>) {
+        let events = change(&mut self.state.borrow_mut().model, self.context.now());
+        self.handle(events);
+        self.changed.notify_one();
     }
 
-    /// Lets its runs go on, for as long as the play.
+    /// Works on its runs, for as long as the play.
     pub async fn work(self: Rc<Self>) {
         loop {
-            let next = self.state.borrow().vm.next().unwrap_or(f64::INFINITY);
+            let next = self.state.borrow().model.next().unwrap_or(f64::INFINITY);
             tokio::select! {
                 () = self.context.clock.until(next) => {}
-                () = self.poke.notified() => {}
+                () = self.changed.notified() => {}
             }
-            let happened = self.state.borrow_mut().vm.advance(self.context.now());
-            self.handle(happened);
+            let events = self.state.borrow_mut().model.advance(self.context.now());
+            self.handle(events);
         }
     }
 
-    fn handle(&self, happened: Vec<InterpreterEvent>) {
-        for what in happened {
-            match what {
-                InterpreterEvent::Read(id) => {
-                    if let Some(tell) = self.state.borrow_mut().unread.remove(&id) {
-                        // Its frontend may have given up.
-                        let _ = tell.send(());
-                    }
-                }
-                InterpreterEvent::Done(id) => {
-                    let result = {
-                        let state = self.state.borrow();
-                        let poorer = if state.poorer.contains(&id) { " poorer" } else { "" };
-                        format!("job {id:016x} of n{} in life {}{poorer}", self.node + 1, state.incarnation)
-                    };
-                    self.ended(id, "done", Some(result));
+    fn handle(&self, events: Vec<InterpreterEvent>) {
+        for event in events {
+            match event {
+                InterpreterEvent::Read(txn) => self.on_read(txn),
+                InterpreterEvent::Done(txn) => {
+                    let result = self.result_of(txn);
+                    self.on_run_ended(txn, RunEnd::Done(result));
                 }
-                InterpreterEvent::Aborted(id) => self.ended(id, "aborted", None),
-                InterpreterEvent::AtCall(id) => {
+                InterpreterEvent::Aborted(txn) => self.on_run_ended(txn, RunEnd::Aborted),
+                InterpreterEvent::AtCall(txn) => {
                     let incarnation = self.state.borrow().incarnation;
-                    let body = Interpreter::call_body(id, incarnation);
-                    self.notify(|notice| wire::await_call(notice, &format!("{id:016x}"), &body));
+                    let body = Interpreter::call_body(txn, incarnation);
+                    self.notify(|notice| wire::await_call(notice, &format!("{txn:016x}"), &body));
                 }
-                InterpreterEvent::Fell(why) => {
-                    self.context.note(Event::Fell { node: self.node, text: why.into() });
-                    *self.fell.borrow_mut() = Some(why);
+                InterpreterEvent::Fell(cause) => {
+                    self.context.note(Event::Fell { node: self.node, text: cause.into() });
+                    self.cause_of_death.replace(Some(cause));
                 }
             }
         }
     }
 
-    fn ended(&self, id: u64, end: &str, result: Option<String>) {
-        let took = {
+    fn on_read(&self, txn: u64) {
+        if let Some(sender) = self.state.borrow_mut().unread.remove(&txn) {
+            // Its frontend may have given up.
+            let _ = sender.send(());
+        }
+    }
+
+    /// The result of a run, which no other run has.
+    fn result_of(&self, txn: u64) -> String {
+        let state = self.state.borrow();
+        let suffix = if state.without_call.contains(&txn) { wire::WITHOUT_CALL_SUFFIX } else { "" };
+        format!("job {txn:016x} of n{} in life {}{suffix}", self.node + 1, state.incarnation)
+    }
+
+    fn on_run_ended(&self, txn: u64, end: RunEnd) {
+        let duration = {
             let mut state = self.state.borrow_mut();
-            state.poorer.remove(&id);
-            state.replies.remove(&id);
-            state.began.remove(&id).map_or(0.0, |began| self.context.now() - began)
+            state.without_call.remove(&txn);
+            state.replies.remove(&txn);
+            let started_at = state.run_starts.remove(&txn);
+            started_at.map_or(0.0, |started_at| self.context.now() - started_at)
         };
-        self.context.note(Event::Ended { txn: id, node: self.node, result: result.clone() });
-        self.context.happened(self.node, NodeEvent::RunEnded);
-        self.notify(|notice| {
-            wire::value(
-                notice,
-                &format!("{id:016x}"),
-                end,
-                took as u64,
-                result.as_deref().unwrap_or_default(),
-            )
-        });
+        let (word, result) = match end {
+            RunEnd::Done(result) => ("done", Some(result)),
+            RunEnd::Aborted => ("aborted", None),
+        };
+        let body = result.clone().unwrap_or_default();
+        self.context.note(Event::Ended { txn, node: self.node, result });
+        self.context.record_event(self.node, NodeEvent::RunEnded);
+        self.notify(|notice| wire::value(notice, &format!("{txn:016x}"), word, duration as u64, &body));
     }
 
+    /// Adds a notice; the text is made with its number.
     fn notify(&self, text: impl FnOnce(u64) -> String) {
-        let last = {
-            let mut state = self.state.borrow_mut();
-            state.last += 1;
-            let notice = (state.last, text(state.last));
-            state.notices.push_back(notice);
-            if state.notices.len() > RETAINED_RUNS {
-                state.notices.pop_front();
-            }
-            state.last
-        };
-        self.last_command.send_replace(last);
+        let mut state = self.state.borrow_mut();
+        let number = state.last_notice + 1;
+        state.last_notice = number;
+        state.notices.push_back(Notice { number, text: text(number) });
+        if state.notices.len() > RETAINED_NOTICES {
+            state.notices.pop_front();
+        }
+        drop(state);
+        self.last_notice.send_replace(number);
     }
 }
--- a/fault-harness/src/stand_in/interpreter/link.rs
+++ b/fault-harness/src/stand_in/interpreter/link.rs
@@ -5,54 +5,55 @@
 use tokio::io::{AsyncBufRead, AsyncWrite, AsyncWriteExt, BufReader, DuplexStream};
 use tokio::sync::{mpsc, watch};
 
-use super::super::{command, txn};
+use super::super::Command;
 use super::Interpreter;
 use crate::history::Event;
 use crate::model::interpreter::Work;
 use crate::model::Ms;
+use crate::play_context::WrittenAttempt;
 use crate::scenario::NodeEvent;
 use crate::wire;
 
 /// Answers to commands that wait to be written.
 const ANSWER_QUEUE: usize = 1024;
-/// For how long an interpreter that was warm at the start says it has been up before the play.
+/// How long an interpreter that was warm at the start claims to have been up before the play.
 const UP_BEFORE_PLAY: Ms = 60_000.0;
 
 impl Interpreter {
-    /// Serves one link, until the next one or its end.
+    /// Serves one link, until the next one begins or this one ends.
     pub async fn serve(self: Rc<Self>, stream: DuplexStream) {
-        if !self.state.borrow().up {
+        if !self.state.borrow().is_up {
             return;
         }
         self.link.send_modify(|link| *link += 1);
         let mut link = self.link.subscribe();
-        let mine = *link.borrow_and_update();
+        let own_link = *link.borrow_and_update();
         let (reader, writer) = tokio::io::split(stream);
         let (answer_sender, answers) = mpsc::channel::<String>(ANSWER_QUEUE);
         let (resume_sender, resume_from) = watch::channel(None);
         tokio::select! {
-            () = self.listen(BufReader::new(reader), answer_sender, resume_sender) => {}
-            () = self.speak(writer, answers, resume_from) => {}
-            _ = link.wait_for(|link| *link != mine) => {}
+            () = self.read_commands(BufReader::new(reader), answer_sender, resume_sender) => {}
+            () = self.write_notices(writer, answers, resume_from) => {}
+            _ = link.wait_for(|link| *link != own_link) => {}
         }
     }
 
-    /// Takes commands until the link ends or one is wrong. `CONNECT` says from which notice on the node wants them.
-    async fn listen(
+    /// Executes commands until the link ends or one is malformed. `CONNECT` says after which notice the node wants them.
+    async fn read_commands(
         &self,
         mut input: impl AsyncBufRead + Unpin,
         answers: mpsc::Sender<String>,
         resume_from: watch::Sender<Option<u64>>,
     ) {
-        while let Some((words, body)) = command(&mut input).await {
-            if let [word, number] = &words[..] {
-                if word == "CONNECT" {
-                    let _ = answers.send(self.banner()).await;
-                    resume_from.send_replace(number.parse::<u64>().ok());
-                    continue;
-                }
+        while let Some(command) = Command::read(&mut input).await {
+            if command.name() == "CONNECT" && command.argument_count() == 1 {
+                // The link ends with its receiver.
+                let _ = answers.send(self.banner()).await;
+                let notice = command.argument(0).and_then(|number| number.parse().ok());
+                resume_from.send_replace(notice);
+                continue;
             }
-            let Some(answer) = self.execute(&words, &body) else { return };
+            let Some(answer) = self.execute(&command) else { return };
             if !answer.is_empty() && answers.send(answer).await.is_err() {
                 return;
             }
@@ -61,16 +62,16 @@
 
     fn banner(&self) -> String {
         let state = self.state.borrow();
-        let up_for = self.context.now() - state.started;
-        if state.vm.cold() {
+        let up_for = self.context.now() - state.started_at;
+        if state.model.cold() {
             wire::banner(true, up_for as u64)
         } else {
             wire::banner(false, (up_for + UP_BEFORE_PLAY) as u64)
         }
     }
 
-    /// Writes answers and notices, once the node has said from which notice on it wants them.
-    async fn speak(
+    /// Writes answers and notices, once the node has said after which notice it wants them.
+    async fn write_notices(
         &self,
         mut writer: impl AsyncWrite + Unpin,
         mut answers: mpsc::Receiver<String>,
@@ -79,7 +80,7 @@
         let Ok(Some(mut sent)) = resume_from.wait_for(Option::is_some).await.map(|number| *number) else {
             return;
         };
-        let mut last_command = self.last_command.subscribe();
+        let mut last_notice = self.last_notice.subscribe();
         loop {
             // The banner comes before the notices that follow it.
             let mut text = String::new();
@@ -97,7 +98,7 @@
                         return;
                     }
                 }
-                changed = last_command.changed() => if changed.is_err() { return },
+                changed = last_notice.changed() => if changed.is_err() { return },
             }
         }
     }
@@ -105,87 +106,91 @@
     /// Appends the notices after this number, and returns the number of the last one.
     fn append_notices(&self, sent: u64, text: &mut String) -> u64 {
         let state = self.state.borrow();
-        let new = state.notices.iter().filter(|(number, _)| *number > sent);
-        new.for_each(|(_, notice)| text.push_str(notice));
-        sent.max(state.last)
+        for notice in state.notices.iter().filter(|notice| notice.number > sent) {
+            text.push_str(&notice.text);
+        }
+        sent.max(state.last_notice)
     }
 
-    /// Executes a command; returns the answer, which may be empty, or none where the link is to end.
-    fn execute(&self, words: &[String], body: &[u8]) -> Option<String> {
-        let id = txn(words.get(1));
-        match (words[0].as_str(), id) {
-            ("TOP", _) => {
-                let gauges = self.state.borrow().vm.gauges(self.context.now());
-                return Some(wire::tops(words.get(1)?, &gauges));
-            }
-            ("APPLY", Some(id)) => {
-                if !self.apply(id, words.get(2)?, body) {
-                    return Some(format!("ERROR APPLY {}\r\n", words[1]));
-                }
-            }
-            ("BREAK", Some(id)) => self.change(|vm, now| vm.pause(now, id)),
-            ("CONTINUE", Some(id)) => {
-                self.change(|vm, now| if vm.at_call(id) { Vec::new() } else { vm.go_on(now, id) });
-            }
-            ("RESOLVE", Some(id)) => self.resolve(id, body),
-            ("STUB", Some(id)) => self.skip_call(id),
+    /// Executes a command; returns the answer, which may be empty, or none where the command is malformed.
+    fn execute(&self, command: &Command) -> Option<String> {
+        if command.name() == "TOP" {
+            let gauges = self.state.borrow().model.gauges(self.context.now());
+            return Some(wire::tops(command.argument(0)?, &gauges));
+        }
+        let txn = command.txn()?;
+        match command.name() {
+            "APPLY" => return self.apply(txn, command),
+            "BREAK" => self.update(|model, now| model.pause(now, txn)),
+            "CONTINUE" => self.resume(txn),
+            "RESOLVE" => self.resolve(txn, &command.body),
+            "STUB" => self.skip_call(txn),
             _ => return None,
         }
         Some(String::new())
     }
 
+    /// Resumes a run that was paused. One that waits for its call goes on waiting.
+    fn resume(&self, txn: u64) {
+        self.update(|model, now| if model.at_call(txn) { Vec::new() } else { model.go_on(now, txn) });
+    }
+
     /// Resumes a run with the reply to its call.
-    fn resolve(&self, id: u64, body: &[u8]) {
+    fn resolve(&self, txn: u64, body: &[u8]) {
         // A command that crossed the end of its run resolves nothing.
-        if !self.state.borrow().vm.at_call(id) {
+        if !self.state.borrow().model.at_call(txn) {
             return;
         }
-        let reply = self.state.borrow_mut().replies.remove(&id);
+        let reply = self.state.borrow_mut().replies.remove(&txn);
         if reply.as_ref().is_none_or(|reply| reply.as_bytes() != body) {
-            let text = format!("the reply to the call of {id:016x} is not the one that came");
+            let text = format!("the reply to the call of {txn:016x} is not the one that came");
             self.context.note(Event::Spoilt { node: self.node, text });
         }
-        self.change(|vm, now| vm.go_on(now, id));
+        self.update(|model, now| model.go_on(now, txn));
     }
 
     /// Resumes a run without its call; its result will be poorer.
-    fn skip_call(&self, id: u64) {
-        if self.state.borrow().vm.at_call(id) {
-            self.state.borrow_mut().poorer.insert(id);
-            self.change(|vm, now| vm.go_on(now, id));
+    fn skip_call(&self, txn: u64) {
+        if self.state.borrow().model.at_call(txn) {
+            self.state.borrow_mut().without_call.insert(txn);
+            self.update(|model, now| model.go_on(now, txn));
         }
     }
 
-    /// Begins a run; false if no such request came here, or not with this class and body.
-    fn apply(&self, id: u64, class: &str, body: &[u8]) -> bool {
-        let written = self.context.written(id).filter(|written| written.node == self.node);
-        let intact = written.filter(|written| {
-            let request = &self.context.schedule.requests[written.n];
-            self.context.scenario.classes[request.class].name == class
-                && self.context.body(written.n).as_bytes() == body
-        });
-        let Some(written) = intact else {
-            let text = format!("APPLY {id:016x} {class}: no such request came here, or its body is another");
+    /// Begins a run. The answer is an error if no such request was written to the node, or not with this class and body.
+    fn apply(&self, txn: u64, command: &Command) -> Option<String> {
+        let class = command.argument(1)?;
+        let attempt = self.context.attempt(txn).filter(|attempt| attempt.node == self.node);
+        let Some(attempt) = attempt.filter(|attempt| self.is_intact(*attempt, class, &command.body)) else {
+            let text = format!("APPLY {txn:016x} {class}: no such request came here, or its body is another");
             self.context.note(Event::Spoilt { node: self.node, text });
-            return false;
+            return Some(format!("ERROR APPLY {}\r\n", command.argument(0)?));
         };
-        if self.state.borrow().vm.runs(id) {
-            return true;
+        if self.state.borrow().model.runs(txn) {
+            return Some(String::new());
         }
-        if !self.state.borrow().vm.holds(id) {
-            self.notify(|notice| wire::value(notice, &format!("{id:016x}"), "stale", 0, ""));
-            return true;
+        if self.state.borrow().model.holds(txn) {
+            self.begin_run(txn, attempt);
+        } else {
+            self.notify(|notice| wire::value(notice, &format!("{txn:016x}"), "stale", 0, ""));
         }
-        let request = &self.context.schedule.requests[written.n];
-        let work = Work {
-            txn: id,
-            work: request.work,
-            calls: self.context.scenario.classes[request.class].calls_dependency,
-        };
-        self.state.borrow_mut().began.insert(id, self.context.now());
-        self.context.note(Event::Began { txn: id, node: self.node });
-        self.change(|vm, now| vm.run(now, work));
-        self.context.happened(self.node, NodeEvent::RunStarted);
-        true
+        Some(String::new())
+    }
+
+    /// Whether a class and a body are those with which an attempt was written.
+    fn is_intact(&self, attempt: WrittenAttempt, class: &str, body: &[u8]) -> bool {
+        let request = &self.context.schedule.requests[attempt.request];
+        self.context.scenario.classes[request.class].name == class
+            && self.context.body(attempt.request).as_bytes() == body
+    }
+
+    fn begin_run(&self, txn: u64, attempt: WrittenAttempt) {
+        let request = &self.context.schedule.requests[attempt.request];
+        let class = &self.context.scenario.classes[request.class];
+        let work = Work { txn, work: request.work, calls: class.calls_dependency };
+        self.state.borrow_mut().run_starts.insert(txn, self.context.now());
+        self.context.note(Event::Began { txn, node: self.node });
+        self.update(|model, now| model.run(now, work));
+        self.context.record_event(self.node, NodeEvent::RunStarted);
     }
 }
--- a/fault-harness/src/wire.rs
+++ b/fault-harness/src/wire.rs
@@ -4,9 +4,12 @@
 
 use serde::Deserialize;
 
-/// What a connection is told that is to end.
+/// The notification that a connection is about to be closed.
 pub const DRAINING: &str = r#"{"jsonrpc":"2.0","method":"draining"}"#;
 
+/// What results of runs end with that went on without their call.
+pub const WITHOUT_CALL_SUFFIX: &str = " poorer";
+
 /// A health check.
 pub const STATUS: &str = "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"status\"}\n";
 
@@ -15,37 +18,36 @@
 pub struct Request<'a> {
     /// Its id on the connection.
     pub id: u64,
-    /// Its id everywhere.
+    /// Its transaction id, which no other request has.
     pub txn: &'a str,
     /// Its class.
     pub class: &'a str,
-    /// When it came to the machine, in Unix milliseconds.
-    pub door: u64,
+    /// When the platform received it, in Unix milliseconds.
+    pub received_at: u64,
     /// The frontend's number.
-    pub front: usize,
+    pub frontend: usize,
     /// The tenant.
-    pub team: &'a str,
+    pub tenant: &'a str,
     /// How long the frontend waits, in milliseconds.
-    pub limit: u64,
+    pub time_limit_ms: u64,
     /// The work to expect, in milliseconds.
-    pub cpu: f64,
+    pub cost_hint_ms: f64,
     /// The memory that it takes while held, in KB.
-    pub ram: f64,
-    /// The key, in keyed classes.
-    pub key: Option<&'a str>,
+    pub memory_kb: f64,
+    /// The idempotency key, in classes that have one.
+    pub idempotency_key: Option<&'a str>,
     /// The body in base64.
     pub content: &'a str,
 }
 
 impl Display for Request<'_> {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        let Request { id, txn, class, door, front, team, limit, cpu, ram, key, content } = self;
-        write!(
-            f,
-            r#"{{"jsonrpc":"2.0","id":{id},"method":"{class}","params":{{"txn":"{txn}","door":{door},"lb":{front},"#
-        )?;
-        write!(f, r#""team":"{team}","limit":{limit},"cpu":{cpu:.2},"ram":{ram:.1},"standing":0.5,"#)?;
-        if let Some(key) = key {
+        let Request { id, txn, class, received_at, frontend, tenant, time_limit_ms, .. } = self;
+        let Request { cost_hint_ms, memory_kb, idempotency_key, content, .. } = self;
+        write!(f, r#"{{"jsonrpc":"2.0","id":{id},"method":"{class}","params":{{"txn":"{txn}","#)?;
+        write!(f, r#""door":{received_at},"lb":{frontend},"team":"{tenant}","limit":{time_limit_ms},"#)?;
+        write!(f, r#""cpu":{cost_hint_ms:.2},"ram":{memory_kb:.1},"standing":0.5,"#)?;
+        if let Some(key) = idempotency_key {
             write!(f, r#""unique":"{key}","#)?;
         }
         writeln!(f, r#""content":"{content}"}}}}"#)
@@ -57,12 +59,12 @@
     format!("{{\"jsonrpc\":\"2.0\",\"method\":\"withdraw\",\"params\":{{\"id\":{id}}}}}\n")
 }
 
-/// An interpreter's word that a run is over.
+/// An interpreter's notice that a run has ended.
 pub fn value(notice: u64, txn: &str, end: &str, ms: u64, result: &str) -> String {
     format!("VALUE {notice} {txn} {end} {ms} {}\r\n{result}\r\n", result.len())
 }
 
-/// An interpreter's word that a run waits for a call.
+/// An interpreter's notice that a run waits for a call to the dependency.
 pub fn await_call(notice: u64, txn: &str, body: &str) -> String {
     format!("AWAIT {notice} {txn} {}\r\n{body}\r\n", body.len())
 }
@@ -84,23 +86,44 @@
     words.last().filter(|_| bodied)?.parse().ok()
 }
 
-/// What a node says to a frontend.
+/// A message of a node to a frontend.
 #[derive(Debug, Clone, PartialEq)]
 pub enum NodeMessage {
-    /// A result: the request's id, and the result in base64.
-    Served(u64, String),
-    /// A refusal, with its advice.
-    Refused(u64, Option<f64>, bool),
+    /// The answer to a request that was served.
+    Served {
+        /// The request's id.
+        id: u64,
+        /// The result in base64.
+        content: String,
+    },
+    /// The answer to a request that was rejected.
+    Rejected {
+        /// The request's id.
+        id: u64,
+        /// After how many milliseconds to retry (Retry-After).
+        retry_after: Option<f64>,
+        /// The node asks the frontend not to retry elsewhere.
+        give_up: bool,
+    },
     /// Any other error.
-    Failed(u64),
-    /// A good or a bad health check.
-    Status(u64, bool),
+    Failed {
+        /// The request's id.
+        id: u64,
+    },
+    /// The answer to a health check.
+    Status {
+        /// The health check's id.
+        id: u64,
+        /// Whether the node is healthy.
+        up: bool,
+    },
     /// Nothing new is to be sent on this connection.
     Draining,
-    /// What is none of these.
-    Noise,
+    /// A line that is none of these.
+    Unrecognized,
 }
 
+/// A line as it is on the wire.
 #[derive(Deserialize)]
 struct Message {
     #[serde(default)]
@@ -108,13 +131,13 @@
     #[serde(default)]
     method: Option<String>,
     #[serde(default)]
-    result: Option<Answered>,
+    result: Option<ResultMember>,
     #[serde(default)]
-    error: Option<Problem>,
+    error: Option<ErrorMember>,
 }
 
 #[derive(Deserialize)]
-struct Answered {
+struct ResultMember {
     #[serde(default)]
     content: Option<String>,
     #[serde(default)]
@@ -122,37 +145,41 @@
 }
 
 #[derive(Deserialize)]
-struct Problem {
+struct ErrorMember {
     code: i64,
     #[serde(default)]
-    data: Advice,
+    data: RetryAdvice,
 }
 
+/// What a rejection says about retrying.
 #[derive(Deserialize, Default)]
-struct Advice {
-    #[serde(default)]
-    later: Option<f64>,
-    #[serde(default)]
-    giveup: u8,
+struct RetryAdvice {
+    #[serde(default, rename = "later")]
+    retry_after: Option<f64>,
+    /// 1 if the frontend is not to retry elsewhere.
+    #[serde(default, rename = "giveup")]
+    give_up: u8,
 }
 
-/// The code of a refusal.
-pub const REFUSED: i64 = -32011;
+/// The error code of a rejection.
+pub const REJECTED: i64 = -32011;
 
 /// Reads a line of a node's.
 pub fn parse_node_message(line: &str) -> NodeMessage {
-    let Ok(message) = serde_json::from_str::<Message>(line) else { return NodeMessage::Noise };
+    let Ok(message) = serde_json::from_str::<Message>(line) else { return NodeMessage::Unrecognized };
     if message.method.as_deref() == Some("draining") {
         return NodeMessage::Draining;
     }
     match (message.id, message.result, message.error) {
-        (Some(id), Some(Answered { content: Some(content), .. }), None) => NodeMessage::Served(id, content),
-        (Some(id), Some(Answered { up: Some(up), .. }), None) => NodeMessage::Status(id, up),
-        (Some(id), None, Some(Problem { code: REFUSED, data })) => {
-            NodeMessage::Refused(id, data.later, data.giveup == 1)
+        (Some(id), Some(ResultMember { content: Some(content), .. }), None) => {
+            NodeMessage::Served { id, content }
+        }
+        (Some(id), Some(ResultMember { up: Some(up), .. }), None) => NodeMessage::Status { id, up },
+        (Some(id), None, Some(ErrorMember { code: REJECTED, data })) => {
+            NodeMessage::Rejected { id, retry_after: data.retry_after, give_up: data.give_up == 1 }
         }
-        (Some(id), None, Some(_)) => NodeMessage::Failed(id),
-        _ => NodeMessage::Noise,
+        (Some(id), None, Some(_)) => NodeMessage::Failed { id },
+        _ => NodeMessage::Unrecognized,
     }
 }
 
