--- a/fault-harness/src/commands/check.rs
+++ b/fault-harness/src/commands/check.rs
@@ -22,8 +22,8 @@
 impl Check {
     pub(crate) fn run(&self) -> Result<ExitCode, CommandError> {
         let history = History::read(&self.history)
-            .map_err(|source| CommandError::File { path: self.history.clone(), source })?;
-        let outcomes = [Outcome::from_history(&history.terms.scenario, &history, None)];
+            .map_err(|source| CommandError::History { path: self.history.clone(), source })?;
+        let outcomes = [Outcome::from_history(&history.parameters.scenario, &history, None)];
         print!("{}", report::rows(&outcomes));
         conclude(&outcomes, None)
     }
--- a/fault-harness/src/commands/error.rs
+++ b/fault-harness/src/commands/error.rs
@@ -6,6 +6,7 @@
 
 use oakwind_fault_harness::charts::TableError;
 use oakwind_fault_harness::experiment::ExperimentError;
+use oakwind_fault_harness::history::HistoryError;
 use oakwind_fault_harness::mutant::MutantError;
 use oakwind_fault_harness::node::ProgramOptionError;
 use oakwind_fault_harness::report::ReportError;
@@ -37,6 +38,14 @@
         /// Why.
         source: io::Error,
     },
+    /// A history cannot be read.
+    #[error("{}: {source}", path.display())]
+    History {
+        /// The history's file.
+        path: PathBuf,
+        /// Why.
+        source: HistoryError,
+    },
     /// A table cannot be drawn.
     #[error("{}: {source}", path.display())]
     Table {
--- a/fault-harness/src/node/lifecycle.rs
+++ b/fault-harness/src/node/lifecycle.rs
@@ -86,7 +86,7 @@
     }
 
     fn note_down(&self, exit: ProcessExit) {
-        self.context.note(Event::Down { node: self.node, way: exit });
+        self.context.note(Event::NodeDown { node: self.node, exit });
     }
 
     fn restart(self: &Rc<Self>, planned: &PlannedRestart) -> Result<(), StartError> {
@@ -100,7 +100,7 @@
         }
         self.state_folders.prepare(planned.folder, planned.draw).map_err(StartError::file(&self.folder))?;
         if planned.folder != StoredState::Intact || !self.context.scenario.fleet.folder {
-            self.context.note(Event::Wiped { node: self.node });
+            self.context.note(Event::StateLost { node: self.node });
         }
         self.interpreter.start();
         self.start()
@@ -136,13 +136,13 @@
         let Some(id) = self.signal(Signal::TERM) else { return };
         self.plan_restart(down.map(|delay| PlannedRestart::after_fault(delay, fault, draw)));
         self.ending.set(Some(Ending::ShuttingDown));
-        self.context.note(Event::Notice { node: self.node });
+        self.context.note(Event::ShutdownNotice { node: self.node });
         let machine = self.clone();
         let deadline = self.context.now() + self.context.scenario.fleet.stop_ms as f64;
         spawn_local(async move {
             machine.context.clock.until(deadline).await;
             if machine.program.borrow().as_ref().is_some_and(|program| program.id() == id) {
-                machine.note_down(ProcessExit::Overstayed);
+                machine.note_down(ProcessExit::ShutdownTimedOut);
                 machine.end(Ending::Killed);
             }
         });
@@ -168,7 +168,7 @@
         if !program_only {
             self.interpreter.set_paused(paused);
         }
-        self.context.note(Event::Still { node: self.node, still: paused });
+        self.context.note(Event::Paused { node: self.node, paused });
     }
 
     /// Notes the resources that its program takes, and ends it where its interpreter has died.
@@ -176,10 +176,10 @@
         // Until it logs, its process may still be a copy of this one, with all that this one has open.
         let usage = self.program.borrow().as_ref().filter(|_| self.has_logged.get()).and_then(Program::usage);
         if let Some(usage) = usage {
-            self.context.note(Event::Sample {
+            self.context.note(Event::ResourceSample {
                 node: self.node,
-                rss_kb: usage.rss_kb,
-                files: usage.files,
+                memory_kb: usage.rss_kb,
+                descriptors: usage.files,
                 cpu_ms: usage.cpu_ms,
             });
         }
@@ -194,7 +194,7 @@
 fn process_exit(ending: Option<Ending>, status: Option<ExitStatus>) -> Option<ProcessExit> {
     match (ending, status) {
         (Some(Ending::Killed), _) => None,
-        (Some(Ending::ShuttingDown), Some(status)) if status.success() => Some(ProcessExit::Left),
+        (Some(Ending::ShuttingDown), Some(status)) if status.success() => Some(ProcessExit::ShutDown),
         (_, Some(status)) => Some(ProcessExit::Crashed(status.to_string())),
         (_, None) => Some(ProcessExit::Crashed("unknown".into())),
     }
--- a/fault-harness/src/node/services.rs
+++ b/fault-harness/src/node/services.rs
@@ -12,7 +12,7 @@
 
 use super::Machine;
 use crate::history::Event;
-use crate::model::registry::Members;
+use crate::model::registry::Registry;
 use crate::relay::Direction;
 use crate::settings::Peers;
 use crate::stand_in::dependency::Dependency;
@@ -51,7 +51,7 @@
     pub async fn serve_services(
         self: Rc<Self>,
         dependency: Option<Rc<Dependency>>,
-        members: Rc<RefCell<Members>>,
+        registry: Rc<RefCell<Registry>>,
     ) {
         let Ok(listeners) = ServiceListeners::bind().await else { return };
         let Ok(addresses) = listeners.addresses() else { return };
@@ -59,10 +59,10 @@
         let (interpreter_sender, mut interpreter_links) = mpsc::channel(SERVICE_QUEUE);
         let (dependency_sender, mut dependency_links) = mpsc::channel(SERVICE_QUEUE);
         let (report_sender, mut reports) = mpsc::channel(SERVICE_QUEUE);
-        let registry = Rc::new(listeners.registry);
+        let report_socket = Rc::new(listeners.registry);
         spawn_local(self.relays.interpreter.clone().accept(listeners.interpreter, interpreter_sender));
         spawn_local(self.relays.dependency.clone().accept(listeners.dependency, dependency_sender));
-        spawn_local(self.relays.registry.clone().datagrams(registry, Direction::From, report_sender));
+        spawn_local(self.relays.registry.clone().datagrams(report_socket, Direction::From, report_sender));
         loop {
             tokio::select! {
                 Some(link) = interpreter_links.recv() => {
@@ -73,14 +73,14 @@
                         spawn_local(dependency.clone().serve(self.node, self.interpreter.clone(), link));
                     }
                 }
-                Some(report) = reports.recv() => self.on_report(&report, &members),
+                Some(report) = reports.recv() => self.on_report(&report, &registry),
                 else => return,
             }
         }
     }
 
     /// Hands a report for the membership service on, if it is one of this node's.
-    fn on_report(&self, report: &[u8], members: &RefCell<Members>) {
+    fn on_report(&self, report: &[u8], registry: &RefCell<Registry>) {
         let text = String::from_utf8_lossy(report);
         let words: Vec<&str> = text.split(' ').collect();
         let is_up = match words[..] {
@@ -88,9 +88,9 @@
             ["HB", name, "OUT"] if name == self.name() => false,
             _ => {
                 let text = format!("not a report of this node: {text}");
-                return self.context.note(Event::Spoilt { node: self.node, text });
+                return self.context.note(Event::Corrupted { node: self.node, text });
             }
         };
-        members.borrow_mut().report(self.context.now(), self.node, is_up);
+        registry.borrow_mut().on_heartbeat(self.context.now(), self.node, is_up);
     }
 }
--- a/fault-harness/src/play.rs
+++ b/fault-harness/src/play.rs
@@ -102,12 +102,12 @@
 /// Starts the tasks that go on for as long as the play.
 fn start_tasks(testbed: &Rc<Testbed>, options: &Options) {
     spawn_local(monitoring::sample(testbed.clone()));
-    spawn_local(monitoring::watch_lateness(testbed.context.clone()));
+    spawn_local(monitoring::watch_own_delay(testbed.context.clone()));
     if options.progress {
         spawn_local(monitoring::print_progress(testbed.clone()));
     }
     for frontend in &testbed.frontends {
-        spawn_local(frontend.clone().tidy());
+        spawn_local(frontend.clone().close_idle_connections());
     }
 }
 
@@ -120,14 +120,14 @@
     for position in order {
         let request = &requests[position];
         context.clock.until(context.load_start.get() + request.at).await;
-        spawn_local(testbed.frontends[request.front].clone().client(position));
+        spawn_local(testbed.frontends[request.frontend].clone().serve_client(position));
     }
 }
 
 /// Ends all programs; faults that still wait do not strike.
 fn stop(testbed: &Testbed) {
     testbed.context.remove_listener();
-    testbed.pending_faults.borrow_mut().clear();
+    testbed.pending_injections.borrow_mut().clear();
     for machine in &testbed.machines {
         machine.end(Ending::PlayEnded);
     }
--- a/fault-harness/src/play/disturbance.rs
+++ b/fault-harness/src/play/disturbance.rs
@@ -11,7 +11,7 @@
 use crate::play_context::PlayContext;
 use crate::relay::Relay;
 use crate::scenario::{Directions, FaultKind, Link, Traffic};
-use crate::schedule::Strike;
+use crate::schedule::Injection;
 
 /// What happens to the traffic of some links.
 pub(super) struct LinkFault<'a> {
@@ -80,24 +80,24 @@
         }
     }
 
-    fn note_frontends(&self, on: bool, context: &PlayContext) {
+    fn note_frontends(&self, disturbed: bool, context: &PlayContext) {
         for link in self.services.iter().filter_map(|service| service.frontend) {
-            context.note(Event::Disturbed { node: link.node, front: Some(link.frontend), on });
+            context.note(Event::LinkDisturbed { node: link.node, frontend: Some(link.frontend), disturbed });
         }
     }
 
-    fn note_peers(&self, on: bool, context: &PlayContext) {
+    fn note_peers(&self, disturbed: bool, context: &PlayContext) {
         if !self.peers.is_empty() {
-            context.note(Event::Peers { on });
+            context.note(Event::PeerLinksDisturbed { disturbed });
         }
     }
 }
 
 impl Testbed {
     /// Disturbs links of the nodes that a fault is injected into, until it ends.
-    pub(super) fn disturb(&self, strike: &Strike, fault: &LinkFault) {
+    pub(super) fn disturb(&self, injection: &Injection, fault: &LinkFault) {
         let number = self.next_disturbance.replace(self.next_disturbance.get() + 1);
-        let relays = self.disturbed_relays(strike, fault);
+        let relays = self.disturbed_relays(injection, fault);
         relays.note_frontends(true, &self.context);
         relays.disturb(number, fault.directions, fault.traffic);
         relays.note_peers(true, &self.context);
@@ -111,19 +111,19 @@
         });
     }
 
-    fn disturbed_relays(&self, strike: &Strike, fault: &LinkFault) -> DisturbedRelays {
+    fn disturbed_relays(&self, injection: &Injection, fault: &LinkFault) -> DisturbedRelays {
         let mut disturbed = DisturbedRelays::default();
-        for node in &strike.whom {
+        for node in &injection.targets {
             let Some(machine) = self.machines.get(*node) else { continue };
             for link in fault.links {
                 match link {
-                    Link::Frontends => self.add_frontend_relays(strike, *node, machine, &mut disturbed),
+                    Link::Frontends => self.add_frontend_relays(injection, *node, machine, &mut disturbed),
                     Link::Interpreter => disturbed.add_service(&machine.relays.interpreter),
                     Link::Dependency => disturbed.add_service(&machine.relays.dependency),
                     Link::Registry => disturbed.add_service(&machine.relays.registry),
                     Link::Peers => {
-                        add_router_relays(strike, machine, fault.directions, &mut disturbed);
-                        self.add_peer_relays(strike, machine, fault.directions, &mut disturbed);
+                        add_router_relays(injection, machine, fault.directions, &mut disturbed);
+                        self.add_peer_relays(injection, machine, fault.directions, &mut disturbed);
                     }
                 }
             }
@@ -134,7 +134,7 @@
     /// Relays with frontends. Frontends within a zone that is cut off still reach its nodes.
     fn add_frontend_relays(
         &self,
-        strike: &Strike,
+        injection: &Injection,
         node: usize,
         machine: &Rc<Machine>,
         disturbed: &mut DisturbedRelays,
@@ -142,8 +142,8 @@
         let zones = &self.context.scenario.fleet.zones;
         for (frontend, relay) in machine.relays.frontends.iter().enumerate() {
             let zone = &zones[self.context.schedule.frontends[frontend].zone];
-            let is_cut_off_too = strike.fault.zone.as_ref() == Some(zone);
-            if strike.fault.what != FaultKind::Partition || !is_cut_off_too {
+            let is_cut_off_too = injection.fault.zone.as_ref() == Some(zone);
+            if injection.fault.what != FaultKind::Partition || !is_cut_off_too {
                 let link = FrontendLink { node, frontend };
                 disturbed.services.push(ServiceRelay { relay: relay.clone(), frontend: Some(link) });
             }
@@ -153,16 +153,16 @@
     /// Relays for connections among nodes that replicate.
     fn add_peer_relays(
         &self,
-        strike: &Strike,
+        injection: &Injection,
         machine: &Rc<Machine>,
         directions: Directions,
         disturbed: &mut DisturbedRelays,
     ) {
         let names = self.context.scenario.node_names();
-        let with = &strike.fault.with;
+        let with = &injection.fault.with;
         for relays in &*machine.peer_relays.borrow() {
             let is_meant = with.is_empty() || with.contains(&names[relays.peer]);
-            if is_meant && !are_cut_off_together(strike, relays.peer) {
+            if is_meant && !are_cut_off_together(injection, relays.peer) {
                 disturbed.add_peer(&relays.opened_here, directions);
                 disturbed.add_peer(&relays.opened_by_peer, opposite(directions));
             }
@@ -172,13 +172,13 @@
 
 /// Relays for datagrams of the virtual router, one for each direction.
 fn add_router_relays(
-    strike: &Strike,
+    injection: &Injection,
     machine: &Rc<Machine>,
     directions: Directions,
     disturbed: &mut DisturbedRelays,
 ) {
     for relays in &*machine.router_relays.borrow() {
-        if are_cut_off_together(strike, relays.peer) {
+        if are_cut_off_together(injection, relays.peer) {
             continue;
         }
         if directions != Directions::From {
@@ -191,8 +191,8 @@
 }
 
 /// Whether another node is on the same side of a partition: such nodes reach each other.
-fn are_cut_off_together(strike: &Strike, other: usize) -> bool {
-    strike.fault.what == FaultKind::Partition && strike.whom.contains(&other)
+fn are_cut_off_together(injection: &Injection, other: usize) -> bool {
+    injection.fault.what == FaultKind::Partition && injection.targets.contains(&other)
 }
 
 fn opposite(directions: Directions) -> Directions {
--- a/fault-harness/src/play/faults.rs
+++ b/fault-harness/src/play/faults.rs
@@ -10,8 +10,9 @@
 use crate::history::Event;
 use crate::model::Ms;
 use crate::node::{Machine, Membership};
+use crate::play_context::Occurrence;
 use crate::scenario::{Directions, Fault, FaultKind, Link, Traffic};
-use crate::schedule::{At, Strike};
+use crate::schedule::{Injection, InjectionTime};
 
 /// A second has so many milliseconds.
 const MS_PER_S: f64 = 1000.0;
@@ -22,127 +23,131 @@
     /// Arms the faults: those with a time, and those that wait for an event.
     pub(super) fn arm(self: &Rc<Self>) {
         let load_start = self.context.load_start.get();
-        for strike in &self.context.schedule.strikes {
-            match strike.at {
-                At::Time(at) => self.inject_at(load_start + at + strike.after, strike.clone()),
-                At::Event(..) => self.pending_faults.borrow_mut().push(strike.clone()),
+        for injection in &self.context.schedule.injections {
+            match injection.at {
+                InjectionTime::Time(at) => {
+                    self.inject_at(load_start + at + injection.delay, injection.clone());
+                }
+                InjectionTime::Event { .. } => self.pending_injections.borrow_mut().push(injection.clone()),
             }
         }
         let testbed = Rc::downgrade(self);
         self.context.set_listener(move |occurrence| {
             let Some(testbed) = testbed.upgrade() else { return };
-            testbed.inject_on(At::Event(occurrence.node, occurrence.event, occurrence.count));
+            let Occurrence { node, event, count } = occurrence;
+            testbed.inject_on(InjectionTime::Event { node, event, count });
         });
     }
 
-    fn inject_at(self: &Rc<Self>, at: Ms, strike: Strike) {
+    fn inject_at(self: &Rc<Self>, at: Ms, injection: Injection) {
         let testbed = self.clone();
         spawn_local(async move {
             testbed.context.clock.until(at).await;
-            testbed.inject(&strike);
+            testbed.inject(&injection);
         });
     }
 
     /// Injects the faults that wait for this event.
-    fn inject_on(self: &Rc<Self>, event: At) {
-        for strike in self.take_pending(event) {
-            if strike.after == 0.0 {
+    fn inject_on(self: &Rc<Self>, event: InjectionTime) {
+        for injection in self.take_pending(event) {
+            if injection.delay == 0.0 {
                 // At once: a moment later the node would be further on.
-                self.inject(&strike);
+                self.inject(&injection);
             } else {
-                self.inject_at(self.context.now() + strike.after, strike);
+                self.inject_at(self.context.now() + injection.delay, injection);
             }
         }
     }
 
-    fn take_pending(&self, event: At) -> Vec<Strike> {
-        let mut pending = self.pending_faults.borrow_mut();
+    fn take_pending(&self, event: InjectionTime) -> Vec<Injection> {
+        let mut pending = self.pending_injections.borrow_mut();
         let all = std::mem::take(&mut *pending);
-        let (due, waiting) = all.into_iter().partition(|strike| strike.at == event);
+        let (due, waiting) = all.into_iter().partition(|injection| injection.at == event);
         *pending = waiting;
         due
     }
 
     /// Injects a fault now, and ends it at its time.
-    fn inject(self: &Rc<Self>, strike: &Strike) {
-        let fault = &strike.fault;
+    fn inject(self: &Rc<Self>, injection: &Injection) {
+        let fault = &injection.fault;
         let duration = fault.duration_s.map_or(0.0, milliseconds);
         let down = fault.down_s.map(milliseconds);
         let until = self.context.now() + duration.max(down.unwrap_or(0.0));
-        self.context.note(Event::Fault { text: describe(strike), until });
+        self.context.note(Event::FaultInjected { text: describe(injection), until });
         match fault.what {
             FaultKind::Kill => {
-                self.machines_of(strike).for_each(|machine| machine.kill(down, fault, strike.draw));
+                self.machines_of(injection).for_each(|machine| machine.kill(down, fault, injection.random));
             }
             FaultKind::Shutdown => {
-                self.machines_of(strike).for_each(|machine| machine.shut_down(down, fault, strike.draw));
+                self.machines_of(injection)
+                    .for_each(|machine| machine.shut_down(down, fault, injection.random));
             }
-            FaultKind::Reload => self.machines_of(strike).for_each(|machine| machine.reload()),
-            FaultKind::Pause => self.pause(strike, until),
-            FaultKind::Slow => self.slow_down(strike, until),
-            FaultKind::Partition => self.partition(strike, until),
-            FaultKind::Link => self.disturb_links(strike, until),
+            FaultKind::Reload => self.machines_of(injection).for_each(|machine| machine.reload()),
+            FaultKind::Pause => self.pause(injection, until),
+            FaultKind::Slow => self.slow_down(injection, until),
+            FaultKind::Partition => self.partition(injection, until),
+            FaultKind::Link => self.disturb_links(injection, until),
             FaultKind::Dependency => self.weaken_dependency(fault.factor, until),
             FaultKind::Registry => self.interrupt_registry(until),
-            FaultKind::Frontends => self.restart_frontends(strike),
-            FaultKind::RemoveMembers => self.remove_from_membership(&strike.whom),
-            FaultKind::AddMembers => self.change_membership(|members| members.extend(&strike.whom)),
+            FaultKind::Frontends => self.restart_frontends(injection),
+            FaultKind::RemoveMembers => self.remove_from_membership(&injection.targets),
+            FaultKind::AddMembers => self.change_membership(|members| members.extend(&injection.targets)),
         }
     }
 
-    fn machines_of<'a>(&'a self, strike: &'a Strike) -> impl Iterator<Item = &'a Rc<Machine>> {
-        strike.whom.iter().filter_map(|node| self.machines.get(*node))
+    fn machines_of<'a>(&'a self, injection: &'a Injection) -> impl Iterator<Item = &'a Rc<Machine>> {
+        injection.targets.iter().filter_map(|node| self.machines.get(*node))
     }
 
-    fn pause(self: &Rc<Self>, strike: &Strike, until: Ms) {
-        let program_only = strike.fault.program_only;
-        self.machines_of(strike).for_each(|machine| machine.set_paused(true, program_only));
-        self.undo_at(until, strike, |machine, fault| machine.set_paused(false, fault.program_only));
+    fn pause(self: &Rc<Self>, injection: &Injection, until: Ms) {
+        let program_only = injection.fault.program_only;
+        self.machines_of(injection).for_each(|machine| machine.set_paused(true, program_only));
+        self.undo_at(until, injection, |machine, fault| machine.set_paused(false, fault.program_only));
     }
 
-    fn slow_down(self: &Rc<Self>, strike: &Strike, until: Ms) {
-        let factor = strike.fault.factor;
-        self.machines_of(strike).for_each(|machine| machine.interpreter.set_speed_factor(factor));
-        self.undo_at(until, strike, |machine, _| machine.interpreter.set_speed_factor(1.0));
+    fn slow_down(self: &Rc<Self>, injection: &Injection, until: Ms) {
+        let factor = injection.fault.factor;
+        self.machines_of(injection).for_each(|machine| machine.interpreter.set_speed_factor(factor));
+        self.undo_at(until, injection, |machine, _| machine.interpreter.set_speed_factor(1.0));
     }
 
-    fn partition(&self, strike: &Strike, until: Ms) {
+    fn partition(&self, injection: &Injection, until: Ms) {
         let links = [Link::Frontends, Link::Dependency, Link::Registry, Link::Peers];
         let traffic = Traffic { blackhole: true, ..Traffic::default() };
         self.disturb(
-            strike,
+            injection,
             &LinkFault { links: &links, directions: Directions::Both, traffic: &traffic, until },
         );
     }
 
-    fn disturb_links(&self, strike: &Strike, until: Ms) {
-        let Fault { between, direction, traffic, .. } = &strike.fault;
-        self.disturb(strike, &LinkFault { links: between, directions: *direction, traffic, until });
+    fn disturb_links(&self, injection: &Injection, until: Ms) {
+        let Fault { between, direction, traffic, .. } = &injection.fault;
+        self.disturb(injection, &LinkFault { links: between, directions: *direction, traffic, until });
     }
 
     fn weaken_dependency(&self, factor: f64, until: Ms) {
         let Some(dependency) = self.dependency.clone() else { return };
-        dependency.weaken(factor);
+        dependency.set_capacity_factor(factor);
         let clock = self.context.clock;
         spawn_local(async move {
             clock.until(until).await;
-            dependency.weaken(1.0);
+            dependency.set_capacity_factor(1.0);
         });
     }
 
     /// The membership service receives no reports until then.
     fn interrupt_registry(&self, until: Ms) {
-        self.members.borrow_mut().deaf(self.context.now(), true);
-        let members = self.members.clone();
+        self.registry.borrow_mut().set_unreachable(self.context.now(), true);
+        let registry = self.registry.clone();
         let clock = self.context.clock;
         spawn_local(async move {
             clock.until(until).await;
-            members.borrow_mut().deaf(clock.now(), false);
+            registry.borrow_mut().set_unreachable(clock.now(), false);
         });
     }
 
-    fn restart_frontends(&self, strike: &Strike) {
-        let struck = strike.whom.iter().filter_map(|position| self.frontends.get(*position));
+    fn restart_frontends(&self, injection: &Injection) {
+        let struck = injection.targets.iter().filter_map(|position| self.frontends.get(*position));
         struck.for_each(|frontend| frontend.restart());
     }
 
@@ -173,12 +178,17 @@
     }
 
     /// Undoes a fault for all nodes that it was injected into.
-    fn undo_at(self: &Rc<Self>, at: Ms, strike: &Strike, undo: impl Fn(&Rc<Machine>, &Fault) + 'static) {
+    fn undo_at(
+        self: &Rc<Self>,
+        at: Ms,
+        injection: &Injection,
+        undo: impl Fn(&Rc<Machine>, &Fault) + 'static,
+    ) {
         let testbed = self.clone();
-        let strike = strike.clone();
+        let injection = injection.clone();
         spawn_local(async move {
             testbed.context.clock.until(at).await;
-            testbed.machines_of(&strike).for_each(|machine| undo(machine, &strike.fault));
+            testbed.machines_of(&injection).for_each(|machine| undo(machine, &injection.fault));
         });
     }
 }
@@ -188,12 +198,14 @@
 }
 
 /// A fault in words, for the history and the charts.
-fn describe(strike: &Strike) -> String {
-    let what = strike.fault.what.name();
-    match (&strike.fault.zone, strike.whom.len()) {
+fn describe(injection: &Injection) -> String {
+    let what = injection.fault.what.name();
+    match (&injection.fault.zone, injection.targets.len()) {
         (_, 0) => what.to_string(),
         (Some(zone), _) => format!("{what} {zone}"),
-        (None, 1) if strike.fault.what != FaultKind::Frontends => format!("{what} n{}", strike.whom[0] + 1),
+        (None, 1) if injection.fault.what != FaultKind::Frontends => {
+            format!("{what} n{}", injection.targets[0] + 1)
+        }
         (None, count) => format!("{what} {count}"),
     }
 }
--- a/fault-harness/src/play/links.rs
+++ b/fault-harness/src/play/links.rs
@@ -13,7 +13,7 @@
 use super::testbed::Testbed;
 use crate::node::{Membership, PeerRelays, RouterRelays};
 use crate::relay::{Direction, Relay};
-use crate::schedule::{generator, Stream};
+use crate::schedule::{generator, RandomStream};
 use crate::settings;
 
 /// Relays among nodes have numbers from here on, which decide their random numbers.
@@ -63,7 +63,7 @@
     /// A relay from one node to another, with random numbers of its own.
     fn relay_between(&self, pair: Pair) -> Relay {
         let number = (FIRST_PEER_RELAY + pair.from * self.machines.len() + pair.to) as u64;
-        Relay::new(self.context.clock, generator(self.context.seed, Stream::Links, number))
+        Relay::new(self.context.clock, generator(self.context.seed, RandomStream::Links, number))
     }
 
     /// Joins all nodes to one virtual router, each pair by a relay in each direction.
--- a/fault-harness/src/play/monitoring.rs
+++ b/fault-harness/src/play/monitoring.rs
@@ -12,7 +12,7 @@
 /// Between two checks whether the harness runs late.
 const HEARTBEAT_INTERVAL: Ms = 10.0;
 /// From this on, the harness notes that it ran late.
-const LATE_THRESHOLD: Ms = 25.0;
+const DELAY_THRESHOLD: Ms = 25.0;
 /// Between two lines of progress.
 const PROGRESS_INTERVAL: Ms = 5_000.0;
 
@@ -28,13 +28,13 @@
 }
 
 /// Notes where the harness itself runs late: what it sees then is not the program's doing.
-pub(super) async fn watch_lateness(context: Rc<PlayContext>) {
+pub(super) async fn watch_own_delay(context: Rc<PlayContext>) {
     loop {
         let expected = context.now() + HEARTBEAT_INTERVAL;
         context.clock.until(expected).await;
-        let by = context.now() - expected;
-        if by > LATE_THRESHOLD {
-            context.note(Event::Late { by });
+        let delay = context.now() - expected;
+        if delay > DELAY_THRESHOLD {
+            context.note(Event::HarnessDelayed { delay });
         }
     }
 }
--- a/fault-harness/src/play/testbed.rs
+++ b/fault-harness/src/play/testbed.rs
@@ -7,15 +7,15 @@
 use tokio::task::spawn_local;
 
 use super::{Options, PlayError};
-use crate::model::registry::Members;
+use crate::model::registry::Registry;
 use crate::model::Ms;
 use crate::node::{Machine, ServiceRelays, StartError};
 use crate::play_context::PlayContext;
 use crate::relay::Relay;
 use crate::scenario::Scenario;
-use crate::schedule::{generator, schedule, Stream, Strike};
+use crate::schedule::{generator, schedule, Injection, RandomStream};
 use crate::stand_in::dependency::Dependency;
-use crate::stand_in::frontends::{FrontEnd, NodeEndpoints, Shared};
+use crate::stand_in::frontends::{Frontend, NodeEndpoints, Shared};
 
 /// All nodes serve within this, or the play does not begin.
 const READY_TIMEOUT: Ms = 30_000.0;
@@ -26,12 +26,12 @@
 pub(super) struct Testbed {
     pub(super) context: Rc<PlayContext>,
     pub(super) machines: Vec<Rc<Machine>>,
-    pub(super) frontends: Vec<Rc<FrontEnd>>,
+    pub(super) frontends: Vec<Rc<Frontend>>,
     /// The dependency, if requests call one.
     pub(super) dependency: Option<Rc<Dependency>>,
-    pub(super) members: Rc<RefCell<Members>>,
+    pub(super) registry: Rc<RefCell<Registry>>,
     /// Faults whose event has not occurred yet.
-    pub(super) pending_faults: RefCell<Vec<Strike>>,
+    pub(super) pending_injections: RefCell<Vec<Injection>>,
     /// The number of the next disturbance of links.
     pub(super) next_disturbance: Cell<u64>,
 }
@@ -45,7 +45,7 @@
 impl RelayFactory<'_> {
     fn relay(&mut self) -> Relay {
         self.made += 1;
-        Relay::new(self.context.clock, generator(self.context.seed, Stream::Links, self.made))
+        Relay::new(self.context.clock, generator(self.context.seed, RandomStream::Links, self.made))
     }
 }
 
@@ -58,8 +58,8 @@
         folder: &Path,
     ) -> Result<Testbed, PlayError> {
         let context = PlayContext::new(scenario.clone(), schedule(scenario, seed), seed);
-        let lapse = scenario.registry.heartbeat_timeout_s * 1000.0;
-        let members = Rc::new(RefCell::new(Members::new(scenario.fleet.nodes, lapse)));
+        let heartbeat_timeout = scenario.registry.heartbeat_timeout_s * 1000.0;
+        let registry = Rc::new(RefCell::new(Registry::new(scenario.fleet.nodes, heartbeat_timeout)));
         let dependency = scenario.dependency.clone().map(|shape| Dependency::new(context.clone(), shape));
         if let Some(dependency) = &dependency {
             spawn_local(dependency.clone().work());
@@ -67,16 +67,16 @@
         let machines = machines(&context, options, folder)?;
         for machine in &machines {
             spawn_local(machine.interpreter.clone().work());
-            spawn_local(machine.clone().serve_services(dependency.clone(), members.clone()));
+            spawn_local(machine.clone().serve_services(dependency.clone(), registry.clone()));
         }
-        let frontends = frontends(&context, &machines, &members);
+        let frontends = frontends(&context, &machines, &registry);
         Ok(Testbed {
             context,
             machines,
             frontends,
             dependency,
-            members,
-            pending_faults: RefCell::default(),
+            registry,
+            pending_injections: RefCell::default(),
             next_disturbance: Cell::new(1),
         })
     }
@@ -114,7 +114,7 @@
             .iter()
             .map(|frontend| frontend.registry_delay)
             .fold(0.0, f64::max);
-        let listed = self.members.borrow_mut().listed_at(now, now - latest);
+        let listed = self.registry.borrow_mut().listed_at(now, now - latest);
         for (machine, is_listed) in self.machines.iter().zip(&listed) {
             if !*is_listed || !machine.is_healthy().await {
                 return Some(machine.name());
@@ -153,8 +153,8 @@
 fn frontends(
     context: &Rc<PlayContext>,
     machines: &[Rc<Machine>],
-    members: &Rc<RefCell<Members>>,
-) -> Vec<Rc<FrontEnd>> {
+    registry: &Rc<RefCell<Registry>>,
+) -> Vec<Rc<Frontend>> {
     let endpoints = machines.iter().map(|machine| NodeEndpoints {
         address: machine.address.subscribe(),
         relays: machine.relays.frontends.clone(),
@@ -162,10 +162,10 @@
     });
     let shared = Shared {
         nodes: Rc::new(endpoints.collect()),
-        members: members.clone(),
+        registry: registry.clone(),
         attempts: Rc::default(),
         first_nodes: Rc::default(),
     };
     let count = context.scenario.frontends.count;
-    (0..count).map(|position| FrontEnd::new(context.clone(), position, shared.clone())).collect()
+    (0..count).map(|position| Frontend::new(context.clone(), position, shared.clone())).collect()
 }
--- a/fault-harness/src/play_context.rs
+++ b/fault-harness/src/play_context.rs
@@ -86,8 +86,8 @@
     }
 
     /// Adds an event to the history.
-    pub fn note(&self, what: Event) {
-        self.observations.borrow_mut().push(Observation { t: self.now(), what });
+    pub fn note(&self, event: Event) {
+        self.observations.borrow_mut().push(Observation { at: self.now(), event });
     }
 
     /// Records an attempt that is about to be written.
@@ -138,14 +138,14 @@
         let load_start = self.load_start.get();
         let mut observations = self.observations.take();
         for observation in &mut observations {
-            observation.t -= load_start;
-            match &mut observation.what {
-                Event::Wrote { due, .. } => *due -= load_start,
-                Event::Fault { until, .. } => *until -= load_start,
+            observation.at -= load_start;
+            match &mut observation.event {
+                Event::AttemptWritten { deadline, .. } => *deadline -= load_start,
+                Event::FaultInjected { until, .. } => *until -= load_start,
                 _ => {}
             }
         }
-        History { terms: rule_parameters(&self.scenario, self.seed), seen: observations }
+        History { parameters: rule_parameters(&self.scenario, self.seed), observations }
     }
 }
 
@@ -175,10 +175,10 @@
         run_once_per: scenario.rules.run_once_per,
         slack: scenario.rules.slack_ms,
         drain_grace: crate::settings::DRAIN_GRACE_MS,
-        sockets: scenario.fleet.sockets,
+        descriptors: scenario.fleet.sockets,
         memory_kb: scenario.fleet.memory_mb * KB_PER_MB,
         // A node that hears a higher priority gives way at once; it is heard within an interval.
-        two_active: scenario.fleet.vrrp.as_ref().map_or(0.0, |vrrp| 2.0 * vrrp.interval_ms as f64)
+        max_dual_active: scenario.fleet.vrrp.as_ref().map_or(0.0, |vrrp| 2.0 * vrrp.interval_ms as f64)
             + scenario.rules.slack_ms,
     }
 }
--- a/fault-harness/src/predict/faults.rs
+++ b/fault-harness/src/predict/faults.rs
@@ -3,7 +3,7 @@
 use super::event_queue::ScheduledEvent;
 use super::Prediction;
 use crate::history::{Event, ProcessExit};
-use crate::model::frontend::Answer;
+use crate::model::frontend::AttemptOutcome;
 use crate::model::interpreter::{InterpreterModel, InterpreterSpec};
 use crate::model::Ms;
 use crate::scenario::{Fault, FaultKind};
@@ -11,31 +11,33 @@
 impl Prediction<'_> {
     /// A fault begins.
     pub(super) fn begin_fault(&mut self, position: usize) {
-        let strike = &self.schedule.strikes[position];
-        let Fault { what, duration_s, down_s, .. } = strike.fault;
+        let injection = &self.schedule.injections[position];
+        let Fault { what, duration_s, down_s, .. } = injection.fault;
         let lasts = duration_s.or(down_s).unwrap_or(0.0) * 1000.0;
-        let text = format!("{} {}", what.name(), strike.whom.len());
+        let text = format!("{} {}", what.name(), injection.targets.len());
         let until = self.now + lasts;
-        self.note(Event::Fault { text, until });
+        self.note(Event::FaultInjected { text, until });
         if duration_s.is_some() {
             self.queue.schedule(until, ScheduledEvent::FaultEnd(position));
         }
         self.set_fault(position, true);
     }
 
-    /// Sets a fault on or off for all that it strikes.
+    /// Sets a fault on or off for all that it injections.
     pub(super) fn set_fault(&mut self, position: usize, on: bool) {
-        let strike = self.schedule.strikes[position].clone();
-        let factor = if on { strike.fault.factor } else { 1.0 };
-        match strike.fault.what {
+        let injection = self.schedule.injections[position].clone();
+        let factor = if on { injection.fault.factor } else { 1.0 };
+        match injection.fault.what {
             FaultKind::Dependency => {
                 if let Some(dependency) = &mut self.dependency {
-                    dependency.weaken(factor);
+                    dependency.set_capacity_factor(factor);
                 }
             }
-            FaultKind::Registry => self.members.deaf(self.now, on),
-            FaultKind::Frontends => strike.whom.iter().for_each(|front| self.frontends[*front].restart()),
-            _ => strike.whom.iter().for_each(|node| self.set_node_fault(*node, &strike.fault, on)),
+            FaultKind::Registry => self.members.set_unreachable(self.now, on),
+            FaultKind::Frontends => {
+                injection.targets.iter().for_each(|front| self.frontends[*front].restart())
+            }
+            _ => injection.targets.iter().for_each(|node| self.set_node_fault(*node, &injection.fault, on)),
         }
     }
 
@@ -46,13 +48,13 @@
             }
             FaultKind::Pause => {
                 self.nodes[node].is_paused = on;
-                self.note(Event::Still { node, still: on });
+                self.note(Event::Paused { node, paused: on });
                 let happened = self.nodes[node].vm.set_paused(self.now, on);
                 self.take_in(node, happened);
             }
             FaultKind::Slow => {
                 let happened = self.nodes[node].vm.advance(self.now);
-                self.nodes[node].vm.factor = if on { fault.factor } else { 1.0 };
+                self.nodes[node].vm.speed_factor = if on { fault.factor } else { 1.0 };
                 self.take_in(node, happened);
             }
             _ => {}
@@ -64,8 +66,8 @@
         if !self.nodes[node].is_up {
             return;
         }
-        self.note(Event::Down { node, way: ProcessExit::Killed });
-        self.note(Event::Wiped { node });
+        self.note(Event::NodeDown { node, exit: ProcessExit::Killed });
+        self.note(Event::StateLost { node });
         let now = self.now;
         let vm = self.cold_interpreter(node);
         let place = &mut self.nodes[node];
@@ -85,7 +87,7 @@
             if let Some(attempt) = self.attempts.get_mut(&id) {
                 attempt.is_open = false;
                 let request = attempt.request;
-                self.attempt_over(request, node, Answer::Gone);
+                self.attempt_over(request, node, AttemptOutcome::ConnectionLost);
             }
         }
     }
@@ -94,7 +96,7 @@
     pub(super) fn restart(&mut self, node: usize) {
         self.nodes[node].vm = self.cold_interpreter(node);
         self.nodes[node].is_up = true;
-        self.note(Event::Up { node, cold: true });
+        self.note(Event::NodeUp { node, cold: true });
         self.report();
     }
 
--- a/fault-harness/src/report.rs
+++ b/fault-harness/src/report.rs
@@ -67,8 +67,8 @@
     pub fn from_history(label: &str, history: &History, warm_up_bound_s: Option<f64>) -> Outcome {
         Outcome {
             label: label.into(),
-            scenario: history.terms.scenario.clone(),
-            seed: history.terms.seed,
+            scenario: history.parameters.scenario.clone(),
+            seed: history.parameters.seed,
             verdict: check(history),
             statistics: statistics(history),
             warm_up_bound_s,
--- a/fault-harness/src/stand_in/dependency.rs
+++ b/fault-harness/src/stand_in/dependency.rs
@@ -10,11 +10,11 @@
 
 use super::{interpreter::Interpreter, Command};
 use crate::history::Event;
-use crate::model::dependency::{Below, Ended};
+use crate::model::dependency::{CallEnd, Dependency as DependencyModel};
 use crate::model::Ms;
 use crate::play_context::PlayContext;
 use crate::scenario::Dependency as DependencyShape;
-use crate::schedule::{call_time, generator, Stream};
+use crate::schedule::{call_time, generator, RandomStream};
 
 /// Replies that wait to be written on one connection.
 const REPLY_QUEUE: usize = 256;
@@ -66,7 +66,7 @@
 pub struct Dependency {
     context: Rc<PlayContext>,
     shape: DependencyShape,
-    model: RefCell<Below>,
+    model: RefCell<DependencyModel>,
     /// Open calls by their numbers in the model.
     calls: RefCell<HashMap<u64, OpenCall>>,
     next_call: Cell<u64>,
@@ -78,8 +78,8 @@
 impl Dependency {
     /// The dependency of a scenario.
     pub fn new(context: Rc<PlayContext>, shape: DependencyShape) -> Rc<Dependency> {
-        let model = Below::new(shape.slots, shape.queue);
-        let rng = generator(context.seed, Stream::Calls, 0);
+        let model = DependencyModel::new(shape.slots, shape.queue);
+        let rng = generator(context.seed, RandomStream::Calls, 0);
         Rc::new(Dependency {
             context,
             shape,
@@ -92,8 +92,8 @@
     }
 
     /// Leaves it a fraction of its slots.
-    pub fn weaken(&self, factor: f64) {
-        self.model.borrow_mut().weaken(factor);
+    pub fn set_capacity_factor(&self, factor: f64) {
+        self.model.borrow_mut().set_capacity_factor(factor);
         self.changed.notify_one();
     }
 
@@ -112,10 +112,10 @@
         }
     }
 
-    fn on_ended(&self, end: Ended) {
+    fn on_ended(&self, end: CallEnd) {
         let (number, is_done) = match end {
-            Ended::Done(number) => (number, true),
-            Ended::Slow(number) => (number, false),
+            CallEnd::Completed(number) => (number, true),
+            CallEnd::TimedOut(number) => (number, false),
         };
         // Nobody waits for a call that was given up.
         let Some(call) = self.calls.borrow_mut().remove(&number) else { return };
@@ -156,7 +156,7 @@
         // Closing a connection gives up every call on it.
         for number in own_calls {
             if self.calls.borrow_mut().remove(&number).is_some() {
-                self.model.borrow_mut().give_up(number);
+                self.model.borrow_mut().cancel(number);
             }
         }
     }
@@ -180,7 +180,7 @@
         drop(calls);
         for number in numbers {
             self.calls.borrow_mut().remove(&number);
-            self.model.borrow_mut().give_up(number);
+            self.model.borrow_mut().cancel(number);
         }
     }
 
@@ -199,7 +199,7 @@
             caller.reply(format!("{txn:016x} SHED\r\n"));
             return None;
         }
-        self.context.note(Event::Called { txn, node: caller.node });
+        self.context.note(Event::DependencyCalled { attempt: txn, node: caller.node });
         self.calls.borrow_mut().insert(number, OpenCall { txn, caller: caller.clone() });
         self.changed.notify_one();
         Some(number)
--- a/fault-harness/src/stand_in/frontends.rs
+++ b/fault-harness/src/stand_in/frontends.rs
@@ -1,38 +1,30 @@
 //! Frontends and the clients behind them, on connections with the nodes.
 
+mod attempt;
 mod connection;
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
+use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use base64::engine::general_purpose::STANDARD as BASE64;
-use base64::Engine;
-use tokio::sync::{mpsc, oneshot, watch};
+use tokio::sync::watch;
 use tokio::task::spawn_local;
 
 use super::interpreter::Interpreter;
 use crate::history::Event;
-use crate::model::frontend::{Answer, Front, Journey, Pin, Step, LATEST_RETRY_MARGIN};
-use crate::model::registry::Members;
-use crate::model::Ms;
-use crate::play_context::{PlayContext, WrittenAttempt};
+use crate::model::frontend::{Affinity, AttemptOutcome, ClientCall, Frontend as FrontendModel, NextStep};
+use crate::model::registry::Registry;
+use crate::model::{ms_of_seconds, Ms};
+use crate::play_context::PlayContext;
 use crate::relay::Relay;
-use crate::scenario::NodeEvent;
-use crate::wire;
-use connection::{Connection, OpenAttempt};
+use crate::schedule::{generator, RandomStream};
+use attempt::Attempt;
+use connection::Connection;
 
-/// Attempts that may be open on a connection.
-const MAX_OPEN_ATTEMPTS: usize = 32;
-/// Lines that wait to be written on a connection.
-const WRITE_QUEUE: usize = 64;
-/// After an answer's last moment the caller still listens so long, to tell a late answer from none.
-const LISTEN_MARGIN: Ms = 100.0;
-/// Between two looks for idle connections.
-const TIDY_INTERVAL: Ms = 250.0;
-/// Attempts have ids from here on.
-const FIRST_ATTEMPT_ID: u64 = 1 << 40;
+/// Between two checks for idle connections.
+const IDLE_CHECK_INTERVAL: Ms = 250.0;
 
 /// Where frontends reach a node.
 pub struct NodeEndpoints {
@@ -44,266 +36,160 @@
     pub interpreter: Rc<Interpreter>,
 }
 
-/// One frontend.
-pub struct FrontEnd {
-    context: Rc<PlayContext>,
-    number: usize,
-    late: Ms,
-    habits: RefCell<Front>,
-    nodes: Rc<Vec<NodeEndpoints>>,
-    members: Rc<RefCell<Members>>,
-    connections: RefCell<Vec<Rc<Connection>>>,
-    attempts: Rc<Cell<u64>>,
-    /// The node that each request went to first.
-    first_nodes: Rc<RefCell<HashMap<usize, usize>>>,
-}
-
-/// What frontends share.
+/// What all frontends share.
 #[derive(Clone)]
 pub struct Shared {
     /// The endpoints of all nodes.
     pub nodes: Rc<Vec<NodeEndpoints>>,
     /// The membership service.
-    pub members: Rc<RefCell<Members>>,
+    pub registry: Rc<RefCell<Registry>>,
     /// Attempts so far, of all frontends.
     pub attempts: Rc<Cell<u64>>,
-    /// The node that each request went to first.
+    /// The node that each request was first sent to.
     pub first_nodes: Rc<RefCell<HashMap<usize, usize>>>,
 }
 
-impl FrontEnd {
-    /// A frontend of the plan.
-    pub fn new(context: Rc<PlayContext>, number: usize, shared: Shared) -> Rc<FrontEnd> {
-        let schedule = &context.schedule.frontends[number];
-        let rng = crate::schedule::generator(context.seed, crate::schedule::Stream::Habits, number as u64);
-        let habits = Front::new(
+/// One frontend.
+pub struct Frontend {
+    context: Rc<PlayContext>,
+    number: usize,
+    /// How late it sees changes of the registry.
+    registry_delay: Ms,
+    model: RefCell<FrontendModel>,
+    shared: Shared,
+    connections: RefCell<Vec<Rc<Connection>>>,
+}
+
+impl Frontend {
+    /// A frontend of the schedule.
+    pub fn new(context: Rc<PlayContext>, number: usize, shared: Shared) -> Rc<Frontend> {
+        let profile = &context.schedule.frontends[number];
+        let registry_delay = profile.registry_delay;
+        let model = FrontendModel::new(
             &context.scenario.frontends,
-            schedule.load_balancing,
-            schedule.honours_retry_after,
+            profile.load_balancing,
+            profile.honours_retry_after,
             context.scenario.fleet.nodes,
-            rng,
+            generator(context.seed, RandomStream::Frontends, number as u64),
         );
-        let late = schedule.registry_delay;
-        let Shared { nodes, members, attempts, first_nodes } = shared;
-        Rc::new(FrontEnd {
+        Rc::new(Frontend {
             context,
             number,
-            late,
-            habits: RefCell::new(habits),
-            nodes,
-            members,
+            registry_delay,
+            model: RefCell::new(model),
+            shared,
             connections: RefCell::default(),
-            attempts,
-            first_nodes,
         })
     }
 
+    /// Whether each node is registered, as this frontend sees it.
     fn listed(&self) -> Vec<bool> {
         let now = self.context.now();
-        self.members.borrow_mut().listed_at(now, now - self.late)
+        self.shared.registry.borrow_mut().listed_at(now, now - self.registry_delay)
     }
 
-    /// Takes one client's request to its end.
-    pub async fn client(self: Rc<Self>, n: usize) {
-        let ask = &self.context.schedule.requests[n];
-        let class = &self.context.scenario.classes[ask.class];
-        let asked = self.context.now();
-        self.context.note(Event::Asked { n, class: ask.class, repeats: ask.repeats });
-        let first = ask.repeats.and_then(|first| self.first_nodes.borrow().get(&first).copied());
-        let pin = Pin::of(ask.repeats.is_some(), first, self.context.scenario.load.repeat_at);
-        let due = asked + class.deadline_ms as f64;
-        let mut journey = Journey::new(due, pin, &self.habits.borrow());
-        let mut step = journey.go(asked, &mut self.habits.borrow_mut(), &self.listed());
+    /// Handles one client's request from its first attempt to its end.
+    pub async fn serve_client(self: Rc<Self>, request: usize) {
+        let scheduled = &self.context.schedule.requests[request];
+        let class = scheduled.class;
+        let deadline = self.context.now() + self.context.scenario.classes[class].deadline_ms as f64;
+        self.context.note(Event::RequestSent { request, class, repeats: scheduled.repeats });
+        let mut call = ClientCall::new(deadline, self.affinity(scheduled.repeats), &self.model.borrow());
+        let mut step = self.proceed(&mut call);
         let mut attempts = 0;
-        let end = loop {
+        let outcome = loop {
             step = match step {
-                Step::Try(node) => {
+                NextStep::Attempt(node) => {
                     attempts += 1;
-                    self.first_nodes.borrow_mut().entry(n).or_insert(node);
-                    let answer = self.attempt(node, n, due).await;
-                    let listed = self.listed();
-                    journey.answered(self.context.now(), node, answer, &mut self.habits.borrow_mut(), &listed)
+                    self.shared.first_nodes.borrow_mut().entry(request).or_insert(node);
+                    let outcome = self.send_attempt(node, request, deadline).await;
+                    self.on_outcome(&mut call, node, outcome)
                 }
-                Step::Wait(until) => {
+                NextStep::WaitUntil(until) => {
                     self.context.clock.until(until).await;
-                    let listed = self.listed();
-                    journey.go(self.context.now(), &mut self.habits.borrow_mut(), &listed)
+                    self.proceed(&mut call)
                 }
-                Step::Over(end) => break end,
+                NextStep::Finished(outcome) => break outcome,
             };
         };
-        self.context.note(Event::Over { n, end, tries: attempts });
-    }
-
-    /// One attempt at a node. It is sent again, once, if it crosses a close.
-    async fn attempt(&self, node: usize, n: usize, due: Ms) -> Answer {
-        for again in [true, false] {
-            let Ok(connection) = self.connection(node).await else { return Answer::Gone };
-            match self.send(&connection, n, due).await {
-                Some(answer) => return answer,
-                None if again => {}
-                None => break,
-            }
-        }
-        Answer::Gone
+        self.context.note(Event::RequestEnded { request, outcome, attempts });
     }
 
-    /// Writes an attempt and waits for its answer; none where it crossed a close.
-    async fn send(&self, connection: &Rc<Connection>, n: usize, due: Ms) -> Option<Answer> {
-        let (context, node) = (&self.context, connection.node);
-        let txn = FIRST_ATTEMPT_ID + self.attempts.replace(self.attempts.get() + 1);
-        let id = connection.next_id.replace(connection.next_id.get() + 1);
-        let arrived_at = context.now();
-        if let Some(answer) = self.wait_until_read(connection, txn, due).await {
-            return Some(answer);
-        }
-        let line = self.request_line(id, txn, n, arrived_at, due);
-        let out = connection.out.borrow().clone()?;
-        let (reply, mut answer) = oneshot::channel();
-        let (now, was_alone) = (context.now(), connection.open.borrow().is_empty());
-        connection.last_used.set(now);
-        let open = OpenAttempt { txn, written_at: now, was_alone, reply: Some(reply) };
-        connection.open.borrow_mut().insert(id, open);
-        context.record_attempt(txn, WrittenAttempt { request: n, node });
-        context.note(Event::Wrote { txn, n, node, front: self.number, due });
-        self.nodes[node].interpreter.hold_request(txn, context.schedule.requests[n].kb);
-        context.record_event(node, NodeEvent::AttemptWritten);
-        // Where the connection has ended meanwhile, its end answers.
-        let _ = out.send(line).await;
-        let listen_until = due + context.scenario.rules.slack_ms + LISTEN_MARGIN;
-        tokio::select! {
-            biased;
-            answer = &mut answer => answer.ok(),
-            () = context.clock.until(listen_until) => {
-                self.withdraw(connection, id, txn, &out);
-                Some(Answer::Silent)
-            }
-        }
+    /// Which nodes a request may be sent to, if it repeats another.
+    fn affinity(&self, repeats: Option<usize>) -> Affinity {
+        let first_node = repeats.and_then(|first| self.shared.first_nodes.borrow().get(&first).copied());
+        Affinity::of(repeats.is_some(), first_node, self.context.scenario.load.repeat_at)
     }
 
-    /// Waits until the node's machine has read an attempt; an answer if it will not be written.
-    async fn wait_until_read(&self, connection: &Connection, txn: u64, due: Ms) -> Option<Answer> {
-        let (context, interpreter) = (&self.context, &self.nodes[connection.node].interpreter);
-        if context.scenario.fleet.read_ms <= 0.0 {
-            return None;
-        }
-        connection.unread.set(connection.unread.get() + 1);
-        let read = tokio::select! {
-            biased;
-            read = interpreter.read_request(txn) => Some(read.is_ok()),
-            () = context.clock.until(due) => None,
-        };
-        connection.unread.set(connection.unread.get() - 1);
-        match read {
-            // Nobody writes what its client no longer waits for.
-            Some(true) if context.now() + LATEST_RETRY_MARGIN >= due => Some(Answer::Silent),
-            Some(true) => None,
-            Some(false) => Some(Answer::Gone),
-            None => {
-                interpreter.cancel_read(txn);
-                Some(Answer::Silent)
-            }
-        }
+    fn proceed(&self, call: &mut ClientCall) -> NextStep {
+        call.proceed(self.context.now(), &mut self.model.borrow_mut(), &self.listed())
     }
 
-    fn request_line(&self, id: u64, txn: u64, n: usize, arrived_at: Ms, due: Ms) -> String {
-        let context = &self.context;
-        let request = &context.schedule.requests[n];
-        let class = &context.scenario.classes[request.class];
-        let key = class.idempotency_key.then(|| format!("{:032x}", request.repeats.unwrap_or(n)));
-        wire::Request {
-            id,
-            txn: &format!("{txn:016x}"),
-            class: &class.name,
-            received_at: context.clock.unix_ms(arrived_at),
-            frontend: self.number,
-            tenant: &request.tenant,
-            time_limit_ms: (due - arrived_at).max(1.0) as u64,
-            cost_hint_ms: request.hint.max(0.01),
-            memory_kb: request.kb,
-            idempotency_key: key.as_deref(),
-            content: &BASE64.encode(context.body(n)),
-        }
-        .to_string()
+    fn on_outcome(&self, call: &mut ClientCall, node: usize, outcome: AttemptOutcome) -> NextStep {
+        let now = self.context.now();
+        call.on_outcome(now, node, outcome, &mut self.model.borrow_mut(), &self.listed())
     }
 
-    /// Tells the node that nobody waits for an attempt any more.
-    fn withdraw(&self, connection: &Connection, id: u64, txn: u64, out: &mpsc::Sender<String>) {
-        self.context.note(Event::Withdrew { txn });
-        self.nodes[connection.node].interpreter.release_request(txn);
-        if let Some(open) = connection.open.borrow_mut().get_mut(&id) {
-            open.reply = None;
+    /// Sends an attempt to a node. It is sent again, once, if it crosses a close.
+    async fn send_attempt(&self, node: usize, request: usize, deadline: Ms) -> AttemptOutcome {
+        for _ in 0..2 {
+            let Ok(connection) = self.connection(node).await else { break };
+            let attempt = Attempt { id: self.next_attempt_id(), request, deadline };
+            if let Some(outcome) = self.send(&connection, attempt).await {
+                return outcome;
+            }
         }
-        // The connection may have ended.
-        let _ = out.try_send(wire::withdraw(id));
+        AttemptOutcome::ConnectionLost
     }
 
     /// A connection with capacity, new if there is none.
-    async fn connection(&self, node: usize) -> std::io::Result<Rc<Connection>> {
-        let fits = |c: &&Rc<Connection>| {
-            c.node == node
-                && !c.is_draining.get()
-                && c.open.borrow().len() + c.unread.get() < MAX_OPEN_ATTEMPTS
-        };
-        if let Some(kept) = self.connections.borrow().iter().rfind(fits) {
-            return Ok(kept.clone());
+    async fn connection(&self, node: usize) -> io::Result<Rc<Connection>> {
+        let is_usable = |connection: &&Rc<Connection>| connection.node == node && connection.has_capacity();
+        if let Some(usable) = self.connections.borrow().iter().rfind(is_usable) {
+            return Ok(usable.clone());
         }
-        let endpoints = &self.nodes[node];
+        let endpoints = &self.shared.nodes[node];
         if endpoints.interpreter.is_overloaded() {
-            return Err(std::io::ErrorKind::ConnectionRefused.into());
+            return Err(io::ErrorKind::ConnectionRefused.into());
         }
-        let address = (*endpoints.address.borrow()).ok_or(std::io::ErrorKind::ConnectionRefused)?;
+        let address = (*endpoints.address.borrow()).ok_or(io::ErrorKind::ConnectionRefused)?;
         let stream = endpoints.relays[self.number].open(address).await?;
-        self.context.note(Event::Connected { node, front: self.number });
+        self.context.note(Event::ConnectionOpened { node, frontend: self.number });
         endpoints.interpreter.accept_connection();
-        let (out, lines) = mpsc::channel(WRITE_QUEUE);
-        let connection = Rc::new(Connection {
-            node,
-            out: RefCell::new(Some(out)),
-            open: RefCell::default(),
-            answered: RefCell::default(),
-            next_id: Cell::new(1),
-            unread: Cell::new(0),
-            last_used: Cell::new(self.context.now()),
-            is_draining: Cell::new(false),
-        });
+        let (connection, lines) = Connection::new(node, self.context.now());
         self.connections.borrow_mut().push(connection.clone());
-        let (context, interpreter) = (self.context.clone(), endpoints.interpreter.clone());
+        let context = self.context.clone();
+        let interpreter = endpoints.interpreter.clone();
         spawn_local(connection.clone().run(context, interpreter, stream, lines));
         Ok(connection)
     }
 
-    /// Closes connections that are idle, and forgets those that have ended; for as long as the play.
-    pub async fn tidy(self: Rc<Self>) {
-        let idle = self.context.scenario.frontends.idle_timeout_s * 1000.0;
+    /// Closes connections that are idle, and drops those that have ended; for as long as the play.
+    pub async fn close_idle_connections(self: Rc<Self>) {
+        let idle_timeout = ms_of_seconds(self.context.scenario.frontends.idle_timeout_s);
         loop {
             let now = self.context.now();
             for connection in self.connections.borrow().iter() {
-                let is_over = connection.is_draining.get() || now - connection.last_used.get() > idle;
-                if is_over && connection.open.borrow().is_empty() && connection.unread.get() == 0 {
-                    connection.is_draining.set(true);
-                    connection.out.borrow_mut().take();
+                let is_idle = now - connection.last_used.get() > idle_timeout;
+                if (connection.is_draining.get() || is_idle) && connection.is_unused() {
+                    connection.stop_writing();
                 }
             }
             self.connections.borrow_mut().retain(|connection| connection.out.borrow().is_some());
-            self.context.clock.until(now + TIDY_INTERVAL).await;
+            self.context.clock.until(now + IDLE_CHECK_INTERVAL).await;
         }
     }
 
-    /// It restarts: its connections end, and what was open on them is cancelled.
+    /// Restarts: its connections end, and what is open on them is cancelled.
     pub fn restart(&self) {
         for connection in self.connections.borrow_mut().drain(..) {
-            connection.is_draining.set(true);
-            connection.out.borrow_mut().take();
-            for open in std::mem::take(&mut *connection.open.borrow_mut()).into_values() {
-                self.context.note(Event::Withdrew { txn: open.txn });
-                self.nodes[connection.node].interpreter.release_request(open.txn);
-                if let Some(reply) = open.reply {
-                    // Its client may have stopped waiting.
-                    let _ = reply.send(Answer::Gone);
-                }
+            connection.stop_writing();
+            for open in connection.take_open_attempts() {
+                self.context.note(Event::AttemptCancelled { attempt: open.attempt });
+                self.shared.nodes[connection.node].interpreter.release_request(open.attempt);
+                open.end(AttemptOutcome::ConnectionLost);
             }
         }
-        self.habits.borrow_mut().restart();
+        self.model.borrow_mut().restart();
     }
 }
--- a/fault-harness/src/stand_in/interpreter.rs
+++ b/fault-harness/src/stand_in/interpreter.rs
@@ -126,7 +126,7 @@
 
     /// Whether it is cold.
     pub fn is_cold(&self) -> bool {
-        self.state.borrow().model.cold()
+        self.state.borrow().model.is_cold()
     }
 
     /// Why it has died, returned once.
@@ -143,7 +143,7 @@
     pub fn set_speed_factor(&self, factor: f64) {
         self.update(|model, now| {
             let events = model.advance(now);
-            model.factor = factor;
+            model.speed_factor = factor;
             events
         });
     }
@@ -154,14 +154,14 @@
         let (sender, receiver) = oneshot::channel();
         let work = self.context.scenario.fleet.read_ms;
         self.state.borrow_mut().unread.insert(txn, sender);
-        self.update(|model, now| model.read(now, txn, work));
+        self.update(|model, now| model.start_reading(now, txn, work));
         receiver
     }
 
     /// Gives up reading a request that nobody waits for any more.
     pub fn cancel_read(&self, txn: u64) {
         self.state.borrow_mut().unread.remove(&txn);
-        self.update(|model, now| model.unread(now, txn));
+        self.update(|model, now| model.cancel_reading(now, txn));
     }
 
     /// Whether so much is unread that no more connections are accepted.
@@ -172,7 +172,7 @@
     /// Holds a request that was written to the node.
     pub fn hold_request(&self, txn: u64, memory_kb: f64) {
         self.update(|model, now| {
-            model.hold(now, txn, memory_kb);
+            model.admit_request(now, txn, memory_kb);
             Vec::new()
         });
     }
@@ -180,18 +180,18 @@
     /// Does the work of a connection that a frontend has opened.
     pub fn accept_connection(&self) {
         let work = self.context.scenario.fleet.connect_ms;
-        self.update(|model, now| model.connect(now, work));
+        self.update(|model, now| model.accept_connection(now, work));
     }
 
     /// Releases a request whose caller no longer waits.
     pub fn release_request(&self, txn: u64) {
-        self.update(|model, now| model.over(now, txn));
+        self.update(|model, now| model.release_request(now, txn));
     }
 
     /// Whether a run waits for its call with this body.
     pub fn expects_call(&self, txn: u64, body: &[u8]) -> bool {
         let state = self.state.borrow();
-        state.model.at_call(txn) && body == Interpreter::call_body(txn, state.incarnation).as_bytes()
+        state.model.is_at_call(txn) && body == Interpreter::call_body(txn, state.incarnation).as_bytes()
     }
 
     /// Records the dependency's reply; the node has to hand on just that.
@@ -226,19 +226,19 @@
     fn handle(&self, events: Vec<InterpreterEvent>) {
         for event in events {
             match event {
-                InterpreterEvent::Read(txn) => self.on_read(txn),
-                InterpreterEvent::Done(txn) => {
+                InterpreterEvent::RequestRead(txn) => self.on_read(txn),
+                InterpreterEvent::Completed(txn) => {
                     let result = self.result_of(txn);
                     self.on_run_ended(txn, RunEnd::Done(result));
                 }
                 InterpreterEvent::Aborted(txn) => self.on_run_ended(txn, RunEnd::Aborted),
-                InterpreterEvent::AtCall(txn) => {
+                InterpreterEvent::CallStarted(txn) => {
                     let incarnation = self.state.borrow().incarnation;
                     let body = Interpreter::call_body(txn, incarnation);
                     self.notify(|notice| wire::await_call(notice, &format!("{txn:016x}"), &body));
                 }
-                InterpreterEvent::Fell(cause) => {
-                    self.context.note(Event::Fell { node: self.node, text: cause.into() });
+                InterpreterEvent::Died(cause) => {
+                    self.context.note(Event::InterpreterDied { node: self.node, cause: cause.into() });
                     self.cause_of_death.replace(Some(cause));
                 }
             }
@@ -272,7 +272,7 @@
             RunEnd::Aborted => ("aborted", None),
         };
         let body = result.clone().unwrap_or_default();
-        self.context.note(Event::Ended { txn, node: self.node, result });
+        self.context.note(Event::RunEnded { attempt: txn, node: self.node, result });
         self.context.record_event(self.node, NodeEvent::RunEnded);
         self.notify(|notice| wire::value(notice, &format!("{txn:016x}"), word, duration as u64, &body));
     }
--- a/fault-harness/src/stand_in/interpreter/link.rs
+++ b/fault-harness/src/stand_in/interpreter/link.rs
@@ -8,7 +8,7 @@
 use super::super::Command;
 use super::Interpreter;
 use crate::history::Event;
-use crate::model::interpreter::Work;
+use crate::model::interpreter::RunRequest;
 use crate::model::Ms;
 use crate::play_context::WrittenAttempt;
 use crate::scenario::NodeEvent;
@@ -63,7 +63,7 @@
     fn banner(&self) -> String {
         let state = self.state.borrow();
         let up_for = self.context.now() - state.started_at;
-        if state.model.cold() {
+        if state.model.is_cold() {
             wire::banner(true, up_for as u64)
         } else {
             wire::banner(false, (up_for + UP_BEFORE_PLAY) as u64)
@@ -116,12 +116,12 @@
     fn execute(&self, command: &Command) -> Option<String> {
         if command.name() == "TOP" {
             let gauges = self.state.borrow().model.gauges(self.context.now());
-            return Some(wire::tops(command.argument(0)?, &gauges));
+            return Some(wire::tops(command.argument(0)?, &gauges.as_array()));
         }
         let txn = command.txn()?;
         match command.name() {
             "APPLY" => return self.apply(txn, command),
-            "BREAK" => self.update(|model, now| model.pause(now, txn)),
+            "BREAK" => self.update(|model, now| model.pause_run(now, txn)),
             "CONTINUE" => self.resume(txn),
             "RESOLVE" => self.resolve(txn, &command.body),
             "STUB" => self.skip_call(txn),
@@ -132,28 +132,28 @@
 
     /// Resumes a run that was paused. One that waits for its call goes on waiting.
     fn resume(&self, txn: u64) {
-        self.update(|model, now| if model.at_call(txn) { Vec::new() } else { model.go_on(now, txn) });
+        self.update(|model, now| if model.is_at_call(txn) { Vec::new() } else { model.resume_run(now, txn) });
     }
 
     /// Resumes a run with the reply to its call.
     fn resolve(&self, txn: u64, body: &[u8]) {
         // A command that crossed the end of its run resolves nothing.
-        if !self.state.borrow().model.at_call(txn) {
+        if !self.state.borrow().model.is_at_call(txn) {
             return;
         }
         let reply = self.state.borrow_mut().replies.remove(&txn);
         if reply.as_ref().is_none_or(|reply| reply.as_bytes() != body) {
             let text = format!("the reply to the call of {txn:016x} is not the one that came");
-            self.context.note(Event::Spoilt { node: self.node, text });
+            self.context.note(Event::Corrupted { node: self.node, text });
         }
-        self.update(|model, now| model.go_on(now, txn));
+        self.update(|model, now| model.resume_run(now, txn));
     }
 
     /// Resumes a run without its call; its result will be poorer.
     fn skip_call(&self, txn: u64) {
-        if self.state.borrow().model.at_call(txn) {
+        if self.state.borrow().model.is_at_call(txn) {
             self.state.borrow_mut().without_call.insert(txn);
-            self.update(|model, now| model.go_on(now, txn));
+            self.update(|model, now| model.resume_run(now, txn));
         }
     }
 
@@ -163,13 +163,13 @@
         let attempt = self.context.attempt(txn).filter(|attempt| attempt.node == self.node);
         let Some(attempt) = attempt.filter(|attempt| self.is_intact(*attempt, class, &command.body)) else {
             let text = format!("APPLY {txn:016x} {class}: no such request came here, or its body is another");
-            self.context.note(Event::Spoilt { node: self.node, text });
+            self.context.note(Event::Corrupted { node: self.node, text });
             return Some(format!("ERROR APPLY {}\r\n", command.argument(0)?));
         };
-        if self.state.borrow().model.runs(txn) {
+        if self.state.borrow().model.has_run(txn) {
             return Some(String::new());
         }
-        if self.state.borrow().model.holds(txn) {
+        if self.state.borrow().model.has_request(txn) {
             self.begin_run(txn, attempt);
         } else {
             self.notify(|notice| wire::value(notice, &format!("{txn:016x}"), "stale", 0, ""));
@@ -187,10 +187,10 @@
     fn begin_run(&self, txn: u64, attempt: WrittenAttempt) {
         let request = &self.context.schedule.requests[attempt.request];
         let class = &self.context.scenario.classes[request.class];
-        let work = Work { txn, work: request.work, calls: class.calls_dependency };
+        let work = RunRequest { attempt: txn, work: request.work, calls_dependency: class.calls_dependency };
         self.state.borrow_mut().run_starts.insert(txn, self.context.now());
-        self.context.note(Event::Began { txn, node: self.node });
-        self.update(|model, now| model.run(now, work));
+        self.context.note(Event::RunStarted { attempt: txn, node: self.node });
+        self.update(|model, now| model.start_run(now, work));
         self.context.record_event(self.node, NodeEvent::RunStarted);
     }
 }
