--- a/fault-harness/src/charts.rs
+++ b/fault-harness/src/charts.rs
@@ -43,15 +43,15 @@
 pub fn charts(statistics: &Statistics) -> Vec<Chart> {
     let served = [Curve::new("served", BLUE, served_percent)];
     let requests = [
-        Curve::new("sent", GREY, |second| second.asked as f64),
+        Curve::new("sent", GREY, |second| second.requests as f64),
         Curve::new("within objective", BLUE, |second| second.in_time as f64),
-        Curve::new("rejected", ORANGE, |second| second.refused as f64),
+        Curve::new("rejected", ORANGE, |second| second.rejected as f64),
         Curve::new("failed", RED, |second| second.failed as f64),
     ];
     let work = [
-        Curve::new("attempts", GREY, |second| second.tries as f64),
-        Curve::new("runs", BLUE, |second| second.began as f64),
-        Curve::new("connections", ORANGE, |second| second.connected as f64),
+        Curve::new("attempts", GREY, |second| second.attempts as f64),
+        Curve::new("runs", BLUE, |second| second.runs as f64),
+        Curve::new("connections", ORANGE, |second| second.connections as f64),
     ];
     let drawn = [
         chart("Weight served, percent of what was sent", "served", statistics, &served),
@@ -63,8 +63,8 @@
 
 /// The share of a second's weight that was served; all of it where nothing was sent.
 fn served_percent(second: &Second) -> f64 {
-    if second.asked_worth > 0.0 {
-        second.served_worth / second.asked_worth * PERCENT
+    if second.requested_weight > 0.0 {
+        second.served_weight / second.requested_weight * PERCENT
     } else {
         PERCENT
     }
--- a/fault-harness/src/commands/error.rs
+++ b/fault-harness/src/commands/error.rs
@@ -10,7 +10,7 @@
 use oakwind_fault_harness::mutant::MutantError;
 use oakwind_fault_harness::node::ProgramOptionError;
 use oakwind_fault_harness::report::ReportError;
-use oakwind_fault_harness::scenario::Mistakes;
+use oakwind_fault_harness::scenario::ScenarioErrors;
 use thiserror::Error;
 
 /// Why a subcommand could not be run.
@@ -22,13 +22,13 @@
     /// An assignment has no equals sign.
     #[error("{0}: is not KEY=VALUE")]
     NotAnAssignment(String),
-    /// A scenario cannot be read, or has mistakes; a line for each.
-    #[error("{}", mistakes_with_path(path, mistakes))]
+    /// A scenario cannot be read, or has errors; a line for each.
+    #[error("{}", errors_with_path(path, errors))]
     Scenario {
         /// The scenario's file.
         path: PathBuf,
-        /// Its mistakes.
-        mistakes: Mistakes,
+        /// Its errors.
+        errors: ScenarioErrors,
     },
     /// A file cannot be read.
     #[error("{}: {source}", path.display())]
@@ -59,7 +59,7 @@
     Program(#[from] ProgramOptionError),
     /// The path of the harness itself, beside which the program is, is not known.
     #[error("the path of this executable is not known: {0}")]
-    OwnPath(io::Error),
+    ExecutablePath(io::Error),
     /// An experiment did not reach its end.
     #[error(transparent)]
     Experiment(#[from] ExperimentError),
@@ -71,11 +71,11 @@
     Mutant(#[from] MutantError),
 }
 
-fn mistakes_with_path(path: &Path, mistakes: &Mistakes) -> String {
+fn errors_with_path(path: &Path, errors: &ScenarioErrors) -> String {
     let mut text = String::new();
-    for mistake in mistakes {
+    for error in errors.iter() {
         // Writing to memory does not fail.
-        let _ = writeln!(text, "{}: {mistake}", path.display());
+        let _ = writeln!(text, "{}: {error}", path.display());
     }
     text
 }
--- a/fault-harness/src/commands/experiment_options.rs
+++ b/fault-harness/src/commands/experiment_options.rs
@@ -45,7 +45,7 @@
 
 /// The builds that options `--program` name. The default one is beside the harness unless they name another.
 pub(crate) fn programs(options: &[String]) -> Result<Programs, CommandError> {
-    let own_path = std::env::current_exe().map_err(CommandError::OwnPath)?;
+    let own_path = std::env::current_exe().map_err(CommandError::ExecutablePath)?;
     Ok(Programs::from_options(own_path.with_file_name(PROGRAM_NAME), options)?)
 }
 
--- a/fault-harness/src/commands/scenario_file.rs
+++ b/fault-harness/src/commands/scenario_file.rs
@@ -25,7 +25,7 @@
 /// Reads and checks a scenario, with these keys set to other values.
 pub(crate) fn read_scenario(path: &Path, changes: &[Assignment]) -> Result<Scenario, CommandError> {
     Scenario::read(path, changes)
-        .map_err(|mistakes| CommandError::Scenario { path: path.to_path_buf(), mistakes })
+        .map_err(|errors| CommandError::Scenario { path: path.to_path_buf(), errors })
 }
 
 #[cfg(test)]
--- a/fault-harness/src/report.rs
+++ b/fault-harness/src/report.rs
@@ -81,7 +81,7 @@
     let mut text = String::new();
     for breach in verdict.breaches.iter().take(MAX_BREACHES_PRINTED) {
         // Writing to memory does not fail.
-        let _ = writeln!(text, "{:>9.0} ms  {:?}: {}", breach.t, breach.rule, breach.text);
+        let _ = writeln!(text, "{:>9.0} ms  {:?}: {}", breach.at, breach.rule, breach.text);
     }
     let not_printed = verdict.breaches.len().saturating_sub(MAX_BREACHES_PRINTED);
     if not_printed > 0 {
--- a/fault-harness/src/report/table.rs
+++ b/fault-harness/src/report/table.rs
@@ -2,13 +2,8 @@
 
 use super::Outcome;
 
-/// The positions of rejected and failed requests among the outcome fractions of a play.
-const REJECTED: usize = 2;
-const FAILED: usize = 3;
-/// The positions of the connections opened per second: the mean, the most, and the most with one node.
-const MEAN_CONNECTIONS: usize = 0;
-const PEAK_CONNECTIONS: usize = 1;
-const PEAK_CONNECTIONS_PER_NODE: usize = 2;
+/// Digits of shares after the decimal point.
+const SHARE_DIGITS: usize = 3;
 
 /// A figure that tables show.
 pub struct Column {
@@ -34,23 +29,23 @@
 /// What tables show, in order.
 pub const COLUMNS: [Column; 14] = [
     Column::new("requests/s", 0, |outcome| {
-        Some(outcome.statistics.asked as f64 / outcome.statistics.seconds.len() as f64)
+        Some(outcome.statistics.requests as f64 / outcome.statistics.seconds.len() as f64)
     }),
-    Column::new("served", 3, |outcome| Some(outcome.statistics.served)),
-    Column::new("worst 10 s", 3, |outcome| Some(outcome.statistics.worst_ten)),
-    Column::new("rejected", 3, |outcome| Some(outcome.statistics.parts[REJECTED])),
-    Column::new("failed", 3, |outcome| Some(outcome.statistics.parts[FAILED])),
+    Column::new("served", SHARE_DIGITS, |outcome| Some(outcome.statistics.served)),
+    Column::new("worst 10 s", SHARE_DIGITS, |outcome| Some(outcome.statistics.worst_stretch)),
+    Column::new("rejected", SHARE_DIGITS, |outcome| Some(outcome.statistics.outcomes.rejected)),
+    Column::new("failed", SHARE_DIGITS, |outcome| Some(outcome.statistics.outcomes.failed)),
     Column::new("median ms", 0, |outcome| Some(outcome.statistics.median_ms)),
     Column::new("p99 ms", 0, |outcome| Some(outcome.statistics.p99_ms)),
-    Column::new("attempts", 2, |outcome| Some(outcome.statistics.tries)),
-    Column::new("connections/s", 1, |outcome| Some(outcome.statistics.connected[MEAN_CONNECTIONS])),
-    Column::new("peak connections/s", 0, |outcome| Some(outcome.statistics.connected[PEAK_CONNECTIONS])),
+    Column::new("attempts", 2, |outcome| Some(outcome.statistics.attempts_per_request)),
+    Column::new("connections/s", 1, |outcome| Some(outcome.statistics.connections.mean)),
+    Column::new("peak connections/s", 0, |outcome| Some(outcome.statistics.connections.busiest_second)),
     Column::new("peak connections/s of a node", 0, |outcome| {
-        Some(outcome.statistics.connected[PEAK_CONNECTIONS_PER_NODE])
+        Some(outcome.statistics.connections.busiest_node)
     }),
-    Column::new("time to full service s", 0, |outcome| outcome.statistics.back.as_ref()?.from_start),
+    Column::new("time to full service s", 0, |outcome| outcome.statistics.recovery.as_ref()?.from_start),
     Column::new("warm-up bound s", 1, |outcome| outcome.warm_up_bound_s),
-    Column::new("duplicate runs", 0, |outcome| Some(outcome.verdict.twice_in_fleet as f64)),
+    Column::new("duplicate runs", 0, |outcome| Some(outcome.verdict.duplicate_runs_in_fleet as f64)),
 ];
 
 /// A value with this many digits after the decimal point, and a dash where there is none.
