--- a/fault-harness/src/charts.rs
+++ b/fault-harness/src/charts.rs
@@ -8,6 +8,7 @@
 use crate::statistics::{Band, Second, Statistics};
 use drawing::{Drawing, Point, Series, BLUE, GREY, ORANGE, RED};
 
+pub use drawing::DrawingError;
 pub use table::{of_table, TableError};
 
 /// What an axis of shares ends at.
@@ -70,7 +71,6 @@
     }
 }
 
-/// Nothing where it cannot be drawn.
 fn chart(
     title: &'static str,
     name: &'static str,
@@ -84,7 +84,8 @@
 fn draw(title: &str, seconds: &[Second], bands: &[Band], curves: &[Curve]) -> Option<String> {
     let series: Vec<Series> = curves.iter().map(|curve| series(curve, seconds)).collect();
     let end = seconds.len() as f64;
-    Drawing { title, x_label: "seconds", end, bands, series: &series }.to_svg()
+    // A chart that cannot be drawn is left out.
+    Drawing { title, x_label: "seconds", end, bands, series: &series }.to_svg().ok()
 }
 
 fn series(curve: &Curve, seconds: &[Second]) -> Series {
--- a/fault-harness/src/charts/drawing.rs
+++ b/fault-harness/src/charts/drawing.rs
@@ -34,6 +34,9 @@
 /// A band is at least this part of the width, so that a fault that lasts no time is seen.
 const LEAST_BAND_WIDTH: f64 = 1.0 / 400.0;
 
+/// Why something cannot be drawn.
+pub type DrawingError = DrawingAreaErrorKind<<SVGBackend<'static> as DrawingBackend>::ErrorType>;
+
 type Chart<'area> = ChartContext<'area, SVGBackend<'area>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
 
 /// A point of a line.
@@ -62,18 +65,17 @@
 }
 
 impl Drawing<'_> {
-    /// The drawing as SVG; nothing where its numbers cannot be drawn.
-    pub(super) fn to_svg(&self) -> Option<String> {
+    /// The drawing as SVG.
+    pub(super) fn to_svg(&self) -> Result<String, DrawingError> {
         let mut svg = String::new();
         let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
-        area.fill(&WHITE).ok()?;
+        area.fill(&WHITE)?;
         let mut chart = ChartBuilder::on(&area)
             .caption(self.title, (FONT, TITLE_FONT_SIZE))
             .margin(MARGIN)
             .x_label_area_size(X_LABEL_HEIGHT)
             .y_label_area_size(Y_LABEL_WIDTH)
-            .build_cartesian_2d(0.0..self.end, 0.0..self.top())
-            .ok()?;
+            .build_cartesian_2d(0.0..self.end, 0.0..self.top())?;
         self.draw_bands(&mut chart)?;
         self.draw_axes(&mut chart)?;
         for series in self.series {
@@ -82,10 +84,10 @@
         if self.series.len() > 1 {
             draw_legend(&mut chart)?;
         }
-        area.present().ok()?;
+        area.present()?;
         drop(chart);
         drop(area);
-        Some(svg)
+        Ok(svg)
     }
 
     /// Where the vertical axis ends.
@@ -94,16 +96,16 @@
         points.map(|point| point.y).fold(1.0, f64::max) * HEADROOM
     }
 
-    fn draw_bands(&self, chart: &mut Chart) -> Option<()> {
+    fn draw_bands(&self, chart: &mut Chart) -> Result<(), DrawingError> {
         for band in self.bands {
             let until = band.until.max(band.from + self.end * LEAST_BAND_WIDTH).min(self.end);
             let corners = [(band.from, 0.0), (until, self.top())];
-            chart.draw_series([Rectangle::new(corners, BAND_COLOUR.filled())]).ok()?;
+            chart.draw_series([Rectangle::new(corners, BAND_COLOUR.filled())])?;
         }
-        Some(())
+        Ok(())
     }
 
-    fn draw_axes(&self, chart: &mut Chart) -> Option<()> {
+    fn draw_axes(&self, chart: &mut Chart) -> Result<(), DrawingError> {
         chart
             .configure_mesh()
             .disable_x_mesh()
@@ -114,20 +116,19 @@
             .y_labels(Y_LABELS)
             .x_desc(self.x_label)
             .draw()
-            .ok()
     }
 }
 
-fn draw_series(chart: &mut Chart, series: &Series) -> Option<()> {
+fn draw_series(chart: &mut Chart, series: &Series) -> Result<(), DrawingError> {
     let style = series.colour.stroke_width(LINE_WIDTH);
     let points = series.points.iter().map(|point| (point.x, point.y));
-    let drawn = chart.draw_series(LineSeries::new(points, style)).ok()?;
+    let drawn = chart.draw_series(LineSeries::new(points, style))?;
     let legend_line = move |(x, y)| PathElement::new([(x, y), (x + LEGEND_LINE_LENGTH, y)], style);
     drawn.label(series.name.as_str()).legend(legend_line);
-    Some(())
+    Ok(())
 }
 
-fn draw_legend(chart: &mut Chart) -> Option<()> {
+fn draw_legend(chart: &mut Chart) -> Result<(), DrawingError> {
     chart
         .configure_series_labels()
         .position(SeriesLabelPosition::UpperRight)
@@ -135,5 +136,4 @@
         .border_style(LEGEND_BORDER_COLOUR)
         .label_font((FONT, LABEL_FONT_SIZE))
         .draw()
-        .ok()
 }
--- a/fault-harness/src/charts/table.rs
+++ b/fault-harness/src/charts/table.rs
@@ -5,7 +5,7 @@
 use plotters::style::RGBColor;
 use thiserror::Error;
 
-use super::drawing::{Drawing, Point, Series, BLUE, GREY, ORANGE, RED};
+use super::drawing::{Drawing, DrawingError, Point, Series, BLUE, GREY, ORANGE, RED};
 
 /// The colours of the columns, in turn.
 const COLUMN_COLOURS: [RGBColor; 4] = [BLUE, ORANGE, RED, GREY];
@@ -26,15 +26,15 @@
     },
     /// A line has more or fewer cells than there are columns.
     #[error("a line of {cells} cells where {columns} are named")]
-    WrongWidth {
+    WidthMismatch {
         /// The line's cells.
         cells: usize,
         /// The columns that the first line names.
         columns: usize,
     },
     /// The chart cannot be drawn with these numbers.
-    #[error("it can't be drawn")]
-    NotDrawable,
+    #[error("it can't be drawn: {0}")]
+    NotDrawable(#[from] DrawingError),
 }
 
 /// Draws a table of numbers: its first line names the columns, the first column is drawn along, the others are lines.
@@ -49,14 +49,14 @@
     for line in lines {
         let row = line.into_iter().map(parse_cell).collect::<Result<Vec<f64>, _>>()?;
         if row.len() != columns.len() {
-            return Err(TableError::WrongWidth { cells: row.len(), columns: columns.len() });
+            return Err(TableError::WidthMismatch { cells: row.len(), columns: columns.len() });
         }
         rows.push(row);
     }
     let series: Vec<Series> = (1..columns.len()).map(|column| series(&columns, &rows, column)).collect();
     let end = rows.iter().map(|row| row[0]).fold(1.0, f64::max);
     let drawing = Drawing { title, x_label: columns[0], end, bands: &[], series: &series };
-    drawing.to_svg().ok_or(TableError::NotDrawable)
+    Ok(drawing.to_svg()?)
 }
 
 fn parse_cell(cell: &str) -> Result<f64, TableError> {
--- a/fault-harness/src/charts/tests.rs
+++ b/fault-harness/src/charts/tests.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_table_is_drawn_and_one_that_is_none_is_told() {
+fn a_table_is_drawn_and_a_malformed_one_is_an_error() {
     let svg = of_table("Pages", "nodes,pages in 100 ms,in all\n12,8,56\n300,143,900\n").unwrap();
     assert!(svg.contains("pages in 100 ms") && svg.contains("nodes"));
     assert!(of_table("x", "nodes\n1\n").is_err() && of_table("x", "").is_err());
--- a/fault-harness/src/lib.rs
+++ b/fault-harness/src/lib.rs
@@ -19,7 +19,7 @@
 pub mod scenario;
 pub mod schedule;
 pub mod settings;
-pub mod stand_in;
+pub mod simulated;
 pub mod statistics;
 pub mod warm_up_bound;
 pub mod wire;
--- a/fault-harness/src/model.rs
+++ b/fault-harness/src/model.rs
@@ -1,5 +1,5 @@
-//! The models behind the stand-ins, as state machines in virtual time: no clock, socket or thread, and no chance but
-//! from a seeded generator that is handed in. The stand-ins on sockets and `predict` drive the same ones.
+//! The models behind the simulated services, as state machines in virtual time: no clock, socket or thread, and no chance but
+//! from a seeded generator that is handed in. The services on sockets and `predict` drive the same ones.
 
 pub mod dependency;
 pub mod frontend;
--- a/fault-harness/src/node.rs
+++ b/fault-harness/src/node.rs
@@ -23,7 +23,7 @@
 use crate::process::Program;
 use crate::program_log::LogLine;
 use crate::settings::{Peers, Place};
-use crate::stand_in::interpreter::Interpreter;
+use crate::simulated::interpreter::Interpreter;
 use crate::wire::{self, NodeMessage};
 use lifecycle::PlannedRestart;
 use state_folders::StateFolders;
--- a/fault-harness/src/node/error.rs
+++ b/fault-harness/src/node/error.rs
@@ -27,7 +27,7 @@
         /// Why.
         source: io::Error,
     },
-    /// The stand-ins that it connects to do not listen.
+    /// The services that it connects to do not listen.
     #[error("the services that the node connects to do not listen")]
     NoListeners,
 }
--- a/fault-harness/src/node/lifecycle.rs
+++ b/fault-harness/src/node/lifecycle.rs
@@ -106,13 +106,13 @@
         self.start()
     }
 
-    fn plan_restart(&self, planned: Option<PlannedRestart>) {
+    fn schedule_restart(&self, planned: Option<PlannedRestart>) {
         *self.planned_restart.borrow_mut() = planned;
     }
 
     /// Kills it with its interpreter; it is restarted after `down`, if that is given.
     pub fn kill(&self, down: Option<Ms>, fault: &Fault, draw: u64) {
-        self.plan_restart(down.map(|delay| PlannedRestart::after_fault(delay, fault, draw)));
+        self.schedule_restart(down.map(|delay| PlannedRestart::after_fault(delay, fault, draw)));
         self.end(Ending::Killed);
         self.interpreter.stop();
     }
@@ -134,7 +134,7 @@
     /// Tells it to shut down; it is killed when its time for that is over. It is restarted like after [`Machine::kill`].
     pub fn shut_down(self: &Rc<Self>, down: Option<Ms>, fault: &Fault, draw: u64) {
         let Some(id) = self.signal(Signal::TERM) else { return };
-        self.plan_restart(down.map(|delay| PlannedRestart::after_fault(delay, fault, draw)));
+        self.schedule_restart(down.map(|delay| PlannedRestart::after_fault(delay, fault, draw)));
         self.ending.set(Some(Ending::ShuttingDown));
         self.context.note(Event::ShutdownNotice { node: self.node });
         let machine = self.clone();
@@ -178,13 +178,13 @@
         if let Some(usage) = usage {
             self.context.note(Event::ResourceSample {
                 node: self.node,
-                memory_kb: usage.rss_kb,
-                descriptors: usage.files,
+                memory_kb: usage.memory_kb,
+                descriptors: usage.descriptors,
                 cpu_ms: usage.cpu_ms,
             });
         }
         if self.interpreter.take_cause_of_death().is_some() {
-            self.plan_restart(Some(PlannedRestart::unchanged(RESTART_DELAY_AFTER_DEATH)));
+            self.schedule_restart(Some(PlannedRestart::unchanged(RESTART_DELAY_AFTER_DEATH)));
             self.end(Ending::Killed);
         }
     }
--- a/fault-harness/src/node/services.rs
+++ b/fault-harness/src/node/services.rs
@@ -15,7 +15,7 @@
 use crate::model::registry::Registry;
 use crate::relay::Direction;
 use crate::settings::Peers;
-use crate::stand_in::dependency::Dependency;
+use crate::simulated::dependency::Dependency;
 
 /// Connections or datagrams that wait for a service.
 const SERVICE_QUEUE: usize = 64;
--- a/fault-harness/src/node/startup.rs
+++ b/fault-harness/src/node/startup.rs
@@ -91,7 +91,8 @@
         let Some(addresses) = &*peer_addresses else { return Ok(self.folder.join("fleet.toml")) };
         let membership = self.membership.borrow();
         let votes = self.state_folders.votes();
-        let (version, nodes) = (membership.version, &membership.nodes);
+        let version = membership.version;
+        let nodes = &membership.nodes;
         let config = settings::fleet(&self.context.scenario, self.node, addresses, &votes, version, nodes);
         self.write_file("fleet.toml", &config)
     }
--- a/fault-harness/src/play.rs
+++ b/fault-harness/src/play.rs
@@ -1,4 +1,4 @@
-//! Plays a scenario: starts the nodes and all stand-ins, sends the load, injects the faults, and ends every process that
+//! Plays a scenario: starts the nodes and all that they talk to, sends the load, injects the faults, and ends every process that
 //! it started.
 
 mod disturbance;
@@ -16,7 +16,7 @@
 use tokio::task::{spawn_local, LocalSet};
 
 use crate::history::History;
-use crate::model::Ms;
+use crate::model::{ms_of_seconds, Ms};
 use crate::node::{Ending, Programs};
 use crate::scenario::Scenario;
 use testbed::Testbed;
@@ -78,7 +78,7 @@
     testbed.arm();
     send_load(&testbed).await;
     let longest = scenario.classes.iter().map(|class| class.deadline_ms).max().unwrap_or(0) as f64;
-    let load_end = context.load_start.get() + scenario.seconds * 1000.0;
+    let load_end = context.load_start.get() + ms_of_seconds(scenario.seconds);
     context.clock.until(load_end + longest + scenario.rules.slack_ms + PAUSE_AFTER_DEADLINES).await;
     stop(&testbed);
     Ok(context.take_history())
@@ -102,7 +102,7 @@
 /// Starts the tasks that go on for as long as the play.
 fn start_tasks(testbed: &Rc<Testbed>, options: &Options) {
     spawn_local(monitoring::sample(testbed.clone()));
-    spawn_local(monitoring::watch_own_delay(testbed.context.clone()));
+    spawn_local(monitoring::monitor_own_delay(testbed.context.clone()));
     if options.progress {
         spawn_local(monitoring::print_progress(testbed.clone()));
     }
@@ -116,7 +116,7 @@
     let context = &testbed.context;
     let requests = &context.schedule.requests;
     let mut order: Vec<usize> = (0..requests.len()).collect();
-    order.sort_by(|a, b| requests[*a].at.total_cmp(&requests[*b].at));
+    order.sort_by(|first, second| requests[*first].at.total_cmp(&requests[*second].at));
     for position in order {
         let request = &requests[position];
         context.clock.until(context.load_start.get() + request.at).await;
@@ -124,7 +124,7 @@
     }
 }
 
-/// Ends all programs; faults that still wait do not strike.
+/// Ends all programs; faults that still wait are not injected.
 fn stop(testbed: &Testbed) {
     testbed.context.remove_listener();
     testbed.pending_injections.borrow_mut().clear();
--- a/fault-harness/src/play/faults.rs
+++ b/fault-harness/src/play/faults.rs
@@ -8,14 +8,12 @@
 use super::disturbance::LinkFault;
 use super::testbed::Testbed;
 use crate::history::Event;
-use crate::model::Ms;
+use crate::model::{ms_of_seconds, Ms};
 use crate::node::{Machine, Membership};
 use crate::play_context::Occurrence;
 use crate::scenario::{Directions, Fault, FaultKind, Link, Traffic};
 use crate::schedule::{Injection, InjectionTime};
 
-/// A second has so many milliseconds.
-const MS_PER_S: f64 = 1000.0;
 /// One node learns of a membership configuration so much later than the one before it.
 const ANNOUNCEMENT_INTERVAL: Ms = 100.0;
 
@@ -70,8 +68,8 @@
     /// Injects a fault now, and ends it at its time.
     fn inject(self: &Rc<Self>, injection: &Injection) {
         let fault = &injection.fault;
-        let duration = fault.duration_s.map_or(0.0, milliseconds);
-        let down = fault.down_s.map(milliseconds);
+        let duration = fault.duration_s.map_or(0.0, ms_of_seconds);
+        let down = fault.down_s.map(ms_of_seconds);
         let until = self.context.now() + duration.max(down.unwrap_or(0.0));
         self.context.note(Event::FaultInjected { text: describe(injection), until });
         match fault.what {
@@ -193,10 +191,6 @@
     }
 }
 
-fn milliseconds(seconds: f64) -> Ms {
-    seconds * MS_PER_S
-}
-
 /// A fault in words, for the history and the charts.
 fn describe(injection: &Injection) -> String {
     let what = injection.fault.what.name();
--- a/fault-harness/src/play/links.rs
+++ b/fault-harness/src/play/links.rs
@@ -22,6 +22,7 @@
 const QUEUE_CAPACITY: usize = 64;
 /// The loopback addresses of plays are 127.100.0.0 to 127.249.249.255: the second number is drawn from the process, the
 /// third from the play.
+const LOOPBACK: u8 = 127;
 const FIRST_LOOPBACK_NETWORK: u32 = 100;
 const LOOPBACK_NETWORKS: u32 = 150;
 const PLAYS_PER_LOOPBACK_NETWORK: u32 = 250;
@@ -57,7 +58,7 @@
     fn unique_address(&self, node: usize) -> Ipv4Addr {
         let network = FIRST_LOOPBACK_NETWORK + std::process::id() % LOOPBACK_NETWORKS;
         let play = self.context.number % PLAYS_PER_LOOPBACK_NETWORK;
-        Ipv4Addr::new(127, network as u8, play as u8, node as u8 + 1)
+        Ipv4Addr::new(LOOPBACK, network as u8, play as u8, node as u8 + 1)
     }
 
     /// A relay from one node to another, with random numbers of its own.
@@ -74,18 +75,18 @@
             let socket = UdpSocket::bind((self.unique_address(node), 0)).await?;
             listen_addresses.push(socket.local_addr()?);
         }
-        let stand_ins = bind_stand_ins(count).await?;
+        let proxies = bind_proxies(count).await?;
         let mut relays = HashMap::new();
         for pair in pairs(count) {
             let relay = self.relay_between(pair);
             relays.insert(pair, relay.clone());
-            // What `from` sends to its stand-in of `to` reaches `to` from its stand-in of `from`.
-            let incoming = stand_ins[pair.from][pair.to].clone();
-            let outgoing = stand_ins[pair.to][pair.from].clone();
+            // What `from` sends to its proxy of `to` reaches `to` from its proxy of `from`.
+            let incoming = proxies[pair.from][pair.to].clone();
+            let outgoing = proxies[pair.to][pair.from].clone();
             forward_datagrams(relay, incoming, outgoing, listen_addresses[pair.to]);
         }
         for (node, machine) in self.machines.iter().enumerate() {
-            let peers = others(count, node).map(|other| stand_ins[node][other].local_addr());
+            let peers = others(count, node).map(|other| proxies[node][other].local_addr());
             let peers = peers.collect::<io::Result<Vec<_>>>()?;
             let config = settings::router(node, interval_ms, listen_addresses[node], &peers);
             *machine.router_config.borrow_mut() = Some(config);
@@ -153,17 +154,17 @@
     }
 }
 
-/// For each node, the sockets that stand in for the others.
-async fn bind_stand_ins(count: usize) -> io::Result<Vec<Vec<Rc<UdpSocket>>>> {
-    let mut stand_ins = Vec::new();
+/// For each node, the sockets at which it reaches the others.
+async fn bind_proxies(count: usize) -> io::Result<Vec<Vec<Rc<UdpSocket>>>> {
+    let mut proxies = Vec::new();
     for _ in 0..count {
         let mut of_node = Vec::new();
         for _ in 0..count {
             of_node.push(Rc::new(UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await?));
         }
-        stand_ins.push(of_node);
+        proxies.push(of_node);
     }
-    Ok(stand_ins)
+    Ok(proxies)
 }
 
 /// Forwards datagrams from one socket to an address, through a relay.
--- a/fault-harness/src/play/monitoring.rs
+++ b/fault-harness/src/play/monitoring.rs
@@ -1,13 +1,13 @@
-//! Tasks that watch a play: samples of what programs take, whether the harness itself runs late, and progress.
+//! Tasks that watch a play: samples of the resources that programs take, whether the harness itself runs late, and progress.
 
 use std::rc::Rc;
 
 use super::testbed::Testbed;
 use crate::history::Event;
-use crate::model::Ms;
+use crate::model::{seconds_of_ms, Ms};
 use crate::play_context::PlayContext;
 
-/// Between two samples of what programs take.
+/// Between two samples of the resources that programs take.
 const SAMPLE_INTERVAL: Ms = 500.0;
 /// Between two checks whether the harness runs late.
 const HEARTBEAT_INTERVAL: Ms = 10.0;
@@ -16,7 +16,7 @@
 /// Between two lines of progress.
 const PROGRESS_INTERVAL: Ms = 5_000.0;
 
-/// Samples what each program takes, for as long as the play.
+/// Samples the resources that each program takes, for as long as the play.
 pub(super) async fn sample(testbed: Rc<Testbed>) {
     loop {
         for machine in &testbed.machines {
@@ -28,7 +28,7 @@
 }
 
 /// Notes where the harness itself runs late: what it sees then is not the program's doing.
-pub(super) async fn watch_own_delay(context: Rc<PlayContext>) {
+pub(super) async fn monitor_own_delay(context: Rc<PlayContext>) {
     loop {
         let expected = context.now() + HEARTBEAT_INTERVAL;
         context.clock.until(expected).await;
@@ -43,12 +43,12 @@
 pub(super) async fn print_progress(testbed: Rc<Testbed>) {
     let context = &testbed.context;
     loop {
-        let at = (context.now() - context.load_start.get()) / 1000.0;
+        let elapsed_s = seconds_of_ms(context.now() - context.load_start.get());
         let up = testbed.machines.iter().filter(|machine| machine.address.borrow().is_some()).count();
         eprintln!(
             "{}: {:.0} of {:.0} s, {up} of {} nodes up",
             context.scenario.name,
-            at.max(0.0),
+            elapsed_s.max(0.0),
             context.scenario.seconds,
             testbed.machines.len()
         );
--- a/fault-harness/src/play/testbed.rs
+++ b/fault-harness/src/play/testbed.rs
@@ -8,14 +8,14 @@
 
 use super::{Options, PlayError};
 use crate::model::registry::Registry;
-use crate::model::Ms;
+use crate::model::{ms_of_seconds, Ms};
 use crate::node::{Machine, ServiceRelays, StartError};
 use crate::play_context::PlayContext;
 use crate::relay::Relay;
 use crate::scenario::Scenario;
 use crate::schedule::{generator, schedule, Injection, RandomStream};
-use crate::stand_in::dependency::Dependency;
-use crate::stand_in::frontends::{Frontend, NodeEndpoints, Shared};
+use crate::simulated::dependency::Dependency;
+use crate::simulated::frontends::{Frontend, NodeEndpoints, Shared};
 
 /// All nodes serve within this, or the play does not begin.
 const READY_TIMEOUT: Ms = 30_000.0;
@@ -50,7 +50,7 @@
 }
 
 impl Testbed {
-    /// Sets up all parts of a scenario; the stand-ins run from now on.
+    /// Sets up all parts of a scenario; the simulated services run from now on.
     pub(super) fn new(
         scenario: &Scenario,
         options: &Options,
@@ -58,7 +58,7 @@
         folder: &Path,
     ) -> Result<Testbed, PlayError> {
         let context = PlayContext::new(scenario.clone(), schedule(scenario, seed), seed);
-        let heartbeat_timeout = scenario.registry.heartbeat_timeout_s * 1000.0;
+        let heartbeat_timeout = ms_of_seconds(scenario.registry.heartbeat_timeout_s);
         let registry = Rc::new(RefCell::new(Registry::new(scenario.fleet.nodes, heartbeat_timeout)));
         let dependency = scenario.dependency.clone().map(|shape| Dependency::new(context.clone(), shape));
         if let Some(dependency) = &dependency {
--- a/fault-harness/src/play/workspace.rs
+++ b/fault-harness/src/play/workspace.rs
@@ -9,7 +9,7 @@
 pub(super) struct Workspace {
     /// Where it is.
     pub(super) path: PathBuf,
-    is_kept: bool,
+    is_permanent: bool,
 }
 
 impl Workspace {
@@ -18,13 +18,13 @@
         let scratch = || format!("oakwind-fault-harness-{}-{}", std::process::id(), unique_number());
         let path = out.map_or_else(|| std::env::temp_dir().join(scratch()), Path::to_path_buf);
         std::fs::create_dir_all(&path)?;
-        Ok(Workspace { path: path.canonicalize()?, is_kept: out.is_some() })
+        Ok(Workspace { path: path.canonicalize()?, is_permanent: out.is_some() })
     }
 }
 
 impl Drop for Workspace {
     fn drop(&mut self) {
-        if !self.is_kept {
+        if !self.is_permanent {
             // What can't be removed stays in the system's temporary directory.
             let _ = std::fs::remove_dir_all(&self.path);
         }
--- a/fault-harness/src/process.rs
+++ b/fault-harness/src/process.rs
@@ -1,4 +1,4 @@
-//! A program as a process: its log line by line, signals by its id, what it takes, and its end whatever happens.
+//! A program as a process: its log line by line, signals by its id, the resources that it takes, and its end whatever happens.
 
 use std::io::{self, BufRead, BufReader};
 use std::process::{Child, Command, ExitStatus, Stdio};
@@ -6,8 +6,14 @@
 pub use rustix::process::Signal;
 use rustix::process::{kill_process, Pid};
 
-/// Ticks of the kernel's clock a second, in which it counts time of the cores.
-const TICKS: u64 = 100;
+/// Ticks of the kernel's clock per second, in which it counts CPU time.
+const TICKS_PER_SECOND: u64 = 100;
+/// Milliseconds in a second.
+const MS_PER_SECOND: u64 = 1000;
+/// The fields of `/proc/ID/stat` between the program's name and its CPU times.
+const STAT_FIELDS_BEFORE_TIMES: usize = 11;
+/// The CPU times that count: in user mode and in the kernel.
+const STAT_TIMES: usize = 2;
 
 /// A program that was started. It is killed and waited for when this is dropped.
 #[derive(Debug)]
@@ -15,30 +21,30 @@
     child: Child,
 }
 
-/// What a program takes.
+/// The resources that a program takes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Usage {
-    /// Memory that is resident, in KB.
-    pub rss_kb: u64,
-    /// Descriptors.
-    pub files: u64,
-    /// Time of the cores since its start, in milliseconds.
+    /// Resident memory, in KB.
+    pub memory_kb: u64,
+    /// Open descriptors.
+    pub descriptors: u64,
+    /// CPU time since its start, in milliseconds.
     pub cpu_ms: u64,
 }
 
 impl Program {
-    /// Starts it. Its lines on standard error go to `said`, on a thread that ends with them.
+    /// Starts it. Its lines on standard error go to `on_line`, on a thread that ends with them.
     ///
     /// # Errors
     ///
     /// Where it can't be started.
     pub fn start(
         command: &mut Command,
-        mut said: impl FnMut(String) + Send + 'static,
+        mut on_line: impl FnMut(String) + Send + 'static,
     ) -> io::Result<Program> {
         let mut child = command.stdin(Stdio::null()).stderr(Stdio::piped()).spawn()?;
         let log = child.stderr.take().ok_or(io::ErrorKind::BrokenPipe)?;
-        std::thread::spawn(move || BufReader::new(log).lines().map_while(Result::ok).for_each(&mut said));
+        std::thread::spawn(move || BufReader::new(log).lines().map_while(Result::ok).for_each(&mut on_line));
         Ok(Program { child })
     }
 
@@ -76,18 +82,18 @@
         self.child.wait()
     }
 
-    /// What it takes now; nothing once it has ended.
+    /// The resources that it takes now; none once it has ended.
     pub fn usage(&self) -> Option<Usage> {
         let folder = format!("/proc/{}", self.child.id());
         let status = std::fs::read_to_string(format!("{folder}/status")).ok()?;
         let rss = status.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
-        let rss_kb = rss.split_whitespace().next()?.parse().ok()?;
-        let files = std::fs::read_dir(format!("{folder}/fd")).ok()?.count() as u64;
+        let memory_kb = rss.split_whitespace().next()?.parse().ok()?;
+        let descriptors = std::fs::read_dir(format!("{folder}/fd")).ok()?.count() as u64;
         let stat = std::fs::read_to_string(format!("{folder}/stat")).ok()?;
         // The name before may hold anything, but no closing bracket comes after it.
-        let times = stat.rsplit(") ").next()?.split(' ').skip(11).take(2);
+        let times = stat.rsplit(") ").next()?.split(' ').skip(STAT_FIELDS_BEFORE_TIMES).take(STAT_TIMES);
         let ticks: u64 = times.filter_map(|ticks| ticks.parse::<u64>().ok()).sum();
-        Some(Usage { rss_kb, files, cpu_ms: ticks * 1000 / TICKS })
+        Some(Usage { memory_kb, descriptors, cpu_ms: ticks * MS_PER_SECOND / TICKS_PER_SECOND })
     }
 }
 
--- a/fault-harness/src/relay/tests.rs
+++ b/fault-harness/src/relay/tests.rs
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn datagrams_are_lost_and_doubled_by_chance() {
+fn datagrams_are_lost_and_duplicated_by_chance() {
     run(|relay| async move {
         let count = |traffic: Traffic| {
             let relay = relay.clone();
--- a/fault-harness/src/stand_in.rs
+++ b/fault-harness/src/simulated.rs
@@ -1,4 +1,5 @@
-//! Stand-ins on sockets for all that a node talks to. Each drives a model and speaks the platform's protocol.
+//! Simulations on sockets of all that a node talks to: the dependency, frontends with their clients, and its interpreter.
+//! Each drives a model and speaks the platform's protocol.
 
 pub mod dependency;
 pub mod frontends;
--- a/fault-harness/src/stand_in/dependency.rs
+++ b/fault-harness/src/simulated/dependency.rs
@@ -37,6 +37,9 @@
     }
 }
 
+/// A command that cannot be executed, at which the connection ends.
+struct MalformedCommand;
+
 /// A call that is to be made.
 struct CallRequest<'a> {
     txn: u64,
@@ -46,13 +49,14 @@
 }
 
 impl CallRequest<'_> {
-    /// The call that a command asks for, if it asks for one.
-    fn of(command: &Command) -> Option<CallRequest<'_>> {
+    /// The call that a command asks for.
+    fn parse(command: &Command) -> Result<CallRequest<'_>, MalformedCommand> {
         if command.argument_count() != CALL_ARGUMENTS {
-            return None;
+            return Err(MalformedCommand);
         }
-        let timeout = command.argument(1)?.parse().ok()?;
-        Some(CallRequest { txn: command.txn()?, timeout, body: &command.body })
+        let txn = command.txn().ok_or(MalformedCommand)?;
+        let timeout = command.argument(1).and_then(|word| word.parse().ok()).ok_or(MalformedCommand)?;
+        Ok(CallRequest { txn, timeout, body: &command.body })
     }
 }
 
@@ -137,7 +141,7 @@
         let mut own_calls = Vec::new();
         let reading = async {
             while let Some(command) = Command::read(&mut input).await {
-                if self.execute(&command, &caller, &mut own_calls).is_none() {
+                if self.execute(&command, &caller, &mut own_calls).is_err() {
                     return;
                 }
             }
@@ -161,14 +165,19 @@
         }
     }
 
-    /// Executes a command; none where it is malformed.
-    fn execute(&self, command: &Command, caller: &Caller, own_calls: &mut Vec<u64>) -> Option<()> {
+    /// Executes a command.
+    fn execute(
+        &self,
+        command: &Command,
+        caller: &Caller,
+        own_calls: &mut Vec<u64>,
+    ) -> Result<(), MalformedCommand> {
         match command.name() {
-            "GET" => own_calls.extend(self.call(&CallRequest::of(command)?, caller)),
-            "STOP" => self.give_up(caller.node, command.txn()?),
-            _ => return None,
+            "GET" => own_calls.extend(self.call(&CallRequest::parse(command)?, caller)),
+            "STOP" => self.give_up(caller.node, command.txn().ok_or(MalformedCommand)?),
+            _ => return Err(MalformedCommand),
         }
-        Some(())
+        Ok(())
     }
 
     /// Gives up a node's call for a transaction, if there is one.
--- a/fault-harness/src/stand_in/frontends.rs
+++ b/fault-harness/src/simulated/frontends.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use tokio::sync::watch;
+use tokio::sync::{mpsc, watch};
 use tokio::task::spawn_local;
 
 use super::interpreter::Interpreter;
@@ -23,6 +23,8 @@
 use attempt::Attempt;
 use connection::Connection;
 
+/// Lines that wait to be written on a connection.
+const WRITE_QUEUE: usize = 64;
 /// Between two checks for idle connections.
 const IDLE_CHECK_INTERVAL: Ms = 250.0;
 
@@ -156,7 +158,8 @@
         let stream = endpoints.relays[self.number].open(address).await?;
         self.context.note(Event::ConnectionOpened { node, frontend: self.number });
         endpoints.interpreter.accept_connection();
-        let (connection, lines) = Connection::new(node, self.context.now());
+        let (out, lines) = mpsc::channel(WRITE_QUEUE);
+        let connection = Connection::new(node, out, self.context.now());
         self.connections.borrow_mut().push(connection.clone());
         let context = self.context.clone();
         let interpreter = endpoints.interpreter.clone();
--- a/fault-harness/src/stand_in/frontends/attempt.rs
+++ b/fault-harness/src/simulated/frontends/attempt.rs
@@ -133,7 +133,7 @@
     fn cancel(&self, connection: &Connection, id: u64, attempt: Attempt, out: &mpsc::Sender<String>) {
         self.context.note(Event::AttemptCancelled { attempt: attempt.id });
         self.shared.nodes[connection.node].interpreter.release_request(attempt.id);
-        connection.forget_caller(id);
+        connection.detach_caller(id);
         // The connection may have ended.
         let _ = out.try_send(wire::withdraw(id));
     }
--- a/fault-harness/src/stand_in/frontends/connection.rs
+++ b/fault-harness/src/simulated/frontends/connection.rs
@@ -19,8 +19,6 @@
 
 /// Attempts that may be open on a connection.
 const MAX_OPEN_ATTEMPTS: usize = 32;
-/// Lines that wait to be written on a connection.
-const WRITE_QUEUE: usize = 64;
 /// The longest answer, in bytes.
 const MAX_ANSWER_BYTES: u64 = 64 * 1024;
 /// Characters of an unexpected line that the history keeps.
@@ -78,10 +76,9 @@
 }
 
 impl Connection {
-    /// A connection, and the lines that are to be written on it.
-    pub(super) fn new(node: usize, now: Ms) -> (Rc<Connection>, mpsc::Receiver<String>) {
-        let (out, lines) = mpsc::channel(WRITE_QUEUE);
-        let connection = Connection {
+    /// A connection on which the lines of `out` are written.
+    pub(super) fn new(node: usize, out: mpsc::Sender<String>, now: Ms) -> Rc<Connection> {
+        Rc::new(Connection {
             node,
             out: RefCell::new(Some(out)),
             open: RefCell::default(),
@@ -90,8 +87,7 @@
             unread: Cell::new(0),
             last_used: Cell::new(now),
             is_draining: Cell::new(false),
-        };
-        (Rc::new(connection), lines)
+        })
     }
 
     /// Whether another attempt may be sent on it.
@@ -118,7 +114,7 @@
     }
 
     /// Keeps an attempt open whose caller no longer waits, to recognize its answer.
-    pub(super) fn forget_caller(&self, id: u64) {
+    pub(super) fn detach_caller(&self, id: u64) {
         if let Some(open) = self.open.borrow_mut().get_mut(&id) {
             open.caller = None;
         }
--- a/fault-harness/src/wire.rs
+++ b/fault-harness/src/wire.rs
@@ -1,4 +1,4 @@
-//! The messages on the program's links, as text: shared by the harness's stand-ins and the tests of the network code.
+//! The messages on the program's links, as text: shared by the harness's simulated services and the tests of the network code.
 
 use std::fmt::{self, Display, Formatter};
 
--- a/fault-harness/src/wire/tests.rs
+++ b/fault-harness/src/wire/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn what_a_node_says_is_told_apart() {
+fn messages_of_a_node_are_recognized() {
     let cases = [
         (
             r#"{"jsonrpc":"2.0","id":7,"result":{"content":"cg=="}}"#,
--- a/fault-harness/tests/mutants.rs
+++ b/fault-harness/tests/mutants.rs
@@ -8,7 +8,7 @@
 use oakwind_fault_harness::play::{play, Options};
 use oakwind_fault_harness::scenario::Scenario;
 
-/// Deadlines are long and the load is small: no verdict hangs on the machine's speed.
+/// Deadlines are long and the load is small: no verdict depends on the machine's speed.
 const SCENARIO: &str = "name = 'mutants'\nseconds = 2\n[fleet]\nnodes = 3\n[rules]\nslack_ms = 4000\n\
     [[class]]\nname = 'quote'\nshare = 1\nwork_ms = 10\nlatency_objective_ms = 900\ndeadline_ms = 1500\n\
     [[class]]\nname = 'book'\nshare = 1\nwork_ms = 10\nidempotency_key = true\nidempotency_window_ms = 60000\nlatency_objective_ms = 900\ndeadline_ms = 1500\n\
@@ -20,7 +20,7 @@
     Build { path, arguments: vec!["--mutant".into(), mutant.into()] }
 }
 
-fn played(scenario: &str, programs: Programs) -> Verdict {
+fn play_and_check(scenario: &str, programs: Programs) -> Verdict {
     let scenario = Scenario::parse(scenario, &[]).unwrap();
     let options = Options { seed: None, programs, out: None, progress: false };
     let verdict = check(&play(&scenario, &options).unwrap());
@@ -30,7 +30,7 @@
 
 fn rules_broken_by(mutant: &str) -> Vec<Rule> {
     let programs = Programs { default: build(mutant), others: BTreeMap::default() };
-    played(SCENARIO, programs).by_rule().into_keys().collect()
+    play_and_check(SCENARIO, programs).by_rule().into_keys().collect()
 }
 
 #[test]
@@ -39,32 +39,32 @@
 }
 
 #[test]
-fn a_node_that_forgets_its_keys_runs_them_twice() {
+fn a_node_that_forgets_its_keys_has_duplicate_runs() {
     assert_eq!(rules_broken_by("runs-twice"), [Rule::DuplicateRun]);
 }
 
 #[test]
-fn a_node_that_gives_no_answer_loses_requests() {
+fn a_node_that_gives_no_answer_leaves_attempts_unanswered() {
     assert_eq!(rules_broken_by("loses-answers"), [Rule::Unanswered]);
 }
 
 #[test]
-fn a_node_that_answers_again_is_heard() {
+fn a_node_that_answers_again_gives_duplicate_answers() {
     assert_eq!(rules_broken_by("answers-twice"), [Rule::DuplicateAnswer]);
 }
 
 #[test]
-fn a_node_that_refuses_what_ran_breaks_its_promise() {
+fn a_node_that_rejects_what_ran_is_found() {
     assert_eq!(rules_broken_by("refuses-what-ran"), [Rule::RejectedAndRan]);
 }
 
 #[test]
-fn a_node_that_mixes_results_up_is_found_out() {
+fn a_node_that_mixes_results_up_gives_foreign_results() {
     assert_eq!(rules_broken_by("mixes-results"), [Rule::ForeignResult]);
 }
 
 #[test]
-fn a_body_that_is_changed_on_its_way_is_seen_by_the_interpreter() {
+fn a_body_that_is_changed_on_its_way_is_corrupted() {
     assert!(rules_broken_by("changes-bodies").contains(&Rule::Corrupted));
 }
 
@@ -72,7 +72,7 @@
 fn of_a_mixed_fleet_the_build_that_breaks_a_rule_is_named() {
     let scenario = SCENARIO.replace("nodes = 3\n", "nodes = 3\nprograms = {bad = ['n2']}\n");
     let others = [("bad".to_string(), build("answers-twice"))].into();
-    let breaches = played(&scenario, Programs { default: build(""), others }).breaches;
+    let breaches = play_and_check(&scenario, Programs { default: build(""), others }).breaches;
     assert!(
         !breaches.is_empty() && breaches.iter().all(|breach| breach.text.contains(" n2 ")),
         "{breaches:?}"
--- a/node/tests/sockets/floods.rs
+++ b/node/tests/sockets/floods.rs
@@ -29,7 +29,7 @@
     let floods: Vec<_> = (0..16).map(start).collect();
     assert_other_client_is_served(&node, &mut link, 1);
     floods.into_iter().for_each(|flood| flood.join().unwrap());
-    assert!(node.usage().rss_kb < before.rss_kb + MAX_ADDED_KB);
+    assert!(node.usage().memory_kb < before.memory_kb + MAX_ADDED_KB);
     assert_other_client_is_served(&node, &mut link, 2);
 }
 
@@ -70,7 +70,7 @@
             client
         })
         .collect();
-    assert!(node.usage().files <= 64);
+    assert!(node.usage().descriptors <= 64);
     // One more client gets a request served that needs a connection to a backend, and health checks pass.
     let mut client = node.client();
     client.request(1, "a1", Some("k"), LONG_LIMIT_MS);
