--- a/fault-harness/src/node.rs
+++ b/fault-harness/src/node.rs
@@ -22,7 +22,7 @@
 use crate::play_context::PlayContext;
 use crate::process::Program;
 use crate::program_log::LogLine;
-use crate::settings::{Peers, Place};
+use crate::settings::{PeerAddresses, ServiceAddresses};
 use crate::simulated::interpreter::Interpreter;
 use crate::wire::{self, NodeMessage};
 use lifecycle::PlannedRestart;
@@ -57,7 +57,7 @@
     /// The file that makes it one of the virtual router.
     pub router_config: RefCell<Option<String>>,
     /// The addresses at which it and its peers listen, if nodes replicate.
-    pub peer_addresses: RefCell<Option<Place>>,
+    pub peer_addresses: RefCell<Option<PeerAddresses>>,
     /// The membership configuration that it is given next.
     pub membership: RefCell<Membership>,
     previous_membership: RefCell<Option<Membership>>,
@@ -76,7 +76,7 @@
     state_folders: StateFolders,
     log_enabled: bool,
     /// Where its program finds the services, once they listen.
-    service_addresses: Cell<Option<Peers>>,
+    service_addresses: Cell<Option<ServiceAddresses>>,
     program: RefCell<Option<Program>>,
     ending: Cell<Option<Ending>>,
     planned_restart: RefCell<Option<PlannedRestart>>,
--- a/fault-harness/src/node/services.rs
+++ b/fault-harness/src/node/services.rs
@@ -14,7 +14,7 @@
 use crate::history::Event;
 use crate::model::registry::Registry;
 use crate::relay::Direction;
-use crate::settings::Peers;
+use crate::settings::ServiceAddresses;
 use crate::simulated::dependency::Dependency;
 
 /// Connections or datagrams that wait for a service.
@@ -37,11 +37,11 @@
         })
     }
 
-    fn addresses(&self) -> io::Result<Peers> {
-        Ok(Peers {
-            vm: self.interpreter.local_addr()?,
-            index: self.dependency.local_addr()?,
-            members: self.registry.local_addr()?,
+    fn addresses(&self) -> io::Result<ServiceAddresses> {
+        Ok(ServiceAddresses {
+            interpreter: self.interpreter.local_addr()?,
+            dependency: self.dependency.local_addr()?,
+            registry: self.registry.local_addr()?,
         })
     }
 }
--- a/fault-harness/src/node/startup.rs
+++ b/fault-harness/src/node/startup.rs
@@ -61,7 +61,7 @@
         command.arg("serve").arg("--config").arg(self.write_file("config.json", &config)?);
         command.args(build.arguments);
         if scenario.fleet.folder {
-            let config = settings::remembered(&self.state_folders.results());
+            let config = settings::result_store(&self.state_folders.results());
             command.arg("--remembered").arg(self.write_file("remembered.toml", &config)?);
         }
         if let Some(config) = &*self.router_config.borrow() {
--- a/fault-harness/src/play/links.rs
+++ b/fault-harness/src/play/links.rs
@@ -122,8 +122,10 @@
             relays.insert(pair, relay);
         }
         for (node, machine) in self.machines.iter().enumerate() {
-            let addresses =
-                settings::Place { listen: listen_addresses[node], reaches: dial_addresses[node].clone() };
+            let addresses = settings::PeerAddresses {
+                listen: listen_addresses[node],
+                dial: dial_addresses[node].clone(),
+            };
             *machine.peer_addresses.borrow_mut() = Some(addresses);
             *machine.membership.borrow_mut() = self.initial_membership(node);
             let peer_relays = others(count, node).map(|peer| {
