--- a/fault-harness/src/charts/tests.rs
+++ b/fault-harness/src/charts/tests.rs
@@ -13,8 +13,8 @@
         .collect();
     let bands = [Band { text: "kill".into(), from: 5.0, until: 7.0 }];
     let curves = [
-        Curve { name: "asked", colour: GREY, of: |s| s.requests as f64 },
-        Curve { name: "in time", colour: BLUE, of: |s| s.in_time as f64 },
+        Curve { name: "asked", colour: GREY, value: |second| second.requests as f64 },
+        Curve { name: "in time", colour: BLUE, value: |second| second.in_time as f64 },
     ];
     let svg = draw("Requests", &seconds, &bands, &curves).unwrap();
     assert!(svg.starts_with("<svg") && svg.contains("Requests") && svg.contains("in time"));
@@ -23,10 +23,10 @@
 }
 
 #[test]
-fn a_table_is_drawn_and_one_that_is_none_is_told() {
+fn a_table_is_drawn_and_a_malformed_one_is_an_error() {
     let svg = of_table("Pages", "nodes,pages in 100 ms,in all\n12,8,56\n300,143,900\n").unwrap();
     assert!(svg.contains("pages in 100 ms") && svg.contains("nodes"));
     assert!(of_table("x", "nodes\n1\n").is_err() && of_table("x", "").is_err());
-    assert!(of_table("x", "a,b\n1,x\n").unwrap_err().contains("\"x\""));
-    assert!(of_table("x", "a,b\n1\n").unwrap_err().contains("1 cells"));
+    assert!(of_table("x", "a,b\n1,x\n").unwrap_err().to_string().contains("\"x\""));
+    assert!(of_table("x", "a,b\n1\n").unwrap_err().to_string().contains("1 cells"));
 }
--- /dev/null
+++ b/fault-harness/src/node/services.rs
@@ -0,0 +1,96 @@
+//! The services that a node connects to: its interpreter, the dependency and the membership service. Each node reaches
+//! them at addresses of its own, through its relays.
+
+use std::cell::RefCell;
+use std::io;
+use std::net::Ipv4Addr;
+use std::rc::Rc;
+
+use tokio::net::{TcpListener, UdpSocket};
+use tokio::sync::mpsc;
+use tokio::task::spawn_local;
+
+use super::Machine;
+use crate::history::Event;
+use crate::model::registry::Registry;
+use crate::relay::Direction;
+use crate::settings::ServiceAddresses;
+use crate::simulated::dependency::Dependency;
+
+/// Connections or datagrams that wait for a service.
+const SERVICE_QUEUE: usize = 64;
+
+/// The sockets on which services listen for one node.
+struct ServiceListeners {
+    interpreter: TcpListener,
+    dependency: TcpListener,
+    registry: UdpSocket,
+}
+
+impl ServiceListeners {
+    async fn bind() -> io::Result<ServiceListeners> {
+        let any_port = (Ipv4Addr::LOCALHOST, 0);
+        Ok(ServiceListeners {
+            interpreter: TcpListener::bind(any_port).await?,
+            dependency: TcpListener::bind(any_port).await?,
+            registry: UdpSocket::bind(any_port).await?,
+        })
+    }
+
+    fn addresses(&self) -> io::Result<ServiceAddresses> {
+        Ok(ServiceAddresses {
+            interpreter: self.interpreter.local_addr()?,
+            dependency: self.dependency.local_addr()?,
+            registry: self.registry.local_addr()?,
+        })
+    }
+}
+
+impl Machine {
+    /// Serves what the node connects to, for as long as the play.
+    pub async fn serve_services(
+        self: Rc<Self>,
+        dependency: Option<Rc<Dependency>>,
+        registry: Rc<RefCell<Registry>>,
+    ) {
+        let Ok(listeners) = ServiceListeners::bind().await else { return };
+        let Ok(addresses) = listeners.addresses() else { return };
+        self.service_addresses.set(Some(addresses));
+        let (interpreter_sender, mut interpreter_links) = mpsc::channel(SERVICE_QUEUE);
+        let (dependency_sender, mut dependency_links) = mpsc::channel(SERVICE_QUEUE);
+        let (report_sender, mut reports) = mpsc::channel(SERVICE_QUEUE);
+        let report_socket = Rc::new(listeners.registry);
+        spawn_local(self.relays.interpreter.clone().accept(listeners.interpreter, interpreter_sender));
+        spawn_local(self.relays.dependency.clone().accept(listeners.dependency, dependency_sender));
+        spawn_local(self.relays.registry.clone().datagrams(report_socket, Direction::From, report_sender));
+        loop {
+            tokio::select! {
+                Some(link) = interpreter_links.recv() => {
+                    spawn_local(self.interpreter.clone().serve(link));
+                }
+                Some(link) = dependency_links.recv() => {
+                    if let Some(dependency) = &dependency {
+                        spawn_local(dependency.clone().serve(self.node, self.interpreter.clone(), link));
+                    }
+                }
+                Some(report) = reports.recv() => self.on_report(&report, &registry),
+                else => return,
+            }
+        }
+    }
+
+    /// Hands a report for the membership service on, if it is one of this node's.
+    fn on_report(&self, report: &[u8], registry: &RefCell<Registry>) {
+        let text = String::from_utf8_lossy(report);
+        let words: Vec<&str> = text.split(' ').collect();
+        let is_up = match words[..] {
+            ["HB", name, "UP"] if name == self.name() => true,
+            ["HB", name, "OUT"] if name == self.name() => false,
+            _ => {
+                let text = format!("not a report of this node: {text}");
+                return self.context.note(Event::Corrupted { node: self.node, text });
+            }
+        };
+        registry.borrow_mut().on_heartbeat(self.context.now(), self.node, is_up);
+    }
+}
--- a/fault-harness/src/play.rs
+++ b/fault-harness/src/play.rs
@@ -1,15 +1,14 @@
-//! Plays a scenario: starts the nodes and all stand-ins, sends the load, injects the faults, and ends every process that
+//! Plays a scenario: starts the nodes and all that they talk to, sends the load, injects the faults, and ends every process that
 //! it started.
 
 mod disturbance;
+mod error;
 mod faults;
 mod links;
 mod monitoring;
 mod testbed;
 mod workspace;
 
-use std::collections::BTreeMap;
-use std::io;
 use std::path::PathBuf;
 use std::rc::Rc;
 
@@ -17,12 +16,14 @@
 use tokio::task::{spawn_local, LocalSet};
 
 use crate::history::History;
-use crate::model::Ms;
-use crate::node::{Build, Ending, Programs};
+use crate::model::{ms_of_seconds, Ms};
+use crate::node::{Ending, Programs};
 use crate::scenario::Scenario;
 use testbed::Testbed;
 use workspace::Workspace;
 
+pub use error::PlayError;
+
 /// Between the last node's readiness and the load.
 const PAUSE_BEFORE_LOAD: Ms = 500.0;
 /// After the load, the play goes on until the longest deadline is over, and this.
@@ -46,16 +47,16 @@
 /// # Errors
 ///
 /// If the program can't be started or does not serve, and if the play is interrupted.
-pub fn play(scenario: &Scenario, options: &Options) -> io::Result<History> {
+pub fn play(scenario: &Scenario, options: &Options) -> Result<History, PlayError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let set = LocalSet::new();
     let history = runtime.block_on(set.run_until(async {
-        let (mut interrupt, mut terminate) =
-            (signal(SignalKind::interrupt())?, signal(SignalKind::terminate())?);
+        let mut interrupt = signal(SignalKind::interrupt())?;
+        let mut terminate = signal(SignalKind::terminate())?;
         tokio::select! {
             played = run(scenario, options) => played,
-            _ = interrupt.recv() => Err(interrupted()),
-            _ = terminate.recv() => Err(interrupted()),
+            _ = interrupt.recv() => Err(PlayError::Interrupted),
+            _ = terminate.recv() => Err(PlayError::Interrupted),
         }
     }));
     // Tasks hold the machines, and with them the processes.
@@ -63,17 +64,13 @@
     history
 }
 
-fn interrupted() -> io::Error {
-    io::Error::new(io::ErrorKind::Interrupted, "interrupted; every process is ended")
-}
-
-async fn run(scenario: &Scenario, options: &Options) -> io::Result<History> {
+async fn run(scenario: &Scenario, options: &Options) -> Result<History, PlayError> {
     let seed = options.seed.unwrap_or(scenario.seed);
     let workspace = Workspace::new(options.out.as_deref())?;
     let testbed = Rc::new(Testbed::new(scenario, options, seed, &workspace.path)?);
     start_nodes(&testbed).await?;
     let context = &testbed.context;
-    context.begun.set(context.now() + PAUSE_BEFORE_LOAD);
+    context.load_start.set(context.now() + PAUSE_BEFORE_LOAD);
     for machine in &testbed.machines {
         machine.keep_copy();
     }
@@ -81,14 +78,14 @@
     testbed.arm();
     send_load(&testbed).await;
     let longest = scenario.classes.iter().map(|class| class.deadline_ms).max().unwrap_or(0) as f64;
-    let load_end = context.begun.get() + scenario.seconds * 1000.0;
+    let load_end = context.load_start.get() + ms_of_seconds(scenario.seconds);
     context.clock.until(load_end + longest + scenario.rules.slack_ms + PAUSE_AFTER_DEADLINES).await;
     stop(&testbed);
-    Ok(context.history())
+    Ok(context.take_history())
 }
 
 /// Connects the nodes with each other, starts them and waits until they serve.
-async fn start_nodes(testbed: &Testbed) -> io::Result<()> {
+async fn start_nodes(testbed: &Testbed) -> Result<(), PlayError> {
     let fleet = &testbed.context.scenario.fleet;
     if let Some(vrrp) = &fleet.vrrp {
         testbed.connect_router(vrrp.interval_ms).await?;
@@ -105,12 +102,12 @@
 /// Starts the tasks that go on for as long as the play.
 fn start_tasks(testbed: &Rc<Testbed>, options: &Options) {
     spawn_local(monitoring::sample(testbed.clone()));
-    spawn_local(monitoring::watch_lateness(testbed.context.clone()));
+    spawn_local(monitoring::monitor_own_delay(testbed.context.clone()));
     if options.progress {
         spawn_local(monitoring::print_progress(testbed.clone()));
     }
     for frontend in &testbed.frontends {
-        spawn_local(frontend.clone().tidy());
+        spawn_local(frontend.clone().close_idle_connections());
     }
 }
 
@@ -119,38 +116,19 @@
     let context = &testbed.context;
     let requests = &context.schedule.requests;
     let mut order: Vec<usize> = (0..requests.len()).collect();
-    order.sort_by(|a, b| requests[*a].at.total_cmp(&requests[*b].at));
+    order.sort_by(|first, second| requests[*first].at.total_cmp(&requests[*second].at));
     for position in order {
         let request = &requests[position];
-        context.clock.until(context.begun.get() + request.at).await;
-        spawn_local(testbed.frontends[request.frontend].clone().client(position));
+        context.clock.until(context.load_start.get() + request.at).await;
+        spawn_local(testbed.frontends[request.frontend].clone().serve_client(position));
     }
 }
 
-/// Ends all programs; faults that still wait do not strike.
+/// Ends all programs; faults that still wait are not injected.
 fn stop(testbed: &Testbed) {
-    testbed.context.deafen();
+    testbed.context.remove_listener();
     testbed.pending_injections.borrow_mut().clear();
     for machine in &testbed.machines {
-        machine.end(Ending::Over);
-    }
-}
-
-/// The builds of the program: the default one, and others given as NAME=PATH with arguments behind the path.
-///
-/// # Errors
-///
-/// If one does not have that form.
-pub fn programs(default: PathBuf, named: &[String]) -> Result<Programs, String> {
-    let mut others = BTreeMap::new();
-    for entry in named {
-        let Some((name, command)) = entry.split_once('=') else {
-            return Err(format!("--program {entry}: is not NAME=PATH"));
-        };
-        let mut words = command.split_whitespace();
-        let path = words.next().map(PathBuf::from).unwrap_or_default();
-        others.insert(name.to_string(), Build { path, arguments: words.map(String::from).collect() });
+        machine.end(Ending::PlayEnded);
     }
-    let default = others.get("default").cloned().unwrap_or(Build { path: default, arguments: Vec::new() });
-    Ok(Programs { default, others })
 }
--- a/fault-harness/src/play/faults.rs
+++ b/fault-harness/src/play/faults.rs
@@ -1,86 +1,95 @@
-//! The faults of a play: when each strikes, what it does, and how it ends.
+//! The faults of a play: when each is injected, what it does, and how it ends.
 
+use std::cmp::Reverse;
 use std::rc::Rc;
 
 use tokio::task::spawn_local;
 
+use super::disturbance::LinkFault;
 use super::testbed::Testbed;
 use crate::history::Event;
-use crate::model::Ms;
-use crate::node::Machine;
+use crate::model::{ms_of_seconds, Ms};
+use crate::node::{Machine, Membership};
+use crate::play_context::Occurrence;
 use crate::scenario::{Directions, Fault, FaultKind, Link, Traffic};
 use crate::schedule::{Injection, InjectionTime};
 
-/// One node hears of a membership configuration so much later than the one before it.
+/// One node learns of a membership configuration so much later than the one before it.
 const ANNOUNCEMENT_INTERVAL: Ms = 100.0;
 
 impl Testbed {
     /// Arms the faults: those with a time, and those that wait for an event.
     pub(super) fn arm(self: &Rc<Self>) {
-        let begun = self.context.begun.get();
+        let load_start = self.context.load_start.get();
         for injection in &self.context.schedule.injections {
             match injection.at {
-                InjectionTime::Time(at) => self.strike_at(begun + at + injection.delay, injection.clone()),
+                InjectionTime::Time(at) => {
+                    self.inject_at(load_start + at + injection.delay, injection.clone());
+                }
                 InjectionTime::Event { .. } => self.pending_injections.borrow_mut().push(injection.clone()),
             }
         }
-        let listening = Rc::downgrade(self);
-        self.context.listen(move |node, what, count| {
-            let Some(testbed) = listening.upgrade() else { return };
-            testbed.strike_on(InjectionTime::Event { node, event: what, count });
+        let testbed = Rc::downgrade(self);
+        self.context.set_listener(move |occurrence| {
+            let Some(testbed) = testbed.upgrade() else { return };
+            let Occurrence { node, event, count } = occurrence;
+            testbed.inject_on(InjectionTime::Event { node, event, count });
         });
     }
 
-    fn strike_at(self: &Rc<Self>, at: Ms, injection: Injection) {
+    fn inject_at(self: &Rc<Self>, at: Ms, injection: Injection) {
         let testbed = self.clone();
         spawn_local(async move {
             testbed.context.clock.until(at).await;
-            testbed.strike(&injection);
+            testbed.inject(&injection);
         });
     }
 
-    /// Strikes with the faults that wait for this event.
-    fn strike_on(self: &Rc<Self>, event: InjectionTime) {
-        let strikes: Vec<Injection> = {
-            let mut pending = self.pending_injections.borrow_mut();
-            let (now, later) =
-                std::mem::take(&mut *pending).into_iter().partition(|injection| injection.at == event);
-            *pending = later;
-            now
-        };
-        for injection in strikes {
+    /// Injects the faults that wait for this event.
+    fn inject_on(self: &Rc<Self>, event: InjectionTime) {
+        for injection in self.take_pending(event) {
             if injection.delay == 0.0 {
                 // At once: a moment later the node would be further on.
-                self.strike(&injection);
+                self.inject(&injection);
             } else {
-                self.strike_at(self.context.now() + injection.delay, injection);
+                self.inject_at(self.context.now() + injection.delay, injection);
             }
         }
     }
 
-    /// Does what a fault does, and sees to its end.
-    fn strike(self: &Rc<Self>, injection: &Injection) {
+    fn take_pending(&self, event: InjectionTime) -> Vec<Injection> {
+        let mut pending = self.pending_injections.borrow_mut();
+        let all = std::mem::take(&mut *pending);
+        let (due, waiting) = all.into_iter().partition(|injection| injection.at == event);
+        *pending = waiting;
+        due
+    }
+
+    /// Injects a fault now, and ends it at its time.
+    fn inject(self: &Rc<Self>, injection: &Injection) {
         let fault = &injection.fault;
-        let lasts = fault.duration_s.unwrap_or(0.0) * 1000.0;
-        let down = fault.down_s.map(|seconds| seconds * 1000.0);
-        let until = self.context.now() + lasts.max(down.unwrap_or(0.0));
+        let duration = fault.duration_s.map_or(0.0, ms_of_seconds);
+        let down = fault.down_s.map(ms_of_seconds);
+        let until = self.context.now() + duration.max(down.unwrap_or(0.0));
         self.context.note(Event::FaultInjected { text: describe(injection), until });
-        let struck = || self.machines_of(injection);
         match fault.what {
-            FaultKind::Kill => struck().for_each(|machine| machine.kill(down, fault, injection.random)),
-            FaultKind::Shutdown => struck().for_each(|machine| machine.leave(down, fault, injection.random)),
-            FaultKind::Reload => struck().for_each(|machine| machine.reload()),
+            FaultKind::Kill => {
+                self.machines_of(injection).for_each(|machine| machine.kill(down, fault, injection.random));
+            }
+            FaultKind::Shutdown => {
+                self.machines_of(injection)
+                    .for_each(|machine| machine.shut_down(down, fault, injection.random));
+            }
+            FaultKind::Reload => self.machines_of(injection).for_each(|machine| machine.reload()),
             FaultKind::Pause => self.pause(injection, until),
             FaultKind::Slow => self.slow_down(injection, until),
             FaultKind::Partition => self.partition(injection, until),
-            FaultKind::Link => {
-                self.disturb(injection, &fault.between, fault.direction, &fault.traffic, until);
-            }
+            FaultKind::Link => self.disturb_links(injection, until),
             FaultKind::Dependency => self.weaken_dependency(fault.factor, until),
-            FaultKind::Registry => self.deafen_members(until),
+            FaultKind::Registry => self.interrupt_registry(until),
             FaultKind::Frontends => self.restart_frontends(injection),
             FaultKind::RemoveMembers => self.remove_from_membership(&injection.targets),
-            FaultKind::AddMembers => self.change_membership(|listed| listed.extend(&injection.targets)),
+            FaultKind::AddMembers => self.change_membership(|members| members.extend(&injection.targets)),
         }
     }
 
@@ -96,33 +105,42 @@
 
     fn slow_down(self: &Rc<Self>, injection: &Injection, until: Ms) {
         let factor = injection.fault.factor;
-        self.machines_of(injection).for_each(|machine| machine.interpreter.slow(factor));
-        self.undo_at(until, injection, |machine, _| machine.interpreter.slow(1.0));
+        self.machines_of(injection).for_each(|machine| machine.interpreter.set_speed_factor(factor));
+        self.undo_at(until, injection, |machine, _| machine.interpreter.set_speed_factor(1.0));
     }
 
-    fn partition(self: &Rc<Self>, injection: &Injection, until: Ms) {
-        let silent = Traffic { blackhole: true, ..Traffic::default() };
+    fn partition(&self, injection: &Injection, until: Ms) {
         let links = [Link::Frontends, Link::Dependency, Link::Registry, Link::Peers];
-        self.disturb(injection, &links, Directions::Both, &silent, until);
+        let traffic = Traffic { blackhole: true, ..Traffic::default() };
+        self.disturb(
+            injection,
+            &LinkFault { links: &links, directions: Directions::Both, traffic: &traffic, until },
+        );
+    }
+
+    fn disturb_links(&self, injection: &Injection, until: Ms) {
+        let Fault { between, direction, traffic, .. } = &injection.fault;
+        self.disturb(injection, &LinkFault { links: between, directions: *direction, traffic, until });
     }
 
     fn weaken_dependency(&self, factor: f64, until: Ms) {
         let Some(dependency) = self.dependency.clone() else { return };
-        dependency.weaken(factor);
+        dependency.set_capacity_factor(factor);
         let clock = self.context.clock;
         spawn_local(async move {
             clock.until(until).await;
-            dependency.weaken(1.0);
+            dependency.set_capacity_factor(1.0);
         });
     }
 
-    /// The membership service hears nobody until then.
-    fn deafen_members(&self, until: Ms) {
-        self.members.borrow_mut().set_unreachable(self.context.now(), true);
-        let (members, clock) = (self.members.clone(), self.context.clock);
+    /// The membership service receives no reports until then.
+    fn interrupt_registry(&self, until: Ms) {
+        self.registry.borrow_mut().set_unreachable(self.context.now(), true);
+        let registry = self.registry.clone();
+        let clock = self.context.clock;
         spawn_local(async move {
             clock.until(until).await;
-            members.borrow_mut().set_unreachable(clock.now(), false);
+            registry.borrow_mut().set_unreachable(clock.now(), false);
         });
     }
 
@@ -137,33 +155,35 @@
 
     /// Announces the next membership configuration to all nodes, one after the other.
     fn change_membership(&self, change: impl FnOnce(&mut Vec<usize>)) {
-        let newest = self.machines.iter().map(|machine| machine.list.borrow().clone());
-        let Some((version, before)) = newest.min_by_key(|(version, _)| std::cmp::Reverse(*version)) else {
-            return;
-        };
-        let mut listed = before.clone();
-        change(&mut listed);
-        listed.sort_unstable();
-        listed.dedup();
+        let newest = self.machines.iter().map(|machine| machine.membership.borrow().clone());
+        // The first of those with the highest version.
+        let Some(current) = newest.min_by_key(|membership| Reverse(membership.version)) else { return };
+        let mut nodes = current.nodes.clone();
+        change(&mut nodes);
+        nodes.sort_unstable();
+        nodes.dedup();
         // Nodes that join later are in it already.
-        let version = if listed == before { version } else { version + 1 };
+        let version = if nodes == current.nodes { current.version } else { current.version + 1 };
+        let next = Membership { version, nodes };
         for (position, machine) in self.machines.iter().cloned().enumerate() {
-            let (clock, listed) = (self.context.clock, listed.clone());
+            let clock = self.context.clock;
+            let membership = next.clone();
             spawn_local(async move {
                 clock.until(clock.now() + position as f64 * ANNOUNCEMENT_INTERVAL).await;
-                machine.apply_membership(version, &listed);
+                machine.apply_membership(&membership);
             });
         }
     }
 
-    /// Undoes a fault for all nodes that it struck.
+    /// Undoes a fault for all nodes that it was injected into.
     fn undo_at(
         self: &Rc<Self>,
         at: Ms,
         injection: &Injection,
         undo: impl Fn(&Rc<Machine>, &Fault) + 'static,
     ) {
-        let (testbed, injection) = (self.clone(), injection.clone());
+        let testbed = self.clone();
+        let injection = injection.clone();
         spawn_local(async move {
             testbed.context.clock.until(at).await;
             testbed.machines_of(&injection).for_each(|machine| undo(machine, &injection.fault));
--- a/fault-harness/src/play/testbed.rs
+++ b/fault-harness/src/play/testbed.rs
@@ -1,22 +1,21 @@
 //! The nodes of a play and everything they talk to, set up but not started.
 
 use std::cell::{Cell, RefCell};
-use std::io;
 use std::path::Path;
 use std::rc::Rc;
 
 use tokio::task::spawn_local;
 
-use super::Options;
+use super::{Options, PlayError};
 use crate::model::registry::Registry;
-use crate::model::Ms;
-use crate::node::Machine;
+use crate::model::{ms_of_seconds, Ms};
+use crate::node::{Machine, ServiceRelays, StartError};
 use crate::play_context::PlayContext;
-use crate::relay::Line;
+use crate::relay::Relay;
 use crate::scenario::Scenario;
 use crate::schedule::{generator, schedule, Injection, RandomStream};
-use crate::stand_in::dependency::Tier;
-use crate::stand_in::frontends::{FrontEnd, NodeEndpoints, Shared};
+use crate::simulated::dependency::Dependency;
+use crate::simulated::frontends::{Frontend, NodeEndpoints, Shared};
 
 /// All nodes serve within this, or the play does not begin.
 const READY_TIMEOUT: Ms = 30_000.0;
@@ -27,74 +26,70 @@
 pub(super) struct Testbed {
     pub(super) context: Rc<PlayContext>,
     pub(super) machines: Vec<Rc<Machine>>,
-    pub(super) frontends: Vec<Rc<FrontEnd>>,
+    pub(super) frontends: Vec<Rc<Frontend>>,
     /// The dependency, if requests call one.
-    pub(super) dependency: Option<Rc<Tier>>,
-    pub(super) members: Rc<RefCell<Registry>>,
-    /// Strikes whose event has not come yet.
+    pub(super) dependency: Option<Rc<Dependency>>,
+    pub(super) registry: Rc<RefCell<Registry>>,
+    /// Faults whose event has not occurred yet.
     pub(super) pending_injections: RefCell<Vec<Injection>>,
     /// The number of the next disturbance of links.
     pub(super) next_disturbance: Cell<u64>,
 }
 
-/// Makes lines with numbers that count up; the number decides a line's random numbers.
-struct LineFactory<'a> {
+/// Makes relays with numbers that count up; the number decides a relay's random numbers.
+struct RelayFactory<'a> {
     context: &'a PlayContext,
     made: u64,
 }
 
-impl LineFactory<'_> {
-    fn line(&mut self) -> Line {
+impl RelayFactory<'_> {
+    fn relay(&mut self) -> Relay {
         self.made += 1;
-        Line::new(self.context.clock, generator(self.context.seed, RandomStream::Links, self.made))
+        Relay::new(self.context.clock, generator(self.context.seed, RandomStream::Links, self.made))
     }
 }
 
 impl Testbed {
-    /// Sets up all parts of a scenario; the stand-ins run from now on.
+    /// Sets up all parts of a scenario; the simulated services run from now on.
     pub(super) fn new(
         scenario: &Scenario,
         options: &Options,
         seed: u64,
         folder: &Path,
-    ) -> io::Result<Testbed> {
+    ) -> Result<Testbed, PlayError> {
         let context = PlayContext::new(scenario.clone(), schedule(scenario, seed), seed);
-        let lapse = scenario.registry.heartbeat_timeout_s * 1000.0;
-        let members = Rc::new(RefCell::new(Registry::new(scenario.fleet.nodes, lapse)));
-        let dependency = scenario.dependency.clone().map(|shape| Tier::new(context.clone(), shape));
+        let heartbeat_timeout = ms_of_seconds(scenario.registry.heartbeat_timeout_s);
+        let registry = Rc::new(RefCell::new(Registry::new(scenario.fleet.nodes, heartbeat_timeout)));
+        let dependency = scenario.dependency.clone().map(|shape| Dependency::new(context.clone(), shape));
         if let Some(dependency) = &dependency {
             spawn_local(dependency.clone().work());
         }
         let machines = machines(&context, options, folder)?;
         for machine in &machines {
             spawn_local(machine.interpreter.clone().work());
-            spawn_local(machine.clone().serve_peers(dependency.clone(), members.clone()));
+            spawn_local(machine.clone().serve_services(dependency.clone(), registry.clone()));
         }
-        let frontends = frontends(&context, &machines, &members);
+        let frontends = frontends(&context, &machines, &registry);
         Ok(Testbed {
             context,
             machines,
             frontends,
             dependency,
-            members,
+            registry,
             pending_injections: RefCell::default(),
             next_disturbance: Cell::new(1),
         })
     }
 
     /// Waits until every node serves and every frontend sees it on its list.
-    pub(super) async fn ready(&self) -> io::Result<()> {
-        let deadline = self.context.now() + self.ready_timeout();
+    pub(super) async fn ready(&self) -> Result<(), PlayError> {
+        let timeout = self.ready_timeout();
+        let deadline = self.context.now() + timeout;
         loop {
             let now = self.context.now();
-            if self.is_ready(now).await {
-                return Ok(());
-            }
+            let Some(node) = self.first_unready(now).await else { return Ok(()) };
             if now > deadline {
-                return Err(io::Error::new(
-                    io::ErrorKind::TimedOut,
-                    "not every node serves in time after its start",
-                ));
+                return Err(PlayError::NotReady { node, timeout });
             }
             self.context.clock.until(now + READY_POLL_INTERVAL).await;
         }
@@ -110,39 +105,46 @@
         READY_TIMEOUT + window as f64
     }
 
-    async fn is_ready(&self, now: Ms) -> bool {
-        let latest =
-            self.context.schedule.frontends.iter().map(|front| front.registry_delay).fold(0.0, f64::max);
-        let listed = self.members.borrow_mut().listed_at(now, now - latest);
+    /// The name of a node that does not serve yet, or is not on every frontend's list.
+    async fn first_unready(&self, now: Ms) -> Option<String> {
+        let latest = self
+            .context
+            .schedule
+            .frontends
+            .iter()
+            .map(|frontend| frontend.registry_delay)
+            .fold(0.0, f64::max);
+        let listed = self.registry.borrow_mut().listed_at(now, now - latest);
         for (machine, is_listed) in self.machines.iter().zip(&listed) {
-            if !*is_listed || !machine.healthy().await {
-                return false;
+            if !*is_listed || !machine.is_healthy().await {
+                return Some(machine.name());
             }
             // Keyed requests run once the nodes that hold replicas can vote.
-            if machine.place.borrow().is_some() && !machine.can_vote.get() {
-                return false;
+            if machine.peer_addresses.borrow().is_some() && !machine.can_vote.get() {
+                return Some(machine.name());
             }
         }
-        true
+        None
     }
 }
 
-fn machines(context: &Rc<PlayContext>, options: &Options, folder: &Path) -> io::Result<Vec<Rc<Machine>>> {
+fn machines(
+    context: &Rc<PlayContext>,
+    options: &Options,
+    folder: &Path,
+) -> Result<Vec<Rc<Machine>>, StartError> {
     let scenario = &context.scenario;
-    let mut factory = LineFactory { context, made: 0 };
+    let mut factory = RelayFactory { context, made: 0 };
     let mut machines = Vec::new();
     for node in 0..scenario.fleet.nodes {
-        let clients = (0..scenario.frontends.count).map(|_| factory.line()).collect();
-        let services = [factory.line(), factory.line(), factory.line()];
-        let machine = Machine::new(
-            context.clone(),
-            node,
-            services,
-            clients,
-            &options.programs,
-            folder,
-            options.out.is_some(),
-        )?;
+        let relays = ServiceRelays {
+            frontends: (0..scenario.frontends.count).map(|_| factory.relay()).collect(),
+            interpreter: factory.relay(),
+            dependency: factory.relay(),
+            registry: factory.relay(),
+        };
+        let log_enabled = options.out.is_some();
+        let machine = Machine::new(context.clone(), node, relays, &options.programs, folder, log_enabled)?;
         machines.push(machine);
     }
     Ok(machines)
@@ -151,19 +153,19 @@
 fn frontends(
     context: &Rc<PlayContext>,
     machines: &[Rc<Machine>],
-    members: &Rc<RefCell<Registry>>,
-) -> Vec<Rc<FrontEnd>> {
+    registry: &Rc<RefCell<Registry>>,
+) -> Vec<Rc<Frontend>> {
     let endpoints = machines.iter().map(|machine| NodeEndpoints {
         address: machine.address.subscribe(),
-        lines: machine.clients.clone(),
+        relays: machine.relays.frontends.clone(),
         interpreter: machine.interpreter.clone(),
     });
     let shared = Shared {
         nodes: Rc::new(endpoints.collect()),
-        members: members.clone(),
+        registry: registry.clone(),
         attempts: Rc::default(),
         first_nodes: Rc::default(),
     };
     let count = context.scenario.frontends.count;
-    (0..count).map(|position| FrontEnd::new(context.clone(), position, shared.clone())).collect()
+    (0..count).map(|position| Frontend::new(context.clone(), position, shared.clone())).collect()
 }
--- a/fault-harness/src/predict.rs
+++ b/fault-harness/src/predict.rs
@@ -18,7 +18,7 @@
 use crate::model::interpreter::{InterpreterModel, InterpreterSpec};
 use crate::model::registry::Registry;
 use crate::model::{ms_of_seconds, Ms};
-use crate::play_context::terms;
+use crate::play_context::rule_parameters;
 use crate::scenario::Scenario;
 use crate::schedule::{generator, schedule, InjectionTime, RandomStream, Schedule};
 use clients::OpenRequest;
@@ -65,7 +65,7 @@
     prediction.send_heartbeats();
     prediction.now = 0.0;
     prediction.run();
-    History { parameters: terms(scenario, seed), observations: prediction.observations }
+    History { parameters: rule_parameters(scenario, seed), observations: prediction.observations }
 }
 
 impl<'a> Prediction<'a> {
--- /dev/null
+++ b/fault-harness/src/simulated/frontends/attempt.rs
@@ -0,0 +1,140 @@
+//! Attempts of a frontend: each is read by the node's machine, written, and answered or cancelled.
+
+use std::rc::Rc;
+
+use base64::engine::general_purpose::STANDARD as BASE64;
+use base64::Engine;
+use tokio::sync::{mpsc, oneshot};
+
+use super::connection::{Connection, OpenAttempt};
+use super::Frontend;
+use crate::history::Event;
+use crate::model::frontend::{AttemptOutcome, LATEST_RETRY_MARGIN};
+use crate::model::Ms;
+use crate::play_context::WrittenAttempt;
+use crate::scenario::NodeEvent;
+use crate::wire;
+
+/// After the latest answer that counts the caller still listens so long, to tell a late answer from none.
+const LISTEN_MARGIN: Ms = 100.0;
+/// The ids of attempts begin here.
+const FIRST_ATTEMPT_ID: u64 = 1 << 40;
+/// The least time limit that is written, in milliseconds.
+const LEAST_TIME_LIMIT: Ms = 1.0;
+/// The least cost that is hinted, in milliseconds.
+const LEAST_COST_HINT: Ms = 0.01;
+
+/// An attempt that is to be sent.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct Attempt {
+    pub(super) id: u64,
+    pub(super) request: usize,
+    /// When its caller stops waiting.
+    pub(super) deadline: Ms,
+}
+
+impl Frontend {
+    /// An id that no other attempt of the play has.
+    pub(super) fn next_attempt_id(&self) -> u64 {
+        let count = &self.shared.attempts;
+        FIRST_ATTEMPT_ID + count.replace(count.get() + 1)
+    }
+
+    /// Writes an attempt and waits for its outcome; none where it crossed a close.
+    pub(super) async fn send(&self, connection: &Rc<Connection>, attempt: Attempt) -> Option<AttemptOutcome> {
+        let context = &self.context;
+        let id = connection.next_id.replace(connection.next_id.get() + 1);
+        let received_at = context.now();
+        if let Some(outcome) = self.wait_until_read(connection, attempt).await {
+            return Some(outcome);
+        }
+        let line = self.request_line(id, attempt, received_at);
+        let out = connection.out.borrow().clone()?;
+        let (sender, mut outcome) = oneshot::channel();
+        connection.add_open_attempt(id, OpenAttempt::new(attempt.id, context.now(), sender));
+        self.record_written(connection, attempt);
+        // Where the connection has ended meanwhile, its end gives the outcome.
+        let _ = out.send(line).await;
+        let listen_until = attempt.deadline + context.scenario.rules.slack_ms + LISTEN_MARGIN;
+        tokio::select! {
+            biased;
+            outcome = &mut outcome => outcome.ok(),
+            () = context.clock.until(listen_until) => {
+                self.cancel(connection, id, attempt, &out);
+                Some(AttemptOutcome::TimedOut)
+            }
+        }
+    }
+
+    fn record_written(&self, connection: &Connection, attempt: Attempt) {
+        let context = &self.context;
+        let node = connection.node;
+        let Attempt { id, request, deadline } = attempt;
+        context.record_attempt(id, WrittenAttempt { request, node });
+        context.note(Event::AttemptWritten { attempt: id, request, node, frontend: self.number, deadline });
+        let memory_kb = context.schedule.requests[request].memory_kb;
+        self.shared.nodes[node].interpreter.hold_request(id, memory_kb);
+        context.record_event(node, NodeEvent::AttemptWritten);
+    }
+
+    /// Waits until the node's machine has read an attempt; an outcome if it will not be written.
+    async fn wait_until_read(&self, connection: &Connection, attempt: Attempt) -> Option<AttemptOutcome> {
+        let context = &self.context;
+        let interpreter = &self.shared.nodes[connection.node].interpreter;
+        if context.scenario.fleet.read_ms <= 0.0 {
+            return None;
+        }
+        connection.unread.set(connection.unread.get() + 1);
+        let is_read = tokio::select! {
+            biased;
+            read = interpreter.read_request(attempt.id) => Some(read.is_ok()),
+            () = context.clock.until(attempt.deadline) => None,
+        };
+        connection.unread.set(connection.unread.get() - 1);
+        match is_read {
+            // Nobody writes what its client no longer waits for.
+            Some(true) if context.now() + LATEST_RETRY_MARGIN >= attempt.deadline => {
+                Some(AttemptOutcome::TimedOut)
+            }
+            Some(true) => None,
+            Some(false) => Some(AttemptOutcome::ConnectionLost),
+            None => {
+                interpreter.cancel_read(attempt.id);
+                Some(AttemptOutcome::TimedOut)
+            }
+        }
+    }
+
+    /// The line of an attempt that has this id on its connection.
+    fn request_line(&self, id: u64, attempt: Attempt, received_at: Ms) -> String {
+        let context = &self.context;
+        let request = &context.schedule.requests[attempt.request];
+        let class = &context.scenario.classes[request.class];
+        // A repeat has the key of the request that it repeats.
+        let key_owner = request.repeats.unwrap_or(attempt.request);
+        let key = class.idempotency_key.then(|| format!("{key_owner:032x}"));
+        let line = wire::Request {
+            id,
+            txn: &format!("{:016x}", attempt.id),
+            class: &class.name,
+            received_at: context.clock.unix_ms(received_at),
+            frontend: self.number,
+            tenant: &request.tenant,
+            time_limit_ms: (attempt.deadline - received_at).max(LEAST_TIME_LIMIT) as u64,
+            cost_hint_ms: request.cost_hint.max(LEAST_COST_HINT),
+            memory_kb: request.memory_kb,
+            idempotency_key: key.as_deref(),
+            content: &BASE64.encode(context.body(attempt.request)),
+        };
+        line.to_string()
+    }
+
+    /// Notifies the node that nobody waits for an attempt any more.
+    fn cancel(&self, connection: &Connection, id: u64, attempt: Attempt, out: &mpsc::Sender<String>) {
+        self.context.note(Event::AttemptCancelled { attempt: attempt.id });
+        self.shared.nodes[connection.node].interpreter.release_request(attempt.id);
+        connection.detach_caller(id);
+        // The connection may have ended.
+        let _ = out.try_send(wire::withdraw(id));
+    }
+}
