--- a/fleet/tests/sim/main.rs
+++ b/fleet/tests/sim/main.rs
@@ -5,6 +5,7 @@
 #[path = "../common/mod.rs"]
 mod common;
 mod machine;
+mod observed;
 mod simulator;
 
 use std::collections::BTreeSet;
@@ -19,7 +20,8 @@
 use rand::Rng;
 
 use machine::{Disk, SimEvent};
-use simulator::{ms, Observed, Sim, RELIABLE, UNRELIABLE, WINDOW};
+use observed::Observed;
+use simulator::{ms, Sim, RELIABLE, UNRELIABLE, WINDOW};
 
 fn seeds(usual: u64) -> std::ops::Range<u64> {
     let set = |name: &str| std::env::var(name).ok().and_then(|text| text.parse().ok());
--- a/fleet/tests/sim/simulator.rs
+++ b/fleet/tests/sim/simulator.rs
@@ -8,6 +8,7 @@
 
 use crate::common::{config, name};
 use crate::machine::{DiskContents, Machine, Scheduled, SimEvent};
+use crate::observed::{Observed, ObservedAttempt, ObservedRun, SendingInterval};
 use oakwind_fleet::claims::coordinator::{AttemptId, ClaimOutcome, RunRequest};
 use oakwind_fleet::envelope::ReceivedMessage;
 use oakwind_fleet::ids::{Incarnation, LinkId, NodeId};
@@ -39,42 +40,6 @@
     delay_ms: RangeInclusive<u64>,
 }
 
-/// A run of a key.
-#[derive(Debug)]
-pub(crate) struct ObservedRun {
-    at: Time,
-    attempt: AttemptId,
-}
-
-/// An attempt at a key.
-#[derive(Debug)]
-pub(crate) struct ObservedAttempt {
-    key: usize,
-    has_run: bool,
-}
-
-/// What a node sends in a tenth of a second.
-#[derive(Debug, PartialEq, Eq, Hash)]
-pub(crate) struct SendingInterval {
-    pub(crate) node: usize,
-    tenth_of_second: u128,
-}
-
-#[derive(Debug, Default)]
-pub(crate) struct Observed {
-    /// All runs, by key.
-    pub(crate) runs: HashMap<usize, Vec<ObservedRun>>,
-    /// Attempts by number.
-    pub(crate) attempts: BTreeMap<u64, ObservedAttempt>,
-    pub(crate) ended: BTreeMap<String, usize>,
-    pub(crate) violations: Vec<String>,
-    pub(crate) conflicts: usize,
-    pub(crate) stale_states: usize,
-    pub(crate) messages: u64,
-    /// The number of pages that a node sent.
-    pub(crate) pages: HashMap<SendingInterval, u64>,
-}
-
 pub(crate) struct Sim {
     pub(crate) now: Time,
     pub(crate) number: u64,
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -55,8 +55,7 @@
 /// commands share.
 macro_rules! configured_command {
     ($(#[doc = $doc:literal])* $command:ident, $name:literal) => {
-        // The comments are what `--help` prints.
-        #[allow(clippy::doc_markdown)]
+        #[allow(clippy::doc_markdown, reason = "the comments are what `--help` prints")]
         $(#[doc = $doc])*
         #[derive(FromArgs)]
         #[argh(subcommand, name = $name)]
