--- a/node/src/dispatcher/runs.rs
+++ b/node/src/dispatcher/runs.rs
@@ -206,7 +206,8 @@
     /// cores here.
     fn release_to_remote_run(&mut self, id: RequestId) {
         let Some(attempt) = self.attempts.get_mut(id) else { return };
-        if let Phase::Running { started_at } = std::mem::replace(&mut attempt.phase, Phase::RunningRemotely) {
+        if let Phase::Running { started_at } = std::mem::replace(&mut attempt.phase, Phase::RunningElsewhere)
+        {
             let took = clock::now().saturating_sub(started_at);
             self.admission_events.push(Event::Finished { id, outcome: AdmissionOutcome::Skipped, took });
         }
--- a/node/src/run_gate.rs
+++ b/node/src/run_gate.rs
@@ -23,7 +23,7 @@
 use crate::result_store::{KeySource, ResultStore, StoreEvent};
 pub(crate) use event::{Authorization, GateEvent};
 pub(crate) use keyed_run::KeyedRun;
-use pending::{PendingRun, PendingRuns, Vote};
+use pending::{Approval, PendingRun, PendingRuns};
 
 /// Everything that keeps keys beyond the process, if anything does.
 #[derive(Default)]
@@ -104,15 +104,15 @@
     pub(crate) fn authorize_run(&mut self, run: Option<KeyedRun>) -> Authorization {
         let Some(run) = run.filter(|_| self.is_durable()) else { return Authorization::Granted };
         let store = self.write(&run, RecordState::Started, Bytes::new());
-        let peers = if store == Vote::No { Vote::No } else { self.claim(&run) };
-        if store == Vote::Pending && peers == Vote::No {
+        let peers = if store == Approval::Denied { Approval::Denied } else { self.claim(&run) };
+        if store == Approval::Pending && peers == Approval::Denied {
             self.write(&run, RecordState::NeverStarted, Bytes::new());
             return Authorization::Denied;
         }
         match store.and(peers) {
-            Vote::Yes => Authorization::Granted,
-            Vote::No => Authorization::Denied,
-            Vote::Pending => {
+            Approval::Granted => Authorization::Granted,
+            Approval::Denied => Authorization::Denied,
+            Approval::Pending => {
                 self.pending.insert(PendingRun { run, completion: None, store, peers });
                 Authorization::Pending
             }
@@ -120,22 +120,17 @@
     }
 
     /// Asks the peers to grant a run.
-    fn claim(&self, run: &KeyedRun) -> Vote {
-        let Some(peers) = &self.peers else { return Vote::Yes };
-        let Some(request) = &run.request else { return Vote::No };
-        let requested = peers.request_claim(&ClaimParameters {
+    fn claim(&self, run: &KeyedRun) -> Approval {
+        let Some(peers) = &self.peers else { return Approval::Granted };
+        let Some(request) = &run.request else { return Approval::Denied };
+        Approval::requested(peers.request_claim(&ClaimParameters {
             id: run.id,
             key: run.key.clone(),
             body: &request.body[..],
             expires_at: run.expires_at,
             received_at: request.received_at,
             deadline: request.deadline,
-        });
-        if requested {
-            Vote::Pending
-        } else {
-            Vote::No
-        }
+        }))
     }
 
     /// Stores how a run has ended. Returns the completion that may be reported, or `None` if a
@@ -154,9 +149,9 @@
         let store = self.write_outcome(&run, &outcome);
         let peers = self.replicate(run.id, outcome);
         match store.and(peers) {
-            Vote::Yes => Some(completion),
-            Vote::No => Some(Completion::Failed),
-            Vote::Pending => {
+            Approval::Granted => Some(completion),
+            Approval::Denied => Some(Completion::Failed),
+            Approval::Pending => {
                 self.pending.insert(PendingRun { run, completion: Some(completion), store, peers });
                 None
             }
@@ -164,20 +159,16 @@
     }
 
     /// Has the peers keep the outcome of a run.
-    fn replicate(&self, id: RequestId, outcome: StoredOutcome) -> Vote {
-        let Some(peers) = &self.peers else { return Vote::Yes };
+    fn replicate(&self, id: RequestId, outcome: StoredOutcome) -> Approval {
+        let Some(peers) = &self.peers else { return Approval::Granted };
         match outcome {
             StoredOutcome::Succeeded(result) => {
-                if peers.run_finished(id, RunResult::Succeeded(result)) {
-                    Vote::Pending
-                } else {
-                    Vote::No
-                }
+                Approval::requested(peers.run_finished(id, RunResult::Succeeded(result)))
             }
             StoredOutcome::Failed | StoredOutcome::NeverStarted => {
                 // Nobody waits for that, as a failure promises nothing.
                 peers.run_finished(id, RunResult::Failed);
-                Vote::Yes
+                Approval::Granted
             }
         }
     }
@@ -190,10 +181,15 @@
             StoredOutcome::NeverStarted => return false,
         };
         let store = self.write_outcome(&run, outcome);
-        if store != Vote::Pending {
+        if store != Approval::Pending {
             return false;
         }
-        self.pending.insert(PendingRun { run, completion: Some(completion), store, peers: Vote::Yes });
+        self.pending.insert(PendingRun {
+            run,
+            completion: Some(completion),
+            store,
+            peers: Approval::Granted,
+        });
         true
     }
 
@@ -213,7 +209,7 @@
     }
 
     /// Writes the outcome of a run to the store.
-    fn write_outcome(&self, run: &KeyedRun, outcome: &StoredOutcome) -> Vote {
+    fn write_outcome(&self, run: &KeyedRun, outcome: &StoredOutcome) -> Approval {
         match outcome {
             StoredOutcome::Succeeded(result) => self.write(run, RecordState::Succeeded, result.clone()),
             StoredOutcome::Failed => self.write(run, RecordState::Failed, Bytes::new()),
@@ -222,15 +218,11 @@
     }
 
     /// Writes a record to the store. Without a store, or while another process has it, there is nothing to wait for.
-    fn write(&self, run: &KeyedRun, state: RecordState, result: Bytes) -> Vote {
+    fn write(&self, run: &KeyedRun, state: RecordState, result: Bytes) -> Approval {
         let writer = self.store.as_ref().and_then(|store| store.writer.as_ref());
-        let Some(writer) = writer else { return Vote::Yes };
+        let Some(writer) = writer else { return Approval::Granted };
         let record = Record::new(run.key.clone(), run.body_digest, run.expires_at, state, result);
-        if writer.write(run.id, record) {
-            Vote::Pending
-        } else {
-            Vote::No
-        }
+        Approval::requested(writer.write(run.id, record))
     }
 
     /// The next event. It never comes where nothing is kept beyond the process.
@@ -262,7 +254,7 @@
     fn on_store_event(&mut self, event: StoreEvent) -> Option<GateEvent> {
         match event {
             StoreEvent::Written { request: id, durable } => {
-                self.pending.waiting_for_store(id)?.store = Vote::of(durable);
+                self.pending.waiting_for_store(id)?.store = Approval::of(durable);
                 self.resolve(id)
             }
             StoreEvent::Opened(recovered) => {
@@ -280,7 +272,7 @@
             ClaimOutcome::Granted | ClaimOutcome::Rejected(_)
                 if self.pending.waiting_to_start(id).is_some() =>
             {
-                self.pending.waiting_to_start(id)?.peers = Vote::of(outcome == ClaimOutcome::Granted);
+                self.pending.waiting_to_start(id)?.peers = Approval::of(outcome == ClaimOutcome::Granted);
                 self.resolve(id)
             }
             // The dispatcher knows already that it waits for another node's run.
@@ -289,7 +281,7 @@
             }
             ClaimOutcome::Granted => None,
             ClaimOutcome::Replicated(replicated) => {
-                self.pending.waiting_to_complete(id)?.peers = Vote::of(replicated);
+                self.pending.waiting_to_complete(id)?.peers = Approval::of(replicated);
                 self.resolve(id)
             }
             ClaimOutcome::RunningElsewhere => {
@@ -328,17 +320,17 @@
         let denied = resolved.is_denied();
         let PendingRun { run, completion, store, peers } = resolved;
         let Some(completion) = completion else {
-            if denied && store != Vote::No {
+            if denied && store != Approval::Denied {
                 self.write(&run, RecordState::NeverStarted, Bytes::new());
             }
-            if denied && peers != Vote::No {
+            if denied && peers != Approval::Denied {
                 self.run_never_started(id);
             }
             return Some(GateEvent::Authorized { id, granted: !denied });
         };
         Some(match (store, peers) {
-            (_, Vote::No) => GateEvent::OutcomeUnknown(id),
-            (Vote::No, _) => GateEvent::Completed { id, completion: Completion::Failed },
+            (_, Approval::Denied) => GateEvent::OutcomeUnknown(id),
+            (Approval::Denied, _) => GateEvent::Completed { id, completion: Completion::Failed },
             _ => GateEvent::Completed { id, completion },
         })
     }
--- a/node/src/run_gate/pending.rs
+++ b/node/src/run_gate/pending.rs
@@ -1,4 +1,4 @@
-//! Runs that wait for the store or the peers, and how the votes of the two are combined.
+//! Runs that wait for the store or the peers, and how the approvals of the two are combined.
 
 use std::collections::HashMap;
 
@@ -9,31 +9,40 @@
 
 /// The answer of the store or of the peers to one question.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(super) enum Vote {
-    /// It agrees, is not there, or was not asked.
-    Yes,
+pub(super) enum Approval {
+    /// It agrees, is not configured, or was not asked.
+    Granted,
     /// It will answer.
     Pending,
     /// It does not agree.
-    No,
+    Denied,
 }
 
-impl Vote {
-    /// The vote in an answer.
+impl Approval {
+    /// The approval in an answer.
     pub(super) fn of(agrees: bool) -> Self {
         if agrees {
-            Vote::Yes
+            Approval::Granted
         } else {
-            Vote::No
+            Approval::Denied
         }
     }
 
-    /// Both votes in one: it is pending as long as either is.
-    pub(super) fn and(self, other: Vote) -> Self {
+    /// The approval after a request: pending, or denied if the request could not be queued.
+    pub(super) fn requested(queued: bool) -> Self {
+        if queued {
+            Approval::Pending
+        } else {
+            Approval::Denied
+        }
+    }
+
+    /// Both approvals in one: it is pending as long as either is.
+    pub(super) fn and(self, other: Approval) -> Self {
         match (self, other) {
-            (Vote::Pending, _) | (_, Vote::Pending) => Vote::Pending,
-            (Vote::No, _) | (_, Vote::No) => Vote::No,
-            (Vote::Yes, Vote::Yes) => Vote::Yes,
+            (Approval::Pending, _) | (_, Approval::Pending) => Approval::Pending,
+            (Approval::Denied, _) | (_, Approval::Denied) => Approval::Denied,
+            (Approval::Granted, Approval::Granted) => Approval::Granted,
         }
     }
 }
@@ -44,19 +53,19 @@
     pub(super) run: KeyedRun,
     /// How it ended; `None` if it waits to start.
     pub(super) completion: Option<Completion>,
-    pub(super) store: Vote,
-    pub(super) peers: Vote,
+    pub(super) store: Approval,
+    pub(super) peers: Approval,
 }
 
 impl PendingRun {
-    /// Whether the store or the peers have voted no.
+    /// Whether the store or the peers have denied it.
     pub(super) fn is_denied(&self) -> bool {
-        self.store == Vote::No || self.peers == Vote::No
+        self.store == Approval::Denied || self.peers == Approval::Denied
     }
 
-    /// Whether nothing more is awaited: one vote against it is enough.
+    /// Whether nothing more is awaited: one denial is enough.
     fn is_resolved(&self) -> bool {
-        self.is_denied() || (self.store == Vote::Yes && self.peers == Vote::Yes)
+        self.is_denied() || (self.store == Approval::Granted && self.peers == Approval::Granted)
     }
 }
 
@@ -84,7 +93,7 @@
 
     /// The run of an attempt, if it waits for the store.
     pub(super) fn waiting_for_store(&mut self, id: RequestId) -> Option<&mut PendingRun> {
-        self.by_attempt.get_mut(&id).filter(|pending| pending.store == Vote::Pending)
+        self.by_attempt.get_mut(&id).filter(|pending| pending.store == Approval::Pending)
     }
 
     /// Removes the run of an attempt, whatever it waits for.
--- a/node/src/run_gate/pending/tests.rs
+++ b/node/src/run_gate/pending/tests.rs
@@ -7,8 +7,8 @@
 
 const ID: RequestId = RequestId(1);
 
-/// One run that waits with these votes.
-fn pending(completion: Option<Completion>, store: Vote, peers: Vote) -> PendingRuns {
+/// One run that waits with these approvals.
+fn pending(completion: Option<Completion>, store: Approval, peers: Approval) -> PendingRuns {
     let run = KeyedRun {
         id: ID,
         request: None,
@@ -22,41 +22,41 @@
 }
 
 #[test]
-fn two_votes_are_pending_as_long_as_either_is_and_agree_only_together() {
-    let all = [Vote::Yes, Vote::Pending, Vote::No];
+fn two_approvals_are_pending_as_long_as_either_is_and_granted_only_together() {
+    let all = [Approval::Granted, Approval::Pending, Approval::Denied];
     let table = all.map(|one| all.map(|other| one.and(other)));
     assert_eq!(
         table,
         [
-            [Vote::Yes, Vote::Pending, Vote::No],
-            [Vote::Pending, Vote::Pending, Vote::Pending],
-            [Vote::No, Vote::Pending, Vote::No],
+            [Approval::Granted, Approval::Pending, Approval::Denied],
+            [Approval::Pending, Approval::Pending, Approval::Pending],
+            [Approval::Denied, Approval::Pending, Approval::Denied],
         ]
     );
 }
 
 #[test]
-fn a_run_is_resolved_once_both_have_agreed() {
-    let mut runs = pending(None, Vote::Pending, Vote::Pending);
-    runs.waiting_for_store(ID).unwrap().store = Vote::Yes;
+fn a_run_is_resolved_once_both_have_granted_it() {
+    let mut runs = pending(None, Approval::Pending, Approval::Pending);
+    runs.waiting_for_store(ID).unwrap().store = Approval::Granted;
     assert!(runs.remove_resolved(ID).is_none());
-    assert!(runs.waiting_for_store(ID).is_none(), "the store has voted");
-    runs.waiting_to_start(ID).unwrap().peers = Vote::Yes;
+    assert!(runs.waiting_for_store(ID).is_none(), "the store has answered");
+    runs.waiting_to_start(ID).unwrap().peers = Approval::Granted;
     assert!(!runs.remove_resolved(ID).unwrap().is_denied());
     assert!(runs.remove(ID).is_none());
 }
 
 #[test]
-fn one_vote_against_a_run_resolves_it_though_the_other_is_pending() {
-    let mut runs = pending(None, Vote::Pending, Vote::Pending);
-    runs.waiting_for_store(ID).unwrap().store = Vote::No;
+fn one_denial_of_a_run_resolves_it_though_the_other_is_pending() {
+    let mut runs = pending(None, Approval::Pending, Approval::Pending);
+    runs.waiting_for_store(ID).unwrap().store = Approval::Denied;
     assert!(runs.remove_resolved(ID).unwrap().is_denied());
 }
 
 #[test]
 fn a_run_waits_to_start_until_it_has_ended_and_to_complete_after_that() {
-    let mut runs = pending(None, Vote::Yes, Vote::Pending);
+    let mut runs = pending(None, Approval::Granted, Approval::Pending);
     assert!(runs.waiting_to_start(ID).is_some() && runs.waiting_to_complete(ID).is_none());
-    let mut runs = pending(Some(Completion::Failed), Vote::Yes, Vote::Pending);
+    let mut runs = pending(Some(Completion::Failed), Approval::Granted, Approval::Pending);
     assert!(runs.waiting_to_start(ID).is_none() && runs.waiting_to_complete(ID).is_some());
 }
