--- a/fault-harness/src/node.rs
+++ b/fault-harness/src/node.rs
@@ -19,7 +19,7 @@
 use tokio::task::spawn_local;
 
 use crate::history::Event;
-use crate::model::registry::Members;
+use crate::model::registry::Registry;
 use crate::play_context::PlayContext;
 use crate::process::Program;
 use crate::program_log::LogLine;
@@ -143,7 +143,7 @@
     }
 
     /// Plays what the node connects to, for as long as the play.
-    pub async fn serve_peers(self: Rc<Self>, tier: Option<Rc<Tier>>, members: Rc<RefCell<Members>>) {
+    pub async fn serve_peers(self: Rc<Self>, tier: Option<Rc<Tier>>, members: Rc<RefCell<Registry>>) {
         let Ok((vm, index, reports)) = self.listeners().await else { return };
         let (vm_put, mut vm_ends) = mpsc::channel(STAND_IN_QUEUE);
         let (index_put, mut index_ends) = mpsc::channel(STAND_IN_QUEUE);
@@ -166,11 +166,11 @@
                         ["HB", name, "OUT"] if name == self.name() => false,
                         _ => {
                             let text = format!("a report that is none: {words}");
-                            self.context.note(Event::Spoilt { node: self.node, text });
+                            self.context.note(Event::Corrupted { node: self.node, text });
                             continue;
                         }
                     };
-                    members.borrow_mut().report(self.context.now(), self.node, up);
+                    members.borrow_mut().on_heartbeat(self.context.now(), self.node, up);
                 }
                 else => return,
             }
@@ -256,14 +256,14 @@
             self.can_vote.set(true);
         }
         if let Some(text) = line.fleet {
-            self.context.note(Event::Said { node: self.node, text });
+            self.context.note(Event::FleetLogged { node: self.node, text });
         }
         if let Some(active) = line.router_active {
-            self.context.note(Event::Role { node: self.node, active });
+            self.context.note(Event::RouterRole { node: self.node, active });
         }
         if let Some(address) = line.serving_at {
             self.address.send_replace(Some(address));
-            self.context.note(Event::Up { node: self.node, cold: self.interpreter.cold() });
+            self.context.note(Event::NodeUp { node: self.node, cold: self.interpreter.cold() });
         }
     }
 
--- a/fault-harness/src/play/links.rs
+++ b/fault-harness/src/play/links.rs
@@ -13,7 +13,7 @@
 use super::testbed::Testbed;
 use crate::loopback::{self, MAX_NETWORKS};
 use crate::relay::{Direction, Line};
-use crate::schedule::{generator, Stream};
+use crate::schedule::{generator, RandomStream};
 use crate::settings;
 
 /// Lines among nodes have numbers from here on, which decide their random numbers.
@@ -45,7 +45,7 @@
     /// A line from one node to another, with random numbers of its own.
     fn line_between(&self, from: usize, to: usize) -> Line {
         let number = (FIRST_PEER_LINE + from * self.machines.len() + to) as u64;
-        Line::new(self.context.clock, generator(self.context.seed, Stream::Links, number))
+        Line::new(self.context.clock, generator(self.context.seed, RandomStream::Links, number))
     }
 
     /// Joins all nodes to one virtual router, each pair by a line in each direction.
@@ -108,7 +108,7 @@
     /// The membership configuration that a node starts with, and its version.
     fn initial_membership(&self, node: usize) -> (u64, Vec<usize>) {
         let count = self.machines.len();
-        let later = self.context.scenario.fleet.peers.as_ref().map_or(0, |peers| peers.later);
+        let later = self.context.scenario.fleet.peers.as_ref().map_or(0, |peers| peers.joining_nodes);
         if node < count - later {
             (1, (0..count - later).collect())
         } else {
--- a/fault-harness/src/play/testbed.rs
+++ b/fault-harness/src/play/testbed.rs
@@ -8,13 +8,13 @@
 use tokio::task::spawn_local;
 
 use super::Options;
-use crate::model::registry::Members;
+use crate::model::registry::Registry;
 use crate::model::Ms;
 use crate::node::Machine;
 use crate::play_context::PlayContext;
 use crate::relay::Line;
 use crate::scenario::Scenario;
-use crate::schedule::{generator, schedule, Stream, Strike};
+use crate::schedule::{generator, schedule, Injection, RandomStream};
 use crate::stand_in::dependency::Tier;
 use crate::stand_in::frontends::{FrontEnd, NodeEndpoints, Shared};
 
@@ -30,9 +30,9 @@
     pub(super) frontends: Vec<Rc<FrontEnd>>,
     /// The dependency, if requests call one.
     pub(super) dependency: Option<Rc<Tier>>,
-    pub(super) members: Rc<RefCell<Members>>,
+    pub(super) members: Rc<RefCell<Registry>>,
     /// Strikes whose event has not come yet.
-    pub(super) pending_strikes: RefCell<Vec<Strike>>,
+    pub(super) pending_injections: RefCell<Vec<Injection>>,
     /// The number of the next disturbance of links.
     pub(super) next_disturbance: Cell<u64>,
 }
@@ -46,7 +46,7 @@
 impl LineFactory<'_> {
     fn line(&mut self) -> Line {
         self.made += 1;
-        Line::new(self.context.clock, generator(self.context.seed, Stream::Links, self.made))
+        Line::new(self.context.clock, generator(self.context.seed, RandomStream::Links, self.made))
     }
 }
 
@@ -59,9 +59,9 @@
         folder: &Path,
     ) -> io::Result<Testbed> {
         let context = PlayContext::new(scenario.clone(), schedule(scenario, seed), seed);
-        let lapse = scenario.members.lapse_s * 1000.0;
-        let members = Rc::new(RefCell::new(Members::new(scenario.fleet.nodes, lapse)));
-        let dependency = scenario.below.clone().map(|shape| Tier::new(context.clone(), shape));
+        let lapse = scenario.registry.heartbeat_timeout_s * 1000.0;
+        let members = Rc::new(RefCell::new(Registry::new(scenario.fleet.nodes, lapse)));
+        let dependency = scenario.dependency.clone().map(|shape| Tier::new(context.clone(), shape));
         if let Some(dependency) = &dependency {
             spawn_local(dependency.clone().work());
         }
@@ -77,7 +77,7 @@
             frontends,
             dependency,
             members,
-            pending_strikes: RefCell::default(),
+            pending_injections: RefCell::default(),
             next_disturbance: Cell::new(1),
         })
     }
@@ -106,12 +106,13 @@
         if scenario.fleet.peers.is_none() {
             return READY_TIMEOUT;
         }
-        let window = scenario.classes.iter().map(|class| class.window_ms).max().unwrap_or(0);
+        let window = scenario.classes.iter().map(|class| class.idempotency_window_ms).max().unwrap_or(0);
         READY_TIMEOUT + window as f64
     }
 
     async fn is_ready(&self, now: Ms) -> bool {
-        let latest = self.context.schedule.fronts.iter().map(|front| front.late).fold(0.0, f64::max);
+        let latest =
+            self.context.schedule.frontends.iter().map(|front| front.registry_delay).fold(0.0, f64::max);
         let listed = self.members.borrow_mut().listed_at(now, now - latest);
         for (machine, is_listed) in self.machines.iter().zip(&listed) {
             if !*is_listed || !machine.healthy().await {
@@ -131,7 +132,7 @@
     let mut factory = LineFactory { context, made: 0 };
     let mut machines = Vec::new();
     for node in 0..scenario.fleet.nodes {
-        let clients = (0..scenario.fronts.count).map(|_| factory.line()).collect();
+        let clients = (0..scenario.frontends.count).map(|_| factory.line()).collect();
         let services = [factory.line(), factory.line(), factory.line()];
         let machine = Machine::new(
             context.clone(),
@@ -150,7 +151,7 @@
 fn frontends(
     context: &Rc<PlayContext>,
     machines: &[Rc<Machine>],
-    members: &Rc<RefCell<Members>>,
+    members: &Rc<RefCell<Registry>>,
 ) -> Vec<Rc<FrontEnd>> {
     let endpoints = machines.iter().map(|machine| NodeEndpoints {
         address: machine.address.subscribe(),
@@ -163,6 +164,6 @@
         attempts: Rc::default(),
         first_nodes: Rc::default(),
     };
-    let count = context.scenario.fronts.count;
+    let count = context.scenario.frontends.count;
     (0..count).map(|position| FrontEnd::new(context.clone(), position, shared.clone())).collect()
 }
