--- a/admission/src/admission.rs
+++ b/admission/src/admission.rs
@@ -122,17 +122,17 @@
     }
 
     /// Applies events that happened at `now` and appends the actions that follow.
-    pub fn handle(&mut self, now: Duration, events: &[Event], out: &mut Vec<Action>) {
+    pub fn handle(&mut self, now: Duration, events: &[Event], actions: &mut Vec<Action>) {
         self.now = self.now.max(Instant::from_clock(now));
         self.requests.start_batch();
-        self.announce_start(out);
+        self.announce_start(actions);
         for event in events {
-            self.apply(event, out);
+            self.apply(event, actions);
         }
-        self.enforce_deadlines(out);
-        self.shed_load(out);
-        self.start_calls(out);
-        self.start_runs(out);
+        self.enforce_deadlines(actions);
+        self.shed_load(actions);
+        self.start_calls(actions);
+        self.start_runs(actions);
     }
 
     /// Requests a second permitted under overload; none before the first window has seeded it.
@@ -140,13 +140,13 @@
         self.overload.permitted_rate().map(quantities::RequestRate::value)
     }
 
-    fn announce_start(&mut self, out: &mut Vec<Action>) {
+    fn announce_start(&mut self, actions: &mut Vec<Action>) {
         if std::mem::replace(&mut self.started, true) {
             return;
         }
-        out.push(Action::SetHealth { good: true, cheap: true });
-        out.push(Action::IdleLimit(self.settings.idle));
-        out.push(Action::SetTimer(TIMER, TIMER_PERIOD.to_duration()));
+        actions.push(Action::SetHealth { good: true, cheap: true });
+        actions.push(Action::IdleLimit(self.settings.idle));
+        actions.push(Action::SetTimer(TIMER, TIMER_PERIOD.to_duration()));
     }
 
     fn context(&self) -> Context<'_> {
@@ -169,40 +169,40 @@
 
     /// Rejects a queued request. The caller should give up if other servers are taken to reject it as well, and not if
     /// this server alone is in a state in which it rejects.
-    fn reject(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    fn reject(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let is_warming_up = self.warm_up.fraction(self.now) < Fraction::ALL;
         let rejects_alone = self.drain.is_draining() || self.stall.is_stalled() || is_warming_up;
         let others_reject =
-            self.read_overload.is_overloaded() || self.overload.arrival_rates().exceed_usual(self.now);
+            self.read_overload.is_overloaded() || self.overload.arrival_rates().exceeds_usual(self.now);
         let advice = self.advice(!rejects_alone && others_reject);
-        self.requests.reject(id, advice, out);
+        self.requests.reject(id, advice, actions);
     }
 
     /// Answers what would miss its deadline before the next timer, and what can't meet its objective any more.
-    fn enforce_deadlines(&mut self, out: &mut Vec<Action>) {
+    fn enforce_deadlines(&mut self, actions: &mut Vec<Action>) {
         for id in deadlines::requests_to_answer(&self.context(), self.stall.is_stalled()) {
             if self.requests.is_queued(id) {
-                self.reject(id, out);
+                self.reject(id, actions);
             } else {
-                self.requests.fail(id, &self.settings, out);
+                self.requests.fail(id, &self.settings, actions);
             }
         }
     }
 
-    fn shed_load(&mut self, out: &mut Vec<Action>) {
+    fn shed_load(&mut self, actions: &mut Vec<Action>) {
         let recent_answers = self.overload.has_recent_answers();
-        let concurrency = self.concurrency.running();
+        let concurrency = self.concurrency.run_limit();
         for id in shedding::requests_to_shed(&self.context(), concurrency, recent_answers) {
             self.overload.request_shed(id);
-            self.reject(id, out);
+            self.reject(id, actions);
         }
     }
 
     /// Starts the calls that the limit allows, the highest priority first.
-    fn start_calls(&mut self, out: &mut Vec<Action>) {
+    fn start_calls(&mut self, actions: &mut Vec<Action>) {
         let calling = self.requests.table().count(Request::is_calling);
         let mut in_progress = self.calls.update_balance(self.now, calling);
-        let at_bound = self.requests.table().at_calls() >= self.max_at_calls();
+        let at_bound = self.requests.table().at_calls_count() >= self.max_at_calls();
         for id in call_start::awaiting_calls(self.requests.table()) {
             let Some(request) = self.requests.table().get(id) else { continue };
             let decision = call_start::decide_call(request, &self.context(), &self.calls, at_bound);
@@ -210,22 +210,22 @@
             match decision {
                 CallDecision::Skip => {
                     request.continue_run(self.now);
-                    out.push(Action::SkipCall(id));
+                    actions.push(Action::SkipCall(id));
                 }
-                CallDecision::Fail => self.requests.fail(id, &self.settings, out),
+                CallDecision::Fail => self.requests.fail(id, &self.settings, actions),
                 CallDecision::Call { timeout } if self.calls.limit().allows_call(self.now, in_progress) => {
                     in_progress += 1.0;
                     request.send_call(self.now);
-                    out.push(Action::Call(id, timeout.to_duration()));
+                    actions.push(Action::Call(id, timeout.to_duration()));
                 }
                 CallDecision::Call { .. } => {}
             }
         }
     }
 
-    fn start_runs(&mut self, out: &mut Vec<Action>) {
+    fn start_runs(&mut self, actions: &mut Vec<Action>) {
         let limits = RunLimits {
-            concurrency: self.concurrency.running(),
+            concurrency: self.concurrency.run_limit(),
             survivable: self.survivable_concurrency(),
             at_calls: self.max_at_calls(),
         };
@@ -234,7 +234,7 @@
         for id in run_queue::runs_to_start(&context, memory, &limits) {
             if let Some(request) = self.requests.table_mut().get_mut(id) {
                 request.start_run(self.now);
-                out.push(Action::Run(id));
+                actions.push(Action::Run(id));
             }
         }
     }
--- a/admission/src/admission/call_start.rs
+++ b/admission/src/admission/call_start.rs
@@ -1,4 +1,7 @@
 //! What becomes of a request that waits for a call: the call is started or skipped, or the request waits or fails.
+//!
+//! A call that may have had its effect is not made again for a request that is not idempotent, and no call outlasts the
+//! deadline of its request.
 
 use crate::admission::calls::DependencyCalls;
 use crate::admission::constants::{MIN_REMAINING_WORK, TIMER_PERIOD};
--- a/admission/src/admission/calls.rs
+++ b/admission/src/admission/calls.rs
@@ -121,7 +121,7 @@
     /// Whether the arrival `request` is admitted as far as calls go. With calls at their bound, what will call is
     /// admitted only if few of its priority or above are in flight.
     pub(crate) fn admit(&mut self, request: &Request, context: &Context, max_at_calls: usize) -> bool {
-        if context.requests.at_calls() >= max_at_calls {
+        if context.requests.at_calls_count() >= max_at_calls {
             self.throttled_until = context.now + RATE_WINDOW;
         }
         if !self.are_throttled(context.now) || !request.may_call {
--- a/admission/src/admission/calls/history.rs
+++ b/admission/src/admission/calls/history.rs
@@ -1,4 +1,4 @@
-//! What is known of calls from those that ended lately: how long they take, and how many end in time.
+//! What the calls that ended lately tell: how long calls take, and how many end in time.
 
 use std::collections::VecDeque;
 
--- a/admission/src/admission/calls/limit.rs
+++ b/admission/src/admission/calls/limit.rs
@@ -16,7 +16,7 @@
 /// serves nobody.
 const CUT: f64 = 0.2;
 /// The limit never falls below this fraction of the share: all servers together still use the dependency.
-const MIN_SHARE: f64 = 0.22;
+const MIN_SHARE_FRACTION: f64 = 0.22;
 /// One call may take up to this fraction of the share: it must not use up all of it.
 const MAX_SHARE_OF_ONE_CALL: f64 = 0.5;
 /// The share where no dependency is shared, in calls, and its averaging time: more than any server uses.
@@ -114,7 +114,7 @@
             self.lingering_until.push_back(now + self.linger);
         }
         let change = if call.slow { -CUT * self.limit } else { RISE * self.share };
-        self.limit = (self.limit + change).clamp(MIN_SHARE * self.share, self.share);
+        self.limit = (self.limit + change).clamp(MIN_SHARE_FRACTION * self.share, self.share);
         if self.limit < 1.0 {
             let pause = call.duration * (1.0 / self.limit.max(MIN_DIVISOR) - 1.0);
             self.next_call_at = now + pause.min(self.averaging_time);
--- a/admission/src/admission/class_estimates.rs
+++ b/admission/src/admission/class_estimates.rs
@@ -1,4 +1,6 @@
 //! What is estimated of each class from its requests: the work of a run and the mean cost hint.
+//!
+//! Work is time on a core: time at calls does not count, and only runs that succeed do.
 
 use std::time::Duration;
 
@@ -41,7 +43,7 @@
     }
 
     /// A run on a core for `time_on_core` has ended well.
-    pub(crate) fn run_ended(&mut self, request: &Request, time_on_core: Span) {
+    pub(crate) fn record_run(&mut self, request: &Request, time_on_core: Span) {
         let work = time_on_core.max(MIN_WORK) / request.relative_cost;
         self.classes[request.class].work.add(work.seconds(), MEAN_WEIGHT);
     }
--- a/admission/src/admission/class_estimates/tests.rs
+++ b/admission/src/admission/class_estimates/tests.rs
@@ -8,7 +8,7 @@
 fn work_is_the_mean_of_the_class_times_the_relative_cost() {
     let mut estimates = ClassEstimates::new(1);
     assert_eq!(estimates.work_of(&queued()), None);
-    estimates.run_ended(&Request { relative_cost: 2.0, ..queued() }, seconds(4.0));
+    estimates.record_run(&Request { relative_cost: 2.0, ..queued() }, seconds(4.0));
     assert_eq!(estimates.mean_work(0), Some(seconds(2.0)));
     assert_eq!(estimates.work_of(&Request { relative_cost: 3.0, ..queued() }), Some(seconds(6.0)));
 }
@@ -27,6 +27,6 @@
 #[test]
 fn capacity_is_that_of_the_cores_for_the_mean_work_of_the_known_classes() {
     let mut estimates = ClassEstimates::new(2);
-    estimates.run_ended(&queued(), seconds(0.5));
+    estimates.record_run(&queued(), seconds(0.5));
     assert_eq!(estimates.capacity(4.0).value(), 8.0);
 }
--- a/admission/src/admission/concurrency_limit.rs
+++ b/admission/src/admission/concurrency_limit.rs
@@ -2,6 +2,7 @@
 //!
 //! It starts at the number of cores, rises while cores are idle and requests are queued, and falls when more is
 //! runnable than the cores handle well. It stays under the survivable concurrency, which is a ceiling and not a target.
+//! The design asks for a limit that starts at the core count and grows quickly; requests at calls are outside it.
 
 use crate::admission::constants::USED_CAPACITY;
 use crate::admission::context::Context;
@@ -33,30 +34,30 @@
     }
 
     /// The limit of requests on cores.
-    pub(crate) fn on_cores(&self) -> f64 {
+    pub(crate) fn core_limit(&self) -> f64 {
         self.limit
     }
 
     /// The limit of running requests, with those that wait for I/O.
-    pub(crate) fn running(&self) -> f64 {
+    pub(crate) fn run_limit(&self) -> f64 {
         self.limit + self.waiting_for_io
     }
 
     /// Whether no request uses a core, as far as the gauges tell.
     pub(crate) fn is_idle(&self, requests: &RequestTable) -> bool {
-        requests.running() as f64 <= self.waiting_for_io
+        requests.running_count() as f64 <= self.waiting_for_io
     }
 
     /// Adjusts the limit to the gauges of a timer; `survivable` is the survivable concurrency.
     pub(crate) fn adjust(&mut self, gauges: &Gauges, context: &Context, survivable: f64) {
         let cores = context.cores();
-        let running = context.requests.running() as f64;
+        let running = context.requests.running_count() as f64;
         let any_queued = context.requests.count(Request::is_queued) > 0;
         self.waiting_for_io = (running - gauges.runnable.unwrap_or(running)).max(0.0);
         let runnable = gauges.runnable.unwrap_or(cores);
         if runnable > cores * MAX_RUNNABLE_PER_CORE {
             self.limit -= STEP;
-        } else if any_queued && runnable < cores && gauges.busy.is_none_or(is_spare) {
+        } else if any_queued && runnable < cores && gauges.busy.is_none_or(has_spare_capacity) {
             self.limit += STEP;
         }
         self.limit = self.limit.clamp(cores, survivable.max(cores));
@@ -64,7 +65,7 @@
 }
 
 /// Whether cores of this utilization have time to spare.
-pub(crate) fn is_spare(utilization: f64) -> bool {
+pub(crate) fn has_spare_capacity(utilization: f64) -> bool {
     utilization < SPARE_UTILIZATION
 }
 
--- a/admission/src/admission/concurrency_limit/tests.rs
+++ b/admission/src/admission/concurrency_limit/tests.rs
@@ -15,10 +15,10 @@
 fn the_limit_rises_while_cores_are_idle_and_requests_are_queued() {
     let mut limit = ConcurrencyLimit::new(2.0);
     limit.adjust(&IDLE, &server().context(0.0), 6.0);
-    assert_eq!(limit.on_cores(), 2.25);
+    assert_eq!(limit.core_limit(), 2.25);
     let empty = ServerState::new(Settings { cores: 2, ..Settings::default() });
     limit.adjust(&IDLE, &empty.context(0.0), 6.0);
-    assert_eq!(limit.on_cores(), 2.25, "nothing is queued");
+    assert_eq!(limit.core_limit(), 2.25, "nothing is queued");
 }
 
 #[test]
@@ -26,16 +26,16 @@
     let state = server();
     let mut limit = ConcurrencyLimit::new(2.0);
     (0..100).for_each(|_| limit.adjust(&IDLE, &state.context(0.0), 6.0));
-    assert_eq!(limit.on_cores(), 6.0);
+    assert_eq!(limit.core_limit(), 6.0);
     (0..100).for_each(|_| limit.adjust(&CROWDED, &state.context(0.0), 6.0));
-    assert_eq!(limit.on_cores(), 2.0);
+    assert_eq!(limit.core_limit(), 2.0);
 }
 
 #[test]
 fn runs_that_wait_for_io_are_beyond_the_limit() {
     let mut limit = ConcurrencyLimit::new(2.0);
     limit.adjust(&Gauges { busy: Some(1.0), runnable: Some(1.0) }, &server().context(0.0), 6.0);
-    assert_eq!(limit.running(), 3.0);
+    assert_eq!(limit.run_limit(), 3.0);
 }
 
 #[test]
--- a/admission/src/admission/deadlines.rs
+++ b/admission/src/admission/deadlines.rs
@@ -1,5 +1,8 @@
 //! Which unanswered requests are answered now: those that would miss their deadline before the next timer, and those
 //! whose objective can no longer be met.
+//!
+//! Every request has its answer by its deadline, as long as timers come. A run in progress and an effect that may have
+//! begun go on until then.
 
 use crate::admission::constants::TIMER_PERIOD;
 use crate::admission::context::Context;
--- a/admission/src/admission/events.rs
+++ b/admission/src/admission/events.rs
@@ -2,7 +2,7 @@
 
 use super::{Admission, TIMER};
 use crate::admission::calls::EndedCall;
-use crate::admission::concurrency_limit::{is_spare, survivable_concurrency};
+use crate::admission::concurrency_limit::{has_spare_capacity, survivable_concurrency};
 use crate::admission::constants::TIMER_PERIOD;
 use crate::admission::context::Context;
 use crate::admission::idle_connections::ConnectionLoad;
@@ -18,22 +18,22 @@
 
 impl Admission {
     /// Applies one event to the decisions that it concerns.
-    pub(super) fn apply(&mut self, event: &Event, out: &mut Vec<Action>) {
+    pub(super) fn apply(&mut self, event: &Event, actions: &mut Vec<Action>) {
         match event {
-            Event::Arrived(arrival) => self.arrive(arrival, out),
+            Event::Arrived(arrival) => self.arrive(arrival, actions),
             Event::Finished { id, outcome, took } => self.run_finished(*id, *outcome, Span::from(*took)),
             Event::CallNeeded(id) => self.call_needed(*id),
             Event::CallReturned { id, outcome, took } => {
                 self.call_returned(*id, *outcome, Span::from(*took));
             }
-            Event::Cancelled(id) => self.requests.needs_no_answer(*id, &self.settings, out),
-            Event::Drain(left) => self.start_drain(Span::from(*left), out),
-            Event::Timer(_, gauges) => self.on_timer(gauges, out),
+            Event::Cancelled(id) => self.requests.cancel(*id, &self.settings, actions),
+            Event::Drain(left) => self.start_drain(Span::from(*left), actions),
+            Event::Timer(_, gauges) => self.on_timer(gauges, actions),
         }
     }
 
     /// Queues an arrival, lets it share the outcome of the attempt that it repeats, or rejects it.
-    fn arrive(&mut self, arrival: &Arrival, out: &mut Vec<Action>) {
+    fn arrive(&mut self, arrival: &Arrival, actions: &mut Vec<Action>) {
         let id = arrival.id;
         let class = usize::from(arrival.class.0);
         if self.requests.table().contains(id) {
@@ -41,10 +41,10 @@
         }
         if class >= self.settings.classes.len() {
             let advice = self.advice(true);
-            return push_rejection(id, advice, out);
+            return push_rejection(id, advice, actions);
         }
         self.overload.count_arrival(arrival.tenant, self.now);
-        self.connections.request_from(arrival.caller, self.now, Span::from(self.settings.idle));
+        self.connections.record_request(arrival.caller, self.now, Span::from(self.settings.idle));
         let request = request_intake::new_request(
             arrival,
             &self.settings,
@@ -57,15 +57,15 @@
         let original = self.requests.original_of(arrival.repeats, class, &self.settings);
         self.requests.table_mut().insert(id, request);
         if let Some(original) = original {
-            return self.share_outcome(id, original, out);
+            return self.share_outcome(id, original, actions);
         }
         let admitted = self.admits(id);
         let rank = Fraction::new(arrival.rank);
         self.overload.record_arrival(RecentArrival { id, at: self.now, rank, priority, admitted });
         if !admitted {
-            self.reject(id, out);
+            self.reject(id, actions);
         } else if self.settings.classes[class].effect == Effect::IdempotencyKey {
-            self.requests.retain_key(id, &self.settings, self.now, out);
+            self.requests.retain_key(id, &self.settings, self.now, actions);
         }
     }
 
@@ -83,20 +83,20 @@
     }
 
     /// A retry replaces a queued attempt or shares the outcome of one that has started: no effect occurs twice.
-    fn share_outcome(&mut self, id: RequestId, original: RequestId, out: &mut Vec<Action>) {
+    fn share_outcome(&mut self, id: RequestId, original: RequestId, actions: &mut Vec<Action>) {
         let memory_fits = MemoryUse::of(&self.context(), self.requests.keys()).fits();
         let Some(request) = self.requests.table().get(id) else { return };
         let may_run = self.drain.may_run(request.arrived_at);
         match (self.requests.is_queued(original), memory_fits) {
             (true, true) if may_run => {
-                self.requests.take_place(id, original);
-                self.requests.retain_key(id, &self.settings, self.now, out);
+                self.requests.prepare_replacement(id, original);
+                self.requests.retain_key(id, &self.settings, self.now, actions);
                 let advice = self.advice(true);
-                self.requests.reject_replaced(original, id, advice, out);
+                self.requests.reject_replaced(original, id, advice, actions);
             }
-            (true, _) => self.reject(id, out),
-            (false, true) => self.requests.coalesce(id, out),
-            (false, false) => self.requests.fail(id, &self.settings, out),
+            (true, _) => self.reject(id, actions),
+            (false, true) => self.requests.coalesce(id, actions),
+            (false, false) => self.requests.fail(id, &self.settings, actions),
         }
     }
 
@@ -105,7 +105,7 @@
             // It never started: its key is free, and it tells nothing of the cores.
             return self.requests.run_rejected(id);
         }
-        self.stall.progress(self.now);
+        self.stall.record_progress(self.now);
         let Some(request) = self.requests.table_mut().remove(id) else { return };
         if let Phase::Calling { needed_at, sent_at, .. } = request.phase {
             self.calls.call_abandoned(self.now, self.now - sent_at, self.now - needed_at);
@@ -114,7 +114,7 @@
             return;
         }
         let time_at_calls = request.phase.run().map_or(Span::ZERO, |run| run.time_at_calls);
-        self.estimates.run_ended(&request, took - time_at_calls);
+        self.estimates.record_run(&request, took - time_at_calls);
         if !request.answered {
             let context = Context::new(self.now, &self.settings, self.requests.table(), &self.estimates);
             self.overload.request_answered(&request, &context);
@@ -122,7 +122,7 @@
     }
 
     fn call_needed(&mut self, id: RequestId) {
-        self.stall.progress(self.now);
+        self.stall.record_progress(self.now);
         if let Some(request) = self.requests.table_mut().get_mut(id) {
             request.need_call(self.now);
         }
@@ -146,37 +146,38 @@
         self.calls.call_returned(self.now, &call);
     }
 
-    fn start_drain(&mut self, left: Span, out: &mut Vec<Action>) {
+    fn start_drain(&mut self, left: Span, actions: &mut Vec<Action>) {
         let grace = Span::from(self.settings.drain_grace.saturating_sub(self.settings.tick));
         self.drain.start(self.now, left, grace, self.timers.longest_delay());
-        self.requests.answer_by(self.drain.stop_at());
-        out.push(Action::SetHealth { good: false, cheap: true });
+        self.requests.limit_deadlines(self.drain.stop_at());
+        actions.push(Action::SetHealth { good: false, cheap: true });
     }
 
     /// Looks at everything that changes with time or with the gauges.
-    fn on_timer(&mut self, gauges: &Gauges, out: &mut Vec<Action>) {
-        if self.timers.timer_came(self.now) {
+    fn on_timer(&mut self, gauges: &Gauges, actions: &mut Vec<Action>) {
+        if self.timers.record_timer(self.now) {
             self.reset_load_estimates();
         }
-        self.detect_stall(out);
+        self.detect_stall(actions);
         self.requests.expire_keys(self.now);
         self.calls.drop_expired(self.now);
         let context = Context::new(self.now, &self.settings, self.requests.table(), &self.estimates);
         self.read_overload.update(gauges, context.requests);
         let read_overload = self.read_overload.is_overloaded();
         self.overload.on_timer(&context, self.calls.are_throttled(self.now));
-        let load = ConnectionLoad { flood: read_overload, spare: gauges.busy.is_some_and(is_spare) };
+        let load =
+            ConnectionLoad { flood: read_overload, spare: gauges.busy.is_some_and(has_spare_capacity) };
         if let Some(limit) = self.connections.adjust(&load, &context) {
-            out.push(Action::IdleLimit(limit.to_duration()));
+            actions.push(Action::IdleLimit(limit.to_duration()));
         }
         let survivable = survivable_concurrency(&context, self.warm_up.fraction(self.now));
         self.concurrency.adjust(gauges, &context, survivable);
-        let concurrency_limit = self.concurrency.on_cores();
+        let concurrency_limit = self.concurrency.core_limit();
         let load = SignalLoad { recent: self.overload.recent_arrivals(), read_overload, concurrency_limit };
         if let Some(value) = self.signal.update(&load, &context) {
-            out.push(Action::Advertise(value));
+            actions.push(Action::Advertise(value));
         }
-        out.push(Action::SetTimer(TIMER, TIMER_PERIOD.to_duration()));
+        actions.push(Action::SetTimer(TIMER, TIMER_PERIOD.to_duration()));
     }
 
     /// After a long standstill nothing is known of the load, as at a start.
@@ -187,14 +188,14 @@
     }
 
     /// Reports bad health while the server is stalled; during a drain it does so anyway.
-    fn detect_stall(&mut self, out: &mut Vec<Action>) {
+    fn detect_stall(&mut self, actions: &mut Vec<Action>) {
         if self.concurrency.is_idle(self.requests.table()) {
-            self.stall.progress(self.now);
+            self.stall.record_progress(self.now);
         }
         let context = Context::new(self.now, &self.settings, self.requests.table(), &self.estimates);
         let changed = self.stall.update(&context, self.overload.permitted_rate().is_some());
         if changed && !self.drain.is_draining() {
-            out.push(Action::SetHealth { good: !self.stall.is_stalled(), cheap: true });
+            actions.push(Action::SetHealth { good: !self.stall.is_stalled(), cheap: true });
         }
     }
 }
--- a/admission/src/admission/idle_connections.rs
+++ b/admission/src/admission/idle_connections.rs
@@ -1,7 +1,7 @@
 //! How long idle connections stay open: the more callers return to theirs, the longer.
 //!
 //! A connection kept open costs memory, a closed one a new handshake. In a flood of connections all are kept for as
-//! long as callers keep them, to spare the handshakes.
+//! long as callers keep them, to spare the handshakes. The design does not treat connections.
 
 use std::collections::BTreeMap;
 
@@ -12,11 +12,12 @@
 use crate::admission::time::{Instant, Span};
 use crate::interface::CallerId;
 
-/// The minimum that a flood has set falls by this fraction with each timer while cores have time to spare, and slower
-/// by the number of timers in a rate window while they have not.
-const FALL_IF_SPARE: f64 = MEAN_WEIGHT;
-/// The minimum applies while it is longer than this; then it has come down from a flood far enough.
-const SHORTEST_MINIMUM: Span = Span::from_seconds(1.0);
+/// The minimum that a flood has set falls by this fraction with each timer while cores have time to spare: to a tenth in
+/// about a second. While they have not, it falls by as much in a rate
+/// window.
+const FALL_WITH_SPARE_CAPACITY: f64 = MEAN_WEIGHT;
+/// A minimum below this has no effect: so short a time spares no handshake.
+const MIN_EFFECTIVE_MINIMUM: Span = Span::from_seconds(1.0);
 /// A change by less than a fifth of the limit is not worth telling.
 const MIN_CHANGE: f64 = 0.2;
 
@@ -51,7 +52,7 @@
     }
 
     /// A request has come from this caller.
-    pub(crate) fn request_from(&mut self, caller: CallerId, now: Instant, caller_timeout: Span) {
+    pub(crate) fn record_request(&mut self, caller: CallerId, now: Instant, caller_timeout: Span) {
         let before = self.last_request_at.insert(caller, now);
         let returned = before.is_some_and(|at| now - at <= caller_timeout);
         self.returning.add(if returned { 1.0 } else { 0.0 }, SLOW_MEAN_WEIGHT);
@@ -65,7 +66,7 @@
         let active_callers = (self.last_request_at.len() as f64 / context.callers()).min(1.0);
         let returning = self.returning.or_zero() * active_callers;
         self.adjust_minimum(load, timeout);
-        let minimum = if self.minimum > SHORTEST_MINIMUM { self.minimum } else { TIMER_PERIOD };
+        let minimum = if self.minimum > MIN_EFFECTIVE_MINIMUM { self.minimum } else { TIMER_PERIOD };
         let target = (timeout * returning.powi(2)).max(minimum);
         if target.distance(self.limit) > MIN_CHANGE * self.limit {
             self.limit = target;
@@ -75,7 +76,11 @@
     }
 
     fn adjust_minimum(&mut self, load: &ConnectionLoad, timeout: Span) {
-        let fall = if load.spare { FALL_IF_SPARE } else { FALL_IF_SPARE * TIMER_PERIOD / RATE_WINDOW };
+        let fall = if load.spare {
+            FALL_WITH_SPARE_CAPACITY
+        } else {
+            FALL_WITH_SPARE_CAPACITY * TIMER_PERIOD / RATE_WINDOW
+        };
         self.minimum = if load.flood { timeout } else { (self.minimum * (1.0 - fall)).max(TIMER_PERIOD) };
     }
 }
--- a/admission/src/admission/idle_connections/tests.rs
+++ b/admission/src/admission/idle_connections/tests.rs
@@ -22,7 +22,7 @@
 fn the_limit_falls_with_the_square_of_the_fraction_of_callers_that_return() {
     let mut limit = IdleConnectionLimit::new(seconds(20.0));
     for _ in 0..200 {
-        (0..5).for_each(|caller| limit.request_from(CallerId(caller), at(0.0), seconds(20.0)));
+        (0..5).for_each(|caller| limit.record_request(CallerId(caller), at(0.0), seconds(20.0)));
     }
     let half_of_callers = adjusted(&mut limit, &CALM).expect("a new limit");
     assert!(half_of_callers > seconds(4.5) && half_of_callers < seconds(5.0), "{half_of_callers:?}");
--- a/admission/src/admission/load_signal.rs
+++ b/admission/src/admission/load_signal.rs
@@ -1,6 +1,7 @@
 //! The load signal: the value that callers are told, so that what would be rejected is not sent at all.
 //!
-//! It moves in small steps, so that callers do not move together, and falls by itself to find new capacity.
+//! It moves in small steps, so that callers do not move together, and falls by itself to find new capacity. The design
+//! does not treat it; it follows which arrivals were rejected, and decides on none.
 
 use crate::admission::context::Context;
 use crate::admission::overload::recent_arrivals::{RecentArrival, RecentArrivals};
@@ -14,11 +15,13 @@
 const RISE: f64 = 10.0 * FALL;
 /// The highest shed fraction: some arrivals must come to show whether capacity has returned.
 const MAX_SHED_FRACTION: f64 = 0.95;
-/// An admitted arrival outweighs this many rejected ones of its rank.
+/// An admitted arrival outweighs this many rejected ones of its rank: a rank of which a third is admitted is not
+/// rejected as a whole.
 const ADMITTED_WEIGHT: f64 = 2.0;
 /// The same while reading is overloaded: then reading itself must be shed.
 const ADMITTED_WEIGHT_READING: f64 = 0.5;
-/// The search for the rank ends when the balance is this many admitted arrivals below its best.
+/// The search for the rank ends when the balance is this many admitted arrivals below its best: single rejections of
+/// higher ranks do not raise it.
 const SEARCH_DEPTH: f64 = 2.0;
 /// A change by less than a hundredth of the advertised value is not worth telling.
 const MIN_CHANGE: f64 = 0.01;
@@ -56,7 +59,7 @@
     /// Moves the shed fraction; returns the value to advertise if it has changed by enough.
     pub(crate) fn update(&mut self, load: &SignalLoad, context: &Context) -> Option<f64> {
         let target = match context.settings.signal {
-            Signal::Level => rank_to_shed(load, context.now),
+            Signal::Level => rank_to_reject(load, context.now),
             Signal::Off | Signal::Credit | Signal::Weight => load.recent.rejected_fraction(context.now),
         };
         self.move_towards(target);
@@ -91,7 +94,7 @@
 }
 
 /// The rank below which rejections outweigh admissions.
-fn rank_to_shed(load: &SignalLoad, now: Instant) -> Fraction {
+fn rank_to_reject(load: &SignalLoad, now: Instant) -> Fraction {
     let mut by_rank: Vec<&RecentArrival> = load.recent.in_window(now).collect();
     by_rank.sort_by(|first, second| first.rank.value().total_cmp(&second.rank.value()));
     let admitted_weight = if load.read_overload { ADMITTED_WEIGHT_READING } else { ADMITTED_WEIGHT };
--- a/admission/src/admission/memory.rs
+++ b/admission/src/admission/memory.rs
@@ -1,4 +1,6 @@
 //! The memory of queued and started requests and of retained keys, and whether it has room for more.
+//!
+//! Nothing is queued or started beyond the limit; keys are part of it, so that the table of keys is bounded.
 
 use crate::admission::constants::USED_MEMORY;
 use crate::admission::context::Context;
--- a/admission/src/admission/overload.rs
+++ b/admission/src/admission/overload.rs
@@ -1,5 +1,6 @@
-//! Overload control: which arrivals are admitted by load, as the design has it. It composes the permitted rate, the
-//! latencies and penalties that cut it, and the arrivals that it is compared with.
+//! Overload control, as in the design: under overload an arrival needs a token of the permitted rate.
+//!
+//! It composes the permitted rate, the latencies and penalties that cut it, and the arrivals that it is compared with.
 
 pub(crate) mod arrival_rates;
 pub(crate) mod detector;
--- a/admission/src/admission/overload/arrival_rates.rs
+++ b/admission/src/admission/overload/arrival_rates.rs
@@ -1,5 +1,7 @@
 //! How many requests arrive a second, in all and of each tenant: whether more arrive than usual, and how much of what
 //! a tenant sends is within its quota.
+//!
+//! Quotas hold for all servers together, of which this one sees its own arrivals only.
 
 use crate::admission::quantities::{Fraction, RequestRate};
 use crate::admission::running_mean::RunningMean;
@@ -82,7 +84,7 @@
     }
 
     /// Whether more arrives than usual: what other servers rejected is retried here.
-    pub(crate) fn exceed_usual(&self, now: Instant) -> bool {
+    pub(crate) fn exceeds_usual(&self, now: Instant) -> bool {
         self.overall(now) > RequestRate::per_second(SPILLOVER_FACTOR * self.usual.or_zero())
     }
 
--- a/admission/src/admission/overload/arrival_rates/tests.rs
+++ b/admission/src/admission/overload/arrival_rates/tests.rs
@@ -33,14 +33,14 @@
 fn more_than_usual_arrives_after_a_rise_by_more_than_a_quarter() {
     let mut rates = after_arrivals(10, 40);
     rates.window_ended(Fraction::NONE, at(40.0));
-    assert!(!rates.exceed_usual(at(40.0)));
+    assert!(!rates.exceeds_usual(at(40.0)));
     add_arrivals(&mut rates, 40, 20, 5);
-    assert!(rates.exceed_usual(at(45.0)));
+    assert!(rates.exceeds_usual(at(45.0)));
 }
 
 #[test]
 fn a_window_with_many_rejections_is_not_usual() {
     let mut rates = after_arrivals(10, 40);
     rates.window_ended(Fraction::new(0.2), at(40.0));
-    assert!(rates.exceed_usual(at(40.0)), "nothing is usual yet");
+    assert!(rates.exceeds_usual(at(40.0)), "nothing is usual yet");
 }
--- a/admission/src/admission/overload/detector.rs
+++ b/admission/src/admission/overload/detector.rs
@@ -1,5 +1,7 @@
 //! When the server counts as overloaded, so that arrivals need a token: requests are queued and their mean latency is
 //! over target, or the dependency or the tier below has rejected a call lately (a penalty, as in the tuning post).
+//!
+//! Timeouts are no penalties: the design leaves that open.
 
 use crate::admission::constants::RATE_WINDOW;
 use crate::admission::context::Context;
@@ -8,7 +10,7 @@
 use crate::admission::time::Instant;
 
 /// One queued request is the next to run; more of them wait for others.
-const MAX_QUEUED_AT_EASE: usize = 1;
+const MAX_QUEUED_WITHOUT_OVERLOAD: usize = 1;
 
 /// Detects overload and remembers the last penalty.
 #[derive(Debug)]
@@ -45,7 +47,7 @@
         let waits_for_core =
             |request: &Request| request.is_queued() && !(calls_throttled && request.may_call);
         let queued = context.requests.count(waits_for_core);
-        queued > MAX_QUEUED_AT_EASE && latencies.exceeds_target(context, calls_throttled)
+        queued > MAX_QUEUED_WITHOUT_OVERLOAD && latencies.exceeds_target(context, calls_throttled)
     }
 }
 
--- a/admission/src/admission/overload/permitted_rate.rs
+++ b/admission/src/admission/overload/permitted_rate.rs
@@ -16,7 +16,7 @@
 const MIN_REMAINING: f64 = 0.5;
 /// A rise adds this fraction of the capacity of the cores: from half of it to all in about twenty seconds.
 const RISE: f64 = 0.05;
-/// The rate rises only if this many times the handled requests reach it.
+/// The rate rises only if this many times the handled requests reach it: half of it was used, as in the tuning post.
 const HANDLED_FACTOR: f64 = 2.0;
 
 /// What the decision at the end of a window depends on.
--- a/admission/src/admission/overload/token_bucket.rs
+++ b/admission/src/admission/overload/token_bucket.rs
@@ -1,16 +1,18 @@
 //! The token bucket that holds arrivals to the permitted rate under overload.
 //!
-//! A bucket holds one second of the permitted rate. Lower priorities find part of it reserved for higher ones, and
-//! the highest may borrow: what a full bucket serves first is what is worth most.
+//! The design asks for the bucket and leaves its depth open. It holds one second of the permitted rate. Lower
+//! priorities find part of it reserved for higher ones, and the highest may borrow a few tokens. Without overload no
+//! arrival is rejected, but each takes its token.
 
 use crate::admission::constants::MIN_SAMPLES;
 use crate::admission::quantities::{Fraction, RequestRate};
-use crate::admission::time::Instant;
+use crate::admission::time::{Instant, Span};
 
-/// The fraction of the bucket that is reserved from arrivals of the lowest priority.
+/// The fraction of the bucket that is reserved from arrivals of the lowest priority: under overload they get less than
+/// half of a burst.
 const RESERVE: f64 = 0.6;
-/// The time whose permitted requests a full bucket holds.
-const DEPTH_SECONDS: f64 = 1.0;
+/// The time whose permitted requests a full bucket holds: one burst of a second is served at once.
+const DEPTH: Span = Span::from_seconds(1.0);
 /// The smallest depth: below it no request would ever find a token.
 const MIN_DEPTH: f64 = 1.0;
 /// What an admitted request takes.
@@ -38,7 +40,7 @@
         now: Instant,
         overloaded: impl FnOnce() -> bool,
     ) -> bool {
-        let depth = (rate.value() * DEPTH_SECONDS).max(MIN_DEPTH);
+        let depth = (rate * DEPTH).max(MIN_DEPTH);
         self.tokens = (self.tokens + rate * (now - self.filled_at)).min(depth);
         self.filled_at = now;
         let max_debt = max_debt();
--- a/admission/src/admission/quantities.rs
+++ b/admission/src/admission/quantities.rs
@@ -1,4 +1,4 @@
-//! Fractions and rates.
+//! Fractions and rates: types over floating-point numbers, whose computations are those of the numbers.
 
 use std::ops::{Add, Mul};
 
--- a/admission/src/admission/read_overload.rs
+++ b/admission/src/admission/read_overload.rs
@@ -24,7 +24,7 @@
     /// Adds the gauges of a timer.
     pub(crate) fn update(&mut self, gauges: &Gauges, requests: &RequestTable) {
         let runnable = gauges.runnable.unwrap_or(0.0);
-        let running = requests.running() as f64;
+        let running = requests.running_count() as f64;
         let other = (runnable - running).max(0.0);
         self.other_work.add(other / runnable.max(1.0), SLOW_MEAN_WEIGHT);
     }
--- a/admission/src/admission/requests.rs
+++ b/admission/src/admission/requests.rs
@@ -1,7 +1,7 @@
 //! The life of a request, from its arrival to its final answer, and the key that outlives it.
 //!
-//! Every request is answered once. One that was queued and never ran is rejected, one that has started fails; its key
-//! is released with a rejection only.
+//! Every request is answered once. One that was queued and never ran is rejected, one that has started fails. A key is
+//! released only when its request ends without a run, so that no effect occurs twice.
 
 pub(crate) mod ended_attempts;
 pub(crate) mod idempotency_keys;
@@ -56,7 +56,7 @@
     }
 
     /// Everything has to be answered by this time.
-    pub(crate) fn answer_by(&mut self, stop_at: Instant) {
+    pub(crate) fn limit_deadlines(&mut self, stop_at: Instant) {
         for request in self.table.values_mut() {
             request.deadline = request.deadline.min(stop_at);
             request.objective_at = request.objective_at.min(request.deadline);
@@ -93,7 +93,7 @@
 
     /// The retry `id` takes the place of the queued attempt `replaced`, whose objective it keeps; both stay open for
     /// the moment. `replaced` loses its key.
-    pub(crate) fn take_place(&mut self, id: RequestId, replaced: RequestId) {
+    pub(crate) fn prepare_replacement(&mut self, id: RequestId, replaced: RequestId) {
         let objective_at = self.table.get(replaced).map(|request| request.objective_at);
         if let (Some(request), Some(objective_at)) = (self.table.get_mut(id), objective_at) {
             request.objective_at = request.objective_at.min(objective_at);
@@ -107,18 +107,18 @@
         replaced: RequestId,
         id: RequestId,
         advice: Advice,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
-        push_rejection(replaced, advice, out);
+        push_rejection(replaced, advice, actions);
         self.table.remove(replaced);
         self.ended_attempts.replaced(replaced, id);
     }
 
     /// The retry `id` waits for the outcome of the attempt that it names.
-    pub(crate) fn coalesce(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    pub(crate) fn coalesce(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         if let Some(request) = self.table.get_mut(id) {
             request.phase = Phase::Coalesced;
-            out.push(Action::Coalesce(id));
+            actions.push(Action::Coalesce(id));
         }
     }
 
@@ -128,38 +128,38 @@
         id: RequestId,
         settings: &Settings,
         now: Instant,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let Some(request) = self.table.get(id) else { return };
         let window = Span::from(settings.classes[request.class].window);
         let retention = self.keys.retain(id, window, request.deadline - now, now);
-        out.push(Action::RetainKey(id, retention.to_duration()));
+        actions.push(Action::RetainKey(id, retention.to_duration()));
     }
 
     /// Rejects a queued request and releases its key.
-    pub(crate) fn reject(&mut self, id: RequestId, advice: Advice, out: &mut Vec<Action>) {
-        push_rejection(id, advice, out);
-        self.remove_queued(id, out);
+    pub(crate) fn reject(&mut self, id: RequestId, advice: Advice, actions: &mut Vec<Action>) {
+        push_rejection(id, advice, actions);
+        self.remove_queued(id, actions);
     }
 
     /// Fails a request that has started; it is preempted where its effect may be repeated.
-    pub(crate) fn fail(&mut self, id: RequestId, settings: &Settings, out: &mut Vec<Action>) {
-        out.push(Action::Fail(id));
-        self.needs_no_answer(id, settings, out);
+    pub(crate) fn fail(&mut self, id: RequestId, settings: &Settings, actions: &mut Vec<Action>) {
+        actions.push(Action::Fail(id));
+        self.cancel(id, settings, actions);
     }
 
     /// A request needs no answer any more. A queued one ends; a run goes on unless it may be repeated and preempted.
-    pub(crate) fn needs_no_answer(&mut self, id: RequestId, settings: &Settings, out: &mut Vec<Action>) {
+    pub(crate) fn cancel(&mut self, id: RequestId, settings: &Settings, actions: &mut Vec<Action>) {
         let Some(request) = self.table.get_mut(id) else { return };
         request.answered = true;
         let is_idempotent = settings.classes[request.class].effect == Effect::Idempotent;
         let preemptible = is_idempotent && settings.preemption != Preemption::Off;
         match request.phase {
-            Phase::Queued => self.remove_queued(id, out),
+            Phase::Queued => self.remove_queued(id, actions),
             Phase::Coalesced => {
                 self.table.remove(id);
             }
-            Phase::Running(_) if preemptible => out.push(Action::Pause(id)),
+            Phase::Running(_) if preemptible => actions.push(Action::Pause(id)),
             Phase::Running(_) | Phase::AwaitingCall { .. } | Phase::Calling { .. } => {}
         }
     }
@@ -170,18 +170,18 @@
         self.table.remove(id);
     }
 
-    fn remove_queued(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    fn remove_queued(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         self.table.remove(id);
         self.ended_attempts.ended(id);
         if self.keys.release(id) {
-            out.push(Action::ReleaseKey(id));
+            actions.push(Action::ReleaseKey(id));
         }
     }
 }
 
 /// Rejects an attempt that has no place in the table, or loses it.
-pub(crate) fn push_rejection(id: RequestId, advice: Advice, out: &mut Vec<Action>) {
-    out.push(Action::Reject { id, retry_after: advice.retry_after, give_up: advice.give_up });
+pub(crate) fn push_rejection(id: RequestId, advice: Advice, actions: &mut Vec<Action>) {
+    actions.push(Action::Reject { id, retry_after: advice.retry_after, give_up: advice.give_up });
 }
 
 #[cfg(test)]
--- a/admission/src/admission/requests/idempotency_keys.rs
+++ b/admission/src/admission/requests/idempotency_keys.rs
@@ -1,4 +1,6 @@
 //! Which idempotency keys are retained, and until when: a retry within the window finds the run that it repeats.
+//!
+//! Keys count as memory, which bounds their number.
 
 use std::collections::BTreeMap;
 
--- a/admission/src/admission/requests/request.rs
+++ b/admission/src/admission/requests/request.rs
@@ -1,4 +1,5 @@
-//! An open request and the phase that it is in.
+//! An open request and the phase that it is in. A phase carries what is known only in it: when a run started, when a
+//! call was sent.
 
 use crate::admission::priority::Priority;
 use crate::admission::time::{Instant, Span};
--- a/admission/src/admission/requests/table.rs
+++ b/admission/src/admission/requests/table.rs
@@ -60,12 +60,12 @@
     }
 
     /// How many requests run on a core.
-    pub(crate) fn running(&self) -> usize {
+    pub(crate) fn running_count(&self) -> usize {
         self.count(Request::is_running)
     }
 
     /// How many requests wait at a call.
-    pub(crate) fn at_calls(&self) -> usize {
+    pub(crate) fn at_calls_count(&self) -> usize {
         self.count(Request::is_at_call)
     }
 
--- a/admission/src/admission/requests/tests.rs
+++ b/admission/src/admission/requests/tests.rs
@@ -42,7 +42,7 @@
 fn a_retry_that_takes_a_queued_attempts_place_keeps_the_earlier_objective() {
     let mut requests = with_request(queued());
     requests.table_mut().insert(RequestId(2), Request { objective_at: at(3.0), ..queued() });
-    requests.take_place(RequestId(2), RequestId(1));
+    requests.prepare_replacement(RequestId(2), RequestId(1));
     requests.reject_replaced(RequestId(1), RequestId(2), ADVICE, &mut Vec::new());
     assert_eq!(requests.table().get(RequestId(2)).map(|retry| retry.objective_at), Some(at(1.0)));
     let original = |effect| requests.original_of(Some(RequestId(1)), 0, &settings(effect));
@@ -53,7 +53,7 @@
 #[test]
 fn a_drain_brings_deadlines_and_objectives_forward() {
     let mut requests = with_request(queued());
-    requests.answer_by(at(0.5));
+    requests.limit_deadlines(at(0.5));
     let request = requests.table().get(RequestId(1)).expect("open");
     assert_eq!((request.deadline, request.objective_at), (at(0.5), at(0.5)));
 }
--- a/admission/src/admission/run_queue.rs
+++ b/admission/src/admission/run_queue.rs
@@ -1,10 +1,13 @@
 //! Which queued requests run next: the order of the queue, and how far the limits of concurrency, memory and calls
-//! let it move.
+//! let it move. Both are this module's own; the design leaves them open.
+//!
+//! No more requests run than the concurrency limit allows, and with those at calls no more than the server survives.
 
 use crate::admission::context::Context;
 use crate::admission::memory::{extra_memory_of_run, MemoryUse};
 use crate::admission::requests::request::Request;
-use crate::admission::requests::table::{Entry, RequestTable};
+use crate::admission::requests::table::RequestTable;
+use crate::admission::time::Instant;
 use crate::interface::RequestId;
 
 /// How many more requests may run.
@@ -17,24 +20,38 @@
     pub(crate) at_calls: usize,
 }
 
+/// What decides on the position of a queued request.
+struct QueuePosition {
+    id: RequestId,
+    tier: f64,
+    objective_at: Instant,
+}
+
 /// The queued requests in the order in which they run: the highest tier of priorities first, within a tier the
 /// earliest latency objective.
 pub(crate) fn queue_order(requests: &RequestTable) -> Vec<RequestId> {
-    let mut queue: Vec<Entry> = requests.iter().filter(|entry| entry.request.is_queued()).collect();
+    let mut queue: Vec<QueuePosition> = requests
+        .iter()
+        .filter(|entry| entry.request.is_queued())
+        .map(|entry| QueuePosition {
+            id: entry.id,
+            tier: entry.request.priority.scheduling_tier(),
+            objective_at: entry.request.objective_at,
+        })
+        .collect();
     queue.sort_by(|first, second| {
-        let first_tier = first.request.priority.scheduling_tier();
-        let second_tier = second.request.priority.scheduling_tier();
-        let by_objective = first.request.objective_at.total_cmp(second.request.objective_at);
-        second_tier.total_cmp(&first_tier).then(by_objective).then(first.id.cmp(&second.id))
+        let by_tier = second.tier.total_cmp(&first.tier);
+        let by_objective = first.objective_at.total_cmp(second.objective_at);
+        by_tier.then(by_objective).then(first.id.cmp(&second.id))
     });
-    queue.into_iter().map(|entry| entry.id).collect()
+    queue.into_iter().map(|position| position.id).collect()
 }
 
 /// The queued requests that start now, in order. What does not fit the memory or would call beyond the bound is passed
 /// over.
 pub(crate) fn runs_to_start(context: &Context, mut memory: MemoryUse, limits: &RunLimits) -> Vec<RequestId> {
-    let survivable_on_cores = limits.survivable - context.requests.at_calls() as f64;
-    let mut running = context.requests.running() as f64;
+    let survivable_on_cores = limits.survivable - context.requests.at_calls_count() as f64;
+    let mut running = context.requests.running_count() as f64;
     let mut starting = Vec::new();
     for id in queue_order(context.requests) {
         if running + 1.0 > limits.concurrency || running + 1.0 > survivable_on_cores {
--- a/admission/src/admission/stall.rs
+++ b/admission/src/admission/stall.rs
@@ -1,4 +1,6 @@
 //! Stall detection: a server on which no run ends for several mean run times reports bad health and queues nothing.
+//!
+//! It recovers with the first run that ends. The design leaves health answers to this module.
 
 use crate::admission::context::Context;
 use crate::admission::time::{Instant, Span};
@@ -26,7 +28,7 @@
     }
 
     /// A run or a part of one has ended, or there is none to wait for.
-    pub(crate) fn progress(&mut self, now: Instant) {
+    pub(crate) fn record_progress(&mut self, now: Instant) {
         self.progress_at = now;
     }
 
--- a/admission/src/admission/stall/tests.rs
+++ b/admission/src/admission/stall/tests.rs
@@ -16,7 +16,7 @@
     assert!(!stall.update(&state.context(4.0), true));
     assert!(stall.update(&state.context(4.5), true) && stall.is_stalled());
     assert!(!stall.update(&state.context(4.6), true), "no change");
-    stall.progress(at(4.7));
+    stall.record_progress(at(4.7));
     assert!(stall.update(&state.context(4.8), true) && !stall.is_stalled());
 }
 
--- a/admission/src/admission/tests/fixtures.rs
+++ b/admission/src/admission/tests/fixtures.rs
@@ -81,7 +81,7 @@
 
     /// Lets the first class's runs take this time.
     pub(crate) fn learn_work(&mut self, work: f64) {
-        self.estimates.run_ended(&running(), seconds(work));
+        self.estimates.record_run(&running(), seconds(work));
     }
 
     /// What a decision at this time reads, in seconds after the requests arrive.
--- a/admission/src/admission/timer_watch.rs
+++ b/admission/src/admission/timer_watch.rs
@@ -1,4 +1,5 @@
-//! Watches when timers come: how late they may be, and whether the estimates are stale because none came for long.
+//! Watches when timers come: how late they may be, and whether the estimates are stale because none came for long (the
+//! process was suspended, or its machine).
 
 use crate::admission::constants::{RATE_WINDOW, TIMER_PERIOD};
 use crate::admission::time::{Instant, Span};
@@ -20,7 +21,7 @@
     }
 
     /// A timer has come; returns whether the one before was so long ago that estimates are stale.
-    pub(crate) fn timer_came(&mut self, now: Instant) -> bool {
+    pub(crate) fn record_timer(&mut self, now: Instant) -> bool {
         let since_last = now - self.last_at;
         self.longest_delay = self.longest_delay.max(since_last - TIMER_PERIOD);
         self.last_at = now;
