--- a/fault-harness/src/play.rs
+++ b/fault-harness/src/play.rs
@@ -93,7 +93,7 @@
     if let Some(vrrp) = &fleet.vrrp {
         testbed.connect_router(vrrp.interval_ms).await?;
     }
-    if fleet.peers.as_ref().is_some_and(|peers| peers.on) {
+    if fleet.peers.as_ref().is_some_and(|peers| peers.enabled) {
         testbed.connect_peers().await?;
     }
     for machine in &testbed.machines {
@@ -123,14 +123,14 @@
     for position in order {
         let request = &requests[position];
         context.clock.until(context.begun.get() + request.at).await;
-        spawn_local(testbed.frontends[request.front].clone().client(position));
+        spawn_local(testbed.frontends[request.frontend].clone().client(position));
     }
 }
 
 /// Ends all programs; faults that still wait do not strike.
 fn stop(testbed: &Testbed) {
     testbed.context.deafen();
-    testbed.pending_strikes.borrow_mut().clear();
+    testbed.pending_injections.borrow_mut().clear();
     for machine in &testbed.machines {
         machine.end(Ending::Over);
     }
--- a/fault-harness/src/play/links.rs
+++ b/fault-harness/src/play/links.rs
@@ -11,8 +11,9 @@
 use tokio::task::spawn_local;
 
 use super::testbed::Testbed;
+use crate::loopback::{self, MAX_NETWORKS};
 use crate::relay::{Direction, Line};
-use crate::schedule::{generator, Stream};
+use crate::schedule::{generator, RandomStream};
 use crate::settings;
 
 /// Lines among nodes have numbers from here on, which decide their random numbers.
@@ -36,15 +37,15 @@
 
 impl Testbed {
     /// An address that belongs to this play and this node alone: a port that is free there stays free.
-    fn unique_address(&self, node: usize) -> Ipv4Addr {
-        let of_process = 100 + (std::process::id() % 150) as u8;
-        Ipv4Addr::new(127, of_process, (self.context.number % 250) as u8, node as u8 + 1)
+    fn unique_address(&self, node: usize) -> io::Result<Ipv4Addr> {
+        let network = (self.context.number % MAX_NETWORKS) as u8;
+        Ok(loopback::process_block()?.address(network, node as u8 + 1))
     }
 
     /// A line from one node to another, with random numbers of its own.
     fn line_between(&self, from: usize, to: usize) -> Line {
         let number = (FIRST_PEER_LINE + from * self.machines.len() + to) as u64;
-        Line::new(self.context.clock, generator(self.context.seed, Stream::Links, number))
+        Line::new(self.context.clock, generator(self.context.seed, RandomStream::Links, number))
     }
 
     /// Joins all nodes to one virtual router, each pair by a line in each direction.
@@ -52,7 +53,7 @@
         let count = self.machines.len();
         let mut listen_addresses = Vec::new();
         for node in 0..count {
-            let socket = UdpSocket::bind((self.unique_address(node), 0)).await?;
+            let socket = UdpSocket::bind((self.unique_address(node)?, 0)).await?;
             listen_addresses.push(socket.local_addr()?);
         }
         let stand_ins = bind_stand_ins(count).await?;
@@ -81,7 +82,7 @@
         let count = self.machines.len();
         let mut listen_addresses = Vec::new();
         for node in 0..count {
-            let listener = TcpListener::bind((self.unique_address(node), 0)).await?;
+            let listener = TcpListener::bind((self.unique_address(node)?, 0)).await?;
             listen_addresses.push(listener.local_addr()?);
         }
         let mut lines = LinesByPair::new();
@@ -107,7 +108,7 @@
     /// The membership configuration that a node starts with, and its version.
     fn initial_membership(&self, node: usize) -> (u64, Vec<usize>) {
         let count = self.machines.len();
-        let later = self.context.scenario.fleet.peers.as_ref().map_or(0, |peers| peers.later);
+        let later = self.context.scenario.fleet.peers.as_ref().map_or(0, |peers| peers.joining_nodes);
         if node < count - later {
             (1, (0..count - later).collect())
         } else {
--- /dev/null
+++ b/fault-harness/tests/old_form.rs
@@ -0,0 +1,197 @@
+//! Scenarios and histories in their first form are still read, and mean what they meant. The files in
+//! `fixtures/old-form` were written for, or by, a build that knew no other form; the figures are that build's.
+
+use std::path::{Path, PathBuf};
+
+use oakwind_fault_harness::check::{check, Rule, Verdict};
+use oakwind_fault_harness::history::History;
+use oakwind_fault_harness::predict::predict;
+use oakwind_fault_harness::scenario::Scenario;
+use oakwind_fault_harness::statistics::{statistics, Statistics};
+
+fn fixture(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/old-form").join(name)
+}
+
+fn present_form(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/present-form").join(name)
+}
+
+fn history(name: &str) -> History {
+    History::read(&fixture(name)).unwrap()
+}
+
+/// How often each rule is broken.
+fn counts(verdict: &Verdict) -> Vec<(Rule, usize)> {
+    verdict.by_rule().into_iter().collect()
+}
+
+/// The fractions of requests served in time, served late, rejected and failed.
+fn fractions(figures: &Statistics) -> [f64; 4] {
+    let outcomes = figures.outcomes;
+    [outcomes.in_time, outcomes.late, outcomes.rejected, outcomes.failed]
+}
+
+/// Connections a second: in the mean, at most, and at most with one node.
+fn connection_rates(figures: &Statistics) -> [f64; 3] {
+    let connections = figures.connections;
+    [connections.mean, connections.busiest_second, connections.busiest_node]
+}
+
+/// The most memory in KB and the most descriptors.
+fn peak_use(figures: &Statistics) -> [u64; 2] {
+    [figures.peak_use.memory_kb, figures.peak_use.descriptors]
+}
+
+#[test]
+fn a_scenario_in_the_old_form_is_read_with_every_key() {
+    let scenario = Scenario::read(&fixture("scenario.toml"), &[]).unwrap();
+    assert_eq!(scenario.faults.len(), 17);
+    let figures = statistics(&predict(&scenario, None));
+    assert_eq!((figures.requests, figures.served, figures.p99_ms), (9235, 0.9843458231221709, 451.839));
+    assert_eq!(figures.attempts_per_request, 1.4123443421765025);
+}
+
+#[test]
+fn a_scenario_means_the_same_in_both_forms() {
+    let old = Scenario::read(&fixture("scenario.toml"), &[]).unwrap();
+    let present = Scenario::read(&present_form("scenario.toml"), &[]).unwrap();
+    assert_eq!(old, present);
+}
+
+/// A key in its old and its present form, and a value that the fixtures do not have.
+const OVERRIDES: [(&str, &str, &str); 14] = [
+    ("about", "description", "'other'"),
+    ("fleet.peers.copies", "fleet.peers.replicas", "3"),
+    ("class.0.aim_ms", "class.0.latency_objective_ms", "300"),
+    ("class.1.worth", "class.1.weight", "3.5"),
+    ("class.1.window_ms", "class.1.idempotency_window_ms", "7000"),
+    ("load.repeats", "load.repeat_fraction", "0.1"),
+    ("load.step.0.times", "load.step.0.rate_factor", "1.1"),
+    ("fronts.heed", "frontends.retry_after_honoured", "0.9"),
+    ("fronts.count", "frontends.count", "6"),
+    ("below.slots", "dependency.slots", "7"),
+    ("members.lapse_s", "registry.heartbeat_timeout_s", "4.0"),
+    ("rules.once", "rules.run_once_per", "node"),
+    ("fault.0.part", "fault.0.fraction", "0.6"),
+    ("fault.8.traffic.cut", "fault.8.traffic.disconnect", "false"),
+];
+
+#[test]
+fn an_override_in_either_form_replaces_the_value_of_a_file_in_either_form() {
+    for (old_key, present_key, value) in OVERRIDES {
+        let read = |path: &Path, key: &str| Scenario::read(path, &[(key.into(), value.into())]).unwrap();
+        let expected = read(&present_form("scenario.toml"), present_key);
+        assert_ne!(expected, Scenario::read(&present_form("scenario.toml"), &[]).unwrap(), "{present_key}");
+        assert_eq!(read(&present_form("scenario.toml"), old_key), expected, "{old_key}");
+        assert_eq!(read(&fixture("scenario.toml"), old_key), expected, "{old_key} in an old file");
+        assert_eq!(read(&fixture("scenario.toml"), present_key), expected, "{present_key} in an old file");
+    }
+}
+
+#[test]
+fn of_two_overrides_in_two_forms_the_later_one_counts() {
+    let changes = [("fronts.count".into(), "6".into()), ("frontends.count".into(), "7".into())];
+    for path in [fixture("scenario.toml"), present_form("scenario.toml")] {
+        assert_eq!(Scenario::read(&path, &changes).unwrap().frontends.count, 7);
+    }
+}
+
+#[test]
+fn a_tenant_whose_name_was_once_a_key_keeps_its_name() {
+    let changes = [("load.tenants.below".into(), "0.3".into())];
+    let scenario = Scenario::read(&present_form("scenario.toml"), &changes).unwrap();
+    assert_eq!(scenario.load.tenants["below"], 0.3);
+}
+
+#[test]
+fn a_file_with_one_key_in_both_forms_is_turned_down_with_the_name_of_the_key() {
+    let text = std::fs::read_to_string(present_form("scenario.toml")).unwrap();
+    let both = text.replace("probe_ms = 300", "probe_ms = 300\ncopies = 2");
+    let message = Scenario::parse(&both, &[]).unwrap_err().join("\n");
+    assert!(
+        message.starts_with("fleet.peers") && message.contains("duplicate field `replicas`"),
+        "{message}"
+    );
+}
+
+#[test]
+fn a_recorded_play_in_the_old_form_has_the_verdict_and_the_statistics_that_it_had() {
+    let history = history("history.jsonl");
+    assert_eq!(history.observations.len(), 1622);
+    let verdict = check(&history);
+    assert_eq!(counts(&verdict), []);
+    assert_eq!((verdict.written, verdict.excused, verdict.duplicate_runs_in_fleet), (361, 4, 0));
+    let figures = statistics(&history);
+    assert_eq!(
+        (figures.requests, figures.served, figures.worst_stretch),
+        (195, 0.5051666666666667, 0.5051666666666667)
+    );
+    assert_eq!(
+        fractions(&figures),
+        [0.49230769230769234, 0.11282051282051282, 0.3487179487179487, 0.046153846153846156]
+    );
+    assert_eq!((figures.throughput, figures.median_ms, figures.p99_ms), (23.6, 64.255, 426.751));
+    assert_eq!(
+        (figures.attempts_per_request, connection_rates(&figures)),
+        (1.8512820512820514, [3.8, 10.0, 4.0])
+    );
+    assert_eq!((peak_use(&figures), figures.cpu_us_per_attempt), ([7420, 27], 969.5290858725762));
+    let recovery = figures.recovery.unwrap();
+    assert_eq!(
+        (recovery.before, recovery.from_start, recovery.least),
+        (0.9893939393939394, None, 0.3114854517611026)
+    );
+    let faults: Vec<&str> = figures.bands.iter().map(|band| band.text.as_str()).collect();
+    assert_eq!(faults, ["kill n1", "link n2", "link n3", "fronts 1", "stop n2", "below", "leave n3"]);
+}
+
+#[test]
+fn every_event_in_the_old_form_counts_as_it_did() {
+    let history = history("every-event.jsonl");
+    assert_eq!(history.observations.len(), 87);
+    let verdict = check(&history);
+    let expected = [
+        (Rule::Unanswered, 2),
+        (Rule::DuplicateAnswer, 1),
+        (Rule::DuplicateRun, 4),
+        (Rule::RejectedAndRan, 2),
+        (Rule::ForeignResult, 1),
+        (Rule::Corrupted, 1),
+        (Rule::LimitExceeded, 4),
+        (Rule::Crashed, 1),
+        (Rule::DualActive, 1),
+    ];
+    assert_eq!(counts(&verdict), expected);
+    let times: Vec<f64> = verdict.breaches.iter().map(|breach| breach.at).collect();
+    assert_eq!(
+        times,
+        [
+            325.0, 400.0, 412.5, 550.0, 562.5, 587.5, 637.5, 650.0, 800.0, 800.0, 812.5, 887.5, 925.0, 987.5,
+            1050.0, 1150.0, 29_000.0
+        ]
+    );
+    assert_eq!((verdict.written, verdict.excused, verdict.duplicate_runs_in_fleet), (10, 0, 5));
+    let figures = statistics(&history);
+    assert_eq!((figures.requests, figures.served, fractions(&figures)), (5, 0.3, [0.4, 0.0, 0.2, 0.4]));
+    assert_eq!((figures.median_ms, figures.p99_ms, figures.attempts_per_request), (312.575, 425.215, 2.0));
+    assert_eq!((peak_use(&figures), figures.cpu_us_per_attempt), ([4000, 120], 700.0));
+}
+
+#[test]
+fn a_history_in_the_old_form_is_written_in_the_present_one_and_means_the_same() {
+    for name in ["history.jsonl", "every-event.jsonl"] {
+        let old = history(name);
+        let copy = std::env::temp_dir().join(format!("oakwind-present-{}-{name}", std::process::id()));
+        old.write(&copy).unwrap();
+        let text = std::fs::read_to_string(&copy).unwrap();
+        let present = History::read(&copy).unwrap();
+        std::fs::remove_file(&copy).unwrap();
+        assert!(present == old, "{name}");
+        for former in
+            ["\"e\":", "\"t\":", "\"txn\":", "\"n\":", "\"wrote\"", "\"due\":", "\"refused\"", "\"aim\":"]
+        {
+            assert!(!text.contains(former), "{name} still has {former}");
+        }
+    }
+}
--- a/fleet/src/active_configs.rs
+++ b/fleet/src/membership/active_configs.rs
@@ -9,7 +9,7 @@
 use thiserror::Error;
 
 use crate::ids::{ConfigVersion, NodeId};
-use crate::membership_config::{ConfigError, MembershipConfig};
+use crate::membership::config::{ConfigError, MembershipConfig};
 use crate::message::ConfigSignature;
 use crate::{Time, LATE_READ_GRACE};
 
@@ -161,7 +161,8 @@
     ///
     /// Returns why it can't be adopted.
     pub fn propose(&mut self, config: Arc<MembershipConfig>) -> Result<Proposal, ProposalError> {
-        let (version, newest) = (config.version(), self.newest().version());
+        let version = config.version();
+        let newest = self.newest().version();
         if version < newest {
             return Err(ProposalError::Outdated { proposed: version, newest });
         }
--- a/fleet/src/replica_node.rs
+++ b/fleet/src/replica_node.rs
@@ -17,17 +17,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::active_configs::ActiveConfigs;
-use crate::claim_coordinator::ClaimCoordinator;
-use crate::donor::Donor;
-use crate::failure_detector::{FailureDetector, LivenessCounts, Outbound};
+use crate::claims::coordinator::ClaimCoordinator;
+use crate::envelope::{ReceivedMessage, Response};
 use crate::ids::{Incarnation, LinkId, NodeId};
-use crate::membership_config::MembershipConfig;
+use crate::membership::active_configs::ActiveConfigs;
+use crate::membership::config::MembershipConfig;
+use crate::membership::failure_detector::{FailureDetector, LivenessCounts, Outbound};
 use crate::message::{Hello, Liveness, Message};
-use crate::recovery_stages::{Conditions, RecoveryStages, Stage};
-use crate::replica_table::ReplicaTable;
-use crate::staleness::{StalenessTracker, StatePosition};
-use crate::state_transfer::StateTransfer;
+use crate::recovery::donor::Donor;
+use crate::recovery::stages::{Conditions, RecoveryStages, Stage};
+use crate::recovery::staleness::{StalenessTracker, StatePosition};
+use crate::recovery::state_transfer::StateTransfer;
+use crate::replication::replica_table::ReplicaTable;
 use crate::Time;
 
 pub use event::{Action, Event, RestoredState, Settings, StoreSequence};
@@ -89,7 +90,7 @@
     loopback: VecDeque<Message>,
     last_sequence: StoreSequence,
     /// Responses that are sent once a change is stored.
-    awaiting_store: BTreeMap<StoreSequence, Vec<(LinkId, Message)>>,
+    awaiting_store: BTreeMap<StoreSequence, Vec<Response>>,
     /// Peers with a configuration that conflicts with an active one.
     conflicting_peers: BTreeSet<NodeId>,
     metrics: ReplicaMetrics,
@@ -236,7 +237,13 @@
         }
         self.handle_event(now, event, out);
         while let Some(message) = self.loopback.pop_front() {
-            self.handle_message(now, LinkId::LOOPBACK, self.id, self.incarnation, message, out);
+            let received = ReceivedMessage {
+                link: LinkId::LOOPBACK,
+                from: self.id,
+                incarnation: self.incarnation,
+                message,
+            };
+            self.handle_message(now, received, out);
         }
     }
 
@@ -249,9 +256,7 @@
             Event::RunCancelled(attempt) => {
                 self.with_claims(out, |claims, actions| claims.release(attempt, actions));
             }
-            Event::MessageReceived { link, from, incarnation, message } => {
-                self.handle_message(now, link, from, incarnation, message, out);
-            }
+            Event::MessageReceived(received) => self.handle_message(now, received, out),
             Event::PeerUnreachable(node) => {
                 self.with_claims(out, |claims, actions| claims.handle_unreachable(now, node, actions));
                 self.with_failure_detector(out, |detector, outbound| {
--- a/node/src/commands/tables.rs
+++ b/node/src/commands/tables.rs
@@ -2,18 +2,22 @@
 
 use std::iter;
 
-use oakwind_fleet::audit::{DuplicateRun, JournalSummary, Report, Straggler, VersionUse};
-use oakwind_fleet::decision_record::{Decision, Record};
+use oakwind_fleet::audit::decision_record::{Decision, Record};
+use oakwind_fleet::audit::{DuplicateRun, JournalSummary, NodeRecord, Report, Straggler, VersionUse};
 
 /// What stands in a cell without a value.
 const NO_VALUE: &str = "-";
 /// Between two columns.
 const COLUMN_GAP: &str = "  ";
 
-const NODE_HEADINGS: [&str; 6] =
+const NODE_COLUMNS: usize = 6;
+const NODE_HEADINGS: [&str; NODE_COLUMNS] =
     ["node", "records", "from, to (Unix ms)", "dropped", "ended without a word", "chain"];
-const VERSION_HEADINGS: [&str; 7] = ["version", "id", "first used", "by", "nodes", "decisions", "replaced"];
-const ATTEMPT_HEADINGS: [&str; 9] =
+const VERSION_COLUMNS: usize = 7;
+const VERSION_HEADINGS: [&str; VERSION_COLUMNS] =
+    ["version", "id", "first used", "by", "nodes", "decisions", "replaced"];
+const ATTEMPT_COLUMNS: usize = 9;
+const ATTEMPT_HEADINGS: [&str; ATTEMPT_COLUMNS] =
     ["at (Unix ms)", "node", "did", "txn", "key", "class", "settings", "list", "program"];
 
 /// An audit's report: a table of nodes, a table of versions, and a line for each finding.
@@ -35,8 +39,8 @@
     text + "\n"
 }
 
-fn node_row(node: &JournalSummary) -> [String; 6] {
-    let span = node.span.map(|(from, until)| format!("{from} to {until}"));
+fn node_row(node: &JournalSummary) -> [String; NODE_COLUMNS] {
+    let span = node.span.map(|span| format!("{} to {}", span.first, span.last));
     let chain = if node.breaks.is_empty() { "whole".into() } else { node.breaks.join("; ") };
     [
         node.node.clone(),
@@ -48,13 +52,14 @@
     ]
 }
 
-fn version_row(version: &VersionUse) -> [String; 7] {
-    let replaced = version.replaced.as_ref().map(|(at, by)| format!("{at} by {by}"));
+fn version_row(version: &VersionUse) -> [String; VERSION_COLUMNS] {
+    let replaced =
+        version.replaced.as_ref().map(|replacement| format!("{} by {}", replacement.at, replacement.id));
     [
         version.kind.to_string().to_lowercase(),
         version.id.clone(),
-        version.first.0.to_string(),
-        version.first.1.clone(),
+        version.first.at.to_string(),
+        version.first.node.clone(),
         version.nodes.len().to_string(),
         version.decisions.to_string(),
         replaced.unwrap_or_else(|| NO_VALUE.into()),
@@ -80,12 +85,13 @@
 }
 
 /// What the nodes did with an attempt or a key, a row for each decision.
-pub(super) fn explanation(records: &[(&str, &Record)]) -> String {
-    table(&ATTEMPT_HEADINGS, records.iter().filter_map(|(node, record)| attempt_row(node, record)))
+pub(super) fn explanation(records: &[NodeRecord<'_>]) -> String {
+    table(&ATTEMPT_HEADINGS, records.iter().filter_map(attempt_row))
 }
 
 /// The row of a decision; none if the record is no decision.
-fn attempt_row(node: &str, record: &Record) -> Option<[String; 9]> {
+fn attempt_row(found: &NodeRecord<'_>) -> Option<[String; ATTEMPT_COLUMNS]> {
+    let NodeRecord { node, record } = *found;
     let Record::Attempt { at, decision, txn, key, class, versions } = record else { return None };
     let has_membership = versions.config.0 != 0;
     let membership = if has_membership { versions.config.to_string() } else { NO_VALUE.into() };
--- a/node/src/dispatcher/actions.rs
+++ b/node/src/dispatcher/actions.rs
@@ -4,8 +4,8 @@
 
 use oakwind_admission::{Action, Event, RequestId};
 
-use super::attempts::Phase;
-use super::{Dispatcher, TIMEOUT_MARGIN};
+use super::attempts::{Phase, TIMEOUT_MARGIN};
+use super::Dispatcher;
 use crate::clock::UnixTime;
 use crate::exchange::RunCommand;
 use crate::log;
@@ -92,7 +92,7 @@
 
     fn set_health(&mut self, healthy: bool) {
         if self.status().health != Some(healthy) {
-            log!("health is {}", if healthy { "good" } else { "bad" });
+            log!("dispatcher: health changed: healthy={healthy}");
         }
         self.update_status(|status| status.health = Some(healthy));
     }
--- a/node/src/exchange.rs
+++ b/node/src/exchange.rs
@@ -10,7 +10,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-use oakwind_settings::Parsed;
+use oakwind_settings::NamedSettings;
 use tokio::sync::{mpsc, watch};
 
 use crate::clock::UnixTime;
@@ -18,7 +18,7 @@
 pub(crate) use crate::outcome::{Completion, RequestOutcome};
 pub(crate) use command::{CallCommand, RunCommand};
 pub(crate) use event::{BackendEvent, CallOutcome, DispatcherEvent, HandoverState};
-pub(crate) use request::{Request, Responder, Submission, SubmissionId, TransactionId};
+pub(crate) use request::{Answer, Request, RequestTag, Responder, Submission, SubmissionId, TransactionId};
 pub(crate) use status::{NodeStatus, Shutdown};
 
 /// Events that may wait for the dispatcher. Who has more to report waits with them.
@@ -128,13 +128,13 @@
     }
 
     /// Other settings apply from now on. They must follow the present ones, and `digest` names them in decision records.
-    pub(crate) async fn reconfigure(&self, settings: Parsed, digest: String) {
+    pub(crate) async fn reconfigure(&self, settings: NamedSettings, digest: String) {
         self.send(DispatcherEvent::Reconfigure { settings: Box::new(settings), digest }).await;
     }
 
     /// A successor process takes over. `updates` gets the whole state at first, then every change of it.
-    pub(crate) async fn hand_over(&self, updates: mpsc::Sender<HandoverState>) {
-        self.send(DispatcherEvent::HandOver(updates)).await;
+    pub(crate) async fn begin_handover(&self, updates: mpsc::Sender<HandoverState>) {
+        self.send(DispatcherEvent::BeginHandover(updates)).await;
     }
 
     /// The successor process has ended.
--- a/node/src/exchange/event.rs
+++ b/node/src/exchange/event.rs
@@ -1,7 +1,7 @@
 //! Events for the dispatcher: from frontends, backends, operators and the link to another process of this node.
 
 use bytes::Bytes;
-use oakwind_settings::Parsed;
+use oakwind_settings::NamedSettings;
 use tokio::sync::mpsc;
 
 use super::request::{Submission, SubmissionId, TransactionId};
@@ -26,12 +26,12 @@
     /// Other settings apply from now on.
     Reconfigure {
         /// The settings, which follow the present ones.
-        settings: Box<Parsed>,
+        settings: Box<NamedSettings>,
         /// Their digest in decision records.
         digest: String,
     },
     /// A successor process takes over; the state of this one is sent to it here.
-    HandOver(mpsc::Sender<HandoverState>),
+    BeginHandover(mpsc::Sender<HandoverState>),
     /// The successor process has ended.
     SuccessorLost,
     /// The predecessor's state, or a change of it.
@@ -58,7 +58,12 @@
         cold: bool,
     },
     /// A run has ended.
-    Ended(TransactionId, Completion),
+    RunEnded {
+        /// The attempt that ran.
+        txn: TransactionId,
+        /// How it ended.
+        completion: Completion,
+    },
     /// A run waits for a call.
     CallNeeded {
         /// The attempt that runs.
@@ -67,7 +72,12 @@
         body: Bytes,
     },
     /// The call of a run has ended.
-    CallEnded(TransactionId, CallOutcome),
+    CallEnded {
+        /// The attempt that runs.
+        txn: TransactionId,
+        /// How the call ended.
+        outcome: CallOutcome,
+    },
     /// The gauges, in the order of the settings.
     Gauges(Vec<f64>),
 }
--- a/node/src/peers/vote_store.rs
+++ b/node/src/peers/vote_store.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use oakwind_fleet::message::ReplicaRecord;
 use oakwind_fleet::replica_node::RestoredState;
-use oakwind_fleet::replica_table::StoredRecord;
+use oakwind_fleet::replication::replica_table::StoredRecord;
 use oakwind_fleet::LATE_READ_GRACE;
 
 use super::completeness_marker::CompletenessMarker;
@@ -61,8 +61,8 @@
     loop {
         match open(config) {
             Ok(opened) => return opened,
-            Err(e) if clock::now() >= give_up_at => {
-                log!("fleet: vote store not opened: {e}");
+            Err(error) if clock::now() >= give_up_at => {
+                log!("fleet: vote store not opened: error={error}");
                 return None;
             }
             Err(_) => clock::until(clock::now() + OPEN_RETRY_INTERVAL).await,
--- a/node/src/result_store/recovery/tests.rs
+++ b/node/src/result_store/recovery/tests.rs
@@ -55,7 +55,7 @@
 fn recovered(segments: &[BytesMut], now: UnixTime) -> RecoveredState {
     let segments =
         (1..).zip(segments).map(|(number, bytes)| Segment { number, bytes: bytes.clone().freeze() });
-    recover(SEED, segments, LIMITS, MAX_WINDOW, now).1
+    recover(SEED, segments, LIMITS, MAX_WINDOW, now).state
 }
 
 fn state_of<'a>(recovered: &'a RecoveredState, key: &[u8]) -> Option<&'a RunState> {
@@ -73,9 +73,12 @@
     assert!(!state.uncertain_keys.contains(b"other", at(108)));
 }
 
+/// Whether damage hits a range of bytes in a segment.
+type DamagePredicate<'a> = dyn Fn(usize, &Range<usize>) -> bool + 'a;
+
 /// Which bytes are damaged, and whether that shows.
 struct Damaged<'a> {
-    hits: &'a dyn Fn(usize, &Range<usize>) -> bool,
+    hits: &'a DamagePredicate<'a>,
     is_detectable: bool,
     description: String,
 }
--- a/node/src/result_store/segment.rs
+++ b/node/src/result_store/segment.rs
@@ -7,6 +7,7 @@
 
 use super::record::{Record, RecordHeader, HEADER_BYTES, RECORD_MAGIC};
 use crate::clock::{millis, UnixTime};
+use crate::hexadecimal;
 use crate::outcome::digest;
 
 /// Bytes of a segment before its first record.
@@ -71,25 +72,31 @@
     let mut items = Vec::new();
     let mut position = 0;
     while position < bytes.len() {
-        let (item, len) = scan_item(seed, &bytes.slice(position..));
-        items.push(item);
-        position += len;
+        let scanned = scan_item(seed, &bytes.slice(position..));
+        items.push(scanned.item);
+        position += scanned.len;
     }
     items
 }
 
-/// What the bytes begin with, and how many of them it takes.
-fn scan_item(seed: u64, bytes: &Bytes) -> (ScanItem, usize) {
+/// An item of a scan and how many bytes it takes.
+struct Scanned {
+    item: ScanItem,
+    len: usize,
+}
+
+/// What the bytes begin with.
+fn scan_item(seed: u64, bytes: &Bytes) -> Scanned {
     let Some(header) = RecordHeader::decode(seed, bytes) else {
         let len = next_header(seed, bytes, 1);
-        return (ScanItem::Unrecognized(len), len);
+        return Scanned { item: ScanItem::Unrecognized(len), len };
     };
     if let Some(record) = header.decode_payload(seed, bytes) {
-        return (ScanItem::Intact(record), header.record_len());
+        return Scanned { item: ScanItem::Intact(record), len: header.record_len() };
     }
     // The payload may have been cut off anywhere, so the next record can begin right behind the header.
     let len = next_header(seed, bytes, HEADER_BYTES);
-    (ScanItem::DamagedPayload(header), len)
+    Scanned { item: ScanItem::DamagedPayload(header), len }
 }
 
 /// The offset of the first intact record header at or behind `from`, or the end of the bytes.
@@ -109,7 +116,7 @@
 /// The number of the segment that a file name stands for, if it is one.
 pub(crate) fn segment_number(file_name: &str) -> Option<u64> {
     let digits = file_name.strip_prefix(FILE_PREFIX)?.strip_suffix(FILE_SUFFIX)?;
-    u64::from_str_radix(digits, 16).ok()
+    hexadecimal::parse(digits)
 }
 
 #[cfg(test)]
--- a/node/src/run_gate.rs
+++ b/node/src/run_gate.rs
@@ -6,41 +6,25 @@
 //! at once.
 
 mod event;
+mod keyed_run;
 mod pending;
 
-use std::rc::Rc;
-
 use bytes::Bytes;
 use oakwind_admission::RequestId;
-use oakwind_fleet::claim_coordinator::ClaimOutcome;
+use oakwind_fleet::claims::coordinator::ClaimOutcome;
 use oakwind_fleet::ids::ConfigVersion;
-use oakwind_fleet::key_state::RunResult;
+use oakwind_fleet::replication::key_state::RunResult;
 
 use crate::clock::UnixTime;
-use crate::exchange::Request;
 use crate::metrics::Metrics;
-use crate::outcome::{BodyDigest, Completion, IdempotencyKey, StoredOutcome};
-use crate::peers::{ClaimParameters, Peers};
+use crate::outcome::{Completion, StoredOutcome};
+use crate::peers::{ClaimParameters, ClaimResponse, Peers};
 use crate::result_store::record::{Record, RecordState};
 use crate::result_store::{ResultStore, StoreEvent};
 pub(crate) use event::{Authorization, GateEvent};
+pub(crate) use keyed_run::KeyedRun;
 use pending::{PendingRun, PendingRuns, Vote};
 
-/// The run of an attempt that holds a key.
-#[derive(Debug, Clone)]
-pub(crate) struct KeyedRun {
-    /// The attempt.
-    pub(crate) id: RequestId,
-    /// Its request; none where another process of this node had it.
-    pub(crate) request: Option<Rc<Request>>,
-    /// Its key.
-    pub(crate) key: IdempotencyKey,
-    /// Digest of its body.
-    pub(crate) body_digest: BodyDigest,
-    /// When the key expires.
-    pub(crate) expires_at: UnixTime,
-}
-
 /// Everything that keeps keys beyond the process, if anything does.
 #[derive(Default)]
 pub(crate) struct RunGate {
@@ -60,11 +44,11 @@
     pub(crate) fn register_metrics(&self, metrics: &Metrics) {
         if let Some(store) = &self.store {
             let store = store.metrics.clone();
-            metrics.register(Box::new(move || store.values()));
+            metrics.register(move || store.values());
         }
         if let Some(peers) = &self.peers {
             let peers = peers.metrics.clone();
-            metrics.register(Box::new(move || peers.values()));
+            metrics.register(move || peers.values());
         }
     }
 
@@ -83,9 +67,10 @@
         self.store.as_ref().is_some_and(|store| store.uncertain_keys.contains(key, now))
     }
 
-    /// Takes over from another process of this node, once that releases the store. With `recover`, what it left there
-    /// is reported as [`GateEvent::Recovered`]; otherwise it has been transferred by other means.
-    pub(crate) fn take_over(&mut self, recover: bool) {
+    /// Acquires the store and the place in the fleet from another process of this node, once that releases them. With
+    /// `recover`, what it left there is reported as [`GateEvent::Recovered`]; otherwise it has been transferred by other
+    /// means.
+    pub(crate) fn acquire_stores(&mut self, recover: bool) {
         if let Some(store) = &mut self.store {
             store.open_after_predecessor(recover);
         }
@@ -103,8 +88,8 @@
         }
     }
 
-    /// Leaves the store and the peers to the successor process. These runs may still start here.
-    pub(crate) fn hand_over(&mut self, runs: &[KeyedRun]) {
+    /// Releases the store and the place in the fleet to the successor process. These runs may still start here.
+    pub(crate) fn release_stores(&mut self, runs: &[KeyedRun]) {
         for run in runs {
             self.write(run, RecordState::Started, Bytes::new());
         }
@@ -139,7 +124,7 @@
     fn claim(&self, run: &KeyedRun) -> Vote {
         let Some(peers) = &self.peers else { return Vote::Yes };
         let Some(request) = &run.request else { return Vote::No };
-        let asked = peers.request_claim(&ClaimParameters {
+        let requested = peers.request_claim(&ClaimParameters {
             id: run.id,
             key: run.key.clone(),
             body: &request.body[..],
@@ -147,7 +132,7 @@
             received_at: request.received_at,
             deadline: request.deadline,
         });
-        if asked {
+        if requested {
             Vote::Pending
         } else {
             Vote::No
@@ -259,15 +244,15 @@
                     None => std::future::pending().await,
                 }
             };
-            let claim_outcome = async {
+            let claim_response = async {
                 match peers {
-                    Some(peers) => peers.next_outcome().await,
+                    Some(peers) => peers.next_response().await,
                     None => std::future::pending().await,
                 }
             };
             let event = tokio::select! {
                 event = store_event => self.on_store_event(event),
-                (id, outcome) = claim_outcome => self.on_claim_outcome(id, outcome),
+                response = claim_response => self.on_claim_response(response),
             };
             if let Some(event) = event {
                 return event;
@@ -290,7 +275,8 @@
         }
     }
 
-    fn on_claim_outcome(&mut self, id: RequestId, outcome: ClaimOutcome) -> Option<GateEvent> {
+    fn on_claim_response(&mut self, response: ClaimResponse) -> Option<GateEvent> {
+        let ClaimResponse { id, outcome } = response;
         match outcome {
             ClaimOutcome::Granted | ClaimOutcome::Rejected(_)
                 if self.pending.waiting_to_start(id).is_some() =>
@@ -299,7 +285,9 @@
                 self.resolve(id)
             }
             // The dispatcher knows already that it waits for another node's run.
-            ClaimOutcome::Rejected(_) => Some(GateEvent::RemoteOutcome(id, StoredOutcome::NeverStarted)),
+            ClaimOutcome::Rejected(_) => {
+                Some(GateEvent::RemoteOutcome { id, outcome: StoredOutcome::NeverStarted })
+            }
             ClaimOutcome::Granted => None,
             ClaimOutcome::Replicated(replicated) => {
                 self.pending.waiting_to_complete(id)?.peers = Vote::of(replicated);
@@ -315,7 +303,7 @@
                     RunResult::Succeeded(result) => StoredOutcome::Succeeded(result),
                     RunResult::Failed => StoredOutcome::Failed,
                 };
-                Some(GateEvent::RemoteOutcome(id, outcome))
+                Some(GateEvent::RemoteOutcome { id, outcome })
             }
             ClaimOutcome::Unknown => {
                 self.cancel_start(id);
@@ -351,8 +339,8 @@
         };
         Some(match (store, peers) {
             (_, Vote::No) => GateEvent::OutcomeUnknown(id),
-            (Vote::No, _) => GateEvent::Completed(id, Completion::Failed),
-            _ => GateEvent::Completed(id, completion),
+            (Vote::No, _) => GateEvent::Completed { id, completion: Completion::Failed },
+            _ => GateEvent::Completed { id, completion },
         })
     }
 }
--- a/node/tests/sockets/result_store.rs
+++ b/node/tests/sockets/result_store.rs
@@ -69,7 +69,7 @@
     client.request(1, "b1", Some("ended"), LONG_LIMIT_MS);
     assert_eq!(client.read_line(), result);
     let mut link = vm.interpreter("0");
-    node.wait_for_log("health is good");
+    node.wait_for_log("dispatcher: health changed: healthy=true");
     client.request(1, "c1", Some("ended"), LONG_LIMIT_MS);
     assert_eq!(client.read_line(), result);
     client.send(request(2, "c2", "book", Some("ended"), LONG_LIMIT_MS).replace("Ym9keQ==", "b3RoZXI="));
@@ -124,8 +124,8 @@
 }
 
 /// Sends a booking to either frontend. Its body is its key, so that a run shows which key it is of.
-fn send_booking(node: &Node, front: std::net::SocketAddr, key: &str, id: u32, json: bool) -> Peer {
-    let mut client = if json { node.client() } else { Peer::connect(front) };
+fn send_booking(node: &Node, uwsgi: std::net::SocketAddr, key: &str, id: u32, json: bool) -> Peer {
+    let mut client = if json { node.client() } else { Peer::connect(uwsgi) };
     if json {
         let text = request(id, &format!("{id:x}"), "book", Some(key), LONG_LIMIT_MS);
         client.send(text.replace("Ym9keQ==", &BASE64.encode(key)));
@@ -180,7 +180,7 @@
         let mut node = folder.spawn(&vm, None);
         let front = node.uwsgi_address();
         let started = spawn_interpreter(&vm, holds_runs.clone(), self.runs.clone(), 0);
-        node.wait_for_log("health is good");
+        node.wait_for_log("dispatcher: health changed: healthy=true");
         let attempts = 3 + self.random.below(8);
         for attempt in 0..=attempts {
             let (json, is_last) = (self.random.below(2) == 0, attempt == attempts);
@@ -254,11 +254,11 @@
 
 #[test]
 fn an_upgrade_hands_the_folder_over_and_keys_of_both_processes_are_known_after_a_crash() {
-    let (folder, place) = (StoreFolder::new(""), crate::upgrade::Place::new("127.0.3.6"));
+    let (folder, fixture) = (StoreFolder::new(""), UpgradeFixture::new());
     let start = || {
         let vm = Server::new();
-        let config = config(&format!(r#""vm": "{}","#, vm.address)).replace("127.0.0.1:0", &place.json);
-        let mut node = Node::spawn_with(&config, None, Some(&place.folder), Some(&folder.text));
+        let config = config(&format!(r#""vm": "{}","#, vm.address)).replace("127.0.0.1:0", &fixture.json);
+        let mut node = Node::spawn_with(&config, None, Some(&fixture.folder), Some(&folder.text));
         let link = vm.interpreter("0");
         node.wait_until_listening();
         (node, link)
