--- a/admission/src/admission.rs
+++ b/admission/src/admission.rs
@@ -99,7 +99,7 @@
             drain: Drain::default(),
             timers: TimerWatch::new(now),
             read_overload: ReadOverload::new(),
-            connections: IdleConnectionLimit::new(Span::from(settings.idle)),
+            connections: IdleConnectionLimit::new(Span::from(settings.idle_timeout)),
             signal: LoadSignal::default(),
             retry_advice: RetryAdvice::new(seed),
             settings,
@@ -144,8 +144,8 @@
         if std::mem::replace(&mut self.started, true) {
             return;
         }
-        actions.push(Action::SetHealth { good: true, cheap: true });
-        actions.push(Action::IdleLimit(self.settings.idle));
+        actions.push(Action::SetHealth { healthy: true, static_answer: true });
+        actions.push(Action::IdleLimit(self.settings.idle_timeout));
         actions.push(Action::SetTimer(TIMER, TIMER_PERIOD.to_duration()));
     }
 
--- a/admission/src/admission/calls.rs
+++ b/admission/src/admission/calls.rs
@@ -108,7 +108,7 @@
             return (survivable_concurrency - cores).max(cores) as usize;
         }
         let most = MAX_AT_CALLS_PER_CORE * cores;
-        let calling_classes = context.settings.classes.iter().filter(|class| class.calls);
+        let calling_classes = context.settings.classes.iter().filter(|class| class.may_call);
         let objectives = calling_classes.map(|class| Span::from(class.latency_objective));
         let objective = objectives.fold(Span::INFINITE, Span::min);
         if self.history.waits_are_slow(objective) {
--- a/admission/src/admission/calls/limit.rs
+++ b/admission/src/admission/calls/limit.rs
@@ -72,9 +72,9 @@
 
     /// Applies the settings of another dependency; the limit is its whole share.
     pub(crate) fn reconfigure(&mut self, dependency: &Dependency) {
-        if let Dependency::Shared { share, span, linger } = *dependency {
+        if let Dependency::Shared { share, averaging_time, linger } = *dependency {
             self.share = share.max(0.0);
-            self.averaging_time = Span::from(span);
+            self.averaging_time = Span::from(averaging_time);
             self.linger = Span::from(linger);
         } else {
             self.share = UNSHARED_CALLS;
--- a/admission/src/admission/calls/limit/tests.rs
+++ b/admission/src/admission/calls/limit/tests.rs
@@ -5,8 +5,11 @@
 use crate::interface::Dependency;
 
 fn limit(share: f64) -> CallLimit {
-    let dependency =
-        Dependency::Shared { share, span: Duration::from_secs(4), linger: Duration::from_millis(500) };
+    let dependency = Dependency::Shared {
+        share,
+        averaging_time: Duration::from_secs(4),
+        linger: Duration::from_millis(500),
+    };
     CallLimit::new(&dependency, at(0.0))
 }
 
--- a/admission/src/admission/calls/tests.rs
+++ b/admission/src/admission/calls/tests.rs
@@ -4,7 +4,7 @@
 use crate::interface::{Class, Dependency, Outcome, Settings};
 
 fn settings(dependency: Dependency) -> Settings {
-    let class = Class { calls: true, ..Class::default() };
+    let class = Class { may_call: true, ..Class::default() };
     Settings { classes: vec![class], dependency, cores: 2, ..Settings::default() }
 }
 
--- a/admission/src/admission/concurrency_limit.rs
+++ b/admission/src/admission/concurrency_limit.rs
@@ -57,7 +57,7 @@
         let runnable = gauges.runnable.unwrap_or(cores);
         if runnable > cores * MAX_RUNNABLE_PER_CORE {
             self.limit -= STEP;
-        } else if any_queued && runnable < cores && gauges.busy.is_none_or(has_spare_capacity) {
+        } else if any_queued && runnable < cores && gauges.utilization.is_none_or(has_spare_capacity) {
             self.limit += STEP;
         }
         self.limit = self.limit.clamp(cores, survivable.max(cores));
--- a/admission/src/admission/concurrency_limit/tests.rs
+++ b/admission/src/admission/concurrency_limit/tests.rs
@@ -3,8 +3,8 @@
 use crate::admission::tests::fixtures::{queued, running, ServerState};
 use crate::interface::{Gauges, Settings};
 
-const IDLE: Gauges = Gauges { busy: Some(0.5), runnable: Some(1.0) };
-const CROWDED: Gauges = Gauges { busy: Some(1.0), runnable: Some(9.0) };
+const IDLE: Gauges = Gauges { utilization: Some(0.5), runnable: Some(1.0) };
+const CROWDED: Gauges = Gauges { utilization: Some(1.0), runnable: Some(9.0) };
 
 fn server() -> ServerState {
     let settings = Settings { cores: 2, ..Settings::default() };
@@ -34,7 +34,7 @@
 #[test]
 fn runs_that_wait_for_io_are_beyond_the_limit() {
     let mut limit = ConcurrencyLimit::new(2.0);
-    limit.adjust(&Gauges { busy: Some(1.0), runnable: Some(1.0) }, &server().context(0.0), 6.0);
+    limit.adjust(&Gauges { utilization: Some(1.0), runnable: Some(1.0) }, &server().context(0.0), 6.0);
     assert_eq!(limit.run_limit(), 3.0);
 }
 
--- a/admission/src/admission/events.rs
+++ b/admission/src/admission/events.rs
@@ -44,7 +44,7 @@
             return push_rejection(id, advice, actions);
         }
         self.overload.count_arrival(arrival.tenant, self.now);
-        self.connections.record_request(arrival.caller, self.now, Span::from(self.settings.idle));
+        self.connections.record_request(arrival.caller, self.now, Span::from(self.settings.idle_timeout));
         let request = request_intake::new_request(
             arrival,
             &self.settings,
@@ -54,7 +54,7 @@
             self.now,
         );
         let priority = request.priority;
-        let original = self.requests.original_of(arrival.repeats, class, &self.settings);
+        let original = self.requests.original_of(arrival.retry_of, class, &self.settings);
         self.requests.table_mut().insert(id, request);
         if let Some(original) = original {
             return self.share_outcome(id, original, actions);
@@ -147,10 +147,10 @@
     }
 
     fn start_drain(&mut self, left: Span, actions: &mut Vec<Action>) {
-        let grace = Span::from(self.settings.drain_grace.saturating_sub(self.settings.tick));
+        let grace = Span::from(self.settings.drain_grace.saturating_sub(self.settings.min_handle_interval));
         self.drain.start(self.now, left, grace, self.timers.longest_delay());
         self.requests.limit_deadlines(self.drain.stop_at());
-        actions.push(Action::SetHealth { good: false, cheap: true });
+        actions.push(Action::SetHealth { healthy: false, static_answer: true });
     }
 
     /// Looks at everything that changes with time or with the gauges.
@@ -165,8 +165,10 @@
         self.read_overload.update(gauges, context.requests);
         let read_overload = self.read_overload.is_overloaded();
         self.overload.on_timer(&context, self.calls.are_throttled(self.now));
-        let load =
-            ConnectionLoad { flood: read_overload, spare: gauges.busy.is_some_and(has_spare_capacity) };
+        let load = ConnectionLoad {
+            flood: read_overload,
+            spare: gauges.utilization.is_some_and(has_spare_capacity),
+        };
         if let Some(limit) = self.connections.adjust(&load, &context) {
             actions.push(Action::IdleLimit(limit.to_duration()));
         }
@@ -195,7 +197,7 @@
         let context = Context::new(self.now, &self.settings, self.requests.table(), &self.estimates);
         let changed = self.stall.update(&context, self.overload.permitted_rate().is_some());
         if changed && !self.drain.is_draining() {
-            actions.push(Action::SetHealth { good: !self.stall.is_stalled(), cheap: true });
+            actions.push(Action::SetHealth { healthy: !self.stall.is_stalled(), static_answer: true });
         }
     }
 }
--- a/admission/src/admission/idle_connections.rs
+++ b/admission/src/admission/idle_connections.rs
@@ -61,7 +61,7 @@
     /// Adjusts the limit; returns the new one if it has changed by enough. It falls with the square of the fraction of
     /// callers that return.
     pub(crate) fn adjust(&mut self, load: &ConnectionLoad, context: &Context) -> Option<Span> {
-        let timeout = Span::from(context.settings.idle);
+        let timeout = Span::from(context.settings.idle_timeout);
         self.last_request_at.retain(|_, at| context.now - *at <= timeout);
         let active_callers = (self.last_request_at.len() as f64 / context.callers()).min(1.0);
         let returning = self.returning.or_zero() * active_callers;
--- a/admission/src/admission/idle_connections/tests.rs
+++ b/admission/src/admission/idle_connections/tests.rs
@@ -10,8 +10,8 @@
 
 /// A server with ten callers that keep connections for 20 seconds.
 fn server() -> ServerState {
-    let idle = Duration::from_secs(20);
-    ServerState::new(Settings { idle, callers: 10, ..Settings::default() })
+    let idle_timeout = Duration::from_secs(20);
+    ServerState::new(Settings { idle_timeout, callers: 10, ..Settings::default() })
 }
 
 fn adjusted(limit: &mut IdleConnectionLimit, load: &ConnectionLoad) -> Option<Span> {
--- a/admission/src/admission/load_signal.rs
+++ b/admission/src/admission/load_signal.rs
@@ -59,7 +59,7 @@
     /// Moves the shed fraction; returns the value to advertise if it has changed by enough.
     pub(crate) fn update(&mut self, load: &SignalLoad, context: &Context) -> Option<f64> {
         let target = match context.settings.signal {
-            Signal::Level => rank_to_reject(load, context.now),
+            Signal::MinRank => rank_to_reject(load, context.now),
             Signal::Off | Signal::Credit | Signal::Weight => load.recent.rejected_fraction(context.now),
         };
         self.move_towards(target);
@@ -86,7 +86,7 @@
         let level = self.shed_fraction.value();
         match context.settings.signal {
             Signal::Off => None,
-            Signal::Level => Some(level),
+            Signal::MinRank => Some(level),
             Signal::Weight => Some(1.0 - level),
             Signal::Credit => Some(load.concurrency_limit * context.callers().powf(-level)),
         }
--- a/admission/src/admission/load_signal/tests.rs
+++ b/admission/src/admission/load_signal/tests.rs
@@ -25,7 +25,7 @@
 
 #[test]
 fn the_level_approaches_the_rank_below_which_rejections_outweigh_admissions() {
-    let levels = advertised(&mut LoadSignal::default(), Signal::Level, &arrivals(0.5), 200);
+    let levels = advertised(&mut LoadSignal::default(), Signal::MinRank, &arrivals(0.5), 200);
     assert!(levels.windows(2).filter(|pair| pair[1] > pair[0]).count() > 5, "in small steps");
     assert!(levels.iter().all(|level| *level < 0.5));
     assert!(levels.last().is_some_and(|level| *level > 0.4), "{levels:?}");
@@ -34,8 +34,8 @@
 #[test]
 fn the_level_falls_by_itself_once_nothing_is_rejected() {
     let mut signal = LoadSignal::default();
-    advertised(&mut signal, Signal::Level, &arrivals(0.5), 200);
-    let levels = advertised(&mut signal, Signal::Level, &arrivals(0.0), 60);
+    advertised(&mut signal, Signal::MinRank, &arrivals(0.5), 200);
+    let levels = advertised(&mut signal, Signal::MinRank, &arrivals(0.0), 60);
     assert_eq!(levels.last(), Some(&0.0));
 }
 
--- a/admission/src/admission/read_overload/tests.rs
+++ b/admission/src/admission/read_overload/tests.rs
@@ -5,7 +5,7 @@
 #[test]
 fn reading_is_overloaded_once_most_of_what_is_runnable_is_no_run_for_a_while() {
     let mut reading = ReadOverload::new();
-    let flood = Gauges { busy: None, runnable: Some(10.0) };
+    let flood = Gauges { utilization: None, runnable: Some(10.0) };
     let mut overloaded_after = |timers| {
         (0..timers).for_each(|_| reading.update(&flood, &RequestTable::default()));
         reading.is_overloaded()
--- a/admission/src/admission/request_intake.rs
+++ b/admission/src/admission/request_intake.rs
@@ -38,7 +38,7 @@
         deadline,
         relative_cost,
         priority: priority_of(class, mean_work, arrival.tenant, settings, rates),
-        may_call: class.calls && settings.dependency != Dependency::Off,
+        may_call: class.may_call && settings.dependency != Dependency::Off,
         answered: false,
         phase: Phase::Queued,
     }
@@ -46,9 +46,9 @@
 
 /// When an arrival has to be answered: as it says itself if arrivals do, else by its class; never before now.
 fn deadline_of(arrival: &Arrival, settings: &Settings, arrived_at: Instant, now: Instant) -> Instant {
-    let stated = arrival.time_left.filter(|_| settings.sends_deadline);
+    let stated = arrival.remaining_time.filter(|_| settings.sends_deadline);
     let by_class = arrived_at + Span::from(settings.classes[usize::from(arrival.class.0)].deadline);
-    stated.map_or(by_class, |time_left| now + Span::from(time_left)).max(now)
+    stated.map_or(by_class, |remaining_time| now + Span::from(remaining_time)).max(now)
 }
 
 fn priority_of(
--- a/admission/src/admission/request_intake/tests.rs
+++ b/admission/src/admission/request_intake/tests.rs
@@ -27,7 +27,7 @@
 
 #[test]
 fn a_stated_deadline_holds_where_arrivals_state_one() {
-    let stated = Arrival { time_left: Some(Duration::from_secs(2)), ..arrival() };
+    let stated = Arrival { remaining_time: Some(Duration::from_secs(2)), ..arrival() };
     let deadline = |sends_deadline| {
         let settings = Settings { sends_deadline, ..Settings::default() };
         request_of(&stated, settings, &Drain::default()).deadline
--- a/admission/src/admission/requests.rs
+++ b/admission/src/admission/requests.rs
@@ -131,7 +131,7 @@
         actions: &mut Vec<Action>,
     ) {
         let Some(request) = self.table.get(id) else { return };
-        let window = Span::from(settings.classes[request.class].window);
+        let window = Span::from(settings.classes[request.class].idempotency_window);
         let retention = self.keys.retain(id, window, request.deadline - now, now);
         actions.push(Action::RetainKey(id, retention.to_duration()));
     }
--- a/admission/src/interface/action.rs
+++ b/admission/src/interface/action.rs
@@ -35,9 +35,9 @@
     /// Set the response to health checks.
     SetHealth {
         /// Whether the server is healthy.
-        good: bool,
+        healthy: bool,
         /// Whether health checks are answered from this value alone, without work.
-        cheap: bool,
+        static_answer: bool,
     },
     /// Set the value that is advertised to callers (see [`Signal`](crate::Signal)).
     Advertise(f64),
--- a/admission/src/interface/arrival.rs
+++ b/admission/src/interface/arrival.rs
@@ -10,7 +10,7 @@
     /// The attempt.
     pub id: RequestId,
     /// The known attempt that this one is a retry of.
-    pub repeats: Option<RequestId>,
+    pub retry_of: Option<RequestId>,
     /// Its class.
     pub class: ClassId,
     /// Its tenant.
@@ -21,12 +21,12 @@
     pub memory_kb: f64,
     /// Time since it reached the machine.
     pub age: Duration,
-    /// Its rank, 0 to 1, which callers compare with [`Signal::Level`](crate::Signal::Level).
+    /// Its rank, 0 to 1, which callers compare with [`Signal::MinRank`](crate::Signal::MinRank).
     pub rank: f64,
     /// The caller it came from.
     pub caller: CallerId,
     /// How long the caller still waits, if the request says so.
-    pub time_left: Option<Duration>,
+    pub remaining_time: Option<Duration>,
 }
 
 /// The rank of an arrival that states none: in the middle.
@@ -37,7 +37,7 @@
     pub fn new(id: RequestId, class: ClassId) -> Self {
         Arrival {
             id,
-            repeats: None,
+            retry_of: None,
             class,
             tenant: TenantId(0),
             cost_hint: None,
@@ -45,7 +45,7 @@
             age: Duration::ZERO,
             rank: DEFAULT_RANK,
             caller: CallerId(0),
-            time_left: None,
+            remaining_time: None,
         }
     }
 }
--- a/admission/src/interface/class.rs
+++ b/admission/src/interface/class.rs
@@ -25,13 +25,13 @@
     /// How often its effect may occur.
     pub effect: Effect,
     /// Idempotency window, for [`Effect::IdempotencyKey`](crate::Effect::IdempotencyKey): how long after its arrival a request may be retried.
-    pub window: Duration,
+    pub idempotency_window: Duration,
     /// Weight of a request in scheduling and under overload, relative to other classes.
     pub weight: f64,
     /// Fraction of the weight that an answer between latency objective and deadline earns.
     pub late_weight: f64,
     /// Whether its requests may call the dependency.
-    pub calls: bool,
+    pub may_call: bool,
     /// Fraction of the weight that is earned if the call is skipped; 0 means that calls must not be skipped.
     pub skip_weight: f64,
 }
@@ -48,10 +48,10 @@
             objective_stretch: 0.0,
             deadline: DEFAULT_DEADLINE,
             effect: Effect::Idempotent,
-            window: DEFAULT_DEADLINE,
+            idempotency_window: DEFAULT_DEADLINE,
             weight: 1.0,
             late_weight: 0.0,
-            calls: false,
+            may_call: false,
             skip_weight: 0.0,
         }
     }
--- a/admission/src/interface/environment.rs
+++ b/admission/src/interface/environment.rs
@@ -12,7 +12,7 @@
         /// This server's share of the concurrent calls that the dependency survives, as a mean; may be below 1.
         share: f64,
         /// Period over which that mean is taken.
-        span: Duration,
+        averaging_time: Duration,
         /// The longest time for which the dependency goes on with a call that has timed out.
         linger: Duration,
     },
@@ -37,7 +37,7 @@
     /// They don't; nothing may be advertised.
     Off,
     /// Minimum rank, 0 to 1: callers send no request here whose [`Arrival::rank`](crate::Arrival::rank) is below it.
-    Level,
+    MinRank,
     /// Maximum number of pending requests of each caller; a fraction is a probability for one more.
     Credit,
     /// Load balancing weight, 0 to 1: the probability that a caller doesn't skip this server.
--- a/admission/src/interface/event.rs
+++ b/admission/src/interface/event.rs
@@ -30,7 +30,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Gauges {
     /// Recent utilization of the cores, 0 to 1.
-    pub busy: Option<f64>,
+    pub utilization: Option<f64>,
     /// Number of threads or tasks that are running or ready to run.
     pub runnable: Option<f64>,
 }
--- a/admission/src/interface/settings.rs
+++ b/admission/src/interface/settings.rs
@@ -47,10 +47,10 @@
     pub cold_speed: f64,
     /// The longest time that warming up takes.
     pub warm_up_time: Duration,
-    /// Whether arrivals carry [`Arrival::time_left`](crate::Arrival::time_left).
+    /// Whether arrivals carry [`Arrival::remaining_time`](crate::Arrival::remaining_time).
     pub sends_deadline: bool,
     /// Idle timeout of connections at the callers.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Whether a rejection may carry a retry-after.
     pub retry_after: bool,
     /// The longest retry-after that callers honor.
@@ -60,7 +60,7 @@
     /// Maximum concurrency per core that a warm server survives; never exceeded, not even for a moment.
     pub max_concurrency_per_core: f64,
     /// The shortest time between two calls of [`Admission::handle`](crate::Admission::handle).
-    pub tick: Duration,
+    pub min_handle_interval: Duration,
 }
 
 /// The default memory, in kB: a gigabyte.
@@ -72,7 +72,7 @@
 /// The default concurrency that each core survives.
 const DEFAULT_MAX_CONCURRENCY_PER_CORE: f64 = 4.0;
 /// The default of the shortest time between two batches.
-const DEFAULT_TICK: Duration = Duration::from_millis(1);
+const DEFAULT_MIN_HANDLE_INTERVAL: Duration = Duration::from_millis(1);
 
 impl Default for Settings {
     fn default() -> Self {
@@ -95,12 +95,12 @@
             cold_speed: 1.0,
             warm_up_time: Duration::ZERO,
             sends_deadline: false,
-            idle: DEFAULT_IDLE_TIMEOUT,
+            idle_timeout: DEFAULT_IDLE_TIMEOUT,
             retry_after: true,
             max_retry_after: DEFAULT_GRACE,
             drain_grace: DEFAULT_GRACE,
             max_concurrency_per_core: DEFAULT_MAX_CONCURRENCY_PER_CORE,
-            tick: DEFAULT_TICK,
+            min_handle_interval: DEFAULT_MIN_HANDLE_INTERVAL,
         }
     }
 }
--- a/admission/tests/admission/calls.rs
+++ b/admission/tests/admission/calls.rs
@@ -9,7 +9,7 @@
 
 #[test]
 fn a_request_whose_call_never_returns_fails_once_by_its_deadline() {
-    let class = Class { deadline: ms(3000), calls: true, ..Class::default() };
+    let class = Class { deadline: ms(3000), may_call: true, ..Class::default() };
     let mut admission = started_admission(Settings {
         classes: vec![class],
         dependency: Dependency::Tier,
@@ -26,7 +26,7 @@
 #[test]
 fn a_call_that_may_have_run_is_not_retried_for_a_request_that_is_not_idempotent() {
     let mut settings = idempotency_key_settings();
-    settings.classes[0].calls = true;
+    settings.classes[0].may_call = true;
     settings.dependency = Dependency::Tier;
     let mut admission = started_admission(settings);
     handle_at(&mut admission, 0, &[arrival_event(1)]);
@@ -38,8 +38,8 @@
 #[test]
 fn a_dependency_share_below_one_call_leaves_gaps_between_calls() {
     let class =
-        Class { calls: true, latency_objective: ms(20_000), deadline: ms(60_000), ..Class::default() };
-    let dependency = Dependency::Shared { share: 0.4, span: ms(5000), linger: ms(200) };
+        Class { may_call: true, latency_objective: ms(20_000), deadline: ms(60_000), ..Class::default() };
+    let dependency = Dependency::Shared { share: 0.4, averaging_time: ms(5000), linger: ms(200) };
     let mut admission =
         started_admission(Settings { classes: vec![class], dependency, cores: 8, ..Settings::default() });
     let ids: Vec<u32> = (1..=8).collect();
@@ -67,7 +67,7 @@
 
 #[test]
 fn a_failed_call_is_skipped_if_the_class_has_a_skip_weight() {
-    let class = Class { calls: true, skip_weight: 0.5, ..Class::default() };
+    let class = Class { may_call: true, skip_weight: 0.5, ..Class::default() };
     let mut admission = started_admission(Settings {
         classes: vec![class],
         dependency: Dependency::Tier,
@@ -81,7 +81,7 @@
 
 #[test]
 fn quick_calls_to_a_tier_are_not_limited() {
-    let class = Class { calls: true, ..Class::default() };
+    let class = Class { may_call: true, ..Class::default() };
     let settings =
         Settings { classes: vec![class], dependency: Dependency::Tier, cores: 8, ..Settings::default() };
     let mut admission = started_admission(settings);
@@ -147,9 +147,10 @@
 
 #[test]
 fn a_dependency_share_below_one_call_is_kept_for_quick_calls_and_timeouts() {
-    let class = Class { calls: true, latency_objective: ms(3000), deadline: ms(20_000), ..Class::default() };
+    let class =
+        Class { may_call: true, latency_objective: ms(3000), deadline: ms(20_000), ..Class::default() };
     let (share, span) = (0.3, 5.0);
-    let dependency = Dependency::Shared { share, span: ms(5000), linger: ms(200) };
+    let dependency = Dependency::Shared { share, averaging_time: ms(5000), linger: ms(200) };
     let mut server =
         CallingServer::new(Settings { classes: vec![class], dependency, cores: 2, ..Settings::default() });
     let mut concurrent_calls = Vec::new();
@@ -171,8 +172,9 @@
 
 /// The highest number of concurrent calls if each takes `call_millis`, after a few seconds of them.
 fn max_concurrent_calls(call_millis: u64) -> usize {
-    let class = Class { calls: true, latency_objective: ms(2000), deadline: ms(60_000), ..Class::default() };
-    let dependency = Dependency::Shared { share: 6.0, span: ms(5000), linger: ms(200) };
+    let class =
+        Class { may_call: true, latency_objective: ms(2000), deadline: ms(60_000), ..Class::default() };
+    let dependency = Dependency::Shared { share: 6.0, averaging_time: ms(5000), linger: ms(200) };
     let mut server =
         CallingServer::new(Settings { classes: vec![class], dependency, cores: 8, ..Settings::default() });
     let mut peak = 0;
@@ -194,7 +196,7 @@
 
 #[test]
 fn calls_to_a_tier_are_not_limited_like_those_to_a_shared_dependency() {
-    let class = Class { calls: true, skip_weight: 0.3, deadline: ms(9000), ..Class::default() };
+    let class = Class { may_call: true, skip_weight: 0.3, deadline: ms(9000), ..Class::default() };
     let mut admission = started_admission(Settings {
         classes: vec![Class { latency_objective: ms(4000), ..class }],
         dependency: Dependency::Tier,
@@ -214,7 +216,7 @@
 #[test]
 fn a_call_that_may_be_skipped_times_out_within_the_latency_objective() {
     let class = Class {
-        calls: true,
+        may_call: true,
         skip_weight: 0.3,
         latency_objective: ms(2000),
         deadline: ms(20_000),
@@ -237,8 +239,9 @@
 
 #[test]
 fn rejected_calls_reduce_the_number_of_concurrent_calls() {
-    let class = Class { calls: true, latency_objective: ms(4000), deadline: ms(60_000), ..Class::default() };
-    let dependency = Dependency::Shared { share: 12.0, span: ms(5000), linger: ms(200) };
+    let class =
+        Class { may_call: true, latency_objective: ms(4000), deadline: ms(60_000), ..Class::default() };
+    let dependency = Dependency::Shared { share: 12.0, averaging_time: ms(5000), linger: ms(200) };
     let mut admission =
         started_admission(Settings { classes: vec![class], dependency, cores: 8, ..Settings::default() });
     let ids: Vec<u32> = (1..=8).collect();
--- a/admission/tests/admission/common.rs
+++ b/admission/tests/admission/common.rs
@@ -30,7 +30,7 @@
 
 /// The arrival of a retry of the request `of`.
 pub(crate) fn retry_event(id: u32, of: u32) -> Event {
-    Event::Arrived(Arrival { repeats: Some(RequestId(of)), ..Arrival::new(RequestId(id), ClassId(0)) })
+    Event::Arrived(Arrival { retry_of: Some(RequestId(of)), ..Arrival::new(RequestId(id), ClassId(0)) })
 }
 
 /// The run of a request has ended with success after so many milliseconds.
--- a/admission/tests/admission/connections.rs
+++ b/admission/tests/admission/connections.rs
@@ -8,7 +8,7 @@
 
 /// The idle limits set over ten seconds with an arrival every 50 ms, from `callers` callers in turn.
 fn idle_limits_with_callers(callers: u32) -> Vec<Duration> {
-    let mut admission = started_admission(Settings { idle: ms(30_000), ..Settings::default() });
+    let mut admission = started_admission(Settings { idle_timeout: ms(30_000), ..Settings::default() });
     let mut limits = Vec::new();
     for n in 0..200 {
         let mut arrival = Arrival::new(RequestId(n + 1), ClassId(0));
@@ -53,13 +53,13 @@
 #[test]
 fn the_idle_limit_is_raised_while_connecting_overloads_the_cores_and_lowered_afterwards() {
     let mut admission = started_admission(Settings { callers: 5000, ..Settings::default() });
-    let plain = Gauges { busy: Some(0.95), runnable: Some(1.0) };
+    let plain = Gauges { utilization: Some(0.95), runnable: Some(1.0) };
     let before = idle_limits_with_gauges(&mut admission, 0, 20, plain);
     assert!(before.last().is_some_and(|l| *l < ms(1000)), "callers do not return: {before:?}");
-    let overrun = Gauges { busy: Some(1.0), runnable: Some(9.0) };
+    let overrun = Gauges { utilization: Some(1.0), runnable: Some(9.0) };
     let during = idle_limits_with_gauges(&mut admission, 20, 5, overrun);
     assert_eq!(during.last(), Some(&ms(30_000)));
-    let spare = Gauges { busy: Some(0.5), runnable: Some(1.0) };
+    let spare = Gauges { utilization: Some(0.5), runnable: Some(1.0) };
     let after = idle_limits_with_gauges(&mut admission, 25, 10, spare);
     assert!(after.last().is_some_and(|l| *l < ms(1000)), "it recovers: {after:?}");
 }
--- a/admission/tests/admission/lifecycle.rs
+++ b/admission/tests/admission/lifecycle.rs
@@ -27,7 +27,7 @@
     let mut admission = started_admission(Settings { cores: 1, ..Settings::default() });
     handle_at(&mut admission, 0, &[arrival_event(1)]);
     let notice = handle_at(&mut admission, 10, &[Event::Drain(ms(3000))]);
-    assert!(notice.contains(&Action::SetHealth { good: false, cheap: true }));
+    assert!(notice.contains(&Action::SetHealth { healthy: false, static_answer: true }));
     let actions = handle_at(&mut admission, 1100, &[arrival_event(2)]);
     assert!(matches!(actions[0], Action::Reject { id: RequestId(2), give_up: false, .. }));
     let all: Vec<_> =
@@ -50,7 +50,8 @@
 
 #[test]
 fn zero_settings_cause_no_panic_and_leave_no_request_unanswered() {
-    let class = Class { latency_objective: ms(0), deadline: ms(0), window: ms(0), ..Class::default() };
+    let class =
+        Class { latency_objective: ms(0), deadline: ms(0), idempotency_window: ms(0), ..Class::default() };
     let zero_settings = Settings {
         classes: vec![class],
         tenant_quotas: vec![0.0],
@@ -60,7 +61,7 @@
         memory_kb: 0.5,
         running_memory_factor: 0.0,
         signal: Signal::Credit,
-        dependency: Dependency::Shared { share: 0.0, span: ms(0), linger: ms(0) },
+        dependency: Dependency::Shared { share: 0.0, averaging_time: ms(0), linger: ms(0) },
         cold: true,
         max_concurrency_per_core: 0.0,
         ..Settings::default()
@@ -94,7 +95,7 @@
     }
     let stalled: Vec<_> =
         (61..90).flat_map(|n| handle_at(&mut admission, 50 * n, &[timer_event()])).collect();
-    assert!(stalled.contains(&Action::SetHealth { good: false, cheap: true }), "{stalled:?}");
+    assert!(stalled.contains(&Action::SetHealth { healthy: false, static_answer: true }), "{stalled:?}");
     let rejected = handle_at(&mut admission, 4500, &[arrival_event(1000)]);
     assert!(
         rejected.iter().any(|action| matches!(action, Action::Reject { give_up: false, .. })),
@@ -102,7 +103,7 @@
     );
     let done = finished_event(id, 1500);
     let after = handle_at(&mut admission, 4550, &[done, timer_event(), arrival_event(1001)]);
-    assert!(after.contains(&Action::SetHealth { good: true, cheap: true }));
+    assert!(after.contains(&Action::SetHealth { healthy: true, static_answer: true }));
     assert!(!after.iter().any(|action| matches!(action, Action::Reject { .. })), "it recovers at once");
 }
 
@@ -113,11 +114,11 @@
         latency_objective: zero,
         deadline: ms(500),
         weight: 0.0,
-        calls: true,
-        window: zero,
+        may_call: true,
+        idempotency_window: zero,
         ..idempotency_key_settings().classes[0].clone()
     };
-    let shared = Dependency::Shared { share: 0.0, span: zero, linger: zero };
+    let shared = Dependency::Shared { share: 0.0, averaging_time: zero, linger: zero };
     for (memory_kb, dependency) in
         [(0.0, Dependency::Tier), (f64::NAN, shared), (1e9, shared), (1e9, Dependency::Tier)]
     {
@@ -130,7 +131,7 @@
             max_concurrency_per_core: 0.0,
             memory_kb,
             dependency,
-            idle: zero,
+            idle_timeout: zero,
             max_retry_after: zero,
             cold: true,
             cold_speed: 0.0,
--- a/admission/tests/admission/permitted_rate.rs
+++ b/admission/tests/admission/permitted_rate.rs
@@ -89,7 +89,7 @@
 }
 
 fn settings() -> Settings {
-    Settings { cores: 4, signal: Signal::Level, ..Settings::default() }
+    Settings { cores: 4, signal: Signal::MinRank, ..Settings::default() }
 }
 
 #[test]
@@ -177,7 +177,7 @@
 
 #[test]
 fn a_rejected_call_cuts_the_rate_at_any_latency() {
-    let class = Class { calls: true, ..Class::default() };
+    let class = Class { may_call: true, ..Class::default() };
     let mut server =
         ServerFixture::new(Settings { classes: vec![class], dependency: Dependency::Tier, ..settings() });
     server.run(120, 1, 100);
@@ -330,7 +330,7 @@
 #[test]
 fn an_empty_token_bucket_still_admits_requests_of_the_greatest_weight() {
     let heavy_class = Class { weight: 10.0, ..Class::default() };
-    let calls = Class { calls: true, ..Class::default() };
+    let calls = Class { may_call: true, ..Class::default() };
     let mut server = ServerFixture::new(Settings {
         classes: vec![calls, heavy_class],
         dependency: Dependency::Tier,
--- a/admission/tests/admission/scheduling.rs
+++ b/admission/tests/admission/scheduling.rs
@@ -67,7 +67,7 @@
             0,
             &[arrival_event(1), arrival_event(2), arrival_event(3), arrival_event(4)],
         );
-        let gauges = Gauges { runnable: Some(runnable), busy: Some(1.0) };
+        let gauges = Gauges { runnable: Some(runnable), utilization: Some(1.0) };
         let actions = handle_at(&mut admission, 50, &[Event::Timer(TimerId(0), gauges)]);
         runs_of(&actions).len()
     };
@@ -76,7 +76,8 @@
 
 #[test]
 fn requests_past_their_latency_objective_are_answered_early_and_with_a_retry_after() {
-    let class = Class { calls: true, latency_objective: ms(1000), deadline: ms(60_000), ..Class::default() };
+    let class =
+        Class { may_call: true, latency_objective: ms(1000), deadline: ms(60_000), ..Class::default() };
     let mut admission = started_admission(Settings {
         classes: vec![class],
         dependency: Dependency::Tier,
--- a/admission/tests/admission/slow_start.rs
+++ b/admission/tests/admission/slow_start.rs
@@ -49,7 +49,7 @@
 impl Server {
     fn new(cold: bool, callers: u32, seed: u64) -> Server {
         let class =
-            Class { latency_objective: secs(1.4), deadline: secs(3.6), calls: !cold, ..Class::default() };
+            Class { latency_objective: secs(1.4), deadline: secs(3.6), may_call: !cold, ..Class::default() };
         let settings = Settings {
             classes: vec![class],
             cores: CORES as u32,
@@ -87,11 +87,11 @@
         }
     }
 
-    /// Hands over a request whose caller waits for `time_left` seconds.
-    fn receive(&mut self, id: RequestId, caller: u32, time_left: f64) {
+    /// Hands over a request whose caller waits for `remaining_time` seconds.
+    fn receive(&mut self, id: RequestId, caller: u32, remaining_time: f64) {
         let arrival = Arrival {
             caller: CallerId(caller),
-            time_left: Some(secs(time_left)),
+            remaining_time: Some(secs(remaining_time)),
             ..Arrival::new(id, ClassId(0))
         };
         self.events.push(Event::Arrived(arrival));
@@ -116,7 +116,7 @@
         }
         if now >= self.timer_at {
             let runnable = self.running.len() as f64;
-            let gauges = Gauges { busy: Some((runnable / CORES).min(1.0)), runnable: Some(runnable) };
+            let gauges = Gauges { utilization: Some((runnable / CORES).min(1.0)), runnable: Some(runnable) };
             self.events.push(Event::Timer(TimerId(0), gauges));
         }
         let (events, mut actions) = (std::mem::take(&mut self.events), Vec::new());
--- a/admission/tests/model/actions.rs
+++ b/admission/tests/model/actions.rs
@@ -112,7 +112,7 @@
             assert!(!attempt.ever_run, "ran an effect again after preemption");
         }
         if class.effect == Effect::IdempotencyKey && attempt.state == State::Queued {
-            let window = class.window.as_micros() as u64;
+            let window = class.idempotency_window.as_micros() as u64;
             let ran_before = self.attempts.iter().any(|(other, other_attempt)| {
                 *other != id
                     && other_attempt.effect == attempt.effect
--- a/admission/tests/model/arrivals.rs
+++ b/admission/tests/model/arrivals.rs
@@ -14,22 +14,14 @@
         self.next_id += 1;
         let class = self.random.below(self.settings.classes.len() as u64) as usize;
         let keyed = self.settings.classes[class].effect == Effect::IdempotencyKey;
-        let mut effect = self.next_id;
-        if keyed && self.random.chance(50) {
-            let same = self
-                .attempts
-                .values()
-                .filter(|attempt| attempt.class == class)
-                .map(|attempt| attempt.effect)
-                .next_back();
-            effect = same.unwrap_or(effect);
-        }
+        let effect = self.random_effect(class);
         let age = self.random.below(40) * 1000;
         let arrived = self.now - age;
         let repeats = if keyed { self.known_attempt(effect, arrived) } else { None };
         let deadline = self.settings.classes[class].deadline.as_micros() as u64;
-        let time_left = 200_000 + self.random.below(deadline);
-        let deadline = if self.settings.sends_deadline { self.now + time_left } else { arrived + deadline };
+        let remaining_time = 200_000 + self.random.below(deadline);
+        let deadline =
+            if self.settings.sends_deadline { self.now + remaining_time } else { arrived + deadline };
         let memory_kb = 1.0 + self.random.below(30) as f64;
         self.attempts.insert(
             id,
@@ -51,17 +43,28 @@
             },
         );
         self.events.push(Event::Arrived(Arrival {
-            repeats,
+            retry_of: repeats,
             tenant: TenantId(self.random.below(3) as u16),
             cost_hint: (self.random.chance(50) && self.sends_hints).then(|| ms(1 + self.random.below(500))),
             memory_kb,
             age: Duration::from_micros(age),
             rank: self.random.below(100) as f64 / 100.0,
-            time_left: Some(Duration::from_micros(time_left)),
+            remaining_time: Some(Duration::from_micros(remaining_time)),
             ..Arrival::new(id, ClassId(class as u16))
         }));
     }
 
+    /// A new effect, or with an idempotency key perhaps that of the last attempt of the class.
+    fn random_effect(&mut self, class: usize) -> u32 {
+        let new_effect = self.next_id;
+        let keyed = self.settings.classes[class].effect == Effect::IdempotencyKey;
+        if !keyed || !self.random.chance(50) {
+            return new_effect;
+        }
+        let same_class = self.attempts.values().filter(|attempt| attempt.class == class);
+        same_class.map(|attempt| attempt.effect).next_back().unwrap_or(new_effect)
+    }
+
     /// The attempt that a retry with an idempotency key names: that of the retained key, or one of the same batch.
     fn known_attempt(&self, effect: u32, arrived: u64) -> Option<RequestId> {
         if let Some((id, until)) = self.retained_keys.get(&effect) {
@@ -74,7 +77,8 @@
             _ => None,
         });
         let ran = self.attempts.iter().filter(|(_, attempt)| attempt.effect == effect && attempt.ever_run);
-        let window = |attempt: &Attempt| self.settings.classes[attempt.class].window.as_micros() as u64;
+        let window =
+            |attempt: &Attempt| self.settings.classes[attempt.class].idempotency_window.as_micros() as u64;
         let ran = ran
             .filter(|(_, attempt)| arrived <= attempt.arrived + window(attempt))
             .map(|(id, _)| *id)
--- a/admission/tests/model/invariants.rs
+++ b/admission/tests/model/invariants.rs
@@ -45,8 +45,8 @@
         let survivable =
             f64::from(settings.cores) * (1.0 + (settings.max_concurrency_per_core - 1.0) * warm_up_fraction);
         assert!(self.concurrency <= survivable, "concurrency {} over {survivable}", self.concurrency);
-        if let Dependency::Shared { share, span, .. } = settings.dependency {
-            let decay = fade(span);
+        if let Dependency::Shared { share, averaging_time, .. } = settings.dependency {
+            let decay = fade(averaging_time);
             self.calls = self.calls * decay + calling * (1.0 - decay);
             assert!(self.calls <= share, "{} calls of {share}", self.calls);
         }
--- a/admission/tests/model/main.rs
+++ b/admission/tests/model/main.rs
@@ -107,7 +107,7 @@
             drain_notice: None,
             sends_hints: !seed.is_multiple_of(3),
             gauges: Gauges {
-                busy: (!seed.is_multiple_of(2)).then_some(0.8),
+                utilization: (!seed.is_multiple_of(2)).then_some(0.8),
                 runnable: (!seed.is_multiple_of(5)).then_some(3.0),
             },
             concurrency: 0.0,
--- a/admission/tests/model/progress.rs
+++ b/admission/tests/model/progress.rs
@@ -28,7 +28,7 @@
         let Some(attempt) = self.attempts.get(&id) else { return };
         match attempt.state {
             State::Running if stalled || self.now < attempt.ends_at => {}
-            State::Running if attempt.calls_left > 0 && self.class(id).calls => self.come_to_call(id),
+            State::Running if attempt.calls_left > 0 && self.class(id).may_call => self.come_to_call(id),
             State::Running => self.end_run(id, if percent < 5 { Outcome::Error } else { Outcome::Ok }),
             State::Calling if percent < self.call_return_percent => self.return_call(id),
             State::Coalesced => self.end_coalesced(id),
--- a/admission/tests/model/settings.rs
+++ b/admission/tests/model/settings.rs
@@ -26,10 +26,10 @@
             ms(1500 + random.below(4000))
         },
         effect: effects[random.below(3) as usize],
-        window: ms(500 + random.below(6000)),
+        idempotency_window: ms(500 + random.below(6000)),
         weight: 1.0 + random.below(5) as f64,
         late_weight: if random.chance(50) { 0.2 } else { 0.0 },
-        calls: random.chance(50),
+        may_call: random.chance(50),
         skip_weight: if random.chance(30) { 0.5 } else { 0.0 },
         ..Class::default()
     }
@@ -41,7 +41,7 @@
         1 => Dependency::Tier,
         _ => Dependency::Shared {
             share: 0.3 + random.below(60) as f64 / 10.0,
-            span: ms(5000),
+            averaging_time: ms(5000),
             linger: ms(200),
         },
     }
@@ -57,7 +57,7 @@
         classes,
         dependency,
         preemption: [Preemption::Off, Preemption::Drop, Preemption::Pause][preemption],
-        signal: [Signal::Off, Signal::Level, Signal::Credit, Signal::Weight][random.below(4) as usize],
+        signal: [Signal::Off, Signal::MinRank, Signal::Credit, Signal::Weight][random.below(4) as usize],
         tenant_quotas: if random.chance(50) { vec![3.0, 9.0] } else { Vec::new() },
         over_quota_weight: 0.1,
         weight_by_work: random.chance(50),
--- a/admission/tests/model/trace/perturbations.rs
+++ b/admission/tests/model/trace/perturbations.rs
@@ -20,7 +20,7 @@
             self.model.arrive();
             let Some(Event::Arrived(arrival)) = self.model.events.pop() else { continue };
             let arrival = self.vary(arrival);
-            let reported_twice = arrival.repeats.is_none() && self.random.chance(2);
+            let reported_twice = arrival.retry_of.is_none() && self.random.chance(2);
             self.model.events.push(Event::Arrived(arrival.clone()));
             if reported_twice {
                 self.model.events.push(Event::Arrived(arrival));
@@ -61,7 +61,7 @@
         let class = usize::from(arrival.class.0);
         let same_class = self.model.attempts.get(&named).is_some_and(|attempt| attempt.class == class);
         if same_class && self.random.chance(15) {
-            arrival.repeats = Some(named);
+            arrival.retry_of = Some(named);
             self.model.attempts.get_mut(&arrival.id).expect("just added").retry_of = Some(named);
         }
     }
@@ -103,15 +103,17 @@
             self.model.attempts.values().filter(|attempt| attempt.state == State::Running).count() as f64;
         let cores = f64::from(self.model.settings.cores);
         let other = self.random.below(3) as f64;
-        let busy = Some((running / cores).min(1.0) * (0.85 + self.random.below(15) as f64 / 100.0));
+        let utilization = Some((running / cores).min(1.0) * (0.85 + self.random.below(15) as f64 / 100.0));
         let in_flood = (self.model.now / 6_000_000).is_multiple_of(3);
         self.model.gauges = match self.plan.gauge_mode {
             GaugeMode::Absent => Gauges::default(),
-            GaugeMode::BusyOnly => Gauges { busy, runnable: None },
-            GaugeMode::Measured => Gauges { busy, runnable: Some(running + other) },
-            GaugeMode::ReadOverload if in_flood => Gauges { busy, runnable: Some(running * 4.0 + 12.0) },
-            GaugeMode::ReadOverload => Gauges { busy, runnable: Some(running) },
-            GaugeMode::WaitingForIo => Gauges { busy, runnable: Some((running / 2.0).floor()) },
+            GaugeMode::BusyOnly => Gauges { utilization, runnable: None },
+            GaugeMode::Measured => Gauges { utilization, runnable: Some(running + other) },
+            GaugeMode::ReadOverload if in_flood => {
+                Gauges { utilization, runnable: Some(running * 4.0 + 12.0) }
+            }
+            GaugeMode::ReadOverload => Gauges { utilization, runnable: Some(running) },
+            GaugeMode::WaitingForIo => Gauges { utilization, runnable: Some((running / 2.0).floor()) },
         };
     }
 }
--- a/admission/tests/model/trace/plan.rs
+++ b/admission/tests/model/trace/plan.rs
@@ -145,7 +145,7 @@
             settings.classes.resize(wanted, known[0].clone());
             for (class, old) in settings.classes.iter_mut().zip(&known) {
                 class.effect = old.effect;
-                class.window = old.window;
+                class.idempotency_window = old.idempotency_window;
             }
             settings.preemption = self.settings.preemption;
             if random.chance(40) {
@@ -160,9 +160,9 @@
 
 /// Calls that take long without being slow use up the share of the dependency.
 fn make_calls_busy(settings: &mut Settings) {
-    settings.dependency = Dependency::Shared { share: 2.05, span: ms(600), linger: ms(100) };
+    settings.dependency = Dependency::Shared { share: 2.05, averaging_time: ms(600), linger: ms(100) };
     for class in &mut settings.classes {
-        class.calls = true;
+        class.may_call = true;
         class.latency_objective = ms(20_000);
         class.deadline = ms(40_000);
     }
@@ -180,10 +180,13 @@
     let mut settings = random_settings(random);
     for class in &mut settings.classes {
         class.objective_stretch = random.below(3) as f64 * 0.7;
-        class.calls |= seed.is_multiple_of(4) || seed % 6 == 1;
+        class.may_call |= seed.is_multiple_of(4) || seed % 6 == 1;
     }
     match seed % 6 {
-        0 => settings.dependency = Dependency::Shared { share: 0.45, span: ms(4000), linger: ms(150) },
+        0 => {
+            settings.dependency =
+                Dependency::Shared { share: 0.45, averaging_time: ms(4000), linger: ms(150) }
+        }
         1 => settings.dependency = Dependency::Tier,
         2 => make_calls_busy(&mut settings),
         3 => settings.classes[0].effect = Effect::IdempotencyKey,
@@ -199,12 +202,12 @@
         settings.max_concurrency_per_core = 1.0 + random.below(20) as f64 / 10.0;
     }
     if seed % 5 == 3 {
-        settings.signal = Signal::Level;
+        settings.signal = Signal::MinRank;
     }
-    settings.idle = ms(500 + random.below(20_000));
+    settings.idle_timeout = ms(500 + random.below(20_000));
     settings.max_retry_after = ms(random.below(4) * 900);
     settings.drain_grace = ms(random.below(1500));
-    settings.tick = ms(1 + random.below(200));
+    settings.min_handle_interval = ms(1 + random.below(200));
     settings.over_quota_weight = random.below(10) as f64 / 10.0;
     settings
 }
--- a/admission/tests/model/trace/recording.rs
+++ b/admission/tests/model/trace/recording.rs
@@ -107,7 +107,9 @@
         Action::ReleaseKey(id) => format!("release_key {}", id.0),
         Action::Call(id, timeout) => format!("call {} {}", id.0, nanoseconds(timeout)),
         Action::SkipCall(id) => format!("skip_call {}", id.0),
-        Action::SetHealth { good, cheap } => format!("set_health good={good} cheap={cheap}"),
+        Action::SetHealth { healthy, static_answer } => {
+            format!("set_health good={healthy} cheap={static_answer}")
+        }
         Action::Advertise(value) => format!("advertise {}", bits(value)),
         Action::IdleLimit(limit) => format!("idle_limit {}", nanoseconds(limit)),
         Action::SetTimer(timer, delay) => format!("set_timer {} {}", timer.0, nanoseconds(delay)),
--- a/node/src/config/node.rs
+++ b/node/src/config/node.rs
@@ -120,7 +120,8 @@
     /// The longest that any key is remembered, with a margin.
     pub(crate) fn max_idempotency_window(&self) -> Duration {
         let classes = self.settings.settings.classes.iter();
-        let longest = classes.map(|class| class.window.max(class.deadline)).max().unwrap_or_default();
+        let longest =
+            classes.map(|class| class.idempotency_window.max(class.deadline)).max().unwrap_or_default();
         longest + WINDOW_MARGIN
     }
 
@@ -161,7 +162,8 @@
         return Err(ConfigError::inconsistent(key, "0 is no time to answer in"));
     }
     // Keys would be forgotten while their attempts still come.
-    let lacks_window = |class: &Class| class.effect == Effect::IdempotencyKey && class.window.is_zero();
+    let lacks_window =
+        |class: &Class| class.effect == Effect::IdempotencyKey && class.idempotency_window.is_zero();
     if let Some(i) = classes.iter().position(lacks_window) {
         let key = format!("settings.services[{i}].window");
         return Err(ConfigError::inconsistent(key, "missing or 0, and its keys may come again"));
--- a/node/src/dispatcher/actions.rs
+++ b/node/src/dispatcher/actions.rs
@@ -48,7 +48,7 @@
             }
             Action::Call(id, within) => self.start_call(id, now, now + within),
             Action::SkipCall(id) => self.skip_call(id),
-            Action::SetHealth { good, .. } => self.set_health(good),
+            Action::SetHealth { healthy, .. } => self.set_health(healthy),
             Action::IdleLimit(limit) => self.update_status(|status| status.idle_timeout = Some(limit)),
             Action::SetTimer(timer, after) => self.timers.schedule(now + after, timer),
             // Neither protocol has a field for a free value, and the settings forbid it where there is none.
--- a/node/src/dispatcher/submission.rs
+++ b/node/src/dispatcher/submission.rs
@@ -104,7 +104,7 @@
         let id = self.attempts.allocate_id();
         self.admission_events.push(Event::Arrived(Arrival {
             id,
-            repeats,
+            retry_of: repeats,
             class: request.class,
             tenant: request.tenant,
             cost_hint: request.cost_hint,
@@ -112,7 +112,7 @@
             age: now.saturating_sub(request.received_at),
             rank: request.rank,
             caller: request.caller,
-            time_left: Some(request.deadline.saturating_sub(now)),
+            remaining_time: Some(request.deadline.saturating_sub(now)),
         }));
         let responder = Some(responder);
         self.attempts.insert(Attempt { id, request, submission_id, responder, phase: Phase::Queued });
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -111,12 +111,12 @@
         cold_speed: json.safety.cold_speed,
         warm_up_time: Duration::from_micros(json.safety.warm_up_time_us),
         sends_deadline: server.sends_deadline,
-        idle: Duration::from_micros(server.idle_timeout_us),
+        idle_timeout: Duration::from_micros(server.idle_timeout_us),
         retry_after: json.limits.retry_after,
         max_retry_after: Duration::from_micros(json.limits.max_retry_after_us),
         drain_grace: Duration::from_micros(json.safety.drain_grace_us),
         max_concurrency_per_core: json.safety.max_concurrency_per_core,
-        tick: Duration::from_micros(json.min_handle_interval_us),
+        min_handle_interval: Duration::from_micros(json.min_handle_interval_us),
     })
 }
 
@@ -126,10 +126,10 @@
         objective_stretch: class.objective_stretch,
         deadline: Duration::from_micros(class.deadline_us),
         effect: effect(&class.effect)?,
-        window: Duration::from_micros(class.window_us),
+        idempotency_window: Duration::from_micros(class.window_us),
         weight: class.weight,
         late_weight: class.late_weight,
-        calls: server.calls_by_class.get(position).copied().unwrap_or(false),
+        may_call: server.calls_by_class.get(position).copied().unwrap_or(false),
         skip_weight: server.skip_weight_by_class.get(position).copied().unwrap_or(0.0),
     })
 }
@@ -148,7 +148,7 @@
         "" | "off" => Ok(Dependency::Off),
         "shared" => Ok(Dependency::Shared {
             share: server.dependency_share,
-            span: Duration::from_micros(server.share_span_us),
+            averaging_time: Duration::from_micros(server.share_span_us),
             linger: Duration::from_micros(server.linger_us),
         }),
         "tier" => Ok(Dependency::Tier),
@@ -168,7 +168,7 @@
 fn signal(value: &str) -> Result<Signal, SettingsError> {
     match value {
         "" | "off" => Ok(Signal::Off),
-        "level" => Ok(Signal::Level),
+        "level" => Ok(Signal::MinRank),
         "credit" => Ok(Signal::Credit),
         "weight" => Ok(Signal::Weight),
         other => unknown_value("signal", other),
@@ -185,7 +185,7 @@
     let mut gauges = Gauges::default();
     for (name, &value) in names.iter().zip(values) {
         match name.as_str() {
-            "cpu_busy" => gauges.busy = Some(value),
+            "cpu_busy" => gauges.utilization = Some(value),
             "runnable" => gauges.runnable = Some(value),
             _ => {}
         }
--- a/settings/src/tests.rs
+++ b/settings/src/tests.rs
@@ -10,9 +10,9 @@
 fn reads_known_keys_and_ignores_unknown_ones() {
     let settings = parse(SMALL).unwrap().settings;
     assert_eq!(settings.cores, 2);
-    assert_eq!(settings.signal, Signal::Level);
+    assert_eq!(settings.signal, Signal::MinRank);
     assert_eq!(settings.classes[0].effect, Effect::IdempotencyKey);
-    assert!(settings.classes[0].calls);
+    assert!(settings.classes[0].may_call);
     assert!(matches!(settings.dependency, Dependency::Shared { share, .. } if share == 0.5));
 }
 
@@ -47,5 +47,5 @@
 fn gauges_are_selected_by_name() {
     let names = ["mem_used", "runnable", "cpu_busy"].map(String::from);
     let read = gauges(&names, &[0.5, 7.0, 0.25]);
-    assert_eq!((read.runnable, read.busy), (Some(7.0), Some(0.25)));
+    assert_eq!((read.runnable, read.utilization), (Some(7.0), Some(0.25)));
 }
--- a/simulator-adapter/src/wire/decode.rs
+++ b/simulator-adapter/src/wire/decode.rs
@@ -141,7 +141,7 @@
 
     fn arrival(&mut self) -> Result<Arrival, AdapterError> {
         let id = self.request_id()?;
-        let repeats = match self.u32()? {
+        let retry_of = match self.u32()? {
             NO_REQUEST => None,
             repeated => Some(RequestId(repeated)),
         };
@@ -154,10 +154,10 @@
         let age = self.micros()?;
         let rank = self.f32()?.into();
         let caller = CallerId(self.u32()?);
-        let time_left = self.micros()?;
+        let remaining_time = self.micros()?;
         Ok(Arrival {
             id,
-            repeats,
+            retry_of,
             class,
             tenant,
             cost_hint: (flags & FLAG_COST_HINT != 0).then_some(cost_hint),
@@ -165,7 +165,7 @@
             age,
             rank,
             caller,
-            time_left: (!time_left.is_zero()).then_some(time_left),
+            remaining_time: (!remaining_time.is_zero()).then_some(remaining_time),
         })
     }
 
--- a/simulator-adapter/src/wire/encode.rs
+++ b/simulator-adapter/src/wire/encode.rs
@@ -61,8 +61,8 @@
             Action::Advertise(value) => {
                 self.record(action_code::ADVERTISE).extend((value as f32).to_le_bytes());
             }
-            Action::SetHealth { good, cheap } => {
-                self.record(action_code::SET_HEALTH).extend([u8::from(good), u8::from(cheap)]);
+            Action::SetHealth { healthy, static_answer } => {
+                self.record(action_code::SET_HEALTH).extend([u8::from(healthy), u8::from(static_answer)]);
             }
             Action::SetTimer(timer, delay) => {
                 let body = self.record(action_code::SET_TIMER);
--- a/simulator-adapter/src/wire/tests.rs
+++ b/simulator-adapter/src/wire/tests.rs
@@ -27,13 +27,13 @@
         panic!("not an arrival");
     };
     assert_eq!(arrival.id, RequestId(0x5d3a_91c4));
-    assert_eq!(arrival.repeats, Some(RequestId(0x0e6f_2b19)));
+    assert_eq!(arrival.retry_of, Some(RequestId(0x0e6f_2b19)));
     assert_eq!(arrival.cost_hint, Some(Duration::from_micros(12_000)));
     assert_eq!(arrival.memory_kb, 24.5);
     assert_eq!(arrival.age, Duration::from_micros(1850));
     assert_eq!(arrival.rank, 0.625);
     assert_eq!(arrival.caller, CallerId(17));
-    assert_eq!(arrival.time_left, Some(Duration::from_micros(240_000)));
+    assert_eq!(arrival.remaining_time, Some(Duration::from_micros(240_000)));
     assert_eq!(batch.records[4], Record::Event(Event::Cancelled(RequestId(0x0e6f_2b19))));
 }
 
