--- a/admission/src/admission.rs
+++ b/admission/src/admission.rs
@@ -4,6 +4,18 @@
 //! a module of its own; here they are composed. From the design: one permitted rate governs arrivals under overload
 //! and changes at most every two seconds, by latency, overload answers from below and use. The rest keeps the four
 //! rules (one answer in time, no effect twice, a safe drain, no fall-over) and orders what runs.
+//!
+//! | question | module |
+//! | --- | --- |
+//! | Is an arrival admitted? | `request_intake` (time, memory), `calls`, `overload` (permitted rate, token bucket) |
+//! | What is a retry answered with? | `requests`, `requests::idempotency_keys`, `requests::ended_attempts` |
+//! | Which request goes first? | `priority`, with `overload::arrival_rates` for quotas |
+//! | What is answered before it has run? | `deadlines`, `shedding` |
+//! | What runs, and how much at once? | `run_queue`, `concurrency_limit`, `warm_up`, `memory` |
+//! | Which calls are made? | `call_start`, `calls::limit` |
+//! | Is the server healthy? | `stall`, `drain` |
+//! | What do callers learn? | `load_signal`, `retry_advice`, `idle_connections`, `read_overload` |
+//! | What is estimated? | `class_estimates`, `calls::history`, `overload::latency`, `timer_watch` (stale estimates) |
 
 mod call_start;
 mod calls;
--- a/admission/src/admission/calls.rs
+++ b/admission/src/admission/calls.rs
@@ -107,14 +107,14 @@
         if context.settings.dependency == Dependency::Tier {
             return (survivable_concurrency - cores).max(cores) as usize;
         }
-        let most = MAX_AT_CALLS_PER_CORE * cores;
+        let max_while_quick = MAX_AT_CALLS_PER_CORE * cores;
         let calling_classes = context.settings.classes.iter().filter(|class| class.may_call);
         let objectives = calling_classes.map(|class| Span::from(class.latency_objective));
         let objective = objectives.fold(Span::INFINITE, Span::min);
         if self.history.waits_are_slow(objective) {
-            self.history.completable(objective).clamp(1.0, most) as usize
+            self.history.completable(objective).clamp(1.0, max_while_quick) as usize
         } else {
-            most as usize
+            max_while_quick as usize
         }
     }
 
