--- a/admission/src/admission.rs
+++ b/admission/src/admission.rs
@@ -161,6 +161,8 @@
         actions.push(Action::SetTimer(TIMER, TIMER_PERIOD.to_duration()));
     }
 
+    /// What decisions read. Where a decision changes its own state, the context is made of the fields that it reads:
+    /// a method would borrow that state as well.
     fn context(&self) -> Context<'_> {
         Context::new(self.now, &self.settings, self.requests.table(), &self.estimates)
     }
