--- a/admission/src/admission/calls.rs
+++ b/admission/src/admission/calls.rs
@@ -107,21 +107,21 @@
         if context.settings.dependency == Dependency::Tier {
             return (survivable_concurrency - cores).max(cores) as usize;
         }
-        let most = MAX_AT_CALLS_PER_CORE * cores;
-        let calling_classes = context.settings.classes.iter().filter(|class| class.calls);
+        let max_while_quick = MAX_AT_CALLS_PER_CORE * cores;
+        let calling_classes = context.settings.classes.iter().filter(|class| class.may_call);
         let objectives = calling_classes.map(|class| Span::from(class.latency_objective));
         let objective = objectives.fold(Span::INFINITE, Span::min);
         if self.history.waits_are_slow(objective) {
-            self.history.completable(objective).clamp(1.0, most) as usize
+            self.history.completable(objective).clamp(1.0, max_while_quick) as usize
         } else {
-            most as usize
+            max_while_quick as usize
         }
     }
 
     /// Whether the arrival `request` is admitted as far as calls go. With calls at their bound, what will call is
     /// admitted only if few of its priority or above are in flight.
     pub(crate) fn admit(&mut self, request: &Request, context: &Context, max_at_calls: usize) -> bool {
-        if context.requests.at_calls() >= max_at_calls {
+        if context.requests.at_calls_count() >= max_at_calls {
             self.throttled_until = context.now + RATE_WINDOW;
         }
         if !self.are_throttled(context.now) || !request.may_call {
