--- a/fault-harness/src/node.rs
+++ b/fault-harness/src/node.rs
@@ -31,7 +31,7 @@
 pub use builds::{Build, ProgramOptionError, Programs};
 pub use error::StartError;
 pub use lifecycle::Ending;
-pub use relays::{PeerRelays, RouterRelays, ServiceRelays};
+pub use relays::{PeerRelays, ServiceRelays};
 
 /// A membership configuration.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -50,9 +50,9 @@
     pub interpreter: Rc<Interpreter>,
     /// Its relays to services and frontends.
     pub relays: ServiceRelays,
-    /// Its relays with the other nodes of the virtual router.
-    pub router_relays: RefCell<Vec<RouterRelays>>,
-    /// Its relays with the other nodes that replicate.
+    /// Its relays for datagrams with the other nodes of the virtual router.
+    pub router_relays: RefCell<Vec<PeerRelays>>,
+    /// Its relays for connections with the other nodes that replicate.
     pub peer_relays: RefCell<Vec<PeerRelays>>,
     /// The file that makes it one of the virtual router.
     pub router_config: RefCell<Option<String>>,
--- a/fault-harness/src/node/relays.rs
+++ b/fault-harness/src/node/relays.rs
@@ -14,22 +14,12 @@
     pub frontends: Vec<Relay>,
 }
 
-/// Relays for datagrams between a node and another one of its virtual router.
-pub struct RouterRelays {
-    /// The other node.
-    pub peer: usize,
-    /// To the node, from the other one.
-    pub incoming: Relay,
-    /// From the node, to the other one.
-    pub outgoing: Relay,
-}
-
-/// Relays for connections between a node and another one that replicates.
+/// Relays between a node and another one.
 pub struct PeerRelays {
     /// The other node.
     pub peer: usize,
-    /// For the connections that the node opens.
-    pub opened_here: Relay,
-    /// For the connections that the other node opens.
-    pub opened_by_peer: Relay,
+    /// For what the node sends: its datagrams, or the connections that it opens.
+    pub outgoing: Relay,
+    /// For what the other node sends: its datagrams, or the connections that it opens.
+    pub incoming: Relay,
 }
--- a/fault-harness/src/play/disturbance.rs
+++ b/fault-harness/src/play/disturbance.rs
@@ -163,8 +163,8 @@
         for relays in &*machine.peer_relays.borrow() {
             let is_meant = with.is_empty() || with.contains(&names[relays.peer]);
             if is_meant && !are_cut_off_together(injection, relays.peer) {
-                disturbed.add_peer(&relays.opened_here, directions);
-                disturbed.add_peer(&relays.opened_by_peer, opposite(directions));
+                disturbed.add_peer(&relays.outgoing, directions);
+                disturbed.add_peer(&relays.incoming, opposite(directions));
             }
         }
     }
--- a/fault-harness/src/play/links.rs
+++ b/fault-harness/src/play/links.rs
@@ -11,7 +11,7 @@
 use tokio::task::spawn_local;
 
 use super::testbed::Testbed;
-use crate::node::{Membership, PeerRelays, RouterRelays};
+use crate::node::{Membership, PeerRelays};
 use crate::relay::{Direction, Relay};
 use crate::schedule::{generator, RandomStream};
 use crate::settings;
@@ -37,9 +37,26 @@
     to: usize,
 }
 
-impl Pair {
-    fn reversed(self) -> Pair {
-        Pair { from: self.to, to: self.from }
+/// The relays of all pairs of nodes.
+struct RelaysByPair {
+    nodes: usize,
+    relays: HashMap<Pair, Relay>,
+}
+
+impl RelaysByPair {
+    /// The relay from one node of a pair to the other.
+    fn of_pair(&self, pair: Pair) -> Relay {
+        self.relays[&pair].clone()
+    }
+
+    /// The relays of one node with all others.
+    fn of_node(&self, node: usize) -> Vec<PeerRelays> {
+        let with_peer = |peer| PeerRelays {
+            peer,
+            outgoing: self.of_pair(Pair { from: node, to: peer }),
+            incoming: self.of_pair(Pair { from: peer, to: node }),
+        };
+        others(self.nodes, node).map(with_peer).collect()
     }
 }
 
@@ -61,10 +78,14 @@
         Ipv4Addr::new(LOOPBACK, network as u8, play as u8, node as u8 + 1)
     }
 
-    /// A relay from one node to another, with random numbers of its own.
-    fn relay_between(&self, pair: Pair) -> Relay {
-        let number = (FIRST_PEER_RELAY + pair.from * self.machines.len() + pair.to) as u64;
-        Relay::new(self.context.clock, generator(self.context.seed, RandomStream::Links, number))
+    /// A relay for each pair of nodes, with random numbers of its own.
+    fn relays_by_pair(&self) -> RelaysByPair {
+        let nodes = self.machines.len();
+        let relay = |pair: Pair| {
+            let number = (FIRST_PEER_RELAY + pair.from * nodes + pair.to) as u64;
+            Relay::new(self.context.clock, generator(self.context.seed, RandomStream::Links, number))
+        };
+        RelaysByPair { nodes, relays: pairs(nodes).map(|pair| (pair, relay(pair))).collect() }
     }
 
     /// Joins all nodes to one virtual router, each pair by a relay in each direction.
@@ -76,30 +97,19 @@
             listen_addresses.push(socket.local_addr()?);
         }
         let proxies = bind_proxies(count).await?;
-        let mut relays = HashMap::new();
+        let relays = self.relays_by_pair();
         for pair in pairs(count) {
-            let relay = self.relay_between(pair);
-            relays.insert(pair, relay.clone());
             // What `from` sends to its proxy of `to` reaches `to` from its proxy of `from`.
             let incoming = proxies[pair.from][pair.to].clone();
             let outgoing = proxies[pair.to][pair.from].clone();
-            forward_datagrams(relay, incoming, outgoing, listen_addresses[pair.to]);
+            forward_datagrams(relays.of_pair(pair), incoming, outgoing, listen_addresses[pair.to]);
         }
         for (node, machine) in self.machines.iter().enumerate() {
             let peers = others(count, node).map(|other| proxies[node][other].local_addr());
             let peers = peers.collect::<io::Result<Vec<_>>>()?;
             let config = settings::router(node, interval_ms, listen_addresses[node], &peers);
             *machine.router_config.borrow_mut() = Some(config);
-            let router_relays = others(count, node).map(|peer| {
-                let outgoing = Pair { from: node, to: peer };
-                let incoming = outgoing.reversed();
-                RouterRelays {
-                    peer,
-                    incoming: relays[&incoming].clone(),
-                    outgoing: relays[&outgoing].clone(),
-                }
-            });
-            *machine.router_relays.borrow_mut() = router_relays.collect();
+            *machine.router_relays.borrow_mut() = relays.of_node(node);
         }
         Ok(())
     }
@@ -112,14 +122,12 @@
             let listener = TcpListener::bind((self.unique_address(node), 0)).await?;
             listen_addresses.push(listener.local_addr()?);
         }
-        let mut relays = HashMap::new();
+        let relays = self.relays_by_pair();
         let mut dial_addresses = vec![listen_addresses.clone(); count];
         for pair in pairs(count) {
-            let relay = self.relay_between(pair);
             let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
             dial_addresses[pair.from][pair.to] = listener.local_addr()?;
-            forward_connections(relay.clone(), listener, listen_addresses[pair.to]);
-            relays.insert(pair, relay);
+            forward_connections(relays.of_pair(pair), listener, listen_addresses[pair.to]);
         }
         for (node, machine) in self.machines.iter().enumerate() {
             let addresses = settings::PeerAddresses {
@@ -128,16 +136,7 @@
             };
             *machine.peer_addresses.borrow_mut() = Some(addresses);
             *machine.membership.borrow_mut() = self.initial_membership(node);
-            let peer_relays = others(count, node).map(|peer| {
-                let here = Pair { from: node, to: peer };
-                let by_peer = here.reversed();
-                PeerRelays {
-                    peer,
-                    opened_here: relays[&here].clone(),
-                    opened_by_peer: relays[&by_peer].clone(),
-                }
-            });
-            *machine.peer_relays.borrow_mut() = peer_relays.collect();
+            *machine.peer_relays.borrow_mut() = relays.of_node(node);
         }
         Ok(())
     }
--- a/fault-harness/src/report.rs
+++ b/fault-harness/src/report.rs
@@ -55,10 +55,8 @@
     /// The rules broken.
     pub verdict: Verdict,
     /// The statistics.
-    #[serde(rename = "figures")]
     pub statistics: Statistics,
     /// The seconds to full service that warming up alone would have needed; none without a fault.
-    #[serde(rename = "floor")]
     pub warm_up_bound_s: Option<f64>,
 }
 
