--- a/fault-harness/src/node.rs
+++ b/fault-harness/src/node.rs
@@ -43,9 +43,10 @@
 }
 
 /// One node.
-pub struct Machine {
+pub struct Node {
     context: Rc<PlayContext>,
-    node: usize,
+    /// Its position in the fleet.
+    index: usize,
     /// Its interpreter.
     pub interpreter: Rc<Interpreter>,
     /// Its relays to services and frontends.
@@ -82,7 +83,7 @@
     planned_restart: RefCell<Option<PlannedRestart>>,
 }
 
-impl Machine {
+impl Node {
     /// A node that is not started yet, with a directory of its own below `folder`.
     ///
     /// # Errors
@@ -90,23 +91,23 @@
     /// If its directory cannot be made.
     pub fn new(
         context: Rc<PlayContext>,
-        node: usize,
+        index: usize,
         relays: ServiceRelays,
         programs: &Programs,
         folder: &Path,
         log_enabled: bool,
-    ) -> Result<Rc<Machine>, StartError> {
-        let name = node_name(node);
+    ) -> Result<Rc<Node>, StartError> {
+        let name = node_name(index);
         let folder = folder.join(&name);
         let state_folders = StateFolders::create(&folder).map_err(StartError::file(&folder))?;
         let fleet = &context.scenario.fleet;
         let build = fleet.programs.iter().find(|(_, nodes)| nodes.contains(&name));
         let build = build.map(|(build, _)| build.clone());
         let clock = fleet.clocks.get(&name).cloned();
-        let interpreter = Interpreter::new(context.clone(), node, fleet.cold);
-        Ok(Rc::new(Machine {
+        let interpreter = Interpreter::new(context.clone(), index, fleet.cold);
+        Ok(Rc::new(Node {
             context,
-            node,
+            index,
             interpreter,
             relays,
             router_relays: RefCell::default(),
@@ -133,7 +134,7 @@
 
     /// Its name in scenarios and reports.
     pub fn name(&self) -> String {
-        node_name(self.node)
+        node_name(self.index)
     }
 
     /// Handles a line that the program has logged.
@@ -142,14 +143,14 @@
             self.can_vote.set(true);
         }
         if let Some(text) = line.fleet {
-            self.context.note(Event::FleetLogged { node: self.node, text });
+            self.context.note(Event::FleetLogged { node: self.index, text });
         }
         if let Some(active) = line.router_active {
-            self.context.note(Event::RouterRole { node: self.node, active });
+            self.context.note(Event::RouterRole { node: self.index, active });
         }
         if let Some(address) = line.serving_at {
             self.address.send_replace(Some(address));
-            self.context.note(Event::NodeUp { node: self.node, cold: self.interpreter.is_cold() });
+            self.context.note(Event::NodeUp { node: self.index, cold: self.interpreter.is_cold() });
         }
     }
 
@@ -181,6 +182,6 @@
     }
 }
 
-fn node_name(node: usize) -> String {
-    format!("n{}", node + 1)
+fn node_name(index: usize) -> String {
+    format!("n{}", index + 1)
 }
--- a/fault-harness/src/node/lifecycle.rs
+++ b/fault-harness/src/node/lifecycle.rs
@@ -5,7 +5,7 @@
 
 use tokio::task::spawn_local;
 
-use super::{Machine, StartError};
+use super::{Node, StartError};
 use crate::history::{Event, ProcessExit};
 use crate::model::Ms;
 use crate::process::{Program, Signal};
@@ -62,7 +62,7 @@
     }
 }
 
-impl Machine {
+impl Node {
     /// Handles the end of its program.
     pub(super) fn on_exit(self: &Rc<Self>) {
         let status = self.program.borrow_mut().take().and_then(|mut program| program.wait().ok());
@@ -76,17 +76,17 @@
             self.note_down(exit);
         }
         let Some(planned) = self.planned_restart.borrow_mut().take() else { return };
-        let machine = self.clone();
+        let node = self.clone();
         spawn_local(async move {
-            machine.context.clock.until(machine.context.now() + planned.delay).await;
-            if let Err(error) = machine.restart(&planned) {
-                machine.note_down(ProcessExit::Crashed(format!("not started again: {error}")));
+            node.context.clock.until(node.context.now() + planned.delay).await;
+            if let Err(error) = node.restart(&planned) {
+                node.note_down(ProcessExit::Crashed(format!("not started again: {error}")));
             }
         });
     }
 
     fn note_down(&self, exit: ProcessExit) {
-        self.context.note(Event::NodeDown { node: self.node, exit });
+        self.context.note(Event::NodeDown { node: self.index, exit });
     }
 
     fn restart(self: &Rc<Self>, planned: &PlannedRestart) -> Result<(), StartError> {
@@ -100,7 +100,7 @@
         }
         self.state_folders.prepare(planned.folder, planned.draw).map_err(StartError::file(&self.folder))?;
         if planned.folder != StoredState::Intact || !self.context.scenario.fleet.folder {
-            self.context.note(Event::StateLost { node: self.node });
+            self.context.note(Event::StateLost { node: self.index });
         }
         self.interpreter.start();
         self.start()
@@ -131,19 +131,19 @@
         }
     }
 
-    /// Tells it to shut down; it is killed when its time for that is over. It is restarted like after [`Machine::kill`].
+    /// Tells it to shut down; it is killed when its time for that is over. It is restarted like after [`Node::kill`].
     pub fn shut_down(self: &Rc<Self>, down: Option<Ms>, fault: &Fault, draw: u64) {
         let Some(id) = self.signal(Signal::TERM) else { return };
         self.schedule_restart(down.map(|delay| PlannedRestart::after_fault(delay, fault, draw)));
         self.ending.set(Some(Ending::ShuttingDown));
-        self.context.note(Event::ShutdownNotice { node: self.node });
-        let machine = self.clone();
+        self.context.note(Event::ShutdownNotice { node: self.index });
+        let node = self.clone();
         let deadline = self.context.now() + self.context.scenario.fleet.stop_ms as f64;
         spawn_local(async move {
-            machine.context.clock.until(deadline).await;
-            if machine.program.borrow().as_ref().is_some_and(|program| program.id() == id) {
-                machine.note_down(ProcessExit::ShutdownTimedOut);
-                machine.end(Ending::Killed);
+            node.context.clock.until(deadline).await;
+            if node.program.borrow().as_ref().is_some_and(|program| program.id() == id) {
+                node.note_down(ProcessExit::ShutdownTimedOut);
+                node.end(Ending::Killed);
             }
         });
     }
@@ -168,7 +168,7 @@
         if !program_only {
             self.interpreter.set_paused(paused);
         }
-        self.context.note(Event::Paused { node: self.node, paused });
+        self.context.note(Event::Paused { node: self.index, paused });
     }
 
     /// Notes the resources that its program takes, and ends it where its interpreter has died.
@@ -177,7 +177,7 @@
         let usage = self.program.borrow().as_ref().filter(|_| self.has_logged.get()).and_then(Program::usage);
         if let Some(usage) = usage {
             self.context.note(Event::ResourceSample {
-                node: self.node,
+                node: self.index,
                 memory_kb: usage.memory_kb,
                 descriptors: usage.descriptors,
                 cpu_ms: usage.cpu_ms,
--- a/fault-harness/src/node/services.rs
+++ b/fault-harness/src/node/services.rs
@@ -10,7 +10,7 @@
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 
-use super::Machine;
+use super::Node;
 use crate::history::Event;
 use crate::model::registry::Registry;
 use crate::relay::Direction;
@@ -46,7 +46,7 @@
     }
 }
 
-impl Machine {
+impl Node {
     /// Serves what the node connects to, for as long as the play.
     pub async fn serve_services(
         self: Rc<Self>,
@@ -70,7 +70,7 @@
                 }
                 Some(link) = dependency_links.recv() => {
                     if let Some(dependency) = &dependency {
-                        spawn_local(dependency.clone().serve(self.node, self.interpreter.clone(), link));
+                        spawn_local(dependency.clone().serve(self.index, self.interpreter.clone(), link));
                     }
                 }
                 Some(report) = reports.recv() => self.on_report(&report, &registry),
@@ -88,9 +88,9 @@
             ["HB", name, "OUT"] if name == self.name() => false,
             _ => {
                 let text = format!("not a report of this node: {text}");
-                return self.context.note(Event::Corrupted { node: self.node, text });
+                return self.context.note(Event::Corrupted { node: self.index, text });
             }
         };
-        registry.borrow_mut().on_heartbeat(self.context.now(), self.node, is_up);
+        registry.borrow_mut().on_heartbeat(self.context.now(), self.index, is_up);
     }
 }
--- a/fault-harness/src/node/startup.rs
+++ b/fault-harness/src/node/startup.rs
@@ -9,7 +9,7 @@
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 
-use super::{Machine, StartError};
+use super::{Node, StartError};
 use crate::process::Program;
 use crate::program_log::LogLine;
 use crate::settings;
@@ -25,7 +25,7 @@
 /// The bits of a seed that depend on the time of the start begin here.
 const START_TIME_SHIFT: u32 = 32;
 
-impl Machine {
+impl Node {
     /// Starts it for the first time, once its services listen.
     ///
     /// # Errors
@@ -81,7 +81,7 @@
 
     /// The seed of the program's own random numbers, another one at each start.
     fn seed(&self) -> u64 {
-        let of_node = self.context.seed.wrapping_mul(SEEDS_PER_PLAY).wrapping_add(self.node as u64);
+        let of_node = self.context.seed.wrapping_mul(SEEDS_PER_PLAY).wrapping_add(self.index as u64);
         of_node ^ ((self.context.now() as u64) << START_TIME_SHIFT)
     }
 
@@ -93,7 +93,7 @@
         let votes = self.state_folders.votes();
         let version = membership.version;
         let nodes = &membership.nodes;
-        let config = settings::fleet(&self.context.scenario, self.node, addresses, &votes, version, nodes);
+        let config = settings::fleet(&self.context.scenario, self.index, addresses, &votes, version, nodes);
         self.write_file("fleet.toml", &config)
     }
 
--- a/fault-harness/src/play.rs
+++ b/fault-harness/src/play.rs
@@ -1,5 +1,5 @@
-//! Plays a scenario: starts the nodes and all that they talk to, sends the load, injects the faults, and ends every process that
-//! it started.
+//! Plays a scenario: starts the nodes and all that they talk to, sends the load, injects the faults, and ends every process
+//! that it started.
 
 mod disturbance;
 mod error;
@@ -59,7 +59,7 @@
             _ = terminate.recv() => Err(PlayError::Interrupted),
         }
     }));
-    // Tasks hold the machines, and with them the processes.
+    // Tasks hold the nodes, and with them the processes.
     drop(set);
     history
 }
@@ -71,8 +71,8 @@
     start_nodes(&testbed).await?;
     let context = &testbed.context;
     context.load_start.set(context.now() + PAUSE_BEFORE_LOAD);
-    for machine in &testbed.machines {
-        machine.keep_copy();
+    for node in &testbed.nodes {
+        node.keep_copy();
     }
     start_tasks(&testbed, options);
     testbed.arm();
@@ -93,8 +93,8 @@
     if fleet.peers.as_ref().is_some_and(|peers| peers.enabled) {
         testbed.connect_peers().await?;
     }
-    for machine in &testbed.machines {
-        machine.begin().await?;
+    for node in &testbed.nodes {
+        node.begin().await?;
     }
     testbed.ready().await
 }
@@ -128,7 +128,7 @@
 fn stop(testbed: &Testbed) {
     testbed.context.remove_listener();
     testbed.pending_injections.borrow_mut().clear();
-    for machine in &testbed.machines {
-        machine.end(Ending::PlayEnded);
+    for node in &testbed.nodes {
+        node.end(Ending::PlayEnded);
     }
 }
--- a/fault-harness/src/play/disturbance.rs
+++ b/fault-harness/src/play/disturbance.rs
@@ -7,7 +7,7 @@
 use super::testbed::Testbed;
 use crate::history::Event;
 use crate::model::Ms;
-use crate::node::Machine;
+use crate::node::Node;
 use crate::play_context::PlayContext;
 use crate::relay::Relay;
 use crate::scenario::{Directions, FaultKind, Link, Traffic};
@@ -113,17 +113,17 @@
 
     fn disturbed_relays(&self, injection: &Injection, fault: &LinkFault) -> DisturbedRelays {
         let mut disturbed = DisturbedRelays::default();
-        for node in &injection.targets {
-            let Some(machine) = self.machines.get(*node) else { continue };
+        for index in &injection.targets {
+            let Some(node) = self.nodes.get(*index) else { continue };
             for link in fault.links {
                 match link {
-                    Link::Frontends => self.add_frontend_relays(injection, *node, machine, &mut disturbed),
-                    Link::Interpreter => disturbed.add_service(&machine.relays.interpreter),
-                    Link::Dependency => disturbed.add_service(&machine.relays.dependency),
-                    Link::Registry => disturbed.add_service(&machine.relays.registry),
+                    Link::Frontends => self.add_frontend_relays(injection, *index, node, &mut disturbed),
+                    Link::Interpreter => disturbed.add_service(&node.relays.interpreter),
+                    Link::Dependency => disturbed.add_service(&node.relays.dependency),
+                    Link::Registry => disturbed.add_service(&node.relays.registry),
                     Link::Peers => {
-                        add_router_relays(injection, machine, fault.directions, &mut disturbed);
-                        self.add_peer_relays(injection, machine, fault.directions, &mut disturbed);
+                        add_router_relays(injection, node, fault.directions, &mut disturbed);
+                        self.add_peer_relays(injection, node, fault.directions, &mut disturbed);
                     }
                 }
             }
@@ -135,16 +135,16 @@
     fn add_frontend_relays(
         &self,
         injection: &Injection,
-        node: usize,
-        machine: &Rc<Machine>,
+        index: usize,
+        node: &Rc<Node>,
         disturbed: &mut DisturbedRelays,
     ) {
         let zones = &self.context.scenario.fleet.zones;
-        for (frontend, relay) in machine.relays.frontends.iter().enumerate() {
+        for (frontend, relay) in node.relays.frontends.iter().enumerate() {
             let zone = &zones[self.context.schedule.frontends[frontend].zone];
             let is_cut_off_too = injection.fault.zone.as_ref() == Some(zone);
             if injection.fault.what != FaultKind::Partition || !is_cut_off_too {
-                let link = FrontendLink { node, frontend };
+                let link = FrontendLink { node: index, frontend };
                 disturbed.services.push(ServiceRelay { relay: relay.clone(), frontend: Some(link) });
             }
         }
@@ -154,13 +154,13 @@
     fn add_peer_relays(
         &self,
         injection: &Injection,
-        machine: &Rc<Machine>,
+        node: &Rc<Node>,
         directions: Directions,
         disturbed: &mut DisturbedRelays,
     ) {
         let names = self.context.scenario.node_names();
         let with = &injection.fault.with;
-        for relays in &*machine.peer_relays.borrow() {
+        for relays in &*node.peer_relays.borrow() {
             let is_meant = with.is_empty() || with.contains(&names[relays.peer]);
             if is_meant && !are_cut_off_together(injection, relays.peer) {
                 disturbed.add_peer(&relays.outgoing, directions);
@@ -173,11 +173,11 @@
 /// Relays for datagrams of the virtual router, one for each direction.
 fn add_router_relays(
     injection: &Injection,
-    machine: &Rc<Machine>,
+    node: &Rc<Node>,
     directions: Directions,
     disturbed: &mut DisturbedRelays,
 ) {
-    for relays in &*machine.router_relays.borrow() {
+    for relays in &*node.router_relays.borrow() {
         if are_cut_off_together(injection, relays.peer) {
             continue;
         }
--- a/fault-harness/src/play/faults.rs
+++ b/fault-harness/src/play/faults.rs
@@ -9,7 +9,7 @@
 use super::testbed::Testbed;
 use crate::history::Event;
 use crate::model::{ms_of_seconds, Ms};
-use crate::node::{Machine, Membership};
+use crate::node::{Membership, Node};
 use crate::play_context::Occurrence;
 use crate::scenario::{Directions, Fault, FaultKind, Link, Traffic};
 use crate::schedule::{Injection, InjectionTime};
@@ -74,13 +74,12 @@
         self.context.note(Event::FaultInjected { text: describe(injection), until });
         match fault.what {
             FaultKind::Kill => {
-                self.machines_of(injection).for_each(|machine| machine.kill(down, fault, injection.random));
+                self.nodes_of(injection).for_each(|node| node.kill(down, fault, injection.random));
             }
             FaultKind::Shutdown => {
-                self.machines_of(injection)
-                    .for_each(|machine| machine.shut_down(down, fault, injection.random));
+                self.nodes_of(injection).for_each(|node| node.shut_down(down, fault, injection.random));
             }
-            FaultKind::Reload => self.machines_of(injection).for_each(|machine| machine.reload()),
+            FaultKind::Reload => self.nodes_of(injection).for_each(|node| node.reload()),
             FaultKind::Pause => self.pause(injection, until),
             FaultKind::Slow => self.slow_down(injection, until),
             FaultKind::Partition => self.partition(injection, until),
@@ -93,20 +92,20 @@
         }
     }
 
-    fn machines_of<'a>(&'a self, injection: &'a Injection) -> impl Iterator<Item = &'a Rc<Machine>> {
-        injection.targets.iter().filter_map(|node| self.machines.get(*node))
+    fn nodes_of<'a>(&'a self, injection: &'a Injection) -> impl Iterator<Item = &'a Rc<Node>> {
+        injection.targets.iter().filter_map(|index| self.nodes.get(*index))
     }
 
     fn pause(self: &Rc<Self>, injection: &Injection, until: Ms) {
         let program_only = injection.fault.program_only;
-        self.machines_of(injection).for_each(|machine| machine.set_paused(true, program_only));
-        self.undo_at(until, injection, |machine, fault| machine.set_paused(false, fault.program_only));
+        self.nodes_of(injection).for_each(|node| node.set_paused(true, program_only));
+        self.undo_at(until, injection, |node, fault| node.set_paused(false, fault.program_only));
     }
 
     fn slow_down(self: &Rc<Self>, injection: &Injection, until: Ms) {
         let factor = injection.fault.factor;
-        self.machines_of(injection).for_each(|machine| machine.interpreter.set_speed_factor(factor));
-        self.undo_at(until, injection, |machine, _| machine.interpreter.set_speed_factor(1.0));
+        self.nodes_of(injection).for_each(|node| node.interpreter.set_speed_factor(factor));
+        self.undo_at(until, injection, |node, _| node.interpreter.set_speed_factor(1.0));
     }
 
     fn partition(&self, injection: &Injection, until: Ms) {
@@ -155,7 +154,7 @@
 
     /// Announces the next membership configuration to all nodes, one after the other.
     fn change_membership(&self, change: impl FnOnce(&mut Vec<usize>)) {
-        let newest = self.machines.iter().map(|machine| machine.membership.borrow().clone());
+        let newest = self.nodes.iter().map(|node| node.membership.borrow().clone());
         // The first of those with the highest version.
         let Some(current) = newest.min_by_key(|membership| Reverse(membership.version)) else { return };
         let mut nodes = current.nodes.clone();
@@ -165,28 +164,23 @@
         // Nodes that join later are in it already.
         let version = if nodes == current.nodes { current.version } else { current.version + 1 };
         let next = Membership { version, nodes };
-        for (position, machine) in self.machines.iter().cloned().enumerate() {
+        for (position, node) in self.nodes.iter().cloned().enumerate() {
             let clock = self.context.clock;
             let membership = next.clone();
             spawn_local(async move {
                 clock.until(clock.now() + position as f64 * ANNOUNCEMENT_INTERVAL).await;
-                machine.apply_membership(&membership);
+                node.apply_membership(&membership);
             });
         }
     }
 
     /// Undoes a fault for all nodes that it was injected into.
-    fn undo_at(
-        self: &Rc<Self>,
-        at: Ms,
-        injection: &Injection,
-        undo: impl Fn(&Rc<Machine>, &Fault) + 'static,
-    ) {
+    fn undo_at(self: &Rc<Self>, at: Ms, injection: &Injection, undo: impl Fn(&Rc<Node>, &Fault) + 'static) {
         let testbed = self.clone();
         let injection = injection.clone();
         spawn_local(async move {
             testbed.context.clock.until(at).await;
-            testbed.machines_of(&injection).for_each(|machine| undo(machine, &injection.fault));
+            testbed.nodes_of(&injection).for_each(|node| undo(node, &injection.fault));
         });
     }
 }
--- a/fault-harness/src/play/links.rs
+++ b/fault-harness/src/play/links.rs
@@ -80,7 +80,7 @@
 
     /// A relay for each pair of nodes, with random numbers of its own.
     fn relays_by_pair(&self) -> RelaysByPair {
-        let nodes = self.machines.len();
+        let nodes = self.nodes.len();
         let relay = |pair: Pair| {
             let number = (FIRST_PEER_RELAY + pair.from * nodes + pair.to) as u64;
             Relay::new(self.context.clock, generator(self.context.seed, RandomStream::Links, number))
@@ -90,7 +90,7 @@
 
     /// Joins all nodes to one virtual router, each pair by a relay in each direction.
     pub(super) async fn connect_router(&self, interval_ms: u64) -> io::Result<()> {
-        let count = self.machines.len();
+        let count = self.nodes.len();
         let mut listen_addresses = Vec::new();
         for node in 0..count {
             let socket = UdpSocket::bind((self.unique_address(node), 0)).await?;
@@ -104,19 +104,19 @@
             let outgoing = proxies[pair.to][pair.from].clone();
             forward_datagrams(relays.of_pair(pair), incoming, outgoing, listen_addresses[pair.to]);
         }
-        for (node, machine) in self.machines.iter().enumerate() {
-            let peers = others(count, node).map(|other| proxies[node][other].local_addr());
+        for (index, node) in self.nodes.iter().enumerate() {
+            let peers = others(count, index).map(|other| proxies[index][other].local_addr());
             let peers = peers.collect::<io::Result<Vec<_>>>()?;
-            let config = settings::router(node, interval_ms, listen_addresses[node], &peers);
-            *machine.router_config.borrow_mut() = Some(config);
-            *machine.router_relays.borrow_mut() = relays.of_node(node);
+            let config = settings::router(index, interval_ms, listen_addresses[index], &peers);
+            *node.router_config.borrow_mut() = Some(config);
+            *node.router_relays.borrow_mut() = relays.of_node(index);
         }
         Ok(())
     }
 
     /// Connects all nodes that replicate, each pair by a relay for each one that opens connections.
     pub(super) async fn connect_peers(&self) -> io::Result<()> {
-        let count = self.machines.len();
+        let count = self.nodes.len();
         let mut listen_addresses = Vec::new();
         for node in 0..count {
             let listener = TcpListener::bind((self.unique_address(node), 0)).await?;
@@ -129,21 +129,21 @@
             dial_addresses[pair.from][pair.to] = listener.local_addr()?;
             forward_connections(relays.of_pair(pair), listener, listen_addresses[pair.to]);
         }
-        for (node, machine) in self.machines.iter().enumerate() {
+        for (index, node) in self.nodes.iter().enumerate() {
             let addresses = settings::PeerAddresses {
-                listen: listen_addresses[node],
-                dial: dial_addresses[node].clone(),
+                listen: listen_addresses[index],
+                dial: dial_addresses[index].clone(),
             };
-            *machine.peer_addresses.borrow_mut() = Some(addresses);
-            *machine.membership.borrow_mut() = self.initial_membership(node);
-            *machine.peer_relays.borrow_mut() = relays.of_node(node);
+            *node.peer_addresses.borrow_mut() = Some(addresses);
+            *node.membership.borrow_mut() = self.initial_membership(index);
+            *node.peer_relays.borrow_mut() = relays.of_node(index);
         }
         Ok(())
     }
 
     /// The membership configuration that a node starts with.
     fn initial_membership(&self, node: usize) -> Membership {
-        let count = self.machines.len();
+        let count = self.nodes.len();
         let later = self.context.scenario.fleet.peers.as_ref().map_or(0, |peers| peers.joining_nodes);
         let initial_members = count - later;
         if node < initial_members {
--- a/fault-harness/src/play/monitoring.rs
+++ b/fault-harness/src/play/monitoring.rs
@@ -19,8 +19,8 @@
 /// Samples the resources that each program takes, for as long as the play.
 pub(super) async fn sample(testbed: Rc<Testbed>) {
     loop {
-        for machine in &testbed.machines {
-            machine.sample();
+        for node in &testbed.nodes {
+            node.sample();
         }
         let next = testbed.context.now() + SAMPLE_INTERVAL;
         testbed.context.clock.until(next).await;
@@ -44,13 +44,13 @@
     let context = &testbed.context;
     loop {
         let elapsed_s = seconds_of_ms(context.now() - context.load_start.get());
-        let up = testbed.machines.iter().filter(|machine| machine.address.borrow().is_some()).count();
+        let up = testbed.nodes.iter().filter(|node| node.address.borrow().is_some()).count();
         eprintln!(
             "{}: {:.0} of {:.0} s, {up} of {} nodes up",
             context.scenario.name,
             elapsed_s.max(0.0),
             context.scenario.seconds,
-            testbed.machines.len()
+            testbed.nodes.len()
         );
         context.clock.until(context.now() + PROGRESS_INTERVAL).await;
     }
--- a/fault-harness/src/play/testbed.rs
+++ b/fault-harness/src/play/testbed.rs
@@ -9,7 +9,7 @@
 use super::{Options, PlayError};
 use crate::model::registry::Registry;
 use crate::model::{ms_of_seconds, Ms};
-use crate::node::{Machine, ServiceRelays, StartError};
+use crate::node::{Node, ServiceRelays, StartError};
 use crate::play_context::PlayContext;
 use crate::relay::Relay;
 use crate::scenario::Scenario;
@@ -25,7 +25,7 @@
 /// The parts of a play.
 pub(super) struct Testbed {
     pub(super) context: Rc<PlayContext>,
-    pub(super) machines: Vec<Rc<Machine>>,
+    pub(super) nodes: Vec<Rc<Node>>,
     pub(super) frontends: Vec<Rc<Frontend>>,
     /// The dependency, if requests call one.
     pub(super) dependency: Option<Rc<Dependency>>,
@@ -64,15 +64,15 @@
         if let Some(dependency) = &dependency {
             spawn_local(dependency.clone().work());
         }
-        let machines = machines(&context, options, folder)?;
-        for machine in &machines {
-            spawn_local(machine.interpreter.clone().work());
-            spawn_local(machine.clone().serve_services(dependency.clone(), registry.clone()));
+        let nodes = nodes(&context, options, folder)?;
+        for node in &nodes {
+            spawn_local(node.interpreter.clone().work());
+            spawn_local(node.clone().serve_services(dependency.clone(), registry.clone()));
         }
-        let frontends = frontends(&context, &machines, &registry);
+        let frontends = frontends(&context, &nodes, &registry);
         Ok(Testbed {
             context,
-            machines,
+            nodes,
             frontends,
             dependency,
             registry,
@@ -115,28 +115,24 @@
             .map(|frontend| frontend.registry_delay)
             .fold(0.0, f64::max);
         let listed = self.registry.borrow_mut().listed_at(now, now - latest);
-        for (machine, is_listed) in self.machines.iter().zip(&listed) {
-            if !*is_listed || !machine.is_healthy().await {
-                return Some(machine.name());
+        for (node, is_listed) in self.nodes.iter().zip(&listed) {
+            if !*is_listed || !node.is_healthy().await {
+                return Some(node.name());
             }
             // Keyed requests run once the nodes that hold replicas can vote.
-            if machine.peer_addresses.borrow().is_some() && !machine.can_vote.get() {
-                return Some(machine.name());
+            if node.peer_addresses.borrow().is_some() && !node.can_vote.get() {
+                return Some(node.name());
             }
         }
         None
     }
 }
 
-fn machines(
-    context: &Rc<PlayContext>,
-    options: &Options,
-    folder: &Path,
-) -> Result<Vec<Rc<Machine>>, StartError> {
+fn nodes(context: &Rc<PlayContext>, options: &Options, folder: &Path) -> Result<Vec<Rc<Node>>, StartError> {
     let scenario = &context.scenario;
     let mut factory = RelayFactory { context, made: 0 };
-    let mut machines = Vec::new();
-    for node in 0..scenario.fleet.nodes {
+    let mut nodes = Vec::new();
+    for index in 0..scenario.fleet.nodes {
         let relays = ServiceRelays {
             frontends: (0..scenario.frontends.count).map(|_| factory.relay()).collect(),
             interpreter: factory.relay(),
@@ -144,21 +140,21 @@
             registry: factory.relay(),
         };
         let log_enabled = options.out.is_some();
-        let machine = Machine::new(context.clone(), node, relays, &options.programs, folder, log_enabled)?;
-        machines.push(machine);
+        let node = Node::new(context.clone(), index, relays, &options.programs, folder, log_enabled)?;
+        nodes.push(node);
     }
-    Ok(machines)
+    Ok(nodes)
 }
 
 fn frontends(
     context: &Rc<PlayContext>,
-    machines: &[Rc<Machine>],
+    nodes: &[Rc<Node>],
     registry: &Rc<RefCell<Registry>>,
 ) -> Vec<Rc<Frontend>> {
-    let endpoints = machines.iter().map(|machine| NodeEndpoints {
-        address: machine.address.subscribe(),
-        relays: machine.relays.frontends.clone(),
-        interpreter: machine.interpreter.clone(),
+    let endpoints = nodes.iter().map(|node| NodeEndpoints {
+        address: node.address.subscribe(),
+        relays: node.relays.frontends.clone(),
+        interpreter: node.interpreter.clone(),
     });
     let shared = Shared {
         nodes: Rc::new(endpoints.collect()),
--- a/fault-harness/src/simulated/frontends/connection.rs
+++ b/fault-harness/src/simulated/frontends/connection.rs
@@ -50,12 +50,10 @@
     }
 }
 
-/// The answer to an attempt, for its caller and for the history.
+/// The answer to the attempt that has this id on its connection.
 struct Answer {
-    /// The id of the attempt on its connection.
     id: u64,
     response: Response,
-    outcome: AttemptOutcome,
 }
 
 /// A connection with a node.
@@ -200,9 +198,10 @@
         if matches!(answer.response, Response::Served(_)) {
             context.record_event(self.node, NodeEvent::AttemptServed);
         }
+        let outcome = answer.response.outcome();
         context.note(Event::AttemptAnswered { attempt: open.attempt, response: answer.response });
         interpreter.release_request(open.attempt);
-        open.end(answer.outcome);
+        open.end(outcome);
     }
 
     fn record_unexpected(&self, context: &PlayContext, attempt: Option<u64>, line: &str) {
@@ -216,17 +215,12 @@
     match message {
         NodeMessage::Served { id, content } => {
             let result = String::from_utf8(BASE64.decode(content).ok()?).ok()?;
-            let degraded = result.ends_with(wire::WITHOUT_CALL_SUFFIX);
-            let outcome = AttemptOutcome::Served { degraded };
-            Some(Answer { id, response: Response::Served(result), outcome })
+            Some(Answer { id, response: Response::Served(result) })
         }
         NodeMessage::Rejected { id, retry_after, give_up } => {
-            let response = Response::Rejected { retry_after, give_up };
-            Some(Answer { id, response, outcome: AttemptOutcome::Rejected { retry_after, give_up } })
-        }
-        NodeMessage::Failed { id } => {
-            Some(Answer { id, response: Response::Failed, outcome: AttemptOutcome::Failed })
+            Some(Answer { id, response: Response::Rejected { retry_after, give_up } })
         }
+        NodeMessage::Failed { id } => Some(Answer { id, response: Response::Failed }),
         NodeMessage::Status { .. } | NodeMessage::Draining | NodeMessage::Unrecognized => None,
     }
 }
--- a/fault-harness/src/simulated/interpreter.rs
+++ b/fault-harness/src/simulated/interpreter.rs
@@ -10,7 +10,7 @@
 use tokio::sync::oneshot::{self, Receiver, Sender};
 use tokio::sync::{watch, Notify};
 
-use crate::history::Event;
+use crate::history::{Event, DEGRADED_SUFFIX};
 use crate::model::interpreter::{InterpreterEvent, InterpreterModel, InterpreterSpec};
 use crate::model::Ms;
 use crate::play_context::PlayContext;
@@ -255,7 +255,7 @@
     /// The result of a run, which no other run has.
     fn result_of(&self, txn: u64) -> String {
         let state = self.state.borrow();
-        let suffix = if state.without_call.contains(&txn) { wire::WITHOUT_CALL_SUFFIX } else { "" };
+        let suffix = if state.without_call.contains(&txn) { DEGRADED_SUFFIX } else { "" };
         format!("job {txn:016x} of n{} in life {}{suffix}", self.node + 1, state.incarnation)
     }
 
--- a/fault-harness/src/simulated/interpreter/link.rs
+++ b/fault-harness/src/simulated/interpreter/link.rs
@@ -149,7 +149,7 @@
         self.update(|model, now| model.resume_run(now, txn));
     }
 
-    /// Resumes a run without its call; its result will be poorer.
+    /// Resumes a run without its call; its result is marked as degraded.
     fn skip_call(&self, txn: u64) {
         if self.state.borrow().model.is_at_call(txn) {
             self.state.borrow_mut().without_call.insert(txn);
--- a/fault-harness/src/wire.rs
+++ b/fault-harness/src/wire.rs
@@ -7,9 +7,6 @@
 /// The notification that a connection is about to be closed.
 pub const DRAINING: &str = r#"{"jsonrpc":"2.0","method":"draining"}"#;
 
-/// What results of runs end with that went on without their call.
-pub const WITHOUT_CALL_SUFFIX: &str = " poorer";
-
 /// A health check.
 pub const STATUS: &str = "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"status\"}\n";
 
