--- a/fault-harness/src/history.rs
+++ b/fault-harness/src/history.rs
@@ -3,6 +3,7 @@
 
 mod event;
 mod file;
+mod parameters;
 
 use serde::{Deserialize, Serialize};
 
--- a/fault-harness/src/play_context.rs
+++ b/fault-harness/src/play_context.rs
@@ -6,14 +6,11 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 
 use crate::clock::Clock;
-use crate::history::{ClassParameters, Event, History, Observation, RuleParameters};
+use crate::history::{Event, History, Observation, RuleParameters};
 use crate::model::Ms;
 use crate::scenario::{NodeEvent, Scenario};
 use crate::schedule::Schedule;
 
-/// Memory is configured in MB and sampled in KB.
-const KB_PER_MB: u64 = 1024;
-
 /// An attempt that was written to a node.
 #[derive(Debug, Clone, Copy)]
 pub struct WrittenAttempt {
@@ -145,7 +142,7 @@
                 _ => {}
             }
         }
-        History { parameters: rule_parameters(&self.scenario, self.seed), observations }
+        History { parameters: RuleParameters::of(&self.scenario, self.seed), observations }
     }
 }
 
@@ -154,31 +151,3 @@
     static NEXT: AtomicU32 = AtomicU32::new(0);
     NEXT.fetch_add(1, Ordering::Relaxed)
 }
-
-/// The parameters that a play of a scenario is checked by.
-pub fn rule_parameters(scenario: &Scenario, seed: u64) -> RuleParameters {
-    let classes = scenario.classes.iter().map(|class| ClassParameters {
-        name: class.name.clone(),
-        latency_objective: class.latency_objective_ms as f64,
-        deadline: class.deadline_ms as f64,
-        idempotency_window: if class.idempotency_key { class.idempotency_window_ms as f64 } else { 0.0 },
-        weight: class.weight * class.work_ms,
-        late_weight: class.late_weight,
-        skip_weight: class.skip_weight,
-    });
-    RuleParameters {
-        scenario: scenario.name.clone(),
-        seed,
-        seconds: scenario.seconds,
-        nodes: scenario.fleet.nodes,
-        classes: classes.collect(),
-        run_once_per: scenario.rules.run_once_per,
-        slack: scenario.rules.slack_ms,
-        drain_grace: crate::settings::DRAIN_GRACE_MS,
-        descriptors: scenario.fleet.sockets,
-        memory_kb: scenario.fleet.memory_mb * KB_PER_MB,
-        // A node that hears a higher priority gives way at once; it is heard within an interval.
-        max_dual_active: scenario.fleet.vrrp.as_ref().map_or(0.0, |vrrp| 2.0 * vrrp.interval_ms as f64)
-            + scenario.rules.slack_ms,
-    }
-}
--- a/fault-harness/src/predict.rs
+++ b/fault-harness/src/predict.rs
@@ -12,13 +12,12 @@
 
 use rand_chacha::ChaCha8Rng;
 
-use crate::history::{Event, History, Observation};
+use crate::history::{Event, History, Observation, RuleParameters};
 use crate::model::dependency::Dependency;
 use crate::model::frontend::Frontend;
 use crate::model::interpreter::{InterpreterModel, InterpreterSpec};
 use crate::model::registry::Registry;
 use crate::model::{ms_of_seconds, Ms};
-use crate::play_context::rule_parameters;
 use crate::scenario::Scenario;
 use crate::schedule::{generator, schedule, InjectionTime, RandomStream, Schedule};
 use clients::OpenRequest;
@@ -65,7 +64,7 @@
     prediction.send_heartbeats();
     prediction.now = 0.0;
     prediction.run();
-    History { parameters: rule_parameters(scenario, seed), observations: prediction.observations }
+    History { parameters: RuleParameters::of(scenario, seed), observations: prediction.observations }
 }
 
 impl<'a> Prediction<'a> {
