--- a/fault-harness/src/commands/error.rs
+++ b/fault-harness/src/commands/error.rs
@@ -1,6 +1,5 @@
 //! The errors of subcommands.
 
-use std::fmt::Write as _;
 use std::io;
 use std::path::{Path, PathBuf};
 
@@ -10,7 +9,7 @@
 use oakwind_fault_harness::mutant::MutantError;
 use oakwind_fault_harness::node::ProgramOptionError;
 use oakwind_fault_harness::report::ReportError;
-use oakwind_fault_harness::scenario::ScenarioErrors;
+use oakwind_fault_harness::scenario::{ScenarioError, ScenarioErrors};
 use thiserror::Error;
 
 /// Why a subcommand could not be run.
@@ -71,11 +70,14 @@
     Mutant(#[from] MutantError),
 }
 
+/// A line for each error, with the scenario's path before those that do not name it themselves.
 fn errors_with_path(path: &Path, errors: &ScenarioErrors) -> String {
-    let mut text = String::new();
-    for error in errors.iter() {
-        // Writing to memory does not fail.
-        let _ = writeln!(text, "{}: {error}", path.display());
-    }
-    text
+    let lines: Vec<String> = errors
+        .iter()
+        .map(|error| match error {
+            ScenarioError::Unreadable { .. } => error.to_string(),
+            _ => format!("{}: {error}", path.display()),
+        })
+        .collect();
+    lines.join("\n")
 }
--- a/fault-harness/src/commands/scenario_file/tests.rs
+++ b/fault-harness/src/commands/scenario_file/tests.rs
@@ -35,3 +35,10 @@
     assert!(lines.iter().all(|line| line.starts_with(&prefix)), "{text}");
     assert!(text.contains("seconds") && text.contains("fleet.nodes"), "{text}");
 }
+
+#[test]
+fn a_scenario_that_cannot_be_read_is_named_once() {
+    let path = std::env::temp_dir().join("oakwind-fault-harness-no-such-scenario.toml");
+    let text = read_scenario(&path, &[]).unwrap_err().to_string();
+    assert_eq!(text.matches("no-such-scenario").count(), 1, "{text}");
+}
