--- a/fault-harness/src/commands/compare.rs
+++ b/fault-harness/src/commands/compare.rs
@@ -75,3 +75,6 @@
         conclude(&outcomes, options.out.as_deref())
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/fault-harness/src/play/testbed.rs
+++ b/fault-harness/src/play/testbed.rs
@@ -60,7 +60,8 @@
         let context = PlayContext::new(scenario.clone(), schedule(scenario, seed), seed);
         let heartbeat_timeout = ms_of_seconds(scenario.registry.heartbeat_timeout_s);
         let registry = Rc::new(RefCell::new(Registry::new(scenario.fleet.nodes, heartbeat_timeout)));
-        let dependency = scenario.dependency.clone().map(|shape| Dependency::new(context.clone(), shape));
+        let dependency =
+            scenario.dependency.clone().map(|settings| Dependency::new(context.clone(), settings));
         if let Some(dependency) = &dependency {
             spawn_local(dependency.clone().work());
         }
--- a/fault-harness/src/relay/condition.rs
+++ b/fault-harness/src/relay/condition.rs
@@ -75,3 +75,6 @@
         first.max(second)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/fault-harness/src/simulated.rs
+++ b/fault-harness/src/simulated.rs
@@ -70,3 +70,6 @@
     body.truncate(length);
     Some(body)
 }
+
+#[cfg(test)]
+mod tests;
--- a/fault-harness/src/simulated/dependency.rs
+++ b/fault-harness/src/simulated/dependency.rs
@@ -13,7 +13,7 @@
 use crate::model::dependency::{CallEnd, Dependency as DependencyModel};
 use crate::model::Ms;
 use crate::play_context::PlayContext;
-use crate::scenario::Dependency as DependencyShape;
+use crate::scenario::Dependency as DependencySettings;
 use crate::schedule::{call_time, generator, RandomStream};
 
 /// Replies that wait to be written on one connection.
@@ -69,7 +69,7 @@
 /// The dependency that all nodes share.
 pub struct Dependency {
     context: Rc<PlayContext>,
-    shape: DependencyShape,
+    settings: DependencySettings,
     model: RefCell<DependencyModel>,
     /// Open calls by their numbers in the model.
     calls: RefCell<HashMap<u64, OpenCall>>,
@@ -81,12 +81,12 @@
 
 impl Dependency {
     /// The dependency of a scenario.
-    pub fn new(context: Rc<PlayContext>, shape: DependencyShape) -> Rc<Dependency> {
-        let model = DependencyModel::new(shape.slots, shape.queue);
+    pub fn new(context: Rc<PlayContext>, settings: DependencySettings) -> Rc<Dependency> {
+        let model = DependencyModel::new(settings.slots, settings.queue);
         let rng = generator(context.seed, RandomStream::Calls, 0);
         Rc::new(Dependency {
             context,
-            shape,
+            settings,
             model: RefCell::new(model),
             calls: RefCell::default(),
             next_call: Cell::new(1),
@@ -202,7 +202,7 @@
         }
         self.give_up(caller.node, txn);
         let number = self.next_call.replace(self.next_call.get() + 1);
-        let work = call_time(&mut self.rng.borrow_mut(), self.shape.work_ms, self.shape.cv);
+        let work = call_time(&mut self.rng.borrow_mut(), self.settings.work_ms, self.settings.cv);
         let now = self.context.now();
         if !self.model.borrow_mut().call(now, number, work, now + timeout) {
             caller.reply(format!("{txn:016x} SHED\r\n"));
