--- a/fault-harness/src/play/links.rs
+++ b/fault-harness/src/play/links.rs
@@ -12,7 +12,7 @@
 
 use super::testbed::Testbed;
 use crate::loopback::{self, MAX_NETWORKS};
-use crate::node::{Membership, PeerRelays, RouterRelays};
+use crate::node::{Membership, PeerRelays};
 use crate::relay::{Direction, Relay};
 use crate::schedule::{generator, RandomStream};
 use crate::settings;
@@ -32,9 +32,26 @@
     to: usize,
 }
 
-impl Pair {
-    fn reversed(self) -> Pair {
-        Pair { from: self.to, to: self.from }
+/// The relays of all pairs of nodes.
+struct RelaysByPair {
+    nodes: usize,
+    relays: HashMap<Pair, Relay>,
+}
+
+impl RelaysByPair {
+    /// The relay from one node of a pair to the other.
+    fn of_pair(&self, pair: Pair) -> Relay {
+        self.relays[&pair].clone()
+    }
+
+    /// The relays of one node with all others.
+    fn of_node(&self, node: usize) -> Vec<PeerRelays> {
+        let with_peer = |peer| PeerRelays {
+            peer,
+            outgoing: self.of_pair(Pair { from: node, to: peer }),
+            incoming: self.of_pair(Pair { from: peer, to: node }),
+        };
+        others(self.nodes, node).map(with_peer).collect()
     }
 }
 
@@ -55,90 +72,72 @@
         Ok(loopback::process_block()?.address(network, node as u8 + 1))
     }
 
-    /// A relay from one node to another, with random numbers of its own.
-    fn relay_between(&self, pair: Pair) -> Relay {
-        let number = (FIRST_PEER_RELAY + pair.from * self.machines.len() + pair.to) as u64;
-        Relay::new(self.context.clock, generator(self.context.seed, RandomStream::Links, number))
+    /// A relay for each pair of nodes, with random numbers of its own.
+    fn relays_by_pair(&self) -> RelaysByPair {
+        let nodes = self.nodes.len();
+        let relay = |pair: Pair| {
+            let number = (FIRST_PEER_RELAY + pair.from * nodes + pair.to) as u64;
+            Relay::new(self.context.clock, generator(self.context.seed, RandomStream::Links, number))
+        };
+        RelaysByPair { nodes, relays: pairs(nodes).map(|pair| (pair, relay(pair))).collect() }
     }
 
     /// Joins all nodes to one virtual router, each pair by a relay in each direction.
     pub(super) async fn connect_router(&self, interval_ms: u64) -> io::Result<()> {
-        let count = self.machines.len();
+        let count = self.nodes.len();
         let mut listen_addresses = Vec::new();
         for node in 0..count {
             let socket = UdpSocket::bind((self.unique_address(node)?, 0)).await?;
             listen_addresses.push(socket.local_addr()?);
         }
         let proxies = bind_proxies(count).await?;
-        let mut relays = HashMap::new();
+        let relays = self.relays_by_pair();
         for pair in pairs(count) {
-            let relay = self.relay_between(pair);
-            relays.insert(pair, relay.clone());
             // What `from` sends to its proxy of `to` reaches `to` from its proxy of `from`.
             let incoming = proxies[pair.from][pair.to].clone();
             let outgoing = proxies[pair.to][pair.from].clone();
-            forward_datagrams(relay, incoming, outgoing, listen_addresses[pair.to]);
+            forward_datagrams(relays.of_pair(pair), incoming, outgoing, listen_addresses[pair.to]);
         }
-        for (node, machine) in self.machines.iter().enumerate() {
-            let peers = others(count, node).map(|other| proxies[node][other].local_addr());
+        for (index, node) in self.nodes.iter().enumerate() {
+            let peers = others(count, index).map(|other| proxies[index][other].local_addr());
             let peers = peers.collect::<io::Result<Vec<_>>>()?;
-            let config = settings::router(node, interval_ms, listen_addresses[node], &peers);
-            *machine.router_config.borrow_mut() = Some(config);
-            let router_relays = others(count, node).map(|peer| {
-                let outgoing = Pair { from: node, to: peer };
-                let incoming = outgoing.reversed();
-                RouterRelays {
-                    peer,
-                    incoming: relays[&incoming].clone(),
-                    outgoing: relays[&outgoing].clone(),
-                }
-            });
-            *machine.router_relays.borrow_mut() = router_relays.collect();
+            let config = settings::router(index, interval_ms, listen_addresses[index], &peers);
+            *node.router_config.borrow_mut() = Some(config);
+            *node.router_relays.borrow_mut() = relays.of_node(index);
         }
         Ok(())
     }
 
     /// Connects all nodes that replicate, each pair by a relay for each one that opens connections.
     pub(super) async fn connect_peers(&self) -> io::Result<()> {
-        let count = self.machines.len();
+        let count = self.nodes.len();
         let mut listen_addresses = Vec::new();
         for node in 0..count {
             let listener = TcpListener::bind((self.unique_address(node)?, 0)).await?;
             listen_addresses.push(listener.local_addr()?);
         }
-        let mut relays = HashMap::new();
+        let relays = self.relays_by_pair();
         let mut dial_addresses = vec![listen_addresses.clone(); count];
         for pair in pairs(count) {
-            let relay = self.relay_between(pair);
             let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
             dial_addresses[pair.from][pair.to] = listener.local_addr()?;
-            forward_connections(relay.clone(), listener, listen_addresses[pair.to]);
-            relays.insert(pair, relay);
+            forward_connections(relays.of_pair(pair), listener, listen_addresses[pair.to]);
         }
-        for (node, machine) in self.machines.iter().enumerate() {
+        for (index, node) in self.nodes.iter().enumerate() {
             let addresses = settings::PeerAddresses {
-                listen: listen_addresses[node],
-                dial: dial_addresses[node].clone(),
+                listen: listen_addresses[index],
+                dial: dial_addresses[index].clone(),
             };
-            *machine.peer_addresses.borrow_mut() = Some(addresses);
-            *machine.membership.borrow_mut() = self.initial_membership(node);
-            let peer_relays = others(count, node).map(|peer| {
-                let here = Pair { from: node, to: peer };
-                let by_peer = here.reversed();
-                PeerRelays {
-                    peer,
-                    opened_here: relays[&here].clone(),
-                    opened_by_peer: relays[&by_peer].clone(),
-                }
-            });
-            *machine.peer_relays.borrow_mut() = peer_relays.collect();
+            *node.peer_addresses.borrow_mut() = Some(addresses);
+            *node.membership.borrow_mut() = self.initial_membership(index);
+            *node.peer_relays.borrow_mut() = relays.of_node(index);
         }
         Ok(())
     }
 
     /// The membership configuration that a node starts with.
     fn initial_membership(&self, node: usize) -> Membership {
-        let count = self.machines.len();
+        let count = self.nodes.len();
         let later = self.context.scenario.fleet.peers.as_ref().map_or(0, |peers| peers.joining_nodes);
         let initial_members = count - later;
         if node < initial_members {
