--- a/node/src/backend.rs
+++ b/node/src/backend.rs
@@ -122,7 +122,7 @@
                     let call = backend.clone().call(request.clone(), body, deadline);
                     calls.start(request.txn.clone(), deadline, call, CallOutcome::Unreachable);
                 }
-                Some(CallCommand::GiveUp(txn)) => drop(calls.cancel(&txn)),
+                Some(CallCommand::Abandon(txn)) => drop(calls.cancel(&txn)),
             },
             ended = calls.next() => {
                 exchange.report(BackendEvent::CallEnded { txn: ended.txn, outcome: ended.outcome }).await;
--- a/node/src/dispatcher.rs
+++ b/node/src/dispatcher.rs
@@ -46,8 +46,8 @@
 /// How long the dispatcher sleeps where nothing is scheduled.
 const IDLE_WAKE_INTERVAL: Duration = Duration::from_secs(3600);
 
-/// The settings of the admission module. Its memory is the interpreter's, where requests are booked. Keys are kept in
-/// this process, whose table has a bound of its own, so they are booked with nothing there.
+/// The settings of the admission module. It accounts for the interpreter's memory. Keys stand in this process, in a table
+/// with a bound of its own, so they cost nothing there.
 fn admission_settings(settings: &NamedSettings) -> Settings {
     Settings { key_memory_kb: 0.0, ..settings.settings.clone() }
 }
@@ -60,8 +60,8 @@
     seed: u64,
     /// None until a backend can run requests.
     admission: Option<Admission>,
-    /// The admission module has been called at least once.
-    admission_called: bool,
+    /// The admission module has been called with an empty batch, which starts its timers if it is the first.
+    empty_batch_handed_over: bool,
     /// The batch of events that is being gathered.
     admission_events: Vec<Event>,
     /// Attempts whose key already has one in the batch, and every event that came after them.
@@ -74,15 +74,15 @@
     handover: HandoverProgress,
     run_gate: RunGate,
     decision_log: Option<DecisionLog>,
-    /// Counts rejections without a decision.
-    undecided_rejections: Cell<u64>,
+    /// The number of rejections without the admission module, which spreads the waits that they advise.
+    jitter_sequence: Cell<u64>,
     /// How far the clock had stepped ahead, in all, when that was last looked at.
     observed_clock_steps: Duration,
 }
 
 impl Dispatcher {
     /// A dispatcher that decides by these settings once a backend can run requests. Results that are kept for repeated
-    /// attempts take `max_result_bytes` at most.
+    /// attempts take `max_result_bytes` at most, and their keys as much again.
     pub(crate) fn new(
         endpoints: DispatcherEndpoints,
         settings: NamedSettings,
@@ -94,7 +94,7 @@
             settings,
             seed,
             admission: None,
-            admission_called: false,
+            empty_batch_handed_over: false,
             admission_events: Vec::new(),
             deferred: VecDeque::new(),
             actions: Vec::new(),
@@ -104,7 +104,7 @@
             handover: HandoverProgress::default(),
             run_gate: RunGate::default(),
             decision_log: None,
-            undecided_rejections: Cell::new(0),
+            jitter_sequence: Cell::new(0),
             observed_clock_steps: Duration::ZERO,
         }
     }
@@ -137,7 +137,8 @@
             tokio::select! {
                 event = self.endpoints.events.recv() => {
                     let Some(event) = event else { return };
-                    // All sockets that are ready get their turn first, so that one wake-up is one batch.
+                    // On the single-threaded runtime the frontends' tasks that are ready run before this one goes on, so
+                    // that one wake-up is one batch.
                     tokio::task::yield_now().await;
                     self.handle(event);
                     while let Ok(event) = self.endpoints.events.try_recv() {
@@ -153,13 +154,13 @@
 
     /// When something is to be done even if no event comes.
     fn next_wake(&self) -> UnixTime {
-        let closing = self.closing_at().filter(|_| self.status().accepting);
+        let closing = self.grace_ends_at().filter(|_| self.status().accepting);
         let scheduled = [self.timers.next_wake(), closing, self.handover.next_wake()];
         scheduled.into_iter().flatten().min().unwrap_or_else(|| clock::now() + IDLE_WAKE_INTERVAL)
     }
 
-    /// After the shutdown notice: from then on nothing that comes may be run, so nothing more is read.
-    fn closing_at(&self) -> Option<UnixTime> {
+    /// When the grace period of a drain ends: from then on new requests must not run, so reading stops.
+    fn grace_ends_at(&self) -> Option<UnixTime> {
         let shutdown = self.status().draining?;
         Some(shutdown.noticed_at + self.settings.settings.drain_grace)
     }
@@ -171,7 +172,7 @@
         self.reject_expired_buffered(now);
         self.fire_timers(now);
         loop {
-            self.decide(now);
+            self.run_admission(now);
             if self.deferred.is_empty() && self.admission_events.is_empty() {
                 break;
             }
@@ -196,14 +197,14 @@
     }
 
     fn fire_timers(&mut self, now: UnixTime) {
-        if self.timers.should_request_gauges(now) {
+        if self.timers.take_gauge_request(now) {
             self.send_run_command(RunCommand::Gauges);
         }
         self.admission_events.extend(self.timers.pop_fired(now));
     }
 
     fn update_drain_status(&self, now: UnixTime) {
-        let accepting = self.closing_at().is_none_or(|at| now < at);
+        let accepting = self.grace_ends_at().is_none_or(|at| now < at);
         let drained =
             self.status().draining.is_some() && !self.attempts.iter().any(|attempt| self.is_awaited(attempt));
         self.update_status(|status| {
@@ -270,7 +271,7 @@
 
     /// Takes over other settings. What has come by now is decided by the ones that it came under.
     fn reconfigure(&mut self, settings: NamedSettings, digest: &str) {
-        self.decide(clock::now());
+        self.run_admission(clock::now());
         self.settings = settings;
         if let Some(decision_log) = &self.decision_log {
             decision_log.set_settings_digest(digest.to_owned());
@@ -283,12 +284,14 @@
     /// The shutdown notice has come: the process is stopped at `stops_at`.
     fn drain(&mut self, stops_at: UnixTime) {
         let now = clock::now();
-        // Another node's outcome that is not known by then never will be, so these attempts are answered now.
-        let is_too_late = |attempt: &&Attempt| {
+        // An attempt whose deadline is not before the stop could wait for another node's outcome until this process is
+        // gone, so it is answered now.
+        let waits_past_stop = |attempt: &&Attempt| {
             attempt.phase == Phase::RunningElsewhere && attempt.request.deadline + TIMEOUT_MARGIN >= stops_at
         };
-        let too_late: Vec<_> = self.attempts.iter().filter(is_too_late).map(|attempt| attempt.id).collect();
-        for id in too_late {
+        let waiting = self.attempts.iter().filter(waits_past_stop);
+        let abandoned: Vec<_> = waiting.map(|attempt| attempt.id).collect();
+        for id in abandoned {
             self.abandon_key(id, RequestOutcome::Failed { timed_out: false });
         }
         if self.status().draining.is_none() {
@@ -306,9 +309,10 @@
     /// Records a decision about an attempt, with the versions of the membership and the settings that it was made by.
     fn log_decision(&self, decision: Decision, request: &Request) {
         let Some(decision_log) = &self.decision_log else { return };
+        // Peers may have adopted another version since the last decision; the run gate does not report that.
         decision_log.set_membership_version(self.run_gate.membership_version());
         let class = self.settings.classes.get(usize::from(request.class.0)).map_or("", String::as_str);
-        decision_log.record(decision, request, self.key_of(request).as_deref(), class);
+        decision_log.record(decision, request, self.dedup_key(request).as_deref(), class);
     }
 
     /// What is published of this node. The borrow must end before the status is updated.
--- a/node/src/dispatcher/actions.rs
+++ b/node/src/dispatcher/actions.rs
@@ -12,46 +12,51 @@
 use crate::outcome::{RequestOutcome, RunState};
 
 impl Dispatcher {
-    /// Calls the admission module once with the gathered events and carries out its actions. The first call is made
-    /// even without events, as it starts the module's timers.
-    pub(super) fn decide(&mut self, now: UnixTime) {
+    /// Ends the batch: calls the admission module once with the gathered events, carries out its actions, and removes the
+    /// attempts whose clients cancelled them.
+    pub(super) fn run_admission(&mut self, now: UnixTime) {
         let events = std::mem::take(&mut self.admission_events);
         self.idempotency.end_batch();
         let Some(admission) = &mut self.admission else { return };
-        if events.is_empty() && std::mem::replace(&mut self.admission_called, true) {
-            return;
+        if events.is_empty() {
+            // Only the first batch without events is handed over: at the start it makes the module set its timers.
+            if self.empty_batch_handed_over {
+                return;
+            }
+            self.empty_batch_handed_over = true;
         }
         let mut actions = std::mem::take(&mut self.actions);
         admission.handle(now, &events, &mut actions);
         for action in actions.drain(..) {
-            self.act(action, now);
+            self.execute(action, now);
         }
         self.actions = actions;
         for event in &events {
             if let Event::Cancelled(id) = event {
-                self.remove_unless_started(*id);
+                self.remove_if_answer_ends_it(*id);
             }
         }
     }
 
-    fn act(&mut self, action: Action, now: UnixTime) {
+    fn execute(&mut self, action: Action, now: UnixTime) {
         match action {
             Action::Run(id) => self.start_run(id, now),
+            // No backend can pause a run: its progress is lost.
             Action::Pause(id) => self.stop_run(id),
             Action::Reject { id, retry_after, give_up } => self.reject(id, retry_after, give_up),
             Action::Fail(id) => self.fail(id, now),
             Action::Coalesce(id) => self.wait_for_attempt(id, now),
-            Action::RetainKey(id, window) => self.assign_key(id, now + window),
+            Action::RetainKey(id, retention) => self.assign_key(id, now + retention),
             Action::ReleaseKey(id) => {
                 self.report_to_successor(id, RunState::NeverStarted);
                 self.idempotency.release(id);
             }
-            Action::Call(id, within) => self.start_call(id, now, now + within),
+            Action::Call(id, timeout) => self.start_call(id, now, now + timeout),
             Action::SkipCall(id) => self.skip_call(id),
             Action::SetHealth { healthy, .. } => self.set_health(healthy),
             Action::IdleLimit(limit) => self.update_status(|status| status.idle_timeout = Some(limit)),
             Action::SetTimer(timer, after) => self.timers.schedule(now + after, timer),
-            // Neither protocol has a field for a free value, and the settings forbid it where there is none.
+            // No frontend sends the advertised value yet (docs/ROADMAP.md, the second deployment).
             Action::Advertise(_) => {}
         }
     }
@@ -72,20 +77,20 @@
             RequestOutcome::Failed { timed_out: false }
         };
         self.answer_attempt(id, outcome);
-        self.remove_unless_started(id);
+        self.remove_if_answer_ends_it(id);
     }
 
     fn fail(&mut self, id: RequestId, now: UnixTime) {
         let deadline = self.attempts.get(id).map_or(now, |attempt| attempt.request.deadline);
         let timed_out = now + TIMEOUT_MARGIN >= deadline;
         self.answer_attempt(id, RequestOutcome::Failed { timed_out });
-        self.remove_unless_started(id);
+        self.remove_if_answer_ends_it(id);
     }
 
     /// Makes an attempt the holder of its key.
     fn assign_key(&mut self, id: RequestId, expires_at: UnixTime) {
         let Some(request) = self.attempts.get(id).map(|attempt| attempt.request.clone()) else { return };
-        if let Some(key) = self.key_of(&request) {
+        if let Some(key) = self.dedup_key(&request) {
             self.idempotency.assign(&key, &request.body, id, expires_at);
         }
     }
@@ -97,8 +102,8 @@
         self.update_status(|status| status.health = Some(healthy));
     }
 
-    /// Removes an answered attempt, unless it runs: then its completion is still to come.
-    fn remove_unless_started(&mut self, id: RequestId) {
+    /// Removes an answered attempt, unless the end of a run of it, here or on another node, is still to be reported.
+    fn remove_if_answer_ends_it(&mut self, id: RequestId) {
         if self.attempts.get(id).is_some_and(|attempt| attempt.phase.ends_with_answer()) {
             self.attempts.remove(id);
         }
--- a/node/src/dispatcher/attempts.rs
+++ b/node/src/dispatcher/attempts.rs
@@ -1,4 +1,4 @@
-//! The attempts that are open, by their number and by their transaction id.
+//! The attempts that are open, by their id and by their transaction id.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -10,7 +10,9 @@
 use crate::clock::UnixTime;
 use crate::exchange::{Request, Responder, SubmissionId, TransactionId};
 
-/// A request that fails this shortly before its deadline, or later, counts as timed out.
+/// A request that fails this shortly before its deadline, or later, counts as timed out: one period of the admission
+/// module's timer, which fails requests up to a period before their deadline, and a little. What has no answer by then is
+/// answered without waiting any longer.
 pub(super) const TIMEOUT_MARGIN: Duration = Duration::from_millis(60);
 
 /// One attempt of a request, from the moment it is read until it is answered and nothing of it runs.
@@ -32,7 +34,8 @@
     WaitingForAttempt { since: UnixTime },
     /// It waits for the outcome of another node's run of its key. To the admission module it is over.
     RunningElsewhere,
-    /// Its run is under way, or waits for the run gate.
+    /// The admission module has started it: its run is under way, or waits for the run gate. The time since `started_at`
+    /// contains that wait.
     Running { started_at: UnixTime },
     /// Its run waits for a call with this body.
     AwaitingCall { started_at: UnixTime, body: Bytes },
@@ -71,7 +74,8 @@
 }
 
 impl AttemptTable {
-    /// A number for an attempt, or for a key of another process. It is never 0.
+    /// An id for an attempt, or for a key of another process. Ids come again after four billion others, when no attempt
+    /// has the old one any more. It is never 0.
     pub(super) fn allocate_id(&mut self) -> RequestId {
         let id = RequestId(self.next_id);
         self.next_id = self.next_id.wrapping_add(1).max(1);
@@ -101,7 +105,7 @@
         self.by_id.get_mut(&id)
     }
 
-    /// The number of the open attempt with this transaction id.
+    /// The id of the open attempt with this transaction id.
     pub(super) fn id_of(&self, txn: &TransactionId) -> Option<RequestId> {
         self.id_by_txn.get(txn).copied()
     }
--- a/node/src/dispatcher/calls.rs
+++ b/node/src/dispatcher/calls.rs
@@ -22,15 +22,15 @@
         }
     }
 
-    /// Makes the call that a run waits for, and gives it up at the deadline.
-    pub(super) fn start_call(&mut self, id: RequestId, now: UnixTime, deadline: UnixTime) {
+    /// Makes the call that a run waits for. The backend abandons it at `call_deadline`.
+    pub(super) fn start_call(&mut self, id: RequestId, now: UnixTime, call_deadline: UnixTime) {
         let Some(attempt) = self.attempts.get_mut(id) else { return };
         let Phase::AwaitingCall { started_at, body } = &attempt.phase else { return };
         let started_at = *started_at;
         let body = body.clone();
         let request = attempt.request.clone();
         attempt.phase = Phase::Calling { started_at, called_at: now, body: body.clone() };
-        self.send_call_command(CallCommand::Call { request, body, deadline });
+        self.send_call_command(CallCommand::Call { request, body, deadline: call_deadline });
     }
 
     /// Lets a run go on without the call that it waits for.
@@ -43,7 +43,7 @@
         }
     }
 
-    /// A call has ended. The run gets a reply; of every other outcome the admission module decides what follows.
+    /// A call has ended. A reply goes to the run; for any other outcome the admission module decides what follows.
     pub(super) fn call_ended(&mut self, txn: &TransactionId, call_outcome: CallOutcome) {
         let Some(id) = self.attempts.id_of(txn) else { return };
         let Some(attempt) = self.attempts.get_mut(id) else { return };
@@ -72,7 +72,7 @@
     pub(super) fn send_call_command(&mut self, command: CallCommand) {
         let called_txn = match &command {
             CallCommand::Call { request, .. } => Some(request.txn.clone()),
-            CallCommand::GiveUp(_) => None,
+            CallCommand::Abandon(_) => None,
         };
         if self.endpoints.calls.try_send(command).is_err() {
             log!("dispatcher: the queue of call commands is full");
--- a/node/src/dispatcher/handover.rs
+++ b/node/src/dispatcher/handover.rs
@@ -37,7 +37,12 @@
     pub(super) fn successor_lost(&mut self) {
         self.handover.successor = None;
         self.run_gate.acquire_stores(KeySource::Store);
-        self.update_status(|status| status.handed_over &= status.draining.is_some());
+        self.update_status(|status| {
+            // A process that drains still sends its clients elsewhere.
+            if status.draining.is_none() {
+                status.handed_over = false;
+            }
+        });
     }
 
     /// Whether the successor has the idempotency table, so that no key may be added here.
@@ -72,7 +77,9 @@
             return;
         };
         let record = IdempotencyRecord { key, body_digest, expires_at, state };
-        self.send_to_successor(HandoverState { digest_seed: 0, records: vec![record] });
+        // The successor reads the seed of the full table only.
+        let digest_seed = 0;
+        self.send_to_successor(HandoverState { digest_seed, records: vec![record] });
     }
 
     fn send_to_successor(&mut self, state: HandoverState) {
@@ -123,7 +130,7 @@
 
     /// Imports a record whose outcome has been stored, or could not be: then the run counts as failed. Returns whether
     /// this was the run of a predecessor.
-    pub(super) fn import_stored(&mut self, holder: RequestId, completion: &Completion) -> bool {
+    pub(super) fn finish_storing(&mut self, holder: RequestId, completion: &Completion) -> bool {
         let Some(mut record) = self.handover.storing.remove(&holder) else { return false };
         if !matches!(completion, Completion::Succeeded(_)) {
             record.state = RunState::Failed;
@@ -134,22 +141,23 @@
 
     /// Adds what the predecessor knows of a key to the idempotency table.
     fn import_record(&mut self, record: IdempotencyRecord) {
-        if let Some(imported) = self.import(record) {
+        if let Some(imported) = self.insert_record(record) {
             self.complete_waiters(imported.waiters, &imported.outcome);
         }
     }
 
-    /// The same, and stores the outcome of the key if the record has one.
+    /// Adds what the predecessor knows of a key to the idempotency table, and stores the outcome if the record has one.
     fn import_and_store_record(&mut self, record: IdempotencyRecord) {
         let key = record.key.clone();
-        let Some(imported) = self.import(record) else { return };
+        let Some(imported) = self.insert_record(record) else { return };
         if let Some(holder) = self.idempotency.holder(&key) {
             self.store_outcome(holder, &imported.outcome);
         }
         self.complete_waiters(imported.waiters, &imported.outcome);
     }
 
-    fn import(&mut self, record: IdempotencyRecord) -> Option<ImportedOutcome> {
+    /// Inserts a record into the idempotency table. The attempts that waited for its outcome are still to be completed.
+    fn insert_record(&mut self, record: IdempotencyRecord) -> Option<ImportedOutcome> {
         let id = self.attempts.allocate_id();
         self.idempotency.import(record, id)
     }
@@ -157,25 +165,32 @@
     /// Takes in what the stores had from earlier processes. What started there and has no outcome has failed.
     pub(super) fn import_recovered(&mut self, records: Vec<IdempotencyRecord>) {
         for record in records {
-            self.import(record);
+            self.insert_record(record);
         }
-        self.fail_predecessor_runs();
+        self.import_pending_records();
+        self.fail_unfinished_earlier_runs();
     }
 
     /// The predecessor reports nothing more.
     pub(super) fn predecessor_done(&mut self) {
-        self.fail_predecessor_runs();
+        self.import_pending_records();
+        self.fail_unfinished_earlier_runs();
         self.submit_buffered();
         self.run_gate.predecessor_ended();
         self.update_status(|status| status.predecessor_alive = false);
     }
 
-    /// Counts all runs of earlier processes without an outcome as failed.
-    fn fail_predecessor_runs(&mut self) {
+    /// Imports the records whose outcome is still being stored, without waiting for that: they have an outcome, so their
+    /// runs must not count as unfinished.
+    fn import_pending_records(&mut self) {
         for record in std::mem::take(&mut self.handover.storing).into_values() {
             self.import_record(record);
         }
-        let waiters = self.idempotency.fail_predecessor_runs();
+    }
+
+    /// Counts all runs of earlier processes without an outcome as failed.
+    fn fail_unfinished_earlier_runs(&mut self) {
+        let waiters = self.idempotency.fail_unfinished_earlier_runs();
         self.complete_waiters(waiters, &StoredOutcome::Failed);
     }
 
@@ -184,7 +199,7 @@
         self.handover.buffered.push(submission);
     }
 
-    /// Attempts with keys are decided about from now on.
+    /// Ends the wait for the predecessor's table: buffered attempts, and all that follow, are decided about.
     fn submit_buffered(&mut self) {
         self.update_status(|status| status.awaiting_state = false);
         let buffered = std::mem::take(&mut self.handover.buffered);
@@ -201,7 +216,7 @@
         let (expired, waiting): (Vec<_>, Vec<_>) = buffered.into_iter().partition(has_expired);
         self.handover.buffered = waiting;
         for submission in expired {
-            let outcome = self.undecided_rejection();
+            let outcome = self.rejection_without_admission();
             self.answer_submission(submission, outcome);
         }
     }
--- a/node/src/dispatcher/idempotency.rs
+++ b/node/src/dispatcher/idempotency.rs
@@ -67,7 +67,7 @@
     /// The key of each holder.
     key_by_holder: HashMap<RequestId, IdempotencyKey>,
     /// Keys with an attempt in the batch that is being gathered.
-    batch_keys: HashSet<IdempotencyKey>,
+    keys_in_batch: HashSet<IdempotencyKey>,
     last_swept_at: UnixTime,
     /// Keys with outcomes, the oldest first. Some may have been removed since.
     keys_with_outcome: VecDeque<IdempotencyKey>,
@@ -83,6 +83,7 @@
 impl IdempotencyTable {
     /// An empty table whose results take `max_result_bytes` at most, and whose keys about as much.
     pub(crate) fn new(max_result_bytes: usize) -> Self {
+        // A random number from the standard library's hasher.
         let digest_seed = RandomState::new().hash_one(());
         IdempotencyTable { digest_seed, max_result_bytes, ..IdempotencyTable::default() }
     }
@@ -92,7 +93,7 @@
         IdempotencyTable { durable: true, ..self }
     }
 
-    /// Digests bodies with a given seed, so that digests from another process match. The table must be empty.
+    /// Uses this seed for the digests of bodies, so that digests from another process match. The table must be empty.
     pub(crate) fn set_digest_seed(&mut self, seed: u64) {
         debug_assert!(self.entries.is_empty());
         self.digest_seed = seed;
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Takes in a record of another process, under the number `id` if its key is new here. Returns the outcome if the
+    /// Takes in a record of another process, under the id `id` if its key is new here. Returns the outcome if the
     /// record brought one.
     pub(crate) fn import(&mut self, record: IdempotencyRecord, id: RequestId) -> Option<ImportedOutcome> {
         let IdempotencyRecord { key, body_digest, expires_at, state } = record;
@@ -118,12 +119,12 @@
             if state == RunState::NeverStarted {
                 return None;
             }
-            self.insert(key.clone(), Entry::of_predecessor(id, body_digest, expires_at));
+            self.insert(key.clone(), Entry::of_earlier_process(id, body_digest, expires_at));
         }
         let entry = self.entries.get(&key)?;
         let outcome = StoredOutcome::from_run_state(state)?;
-        // A key that passed to an attempt of this process runs here now.
-        if !entry.run_by_predecessor || entry.outcome.is_some() {
+        // It comes too late if the key has an outcome, or its run is that of an attempt of this process.
+        if !entry.run_by_earlier_process || entry.outcome.is_some() {
             return None;
         }
         let waiters = self.complete(entry.run_by?, outcome.clone());
@@ -132,8 +133,8 @@
 
     /// Counts the predecessor's runs without an outcome as failed, as it reports nothing more. Returns the attempts
     /// that waited for them.
-    pub(crate) fn fail_predecessor_runs(&mut self) -> Vec<RequestId> {
-        let is_lost = |entry: &&Entry| entry.run_by_predecessor && entry.outcome.is_none();
+    pub(crate) fn fail_unfinished_earlier_runs(&mut self) -> Vec<RequestId> {
+        let is_lost = |entry: &&Entry| entry.run_by_earlier_process && entry.outcome.is_none();
         let lost: Vec<RequestId> =
             self.entries.values().filter(is_lost).filter_map(|entry| entry.run_by).collect();
         lost.into_iter().flat_map(|id| self.complete(id, StoredOutcome::Failed)).collect()
@@ -141,16 +142,17 @@
 
     /// Whether an attempt of this key came in the batch that is being gathered.
     pub(crate) fn is_in_batch(&self, key: &IdempotencyKey) -> bool {
-        self.batch_keys.contains(key)
+        self.keys_in_batch.contains(key)
     }
 
     /// The batch has been decided.
     pub(crate) fn end_batch(&mut self) {
-        self.batch_keys.clear();
+        self.keys_in_batch.clear();
     }
 
-    /// Relates an attempt with this body, which the machine received at `received_at`, to what is known of its key.
-    pub(crate) fn match_attempt(
+    /// Registers an attempt of a key for this batch, and relates it to what is known of the key. `received_at` is when the
+    /// machine received it; an entry that had expired by then is released.
+    pub(crate) fn register_attempt(
         &mut self,
         key: IdempotencyKey,
         body: &[u8],
@@ -167,7 +169,7 @@
             Some((holder, ..)) => KeyMatch::RepeatOf(holder),
             None => KeyMatch::New,
         };
-        self.batch_keys.insert(key);
+        self.keys_in_batch.insert(key);
         matched
     }
 
@@ -211,10 +213,11 @@
     /// Whether there is no capacity for one more key. A key can't be dropped before it expires, so memory is bounded
     /// by taking no more.
     pub(crate) fn is_full(&self) -> bool {
-        let reserved =
+        // With the largest results for all open keys and this one, so that no result has to be dropped.
+        let worst_case_result_bytes =
             if self.durable { self.result_bytes + (self.pending_count + 1) * MAX_RESULT_BYTES } else { 0 };
         let capacity = (self.max_result_bytes / ENTRY_BYTES).max(MIN_CAPACITY);
-        self.entries.len() >= capacity || reserved > self.max_result_bytes
+        self.entries.len() >= capacity || worst_case_result_bytes > self.max_result_bytes
     }
 
     /// The outcome of the key's run, if it is known and the key is that of this body.
@@ -251,7 +254,8 @@
         self.key_by_holder.contains_key(&id)
     }
 
-    /// Whether this attempt may run, as no other attempt of its key has. From then on it counts as run.
+    /// Whether this attempt may run, as no other attempt of its key has. From then on it counts as run. A key that is not
+    /// in the table has been released: nothing of it runs or has run.
     pub(crate) fn try_start(&mut self, key: &IdempotencyKey, id: RequestId) -> bool {
         let Some(entry) = self.entries.get_mut(key) else { return true };
         *entry.run_by.get_or_insert(id) == id
@@ -259,6 +263,7 @@
 
     /// Makes an attempt wait for the outcome of its key's run. Returns the outcome if it is known already.
     pub(crate) fn wait_for_outcome(&mut self, key: &IdempotencyKey, id: RequestId) -> Option<StoredOutcome> {
+        // The entry that the attempt was matched to may have been released since; what became of it is not known.
         let Some(entry) = self.entries.get_mut(key) else { return Some(StoredOutcome::Failed) };
         if entry.outcome.is_none() {
             entry.waiters.push(id);
@@ -277,6 +282,7 @@
             return waiters;
         }
         let outcome = match outcome {
+            // It ran, but the result can't be given again, so that repeats must not take it for one to run anew.
             StoredOutcome::Succeeded(result) if self.durable && result.len() > MAX_RESULT_BYTES => {
                 StoredOutcome::Failed
             }
@@ -291,7 +297,8 @@
         waiters
     }
 
-    /// Keeps results within their bound of memory: of the oldest ones only the fact that they ran stays.
+    /// Keeps results within their bound of memory: of the oldest ones only the fact that they ran stays. In a durable
+    /// table there is nothing to drop, as [`is_full`](Self::is_full) reserves memory for all results to come.
     fn drop_oldest_results(&mut self) {
         while self.result_bytes > self.max_result_bytes {
             let Some(oldest) = self.keys_with_outcome.pop_front() else { break };
--- a/node/src/dispatcher/idempotency/entry.rs
+++ b/node/src/dispatcher/idempotency/entry.rs
@@ -8,16 +8,17 @@
 /// What is known of one key.
 #[derive(Debug)]
 pub(super) struct Entry {
-    /// The attempt that the key belongs to at present.
+    /// The latest attempt that the admission module gave the key to. It differs from `run_by` where an earlier attempt
+    /// ran and a later one took over its key.
     pub(super) holder: RequestId,
     /// Digest of the body that all attempts of the key carry.
     pub(super) body_digest: BodyDigest,
     /// When the key expires.
     pub(super) expires_at: UnixTime,
-    /// The attempt that was run, if any.
+    /// The attempt whose run counts, if one was started.
     pub(super) run_by: Option<RequestId>,
-    /// The run belongs to the predecessor process.
-    pub(super) run_by_predecessor: bool,
+    /// The run belongs to an earlier process: the predecessor in an upgrade, or one whose stores were recovered.
+    pub(super) run_by_earlier_process: bool,
     /// The outcome of its run, once that is known.
     pub(super) outcome: Option<StoredOutcome>,
     /// Attempts that wait for the outcome.
@@ -32,15 +33,15 @@
             body_digest,
             expires_at,
             run_by: None,
-            run_by_predecessor: false,
+            run_by_earlier_process: false,
             outcome: None,
             waiters: Vec::new(),
         }
     }
 
-    /// A key whose run belongs to the predecessor process; here it goes by the number `id`.
-    pub(super) fn of_predecessor(id: RequestId, body_digest: BodyDigest, expires_at: UnixTime) -> Self {
-        Entry { run_by: Some(id), run_by_predecessor: true, ..Entry::new(id, body_digest, expires_at) }
+    /// A key whose run belongs to an earlier process; here it goes by `id`.
+    pub(super) fn of_earlier_process(id: RequestId, body_digest: BodyDigest, expires_at: UnixTime) -> Self {
+        Entry { run_by: Some(id), run_by_earlier_process: true, ..Entry::new(id, body_digest, expires_at) }
     }
 
     /// Whether an attempt received at that time is a new request: the key has expired and no run of it is under way.
--- a/node/src/dispatcher/idempotency/tests.rs
+++ b/node/src/dispatcher/idempotency/tests.rs
@@ -14,7 +14,7 @@
 /// A was received at 100 s and holds its key until 117 s.
 fn table_with_a() -> IdempotencyTable {
     let mut table = IdempotencyTable::new(10);
-    assert_eq!(table.match_attempt(key(), b"x", at(100)), KeyMatch::New);
+    assert_eq!(table.register_attempt(key(), b"x", at(100)), KeyMatch::New);
     table.assign(&key(), b"x", A, at(117));
     table.end_batch();
     table
@@ -24,11 +24,15 @@
 fn an_attempt_received_before_its_key_expired_repeats_it_however_late_it_is_read() {
     let mut table = table_with_a();
     table.sweep(at(120));
-    assert_eq!(table.match_attempt(key(), b"x", at(117)), KeyMatch::RepeatOf(A));
-    assert_eq!(table.match_attempt(key(), b"x", at(118)), KeyMatch::New, "a new request");
+    assert_eq!(table.register_attempt(key(), b"x", at(117)), KeyMatch::RepeatOf(A));
+    assert_eq!(table.register_attempt(key(), b"x", at(118)), KeyMatch::New, "a new request");
     let mut table = table_with_a();
     table.sweep(at(126));
-    assert_eq!(table.match_attempt(key(), b"x", at(117)), KeyMatch::New, "the grace for late reads is over");
+    assert_eq!(
+        table.register_attempt(key(), b"x", at(117)),
+        KeyMatch::New,
+        "the grace for late reads is over"
+    );
 }
 
 #[test]
@@ -86,7 +90,7 @@
     let mut table = table_with_a();
     assert!(table.try_start(&key(), A));
     assert_eq!(table.complete(A, StoredOutcome::NeverStarted), []);
-    assert_eq!(table.match_attempt(key(), b"x", at(101)), KeyMatch::New);
+    assert_eq!(table.register_attempt(key(), b"x", at(101)), KeyMatch::New);
     assert!(table.try_start(&key(), B));
 }
 
@@ -94,11 +98,15 @@
 fn a_key_passes_to_a_newer_attempt_and_is_seen_in_its_batch() {
     let mut table = table_with_a();
     assert!(!table.is_in_batch(&key()));
-    assert_eq!(table.match_attempt(key(), b"x", at(101)), KeyMatch::RepeatOf(A));
+    assert_eq!(table.register_attempt(key(), b"x", at(101)), KeyMatch::RepeatOf(A));
     assert!(table.is_in_batch(&key()));
     table.assign(&key(), b"x", B, at(118));
     table.release(A);
-    assert_eq!(table.match_attempt(key(), b"x", at(102)), KeyMatch::RepeatOf(B), "A no longer holds the key");
+    assert_eq!(
+        table.register_attempt(key(), b"x", at(102)),
+        KeyMatch::RepeatOf(B),
+        "A no longer holds the key"
+    );
 }
 
 #[test]
@@ -107,7 +115,7 @@
     table.assign(&key(), b"b", A, at(117));
     table.extend_all(Duration::from_secs(3600));
     table.sweep(at(3716));
-    assert_eq!(table.match_attempt(key(), b"b", at(3716)), KeyMatch::RepeatOf(A));
+    assert_eq!(table.register_attempt(key(), b"b", at(3716)), KeyMatch::RepeatOf(A));
     table.sweep(at(3717) + LATE_READ_GRACE);
     assert!(!table.contains(&key()));
 }
@@ -115,10 +123,10 @@
 #[test]
 fn a_known_key_with_another_body_is_a_mismatch_until_it_expires() {
     let mut table = table_with_a();
-    assert_eq!(table.match_attempt(key(), b"y", at(101)), KeyMatch::BodyMismatch);
+    assert_eq!(table.register_attempt(key(), b"y", at(101)), KeyMatch::BodyMismatch);
     assert!(!table.is_in_batch(&key()), "a mismatch is not part of the batch");
-    assert_eq!(table.match_attempt(key(), b"x", at(101)), KeyMatch::RepeatOf(A));
-    assert_eq!(table.match_attempt(key(), b"y", at(118)), KeyMatch::New);
+    assert_eq!(table.register_attempt(key(), b"x", at(101)), KeyMatch::RepeatOf(A));
+    assert_eq!(table.register_attempt(key(), b"y", at(118)), KeyMatch::New);
 }
 
 #[test]
@@ -141,13 +149,13 @@
     assert!(table.try_start(&key(), A));
     table.sweep(at(300));
     assert_eq!(
-        table.match_attempt(key(), b"x", at(300)),
+        table.register_attempt(key(), b"x", at(300)),
         KeyMatch::RepeatOf(A),
         "it may still have its effect"
     );
     assert_eq!(table.wait_for_outcome(&key(), B), None);
     assert_eq!(table.complete(A, StoredOutcome::Failed), [B]);
-    assert_eq!(table.match_attempt(key(), b"x", at(301)), KeyMatch::New);
+    assert_eq!(table.register_attempt(key(), b"x", at(301)), KeyMatch::New);
     table.sweep(at(302));
     assert!(!table.contains(&key()));
 }
--- a/node/src/dispatcher/runs.rs
+++ b/node/src/dispatcher/runs.rs
@@ -1,4 +1,13 @@
 //! Runs: how they are authorized, started and completed, and what their keys' other attempts get.
+//!
+//! The end of a run is seen from four sides, each with a type of its own:
+//!
+//! | `Completion`, from the backend | the admission module's `Outcome` | `StoredOutcome` of the key | `RequestOutcome` for the client |
+//! | --- | --- | --- | --- |
+//! | `Succeeded` | `Ok` | `Succeeded` | `Served` |
+//! | `Failed` | `Error` | `Failed` | `Failed` |
+//! | `Cancelled`, `Skipped` | the same | `Failed` | `Failed` |
+//! | `NeverStarted` | `Rejected` | `NeverStarted` | `Rejected` |
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -25,7 +34,7 @@
         }
         let request = attempt.request.clone();
         // Whatever asks for it, no key runs a second time.
-        if self.key_of(&request).is_some_and(|key| !self.idempotency.try_start(&key, id)) {
+        if self.dedup_key(&request).is_some_and(|key| !self.idempotency.try_start(&key, id)) {
             log!("dispatcher: an attempt of a key that has run is not run: txn={}", request.txn);
             self.answer_attempt(id, RequestOutcome::Failed { timed_out: false });
             let outcome = AdmissionOutcome::Error;
@@ -60,7 +69,7 @@
         }
     }
 
-    /// The backend reports the end of a run. The run gate stores that before it is reported to anybody.
+    /// A run has ended, or will not start. The run gate stores that before it is reported to anybody.
     pub(super) fn run_ended(&mut self, txn: &TransactionId, completion: Completion) {
         let Some(id) = self.attempts.id_of(txn) else {
             return log!("dispatcher: a run ended of an attempt that is not open: txn={txn}");
@@ -74,7 +83,8 @@
             return self.complete_run(id, completion);
         }
         let run = self.keyed_run(id);
-        // Where it can't be stored, later attempts get the same as this one's client does now.
+        // `Some` if nothing is to be stored, or it can't be: the run is completed now, with what the gate returns. `None`
+        // if a `GateEvent::Completed` follows.
         if let Some(completion) = self.run_gate.run_completed(run, completion) {
             self.complete_run(id, completion);
         }
@@ -88,23 +98,24 @@
         let Some(started_at) = attempt.phase.started_at() else { return };
         let request = attempt.request.clone();
         if let Phase::Calling { .. } = attempt.phase {
-            self.send_call_command(CallCommand::GiveUp(request.txn.clone()));
+            self.send_call_command(CallCommand::Abandon(request.txn.clone()));
         }
         if completion == Completion::NeverStarted {
             self.log_decision(Decision::NeverStarted, &request);
         }
-        let outcome = admission_outcome(&completion);
-        let stored = self.stored_outcome(id, &completion);
-        let answer = match completion {
+        let admission_outcome = admission_outcome(&completion);
+        let stored_outcome = self.stored_outcome(id, &completion);
+        let client_outcome = match completion {
             Completion::Succeeded(result) => RequestOutcome::Served(result),
-            Completion::NeverStarted => self.undecided_rejection(),
+            Completion::NeverStarted => self.rejection_without_admission(),
             Completion::Failed | Completion::Cancelled | Completion::Skipped => {
                 RequestOutcome::Failed { timed_out: false }
             }
         };
-        self.answer_attempt(id, answer);
-        self.admission_events.push(Event::Finished { id, outcome, took: now.saturating_sub(started_at) });
-        self.complete_key(id, &stored);
+        self.answer_attempt(id, client_outcome);
+        let took = now.saturating_sub(started_at);
+        self.admission_events.push(Event::Finished { id, outcome: admission_outcome, took });
+        self.complete_key(id, &stored_outcome);
         self.attempts.remove(id);
     }
 
@@ -138,7 +149,7 @@
         let Some(attempt) = self.attempts.get_mut(id) else { return };
         attempt.phase = Phase::WaitingForAttempt { since: now };
         let request = attempt.request.clone();
-        let outcome = match self.key_of(&request) {
+        let outcome = match self.dedup_key(&request) {
             Some(key) => self.idempotency.wait_for_outcome(&key, id),
             None => Some(StoredOutcome::Failed),
         };
@@ -173,7 +184,7 @@
         match event {
             GateEvent::Authorized { id, granted } => self.on_authorization(id, granted),
             GateEvent::Completed { id, completion } => self.on_completion_stored(id, completion),
-            GateEvent::RunningElsewhere(id) => self.release_to_remote_run(id),
+            GateEvent::RunningElsewhere(id) => self.detach_from_admission(id),
             GateEvent::RemoteOutcome { id, outcome } => self.complete_remote_run(id, &outcome),
             GateEvent::OutcomeUnknown(id) => self.abandon_key(id, RequestOutcome::Failed { timed_out: true }),
             GateEvent::BodyMismatch(id) => self.abandon_key(id, RequestOutcome::BodyMismatch),
@@ -197,17 +208,17 @@
 
     /// The end of a run is stored: of a predecessor's run, or of one of this process.
     fn on_completion_stored(&mut self, id: RequestId, completion: Completion) {
-        if !self.import_stored(id, &completion) {
+        if !self.finish_storing(id, &completion) {
             self.complete_run(id, completion);
         }
     }
 
-    /// Another node runs the key of an attempt, or may: to the admission module the attempt is over, as it takes no
-    /// cores here.
-    fn release_to_remote_run(&mut self, id: RequestId) {
+    /// Ends an attempt for the admission module, as nothing of it runs here: another node runs its key, or may, or the
+    /// key's outcome is not known. It is authorized (`Running`), or detached already (`RunningElsewhere`).
+    fn detach_from_admission(&mut self, id: RequestId) {
         let Some(attempt) = self.attempts.get_mut(id) else { return };
-        if let Phase::Running { started_at } = std::mem::replace(&mut attempt.phase, Phase::RunningElsewhere)
-        {
+        let phase = std::mem::replace(&mut attempt.phase, Phase::RunningElsewhere);
+        if let Phase::Running { started_at } = phase {
             let took = clock::now().saturating_sub(started_at);
             self.admission_events.push(Event::Finished { id, outcome: AdmissionOutcome::Skipped, took });
         }
@@ -215,7 +226,7 @@
 
     /// The outcome of another node's run of an attempt's key is known.
     fn complete_remote_run(&mut self, id: RequestId, outcome: &StoredOutcome) {
-        self.release_to_remote_run(id);
+        self.detach_from_admission(id);
         self.answer_attempt(id, self.outcome_for_repeat(outcome));
         self.store_outcome(id, outcome);
         self.complete_key(id, outcome);
@@ -224,7 +235,7 @@
 
     /// The outcome of an attempt's key can't be known here. The key is released, so the next attempt asks again.
     pub(super) fn abandon_key(&mut self, id: RequestId, answer: RequestOutcome) {
-        self.release_to_remote_run(id);
+        self.detach_from_admission(id);
         self.answer_attempt(id, answer);
         let waiters = self.idempotency.abandon(id);
         self.complete_waiters(waiters, &StoredOutcome::Failed);
@@ -238,7 +249,7 @@
         Some(KeyedRun { id, request, key, body_digest, expires_at })
     }
 
-    /// Stores the outcome of a key for which nobody here waits.
+    /// Stores the outcome of the key that an attempt holds; nobody is told when that is done.
     pub(super) fn store_outcome(&mut self, id: RequestId, outcome: &StoredOutcome) {
         if let Some(run) = self.keyed_run(id) {
             self.run_gate.store_outcome(&run, outcome);
--- a/node/src/dispatcher/submission.rs
+++ b/node/src/dispatcher/submission.rs
@@ -14,11 +14,11 @@
 use crate::log;
 use crate::outcome::{digest, IdempotencyKey, RequestOutcome, StoredOutcome};
 
-/// The mean wait that a rejection without a decision advises, as a part of the longest one that callers follow.
-const UNDECIDED_RETRY_FRACTION: f64 = 0.25;
+/// The mean wait that a rejection without the admission module advises, as a fraction of `max_retry_after`.
+const MEAN_RETRY_FRACTION: f64 = 0.25;
 
-/// The least factor by which the advised wait differs from its mean; the greatest is as far above 1.
-const MIN_RETRY_SPREAD: f64 = 0.5;
+/// Jitter: the advised wait is its mean times a factor from this one to this one and 1.
+const MIN_JITTER_FACTOR: f64 = 0.5;
 
 /// The upper bits of a number, as many as an `f64` holds exactly, as a fraction from 0 to under 1.
 fn unit_fraction(bits: u64) -> f64 {
@@ -35,7 +35,7 @@
             return self.answer_submission(submission, RequestOutcome::Failed { timed_out: false });
         }
         let now = clock::now();
-        let key = self.key_of(&request);
+        let key = self.dedup_key(&request);
         if self.admission.is_none() {
             let outcome = self.outcome_before_start(key.as_ref(), &request, now);
             return self.answer_submission(submission, outcome);
@@ -63,7 +63,7 @@
         if self.idempotency.is_in_batch(&key) {
             return self.deferred.push_back(DispatcherEvent::Submitted(submission));
         }
-        match self.idempotency.match_attempt(key, &request.body, request.received_at) {
+        match self.idempotency.register_attempt(key, &request.body, request.received_at) {
             KeyMatch::New => self.open_attempt(submission, None, now),
             KeyMatch::RepeatOf(holder) => self.open_attempt(submission, Some(holder), now),
             KeyMatch::BodyMismatch => {
@@ -89,11 +89,11 @@
         }
         // The successor would not learn of this key and could run it as well.
         if self.state_is_transferred() {
-            return Some(self.undecided_rejection());
+            return Some(self.rejection_without_admission());
         }
         if self.idempotency.is_full() {
             log!("dispatcher: the idempotency table is full");
-            return Some(self.undecided_rejection());
+            return Some(self.rejection_without_admission());
         }
         None
     }
@@ -128,7 +128,7 @@
     ) -> RequestOutcome {
         let key = key.filter(|_| !self.status().awaiting_state);
         let known = key.and_then(|key| self.known_outcome(key, request, now));
-        known.unwrap_or_else(|| self.undecided_rejection())
+        known.unwrap_or_else(|| self.rejection_without_admission())
     }
 
     fn known_outcome(
@@ -149,7 +149,7 @@
         match outcome {
             StoredOutcome::Succeeded(result) => RequestOutcome::Served(result.clone()),
             StoredOutcome::Failed => RequestOutcome::Failed { timed_out: false },
-            StoredOutcome::NeverStarted => self.undecided_rejection(),
+            StoredOutcome::NeverStarted => self.rejection_without_admission(),
         }
     }
 
@@ -158,18 +158,20 @@
         !self.idempotency.contains(key) && self.run_gate.may_have_run(key, now)
     }
 
-    /// The rejection of a request that no decision was made about: nothing can run requests yet, or no server accepted
-    /// it. The advised wait differs each time and from node to node, so that callers don't come back all at once.
-    pub(super) fn undecided_rejection(&self) -> RequestOutcome {
+    /// The rejection of a request that the admission module does not decide about, or whose run it had started in vain:
+    /// nothing can run requests yet, a table is full or has been transferred, the run gate denied the run, its queue was
+    /// full, or no server accepted it. The advised wait differs each time and from node to node, so that callers don't
+    /// come back all at once.
+    pub(super) fn rejection_without_admission(&self) -> RequestOutcome {
         let settings = &self.settings.settings;
-        let count = self.undecided_rejections.replace(self.undecided_rejections.get() + 1);
-        let spread = MIN_RETRY_SPREAD + unit_fraction(digest(self.seed, &count.to_be_bytes()));
-        let wait = || settings.max_retry_after.mul_f64(UNDECIDED_RETRY_FRACTION * spread);
+        let sequence = self.jitter_sequence.replace(self.jitter_sequence.get() + 1);
+        let jitter = MIN_JITTER_FACTOR + unit_fraction(digest(self.seed, &sequence.to_be_bytes()));
+        let wait = || settings.max_retry_after.mul_f64(MEAN_RETRY_FRACTION * jitter);
         RequestOutcome::Rejected { retry_after: settings.retry_after.then(wait), give_up: false }
     }
 
-    /// The key of a request, if its class must not run twice.
-    pub(super) fn key_of(&self, request: &Request) -> Option<IdempotencyKey> {
+    /// The key by which a request is deduplicated: of classes with [`Effect::IdempotencyKey`] only.
+    pub(super) fn dedup_key(&self, request: &Request) -> Option<IdempotencyKey> {
         let class = self.settings.settings.classes.get(usize::from(request.class.0))?;
         request.key.clone().filter(|_| class.effect == Effect::IdempotencyKey)
     }
--- a/node/src/dispatcher/timers.rs
+++ b/node/src/dispatcher/timers.rs
@@ -10,7 +10,7 @@
 
 /// Gauges are requested this long before the timer that reports them fires, as the backend takes a moment to answer.
 const GAUGE_REQUEST_LEAD: Duration = Duration::from_millis(5);
-/// Gauges older than this are reported as unknown.
+/// Gauges older than this are reported as unknown: ten periods of the admission module's timer.
 const MAX_GAUGE_AGE: Duration = Duration::from_millis(500);
 
 /// A timer that has not fired. The one that fires first comes first in the order.
@@ -41,8 +41,8 @@
         Some(if self.gauges_requested { at } else { at.saturating_sub(GAUGE_REQUEST_LEAD) })
     }
 
-    /// Whether the backend is to be asked for its gauges now. Returns true once for each time that timers fire.
-    pub(super) fn should_request_gauges(&mut self, now: UnixTime) -> bool {
+    /// Takes the request for gauges that is due now, if one is: once for each time that timers fire.
+    pub(super) fn take_gauge_request(&mut self, now: UnixTime) -> bool {
         let is_near = self.next_firing().is_some_and(|at| at <= now + GAUGE_REQUEST_LEAD);
         let request = is_near && !self.gauges_requested;
         self.gauges_requested |= request;
--- a/node/src/dispatcher/timers/tests.rs
+++ b/node/src/dispatcher/timers/tests.rs
@@ -30,16 +30,16 @@
 #[test]
 fn gauges_are_requested_once_shortly_before_a_timer_fires() {
     let mut timers = Timers::default();
-    assert!(!timers.should_request_gauges(at(0)), "nothing is scheduled");
+    assert!(!timers.take_gauge_request(at(0)), "nothing is scheduled");
     timers.schedule(at(10), FIRST);
     assert_eq!(timers.next_wake(), Some(at(5)));
-    assert!(!timers.should_request_gauges(at(4)));
-    assert!(timers.should_request_gauges(at(5)));
-    assert!(!timers.should_request_gauges(at(6)), "they have been");
+    assert!(!timers.take_gauge_request(at(4)));
+    assert!(timers.take_gauge_request(at(5)));
+    assert!(!timers.take_gauge_request(at(6)), "they have been");
     assert_eq!(timers.next_wake(), Some(at(10)));
     timers.pop_fired(at(10));
     timers.schedule(at(20), SECOND);
-    assert!(timers.should_request_gauges(at(15)));
+    assert!(timers.take_gauge_request(at(15)));
 }
 
 #[test]
--- a/node/src/exchange/command.rs
+++ b/node/src/exchange/command.rs
@@ -36,9 +36,9 @@
         request: Rc<Request>,
         /// The body that the run gave.
         body: Bytes,
-        /// When the call is given up.
+        /// When the call is abandoned.
         deadline: UnixTime,
     },
-    /// Give up the call of a run.
-    GiveUp(TransactionId),
+    /// Abandon the call of a run, whose reply is not needed any more.
+    Abandon(TransactionId),
 }
