--- a/fault-harness/src/charts/drawing.rs
+++ b/fault-harness/src/charts/drawing.rs
@@ -5,7 +5,7 @@
 
 use crate::statistics::Band;
 
-/// Colours that can be told apart with colour blindness.
+/// Colours that can be distinguished with colour blindness.
 pub(super) const BLUE: RGBColor = RGBColor(31, 97, 160);
 pub(super) const ORANGE: RGBColor = RGBColor(204, 102, 0);
 pub(super) const GREY: RGBColor = RGBColor(120, 120, 120);
--- a/fault-harness/src/play_context.rs
+++ b/fault-harness/src/play_context.rs
@@ -42,7 +42,7 @@
 
 /// One play.
 pub struct PlayContext {
-    /// Its clock; everything in the play tells time by it.
+    /// Its clock; all times of the play are on it.
     pub clock: Clock,
     /// When the load began, on that clock.
     pub load_start: Cell<Ms>,
--- a/fault-harness/src/process.rs
+++ b/fault-harness/src/process.rs
@@ -1,4 +1,5 @@
-//! A program as a process: its log line by line, signals by its id, the resources that it takes, and its end whatever happens.
+//! A program as a process: its log line by line, signals by its id, the resources that it takes. It ends with its value,
+//! whatever happens.
 
 use std::io::{self, BufRead, BufReader};
 use std::process::{Child, Command, ExitStatus, Stdio};
@@ -37,7 +38,7 @@
     ///
     /// # Errors
     ///
-    /// Where it can't be started.
+    /// If it can't be started.
     pub fn start(
         command: &mut Command,
         mut on_line: impl FnMut(String) + Send + 'static,
@@ -57,7 +58,7 @@
     ///
     /// # Errors
     ///
-    /// Where it has ended.
+    /// If it has ended.
     pub fn signal(&self, signal: Signal) -> io::Result<()> {
         let pid =
             i32::try_from(self.child.id()).ok().and_then(Pid::from_raw).ok_or(io::ErrorKind::InvalidInput)?;
@@ -68,7 +69,7 @@
     ///
     /// # Errors
     ///
-    /// Where the system does not tell.
+    /// If the system does not give its status.
     pub fn ended(&mut self) -> io::Result<Option<ExitStatus>> {
         self.child.try_wait()
     }
@@ -77,7 +78,7 @@
     ///
     /// # Errors
     ///
-    /// Where the system does not tell.
+    /// If the system does not give its status.
     pub fn wait(&mut self) -> io::Result<ExitStatus> {
         self.child.wait()
     }
--- a/fault-harness/src/program_log.rs
+++ b/fault-harness/src/program_log.rs
@@ -13,7 +13,7 @@
 /// Before everything about the fleet.
 const FLEET: &str = " fleet: ";
 
-/// What one line of a log tells.
+/// The event that a line of a log reports, if it is one that matters here.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct LogLine {
     /// JSON-RPC is served at this address.
@@ -22,7 +22,7 @@
     pub ready_to_vote: bool,
     /// Whether the node has the active role of its virtual router from now on.
     pub router_active: Option<bool>,
-    /// What is said about the fleet.
+    /// A message of the component `fleet`.
     pub fleet: Option<String>,
 }
 
--- a/fault-harness/src/report.rs
+++ b/fault-harness/src/report.rs
@@ -104,7 +104,7 @@
     write(path, &html)
 }
 
-/// What the template is told of a play.
+/// The values of a play for the template.
 fn play_on_page(outcome: &Outcome) -> Value {
     let Outcome { label, scenario, seed, verdict, statistics, .. } = outcome;
     let cells: Vec<[String; 2]> =
--- a/fault-harness/src/simulated/frontends.rs
+++ b/fault-harness/src/simulated/frontends.rs
@@ -34,7 +34,7 @@
     pub address: watch::Receiver<Option<SocketAddr>>,
     /// The relay from each frontend.
     pub relays: Vec<Relay>,
-    /// Its interpreter, which is told what was written.
+    /// Its interpreter, which holds what was written to the node.
     pub interpreter: Rc<Interpreter>,
 }
 
--- a/fault-harness/src/simulated/frontends/attempt.rs
+++ b/fault-harness/src/simulated/frontends/attempt.rs
@@ -15,7 +15,7 @@
 use crate::scenario::NodeEvent;
 use crate::wire;
 
-/// After the latest answer that counts the caller still listens so long, to tell a late answer from none.
+/// After the latest answer that counts the caller still listens so long, to distinguish a late answer from none.
 const LISTEN_MARGIN: Ms = 100.0;
 /// The ids of attempts begin here.
 const FIRST_ATTEMPT_ID: u64 = 1 << 40;
--- a/fault-harness/src/simulated/interpreter.rs
+++ b/fault-harness/src/simulated/interpreter.rs
@@ -148,8 +148,8 @@
         });
     }
 
-    /// Begins to read a request, which takes the cores; the node has it only once it is read. The receiver is told when;
-    /// it is dropped if the interpreter stops before.
+    /// Begins to read a request, which takes the cores; the node has it only once it is read. The receiver gets a
+    /// message then; its sender is dropped if the interpreter stops before.
     pub fn read_request(&self, txn: u64) -> Receiver<()> {
         let (sender, receiver) = oneshot::channel();
         let work = self.context.scenario.fleet.read_ms;
