--- a/admission/tests/slow_start.rs
+++ b/admission/tests/admission/slow_start.rs
@@ -6,6 +6,8 @@
 
 use oakwind_admission::*;
 
+use crate::random::LinearCongruential;
+
 /// Virtual time between two steps.
 const STEP_SECONDS: f64 = 0.005;
 /// Period over which the concurrency on the cores is averaged.
@@ -21,17 +23,6 @@
 /// Work of a request, in seconds on one core at full speed.
 const WORK_SECONDS: f64 = 0.3;
 
-/// A linear congruential generator.
-struct SeededRandom(u64);
-
-impl SeededRandom {
-    /// The next number in 0..1.
-    fn next(&mut self) -> f64 {
-        self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        (self.0 >> 40) as f64 / (1u64 << 24) as f64
-    }
-}
-
 /// A simulated server; its running requests share its cores.
 struct Server {
     admission: Admission,
@@ -58,7 +49,7 @@
 impl Server {
     fn new(cold: bool, callers: u32, seed: u64) -> Server {
         let class =
-            Class { latency_objective: secs(1.4), deadline: secs(3.6), calls: !cold, ..Class::default() };
+            Class { latency_objective: secs(1.4), deadline: secs(3.6), may_call: !cold, ..Class::default() };
         let settings = Settings {
             classes: vec![class],
             cores: CORES as u32,
@@ -96,11 +87,11 @@
         }
     }
 
-    /// Hands over a request whose caller waits for `time_left` seconds.
-    fn receive(&mut self, id: RequestId, caller: u32, time_left: f64) {
+    /// Hands over a request whose caller waits for `remaining_time` seconds.
+    fn receive(&mut self, id: RequestId, caller: u32, remaining_time: f64) {
         let arrival = Arrival {
             caller: CallerId(caller),
-            time_left: Some(secs(time_left)),
+            remaining_time: Some(secs(remaining_time)),
             ..Arrival::new(id, ClassId(0))
         };
         self.events.push(Event::Arrived(arrival));
@@ -125,7 +116,7 @@
         }
         if now >= self.timer_at {
             let runnable = self.running.len() as f64;
-            let gauges = Gauges { busy: Some((runnable / CORES).min(1.0)), runnable: Some(runnable) };
+            let gauges = Gauges { utilization: Some((runnable / CORES).min(1.0)), runnable: Some(runnable) };
             self.events.push(Event::Timer(TimerId(0), gauges));
         }
         let (events, mut actions) = (std::mem::take(&mut self.events), Vec::new());
@@ -171,60 +162,111 @@
     }
 }
 
-/// Simulates `callers` servers that call `callees` cold ones, which reject by their own decisions. Returns the highest
-/// mean concurrency of a callee as a fraction of what it survives, and the most runs started beyond the budget, in units
-/// of the square root of the budget.
-fn simulate_cold_start(callers: usize, callees: usize, seed: u64) -> (f64, f64) {
-    let mut random = SeededRandom(seed | 1);
-    let mut calling_servers: Vec<Server> =
-        (0..callers).map(|i| Server::new(false, 4, seed + i as u64)).collect();
-    let mut called_servers: Vec<Server> =
-        (0..callees).map(|i| Server::new(true, callers as u32, 900 + seed + i as u64)).collect();
-    // The caller, its request and the time of the call, for each request of a callee.
-    let mut calls: Vec<HashMap<RequestId, (usize, RequestId, f64)>> = vec![HashMap::new(); callees];
-    let (mut next, mut now) = (1, 0.0);
-    while now < WARM_UP_SECONDS {
-        for (index, caller) in calling_servers.iter_mut().enumerate() {
-            // The clients ask for 1.2 times what the cores can do.
-            if random.next() < 1.2 * CORES / WORK_SECONDS * STEP_SECONDS {
-                caller.receive(RequestId(next), index as u32 % 4, 3.6);
-                next += 1;
+/// A call in progress at a cold server: which caller made it, for which request, and when.
+struct CallInProgress {
+    caller: usize,
+    request: RequestId,
+    since: f64,
+}
+
+/// Servers that call a tier of cold ones, which reject by their own decisions.
+struct Tiers {
+    callers: Vec<Server>,
+    callees: Vec<Server>,
+    /// The calls in progress at each callee, by the request that they are there.
+    calls: Vec<HashMap<RequestId, CallInProgress>>,
+    random: LinearCongruential,
+    next_id: u32,
+}
+
+impl Tiers {
+    fn new(callers: usize, callees: usize, seed: u64) -> Self {
+        let caller = |i| Server::new(false, 4, seed + i as u64);
+        let callee = |i| Server::new(true, callers as u32, 900 + seed + i as u64);
+        Tiers {
+            callers: (0..callers).map(caller).collect(),
+            callees: (0..callees).map(callee).collect(),
+            calls: (0..callees).map(|_| HashMap::new()).collect(),
+            random: LinearCongruential::new(seed | 1),
+            next_id: 1,
+        }
+    }
+
+    fn next_id(&mut self) -> RequestId {
+        self.next_id += 1;
+        RequestId(self.next_id - 1)
+    }
+
+    /// Advances the caller by one step; its clients ask for 1.2 times what the cores can do.
+    fn step_caller(&mut self, caller: usize, now: f64) {
+        if self.random.fraction() < 1.2 * CORES / WORK_SECONDS * STEP_SECONDS {
+            let id = self.next_id();
+            self.callers[caller].receive(id, caller as u32 % 4, 3.6);
+        }
+        for action in self.callers[caller].step(now) {
+            if let Action::Call(request, within) = action {
+                let callee = (self.random.fraction() * self.callees.len() as f64) as usize;
+                let id = self.next_id();
+                self.calls[callee].insert(id, CallInProgress { caller, request, since: now });
+                self.callees[callee].receive(id, caller as u32, within.as_secs_f64());
             }
-            for action in caller.step(now) {
-                if let Action::Call(id, within) = action {
-                    let to = (random.next() * callees as f64) as usize;
-                    calls[to].insert(RequestId(next), (index, id, now));
-                    called_servers[to].receive(RequestId(next), index as u32, within.as_secs_f64());
-                    next += 1;
-                }
+        }
+    }
+
+    /// Advances the callee by one step and returns the calls that ended.
+    fn step_callee(&mut self, callee: usize, now: f64) {
+        let server = &mut self.callees[callee];
+        let before: Vec<RequestId> = server.running.keys().copied().collect();
+        let actions = server.step(now);
+        let done =
+            before.into_iter().filter(|id| !server.running.contains_key(id)).map(|id| (id, Outcome::Ok));
+        let decided = actions.iter().filter_map(|action| match action {
+            Action::Reject { id, .. } => Some((*id, Outcome::Rejected)),
+            Action::Fail(id) => Some((*id, Outcome::Error)),
+            _ => None,
+        });
+        for (id, outcome) in done.chain(decided).collect::<Vec<_>>() {
+            if let Some(call) = self.calls[callee].remove(&id) {
+                self.return_call(&call, outcome, now);
             }
         }
-        for (index, server) in called_servers.iter_mut().enumerate() {
-            let before: Vec<RequestId> = server.running.keys().copied().collect();
-            let actions = server.step(now);
-            let done =
-                before.into_iter().filter(|id| !server.running.contains_key(id)).map(|id| (id, Outcome::Ok));
-            let decided = actions.iter().filter_map(|action| match action {
-                Action::Reject { id, .. } => Some((*id, Outcome::Rejected)),
-                Action::Fail(id) => Some((*id, Outcome::Error)),
-                _ => None,
-            });
-            for (id, outcome) in done.chain(decided).collect::<Vec<_>>() {
-                let Some((caller, call, since)) = calls[index].remove(&id) else { continue };
-                let caller = &mut calling_servers[caller];
-                if outcome == Outcome::Ok {
-                    if let Some(left) = caller.calling.get(&call) {
-                        // The call succeeded: the rest of the request runs.
-                        caller.running.insert(call, *left);
-                    }
-                }
-                caller.events.push(Event::CallReturned { id: call, outcome, took: secs(now - since) });
+    }
+
+    fn return_call(&mut self, call: &CallInProgress, outcome: Outcome, now: f64) {
+        let caller = &mut self.callers[call.caller];
+        if outcome == Outcome::Ok {
+            if let Some(left) = caller.calling.get(&call.request) {
+                // The call succeeded: the rest of the request runs.
+                caller.running.insert(call.request, *left);
             }
         }
+        let took = secs(now - call.since);
+        caller.events.push(Event::CallReturned { id: call.request, outcome, took });
+    }
+}
+
+/// Simulates `callers` servers that call `callees` cold ones while these warm up.
+fn simulate_cold_start(callers: usize, callees: usize, seed: u64) -> ColdStartLoad {
+    let mut tiers = Tiers::new(callers, callees, seed);
+    let mut now = 0.0;
+    while now < WARM_UP_SECONDS {
+        (0..callers).for_each(|caller| tiers.step_caller(caller, now));
+        (0..callees).for_each(|callee| tiers.step_callee(callee, now));
         now += STEP_SECONDS;
     }
-    let highest = |of: fn(&Server) -> f64| called_servers.iter().map(of).fold(f64::NEG_INFINITY, f64::max);
-    (highest(|server| server.peak_concurrency), highest(|server| server.excess_starts))
+    let highest = |of: fn(&Server) -> f64| tiers.callees.iter().map(of).fold(f64::NEG_INFINITY, f64::max);
+    ColdStartLoad {
+        concurrency: highest(|server| server.peak_concurrency),
+        excess_starts: highest(|server| server.excess_starts),
+    }
+}
+
+/// The highest load of a cold server.
+struct ColdStartLoad {
+    /// Mean concurrency, as a fraction of what it survives.
+    concurrency: f64,
+    /// Runs started beyond the budget, in units of the square root of the budget.
+    excess_starts: f64,
 }
 
 fn secs(time: f64) -> Duration {
@@ -236,7 +278,8 @@
     println!("callers callees seed concurrency excess_starts");
     for (callers, callees) in [(8, 8), (20, 6), (30, 8), (30, 20)] {
         for seed in 1..=3 {
-            let (concurrency, excess_starts) = simulate_cold_start(callers, callees, 1000 * seed);
+            let ColdStartLoad { concurrency, excess_starts } =
+                simulate_cold_start(callers, callees, 1000 * seed);
             println!("{callers:7} {callees:7} {seed:4} {concurrency:11.2} {excess_starts:13.2}");
             assert!(concurrency < 1.0, "{callers} callers, {callees} callees, seed {seed}: {concurrency}");
             assert!(
--- a/fault-harness/src/play/links.rs
+++ b/fault-harness/src/play/links.rs
@@ -11,6 +11,7 @@
 use tokio::task::spawn_local;
 
 use super::testbed::Testbed;
+use crate::loopback::{self, MAX_NETWORKS};
 use crate::node::{Membership, PeerRelays};
 use crate::relay::{Direction, Relay};
 use crate::schedule::{generator, RandomStream};
@@ -20,12 +21,6 @@
 const FIRST_PEER_RELAY: usize = 1 << 16;
 /// Datagrams or connections that wait to be forwarded.
 const QUEUE_CAPACITY: usize = 64;
-/// The loopback addresses of plays are 127.100.0.0 to 127.249.249.255: the second number is drawn from the process, the
-/// third from the play.
-const LOOPBACK: u8 = 127;
-const FIRST_LOOPBACK_NETWORK: u32 = 100;
-const LOOPBACK_NETWORKS: u32 = 150;
-const PLAYS_PER_LOOPBACK_NETWORK: u32 = 250;
 /// The versions of the first two membership configurations.
 const FIRST_MEMBERSHIP: u64 = 1;
 const SECOND_MEMBERSHIP: u64 = 2;
@@ -72,10 +67,9 @@
 
 impl Testbed {
     /// An address that belongs to this play and this node alone: a port that is free there stays free.
-    fn unique_address(&self, node: usize) -> Ipv4Addr {
-        let network = FIRST_LOOPBACK_NETWORK + std::process::id() % LOOPBACK_NETWORKS;
-        let play = self.context.number % PLAYS_PER_LOOPBACK_NETWORK;
-        Ipv4Addr::new(LOOPBACK, network as u8, play as u8, node as u8 + 1)
+    fn unique_address(&self, node: usize) -> io::Result<Ipv4Addr> {
+        let network = (self.context.number % MAX_NETWORKS) as u8;
+        Ok(loopback::process_block()?.address(network, node as u8 + 1))
     }
 
     /// A relay for each pair of nodes, with random numbers of its own.
@@ -93,7 +87,7 @@
         let count = self.nodes.len();
         let mut listen_addresses = Vec::new();
         for node in 0..count {
-            let socket = UdpSocket::bind((self.unique_address(node), 0)).await?;
+            let socket = UdpSocket::bind((self.unique_address(node)?, 0)).await?;
             listen_addresses.push(socket.local_addr()?);
         }
         let proxies = bind_proxies(count).await?;
@@ -119,7 +113,7 @@
         let count = self.nodes.len();
         let mut listen_addresses = Vec::new();
         for node in 0..count {
-            let listener = TcpListener::bind((self.unique_address(node), 0)).await?;
+            let listener = TcpListener::bind((self.unique_address(node)?, 0)).await?;
             listen_addresses.push(listener.local_addr()?);
         }
         let relays = self.relays_by_pair();
--- a/fleet/src/replica_node/event.rs
+++ b/fleet/src/replica_node/event.rs
@@ -4,14 +4,15 @@
 use std::time::Duration;
 
 use super::notification::Notification;
-use crate::claim_coordinator::{AttemptId, ClaimOutcome, RunRequest};
+use crate::claims::coordinator::{AttemptId, ClaimOutcome, RunRequest};
+use crate::envelope::ReceivedMessage;
 use crate::ids::{Incarnation, LinkId, NodeId};
-use crate::key_state::{Key, RunResult};
-use crate::membership_config::MembershipConfig;
+use crate::membership::config::MembershipConfig;
 use crate::message::Message;
-use crate::recovery_stages::Permissions;
-use crate::replica_table::StoredRecord;
-use crate::staleness::StatePosition;
+use crate::recovery::stages::Permissions;
+use crate::recovery::staleness::StatePosition;
+use crate::replication::key_state::{Key, RunResult};
+use crate::replication::replica_table::StoredRecord;
 use crate::Time;
 
 /// How a node starts.
@@ -57,16 +58,7 @@
     /// The run of an attempt never started and never will.
     RunCancelled(AttemptId),
     /// A peer has sent a message.
-    MessageReceived {
-        /// The link that it came by.
-        link: LinkId,
-        /// The peer.
-        from: NodeId,
-        /// The incarnation that the peer introduced itself with on the link.
-        incarnation: Incarnation,
-        /// The message.
-        message: Message,
-    },
+    MessageReceived(ReceivedMessage),
     /// A peer can't be reached now.
     PeerUnreachable(NodeId),
     /// The link to a peer broke, with the messages that were on it.
--- a/fleet/src/replica_node/notification.rs
+++ b/fleet/src/replica_node/notification.rs
@@ -3,11 +3,11 @@
 use std::fmt;
 use std::time::Duration;
 
-use crate::active_configs::ProposalError;
 use crate::ids::{ConfigVersion, Incarnation, NodeId};
-use crate::key_state::RunConflict;
-use crate::recovery_stages::Transition;
-use crate::staleness::StatePosition;
+use crate::membership::active_configs::ProposalError;
+use crate::recovery::stages::Transition;
+use crate::recovery::staleness::StatePosition;
+use crate::replication::key_state::RunConflict;
 
 /// Something that operators may want to know. It is displayed as the text of a log line.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -103,8 +103,7 @@
                 "a peer has another membership configuration of the same version: node={node} version={version}"
             ),
             Notification::DuplicateRun(RunConflict { retained, dropped }) => {
-                let (retained, dropped) = (retained.claim, dropped.claim);
-                write!(f, "conflict: a key ran twice: retained={retained} dropped={dropped}")
+                write!(f, "conflict: a key ran twice: retained={} dropped={}", retained.claim, dropped.claim)
             }
             Notification::CapacityExceeded { donor } => {
                 write!(f, "no capacity for all records of a donor: donor={donor}")
--- a/node/src/backend/uwsgi.rs
+++ b/node/src/backend/uwsgi.rs
@@ -22,32 +22,21 @@
 use crate::exchange::{BackendEvent, CallOutcome, Completion, Exchange, Request, RunCommand};
 use crate::log;
 use crate::sockets;
-use crate::uwsgi::encode_packet;
-use response::read_response;
+use crate::uwsgi::{encode_packet, Variable};
+use response::{read_response, ServerOutcome};
 
 /// A run is left alone this long after its deadline: its result may still serve a later attempt.
-const LATE_RESULT_GRACE: Duration = Duration::from_secs(10);
-
-/// How an exchange with a server ended.
-#[derive(Debug, PartialEq)]
-enum ServerOutcome {
-    /// The server responded with 2xx and this body.
-    Succeeded(Bytes),
-    /// The server responded that it did not start.
-    Rejected,
-    /// The time ran out, here or at the server.
-    TimedOut,
-    /// The server failed, or its response was malformed.
-    Failed,
-    /// The connection broke before the response was complete.
-    CutOff,
-    /// No server could be connected to.
-    Unreachable,
-}
+const RESULT_GRACE: Duration = Duration::from_secs(10);
 
 /// Selects the addresses of the servers from those of all backends.
 pub(crate) type SelectAddresses = fn(&UpstreamAddresses) -> &Vec<SocketAddr>;
 
+/// A connection to one of the servers.
+struct ServerConnection {
+    stream: TcpStream,
+    address: SocketAddr,
+}
+
 /// Servers that stand in for each other.
 pub(crate) struct Servers {
     addresses: watch::Receiver<UpstreamAddresses>,
@@ -67,15 +56,15 @@
     }
 
     /// Connects to the first server in turn that accepts. A failed attempt proves that nothing ran there.
-    async fn connect(&self, deadline: UnixTime) -> Option<TcpStream> {
+    async fn connect(&self, deadline: UnixTime) -> Option<ServerConnection> {
         let addresses = (self.select)(&self.addresses.borrow()).clone();
         let first = self.next.get();
         self.next.set(first.wrapping_add(1));
         for turn in 0..addresses.len() {
             let address = addresses[first.wrapping_add(turn) % addresses.len()];
             match sockets::connect(address, deadline).await {
-                Ok(stream) => return Some(stream),
-                Err(e) => log!("uwsgi server: connection failed: address={address}: {e}"),
+                Ok(stream) => return Some(ServerConnection { stream, address }),
+                Err(error) => log!("uwsgi server: connection failed: address={address} error={error}"),
             }
         }
         None
@@ -83,15 +72,16 @@
 
     /// Sends a request to one of the servers and waits for the outcome.
     async fn send(self: Rc<Self>, request: Rc<Request>, body: Bytes, deadline: UnixTime) -> ServerOutcome {
-        let Some(mut stream) = self.connect(deadline).await else { return ServerOutcome::Unreachable };
+        let Some(connection) = self.connect(deadline).await else { return ServerOutcome::Unreachable };
+        let ServerConnection { mut stream, address } = connection;
         let Some(packet) = self.encode(&request, body.len(), deadline) else {
-            log!("uwsgi server: request too long for a packet: txn={:?}", request.txn);
+            log!("uwsgi server: request too long for a packet: txn={}", request.txn);
             return ServerOutcome::Unreachable;
         };
         tokio::select! {
-            outcome = send_and_receive(&mut stream, &packet, &body) => outcome.unwrap_or_else(|e| {
-                log!("uwsgi server: no valid response: address={:?}: {e}", stream.peer_addr().ok());
-                if e.kind() == io::ErrorKind::InvalidData {
+            outcome = send_and_receive(&mut stream, &packet, &body) => outcome.unwrap_or_else(|error| {
+                log!("uwsgi server: no valid response: address={address} error={error}");
+                if error.kind() == io::ErrorKind::InvalidData {
                     ServerOutcome::Failed
                 } else {
                     ServerOutcome::CutOff
@@ -105,19 +95,20 @@
     fn encode(&self, request: &Request, body_length: usize, deadline: UnixTime) -> Option<BytesMut> {
         let path = format!("/{}", self.registry.class_name(request.class));
         let tenant = self.registry.tenant_name(request.tenant);
-        let (length, deadline_ms) = (body_length.to_string(), deadline.as_millis().to_string());
-        let mut variables: Vec<(&str, &[u8])> = vec![
-            ("REQUEST_METHOD", b"POST"),
-            ("REQUEST_URI", path.as_bytes()),
-            ("PATH_INFO", path.as_bytes()),
-            ("QUERY_STRING", b""),
-            ("SERVER_PROTOCOL", b"HTTP/1.1"),
-            ("CONTENT_LENGTH", length.as_bytes()),
-            ("HTTP_X_REQUEST_ID", &request.txn),
-            ("HTTP_X_DEADLINE", deadline_ms.as_bytes()),
+        let length = body_length.to_string();
+        let deadline_ms = deadline.as_millis().to_string();
+        let mut variables = vec![
+            Variable::new("REQUEST_METHOD", b"POST"),
+            Variable::new("REQUEST_URI", path.as_bytes()),
+            Variable::new("PATH_INFO", path.as_bytes()),
+            Variable::new("QUERY_STRING", b""),
+            Variable::new("SERVER_PROTOCOL", b"HTTP/1.1"),
+            Variable::new("CONTENT_LENGTH", length.as_bytes()),
+            Variable::new("HTTP_X_REQUEST_ID", request.txn.as_bytes()),
+            Variable::new("HTTP_X_DEADLINE", deadline_ms.as_bytes()),
         ];
-        variables.extend(request.key.as_ref().map(|key| ("HTTP_IDEMPOTENCY_KEY", &key[..])));
-        variables.extend(tenant.as_ref().map(|tenant| ("HTTP_X_TENANT", tenant.as_bytes())));
+        variables.extend(request.key.as_ref().map(|key| Variable::new("HTTP_IDEMPOTENCY_KEY", key)));
+        variables.extend(tenant.as_ref().map(|tenant| Variable::new("HTTP_X_TENANT", tenant.as_bytes())));
         encode_packet(&variables)
     }
 }
@@ -142,21 +133,22 @@
             command = commands.recv() => match command {
                 None => return,
                 Some(RunCommand::Run(request)) => {
-                    let (txn, body) = (request.txn.clone(), request.body.clone());
-                    let deadline = request.deadline + LATE_RESULT_GRACE;
+                    let txn = request.txn.clone();
+                    let body = request.body.clone();
+                    let deadline = request.deadline + RESULT_GRACE;
                     let run = servers.clone().send(request, body, deadline);
                     runs.start(txn, deadline, run, ServerOutcome::Unreachable);
                 }
                 Some(RunCommand::Stop(txn)) => {
                     if runs.cancel(&txn) {
-                        exchange.report(BackendEvent::Ended(txn, Completion::Cancelled)).await;
+                        exchange.report(BackendEvent::RunEnded { txn, completion: Completion::Cancelled }).await;
                     }
                 }
                 // These servers make their own calls, and nobody measures their cores.
                 Some(RunCommand::Resolve { .. } | RunCommand::Skip(_) | RunCommand::Gauges) => {}
             },
-            (txn, outcome) = runs.next() => {
-                exchange.report(BackendEvent::Ended(txn, completion(outcome))).await;
+            ended = runs.next() => {
+                exchange.report(BackendEvent::RunEnded { txn: ended.txn, completion: completion(ended.outcome) }).await;
             }
         }
     }
--- a/node/src/decision_log/writer.rs
+++ b/node/src/decision_log/writer.rs
@@ -8,10 +8,12 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-use oakwind_fleet::decision_record::Record;
+use oakwind_fleet::audit::decision_record::Record;
 
+use super::error::DecisionLogError;
 use super::files::LogFiles;
-use super::{now_ms, DecisionLogError, DecisionLogMetrics};
+use super::metrics::DecisionLogMetrics;
+use crate::clock;
 use crate::config::DecisionLogConfig;
 use crate::log;
 
@@ -101,8 +103,9 @@
 impl WriterThread {
     fn run(self) {
         let folder = self.config.folder.clone();
-        if let Err(e) = self.lock_and_write() {
-            log!("decision log: failed, nothing more is recorded: folder={} error={e}", folder.display());
+        if let Err(error) = self.lock_and_write() {
+            let folder = folder.display();
+            log!("decision log: failed, nothing more is recorded: folder={folder} error={error}");
         }
     }
 
@@ -137,10 +140,10 @@
             batch.extend(self.records.try_iter().take(MAX_BATCH));
             let count = self.shared.unreported_drops.swap(0, Ordering::Relaxed);
             if count > 0 {
-                batch.push(Record::Dropped { at: now_ms(), count });
+                batch.push(Record::Dropped { at: clock::now_millis(), count });
             }
             files.append(&batch, &self.metrics)?;
         }
-        files.append(&[Record::ProcessStopped { at: now_ms() }], &self.metrics)
+        files.append(&[Record::ProcessStopped { at: clock::now_millis() }], &self.metrics)
     }
 }
--- a/node/src/dispatcher/actions.rs
+++ b/node/src/dispatcher/actions.rs
@@ -4,8 +4,8 @@
 
 use oakwind_admission::{Action, Event, RequestId};
 
-use super::attempts::Phase;
-use super::{Dispatcher, TIMEOUT_MARGIN};
+use super::attempts::{Phase, TIMEOUT_MARGIN};
+use super::Dispatcher;
 use crate::clock::UnixTime;
 use crate::exchange::RunCommand;
 use crate::log;
@@ -48,7 +48,7 @@
             }
             Action::Call(id, within) => self.start_call(id, now, now + within),
             Action::SkipCall(id) => self.skip_call(id),
-            Action::SetHealth { good, .. } => self.set_health(good),
+            Action::SetHealth { healthy, .. } => self.set_health(healthy),
             Action::IdleLimit(limit) => self.update_status(|status| status.idle_timeout = Some(limit)),
             Action::SetTimer(timer, after) => self.timers.schedule(now + after, timer),
             // Neither protocol has a field for a free value, and the settings forbid it where there is none.
@@ -92,7 +92,7 @@
 
     fn set_health(&mut self, healthy: bool) {
         if self.status().health != Some(healthy) {
-            log!("health is {}", if healthy { "good" } else { "bad" });
+            log!("dispatcher: health changed: healthy={healthy}");
         }
         self.update_status(|status| status.health = Some(healthy));
     }
--- a/node/src/dispatcher/attempts.rs
+++ b/node/src/dispatcher/attempts.rs
@@ -2,6 +2,7 @@
 
 use std::collections::HashMap;
 use std::rc::Rc;
+use std::time::Duration;
 
 use bytes::Bytes;
 use oakwind_admission::RequestId;
@@ -9,6 +10,9 @@
 use crate::clock::UnixTime;
 use crate::exchange::{Request, Responder, SubmissionId, TransactionId};
 
+/// A request that fails this shortly before its deadline, or later, counts as timed out.
+pub(super) const TIMEOUT_MARGIN: Duration = Duration::from_millis(60);
+
 /// One attempt of a request, from the moment it is read until it is answered and nothing of it runs.
 pub(super) struct Attempt {
     pub(super) id: RequestId,
@@ -27,7 +31,7 @@
     /// It waits for the outcome of another attempt of its key.
     WaitingForAttempt { since: UnixTime },
     /// It waits for the outcome of another node's run of its key. To the admission module it is over.
-    RunningRemotely,
+    RunningElsewhere,
     /// Its run is under way, or waits for the run gate.
     Running { started_at: UnixTime },
     /// Its run waits for a call with this body.
@@ -40,7 +44,7 @@
     /// When its run started on this node, if it did.
     pub(super) fn started_at(&self) -> Option<UnixTime> {
         match self {
-            Phase::Queued | Phase::WaitingForAttempt { .. } | Phase::RunningRemotely => None,
+            Phase::Queued | Phase::WaitingForAttempt { .. } | Phase::RunningElsewhere => None,
             Phase::Running { started_at }
             | Phase::AwaitingCall { started_at, .. }
             | Phase::Calling { started_at, .. } => Some(*started_at),
--- a/node/src/dispatcher/tests.rs
+++ b/node/src/dispatcher/tests.rs
@@ -2,16 +2,19 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
+use oakwind_admission::{CallerId, ClassId, TenantId};
 use tokio::sync::mpsc;
 use tokio::task::{spawn_local, LocalSet};
 
 use super::*;
-use crate::exchange::{self, BackendEndpoints, Endpoints, Exchange, SubmissionId, TransactionId};
+use crate::exchange::{
+    self, Answer, BackendEndpoints, Endpoints, Exchange, RequestTag, StartMode, SubmissionId, TransactionId,
+};
 use crate::outcome::{digest, BodyDigest, Completion, IdempotencyRecord, RunState};
 
 /// Turns a test that would hang into one that fails.
 const GUARD: Duration = Duration::from_secs(60);
-const CLASS_BY_KEY: u16 = 1;
+const KEYED_CLASS: ClassId = ClassId(1);
 const DIGEST_SEED: u64 = 7;
 const SETTINGS: &str = r#"{"services": [
     {"name": "quote", "slo": 60000000, "deadline": 120000000, "effect": "repeatable"},
@@ -24,8 +27,8 @@
 struct Node {
     exchange: Exchange,
     backend: BackendEndpoints,
-    answer_queue: mpsc::Sender<(u64, RequestOutcome)>,
-    answers: mpsc::Receiver<(u64, RequestOutcome)>,
+    answer_queue: mpsc::Sender<Answer>,
+    answers: mpsc::Receiver<Answer>,
 }
 
 impl Node {
@@ -37,7 +40,8 @@
     }
 
     fn start_without_backend(awaiting_state: bool) -> Node {
-        let Endpoints { exchange, dispatcher, backend } = exchange::new(awaiting_state, false);
+        let Endpoints { exchange, dispatcher, backend } =
+            exchange::new(StartMode { awaiting_state, recovering: false });
         let settings = oakwind_settings::parse(SETTINGS).unwrap();
         spawn_local(Dispatcher::new(dispatcher, settings, 1, 1 << 20).run());
         let (answer_queue, answers) = mpsc::channel(16);
@@ -46,10 +50,16 @@
 
     /// Submits an attempt of a keyed class; its answer carries the tag.
     async fn submit(&self, tag: u64, key: &'static [u8], body: &'static [u8]) -> SubmissionId {
-        let responder = Responder::new(&self.answer_queue, tag).unwrap();
+        let responder = Responder::new(&self.answer_queue, RequestTag(tag)).unwrap();
         self.exchange.submit(request(tag, key, body), responder).await
     }
 
+    /// Submits an attempt that the backend is to run, and waits until it has got the command.
+    async fn submit_and_start(&mut self, tag: u64, key: &'static [u8], body: &'static [u8]) {
+        self.submit(tag, key, body).await;
+        assert_eq!(self.next_run().await.txn, txn(tag));
+    }
+
     /// The next request that the backend is to run.
     async fn next_run(&mut self) -> Rc<Request> {
         loop {
@@ -60,11 +70,12 @@
     }
 
     async fn complete(&self, tag: u64, completion: Completion) {
-        self.exchange.report(BackendEvent::Ended(txn(tag), completion)).await;
+        self.exchange.report(BackendEvent::RunEnded { txn: txn(tag), completion }).await;
     }
 
     async fn next_answer(&mut self) -> (u64, RequestOutcome) {
-        self.answers.recv().await.unwrap()
+        let Answer { tag, outcome } = self.answers.recv().await.unwrap();
+        (tag.0, outcome)
     }
 
     /// Whether the backend has got no run by now.
@@ -79,10 +90,10 @@
     let now = clock::now();
     Request {
         txn: txn(tag),
-        class: CLASS_BY_KEY,
-        tenant: 0,
+        class: KEYED_CLASS,
+        tenant: TenantId(0),
         key: Some(Bytes::from_static(key)),
-        caller: 1,
+        caller: CallerId(1),
         cost_hint: None,
         memory_kb: 32.0,
         rank: 0.5,
@@ -124,8 +135,7 @@
 fn a_repeated_attempt_gets_the_result_of_the_first_and_does_not_run() {
     run(async {
         let mut node = Node::start(false).await;
-        node.submit(1, b"key", b"body").await;
-        assert_eq!(node.next_run().await.txn, txn(1));
+        node.submit_and_start(1, b"key", b"body").await;
         node.submit(2, b"key", b"body").await;
         node.complete(1, succeeded(b"result")).await;
         assert_eq!(node.next_answer().await, (1, served(b"result")));
@@ -140,8 +150,7 @@
 fn a_known_key_with_another_body_is_answered_as_a_mismatch() {
     run(async {
         let mut node = Node::start(false).await;
-        node.submit(1, b"key", b"body").await;
-        node.next_run().await;
+        node.submit_and_start(1, b"key", b"body").await;
         node.submit(2, b"key", b"another body").await;
         assert_eq!(node.next_answer().await, (2, RequestOutcome::BodyMismatch));
         assert!(node.runs_nothing());
@@ -152,20 +161,18 @@
 fn a_run_that_never_started_is_rejected_and_frees_its_key() {
     run(async {
         let mut node = Node::start(false).await;
-        node.submit(1, b"key", b"body").await;
-        node.next_run().await;
+        node.submit_and_start(1, b"key", b"body").await;
         node.complete(1, Completion::NeverStarted).await;
         assert!(matches!(
             node.next_answer().await,
             (1, RequestOutcome::Rejected { retry_after: Some(_), .. })
         ));
-        node.submit(2, b"key", b"body").await;
-        assert_eq!(node.next_run().await.txn, txn(2));
+        node.submit_and_start(2, b"key", b"body").await;
     });
 }
 
 #[test]
-fn requests_are_rejected_while_no_backend_is_up_and_each_is_told_another_wait() {
+fn requests_are_rejected_while_no_backend_is_up_and_each_is_advised_another_wait() {
     run(async {
         let mut node = Node::start_without_backend(false);
         let mut waits = Vec::new();
@@ -185,7 +192,7 @@
 }
 
 #[test]
-fn a_successor_withholds_keyed_attempts_until_it_has_the_table_and_runs_no_key_in_it() {
+fn a_successor_buffers_keyed_attempts_until_it_has_the_table_and_runs_no_key_in_it() {
     run(async {
         let mut node = Node::start(true).await;
         node.submit(1, b"known", b"body").await;
@@ -219,10 +226,9 @@
 fn a_predecessor_transfers_its_table_then_outcomes_and_rejects_new_keys() {
     run(async {
         let mut node = Node::start(false).await;
-        node.submit(1, b"key", b"body").await;
-        node.next_run().await;
+        node.submit_and_start(1, b"key", b"body").await;
         let (updates, mut transferred) = mpsc::channel(8);
-        node.exchange.hand_over(updates).await;
+        node.exchange.begin_handover(updates).await;
         let table = transferred.recv().await.unwrap();
         let record = &table.records[0];
         assert_eq!(
@@ -246,8 +252,7 @@
 fn after_the_shutdown_notice_the_node_has_drained_once_its_runs_have_ended() {
     run(async {
         let mut node = Node::start(false).await;
-        node.submit(1, b"key", b"body").await;
-        node.next_run().await;
+        node.submit_and_start(1, b"key", b"body").await;
         node.exchange.drain(clock::now() + GUARD).await;
         let mut status = node.exchange.status();
         status.wait_for(|status| status.draining.is_some()).await.unwrap();
@@ -264,8 +269,7 @@
 fn a_cancelled_submission_gets_no_answer_and_a_transaction_id_can_be_open_once() {
     run(async {
         let mut node = Node::start(false).await;
-        node.submit(1, b"key", b"body").await;
-        node.next_run().await;
+        node.submit_and_start(1, b"key", b"body").await;
         node.submit(1, b"other", b"body").await;
         assert_eq!(node.next_answer().await, (1, RequestOutcome::Failed { timed_out: false }));
         let submission = node.submit(2, b"another", b"body").await;
--- a/node/src/heartbeat/tests.rs
+++ b/node/src/heartbeat/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
-use crate::exchange::{self, Endpoints, Shutdown};
+use crate::exchange::{self, Endpoints, ShutdownNotice, StartMode};
 
 /// The status of a process that has just started, with changes.
 fn status(change: impl FnOnce(&mut NodeStatus)) -> NodeStatus {
-    let Endpoints { exchange, .. } = exchange::new(false, false);
+    let Endpoints { exchange, .. } = exchange::new(StartMode::default());
     let mut status = exchange.status().borrow().clone();
     change(&mut status);
     status
@@ -11,15 +11,15 @@
 
 fn draining(status: &mut NodeStatus) {
     let now = clock::now();
-    status.draining = Some(Shutdown { stops_at: now, noticed_at: now });
+    status.draining = Some(ShutdownNotice { stops_at: now, noticed_at: now });
 }
 
 #[test]
 fn a_node_reports_unless_it_recovers_or_a_successor_reports_under_its_name() {
     assert_eq!(Liveness::of(&status(|_| {})), Liveness::Up);
     assert_eq!(Liveness::of(&status(|status| status.maintenance = true)), Liveness::Up);
-    assert_eq!(Liveness::of(&status(|status| status.recovering = true)), Liveness::Silent);
-    assert_eq!(Liveness::of(&status(|status| status.handed_over = true)), Liveness::Silent);
+    assert_eq!(Liveness::of(&status(|status| status.recovering = true)), Liveness::Paused);
+    assert_eq!(Liveness::of(&status(|status| status.handed_over = true)), Liveness::Paused);
 }
 
 #[test]
@@ -34,5 +34,5 @@
         draining(status);
         status.handed_over = true;
     };
-    assert_eq!(Liveness::of(&status(handed_over)), Liveness::Silent);
+    assert_eq!(Liveness::of(&status(handed_over)), Liveness::Paused);
 }
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -12,6 +12,7 @@
 mod frontend;
 mod handover;
 mod heartbeat;
+mod hexadecimal;
 mod http;
 mod line_codec;
 mod log;
@@ -27,7 +28,6 @@
 mod uwsgi;
 mod vrrp;
 
-use std::error::Error;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -55,8 +55,7 @@
 /// commands share.
 macro_rules! configured_command {
     ($(#[doc = $doc:literal])* $command:ident, $name:literal) => {
-        // The comments are what `--help` prints.
-        #[allow(clippy::doc_markdown)]
+        #[allow(clippy::doc_markdown, reason = "the comments are what `--help` prints")]
         $(#[doc = $doc])*
         #[derive(FromArgs)]
         #[argh(subcommand, name = $name)]
@@ -107,14 +106,28 @@
     match run(arguments.command) {
         Ok(Verdict::Good) => ExitCode::SUCCESS,
         Ok(Verdict::Bad) => ExitCode::FAILURE,
-        Err(e) => {
-            eprintln!("oakwind: {e}");
+        Err(error) => {
+            eprintln!("oakwind: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn run(command: Command) -> Result<Verdict, Box<dyn Error>> {
+/// Why a command ended without a result.
+#[derive(Debug, thiserror::Error)]
+enum ProgramError {
+    /// The node did not start.
+    #[error("{0}")]
+    Startup(#[from] server::StartupError),
+    /// The configuration can't be served.
+    #[error("{0}")]
+    Config(#[from] config::ConfigError),
+    /// The decision logs can't be queried.
+    #[error("{0}")]
+    Query(#[from] commands::CommandError),
+}
+
+fn run(command: Command) -> Result<Verdict, ProgramError> {
     match command {
         Command::Serve(command) => server::serve(&command.into())?,
         Command::CheckConfig(command) => check_config(&command.into())?,
--- a/node/src/peers/completeness_marker.rs
+++ b/node/src/peers/completeness_marker.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 
 use oakwind_fleet::ids::Incarnation;
-use oakwind_fleet::staleness::StatePosition;
+use oakwind_fleet::recovery::staleness::StatePosition;
 
 use crate::log;
 
@@ -55,7 +55,9 @@
                 .and_then(|()| fs::rename(&temporary, self.folder.join(MARKER_FILE)));
         match written {
             Ok(()) => self.written = Some(position),
-            Err(e) => log!("fleet: the completeness marker of the vote store is not written: error={e}"),
+            Err(error) => {
+                log!("fleet: the completeness marker of the vote store is not written: error={error}");
+            }
         }
     }
 
--- a/node/src/peers/driver.rs
+++ b/node/src/peers/driver.rs
@@ -4,26 +4,28 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use oakwind_admission::RequestId;
-use oakwind_fleet::claim_coordinator::ClaimOutcome;
+use oakwind_fleet::claims::coordinator::ClaimOutcome;
 use oakwind_fleet::message::RejectReason;
 use oakwind_fleet::replica_node::{Event, ReplicaNode, Settings, TICK_INTERVAL};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 use tokio::time::{Interval, MissedTickBehavior};
 
+use super::claim::{request_of, ClaimResponse};
 use super::completeness_marker::CompletenessMarker;
-use super::links::{LinkEvent, LinkTable};
+use super::error::PeerStartError;
+use super::link::LinkEvent;
+use super::links::LinkTable;
 use super::metrics::PeerMetrics;
-use super::monotonic_clock::MonotonicClock;
+use super::monotonic_clock::{incarnation_now, MonotonicClock};
 use super::replica_host::ReplicaHost;
 use super::vote_store::{self, OpenVoteStore};
-use super::{incarnation_now, request_of, PeerStartError};
 use crate::clock;
 use crate::config::FleetConfig;
 use crate::exchange::Exchange;
+use crate::log;
 use crate::result_store::{ResultStore, StoreEvent};
-use crate::{log, sockets};
+use crate::sockets::{self, AddressUse};
 
 /// Events of links that may wait; a link that has more waits.
 const LINK_EVENT_CAPACITY: usize = 1024;
@@ -34,8 +36,8 @@
 pub(super) struct Channels {
     /// Events from the handle.
     pub(super) events: mpsc::Receiver<Event>,
-    /// Outcomes for the handle.
-    pub(super) outcomes: mpsc::Sender<(RequestId, ClaimOutcome)>,
+    /// Responses for the handle.
+    pub(super) responses: mpsc::Sender<ClaimResponse>,
     /// Has the status of the backend, and receives whether this node is recovering.
     pub(super) exchange: Exchange,
 }
@@ -72,7 +74,7 @@
     /// If one of them cannot be used.
     pub(super) fn open(&mut self) -> Result<(), PeerStartError> {
         let address = self.config.listen;
-        let listener = sockets::listen(address, false);
+        let listener = sockets::listen(address, AddressUse::Exclusive);
         self.listener = Some(listener.map_err(|source| PeerStartError::Listen { address, source })?);
         self.opened = vote_store::open(&self.config)?;
         Ok(())
@@ -87,7 +89,8 @@
             self.opened = vote_store::open_with_retries(&self.config).await;
         }
         if let Some(listener) = &self.listener {
-            log!("fleet: peers connect to {}", listener.local_addr().unwrap_or(self.config.listen));
+            let address = listener.local_addr().unwrap_or(self.config.listen);
+            log!("fleet: listening: address={address}");
         }
         RunningDriver::start(self).run().await;
     }
@@ -99,8 +102,9 @@
                 Some(Event::Activated(_)) => return true,
                 Some(Event::RunRequested(request)) => {
                     let outcome = ClaimOutcome::Rejected(RejectReason::NoQuorum);
+                    let response = ClaimResponse { id: request_of(request.attempt), outcome };
                     // The run gate ends only with the process.
-                    let _ = self.channels.outcomes.send((request_of(request.attempt), outcome)).await;
+                    let _ = self.channels.responses.send(response).await;
                 }
                 Some(_) => {}
                 None => return false,
@@ -213,7 +217,7 @@
     fn on_tick(&mut self) -> Event {
         if self.host.accepts_links() && self.listener.is_none() {
             // The other process may have the address for a moment more.
-            self.listener = sockets::listen(self.config.listen, false).ok();
+            self.listener = sockets::listen(self.config.listen, AddressUse::Exclusive).ok();
         }
         self.host.update_metrics(&self.metrics);
         // Before any node hears of it.
@@ -229,8 +233,8 @@
     async fn on_accepted(&mut self, accepted: io::Result<TcpStream>) {
         match accepted {
             Ok(stream) => self.host.accept(stream),
-            Err(e) => {
-                log!("fleet: link not accepted: error={e}");
+            Err(error) => {
+                log!("fleet: link not accepted: error={error}");
                 clock::until(clock::now() + ACCEPT_RETRY_INTERVAL).await;
             }
         }
@@ -253,9 +257,9 @@
 
     /// Reports what the replica node has decided to the rest of the process.
     async fn report(&mut self) {
-        for outcome in self.host.drain_outcomes() {
+        for response in self.host.drain_responses() {
             // The run gate ends only with the process.
-            let _ = self.channels.outcomes.send(outcome).await;
+            let _ = self.channels.responses.send(response).await;
         }
         if let Some(is_recovering) = self.host.drain_recovering_change() {
             self.channels.exchange.set_recovering(is_recovering).await;
--- a/node/src/peers/replica_host.rs
+++ b/node/src/peers/replica_host.rs
@@ -3,19 +3,20 @@
 use std::collections::VecDeque;
 
 use oakwind_admission::RequestId;
-use oakwind_fleet::claim_coordinator::ClaimOutcome;
+use oakwind_fleet::envelope::ReceivedMessage;
 use oakwind_fleet::ids::{LinkId, NodeId};
-use oakwind_fleet::key_state::Key;
 use oakwind_fleet::message::{Hello, Message};
 use oakwind_fleet::replica_node::{Action, Event, Notification, ReplicaNode, StoreSequence};
-use oakwind_fleet::replica_table::StoredRecord;
+use oakwind_fleet::replication::key_state::Key;
+use oakwind_fleet::replication::replica_table::StoredRecord;
 use tokio::net::TcpStream;
 
+use super::claim::{request_of, ClaimResponse};
 use super::completeness_marker::CompletenessMarker;
-use super::links::{ClosedLink, LinkEvent, LinkTable, RemoteProcess};
+use super::link::LinkEvent;
+use super::links::{ClosedLink, KnownLink, LinkTable, RemoteProcess};
 use super::metrics::PeerMetrics;
 use super::monotonic_clock::MonotonicClock;
-use super::request_of;
 use super::vote_store::vote_record;
 use crate::log;
 use crate::result_store::ResultStore;
@@ -29,8 +30,8 @@
     marker: Option<CompletenessMarker>,
     /// Events that follow from what was done.
     pending_events: VecDeque<Event>,
-    /// Outcomes that are to be reported.
-    outcomes: Vec<(RequestId, ClaimOutcome)>,
+    /// Responses that are to be reported.
+    responses: Vec<ClaimResponse>,
     /// Whether peers may dial this process.
     accepts_links: bool,
     /// Whether the node is recovering, if that has changed and is to be reported.
@@ -51,7 +52,7 @@
             clock,
             marker,
             pending_events: VecDeque::new(),
-            outcomes: Vec::new(),
+            responses: Vec::new(),
             accepts_links: true,
             recovering_change: None,
         }
@@ -67,9 +68,9 @@
         self.links.accept(stream);
     }
 
-    /// The outcomes since the last call.
-    pub(super) fn drain_outcomes(&mut self) -> Vec<(RequestId, ClaimOutcome)> {
-        std::mem::take(&mut self.outcomes)
+    /// The responses since the last call.
+    pub(super) fn drain_responses(&mut self) -> Vec<ClaimResponse> {
+        std::mem::take(&mut self.responses)
     }
 
     /// Whether the node is recovering, if that has changed since the last call.
@@ -100,7 +101,7 @@
     /// What a link reports, as an event of the node; none if the link's peer has to identify itself first.
     pub(super) fn on_link_event(&mut self, event: LinkEvent) -> Option<Event> {
         match event {
-            LinkEvent::Received(link, message) => self.on_message(link, message),
+            LinkEvent::Received { link, message } => self.on_message(link, message),
             LinkEvent::Closed(link) => {
                 let ClosedLink { node, was_identified } = self.links.remove(link)?;
                 // Messages that were on an identified link may have arrived.
@@ -120,7 +121,7 @@
             self.links.close(link);
             return None;
         };
-        Some(Event::MessageReceived { link, from, incarnation, message })
+        Some(Event::MessageReceived(ReceivedMessage { link, from, incarnation, message }))
     }
 
     /// The peer of a link says who it is. Returns false and closes the link if that is no member, or the peer takes this
@@ -179,7 +180,9 @@
         match action {
             Action::Send(node, message) => self.send(node, &message),
             Action::Respond(link, message) => self.links.send_on(link, &message),
-            Action::NotifyAttempt(attempt, outcome) => self.outcomes.push((request_of(attempt), outcome)),
+            Action::NotifyAttempt(attempt, outcome) => {
+                self.responses.push(ClaimResponse { id: request_of(attempt), outcome });
+            }
             Action::Store { sequence, key, record } => self.store(sequence, key, record.as_ref(), store),
             Action::SendHello => self.send_hello_on_all_links(),
             Action::SetPermissions(permissions) => {
@@ -206,7 +209,7 @@
     }
 
     fn send_hello_on_all_links(&mut self) {
-        for (link, node) in self.links.known_nodes() {
+        for KnownLink { link, node } in self.links.known_links() {
             self.send_hello(link, node);
         }
         let members = self.node.configs().all_members();
--- a/node/src/result_store/mod.rs
+++ b/node/src/result_store.rs
@@ -21,7 +21,6 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use oakwind_admission::RequestId;
 use tokio::sync::mpsc;
 
 use crate::clock;
@@ -31,8 +30,9 @@
 use metrics::StoreMetrics;
 use recovery::{Damage, RecoveredState, UncertainKeys};
 use segment_index::Limits;
-use segment_log::SegmentLog;
-use writer::StoreWriter;
+use segment_log::{OpenedLog, SegmentLog};
+pub(crate) use writer::StoreEvent;
+use writer::{StartedWriter, StoreWriter};
 
 /// Between two attempts to open a folder that the predecessor of this process still has open.
 const OPEN_RETRY_INTERVAL: Duration = Duration::from_millis(10);
@@ -55,18 +55,13 @@
     Thread(#[source] io::Error),
 }
 
-/// What the writer thread reports.
-#[derive(Debug)]
-pub(crate) enum StoreEvent {
-    /// A record was processed.
-    Written {
-        /// The request that it was written for.
-        request: RequestId,
-        /// Whether it survives a crash from now on; otherwise it may or may not be found by the next start.
-        durable: bool,
-    },
-    /// The folder that the predecessor had open is open here now.
-    Opened(RecoveredState),
+/// Where a process learns the keys of the one that had the store open before it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) enum KeySource {
+    /// That process transfers them.
+    Predecessor,
+    /// They are read from the store.
+    Store,
 }
 
 /// The result store as its user sees it.
@@ -77,8 +72,8 @@
     /// None while another process of this node has the folder open.
     pub(crate) writer: Option<StoreWriter>,
     events: Option<mpsc::Receiver<StoreEvent>>,
-    /// Whether the keys in the folder are to be loaded once it is open: the predecessor did not hand them over.
-    pub(crate) loads_keys: bool,
+    /// Where the keys of the process that had the folder open come from.
+    pub(crate) key_source: KeySource,
     /// Keys that may have run, as damage to the folder left that uncertain.
     pub(crate) uncertain_keys: UncertainKeys,
     /// Counters for operators.
@@ -93,7 +88,7 @@
             max_window,
             writer: None,
             events: None,
-            loads_keys: false,
+            key_source: KeySource::Predecessor,
             uncertain_keys: UncertainKeys::default(),
             metrics: Arc::default(),
         }
@@ -105,7 +100,7 @@
     ///
     /// If the folder cannot be used, or another process has it open.
     pub(crate) fn open(&mut self) -> Result<RecoveredState, StoreError> {
-        let (log, mut recovered) = open_log(&self.config, self.max_window)?;
+        let OpenedLog { log, mut recovered } = open_log(&self.config, self.max_window)?;
         report_recovery(&recovered, &self.metrics);
         self.uncertain_keys = std::mem::take(&mut recovered.uncertain_keys);
         self.start_writer(move |_| Some(log)).map_err(StoreError::Thread)?;
@@ -113,19 +108,20 @@
     }
 
     /// Opens the folder in the background once the predecessor has closed it; a [`StoreEvent::Opened`] follows.
-    pub(crate) fn open_after_predecessor(&mut self, loads_keys: bool) {
-        self.loads_keys = loads_keys;
-        let (config, max_window) = (self.config.clone(), self.max_window);
+    pub(crate) fn open_after_predecessor(&mut self, key_source: KeySource) {
+        self.key_source = key_source;
+        let config = self.config.clone();
+        let max_window = self.max_window;
         let metrics = self.metrics.clone();
         let opened = self.start_writer(move |events| {
-            let (log, recovered) = open_with_retries(&config, max_window)?;
+            let OpenedLog { log, recovered } = open_with_retries(&config, max_window)?;
             report_recovery(&recovered, &metrics);
             // Nobody receives events any more only if the process ends.
             let _ = events.blocking_send(StoreEvent::Opened(recovered));
             Some(log)
         });
-        if let Err(e) = opened {
-            log!("result store: {}", StoreError::Thread(e));
+        if let Err(error) = opened.map_err(StoreError::Thread) {
+            log!("result store: not opened, nothing is stored: error={error}");
         }
     }
 
@@ -133,8 +129,10 @@
         &mut self,
         open: impl FnOnce(&mpsc::Sender<StoreEvent>) -> Option<SegmentLog> + Send + 'static,
     ) -> io::Result<()> {
-        let (writer, events) = StoreWriter::spawn(self.metrics.clone(), self.config.max_batch, open)?;
-        (self.writer, self.events) = (Some(writer), Some(events));
+        let StartedWriter { writer, events } =
+            StoreWriter::spawn(self.metrics.clone(), self.config.max_batch, open)?;
+        self.writer = Some(writer);
+        self.events = Some(events);
         Ok(())
     }
 
@@ -152,26 +150,20 @@
     }
 }
 
-fn open_log(
-    config: &ResultStoreConfig,
-    max_window: Duration,
-) -> Result<(SegmentLog, RecoveredState), StoreError> {
+fn open_log(config: &ResultStoreConfig, max_window: Duration) -> Result<OpenedLog, StoreError> {
     let limits = Limits { max_bytes: config.max_bytes };
     SegmentLog::open(&config.folder, SystemDisk, limits, max_window, clock::now())
         .map_err(|source| StoreError::Folder { folder: config.folder.clone(), source })
 }
 
 /// Opens the log of a folder that the predecessor may have open for a moment more; none if that takes too long.
-fn open_with_retries(
-    config: &ResultStoreConfig,
-    max_window: Duration,
-) -> Option<(SegmentLog, RecoveredState)> {
+fn open_with_retries(config: &ResultStoreConfig, max_window: Duration) -> Option<OpenedLog> {
     let give_up_at = clock::now() + OPEN_TIMEOUT;
     loop {
         match open_log(config, max_window) {
             Ok(opened) => return Some(opened),
-            Err(e) if clock::now() >= give_up_at => {
-                log!("result store: not opened, nothing is stored: {e}");
+            Err(error) if clock::now() >= give_up_at => {
+                log!("result store: not opened, nothing is stored: error={error}");
                 return None;
             }
             Err(_) => std::thread::sleep(OPEN_RETRY_INTERVAL),
@@ -194,8 +186,8 @@
     }
     if !recovered.clock_setback.is_zero() {
         log!(
-            "result store: clock was set back, keys expire counted from now: by={:?}",
-            recovered.clock_setback
+            "result store: clock was set back, what is left of each key's window counts from now: setback_ms={}",
+            clock::millis(recovered.clock_setback)
         );
     }
 }
--- a/node/src/result_store/recovery/tests.rs
+++ b/node/src/result_store/recovery/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::outcome::BodyDigest;
 use crate::result_store::record::HEADER_BYTES;
 use bytes::BytesMut;
 use std::ops::Range;
@@ -42,7 +43,8 @@
         if bytes.is_empty() {
             put_header(number, at(90 + number), bytes);
         }
-        let (body_digest, start) = (u64::from(key.as_bytes()[0]), bytes.len());
+        let body_digest = BodyDigest(u64::from(key.as_bytes()[0]));
+        let start = bytes.len();
         let (key, result) = (Bytes::from(key), Bytes::from(result));
         let (written_at, expires_at) = (at(90 + number), at(107 + number));
         let record = Record { number, written_at, expires_at, body_digest, state, key, result };
@@ -53,9 +55,10 @@
 }
 
 fn recovered(segments: &[BytesMut], now: UnixTime) -> RecoveredState {
-    let segments =
-        (1..).zip(segments).map(|(number, bytes)| Segment { number, bytes: bytes.clone().freeze() });
-    recover(SEED, segments, LIMITS, MAX_WINDOW, now).1
+    let segments = (1..)
+        .zip(segments)
+        .map(|(number, bytes)| Segment { number: SegmentNumber(number), bytes: bytes.clone().freeze() });
+    recover(SEED, segments, LIMITS, MAX_WINDOW, now).state
 }
 
 fn state_of<'a>(recovered: &'a RecoveredState, key: &[u8]) -> Option<&'a RunState> {
@@ -73,9 +76,12 @@
     assert!(!state.uncertain_keys.contains(b"other", at(108)));
 }
 
+/// Whether damage hits a range of bytes in a segment.
+type DamagePredicate<'a> = dyn Fn(usize, &Range<usize>) -> bool + 'a;
+
 /// Which bytes are damaged, and whether that shows.
 struct Damaged<'a> {
-    hits: &'a dyn Fn(usize, &Range<usize>) -> bool,
+    hits: &'a DamagePredicate<'a>,
     is_detectable: bool,
     description: String,
 }
@@ -180,7 +186,7 @@
         number: 5,
         written_at: at(100),
         expires_at: at(117),
-        body_digest: 1,
+        body_digest: BodyDigest(1),
         state: RecordState::Started,
         key: "forged".into(),
         result: Bytes::new(),
--- a/node/src/result_store/segment.rs
+++ b/node/src/result_store/segment.rs
@@ -1,5 +1,6 @@
 //! The byte format of a segment file: a header, then records. Finds the intact records among damaged bytes.
 
+use std::fmt::{self, Display, Formatter};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
@@ -7,6 +8,7 @@
 
 use super::record::{Record, RecordHeader, HEADER_BYTES, RECORD_MAGIC};
 use crate::clock::{millis, UnixTime};
+use crate::hexadecimal;
 use crate::outcome::digest;
 
 /// Bytes of a segment before its first record.
@@ -19,6 +21,26 @@
 const FILE_PREFIX: &str = "keys-";
 const FILE_SUFFIX: &str = ".log";
 
+/// The number of a segment. Segments are numbered in the order in which they are created.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct SegmentNumber(pub(crate) u64);
+
+impl SegmentNumber {
+    /// The first segment of a store.
+    pub(crate) const FIRST: SegmentNumber = SegmentNumber(1);
+
+    /// The number that follows this one.
+    pub(crate) fn next(self) -> SegmentNumber {
+        SegmentNumber(self.0 + 1)
+    }
+}
+
+impl Display for SegmentNumber {
+    fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
+        self.0.fmt(formatter)
+    }
+}
+
 /// The header of a segment.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct SegmentHeader {
@@ -71,25 +93,31 @@
     let mut items = Vec::new();
     let mut position = 0;
     while position < bytes.len() {
-        let (item, len) = scan_item(seed, &bytes.slice(position..));
-        items.push(item);
-        position += len;
+        let scanned = scan_item(seed, &bytes.slice(position..));
+        items.push(scanned.item);
+        position += scanned.len;
     }
     items
 }
 
-/// What the bytes begin with, and how many of them it takes.
-fn scan_item(seed: u64, bytes: &Bytes) -> (ScanItem, usize) {
+/// An item of a scan and how many bytes it takes.
+struct Scanned {
+    item: ScanItem,
+    len: usize,
+}
+
+/// What the bytes begin with.
+fn scan_item(seed: u64, bytes: &Bytes) -> Scanned {
     let Some(header) = RecordHeader::decode(seed, bytes) else {
         let len = next_header(seed, bytes, 1);
-        return (ScanItem::Unrecognized(len), len);
+        return Scanned { item: ScanItem::Unrecognized(len), len };
     };
     if let Some(record) = header.decode_payload(seed, bytes) {
-        return (ScanItem::Intact(record), header.record_len());
+        return Scanned { item: ScanItem::Intact(record), len: header.record_len() };
     }
     // The payload may have been cut off anywhere, so the next record can begin right behind the header.
     let len = next_header(seed, bytes, HEADER_BYTES);
-    (ScanItem::DamagedPayload(header), len)
+    Scanned { item: ScanItem::DamagedPayload(header), len }
 }
 
 /// The offset of the first intact record header at or behind `from`, or the end of the bytes.
@@ -102,14 +130,15 @@
 }
 
 /// The path of a segment file.
-pub(crate) fn segment_path(folder: &Path, number: u64) -> PathBuf {
+pub(crate) fn segment_path(folder: &Path, segment: SegmentNumber) -> PathBuf {
+    let number = segment.0;
     folder.join(format!("{FILE_PREFIX}{number:016x}{FILE_SUFFIX}"))
 }
 
 /// The number of the segment that a file name stands for, if it is one.
-pub(crate) fn segment_number(file_name: &str) -> Option<u64> {
+pub(crate) fn segment_number(file_name: &str) -> Option<SegmentNumber> {
     let digits = file_name.strip_prefix(FILE_PREFIX)?.strip_suffix(FILE_SUFFIX)?;
-    u64::from_str_radix(digits, 16).ok()
+    hexadecimal::parse(digits).map(SegmentNumber)
 }
 
 #[cfg(test)]
--- a/node/src/result_store/segment_index.rs
+++ b/node/src/result_store/segment_index.rs
@@ -9,6 +9,7 @@
 use bytes::Bytes;
 
 use super::record::{Record, RecordState, HEADER_BYTES};
+use super::segment::SegmentNumber;
 use crate::clock::UnixTime;
 use crate::outcome::{LATE_READ_GRACE, MAX_RESULT_BYTES};
 
@@ -16,6 +17,9 @@
 const SEGMENTS_PER_STORE: u64 = 16;
 /// Keys take up to this part of the store; the rest is left to compaction.
 const LIVE_SHARE: u64 = 2;
+/// The oldest segment is compacted once all together take more than three quarters of the store.
+const COMPACTION_NUMERATOR: u64 = 3;
+const COMPACTION_DENOMINATOR: u64 = 4;
 /// How often expired keys are looked for.
 const EXPIRY_SCAN_INTERVAL: Duration = Duration::from_secs(1);
 
@@ -32,9 +36,9 @@
         self.max_bytes / SEGMENTS_PER_STORE
     }
 
-    /// Above this length the oldest segment is compacted: three quarters of the limit.
+    /// Above this length the oldest segment is compacted.
     fn compaction_threshold(self) -> u64 {
-        self.max_bytes / 4 * 3
+        self.max_bytes / COMPACTION_DENOMINATOR * COMPACTION_NUMERATOR
     }
 }
 
@@ -44,15 +48,15 @@
     /// Begin a new segment.
     Rotate,
     /// Remove the segment of this number: none of its records is current.
-    Remove(u64),
+    Remove(SegmentNumber),
     /// Write the current records of the segment of this number again, then remove it.
-    Compact(u64),
+    Compact(SegmentNumber),
 }
 
 /// A segment as the index knows it.
 #[derive(Debug)]
 struct SegmentEntry {
-    number: u64,
+    number: SegmentNumber,
     bytes: u64,
     /// Records in it that are the last of their key.
     current_records: u64,
@@ -61,7 +65,8 @@
 /// Where the last record of a key is.
 #[derive(Debug)]
 struct RecordLocation {
-    segment: u64,
+    segment: SegmentNumber,
+    /// The number of the record.
     record: u64,
     bytes: u64,
     expires_at: UnixTime,
@@ -99,7 +104,7 @@
     }
 
     /// A segment of so many bytes follows those before.
-    pub(crate) fn add_segment(&mut self, number: u64, bytes: u64) {
+    pub(crate) fn add_segment(&mut self, number: SegmentNumber, bytes: u64) {
         self.segments.push_back(SegmentEntry { number, bytes, current_records: 0 });
     }
 
@@ -214,13 +219,13 @@
     }
 
     /// The segment of this number was removed.
-    pub(crate) fn remove_segment(&mut self, number: u64) {
+    pub(crate) fn remove_segment(&mut self, number: SegmentNumber) {
         self.segments.retain(|segment| segment.number != number);
     }
 
     /// The number for a new segment.
-    pub(crate) fn next_segment_number(&self) -> u64 {
-        self.segments.back().map_or(1, |segment| segment.number + 1)
+    pub(crate) fn next_segment_number(&self) -> SegmentNumber {
+        self.segments.back().map_or(SegmentNumber::FIRST, |segment| segment.number.next())
     }
 
     /// Bytes of all segments.
--- a/node/src/result_store/segment_log.rs
+++ b/node/src/result_store/segment_log.rs
@@ -10,8 +10,10 @@
 
 use super::disk::{Disk, SystemDisk};
 use super::record::{Record, RecordState};
-use super::recovery::{recover, RecoveredState, Segment};
-use super::segment::{scan, segment_number, segment_path, ScanItem, SegmentHeader, SEGMENT_HEADER_BYTES};
+use super::recovery::{recover, Recovered, RecoveredState, Segment};
+use super::segment::{
+    scan, segment_number, segment_path, ScanItem, SegmentHeader, SegmentNumber, SEGMENT_HEADER_BYTES,
+};
 use super::segment_index::{required_bytes, Limits, MaintenanceStep, SegmentIndex};
 use crate::clock::UnixTime;
 use crate::log;
@@ -35,6 +37,14 @@
     next_record: u64,
 }
 
+/// A log that was opened, and what was found in its folder.
+pub(crate) struct OpenedLog<D: Disk = SystemDisk> {
+    /// The log.
+    pub(crate) log: SegmentLog<D>,
+    /// What was in the folder.
+    pub(crate) recovered: RecoveredState,
+}
+
 impl<D: Disk> SegmentLog<D> {
     /// Opens a folder and recovers what is in it. No key counts as remembered for longer than `max_window`, unless a
     /// record says so.
@@ -48,12 +58,12 @@
         limits: Limits,
         max_window: Duration,
         now: UnixTime,
-    ) -> io::Result<(Self, RecoveredState)> {
+    ) -> io::Result<OpenedLog<D>> {
         let lock = lock_folder(path)?;
         let numbers = segment_numbers(path)?;
         let seed = open_seed(path, &numbers, &mut disk, now)?;
         let segments = numbers.into_iter().map(|number| read_segment(path, number, limits));
-        let (index, recovered) = recover(seed, segments, limits, max_window, now);
+        let Recovered { index, state: recovered } = recover(seed, segments, limits, max_window, now);
         let mut log = SegmentLog {
             path: path.into(),
             disk,
@@ -64,13 +74,13 @@
             next_record: recovered.next_record,
         };
         log.rotate(now)?;
-        Ok((log, recovered))
+        Ok(OpenedLog { log, recovered })
     }
 
     /// Writes the records for which there is capacity, with one wait for the disk. Returns for each whether it is durable.
     pub(crate) fn write(&mut self, mut records: Vec<Record>, now: UnixTime) -> Vec<bool> {
-        if let Err(e) = self.maintain(now) {
-            log!("result store: maintenance failed: error={e}");
+        if let Err(error) = self.maintain(now) {
+            log!("result store: maintenance failed: error={error}");
         }
         let mut pending = 0;
         let accepted: Vec<bool> =
@@ -81,8 +91,8 @@
             .filter(|(_, accepted)| **accepted)
             .map(|(record, _)| record)
             .collect();
-        if let Err(e) = self.append(&to_write) {
-            log!("result store: append failed: records={} error={e}", to_write.len());
+        if let Err(error) = self.append(&to_write) {
+            log!("result store: append failed: records={} error={error}", to_write.len());
             return vec![false; accepted.len()];
         }
         accepted
@@ -92,13 +102,15 @@
     fn accept(&mut self, record: &mut Record, pending: &mut u64, now: UnixTime) -> bool {
         if record.result.len() > MAX_RESULT_BYTES {
             // It was delivered once; later attempts get 'failed'.
-            (record.state, record.result) = (RecordState::Failed, Bytes::new());
+            record.state = RecordState::Failed;
+            record.result = Bytes::new();
         }
         if !self.index.has_capacity(record, *pending) {
             return false;
         }
         *pending += required_bytes(record);
-        (record.number, record.written_at) = (self.next_record, now);
+        record.number = self.next_record;
+        record.written_at = now;
         self.next_record += 1;
         true
     }
@@ -156,7 +168,7 @@
         Ok(())
     }
 
-    fn remove_segment(&mut self, number: u64) -> io::Result<()> {
+    fn remove_segment(&mut self, number: SegmentNumber) -> io::Result<()> {
         remove_if_present(&mut self.disk, &segment_path(&self.path, number))?;
         self.index.remove_segment(number);
         Ok(())
@@ -164,7 +176,7 @@
 
     /// Writes the current records of the oldest segment again, durably, and only then removes it: a crash at any moment
     /// leaves each record at least once.
-    fn compact(&mut self, number: u64) -> io::Result<()> {
+    fn compact(&mut self, number: SegmentNumber) -> io::Result<()> {
         let bytes = Bytes::from(read_file(&segment_path(&self.path, number), u64::MAX)?);
         let mut current = Vec::new();
         for item in scan(self.seed, &bytes.slice(bytes.len().min(SEGMENT_HEADER_BYTES)..)) {
@@ -204,7 +216,12 @@
 
 /// Reads the seed, from a segment if its own file is damaged, and writes that file again then. A store without any gets a
 /// new seed.
-fn open_seed(path: &Path, segments: &[u64], disk: &mut impl Disk, now: UnixTime) -> io::Result<u64> {
+fn open_seed(
+    path: &Path,
+    segments: &[SegmentNumber],
+    disk: &mut impl Disk,
+    now: UnixTime,
+) -> io::Result<u64> {
     let seed_path = path.join(SEED_FILE);
     if let Some(header) = read_header(&seed_path) {
         return Ok(header.seed);
@@ -224,16 +241,16 @@
 }
 
 /// Reads a segment. One that cannot be read counts as damaged, so that one bad file does not prevent the start.
-fn read_segment(folder: &Path, number: u64, limits: Limits) -> Segment {
-    let bytes = read_file(&segment_path(folder, number), limits.max_bytes).unwrap_or_else(|e| {
-        log!("result store: segment not readable: segment={number} error={e}");
+fn read_segment(folder: &Path, number: SegmentNumber, limits: Limits) -> Segment {
+    let bytes = read_file(&segment_path(folder, number), limits.max_bytes).unwrap_or_else(|error| {
+        log!("result store: segment not readable: segment={number} error={error}");
         Vec::new()
     });
     Segment { number, bytes: bytes.into() }
 }
 
 /// The numbers of the segments in a folder, in ascending order.
-fn segment_numbers(folder: &Path) -> io::Result<Vec<u64>> {
+fn segment_numbers(folder: &Path) -> io::Result<Vec<SegmentNumber>> {
     let mut numbers = Vec::new();
     for entry in std::fs::read_dir(folder)? {
         numbers.extend(entry?.file_name().to_str().and_then(segment_number));
--- a/node/src/run_gate.rs
+++ b/node/src/run_gate.rs
@@ -6,40 +6,24 @@
 //! at once.
 
 mod event;
+mod keyed_run;
 mod pending;
 
-use std::rc::Rc;
-
 use bytes::Bytes;
 use oakwind_admission::RequestId;
-use oakwind_fleet::claim_coordinator::ClaimOutcome;
+use oakwind_fleet::claims::coordinator::ClaimOutcome;
 use oakwind_fleet::ids::ConfigVersion;
-use oakwind_fleet::key_state::RunResult;
+use oakwind_fleet::replication::key_state::RunResult;
 
 use crate::clock::UnixTime;
-use crate::exchange::Request;
 use crate::metrics::Metrics;
-use crate::outcome::{BodyDigest, Completion, IdempotencyKey, StoredOutcome};
-use crate::peers::{ClaimParameters, Peers};
+use crate::outcome::{Completion, StoredOutcome};
+use crate::peers::{ClaimParameters, ClaimResponse, Peers};
 use crate::result_store::record::{Record, RecordState};
-use crate::result_store::{ResultStore, StoreEvent};
+use crate::result_store::{KeySource, ResultStore, StoreEvent};
 pub(crate) use event::{Authorization, GateEvent};
-use pending::{PendingRun, PendingRuns, Vote};
-
-/// The run of an attempt that holds a key.
-#[derive(Debug, Clone)]
-pub(crate) struct KeyedRun {
-    /// The attempt.
-    pub(crate) id: RequestId,
-    /// Its request; none where another process of this node had it.
-    pub(crate) request: Option<Rc<Request>>,
-    /// Its key.
-    pub(crate) key: IdempotencyKey,
-    /// Digest of its body.
-    pub(crate) body_digest: BodyDigest,
-    /// When the key expires.
-    pub(crate) expires_at: UnixTime,
-}
+pub(crate) use keyed_run::KeyedRun;
+use pending::{Approval, PendingRun, PendingRuns};
 
 /// Everything that keeps keys beyond the process, if anything does.
 #[derive(Default)]
@@ -60,11 +44,11 @@
     pub(crate) fn register_metrics(&self, metrics: &Metrics) {
         if let Some(store) = &self.store {
             let store = store.metrics.clone();
-            metrics.register(Box::new(move || store.values()));
+            metrics.register(move || store.values());
         }
         if let Some(peers) = &self.peers {
             let peers = peers.metrics.clone();
-            metrics.register(Box::new(move || peers.values()));
+            metrics.register(move || peers.values());
         }
     }
 
@@ -83,15 +67,15 @@
         self.store.as_ref().is_some_and(|store| store.uncertain_keys.contains(key, now))
     }
 
-    /// Takes over from another process of this node, once that releases the store. With `recover`, what it left there
-    /// is reported as [`GateEvent::Recovered`]; otherwise it has been transferred by other means.
-    pub(crate) fn take_over(&mut self, recover: bool) {
+    /// Acquires the store and the place in the fleet from another process of this node, once that releases them. Where the
+    /// keys are to come from the store, [`GateEvent::Recovered`] reports them.
+    pub(crate) fn acquire_stores(&mut self, keys: KeySource) {
         if let Some(store) = &mut self.store {
-            store.open_after_predecessor(recover);
+            store.open_after_predecessor(keys);
         }
         if let Some(peers) = &self.peers {
             peers.activate();
-            peers.set_predecessor_running(!recover);
+            peers.set_predecessor_running(keys == KeySource::Predecessor);
         }
     }
 
@@ -103,8 +87,8 @@
         }
     }
 
-    /// Leaves the store and the peers to the successor process. These runs may still start here.
-    pub(crate) fn hand_over(&mut self, runs: &[KeyedRun]) {
+    /// Releases the store and the place in the fleet to the successor process. These runs may still start here.
+    pub(crate) fn release_stores(&mut self, runs: &[KeyedRun]) {
         for run in runs {
             self.write(run, RecordState::Started, Bytes::new());
         }
@@ -120,15 +104,15 @@
     pub(crate) fn authorize_run(&mut self, run: Option<KeyedRun>) -> Authorization {
         let Some(run) = run.filter(|_| self.is_durable()) else { return Authorization::Granted };
         let store = self.write(&run, RecordState::Started, Bytes::new());
-        let peers = if store == Vote::No { Vote::No } else { self.claim(&run) };
-        if store == Vote::Pending && peers == Vote::No {
+        let peers = if store == Approval::Denied { Approval::Denied } else { self.claim(&run) };
+        if store == Approval::Pending && peers == Approval::Denied {
             self.write(&run, RecordState::NeverStarted, Bytes::new());
             return Authorization::Denied;
         }
         match store.and(peers) {
-            Vote::Yes => Authorization::Granted,
-            Vote::No => Authorization::Denied,
-            Vote::Pending => {
+            Approval::Granted => Authorization::Granted,
+            Approval::Denied => Authorization::Denied,
+            Approval::Pending => {
                 self.pending.insert(PendingRun { run, completion: None, store, peers });
                 Authorization::Pending
             }
@@ -136,22 +120,17 @@
     }
 
     /// Asks the peers to grant a run.
-    fn claim(&self, run: &KeyedRun) -> Vote {
-        let Some(peers) = &self.peers else { return Vote::Yes };
-        let Some(request) = &run.request else { return Vote::No };
-        let asked = peers.request_claim(&ClaimParameters {
+    fn claim(&self, run: &KeyedRun) -> Approval {
+        let Some(peers) = &self.peers else { return Approval::Granted };
+        let Some(request) = &run.request else { return Approval::Denied };
+        Approval::requested(peers.request_claim(&ClaimParameters {
             id: run.id,
             key: run.key.clone(),
             body: &request.body[..],
             expires_at: run.expires_at,
             received_at: request.received_at,
             deadline: request.deadline,
-        });
-        if asked {
-            Vote::Pending
-        } else {
-            Vote::No
-        }
+        }))
     }
 
     /// Stores how a run has ended. Returns the completion that may be reported, or `None` if a
@@ -170,9 +149,9 @@
         let store = self.write_outcome(&run, &outcome);
         let peers = self.replicate(run.id, outcome);
         match store.and(peers) {
-            Vote::Yes => Some(completion),
-            Vote::No => Some(Completion::Failed),
-            Vote::Pending => {
+            Approval::Granted => Some(completion),
+            Approval::Denied => Some(Completion::Failed),
+            Approval::Pending => {
                 self.pending.insert(PendingRun { run, completion: Some(completion), store, peers });
                 None
             }
@@ -180,20 +159,16 @@
     }
 
     /// Has the peers keep the outcome of a run.
-    fn replicate(&self, id: RequestId, outcome: StoredOutcome) -> Vote {
-        let Some(peers) = &self.peers else { return Vote::Yes };
+    fn replicate(&self, id: RequestId, outcome: StoredOutcome) -> Approval {
+        let Some(peers) = &self.peers else { return Approval::Granted };
         match outcome {
             StoredOutcome::Succeeded(result) => {
-                if peers.run_finished(id, RunResult::Succeeded(result)) {
-                    Vote::Pending
-                } else {
-                    Vote::No
-                }
+                Approval::requested(peers.run_finished(id, RunResult::Succeeded(result)))
             }
             StoredOutcome::Failed | StoredOutcome::NeverStarted => {
                 // Nobody waits for that, as a failure promises nothing.
                 peers.run_finished(id, RunResult::Failed);
-                Vote::Yes
+                Approval::Granted
             }
         }
     }
@@ -206,10 +181,15 @@
             StoredOutcome::NeverStarted => return false,
         };
         let store = self.write_outcome(&run, outcome);
-        if store != Vote::Pending {
+        if store != Approval::Pending {
             return false;
         }
-        self.pending.insert(PendingRun { run, completion: Some(completion), store, peers: Vote::Yes });
+        self.pending.insert(PendingRun {
+            run,
+            completion: Some(completion),
+            store,
+            peers: Approval::Granted,
+        });
         true
     }
 
@@ -229,7 +209,7 @@
     }
 
     /// Writes the outcome of a run to the store.
-    fn write_outcome(&self, run: &KeyedRun, outcome: &StoredOutcome) -> Vote {
+    fn write_outcome(&self, run: &KeyedRun, outcome: &StoredOutcome) -> Approval {
         match outcome {
             StoredOutcome::Succeeded(result) => self.write(run, RecordState::Succeeded, result.clone()),
             StoredOutcome::Failed => self.write(run, RecordState::Failed, Bytes::new()),
@@ -238,15 +218,11 @@
     }
 
     /// Writes a record to the store. Without a store, or while another process has it, there is nothing to wait for.
-    fn write(&self, run: &KeyedRun, state: RecordState, result: Bytes) -> Vote {
+    fn write(&self, run: &KeyedRun, state: RecordState, result: Bytes) -> Approval {
         let writer = self.store.as_ref().and_then(|store| store.writer.as_ref());
-        let Some(writer) = writer else { return Vote::Yes };
-        let record = Record::new(run.key.clone(), run.body_digest.0, run.expires_at, state, result);
-        if writer.write(run.id, record) {
-            Vote::Pending
-        } else {
-            Vote::No
-        }
+        let Some(writer) = writer else { return Approval::Granted };
+        let record = Record::new(run.key.clone(), run.body_digest, run.expires_at, state, result);
+        Approval::requested(writer.write(run.id, record))
     }
 
     /// The next event. It never comes where nothing is kept beyond the process.
@@ -259,15 +235,15 @@
                     None => std::future::pending().await,
                 }
             };
-            let claim_outcome = async {
+            let claim_response = async {
                 match peers {
-                    Some(peers) => peers.next_outcome().await,
+                    Some(peers) => peers.next_response().await,
                     None => std::future::pending().await,
                 }
             };
             let event = tokio::select! {
                 event = store_event => self.on_store_event(event),
-                (id, outcome) = claim_outcome => self.on_claim_outcome(id, outcome),
+                response = claim_response => self.on_claim_response(response),
             };
             if let Some(event) = event {
                 return event;
@@ -278,31 +254,34 @@
     fn on_store_event(&mut self, event: StoreEvent) -> Option<GateEvent> {
         match event {
             StoreEvent::Written { request: id, durable } => {
-                self.pending.waiting_for_store(id)?.store = Vote::of(durable);
+                self.pending.waiting_for_store(id)?.store = Approval::of(durable);
                 self.resolve(id)
             }
             StoreEvent::Opened(recovered) => {
                 let store = self.store.as_mut()?;
                 store.uncertain_keys = recovered.uncertain_keys;
                 // Otherwise the predecessor has transferred all this, and more of late.
-                store.loads_keys.then_some(GateEvent::Recovered(recovered.keys))
+                (store.key_source == KeySource::Store).then_some(GateEvent::Recovered(recovered.keys))
             }
         }
     }
 
-    fn on_claim_outcome(&mut self, id: RequestId, outcome: ClaimOutcome) -> Option<GateEvent> {
+    fn on_claim_response(&mut self, response: ClaimResponse) -> Option<GateEvent> {
+        let ClaimResponse { id, outcome } = response;
         match outcome {
             ClaimOutcome::Granted | ClaimOutcome::Rejected(_)
                 if self.pending.waiting_to_start(id).is_some() =>
             {
-                self.pending.waiting_to_start(id)?.peers = Vote::of(outcome == ClaimOutcome::Granted);
+                self.pending.waiting_to_start(id)?.peers = Approval::of(outcome == ClaimOutcome::Granted);
                 self.resolve(id)
             }
             // The dispatcher knows already that it waits for another node's run.
-            ClaimOutcome::Rejected(_) => Some(GateEvent::RemoteOutcome(id, StoredOutcome::NeverStarted)),
+            ClaimOutcome::Rejected(_) => {
+                Some(GateEvent::RemoteOutcome { id, outcome: StoredOutcome::NeverStarted })
+            }
             ClaimOutcome::Granted => None,
             ClaimOutcome::Replicated(replicated) => {
-                self.pending.waiting_to_complete(id)?.peers = Vote::of(replicated);
+                self.pending.waiting_to_complete(id)?.peers = Approval::of(replicated);
                 self.resolve(id)
             }
             ClaimOutcome::RunningElsewhere => {
@@ -315,7 +294,7 @@
                     RunResult::Succeeded(result) => StoredOutcome::Succeeded(result),
                     RunResult::Failed => StoredOutcome::Failed,
                 };
-                Some(GateEvent::RemoteOutcome(id, outcome))
+                Some(GateEvent::RemoteOutcome { id, outcome })
             }
             ClaimOutcome::Unknown => {
                 self.cancel_start(id);
@@ -341,18 +320,18 @@
         let denied = resolved.is_denied();
         let PendingRun { run, completion, store, peers } = resolved;
         let Some(completion) = completion else {
-            if denied && store != Vote::No {
+            if denied && store != Approval::Denied {
                 self.write(&run, RecordState::NeverStarted, Bytes::new());
             }
-            if denied && peers != Vote::No {
+            if denied && peers != Approval::Denied {
                 self.run_never_started(id);
             }
             return Some(GateEvent::Authorized { id, granted: !denied });
         };
         Some(match (store, peers) {
-            (_, Vote::No) => GateEvent::OutcomeUnknown(id),
-            (Vote::No, _) => GateEvent::Completed(id, Completion::Failed),
-            _ => GateEvent::Completed(id, completion),
+            (_, Approval::Denied) => GateEvent::OutcomeUnknown(id),
+            (Approval::Denied, _) => GateEvent::Completed { id, completion: Completion::Failed },
+            _ => GateEvent::Completed { id, completion },
         })
     }
 }
--- a/node/src/server/accept.rs
+++ b/node/src/server/accept.rs
@@ -13,25 +13,26 @@
 use crate::exchange::Exchange;
 use crate::frontend;
 use crate::frontend::connection_limiter::{ConnectionGuard, ConnectionLimiter};
-use crate::{clock, log, sockets};
+use crate::sockets::{self, AddressUse};
+use crate::{clock, log};
 
 /// Between two attempts to open a listener.
 const REBIND_INTERVAL: Duration = Duration::from_millis(100);
 /// After a failed accept: the process does not spin while the system has no descriptors left.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Opens a listener. With `shared` another process may listen at the same address.
+/// Opens a listener; an error names the configuration key.
 pub(super) fn bind(
     key: &'static str,
     address: SocketAddr,
-    shared: bool,
+    address_use: AddressUse,
 ) -> Result<TcpListener, StartupError> {
-    sockets::listen(address, shared).map_err(|source| StartupError::Bind { key, address, source })
+    sockets::listen(address, address_use).map_err(|source| StartupError::Bind { key, address, source })
 }
 
 /// Where a listener listens, with the port that the system chose for 0.
 pub(super) fn local_address(listener: &TcpListener) -> String {
-    listener.local_addr().map_or_else(|e| e.to_string(), |address| address.to_string())
+    listener.local_addr().map_or_else(|error| error.to_string(), |address| address.to_string())
 }
 
 /// The listener of a frontend, which is open while this process accepts clients.
@@ -41,7 +42,7 @@
     /// Where it listens.
     pub(super) address: SocketAddr,
     /// Whether a successor may listen at the same address.
-    pub(super) shared: bool,
+    pub(super) address_use: AddressUse,
     /// Whether this node has the active role of its virtual router; always true without one.
     pub(super) active: watch::Receiver<bool>,
 }
@@ -60,12 +61,16 @@
         while self.wait_until_active(&exchange).await {
             let listener = match opened.take() {
                 Some(listener) => Ok(listener),
-                None => bind(protocol, self.address, self.shared),
+                None => bind(protocol, self.address, self.address_use),
             };
-            let Ok(listener) = listener.inspect_err(|e| log!("frontend: listener not opened: {e}")) else {
-                // The router that was active before may hold the address for a moment.
-                clock::until(clock::now() + REBIND_INTERVAL).await;
-                continue;
+            let listener = match listener {
+                Ok(listener) => listener,
+                Err(error) => {
+                    log!("frontend: listener not opened: protocol={protocol} error={error}");
+                    // The router that was active before may hold the address for a moment.
+                    clock::until(clock::now() + REBIND_INTERVAL).await;
+                    continue;
+                }
             };
             log!("frontend: listening: protocol={protocol} address={}", local_address(&listener));
             let closing = self.wait_until_inactive(&exchange);
@@ -117,7 +122,7 @@
         if let Some(guard) = limiter.admit() {
             spawn_local(serve(stream, guard));
         } else {
-            log!("frontend: connection rejected: all connections are busy");
+            log!("frontend: connection rejected, all connections are busy");
             spawn_local(frontend::reject(stream));
         }
     };
@@ -132,8 +137,8 @@
                 // A connection that was evicted for this one closes first, so that the descriptors suffice.
                 tokio::task::yield_now().await;
             }
-            Err(e) => {
-                log!("frontend: accept failed: {e}");
+            Err(error) => {
+                log!("frontend: accept failed: error={error}");
                 clock::until(clock::now() + ACCEPT_RETRY_INTERVAL).await;
             }
         }
--- a/node/src/server/startup.rs
+++ b/node/src/server/startup.rs
@@ -22,12 +22,15 @@
 use crate::config::{self, ConfigFiles, Configuration, NodeConfig, UpstreamAddresses, UwsgiConfig};
 use crate::decision_log::{settings_digest, DecisionLog};
 use crate::dispatcher::Dispatcher;
-use crate::exchange::{self, BackendEndpoints, DispatcherEndpoints, Endpoints, Exchange, HandoverState};
+use crate::exchange::{
+    self, BackendEndpoints, DispatcherEndpoints, Endpoints, Exchange, HandoverState, StartMode,
+};
 use crate::frontend::connection_limiter::ConnectionLimiter;
 use crate::frontend::uwsgi::{RequestIds, UwsgiFrontend};
 use crate::frontend::{jsonrpc, uwsgi as uwsgi_frontend};
 use crate::result_store::ResultStore;
 use crate::run_gate::RunGate;
+use crate::sockets::AddressUse;
 use crate::{clock, handover, heartbeat, log, peers, vrrp};
 
 /// Results that are stored for repeats take one part in so many of the memory of the process.
@@ -53,15 +56,25 @@
     is_upgrade: bool,
 }
 
+/// The result store at the start of a process.
+#[derive(Default)]
+struct StartingStore {
+    /// None if none is configured.
+    store: Option<ResultStore>,
+    /// What it has from earlier processes; none if there is no store, or the predecessor still has it.
+    recovered: Option<HandoverState>,
+}
+
 /// Runs a node until it has drained.
 pub(super) async fn run(files: &ConfigFiles, loaded: Configuration) -> Result<(), StartupError> {
     // Comes first: a signal without a handler ends the process.
-    let (shutdown_notice, hangup) = Signals::install().map_err(StartupError::Signals)?.split();
+    let Signals { shutdown, hangup } = Signals::install().map_err(StartupError::Signals)?;
     let handover_socket = handover::socket_path(loaded.node.listen);
     let is_upgrade = handover::has_predecessor(handover_socket.as_deref()).await;
     // A process that takes over is as far in its recovery as its predecessor was.
-    let starts_recovering = loaded.fleet.is_some() && !is_upgrade;
-    let Endpoints { exchange, dispatcher, backend } = exchange::new(is_upgrade, starts_recovering);
+    let recovering = loaded.fleet.is_some() && !is_upgrade;
+    let mode = StartMode { awaiting_state: is_upgrade, recovering };
+    let Endpoints { exchange, dispatcher, backend } = exchange::new(mode);
     let capacity = ConnectionCapacity::new(&loaded);
     let Configuration { node: config, uwsgi, result_store, fleet, decision_log } = loaded;
     let (address_publisher, upstream_addresses) = watch::channel(config.upstreams.clone());
@@ -93,7 +106,7 @@
         fleet_events,
     };
     tokio::select! {
-        () = drain_on_notice(shutdown_notice, &node.exchange, node.config.stop_timeout, limiters) => {}
+        () = drain_on_notice(shutdown, &node.exchange, node.config.stop_timeout, limiters) => {}
         () = reloader.run() => {}
         () = share_during_upgrade(&node.exchange, limiters) => {}
         failed = node.serve_clients(active) => return failed.map(|never| match never {}),
@@ -106,7 +119,7 @@
     /// Opens the admin interface, if one is configured. It responds from now on, whatever the load.
     fn start_admin(&self) -> Result<(), StartupError> {
         let Some(address) = self.config.ops else { return Ok(()) };
-        let listener = bind("ops", address, false)?;
+        let listener = bind("ops", address, AddressUse::Exclusive)?;
         log!("admin: listening: address={}", local_address(&listener));
         let server =
             Rc::new(AdminServer { exchange: self.exchange.clone(), registry: self.registry.clone() });
@@ -132,7 +145,8 @@
     /// Starts what runs requests, the interpreter or uwsgi servers, and what takes their calls, the index or uwsgi
     /// servers.
     fn start_backends(&self, endpoints: BackendEndpoints) {
-        let (addresses, exchange) = (&self.upstream_addresses, &self.exchange);
+        let addresses = &self.upstream_addresses;
+        let exchange = &self.exchange;
         let connections = self.backend_connections;
         let initial = addresses.borrow().clone();
         if initial.uwsgi_run_servers.is_empty() {
@@ -169,8 +183,9 @@
         let config = &self.config;
         let result_memory = config.max_memory_bytes / RESULT_MEMORY_DIVISOR;
         let mut dispatcher = Dispatcher::new(endpoints, config.settings.clone(), config.seed, result_memory);
-        let (store, restored) = self.open_result_store(result_store)?.unzip();
-        let (mut peers, mut fleet_events) = (None, None);
+        let StartingStore { store, recovered } = self.open_result_store(result_store)?;
+        let mut peers = None;
+        let mut fleet_events = None;
         if let Some(fleet) = fleet {
             let (handle, driver) = peers::new(fleet, config.seed, self.is_upgrade, self.exchange.clone())
                 .map_err(StartupError::Peers)?;
@@ -178,7 +193,7 @@
             peers = Some(handle);
             spawn_local(driver.run());
         }
-        dispatcher.set_run_gate(RunGate::new(store, peers), restored.flatten());
+        dispatcher.set_run_gate(RunGate::new(store, peers), recovered);
         if let Some(log_config) = decision_log {
             let settings_digest = settings_digest(&config.json["settings"]);
             let log = DecisionLog::start(&log_config, &config.name, settings_digest)
@@ -194,15 +209,15 @@
     fn open_result_store(
         &self,
         store_config: Option<config::ResultStoreConfig>,
-    ) -> Result<Option<(ResultStore, Option<HandoverState>)>, StartupError> {
-        let Some(store_config) = store_config else { return Ok(None) };
+    ) -> Result<StartingStore, StartupError> {
+        let Some(store_config) = store_config else { return Ok(StartingStore::default()) };
         let mut store = ResultStore::closed(store_config, self.config.max_idempotency_window());
         if self.is_upgrade {
-            return Ok(Some((store, None)));
+            return Ok(StartingStore { store: Some(store), recovered: None });
         }
         let recovered = store.open().map_err(StartupError::ResultStore)?;
-        let restored = HandoverState { digest_seed: recovered.seed, records: recovered.keys };
-        Ok(Some((store, Some(restored))))
+        let recovered = HandoverState { digest_seed: recovered.seed, records: recovered.keys };
+        Ok(StartingStore { store: Some(store), recovered: Some(recovered) })
     }
 
     /// Opens the frontends, reports to the membership service, and takes part in upgrades in place. Returns only where
@@ -242,14 +257,15 @@
     }
 
     fn open_jsonrpc_frontend(&self) -> Result<(), StartupError> {
-        let listener = bind("listen", self.config.listen, self.shares_listeners())?;
+        let listener = bind("listen", self.config.listen, self.address_use())?;
         let frontend = FrontendListener {
             protocol: "JSON-RPC",
             address: self.config.listen,
-            shared: self.shares_listeners(),
+            address_use: self.address_use(),
             active: always_active(),
         };
-        let (exchange, registry) = (self.exchange.clone(), self.registry.clone());
+        let exchange = self.exchange.clone();
+        let registry = self.registry.clone();
         let serve = move |stream, guard| jsonrpc::serve(stream, guard, exchange.clone(), registry.clone());
         let limiter = self.jsonrpc_limiter.clone();
         spawn_local(frontend.run(Some(listener), self.exchange.clone(), limiter, serve));
@@ -265,12 +281,12 @@
         // An address that can't be opened ends the start, where it is to be open from the start.
         let listener = match vrrp_active {
             Some(_) => None,
-            None => Some(bind("uwsgi listen", uwsgi.listen, self.shares_listeners())?),
+            None => Some(bind("uwsgi listen", uwsgi.listen, self.address_use())?),
         };
         let frontend = FrontendListener {
             protocol: "uwsgi",
             address: uwsgi.listen,
-            shared: self.shares_listeners(),
+            address_use: self.address_use(),
             active: vrrp_active.unwrap_or_else(always_active),
         };
         let context = Rc::new(UwsgiFrontend {
@@ -285,8 +301,12 @@
     }
 
     /// Whether a successor may listen at the same addresses while this process serves.
-    fn shares_listeners(&self) -> bool {
-        self.handover_socket.is_some()
+    fn address_use(&self) -> AddressUse {
+        if self.handover_socket.is_some() {
+            AddressUse::Shared
+        } else {
+            AddressUse::Exclusive
+        }
     }
 }
 
--- a/node/tests/sockets/golden.rs
+++ b/node/tests/sockets/golden.rs
@@ -37,57 +37,74 @@
     String::from_utf8(line).unwrap()
 }
 
-#[test]
-fn a_plain_node_shows_these_metrics() {
-    let mut node = Node::start(&config(&format!(r#""vm": "{UNREACHABLE}", "ops": "127.0.0.1:0","#)), None);
-    insta::assert_snapshot!(metric_names(node.admin_address()), @r#"
-    svc_answered{group="quote"}
-    svc_deferred{group="quote"}
-    svc_errored{group="quote"}
-    svc_sends{group="quote"}
-    svc_answered{group="book"}
-    svc_deferred{group="book"}
-    svc_errored{group="book"}
-    svc_sends{group="book"}
-    svc_current
-    svc_conf_loaded
-    svc_conf_invalid
-    "#);
+/// A file of a configuration and the option that names it.
+struct ConfigurationFile {
+    option: &'static str,
+    extension: &'static str,
+    text: String,
 }
 
-#[test]
-fn a_node_with_every_optional_part_shows_these_metrics() {
+/// The files of a node with every optional part.
+fn files_of_all_parts() -> [ConfigurationFile; 5] {
     let folder = |name: &str| {
         let folder = file(name, "").with_extension("d");
         std::fs::create_dir(&folder).unwrap();
         folder
     };
     let (results, records) = (folder("results"), folder("records"));
-    let members = (1..=3)
-        .map(|n| format!("[[list.member]]\nname = 'n{n}'\naddress = '127.0.9.{n}:7199'\nzone = 'z{n}'\n"));
+    let hosts = [(); 3].map(|()| unique_host());
+    let [host, vrrp_peer, _] = hosts;
+    let members = hosts
+        .iter()
+        .zip(1..)
+        .map(|(host, n)| format!("[[list.member]]\nname = 'n{n}'\naddress = '{host}:7199'\nzone = 'z{n}'\n"));
     let members: String = members.collect();
-    let files = [
+    [
         ("--config", "json", config(&format!(r#""vm": "{UNREACHABLE}", "ops": "127.0.0.1:0","#))),
         (
             "--uwsgi",
             "toml",
-            "listen = '127.0.9.1:0'\n[vrrp]\nvrid = 9\npriority = 100\ninterval_ms = 100\n\
-             addresses = ['127.0.1.1']\nlisten = '127.0.9.1:3112'\npeers = ['127.0.9.2:3112']\n"
-                .to_string(),
+            format!(
+                "listen = '{host}:0'\n[vrrp]\nvrid = 9\npriority = 100\ninterval_ms = 100\n\
+                 addresses = ['127.0.1.1']\nlisten = '{host}:3112'\npeers = ['{vrrp_peer}:3112']\n"
+            ),
         ),
         ("--remembered", "toml", format!("folder = '{}'\n", results.display())),
         (
             "--fleet",
             "toml",
-            format!(
-                "name = 'n1'\nlisten = '127.0.9.1:7199'\n[list]\nnumber = 1\nwindow_ms = 260000\n{members}"
-            ),
+            format!("name = 'n1'\nlisten = '{host}:7199'\n[list]\nnumber = 1\nwindow_ms = 260000\n{members}"),
         ),
         ("--records", "toml", format!("folder = '{}'\nfile_mb = 1\nfiles = 4\n", records.display())),
-    ];
+    ]
+    .map(|(option, extension, text)| ConfigurationFile { option, extension, text })
+}
+
+#[test]
+fn a_plain_node_shows_these_metrics() {
+    let mut node = Node::start(&config(&format!(r#""vm": "{UNREACHABLE}", "ops": "127.0.0.1:0","#)), None);
+    insta::assert_snapshot!(metric_names(node.admin_address()), @r#"
+    svc_answered{group="quote"}
+    svc_deferred{group="quote"}
+    svc_errored{group="quote"}
+    svc_sends{group="quote"}
+    svc_answered{group="book"}
+    svc_deferred{group="book"}
+    svc_errored{group="book"}
+    svc_sends{group="book"}
+    svc_current
+    svc_conf_loaded
+    svc_conf_invalid
+    "#);
+}
+
+#[test]
+#[expect(clippy::too_many_lines, reason = "the list is as long as there are metrics")]
+fn a_node_with_every_optional_part_shows_these_metrics() {
+    let files = files_of_all_parts();
     let mut command = oakwind(&["serve"]);
-    for (option, kind, text) in files {
-        command.arg(option).arg(file(&format!("golden.{kind}"), &text));
+    for ConfigurationFile { option, extension, text } in files {
+        command.arg(option).arg(file(&format!("golden.{extension}"), &text));
     }
     let mut node = Node::from_command(command);
     let ops = node.admin_address();
