--- a/fleet/src/claims/coordinator.rs
+++ b/fleet/src/claims/coordinator.rs
@@ -22,21 +22,24 @@
 use claim::{Claim, ClaimState, Conclusion, ReplicaResponse};
 
 /// The most claims that are open at once, including those whose result some replicas have not stored yet.
+/// Bounds the memory: a claim holds its key and, until it is closed, the result of its run.
 pub const MAX_CLAIMS: usize = 8192;
-/// How long the other replicas are sent a result that a quorum has stored.
-const REPLICATION_TIMEOUT: Duration = Duration::from_secs(10);
-/// A request without a response is sent again after this, and then after twice as long each time.
+/// How long after a quorum has stored a result the remaining replicas are still sent it.
+const FULL_REPLICATION_TIMEOUT: Duration = Duration::from_secs(10);
+/// A request without a response is sent again after this; the interval then doubles up to
+/// [`MAX_RETRY_INTERVAL`]. A claim's first interval is used twice, as it doubles only when a request is sent
+/// again; that of a result doubles from the first time that it is sent.
 const INITIAL_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 /// The longest interval between two requests.
 const MAX_RETRY_INTERVAL: Duration = Duration::from_millis(800);
 /// An attempt that waits for another node's run asks for it this often; it is notified at once if no
 /// message is lost.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// A claim is given up this long before the deadline, since the answer needs time to reach the client. At
-/// most [`MAX_ANSWER_MARGIN_FRACTION`] of the time that is left.
+/// A claim is given up this long before the deadline, since the answer needs time to reach the client. Where
+/// little time is left, see [`ANSWER_MARGIN_MAX_DIVISOR`].
 const ANSWER_MARGIN: Duration = Duration::from_millis(250);
-/// The margin is at most one part in this many of the time until the deadline.
-const MAX_ANSWER_MARGIN_FRACTION: u32 = 4;
+/// The margin is at most the time until the deadline divided by this: a quarter of it.
+const ANSWER_MARGIN_MAX_DIVISOR: u32 = 4;
 
 /// All open claims of this node.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -85,7 +88,8 @@
         out: &mut Vec<ClaimAction>,
     ) {
         if self.claims.len() >= MAX_CLAIMS {
-            // The oldest result that a quorum has stored is not sent to the other replicas any more.
+            // Evicts the oldest claim whose result a quorum has stored; its remaining replicas are no longer
+            // sent it.
             let replicated = self.claims.values().find(|claim| claim.replicated_at.is_some());
             let Some(replicated) = replicated.map(|claim| claim.id) else {
                 let outcome = ClaimOutcome::Rejected(RejectReason::CapacityExceeded);
@@ -100,7 +104,10 @@
         self.claims.insert(id, claim);
     }
 
-    /// Renews all claims that are not granted under the configurations that are active now.
+    /// Renews the claims that are still collecting grants under the configurations that are active now.
+    /// Claims that wait for a remote run keep their replicas: they have released their grants and only poll,
+    /// until `give_up_at` at the latest. Those that are granted or replicate a result keep the quorums that
+    /// granted them.
     pub fn reconfigure(&mut self, now: Time, configs: &ActiveConfigs, out: &mut Vec<ClaimAction>) {
         for id in self.claims_in(&ClaimState::Collecting) {
             let renewed = self.next_claim_id();
@@ -136,9 +143,11 @@
         claim.retry(now, |_| true, out);
     }
 
-    /// Releases the claim of an attempt whose run never started and never will.
+    /// Closes an attempt's claim; no run may be in progress under it. If its run has ended, replicas are no
+    /// longer sent the result; otherwise the claim is released.
     pub fn release(&mut self, attempt: AttemptId, out: &mut Vec<ClaimAction>) {
         let claim = self.by_attempt.remove(&attempt).and_then(|id| self.claims.remove(&id));
+        // A release says that nothing ran, which is not true of a claim that replicates a result.
         if let Some(claim) = claim.filter(|claim| !claim.is_replicating()) {
             claim.release(out);
         }
@@ -158,13 +167,15 @@
                 (claim, ReplicaResponse::Granted(incarnation), incarnations)
             }
             Message::Blocked { claim, conflict } => {
-                (claim, ReplicaResponse::Blocked { conflict, received_at: now }, Vec::new())
+                (claim, ReplicaResponse::Blocked { conflict, responded_at: now }, Vec::new())
             }
             // The replica announces the configuration that this node lacks, and the claim is renewed under
             // that one.
             Message::Uncertain { reason: RejectReason::ConfigMismatch, .. } => return,
             Message::Uncertain { claim, reason } => (claim, ReplicaResponse::Uncertain(reason), Vec::new()),
             Message::KeyFree { claim } => (claim, ReplicaResponse::KeyFree, Vec::new()),
+            // A replica without capacity, or which could not write to its disk, answers `stored: false`; it
+            // stays pending and is retried.
             Message::Stored { claim, stored: true } => (claim, ReplicaResponse::Stored, Vec::new()),
             _ => return,
         };
@@ -179,7 +190,8 @@
         self.conclude(now, id, out);
     }
 
-    /// Handles that a replica can't be reached.
+    /// Handles that a replica can't be reached: its grant is not to be expected. Claims in other states keep
+    /// the request pending, as a result must still be stored and a poll is repeated in any case.
     pub fn handle_unreachable(&mut self, now: Time, node: NodeId, out: &mut Vec<ClaimAction>) {
         for id in self.claims_in(&ClaimState::Collecting) {
             let Some(claim) = self.claims.get_mut(&id) else { continue };
@@ -229,7 +241,7 @@
             return;
         }
         let replicated_at = claim.replicated_at;
-        if replicated_at.is_some_and(|at| now >= at + REPLICATION_TIMEOUT) {
+        if replicated_at.is_some_and(|at| now >= at + FULL_REPLICATION_TIMEOUT) {
             return self.remove(id);
         }
         match claim.state {
@@ -237,8 +249,8 @@
             ClaimState::AwaitingRemoteRun => claim.reopen(),
             ClaimState::Granted | ClaimState::Replicating { .. } => {}
         }
-        // A replica that does not answer probes must still get the result, but is not sent each one again
-        // and again.
+        // Until a quorum has stored the result, every replica is retried; afterwards only those that answer
+        // probes.
         claim.retry(now, |node| replicated_at.is_none() || is_alive(node), out);
         self.conclude(now, id, out);
     }
@@ -251,6 +263,8 @@
             ClaimState::Replicating { .. } => return claim.report_replicated(false, out),
             ClaimState::Collecting => {
                 claim.release(out);
+                // A conflicting run may have started: its outcome is unknown. Only responses since the last
+                // retry count, as a retry drops the `Blocked` ones before it.
                 if claim.is_blocked() {
                     ClaimOutcome::Unknown
                 } else {
@@ -271,9 +285,9 @@
         }
     }
 
-    /// Rejects all attempts whose claims are not granted yet: the node was suspended, and may act on
-    /// outdated knowledge.
-    pub fn reject_ungranted(&mut self, out: &mut Vec<ClaimAction>) {
+    /// Rejects the attempts whose claims are still collecting grants: the node was suspended or
+    /// lost its state, and may act on outdated knowledge. Claims that wait for a remote run stay open: they hold no grants.
+    pub fn reject_collecting(&mut self, out: &mut Vec<ClaimAction>) {
         for id in self.claims_in(&ClaimState::Collecting) {
             if let Some(claim) = self.claims.get(&id) {
                 claim.release(out);
@@ -302,10 +316,12 @@
             };
         }
         if claim.incarnation == self.incarnation {
-            // The claim of a completed run is open until a quorum has stored the result: this one never ran.
+            // The claim of a completed run is open until a quorum has stored the result, or until its window
+            // has ended: this one never ran.
             return Some(Message::Release { key: key.clone(), claim });
         }
-        // What was known of it is lost. A completion that is still reported prevails over this one.
+        // A claim of an earlier incarnation whose state is gone. If the run's own completion arrives later,
+        // it takes precedence in the merge. `retain_ms: 0` leaves the replica's expiry unchanged.
         let run = CompletedRun::abandoned(claim, body);
         let is_lost = claim.incarnation < self.incarnation && !predecessor_alive;
         is_lost.then(|| Message::Completed { key: key.clone(), retain_ms: 0, run })
--- a/fleet/src/claims/coordinator/attempt.rs
+++ b/fleet/src/claims/coordinator/attempt.rs
@@ -14,7 +14,8 @@
 pub enum ClaimOutcome {
     /// Its run may start.
     Granted,
-    /// Its run must not start, and no other run of its key is known to have started.
+    /// Its run must not start. No run has started under this attempt; whether another attempt's has is not
+    /// said.
     Rejected(RejectReason),
     /// A run of another attempt may have started; the outcome of that run follows.
     RunningElsewhere,
--- a/fleet/src/claims/coordinator/claim.rs
+++ b/fleet/src/claims/coordinator/claim.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use super::{
-    AttemptId, ClaimAction, ClaimOutcome, RunRequest, ANSWER_MARGIN, INITIAL_RETRY_INTERVAL, LATE_READ_GRACE,
-    MAX_ANSWER_MARGIN_FRACTION, MAX_RETRY_INTERVAL,
+    AttemptId, ClaimAction, ClaimOutcome, RunRequest, ANSWER_MARGIN, ANSWER_MARGIN_MAX_DIVISOR,
+    INITIAL_RETRY_INTERVAL, LATE_READ_GRACE, MAX_RETRY_INTERVAL,
 };
 use crate::ids::{ConfigVersion, Incarnation, NodeId};
 use crate::membership::active_configs::ActiveConfigs;
@@ -20,11 +20,15 @@
     Pending,
     /// It granted the claim in this incarnation of it.
     Granted(Incarnation),
-    /// Another claim was first.
-    Blocked { conflict: ConflictingClaim, received_at: Time },
+    /// The replica knows another claim on the key, started or completed.
+    Blocked {
+        conflict: ConflictingClaim,
+        /// When this node received the response.
+        responded_at: Time,
+    },
     /// It knows of no run of the key.
     KeyFree,
-    /// It can't say.
+    /// Neither granted nor denied; also set locally when the replica is unreachable.
     Uncertain(RejectReason),
     /// It has stored the result.
     Stored,
@@ -81,7 +85,8 @@
     expires_at: Time,
     received_at: Time,
     received_unix_ms: u64,
-    /// This node's index in the newest configuration.
+    /// This node's index in the configuration that was newest when the claim was first made. It only breaks
+    /// ties between completed runs, and stays the same when the claim is renewed.
     node_index: u32,
     /// When the attempt must be notified at the latest.
     pub(super) give_up_at: Time,
@@ -100,7 +105,7 @@
 impl Claim {
     pub(super) fn new(now: Time, id: ClaimId, request: RunRequest, configs: &ActiveConfigs) -> Claim {
         let RunRequest { attempt, key, body, expires_at, received_at, received_unix_ms, deadline } = request;
-        let max_margin = deadline.saturating_sub(now) / MAX_ANSWER_MARGIN_FRACTION;
+        let max_margin = deadline.saturating_sub(now) / ANSWER_MARGIN_MAX_DIVISOR;
         let node_index = configs.newest().index_of(id.node);
         let mut claim = Claim {
             attempt,
@@ -110,6 +115,7 @@
             expires_at,
             received_at,
             received_unix_ms,
+            // `u32::MAX`: not a member, which sorts last.
             node_index: node_index.and_then(|index| u32::try_from(index).ok()).unwrap_or(u32::MAX),
             give_up_at: deadline.saturating_sub(ANSWER_MARGIN.min(max_margin)),
             groups: Vec::new(),
@@ -145,7 +151,7 @@
     }
 
     /// Reconsiders the responses so far: a replica that does not answer probes counts as unreachable, and a
-    /// claim that was first may have been released since.
+    /// conflicting claim may have been released since, so the replica is asked again.
     pub(super) fn reconsider_responses(&mut self, is_alive: impl Fn(NodeId) -> bool) {
         for (node, response) in &mut self.responses {
             match response {
@@ -292,14 +298,15 @@
     /// The conflicting claims that replicas have responded with, and when.
     fn conflicts(&self) -> impl Iterator<Item = (&ConflictingClaim, Time)> {
         self.responses.values().filter_map(|response| match response {
-            ReplicaResponse::Blocked { conflict, received_at } => Some((conflict, *received_at)),
+            ReplicaResponse::Blocked { conflict, responded_at } => Some((conflict, *responded_at)),
             _ => None,
         })
     }
 
     /// Draws the conclusion from the responses so far; none if it depends on further ones.
     pub(super) fn conclusion(&self) -> Option<Conclusion> {
-        if self.conflicts().any(|(conflict, received_at)| self.is_of_earlier_request(conflict, received_at)) {
+        if self.conflicts().any(|(conflict, responded_at)| self.is_of_earlier_request(conflict, responded_at))
+        {
             return Some(Conclusion::Final(ClaimOutcome::Rejected(RejectReason::WindowExpired)));
         }
         let completed =
@@ -314,6 +321,8 @@
         }
         if self.state == ClaimState::AwaitingRemoteRun {
             let is_free = self.has_quorums(|node| self.has_responded(node, &ReplicaResponse::KeyFree));
+            // The claim that this attempt waited for was released without a run. The attempt is not claimed
+            // again here; the client may retry it.
             let rejected = ClaimOutcome::Rejected(RejectReason::ClaimReleased);
             return is_free.then_some(Conclusion::Final(rejected));
         }
@@ -328,10 +337,11 @@
         self.conclusion_without_quorum()
     }
 
-    /// Whether a conflict is about another request with the same key: its window had surely ended when this
-    /// one was received.
-    fn is_of_earlier_request(&self, conflict: &ConflictingClaim, received_at: Time) -> bool {
-        let window_ended_at = received_at.saturating_sub(Duration::from_millis(conflict.expired_ms));
+    /// Whether a conflict is about an earlier request with the same key, whose window had ended when this
+    /// one was received. `responded_at` is when the replica's response was received. The response took time
+    /// to arrive, so this is the latest time at which the window can have ended.
+    fn is_of_earlier_request(&self, conflict: &ConflictingClaim, responded_at: Time) -> bool {
+        let window_ended_at = responded_at.saturating_sub(Duration::from_millis(conflict.expired_ms));
         conflict.expired_ms > 0 && self.received_at > window_ended_at
     }
 
--- a/fleet/src/replica_node/incarnation.rs
+++ b/fleet/src/replica_node/incarnation.rs
@@ -52,7 +52,7 @@
         self.had_quorum = false;
         self.incarnation_began_at = now;
         self.failure_detector.reset();
-        self.with_claims(out, ClaimCoordinator::reject_ungranted);
+        self.with_claims(out, ClaimCoordinator::reject_collecting);
         self.set_incarnation(incarnation, out);
         self.state_transfer.start(&self.other_members());
     }
@@ -70,7 +70,7 @@
         self.metrics.suspensions += 1;
         self.has_quorum = false;
         self.failure_detector.reset();
-        self.with_claims(out, ClaimCoordinator::reject_ungranted);
+        self.with_claims(out, ClaimCoordinator::reject_collecting);
         // Its votes are still valid, but runs may have completed meanwhile that it has not heard of.
         self.state_transfer.start(&self.other_members());
         out.push(Action::Notify(Notification::Resumed { suspended_for }));
