--- a/fleet/src/replication/key_state.rs
+++ b/fleet/src/replication/key_state.rs
@@ -37,7 +37,8 @@
     }
 }
 
-/// How a run ended.
+/// How a run ended. The order of the variants is part of the order of precedence of [`CompletedRun`]:
+/// `Succeeded` must stay before `Failed`, so that of two reports of one run the success prevails.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum RunResult {
     /// It returned these bytes.
@@ -56,12 +57,17 @@
     }
 }
 
-/// A run that has ended. The order of the fields is the order of precedence between two runs.
+/// A run that has ended.
+///
+/// Of two runs the smaller one in the derived order takes precedence, so the order of the fields is the order
+/// of precedence: the run whose request was received earlier, then the one of the node with the lower index,
+/// then the lower claim, and of one claim the success, as [`RunResult::Succeeded`] stands before [`RunResult::Failed`]. The `u64::MAX` of
+/// [`CompletedRun::abandoned`] is part of it: such a run yields to every one that was reported.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CompletedRun {
     /// When the node received the request, in Unix milliseconds.
     pub received_at: u64,
-    /// The node's index in the membership configuration.
+    /// The node's index in the membership configuration that was newest when it received the attempt.
     pub node_index: u32,
     /// The claim under which it ran.
     pub claim: ClaimId,
@@ -71,16 +77,19 @@
     pub body: BodyDigest,
 }
 
+/// [`CompletedRun::received_at`] of a run whose node has lost its state: later than every real one.
+const ABANDONED_RECEIVED_AT: u64 = u64::MAX;
+
 impl CompletedRun {
     /// Returns the run of a claim whose node has lost its state. Whether it ran is not known, so it counts
     /// as failed; a completion that the run itself reported prevails over this one.
     pub fn abandoned(claim: ClaimId, body: BodyDigest) -> CompletedRun {
         let result = RunResult::Failed;
-        CompletedRun { received_at: u64::MAX, node_index: u32::MAX, claim, result, body }
+        CompletedRun { received_at: ABANDONED_RECEIVED_AT, node_index: u32::MAX, claim, result, body }
     }
 
     fn is_abandoned(&self) -> bool {
-        self.received_at == u64::MAX
+        self.received_at == ABANDONED_RECEIVED_AT
     }
 }
 
@@ -110,7 +119,8 @@
         self.completed = match (self.completed.take(), other.completed) {
             (Some(ours), Some(theirs)) => {
                 let (retained, dropped) = if ours <= theirs { (ours, theirs) } else { (theirs, ours) };
-                // Of one run, a result prevails over a failure: that is no conflict.
+                // No conflict: either both are reports of one run, of which the success prevails, or the dropped
+                // one is a placeholder for a claim whose node lost its state and which may never have run.
                 let superseded = dropped.result == RunResult::Failed
                     && (retained.claim == dropped.claim || dropped.is_abandoned());
                 if retained != dropped && !superseded {
--- a/fleet/src/replication/replica_table.rs
+++ b/fleet/src/replication/replica_table.rs
@@ -1,8 +1,10 @@
 //! A node's replica of the fleet's key table: which claim it has granted for each key, what it knows of
 //! other runs, and how it responds to claims.
 //!
-//! A vote never changes. It is removed only when its claim is released or the key's idempotency window has
-//! ended, so that two claims on one key can't both get a quorum.
+//! A replica votes for a claim by granting it: `vote` is the claim that it has granted. A grant is never moved
+//! to another claim; it ends only when its claim is released, when the key's idempotency window and
+//! [`LATE_READ_GRACE`] have ended, or when the replica loses its state, after which it grants nothing until it
+//! has caught up. So two claims on one key can't both get a quorum.
 
 mod entry;
 mod outcome;
@@ -41,16 +43,16 @@
 }
 
 impl ReplicaTable {
-    /// Creates an empty table for this incarnation of the node. `is_restored` says that the node has its
-    /// earlier state and will restore it; otherwise the table votes for no key until it has caught up.
+    /// Creates an empty table for this incarnation of the node. `has_stored_state` says that the node
+    /// has its earlier state and will restore it; otherwise the table votes for no key until it has caught up.
     pub fn new(
         this_node: NodeId,
         incarnation: Incarnation,
         max_bytes: usize,
-        is_restored: bool,
+        has_stored_state: bool,
         now: Time,
     ) -> ReplicaTable {
-        let sync_state = if is_restored { SyncState::Complete } else { SyncState::lost(now) };
+        let sync_state = if has_stored_state { SyncState::Complete } else { SyncState::lost(now) };
         ReplicaTable {
             this_node,
             incarnation,
@@ -106,8 +108,8 @@
         self.sync_state == SyncState::Complete
     }
 
-    /// Marks the table complete if every other node has sent its whole table. Returns whether it has become
-    /// complete.
+    /// Marks the table complete if every other member has sent its whole table and was itself complete.
+    /// Returns whether it has become complete.
     pub fn finish_sync(&mut self, configs: &ActiveConfigs) -> bool {
         let becomes_complete = !self.is_complete() && self.completeness(configs) == Completeness::Complete;
         if becomes_complete {
@@ -116,8 +118,8 @@
         becomes_complete
     }
 
-    /// Whether the replica can vote for a key: no claim that it may have granted before it lost its state
-    /// can still get a quorum without a replica that it has caught up with.
+    /// Whether the replica can vote for a key. True if every quorum that a forgotten vote of this replica could
+    /// belong to contains another replica whose knowledge this one has merged.
     pub fn can_vote_for(&self, key: &[u8], configs: &ActiveConfigs) -> bool {
         self.sync_state.can_vote_for(self.this_node, key, configs)
     }
--- a/fleet/src/replication/replica_table/entry.rs
+++ b/fleet/src/replication/replica_table/entry.rs
@@ -5,7 +5,8 @@
 use crate::replication::key_state::{ClaimId, Key, KeyState};
 use crate::{millis_ceil, Time, MAX_RESULT_BYTES};
 
-/// A generous estimate of the memory that an entry takes in addition to its key and its result, in bytes.
+/// An estimate, on the high side, of the memory that an entry takes in addition to its key and its result, in
+/// bytes. It is fixed: the waiters and started claims of an entry, which are bounded, are not counted one by one.
 pub const ENTRY_OVERHEAD_BYTES: usize = 512;
 
 /// An attempt that waits for a key's run.
@@ -26,7 +27,8 @@
     pub(super) state: KeyState,
     /// Attempts that wait for the key's run.
     pub(super) waiters: Vec<Waiter>,
-    /// When the node of the claim that started was last asked what became of it.
+    /// When the node of a started claim was last asked what became of it. For one key, at most one
+    /// `QueryClaim` is sent per interval, also if several claims have started.
     pub(super) claim_queried_at: Option<Time>,
 }
 
--- a/fleet/src/replication/replica_table/outcome.rs
+++ b/fleet/src/replication/replica_table/outcome.rs
@@ -33,7 +33,7 @@
 pub struct MergeOutcome {
     /// Whether some of them were dropped for lack of capacity.
     pub dropped: bool,
-    /// Keys that ran twice.
+    /// Pairs of different completed runs of one key.
     pub conflicts: Vec<RunConflict>,
 }
 
--- a/fleet/src/replication/replica_table/paging.rs
+++ b/fleet/src/replication/replica_table/paging.rs
@@ -13,10 +13,10 @@
 use crate::replication::key_state::{Key, KeyState};
 use crate::{Time, MAX_RESULT_BYTES};
 
-/// The most claims of one key that are kept apart; a record with more of them is not stored completely.
+/// The most started claims taken from one record; a record with more is truncated and reported as dropped.
 const MAX_STARTED_PER_KEY: usize = 16;
-/// A page ends when its records take more than this many bytes.
-const MAX_PAGE_BYTES: usize = 64 * 1024;
+/// No record is added to a page once the page is larger than this; the last one may exceed it.
+const PAGE_BYTES_SOFT_LIMIT: usize = 64 * 1024;
 /// A page ends after this many entries were read for it, whether or not the requester holds replicas of them.
 const MAX_ENTRIES_PER_PAGE: usize = 512;
 /// The part of an entry's overhead in memory that it takes in a message.
@@ -45,7 +45,7 @@
         let (mut page_bytes, mut entries_read) = (0, 0);
         let mut last_read = None;
         for (expires_at, key) in self.entries_before(from) {
-            if page_bytes > MAX_PAGE_BYTES || entries_read >= MAX_ENTRIES_PER_PAGE {
+            if page_bytes > PAGE_BYTES_SOFT_LIMIT || entries_read >= MAX_ENTRIES_PER_PAGE {
                 break;
             }
             entries_read += 1;
@@ -55,15 +55,16 @@
             page_bytes += RECORD_OVERHEAD_BYTES + key.len() + entry.state.result_size();
             records.push(entry.record(key, now));
         }
-        let is_last = page_bytes <= MAX_PAGE_BYTES && entries_read < MAX_ENTRIES_PER_PAGE;
-        let next = last_read.filter(|_| !is_last).map(|(expires_at, key)| self.position(*expires_at, key));
+        let is_truncated = page_bytes > PAGE_BYTES_SOFT_LIMIT || entries_read >= MAX_ENTRIES_PER_PAGE;
+        let next =
+            last_read.filter(|_| is_truncated).map(|(expires_at, key)| self.position(*expires_at, key));
         let page = Page { round, records, next, completeness: self.completeness(configs) };
         PageRead { page, entries_read }
     }
 
-    /// The entries behind a position, in descending order of expiry.
+    /// Entries that follow the position in paging order (descending expiry).
     fn entries_before(&self, from: Option<&TablePosition>) -> impl Iterator<Item = &(Time, Key)> {
-        // A position in another incarnation of this table means nothing.
+        // A position in another incarnation of this table is not valid here; paging starts again.
         let from = from.filter(|from| from.incarnation == self.incarnation);
         let end = from.map(|from| (Duration::from_nanos(from.expires_ns), from.key.clone()));
         let range = match end {
--- a/fleet/src/replication/replica_table/sync_state.rs
+++ b/fleet/src/replication/replica_table/sync_state.rs
@@ -57,19 +57,20 @@
         Completeness::PartialFrom(complete)
     }
 
-    /// Whether the replica can vote for a key: in each configuration, every quorum that the replica may
-    /// have been part of has another replica among the donors that know what it granted.
+    /// Whether the replica can vote for a key. True if, in each configuration, every quorum that a forgotten
+    /// vote of this replica could belong to contains another replica whose knowledge this one has merged. Of a
+    /// donor that is not complete itself, the same is required for its own forgotten votes.
     pub(super) fn can_vote_for(&self, this_node: NodeId, key: &[u8], configs: &ActiveConfigs) -> bool {
         let SyncState::Partial { donors, .. } = self else { return true };
         configs.iter().all(|config| {
-            let knows_key = |donor: NodeId| match donors.get(&donor) {
+            let knows_our_votes_on_key = |donor: NodeId| match donors.get(&donor) {
                 Some(Completeness::Complete) => true,
                 Some(Completeness::PartialFrom(synced_from)) => {
-                    meets_every_quorum(config, key, donor, |other| synced_from.contains(&other))
+                    intersects_every_quorum(config, key, donor, |other| synced_from.contains(&other))
                 }
                 None => false,
             };
-            meets_every_quorum(config, key, this_node, knows_key)
+            intersects_every_quorum(config, key, this_node, knows_our_votes_on_key)
         })
     }
 
@@ -87,7 +88,10 @@
 
 /// Whether every quorum of a key's replicas that `node` is part of has another member that satisfies the
 /// predicate. True if the node holds no replica of the key.
-fn meets_every_quorum(
+///
+/// A quorum containing `node` omits `replica_count - quorum` replicas; it contains a satisfying one for certain
+/// only if more than that satisfy.
+fn intersects_every_quorum(
     config: &MembershipConfig,
     key: &[u8],
     node: NodeId,
--- a/fleet/src/replication/replica_table/voting.rs
+++ b/fleet/src/replication/replica_table/voting.rs
@@ -12,9 +12,10 @@
 use crate::replication::key_state::{ClaimId, CompletedRun, Key, KeyState, RunResult};
 use crate::{millis_ceil, Time, MAX_RESULT_BYTES};
 
-/// The most attempts that are notified when a key's run completes; others poll.
+/// The most attempts that are notified when a key's run completes. It bounds the memory of an entry; attempts
+/// beyond it poll, as all of them do in case a message is lost.
 const MAX_WAITERS_PER_KEY: usize = 16;
-/// A claim's node is asked at most this often what became of it.
+/// For one key, at most one `QueryClaim` is sent per interval.
 const CLAIM_QUERY_INTERVAL: Duration = Duration::from_millis(500);
 
 impl ReplicaTable {
@@ -42,11 +43,12 @@
     ) -> Message {
         let ClaimRequest { claim, key, .. } = request;
         let claim = *claim;
-        // A quorum in another active configuration might not learn of a claim that was not made in it.
+        // The claim must be made in every configuration active here; otherwise a quorum of one of them could
+        // grant another claim on the key.
         if configs.iter().any(|config| !request.config_versions.contains(&config.version())) {
             return Message::Uncertain { claim, reason: RejectReason::ConfigMismatch };
         }
-        if let Some(blocked) = self.find_conflict(now, link, claim, key, outcome) {
+        if let Some(blocked) = self.respond_if_blocked(now, Waiter { link, claim }, key, outcome) {
             return blocked;
         }
         if self.vote(key) != Some(claim) {
@@ -84,35 +86,22 @@
     }
 
     /// Returns the response to a claim, or to an attempt that only asks, if another run of the key has
-    /// started or completed. The attempt is notified when that run completes, and the run's node is asked
-    /// for it at intervals.
-    fn find_conflict(
+    /// started or completed. The attempt is notified when a started run completes, and that run's node is
+    /// asked for it at intervals.
+    fn respond_if_blocked(
         &mut self,
         now: Time,
-        link: LinkId,
-        claim: ClaimId,
+        waiter: Waiter,
         key: &Key,
         outcome: &mut TableOutcome,
     ) -> Option<Message> {
         let entry = self.entries.get_mut(key)?;
-        let expired_ms = millis_ceil(now.saturating_sub(entry.expires_at));
-        if let Some(run) = &entry.state.completed {
-            return Some(blocked_by_run(claim, run, expired_ms));
-        }
-        let others = || entry.state.started.iter().filter(|(started, _)| **started != claim);
-        let granted = others().find(|(started, _)| Some(**started) == entry.vote);
-        let (&started, &body) = granted.or_else(|| others().next())?;
-        let waiter = Waiter { link, claim };
-        if entry.waiters.len() < MAX_WAITERS_PER_KEY && !entry.waiters.contains(&waiter) {
-            entry.waiters.push(waiter);
-        }
-        if entry.claim_queried_at.is_none_or(|queried_at| now >= queried_at + CLAIM_QUERY_INTERVAL) {
-            entry.claim_queried_at = Some(now);
-            let query = Message::QueryClaim { key: key.clone(), claim: started, body };
-            outcome.queries.push(Request { to: started.node, message: query });
+        let conflict = find_conflict(entry, now, waiter.claim)?;
+        if conflict.completed.is_none() {
+            add_waiter(entry, waiter);
+            outcome.queries.extend(query_claim_owner(entry, now, key, &conflict));
         }
-        let conflict = ConflictingClaim { claim: started, body, completed: None, expired_ms };
-        Some(Message::Blocked { claim, conflict })
+        Some(Message::Blocked { claim: waiter.claim, conflict })
     }
 
     /// Responds to an attempt that asks for a key without claiming it.
@@ -125,7 +114,7 @@
         configs: &ActiveConfigs,
     ) -> TableOutcome {
         let mut outcome = TableOutcome::default();
-        let response = match self.find_conflict(now, link, claim, key, &mut outcome) {
+        let response = match self.respond_if_blocked(now, Waiter { link, claim }, key, &mut outcome) {
             Some(blocked) => blocked,
             None if self.can_vote_for(key, configs) => Message::KeyFree { claim },
             None => Message::Uncertain { claim, reason: RejectReason::Recovering },
@@ -134,8 +123,8 @@
         outcome
     }
 
-    /// Stores a completed run, and notifies the attempts that wait for it. There may be no capacity for a
-    /// run that this replica did not grant.
+    /// Stores a completed run, and notifies the attempts that wait for it. A replica without an entry for the
+    /// key may have no room; it then responds `stored: false`.
     pub fn complete_run(
         &mut self,
         now: Time,
@@ -162,8 +151,11 @@
         });
         outcome.changed_key = Some(key.clone());
         let Some(kept) = kept else { return };
-        let notify = |Waiter { link, claim }| Response { link, message: blocked_by_run(claim, &kept, 0) };
-        outcome.responses.extend(waiters.into_iter().map(notify));
+        let to_response = |Waiter { link, claim }| {
+            let conflict = conflict_with_run(&kept, 0);
+            Response { link, message: Message::Blocked { claim, conflict } }
+        };
+        outcome.responses.extend(waiters.into_iter().map(to_response));
     }
 
     /// Removes a claim under which nothing ran. Attempts that wait for it are told once no run of the key
@@ -185,20 +177,53 @@
             }
         });
         outcome.changed_key = Some(key.clone());
-        let notify = |Waiter { link, claim }| Response { link, message: Message::KeyFree { claim } };
-        outcome.responses = waiters.into_iter().map(notify).collect();
+        let to_response = |Waiter { link, claim }| Response { link, message: Message::KeyFree { claim } };
+        outcome.responses = waiters.into_iter().map(to_response).collect();
         outcome
     }
 }
 
-/// The response to an attempt whose key has a completed run.
-fn blocked_by_run(claim: ClaimId, run: &CompletedRun, expired_ms: u64) -> Message {
-    let conflict =
-        ConflictingClaim { claim: run.claim, body: run.body, completed: Some(run.clone()), expired_ms };
-    Message::Blocked { claim, conflict }
+/// The completed run of a key, or the claim of another attempt that has started on it; of several, the one
+/// that this replica has granted.
+fn find_conflict(entry: &Entry, now: Time, claim_id: ClaimId) -> Option<ConflictingClaim> {
+    let expired_ms = millis_ceil(now.saturating_sub(entry.expires_at));
+    if let Some(run) = &entry.state.completed {
+        return Some(conflict_with_run(run, expired_ms));
+    }
+    let others = || entry.state.started.iter().filter(|(started, _)| **started != claim_id);
+    let granted = others().find(|(started, _)| Some(**started) == entry.vote);
+    let (&claim, &body) = granted.or_else(|| others().next())?;
+    Some(ConflictingClaim { claim, body, completed: None, expired_ms })
+}
+
+fn conflict_with_run(run: &CompletedRun, expired_ms: u64) -> ConflictingClaim {
+    ConflictingClaim { claim: run.claim, body: run.body, completed: Some(run.clone()), expired_ms }
+}
+
+/// Adds an attempt to those that are notified of the key's run, as far as there is room for it.
+fn add_waiter(entry: &mut Entry, waiter: Waiter) {
+    if entry.waiters.len() < MAX_WAITERS_PER_KEY && !entry.waiters.contains(&waiter) {
+        entry.waiters.push(waiter);
+    }
+}
+
+/// The query to the node of a conflicting claim what became of it, if one is due.
+fn query_claim_owner(
+    entry: &mut Entry,
+    now: Time,
+    key: &Key,
+    conflict: &ConflictingClaim,
+) -> Option<Request> {
+    if entry.claim_queried_at.is_some_and(|queried_at| now < queried_at + CLAIM_QUERY_INTERVAL) {
+        return None;
+    }
+    entry.claim_queried_at = Some(now);
+    let ConflictingClaim { claim, body, .. } = *conflict;
+    let message = Message::QueryClaim { key: key.clone(), claim, body };
+    Some(Request { to: claim.node, message })
 }
 
-/// A result that is too long to be stored counts as failed for later attempts.
+/// Copies the result out of its receive buffer; one that is too long is replaced by `Failed`.
 pub(super) fn with_storable_result(run: CompletedRun) -> CompletedRun {
     let result = match run.result {
         RunResult::Succeeded(bytes) if bytes.len() <= MAX_RESULT_BYTES => {
