--- a/fleet/src/claims/coordinator.rs
+++ b/fleet/src/claims/coordinator.rs
@@ -19,7 +19,7 @@
 
 pub use attempt::{AttemptId, ClaimAction, ClaimOutcome, RunRequest};
 
-use claim::{Claim, ClaimState, Conclusion, ReplicaResponse};
+use claim::{Claim, ClaimState, Decision, ReplicaResponse};
 
 /// The most claims that are open at once, including those whose result some replicas have not stored yet.
 /// Bounds the memory: a claim holds its key and, until it is closed, the result of its run.
@@ -138,9 +138,9 @@
             return out.push(ClaimAction::Notify(attempt, ClaimOutcome::Replicated(false)));
         };
         claim.state = ClaimState::Replicating { result, reported: false };
-        claim.reopen();
+        claim.reset_responses();
         claim.retry_interval = INITIAL_RETRY_INTERVAL;
-        claim.retry(now, |_| true, out);
+        claim.send_and_schedule_retry(now, |_| true, out);
     }
 
     /// Closes an attempt's claim; no run may be in progress under it. If its run has ended, replicas are no
@@ -162,24 +162,28 @@
         message: Message,
         out: &mut Vec<ClaimAction>,
     ) {
-        let (id, response, incarnations) = match message {
-            Message::Granted { claim, incarnations } => {
-                (claim, ReplicaResponse::Granted(incarnation), incarnations)
+        let (claim_id, response, incarnations) = match message {
+            Message::Granted { claim: claim_id, incarnations } => {
+                (claim_id, ReplicaResponse::Granted(incarnation), incarnations)
             }
-            Message::Blocked { claim, conflict } => {
-                (claim, ReplicaResponse::Blocked { conflict, responded_at: now }, Vec::new())
+            Message::Blocked { claim: claim_id, conflict } => {
+                (claim_id, ReplicaResponse::Blocked { conflict, responded_at: now }, Vec::new())
             }
             // The replica announces the configuration that this node lacks, and the claim is renewed under
             // that one.
             Message::Uncertain { reason: RejectReason::ConfigMismatch, .. } => return,
-            Message::Uncertain { claim, reason } => (claim, ReplicaResponse::Uncertain(reason), Vec::new()),
-            Message::KeyFree { claim } => (claim, ReplicaResponse::KeyFree, Vec::new()),
+            Message::Uncertain { claim: claim_id, reason } => {
+                (claim_id, ReplicaResponse::Uncertain(reason), Vec::new())
+            }
+            Message::KeyFree { claim: claim_id } => (claim_id, ReplicaResponse::KeyFree, Vec::new()),
             // A replica without capacity, or which could not write to its disk, answers `stored: false`; it
             // stays pending and is retried.
-            Message::Stored { claim, stored: true } => (claim, ReplicaResponse::Stored, Vec::new()),
+            Message::Stored { claim: claim_id, stored: true } => {
+                (claim_id, ReplicaResponse::Stored, Vec::new())
+            }
             _ => return,
         };
-        let Some(claim) = self.claims.get_mut(&id) else { return };
+        let Some(claim) = self.claims.get_mut(&claim_id) else { return };
         if !claim.accepts(from, &response) {
             return;
         }
@@ -187,7 +191,7 @@
             claim.record_incarnation(node, incarnation);
         }
         claim.responses.insert(from, response);
-        self.conclude(now, id, out);
+        self.act_on_responses(now, claim_id, out);
     }
 
     /// Handles that a replica can't be reached: its grant is not to be expected. Claims in other states keep
@@ -199,7 +203,7 @@
                 continue;
             }
             claim.responses.insert(node, ReplicaResponse::Uncertain(RejectReason::Unreachable));
-            self.conclude(now, id, out);
+            self.act_on_responses(now, id, out);
         }
     }
 
@@ -208,7 +212,7 @@
     pub fn handle_broken_link(&mut self, now: Time, node: NodeId, out: &mut Vec<ClaimAction>) {
         for claim in self.claims.values() {
             if claim.responses.get(&node) == Some(&ReplicaResponse::Pending) {
-                out.extend(claim.request(now).map(|message| ClaimAction::Send(node, message)));
+                out.extend(claim.outgoing_message(now).map(|message| ClaimAction::Send(node, message)));
             }
         }
     }
@@ -246,13 +250,13 @@
         }
         match claim.state {
             ClaimState::Collecting => claim.reconsider_responses(is_alive),
-            ClaimState::AwaitingRemoteRun => claim.reopen(),
+            ClaimState::AwaitingRemoteRun => claim.reset_responses(),
             ClaimState::Granted | ClaimState::Replicating { .. } => {}
         }
         // Until a quorum has stored the result, every replica is retried; afterwards only those that answer
         // probes.
-        claim.retry(now, |node| replicated_at.is_none() || is_alive(node), out);
-        self.conclude(now, id, out);
+        claim.send_and_schedule_retry(now, |node| replicated_at.is_none() || is_alive(node), out);
+        self.act_on_responses(now, id, out);
     }
 
     /// Gives up a claim whose time has ended. Replicas are still sent the result of a run.
@@ -304,31 +308,31 @@
         &self,
         now: Time,
         key: &Key,
-        claim: ClaimId,
+        claim_id: ClaimId,
         body: BodyDigest,
         predecessor_alive: bool,
     ) -> Option<Message> {
-        if let Some(open) = self.claims.get(&claim) {
+        if let Some(open) = self.claims.get(&claim_id) {
             return match open.state {
-                ClaimState::Replicating { .. } => open.request(now),
-                ClaimState::AwaitingRemoteRun => Some(Message::Release { key: key.clone(), claim }),
+                ClaimState::Replicating { .. } => open.outgoing_message(now),
+                ClaimState::AwaitingRemoteRun => Some(Message::Release { key: key.clone(), claim: claim_id }),
                 ClaimState::Collecting | ClaimState::Granted => None,
             };
         }
-        if claim.incarnation == self.incarnation {
+        if claim_id.incarnation == self.incarnation {
             // The claim of a completed run is open until a quorum has stored the result, or until its window
             // has ended: this one never ran.
-            return Some(Message::Release { key: key.clone(), claim });
+            return Some(Message::Release { key: key.clone(), claim: claim_id });
         }
         // A claim of an earlier incarnation whose state is gone. If the run's own completion arrives later,
         // it takes precedence in the merge. `retain_ms: 0` leaves the replica's expiry unchanged.
-        let run = CompletedRun::abandoned(claim, body);
-        let is_lost = claim.incarnation < self.incarnation && !predecessor_alive;
+        let run = CompletedRun::abandoned(claim_id, body);
+        let is_lost = claim_id.incarnation < self.incarnation && !predecessor_alive;
         is_lost.then(|| Message::Completed { key: key.clone(), retain_ms: 0, run })
     }
 
-    /// Draws the conclusion from the responses to a claim so far.
-    fn conclude(&mut self, now: Time, id: ClaimId, out: &mut Vec<ClaimAction>) {
+    /// Acts on the responses to a claim so far.
+    fn act_on_responses(&mut self, now: Time, id: ClaimId, out: &mut Vec<ClaimAction>) {
         let Some(claim) = self.claims.get_mut(&id) else { return };
         match claim.state {
             ClaimState::Granted => {}
@@ -342,36 +346,30 @@
                 }
             }
             ClaimState::Collecting | ClaimState::AwaitingRemoteRun => {
-                if let Some(conclusion) = claim.conclusion() {
-                    self.apply_conclusion(now, id, conclusion, out);
+                if let Some(decision) = claim.evaluate_responses() {
+                    self.apply_decision(now, id, decision, out);
                 }
             }
         }
     }
 
-    fn apply_conclusion(
-        &mut self,
-        now: Time,
-        id: ClaimId,
-        conclusion: Conclusion,
-        out: &mut Vec<ClaimAction>,
-    ) {
+    fn apply_decision(&mut self, now: Time, id: ClaimId, decision: Decision, out: &mut Vec<ClaimAction>) {
         let Some(claim) = self.claims.get_mut(&id) else { return };
         let is_waiting = claim.state == ClaimState::AwaitingRemoteRun;
-        match conclusion {
-            Conclusion::Granted => {
+        match decision {
+            Decision::Granted => {
                 claim.state = ClaimState::Granted;
                 out.push(ClaimAction::Notify(claim.attempt, ClaimOutcome::Granted));
             }
-            Conclusion::RunningElsewhere if is_waiting => {}
-            Conclusion::RunningElsewhere => {
+            Decision::RunningElsewhere if is_waiting => {}
+            Decision::RunningElsewhere => {
                 claim.release(out);
                 claim.state = ClaimState::AwaitingRemoteRun;
                 claim.retry_interval = POLL_INTERVAL;
                 claim.retry_at = now + POLL_INTERVAL;
                 out.push(ClaimAction::Notify(claim.attempt, ClaimOutcome::RunningElsewhere));
             }
-            Conclusion::Final(outcome) => {
+            Decision::Final(outcome) => {
                 if !is_waiting {
                     claim.release(out);
                 }
--- a/fleet/src/claims/coordinator/claim.rs
+++ b/fleet/src/claims/coordinator/claim.rs
@@ -51,8 +51,8 @@
     },
 }
 
-/// What follows from the responses to a claim.
-pub(super) enum Conclusion {
+/// What is decided from the responses to a claim.
+pub(super) enum Decision {
     /// A quorum has granted it.
     Granted,
     /// Another claim prevents it, whose run has not completed yet.
@@ -143,8 +143,8 @@
         self.responses = replicas.into_iter().map(|node| (node, ReplicaResponse::Pending)).collect();
     }
 
-    /// Drops all responses: every replica is to be asked.
-    pub(super) fn reopen(&mut self) {
+    /// Resets all responses to pending: every replica is to be asked.
+    pub(super) fn reset_responses(&mut self) {
         for response in self.responses.values_mut() {
             *response = ReplicaResponse::Pending;
         }
@@ -164,22 +164,22 @@
         }
     }
 
-    /// Returns the message that replicas are sent in the claim's state.
-    pub(super) fn request(&self, now: Time) -> Option<Message> {
+    /// Returns the message that replicas are sent in the claim's state; none while its run is under way.
+    pub(super) fn outgoing_message(&self, now: Time) -> Option<Message> {
         let retain_ms = millis_ceil(self.expires_at.saturating_sub(now));
-        let Claim { id: claim, body, .. } = *self;
+        let Claim { id: claim_id, body, .. } = *self;
         let key = self.key.clone();
         match &self.state {
             ClaimState::Collecting => {
                 let config_versions = self.groups.iter().map(|group| group.version).collect();
-                Some(Message::Claim(ClaimRequest { claim, key, body, retain_ms, config_versions }))
+                Some(Message::Claim(ClaimRequest { claim: claim_id, key, body, retain_ms, config_versions }))
             }
-            ClaimState::AwaitingRemoteRun => Some(Message::QueryKey { claim, key }),
+            ClaimState::AwaitingRemoteRun => Some(Message::QueryKey { claim: claim_id, key }),
             ClaimState::Replicating { result, .. } => {
                 let run = CompletedRun {
                     received_at: self.received_unix_ms,
                     node_index: self.node_index,
-                    claim,
+                    claim: claim_id,
                     result: result.clone(),
                     body,
                 };
@@ -196,7 +196,7 @@
         is_wanted: impl Fn(NodeId) -> bool,
         out: &mut Vec<ClaimAction>,
     ) {
-        let Some(request) = self.request(now) else { return };
+        let Some(request) = self.outgoing_message(now) else { return };
         for (node, response) in &self.responses {
             if *response == ReplicaResponse::Pending && is_wanted(*node) {
                 out.push(ClaimAction::Send(*node, request.clone()));
@@ -204,8 +204,9 @@
         }
     }
 
-    /// The same, and schedules the next time.
-    pub(super) fn retry(
+    /// Sends the request to pending replicas that satisfy the predicate, and sets `retry_at`. Polling keeps its
+    /// interval; other states back off exponentially.
+    pub(super) fn send_and_schedule_retry(
         &mut self,
         now: Time,
         is_wanted: impl Fn(NodeId) -> bool,
@@ -303,11 +304,18 @@
         })
     }
 
-    /// Draws the conclusion from the responses so far; none if it depends on further ones.
-    pub(super) fn conclusion(&self) -> Option<Conclusion> {
+    /// Decides from the responses so far; none if the decision depends on further ones. The checks in order:
+    ///
+    /// 1. a conflict that is about an earlier request, whose window had ended: the attempt is rejected;
+    /// 2. a completed run of the key, whichever replica reports it: its result is the outcome;
+    /// 3. for a claim that waits for a remote run: whether a quorum reports that the key is free;
+    /// 4. a quorum of grants: the run may start;
+    /// 5. whether replicas without a response could still complete a quorum: no decision yet;
+    /// 6. otherwise [`Claim::evaluate_without_quorum`].
+    pub(super) fn evaluate_responses(&self) -> Option<Decision> {
         if self.conflicts().any(|(conflict, responded_at)| self.is_of_earlier_request(conflict, responded_at))
         {
-            return Some(Conclusion::Final(ClaimOutcome::Rejected(RejectReason::WindowExpired)));
+            return Some(Decision::Final(ClaimOutcome::Rejected(RejectReason::WindowExpired)));
         }
         let completed =
             self.conflicts().find_map(|(conflict, _)| conflict.completed.as_ref().map(|run| (conflict, run)));
@@ -317,24 +325,24 @@
             } else {
                 ClaimOutcome::BodyMismatch
             };
-            return Some(Conclusion::Final(outcome));
+            return Some(Decision::Final(outcome));
         }
         if self.state == ClaimState::AwaitingRemoteRun {
             let is_free = self.has_quorums(|node| self.has_responded(node, &ReplicaResponse::KeyFree));
             // The claim that this attempt waited for was released without a run. The attempt is not claimed
             // again here; the client may retry it.
             let rejected = ClaimOutcome::Rejected(RejectReason::ClaimReleased);
-            return is_free.then_some(Conclusion::Final(rejected));
+            return is_free.then_some(Decision::Final(rejected));
         }
         if self.has_quorums(|node| self.is_granted_by(node)) {
-            return Some(Conclusion::Granted);
+            return Some(Decision::Granted);
         }
         let may_grant =
             |node: NodeId| self.is_granted_by(node) || self.has_responded(node, &ReplicaResponse::Pending);
         if self.has_quorums(may_grant) {
             return None;
         }
-        self.conclusion_without_quorum()
+        self.evaluate_without_quorum()
     }
 
     /// Whether a conflict is about an earlier request with the same key, whose window had ended when this
@@ -345,32 +353,32 @@
         conflict.expired_ms > 0 && self.received_at > window_ended_at
     }
 
-    /// The conclusion when the claim can't get a quorum by the responses so far.
-    fn conclusion_without_quorum(&self) -> Option<Conclusion> {
-        let Some(first) = self.conflicts().min_by_key(|(conflict, _)| conflict.claim) else {
+    /// The decision when the claim can't get a quorum by the responses so far.
+    fn evaluate_without_quorum(&self) -> Option<Decision> {
+        let Some((lowest, _)) = self.conflicts().min_by_key(|(conflict, _)| conflict.claim) else {
             let reason = self.responses.values().find_map(|response| match response {
                 ReplicaResponse::Uncertain(reason) => Some(*reason),
                 _ => None,
             });
             // Without a reason, some grants are of an earlier incarnation and do not count.
             let reason = reason.unwrap_or(RejectReason::Recovering);
-            return Some(Conclusion::Final(ClaimOutcome::Rejected(reason)));
+            return Some(Decision::Final(ClaimOutcome::Rejected(reason)));
         };
-        let (first, _) = first;
         // Where several claims have been granted by some replicas each, the lowest one keeps asking and the
-        // others yield.
-        let blocked_by_first = |node: NodeId| match self.responses.get(&node) {
-            Some(ReplicaResponse::Blocked { conflict, .. }) => conflict.claim == first.claim,
+        // others yield. If the lowest of the others has a quorum in any configuration, this claim can't get
+        // one there.
+        let blocked_by_lowest = |node: NodeId| match self.responses.get(&node) {
+            Some(ReplicaResponse::Blocked { conflict, .. }) => conflict.claim == lowest.claim,
             _ => false,
         };
-        let first_has_quorum = self.groups.iter().any(|group| group.has_quorum(blocked_by_first));
-        if self.id < first.claim && !first_has_quorum {
+        let lowest_has_quorum = self.groups.iter().any(|group| group.has_quorum(blocked_by_lowest));
+        if self.id < lowest.claim && !lowest_has_quorum {
             return None;
         }
-        Some(if first.body == self.body {
-            Conclusion::RunningElsewhere
+        Some(if lowest.body == self.body {
+            Decision::RunningElsewhere
         } else {
-            Conclusion::Final(ClaimOutcome::BodyMismatch)
+            Decision::Final(ClaimOutcome::BodyMismatch)
         })
     }
 }
--- a/fleet/src/replication/key_state.rs
+++ b/fleet/src/replication/key_state.rs
@@ -83,9 +83,15 @@
 impl CompletedRun {
     /// Returns the run of a claim whose node has lost its state. Whether it ran is not known, so it counts
     /// as failed; a completion that the run itself reported prevails over this one.
-    pub fn abandoned(claim: ClaimId, body: BodyDigest) -> CompletedRun {
+    pub fn abandoned(claim_id: ClaimId, body: BodyDigest) -> CompletedRun {
         let result = RunResult::Failed;
-        CompletedRun { received_at: ABANDONED_RECEIVED_AT, node_index: u32::MAX, claim, result, body }
+        CompletedRun {
+            received_at: ABANDONED_RECEIVED_AT,
+            node_index: u32::MAX,
+            claim: claim_id,
+            result,
+            body,
+        }
     }
 
     fn is_abandoned(&self) -> bool {
--- a/fleet/src/replication/replica_table/entry.rs
+++ b/fleet/src/replication/replica_table/entry.rs
@@ -15,7 +15,7 @@
     /// The link that it asked on.
     pub(super) link: LinkId,
     /// The claim that it asked for.
-    pub(super) claim: ClaimId,
+    pub(super) claim_id: ClaimId,
 }
 
 /// A key's entry in the table.
--- a/fleet/src/replication/replica_table/voting.rs
+++ b/fleet/src/replication/replica_table/voting.rs
@@ -41,28 +41,28 @@
         configs: &ActiveConfigs,
         outcome: &mut TableOutcome,
     ) -> Message {
-        let ClaimRequest { claim, key, .. } = request;
-        let claim = *claim;
+        let ClaimRequest { claim: claim_id, key, .. } = request;
+        let claim_id = *claim_id;
         // The claim must be made in every configuration active here; otherwise a quorum of one of them could
         // grant another claim on the key.
         if configs.iter().any(|config| !request.config_versions.contains(&config.version())) {
-            return Message::Uncertain { claim, reason: RejectReason::ConfigMismatch };
+            return Message::Uncertain { claim: claim_id, reason: RejectReason::ConfigMismatch };
         }
-        if let Some(blocked) = self.respond_if_blocked(now, Waiter { link, claim }, key, outcome) {
+        if let Some(blocked) = self.respond_if_blocked(now, Waiter { link, claim_id }, key, outcome) {
             return blocked;
         }
-        if self.vote(key) != Some(claim) {
+        if self.vote(key) != Some(claim_id) {
             if let Some(reason) = self.reason_not_to_vote(key, configs) {
-                return Message::Uncertain { claim, reason };
+                return Message::Uncertain { claim: claim_id, reason };
             }
             let expires_at = now + Duration::from_millis(request.retain_ms);
             self.update(key, expires_at, |entry| {
-                entry.vote = Some(claim);
-                entry.state.started.insert(claim, request.body);
+                entry.vote = Some(claim_id);
+                entry.state.started.insert(claim_id, request.body);
             });
             outcome.changed_key = Some(key.clone());
         }
-        Message::Granted { claim, incarnations: self.incarnations_of_other_replicas(key, configs) }
+        Message::Granted { claim: claim_id, incarnations: self.incarnations_of_other_replicas(key, configs) }
     }
 
     fn reason_not_to_vote(&self, key: &Key, configs: &ActiveConfigs) -> Option<RejectReason> {
@@ -96,12 +96,12 @@
         outcome: &mut TableOutcome,
     ) -> Option<Message> {
         let entry = self.entries.get_mut(key)?;
-        let conflict = find_conflict(entry, now, waiter.claim)?;
+        let conflict = find_conflict(entry, now, waiter.claim_id)?;
         if conflict.completed.is_none() {
             add_waiter(entry, waiter);
             outcome.queries.extend(query_claim_owner(entry, now, key, &conflict));
         }
-        Some(Message::Blocked { claim: waiter.claim, conflict })
+        Some(Message::Blocked { claim: waiter.claim_id, conflict })
     }
 
     /// Responds to an attempt that asks for a key without claiming it.
@@ -109,15 +109,15 @@
         &mut self,
         now: Time,
         link: LinkId,
-        claim: ClaimId,
+        claim_id: ClaimId,
         key: &Key,
         configs: &ActiveConfigs,
     ) -> TableOutcome {
         let mut outcome = TableOutcome::default();
-        let response = match self.respond_if_blocked(now, Waiter { link, claim }, key, &mut outcome) {
+        let response = match self.respond_if_blocked(now, Waiter { link, claim_id }, key, &mut outcome) {
             Some(blocked) => blocked,
-            None if self.can_vote_for(key, configs) => Message::KeyFree { claim },
-            None => Message::Uncertain { claim, reason: RejectReason::Recovering },
+            None if self.can_vote_for(key, configs) => Message::KeyFree { claim: claim_id },
+            None => Message::Uncertain { claim: claim_id, reason: RejectReason::Recovering },
         };
         outcome.responses.push(Response { link, message: response });
         outcome
@@ -134,12 +134,12 @@
         run: CompletedRun,
     ) -> TableOutcome {
         let mut outcome = TableOutcome::default();
-        let claim = run.claim;
+        let claim_id = run.claim;
         let stored = self.entries.contains_key(key) || !self.is_full(key, MAX_RESULT_BYTES);
         if stored {
             self.store_run(now + Duration::from_millis(retain_ms), key, run, &mut outcome);
         }
-        outcome.responses.push(Response { link, message: Message::Stored { claim, stored } });
+        outcome.responses.push(Response { link, message: Message::Stored { claim: claim_id, stored } });
         outcome
     }
 
@@ -151,25 +151,25 @@
         });
         outcome.changed_key = Some(key.clone());
         let Some(kept) = kept else { return };
-        let to_response = |Waiter { link, claim }| {
+        let to_response = |Waiter { link, claim_id }| {
             let conflict = conflict_with_run(&kept, 0);
-            Response { link, message: Message::Blocked { claim, conflict } }
+            Response { link, message: Message::Blocked { claim: claim_id, conflict } }
         };
         outcome.responses.extend(waiters.into_iter().map(to_response));
     }
 
     /// Removes a claim under which nothing ran. Attempts that wait for it are told once no run of the key
     /// is left.
-    pub fn release(&mut self, now: Time, key: &Key, claim: ClaimId) -> TableOutcome {
+    pub fn release(&mut self, now: Time, key: &Key, claim_id: ClaimId) -> TableOutcome {
         let mut outcome = TableOutcome::default();
         let knows_claim =
-            |entry: &Entry| entry.vote == Some(claim) || entry.state.started.contains_key(&claim);
+            |entry: &Entry| entry.vote == Some(claim_id) || entry.state.started.contains_key(&claim_id);
         if !self.entries.get(key).is_some_and(knows_claim) {
             return outcome;
         }
         let waiters = self.update(key, now, |entry| {
-            entry.vote = entry.vote.filter(|vote| *vote != claim);
-            entry.state.started.remove(&claim);
+            entry.vote = entry.vote.filter(|vote| *vote != claim_id);
+            entry.state.started.remove(&claim_id);
             if entry.state.is_empty() {
                 std::mem::take(&mut entry.waiters)
             } else {
@@ -177,7 +177,8 @@
             }
         });
         outcome.changed_key = Some(key.clone());
-        let to_response = |Waiter { link, claim }| Response { link, message: Message::KeyFree { claim } };
+        let to_response =
+            |Waiter { link, claim_id }| Response { link, message: Message::KeyFree { claim: claim_id } };
         outcome.responses = waiters.into_iter().map(to_response).collect();
         outcome
     }
