--- a/fleet/src/claims/coordinator.rs
+++ b/fleet/src/claims/coordinator.rs
@@ -19,24 +19,27 @@
 
 pub use attempt::{AttemptId, ClaimAction, ClaimOutcome, RunRequest};
 
-use claim::{Claim, ClaimState, Conclusion, ReplicaResponse};
+use claim::{Claim, ClaimState, Decision, ReplicaResponse};
 
 /// The most claims that are open at once, including those whose result some replicas have not stored yet.
+/// Bounds the memory: a claim holds its key and, until it is closed, the result of its run.
 pub const MAX_CLAIMS: usize = 8192;
-/// How long the other replicas are sent a result that a quorum has stored.
-const REPLICATION_TIMEOUT: Duration = Duration::from_secs(10);
-/// A request without a response is sent again after this, and then after twice as long each time.
+/// How long after a quorum has stored a result the remaining replicas are still sent it.
+const FULL_REPLICATION_TIMEOUT: Duration = Duration::from_secs(10);
+/// A request without a response is sent again after this; the interval then doubles up to
+/// [`MAX_RETRY_INTERVAL`]. A claim's first interval is used twice, as it doubles only when a request is sent
+/// again; that of a result doubles from the first time that it is sent.
 const INITIAL_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 /// The longest interval between two requests.
 const MAX_RETRY_INTERVAL: Duration = Duration::from_millis(800);
 /// An attempt that waits for another node's run asks for it this often; it is notified at once if no
 /// message is lost.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// A claim is given up this long before the deadline, since the answer needs time to reach the client. At
-/// most [`MAX_ANSWER_MARGIN_FRACTION`] of the time that is left.
+/// A claim is given up this long before the deadline, since the answer needs time to reach the client. Where
+/// little time is left, see [`ANSWER_MARGIN_MAX_DIVISOR`].
 const ANSWER_MARGIN: Duration = Duration::from_millis(250);
-/// The margin is at most one part in this many of the time until the deadline.
-const MAX_ANSWER_MARGIN_FRACTION: u32 = 4;
+/// The margin is at most the time until the deadline divided by this: a quarter of it.
+const ANSWER_MARGIN_MAX_DIVISOR: u32 = 4;
 
 /// All open claims of this node.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -85,7 +88,8 @@
         out: &mut Vec<ClaimAction>,
     ) {
         if self.claims.len() >= MAX_CLAIMS {
-            // The oldest result that a quorum has stored is not sent to the other replicas any more.
+            // Evicts the oldest claim whose result a quorum has stored; its remaining replicas are no longer
+            // sent it.
             let replicated = self.claims.values().find(|claim| claim.replicated_at.is_some());
             let Some(replicated) = replicated.map(|claim| claim.id) else {
                 let outcome = ClaimOutcome::Rejected(RejectReason::CapacityExceeded);
@@ -100,7 +104,10 @@
         self.claims.insert(id, claim);
     }
 
-    /// Renews all claims that are not granted under the configurations that are active now.
+    /// Renews the claims that are still collecting grants under the configurations that are active now.
+    /// Claims that wait for a remote run keep their replicas: they have released their grants and only poll,
+    /// until `give_up_at` at the latest. Those that are granted or replicate a result keep the quorums that
+    /// granted them.
     pub fn reconfigure(&mut self, now: Time, configs: &ActiveConfigs, out: &mut Vec<ClaimAction>) {
         for id in self.claims_in(&ClaimState::Collecting) {
             let renewed = self.next_claim_id();
@@ -131,14 +138,16 @@
             return out.push(ClaimAction::Notify(attempt, ClaimOutcome::Replicated(false)));
         };
         claim.state = ClaimState::Replicating { result, reported: false };
-        claim.reopen();
+        claim.reset_responses();
         claim.retry_interval = INITIAL_RETRY_INTERVAL;
-        claim.retry(now, |_| true, out);
+        claim.send_and_schedule_retry(now, |_| true, out);
     }
 
-    /// Releases the claim of an attempt whose run never started and never will.
+    /// Closes an attempt's claim; no run may be in progress under it. If its run has ended, replicas are no
+    /// longer sent the result; otherwise the claim is released.
     pub fn release(&mut self, attempt: AttemptId, out: &mut Vec<ClaimAction>) {
         let claim = self.by_attempt.remove(&attempt).and_then(|id| self.claims.remove(&id));
+        // A release says that nothing ran, which is not true of a claim that replicates a result.
         if let Some(claim) = claim.filter(|claim| !claim.is_replicating()) {
             claim.release(out);
         }
@@ -153,22 +162,28 @@
         message: Message,
         out: &mut Vec<ClaimAction>,
     ) {
-        let (id, response, incarnations) = match message {
-            Message::Granted { claim, incarnations } => {
-                (claim, ReplicaResponse::Granted(incarnation), incarnations)
+        let (claim_id, response, incarnations) = match message {
+            Message::Granted { claim: claim_id, incarnations } => {
+                (claim_id, ReplicaResponse::Granted(incarnation), incarnations)
             }
-            Message::Blocked { claim, conflict } => {
-                (claim, ReplicaResponse::Blocked { conflict, received_at: now }, Vec::new())
+            Message::Blocked { claim: claim_id, conflict } => {
+                (claim_id, ReplicaResponse::Blocked { conflict, responded_at: now }, Vec::new())
             }
             // The replica announces the configuration that this node lacks, and the claim is renewed under
             // that one.
             Message::Uncertain { reason: RejectReason::ConfigMismatch, .. } => return,
-            Message::Uncertain { claim, reason } => (claim, ReplicaResponse::Uncertain(reason), Vec::new()),
-            Message::KeyFree { claim } => (claim, ReplicaResponse::KeyFree, Vec::new()),
-            Message::Stored { claim, stored: true } => (claim, ReplicaResponse::Stored, Vec::new()),
+            Message::Uncertain { claim: claim_id, reason } => {
+                (claim_id, ReplicaResponse::Uncertain(reason), Vec::new())
+            }
+            Message::KeyFree { claim: claim_id } => (claim_id, ReplicaResponse::KeyFree, Vec::new()),
+            // A replica without capacity, or which could not write to its disk, answers `stored: false`; it
+            // stays pending and is retried.
+            Message::Stored { claim: claim_id, stored: true } => {
+                (claim_id, ReplicaResponse::Stored, Vec::new())
+            }
             _ => return,
         };
-        let Some(claim) = self.claims.get_mut(&id) else { return };
+        let Some(claim) = self.claims.get_mut(&claim_id) else { return };
         if !claim.accepts(from, &response) {
             return;
         }
@@ -176,10 +191,11 @@
             claim.record_incarnation(node, incarnation);
         }
         claim.responses.insert(from, response);
-        self.conclude(now, id, out);
+        self.act_on_responses(now, claim_id, out);
     }
 
-    /// Handles that a replica can't be reached.
+    /// Handles that a replica can't be reached: its grant is not to be expected. Claims in other states keep
+    /// the request pending, as a result must still be stored and a poll is repeated in any case.
     pub fn handle_unreachable(&mut self, now: Time, node: NodeId, out: &mut Vec<ClaimAction>) {
         for id in self.claims_in(&ClaimState::Collecting) {
             let Some(claim) = self.claims.get_mut(&id) else { continue };
@@ -187,7 +203,7 @@
                 continue;
             }
             claim.responses.insert(node, ReplicaResponse::Uncertain(RejectReason::Unreachable));
-            self.conclude(now, id, out);
+            self.act_on_responses(now, id, out);
         }
     }
 
@@ -196,7 +212,7 @@
     pub fn handle_broken_link(&mut self, now: Time, node: NodeId, out: &mut Vec<ClaimAction>) {
         for claim in self.claims.values() {
             if claim.responses.get(&node) == Some(&ReplicaResponse::Pending) {
-                out.extend(claim.request(now).map(|message| ClaimAction::Send(node, message)));
+                out.extend(claim.outgoing_message(now).map(|message| ClaimAction::Send(node, message)));
             }
         }
     }
@@ -229,18 +245,18 @@
             return;
         }
         let replicated_at = claim.replicated_at;
-        if replicated_at.is_some_and(|at| now >= at + REPLICATION_TIMEOUT) {
+        if replicated_at.is_some_and(|at| now >= at + FULL_REPLICATION_TIMEOUT) {
             return self.remove(id);
         }
         match claim.state {
             ClaimState::Collecting => claim.reconsider_responses(is_alive),
-            ClaimState::AwaitingRemoteRun => claim.reopen(),
+            ClaimState::AwaitingRemoteRun => claim.reset_responses(),
             ClaimState::Granted | ClaimState::Replicating { .. } => {}
         }
-        // A replica that does not answer probes must still get the result, but is not sent each one again
-        // and again.
-        claim.retry(now, |node| replicated_at.is_none() || is_alive(node), out);
-        self.conclude(now, id, out);
+        // Until a quorum has stored the result, every replica is retried; afterwards only those that answer
+        // probes.
+        claim.send_and_schedule_retry(now, |node| replicated_at.is_none() || is_alive(node), out);
+        self.act_on_responses(now, id, out);
     }
 
     /// Gives up a claim whose time has ended. Replicas are still sent the result of a run.
@@ -251,6 +267,8 @@
             ClaimState::Replicating { .. } => return claim.report_replicated(false, out),
             ClaimState::Collecting => {
                 claim.release(out);
+                // A conflicting run may have started: its outcome is unknown. Only responses since the last
+                // retry count, as a retry drops the `Blocked` ones before it.
                 if claim.is_blocked() {
                     ClaimOutcome::Unknown
                 } else {
@@ -271,9 +289,9 @@
         }
     }
 
-    /// Rejects all attempts whose claims are not granted yet: the node was suspended, and may act on
-    /// outdated knowledge.
-    pub fn reject_ungranted(&mut self, out: &mut Vec<ClaimAction>) {
+    /// Rejects the attempts whose claims are still collecting grants: the node was suspended or
+    /// lost its state, and may act on outdated knowledge. Claims that wait for a remote run stay open: they hold no grants.
+    pub fn reject_collecting(&mut self, out: &mut Vec<ClaimAction>) {
         for id in self.claims_in(&ClaimState::Collecting) {
             if let Some(claim) = self.claims.get(&id) {
                 claim.release(out);
@@ -290,29 +308,31 @@
         &self,
         now: Time,
         key: &Key,
-        claim: ClaimId,
+        claim_id: ClaimId,
         body: BodyDigest,
         predecessor_alive: bool,
     ) -> Option<Message> {
-        if let Some(open) = self.claims.get(&claim) {
+        if let Some(open) = self.claims.get(&claim_id) {
             return match open.state {
-                ClaimState::Replicating { .. } => open.request(now),
-                ClaimState::AwaitingRemoteRun => Some(Message::Release { key: key.clone(), claim }),
+                ClaimState::Replicating { .. } => open.outgoing_message(now),
+                ClaimState::AwaitingRemoteRun => Some(Message::Release { key: key.clone(), claim: claim_id }),
                 ClaimState::Collecting | ClaimState::Granted => None,
             };
         }
-        if claim.incarnation == self.incarnation {
-            // The claim of a completed run is open until a quorum has stored the result: this one never ran.
-            return Some(Message::Release { key: key.clone(), claim });
+        if claim_id.incarnation == self.incarnation {
+            // The claim of a completed run is open until a quorum has stored the result, or until its window
+            // has ended: this one never ran.
+            return Some(Message::Release { key: key.clone(), claim: claim_id });
         }
-        // What was known of it is lost. A completion that is still reported prevails over this one.
-        let run = CompletedRun::abandoned(claim, body);
-        let is_lost = claim.incarnation < self.incarnation && !predecessor_alive;
+        // A claim of an earlier incarnation whose state is gone. If the run's own completion arrives later,
+        // it takes precedence in the merge. `retain_ms: 0` leaves the replica's expiry unchanged.
+        let run = CompletedRun::abandoned(claim_id, body);
+        let is_lost = claim_id.incarnation < self.incarnation && !predecessor_alive;
         is_lost.then(|| Message::Completed { key: key.clone(), retain_ms: 0, run })
     }
 
-    /// Draws the conclusion from the responses to a claim so far.
-    fn conclude(&mut self, now: Time, id: ClaimId, out: &mut Vec<ClaimAction>) {
+    /// Acts on the responses to a claim so far.
+    fn act_on_responses(&mut self, now: Time, id: ClaimId, out: &mut Vec<ClaimAction>) {
         let Some(claim) = self.claims.get_mut(&id) else { return };
         match claim.state {
             ClaimState::Granted => {}
@@ -326,36 +346,30 @@
                 }
             }
             ClaimState::Collecting | ClaimState::AwaitingRemoteRun => {
-                if let Some(conclusion) = claim.conclusion() {
-                    self.apply_conclusion(now, id, conclusion, out);
+                if let Some(decision) = claim.evaluate_responses() {
+                    self.apply_decision(now, id, decision, out);
                 }
             }
         }
     }
 
-    fn apply_conclusion(
-        &mut self,
-        now: Time,
-        id: ClaimId,
-        conclusion: Conclusion,
-        out: &mut Vec<ClaimAction>,
-    ) {
+    fn apply_decision(&mut self, now: Time, id: ClaimId, decision: Decision, out: &mut Vec<ClaimAction>) {
         let Some(claim) = self.claims.get_mut(&id) else { return };
         let is_waiting = claim.state == ClaimState::AwaitingRemoteRun;
-        match conclusion {
-            Conclusion::Granted => {
+        match decision {
+            Decision::Granted => {
                 claim.state = ClaimState::Granted;
                 out.push(ClaimAction::Notify(claim.attempt, ClaimOutcome::Granted));
             }
-            Conclusion::RunningElsewhere if is_waiting => {}
-            Conclusion::RunningElsewhere => {
+            Decision::RunningElsewhere if is_waiting => {}
+            Decision::RunningElsewhere => {
                 claim.release(out);
                 claim.state = ClaimState::AwaitingRemoteRun;
                 claim.retry_interval = POLL_INTERVAL;
                 claim.retry_at = now + POLL_INTERVAL;
                 out.push(ClaimAction::Notify(claim.attempt, ClaimOutcome::RunningElsewhere));
             }
-            Conclusion::Final(outcome) => {
+            Decision::Final(outcome) => {
                 if !is_waiting {
                     claim.release(out);
                 }
--- a/fleet/src/claims/coordinator/claim.rs
+++ b/fleet/src/claims/coordinator/claim.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use super::{
-    AttemptId, ClaimAction, ClaimOutcome, RunRequest, ANSWER_MARGIN, INITIAL_RETRY_INTERVAL, LATE_READ_GRACE,
-    MAX_ANSWER_MARGIN_FRACTION, MAX_RETRY_INTERVAL,
+    AttemptId, ClaimAction, ClaimOutcome, RunRequest, ANSWER_MARGIN, ANSWER_MARGIN_MAX_DIVISOR,
+    INITIAL_RETRY_INTERVAL, LATE_READ_GRACE, MAX_RETRY_INTERVAL,
 };
 use crate::ids::{ConfigVersion, Incarnation, NodeId};
 use crate::membership::active_configs::ActiveConfigs;
@@ -20,11 +20,15 @@
     Pending,
     /// It granted the claim in this incarnation of it.
     Granted(Incarnation),
-    /// Another claim was first.
-    Blocked { conflict: ConflictingClaim, received_at: Time },
+    /// The replica knows another claim on the key, started or completed.
+    Blocked {
+        conflict: ConflictingClaim,
+        /// When this node received the response.
+        responded_at: Time,
+    },
     /// It knows of no run of the key.
     KeyFree,
-    /// It can't say.
+    /// Neither granted nor denied; also set locally when the replica is unreachable.
     Uncertain(RejectReason),
     /// It has stored the result.
     Stored,
@@ -47,8 +51,8 @@
     },
 }
 
-/// What follows from the responses to a claim.
-pub(super) enum Conclusion {
+/// What is decided from the responses to a claim.
+pub(super) enum Decision {
     /// A quorum has granted it.
     Granted,
     /// Another claim prevents it, whose run has not completed yet.
@@ -81,7 +85,8 @@
     expires_at: Time,
     received_at: Time,
     received_unix_ms: u64,
-    /// This node's index in the newest configuration.
+    /// This node's index in the configuration that was newest when the claim was first made. It only breaks
+    /// ties between completed runs, and stays the same when the claim is renewed.
     node_index: u32,
     /// When the attempt must be notified at the latest.
     pub(super) give_up_at: Time,
@@ -100,7 +105,7 @@
 impl Claim {
     pub(super) fn new(now: Time, id: ClaimId, request: RunRequest, configs: &ActiveConfigs) -> Claim {
         let RunRequest { attempt, key, body, expires_at, received_at, received_unix_ms, deadline } = request;
-        let max_margin = deadline.saturating_sub(now) / MAX_ANSWER_MARGIN_FRACTION;
+        let max_margin = deadline.saturating_sub(now) / ANSWER_MARGIN_MAX_DIVISOR;
         let node_index = configs.newest().index_of(id.node);
         let mut claim = Claim {
             attempt,
@@ -110,6 +115,7 @@
             expires_at,
             received_at,
             received_unix_ms,
+            // `u32::MAX`: not a member, which sorts last.
             node_index: node_index.and_then(|index| u32::try_from(index).ok()).unwrap_or(u32::MAX),
             give_up_at: deadline.saturating_sub(ANSWER_MARGIN.min(max_margin)),
             groups: Vec::new(),
@@ -137,15 +143,15 @@
         self.responses = replicas.into_iter().map(|node| (node, ReplicaResponse::Pending)).collect();
     }
 
-    /// Drops all responses: every replica is to be asked.
-    pub(super) fn reopen(&mut self) {
+    /// Resets all responses to pending: every replica is to be asked.
+    pub(super) fn reset_responses(&mut self) {
         for response in self.responses.values_mut() {
             *response = ReplicaResponse::Pending;
         }
     }
 
     /// Reconsiders the responses so far: a replica that does not answer probes counts as unreachable, and a
-    /// claim that was first may have been released since.
+    /// conflicting claim may have been released since, so the replica is asked again.
     pub(super) fn reconsider_responses(&mut self, is_alive: impl Fn(NodeId) -> bool) {
         for (node, response) in &mut self.responses {
             match response {
@@ -158,22 +164,22 @@
         }
     }
 
-    /// Returns the message that replicas are sent in the claim's state.
-    pub(super) fn request(&self, now: Time) -> Option<Message> {
+    /// Returns the message that replicas are sent in the claim's state; none while its run is under way.
+    pub(super) fn outgoing_message(&self, now: Time) -> Option<Message> {
         let retain_ms = millis_ceil(self.expires_at.saturating_sub(now));
-        let Claim { id: claim, body, .. } = *self;
+        let Claim { id: claim_id, body, .. } = *self;
         let key = self.key.clone();
         match &self.state {
             ClaimState::Collecting => {
                 let config_versions = self.groups.iter().map(|group| group.version).collect();
-                Some(Message::Claim(ClaimRequest { claim, key, body, retain_ms, config_versions }))
+                Some(Message::Claim(ClaimRequest { claim: claim_id, key, body, retain_ms, config_versions }))
             }
-            ClaimState::AwaitingRemoteRun => Some(Message::QueryKey { claim, key }),
+            ClaimState::AwaitingRemoteRun => Some(Message::QueryKey { claim: claim_id, key }),
             ClaimState::Replicating { result, .. } => {
                 let run = CompletedRun {
                     received_at: self.received_unix_ms,
                     node_index: self.node_index,
-                    claim,
+                    claim: claim_id,
                     result: result.clone(),
                     body,
                 };
@@ -190,7 +196,7 @@
         is_wanted: impl Fn(NodeId) -> bool,
         out: &mut Vec<ClaimAction>,
     ) {
-        let Some(request) = self.request(now) else { return };
+        let Some(request) = self.outgoing_message(now) else { return };
         for (node, response) in &self.responses {
             if *response == ReplicaResponse::Pending && is_wanted(*node) {
                 out.push(ClaimAction::Send(*node, request.clone()));
@@ -198,8 +204,9 @@
         }
     }
 
-    /// The same, and schedules the next time.
-    pub(super) fn retry(
+    /// Sends the request to pending replicas that satisfy the predicate, and sets `retry_at`. Polling keeps its
+    /// interval; other states back off exponentially.
+    pub(super) fn send_and_schedule_retry(
         &mut self,
         now: Time,
         is_wanted: impl Fn(NodeId) -> bool,
@@ -292,15 +299,23 @@
     /// The conflicting claims that replicas have responded with, and when.
     fn conflicts(&self) -> impl Iterator<Item = (&ConflictingClaim, Time)> {
         self.responses.values().filter_map(|response| match response {
-            ReplicaResponse::Blocked { conflict, received_at } => Some((conflict, *received_at)),
+            ReplicaResponse::Blocked { conflict, responded_at } => Some((conflict, *responded_at)),
             _ => None,
         })
     }
 
-    /// Draws the conclusion from the responses so far; none if it depends on further ones.
-    pub(super) fn conclusion(&self) -> Option<Conclusion> {
-        if self.conflicts().any(|(conflict, received_at)| self.is_of_earlier_request(conflict, received_at)) {
-            return Some(Conclusion::Final(ClaimOutcome::Rejected(RejectReason::WindowExpired)));
+    /// Decides from the responses so far; none if the decision depends on further ones. The checks in order:
+    ///
+    /// 1. a conflict that is about an earlier request, whose window had ended: the attempt is rejected;
+    /// 2. a completed run of the key, whichever replica reports it: its result is the outcome;
+    /// 3. for a claim that waits for a remote run: whether a quorum reports that the key is free;
+    /// 4. a quorum of grants: the run may start;
+    /// 5. whether replicas without a response could still complete a quorum: no decision yet;
+    /// 6. otherwise [`Claim::evaluate_without_quorum`].
+    pub(super) fn evaluate_responses(&self) -> Option<Decision> {
+        if self.conflicts().any(|(conflict, responded_at)| self.is_of_earlier_request(conflict, responded_at))
+        {
+            return Some(Decision::Final(ClaimOutcome::Rejected(RejectReason::WindowExpired)));
         }
         let completed =
             self.conflicts().find_map(|(conflict, _)| conflict.completed.as_ref().map(|run| (conflict, run)));
@@ -310,57 +325,60 @@
             } else {
                 ClaimOutcome::BodyMismatch
             };
-            return Some(Conclusion::Final(outcome));
+            return Some(Decision::Final(outcome));
         }
         if self.state == ClaimState::AwaitingRemoteRun {
             let is_free = self.has_quorums(|node| self.has_responded(node, &ReplicaResponse::KeyFree));
+            // The claim that this attempt waited for was released without a run. The attempt is not claimed
+            // again here; the client may retry it.
             let rejected = ClaimOutcome::Rejected(RejectReason::ClaimReleased);
-            return is_free.then_some(Conclusion::Final(rejected));
+            return is_free.then_some(Decision::Final(rejected));
         }
         if self.has_quorums(|node| self.is_granted_by(node)) {
-            return Some(Conclusion::Granted);
+            return Some(Decision::Granted);
         }
         let may_grant =
             |node: NodeId| self.is_granted_by(node) || self.has_responded(node, &ReplicaResponse::Pending);
         if self.has_quorums(may_grant) {
             return None;
         }
-        self.conclusion_without_quorum()
+        self.evaluate_without_quorum()
     }
 
-    /// Whether a conflict is about another request with the same key: its window had surely ended when this
-    /// one was received.
-    fn is_of_earlier_request(&self, conflict: &ConflictingClaim, received_at: Time) -> bool {
-        let window_ended_at = received_at.saturating_sub(Duration::from_millis(conflict.expired_ms));
+    /// Whether a conflict is about an earlier request with the same key, whose window had ended when this
+    /// one was received. `responded_at` is when the replica's response was received. The response took time
+    /// to arrive, so this is the latest time at which the window can have ended.
+    fn is_of_earlier_request(&self, conflict: &ConflictingClaim, responded_at: Time) -> bool {
+        let window_ended_at = responded_at.saturating_sub(Duration::from_millis(conflict.expired_ms));
         conflict.expired_ms > 0 && self.received_at > window_ended_at
     }
 
-    /// The conclusion when the claim can't get a quorum by the responses so far.
-    fn conclusion_without_quorum(&self) -> Option<Conclusion> {
-        let Some(first) = self.conflicts().min_by_key(|(conflict, _)| conflict.claim) else {
+    /// The decision when the claim can't get a quorum by the responses so far.
+    fn evaluate_without_quorum(&self) -> Option<Decision> {
+        let Some((lowest, _)) = self.conflicts().min_by_key(|(conflict, _)| conflict.claim) else {
             let reason = self.responses.values().find_map(|response| match response {
                 ReplicaResponse::Uncertain(reason) => Some(*reason),
                 _ => None,
             });
             // Without a reason, some grants are of an earlier incarnation and do not count.
             let reason = reason.unwrap_or(RejectReason::Recovering);
-            return Some(Conclusion::Final(ClaimOutcome::Rejected(reason)));
+            return Some(Decision::Final(ClaimOutcome::Rejected(reason)));
         };
-        let (first, _) = first;
         // Where several claims have been granted by some replicas each, the lowest one keeps asking and the
-        // others yield.
-        let blocked_by_first = |node: NodeId| match self.responses.get(&node) {
-            Some(ReplicaResponse::Blocked { conflict, .. }) => conflict.claim == first.claim,
+        // others yield. If the lowest of the others has a quorum in any configuration, this claim can't get
+        // one there.
+        let blocked_by_lowest = |node: NodeId| match self.responses.get(&node) {
+            Some(ReplicaResponse::Blocked { conflict, .. }) => conflict.claim == lowest.claim,
             _ => false,
         };
-        let first_has_quorum = self.groups.iter().any(|group| group.has_quorum(blocked_by_first));
-        if self.id < first.claim && !first_has_quorum {
+        let lowest_has_quorum = self.groups.iter().any(|group| group.has_quorum(blocked_by_lowest));
+        if self.id < lowest.claim && !lowest_has_quorum {
             return None;
         }
-        Some(if first.body == self.body {
-            Conclusion::RunningElsewhere
+        Some(if lowest.body == self.body {
+            Decision::RunningElsewhere
         } else {
-            Conclusion::Final(ClaimOutcome::BodyMismatch)
+            Decision::Final(ClaimOutcome::BodyMismatch)
         })
     }
 }
