--- a/fault-harness/src/check.rs
+++ b/fault-harness/src/check.rs
@@ -32,7 +32,8 @@
     checker.finish(history.observations.last().map_or(0.0, |last| last.at))
 }
 
-/// The state of a check. Each family of rules is a module with methods of its own.
+/// The state of a check. Rules that need several parts of the state are methods of `Checker`, each family in a module of its
+/// own; others are types with an `observe`.
 struct Checker<'a> {
     parameters: &'a RuleParameters,
     breaches: Breaches,
@@ -56,6 +57,7 @@
         }
     }
 
+    /// No two of these depend on each other for the same event; their order only decides that of what is found at one moment.
     fn observe(&mut self, at: Ms, event: &Event) {
         self.excuses.observe(at, event);
         self.attempts.observe(at, event);
--- a/fault-harness/src/check/answers.rs
+++ b/fault-harness/src/check/answers.rs
@@ -46,11 +46,12 @@
         self.breaches.record(at, Rule::DuplicateAnswer, text);
     }
 
-    /// A result has to be that of a run of the same key, at the same node unless keys are the fleet's.
+    /// A result has to be that of a run of the same key, at the same node unless the run scope is the fleet.
     fn check_result(&mut self, at: Ms, id: u64, node: usize, result: &str) {
         let results = self.attempts.key_of(id).map_or(&[][..], |key| self.runs.results_of(key));
-        let is_valid_at = |made_at: usize| self.parameters.run_once_per == RunScope::Fleet || made_at == node;
-        if results.iter().any(|made| made.result == result && is_valid_at(made.node)) {
+        let is_valid_from =
+            |producer_node: usize| self.parameters.run_once_per == RunScope::Fleet || producer_node == node;
+        if results.iter().any(|produced| produced.result == result && is_valid_from(produced.node)) {
             return;
         }
         let text =
--- a/fault-harness/src/check/router.rs
+++ b/fault-harness/src/check/router.rs
@@ -1,4 +1,5 @@
-//! The rule about the virtual router: two nodes that can hear each other do not both keep the active role.
+//! The rule about the virtual router: two nodes that can receive each other's advertisements do
+//! not both keep the active role.
 
 use std::collections::BTreeSet;
 
@@ -6,9 +7,9 @@
 use crate::history::Event;
 use crate::model::Ms;
 
-/// Since when more than one node is active though they can hear each other.
+/// How long more than one node has been active though they can receive each other's advertisements.
 #[derive(Debug, Clone, Copy, Default)]
-enum Conflict {
+enum DualActiveState {
     #[default]
     None,
     Since(Ms),
@@ -23,31 +24,32 @@
     paused: BTreeSet<usize>,
     /// Disturbances of the links among nodes that are in effect.
     disturbances: usize,
-    conflict: Conflict,
+    dual_active: DualActiveState,
 }
 
 impl RouterRoles {
-    /// Takes in an event, and records a conflict that has lasted too long.
-    pub(super) fn observe(&mut self, at: Ms, event: &Event, longest_conflict: Ms, breaches: &mut Breaches) {
-        self.follow(event);
-        let can_hear = self.disturbances == 0 && self.paused.is_empty();
-        if !can_hear || self.active.len() < 2 {
-            self.conflict = Conflict::None;
+    /// Takes in an event, and records a dual-active state that has lasted longer than `max_dual_active`. Not checked while any
+    /// peer link is disturbed or any node is paused, since the history doesn't say who receives whom.
+    pub(super) fn observe(&mut self, at: Ms, event: &Event, max_dual_active: Ms, breaches: &mut Breaches) {
+        self.update_roles(event);
+        let can_receive = self.disturbances == 0 && self.paused.is_empty();
+        if !can_receive || self.active.len() < 2 {
+            self.dual_active = DualActiveState::None;
             return;
         }
-        let since = match self.conflict {
-            Conflict::None => at,
-            Conflict::Since(since) => since,
-            Conflict::Reported => return,
+        let since = match self.dual_active {
+            DualActiveState::None => at,
+            DualActiveState::Since(since) => since,
+            DualActiveState::Reported => return,
         };
-        self.conflict = Conflict::Since(since);
-        if at - since > longest_conflict {
+        self.dual_active = DualActiveState::Since(since);
+        if at - since > max_dual_active {
             breaches.record(at, Rule::DualActive, self.describe());
-            self.conflict = Conflict::Reported;
+            self.dual_active = DualActiveState::Reported;
         }
     }
 
-    fn follow(&mut self, event: &Event) {
+    fn update_roles(&mut self, event: &Event) {
         match event {
             Event::RouterRole { node, active: true } => {
                 self.active.insert(*node);
--- a/fault-harness/src/check/runs.rs
+++ b/fault-harness/src/check/runs.rs
@@ -34,13 +34,14 @@
 #[derive(Debug, Default)]
 pub(super) struct Runs {
     by_key: HashMap<usize, Vec<Run>>,
-    /// Results stay valid after a node lost its state: a folder that was cut, or an old copy of it, may still have one.
+    /// Results stay valid after a node lost its state: a truncated store, or an old backup that was restored, may still
+    /// have one.
     results: HashMap<usize, Vec<RunResult>>,
     /// The generation of each node's stored state.
     generations: HashMap<usize, usize>,
     /// When each node got its shutdown notice.
     shutdown_notices: HashMap<usize, Ms>,
-    /// Keys that ran more than once in the fleet within their window.
+    /// Runs of a key that had already run within its window, at any node.
     pub(super) duplicate_runs_in_fleet: usize,
 }
 
@@ -54,7 +55,7 @@
         self.generations.get(&node).copied().unwrap_or(0)
     }
 
-    /// Earlier runs of a key that a new one, written then, should not have followed.
+    /// Runs of the key whose idempotency window is still open at `written_at`.
     fn within_window(&self, key: usize, written_at: Ms, window: Ms) -> impl Iterator<Item = &Run> {
         let runs = self.by_key.get(&key).into_iter().flatten();
         runs.filter(move |run| written_at <= run.written_at + window)
@@ -81,6 +82,7 @@
     fn check_run(&mut self, at: Ms, id: u64, node: usize) {
         self.attempts.update(id, |attempt| attempt.has_run = true);
         let Some(attempt) = self.attempts.get(id) else {
+            // No frontend sent this id, so the node changed it on the way to the interpreter.
             let text = format!("n{} runs {id:016x}, which was never written", node + 1);
             return self.breaches.record(at, Rule::Corrupted, text);
         };
@@ -106,10 +108,11 @@
         if class.idempotency_window <= 0.0 {
             return;
         }
-        let mut earlier = self.runs.within_window(request.key, run.written_at, class.idempotency_window);
-        let first_in_fleet = earlier.next().copied();
+        let open_runs = self.runs.within_window(request.key, run.written_at, class.idempotency_window);
+        let earlier: Vec<Run> = open_runs.copied().collect();
         let is_same_state = |other: &Run| other.node == run.node && other.generation == run.generation;
-        let first_at_node = first_in_fleet.into_iter().chain(earlier.copied()).find(is_same_state);
+        let first_in_fleet = earlier.first().copied();
+        let first_at_node = earlier.into_iter().find(is_same_state);
         self.runs.by_key.entry(request.key).or_default().push(run);
         if let Some(first) = first_at_node {
             self.record_second_run(request.key, &first, &run);
--- a/fault-harness/src/check/tests.rs
+++ b/fault-harness/src/check/tests.rs
@@ -229,7 +229,7 @@
         (100.0, attempt_written(2, 1, 0, 1100.0)),
         (101.0, served(2, "r1")),
     ];
-    assert_eq!(broken(then(kept)), [], "a folder that was cut may still have it");
+    assert_eq!(broken(then(kept)), [], "a truncated store may still have it");
 }
 
 #[test]
--- a/fault-harness/src/check/verdict.rs
+++ b/fault-harness/src/check/verdict.rs
@@ -28,9 +28,9 @@
     Corrupted,
     /// A limit was exceeded: memory, descriptors, concurrency on the cores, or the time for a graceful shutdown.
     LimitExceeded,
-    /// The program ended by itself.
+    /// The program exited unexpectedly.
     Crashed,
-    /// Two nodes had the role of the virtual router for too long, though they could hear each other.
+    /// Two nodes had the role of the virtual router for too long, though they could receive each other's advertisements.
     DualActive,
 }
 
@@ -54,7 +54,7 @@
     pub written: usize,
     /// Those among them that were excused from an answer.
     pub excused: usize,
-    /// Keys that ran more than once in the fleet within their window, whether or not the scenario forbids it.
+    /// Runs of a key that had already run within its window, at any node, whether or not the scenario forbids it.
     pub duplicate_runs_in_fleet: usize,
 }
 
--- a/fault-harness/src/history.rs
+++ b/fault-harness/src/history.rs
@@ -61,8 +61,8 @@
     pub descriptors: u64,
     /// Memory that a program may take, in KB.
     pub memory_kb: u64,
-    /// Two nodes may both have the role of the virtual router for so long, once nothing keeps them from hearing each
-    /// other.
+    /// How long two nodes may both have the role of the virtual router, once nothing keeps them from receiving each
+    /// other's advertisements.
     #[serde(alias = "two_active")]
     pub max_dual_active: Ms,
 }
