--- a/fault-harness/src/check.rs
+++ b/fault-harness/src/check.rs
@@ -1,11 +1,11 @@
 //! The rules, as a function of a history. Each has a test with a history that breaks it.
 //!
-//! An attempt may go unanswered where the harness itself was in the way: its node was killed or paused, its link
-//! was disturbed, or the harness ran late, at some moment between the attempt's writing and its deadline.
+//! An attempt may go unanswered where an injected fault affected its node or link, or the harness ran late, at some moment
+//! between the attempt's writing and its deadline: the node was killed or paused, or the link was disturbed.
 
 mod answers;
 mod attempts;
-mod excuses;
+mod exemptions;
 mod processes;
 mod router;
 mod runs;
@@ -14,7 +14,7 @@
 pub use verdict::{Breach, Rule, Verdict};
 
 use attempts::Attempts;
-use excuses::Excuses;
+use exemptions::Exemptions;
 use processes::ExceededLimits;
 use router::RouterRoles;
 use runs::Runs;
@@ -39,7 +39,7 @@
     breaches: Breaches,
     attempts: Attempts,
     runs: Runs,
-    excuses: Excuses,
+    exemptions: Exemptions,
     exceeded_limits: ExceededLimits,
     router: RouterRoles,
 }
@@ -51,7 +51,7 @@
             breaches: Breaches::default(),
             attempts: Attempts::default(),
             runs: Runs::default(),
-            excuses: Excuses::default(),
+            exemptions: Exemptions::default(),
             exceeded_limits: ExceededLimits::default(),
             router: RouterRoles::default(),
         }
@@ -59,7 +59,7 @@
 
     /// No two of these depend on each other for the same event; their order only decides that of what is found at one moment.
     fn observe(&mut self, at: Ms, event: &Event) {
-        self.excuses.observe(at, event);
+        self.exemptions.observe(at, event);
         self.attempts.observe(at, event);
         self.observe_answer(at, event);
         self.observe_run(at, event);
@@ -68,10 +68,10 @@
     }
 
     fn finish(mut self, end: Ms) -> Verdict {
-        let excused = self.check_unanswered(end);
+        let exempt = self.check_unanswered(end);
         Verdict {
             written: self.attempts.len(),
-            excused,
+            excused: exempt,
             duplicate_runs_in_fleet: self.runs.duplicate_runs_in_fleet,
             breaches: self.breaches.into_sorted(),
         }
--- a/fault-harness/src/check/answers.rs
+++ b/fault-harness/src/check/answers.rs
@@ -15,6 +15,7 @@
             Event::UnexpectedLine { node, attempt: Some(attempt), .. } => {
                 self.record_second_answer(at, *attempt, *node);
             }
+            // It may be a garbled answer to any open attempt, so it counts as an answer that can't be read.
             Event::UnexpectedLine { node, attempt: None, text } => {
                 let text = format!("n{} sent a line that is no answer: {text}", node + 1);
                 self.breaches.record(at, Rule::Unanswered, text);
@@ -59,22 +60,23 @@
         self.breaches.record(at, Rule::ForeignResult, text);
     }
 
-    /// Records every attempt that got no answer in time, and returns how many were excused.
+    /// Records every attempt that got no answer in time, and returns how many of them were exempt.
     pub(super) fn check_unanswered(&mut self, end: Ms) -> usize {
-        let mut excused = 0;
+        let mut exempt = 0;
         for (id, attempt) in self.attempts.iter() {
-            let answer_by = attempt.deadline + self.parameters.slack;
+            let answer_by = attempt.deadline + self.parameters.timing_tolerance;
+            // What is due after the end of the history might still have been answered.
             if answer_by > end || needs_no_answer(attempt, answer_by) {
                 continue;
             }
             let until = attempt.loss.map_or(answer_by, |loss| loss.at.min(answer_by));
-            if self.excuses.cover(attempt, until) {
-                excused += 1;
+            if self.exemptions.overlaps(attempt, until) {
+                exempt += 1;
             } else {
                 self.breaches.record(answer_by, Rule::Unanswered, describe_unanswered(id, attempt));
             }
         }
-        excused
+        exempt
     }
 }
 
@@ -82,9 +84,10 @@
 fn needs_no_answer(attempt: &Attempt, answer_by: Ms) -> bool {
     let is_answered = attempt.answer.as_ref().is_some_and(|answer| answer.at <= answer_by);
     let is_cancelled = attempt.cancelled_at.is_some_and(|at| at <= answer_by);
-    let loses_nothing = match attempt.loss.map(|loss| loss.connection) {
+    let loses_nothing = match attempt.loss.map(|loss| loss.kind) {
+        // The node closed an idle connection while the attempt was written; it is sent again.
         Some(ConnectionLoss::CrossedClose) => true,
-        // A new connection that is closed, having run nothing, has failed; nothing is lost.
+        // Nothing was answered on it and nothing ran: a failed connect, not a lost answer.
         Some(ConnectionLoss::NewConnection) => !attempt.has_run,
         Some(ConnectionLoss::UsedConnection) | None => false,
     };
--- a/fault-harness/src/check/attempts.rs
+++ b/fault-harness/src/check/attempts.rs
@@ -16,13 +16,13 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Loss {
     pub(super) at: Ms,
-    pub(super) connection: ConnectionLoss,
+    pub(super) kind: ConnectionLoss,
 }
 
 /// One attempt of a request at one node.
 #[derive(Debug)]
 pub(super) struct Attempt {
-    /// The request, by position.
+    /// The request, as index into those of the schedule.
     pub(super) request: usize,
     /// The node that it was written to.
     pub(super) node: usize,
@@ -66,9 +66,9 @@
 /// What is known of a request.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Request {
-    /// The request whose idempotency key it has: itself, or the one that it repeats.
-    pub(super) key: usize,
-    /// Its class, by position.
+    /// The request whose idempotency key it has, by index: itself, or the one that it repeats.
+    pub(super) original_request: usize,
+    /// Its class, as index into those of the parameters.
     pub(super) class: usize,
 }
 
@@ -80,12 +80,13 @@
 }
 
 impl Attempts {
-    /// Takes in the events that concern attempts alone.
+    /// Takes in the events that concern attempts alone: requests, and what was written, cancelled and lost. The checks of
+    /// answers set an attempt's `answer`, those of runs its `has_run`.
     pub(super) fn observe(&mut self, at: Ms, event: &Event) {
         match event {
             Event::RequestSent { request, class, repeats } => {
-                let key = repeats.unwrap_or(*request);
-                self.requests.insert(*request, Request { key, class: *class });
+                let original_request = repeats.unwrap_or(*request);
+                self.requests.insert(*request, Request { original_request, class: *class });
             }
             Event::AttemptWritten { attempt, request, node, frontend, deadline } => {
                 self.by_id.insert(*attempt, Attempt::new(*request, *node, *frontend, at, *deadline));
@@ -94,7 +95,7 @@
                 self.update(*attempt, |attempt| attempt.cancelled_at = Some(at));
             }
             Event::ConnectionLost { attempt, loss } => {
-                let loss = Loss { at, connection: *loss };
+                let loss = Loss { at, kind: *loss };
                 self.update(*attempt, |attempt| attempt.loss = Some(loss));
             }
             _ => {}
@@ -113,15 +114,16 @@
         }
     }
 
-    /// The request at this position, if a client sent it.
-    pub(super) fn request(&self, position: usize) -> Option<Request> {
-        self.requests.get(&position).copied()
+    /// The request with this index, if a client sent it.
+    pub(super) fn request(&self, index: usize) -> Option<Request> {
+        self.requests.get(&index).copied()
     }
 
-    /// The idempotency key of an attempt.
+    /// The idempotency key of an attempt: the index of the original request. A request whose sending is not in the history is
+    /// taken for an original.
     pub(super) fn key_of(&self, id: u64) -> Option<usize> {
-        let position = self.by_id.get(&id)?.request;
-        Some(self.request(position).map_or(position, |request| request.key))
+        let index = self.by_id.get(&id)?.request;
+        Some(self.request(index).map_or(index, |request| request.original_request))
     }
 
     /// How many were written.
--- a/fault-harness/src/check/excuses.rs
+++ b/fault-harness/src/check/exemptions.rs
@@ -1,4 +1,5 @@
-//! Intervals in which the harness itself kept a node from answering; an attempt that falls into one may go unanswered.
+//! Intervals in which an injected fault or a delay of the harness kept a node from answering; an attempt that overlaps one
+//! is exempt from the rule that each gets an answer.
 
 use std::collections::HashMap;
 
@@ -28,7 +29,7 @@
         }
     }
 
-    fn overlap(&self, from: Ms, to: Ms) -> bool {
+    fn overlaps(&self, from: Ms, to: Ms) -> bool {
         self.0.iter().any(|interval| interval.begin <= to && interval.end >= from)
     }
 }
@@ -40,9 +41,9 @@
     frontend: usize,
 }
 
-/// Where and when the harness was in the way.
+/// Where and when attempts are exempt from an answer.
 #[derive(Debug, Default)]
-pub(super) struct Excuses {
+pub(super) struct Exemptions {
     /// By node: its process was killed.
     killed: HashMap<usize, Intervals>,
     /// By node: its process was paused.
@@ -55,12 +56,13 @@
     harness_delayed: Intervals,
 }
 
-impl Excuses {
+impl Exemptions {
     /// Takes in the events that begin or end an interval.
     pub(super) fn observe(&mut self, at: Ms, event: &Event) {
         match event {
             Event::NodeUp { node, .. } => self.killed.entry(*node).or_default().set(at, false),
-            // A program that exits by itself answers first what it has read: only a kill is an excuse.
+            // A node that is shut down must answer what it has read, and a crash is a violation of its own; only a kill by
+            // the harness exempts.
             Event::NodeDown { node, exit: ProcessExit::Killed } => {
                 self.killed.entry(*node).or_default().set(at, true);
             }
@@ -79,17 +81,18 @@
         }
     }
 
-    /// Whether the harness was in the way of an attempt at some moment between its writing and then.
-    pub(super) fn cover(&self, attempt: &Attempt, until: Ms) -> bool {
-        let overlap = |intervals: Option<&Intervals>| {
-            intervals.is_some_and(|intervals| intervals.overlap(attempt.written_at, until))
+    /// Whether an injected fault affected the attempt's node or link, or the harness was delayed, at some moment between the
+    /// attempt's writing and `until`.
+    pub(super) fn overlaps(&self, attempt: &Attempt, until: Ms) -> bool {
+        let affected = |intervals: Option<&Intervals>| {
+            intervals.is_some_and(|intervals| intervals.overlaps(attempt.written_at, until))
         };
         let node = attempt.node;
         let link = ClientLink { node, frontend: attempt.frontend };
-        overlap(self.killed.get(&node))
-            || overlap(self.paused.get(&node))
-            || overlap(self.disturbed_nodes.get(&node))
-            || overlap(self.disturbed_links.get(&link))
-            || overlap(Some(&self.harness_delayed))
+        affected(self.killed.get(&node))
+            || affected(self.paused.get(&node))
+            || affected(self.disturbed_nodes.get(&node))
+            || affected(self.disturbed_links.get(&link))
+            || affected(Some(&self.harness_delayed))
     }
 }
--- a/fault-harness/src/check/processes.rs
+++ b/fault-harness/src/check/processes.rs
@@ -36,6 +36,7 @@
                 self.check_limit(at, *node, Resource::Descriptors, *descriptors, self.parameters.descriptors);
             }
             Event::NodeDown { node, exit } => self.check_exit(at, *node, exit),
+            // The interpreter dies only of exceeding concurrency or memory.
             Event::InterpreterDied { node, cause } => {
                 let text = format!("the interpreter of n{} has died: {cause}", node + 1);
                 self.breaches.record(at, Rule::LimitExceeded, text);
--- a/fault-harness/src/check/runs.rs
+++ b/fault-harness/src/check/runs.rs
@@ -92,7 +92,7 @@
             let text = format!("attempt {id:016x} at n{} runs after it was rejected", node + 1);
             self.breaches.record(at, Rule::RejectedAndRan, text);
         }
-        let grace = self.parameters.drain_grace + self.parameters.slack;
+        let grace = self.parameters.drain_grace + self.parameters.timing_tolerance;
         if self.runs.shutdown_notices.get(&node).is_some_and(|notice| written_at > notice + grace) {
             let text = format!("attempt {id:016x} came to n{} too long after its shutdown notice", node + 1);
             self.breaches.record(at, Rule::RunAfterShutdownNotice, text);
@@ -108,18 +108,19 @@
         if class.idempotency_window <= 0.0 {
             return;
         }
-        let open_runs = self.runs.within_window(request.key, run.written_at, class.idempotency_window);
+        let open_runs =
+            self.runs.within_window(request.original_request, run.written_at, class.idempotency_window);
         let earlier: Vec<Run> = open_runs.copied().collect();
         let is_same_state = |other: &Run| other.node == run.node && other.generation == run.generation;
         let first_in_fleet = earlier.first().copied();
         let first_at_node = earlier.into_iter().find(is_same_state);
-        self.runs.by_key.entry(request.key).or_default().push(run);
+        self.runs.by_key.entry(request.original_request).or_default().push(run);
         if let Some(first) = first_at_node {
-            self.record_second_run(request.key, &first, &run);
+            self.record_second_run(request.original_request, &first, &run);
         }
         if let Some(first) = first_in_fleet {
             self.runs.duplicate_runs_in_fleet += 1;
-            self.record_second_run_in_fleet(request.key, &first, &run);
+            self.record_second_run_in_fleet(request.original_request, &first, &run);
         }
     }
 
--- a/fault-harness/src/check/tests.rs
+++ b/fault-harness/src/check/tests.rs
@@ -19,7 +19,7 @@
         nodes: 2,
         classes: vec![class("quote", 0.0), class("book", 5000.0)],
         run_once_per,
-        slack: 150.0,
+        timing_tolerance: 150.0,
         drain_grace: 2000.0,
         descriptors: 100,
         memory_kb: 1000,
--- a/fault-harness/src/check/verdict.rs
+++ b/fault-harness/src/check/verdict.rs
@@ -52,7 +52,7 @@
     pub breaches: Vec<Breach>,
     /// Attempts written to nodes.
     pub written: usize,
-    /// Those among them that were excused from an answer.
+    /// Those among them that were exempt from an answer, since a fault or a delay of the harness affected them.
     pub excused: usize,
     /// Runs of a key that had already run within its window, at any node, whether or not the scenario forbids it.
     pub duplicate_runs_in_fleet: usize,
--- a/fault-harness/src/history.rs
+++ b/fault-harness/src/history.rs
@@ -52,8 +52,9 @@
     /// Within what an idempotency key may run once.
     #[serde(alias = "once")]
     pub run_once_per: RunScope,
-    /// An answer still counts that comes so long after its deadline.
-    pub slack: Ms,
+    /// How long after its deadline an answer still counts; it allows for the delays of a busy machine.
+    #[serde(rename = "slack")]
+    pub timing_tolerance: Ms,
     /// What arrives later than this after the shutdown notice is not run.
     pub drain_grace: Ms,
     /// Descriptors that a program may hold.
--- a/fault-harness/src/play_context.rs
+++ b/fault-harness/src/play_context.rs
@@ -173,7 +173,7 @@
         nodes: scenario.fleet.nodes,
         classes: classes.collect(),
         run_once_per: scenario.rules.run_once_per,
-        slack: scenario.rules.slack_ms,
+        timing_tolerance: scenario.rules.slack_ms,
         drain_grace: crate::settings::DRAIN_GRACE_MS,
         descriptors: scenario.fleet.sockets,
         memory_kb: scenario.fleet.memory_mb * KB_PER_MB,
