--- a/fault-harness/src/check.rs
+++ b/fault-harness/src/check.rs
@@ -1,4 +1,5 @@
-//! The rules, as a function of a history. Each has a test with a history that breaks it.
+//! The rules: invariants that every play keeps, as a function of its history. Each has a test with a history that violates
+//! it.
 //!
 //! An attempt may go unanswered where an injected fault affected its node or link, or the harness ran late, at some moment
 //! between the attempt's writing and its deadline: the node was killed or paused, or the link was disturbed.
@@ -11,14 +12,14 @@
 mod runs;
 mod verdict;
 
-pub use verdict::{Breach, Rule, Verdict};
+pub use verdict::{Rule, Verdict, Violation};
 
 use attempts::Attempts;
 use exemptions::Exemptions;
 use processes::ExceededLimits;
 use router::RouterRoles;
 use runs::Runs;
-use verdict::Breaches;
+use verdict::Violations;
 
 use crate::history::{Event, History, RuleParameters};
 use crate::model::Ms;
@@ -36,7 +37,7 @@
 /// own; others are types with an `observe`.
 struct Checker<'a> {
     parameters: &'a RuleParameters,
-    breaches: Breaches,
+    violations: Violations,
     attempts: Attempts,
     runs: Runs,
     exemptions: Exemptions,
@@ -48,7 +49,7 @@
     fn new(parameters: &'a RuleParameters) -> Self {
         Checker {
             parameters,
-            breaches: Breaches::default(),
+            violations: Violations::default(),
             attempts: Attempts::default(),
             runs: Runs::default(),
             exemptions: Exemptions::default(),
@@ -64,7 +65,7 @@
         self.observe_answer(at, event);
         self.observe_run(at, event);
         self.observe_process(at, event);
-        self.router.observe(at, event, self.parameters.max_dual_active, &mut self.breaches);
+        self.router.observe(at, event, self.parameters.max_dual_active, &mut self.violations);
     }
 
     fn finish(mut self, end: Ms) -> Verdict {
@@ -73,7 +74,7 @@
             written: self.attempts.len(),
             excused: exempt,
             duplicate_runs_in_fleet: self.runs.duplicate_runs_in_fleet,
-            breaches: self.breaches.into_sorted(),
+            violations: self.violations.into_sorted(),
         }
     }
 }
--- a/fault-harness/src/check/answers.rs
+++ b/fault-harness/src/check/answers.rs
@@ -18,7 +18,7 @@
             // It may be a garbled answer to any open attempt, so it counts as an answer that can't be read.
             Event::UnexpectedLine { node, attempt: None, text } => {
                 let text = format!("n{} sent a line that is no answer: {text}", node + 1);
-                self.breaches.record(at, Rule::Unanswered, text);
+                self.violations.record(at, Rule::Unanswered, text);
             }
             _ => {}
         }
@@ -33,7 +33,7 @@
         match response {
             Response::Rejected { .. } if attempt.has_run => {
                 let text = format!("attempt {id:016x} at n{} had run when it was rejected", node + 1);
-                self.breaches.record(at, Rule::RejectedAndRan, text);
+                self.violations.record(at, Rule::RejectedAndRan, text);
             }
             Response::Served(result) => self.check_result(at, id, node, result),
             Response::Rejected { .. } | Response::Failed => {}
@@ -44,7 +44,7 @@
 
     fn record_second_answer(&mut self, at: Ms, id: u64, node: usize) {
         let text = format!("attempt {id:016x} at n{} is answered again", node + 1);
-        self.breaches.record(at, Rule::DuplicateAnswer, text);
+        self.violations.record(at, Rule::DuplicateAnswer, text);
     }
 
     /// A result has to be that of a run of the same key, at the same node unless the run scope is the fleet.
@@ -57,7 +57,7 @@
         }
         let text =
             format!("attempt {id:016x} at n{} got {result:?}, which no run of its key made there", node + 1);
-        self.breaches.record(at, Rule::ForeignResult, text);
+        self.violations.record(at, Rule::ForeignResult, text);
     }
 
     /// Records every attempt that got no answer in time, and returns how many of them were exempt.
@@ -73,7 +73,7 @@
             if self.exemptions.overlaps(attempt, until) {
                 exempt += 1;
             } else {
-                self.breaches.record(answer_by, Rule::Unanswered, describe_unanswered(id, attempt));
+                self.violations.record(answer_by, Rule::Unanswered, describe_unanswered(id, attempt));
             }
         }
         exempt
--- a/fault-harness/src/check/processes.rs
+++ b/fault-harness/src/check/processes.rs
@@ -39,20 +39,20 @@
             // The interpreter dies only of exceeding concurrency or memory.
             Event::InterpreterDied { node, cause } => {
                 let text = format!("the interpreter of n{} has died: {cause}", node + 1);
-                self.breaches.record(at, Rule::LimitExceeded, text);
+                self.violations.record(at, Rule::LimitExceeded, text);
             }
             Event::Corrupted { node, text } => {
-                self.breaches.record(at, Rule::Corrupted, format!("n{}: {text}", node + 1));
+                self.violations.record(at, Rule::Corrupted, format!("n{}: {text}", node + 1));
             }
             _ => {}
         }
     }
 
-    /// A limit that is exceeded is one breach, however long it stays so.
+    /// A limit that is exceeded is one violation, however long it stays so.
     fn check_limit(&mut self, at: Ms, node: usize, resource: Resource, value: u64, limit: u64) {
         if value > limit && self.exceeded_limits.0.insert((node, resource)) {
             let text = format!("n{}: {}: {value} of {limit}", node + 1, resource.label());
-            self.breaches.record(at, Rule::LimitExceeded, text);
+            self.violations.record(at, Rule::LimitExceeded, text);
         }
     }
 
@@ -60,12 +60,12 @@
         match exit {
             ProcessExit::Crashed(status) => {
                 let text = format!("n{} ended by itself: {status}", node + 1);
-                self.breaches.record(at, Rule::Crashed, text);
+                self.violations.record(at, Rule::Crashed, text);
             }
             ProcessExit::ShutdownTimedOut => {
                 let text =
                     format!("n{} was still running when its time for a graceful shutdown was over", node + 1);
-                self.breaches.record(at, Rule::LimitExceeded, text);
+                self.violations.record(at, Rule::LimitExceeded, text);
             }
             ProcessExit::Killed | ProcessExit::ShutDown => {}
         }
--- a/fault-harness/src/check/router.rs
+++ b/fault-harness/src/check/router.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use super::verdict::{Breaches, Rule};
+use super::verdict::{Rule, Violations};
 use crate::history::Event;
 use crate::model::Ms;
 
@@ -30,7 +30,13 @@
 impl RouterRoles {
     /// Takes in an event, and records a dual-active state that has lasted longer than `max_dual_active`. Not checked while any
     /// peer link is disturbed or any node is paused, since the history doesn't say who receives whom.
-    pub(super) fn observe(&mut self, at: Ms, event: &Event, max_dual_active: Ms, breaches: &mut Breaches) {
+    pub(super) fn observe(
+        &mut self,
+        at: Ms,
+        event: &Event,
+        max_dual_active: Ms,
+        violations: &mut Violations,
+    ) {
         self.update_roles(event);
         let can_receive = self.disturbances == 0 && self.paused.is_empty();
         if !can_receive || self.active.len() < 2 {
@@ -44,7 +50,7 @@
         };
         self.dual_active = DualActiveState::Since(since);
         if at - since > max_dual_active {
-            breaches.record(at, Rule::DualActive, self.describe());
+            violations.record(at, Rule::DualActive, self.describe());
             self.dual_active = DualActiveState::Reported;
         }
     }
--- a/fault-harness/src/check/runs.rs
+++ b/fault-harness/src/check/runs.rs
@@ -84,18 +84,18 @@
         let Some(attempt) = self.attempts.get(id) else {
             // No frontend sent this id, so the node changed it on the way to the interpreter.
             let text = format!("n{} runs {id:016x}, which was never written", node + 1);
-            return self.breaches.record(at, Rule::Corrupted, text);
+            return self.violations.record(at, Rule::Corrupted, text);
         };
         let written_at = attempt.written_at;
         let request = attempt.request;
         if attempt.is_rejected() {
             let text = format!("attempt {id:016x} at n{} runs after it was rejected", node + 1);
-            self.breaches.record(at, Rule::RejectedAndRan, text);
+            self.violations.record(at, Rule::RejectedAndRan, text);
         }
         let grace = self.parameters.drain_grace + self.parameters.timing_tolerance;
         if self.runs.shutdown_notices.get(&node).is_some_and(|notice| written_at > notice + grace) {
             let text = format!("attempt {id:016x} came to n{} too long after its shutdown notice", node + 1);
-            self.breaches.record(at, Rule::RunAfterShutdownNotice, text);
+            self.violations.record(at, Rule::RunAfterShutdownNotice, text);
         }
         let generation = self.runs.generation(node);
         self.check_key(request, Run { attempt: id, node, generation, written_at, started_at: at });
@@ -131,7 +131,7 @@
             first.attempt,
             second.attempt
         );
-        self.breaches.record(second.started_at, Rule::DuplicateRun, text);
+        self.violations.record(second.started_at, Rule::DuplicateRun, text);
     }
 
     fn record_second_run_in_fleet(&mut self, key: usize, first: &Run, second: &Run) {
@@ -146,6 +146,6 @@
             first.started_at,
             first.attempt
         );
-        self.breaches.record(second.started_at, Rule::DuplicateRunInFleet, text);
+        self.violations.record(second.started_at, Rule::DuplicateRunInFleet, text);
     }
 }
--- a/fault-harness/src/check/tests.rs
+++ b/fault-harness/src/check/tests.rs
@@ -50,9 +50,10 @@
 fn broken_in(run_once_per: RunScope, events: Vec<(Ms, Event)>) -> Vec<Rule> {
     let mut seen: Vec<Observation> =
         events.into_iter().map(|(at, event)| Observation { at, event }).collect();
+    // It ends the history after all deadlines.
     seen.push(Observation { at: 20_000.0, event: Event::FaultInjected { text: String::new(), until: 0.0 } });
     let verdict = check(&History { parameters: parameters(run_once_per), observations: seen });
-    verdict.breaches.into_iter().map(|breach| breach.rule).collect()
+    verdict.violations.into_iter().map(|violation| violation.rule).collect()
 }
 
 fn broken(events: Vec<(Ms, Event)>) -> Vec<Rule> {
@@ -75,7 +76,7 @@
 }
 
 #[test]
-fn what_keeps_the_rules_breaks_none() {
+fn a_valid_history_has_no_violations() {
     assert_eq!(broken(booked()), []);
     // A repeat gets the first one's result; another after the window runs again.
     let repeat = vec![
@@ -115,7 +116,7 @@
     assert_eq!(
         broken_by_open_attempt(down(1, ProcessExit::Killed)),
         [Rule::Unanswered],
-        "another node's end is no excuse"
+        "another node's end exempts nothing"
     );
     let paused = vec![
         (500.0, Event::Paused { node: 0, paused: true }),
@@ -149,14 +150,14 @@
 }
 
 #[test]
-fn a_second_answer_is_told_wherever_it_comes() {
+fn a_second_answer_is_reported_wherever_it_comes() {
     assert_eq!(broken(then(vec![(60.0, served(1, "r1"))])), [Rule::DuplicateAnswer]);
     let stray = Event::UnexpectedLine { node: 0, attempt: Some(1), text: String::new() };
     assert_eq!(broken(then(vec![(60.0, stray)])), [Rule::DuplicateAnswer]);
 }
 
 #[test]
-fn a_key_that_runs_again_at_its_node_is_told_also_after_a_restart_but_not_after_its_memory_was_lost() {
+fn a_key_that_runs_again_at_its_node_is_reported_also_after_a_restart_but_not_after_its_memory_was_lost() {
     let again = |before: Vec<(Ms, Event)>, node: usize| {
         let run = vec![
             (300.0, request_sent(1, 1, Some(0))),
@@ -182,7 +183,7 @@
 }
 
 #[test]
-fn a_rejection_of_what_ran_or_runs_later_is_told() {
+fn a_rejection_of_what_ran_or_runs_later_is_reported() {
     let begin = || vec![(0.0, request_sent(0, 0, None)), (0.0, attempt_written(1, 0, 0, 1000.0))];
     let with = |more: Vec<(Ms, Event)>| broken(begin().into_iter().chain(more).collect());
     assert_eq!(
@@ -212,7 +213,7 @@
 }
 
 #[test]
-fn a_result_that_no_run_of_the_key_made_is_told() {
+fn a_result_that_no_run_of_the_key_made_is_reported() {
     let mut other = booked();
     other[4].1 = served(1, "r9");
     assert_eq!(broken(other), [Rule::ForeignResult]);
@@ -233,7 +234,7 @@
 }
 
 #[test]
-fn two_with_the_role_of_one_router_are_told_unless_they_could_not_hear_each_other() {
+fn two_with_the_role_of_one_router_are_reported_unless_they_could_not_reach_each_other() {
     let role = |node, active| Event::RouterRole { node, active };
     let two = |more: Vec<(Ms, Event)>| {
         let begin = vec![(0.0, role(0, true)), (100.0, role(1, true))];
@@ -242,26 +243,26 @@
     assert_eq!(two(vec![]), [Rule::DualActive]);
     assert_eq!(two(vec![(500.0, role(1, false))]), []);
     assert_eq!(two(vec![(500.0, Event::NodeDown { node: 0, exit: ProcessExit::Killed })]), []);
-    let apart = || {
+    let partitioned = || {
         vec![
             (200.0, Event::PeerLinksDisturbed { disturbed: true }),
             (9000.0, Event::PeerLinksDisturbed { disturbed: false }),
         ]
     };
-    assert_eq!(two(apart()), [Rule::DualActive], "still two long after they hear each other again");
-    assert_eq!(two(apart().into_iter().chain([(9300.0, role(1, false))]).collect()), []);
+    assert_eq!(two(partitioned()), [Rule::DualActive], "still two long after the links are whole again");
+    assert_eq!(two(partitioned().into_iter().chain([(9300.0, role(1, false))]).collect()), []);
     assert_eq!(two(vec![(200.0, Event::Paused { node: 0, paused: true })]), []);
 }
 
 #[test]
-fn limits_crashes_and_corrupted_commands_are_told() {
+fn limits_crashes_and_corrupted_commands_are_reported() {
     let sample =
         |rss_kb, files| Event::ResourceSample { node: 0, memory_kb: rss_kb, descriptors: files, cpu_ms: 1 };
     assert_eq!(broken(vec![(1.0, sample(900, 90))]), []);
     assert_eq!(
         broken(vec![(1.0, sample(1100, 90)), (2.0, sample(1200, 90))]),
         [Rule::LimitExceeded],
-        "told once"
+        "reported once"
     );
     assert_eq!(broken(vec![(1.0, sample(900, 101))]), [Rule::LimitExceeded]);
     assert_eq!(
--- a/fault-harness/src/check/verdict.rs
+++ b/fault-harness/src/check/verdict.rs
@@ -1,4 +1,4 @@
-//! What the checker reports: the rules, each breach of one, and the verdict on a whole history.
+//! What the checker reports: the rules (the invariants of a play), each violation of one, and the verdict on a whole history.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 
 use crate::model::Ms;
 
-/// A rule that can be broken.
+/// An invariant, named by what violates it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
@@ -34,9 +34,9 @@
     DualActive,
 }
 
-/// One breach of a rule.
+/// One violation of an invariant.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Breach {
+pub struct Violation {
     /// When the rule was broken.
     pub at: Ms,
     /// Which rule.
@@ -48,8 +48,9 @@
 /// What the checker found.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Verdict {
-    /// Every breach, by time.
-    pub breaches: Vec<Breach>,
+    /// Every violation, by time.
+    #[serde(rename = "breaches")]
+    pub violations: Vec<Violation>,
     /// Attempts written to nodes.
     pub written: usize,
     /// Those among them that were exempt from an answer, since a fault or a delay of the harness affected them.
@@ -62,23 +63,23 @@
     /// How often each rule was broken.
     pub fn by_rule(&self) -> BTreeMap<Rule, usize> {
         let mut counts = BTreeMap::new();
-        self.breaches.iter().for_each(|breach| *counts.entry(breach.rule).or_default() += 1);
+        self.violations.iter().for_each(|violation| *counts.entry(violation.rule).or_default() += 1);
         counts
     }
 }
 
-/// Collects breaches in the order in which they are found.
+/// Collects violations in the order in which they are found.
 #[derive(Debug, Default)]
-pub(super) struct Breaches(Vec<Breach>);
+pub(super) struct Violations(Vec<Violation>);
 
-impl Breaches {
-    /// Records a breach.
+impl Violations {
+    /// Records a violation.
     pub(super) fn record(&mut self, at: Ms, rule: Rule, text: String) {
-        self.0.push(Breach { at, rule, text });
+        self.0.push(Violation { at, rule, text });
     }
 
-    /// All breaches by time; those of one moment stay in the order in which they were found.
-    pub(super) fn into_sorted(mut self) -> Vec<Breach> {
+    /// All violations by time; those of one moment stay in the order in which they were found.
+    pub(super) fn into_sorted(mut self) -> Vec<Violation> {
         self.0.sort_by(|earlier, later| earlier.at.total_cmp(&later.at));
         self.0
     }
--- a/fault-harness/src/commands/output.rs
+++ b/fault-harness/src/commands/output.rs
@@ -13,11 +13,11 @@
     if let Some(out) = out {
         report::store_results(outcomes, out)?;
     }
-    for outcome in outcomes.iter().filter(|outcome| !outcome.verdict.breaches.is_empty()) {
+    for outcome in outcomes.iter().filter(|outcome| !outcome.verdict.violations.is_empty()) {
         println!("{} with seed {}:", outcome.label, outcome.seed);
-        print!("{}", report::breaches(&outcome.verdict));
+        print!("{}", report::violations(&outcome.verdict));
     }
-    let broken: usize = outcomes.iter().map(|outcome| outcome.verdict.breaches.len()).sum();
+    let broken: usize = outcomes.iter().map(|outcome| outcome.verdict.violations.len()).sum();
     println!("{broken} rules broken");
     Ok(if broken == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
--- a/fault-harness/src/experiment.rs
+++ b/fault-harness/src/experiment.rs
@@ -132,7 +132,7 @@
 
 fn print_progress(done: usize, count: usize, outcome: &Outcome) {
     let Outcome { label, seed, verdict, .. } = outcome;
-    eprintln!("{done} of {count}: {label} with seed {seed}: {} broken", verdict.breaches.len());
+    eprintln!("{done} of {count}: {label} with seed {seed}: {} broken", verdict.violations.len());
 }
 
 fn play_job(job: &Job, progress: bool) -> Result<Outcome, ExperimentError> {
--- a/fault-harness/src/experiment/comparison.rs
+++ b/fault-harness/src/experiment/comparison.rs
@@ -20,7 +20,7 @@
 /// The row of the plays with this label.
 fn spread_row(label: &str, outcomes: &[Outcome]) -> Vec<String> {
     let plays: Vec<Outcome> = outcomes.iter().filter(|outcome| outcome.label == label).cloned().collect();
-    let broken: usize = plays.iter().map(|outcome| outcome.verdict.breaches.len()).sum();
+    let broken: usize = plays.iter().map(|outcome| outcome.verdict.violations.len()).sum();
     let mut cells = vec![label.to_string(), plays.len().to_string()];
     cells.extend(COLUMNS.iter().map(|column| spread_of(values(column, &plays).into_iter(), column.digits)));
     cells.push(broken.to_string());
--- a/fault-harness/src/predict/tests.rs
+++ b/fault-harness/src/predict/tests.rs
@@ -12,7 +12,7 @@
 #[test]
 fn a_calm_fleet_serves_all_and_keeps_the_rules() {
     let history = predict(&scenario(0.3, ""), None);
-    assert_eq!(check(&history).breaches, []);
+    assert_eq!(check(&history).violations, []);
     let figures = statistics(&history);
     assert!(
         figures.served > 0.99 && (figures.median_ms - 20.0).abs() < 5.0,
@@ -35,7 +35,7 @@
     assert!(over.served < 0.9 && over.outcomes.rejected > 0.05, "{:?}", over.outcomes);
     let history =
         predict(&scenario(0.9, "[[fault]]\nat_s = 5\nwhat = 'kill'\nfraction = 0.5\ndown_s = 1.0\n"), None);
-    assert_eq!(check(&history).breaches, []);
+    assert_eq!(check(&history).violations, []);
     let recovery = statistics(&history).recovery.unwrap();
     assert!(recovery.least < 0.9 && recovery.from_start.is_some_and(|s| s > 1.0), "{recovery:?}");
 }
--- a/fault-harness/src/report.rs
+++ b/fault-harness/src/report.rs
@@ -19,10 +19,10 @@
 
 /// The template of the page.
 const PAGE: &str = include_str!("../templates/report.html");
-/// Breaches that a terminal is shown.
-const MAX_BREACHES_PRINTED: usize = 12;
-/// Breaches that the page lists for a play.
-const MAX_BREACHES_ON_PAGE: usize = 100;
+/// Violations that a terminal is shown.
+const MAX_VIOLATIONS_PRINTED: usize = 12;
+/// Violations that the page lists for a play.
+const MAX_VIOLATIONS_ON_PAGE: usize = 100;
 
 /// Why a report cannot be written.
 #[derive(Debug, Error)]
@@ -76,14 +76,14 @@
     }
 }
 
-/// The rules broken in a play for the terminal: the first breaches, a line each, and how often each rule was broken.
-pub fn breaches(verdict: &Verdict) -> String {
+/// The rules broken in a play for the terminal: the first violations, a line each, and how often each rule was broken.
+pub fn violations(verdict: &Verdict) -> String {
     let mut text = String::new();
-    for breach in verdict.breaches.iter().take(MAX_BREACHES_PRINTED) {
+    for violation in verdict.violations.iter().take(MAX_VIOLATIONS_PRINTED) {
         // Writing to memory does not fail.
-        let _ = writeln!(text, "{:>9.0} ms  {:?}: {}", breach.at, breach.rule, breach.text);
+        let _ = writeln!(text, "{:>9.0} ms  {:?}: {}", violation.at, violation.rule, violation.text);
     }
-    let not_printed = verdict.breaches.len().saturating_sub(MAX_BREACHES_PRINTED);
+    let not_printed = verdict.violations.len().saturating_sub(MAX_VIOLATIONS_PRINTED);
     if not_printed > 0 {
         let _ = writeln!(text, "and {not_printed} more; the history has them all");
     }
@@ -111,12 +111,13 @@
     let Outcome { label, scenario, seed, verdict, statistics, .. } = outcome;
     let cells: Vec<[String; 2]> =
         COLUMNS.iter().map(|column| [column.heading.into(), column.cell(outcome)]).collect();
-    let breaches: Vec<_> = verdict.breaches.iter().take(MAX_BREACHES_ON_PAGE).collect();
+    let violations: Vec<_> = verdict.violations.iter().take(MAX_VIOLATIONS_ON_PAGE).collect();
     context! {
-        label, scenario, seed, cells, breaches,
+        label, scenario, seed, cells,
+        breaches => violations,
         charts => charts(statistics),
         bands => statistics.bands,
-        broken => verdict.breaches.len(),
+        broken => verdict.violations.len(),
         written => verdict.written,
         excused => verdict.excused,
     }
--- a/fault-harness/src/report/table.rs
+++ b/fault-harness/src/report/table.rs
@@ -91,6 +91,6 @@
 fn row(outcome: &Outcome) -> Vec<String> {
     let mut cells = vec![outcome.label.clone(), outcome.seed.to_string()];
     cells.extend(COLUMNS.iter().map(|column| column.cell(outcome)));
-    cells.push(outcome.verdict.breaches.len().to_string());
+    cells.push(outcome.verdict.violations.len().to_string());
     cells
 }
--- a/fault-harness/tests/mutants.rs
+++ b/fault-harness/tests/mutants.rs
@@ -72,9 +72,9 @@
 fn of_a_mixed_fleet_the_build_that_breaks_a_rule_is_named() {
     let scenario = SCENARIO.replace("nodes = 3\n", "nodes = 3\nprograms = {bad = ['n2']}\n");
     let others = [("bad".to_string(), build("answers-twice"))].into();
-    let breaches = play_and_check(&scenario, Programs { default: build(""), others }).breaches;
+    let violations = play_and_check(&scenario, Programs { default: build(""), others }).violations;
     assert!(
-        !breaches.is_empty() && breaches.iter().all(|breach| breach.text.contains(" n2 ")),
-        "{breaches:?}"
+        !violations.is_empty() && violations.iter().all(|violation| violation.text.contains(" n2 ")),
+        "{violations:?}"
     );
 }
--- a/fault-harness/tests/old_form.rs
+++ b/fault-harness/tests/old_form.rs
@@ -197,7 +197,7 @@
         (Rule::DualActive, 1),
     ];
     assert_eq!(counts(&verdict), expected);
-    let times: Vec<f64> = verdict.breaches.iter().map(|breach| breach.at).collect();
+    let times: Vec<f64> = verdict.violations.iter().map(|violation| violation.at).collect();
     assert_eq!(
         times,
         [
--- a/node/tests/plays/mod.rs
+++ b/node/tests/plays/mod.rs
@@ -22,6 +22,6 @@
     let programs = Programs { default, others: BTreeMap::default() };
     let history = play(&scenario, &Options { seed: None, programs, out: None, progress: false }).unwrap();
     let verdict = check(&history);
-    assert!(verdict.breaches.is_empty(), "seed {}: {:#?}", scenario.seed, verdict.breaches);
+    assert!(verdict.violations.is_empty(), "seed {}: {:#?}", scenario.seed, verdict.violations);
     (history, verdict)
 }
