--- a/fault-harness/src/model.rs
+++ b/fault-harness/src/model.rs
@@ -23,4 +23,4 @@
 }
 
 /// Times closer together than this are one.
-pub const MOMENT: Ms = 1e-6;
+pub const EPSILON_MS: Ms = 1e-6;
--- a/fault-harness/src/model/dependency.rs
+++ b/fault-harness/src/model/dependency.rs
@@ -63,7 +63,7 @@
     }
 
     /// A call that takes so long and is of no use after its deadline. False if it is rejected.
-    pub fn call(&mut self, now: Ms, id: CallId, work: Ms, deadline: Ms) -> bool {
+    pub fn try_call(&mut self, now: Ms, id: CallId, work: Ms, deadline: Ms) -> bool {
         let call = Call { id, work, deadline };
         if self.active.len() < self.capacity() {
             self.start(now, call);
@@ -86,7 +86,7 @@
     }
 
     /// When something will happen.
-    pub fn next(&self) -> Option<Ms> {
+    pub fn next_event_at(&self) -> Option<Ms> {
         let ends = self.active.values().map(|active| active.ends_at);
         let deadlines = self.queue.iter().map(|call| call.deadline);
         ends.chain(deadlines).min_by(f64::total_cmp)
@@ -95,7 +95,7 @@
     /// Lets time pass, and returns which calls ended.
     pub fn advance(&mut self, now: Ms) -> Vec<CallEnd> {
         let mut ended = Vec::new();
-        while let Some(at) = self.next().filter(|at| *at <= now) {
+        while let Some(at) = self.next_event_at().filter(|at| *at <= now) {
             self.end_active(at, &mut ended);
             self.time_out_queued(at, &mut ended);
             while self.active.len() < self.capacity() {
--- a/fault-harness/src/model/frontend.rs
+++ b/fault-harness/src/model/frontend.rs
@@ -1,5 +1,5 @@
 //! The behaviour of frontends and of the clients behind them: which node an attempt goes to, and what follows each
-//! outcome of an attempt. A [`ClientCall`] is one client's request from its first attempt to its end.
+//! outcome of an attempt. A [`RequestProgress`] is one client's request from its first attempt to its end.
 
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -8,17 +8,17 @@
 use crate::scenario::{Frontends, LoadBalancing, RepeatAt};
 
 /// An attempt is not begun with less than this left.
-pub const LATEST_RETRY_MARGIN: Ms = 5.0;
+pub const MIN_TIME_FOR_ATTEMPT: Ms = 5.0;
 /// A frontend waits between these multiples of its backoff before it retries.
-const FRONTEND_JITTER: std::ops::Range<f64> = 0.5..1.5;
+const FRONTEND_BACKOFF_FACTOR: std::ops::Range<f64> = 0.5..1.5;
 /// A client waits between these multiples of the backoff before it retries by itself.
-const CLIENT_JITTER: std::ops::Range<f64> = 2.0..6.0;
+const CLIENT_BACKOFF_FACTOR: std::ops::Range<f64> = 2.0..6.0;
 
 /// One frontend: what it knows of the nodes and how it picks one.
 #[derive(Debug, Clone)]
 pub struct Frontend {
     load_balancing: LoadBalancing,
-    honours_retry_after: bool,
+    honours_rejection_hints: bool,
     retries: i64,
     backoff: Ms,
     try_next_node: bool,
@@ -36,13 +36,13 @@
     pub fn new(
         settings: &Frontends,
         load_balancing: LoadBalancing,
-        honours_retry_after: bool,
+        honours_rejection_hints: bool,
         nodes: usize,
         mut rng: ChaCha8Rng,
     ) -> Frontend {
         Frontend {
             load_balancing,
-            honours_retry_after,
+            honours_rejection_hints,
             retries: settings.retries,
             backoff: settings.backoff_ms,
             try_next_node: settings.try_next_node,
@@ -62,7 +62,7 @@
 
     /// The listed nodes that it may send to, without those already tried.
     fn eligible_nodes(&self, now: Ms, listed: &[bool], tried: &[usize]) -> Vec<usize> {
-        let is_avoided = |node: usize| self.honours_retry_after && self.avoid_until[node] > now;
+        let is_avoided = |node: usize| self.honours_rejection_hints && self.avoid_until[node] > now;
         let is_eligible = |node: &usize| listed[*node] && !is_avoided(*node) && !tried.contains(node);
         (0..listed.len()).filter(is_eligible).collect()
     }
@@ -97,7 +97,7 @@
 
     /// Takes in the Retry-After of a node, if this frontend honours it.
     fn note_retry_after(&mut self, now: Ms, node: usize, retry_after: Option<Ms>) {
-        if let Some(delay) = retry_after.filter(|_| self.honours_retry_after) {
+        if let Some(delay) = retry_after.filter(|_| self.honours_rejection_hints) {
             self.avoid_until[node] = self.avoid_until[node].max(now + delay);
         }
     }
@@ -187,7 +187,7 @@
 
 /// One client's request, from its first attempt to its end.
 #[derive(Debug, Clone)]
-pub struct ClientCall {
+pub struct RequestProgress {
     deadline: Ms,
     affinity: Affinity,
     tried: Vec<usize>,
@@ -197,10 +197,10 @@
     last_outcome: RequestOutcome,
 }
 
-impl ClientCall {
+impl RequestProgress {
     /// A request whose client waits until `deadline`.
-    pub fn new(deadline: Ms, affinity: Affinity, frontend: &Frontend) -> ClientCall {
-        ClientCall {
+    pub fn new(deadline: Ms, affinity: Affinity, frontend: &Frontend) -> RequestProgress {
+        RequestProgress {
             deadline,
             affinity,
             tried: Vec::new(),
@@ -212,7 +212,7 @@
 
     /// What to do now: at its start, and whenever a wait is over.
     pub fn proceed(&mut self, now: Ms, frontend: &mut Frontend, listed: &[bool]) -> NextStep {
-        if now + LATEST_RETRY_MARGIN >= self.deadline {
+        if now + MIN_TIME_FOR_ATTEMPT >= self.deadline {
             return NextStep::Finished(self.last_outcome);
         }
         let node = match self.affinity {
@@ -263,7 +263,7 @@
         if self.affinity != Affinity::None {
             return NextStep::Finished(self.last_outcome);
         }
-        if give_up && frontend.honours_retry_after {
+        if give_up && frontend.honours_rejection_hints {
             return self.retry_by_client(now, frontend);
         }
         if frontend.try_next_node && !frontend.eligible_nodes(now, listed, &self.tried).is_empty() {
@@ -288,7 +288,7 @@
         if frontend.eligible_nodes(now, listed, &self.tried).is_empty() {
             self.tried.clear();
         }
-        self.wait_until(now + frontend.jittered_backoff(FRONTEND_JITTER))
+        self.wait_until(now + frontend.jittered_backoff(FRONTEND_BACKOFF_FACTOR))
     }
 
     /// The frontend has given up; the client may retry by itself.
@@ -299,11 +299,11 @@
         self.client_retries -= 1;
         self.retries = frontend.retries;
         self.tried.clear();
-        self.wait_until(now + frontend.jittered_backoff(CLIENT_JITTER))
+        self.wait_until(now + frontend.jittered_backoff(CLIENT_BACKOFF_FACTOR))
     }
 
     fn wait_until(&self, until: Ms) -> NextStep {
-        if until + LATEST_RETRY_MARGIN >= self.deadline {
+        if until + MIN_TIME_FOR_ATTEMPT >= self.deadline {
             NextStep::Finished(self.last_outcome)
         } else {
             NextStep::WaitUntil(until)
--- a/fault-harness/src/model/frontend/tests.rs
+++ b/fault-harness/src/model/frontend/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 use rand::SeedableRng;
 
-fn frontend(settings: Frontends, honours_retry_after: bool) -> Frontend {
+fn frontend(settings: Frontends, honours_rejection_hints: bool) -> Frontend {
     let mut frontend = Frontend::new(
         &settings,
         settings.load_balancing[0],
-        honours_retry_after,
+        honours_rejection_hints,
         3,
         ChaCha8Rng::seed_from_u64(1),
     );
@@ -22,12 +22,12 @@
         Frontends { try_next_node: true, retries: 0, client_retries: 0, ..Frontends::default() },
         false,
     );
-    let mut call = ClientCall::new(1000.0, Affinity::None, &frontend);
-    assert_eq!(call.proceed(0.0, &mut frontend, &ALL), NextStep::Attempt(0));
-    assert_eq!(call.on_outcome(1.0, 0, REJECTED, &mut frontend, &ALL), NextStep::Attempt(1));
-    assert_eq!(call.on_outcome(2.0, 1, REJECTED, &mut frontend, &ALL), NextStep::Attempt(2));
+    let mut progress = RequestProgress::new(1000.0, Affinity::None, &frontend);
+    assert_eq!(progress.proceed(0.0, &mut frontend, &ALL), NextStep::Attempt(0));
+    assert_eq!(progress.on_outcome(1.0, 0, REJECTED, &mut frontend, &ALL), NextStep::Attempt(1));
+    assert_eq!(progress.on_outcome(2.0, 1, REJECTED, &mut frontend, &ALL), NextStep::Attempt(2));
     assert_eq!(
-        call.on_outcome(3.0, 2, REJECTED, &mut frontend, &ALL),
+        progress.on_outcome(3.0, 2, REJECTED, &mut frontend, &ALL),
         NextStep::Finished(RequestOutcome::Rejected)
     );
 }
@@ -35,16 +35,16 @@
 #[test]
 fn retry_after_is_honoured_by_those_that_do() {
     let rejected = AttemptOutcome::Rejected { retry_after: Some(500.0), give_up: false };
-    for (honours_retry_after, next) in [(true, 1), (false, 0)] {
+    for (honours_rejection_hints, next) in [(true, 1), (false, 0)] {
         let mut frontend = frontend(
             Frontends { retries: 0, client_retries: 0, ..Frontends::default() },
-            honours_retry_after,
+            honours_rejection_hints,
         );
-        let mut first = ClientCall::new(1000.0, Affinity::None, &frontend);
+        let mut first = RequestProgress::new(1000.0, Affinity::None, &frontend);
         first.proceed(0.0, &mut frontend, &ALL);
         first.on_outcome(1.0, 0, rejected, &mut frontend, &ALL);
         frontend.next_node = 0;
-        let mut second = ClientCall::new(1000.0, Affinity::None, &frontend);
+        let mut second = RequestProgress::new(1000.0, Affinity::None, &frontend);
         assert_eq!(second.proceed(2.0, &mut frontend, &ALL), NextStep::Attempt(next));
     }
 }
@@ -54,10 +54,10 @@
     let settings = Frontends { try_next_node: true, retries: 0, client_retries: 0, ..Frontends::default() };
     let mut frontend = frontend(settings, true);
     frontend.avoid_until = vec![0.0, 500.0, 500.0];
-    let mut call = ClientCall::new(1000.0, Affinity::None, &frontend);
-    assert_eq!(call.proceed(0.0, &mut frontend, &ALL), NextStep::Attempt(0));
+    let mut progress = RequestProgress::new(1000.0, Affinity::None, &frontend);
+    assert_eq!(progress.proceed(0.0, &mut frontend, &ALL), NextStep::Attempt(0));
     assert_eq!(
-        call.on_outcome(1.0, 0, REJECTED, &mut frontend, &ALL),
+        progress.on_outcome(1.0, 0, REJECTED, &mut frontend, &ALL),
         NextStep::Finished(RequestOutcome::Rejected)
     );
 }
@@ -65,17 +65,17 @@
 #[test]
 fn without_a_limit_it_goes_on_to_the_deadline() {
     let mut frontend = frontend(Frontends { retries: -1, client_retries: 0, ..Frontends::default() }, false);
-    let mut call = ClientCall::new(1000.0, Affinity::None, &frontend);
+    let mut progress = RequestProgress::new(1000.0, Affinity::None, &frontend);
     let (mut now, mut attempts, mut step) = (0.0, 0, NextStep::WaitUntil(0.0));
     let end = loop {
         step = match step {
             NextStep::WaitUntil(until) => {
                 now = until;
-                call.proceed(now, &mut frontend, &ALL)
+                progress.proceed(now, &mut frontend, &ALL)
             }
             NextStep::Attempt(node) => {
                 attempts += 1;
-                call.on_outcome(now, node, AttemptOutcome::Failed, &mut frontend, &ALL)
+                progress.on_outcome(now, node, AttemptOutcome::Failed, &mut frontend, &ALL)
             }
             NextStep::Finished(end) => break end,
         };
@@ -89,23 +89,23 @@
 #[test]
 fn a_client_retries_once_and_a_repeat_is_attempted_once_where_its_affinity_says() {
     let mut frontend = frontend(Frontends { retries: 0, client_retries: 1, ..Frontends::default() }, false);
-    let mut call = ClientCall::new(1000.0, Affinity::None, &frontend);
-    call.proceed(0.0, &mut frontend, &ALL);
-    let NextStep::WaitUntil(until) = call.on_outcome(1.0, 0, REJECTED, &mut frontend, &ALL) else {
+    let mut progress = RequestProgress::new(1000.0, Affinity::None, &frontend);
+    progress.proceed(0.0, &mut frontend, &ALL);
+    let NextStep::WaitUntil(until) = progress.on_outcome(1.0, 0, REJECTED, &mut frontend, &ALL) else {
         panic!("the client retries")
     };
-    assert_eq!(call.proceed(until, &mut frontend, &ALL), NextStep::Attempt(1));
+    assert_eq!(progress.proceed(until, &mut frontend, &ALL), NextStep::Attempt(1));
     assert_eq!(
-        call.on_outcome(until, 1, REJECTED, &mut frontend, &ALL),
+        progress.on_outcome(until, 1, REJECTED, &mut frontend, &ALL),
         NextStep::Finished(RequestOutcome::Rejected)
     );
-    let mut repeat = ClientCall::new(1000.0, Affinity::Sticky(2), &frontend);
+    let mut repeat = RequestProgress::new(1000.0, Affinity::Sticky(2), &frontend);
     assert_eq!(repeat.proceed(0.0, &mut frontend, &ALL), NextStep::Attempt(2));
     assert_eq!(
         repeat.on_outcome(1.0, 2, REJECTED, &mut frontend, &ALL),
         NextStep::Finished(RequestOutcome::Rejected)
     );
-    let mut elsewhere = ClientCall::new(1000.0, Affinity::Avoid(2), &frontend);
+    let mut elsewhere = RequestProgress::new(1000.0, Affinity::Avoid(2), &frontend);
     assert!(matches!(elsewhere.proceed(0.0, &mut frontend, &ALL), NextStep::Attempt(0 | 1)));
     assert_eq!(
         elsewhere.proceed(0.0, &mut frontend, &[false, false, true]),
@@ -116,6 +116,9 @@
 #[test]
 fn with_no_node_listed_the_frontend_rejects_by_itself() {
     let mut frontend = frontend(Frontends { client_retries: 0, ..Frontends::default() }, false);
-    let mut call = ClientCall::new(1000.0, Affinity::None, &frontend);
-    assert_eq!(call.proceed(0.0, &mut frontend, &[false; 3]), NextStep::Finished(RequestOutcome::Rejected));
+    let mut progress = RequestProgress::new(1000.0, Affinity::None, &frontend);
+    assert_eq!(
+        progress.proceed(0.0, &mut frontend, &[false; 3]),
+        NextStep::Finished(RequestOutcome::Rejected)
+    );
 }
--- a/fault-harness/src/model/interpreter.rs
+++ b/fault-harness/src/model/interpreter.rs
@@ -9,26 +9,26 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use super::{Ms, MOMENT};
+use super::{Ms, EPSILON_MS};
 use load_history::{Gauge, LoadHistory};
-use run::{Chore, OpenRequest, Run, RunState};
+use run::{OpenRequest, OverheadTask, Run, RunState};
 
 pub use gauges::Gauges;
 pub use run::RunRequest;
 pub use spec::InterpreterSpec;
 
 /// The concurrency that kills is a mean over so long.
-const OVERLOAD_SPAN: Ms = 2000.0;
+const OVERLOAD_WINDOW: Ms = 2000.0;
 /// Chores that may be queued, for each core; while there are more, no connection is accepted.
-const MAX_CHORES_PER_CORE: f64 = 128.0;
+const MAX_OVERHEAD_TASKS_PER_CORE: f64 = 128.0;
 /// How busy the cores are is a mean over so long.
-const BUSY_SPAN: Ms = 500.0;
+const CPU_BUSY_WINDOW: Ms = 500.0;
 /// A request counts against the memory so long after it was written, or from the start of its run.
-const UNCOUNTED: Ms = 100.0;
+const MEMORY_ACCOUNTING_DELAY: Ms = 100.0;
 /// While it warms up, its speed is recomputed this often.
 const WARMING_STEP: Ms = 25.0;
 /// A mean concurrency over this many times the cores, when warm, kills it.
-pub const FALL_MULTIPLE: f64 = 8.0;
+pub const MAX_MEAN_RUNS_PER_CORE: f64 = 8.0;
 
 /// What has happened in an interpreter.
 #[derive(Debug, Clone, PartialEq)]
@@ -53,11 +53,11 @@
     cold_since: Option<Ms>,
     /// The fraction of the speed that a fault leaves.
     pub speed_factor: f64,
-    is_paused: bool,
-    at: Ms,
+    is_suspended: bool,
+    advanced_to: Ms,
     runs: BTreeMap<u64, Run>,
     /// Reading and connecting, which share the cores with the runs: one a core at a time, the others wait.
-    chores: VecDeque<Chore>,
+    overhead_tasks: VecDeque<OverheadTask>,
     requests: BTreeMap<u64, OpenRequest>,
     /// How many were on the cores, and how much of the cores was busy.
     load: LoadHistory,
@@ -71,10 +71,10 @@
             spec,
             cold_since: is_cold.then_some(now),
             speed_factor: 1.0,
-            is_paused: false,
-            at: now,
+            is_suspended: false,
+            advanced_to: now,
             runs: BTreeMap::new(),
-            chores: VecDeque::new(),
+            overhead_tasks: VecDeque::new(),
             requests: BTreeMap::new(),
             load: LoadHistory::new(now),
             is_dead: false,
@@ -87,19 +87,19 @@
     }
 
     /// Pauses it, or resumes it. While it is paused, time passes and nothing is done.
-    pub fn set_paused(&mut self, now: Ms, paused: bool) -> Vec<InterpreterEvent> {
+    pub fn set_suspended(&mut self, now: Ms, suspended: bool) -> Vec<InterpreterEvent> {
         let events = self.advance(now);
-        self.is_paused = paused;
+        self.is_suspended = suspended;
         events
     }
 
     /// A request was written to the node.
-    pub fn admit_request(&mut self, now: Ms, attempt: u64, memory_kb: f64) {
-        self.requests.insert(attempt, OpenRequest { memory_kb, counts_from: now + UNCOUNTED });
+    pub fn register_request(&mut self, now: Ms, attempt: u64, memory_kb: f64) {
+        self.requests.insert(attempt, OpenRequest { memory_kb, counts_from: now + MEMORY_ACCOUNTING_DELAY });
     }
 
     /// A request is over for its caller: answered or cancelled. What is paused or waits for its call ends with it.
-    pub fn release_request(&mut self, now: Ms, attempt: u64) -> Vec<InterpreterEvent> {
+    pub fn close_request(&mut self, now: Ms, attempt: u64) -> Vec<InterpreterEvent> {
         let mut events = self.advance(now);
         self.requests.remove(&attempt);
         if self.runs.get(&attempt).is_some_and(|run| !run.is_running()) {
@@ -115,7 +115,7 @@
     }
 
     /// Whether a request runs, is paused or waits for its call.
-    pub fn has_run(&self, attempt: u64) -> bool {
+    pub fn has_open_run(&self, attempt: u64) -> bool {
         self.runs.contains_key(&attempt)
     }
 
@@ -132,21 +132,21 @@
 
     /// An attempt has come and is to be read, which takes so much work; it is not known before.
     pub fn start_reading(&mut self, now: Ms, attempt: u64, work: Ms) -> Vec<InterpreterEvent> {
-        self.add_chore(now, Chore { remaining: work, reads: Some(attempt) })
+        self.add_overhead_task(now, OverheadTask { remaining: work, reads: Some(attempt) })
     }
 
     /// A new connection takes so much work.
     pub fn accept_connection(&mut self, now: Ms, work: Ms) -> Vec<InterpreterEvent> {
-        self.add_chore(now, Chore { remaining: work, reads: None })
+        self.add_overhead_task(now, OverheadTask { remaining: work, reads: None })
     }
 
-    fn add_chore(&mut self, now: Ms, chore: Chore) -> Vec<InterpreterEvent> {
+    fn add_overhead_task(&mut self, now: Ms, task: OverheadTask) -> Vec<InterpreterEvent> {
         let mut events = self.advance(now);
-        if chore.remaining > 0.0 {
-            self.chores.push_back(chore);
+        if task.remaining > 0.0 {
+            self.overhead_tasks.push_back(task);
             self.record_load();
         } else {
-            events.extend(chore.reads.map(InterpreterEvent::RequestRead));
+            events.extend(task.reads.map(InterpreterEvent::RequestRead));
         }
         events
     }
@@ -154,19 +154,19 @@
     /// An attempt that may not have been read yet is not to be read any more.
     pub fn cancel_reading(&mut self, now: Ms, attempt: u64) -> Vec<InterpreterEvent> {
         let events = self.advance(now);
-        self.chores.retain(|chore| chore.reads != Some(attempt));
+        self.overhead_tasks.retain(|task| task.reads != Some(attempt));
         self.record_load();
         events
     }
 
     /// Whether so much is still to be read that no more connections are accepted.
-    pub fn is_overloaded(&self) -> bool {
-        self.chores.len() as f64 > MAX_CHORES_PER_CORE * self.spec.cores
+    pub fn is_read_queue_full(&self) -> bool {
+        self.overhead_tasks.len() as f64 > MAX_OVERHEAD_TASKS_PER_CORE * self.spec.cores
     }
 
     /// Chores that are on the cores.
-    fn busy_chores(&self) -> usize {
-        self.chores.len().min(self.spec.cores.ceil() as usize)
+    fn active_overhead_tasks(&self) -> usize {
+        self.overhead_tasks.len().min(self.spec.cores.ceil() as usize)
     }
 
     /// Pauses a run; one whose request is over ends.
@@ -206,15 +206,15 @@
     /// What it reports of itself.
     pub fn gauges(&self, now: Ms) -> Gauges {
         Gauges {
-            cpu_busy: self.load.mean(now, BUSY_SPAN, Gauge::Busy),
-            runnable: self.on_cores() as f64,
+            cpu_busy: self.load.mean(now, CPU_BUSY_WINDOW, Gauge::Busy),
+            runnable: self.runnable_tasks() as f64,
             memory_used: self.memory_kb(now) / self.spec.memory_kb,
         }
     }
 
     /// Its speed now, as a fraction of a core of speed 1.
     pub fn speed(&self, now: Ms) -> f64 {
-        if self.is_paused {
+        if self.is_suspended {
             return 0.0;
         }
         self.spec.speed * self.speed_factor * self.warm_fraction(now)
@@ -226,30 +226,31 @@
     }
 
     /// When something will happen if nothing is done until then.
-    pub fn next(&self) -> Option<Ms> {
-        if self.is_paused || self.is_dead {
+    pub fn next_event_at(&self) -> Option<Ms> {
+        if self.is_suspended || self.is_dead {
             return None;
         }
-        let rate = self.rate(self.at);
+        let rate = self.rate(self.advanced_to);
         let runs = self.runs.values().filter(|run| run.is_running());
-        let chores = self.chores.iter().take(self.busy_chores()).map(|chore| chore.remaining);
-        let remaining = runs.map(|run| run.remaining - run.call_at.unwrap_or(0.0)).chain(chores);
+        let overhead_tasks =
+            self.overhead_tasks.iter().take(self.active_overhead_tasks()).map(|task| task.remaining);
+        let remaining = runs.map(|run| run.remaining - run.call_at.unwrap_or(0.0)).chain(overhead_tasks);
         let least = remaining.fold(f64::INFINITY, f64::min);
         if !least.is_finite() || rate <= 0.0 {
             return None;
         }
-        let ends = self.at + (least / rate).max(MOMENT);
-        let is_warming = self.cold_since.is_some_and(|since| self.at - since < self.spec.warm_ms);
-        Some(if is_warming { ends.min(self.at + WARMING_STEP) } else { ends })
+        let ends = self.advanced_to + (least / rate).max(EPSILON_MS);
+        let is_warming = self.cold_since.is_some_and(|since| self.advanced_to - since < self.spec.warm_ms);
+        Some(if is_warming { ends.min(self.advanced_to + WARMING_STEP) } else { ends })
     }
 
     /// Lets time pass, and returns what happened.
     pub fn advance(&mut self, now: Ms) -> Vec<InterpreterEvent> {
         let mut events = Vec::new();
-        while let Some(next) = self.next().filter(|next| *next <= now) {
+        while let Some(next) = self.next_event_at().filter(|next| *next <= now) {
             self.work_until(next, &mut events);
         }
-        self.work_until(now.max(self.at), &mut events);
+        self.work_until(now.max(self.advanced_to), &mut events);
         if let Some(cause) = self.cause_of_death().filter(|_| !self.is_dead) {
             self.is_dead = true;
             events.push(InterpreterEvent::Died(cause));
@@ -259,23 +260,23 @@
 
     fn work_until(&mut self, until: Ms, events: &mut Vec<InterpreterEvent>) {
         // While it warms up, the speed half way is the mean.
-        let halfway = self.at + (until - self.at) / 2.0;
-        let done = (until - self.at) * self.rate(halfway);
-        self.at = until;
-        let before = self.on_cores();
-        self.work_on_chores(done, events);
+        let halfway = self.advanced_to + (until - self.advanced_to) / 2.0;
+        let done = (until - self.advanced_to) * self.rate(halfway);
+        self.advanced_to = until;
+        let before = self.runnable_tasks();
+        self.work_on_overhead_tasks(done, events);
         self.work_on_runs(done, events);
-        if self.on_cores() != before {
+        if self.runnable_tasks() != before {
             self.record_load();
         }
     }
 
-    fn work_on_chores(&mut self, done: Ms, events: &mut Vec<InterpreterEvent>) {
-        let busy = self.busy_chores();
-        self.chores.iter_mut().take(busy).for_each(|chore| chore.remaining -= done);
-        let finished = self.chores.iter().filter(|chore| chore.remaining <= MOMENT);
-        events.extend(finished.filter_map(|chore| chore.reads).map(InterpreterEvent::RequestRead));
-        self.chores.retain(|chore| chore.remaining > MOMENT);
+    fn work_on_overhead_tasks(&mut self, done: Ms, events: &mut Vec<InterpreterEvent>) {
+        let busy = self.active_overhead_tasks();
+        self.overhead_tasks.iter_mut().take(busy).for_each(|task| task.remaining -= done);
+        let finished = self.overhead_tasks.iter().filter(|task| task.remaining <= EPSILON_MS);
+        events.extend(finished.filter_map(|task| task.reads).map(InterpreterEvent::RequestRead));
+        self.overhead_tasks.retain(|task| task.remaining > EPSILON_MS);
     }
 
     fn work_on_runs(&mut self, done: Ms, events: &mut Vec<InterpreterEvent>) {
@@ -285,7 +286,7 @@
                 return true;
             }
             run.remaining -= done;
-            if run.call_at.is_some_and(|at| run.remaining <= at + MOMENT) {
+            if run.call_at.is_some_and(|at| run.remaining <= at + EPSILON_MS) {
                 if requests.contains_key(attempt) {
                     run.state = RunState::WaitingForCall;
                     events.push(InterpreterEvent::CallStarted(*attempt));
@@ -294,7 +295,7 @@
                 events.push(InterpreterEvent::Aborted(*attempt));
                 return false;
             }
-            let is_complete = run.remaining <= MOMENT;
+            let is_complete = run.remaining <= EPSILON_MS;
             if is_complete {
                 events.push(InterpreterEvent::Completed(*attempt));
             }
@@ -306,21 +307,22 @@
         self.runs.values().filter(|run| run.is_running()).count()
     }
 
-    fn on_cores(&self) -> usize {
-        self.running() + self.busy_chores()
+    fn runnable_tasks(&self) -> usize {
+        self.running() + self.active_overhead_tasks()
     }
 
-    /// What each run or chore on the cores gets done in a millisecond.
+    /// What each run or task on the cores gets done in a millisecond.
     fn rate(&self, now: Ms) -> f64 {
-        let concurrency = self.on_cores() as f64 / self.spec.cores;
-        let excess = ((concurrency - self.spec.thrash_at) / self.spec.thrash_at).clamp(0.0, 1.0);
-        let efficiency = 1.0 - (1.0 - self.spec.thrash) * excess;
+        let concurrency = self.runnable_tasks() as f64 / self.spec.cores;
+        let excess = ((concurrency - self.spec.thrash_onset_per_core) / self.spec.thrash_onset_per_core)
+            .clamp(0.0, 1.0);
+        let efficiency = 1.0 - (1.0 - self.spec.thrash_efficiency) * excess;
         self.speed(now) * efficiency * (1.0 / concurrency.max(1.0))
     }
 
     fn memory_kb(&self, now: Ms) -> f64 {
         let requests = self.requests.iter().map(|(attempt, request)| {
-            if self.has_run(*attempt) {
+            if self.has_open_run(*attempt) {
                 request.memory_kb * self.spec.run_factor
             } else if request.counts_from <= now {
                 request.memory_kb
@@ -333,16 +335,17 @@
 
     /// Notes how many are on the cores from now on.
     fn record_load(&mut self) {
-        let busy = (self.on_cores() as f64 / self.spec.cores).min(1.0);
-        self.load.record(self.at, self.running() as f64, busy, OVERLOAD_SPAN);
+        let busy = (self.runnable_tasks() as f64 / self.spec.cores).min(1.0);
+        self.load.record(self.advanced_to, self.running() as f64, busy, OVERLOAD_WINDOW);
     }
 
     fn cause_of_death(&self) -> Option<&'static str> {
-        let max_runs = self.spec.cores * (1.0 + (FALL_MULTIPLE - 1.0) * self.warm_fraction(self.at));
-        if self.load.mean(self.at, OVERLOAD_SPAN, Gauge::Runs) > max_runs {
+        let max_runs =
+            self.spec.cores * (1.0 + (MAX_MEAN_RUNS_PER_CORE - 1.0) * self.warm_fraction(self.advanced_to));
+        if self.load.mean(self.advanced_to, OVERLOAD_WINDOW, Gauge::Runs) > max_runs {
             return Some("too many on its cores");
         }
-        (self.memory_kb(self.at) > self.spec.memory_kb).then_some("out of memory")
+        (self.memory_kb(self.advanced_to) > self.spec.memory_kb).then_some("out of memory")
     }
 }
 
--- a/fault-harness/src/model/interpreter/gauges.rs
+++ b/fault-harness/src/model/interpreter/gauges.rs
@@ -5,7 +5,7 @@
 pub struct Gauges {
     /// The fraction of the cores that was busy of late.
     pub cpu_busy: f64,
-    /// How many runs and chores are on the cores.
+    /// How many runs and overhead tasks are on the cores.
     pub runnable: f64,
     /// The fraction of the memory in use.
     pub memory_used: f64,
--- a/fault-harness/src/model/interpreter/run.rs
+++ b/fault-harness/src/model/interpreter/run.rs
@@ -1,4 +1,4 @@
-//! What an interpreter works on: runs of requests, and chores beside them.
+//! What an interpreter works on: runs of requests, and overhead tasks beside them.
 
 use crate::model::Ms;
 
@@ -50,7 +50,7 @@
 
 /// Work beside the runs: reading a request, or a new connection.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Chore {
+pub(super) struct OverheadTask {
     pub(super) remaining: Ms,
     /// The attempt that is read.
     pub(super) reads: Option<u64>,
--- a/fault-harness/src/model/interpreter/spec.rs
+++ b/fault-harness/src/model/interpreter/spec.rs
@@ -15,9 +15,9 @@
     /// How long it warms up.
     pub warm_ms: Ms,
     /// Past this concurrency for each core, less is done in total.
-    pub thrash_at: f64,
+    pub thrash_onset_per_core: f64,
     /// The fraction that is done at twice that concurrency.
-    pub thrash: f64,
+    pub thrash_efficiency: f64,
     /// Its memory.
     pub memory_kb: f64,
     /// Memory of a running request, as a multiple of one held.
@@ -32,8 +32,8 @@
             speed,
             warm_from: fleet.warm_from,
             warm_ms: ms_of_seconds(fleet.warm_s),
-            thrash_at: fleet.thrash_at,
-            thrash: fleet.thrash,
+            thrash_onset_per_core: fleet.thrash_at,
+            thrash_efficiency: fleet.thrash,
             memory_kb: fleet.memory_kb,
             run_factor: fleet.run_factor,
         }
--- a/fault-harness/src/node/lifecycle.rs
+++ b/fault-harness/src/node/lifecycle.rs
@@ -166,7 +166,7 @@
     pub fn set_paused(&self, paused: bool, program_only: bool) {
         self.signal(if paused { Signal::STOP } else { Signal::CONT });
         if !program_only {
-            self.interpreter.set_paused(paused);
+            self.interpreter.set_suspended(paused);
         }
         self.context.note(Event::Paused { node: self.node, paused });
     }
--- a/fault-harness/src/predict.rs
+++ b/fault-harness/src/predict.rs
@@ -80,7 +80,7 @@
             Frontend::new(
                 &scenario.frontends,
                 profile.load_balancing,
-                profile.honours_retry_after,
+                profile.honours_rejection_hints,
                 scenario.fleet.nodes,
                 rng,
             )
@@ -137,7 +137,7 @@
     /// whether the end was not reached.
     fn advance(&mut self, end: Ms) -> bool {
         let interpreter = self.next_interpreter_event();
-        let call = self.dependency.as_ref().and_then(Dependency::next);
+        let call = self.dependency.as_ref().and_then(Dependency::next_event_at);
         let candidates = [interpreter.map(|next| next.at), call, self.queue.next_at()];
         let next = candidates.into_iter().flatten().fold(f64::INFINITY, f64::min);
         if next > end {
@@ -160,8 +160,8 @@
     /// When something happens next in an interpreter, and at which node; the first of several at the same time.
     fn next_interpreter_event(&self) -> Option<NextInterpreterEvent> {
         let nodes = self.nodes.iter().enumerate();
-        let next =
-            nodes.filter_map(|(node, state)| Some(NextInterpreterEvent { at: state.vm.next()?, node }));
+        let next = nodes
+            .filter_map(|(node, state)| Some(NextInterpreterEvent { at: state.vm.next_event_at()?, node }));
         next.min_by(|one, other| one.at.total_cmp(&other.at))
     }
 
--- a/fault-harness/src/predict/clients.rs
+++ b/fault-harness/src/predict/clients.rs
@@ -3,12 +3,12 @@
 use super::event_queue::ScheduledEvent;
 use super::Prediction;
 use crate::history::Event;
-use crate::model::frontend::{Affinity, AttemptOutcome, ClientCall, Frontend, NextStep};
+use crate::model::frontend::{Affinity, AttemptOutcome, Frontend, NextStep, RequestProgress};
 use crate::model::Ms;
 
 /// A request that is not over yet.
 pub(super) struct OpenRequest {
-    call: ClientCall,
+    progress: RequestProgress,
     attempts: u32,
 }
 
@@ -20,33 +20,33 @@
         let first_node = sent.repeats.and_then(|first| self.first_nodes.get(&first).copied());
         let affinity = Affinity::of(sent.repeats.is_some(), first_node, self.scenario.load.repeat_at);
         let deadline = self.now + self.scenario.classes[sent.class].deadline_ms as f64;
-        let call = ClientCall::new(deadline, affinity, &self.frontends[sent.frontend]);
-        self.open_requests.insert(request, OpenRequest { call, attempts: 0 });
-        self.step(request, ClientCall::proceed);
+        let progress = RequestProgress::new(deadline, affinity, &self.frontends[sent.frontend]);
+        self.open_requests.insert(request, OpenRequest { progress, attempts: 0 });
+        self.step(request, RequestProgress::proceed);
     }
 
     /// Goes on with a request after its backoff.
     pub(super) fn proceed_after_backoff(&mut self, request: usize) {
-        self.step(request, ClientCall::proceed);
+        self.step(request, RequestProgress::proceed);
     }
 
     /// An attempt of a request has ended.
     pub(super) fn end_attempt(&mut self, request: usize, node: usize, outcome: AttemptOutcome) {
-        self.step(request, |call, now, frontend, listed| {
-            call.on_outcome(now, node, outcome, frontend, listed)
+        self.step(request, |progress, now, frontend, listed| {
+            progress.on_outcome(now, node, outcome, frontend, listed)
         });
     }
 
     fn step(
         &mut self,
         request: usize,
-        next: impl FnOnce(&mut ClientCall, Ms, &mut Frontend, &[bool]) -> NextStep,
+        next: impl FnOnce(&mut RequestProgress, Ms, &mut Frontend, &[bool]) -> NextStep,
     ) {
         let frontend = self.schedule.requests[request].frontend;
         let seen_at = self.now - self.schedule.frontends[frontend].registry_delay;
         let listed = self.registry.listed_at(self.now, seen_at);
         let Some(open) = self.open_requests.get_mut(&request) else { return };
-        match next(&mut open.call, self.now, &mut self.frontends[frontend], &listed) {
+        match next(&mut open.progress, self.now, &mut self.frontends[frontend], &listed) {
             NextStep::Attempt(node) => {
                 open.attempts += 1;
                 self.first_nodes.entry(request).or_insert(node);
--- a/fault-harness/src/predict/faults.rs
+++ b/fault-harness/src/predict/faults.rs
@@ -50,7 +50,7 @@
             FaultKind::Pause => {
                 self.nodes[node].is_paused = on;
                 self.note(Event::Paused { node, paused: on });
-                let events = self.nodes[node].vm.set_paused(self.now, on);
+                let events = self.nodes[node].vm.set_suspended(self.now, on);
                 self.take_in(node, events);
             }
             FaultKind::Slow => {
--- a/fault-harness/src/predict/server.rs
+++ b/fault-harness/src/predict/server.rs
@@ -98,7 +98,7 @@
         let Attempt { request, node, deadline, .. } = *attempt;
         let ClientRequest { class, frontend, memory_kb, repeats, .. } = self.schedule.requests[request];
         self.note(Event::AttemptWritten { attempt: id, request, node, frontend, deadline });
-        self.nodes[node].vm.admit_request(self.now, id, memory_kb);
+        self.nodes[node].vm.register_request(self.now, id, memory_kb);
         let has_key = self.scenario.classes[class].idempotency_key;
         let key = has_key.then_some(repeats.unwrap_or(request));
         match key.and_then(|key| self.nodes[node].keys.get_mut(&key)) {
@@ -202,7 +202,7 @@
         let Some(settings) = &self.scenario.dependency else { return };
         let Some(dependency) = &mut self.dependency else { return };
         let time = call_time(&mut self.rng, settings.work_ms, settings.cv);
-        if dependency.call(self.now, id, time, deadline) {
+        if dependency.try_call(self.now, id, time, deadline) {
             self.note(Event::DependencyCalled { attempt: id, node });
         } else {
             self.end_call(CallEnd::TimedOut(id));
@@ -229,7 +229,7 @@
         let Attempt { request, node, .. } = *attempt;
         let outcome = response.outcome();
         self.note(Event::AttemptAnswered { attempt: id, response });
-        let events = self.nodes[node].vm.release_request(self.now, id);
+        let events = self.nodes[node].vm.close_request(self.now, id);
         self.end_attempt(request, node, outcome);
         self.take_in(node, events);
     }
--- a/fault-harness/src/schedule.rs
+++ b/fault-harness/src/schedule.rs
@@ -19,7 +19,7 @@
     /// How it picks a node.
     pub load_balancing: LoadBalancing,
     /// Whether it honours Retry-After.
-    pub honours_retry_after: bool,
+    pub honours_rejection_hints: bool,
     /// How late it sees changes of the registry.
     pub registry_delay: Ms,
     /// Its zone.
@@ -48,7 +48,7 @@
     let [earliest, latest] = settings.registry_delay_ms;
     let frontends = (0..settings.count).map(|position| FrontendProfile {
         load_balancing: settings.load_balancing[position % settings.load_balancing.len()],
-        honours_retry_after: honours_retry_after(settings, position),
+        honours_rejection_hints: honours_rejection_hints(settings, position),
         registry_delay: between(&mut rng, earliest, latest),
         zone: scenario.zone_of(position),
     });
@@ -62,7 +62,7 @@
 
 /// Whether the frontend at this position honours Retry-After. Those that do are spread evenly, so that a few frontends
 /// have the fraction that is asked for.
-fn honours_retry_after(settings: &Frontends, position: usize) -> bool {
+fn honours_rejection_hints(settings: &Frontends, position: usize) -> bool {
     let count_before = |position: usize| (position as f64 * settings.retry_after_honoured).floor();
     count_before(position + 1) > count_before(position)
 }
--- a/fault-harness/src/settings.rs
+++ b/fault-harness/src/settings.rs
@@ -6,7 +6,7 @@
 
 use serde_json::{json, Value};
 
-use crate::model::interpreter::FALL_MULTIPLE;
+use crate::model::interpreter::MAX_MEAN_RUNS_PER_CORE;
 use crate::model::{ms_of_seconds, MS_PER_SECOND};
 use crate::scenario::{Class, Scenario};
 
@@ -67,7 +67,7 @@
         "countedBy": "work", "overShareWorth": OVER_QUOTA_FRACTION, "servers": fleet.nodes, "tick": TICK_US,
         "specifics": specifics(scenario),
         "safety": {"coldShare": fleet.warm_from, "warmAfter": us_of_ms(ms_of_seconds(fleet.warm_s)),
-            "drainGrace": us_of_ms(DRAIN_GRACE_MS), "fallMultiple": FALL_MULTIPLE},
+            "drainGrace": us_of_ms(DRAIN_GRACE_MS), "fallMultiple": MAX_MEAN_RUNS_PER_CORE},
         "limits": {"maxRetryAfter": MAX_RETRY_AFTER_MS * US_PER_MS, "retryAfter": true},
         "tenants": tenants(scenario),
     })
--- a/fault-harness/src/simulated/dependency.rs
+++ b/fault-harness/src/simulated/dependency.rs
@@ -104,7 +104,7 @@
     /// Works on calls, for as long as the play.
     pub async fn work(self: Rc<Self>) {
         loop {
-            let next = self.model.borrow().next().unwrap_or(f64::INFINITY);
+            let next = self.model.borrow().next_event_at().unwrap_or(f64::INFINITY);
             tokio::select! {
                 () = self.context.clock.until(next) => {}
                 () = self.changed.notified() => {}
@@ -204,7 +204,7 @@
         let number = self.next_call.replace(self.next_call.get() + 1);
         let work = call_time(&mut self.rng.borrow_mut(), self.shape.work_ms, self.shape.cv);
         let now = self.context.now();
-        if !self.model.borrow_mut().call(now, number, work, now + timeout) {
+        if !self.model.borrow_mut().try_call(now, number, work, now + timeout) {
             caller.reply(format!("{txn:016x} SHED\r\n"));
             return None;
         }
--- a/fault-harness/src/simulated/frontends.rs
+++ b/fault-harness/src/simulated/frontends.rs
@@ -14,7 +14,9 @@
 
 use super::interpreter::Interpreter;
 use crate::history::Event;
-use crate::model::frontend::{Affinity, AttemptOutcome, ClientCall, Frontend as FrontendModel, NextStep};
+use crate::model::frontend::{
+    Affinity, AttemptOutcome, Frontend as FrontendModel, NextStep, RequestProgress,
+};
 use crate::model::registry::Registry;
 use crate::model::{ms_of_seconds, Ms};
 use crate::play_context::PlayContext;
@@ -70,7 +72,7 @@
         let model = FrontendModel::new(
             &context.scenario.frontends,
             profile.load_balancing,
-            profile.honours_retry_after,
+            profile.honours_rejection_hints,
             context.scenario.fleet.nodes,
             generator(context.seed, RandomStream::Frontends, number as u64),
         );
@@ -96,8 +98,9 @@
         let class = scheduled.class;
         let deadline = self.context.now() + self.context.scenario.classes[class].deadline_ms as f64;
         self.context.note(Event::RequestSent { request, class, repeats: scheduled.repeats });
-        let mut call = ClientCall::new(deadline, self.affinity(scheduled.repeats), &self.model.borrow());
-        let mut step = self.proceed(&mut call);
+        let mut progress =
+            RequestProgress::new(deadline, self.affinity(scheduled.repeats), &self.model.borrow());
+        let mut step = self.proceed(&mut progress);
         let mut attempts = 0;
         let outcome = loop {
             step = match step {
@@ -105,11 +108,11 @@
                     attempts += 1;
                     self.shared.first_nodes.borrow_mut().entry(request).or_insert(node);
                     let outcome = self.send_attempt(node, request, deadline).await;
-                    self.on_outcome(&mut call, node, outcome)
+                    self.on_outcome(&mut progress, node, outcome)
                 }
                 NextStep::WaitUntil(until) => {
                     self.context.clock.until(until).await;
-                    self.proceed(&mut call)
+                    self.proceed(&mut progress)
                 }
                 NextStep::Finished(outcome) => break outcome,
             };
@@ -123,13 +126,13 @@
         Affinity::of(repeats.is_some(), first_node, self.context.scenario.load.repeat_at)
     }
 
-    fn proceed(&self, call: &mut ClientCall) -> NextStep {
-        call.proceed(self.context.now(), &mut self.model.borrow_mut(), &self.listed())
+    fn proceed(&self, progress: &mut RequestProgress) -> NextStep {
+        progress.proceed(self.context.now(), &mut self.model.borrow_mut(), &self.listed())
     }
 
-    fn on_outcome(&self, call: &mut ClientCall, node: usize, outcome: AttemptOutcome) -> NextStep {
+    fn on_outcome(&self, progress: &mut RequestProgress, node: usize, outcome: AttemptOutcome) -> NextStep {
         let now = self.context.now();
-        call.on_outcome(now, node, outcome, &mut self.model.borrow_mut(), &self.listed())
+        progress.on_outcome(now, node, outcome, &mut self.model.borrow_mut(), &self.listed())
     }
 
     /// Sends an attempt to a node. It is sent again, once, if it crosses a close.
@@ -151,7 +154,7 @@
             return Ok(usable.clone());
         }
         let endpoints = &self.shared.nodes[node];
-        if endpoints.interpreter.is_overloaded() {
+        if endpoints.interpreter.is_read_queue_full() {
             return Err(io::ErrorKind::ConnectionRefused.into());
         }
         let address = (*endpoints.address.borrow()).ok_or(io::ErrorKind::ConnectionRefused)?;
@@ -189,7 +192,7 @@
             connection.stop_writing();
             for open in connection.take_open_attempts() {
                 self.context.note(Event::AttemptCancelled { attempt: open.attempt });
-                self.shared.nodes[connection.node].interpreter.release_request(open.attempt);
+                self.shared.nodes[connection.node].interpreter.close_request(open.attempt);
                 open.end(AttemptOutcome::ConnectionLost);
             }
         }
--- a/fault-harness/src/simulated/frontends/attempt.rs
+++ b/fault-harness/src/simulated/frontends/attempt.rs
@@ -9,7 +9,7 @@
 use super::connection::{Connection, OpenAttempt};
 use super::Frontend;
 use crate::history::Event;
-use crate::model::frontend::{AttemptOutcome, LATEST_RETRY_MARGIN};
+use crate::model::frontend::{AttemptOutcome, MIN_TIME_FOR_ATTEMPT};
 use crate::model::Ms;
 use crate::play_context::WrittenAttempt;
 use crate::scenario::NodeEvent;
@@ -93,7 +93,7 @@
         connection.unread.set(connection.unread.get() - 1);
         match is_read {
             // Nobody writes what its client no longer waits for.
-            Some(true) if context.now() + LATEST_RETRY_MARGIN >= attempt.deadline => {
+            Some(true) if context.now() + MIN_TIME_FOR_ATTEMPT >= attempt.deadline => {
                 Some(AttemptOutcome::TimedOut)
             }
             Some(true) => None,
@@ -132,7 +132,7 @@
     /// Notifies the node that nobody waits for an attempt any more.
     fn cancel(&self, connection: &Connection, id: u64, attempt: Attempt, out: &mpsc::Sender<String>) {
         self.context.note(Event::AttemptCancelled { attempt: attempt.id });
-        self.shared.nodes[connection.node].interpreter.release_request(attempt.id);
+        self.shared.nodes[connection.node].interpreter.close_request(attempt.id);
         connection.detach_caller(id);
         // The connection may have ended.
         let _ = out.try_send(wire::withdraw(id));
--- a/fault-harness/src/simulated/frontends/connection.rs
+++ b/fault-harness/src/simulated/frontends/connection.rs
@@ -162,7 +162,7 @@
         self.stop_writing();
         let now = context.now();
         for open in self.take_open_attempts() {
-            interpreter.release_request(open.attempt);
+            interpreter.close_request(open.attempt);
             if open.caller.is_none() {
                 continue;
             }
@@ -201,7 +201,7 @@
             context.record_event(self.node, NodeEvent::AttemptServed);
         }
         context.note(Event::AttemptAnswered { attempt: open.attempt, response: answer.response });
-        interpreter.release_request(open.attempt);
+        interpreter.close_request(open.attempt);
         open.end(answer.outcome);
     }
 
--- a/fault-harness/src/simulated/interpreter.rs
+++ b/fault-harness/src/simulated/interpreter.rs
@@ -135,8 +135,8 @@
     }
 
     /// Pauses it, or resumes it.
-    pub fn set_paused(&self, paused: bool) {
-        self.update(|model, now| model.set_paused(now, paused));
+    pub fn set_suspended(&self, suspended: bool) {
+        self.update(|model, now| model.set_suspended(now, suspended));
     }
 
     /// Sets the fraction of its speed that it has from now on.
@@ -165,14 +165,14 @@
     }
 
     /// Whether so much is unread that no more connections are accepted.
-    pub fn is_overloaded(&self) -> bool {
-        self.state.borrow().model.is_overloaded()
+    pub fn is_read_queue_full(&self) -> bool {
+        self.state.borrow().model.is_read_queue_full()
     }
 
     /// Holds a request that was written to the node.
     pub fn hold_request(&self, txn: u64, memory_kb: f64) {
         self.update(|model, now| {
-            model.admit_request(now, txn, memory_kb);
+            model.register_request(now, txn, memory_kb);
             Vec::new()
         });
     }
@@ -184,8 +184,8 @@
     }
 
     /// Releases a request whose caller no longer waits.
-    pub fn release_request(&self, txn: u64) {
-        self.update(|model, now| model.release_request(now, txn));
+    pub fn close_request(&self, txn: u64) {
+        self.update(|model, now| model.close_request(now, txn));
     }
 
     /// Whether a run waits for its call with this body.
@@ -213,7 +213,7 @@
     /// Works on its runs, for as long as the play.
     pub async fn work(self: Rc<Self>) {
         loop {
-            let next = self.state.borrow().model.next().unwrap_or(f64::INFINITY);
+            let next = self.state.borrow().model.next_event_at().unwrap_or(f64::INFINITY);
             tokio::select! {
                 () = self.context.clock.until(next) => {}
                 () = self.changed.notified() => {}
--- a/fault-harness/src/simulated/interpreter/link.rs
+++ b/fault-harness/src/simulated/interpreter/link.rs
@@ -166,7 +166,7 @@
             self.context.note(Event::Corrupted { node: self.node, text });
             return Some(format!("ERROR APPLY {}\r\n", command.argument(0)?));
         };
-        if self.state.borrow().model.has_run(txn) {
+        if self.state.borrow().model.has_open_run(txn) {
             return Some(String::new());
         }
         if self.state.borrow().model.has_request(txn) {
