--- a/fault-harness/src/model.rs
+++ b/fault-harness/src/model.rs
@@ -1,5 +1,5 @@
-//! The models behind the simulated services, as state machines in virtual time: no clock, socket or thread, and no chance but
-//! from a seeded generator that is handed in. The services on sockets and `predict` drive the same ones.
+//! The models behind the simulated services, as state machines in virtual time: no clock, socket or thread, and no
+//! randomness except from a seeded generator that is passed in. The services on sockets and `predict` drive the same ones.
 
 pub mod dependency;
 pub mod frontend;
@@ -22,5 +22,5 @@
     ms / MS_PER_SECOND
 }
 
-/// Times closer together than this are one.
+/// Tolerance for rounding in times and in work, both in milliseconds.
 pub const EPSILON_MS: Ms = 1e-6;
--- a/fault-harness/src/model/dependency.rs
+++ b/fault-harness/src/model/dependency.rs
@@ -30,7 +30,7 @@
     call: Call,
 }
 
-/// The dependency.
+/// The dependency as a state machine.
 #[derive(Debug, Clone)]
 pub struct Dependency {
     slots: usize,
@@ -42,7 +42,7 @@
 }
 
 impl Dependency {
-    /// A dependency with so many slots and so many places in its queue.
+    /// A dependency that works on `slots` calls at once and queues up to `queue_limit` more.
     pub fn new(slots: usize, queue_limit: usize) -> Dependency {
         Dependency {
             slots,
@@ -62,7 +62,7 @@
         (self.slots as f64 * self.capacity_factor).round() as usize
     }
 
-    /// A call that takes so long and is of no use after its deadline. False if it is rejected.
+    /// Starts or queues a call that takes `work` and is of no use after `deadline`. False if it is rejected.
     pub fn try_call(&mut self, now: Ms, id: CallId, work: Ms, deadline: Ms) -> bool {
         let call = Call { id, work, deadline };
         if self.active.len() < self.capacity() {
@@ -85,7 +85,7 @@
         self.queue.retain(|call| call.id != id);
     }
 
-    /// When something will happen.
+    /// Time of the next internal event: the end of a call, or the deadline of a queued one.
     pub fn next_event_at(&self) -> Option<Ms> {
         let ends = self.active.values().map(|active| active.ends_at);
         let deadlines = self.queue.iter().map(|call| call.deadline);
--- a/fault-harness/src/model/interpreter.rs
+++ b/fault-harness/src/model/interpreter.rs
@@ -10,24 +10,26 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use super::{Ms, EPSILON_MS};
-use load_history::{Gauge, LoadHistory};
+use load_history::{Load, LoadHistory, LoadMetric};
 use run::{OpenRequest, OverheadTask, Run, RunState};
 
 pub use gauges::Gauges;
 pub use run::RunRequest;
 pub use spec::InterpreterSpec;
 
-/// The concurrency that kills is a mean over so long.
+/// Averaging window of the concurrency that is compared with the limit ("in the mean of 2 s", the platform's rule).
 const OVERLOAD_WINDOW: Ms = 2000.0;
-/// Chores that may be queued, for each core; while there are more, no connection is accepted.
+/// Overhead tasks that may be queued, for each core; while there are more, no connection is accepted. The platform's
+/// machines hold as many unread requests.
 const MAX_OVERHEAD_TASKS_PER_CORE: f64 = 128.0;
-/// How busy the cores are is a mean over so long.
+/// Averaging window of the busy fraction of the cores that is reported.
 const CPU_BUSY_WINDOW: Ms = 500.0;
-/// A request counts against the memory so long after it was written, or from the start of its run.
+/// An unstarted request's memory counts only this long after it was written; a run's counts from its start.
 const MEMORY_ACCOUNTING_DELAY: Ms = 100.0;
 /// While it warms up, its speed is recomputed this often.
 const WARMING_STEP: Ms = 25.0;
-/// A mean concurrency over this many times the cores, when warm, kills it.
+/// The mean number of runs on the cores, for each core, over which a warm interpreter dies ("No fall-over" among the
+/// platform's rules; `fallMultiple` in a node's settings). The limit rises linearly from 1 (no warm-up) to this (warm).
 pub const MAX_MEAN_RUNS_PER_CORE: f64 = 8.0;
 
 /// What has happened in an interpreter.
@@ -54,12 +56,13 @@
     /// The fraction of the speed that a fault leaves.
     pub speed_factor: f64,
     is_suspended: bool,
+    /// The time up to which work is done.
     advanced_to: Ms,
     runs: BTreeMap<u64, Run>,
-    /// Reading and connecting, which share the cores with the runs: one a core at a time, the others wait.
+    /// Reading and connecting, which share the cores with the runs: one for each core at a time, the others wait.
     overhead_tasks: VecDeque<OverheadTask>,
     requests: BTreeMap<u64, OpenRequest>,
-    /// How many were on the cores, and how much of the cores was busy.
+    /// How many runs shared the cores, and how much of the cores was busy.
     load: LoadHistory,
     is_dead: bool,
 }
@@ -86,7 +89,7 @@
         self.cold_since.is_some()
     }
 
-    /// Pauses it, or resumes it. While it is paused, time passes and nothing is done.
+    /// Suspends the whole process, or lets it go on. While it is suspended, time passes and nothing is done.
     pub fn set_suspended(&mut self, now: Ms, suspended: bool) -> Vec<InterpreterEvent> {
         let events = self.advance(now);
         self.is_suspended = suspended;
@@ -98,7 +101,8 @@
         self.requests.insert(attempt, OpenRequest { memory_kb, counts_from: now + MEMORY_ACCOUNTING_DELAY });
     }
 
-    /// A request is over for its caller: answered or cancelled. What is paused or waits for its call ends with it.
+    /// A request is over for its caller: answered or cancelled. A run that is paused or waits for its call ends with it; one
+    /// that shares the cores goes on.
     pub fn close_request(&mut self, now: Ms, attempt: u64) -> Vec<InterpreterEvent> {
         let mut events = self.advance(now);
         self.requests.remove(&attempt);
@@ -114,28 +118,29 @@
         self.requests.contains_key(&attempt)
     }
 
-    /// Whether a request runs, is paused or waits for its call.
+    /// Whether a request has a run that is not over: it shares the cores, is paused or waits for its call.
     pub fn has_open_run(&self, attempt: u64) -> bool {
         self.runs.contains_key(&attempt)
     }
 
-    /// Starts to run a request that was admitted.
+    /// Starts to run a request that was registered.
     pub fn start_run(&mut self, now: Ms, request: RunRequest) -> Vec<InterpreterEvent> {
         let events = self.advance(now);
         let half = request.work / 2.0;
         let call_at = request.calls_dependency.then_some(half);
         let run = Run { remaining: request.work, call_at, state: RunState::Running };
+        // A second start of an open run is ignored: it keeps the progress that it has made.
         self.runs.entry(request.attempt).or_insert(run);
         self.record_load();
         events
     }
 
-    /// An attempt has come and is to be read, which takes so much work; it is not known before.
+    /// An attempt has come and is to be read, which takes `work`; it is not known before.
     pub fn start_reading(&mut self, now: Ms, attempt: u64, work: Ms) -> Vec<InterpreterEvent> {
         self.add_overhead_task(now, OverheadTask { remaining: work, reads: Some(attempt) })
     }
 
-    /// A new connection takes so much work.
+    /// A new connection has come; to accept it takes `work`.
     pub fn accept_connection(&mut self, now: Ms, work: Ms) -> Vec<InterpreterEvent> {
         self.add_overhead_task(now, OverheadTask { remaining: work, reads: None })
     }
@@ -159,12 +164,12 @@
         events
     }
 
-    /// Whether so much is still to be read that no more connections are accepted.
+    /// Whether so many overhead tasks are queued, requests to read above all, that no more connections are accepted.
     pub fn is_read_queue_full(&self) -> bool {
         self.overhead_tasks.len() as f64 > MAX_OVERHEAD_TASKS_PER_CORE * self.spec.cores
     }
 
-    /// Chores that are on the cores.
+    /// Overhead tasks that share the cores: one for each core at most.
     fn active_overhead_tasks(&self) -> usize {
         self.overhead_tasks.len().min(self.spec.cores.ceil() as usize)
     }
@@ -206,7 +211,7 @@
     /// What it reports of itself.
     pub fn gauges(&self, now: Ms) -> Gauges {
         Gauges {
-            cpu_busy: self.load.mean(now, CPU_BUSY_WINDOW, Gauge::Busy),
+            cpu_busy: self.load.mean(now, CPU_BUSY_WINDOW, LoadMetric::CpuBusy),
             runnable: self.runnable_tasks() as f64,
             memory_used: self.memory_kb(now) / self.spec.memory_kb,
         }
@@ -225,7 +230,7 @@
         self.cold_since.map_or(1.0, |since| self.spec.warm_fraction(now - since))
     }
 
-    /// When something will happen if nothing is done until then.
+    /// Time of the next internal event, if nothing is changed until then.
     pub fn next_event_at(&self) -> Option<Ms> {
         if self.is_suspended || self.is_dead {
             return None;
@@ -239,6 +244,7 @@
         if !least.is_finite() || rate <= 0.0 {
             return None;
         }
+        // At least a tolerance ahead, so that time always moves on.
         let ends = self.advanced_to + (least / rate).max(EPSILON_MS);
         let is_warming = self.cold_since.is_some_and(|since| self.advanced_to - since < self.spec.warm_ms);
         Some(if is_warming { ends.min(self.advanced_to + WARMING_STEP) } else { ends })
@@ -307,11 +313,13 @@
         self.runs.values().filter(|run| run.is_running()).count()
     }
 
+    /// Runs and overhead tasks that are running, sharing the cores.
     fn runnable_tasks(&self) -> usize {
         self.running() + self.active_overhead_tasks()
     }
 
-    /// What each run or task on the cores gets done in a millisecond.
+    /// What each runnable task gets done in a millisecond: processor sharing, with efficiency falling linearly from 1 at the
+    /// onset of thrashing to `thrash_efficiency` at twice that concurrency, where it stays.
     fn rate(&self, now: Ms) -> f64 {
         let concurrency = self.runnable_tasks() as f64 / self.spec.cores;
         let excess = ((concurrency - self.spec.thrash_onset_per_core) / self.spec.thrash_onset_per_core)
@@ -333,16 +341,18 @@
         requests.sum()
     }
 
-    /// Notes how many are on the cores from now on.
+    /// Notes how many are runnable from now on.
     fn record_load(&mut self) {
-        let busy = (self.runnable_tasks() as f64 / self.spec.cores).min(1.0);
-        self.load.record(self.advanced_to, self.running() as f64, busy, OVERLOAD_WINDOW);
+        let cpu_busy = (self.runnable_tasks() as f64 / self.spec.cores).min(1.0);
+        let load = Load { runs: self.running() as f64, cpu_busy };
+        // The longer of the two averaging windows.
+        self.load.record(self.advanced_to, load, OVERLOAD_WINDOW);
     }
 
     fn cause_of_death(&self) -> Option<&'static str> {
         let max_runs =
             self.spec.cores * (1.0 + (MAX_MEAN_RUNS_PER_CORE - 1.0) * self.warm_fraction(self.advanced_to));
-        if self.load.mean(self.advanced_to, OVERLOAD_WINDOW, Gauge::Runs) > max_runs {
+        if self.load.mean(self.advanced_to, OVERLOAD_WINDOW, LoadMetric::Runs) > max_runs {
             return Some("too many on its cores");
         }
         (self.memory_kb(self.advanced_to) > self.spec.memory_kb).then_some("out of memory")
--- a/fault-harness/src/model/interpreter/gauges.rs
+++ b/fault-harness/src/model/interpreter/gauges.rs
@@ -1,11 +1,11 @@
-//! What an interpreter reports of itself.
+//! The load figures of an interpreter's protocol.
 
 /// What an interpreter reports of itself.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Gauges {
-    /// The fraction of the cores that was busy of late.
+    /// The mean fraction of the cores that was busy over the last `CPU_BUSY_WINDOW`.
     pub cpu_busy: f64,
-    /// How many runs and overhead tasks are on the cores.
+    /// How many runs and overhead tasks share the cores now.
     pub runnable: f64,
     /// The fraction of the memory in use.
     pub memory_used: f64,
--- a/fault-harness/src/model/interpreter/load_history.rs
+++ b/fault-harness/src/model/interpreter/load_history.rs
@@ -1,4 +1,4 @@
-//! The concurrency of an interpreter over time, for means over the last while.
+//! The load of an interpreter over time, for means over a sliding window.
 
 use std::collections::VecDeque;
 
@@ -6,58 +6,78 @@
 
 /// What is averaged.
 #[derive(Debug, Clone, Copy)]
-pub(super) enum Gauge {
-    /// Runs on the cores.
+pub(super) enum LoadMetric {
+    /// The number of runs that share the cores.
     Runs,
     /// The fraction of the cores that is busy.
-    Busy,
+    CpuBusy,
 }
 
-/// The values from `at` on, and the sums of both over all time before. The sums make a mean over a stretch cheap, however
-/// much happened in it.
+/// A figure for each metric: its value, or the integral of its value over time.
+#[derive(Debug, Clone, Copy, Default)]
+pub(super) struct Load {
+    pub(super) runs: f64,
+    pub(super) cpu_busy: f64,
+}
+
+impl Load {
+    fn of(&self, metric: LoadMetric) -> f64 {
+        match metric {
+            LoadMetric::Runs => self.runs,
+            LoadMetric::CpuBusy => self.cpu_busy,
+        }
+    }
+}
+
+/// The values from `at` on, and their integrals over all time before, in value times milliseconds. The integrals make a mean
+/// over a window cheap, however much happened in it.
 #[derive(Debug, Clone, Copy)]
-struct Reading {
+struct Sample {
     at: Ms,
-    values: [f64; 2],
-    sums: [f64; 2],
+    values: Load,
+    integrals: Load,
 }
 
-impl Reading {
-    fn sum(&self, gauge: Gauge, until: Ms) -> f64 {
-        self.sums[gauge as usize] + self.values[gauge as usize] * (until - self.at)
+impl Sample {
+    /// The integral of a metric up to a time at which the values still hold.
+    fn integral(&self, metric: LoadMetric, until: Ms) -> f64 {
+        self.integrals.of(metric) + self.values.of(metric) * (until - self.at)
     }
 }
 
-/// Readings, oldest first; there always is one.
+/// Samples, oldest first; there always is one.
 #[derive(Debug, Clone)]
-pub(super) struct LoadHistory(VecDeque<Reading>);
+pub(super) struct LoadHistory(VecDeque<Sample>);
 
 impl LoadHistory {
-    /// The history of an interpreter that starts now, with nothing on it.
+    /// The history of an interpreter that starts now, with nothing to do.
     pub(super) fn new(now: Ms) -> LoadHistory {
-        LoadHistory(VecDeque::from([Reading { at: now, values: [0.0; 2], sums: [0.0; 2] }]))
+        LoadHistory(VecDeque::from([Sample { at: now, values: Load::default(), integrals: Load::default() }]))
     }
 
-    /// Notes the values from now on, and forgets readings that no mean over this span needs.
-    pub(super) fn record(&mut self, now: Ms, runs: f64, busy: f64, span: Ms) {
-        let last = self.0.back();
-        let sums = last.map_or([0.0; 2], |last| [Gauge::Runs, Gauge::Busy].map(|gauge| last.sum(gauge, now)));
-        self.0.push_back(Reading { at: now, values: [runs, busy], sums });
-        let oldest = now - span;
+    /// Records the values from now on, and forgets samples that no mean over `longest_window` needs. That has to be the
+    /// longest window that [`LoadHistory::mean`] is asked for.
+    pub(super) fn record(&mut self, now: Ms, values: Load, longest_window: Ms) {
+        let integrals = self.0.back().map_or(Load::default(), |last| Load {
+            runs: last.integral(LoadMetric::Runs, now),
+            cpu_busy: last.integral(LoadMetric::CpuBusy, now),
+        });
+        self.0.push_back(Sample { at: now, values, integrals });
+        let oldest = now - longest_window;
         while self.0.get(1).is_some_and(|second| second.at <= oldest) {
             self.0.pop_front();
         }
     }
 
-    /// The mean of a gauge over the span before now.
-    pub(super) fn mean(&self, now: Ms, span: Ms, gauge: Gauge) -> f64 {
-        (self.sum(gauge, now) - self.sum(gauge, now - span)) / span
+    /// The mean of a metric over the window before now.
+    pub(super) fn mean(&self, now: Ms, window: Ms, metric: LoadMetric) -> f64 {
+        (self.integral(metric, now) - self.integral(metric, now - window)) / window
     }
 
-    fn sum(&self, gauge: Gauge, until: Ms) -> f64 {
-        let after = self.0.partition_point(|reading| reading.at <= until);
-        // Before the first reading there was nothing.
-        let reading = after.checked_sub(1).and_then(|position| self.0.get(position));
-        reading.map_or(0.0, |reading| reading.sum(gauge, until))
+    fn integral(&self, metric: LoadMetric, until: Ms) -> f64 {
+        let after = self.0.partition_point(|sample| sample.at <= until);
+        // Before the first sample there was nothing.
+        let sample = after.checked_sub(1).and_then(|position| self.0.get(position));
+        sample.map_or(0.0, |sample| sample.integral(metric, until))
     }
 }
--- a/fault-harness/src/model/interpreter/run.rs
+++ b/fault-harness/src/model/interpreter/run.rs
@@ -16,9 +16,9 @@
 /// Where a run is.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum RunState {
-    /// On the cores.
+    /// Runnable: it shares the cores with the others.
     Running,
-    /// Off them, with its progress.
+    /// Off the cores, with its progress.
     Paused,
     /// It waits for its call.
     WaitingForCall,
@@ -34,7 +34,7 @@
 }
 
 impl Run {
-    /// Whether it is on the cores.
+    /// Whether it shares the cores.
     pub(super) fn is_running(&self) -> bool {
         self.state == RunState::Running
     }
@@ -48,10 +48,10 @@
     pub(super) counts_from: Ms,
 }
 
-/// Work beside the runs: reading a request, or a new connection.
+/// Work beside the runs: reading a request, or accepting a connection.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct OverheadTask {
     pub(super) remaining: Ms,
-    /// The attempt that is read.
+    /// The attempt that is read; none for a connection.
     pub(super) reads: Option<u64>,
 }
--- a/fault-harness/src/model/interpreter/spec.rs
+++ b/fault-harness/src/model/interpreter/spec.rs
@@ -14,9 +14,9 @@
     pub warm_from: f64,
     /// How long it warms up.
     pub warm_ms: Ms,
-    /// Past this concurrency for each core, less is done in total.
+    /// Runnable tasks for each core past which less is done in total.
     pub thrash_onset_per_core: f64,
-    /// The fraction that is done at twice that concurrency.
+    /// The efficiency of a core, as a fraction of 1, that is left from twice that concurrency on.
     pub thrash_efficiency: f64,
     /// Its memory.
     pub memory_kb: f64,
@@ -39,11 +39,11 @@
         }
     }
 
-    /// The fraction of its speed that one has so long after a cold start.
-    pub fn warm_fraction(&self, after: Ms) -> f64 {
-        if after >= self.warm_ms {
+    /// The fraction of its speed that an interpreter has at the time `since_start` after a cold start.
+    pub fn warm_fraction(&self, since_start: Ms) -> f64 {
+        if since_start >= self.warm_ms {
             return 1.0;
         }
-        self.warm_from + (1.0 - self.warm_from) * (after / self.warm_ms).max(0.0)
+        self.warm_from + (1.0 - self.warm_from) * (since_start / self.warm_ms).max(0.0)
     }
 }
--- a/fault-harness/src/model/registry.rs
+++ b/fault-harness/src/model/registry.rs
@@ -18,18 +18,18 @@
     listed: bool,
 }
 
-/// The service.
+/// The registry: the list of nodes as heartbeats, deregistrations and timeouts have left it, with its past.
 #[derive(Debug, Clone)]
 pub struct Registry {
     heartbeat_timeout: Ms,
     entries: Vec<Entry>,
-    /// Every change, in order.
+    /// Every change, in order of time for each node.
     changes: Vec<Change>,
     is_unreachable: bool,
 }
 
 impl Registry {
-    /// A registry that drops nodes whose last heartbeat is so long ago.
+    /// A registry of `nodes` nodes that drops one whose last heartbeat is `heartbeat_timeout` ago.
     pub fn new(nodes: usize, heartbeat_timeout: Ms) -> Registry {
         Registry {
             heartbeat_timeout,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// A node reports that it is up, or that it leaves.
+    /// A node reports that it is up, or deregisters (`is_up` is false).
     pub fn on_heartbeat(&mut self, now: Ms, node: usize, is_up: bool) {
         if self.is_unreachable {
             return;
@@ -48,7 +48,7 @@
         self.set_listed(now, node, is_up);
     }
 
-    /// Receives no heartbeats from now on, or receives them again; no entry times out meanwhile.
+    /// Starts or ends an outage. Meanwhile the list is frozen; at its end every listed node gets a full timeout to report.
     pub fn set_unreachable(&mut self, now: Ms, is_unreachable: bool) {
         self.advance(now);
         if self.is_unreachable && !is_unreachable {
@@ -80,11 +80,11 @@
         }
     }
 
-    /// Whether each node was listed at a time.
-    pub fn listed_at(&mut self, now: Ms, at: Ms) -> Vec<bool> {
+    /// Whether each node is listed in the list as it was at `seen_at`.
+    pub fn listed_at(&mut self, now: Ms, seen_at: Ms) -> Vec<bool> {
         self.advance(now);
         let mut listed = vec![false; self.entries.len()];
-        for change in self.changes.iter().filter(|change| change.at <= at) {
+        for change in self.changes.iter().filter(|change| change.at <= seen_at) {
             listed[change.node] = change.listed;
         }
         listed
--- a/fault-harness/src/simulated/interpreter.rs
+++ b/fault-harness/src/simulated/interpreter.rs
@@ -134,7 +134,7 @@
         self.cause_of_death.take()
     }
 
-    /// Pauses it, or resumes it.
+    /// Suspends the whole process, or lets it go on.
     pub fn set_suspended(&self, suspended: bool) {
         self.update(|model, now| model.set_suspended(now, suspended));
     }
@@ -164,7 +164,7 @@
         self.update(|model, now| model.cancel_reading(now, txn));
     }
 
-    /// Whether so much is unread that no more connections are accepted.
+    /// Whether so much is queued to be read that no more connections are accepted.
     pub fn is_read_queue_full(&self) -> bool {
         self.state.borrow().model.is_read_queue_full()
     }
@@ -183,7 +183,7 @@
         self.update(|model, now| model.accept_connection(now, work));
     }
 
-    /// Releases a request whose caller no longer waits.
+    /// Closes a request whose caller no longer waits.
     pub fn close_request(&self, txn: u64) {
         self.update(|model, now| model.close_request(now, txn));
     }
