--- a/fault-harness/src/check.rs
+++ b/fault-harness/src/check.rs
@@ -1,24 +1,25 @@
-//! The rules, as a function of a history. Each has a test with a history that breaks it.
+//! The rules: invariants that every play keeps, as a function of its history. Each has a test with a history that violates
+//! it.
 //!
-//! An attempt may go unanswered where the harness itself was in the way: its node was killed or paused, its link
-//! was disturbed, or the harness ran late, at some moment between the attempt's writing and its deadline.
+//! An attempt may go unanswered where an injected fault affected its node or link, or the harness ran late, at some moment
+//! between the attempt's writing and its deadline: the node was killed or paused, or the link was disturbed.
 
 mod answers;
 mod attempts;
-mod excuses;
+mod exemptions;
 mod processes;
 mod router;
 mod runs;
 mod verdict;
 
-pub use verdict::{Breach, Rule, Verdict};
+pub use verdict::{Rule, Verdict, Violation};
 
 use attempts::Attempts;
-use excuses::Excuses;
+use exemptions::Exemptions;
 use processes::ExceededLimits;
 use router::RouterRoles;
 use runs::Runs;
-use verdict::Breaches;
+use verdict::Violations;
 
 use crate::history::{Event, History, RuleParameters};
 use crate::model::Ms;
@@ -32,13 +33,14 @@
     checker.finish(history.observations.last().map_or(0.0, |last| last.at))
 }
 
-/// The state of a check. Each family of rules is a module with methods of its own.
+/// The state of a check. Rules that need several parts of the state are methods of `Checker`, each family in a module of its
+/// own; others are types with an `observe`.
 struct Checker<'a> {
     parameters: &'a RuleParameters,
-    breaches: Breaches,
+    violations: Violations,
     attempts: Attempts,
     runs: Runs,
-    excuses: Excuses,
+    exemptions: Exemptions,
     exceeded_limits: ExceededLimits,
     router: RouterRoles,
 }
@@ -47,31 +49,32 @@
     fn new(parameters: &'a RuleParameters) -> Self {
         Checker {
             parameters,
-            breaches: Breaches::default(),
+            violations: Violations::default(),
             attempts: Attempts::default(),
             runs: Runs::default(),
-            excuses: Excuses::default(),
+            exemptions: Exemptions::default(),
             exceeded_limits: ExceededLimits::default(),
             router: RouterRoles::default(),
         }
     }
 
+    /// No two of these depend on each other for the same event; their order only decides that of what is found at one moment.
     fn observe(&mut self, at: Ms, event: &Event) {
-        self.excuses.observe(at, event);
+        self.exemptions.observe(at, event);
         self.attempts.observe(at, event);
         self.observe_answer(at, event);
         self.observe_run(at, event);
         self.observe_process(at, event);
-        self.router.observe(at, event, self.parameters.max_dual_active, &mut self.breaches);
+        self.router.observe(at, event, self.parameters.max_dual_active, &mut self.violations);
     }
 
     fn finish(mut self, end: Ms) -> Verdict {
-        let excused = self.check_unanswered(end);
+        let exempt = self.check_unanswered(end);
         Verdict {
             written: self.attempts.len(),
-            excused,
+            excused: exempt,
             duplicate_runs_in_fleet: self.runs.duplicate_runs_in_fleet,
-            breaches: self.breaches.into_sorted(),
+            violations: self.violations.into_sorted(),
         }
     }
 }
--- a/fault-harness/src/check/answers.rs
+++ b/fault-harness/src/check/answers.rs
@@ -15,9 +15,10 @@
             Event::UnexpectedLine { node, attempt: Some(attempt), .. } => {
                 self.record_second_answer(at, *attempt, *node);
             }
+            // It may be a garbled answer to any open attempt, so it counts as an answer that can't be read.
             Event::UnexpectedLine { node, attempt: None, text } => {
                 let text = format!("n{} sent a line that is no answer: {text}", node + 1);
-                self.breaches.record(at, Rule::Unanswered, text);
+                self.violations.record(at, Rule::Unanswered, text);
             }
             _ => {}
         }
@@ -32,7 +33,7 @@
         match response {
             Response::Rejected { .. } if attempt.has_run => {
                 let text = format!("attempt {id:016x} at n{} had run when it was rejected", node + 1);
-                self.breaches.record(at, Rule::RejectedAndRan, text);
+                self.violations.record(at, Rule::RejectedAndRan, text);
             }
             Response::Served(result) => self.check_result(at, id, node, result),
             Response::Rejected { .. } | Response::Failed => {}
@@ -43,37 +44,39 @@
 
     fn record_second_answer(&mut self, at: Ms, id: u64, node: usize) {
         let text = format!("attempt {id:016x} at n{} is answered again", node + 1);
-        self.breaches.record(at, Rule::DuplicateAnswer, text);
+        self.violations.record(at, Rule::DuplicateAnswer, text);
     }
 
-    /// A result has to be that of a run of the same key, at the same node unless keys are the fleet's.
+    /// A result has to be that of a run of the same key, at the same node unless the run scope is the fleet.
     fn check_result(&mut self, at: Ms, id: u64, node: usize, result: &str) {
         let results = self.attempts.key_of(id).map_or(&[][..], |key| self.runs.results_of(key));
-        let is_valid_at = |made_at: usize| self.parameters.run_once_per == RunScope::Fleet || made_at == node;
-        if results.iter().any(|made| made.result == result && is_valid_at(made.node)) {
+        let is_valid_from =
+            |producer_node: usize| self.parameters.run_once_per == RunScope::Fleet || producer_node == node;
+        if results.iter().any(|produced| produced.result == result && is_valid_from(produced.node)) {
             return;
         }
         let text =
             format!("attempt {id:016x} at n{} got {result:?}, which no run of its key made there", node + 1);
-        self.breaches.record(at, Rule::ForeignResult, text);
+        self.violations.record(at, Rule::ForeignResult, text);
     }
 
-    /// Records every attempt that got no answer in time, and returns how many were excused.
+    /// Records every attempt that got no answer in time, and returns how many of them were exempt.
     pub(super) fn check_unanswered(&mut self, end: Ms) -> usize {
-        let mut excused = 0;
+        let mut exempt = 0;
         for (id, attempt) in self.attempts.iter() {
-            let answer_by = attempt.deadline + self.parameters.slack;
+            let answer_by = attempt.deadline + self.parameters.timing_tolerance;
+            // What is due after the end of the history might still have been answered.
             if answer_by > end || needs_no_answer(attempt, answer_by) {
                 continue;
             }
             let until = attempt.loss.map_or(answer_by, |loss| loss.at.min(answer_by));
-            if self.excuses.cover(attempt, until) {
-                excused += 1;
+            if self.exemptions.overlaps(attempt, until) {
+                exempt += 1;
             } else {
-                self.breaches.record(answer_by, Rule::Unanswered, describe_unanswered(id, attempt));
+                self.violations.record(answer_by, Rule::Unanswered, describe_unanswered(id, attempt));
             }
         }
-        excused
+        exempt
     }
 }
 
@@ -81,9 +84,10 @@
 fn needs_no_answer(attempt: &Attempt, answer_by: Ms) -> bool {
     let is_answered = attempt.answer.as_ref().is_some_and(|answer| answer.at <= answer_by);
     let is_cancelled = attempt.cancelled_at.is_some_and(|at| at <= answer_by);
-    let loses_nothing = match attempt.loss.map(|loss| loss.connection) {
+    let loses_nothing = match attempt.loss.map(|loss| loss.kind) {
+        // The node closed an idle connection while the attempt was written; it is sent again.
         Some(ConnectionLoss::CrossedClose) => true,
-        // A new connection that is closed, having run nothing, has failed; nothing is lost.
+        // Nothing was answered on it and nothing ran: a failed connect, not a lost answer.
         Some(ConnectionLoss::NewConnection) => !attempt.has_run,
         Some(ConnectionLoss::UsedConnection) | None => false,
     };
--- a/fault-harness/src/check/runs.rs
+++ b/fault-harness/src/check/runs.rs
@@ -34,13 +34,14 @@
 #[derive(Debug, Default)]
 pub(super) struct Runs {
     by_key: HashMap<usize, Vec<Run>>,
-    /// Results stay valid after a node lost its state: a folder that was cut, or an old copy of it, may still have one.
+    /// Results stay valid after a node lost its state: a truncated store, or an old backup that was restored, may still
+    /// have one.
     results: HashMap<usize, Vec<RunResult>>,
     /// The generation of each node's stored state.
     generations: HashMap<usize, usize>,
     /// When each node got its shutdown notice.
     shutdown_notices: HashMap<usize, Ms>,
-    /// Keys that ran more than once in the fleet within their window.
+    /// Runs of a key that had already run within its window, at any node.
     pub(super) duplicate_runs_in_fleet: usize,
 }
 
@@ -54,7 +55,7 @@
         self.generations.get(&node).copied().unwrap_or(0)
     }
 
-    /// Earlier runs of a key that a new one, written then, should not have followed.
+    /// Runs of the key whose idempotency window is still open at `written_at`.
     fn within_window(&self, key: usize, written_at: Ms, window: Ms) -> impl Iterator<Item = &Run> {
         let runs = self.by_key.get(&key).into_iter().flatten();
         runs.filter(move |run| written_at <= run.written_at + window)
@@ -81,19 +82,20 @@
     fn check_run(&mut self, at: Ms, id: u64, node: usize) {
         self.attempts.update(id, |attempt| attempt.has_run = true);
         let Some(attempt) = self.attempts.get(id) else {
+            // No frontend sent this id, so the node changed it on the way to the interpreter.
             let text = format!("n{} runs {id:016x}, which was never written", node + 1);
-            return self.breaches.record(at, Rule::Corrupted, text);
+            return self.violations.record(at, Rule::Corrupted, text);
         };
         let written_at = attempt.written_at;
         let request = attempt.request;
         if attempt.is_rejected() {
             let text = format!("attempt {id:016x} at n{} runs after it was rejected", node + 1);
-            self.breaches.record(at, Rule::RejectedAndRan, text);
+            self.violations.record(at, Rule::RejectedAndRan, text);
         }
-        let grace = self.parameters.drain_grace + self.parameters.slack;
+        let grace = self.parameters.drain_grace + self.parameters.timing_tolerance;
         if self.runs.shutdown_notices.get(&node).is_some_and(|notice| written_at > notice + grace) {
             let text = format!("attempt {id:016x} came to n{} too long after its shutdown notice", node + 1);
-            self.breaches.record(at, Rule::RunAfterShutdownNotice, text);
+            self.violations.record(at, Rule::RunAfterShutdownNotice, text);
         }
         let generation = self.runs.generation(node);
         self.check_key(request, Run { attempt: id, node, generation, written_at, started_at: at });
@@ -106,17 +108,19 @@
         if class.idempotency_window <= 0.0 {
             return;
         }
-        let mut earlier = self.runs.within_window(request.key, run.written_at, class.idempotency_window);
-        let first_in_fleet = earlier.next().copied();
+        let open_runs =
+            self.runs.within_window(request.original_request, run.written_at, class.idempotency_window);
+        let earlier: Vec<Run> = open_runs.copied().collect();
         let is_same_state = |other: &Run| other.node == run.node && other.generation == run.generation;
-        let first_at_node = first_in_fleet.into_iter().chain(earlier.copied()).find(is_same_state);
-        self.runs.by_key.entry(request.key).or_default().push(run);
+        let first_in_fleet = earlier.first().copied();
+        let first_at_node = earlier.into_iter().find(is_same_state);
+        self.runs.by_key.entry(request.original_request).or_default().push(run);
         if let Some(first) = first_at_node {
-            self.record_second_run(request.key, &first, &run);
+            self.record_second_run(request.original_request, &first, &run);
         }
         if let Some(first) = first_in_fleet {
             self.runs.duplicate_runs_in_fleet += 1;
-            self.record_second_run_in_fleet(request.key, &first, &run);
+            self.record_second_run_in_fleet(request.original_request, &first, &run);
         }
     }
 
@@ -127,7 +131,7 @@
             first.attempt,
             second.attempt
         );
-        self.breaches.record(second.started_at, Rule::DuplicateRun, text);
+        self.violations.record(second.started_at, Rule::DuplicateRun, text);
     }
 
     fn record_second_run_in_fleet(&mut self, key: usize, first: &Run, second: &Run) {
@@ -142,6 +146,6 @@
             first.started_at,
             first.attempt
         );
-        self.breaches.record(second.started_at, Rule::DuplicateRunInFleet, text);
+        self.violations.record(second.started_at, Rule::DuplicateRunInFleet, text);
     }
 }
--- a/fault-harness/src/check/verdict.rs
+++ b/fault-harness/src/check/verdict.rs
@@ -1,4 +1,4 @@
-//! What the checker reports: the rules, each breach of one, and the verdict on a whole history.
+//! What the checker reports: the rules (the invariants of a play), each violation of one, and the verdict on a whole history.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 
 use crate::model::Ms;
 
-/// A rule that can be broken.
+/// An invariant, named by what violates it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
@@ -28,15 +28,15 @@
     Corrupted,
     /// A limit was exceeded: memory, descriptors, concurrency on the cores, or the time for a graceful shutdown.
     LimitExceeded,
-    /// The program ended by itself.
+    /// The program exited unexpectedly.
     Crashed,
-    /// Two nodes had the role of the virtual router for too long, though they could hear each other.
+    /// Two nodes had the role of the virtual router for too long, though they could receive each other's advertisements.
     DualActive,
 }
 
-/// One breach of a rule.
+/// One violation of an invariant.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Breach {
+pub struct Violation {
     /// When the rule was broken.
     pub at: Ms,
     /// Which rule.
@@ -48,13 +48,14 @@
 /// What the checker found.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Verdict {
-    /// Every breach, by time.
-    pub breaches: Vec<Breach>,
+    /// Every violation, by time.
+    #[serde(rename = "breaches")]
+    pub violations: Vec<Violation>,
     /// Attempts written to nodes.
     pub written: usize,
-    /// Those among them that were excused from an answer.
+    /// Those among them that were exempt from an answer, since a fault or a delay of the harness affected them.
     pub excused: usize,
-    /// Keys that ran more than once in the fleet within their window, whether or not the scenario forbids it.
+    /// Runs of a key that had already run within its window, at any node, whether or not the scenario forbids it.
     pub duplicate_runs_in_fleet: usize,
 }
 
@@ -62,23 +63,23 @@
     /// How often each rule was broken.
     pub fn by_rule(&self) -> BTreeMap<Rule, usize> {
         let mut counts = BTreeMap::new();
-        self.breaches.iter().for_each(|breach| *counts.entry(breach.rule).or_default() += 1);
+        self.violations.iter().for_each(|violation| *counts.entry(violation.rule).or_default() += 1);
         counts
     }
 }
 
-/// Collects breaches in the order in which they are found.
+/// Collects violations in the order in which they are found.
 #[derive(Debug, Default)]
-pub(super) struct Breaches(Vec<Breach>);
+pub(super) struct Violations(Vec<Violation>);
 
-impl Breaches {
-    /// Records a breach.
+impl Violations {
+    /// Records a violation.
     pub(super) fn record(&mut self, at: Ms, rule: Rule, text: String) {
-        self.0.push(Breach { at, rule, text });
+        self.0.push(Violation { at, rule, text });
     }
 
-    /// All breaches by time; those of one moment stay in the order in which they were found.
-    pub(super) fn into_sorted(mut self) -> Vec<Breach> {
+    /// All violations by time; those of one moment stay in the order in which they were found.
+    pub(super) fn into_sorted(mut self) -> Vec<Violation> {
         self.0.sort_by(|earlier, later| earlier.at.total_cmp(&later.at));
         self.0
     }
--- a/fault-harness/src/history.rs
+++ b/fault-harness/src/history.rs
@@ -53,8 +53,9 @@
     /// Within what an idempotency key may run once.
     #[serde(alias = "once")]
     pub run_once_per: RunScope,
-    /// An answer still counts that comes so long after its deadline.
-    pub slack: Ms,
+    /// How long after its deadline an answer still counts; it allows for the delays of a busy machine.
+    #[serde(rename = "slack")]
+    pub timing_tolerance: Ms,
     /// What arrives later than this after the shutdown notice is not run.
     pub drain_grace: Ms,
     /// Descriptors that a program may hold.
@@ -62,8 +63,8 @@
     pub descriptors: u64,
     /// Memory that a program may take, in KB.
     pub memory_kb: u64,
-    /// Two nodes may both have the role of the virtual router for so long, once nothing keeps them from hearing each
-    /// other.
+    /// How long two nodes may both have the role of the virtual router, once nothing keeps them from receiving each
+    /// other's advertisements.
     #[serde(alias = "two_active")]
     pub max_dual_active: Ms,
 }
--- a/fault-harness/src/history/parameters.rs
+++ b/fault-harness/src/history/parameters.rs
@@ -21,7 +21,7 @@
             nodes: scenario.fleet.nodes,
             classes: scenario.classes.iter().map(ClassParameters::of).collect(),
             run_once_per: scenario.rules.run_once_per,
-            slack: scenario.rules.slack_ms,
+            timing_tolerance: scenario.rules.slack_ms,
             drain_grace: DRAIN_GRACE_MS,
             descriptors: scenario.fleet.sockets,
             memory_kb: scenario.fleet.memory_mb * KB_PER_MB,
--- a/fault-harness/src/model/interpreter/spec.rs
+++ b/fault-harness/src/model/interpreter/spec.rs
@@ -14,10 +14,10 @@
     pub warm_from: f64,
     /// How long it warms up.
     pub warm_ms: Ms,
-    /// Past this concurrency for each core, less is done in total.
-    pub thrash_at: f64,
-    /// The fraction that is done at twice that concurrency.
-    pub thrash: f64,
+    /// Runnable tasks for each core past which less is done in total.
+    pub thrash_onset_per_core: f64,
+    /// The efficiency of a core, as a fraction of 1, that is left from twice that concurrency on.
+    pub thrash_efficiency: f64,
     /// Its memory.
     pub memory_kb: f64,
     /// Memory of a running request, as a multiple of one held.
@@ -32,18 +32,18 @@
             speed,
             warm_from: fleet.warm_from,
             warm_ms: ms_of_seconds(fleet.warm_s),
-            thrash_at: fleet.thrash_at,
-            thrash: fleet.thrash,
+            thrash_onset_per_core: fleet.thrash_at,
+            thrash_efficiency: fleet.thrash,
             memory_kb: fleet.memory_kb,
             run_factor: fleet.run_factor,
         }
     }
 
-    /// The fraction of its speed that one has so long after a cold start.
-    pub fn warm_fraction(&self, after: Ms) -> f64 {
-        if after >= self.warm_ms {
+    /// The fraction of its speed that an interpreter has at the time `since_start` after a cold start.
+    pub fn warm_fraction(&self, since_start: Ms) -> f64 {
+        if since_start >= self.warm_ms {
             return 1.0;
         }
-        self.warm_from + (1.0 - self.warm_from) * (after / self.warm_ms).max(0.0)
+        self.warm_from + (1.0 - self.warm_from) * (since_start / self.warm_ms).max(0.0)
     }
 }
--- a/fault-harness/src/simulated/frontends/connection.rs
+++ b/fault-harness/src/simulated/frontends/connection.rs
@@ -160,7 +160,7 @@
         self.stop_writing();
         let now = context.now();
         for open in self.take_open_attempts() {
-            interpreter.release_request(open.attempt);
+            interpreter.close_request(open.attempt);
             if open.caller.is_none() {
                 continue;
             }
@@ -200,7 +200,7 @@
         }
         let outcome = answer.response.outcome();
         context.note(Event::AttemptAnswered { attempt: open.attempt, response: answer.response });
-        interpreter.release_request(open.attempt);
+        interpreter.close_request(open.attempt);
         open.end(outcome);
     }
 
