--- a/admission/src/admission.rs
+++ b/admission/src/admission.rs
@@ -1,9 +1,10 @@
 //! Admission control and scheduling of one server, without clock or I/O.
 //!
 //! [`Admission::handle`] shows the order of decisions for a batch of events. Each decision has a type or a function in
-//! a module of its own; here they are composed. From the design: one permitted rate governs arrivals under overload
-//! and changes at most every two seconds, by latency, overload answers from below and use. The rest keeps the four
-//! rules (one answer in time, no effect twice, a safe drain, no fall-over) and orders what runs.
+//! a module of its own; here they are composed. Overload control follows the post on Project Clearwater "Tuning
+//! overload control for telco-grade performance": one permitted rate governs arrivals under overload and changes at
+//! most every two seconds, by latency, downstream rejections and use. The rest keeps the four rules (one answer in
+//! time, no effect twice, a safe drain, no collapse under overload) and orders what runs.
 //!
 //! | question | module |
 //! | --- | --- |
--- a/admission/src/admission/calls.rs
+++ b/admission/src/admission/calls.rs
@@ -1,6 +1,6 @@
 //! Calls to the dependency: how many requests may wait at one, whether an arrival that will call is admitted, and what
 //! ended calls teach. Requests that wait at a call are on no core and outside the concurrency limit; their number has a
-//! bound of its own (the design's bound at which no new request is started).
+//! bound of its own, at which a run that may call is started only if fewer of its priority or above wait.
 
 pub(crate) mod history;
 pub(crate) mod limit;
--- a/admission/src/admission/concurrency_limit.rs
+++ b/admission/src/admission/concurrency_limit.rs
@@ -2,7 +2,7 @@
 //!
 //! It starts at the number of cores, rises while cores are idle and requests are queued, and falls when more is
 //! runnable than the cores handle well. It stays under the survivable concurrency, which is a ceiling and not a target.
-//! The design asks for a limit that starts at the core count and grows quickly; requests at calls are outside it.
+//! Requests at calls are outside it.
 
 use crate::admission::constants::USED_CAPACITY;
 use crate::admission::context::Context;
--- a/admission/src/admission/constants.rs
+++ b/admission/src/admission/constants.rs
@@ -6,8 +6,8 @@
 /// second is well below every latency objective and costs twenty wake-ups a second.
 pub(crate) const TIMER_PERIOD: Span = Span::from_seconds(0.05);
 
-/// The shortest time between two changes of the permitted rate, as in the design; recent calls, arrivals and
-/// latencies are looked back on for as long.
+/// The shortest time between two changes of the permitted rate, so that only sustained load changes it and not a
+/// short spike of latency; recent calls, arrivals and latencies are looked back on for as long.
 pub(crate) const RATE_WINDOW: Span = Span::from_seconds(2.0);
 
 /// Latency is over target beyond this fraction of the latency objective: well above ordinary latency, and early
--- a/admission/src/admission/drain.rs
+++ b/admission/src/admission/drain.rs
@@ -1,7 +1,7 @@
 //! Draining after a shutdown notice: when everything has to be answered, and which arrivals may still run.
 //!
 //! Everything is answered before the server is stopped, with a margin for the answers themselves, and nothing runs that
-//! arrived after the grace period. The design leaves the drain to this module.
+//! arrived after the grace period.
 
 use crate::admission::constants::TIMER_PERIOD;
 use crate::admission::time::{Instant, Span};
--- a/admission/src/admission/idle_connections.rs
+++ b/admission/src/admission/idle_connections.rs
@@ -1,7 +1,7 @@
 //! How long idle connections stay open: the more callers return to theirs, the longer.
 //!
 //! A connection kept open costs memory, a closed one a new handshake. In a flood of connections all are kept for as
-//! long as callers keep them, to spare the handshakes. The design does not treat connections.
+//! long as callers keep them, to spare the handshakes.
 
 use std::collections::BTreeMap;
 
--- a/admission/src/admission/load_signal.rs
+++ b/admission/src/admission/load_signal.rs
@@ -1,7 +1,7 @@
 //! The load signal: the value that callers are told, so that what would be rejected is not sent at all.
 //!
-//! It moves in small steps, so that callers do not move together, and falls by itself to find new capacity. The design
-//! does not treat it; it follows which arrivals were rejected, and decides on none.
+//! It moves in small steps, so that callers do not move together, and falls by itself to find new capacity. It
+//! follows which arrivals were rejected, and decides on none.
 
 use crate::admission::context::Context;
 use crate::admission::overload::recent_arrivals::{RecentArrival, RecentArrivals};
--- a/admission/src/admission/overload.rs
+++ b/admission/src/admission/overload.rs
@@ -1,4 +1,4 @@
-//! Overload control, as in the design: under overload an arrival needs a token of the permitted rate.
+//! Overload control: under overload an arrival needs a token of the permitted rate.
 //!
 //! It composes the permitted rate, the latencies and penalties that cut it, and the arrivals that it is compared with.
 
@@ -108,8 +108,8 @@
 
     /// Whether an arrival of this priority finds a token, or needs none.
     pub(crate) fn admit(&mut self, priority: Priority, context: &Context, calls_throttled: bool) -> bool {
-        let rank = self.recent_arrivals.rank_of(priority);
-        self.permitted_rate.admit(rank, context.now, || {
+        let priority_quantile = self.recent_arrivals.priority_quantile(priority);
+        self.permitted_rate.admit(priority_quantile, context.now, || {
             self.overload.is_overloaded(context, &self.latencies, calls_throttled)
         })
     }
--- a/admission/src/admission/overload/detector.rs
+++ b/admission/src/admission/overload/detector.rs
@@ -1,7 +1,7 @@
 //! When the server counts as overloaded, so that arrivals need a token: requests are queued and their mean latency is
-//! over target, or the dependency or the tier below has rejected a call lately (a penalty, as in the tuning post).
+//! over target, or the dependency or the tier below has rejected a call lately (a penalty).
 //!
-//! Timeouts are no penalties: the design leaves that open.
+//! Only rejections are penalties, timeouts are not.
 
 use crate::admission::constants::RATE_WINDOW;
 use crate::admission::context::Context;
--- a/admission/src/admission/overload/latency.rs
+++ b/admission/src/admission/overload/latency.rs
@@ -1,7 +1,6 @@
 //! The latency of recent requests as a fraction of their latency objective, by which overload is detected.
 //!
-//! The tuning post compares average latency with one target; here each class has an objective and the target is a
-//! fraction of it. Requests that are late before they have an answer count too: a server on which nothing ends is not
+//! Each class has an objective of its own, and the target of the mean latency is a fraction of it. Requests that are late before they have an answer count too: a server on which nothing ends is not
 //! quick. Failed runs do not count: quick failures would lower the mean.
 
 use std::collections::VecDeque;
--- a/admission/src/admission/overload/permitted_rate.rs
+++ b/admission/src/admission/overload/permitted_rate.rs
@@ -1,8 +1,8 @@
-//! The permitted rate: the requests a second that are admitted under overload (the one rate of the design).
+//! The permitted rate: the requests a second that are admitted under overload. One rate covers every class.
 //!
 //! It is looked at once in a rate window of two seconds. The first window with enough requests seeds it; a penalty or
 //! latency over target cuts it to what was handled, less a little; otherwise it rises by a step, provided that the
-//! requests handled reached half of it (the quiet-period rule of the tuning post). Cut and rise are multiplicative and
+//! requests handled reached half of it (a rate that is not used must not rise in quiet periods to what the server can't sustain). Cut and rise are multiplicative and
 //! additive.
 
 use crate::admission::constants::{MIN_SAMPLES, RATE_WINDOW};
@@ -16,7 +16,7 @@
 const MIN_REMAINING: f64 = 0.5;
 /// A rise adds this fraction of the capacity of the cores: from half of it to all in about twenty seconds.
 const RISE: f64 = 0.05;
-/// The rate rises only if this many times the handled requests reach it: half of it was used, as in the tuning post.
+/// The rate rises only if this many times the handled requests reach it: half of it was used.
 const HANDLED_FACTOR: f64 = 2.0;
 
 /// What the decision at the end of a window depends on.
@@ -61,11 +61,16 @@
         self.handled += 1.0;
     }
 
-    /// Takes a token for an arrival whose priority has this rank; returns whether it is admitted.
-    pub(crate) fn admit(&mut self, rank: Fraction, now: Instant, overloaded: impl FnOnce() -> bool) -> bool {
+    /// Takes a token for an arrival of this priority quantile; returns whether it is admitted.
+    pub(crate) fn admit(
+        &mut self,
+        priority_quantile: Fraction,
+        now: Instant,
+        overloaded: impl FnOnce() -> bool,
+    ) -> bool {
         match self.rate {
             None => true,
-            Some(rate) => self.bucket.take(rate, rank, now, overloaded),
+            Some(rate) => self.bucket.take(rate, priority_quantile, now, overloaded),
         }
     }
 
--- a/admission/src/admission/overload/recent_arrivals.rs
+++ b/admission/src/admission/overload/recent_arrivals.rs
@@ -1,4 +1,4 @@
-//! The most recent arrivals and which of them were admitted: a priority is ranked among them, and the load signal is
+//! The most recent arrivals and which of them were admitted: the quantile of a priority among them is found, and the load signal is
 //! computed from them.
 
 use std::collections::VecDeque;
@@ -9,7 +9,7 @@
 use crate::admission::time::Instant;
 use crate::interface::RequestId;
 
-/// Arrivals that are remembered: enough for a rank to within a few percent, few enough to look at for each arrival.
+/// Arrivals that are remembered: enough for a quantile to within a few percent, few enough to look at for each arrival.
 const RECENT_ARRIVALS: usize = 64;
 /// Fewer arrivals than this say little: the rejected fraction is taken of this many.
 const MIN_ARRIVALS: usize = 8;
@@ -51,8 +51,8 @@
         self.arrivals.clear();
     }
 
-    /// The fraction of the recent arrivals that had a lower priority.
-    pub(crate) fn rank_of(&self, priority: Priority) -> Fraction {
+    /// The quantile of this priority: the fraction of the recent arrivals that had a lower one.
+    pub(crate) fn priority_quantile(&self, priority: Priority) -> Fraction {
         let lower = self.arrivals.iter().filter(|arrival| arrival.priority < priority).count();
         Fraction::new(lower as f64 / (self.arrivals.len().max(1) as f64))
     }
--- a/admission/src/admission/overload/recent_arrivals/tests.rs
+++ b/admission/src/admission/overload/recent_arrivals/tests.rs
@@ -16,11 +16,11 @@
 }
 
 #[test]
-fn a_priority_is_ranked_among_the_latest_64_arrivals() {
+fn the_quantile_of_a_priority_is_among_the_latest_64_arrivals() {
     let recent = arrivals(1..=100);
-    assert_eq!(recent.rank_of(priority(36.0)).value(), 0.0);
-    assert_eq!(recent.rank_of(priority(69.0)).value(), 0.5);
-    assert_eq!(recent.rank_of(priority(500.0)).value(), 1.0);
+    assert_eq!(recent.priority_quantile(priority(36.0)).value(), 0.0);
+    assert_eq!(recent.priority_quantile(priority(69.0)).value(), 0.5);
+    assert_eq!(recent.priority_quantile(priority(500.0)).value(), 1.0);
 }
 
 #[test]
--- a/admission/src/admission/overload/token_bucket.rs
+++ b/admission/src/admission/overload/token_bucket.rs
@@ -1,6 +1,6 @@
 //! The token bucket that holds arrivals to the permitted rate under overload.
 //!
-//! The design asks for the bucket and leaves its depth open. It holds one second of the permitted rate. Lower
+//! It holds one second of the permitted rate. Lower
 //! priorities find part of it reserved for higher ones, and the highest may borrow a few tokens. Without overload no
 //! arrival is rejected, but each takes its token.
 
@@ -31,12 +31,12 @@
         TokenBucket { tokens: 0.0, filled_at: now }
     }
 
-    /// Fills the bucket at `rate` and takes a token for an arrival whose priority has this rank among the recent ones.
+    /// Fills the bucket at `rate` and takes a token for an arrival of this priority quantile among the recent ones.
     /// Returns whether it is admitted. While the server is not overloaded every arrival is, with a token or without.
     pub(crate) fn take(
         &mut self,
         rate: RequestRate,
-        rank: Fraction,
+        priority_quantile: Fraction,
         now: Instant,
         overloaded: impl FnOnce() -> bool,
     ) -> bool {
@@ -44,8 +44,8 @@
         self.tokens = (self.tokens + rate * (now - self.filled_at)).min(depth);
         self.filled_at = now;
         let max_debt = max_debt();
-        let reserved = (depth - TOKENS_FOR_A_REQUEST) * RESERVE * rank.complement().value();
-        let needed = TOKENS_FOR_A_REQUEST + reserved - max_debt * rank.value();
+        let reserved = (depth - TOKENS_FOR_A_REQUEST) * RESERVE * priority_quantile.complement().value();
+        let needed = TOKENS_FOR_A_REQUEST + reserved - max_debt * priority_quantile.value();
         let admitted = self.tokens >= needed || !overloaded();
         if admitted {
             self.tokens -= TOKENS_FOR_A_REQUEST;
--- a/admission/src/admission/overload/token_bucket/tests.rs
+++ b/admission/src/admission/overload/token_bucket/tests.rs
@@ -4,10 +4,10 @@
 
 const TEN_PER_SECOND: RequestRate = RequestRate::per_second(10.0);
 
-/// How many of a hundred arrivals of this rank a bucket admits that was filled for so many seconds.
-fn admitted(fill_seconds: f64, rank: f64, overloaded: bool) -> usize {
+/// How many of a hundred arrivals of this priority quantile a bucket admits that was filled for so many seconds.
+fn admitted(fill_seconds: f64, quantile: f64, overloaded: bool) -> usize {
     let mut bucket = TokenBucket::new(at(0.0));
-    let mut takes = || bucket.take(TEN_PER_SECOND, Fraction::new(rank), at(fill_seconds), || overloaded);
+    let mut takes = || bucket.take(TEN_PER_SECOND, Fraction::new(quantile), at(fill_seconds), || overloaded);
     (0..100).filter(|_| takes()).count()
 }
 
--- a/admission/src/admission/priority.rs
+++ b/admission/src/admission/priority.rs
@@ -1,6 +1,6 @@
 //! The priority of a request: the weight of its class for a unit of work, less for what exceeds its tenant's quota.
-//! Every decision between requests (what runs first, what is shed, which call starts first) follows it. The design's one
-//! rate covers every class; priorities decide within it.
+//! Every decision between requests (what runs first, what is shed, which call starts first) follows it. One
+//! permitted rate covers every class; priorities decide within it.
 
 use crate::admission::constants::MIN_DIVISOR;
 use crate::admission::quantities::Fraction;
--- a/admission/src/admission/request_intake.rs
+++ b/admission/src/admission/request_intake.rs
@@ -11,8 +11,10 @@
 use crate::admission::time::{Instant, Span};
 use crate::interface::{Arrival, Class, Dependency, Effect, Settings, TenantId};
 
-/// The work of a class of which nothing is known.
-const UNKNOWN_WORK: Span = Span::from_seconds(1.0);
+/// The work that is assumed of a class of which nothing is known.
+const ASSUMED_WORK: Span = Span::from_seconds(1.0);
+/// The work by which the weight is divided where weights apply per unit of work already: one unit, a second.
+const UNIT_WORK: Span = Span::from_seconds(1.0);
 
 /// The request of an arrival of a known class. Its cost hint is added to the estimates.
 pub(crate) fn new_request(
@@ -29,7 +31,7 @@
     let deadline = deadline_of(arrival, settings, arrived_at, now).min(drain.stop_at());
     let stretch = class.objective_stretch * Span::from(arrival.cost_hint.unwrap_or_default());
     let relative_cost = estimates.relative_cost(position, arrival.cost_hint);
-    let mean_work = estimates.mean_work(position).unwrap_or(UNKNOWN_WORK);
+    let mean_work = estimates.mean_work(position).unwrap_or(ASSUMED_WORK);
     Request {
         class: position,
         memory_kb: arrival.memory_kb.max(0.0),
@@ -51,6 +53,8 @@
     stated.map_or(by_class, |remaining_time| now + Span::from(remaining_time)).max(now)
 }
 
+/// Weight for each second of work, within the tenant's quota. Weights per unit of work are such densities already;
+/// weights per request become densities by dividing by the mean work.
 fn priority_of(
     class: &Class,
     mean_work: Span,
@@ -58,7 +62,7 @@
     settings: &Settings,
     rates: &ArrivalRates,
 ) -> Priority {
-    let work = if settings.weight_by_work { UNKNOWN_WORK } else { mean_work };
+    let work = if settings.weight_by_work { UNIT_WORK } else { mean_work };
     let quota = settings.tenant_quotas.get(usize::from(tenant.0)).copied().unwrap_or(0.0);
     let servers = f64::from(settings.servers.max(1));
     let within_quota = rates.fraction_within_quota(tenant, quota, servers);
--- a/admission/src/admission/retry_advice.rs
+++ b/admission/src/admission/retry_advice.rs
@@ -1,5 +1,5 @@
 //! When a rejected caller should come back: a time that grows with the load and is spread at random, so that rejected
-//! callers do not return together. The design asks for a retry-after and leaves its length open.
+//! callers do not return together.
 
 use std::time::Duration;
 
--- a/admission/src/admission/run_queue.rs
+++ b/admission/src/admission/run_queue.rs
@@ -1,5 +1,5 @@
 //! Which queued requests run next: the order of the queue, and how far the limits of concurrency, memory and calls
-//! let it move. Both are this module's own; the design leaves them open.
+//! let it move.
 //!
 //! No more requests run than the concurrency limit allows, and with those at calls no more than the server survives.
 
--- a/admission/src/admission/shedding.rs
+++ b/admission/src/admission/shedding.rs
@@ -1,7 +1,7 @@
 //! Load shedding: which queued requests are rejected because they, or those before them, would end too late.
 //!
 //! What would miss its latency objective is rejected early, while another server can still answer, and the lowest
-//! priorities first. The design leaves to this module what is turned away from the queue.
+//! priorities first.
 
 use crate::admission::constants::MIN_REMAINING_WORK;
 use crate::admission::context::Context;
--- a/admission/src/admission/stall.rs
+++ b/admission/src/admission/stall.rs
@@ -1,6 +1,6 @@
 //! Stall detection: a server on which no run ends for several mean run times reports bad health and queues nothing.
 //!
-//! It recovers with the first run that ends. The design leaves health answers to this module.
+//! It recovers with the first run that ends.
 
 use crate::admission::context::Context;
 use crate::admission::time::{Instant, Span};
--- a/admission/src/admission/warm_up.rs
+++ b/admission/src/admission/warm_up.rs
@@ -1,5 +1,5 @@
 //! Slow start: how much of its full speed a server has while it warms up, and so how many concurrent runs it survives.
-//! The permitted rate starts loose on a cold server as on a warm one, as in the design.
+//! The permitted rate starts alike on a cold and on a warm server: there is none before the first window.
 
 use crate::admission::constants::MIN_DIVISOR;
 use crate::admission::quantities::Fraction;
