--- a/admission/src/admission.rs
+++ b/admission/src/admission.rs
@@ -148,7 +148,7 @@
         self.start_runs(actions);
     }
 
-    /// Requests a second permitted under overload; none before the first window has seeded it.
+    /// Requests a second permitted under overload; none before the first window has initialized it.
     pub fn permitted_rate(&self) -> Option<f64> {
         self.overload.permitted_rate().map(quantities::RequestRate::value)
     }
--- a/admission/src/admission/calls/limit.rs
+++ b/admission/src/admission/calls/limit.rs
@@ -10,11 +10,11 @@
 use crate::admission::time::{Instant, Span};
 use crate::interface::Dependency;
 
-/// A quick call raises the limit by this fraction of the share: twenty of them restore it.
-const RISE: f64 = 0.05;
-/// A slow call lowers the limit by this fraction of it: faster than it rises, since a dependency that is overloaded
-/// serves nobody.
-const CUT: f64 = 0.2;
+/// Additive increase: a quick call raises the limit by this fraction of the share, so that twenty of them restore it.
+const ADDITIVE_INCREASE: f64 = 0.05;
+/// Multiplicative decrease: a slow call lowers the limit by this fraction of it, faster than it rises, since a
+/// dependency that is overloaded serves nobody.
+const DECREASE_FRACTION: f64 = 0.2;
 /// The limit never falls below this fraction of the share: all servers together still use the dependency.
 const MIN_SHARE_FRACTION: f64 = 0.22;
 /// One call may take up to this fraction of the share: it must not use up all of it.
@@ -113,7 +113,7 @@
         if call.lingers {
             self.lingering_until.push_back(now + self.linger);
         }
-        let change = if call.slow { -CUT * self.limit } else { RISE * self.share };
+        let change = if call.slow { -DECREASE_FRACTION * self.limit } else { ADDITIVE_INCREASE * self.share };
         self.limit = (self.limit + change).clamp(MIN_SHARE_FRACTION * self.share, self.share);
         if self.limit < 1.0 {
             let pause = call.duration * (1.0 / self.limit.max(MIN_DIVISOR) - 1.0);
--- a/admission/src/admission/events.rs
+++ b/admission/src/admission/events.rs
@@ -130,7 +130,7 @@
 
     fn call_returned(&mut self, id: RequestId, outcome: Outcome, took: Span) {
         if outcome == Outcome::Rejected {
-            self.overload.penalize(self.now);
+            self.overload.record_downstream_rejection(self.now);
         }
         let Some(request) = self.requests.table_mut().get_mut(id) else { return };
         let Phase::Calling { needed_at, .. } = request.phase else { return };
--- a/admission/src/admission/overload.rs
+++ b/admission/src/admission/overload.rs
@@ -1,6 +1,6 @@
 //! Overload control: under overload an arrival needs a token of the permitted rate.
 //!
-//! It composes the permitted rate, the latencies and penalties that cut it, and the arrivals that it is compared with.
+//! It composes the permitted rate, the latencies and downstream rejections that decrease it, and the arrivals that it is compared with.
 
 pub(crate) mod arrival_rates;
 pub(crate) mod detector;
@@ -56,7 +56,7 @@
         self.recent_arrivals.clear();
     }
 
-    /// Requests a second permitted under overload; none before the first window has seeded it.
+    /// Requests a second permitted under overload; none before the first window has initialized it.
     pub(crate) fn permitted_rate(&self) -> Option<RequestRate> {
         self.permitted_rate.get()
     }
@@ -91,9 +91,9 @@
         self.recent_arrivals.shed(id);
     }
 
-    /// A call was rejected from below.
-    pub(crate) fn penalize(&mut self, now: Instant) {
-        self.overload.penalize(now);
+    /// The dependency or the tier below has rejected a call.
+    pub(crate) fn record_downstream_rejection(&mut self, now: Instant) {
+        self.overload.record_downstream_rejection(now);
     }
 
     /// A request was answered with success: it was handled, and its latency counts.
@@ -123,7 +123,7 @@
         }
         self.arrival_rates.window_ended(self.recent_arrivals.rejected_fraction(now), now);
         let load = WindowLoad {
-            penalized: self.overload.penalized_after(self.permitted_rate.window_start()),
+            downstream_rejected: self.overload.downstream_rejected_after(self.permitted_rate.window_start()),
             latency_exceeds_target: self.latencies.exceeds_target(context, calls_throttled),
             capacity: context.capacity(),
         };
--- a/admission/src/admission/overload/arrival_rates.rs
+++ b/admission/src/admission/overload/arrival_rates.rs
@@ -12,8 +12,8 @@
 const AVERAGING_TIME: Span = Span::from_seconds(5.0);
 /// What one arrival adds to a rate that is averaged over `AVERAGING_TIME`.
 const RATE_OF_ONE_ARRIVAL: f64 = 1.0 / 5.0;
-/// The least part of the averaging time that counts as passed after the start: a first arrival is no high rate.
-const MIN_ELAPSED_FRACTION: f64 = 0.01;
+/// The least weight of the average so far that is divided by: a first arrival is no high rate.
+const MIN_WEIGHT_SO_FAR: f64 = 0.01;
 /// Weight of a rate window in the usual arrivals: the last five or so windows decide.
 const USUAL_WEIGHT: f64 = 0.2;
 /// Arrivals are usual while no more than this fraction is rejected: beyond, they contain retries of rejections.
@@ -49,7 +49,8 @@
         self.tenants.resize(tenants, RequestRate::ZERO);
     }
 
-    /// Starts to count anew.
+    /// Starts to count anew. `started_at` stays: the correction for the start hardly applies any more, and the average
+    /// rises from zero over `AVERAGING_TIME`.
     pub(crate) fn reset(&mut self, now: Instant) {
         self.all = RequestRate::ZERO;
         self.tenants.fill(RequestRate::ZERO);
@@ -70,22 +71,23 @@
         }
     }
 
-    /// All recent arrivals a second, right from the start.
-    fn overall(&self, now: Instant) -> RequestRate {
-        let passed = 1.0 - (-((now - self.started_at) / AVERAGING_TIME)).exp();
-        RequestRate::per_second(self.all.value() / passed.max(MIN_ELAPSED_FRACTION))
+    /// All recent arrivals a second, bias-corrected (as at the start of an exponentially weighted moving average). It is
+    /// as of the last arrival: the average is not decayed from `counted_at` to `now`.
+    fn bias_corrected_total(&self, now: Instant) -> RequestRate {
+        let ewma_weight_so_far = 1.0 - (-((now - self.started_at) / AVERAGING_TIME)).exp();
+        RequestRate::per_second(self.all.value() / ewma_weight_so_far.max(MIN_WEIGHT_SO_FAR))
     }
 
     /// At the end of a rate window: learns what usually arrives, unless much of it was rejected.
     pub(crate) fn window_ended(&mut self, rejected: Fraction, now: Instant) {
         if rejected <= MAX_REJECTED_IF_USUAL {
-            self.usual.add(self.overall(now).value(), USUAL_WEIGHT);
+            self.usual.add(self.bias_corrected_total(now).value(), USUAL_WEIGHT);
         }
     }
 
     /// Whether more arrives than usual: what other servers rejected is retried here.
     pub(crate) fn exceeds_usual(&self, now: Instant) -> bool {
-        self.overall(now) > RequestRate::per_second(SPILLOVER_FACTOR * self.usual.or_zero())
+        self.bias_corrected_total(now) > RequestRate::per_second(SPILLOVER_FACTOR * self.usual.or_zero())
     }
 
     /// The fraction of what a tenant sends that is within its quota, which is for all `servers` together: each is
--- a/admission/src/admission/overload/detector/tests.rs
+++ b/admission/src/admission/overload/detector/tests.rs
@@ -24,12 +24,12 @@
 }
 
 #[test]
-fn a_penalty_is_overload_for_one_rate_window() {
+fn a_downstream_rejection_is_overload_for_one_rate_window() {
     let state = ServerState::new(Settings::default());
     let mut detector = OverloadDetector::new();
-    detector.penalize(at(1.0));
+    detector.record_downstream_rejection(at(1.0));
     let latencies = LatencyTracker::default();
     let overloaded = |now| detector.is_overloaded(&state.context(now), &latencies, false);
     assert!(overloaded(2.9) && !overloaded(3.0));
-    assert!(detector.penalized_after(at(0.5)) && !detector.penalized_after(at(1.0)));
+    assert!(detector.downstream_rejected_after(at(0.5)) && !detector.downstream_rejected_after(at(1.0)));
 }
--- a/admission/src/admission/overload/permitted_rate.rs
+++ b/admission/src/admission/overload/permitted_rate.rs
@@ -1,28 +1,29 @@
 //! The permitted rate: the requests a second that are admitted under overload. One rate covers every class.
 //!
-//! It is looked at once in a rate window of two seconds. The first window with enough requests seeds it; a penalty or
-//! latency over target cuts it to what was handled, less a little; otherwise it rises by a step, provided that the
-//! requests handled reached half of it (a rate that is not used must not rise in quiet periods to what the server can't sustain). Cut and rise are multiplicative and
-//! additive.
+//! It is looked at once in a rate window of two seconds. The first window with enough requests initializes it; a
+//! downstream rejection or latency over target sets it to what was handled, less a little; otherwise it rises by a step,
+//! provided that the requests handled reached half of it: in quiet periods it must not rise to what the server can't
+//! sustain. Additive increase, multiplicative decrease (AIMD).
 
 use crate::admission::constants::{MIN_SAMPLES, RATE_WINDOW};
 use crate::admission::overload::token_bucket::TokenBucket;
 use crate::admission::quantities::{Fraction, RequestRate};
 use crate::admission::time::Instant;
 
-/// A cut leaves this fraction of the rate that was handled: the queue shrinks instead of standing.
-const CUT_FACTOR: f64 = 0.9;
-/// One cut takes at most half of the rate: a single bad window says little of the next.
-const MIN_REMAINING: f64 = 0.5;
-/// A rise adds this fraction of the capacity of the cores: from half of it to all in about twenty seconds.
-const RISE: f64 = 0.05;
+/// A decrease leaves this fraction of the measured rate: the queue shrinks instead of standing.
+const DECREASE_FACTOR: f64 = 0.9;
+/// The measured rate is taken as at least this fraction of the old one, so that one decrease leaves at least 45 % of it:
+/// a single bad window says little of the next.
+const MIN_MEASURED_FRACTION: f64 = 0.5;
+/// An increase adds this fraction of the capacity of the cores: from half of it to all in about twenty seconds.
+const ADDITIVE_INCREASE: f64 = 0.05;
 /// The rate rises only if this many times the handled requests reach it: half of it was used.
 const HANDLED_FACTOR: f64 = 2.0;
 
 /// What the decision at the end of a window depends on.
 pub(crate) struct WindowLoad {
-    /// An overload answer came from below, in this window.
-    pub(crate) penalized: bool,
+    /// The dependency or the tier below has rejected a call in this window.
+    pub(crate) downstream_rejected: bool,
     /// Mean latency is over target.
     pub(crate) latency_exceeds_target: bool,
     /// Requests a second that the cores can run.
@@ -46,7 +47,7 @@
         PermittedRate { rate: None, bucket: TokenBucket::new(now), window_start: now, handled: 0.0 }
     }
 
-    /// The permitted rate; none before the first window has seeded it.
+    /// The permitted rate; none before the first window has initialized it.
     pub(crate) fn get(&self) -> Option<RequestRate> {
         self.rate
     }
@@ -74,20 +75,26 @@
         }
     }
 
-    /// Whether the current window has ended, with enough requests if it is to seed the rate.
+    /// Whether the current window has ended, with enough requests if it is to initialize the rate.
     pub(crate) fn window_has_ended(&self, now: Instant) -> bool {
         let long_enough = now - self.window_start >= RATE_WINDOW;
         long_enough && (self.rate.is_some() || self.handled >= MIN_SAMPLES)
     }
 
-    /// Seeds, cuts, raises or keeps the rate at the end of a window, and starts the next.
+    /// Initializes, decreases, increases or keeps the rate at the end of a window, and starts the next.
     pub(crate) fn end_window(&mut self, load: &WindowLoad, now: Instant) {
         let handled = self.handled_rate(now);
         self.rate = Some(match self.rate {
             None => handled,
-            Some(rate) if load.penalized => CUT_FACTOR * handled.min(rate).max(rate * MIN_REMAINING),
-            Some(rate) if load.latency_exceeds_target => CUT_FACTOR * handled.max(rate * MIN_REMAINING),
-            Some(rate) if HANDLED_FACTOR * handled >= rate => rate + RISE * load.capacity,
+            Some(rate) if load.downstream_rejected => {
+                DECREASE_FACTOR * handled.min(rate).max(rate * MIN_MEASURED_FRACTION)
+            }
+            // Not held to the old rate: as long as the server was not overloaded, arrivals were admitted without a
+            // token. Where more was handled than the rate, the rate may follow it up.
+            Some(rate) if load.latency_exceeds_target => {
+                DECREASE_FACTOR * handled.max(rate * MIN_MEASURED_FRACTION)
+            }
+            Some(rate) if HANDLED_FACTOR * handled >= rate => rate + ADDITIVE_INCREASE * load.capacity,
             Some(rate) => rate,
         });
         self.window_start = now;
--- a/admission/tests/admission/permitted_rate.rs
+++ b/admission/tests/admission/permitted_rate.rs
@@ -1,4 +1,5 @@
-//! The permitted rate: how it is seeded, cut and raised, penalties, fast failures and the two seconds between changes.
+//! The permitted rate: how it is initialized, cut and raised, downstream rejections, fast failures and the two seconds
+//! between changes.
 
 use std::time::Duration;
 
@@ -93,13 +94,13 @@
 }
 
 #[test]
-fn the_first_window_seeds_the_rate_and_nothing_is_rejected_before() {
+fn the_first_window_initializes_the_rate_and_nothing_is_rejected_before() {
     let mut server = ServerFixture::new(settings());
     server.run(39, 1, 100);
     assert_eq!(server.admission.permitted_rate(), None);
     assert!(server.rejected.is_empty());
     server.run(2, 1, 100);
-    assert!((15.0..25.0).contains(&server.rate()), "seeded at {}", server.rate());
+    assert!((15.0..25.0).contains(&server.rate()), "initialized at {}", server.rate());
 }
 
 #[test]
@@ -163,16 +164,16 @@
 }
 
 #[test]
-fn fast_failures_neither_seed_nor_raise_the_rate() {
+fn fast_failures_neither_initialize_nor_raise_the_rate() {
     let mut server = ServerFixture::new(settings());
     (0..200).for_each(|_| server.step(1, 5, Outcome::Error));
     assert_eq!(server.admission.permitted_rate(), None);
     server.run(80, 1, 100);
-    let seeded = server.rate();
+    let initialized = server.rate();
     (0..40).for_each(|_| server.step(0, 5, Outcome::Error));
     let settled = server.rate();
     (0..200).for_each(|_| server.step(2, 5, Outcome::Error));
-    assert!(server.rate() <= settled && settled >= seeded);
+    assert!(server.rate() <= settled && settled >= initialized);
 }
 
 #[test]
@@ -219,11 +220,11 @@
 }
 
 #[test]
-fn a_few_samples_do_not_seed_the_rate() {
+fn a_few_samples_do_not_initialize_the_rate() {
     let mut server = two_core_server(4, 2, 200);
     assert_eq!(server.admission.permitted_rate(), None);
     run_uneven(&mut server, 12, 2, 200);
-    assert!((1.0..6.0).contains(&server.rate()), "seeded at {}", server.rate());
+    assert!((1.0..6.0).contains(&server.rate()), "initialized at {}", server.rate());
 }
 
 #[test]
@@ -317,7 +318,8 @@
 #[test]
 fn requests_shed_from_the_queue_raise_the_level() {
     let mut server = ServerFixture::new(Settings { cores: 1, ..settings() });
-    // The estimated run takes 800 ms and the rate is not seeded yet: the length of the queue alone causes rejections.
+    // The estimated run takes 800 ms and the rate is not initialized yet: the length of the queue alone causes
+    // rejections.
     server.run(1, 1, 800);
     server.run(40, 0, 800);
     server.run(4, 5, 800);
