--- a/admission/src/admission/call_start.rs
+++ b/admission/src/admission/call_start.rs
@@ -27,7 +27,7 @@
 
 /// The unanswered requests that wait for a call: the highest priority first, then the earliest objective.
 pub(crate) fn awaiting_calls(requests: &RequestTable) -> Vec<RequestId> {
-    let is_waiting = |entry: &Entry| entry.request.is_awaiting_call() && !entry.request.answered;
+    let is_waiting = |entry: &Entry| entry.request.is_awaiting_call() && !entry.request.answer_settled;
     let mut waiting: Vec<Entry> = requests.iter().filter(is_waiting).collect();
     waiting.sort_by(|first, second| {
         let by_priority = second.request.priority.total_cmp(first.request.priority);
--- a/admission/src/admission/call_start/tests.rs
+++ b/admission/src/admission/call_start/tests.rs
@@ -63,7 +63,7 @@
 #[test]
 fn the_highest_priority_calls_first() {
     let heavy = Request { priority: priority(3.0), ..awaiting_call() };
-    let answered = Request { answered: true, ..awaiting_call() };
+    let answered = Request { answer_settled: true, ..awaiting_call() };
     let running = Request { phase: Phase::Queued, ..awaiting_call() };
     let requests = vec![awaiting_call(), heavy, answered, running];
     let state = ServerState::with_requests(Settings::default(), requests);
--- a/admission/src/admission/calls.rs
+++ b/admission/src/admission/calls.rs
@@ -118,18 +118,23 @@
         }
     }
 
-    /// Whether the arrival `request` is admitted as far as calls go. With calls at their bound, what will call is
-    /// admitted only if few of its priority or above are in flight.
-    pub(crate) fn admit(&mut self, request: &Request, context: &Context, max_at_calls: usize) -> bool {
+    /// Throttles arrivals that will call for a rate window from now if as many requests wait at calls as may.
+    pub(crate) fn update_throttle(&mut self, context: &Context, max_at_calls: usize) {
         if context.requests.at_calls_count() >= max_at_calls {
             self.throttled_until = context.now + RATE_WINDOW;
         }
+    }
+
+    /// Whether the arrival `request` is admitted as far as calls go. While arrivals are throttled, one that may call is
+    /// admitted only if few of its priority or above are in flight; the request is in the table already and counts
+    /// itself.
+    pub(crate) fn admits(&self, request: &Request, context: &Context) -> bool {
         if !self.are_throttled(context.now) || !request.may_call {
             return true;
         }
         let bound = self.history.completable(context.objective_of(request)).max(1.0);
         let goes_first =
-            |other: &Request| other.may_call && !other.answered && other.priority >= request.priority;
+            |other: &Request| other.may_call && !other.answer_settled && other.priority >= request.priority;
         context.requests.count(goes_first) as f64 <= bound
     }
 }
--- a/admission/src/admission/calls/tests.rs
+++ b/admission/src/admission/calls/tests.rs
@@ -45,7 +45,10 @@
     let requests = vec![awaiting_call(), awaiting_call(), caller(1.0)];
     let state = ServerState::with_requests(settings(Dependency::Off), requests);
     let mut calls = calls_to(Dependency::Off);
-    let mut admits = |request, bound| calls.admit(&request, &state.context(0.0), bound);
+    let mut admits = |request, bound| {
+        calls.update_throttle(&state.context(0.0), bound);
+        calls.admits(&request, &state.context(0.0))
+    };
     assert!(admits(caller(1.0), 4), "below the bound");
     assert!(!admits(caller(1.0), 2), "two go first");
     assert!(!admits(caller(1.0), 4), "it is throttled for a while");
--- a/admission/src/admission/deadlines.rs
+++ b/admission/src/admission/deadlines.rs
@@ -17,7 +17,7 @@
             || (stalled && request.is_queued())
             || objective_is_missed(request, context)
     };
-    let due = context.requests.iter().filter(|entry| !entry.request.answered && is_due(entry.request));
+    let due = context.requests.iter().filter(|entry| !entry.request.answer_settled && is_due(entry.request));
     due.map(|entry| entry.id).collect()
 }
 
--- a/admission/src/admission/deadlines/tests.rs
+++ b/admission/src/admission/deadlines/tests.rs
@@ -15,7 +15,7 @@
 #[test]
 fn what_would_miss_its_deadline_before_the_next_timer_is_answered() {
     let later = Request { deadline: at(5.1), ..queued() };
-    let answered = Request { answered: true, ..running() };
+    let answered = Request { answer_settled: true, ..running() };
     let requests = vec![queued(), running(), later, answered];
     assert_eq!(due(late_class(), requests, 4.96, false), [RequestId(1), RequestId(2)]);
 }
--- a/admission/src/admission/events.rs
+++ b/admission/src/admission/events.rs
@@ -26,7 +26,7 @@
             Event::CallReturned { id, outcome, took } => {
                 self.call_returned(*id, *outcome, Span::from(*took));
             }
-            Event::Cancelled(id) => self.requests.cancel(*id, &self.settings, actions),
+            Event::Cancelled(id) => self.requests.settle_and_end(*id, &self.settings, actions),
             Event::Drain(left) => self.start_drain(Span::from(*left), actions),
             Event::Timer(_, gauges) => self.on_timer(gauges, actions),
         }
@@ -54,12 +54,12 @@
             self.now,
         );
         let priority = request.priority;
-        let original = self.requests.original_of(arrival.retry_of, class, &self.settings);
+        let original = self.requests.matched_attempt(arrival.retry_of, class, &self.settings);
         self.requests.table_mut().insert(id, request);
         if let Some(original) = original {
-            return self.share_outcome(id, original, actions);
+            return self.resolve_retry(id, original, actions);
         }
-        let admitted = self.admits(id);
+        let admitted = self.try_admit(id);
         let rank = Fraction::new(arrival.rank);
         self.overload.record_arrival(RecentArrival { id, at: self.now, rank, priority, admitted });
         if !admitted {
@@ -70,20 +70,24 @@
     }
 
     /// Whether an arrival, in the table already, stays queued: there is time and memory for it, calls allow it, and it
-    /// finds a token.
-    fn admits(&mut self, id: RequestId) -> bool {
+    /// finds a token, which it takes. Calls at their limit start to throttle arrivals here.
+    fn try_admit(&mut self, id: RequestId) -> bool {
         let max_at_calls = self.max_at_calls();
         let context = Context::new(self.now, &self.settings, self.requests.table(), &self.estimates);
         let Some(request) = context.requests.get(id) else { return false };
         let can_queue = request_intake::can_queue(request, &context, self.requests.keys(), &self.drain);
-        if self.stall.is_stalled() || !can_queue || !self.calls.admit(request, &context, max_at_calls) {
+        if self.stall.is_stalled() || !can_queue {
+            return false;
+        }
+        self.calls.update_throttle(&context, max_at_calls);
+        if !self.calls.admits(request, &context) {
             return false;
         }
         self.overload.admit(request.priority, &context, self.calls.are_throttled(self.now))
     }
 
     /// A retry replaces a queued attempt or shares the outcome of one that has started: no effect occurs twice.
-    fn share_outcome(&mut self, id: RequestId, original: RequestId, actions: &mut Vec<Action>) {
+    fn resolve_retry(&mut self, id: RequestId, original: RequestId, actions: &mut Vec<Action>) {
         let memory_fits = MemoryUse::of(&self.context(), self.requests.keys()).fits();
         let Some(request) = self.requests.table().get(id) else { return };
         let may_run = self.drain.may_run(request.arrived_at);
@@ -91,11 +95,18 @@
             (true, true) if may_run => {
                 self.requests.prepare_replacement(id, original);
                 self.requests.retain_key(id, &self.settings, self.now, actions);
+                // The caller is told to give up: the retry in its place is queued here, and one more elsewhere could
+                // run a second time.
                 let advice = self.advice(true);
                 self.requests.reject_replaced(original, id, advice, actions);
             }
+            // Neither attempt has run. The original keeps its place in the queue; the retry finds no memory, or came
+            // too late in a drain to run.
             (true, _) => self.reject(id, actions),
+            // The original has started or ended a run: the retry is answered with its outcome.
             (false, true) => self.requests.coalesce(id, actions),
+            // No memory to wait with. A rejection would state that nothing ran, but the original may have had its
+            // effect.
             (false, false) => self.requests.fail(id, &self.settings, actions),
         }
     }
@@ -115,7 +126,7 @@
         }
         let time_at_calls = request.phase.run().map_or(Span::ZERO, |run| run.time_at_calls);
         self.estimates.record_run(&request, took - time_at_calls);
-        if !request.answered {
+        if !request.answer_settled {
             let context = Context::new(self.now, &self.settings, self.requests.table(), &self.estimates);
             self.overload.request_answered(&request, &context);
         }
--- a/admission/src/admission/idle_connections.rs
+++ b/admission/src/admission/idle_connections.rs
@@ -12,8 +12,8 @@
 use crate::admission::time::{Instant, Span};
 use crate::interface::CallerId;
 
-/// The minimum that a flood has set falls by this fraction with each timer while cores have time to spare: to a tenth in
-/// about a second. While they have not, it falls by as much in a rate window.
+/// The minimum that a flood has set falls by this fraction with each timer while cores have time to spare: to a tenth
+/// in about a second. While they have not, it falls by as much in a rate window.
 const FALL_WITH_SPARE_CAPACITY: f64 = MEAN_WEIGHT;
 /// A minimum below this has no effect: so short a time spares no handshake.
 const MIN_EFFECTIVE_MINIMUM: Span = Span::from_seconds(1.0);
--- a/admission/src/admission/overload.rs
+++ b/admission/src/admission/overload.rs
@@ -1,6 +1,7 @@
 //! Overload control: under overload an arrival needs a token of the permitted rate.
 //!
-//! It composes the permitted rate, the latencies and downstream rejections that decrease it, and the arrivals that it is compared with.
+//! It composes the permitted rate, the latencies and downstream rejections that decrease it, and the arrivals that it
+//! is compared with.
 
 pub(crate) mod arrival_rates;
 pub(crate) mod detector;
--- a/admission/src/admission/overload/arrival_rates.rs
+++ b/admission/src/admission/overload/arrival_rates.rs
@@ -71,8 +71,8 @@
         }
     }
 
-    /// All recent arrivals a second, bias-corrected (as at the start of an exponentially weighted moving average). It is
-    /// as of the last arrival: the average is not decayed from `counted_at` to `now`.
+    /// All recent arrivals a second, bias-corrected (as at the start of an exponentially weighted moving average). It
+    /// is as of the last arrival: the average is not decayed from `counted_at` to `now`.
     fn bias_corrected_total(&self, now: Instant) -> RequestRate {
         let ewma_weight_so_far = 1.0 - (-((now - self.started_at) / AVERAGING_TIME)).exp();
         RequestRate::per_second(self.all.value() / ewma_weight_so_far.max(MIN_WEIGHT_SO_FAR))
--- a/admission/src/admission/overload/latency.rs
+++ b/admission/src/admission/overload/latency.rs
@@ -1,7 +1,8 @@
 //! The latency of recent requests as a fraction of their latency objective, by which overload is detected.
 //!
-//! Each class has an objective of its own, and the target of the mean latency is a fraction of it. Requests that are late before they have an answer count too: a server on which nothing ends is not
-//! quick. Failed runs do not count: quick failures would lower the mean.
+//! Each class has an objective of its own, and the target of the mean latency is a fraction of it. Requests that are
+//! late before they have an answer count too: a server on which nothing ends is not quick. Failed runs do not count:
+//! quick failures would lower the mean.
 
 use std::collections::VecDeque;
 
@@ -51,8 +52,9 @@
 
     fn mean(&self, context: &Context, calls_throttled: bool) -> Fraction {
         let counts = |may_call: bool| !(calls_throttled && may_call);
-        let is_waiting =
-            |request: &&Request| !request.answered && !request.is_coalesced() && counts(request.may_call);
+        let is_waiting = |request: &&Request| {
+            !request.answer_settled && !request.is_coalesced() && counts(request.may_call)
+        };
         let answered = self.samples.iter().filter(|sample| counts(sample.may_call));
         let waiting = context.requests.values().filter(is_waiting);
         let late = waiting
--- a/admission/src/admission/overload/latency/tests.rs
+++ b/admission/src/admission/overload/latency/tests.rs
@@ -24,7 +24,7 @@
     assert!(!over_target(vec![]));
     assert!(!over_target(vec![running()]), "0.37 in the mean");
     assert!(over_target(vec![running(), queued()]));
-    let answered = Request { answered: true, ..running() };
+    let answered = Request { answer_settled: true, ..running() };
     assert!(!over_target(vec![answered, queued()]));
 }
 
--- a/admission/src/admission/overload/permitted_rate.rs
+++ b/admission/src/admission/overload/permitted_rate.rs
@@ -1,9 +1,9 @@
 //! The permitted rate: the requests a second that are admitted under overload. One rate covers every class.
 //!
 //! It is looked at once in a rate window of two seconds. The first window with enough requests initializes it; a
-//! downstream rejection or latency over target sets it to what was handled, less a little; otherwise it rises by a step,
-//! provided that the requests handled reached half of it: in quiet periods it must not rise to what the server can't
-//! sustain. Additive increase, multiplicative decrease (AIMD).
+//! downstream rejection or latency over target sets it to what was handled, less a little; otherwise it rises by a
+//! step, provided that the requests handled reached half of it: in quiet periods it must not rise to what the server
+//! can't sustain. Additive increase, multiplicative decrease (AIMD).
 
 use crate::admission::constants::{MIN_SAMPLES, RATE_WINDOW};
 use crate::admission::overload::token_bucket::TokenBucket;
@@ -12,8 +12,8 @@
 
 /// A decrease leaves this fraction of the measured rate: the queue shrinks instead of standing.
 const DECREASE_FACTOR: f64 = 0.9;
-/// The measured rate is taken as at least this fraction of the old one, so that one decrease leaves at least 45 % of it:
-/// a single bad window says little of the next.
+/// The measured rate is taken as at least this fraction of the old one, so that one decrease leaves at least 45 % of
+/// it: a single bad window says little of the next.
 const MIN_MEASURED_FRACTION: f64 = 0.5;
 /// An increase adds this fraction of the capacity of the cores: from half of it to all in about twenty seconds.
 const ADDITIVE_INCREASE: f64 = 0.05;
--- a/admission/src/admission/overload/recent_arrivals.rs
+++ b/admission/src/admission/overload/recent_arrivals.rs
@@ -1,5 +1,5 @@
-//! The most recent arrivals and which of them were admitted: the quantile of a priority among them is found, and the load signal is
-//! computed from them.
+//! The most recent arrivals and which of them were admitted: the quantile of a priority among them is found, and the
+//! load signal is computed from them.
 
 use std::collections::VecDeque;
 
--- a/admission/src/admission/request_intake.rs
+++ b/admission/src/admission/request_intake.rs
@@ -41,7 +41,7 @@
         relative_cost,
         priority: priority_of(class, mean_work, arrival.tenant, settings, rates),
         may_call: class.may_call && settings.dependency != Dependency::Off,
-        answered: false,
+        answer_settled: false,
         phase: Phase::Queued,
     }
 }
--- a/admission/src/admission/requests.rs
+++ b/admission/src/admission/requests.rs
@@ -68,9 +68,11 @@
         self.keys.expire(now);
     }
 
-    /// The attempt whose outcome a retry of this class shares, if it shares one: that which it names, or its successor
-    /// if it ended in this batch.
-    pub(crate) fn original_of(
+    /// The attempt that a retry with this class is matched to: the named attempt, which is open or has ended a run, or
+    /// the attempt that replaced it in this batch. None if the named attempt ended in this batch without a run, or if
+    /// the class does not deduplicate: without keys it does so only where responses are reused, and not with an attempt
+    /// that is still queued.
+    pub(crate) fn matched_attempt(
         &self,
         named: Option<RequestId>,
         class: usize,
@@ -145,13 +147,14 @@
     /// Fails a request that has started; it is preempted where its effect may be repeated.
     pub(crate) fn fail(&mut self, id: RequestId, settings: &Settings, actions: &mut Vec<Action>) {
         actions.push(Action::Fail(id));
-        self.cancel(id, settings, actions);
+        self.settle_and_end(id, settings, actions);
     }
 
-    /// A request needs no answer any more. A queued one ends; a run goes on unless it may be repeated and preempted.
-    pub(crate) fn cancel(&mut self, id: RequestId, settings: &Settings, actions: &mut Vec<Action>) {
+    /// A request needs no answer any more, because it has failed or was cancelled. A queued one ends; a run goes on
+    /// unless it may be repeated and preempted.
+    pub(crate) fn settle_and_end(&mut self, id: RequestId, settings: &Settings, actions: &mut Vec<Action>) {
         let Some(request) = self.table.get_mut(id) else { return };
-        request.answered = true;
+        request.answer_settled = true;
         let is_idempotent = settings.classes[request.class].effect == Effect::Idempotent;
         let preemptible = is_idempotent && settings.preemption != Preemption::Off;
         match request.phase {
--- a/admission/src/admission/requests/request.rs
+++ b/admission/src/admission/requests/request.rs
@@ -25,8 +25,8 @@
     pub(crate) priority: Priority,
     /// Whether it may call the dependency.
     pub(crate) may_call: bool,
-    /// Whether it needs no answer any more.
-    pub(crate) answered: bool,
+    /// Whether it needs no answer any more: it was answered, or its caller cancelled it.
+    pub(crate) answer_settled: bool,
     pub(crate) phase: Phase,
 }
 
--- a/admission/src/admission/requests/tests.rs
+++ b/admission/src/admission/requests/tests.rs
@@ -45,7 +45,7 @@
     requests.prepare_replacement(RequestId(2), RequestId(1));
     requests.reject_replaced(RequestId(1), RequestId(2), ADVICE, &mut Vec::new());
     assert_eq!(requests.table().get(RequestId(2)).map(|retry| retry.objective_at), Some(at(1.0)));
-    let original = |effect| requests.original_of(Some(RequestId(1)), 0, &settings(effect));
+    let original = |effect| requests.matched_attempt(Some(RequestId(1)), 0, &settings(effect));
     assert_eq!(original(Effect::IdempotencyKey), Some(RequestId(2)));
     assert_eq!(original(Effect::AtMostOnce), None);
 }
--- a/admission/src/admission/tests/fixtures.rs
+++ b/admission/src/admission/tests/fixtures.rs
@@ -40,7 +40,7 @@
         relative_cost: 1.0,
         priority: priority(1.0),
         may_call: false,
-        answered: false,
+        answer_settled: false,
         phase: Phase::Queued,
     }
 }
--- a/admission/src/interface/class.rs
+++ b/admission/src/interface/class.rs
@@ -24,7 +24,8 @@
     pub deadline: Duration,
     /// How often its effect may occur.
     pub effect: Effect,
-    /// Idempotency window, for [`Effect::IdempotencyKey`](crate::Effect::IdempotencyKey): how long after its arrival a request may be retried.
+    /// Idempotency window, for [`Effect::IdempotencyKey`](crate::Effect::IdempotencyKey): how long after its arrival a
+    /// request may be retried.
     pub idempotency_window: Duration,
     /// Weight of a request in scheduling and under overload, relative to other classes.
     pub weight: f64,
--- a/admission/src/interface/settings.rs
+++ b/admission/src/interface/settings.rs
@@ -40,6 +40,8 @@
     /// How callers use the advertised value.
     pub signal: Signal,
     /// How long the response of an idempotent request may be reused for others; zero means never.
+    /// The module only looks whether it is zero; the embedding server enforces the duration, as it names in
+    /// [`Arrival::retry_of`](crate::Arrival::retry_of) no attempt whose response is older.
     pub response_reuse: Duration,
     /// Whether the server has just started and has to warm up (slow start).
     pub cold: bool,
@@ -55,7 +57,8 @@
     pub retry_after: bool,
     /// The longest retry-after that callers honor.
     pub max_retry_after: Duration,
-    /// Grace period of a drain: requests that arrive later than this after [`Event::Drain`](crate::Event::Drain) must not run.
+    /// Grace period of a drain: requests that arrive later than this after [`Event::Drain`](crate::Event::Drain) must
+    /// not run.
     pub drain_grace: Duration,
     /// Maximum concurrency per core that a warm server survives; never exceeded, not even for a moment.
     pub max_concurrency_per_core: f64,
