--- a/admission/src/admission/call_start.rs
+++ b/admission/src/admission/call_start.rs
@@ -4,14 +4,16 @@
 //! deadline of its request.
 
 use crate::admission::calls::DependencyCalls;
-use crate::admission::constants::{MIN_REMAINING_WORK, TIMER_PERIOD};
+use crate::admission::constants::TIMER_PERIOD;
 use crate::admission::context::Context;
 use crate::admission::requests::request::{Request, Run};
 use crate::admission::requests::table::{Entry, RequestTable};
 use crate::admission::time::Span;
 use crate::interface::{Effect, RequestId};
 
-/// The shortest timeout of a call: shorter than any answer.
+/// The fraction of the estimated work of its request that a run is taken to have left after the call.
+const WORK_AFTER_CALL: f64 = 0.5;
+/// The shortest timeout of a call, which is shorter than any answer takes: a timeout of zero would be no call.
 const MIN_TIMEOUT: Span = Span::from_seconds(0.001);
 
 /// What to do with a request that waits for a call.
@@ -45,11 +47,12 @@
 ) -> CallDecision {
     let now = context.now;
     let class = context.class_of(request);
-    let work = context.estimates.work_of(request).unwrap_or(Span::ZERO) * MIN_REMAINING_WORK;
-    let time_for_call = request.objective_at - now - work;
+    let work_after_call = context.estimates.work_of(request).unwrap_or(Span::ZERO) * WORK_AFTER_CALL;
+    let time_left_for_call = request.objective_at - now - work_after_call;
     let failed_calls = request.phase.run().map(|run: &Run| run.failed_calls).unwrap_or_default();
     let skippable = class.skip_weight > 0.0;
-    let unmeetable = now < request.objective_at && time_for_call < calls.typical_time();
+    // Once the objective has passed, skipping the call can't meet it any more: the call is made.
+    let unmeetable = now < request.objective_at && time_left_for_call < calls.typical_time();
     if skippable && (at_bound || failed_calls.any() || unmeetable) {
         return CallDecision::Skip;
     }
@@ -58,7 +61,8 @@
         return CallDecision::Fail;
     }
     let until_deadline = request.deadline - now - TIMER_PERIOD;
-    let timeout = if skippable && time_for_call > Span::ZERO { time_for_call } else { until_deadline };
+    let timeout =
+        if skippable && time_left_for_call > Span::ZERO { time_left_for_call } else { until_deadline };
     CallDecision::Call { timeout: timeout.min(calls.limit().max_call_time()).max(MIN_TIMEOUT) }
 }
 
--- a/admission/src/admission/constants.rs
+++ b/admission/src/admission/constants.rs
@@ -30,9 +30,5 @@
 /// The fraction of the memory that is ever used: the rest is for what the server itself needs.
 pub(crate) const USED_MEMORY: f64 = 0.9;
 
-/// The fraction of its estimated work that a running request is assumed to need still, at the least: estimates are
-/// means, and what has run for longer than the mean is not about to end.
-pub(crate) const MIN_REMAINING_WORK: f64 = 0.5;
-
 /// The shortest latency objective, work, limit or warm-up time that something is divided by.
 pub(crate) const MIN_DIVISOR: f64 = 1e-3;
--- a/admission/src/admission/shedding.rs
+++ b/admission/src/admission/shedding.rs
@@ -3,7 +3,6 @@
 //! What would miss its latency objective is rejected early, while another server can still answer, and the lowest
 //! priorities first.
 
-use crate::admission::constants::MIN_REMAINING_WORK;
 use crate::admission::context::Context;
 use crate::admission::priority::Priority;
 use crate::admission::requests::request::Request;
@@ -11,6 +10,12 @@
 use crate::admission::time::Span;
 use crate::interface::RequestId;
 
+/// The fraction of its estimated work that a running request is assumed to need still, at the least: estimates are
+/// means, and what has run for longer than the mean is not about to end.
+const MIN_REMAINING_WORK_OF_RUN: f64 = 0.5;
+/// A queued request is taken to meet its latency objective if at least this fraction of its estimated work fits before.
+const WORK_BEFORE_OBJECTIVE: f64 = 0.5;
+
 /// A queued request that is not shed so far.
 struct Candidate {
     id: RequestId,
@@ -19,24 +24,27 @@
 }
 
 /// The queued requests to shed: the lowest priorities that would delay a request past its latency objective, in the
-/// order in which they are found. `concurrency` is the limit of running requests. Without `recent_answers` the first of
-/// the queue runs all the same: otherwise a wrong estimate would never be corrected.
+/// order in which they are found. `concurrency` is the limit of running requests. Without `recent_answers` a
+/// request with no work ahead of it is kept all the same: only runs that succeed correct the estimates, and a wrong one
+/// would shed everything from then on.
 pub(crate) fn requests_to_shed(context: &Context, concurrency: f64, recent_answers: bool) -> Vec<RequestId> {
     let mut shed = Vec::new();
     let mut candidates: Vec<Candidate> = Vec::new();
-    let mut work_ahead = remaining_work_of_runs(context);
+    // The remaining work of the runs and of the candidates, the last one's own included.
+    let mut work_through_this = remaining_work_of_runs(context);
     for id in queue_order(context.requests) {
         let Some(request) = context.requests.get(id) else { continue };
         let Some(work) = context.estimates.work_of(request) else { continue };
         candidates.push(Candidate { id, work, priority: request.priority });
-        work_ahead += work;
-        let is_late = |work_ahead: Span| {
-            let starts_at = context.now + (work_ahead - work) / concurrency;
-            starts_at + work * MIN_REMAINING_WORK > request.objective_at
+        work_through_this += work;
+        let has_work_ahead = |work_through_this: Span| work_through_this > work;
+        let is_late = |work_through_this: Span| {
+            let starts_at = context.now + (work_through_this - work) / concurrency;
+            starts_at + work * WORK_BEFORE_OBJECTIVE > request.objective_at
         };
-        while (work_ahead > work || recent_answers) && is_late(work_ahead) {
+        while (has_work_ahead(work_through_this) || recent_answers) && is_late(work_through_this) {
             let Some(lowest) = remove_lowest(&mut candidates) else { break };
-            work_ahead = work_ahead - lowest.work;
+            work_through_this = work_through_this - lowest.work;
             shed.push(lowest.id);
             if lowest.id == id {
                 break;
@@ -65,7 +73,7 @@
     let (Some(work), Some(run)) = (context.estimates.work_of(request), request.phase.run()) else {
         return Span::ZERO;
     };
-    (work - run.time_on_core(context.now)).max(work * MIN_REMAINING_WORK)
+    (work - run.time_on_core(context.now)).max(work * MIN_REMAINING_WORK_OF_RUN)
 }
 
 #[cfg(test)]
