--- a/admission/src/admission.rs
+++ b/admission/src/admission.rs
@@ -51,7 +51,7 @@
 use call_start::CallDecision;
 use calls::DependencyCalls;
 use class_estimates::ClassEstimates;
-use concurrency_limit::{survivable_concurrency, ConcurrencyLimit};
+use concurrency_limit::{max_safe_concurrency, ConcurrencyLimit};
 use constants::TIMER_PERIOD;
 use context::Context;
 use drain::Drain;
@@ -168,12 +168,12 @@
         Context::new(self.now, &self.settings, self.requests.table(), &self.estimates)
     }
 
-    fn survivable_concurrency(&self) -> f64 {
-        survivable_concurrency(&self.context(), self.warm_up.fraction(self.now))
+    fn max_safe_concurrency(&self) -> f64 {
+        max_safe_concurrency(&self.context(), self.warm_up.fraction(self.now))
     }
 
-    fn max_at_calls(&self) -> usize {
-        self.calls.max_at_calls(&self.context(), self.survivable_concurrency())
+    fn max_blocked_on_calls(&self) -> usize {
+        self.calls.max_blocked_on_calls(&self.context(), self.max_safe_concurrency())
     }
 
     /// What a rejected caller is told.
@@ -217,10 +217,10 @@
     fn start_calls(&mut self, actions: &mut Vec<Action>) {
         let calling = self.requests.table().count(Request::is_calling);
         let mut in_progress = self.calls.update_balance(self.now, calling);
-        let at_bound = self.requests.table().at_calls_count() >= self.max_at_calls();
+        let calls_at_limit = self.requests.table().blocked_on_calls_count() >= self.max_blocked_on_calls();
         for id in call_start::awaiting_calls(self.requests.table()) {
             let Some(request) = self.requests.table().get(id) else { continue };
-            let decision = call_start::decide_call(request, &self.context(), &self.calls, at_bound);
+            let decision = call_start::decide_call(request, &self.context(), &self.calls, calls_at_limit);
             let Some(request) = self.requests.table_mut().get_mut(id) else { continue };
             match decision {
                 CallDecision::Skip => {
@@ -241,8 +241,8 @@
     fn start_runs(&mut self, actions: &mut Vec<Action>) {
         let limits = RunLimits {
             concurrency: self.concurrency.run_limit(),
-            survivable: self.survivable_concurrency(),
-            at_calls: self.max_at_calls(),
+            max_safe_concurrency: self.max_safe_concurrency(),
+            max_blocked_on_calls: self.max_blocked_on_calls(),
         };
         let context = self.context();
         let memory = MemoryUse::of(&context, self.requests.keys());
--- a/admission/src/admission/call_start.rs
+++ b/admission/src/admission/call_start.rs
@@ -38,12 +38,13 @@
     waiting.into_iter().map(|entry| entry.id).collect()
 }
 
-/// What to do with `request`, which waits for a call; `at_bound` tells that as many wait at calls as may.
+/// What to do with `request`, which waits for a call; `calls_at_limit` tells that as many are blocked on calls as may
+/// be.
 pub(crate) fn decide_call(
     request: &Request,
     context: &Context,
     calls: &DependencyCalls,
-    at_bound: bool,
+    calls_at_limit: bool,
 ) -> CallDecision {
     let now = context.now;
     let class = context.class_of(request);
@@ -53,10 +54,10 @@
     let skippable = class.skip_weight > 0.0;
     // Once the objective has passed, skipping the call can't meet it any more: the call is made.
     let unmeetable = now < request.objective_at && time_left_for_call < calls.typical_time();
-    if skippable && (at_bound || failed_calls.any() || unmeetable) {
+    if skippable && (calls_at_limit || failed_calls.any() || unmeetable) {
         return CallDecision::Skip;
     }
-    let late = at_bound && class.effect == Effect::Idempotent && now > request.objective_at;
+    let late = calls_at_limit && class.effect == Effect::Idempotent && now > request.objective_at;
     if late || failed_calls.exhausted() {
         return CallDecision::Fail;
     }
--- a/admission/src/admission/call_start/tests.rs
+++ b/admission/src/admission/call_start/tests.rs
@@ -6,8 +6,8 @@
 
 const SKIPPABLE: f64 = 0.5;
 
-/// What is decided on a request at a call to a tier, so many seconds after its arrival.
-fn decision(class: &Class, request: Request, now: f64, at_bound: bool) -> CallDecision {
+/// What is decided on a request blocked on a call to a tier, so many seconds after its arrival.
+fn decision(class: &Class, request: Request, now: f64, calls_at_limit: bool) -> CallDecision {
     let settings = Settings { classes: vec![class.clone()], ..Settings::default() };
     let state = ServerState::new(settings);
     let mut calls = DependencyCalls::new(&Dependency::Tier, at(0.0));
@@ -17,7 +17,7 @@
         at(0.0),
         &EndedCall { outcome, duration: seconds(0.25), waited: seconds(0.25), objective },
     );
-    decide_call(&request, &state.context(now), &calls, at_bound)
+    decide_call(&request, &state.context(now), &calls, calls_at_limit)
 }
 
 fn after_failures(repeatable: &[bool]) -> Request {
--- a/admission/src/admission/calls.rs
+++ b/admission/src/admission/calls.rs
@@ -1,6 +1,6 @@
-//! Calls to the dependency: how many requests may wait at one, whether an arrival that will call is admitted, and what
-//! ended calls teach. Requests that wait at a call are on no core and outside the concurrency limit; their number has a
-//! bound of its own, at which a run that may call is started only if fewer of its priority or above wait.
+//! Calls to the dependency: how many requests may be blocked on one, whether an arrival that will call is admitted, and
+//! what ended calls teach. Requests that are blocked on a call use no core and are outside the concurrency limit; their
+//! number has a bound of its own, at which a run that may call is started only if fewer of its priority or above wait.
 
 pub(crate) mod history;
 pub(crate) mod limit;
@@ -13,15 +13,15 @@
 use history::{is_slow, CallHistory};
 use limit::{CallEnd, CallLimit};
 
-/// The most requests at calls for each core while calls are quick: one to run and one to call.
-const MAX_AT_CALLS_PER_CORE: f64 = 2.0;
+/// The most requests blocked on calls for each core while calls are quick: one to run and one to call.
+const MAX_BLOCKED_ON_CALLS_PER_CORE: f64 = 2.0;
 
 /// A call that has ended.
 pub(crate) struct EndedCall {
     pub(crate) outcome: Outcome,
     /// Time since the call was started.
     pub(crate) duration: Span,
-    /// Time since the run came to the call.
+    /// Time since the run reached the call.
     pub(crate) waited: Span,
     /// The latency objective of the request.
     pub(crate) objective: Span,
@@ -32,7 +32,7 @@
 pub(crate) struct DependencyCalls {
     limit: CallLimit,
     history: CallHistory,
-    /// Until when arrivals that will call are throttled, because calls were at their bound.
+    /// Until when arrivals that will call are throttled, because calls were at their limit.
     throttled_until: Instant,
 }
 
@@ -50,7 +50,7 @@
         self.limit.reconfigure(dependency);
     }
 
-    /// Forgets that calls were at their bound.
+    /// Forgets that calls were at their limit.
     pub(crate) fn reset(&mut self) {
         self.throttled_until = Instant::DISTANT_PAST;
     }
@@ -100,14 +100,14 @@
         now < self.throttled_until
     }
 
-    /// How many requests may wait at calls: twice the cores while calls are quick, else as many as can be completed
-    /// within the latency target. A further tier protects itself: only the concurrency limit counts there.
-    pub(crate) fn max_at_calls(&self, context: &Context, survivable_concurrency: f64) -> usize {
+    /// How many requests may be blocked on calls: twice the cores while calls are quick, else as many as can be
+    /// completed within the latency target. A further tier protects itself: only the concurrency limit counts there.
+    pub(crate) fn max_blocked_on_calls(&self, context: &Context, max_safe_concurrency: f64) -> usize {
         let cores = context.cores();
         if context.settings.dependency == Dependency::Tier {
-            return (survivable_concurrency - cores).max(cores) as usize;
+            return (max_safe_concurrency - cores).max(cores) as usize;
         }
-        let max_while_quick = MAX_AT_CALLS_PER_CORE * cores;
+        let max_while_quick = MAX_BLOCKED_ON_CALLS_PER_CORE * cores;
         let calling_classes = context.settings.classes.iter().filter(|class| class.may_call);
         let objectives = calling_classes.map(|class| Span::from(class.latency_objective));
         let objective = objectives.fold(Span::INFINITE, Span::min);
@@ -118,9 +118,9 @@
         }
     }
 
-    /// Throttles arrivals that will call for a rate window from now if as many requests wait at calls as may.
-    pub(crate) fn update_throttle(&mut self, context: &Context, max_at_calls: usize) {
-        if context.requests.at_calls_count() >= max_at_calls {
+    /// Throttles arrivals that will call for a rate window from now if as many requests are blocked on calls as may be.
+    pub(crate) fn update_throttle(&mut self, context: &Context, max_blocked_on_calls: usize) {
+        if context.requests.blocked_on_calls_count() >= max_blocked_on_calls {
             self.throttled_until = context.now + RATE_WINDOW;
         }
     }
--- a/admission/src/admission/calls/history.rs
+++ b/admission/src/admission/calls/history.rs
@@ -10,7 +10,7 @@
 /// several calls still fit into the latency target.
 const SLOW_CALL: f64 = 0.07;
 
-/// Whether a time at a call is slow for this latency objective.
+/// Whether a time blocked on a call is slow for this latency objective.
 pub(crate) fn is_slow(time: Span, objective: Span) -> bool {
     time > SLOW_CALL * objective
 }
@@ -19,7 +19,7 @@
 #[derive(Debug)]
 struct EndedCall {
     at: Instant,
-    /// From when the run came to the call to the call's end.
+    /// From when the run reached the call to the call's end.
     waited: Span,
 }
 
@@ -32,7 +32,7 @@
 }
 
 impl CallHistory {
-    /// A call has ended, `waited` after the run came to it.
+    /// A call has ended, `waited` after the run reached it.
     pub(crate) fn call_ended(&mut self, now: Instant, waited: Span) {
         self.ended.push_back(EndedCall { at: now, waited });
     }
@@ -59,7 +59,7 @@
         (ended + ended.sqrt()) / RATE_WINDOW.seconds() * LATENCY_TARGET * latency_objective.seconds()
     }
 
-    /// Whether requests wait long at their calls, in the mean, for this latency objective.
+    /// Whether requests are blocked on their calls for long, in the mean, for this latency objective.
     pub(crate) fn waits_are_slow(&self, latency_objective: Span) -> bool {
         let waited = self.ended.iter().map(|call| call.waited.seconds()).sum::<f64>();
         waited > SLOW_CALL * latency_objective.seconds() * self.ended.len() as f64
--- a/admission/src/admission/calls/limit.rs
+++ b/admission/src/admission/calls/limit.rs
@@ -36,7 +36,7 @@
 /// The limit of concurrent calls.
 #[derive(Debug)]
 pub(crate) struct CallLimit {
-    /// This server's part of the concurrent calls that the dependency survives, as a mean.
+    /// This server's share of the dependency's capacity in concurrent calls, as a mean.
     share: f64,
     /// The period over which that mean is taken.
     averaging_time: Span,
--- a/admission/src/admission/calls/tests.rs
+++ b/admission/src/admission/calls/tests.rs
@@ -23,20 +23,20 @@
 }
 
 #[test]
-fn twice_the_cores_may_wait_at_calls_while_they_are_quick_and_as_many_as_end_in_time_otherwise() {
+fn twice_the_cores_may_be_blocked_on_calls_while_they_are_quick_and_as_many_as_end_in_time_otherwise() {
     let state = ServerState::new(settings(Dependency::Off));
     let mut calls = calls_to(Dependency::Off);
-    assert_eq!(calls.max_at_calls(&state.context(0.0), 6.0), 4);
+    assert_eq!(calls.max_blocked_on_calls(&state.context(0.0), 6.0), 4);
     end_slow_calls(&mut calls, 4);
-    assert_eq!(calls.max_at_calls(&state.context(0.0), 6.0), 1);
+    assert_eq!(calls.max_blocked_on_calls(&state.context(0.0), 6.0), 1);
 }
 
 #[test]
-fn calls_to_a_tier_are_bounded_by_the_survivable_concurrency() {
+fn calls_to_a_tier_are_bounded_by_the_max_safe_concurrency() {
     let state = ServerState::new(settings(Dependency::Tier));
     let calls = calls_to(Dependency::Tier);
-    assert_eq!(calls.max_at_calls(&state.context(0.0), 12.0), 10);
-    assert_eq!(calls.max_at_calls(&state.context(0.0), 3.0), 2);
+    assert_eq!(calls.max_blocked_on_calls(&state.context(0.0), 12.0), 10);
+    assert_eq!(calls.max_blocked_on_calls(&state.context(0.0), 3.0), 2);
 }
 
 #[test]
--- a/admission/src/admission/class_estimates.rs
+++ b/admission/src/admission/class_estimates.rs
@@ -1,6 +1,6 @@
 //! What is estimated of each class from its requests: the work of a run and the mean cost hint.
 //!
-//! Work is time on a core: time at calls does not count, and only runs that succeed do.
+//! Work is time on a core: time blocked on calls does not count, and only runs that succeed do.
 
 use std::time::Duration;
 
--- a/admission/src/admission/concurrency_limit.rs
+++ b/admission/src/admission/concurrency_limit.rs
@@ -1,8 +1,8 @@
 //! The concurrency limit: how many requests run at once.
 //!
 //! It starts at the number of cores, rises while cores are idle and requests are queued, and falls when more is
-//! runnable than the cores handle well. It stays under the survivable concurrency, which is a ceiling and not a target.
-//! Requests at calls are outside it.
+//! runnable than the cores handle well. It stays under the maximum safe concurrency, which is a ceiling and not a
+//! target. Requests that are blocked on calls are outside it.
 
 use crate::admission::constants::USED_CAPACITY;
 use crate::admission::context::Context;
@@ -48,8 +48,8 @@
         requests.running_count() as f64 <= self.waiting_for_io
     }
 
-    /// Adjusts the limit to the gauges of a timer; `survivable` is the survivable concurrency.
-    pub(crate) fn adjust(&mut self, gauges: &Gauges, context: &Context, survivable: f64) {
+    /// Adjusts the limit to the gauges of a timer; `max_safe_concurrency` bounds it.
+    pub(crate) fn adjust(&mut self, gauges: &Gauges, context: &Context, max_safe_concurrency: f64) {
         let cores = context.cores();
         let running = context.requests.running_count() as f64;
         let any_queued = context.requests.count(Request::is_queued) > 0;
@@ -60,7 +60,7 @@
         } else if any_queued && runnable < cores && gauges.utilization.is_none_or(has_spare_capacity) {
             self.limit += STEP;
         }
-        self.limit = self.limit.clamp(cores, survivable.max(cores));
+        self.limit = self.limit.clamp(cores, max_safe_concurrency.max(cores));
     }
 }
 
@@ -69,8 +69,8 @@
     utilization < SPARE_UTILIZATION
 }
 
-/// Concurrent runs that the server survives, less a margin; fewer while it warms up.
-pub(crate) fn survivable_concurrency(context: &Context, warm_up: Fraction) -> f64 {
+/// Concurrent runs that are safe, less a margin; fewer while it warms up.
+pub(crate) fn max_safe_concurrency(context: &Context, warm_up: Fraction) -> f64 {
     let beyond_one = (context.settings.max_concurrency_per_core - 1.0).max(0.0);
     let per_core = 1.0 + beyond_one * warm_up.value();
     (context.cores() * per_core * USED_CAPACITY).max(1.0)
--- a/admission/src/admission/concurrency_limit/tests.rs
+++ b/admission/src/admission/concurrency_limit/tests.rs
@@ -1,4 +1,4 @@
-use super::{survivable_concurrency, ConcurrencyLimit};
+use super::{max_safe_concurrency, ConcurrencyLimit};
 use crate::admission::quantities::Fraction;
 use crate::admission::tests::fixtures::{queued, running, ServerState};
 use crate::interface::{Gauges, Settings};
@@ -39,9 +39,9 @@
 }
 
 #[test]
-fn fewer_concurrent_runs_are_survivable_while_the_server_warms_up() {
+fn fewer_concurrent_runs_are_safe_while_the_server_warms_up() {
     let settings = Settings { cores: 4, max_concurrency_per_core: 5.0, ..Settings::default() };
     let state = ServerState::new(settings);
-    assert_eq!(survivable_concurrency(&state.context(0.0), Fraction::ALL), 15.0);
-    assert_eq!(survivable_concurrency(&state.context(0.0), Fraction::new(0.25)), 6.0);
+    assert_eq!(max_safe_concurrency(&state.context(0.0), Fraction::ALL), 15.0);
+    assert_eq!(max_safe_concurrency(&state.context(0.0), Fraction::new(0.25)), 6.0);
 }
--- a/admission/src/admission/constants.rs
+++ b/admission/src/admission/constants.rs
@@ -23,7 +23,7 @@
 /// Weight of a new sample in the slower means: about the last twenty decide.
 pub(crate) const SLOW_MEAN_WEIGHT: f64 = MEAN_WEIGHT / 2.0;
 
-/// The fraction of the survivable concurrency, and of this server's share of the dependency, that is ever used: the
+/// The fraction of the maximum safe concurrency, and of this server's share of the dependency, that is ever used: the
 /// rest covers what starts before a measurement shows it.
 pub(crate) const USED_CAPACITY: f64 = 0.75;
 
--- a/admission/src/admission/events.rs
+++ b/admission/src/admission/events.rs
@@ -2,7 +2,7 @@
 
 use super::{Admission, TIMER};
 use crate::admission::calls::EndedCall;
-use crate::admission::concurrency_limit::{has_spare_capacity, survivable_concurrency};
+use crate::admission::concurrency_limit::{has_spare_capacity, max_safe_concurrency};
 use crate::admission::constants::TIMER_PERIOD;
 use crate::admission::context::Context;
 use crate::admission::idle_connections::ConnectionLoad;
@@ -72,14 +72,14 @@
     /// Whether an arrival, in the table already, stays queued: there is time and memory for it, calls allow it, and it
     /// finds a token, which it takes. Calls at their limit start to throttle arrivals here.
     fn try_admit(&mut self, id: RequestId) -> bool {
-        let max_at_calls = self.max_at_calls();
+        let max_blocked_on_calls = self.max_blocked_on_calls();
         let context = Context::new(self.now, &self.settings, self.requests.table(), &self.estimates);
         let Some(request) = context.requests.get(id) else { return false };
         let can_queue = request_intake::can_queue(request, &context, self.requests.keys(), &self.drain);
         if self.stall.is_stalled() || !can_queue {
             return false;
         }
-        self.calls.update_throttle(&context, max_at_calls);
+        self.calls.update_throttle(&context, max_blocked_on_calls);
         if !self.calls.admits(request, &context) {
             return false;
         }
@@ -124,8 +124,8 @@
         if outcome != Outcome::Ok || request.is_coalesced() {
             return;
         }
-        let time_at_calls = request.phase.run().map_or(Span::ZERO, |run| run.time_at_calls);
-        self.estimates.record_run(&request, took - time_at_calls);
+        let time_blocked_on_calls = request.phase.run().map_or(Span::ZERO, |run| run.time_blocked_on_calls);
+        self.estimates.record_run(&request, took - time_blocked_on_calls);
         if !request.answer_settled {
             let context = Context::new(self.now, &self.settings, self.requests.table(), &self.estimates);
             self.overload.request_answered(&request, &context);
@@ -183,8 +183,8 @@
         if let Some(limit) = self.connections.adjust(&load, &context) {
             actions.push(Action::IdleLimit(limit.to_duration()));
         }
-        let survivable = survivable_concurrency(&context, self.warm_up.fraction(self.now));
-        self.concurrency.adjust(gauges, &context, survivable);
+        let max_safe_concurrency = max_safe_concurrency(&context, self.warm_up.fraction(self.now));
+        self.concurrency.adjust(gauges, &context, max_safe_concurrency);
         let concurrency_limit = self.concurrency.core_limit();
         let load = SignalLoad { recent: self.overload.recent_arrivals(), read_overload, concurrency_limit };
         if let Some(value) = self.signal.update(&load, &context) {
--- a/admission/src/admission/requests/request.rs
+++ b/admission/src/admission/requests/request.rs
@@ -42,13 +42,13 @@
     /// Its run waits for a call to be started.
     AwaitingCall {
         run: Run,
-        /// When the run came to the call.
+        /// When the run reached the call.
         needed_at: Instant,
     },
     /// Its run waits for a call to return.
     Calling {
         run: Run,
-        /// When the run came to the call.
+        /// When the run reached the call.
         needed_at: Instant,
         /// When the call was started.
         sent_at: Instant,
@@ -61,8 +61,8 @@
     /// When it started. A run that the server reports without having been told to start it counts from the start of
     /// the clock.
     pub(crate) started_at: Instant,
-    /// Time at calls that have ended, on no core.
-    pub(crate) time_at_calls: Span,
+    /// Time blocked on calls that have ended.
+    pub(crate) time_blocked_on_calls: Span,
     pub(crate) failed_calls: FailedCalls,
 }
 
@@ -100,12 +100,12 @@
 
     /// Time that the run has spent on a core.
     pub(crate) fn time_on_core(&self, now: Instant) -> Span {
-        now - self.started_at - self.time_at_calls
+        now - self.started_at - self.time_blocked_on_calls
     }
 
-    /// The run after the call that it came to at `needed_at`.
+    /// The run after the call that it reached at `needed_at`.
     fn after_call(mut self, needed_at: Instant, now: Instant) -> Self {
-        self.time_at_calls += now - needed_at;
+        self.time_blocked_on_calls += now - needed_at;
         self
     }
 }
@@ -146,8 +146,8 @@
         matches!(self.phase, Phase::Calling { .. })
     }
 
-    /// Whether it waits at a call, on no core.
-    pub(crate) fn is_at_call(&self) -> bool {
+    /// Whether it is blocked on a call and uses no core.
+    pub(crate) fn is_blocked_on_call(&self) -> bool {
         self.is_awaiting_call() || self.is_calling()
     }
 
@@ -161,7 +161,7 @@
         self.phase = Phase::Running(Run::started(now));
     }
 
-    /// Its run has come to a call.
+    /// Its run has reached a call.
     pub(crate) fn need_call(&mut self, now: Instant) {
         let run = self.phase.run().copied().unwrap_or_default();
         self.phase = Phase::AwaitingCall { run, needed_at: now };
--- a/admission/src/admission/requests/request/tests.rs
+++ b/admission/src/admission/requests/request/tests.rs
@@ -2,14 +2,14 @@
 use crate::admission::tests::fixtures::{at, queued, seconds};
 
 #[test]
-fn time_at_calls_is_no_time_on_a_core() {
+fn time_blocked_on_calls_is_no_time_on_a_core() {
     let mut request = queued();
     request.start_run(at(1.0));
     request.need_call(at(2.0));
     request.send_call(at(3.0));
     request.continue_run(at(5.0));
     let Phase::Running(run) = request.phase else { panic!("{:?}", request.phase) };
-    assert_eq!(run.time_at_calls, seconds(3.0));
+    assert_eq!(run.time_blocked_on_calls, seconds(3.0));
     assert_eq!(run.time_on_core(at(6.0)), seconds(2.0));
 }
 
--- a/admission/src/admission/requests/table.rs
+++ b/admission/src/admission/requests/table.rs
@@ -64,9 +64,9 @@
         self.count(Request::is_running)
     }
 
-    /// How many requests wait at a call.
-    pub(crate) fn at_calls_count(&self) -> usize {
-        self.count(Request::is_at_call)
+    /// How many requests are blocked on a call.
+    pub(crate) fn blocked_on_calls_count(&self) -> usize {
+        self.count(Request::is_blocked_on_call)
     }
 
     /// Memory of all requests, in kB; started ones need `running_factor` times their memory while queued.
--- a/admission/src/admission/run_queue.rs
+++ b/admission/src/admission/run_queue.rs
@@ -1,7 +1,7 @@
 //! Which queued requests run next: the order of the queue, and how far the limits of concurrency, memory and calls
 //! let it move.
 //!
-//! No more requests run than the concurrency limit allows, and with those at calls no more than the server survives.
+//! No more requests run than the concurrency limit allows, and with those blocked on calls no more than is safe.
 
 use crate::admission::context::Context;
 use crate::admission::memory::{extra_memory_of_run, MemoryUse};
@@ -14,10 +14,10 @@
 pub(crate) struct RunLimits {
     /// The limit of running requests by the concurrency limit.
     pub(crate) concurrency: f64,
-    /// The concurrent requests that the server survives, those at calls included.
-    pub(crate) survivable: f64,
-    /// How many requests may wait at calls.
-    pub(crate) at_calls: usize,
+    /// The maximum safe number of concurrent requests, those blocked on calls included.
+    pub(crate) max_safe_concurrency: f64,
+    /// How many requests may be blocked on calls.
+    pub(crate) max_blocked_on_calls: usize,
 }
 
 /// What decides on the position of a queued request.
@@ -50,16 +50,16 @@
 /// The queued requests that start now, in order. What does not fit the memory or would call beyond the bound is passed
 /// over.
 pub(crate) fn runs_to_start(context: &Context, mut memory: MemoryUse, limits: &RunLimits) -> Vec<RequestId> {
-    let survivable_on_cores = limits.survivable - context.requests.at_calls_count() as f64;
+    let max_safe_on_cores = limits.max_safe_concurrency - context.requests.blocked_on_calls_count() as f64;
     let mut running = context.requests.running_count() as f64;
     let mut starting = Vec::new();
     for id in queue_order(context.requests) {
-        if running + 1.0 > limits.concurrency || running + 1.0 > survivable_on_cores {
+        if running + 1.0 > limits.concurrency || running + 1.0 > max_safe_on_cores {
             break;
         }
         let Some(request) = context.requests.get(id) else { continue };
         let with_run = memory.with(extra_memory_of_run(request, context.settings));
-        if with_run.is_exceeded() || calls_are_full(request, context.requests, limits.at_calls) {
+        if with_run.is_exceeded() || calls_are_full(request, context.requests, limits.max_blocked_on_calls) {
             continue;
         }
         memory = with_run;
@@ -69,10 +69,10 @@
     starting
 }
 
-/// Whether as many requests of its priority or above wait at calls as may.
-fn calls_are_full(request: &Request, requests: &RequestTable, max_at_calls: usize) -> bool {
-    let goes_first = |other: &Request| other.is_at_call() && other.priority >= request.priority;
-    request.may_call && requests.count(goes_first) >= max_at_calls
+/// Whether as many requests of its priority or above are blocked on calls as may be.
+fn calls_are_full(request: &Request, requests: &RequestTable, max_blocked_on_calls: usize) -> bool {
+    let goes_first = |other: &Request| other.is_blocked_on_call() && other.priority >= request.priority;
+    request.may_call && requests.count(goes_first) >= max_blocked_on_calls
 }
 
 #[cfg(test)]
--- a/admission/src/admission/run_queue/tests.rs
+++ b/admission/src/admission/run_queue/tests.rs
@@ -11,7 +11,7 @@
     runs_to_start(&context, memory, limits).into_iter().map(|id| id.0).collect()
 }
 
-const WIDE: RunLimits = RunLimits { concurrency: 9.0, survivable: 9.0, at_calls: 9 };
+const WIDE: RunLimits = RunLimits { concurrency: 9.0, max_safe_concurrency: 9.0, max_blocked_on_calls: 9 };
 
 #[test]
 fn the_highest_priority_runs_first_and_within_a_tier_the_earliest_objective() {
@@ -28,9 +28,9 @@
 }
 
 #[test]
-fn requests_at_calls_count_towards_the_survivable_concurrency() {
+fn requests_blocked_on_calls_count_towards_the_max_safe_concurrency() {
     let state = ServerState::with_requests(Settings::default(), vec![awaiting_call(), queued(), queued()]);
-    assert_eq!(started(&state, &RunLimits { survivable: 2.0, ..WIDE }), [2]);
+    assert_eq!(started(&state, &RunLimits { max_safe_concurrency: 2.0, ..WIDE }), [2]);
 }
 
 #[test]
@@ -42,8 +42,8 @@
 }
 
 #[test]
-fn a_request_that_may_call_waits_while_as_many_of_its_priority_are_at_calls() {
+fn a_request_that_may_call_waits_while_as_many_of_its_priority_are_blocked_on_calls() {
     let caller = Request { may_call: true, ..queued() };
     let state = ServerState::with_requests(Settings::default(), vec![awaiting_call(), caller, queued()]);
-    assert_eq!(started(&state, &RunLimits { at_calls: 1, ..WIDE }), [3]);
+    assert_eq!(started(&state, &RunLimits { max_blocked_on_calls: 1, ..WIDE }), [3]);
 }
--- a/admission/src/admission/tests/fixtures.rs
+++ b/admission/src/admission/tests/fixtures.rs
@@ -50,7 +50,7 @@
     Request { phase: Phase::Running(Run::started(at(0.0))), ..queued() }
 }
 
-/// A request like [`queued`] that may call and came to a call on arrival.
+/// A request like [`queued`] that may call and reached a call on arrival.
 pub(crate) fn awaiting_call() -> Request {
     let phase = Phase::AwaitingCall { run: Run::started(at(0.0)), needed_at: at(0.0) };
     Request { phase, may_call: true, ..queued() }
--- a/admission/src/admission/warm_up.rs
+++ b/admission/src/admission/warm_up.rs
@@ -1,4 +1,4 @@
-//! Slow start: how much of its full speed a server has while it warms up, and so how many concurrent runs it survives.
+//! Slow start: how much of its full speed a server has while it warms up, and so how many concurrent runs are safe.
 //! The permitted rate starts alike on a cold and on a warm server: there is none before the first window.
 
 use crate::admission::constants::MIN_DIVISOR;
--- a/admission/src/interface/environment.rs
+++ b/admission/src/interface/environment.rs
@@ -9,7 +9,7 @@
     Off,
     /// A service that all servers of the tier share.
     Shared {
-        /// This server's share of the concurrent calls that the dependency survives, as a mean; may be below 1.
+        /// This server's share of the dependency's capacity in concurrent calls, as a mean; may be below 1.
         share: f64,
         /// Period over which that mean is taken.
         averaging_time: Duration,
--- a/admission/src/interface/settings.rs
+++ b/admission/src/interface/settings.rs
@@ -60,7 +60,7 @@
     /// Grace period of a drain: requests that arrive later than this after [`Event::Drain`](crate::Event::Drain) must
     /// not run.
     pub drain_grace: Duration,
-    /// Maximum concurrency per core that a warm server survives; never exceeded, not even for a moment.
+    /// Maximum safe concurrency per core of a warm server; never exceeded, not even for a moment.
     pub max_concurrency_per_core: f64,
     /// The shortest time between two calls of [`Admission::handle`](crate::Admission::handle).
     pub min_handle_interval: Duration,
@@ -72,7 +72,7 @@
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 /// The default of the longest retry-after that callers honor, and of the grace period of a drain.
 const DEFAULT_GRACE: Duration = Duration::from_secs(1);
-/// The default concurrency that each core survives.
+/// The default of the maximum safe concurrency per core.
 const DEFAULT_MAX_CONCURRENCY_PER_CORE: f64 = 4.0;
 /// The default of the shortest time between two batches.
 const DEFAULT_MIN_HANDLE_INTERVAL: Duration = Duration::from_millis(1);
--- a/admission/tests/admission/scheduling.rs
+++ b/admission/tests/admission/scheduling.rs
@@ -86,7 +86,10 @@
     handle_at(&mut admission, 0, &[arrival_event(1)]);
     handle_at(&mut admission, 10, &[call_needed_event(1), arrival_event(2), arrival_event(3)]);
     let answers: Vec<_> = (1..40).flat_map(|n| handle_at(&mut admission, 50 * n, &[timer_event()])).collect();
-    assert!(answers.contains(&Action::Fail(RequestId(1))), "it waited at a call past its latency objective");
+    assert!(
+        answers.contains(&Action::Fail(RequestId(1))),
+        "it was blocked on a call past its latency objective"
+    );
     let rejected = |a: &&Action| matches!(a, Action::Reject { id: RequestId(3), retry_after: Some(_), .. });
     assert_eq!(
         answers.iter().filter(rejected).count(),
--- a/admission/tests/admission/slow_start.rs
+++ b/admission/tests/admission/slow_start.rs
@@ -1,5 +1,5 @@
 //! Slow start: many servers call a tier that has only just started. All of their calls together must stay within the
-//! concurrency that the cold servers survive. Simulated on one thread in virtual time; all randomness is seeded.
+//! concurrency that is safe on the cold servers. Simulated on one thread in virtual time; all randomness is seeded.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
@@ -18,7 +18,7 @@
 const COLD_SPEED: f64 = 0.22;
 /// Cores of each server.
 const CORES: f64 = 6.0;
-/// Running requests for each core that a warm server survives.
+/// Maximum safe number of running requests for each core of a warm server.
 const MAX_CONCURRENCY_PER_CORE: f64 = 8.0;
 /// Work of a request, in seconds on one core at full speed.
 const WORK_SECONDS: f64 = 0.3;
@@ -38,7 +38,7 @@
     /// The running requests at each step of the averaging period, and their sum.
     concurrency: VecDeque<f64>,
     concurrency_sum: f64,
-    /// The highest mean concurrency, as a fraction of the survivable concurrency at that time.
+    /// The highest mean concurrency, as a fraction of the maximum safe concurrency at that time.
     peak_concurrency: f64,
     /// The most runs started in the averaging period beyond its budget, in units of the square root of the budget.
     excess_starts: f64,
@@ -150,12 +150,13 @@
         if self.concurrency.len() as f64 > AVERAGING_SECONDS / STEP_SECONDS {
             self.concurrency_sum -= self.concurrency.pop_front().unwrap_or(0.0);
         }
-        let survivable = CORES * (1.0 + (MAX_CONCURRENCY_PER_CORE - 1.0) * self.speed(now));
-        self.peak_concurrency =
-            self.peak_concurrency.max(self.concurrency_sum * STEP_SECONDS / AVERAGING_SECONDS / survivable);
-        // The settings allow the survivable concurrency and, beyond it, what the cores complete in that time.
+        let max_safe_concurrency = CORES * (1.0 + (MAX_CONCURRENCY_PER_CORE - 1.0) * self.speed(now));
+        self.peak_concurrency = self
+            .peak_concurrency
+            .max(self.concurrency_sum * STEP_SECONDS / AVERAGING_SECONDS / max_safe_concurrency);
+        // The settings allow the maximum safe concurrency and, beyond it, what the cores complete in that time.
         self.starts.retain(|at| *at > now - AVERAGING_SECONDS);
-        let budget = survivable
+        let budget = max_safe_concurrency
             + CORES * self.speed(now - AVERAGING_SECONDS / 2.0).max(COLD_SPEED) * AVERAGING_SECONDS
                 / WORK_SECONDS;
         self.excess_starts = self.excess_starts.max((self.starts.len() as f64 - budget) / budget.sqrt());
@@ -263,7 +264,7 @@
 
 /// The highest load of a cold server.
 struct ColdStartLoad {
-    /// Mean concurrency, as a fraction of what it survives.
+    /// Mean concurrency, as a fraction of what is safe.
     concurrency: f64,
     /// Runs started beyond the budget, in units of the square root of the budget.
     excess_starts: f64,
--- a/admission/tests/model/invariants.rs
+++ b/admission/tests/model/invariants.rs
@@ -42,9 +42,13 @@
         } else {
             1.0
         };
-        let survivable =
+        let max_safe_concurrency =
             f64::from(settings.cores) * (1.0 + (settings.max_concurrency_per_core - 1.0) * warm_up_fraction);
-        assert!(self.concurrency <= survivable, "concurrency {} over {survivable}", self.concurrency);
+        assert!(
+            self.concurrency <= max_safe_concurrency,
+            "concurrency {} over {max_safe_concurrency}",
+            self.concurrency
+        );
         if let Dependency::Shared { share, averaging_time, .. } = settings.dependency {
             let decay = fade(averaging_time);
             self.calls = self.calls * decay + calling * (1.0 - decay);
