--- a/admission/src/admission.rs
+++ b/admission/src/admission.rs
@@ -16,7 +16,7 @@
 //! | Which calls are made? | `call_start`, `calls::limit` |
 //! | Is the server healthy? | `stall`, `drain` |
 //! | What do callers learn? | `load_signal`, `retry_advice`, `idle_connections`, `read_overload` |
-//! | What is estimated? | `class_estimates`, `calls::history`, `overload::latency`, `timer_watch` (stale estimates) |
+//! | What is estimated? | `class_estimates`, `calls::history`, `overload::latency`, `tick_watch` (stale estimates) |
 
 mod call_start;
 mod calls;
@@ -41,8 +41,8 @@
 mod running_mean;
 mod shedding;
 mod stall;
+mod tick_watch;
 mod time;
-mod timer_watch;
 mod warm_up;
 
 use std::time::Duration;
@@ -52,7 +52,7 @@
 use calls::DependencyCalls;
 use class_estimates::ClassEstimates;
 use concurrency_limit::{max_safe_concurrency, ConcurrencyLimit};
-use constants::TIMER_PERIOD;
+use constants::TICK_PERIOD;
 use context::Context;
 use drain::Drain;
 use idle_connections::IdleConnectionLimit;
@@ -66,11 +66,11 @@
 use retry_advice::RetryAdvice;
 use run_queue::RunLimits;
 use stall::StallDetector;
+use tick_watch::TickWatch;
 use time::{Instant, Span};
-use timer_watch::TimerWatch;
 use warm_up::WarmUp;
 
-/// The one timer that the module sets.
+/// The one timer that the module sets: its ticks drive what changes with time.
 const TIMER: TimerId = TimerId(0);
 
 /// The admission control and scheduling of one server.
@@ -88,7 +88,7 @@
     calls: DependencyCalls,
     stall: StallDetector,
     drain: Drain,
-    timers: TimerWatch,
+    ticks: TickWatch,
     read_overload: ReadOverload,
     connections: IdleConnectionLimit,
     signal: LoadSignal,
@@ -110,7 +110,7 @@
             calls: DependencyCalls::new(&settings.dependency, now),
             stall: StallDetector::new(now),
             drain: Drain::default(),
-            timers: TimerWatch::new(now),
+            ticks: TickWatch::new(now),
             read_overload: ReadOverload::new(),
             connections: IdleConnectionLimit::new(Span::from(settings.idle_timeout)),
             signal: LoadSignal::default(),
@@ -159,7 +159,7 @@
         }
         actions.push(Action::SetHealth { healthy: true, static_answer: true });
         actions.push(Action::IdleLimit(self.settings.idle_timeout));
-        actions.push(Action::SetTimer(TIMER, TIMER_PERIOD.to_duration()));
+        actions.push(Action::SetTimer(TIMER, TICK_PERIOD.to_duration()));
     }
 
     /// What decisions read. Where a decision changes its own state, the context is made of the fields that it reads:
@@ -193,7 +193,7 @@
         self.requests.reject(id, advice, actions);
     }
 
-    /// Answers what would miss its deadline before the next timer, and what can't meet its objective any more.
+    /// Answers what would miss its deadline before the next tick, and what can't meet its objective any more.
     fn enforce_deadlines(&mut self, actions: &mut Vec<Action>) {
         for id in deadlines::requests_to_answer(&self.context(), self.stall.is_stalled()) {
             if self.requests.is_queued(id) {
--- a/admission/src/admission/call_start.rs
+++ b/admission/src/admission/call_start.rs
@@ -4,7 +4,7 @@
 //! deadline of its request.
 
 use crate::admission::calls::DependencyCalls;
-use crate::admission::constants::TIMER_PERIOD;
+use crate::admission::constants::TICK_PERIOD;
 use crate::admission::context::Context;
 use crate::admission::requests::request::{Request, Run};
 use crate::admission::requests::table::{Entry, RequestTable};
@@ -61,7 +61,7 @@
     if late || failed_calls.exhausted() {
         return CallDecision::Fail;
     }
-    let until_deadline = request.deadline - now - TIMER_PERIOD;
+    let until_deadline = request.deadline - now - TICK_PERIOD;
     let timeout =
         if skippable && time_left_for_call > Span::ZERO { time_left_for_call } else { until_deadline };
     CallDecision::Call { timeout: timeout.min(calls.limit().max_call_time()).max(MIN_TIMEOUT) }
--- a/admission/src/admission/calls/limit.rs
+++ b/admission/src/admission/calls/limit.rs
@@ -6,7 +6,7 @@
 
 use std::collections::VecDeque;
 
-use crate::admission::constants::{MIN_DIVISOR, TIMER_PERIOD, USED_CAPACITY};
+use crate::admission::constants::{MIN_DIVISOR, TICK_PERIOD, USED_CAPACITY};
 use crate::admission::time::{Instant, Span};
 use crate::interface::Dependency;
 
@@ -105,7 +105,7 @@
     /// The longest time for which one call may use the share.
     pub(crate) fn max_call_time(&self) -> Span {
         let usable = self.share * self.averaging_time * MAX_SHARE_OF_ONE_CALL - self.linger;
-        usable.max(TIMER_PERIOD)
+        usable.max(TICK_PERIOD)
     }
 
     /// A call has ended: adjusts the limit and, below one, the time of the next call.
--- a/admission/src/admission/concurrency_limit.rs
+++ b/admission/src/admission/concurrency_limit.rs
@@ -16,7 +16,7 @@
 const SPARE_UTILIZATION: f64 = 0.92;
 /// Runnable work for each core above which the limit falls: past it cores lose efficiency.
 const MAX_RUNNABLE_PER_CORE: f64 = 1.4;
-/// Each timer moves the limit by a quarter of a request: by a core within a fifth of a second.
+/// Each tick moves the limit by a quarter of a request: by a core within a fifth of a second.
 const STEP: f64 = 0.25;
 
 /// The limit of requests that run at once.
@@ -48,7 +48,7 @@
         requests.running_count() as f64 <= self.waiting_for_io
     }
 
-    /// Adjusts the limit to the gauges of a timer; `max_safe_concurrency` bounds it.
+    /// Adjusts the limit to the gauges of a tick; `max_safe_concurrency` bounds it.
     pub(crate) fn adjust(&mut self, gauges: &Gauges, context: &Context, max_safe_concurrency: f64) {
         let cores = context.cores();
         let running = context.requests.running_count() as f64;
--- a/admission/src/admission/constants.rs
+++ b/admission/src/admission/constants.rs
@@ -2,9 +2,10 @@
 
 use crate::admission::time::Span;
 
-/// The time between two timers: deadlines, gauges and the permitted rate are looked at this often. A twentieth of a
-/// second is well below every latency objective and costs twenty wake-ups a second.
-pub(crate) const TIMER_PERIOD: Span = Span::from_seconds(0.05);
+/// The time between two ticks, the timer events that the module asks for: deadlines, gauges and the permitted rate are
+/// looked at this often. A twentieth of a second is well below every latency objective and costs twenty wake-ups a
+/// second.
+pub(crate) const TICK_PERIOD: Span = Span::from_seconds(0.05);
 
 /// The shortest time between two changes of the permitted rate, so that only sustained load changes it and not a
 /// short spike of latency; recent calls, arrivals and latencies are looked back on for as long.
--- a/admission/src/admission/deadlines.rs
+++ b/admission/src/admission/deadlines.rs
@@ -1,19 +1,19 @@
-//! Which unanswered requests are answered now: those that would miss their deadline before the next timer, and those
+//! Which unanswered requests are answered now: those that would miss their deadline before the next tick, and those
 //! whose objective can no longer be met.
 //!
-//! Every request has its answer by its deadline, as long as timers come. A run in progress and an effect that may have
+//! Every request has its answer by its deadline, as long as ticks come. A run in progress and an effect that may have
 //! begun go on until then.
 
-use crate::admission::constants::TIMER_PERIOD;
+use crate::admission::constants::TICK_PERIOD;
 use crate::admission::context::Context;
 use crate::admission::requests::request::{Phase, Request};
 use crate::interface::{Effect, RequestId};
 
 /// The requests to answer now.
 pub(crate) fn requests_to_answer(context: &Context, stalled: bool) -> Vec<RequestId> {
-    let next_timer = context.now + TIMER_PERIOD;
+    let next_tick = context.now + TICK_PERIOD;
     let is_due = |request: &Request| {
-        request.deadline <= next_timer
+        request.deadline <= next_tick
             || (stalled && request.is_queued())
             || objective_is_missed(request, context)
     };
--- a/admission/src/admission/deadlines/tests.rs
+++ b/admission/src/admission/deadlines/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn what_would_miss_its_deadline_before_the_next_timer_is_answered() {
+fn what_would_miss_its_deadline_before_the_next_tick_is_answered() {
     let later = Request { deadline: at(5.1), ..queued() };
     let answered = Request { answer_settled: true, ..running() };
     let requests = vec![queued(), running(), later, answered];
--- a/admission/src/admission/drain.rs
+++ b/admission/src/admission/drain.rs
@@ -3,13 +3,13 @@
 //! Everything is answered before the server is stopped, with a margin for the answers themselves, and nothing runs that
 //! arrived after the grace period.
 
-use crate::admission::constants::TIMER_PERIOD;
+use crate::admission::constants::TICK_PERIOD;
 use crate::admission::time::{Instant, Span};
 
-/// The last tenth of a drain is reserved for answers, beside the longest timer delay seen.
+/// The last tenth of a drain is reserved for answers, beside the longest tick delay seen.
 const ANSWER_RESERVE: f64 = 0.1;
-/// At the least two timers are left for answers: one to decide and one that may be late.
-const MIN_RESERVED_TIMERS: f64 = 2.0;
+/// At the least two ticks are left for answers: one to decide and one that may be late.
+const MIN_RESERVED_TICKS: f64 = 2.0;
 /// The reserve is at most half of the drain, so that a short one still runs something.
 const MAX_RESERVE: f64 = 0.5;
 
@@ -30,8 +30,8 @@
 
 impl Drain {
     /// Starts a drain that ends `left` from now; `grace` is how long arrivals may still run.
-    pub(crate) fn start(&mut self, now: Instant, left: Span, grace: Span, longest_timer_delay: Span) {
-        let reserve = (MIN_RESERVED_TIMERS * TIMER_PERIOD).max(ANSWER_RESERVE * left) + longest_timer_delay;
+    pub(crate) fn start(&mut self, now: Instant, left: Span, grace: Span, longest_tick_delay: Span) {
+        let reserve = (MIN_RESERVED_TICKS * TICK_PERIOD).max(ANSWER_RESERVE * left) + longest_tick_delay;
         let stop_at = now + left - reserve.min(left * MAX_RESERVE);
         self.notice = Some(Notice { stop_at, last_runnable_arrival: now + grace });
     }
--- a/admission/src/admission/drain/tests.rs
+++ b/admission/src/admission/drain/tests.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn a_tenth_of_the_drain_and_the_longest_timer_delay_are_reserved_for_answers() {
+fn a_tenth_of_the_drain_and_the_longest_tick_delay_are_reserved_for_answers() {
     let mut drain = Drain::default();
     drain.start(at(0.0), seconds(10.0), seconds(1.0), seconds(0.5));
     assert_eq!(drain.stop_at(), at(8.5));
--- a/admission/src/admission/events.rs
+++ b/admission/src/admission/events.rs
@@ -3,7 +3,7 @@
 use super::{Admission, TIMER};
 use crate::admission::calls::EndedCall;
 use crate::admission::concurrency_limit::{has_spare_capacity, max_safe_concurrency};
-use crate::admission::constants::TIMER_PERIOD;
+use crate::admission::constants::TICK_PERIOD;
 use crate::admission::context::Context;
 use crate::admission::idle_connections::ConnectionLoad;
 use crate::admission::load_signal::SignalLoad;
@@ -28,7 +28,7 @@
             }
             Event::Cancelled(id) => self.requests.settle_and_end(*id, &self.settings, actions),
             Event::Drain(left) => self.start_drain(Span::from(*left), actions),
-            Event::Timer(_, gauges) => self.on_timer(gauges, actions),
+            Event::Timer(_, gauges) => self.on_tick(gauges, actions),
         }
     }
 
@@ -159,14 +159,14 @@
 
     fn start_drain(&mut self, left: Span, actions: &mut Vec<Action>) {
         let grace = Span::from(self.settings.drain_grace.saturating_sub(self.settings.min_handle_interval));
-        self.drain.start(self.now, left, grace, self.timers.longest_delay());
+        self.drain.start(self.now, left, grace, self.ticks.longest_delay());
         self.requests.limit_deadlines(self.drain.stop_at());
         actions.push(Action::SetHealth { healthy: false, static_answer: true });
     }
 
     /// Looks at everything that changes with time or with the gauges.
-    fn on_timer(&mut self, gauges: &Gauges, actions: &mut Vec<Action>) {
-        if self.timers.record_timer(self.now) {
+    fn on_tick(&mut self, gauges: &Gauges, actions: &mut Vec<Action>) {
+        if self.ticks.record_tick(self.now) {
             self.reset_load_estimates();
         }
         self.detect_stall(actions);
@@ -175,7 +175,7 @@
         let context = Context::new(self.now, &self.settings, self.requests.table(), &self.estimates);
         self.read_overload.update(gauges, context.requests);
         let read_overload = self.read_overload.is_overloaded();
-        self.overload.on_timer(&context, self.calls.are_throttled(self.now));
+        self.overload.on_tick(&context, self.calls.are_throttled(self.now));
         let load = ConnectionLoad {
             flood: read_overload,
             spare: gauges.utilization.is_some_and(has_spare_capacity),
@@ -190,7 +190,7 @@
         if let Some(value) = self.signal.update(&load, &context) {
             actions.push(Action::Advertise(value));
         }
-        actions.push(Action::SetTimer(TIMER, TIMER_PERIOD.to_duration()));
+        actions.push(Action::SetTimer(TIMER, TICK_PERIOD.to_duration()));
     }
 
     /// After a long standstill nothing is known of the load, as at a start.
--- a/admission/src/admission/idle_connections.rs
+++ b/admission/src/admission/idle_connections.rs
@@ -5,14 +5,14 @@
 
 use std::collections::BTreeMap;
 
-use crate::admission::constants::{MEAN_WEIGHT, MIN_SAMPLES, RATE_WINDOW, SLOW_MEAN_WEIGHT, TIMER_PERIOD};
+use crate::admission::constants::{MEAN_WEIGHT, MIN_SAMPLES, RATE_WINDOW, SLOW_MEAN_WEIGHT, TICK_PERIOD};
 use crate::admission::context::Context;
 use crate::admission::quantities::Fraction;
 use crate::admission::running_mean::RunningMean;
 use crate::admission::time::{Instant, Span};
 use crate::interface::CallerId;
 
-/// The minimum that a flood has set falls by this fraction with each timer while cores have time to spare: to a tenth
+/// The minimum that a flood has set falls by this fraction with each tick while cores have time to spare: to a tenth
 /// in about a second. While they have not, it falls by as much in a rate window.
 const FALL_WITH_SPARE_CAPACITY: f64 = MEAN_WEIGHT;
 /// A minimum below this has no effect: so short a time spares no handshake.
@@ -65,7 +65,7 @@
         let active_callers = (self.last_request_at.len() as f64 / context.callers()).min(1.0);
         let returning = self.returning.or_zero() * active_callers;
         self.adjust_minimum(load, timeout);
-        let minimum = if self.minimum > MIN_EFFECTIVE_MINIMUM { self.minimum } else { TIMER_PERIOD };
+        let minimum = if self.minimum > MIN_EFFECTIVE_MINIMUM { self.minimum } else { TICK_PERIOD };
         let target = (timeout * returning.powi(2)).max(minimum);
         if target.distance(self.limit) > MIN_CHANGE * self.limit {
             self.limit = target;
@@ -78,9 +78,9 @@
         let fall = if load.spare {
             FALL_WITH_SPARE_CAPACITY
         } else {
-            FALL_WITH_SPARE_CAPACITY * TIMER_PERIOD / RATE_WINDOW
+            FALL_WITH_SPARE_CAPACITY * TICK_PERIOD / RATE_WINDOW
         };
-        self.minimum = if load.flood { timeout } else { (self.minimum * (1.0 - fall)).max(TIMER_PERIOD) };
+        self.minimum = if load.flood { timeout } else { (self.minimum * (1.0 - fall)).max(TICK_PERIOD) };
     }
 }
 
--- a/admission/src/admission/load_signal.rs
+++ b/admission/src/admission/load_signal.rs
@@ -9,7 +9,7 @@
 use crate::admission::time::Instant;
 use crate::interface::Signal;
 
-/// With each timer the shed fraction falls by this much: from full to none in five seconds.
+/// With each tick the shed fraction falls by this much: from full to none in five seconds.
 const FALL: f64 = 0.01;
 /// It rises by this fraction of its distance to the target: ten times as fast, since overload hurts at once.
 const RISE: f64 = 10.0 * FALL;
--- a/admission/src/admission/load_signal/tests.rs
+++ b/admission/src/admission/load_signal/tests.rs
@@ -16,11 +16,11 @@
     recent
 }
 
-/// What is advertised over so many timers.
-fn advertised(signal: &mut LoadSignal, kind: Signal, recent: &RecentArrivals, timers: u32) -> Vec<f64> {
+/// What is advertised over so many ticks.
+fn advertised(signal: &mut LoadSignal, kind: Signal, recent: &RecentArrivals, ticks: u32) -> Vec<f64> {
     let state = ServerState::new(Settings { signal: kind, callers: 4, ..Settings::default() });
     let load = SignalLoad { recent, read_overload: false, concurrency_limit: 8.0 };
-    (0..timers).filter_map(|_| signal.update(&load, &state.context(0.1))).collect()
+    (0..ticks).filter_map(|_| signal.update(&load, &state.context(0.1))).collect()
 }
 
 #[test]
--- a/admission/src/admission/overload.rs
+++ b/admission/src/admission/overload.rs
@@ -115,8 +115,8 @@
         })
     }
 
-    /// At a timer: at the end of a rate window, revises the permitted rate.
-    pub(crate) fn on_timer(&mut self, context: &Context, calls_throttled: bool) {
+    /// At a tick: at the end of a rate window, revises the permitted rate.
+    pub(crate) fn on_tick(&mut self, context: &Context, calls_throttled: bool) {
         let now = context.now;
         self.latencies.drop_expired(now);
         if !self.permitted_rate.window_has_ended(now) {
--- a/admission/src/admission/read_overload.rs
+++ b/admission/src/admission/read_overload.rs
@@ -16,12 +16,12 @@
 }
 
 impl ReadOverload {
-    /// At the start there is none, as if seen many times: one timer proves nothing.
+    /// At the start there is none, as if seen many times: one tick proves nothing.
     pub(crate) fn new() -> Self {
         ReadOverload { other_work: RunningMean::assumed(0.0, MIN_SAMPLES) }
     }
 
-    /// Adds the gauges of a timer.
+    /// Adds the gauges of a tick.
     pub(crate) fn update(&mut self, gauges: &Gauges, requests: &RequestTable) {
         let runnable = gauges.runnable.unwrap_or(0.0);
         let running = requests.running_count() as f64;
--- a/admission/src/admission/requests/idempotency_keys.rs
+++ b/admission/src/admission/requests/idempotency_keys.rs
@@ -4,12 +4,12 @@
 
 use std::collections::BTreeMap;
 
-use crate::admission::constants::TIMER_PERIOD;
+use crate::admission::constants::TICK_PERIOD;
 use crate::admission::time::{Instant, Span};
 use crate::interface::RequestId;
 
-/// A key is kept for two timers more than it has to be: what arrives at the end of its window may be read late.
-const TIMERS_OF_MARGIN: f64 = 2.0;
+/// A key is kept for two ticks more than it has to be: what arrives at the end of its window may be read late.
+const MARGIN_TICKS: f64 = 2.0;
 
 /// The retained keys, by the attempt that they belong to.
 #[derive(Debug, Default)]
@@ -20,7 +20,7 @@
 impl RetainedKeys {
     /// Retains a key from now until its window and the deadline have passed; returns for how long.
     pub(crate) fn retain(&mut self, id: RequestId, window: Span, until_deadline: Span, now: Instant) -> Span {
-        let retention = window.max(until_deadline) + TIMERS_OF_MARGIN * TIMER_PERIOD;
+        let retention = window.max(until_deadline) + MARGIN_TICKS * TICK_PERIOD;
         self.expiry.insert(id, now + retention);
         retention
     }
--- a/admission/tests/admission/lifecycle.rs
+++ b/admission/tests/admission/lifecycle.rs
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn the_end_of_a_drain_leaves_time_for_the_longest_timer_delay() {
+fn the_end_of_a_drain_leaves_time_for_the_longest_tick_delay() {
     let class = Class { latency_objective: ms(9000), deadline: ms(60_000), ..Class::default() };
     let mut admission = started_admission(Settings { classes: vec![class], ..Settings::default() });
     handle_at(&mut admission, 50, &[timer_event(), arrival_event(1)]);
