--- a/admission/src/admission/concurrency_limit.rs
+++ b/admission/src/admission/concurrency_limit.rs
@@ -53,10 +53,13 @@
         let cores = context.cores();
         let running = context.requests.running_count() as f64;
         let any_queued = context.requests.count(Request::is_queued) > 0;
+        // Without the gauge of runnable work, no run is taken to wait for I/O.
         self.waiting_for_io = (running - gauges.runnable.unwrap_or(running)).max(0.0);
+        // Without it the cores are taken to be just busy: the limit neither falls nor rises.
         let runnable = gauges.runnable.unwrap_or(cores);
         if runnable > cores * MAX_RUNNABLE_PER_CORE {
             self.limit -= STEP;
+            // Without the gauge of utilization, runnable work alone decides on a rise.
         } else if any_queued && runnable < cores && gauges.utilization.is_none_or(has_spare_capacity) {
             self.limit += STEP;
         }
--- a/admission/src/admission/events.rs
+++ b/admission/src/admission/events.rs
@@ -178,6 +178,7 @@
         self.overload.on_tick(&context, self.calls.are_throttled(self.now));
         let load = ConnectionLoad {
             flood: read_overload,
+            // Without the gauge the cores are not taken to have time to spare.
             spare: gauges.utilization.is_some_and(has_spare_capacity),
         };
         if let Some(limit) = self.connections.adjust(&load, &context) {
--- a/admission/src/admission/load_signal.rs
+++ b/admission/src/admission/load_signal.rs
@@ -20,9 +20,9 @@
 const ADMITTED_WEIGHT: f64 = 2.0;
 /// The same while reading is overloaded: then reading itself must be shed.
 const ADMITTED_WEIGHT_READING: f64 = 0.5;
-/// The search for the rank ends when the balance is this many admitted arrivals below its best: single rejections of
-/// higher ranks do not raise it.
-const SEARCH_DEPTH: f64 = 2.0;
+/// The search for the rank ends when the running sum is this many admitted arrivals below its highest value: single
+/// rejections of higher ranks do not raise it.
+const MAX_DROP_BELOW_BEST: f64 = 2.0;
 /// A change by less than a hundredth of the advertised value is not worth telling.
 const MIN_CHANGE: f64 = 0.01;
 /// Values below this count as this when a change is compared with them.
@@ -59,10 +59,10 @@
     /// Moves the shed fraction; returns the value to advertise if it has changed by enough.
     pub(crate) fn update(&mut self, load: &SignalLoad, context: &Context) -> Option<f64> {
         let target = match context.settings.signal {
-            Signal::MinRank => rank_to_reject(load, context.now),
+            Signal::MinRank => min_rank_to_accept(load, context.now),
             Signal::Off | Signal::Credit | Signal::Weight => load.recent.rejected_fraction(context.now),
         };
-        self.move_towards(target);
+        self.step(target);
         let value = self.value(load, context)?;
         let worth_telling = self
             .advertised
@@ -74,27 +74,32 @@
         Some(value)
     }
 
-    fn move_towards(&mut self, target: Fraction) {
-        let level = self.shed_fraction.value();
-        let rise = RISE * (target.value() - level).max(0.0);
+    /// Below the target the shed fraction rises by a tenth of its distance to it per tick. Otherwise it falls by 0.01
+    /// per tick, whatever the target: it probes for capacity that has returned.
+    fn step(&mut self, target: Fraction) {
+        let shed_fraction = self.shed_fraction.value();
+        let rise = RISE * (target.value() - shed_fraction).max(0.0);
         let fall = if rise > 0.0 { 0.0 } else { FALL };
-        self.shed_fraction = Fraction::new((level + rise - fall).clamp(0.0, MAX_SHED_FRACTION));
+        self.shed_fraction = Fraction::new((shed_fraction + rise - fall).clamp(0.0, MAX_SHED_FRACTION));
     }
 
     /// The shed fraction in the terms of the callers.
     fn value(&self, load: &SignalLoad, context: &Context) -> Option<f64> {
-        let level = self.shed_fraction.value();
+        let shed_fraction = self.shed_fraction.value();
         match context.settings.signal {
             Signal::Off => None,
-            Signal::MinRank => Some(level),
-            Signal::Weight => Some(1.0 - level),
-            Signal::Credit => Some(load.concurrency_limit * context.callers().powf(-level)),
+            Signal::MinRank => Some(shed_fraction),
+            Signal::Weight => Some(1.0 - shed_fraction),
+            // Geometric between the whole limit for each caller, when nothing is shed, and an equal share of it (the
+            // limit over the callers) at full shedding.
+            Signal::Credit => Some(load.concurrency_limit * context.callers().powf(-shed_fraction)),
         }
     }
 }
 
-/// The rank below which rejections outweigh admissions.
-fn rank_to_reject(load: &SignalLoad, now: Instant) -> Fraction {
+/// The rank at which the running sum of rejected minus weighted admitted arrivals, by ascending rank, is highest: below
+/// it rejections outweigh admissions.
+fn min_rank_to_accept(load: &SignalLoad, now: Instant) -> Fraction {
     let mut by_rank: Vec<&RecentArrival> = load.recent.in_window(now).collect();
     by_rank.sort_by(|first, second| first.rank.value().total_cmp(&second.rank.value()));
     let admitted_weight = if load.read_overload { ADMITTED_WEIGHT_READING } else { ADMITTED_WEIGHT };
@@ -106,7 +111,9 @@
         if balance > best_balance {
             best_balance = balance;
             best_rank = arrival.rank;
-        } else if !load.read_overload && balance < best_balance - SEARCH_DEPTH * admitted_weight {
+        } else if !load.read_overload && balance < best_balance - MAX_DROP_BELOW_BEST * admitted_weight {
+            // Under read overload the search goes on to the highest rank: reading itself must be shed, so rejections of
+            // any rank count.
             break;
         }
     }
--- a/admission/src/admission/requests/request.rs
+++ b/admission/src/admission/requests/request.rs
@@ -37,7 +37,7 @@
     Queued,
     /// It waits for the outcome of the request that it repeats.
     Coalesced,
-    /// It runs on a core.
+    /// Its run is in progress and not blocked on a call (it may wait for I/O).
     Running(Run),
     /// Its run waits for a call to be started.
     AwaitingCall {
@@ -131,7 +131,7 @@
         self.phase == Phase::Coalesced
     }
 
-    /// Whether it runs on a core.
+    /// Whether its run is in progress and not blocked on a call (it may wait for I/O).
     pub(crate) fn is_running(&self) -> bool {
         matches!(self.phase, Phase::Running(_))
     }
--- a/admission/src/admission/requests/table.rs
+++ b/admission/src/admission/requests/table.rs
@@ -59,7 +59,7 @@
         self.requests.values().filter(|request| condition(request)).count()
     }
 
-    /// How many requests run on a core.
+    /// How many runs are in progress and not blocked on a call (they may wait for I/O).
     pub(crate) fn running_count(&self) -> usize {
         self.count(Request::is_running)
     }
--- a/admission/src/admission/run_queue.rs
+++ b/admission/src/admission/run_queue.rs
@@ -10,9 +10,9 @@
 use crate::admission::time::Instant;
 use crate::interface::RequestId;
 
-/// How many more requests may run.
+/// The limits that starting a run must respect.
 pub(crate) struct RunLimits {
-    /// The limit of running requests by the concurrency limit.
+    /// Maximum running requests.
     pub(crate) concurrency: f64,
     /// The maximum safe number of concurrent requests, those blocked on calls included.
     pub(crate) max_safe_concurrency: f64,
--- a/admission/src/interface/event.rs
+++ b/admission/src/interface/event.rs
@@ -22,7 +22,7 @@
     CutOff,
     /// A run was stopped, or ended at a call because it had been answered or its caller had disconnected.
     Cancelled,
-    /// No run was started because the request had already ended.
+    /// No run was started because the request had already ended, or another node runs its key.
     Skipped,
 }
 
