--- a/admission/src/admission.rs
+++ b/admission/src/admission.rs
@@ -1,9 +1,10 @@
 //! Admission control and scheduling of one server, without clock or I/O.
 //!
 //! [`Admission::handle`] shows the order of decisions for a batch of events. Each decision has a type or a function in
-//! a module of its own; here they are composed. From the design: one permitted rate governs arrivals under overload
-//! and changes at most every two seconds, by latency, overload answers from below and use. The rest keeps the four
-//! rules (one answer in time, no effect twice, a safe drain, no fall-over) and orders what runs.
+//! a module of its own; here they are composed. Overload control follows the post on Project Clearwater "Tuning
+//! overload control for telco-grade performance": one permitted rate governs arrivals under overload and changes at
+//! most every two seconds, by latency, downstream rejections and use. The rest keeps the four rules (one answer in
+//! time, no effect twice, a safe drain, no collapse under overload) and orders what runs.
 //!
 //! | question | module |
 //! | --- | --- |
@@ -15,7 +16,7 @@
 //! | Which calls are made? | `call_start`, `calls::limit` |
 //! | Is the server healthy? | `stall`, `drain` |
 //! | What do callers learn? | `load_signal`, `retry_advice`, `idle_connections`, `read_overload` |
-//! | What is estimated? | `class_estimates`, `calls::history`, `overload::latency`, `timer_watch` (stale estimates) |
+//! | What is estimated? | `class_estimates`, `calls::history`, `overload::latency`, `tick_watch` (stale estimates) |
 
 mod call_start;
 mod calls;
@@ -40,8 +41,8 @@
 mod running_mean;
 mod shedding;
 mod stall;
+mod tick_watch;
 mod time;
-mod timer_watch;
 mod warm_up;
 
 use std::time::Duration;
@@ -50,8 +51,8 @@
 use call_start::CallDecision;
 use calls::DependencyCalls;
 use class_estimates::ClassEstimates;
-use concurrency_limit::{survivable_concurrency, ConcurrencyLimit};
-use constants::TIMER_PERIOD;
+use concurrency_limit::{max_safe_concurrency, ConcurrencyLimit};
+use constants::TICK_PERIOD;
 use context::Context;
 use drain::Drain;
 use idle_connections::IdleConnectionLimit;
@@ -65,11 +66,11 @@
 use retry_advice::RetryAdvice;
 use run_queue::RunLimits;
 use stall::StallDetector;
+use tick_watch::TickWatch;
 use time::{Instant, Span};
-use timer_watch::TimerWatch;
 use warm_up::WarmUp;
 
-/// The one timer that the module sets.
+/// The one timer that the module sets: its ticks drive what changes with time.
 const TIMER: TimerId = TimerId(0);
 
 /// The admission control and scheduling of one server.
@@ -87,7 +88,7 @@
     calls: DependencyCalls,
     stall: StallDetector,
     drain: Drain,
-    timers: TimerWatch,
+    ticks: TickWatch,
     read_overload: ReadOverload,
     connections: IdleConnectionLimit,
     signal: LoadSignal,
@@ -109,7 +110,7 @@
             calls: DependencyCalls::new(&settings.dependency, now),
             stall: StallDetector::new(now),
             drain: Drain::default(),
-            timers: TimerWatch::new(now),
+            ticks: TickWatch::new(now),
             read_overload: ReadOverload::new(),
             connections: IdleConnectionLimit::new(Span::from(settings.idle_timeout)),
             signal: LoadSignal::default(),
@@ -147,7 +148,7 @@
         self.start_runs(actions);
     }
 
-    /// Requests a second permitted under overload; none before the first window has seeded it.
+    /// Requests a second permitted under overload; none before the first window has initialized it.
     pub fn permitted_rate(&self) -> Option<f64> {
         self.overload.permitted_rate().map(quantities::RequestRate::value)
     }
@@ -158,7 +159,7 @@
         }
         actions.push(Action::SetHealth { healthy: true, static_answer: true });
         actions.push(Action::IdleLimit(self.settings.idle_timeout));
-        actions.push(Action::SetTimer(TIMER, TIMER_PERIOD.to_duration()));
+        actions.push(Action::SetTimer(TIMER, TICK_PERIOD.to_duration()));
     }
 
     /// What decisions read. Where a decision changes its own state, the context is made of the fields that it reads:
@@ -167,12 +168,12 @@
         Context::new(self.now, &self.settings, self.requests.table(), &self.estimates)
     }
 
-    fn survivable_concurrency(&self) -> f64 {
-        survivable_concurrency(&self.context(), self.warm_up.fraction(self.now))
+    fn max_safe_concurrency(&self) -> f64 {
+        max_safe_concurrency(&self.context(), self.warm_up.fraction(self.now))
     }
 
-    fn max_at_calls(&self) -> usize {
-        self.calls.max_at_calls(&self.context(), self.survivable_concurrency())
+    fn max_blocked_on_calls(&self) -> usize {
+        self.calls.max_blocked_on_calls(&self.context(), self.max_safe_concurrency())
     }
 
     /// What a rejected caller is told.
@@ -192,7 +193,7 @@
         self.requests.reject(id, advice, actions);
     }
 
-    /// Answers what would miss its deadline before the next timer, and what can't meet its objective any more.
+    /// Answers what would miss its deadline before the next tick, and what can't meet its objective any more.
     fn enforce_deadlines(&mut self, actions: &mut Vec<Action>) {
         for id in deadlines::requests_to_answer(&self.context(), self.stall.is_stalled()) {
             if self.requests.is_queued(id) {
@@ -216,10 +217,10 @@
     fn start_calls(&mut self, actions: &mut Vec<Action>) {
         let calling = self.requests.table().count(Request::is_calling);
         let mut in_progress = self.calls.update_balance(self.now, calling);
-        let at_bound = self.requests.table().at_calls_count() >= self.max_at_calls();
+        let calls_at_limit = self.requests.table().blocked_on_calls_count() >= self.max_blocked_on_calls();
         for id in call_start::awaiting_calls(self.requests.table()) {
             let Some(request) = self.requests.table().get(id) else { continue };
-            let decision = call_start::decide_call(request, &self.context(), &self.calls, at_bound);
+            let decision = call_start::decide_call(request, &self.context(), &self.calls, calls_at_limit);
             let Some(request) = self.requests.table_mut().get_mut(id) else { continue };
             match decision {
                 CallDecision::Skip => {
@@ -240,8 +241,8 @@
     fn start_runs(&mut self, actions: &mut Vec<Action>) {
         let limits = RunLimits {
             concurrency: self.concurrency.run_limit(),
-            survivable: self.survivable_concurrency(),
-            at_calls: self.max_at_calls(),
+            max_safe_concurrency: self.max_safe_concurrency(),
+            max_blocked_on_calls: self.max_blocked_on_calls(),
         };
         let context = self.context();
         let memory = MemoryUse::of(&context, self.requests.keys());
--- a/admission/src/admission/call_start/tests.rs
+++ b/admission/src/admission/call_start/tests.rs
@@ -6,8 +6,8 @@
 
 const SKIPPABLE: f64 = 0.5;
 
-/// What is decided on a request at a call to a tier, so many seconds after its arrival.
-fn decision(class: &Class, request: Request, now: f64, at_bound: bool) -> CallDecision {
+/// What is decided on a request blocked on a call to a tier, so many seconds after its arrival.
+fn decision(class: &Class, request: Request, now: f64, calls_at_limit: bool) -> CallDecision {
     let settings = Settings { classes: vec![class.clone()], ..Settings::default() };
     let state = ServerState::new(settings);
     let mut calls = DependencyCalls::new(&Dependency::Tier, at(0.0));
@@ -17,7 +17,7 @@
         at(0.0),
         &EndedCall { outcome, duration: seconds(0.25), waited: seconds(0.25), objective },
     );
-    decide_call(&request, &state.context(now), &calls, at_bound)
+    decide_call(&request, &state.context(now), &calls, calls_at_limit)
 }
 
 fn after_failures(repeatable: &[bool]) -> Request {
@@ -63,7 +63,7 @@
 #[test]
 fn the_highest_priority_calls_first() {
     let heavy = Request { priority: priority(3.0), ..awaiting_call() };
-    let answered = Request { answered: true, ..awaiting_call() };
+    let answered = Request { answer_settled: true, ..awaiting_call() };
     let running = Request { phase: Phase::Queued, ..awaiting_call() };
     let requests = vec![awaiting_call(), heavy, answered, running];
     let state = ServerState::with_requests(Settings::default(), requests);
--- a/admission/src/admission/requests/table.rs
+++ b/admission/src/admission/requests/table.rs
@@ -59,14 +59,14 @@
         self.requests.values().filter(|request| condition(request)).count()
     }
 
-    /// How many requests run on a core.
+    /// How many runs are in progress and not blocked on a call (they may wait for I/O).
     pub(crate) fn running_count(&self) -> usize {
         self.count(Request::is_running)
     }
 
-    /// How many requests wait at a call.
-    pub(crate) fn at_calls_count(&self) -> usize {
-        self.count(Request::is_at_call)
+    /// How many requests are blocked on a call.
+    pub(crate) fn blocked_on_calls_count(&self) -> usize {
+        self.count(Request::is_blocked_on_call)
     }
 
     /// Memory of all requests, in kB; started ones need `running_factor` times their memory while queued.
