--- a/admission/src/admission.rs
+++ b/admission/src/admission.rs
@@ -15,7 +15,7 @@
 //! | What runs, and how much at once? | `run_queue`, `concurrency_limit`, `warm_up`, `memory` |
 //! | Which calls are made? | `call_start`, `calls::limit` |
 //! | Is the server healthy? | `stall`, `drain` |
-//! | What do callers learn? | `load_signal`, `retry_advice`, `idle_connections`, `read_overload` |
+//! | What do callers learn? | `load_signal`, `retry_jitter`, `idle_connections`, `read_overload` |
 //! | What is estimated? | `class_estimates`, `calls::history`, `overload::latency`, `tick_watch` (stale estimates) |
 
 mod call_start;
@@ -36,7 +36,7 @@
 mod read_overload;
 mod request_intake;
 mod requests;
-mod retry_advice;
+mod retry_jitter;
 mod run_queue;
 mod running_mean;
 mod shedding;
@@ -63,7 +63,7 @@
 use read_overload::ReadOverload;
 use requests::request::Request;
 use requests::{Advice, OpenRequests};
-use retry_advice::RetryAdvice;
+use retry_jitter::RetryJitter;
 use run_queue::RunLimits;
 use stall::StallDetector;
 use tick_watch::TickWatch;
@@ -92,7 +92,7 @@
     read_overload: ReadOverload,
     connections: IdleConnectionLimit,
     signal: LoadSignal,
-    retry_advice: RetryAdvice,
+    retry_jitter: RetryJitter,
 }
 
 impl Admission {
@@ -114,7 +114,7 @@
             read_overload: ReadOverload::new(),
             connections: IdleConnectionLimit::new(Span::from(settings.idle_timeout)),
             signal: LoadSignal::default(),
-            retry_advice: RetryAdvice::new(seed),
+            retry_jitter: RetryJitter::new(seed),
             settings,
         }
     }
@@ -178,7 +178,7 @@
 
     /// What a rejected caller is told.
     fn advice(&mut self, give_up: bool) -> Advice {
-        let retry_after = self.retry_advice.retry_after(&self.settings, self.signal.shed_fraction());
+        let retry_after = self.retry_jitter.retry_after(&self.settings, self.signal.shed_fraction());
         Advice { retry_after, give_up }
     }
 
@@ -216,7 +216,7 @@
     /// Starts the calls that the limit allows, the highest priority first.
     fn start_calls(&mut self, actions: &mut Vec<Action>) {
         let calling = self.requests.table().count(Request::is_calling);
-        let mut in_progress = self.calls.update_balance(self.now, calling);
+        let mut in_progress = self.calls.accrue_and_count_in_progress(self.now, calling);
         let calls_at_limit = self.requests.table().blocked_on_calls_count() >= self.max_blocked_on_calls();
         for id in call_start::awaiting_calls(self.requests.table()) {
             let Some(request) = self.requests.table().get(id) else { continue };
--- a/admission/src/admission/call_start.rs
+++ b/admission/src/admission/call_start.rs
@@ -33,7 +33,7 @@
     let mut waiting: Vec<Entry> = requests.iter().filter(is_waiting).collect();
     waiting.sort_by(|first, second| {
         let by_priority = second.request.priority.total_cmp(first.request.priority);
-        by_priority.then(first.request.objective_at.total_cmp(second.request.objective_at))
+        by_priority.then(first.request.objective_deadline.total_cmp(second.request.objective_deadline))
     });
     waiting.into_iter().map(|entry| entry.id).collect()
 }
@@ -49,15 +49,15 @@
     let now = context.now;
     let class = context.class_of(request);
     let work_after_call = context.estimates.work_of(request).unwrap_or(Span::ZERO) * WORK_AFTER_CALL;
-    let time_left_for_call = request.objective_at - now - work_after_call;
+    let time_left_for_call = request.objective_deadline - now - work_after_call;
     let failed_calls = request.phase.run().map(|run: &Run| run.failed_calls).unwrap_or_default();
     let skippable = class.skip_weight > 0.0;
     // Once the objective has passed, skipping the call can't meet it any more: the call is made.
-    let unmeetable = now < request.objective_at && time_left_for_call < calls.typical_time();
+    let unmeetable = now < request.objective_deadline && time_left_for_call < calls.typical_time();
     if skippable && (calls_at_limit || failed_calls.any() || unmeetable) {
         return CallDecision::Skip;
     }
-    let late = calls_at_limit && class.effect == Effect::Idempotent && now > request.objective_at;
+    let late = calls_at_limit && class.effect == Effect::Idempotent && now > request.objective_deadline;
     if late || failed_calls.exhausted() {
         return CallDecision::Fail;
     }
--- a/admission/src/admission/calls.rs
+++ b/admission/src/admission/calls.rs
@@ -65,9 +65,9 @@
         &self.limit
     }
 
-    /// Brings the limit's balance up to `now`; returns the calls that the dependency works on.
-    pub(crate) fn update_balance(&mut self, now: Instant, calling: usize) -> f64 {
-        self.limit.update_balance(now, calling)
+    /// Accrues the limit's balance up to `now`; returns the calls that the dependency works on.
+    pub(crate) fn accrue_and_count_in_progress(&mut self, now: Instant, calling: usize) -> f64 {
+        self.limit.accrue_and_count_in_progress(now, calling)
     }
 
     /// How long a call takes that succeeds.
@@ -81,13 +81,13 @@
             self.history.call_succeeded(call.duration);
         }
         let slow = is_slow(call.duration, call.objective) || call.outcome == Outcome::Rejected;
-        let lingers = call.outcome == Outcome::TimedOut;
-        self.call_ended(now, call.waited, &CallEnd { duration: call.duration, slow, lingers });
+        let orphaned = call.outcome == Outcome::TimedOut;
+        self.call_ended(now, call.waited, &CallEnd { duration: call.duration, slow, orphaned });
     }
 
     /// The run of a request ended before its call returned: the dependency goes on with the call.
     pub(crate) fn call_abandoned(&mut self, now: Instant, duration: Span, waited: Span) {
-        self.call_ended(now, waited, &CallEnd { duration, slow: true, lingers: true });
+        self.call_ended(now, waited, &CallEnd { duration, slow: true, orphaned: true });
     }
 
     fn call_ended(&mut self, now: Instant, waited: Span, call: &CallEnd) {
--- a/admission/src/admission/calls/history.rs
+++ b/admission/src/admission/calls/history.rs
@@ -7,7 +7,7 @@
 use crate::admission::time::{Instant, Span};
 
 /// A call that takes more than this fraction of the latency objective is slow, and so is waiting that long for one:
-/// several calls still fit into the latency target.
+/// several calls still fit into the latency target. The value within that bound is not derived.
 const SLOW_CALL: f64 = 0.07;
 
 /// Whether a time blocked on a call is slow for this latency objective.
--- a/admission/src/admission/calls/limit.rs
+++ b/admission/src/admission/calls/limit.rs
@@ -1,7 +1,7 @@
 //! How many calls to a shared dependency are in progress at once, so that all servers together do not overload it.
 //!
-//! A balance of call-seconds keeps the mean of concurrent calls within this server's share, over the period that the
-//! dependency averages over. Within it, the limit falls with slow calls and rises with quick ones. The share may be
+//! A token bucket in call-seconds keeps the mean of concurrent calls within this server's share, over the period that
+//! the dependency averages over. Within it, the limit falls with slow calls and rises with quick ones. The share may be
 //! less than one call: then calls are spaced in time.
 
 use std::collections::VecDeque;
@@ -15,7 +15,8 @@
 /// Multiplicative decrease: a slow call lowers the limit by this fraction of it, faster than it rises, since a
 /// dependency that is overloaded serves nobody.
 const DECREASE_FRACTION: f64 = 0.2;
-/// The limit never falls below this fraction of the share: all servers together still use the dependency.
+/// The limit never falls below this fraction of the share: all servers together still use the dependency,
+/// for a little over a fifth of its capacity. The value is not derived.
 const MIN_SHARE_FRACTION: f64 = 0.22;
 /// One call may take up to this fraction of the share: it must not use up all of it.
 const MAX_SHARE_OF_ONE_CALL: f64 = 0.5;
@@ -29,8 +30,8 @@
     pub(crate) duration: Span,
     /// Whether it was slow or rejected, which lowers the limit.
     pub(crate) slow: bool,
-    /// Whether it was given up while the dependency goes on with it.
-    pub(crate) lingers: bool,
+    /// Whether it is orphaned: it timed out or was given up here, and still runs at the dependency.
+    pub(crate) orphaned: bool,
 }
 
 /// The limit of concurrent calls.
@@ -40,17 +41,17 @@
     share: f64,
     /// The period over which that mean is taken.
     averaging_time: Span,
-    /// How long the dependency goes on with a call that was given up.
+    /// How long the dependency goes on with an orphaned call.
     linger: Span,
     /// Concurrent calls; up to the share.
     limit: f64,
-    /// Call-seconds of the share that were not used.
+    /// Call-seconds of the share that were not used: the tokens of the bucket, negative when overdrawn.
     balance: Span,
     balanced_at: Instant,
     /// Spaces calls in time while the limit is below one.
     next_call_at: Instant,
-    /// When the dependency ends the calls that were given up.
-    lingering_until: VecDeque<Instant>,
+    /// When the dependency ends the orphaned calls.
+    orphaned_until: VecDeque<Instant>,
 }
 
 impl CallLimit {
@@ -64,7 +65,7 @@
             balance: Span::ZERO,
             balanced_at: now,
             next_call_at: Instant::DISTANT_PAST,
-            lingering_until: VecDeque::new(),
+            orphaned_until: VecDeque::new(),
         };
         limit.reconfigure(dependency);
         limit
@@ -84,11 +85,13 @@
         self.limit = self.share;
     }
 
-    /// Brings the balance up to `now`, with `calling` calls in progress since the last time. Returns the calls that
-    /// the dependency works on, with those that were given up.
-    pub(crate) fn update_balance(&mut self, now: Instant, calling: usize) -> f64 {
-        self.lingering_until.retain(|until| *until > now);
-        let in_progress = calling as f64 + self.lingering_until.len() as f64;
+    /// Accrues the balance up to `now`, with `calling` calls in progress since the last time. Returns the calls that
+    /// the dependency works on, the orphaned ones included.
+    pub(crate) fn accrue_and_count_in_progress(&mut self, now: Instant, calling: usize) -> f64 {
+        self.orphaned_until.retain(|until| *until > now);
+        let in_progress = calling as f64 + self.orphaned_until.len() as f64;
+        // The bucket fills with the usable part of the share and holds a burst of the rest: together they are the whole
+        // share in one averaging time.
         let max_balance = self.share * self.averaging_time * (1.0 - USED_CAPACITY);
         let unused = (self.share * USED_CAPACITY - in_progress) * (now - self.balanced_at);
         self.balance = (self.balance + unused).min(max_balance);
@@ -110,8 +113,8 @@
 
     /// A call has ended: adjusts the limit and, below one, the time of the next call.
     pub(crate) fn call_ended(&mut self, now: Instant, call: &CallEnd) {
-        if call.lingers {
-            self.lingering_until.push_back(now + self.linger);
+        if call.orphaned {
+            self.orphaned_until.push_back(now + self.linger);
         }
         let change = if call.slow { -DECREASE_FRACTION * self.limit } else { ADDITIVE_INCREASE * self.share };
         self.limit = (self.limit + change).clamp(MIN_SHARE_FRACTION * self.share, self.share);
--- a/admission/src/admission/calls/limit/tests.rs
+++ b/admission/src/admission/calls/limit/tests.rs
@@ -14,7 +14,7 @@
 }
 
 fn call_end(slow: bool) -> CallEnd {
-    CallEnd { duration: seconds(0.5), slow, lingers: false }
+    CallEnd { duration: seconds(0.5), slow, orphaned: false }
 }
 
 /// The most calls that may be in progress before another starts.
@@ -37,18 +37,18 @@
 #[test]
 fn calls_beyond_the_share_use_up_its_balance() {
     let mut limit = limit(2.0);
-    assert_eq!(limit.update_balance(at(1.0), 2), 2.0);
+    assert_eq!(limit.accrue_and_count_in_progress(at(1.0), 2), 2.0);
     assert_eq!(allowed(&limit, 1.0), 0, "two calls for a second of 1.5");
-    limit.update_balance(at(2.0), 0);
+    limit.accrue_and_count_in_progress(at(2.0), 0);
     assert_eq!(allowed(&limit, 2.0), 2);
 }
 
 #[test]
 fn calls_that_were_given_up_count_until_the_dependency_ends_them() {
     let mut limit = limit(2.0);
-    limit.call_ended(at(0.0), &CallEnd { lingers: true, ..call_end(false) });
-    assert_eq!(limit.update_balance(at(0.25), 1), 2.0);
-    assert_eq!(limit.update_balance(at(0.75), 1), 1.0);
+    limit.call_ended(at(0.0), &CallEnd { orphaned: true, ..call_end(false) });
+    assert_eq!(limit.accrue_and_count_in_progress(at(0.25), 1), 2.0);
+    assert_eq!(limit.accrue_and_count_in_progress(at(0.75), 1), 1.0);
 }
 
 #[test]
--- a/admission/src/admission/class_estimates.rs
+++ b/admission/src/admission/class_estimates.rs
@@ -15,8 +15,9 @@
 const MAX_RELATIVE_COST: f64 = 5.0;
 /// The least work of a run: a millisecond is about what a timer can tell.
 const MIN_WORK: Span = Span::from_seconds(0.001);
-/// The least mean work that the capacity is computed from: a hundred requests a second for each core at the most.
-const MIN_MEAN_WORK: f64 = 0.01;
+/// The least mean work that the capacity is computed from. It bounds the capacity, and with it an increase of the
+/// permitted rate, by a hundred requests a second for each core.
+const MIN_MEAN_WORK: Span = Span::from_seconds(0.01);
 
 /// Estimates of all classes, by their positions in the settings.
 #[derive(Debug, Default)]
@@ -73,7 +74,7 @@
     pub(crate) fn capacity(&self, cores: f64) -> RequestRate {
         let known: Vec<f64> = self.classes.iter().filter_map(|class| class.work.get()).collect();
         let mean = known.iter().sum::<f64>() / known.len().max(1) as f64;
-        RequestRate::per_second(cores / mean.max(MIN_MEAN_WORK))
+        RequestRate::per_second(cores / mean.max(MIN_MEAN_WORK.seconds()))
     }
 }
 
--- a/admission/src/admission/constants.rs
+++ b/admission/src/admission/constants.rs
@@ -15,7 +15,7 @@
 /// enough that admitted requests still meet their objective.
 pub(crate) const LATENCY_TARGET: f64 = 0.4;
 
-/// Samples that are evidence enough: the standard error of fewer is over a quarter.
+/// Samples that are evidence enough: of fewer, the relative standard error of a count, 1/sqrt(n), is over a quarter.
 pub(crate) const MIN_SAMPLES: f64 = 16.0;
 
 /// Weight of a new sample in the running means: the last ten or so decide.
--- a/admission/src/admission/context.rs
+++ b/admission/src/admission/context.rs
@@ -38,8 +38,9 @@
         Span::from(self.class_of(request).latency_objective)
     }
 
-    /// The time since the request arrived, as a fraction of its latency objective.
-    pub(crate) fn objective_used(&self, request: &Request) -> Fraction {
+    /// The time since the request arrived over the latency objective of its class. The stretch of the objective by the
+    /// request's own work is not part of it.
+    pub(crate) fn latency_over_objective(&self, request: &Request) -> Fraction {
         let objective = self.objective_of(request).max(Span::from_seconds(MIN_DIVISOR));
         Fraction::new((self.now - request.arrived_at) / objective)
     }
--- a/admission/src/admission/deadlines.rs
+++ b/admission/src/admission/deadlines.rs
@@ -29,7 +29,7 @@
         Phase::AwaitingCall { .. } | Phase::Calling { .. } => class.effect == Effect::Idempotent,
         Phase::Coalesced | Phase::Running(_) => false,
     };
-    may_end && class.late_weight <= 0.0 && context.now > request.objective_at
+    may_end && class.late_weight <= 0.0 && context.now > request.objective_deadline
 }
 
 #[cfg(test)]
--- a/admission/src/admission/overload.rs
+++ b/admission/src/admission/overload.rs
@@ -102,7 +102,7 @@
         self.permitted_rate.count_handled();
         self.latencies.add(LatencySample {
             at: context.now,
-            objective_used: context.objective_used(request),
+            latency_over_objective: context.latency_over_objective(request),
             may_call: request.may_call,
         });
     }
--- a/admission/src/admission/overload/latency.rs
+++ b/admission/src/admission/overload/latency.rs
@@ -16,8 +16,8 @@
 #[derive(Debug)]
 pub(crate) struct LatencySample {
     pub(crate) at: Instant,
-    /// Its latency over its latency objective.
-    pub(crate) objective_used: Fraction,
+    /// Its latency over the latency objective of its class.
+    pub(crate) latency_over_objective: Fraction,
     /// Whether its latency may contain calls to the dependency.
     pub(crate) may_call: bool,
 }
@@ -58,11 +58,11 @@
         let answered = self.samples.iter().filter(|sample| counts(sample.may_call));
         let waiting = context.requests.values().filter(is_waiting);
         let late = waiting
-            .map(|request| context.objective_used(request).value())
+            .map(|request| context.latency_over_objective(request).value())
             .filter(|used| *used > LATENCY_TARGET);
         let mut sum = 0.0;
         let mut count = 0.0;
-        for used in answered.map(|sample| sample.objective_used.value()).chain(late) {
+        for used in answered.map(|sample| sample.latency_over_objective.value()).chain(late) {
             sum += used;
             count += 1.0;
         }
--- a/admission/src/admission/overload/latency/tests.rs
+++ b/admission/src/admission/overload/latency/tests.rs
@@ -4,8 +4,8 @@
 use crate::admission::tests::fixtures::{at, queued, running, ServerState};
 use crate::interface::Settings;
 
-fn sample(seconds: f64, objective_used: f64, may_call: bool) -> LatencySample {
-    LatencySample { at: at(seconds), objective_used: Fraction::new(objective_used), may_call }
+fn sample(seconds: f64, latency_over_objective: f64, may_call: bool) -> LatencySample {
+    LatencySample { at: at(seconds), latency_over_objective: Fraction::new(latency_over_objective), may_call }
 }
 
 fn tracker(samples: Vec<LatencySample>) -> LatencyTracker {
--- a/admission/src/admission/read_overload.rs
+++ b/admission/src/admission/read_overload.rs
@@ -6,7 +6,8 @@
 use crate::admission::running_mean::RunningMean;
 use crate::interface::Gauges;
 
-/// Reading is overloaded when reads, health checks and new connections are more than this fraction of what is runnable.
+/// Reading is overloaded when reads, health checks and new connections are more than this fraction of what is runnable:
+/// clearly more than the runs. The value above one half is not derived.
 const MAX_FRACTION: f64 = 0.6;
 
 /// The fraction of runnable work that is not runs.
--- a/admission/src/admission/request_intake.rs
+++ b/admission/src/admission/request_intake.rs
@@ -36,7 +36,7 @@
         class: position,
         memory_kb: arrival.memory_kb.max(0.0),
         arrived_at,
-        objective_at: (arrived_at + Span::from(class.latency_objective) + stretch).min(deadline),
+        objective_deadline: (arrived_at + Span::from(class.latency_objective) + stretch).min(deadline),
         deadline,
         relative_cost,
         priority: priority_of(class, mean_work, arrival.tenant, settings, rates),
--- a/admission/src/admission/request_intake/tests.rs
+++ b/admission/src/admission/request_intake/tests.rs
@@ -22,7 +22,7 @@
 #[test]
 fn deadline_and_objective_count_from_when_the_request_reached_the_machine() {
     let request = request_of(&arrival(), Settings::default(), &Drain::default());
-    assert_eq!((request.objective_at, request.deadline), (at(0.5), at(4.5)));
+    assert_eq!((request.objective_deadline, request.deadline), (at(0.5), at(4.5)));
 }
 
 #[test]
@@ -41,7 +41,7 @@
     let settings = Settings { classes: vec![class], ..Settings::default() };
     let objective = |cost| {
         let hinted = Arrival { cost_hint: Some(Duration::from_secs(cost)), ..arrival() };
-        request_of(&hinted, settings.clone(), &Drain::default()).objective_at
+        request_of(&hinted, settings.clone(), &Drain::default()).objective_deadline
     };
     assert_eq!((objective(1), objective(60)), (at(2.5), at(4.5)));
 }
--- a/admission/src/admission/requests.rs
+++ b/admission/src/admission/requests.rs
@@ -59,7 +59,7 @@
     pub(crate) fn limit_deadlines(&mut self, stop_at: Instant) {
         for request in self.table.values_mut() {
             request.deadline = request.deadline.min(stop_at);
-            request.objective_at = request.objective_at.min(request.deadline);
+            request.objective_deadline = request.objective_deadline.min(request.deadline);
         }
     }
 
@@ -96,9 +96,9 @@
     /// The retry `id` takes the place of the queued attempt `replaced`, whose objective it keeps; both stay open for
     /// the moment. `replaced` loses its key.
     pub(crate) fn prepare_replacement(&mut self, id: RequestId, replaced: RequestId) {
-        let objective_at = self.table.get(replaced).map(|request| request.objective_at);
-        if let (Some(request), Some(objective_at)) = (self.table.get_mut(id), objective_at) {
-            request.objective_at = request.objective_at.min(objective_at);
+        let objective_deadline = self.table.get(replaced).map(|request| request.objective_deadline);
+        if let (Some(request), Some(objective_deadline)) = (self.table.get_mut(id), objective_deadline) {
+            request.objective_deadline = request.objective_deadline.min(objective_deadline);
         }
         self.keys.release(replaced);
     }
--- a/admission/src/admission/requests/request.rs
+++ b/admission/src/admission/requests/request.rs
@@ -4,8 +4,8 @@
 use crate::admission::priority::Priority;
 use crate::admission::time::{Instant, Span};
 
-/// A request fails after more failed calls than this: two retries find a dependency that has failed only once.
-const MAX_FAILED_CALLS: u32 = 2;
+/// A request fails when its call has failed this many times after the first.
+const MAX_CALL_RETRIES: u32 = 2;
 
 /// A request that has arrived and whose end was not reported yet.
 #[derive(Debug)]
@@ -17,7 +17,7 @@
     /// When it reached the machine.
     pub(crate) arrived_at: Instant,
     /// When its latency objective ends.
-    pub(crate) objective_at: Instant,
+    pub(crate) objective_deadline: Instant,
     /// When it has to be answered at the latest.
     pub(crate) deadline: Instant,
     /// Its cost hint over the mean of its class.
@@ -88,7 +88,7 @@
 
     /// Whether no further call may be made.
     pub(crate) fn exhausted(self) -> bool {
-        self.unrepeatable || self.count > MAX_FAILED_CALLS
+        self.unrepeatable || self.count > MAX_CALL_RETRIES
     }
 }
 
--- a/admission/src/admission/requests/tests.rs
+++ b/admission/src/admission/requests/tests.rs
@@ -41,10 +41,10 @@
 #[test]
 fn a_retry_that_takes_a_queued_attempts_place_keeps_the_earlier_objective() {
     let mut requests = with_request(queued());
-    requests.table_mut().insert(RequestId(2), Request { objective_at: at(3.0), ..queued() });
+    requests.table_mut().insert(RequestId(2), Request { objective_deadline: at(3.0), ..queued() });
     requests.prepare_replacement(RequestId(2), RequestId(1));
     requests.reject_replaced(RequestId(1), RequestId(2), ADVICE, &mut Vec::new());
-    assert_eq!(requests.table().get(RequestId(2)).map(|retry| retry.objective_at), Some(at(1.0)));
+    assert_eq!(requests.table().get(RequestId(2)).map(|retry| retry.objective_deadline), Some(at(1.0)));
     let original = |effect| requests.matched_attempt(Some(RequestId(1)), 0, &settings(effect));
     assert_eq!(original(Effect::IdempotencyKey), Some(RequestId(2)));
     assert_eq!(original(Effect::AtMostOnce), None);
@@ -55,5 +55,5 @@
     let mut requests = with_request(queued());
     requests.limit_deadlines(at(0.5));
     let request = requests.table().get(RequestId(1)).expect("open");
-    assert_eq!((request.deadline, request.objective_at), (at(0.5), at(0.5)));
+    assert_eq!((request.deadline, request.objective_deadline), (at(0.5), at(0.5)));
 }
--- a/admission/src/admission/retry_advice.rs
+++ b/admission/src/admission/retry_jitter.rs
@@ -7,10 +7,11 @@
 use crate::admission::time::Span;
 use crate::interface::Settings;
 
-/// The least fraction of the longest retry-after: an idle server still spreads retries over a tenth of it.
-const MIN_SHED_FRACTION: f64 = 0.1;
-/// The spread: a retry-after is between half of its time and all of it.
-const MIN_SPREAD: f64 = 0.5;
+/// The least fraction of the longest retry-after before jitter: with it, an idle server advises 5 to 10 % of the
+/// longest.
+const MIN_RETRY_FRACTION: f64 = 0.1;
+/// Half jitter: a retry-after is between half of its time and all of it.
+const MIN_JITTER: f64 = 0.5;
 
 /// The multiplier and the increment of the linear congruential generator (Knuth's MMIX).
 const MULTIPLIER: u64 = 6_364_136_223_846_793_005;
@@ -20,22 +21,23 @@
 
 /// Advises rejected callers; its random numbers are a function of the seed.
 #[derive(Debug)]
-pub(crate) struct RetryAdvice {
+pub(crate) struct RetryJitter {
     state: u64,
 }
 
-impl RetryAdvice {
+impl RetryJitter {
     /// Advice with random numbers from this seed.
     pub(crate) fn new(seed: u64) -> Self {
-        RetryAdvice { state: seed | 1 }
+        // The state starts odd: an even seed gives the numbers of the odd one above it.
+        RetryJitter { state: seed | 1 }
     }
 
     /// The retry-after of a rejection, if callers honor one; `shed_fraction` is how much of the arrivals is to be kept
     /// away.
     pub(crate) fn retry_after(&mut self, settings: &Settings, shed_fraction: Fraction) -> Option<Duration> {
-        let spread = MIN_SPREAD + (1.0 - MIN_SPREAD) * self.random_fraction();
+        let jitter = MIN_JITTER + (1.0 - MIN_JITTER) * self.random_fraction();
         let longest = Span::from(settings.max_retry_after);
-        let wait = longest * spread * shed_fraction.value().max(MIN_SHED_FRACTION);
+        let wait = longest * jitter * shed_fraction.value().max(MIN_RETRY_FRACTION);
         settings.retry_after.then(|| wait.to_duration())
     }
 
--- a/admission/src/admission/retry_advice/tests.rs
+++ b/admission/src/admission/retry_jitter/tests.rs
@@ -1,11 +1,11 @@
 use std::time::Duration;
 
-use super::RetryAdvice;
+use super::RetryJitter;
 use crate::admission::quantities::Fraction;
 use crate::interface::Settings;
 
 fn advised_millis(settings: &Settings, shed_fraction: f64) -> Vec<u128> {
-    let mut advice = RetryAdvice::new(7);
+    let mut advice = RetryJitter::new(7);
     let mut next = || advice.retry_after(settings, Fraction::new(shed_fraction));
     (0..100).filter_map(|_| next()).map(|wait| wait.as_millis()).collect()
 }
--- a/admission/src/admission/run_queue.rs
+++ b/admission/src/admission/run_queue.rs
@@ -24,7 +24,7 @@
 struct QueuePosition {
     id: RequestId,
     tier: f64,
-    objective_at: Instant,
+    objective_deadline: Instant,
 }
 
 /// The queued requests in the order in which they run: the highest tier of priorities first, within a tier the
@@ -36,12 +36,12 @@
         .map(|entry| QueuePosition {
             id: entry.id,
             tier: entry.request.priority.scheduling_tier(),
-            objective_at: entry.request.objective_at,
+            objective_deadline: entry.request.objective_deadline,
         })
         .collect();
     queue.sort_by(|first, second| {
         let by_tier = second.tier.total_cmp(&first.tier);
-        let by_objective = first.objective_at.total_cmp(second.objective_at);
+        let by_objective = first.objective_deadline.total_cmp(second.objective_deadline);
         by_tier.then(by_objective).then(first.id.cmp(&second.id))
     });
     queue.into_iter().map(|position| position.id).collect()
--- a/admission/src/admission/run_queue/tests.rs
+++ b/admission/src/admission/run_queue/tests.rs
@@ -15,8 +15,8 @@
 
 #[test]
 fn the_highest_priority_runs_first_and_within_a_tier_the_earliest_objective() {
-    let heavy = Request { priority: priority(4.0), objective_at: at(3.0), ..queued() };
-    let urgent = Request { objective_at: at(0.5), ..queued() };
+    let heavy = Request { priority: priority(4.0), objective_deadline: at(3.0), ..queued() };
+    let urgent = Request { objective_deadline: at(0.5), ..queued() };
     let state = ServerState::with_requests(Settings::default(), vec![queued(), urgent, heavy]);
     assert_eq!(queue_order(&state.requests), [RequestId(3), RequestId(2), RequestId(1)]);
 }
--- a/admission/src/admission/shedding.rs
+++ b/admission/src/admission/shedding.rs
@@ -40,7 +40,7 @@
         let has_work_ahead = |work_through_this: Span| work_through_this > work;
         let is_late = |work_through_this: Span| {
             let starts_at = context.now + (work_through_this - work) / concurrency;
-            starts_at + work * WORK_BEFORE_OBJECTIVE > request.objective_at
+            starts_at + work * WORK_BEFORE_OBJECTIVE > request.objective_deadline
         };
         while (has_work_ahead(work_through_this) || recent_answers) && is_late(work_through_this) {
             let Some(lowest) = remove_lowest(&mut candidates) else { break };
--- a/admission/src/admission/tests/fixtures.rs
+++ b/admission/src/admission/tests/fixtures.rs
@@ -35,7 +35,7 @@
         class: 0,
         memory_kb: 1.0,
         arrived_at: at(0.0),
-        objective_at: at(1.0),
+        objective_deadline: at(1.0),
         deadline: at(5.0),
         relative_cost: 1.0,
         priority: priority(1.0),
