--- a/admission/src/admission.rs
+++ b/admission/src/admission.rs
@@ -182,14 +182,14 @@
         Advice { retry_after, give_up }
     }
 
-    /// Rejects a queued request. The caller should give up if other servers are taken to reject it as well, and not if
-    /// this server alone is in a state in which it rejects.
+    /// Rejects a queued request. `give_up` is set if the load seems to affect the whole tier (reading overloads the
+    /// cores, or more arrives than usual), and never for a cause local to this server (drain, stall, warm-up).
     fn reject(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let is_warming_up = self.warm_up.fraction(self.now) < Fraction::ALL;
-        let rejects_alone = self.drain.is_draining() || self.stall.is_stalled() || is_warming_up;
-        let others_reject =
+        let cause_is_local = self.drain.is_draining() || self.stall.is_stalled() || is_warming_up;
+        let tier_is_overloaded =
             self.read_overload.is_overloaded() || self.overload.arrival_rates().exceeds_usual(self.now);
-        let advice = self.advice(!rejects_alone && others_reject);
+        let advice = self.advice(!cause_is_local && tier_is_overloaded);
         self.requests.reject(id, advice, actions);
     }
 
--- a/admission/src/admission/calls/history.rs
+++ b/admission/src/admission/calls/history.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use crate::admission::constants::{LATENCY_TARGET, RATE_WINDOW, SLOW_MEAN_WEIGHT};
+use crate::admission::constants::{LATENCY_TARGET_FRACTION, RATE_WINDOW, SLOW_MEAN_WEIGHT};
 use crate::admission::running_mean::RunningMean;
 use crate::admission::time::{Instant, Span};
 
@@ -56,7 +56,7 @@
     /// do not lock out the next.
     pub(crate) fn completable(&self, latency_objective: Span) -> f64 {
         let ended = self.ended.len() as f64;
-        (ended + ended.sqrt()) / RATE_WINDOW.seconds() * LATENCY_TARGET * latency_objective.seconds()
+        (ended + ended.sqrt()) / RATE_WINDOW.seconds() * LATENCY_TARGET_FRACTION * latency_objective.seconds()
     }
 
     /// Whether requests are blocked on their calls for long, in the mean, for this latency objective.
--- a/admission/src/admission/calls/limit.rs
+++ b/admission/src/admission/calls/limit.rs
@@ -6,7 +6,7 @@
 
 use std::collections::VecDeque;
 
-use crate::admission::constants::{MIN_DIVISOR, TICK_PERIOD, USED_CAPACITY};
+use crate::admission::constants::{MIN_DIVISOR, TICK_PERIOD, USABLE_CAPACITY_FRACTION};
 use crate::admission::time::{Instant, Span};
 use crate::interface::Dependency;
 
@@ -92,8 +92,8 @@
         let in_progress = calling as f64 + self.orphaned_until.len() as f64;
         // The bucket fills with the usable part of the share and holds a burst of the rest: together they are the whole
         // share in one averaging time.
-        let max_balance = self.share * self.averaging_time * (1.0 - USED_CAPACITY);
-        let unused = (self.share * USED_CAPACITY - in_progress) * (now - self.balanced_at);
+        let max_balance = self.share * self.averaging_time * (1.0 - USABLE_CAPACITY_FRACTION);
+        let unused = (self.share * USABLE_CAPACITY_FRACTION - in_progress) * (now - self.balanced_at);
         self.balance = (self.balance + unused).min(max_balance);
         self.balanced_at = now;
         in_progress
--- a/admission/src/admission/concurrency_limit.rs
+++ b/admission/src/admission/concurrency_limit.rs
@@ -4,7 +4,7 @@
 //! runnable than the cores handle well. It stays under the maximum safe concurrency, which is a ceiling and not a
 //! target. Requests that are blocked on calls are outside it.
 
-use crate::admission::constants::USED_CAPACITY;
+use crate::admission::constants::USABLE_CAPACITY_FRACTION;
 use crate::admission::context::Context;
 use crate::admission::quantities::Fraction;
 use crate::admission::requests::request::Request;
@@ -76,7 +76,7 @@
 pub(crate) fn max_safe_concurrency(context: &Context, warm_up: Fraction) -> f64 {
     let beyond_one = (context.settings.max_concurrency_per_core - 1.0).max(0.0);
     let per_core = 1.0 + beyond_one * warm_up.value();
-    (context.cores() * per_core * USED_CAPACITY).max(1.0)
+    (context.cores() * per_core * USABLE_CAPACITY_FRACTION).max(1.0)
 }
 
 #[cfg(test)]
--- a/admission/src/admission/constants.rs
+++ b/admission/src/admission/constants.rs
@@ -13,7 +13,7 @@
 
 /// Latency is over target beyond this fraction of the latency objective: well above ordinary latency, and early
 /// enough that admitted requests still meet their objective.
-pub(crate) const LATENCY_TARGET: f64 = 0.4;
+pub(crate) const LATENCY_TARGET_FRACTION: f64 = 0.4;
 
 /// Samples that are evidence enough: of fewer, the relative standard error of a count, 1/sqrt(n), is over a quarter.
 pub(crate) const MIN_SAMPLES: f64 = 16.0;
@@ -26,10 +26,10 @@
 
 /// The fraction of the maximum safe concurrency, and of this server's share of the dependency, that is ever used: the
 /// rest covers what starts before a measurement shows it.
-pub(crate) const USED_CAPACITY: f64 = 0.75;
+pub(crate) const USABLE_CAPACITY_FRACTION: f64 = 0.75;
 
 /// The fraction of the memory that is ever used: the rest is for what the server itself needs.
-pub(crate) const USED_MEMORY: f64 = 0.9;
+pub(crate) const USABLE_MEMORY_FRACTION: f64 = 0.9;
 
 /// The shortest latency objective, work, limit or warm-up time that something is divided by.
 pub(crate) const MIN_DIVISOR: f64 = 1e-3;
--- a/admission/src/admission/events.rs
+++ b/admission/src/admission/events.rs
@@ -158,6 +158,8 @@
     }
 
     fn start_drain(&mut self, left: Span, actions: &mut Vec<Action>) {
+        // The notice may have waited for this batch as long as the shortest time between two batches; the grace period
+        // counts from the notice.
         let grace = Span::from(self.settings.drain_grace.saturating_sub(self.settings.min_handle_interval));
         self.drain.start(self.now, left, grace, self.ticks.longest_delay());
         self.requests.limit_deadlines(self.drain.stop_at());
@@ -177,9 +179,9 @@
         let read_overload = self.read_overload.is_overloaded();
         self.overload.on_tick(&context, self.calls.are_throttled(self.now));
         let load = ConnectionLoad {
-            flood: read_overload,
+            read_overload,
             // Without the gauge the cores are not taken to have time to spare.
-            spare: gauges.utilization.is_some_and(has_spare_capacity),
+            spare_capacity: gauges.utilization.is_some_and(has_spare_capacity),
         };
         if let Some(limit) = self.connections.adjust(&load, &context) {
             actions.push(Action::IdleLimit(limit.to_duration()));
--- a/admission/src/admission/idle_connections/tests.rs
+++ b/admission/src/admission/idle_connections/tests.rs
@@ -5,8 +5,8 @@
 use crate::admission::time::Span;
 use crate::interface::{CallerId, Settings};
 
-const CALM: ConnectionLoad = ConnectionLoad { flood: false, spare: true };
-const FLOOD: ConnectionLoad = ConnectionLoad { flood: true, spare: false };
+const CALM: ConnectionLoad = ConnectionLoad { read_overload: false, spare_capacity: true };
+const READ_OVERLOAD: ConnectionLoad = ConnectionLoad { read_overload: true, spare_capacity: false };
 
 /// A server with ten callers that keep connections for 20 seconds.
 fn server() -> ServerState {
@@ -30,9 +30,9 @@
 }
 
 #[test]
-fn in_a_flood_connections_are_kept_as_long_as_callers_keep_them_and_then_released() {
+fn under_read_overload_connections_are_kept_as_long_as_callers_keep_them_and_then_released() {
     let mut limit = IdleConnectionLimit::new(seconds(0.5));
-    assert_eq!(adjusted(&mut limit, &FLOOD), Some(seconds(20.0)));
+    assert_eq!(adjusted(&mut limit, &READ_OVERLOAD), Some(seconds(20.0)));
     let limits: Vec<Span> = (0..60).filter_map(|_| adjusted(&mut limit, &CALM)).collect();
     assert_eq!(limits.last(), Some(&seconds(0.05)));
     assert!(limits.len() > 5, "in steps");
--- a/admission/src/admission/memory.rs
+++ b/admission/src/admission/memory.rs
@@ -2,7 +2,7 @@
 //!
 //! Nothing is queued or started beyond the limit; keys are part of it, so that the table of keys is bounded.
 
-use crate::admission::constants::USED_MEMORY;
+use crate::admission::constants::USABLE_MEMORY_FRACTION;
 use crate::admission::context::Context;
 use crate::admission::requests::idempotency_keys::RetainedKeys;
 use crate::admission::requests::request::Request;
@@ -22,7 +22,7 @@
         let requests = context.requests.memory_kb(running_factor(settings));
         MemoryUse {
             used_kb: requests + keys.len() as f64 * settings.key_memory_kb,
-            limit_kb: settings.memory_kb * USED_MEMORY,
+            limit_kb: settings.memory_kb * USABLE_MEMORY_FRACTION,
         }
     }
 
--- a/admission/src/admission/overload/latency.rs
+++ b/admission/src/admission/overload/latency.rs
@@ -6,7 +6,7 @@
 
 use std::collections::VecDeque;
 
-use crate::admission::constants::{LATENCY_TARGET, RATE_WINDOW};
+use crate::admission::constants::{LATENCY_TARGET_FRACTION, RATE_WINDOW};
 use crate::admission::context::Context;
 use crate::admission::quantities::Fraction;
 use crate::admission::requests::request::Request;
@@ -47,7 +47,7 @@
     /// Whether the mean latency is over target: that of the answered requests together with the unanswered ones that
     /// are over target already. While calls are throttled, what may call is left out: its latency is intended.
     pub(crate) fn exceeds_target(&self, context: &Context, calls_throttled: bool) -> bool {
-        self.mean(context, calls_throttled).value() > LATENCY_TARGET
+        self.mean(context, calls_throttled).value() > LATENCY_TARGET_FRACTION
     }
 
     fn mean(&self, context: &Context, calls_throttled: bool) -> Fraction {
@@ -59,7 +59,7 @@
         let waiting = context.requests.values().filter(is_waiting);
         let late = waiting
             .map(|request| context.latency_over_objective(request).value())
-            .filter(|used| *used > LATENCY_TARGET);
+            .filter(|used| *used > LATENCY_TARGET_FRACTION);
         let mut sum = 0.0;
         let mut count = 0.0;
         for used in answered.map(|sample| sample.latency_over_objective.value()).chain(late) {
--- a/admission/src/admission/priority.rs
+++ b/admission/src/admission/priority.rs
@@ -6,9 +6,9 @@
 use crate::admission::quantities::Fraction;
 use crate::admission::time::Span;
 
-/// Tiers of scheduling in a doubling of the priority: within a factor of about 1.4 priorities count as equal and the
-/// latency objective decides.
-const TIERS_PER_DOUBLING: f64 = 2.0;
+/// Bands of scheduling in a doubling of the priority: a band spans a factor of about 1.4. Only inside a band do
+/// priorities count as equal, and the latency objective decides.
+const BANDS_PER_DOUBLING: f64 = 2.0;
 
 /// Weight for each second of work on a core; the greater goes first.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
@@ -22,9 +22,9 @@
         Priority(weight / work.seconds().max(MIN_DIVISOR) * (within + (1.0 - within) * over_quota_weight))
     }
 
-    /// The tier in which it is scheduled; the highest runs first.
-    pub(crate) fn scheduling_tier(self) -> f64 {
-        (TIERS_PER_DOUBLING * self.0.log2()).round()
+    /// The band in which it is scheduled; the highest runs first.
+    pub(crate) fn scheduling_band(self) -> f64 {
+        (BANDS_PER_DOUBLING * self.0.log2()).round()
     }
 
     /// The order of two priorities, for sorting.
--- a/admission/src/admission/quantities.rs
+++ b/admission/src/admission/quantities.rs
@@ -4,7 +4,7 @@
 
 use crate::admission::time::Span;
 
-/// A part of a whole; 1 is all of it, and more is more than there is.
+/// A ratio; may exceed 1.
 #[derive(Debug, Clone, Copy, Default, PartialEq, PartialOrd)]
 pub(crate) struct Fraction(f64);
 
--- a/admission/src/admission/run_queue.rs
+++ b/admission/src/admission/run_queue.rs
@@ -23,11 +23,11 @@
 /// What decides on the position of a queued request.
 struct QueuePosition {
     id: RequestId,
-    tier: f64,
+    band: f64,
     objective_deadline: Instant,
 }
 
-/// The queued requests in the order in which they run: the highest tier of priorities first, within a tier the
+/// The queued requests in the order in which they run: the highest band of priorities first, within a band the
 /// earliest latency objective.
 pub(crate) fn queue_order(requests: &RequestTable) -> Vec<RequestId> {
     let mut queue: Vec<QueuePosition> = requests
@@ -35,14 +35,14 @@
         .filter(|entry| entry.request.is_queued())
         .map(|entry| QueuePosition {
             id: entry.id,
-            tier: entry.request.priority.scheduling_tier(),
+            band: entry.request.priority.scheduling_band(),
             objective_deadline: entry.request.objective_deadline,
         })
         .collect();
     queue.sort_by(|first, second| {
-        let by_tier = second.tier.total_cmp(&first.tier);
+        let by_band = second.band.total_cmp(&first.band);
         let by_objective = first.objective_deadline.total_cmp(second.objective_deadline);
-        by_tier.then(by_objective).then(first.id.cmp(&second.id))
+        by_band.then(by_objective).then(first.id.cmp(&second.id))
     });
     queue.into_iter().map(|position| position.id).collect()
 }
--- a/admission/src/admission/stall.rs
+++ b/admission/src/admission/stall.rs
@@ -1,17 +1,19 @@
-//! Stall detection: a server on which no run ends for several mean run times reports bad health and queues nothing.
+//! Stall detection: a server on which no run ends or reaches a call for several mean run times reports bad health and
+//! queues nothing.
 //!
-//! It recovers with the first run that ends.
+//! It recovers with the first run that does.
 
 use crate::admission::context::Context;
 use crate::admission::time::{Instant, Span};
 
-/// The server is stalled when no run ends for this many mean run times: few runs of a working server take so long.
+/// The server is stalled when no run ends or reaches a call for this many mean run times: few runs of a working server
+/// take so long.
 const STALLED_AFTER_RUNS: f64 = 4.0;
 
 /// Watches whether runs make progress.
 #[derive(Debug)]
 pub(crate) struct StallDetector {
-    /// When a run or a part of one last ended.
+    /// When a run last ended or reached a call.
     progress_at: Instant,
     stalled: bool,
 }
@@ -27,13 +29,13 @@
         self.stalled
     }
 
-    /// A run or a part of one has ended, or there is none to wait for.
+    /// A run has ended or reached a call, or there is none to wait for.
     pub(crate) fn record_progress(&mut self, now: Instant) {
         self.progress_at = now;
     }
 
     /// Looks whether progress is overdue; returns whether that has changed. Run times are `known` once there is a
-    /// permitted rate.
+    /// permitted rate: it exists only after a window with 16 successful runs, so the mean is established.
     pub(crate) fn update(&mut self, context: &Context, known: bool) -> bool {
         let mean_run = Span::from_seconds(context.cores() / context.capacity().value());
         let stalled = known && context.now - self.progress_at > STALLED_AFTER_RUNS * mean_run;
--- a/admission/src/interface/class.rs
+++ b/admission/src/interface/class.rs
@@ -37,7 +37,7 @@
     pub skip_weight: f64,
 }
 
-/// The default latency objective: what a person waits for without losing the thread.
+/// The default latency objective: the usual limit for uninterrupted attention.
 const DEFAULT_LATENCY_OBJECTIVE: Duration = Duration::from_secs(1);
 /// The default deadline, and the idempotency window that covers the retries until then.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(5);
