--- a/admission/src/admission/call_start.rs
+++ b/admission/src/admission/call_start.rs
@@ -52,7 +52,7 @@
     let time_left_for_call = request.objective_deadline - now - work_after_call;
     let failed_calls = request.phase.run().map(|run: &Run| run.failed_calls).unwrap_or_default();
     let skippable = class.skip_weight > 0.0;
-    // Once the objective has passed, skipping the call can't meet it any more: the call is made.
+    // Once the objective has passed, skipping the call can't meet it any more: this is no reason to skip then.
     let unmeetable = now < request.objective_deadline && time_left_for_call < calls.typical_time();
     if skippable && (calls_at_limit || failed_calls.any() || unmeetable) {
         return CallDecision::Skip;
--- a/admission/src/admission/call_start/tests.rs
+++ b/admission/src/admission/call_start/tests.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_skippable_call_is_skipped_at_the_bound_after_a_failure_or_if_it_would_end_too_late() {
+fn a_skippable_call_is_skipped_at_the_limit_after_a_failure_or_if_it_would_end_too_late() {
     let class = Class { skip_weight: SKIPPABLE, ..Class::default() };
     assert_eq!(decision(&class, awaiting_call(), 0.5, true), CallDecision::Skip);
     assert_eq!(decision(&class, after_failures(&[true]), 0.5, false), CallDecision::Skip);
--- a/admission/src/admission/calls.rs
+++ b/admission/src/admission/calls.rs
@@ -1,6 +1,6 @@
 //! Calls to the dependency: how many requests may be blocked on one, whether an arrival that will call is admitted, and
 //! what ended calls teach. Requests that are blocked on a call use no core and are outside the concurrency limit; their
-//! number has a bound of its own, at which a run that may call is started only if fewer of its priority or above wait.
+//! number has a limit of its own, at which a run that may call is started only if fewer of its priority or above wait.
 
 pub(crate) mod history;
 pub(crate) mod limit;
--- a/admission/src/admission/calls/tests.rs
+++ b/admission/src/admission/calls/tests.rs
@@ -40,16 +40,16 @@
 }
 
 #[test]
-fn at_the_bound_only_arrivals_of_high_priority_that_will_call_are_admitted() {
+fn at_the_limit_only_arrivals_of_high_priority_that_will_call_are_admitted() {
     let caller = |weight| Request { may_call: true, priority: priority(weight), ..queued() };
     let requests = vec![awaiting_call(), awaiting_call(), caller(1.0)];
     let state = ServerState::with_requests(settings(Dependency::Off), requests);
     let mut calls = calls_to(Dependency::Off);
-    let mut admits = |request, bound| {
-        calls.update_throttle(&state.context(0.0), bound);
+    let mut admits = |request, limit| {
+        calls.update_throttle(&state.context(0.0), limit);
         calls.admits(&request, &state.context(0.0))
     };
-    assert!(admits(caller(1.0), 4), "below the bound");
+    assert!(admits(caller(1.0), 4), "below the limit");
     assert!(!admits(caller(1.0), 2), "two go first");
     assert!(!admits(caller(1.0), 4), "it is throttled for a while");
     assert!(admits(caller(2.0), 2) && admits(queued(), 2));
--- a/admission/src/admission/concurrency_limit/tests.rs
+++ b/admission/src/admission/concurrency_limit/tests.rs
@@ -4,7 +4,7 @@
 use crate::interface::{Gauges, Settings};
 
 const IDLE: Gauges = Gauges { utilization: Some(0.5), runnable: Some(1.0) };
-const CROWDED: Gauges = Gauges { utilization: Some(1.0), runnable: Some(9.0) };
+const TOO_MUCH_RUNNABLE: Gauges = Gauges { utilization: Some(1.0), runnable: Some(9.0) };
 
 fn server() -> ServerState {
     let settings = Settings { cores: 2, ..Settings::default() };
@@ -27,7 +27,7 @@
     let mut limit = ConcurrencyLimit::new(2.0);
     (0..100).for_each(|_| limit.adjust(&IDLE, &state.context(0.0), 6.0));
     assert_eq!(limit.core_limit(), 6.0);
-    (0..100).for_each(|_| limit.adjust(&CROWDED, &state.context(0.0), 6.0));
+    (0..100).for_each(|_| limit.adjust(&TOO_MUCH_RUNNABLE, &state.context(0.0), 6.0));
     assert_eq!(limit.core_limit(), 2.0);
 }
 
--- a/admission/src/admission/priority/tests.rs
+++ b/admission/src/admission/priority/tests.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn priorities_within_a_factor_of_about_one_and_a_half_share_a_tier() {
+fn priorities_within_a_factor_of_about_one_and_a_half_share_a_band() {
     assert_eq!(priority(1.0).scheduling_band(), priority(1.1).scheduling_band());
     assert!(priority(2.0).scheduling_band() > priority(1.0).scheduling_band());
 }
--- a/admission/src/admission/run_queue.rs
+++ b/admission/src/admission/run_queue.rs
@@ -47,7 +47,7 @@
     queue.into_iter().map(|position| position.id).collect()
 }
 
-/// The queued requests that start now, in order. What does not fit the memory or would call beyond the bound is passed
+/// The queued requests that start now, in order. What does not fit the memory or would call beyond the limit is passed
 /// over.
 pub(crate) fn runs_to_start(context: &Context, mut memory: MemoryUse, limits: &RunLimits) -> Vec<RequestId> {
     let max_safe_on_cores = limits.max_safe_concurrency - context.requests.blocked_on_calls_count() as f64;
