--- a/admission/src/admission/run_queue.rs
+++ b/admission/src/admission/run_queue.rs
@@ -23,11 +23,11 @@
 /// What decides on the position of a queued request.
 struct QueuePosition {
     id: RequestId,
-    tier: f64,
-    objective_at: Instant,
+    band: f64,
+    objective_deadline: Instant,
 }
 
-/// The queued requests in the order in which they run: the highest tier of priorities first, within a tier the
+/// The queued requests in the order in which they run: the highest band of priorities first, within a band the
 /// earliest latency objective.
 pub(crate) fn queue_order(requests: &RequestTable) -> Vec<RequestId> {
     let mut queue: Vec<QueuePosition> = requests
@@ -35,19 +35,19 @@
         .filter(|entry| entry.request.is_queued())
         .map(|entry| QueuePosition {
             id: entry.id,
-            tier: entry.request.priority.scheduling_tier(),
-            objective_at: entry.request.objective_at,
+            band: entry.request.priority.scheduling_band(),
+            objective_deadline: entry.request.objective_deadline,
         })
         .collect();
     queue.sort_by(|first, second| {
-        let by_tier = second.tier.total_cmp(&first.tier);
-        let by_objective = first.objective_at.total_cmp(second.objective_at);
-        by_tier.then(by_objective).then(first.id.cmp(&second.id))
+        let by_band = second.band.total_cmp(&first.band);
+        let by_objective = first.objective_deadline.total_cmp(second.objective_deadline);
+        by_band.then(by_objective).then(first.id.cmp(&second.id))
     });
     queue.into_iter().map(|position| position.id).collect()
 }
 
-/// The queued requests that start now, in order. What does not fit the memory or would call beyond the bound is passed
+/// The queued requests that start now, in order. What does not fit the memory or would call beyond the limit is passed
 /// over.
 pub(crate) fn runs_to_start(context: &Context, mut memory: MemoryUse, limits: &RunLimits) -> Vec<RequestId> {
     let max_safe_on_cores = limits.max_safe_concurrency - context.requests.blocked_on_calls_count() as f64;
