--- a/fleet/src/claims/coordinator.rs
+++ b/fleet/src/claims/coordinator.rs
@@ -27,16 +27,16 @@
 /// How long after a quorum has stored a result the remaining replicas are still sent it.
 const FULL_REPLICATION_TIMEOUT: Duration = Duration::from_secs(10);
 /// A request without a response is sent again after this; the interval then doubles up to
-/// [`MAX_RETRY_INTERVAL`]. A claim's first interval is used twice, as it doubles only when a request is sent
-/// again; that of a result doubles from the first time that it is sent.
+/// [`MAX_RETRY_INTERVAL`]. A claim's first interval is used twice, as it doubles only when a request is
+/// sent again; that of a result doubles from the first time that it is sent.
 const INITIAL_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 /// The longest interval between two requests.
 const MAX_RETRY_INTERVAL: Duration = Duration::from_millis(800);
 /// An attempt that waits for another node's run asks for it this often; it is notified at once if no
 /// message is lost.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// A claim is given up this long before the deadline, since the answer needs time to reach the client. Where
-/// little time is left, see [`ANSWER_MARGIN_MAX_DIVISOR`].
+/// A claim is given up this long before the deadline, since the answer needs time to reach the client.
+/// Where little time is left, see [`ANSWER_MARGIN_MAX_DIVISOR`].
 const ANSWER_MARGIN: Duration = Duration::from_millis(250);
 /// The margin is at most the time until the deadline divided by this: a quarter of it.
 const ANSWER_MARGIN_MAX_DIVISOR: u32 = 4;
@@ -88,14 +88,14 @@
         out: &mut Vec<ClaimAction>,
     ) {
         if self.claims.len() >= MAX_CLAIMS {
-            // Evicts the oldest claim whose result a quorum has stored; its remaining replicas are no longer
-            // sent it.
-            let replicated = self.claims.values().find(|claim| claim.replicated_at.is_some());
-            let Some(replicated) = replicated.map(|claim| claim.id) else {
+            // Evicts the oldest claim whose result a quorum has stored; its remaining replicas are no
+            // longer sent it.
+            let stored = self.claims.values().find(|claim| claim.quorum_stored_at.is_some());
+            let Some(stored) = stored.map(|claim| claim.id) else {
                 let outcome = ClaimOutcome::Rejected(RejectReason::CapacityExceeded);
                 return out.push(ClaimAction::Notify(request.attempt, outcome));
             };
-            self.remove(replicated);
+            self.remove(stored);
         }
         let id = self.next_claim_id();
         let claim = Claim::new(now, id, request, configs);
@@ -105,9 +105,9 @@
     }
 
     /// Renews the claims that are still collecting grants under the configurations that are active now.
-    /// Claims that wait for a remote run keep their replicas: they have released their grants and only poll,
-    /// until `give_up_at` at the latest. Those that are granted or replicate a result keep the quorums that
-    /// granted them.
+    /// Claims that wait for a remote run keep their replicas: they have released their grants and only
+    /// poll, until `give_up_at` at the latest. Those that are granted or replicate a result keep the
+    /// quorums that granted them.
     pub fn reconfigure(&mut self, now: Time, configs: &ActiveConfigs, out: &mut Vec<ClaimAction>) {
         for id in self.claims_in(&ClaimState::Collecting) {
             let renewed = self.next_claim_id();
@@ -135,7 +135,7 @@
     ) {
         let claim = self.by_attempt.get(&attempt).and_then(|id| self.claims.get_mut(id));
         let Some(claim) = claim.filter(|claim| claim.state == ClaimState::Granted) else {
-            return out.push(ClaimAction::Notify(attempt, ClaimOutcome::Replicated(false)));
+            return out.push(ClaimAction::Notify(attempt, ClaimOutcome::StoredByQuorum(false)));
         };
         claim.state = ClaimState::Replicating { result, reported: false };
         claim.reset_responses();
@@ -194,8 +194,8 @@
         self.act_on_responses(now, claim_id, out);
     }
 
-    /// Handles that a replica can't be reached: its grant is not to be expected. Claims in other states keep
-    /// the request pending, as a result must still be stored and a poll is repeated in any case.
+    /// Handles that a replica can't be reached: its grant is not to be expected. Claims in other states
+    /// keep the request pending, as a result must still be stored and a poll is repeated in any case.
     pub fn handle_unreachable(&mut self, now: Time, node: NodeId, out: &mut Vec<ClaimAction>) {
         for id in self.claims_in(&ClaimState::Collecting) {
             let Some(claim) = self.claims.get_mut(&id) else { continue };
@@ -244,8 +244,8 @@
         if now < claim.retry_at || claim.state == ClaimState::Granted {
             return;
         }
-        let replicated_at = claim.replicated_at;
-        if replicated_at.is_some_and(|at| now >= at + FULL_REPLICATION_TIMEOUT) {
+        let quorum_stored_at = claim.quorum_stored_at;
+        if quorum_stored_at.is_some_and(|at| now >= at + FULL_REPLICATION_TIMEOUT) {
             return self.remove(id);
         }
         match claim.state {
@@ -255,7 +255,7 @@
         }
         // Until a quorum has stored the result, every replica is retried; afterwards only those that answer
         // probes.
-        claim.send_and_schedule_retry(now, |node| replicated_at.is_none() || is_alive(node), out);
+        claim.send_and_schedule_retry(now, |node| quorum_stored_at.is_none() || is_alive(node), out);
         self.act_on_responses(now, id, out);
     }
 
@@ -264,7 +264,7 @@
         let Some(claim) = self.claims.get_mut(&id) else { return };
         let outcome = match claim.state {
             ClaimState::Granted => return,
-            ClaimState::Replicating { .. } => return claim.report_replicated(false, out),
+            ClaimState::Replicating { .. } => return claim.report_stored_by_quorum(false, out),
             ClaimState::Collecting => {
                 claim.release(out);
                 // A conflicting run may have started: its outcome is unknown. Only responses since the last
@@ -289,8 +289,9 @@
         }
     }
 
-    /// Rejects the attempts whose claims are still collecting grants: the node was suspended or
-    /// lost its state, and may act on outdated knowledge. Claims that wait for a remote run stay open: they hold no grants.
+    /// Rejects the attempts whose claims are still collecting grants: the node was suspended or lost its
+    /// state, and may act on outdated knowledge. Claims that wait for a remote run stay open: they hold no
+    /// grants.
     pub fn reject_collecting(&mut self, out: &mut Vec<ClaimAction>) {
         for id in self.claims_in(&ClaimState::Collecting) {
             if let Some(claim) = self.claims.get(&id) {
@@ -309,7 +310,7 @@
         now: Time,
         key: &Key,
         claim_id: ClaimId,
-        body: BodyDigest,
+        body_digest: BodyDigest,
         predecessor_alive: bool,
     ) -> Option<Message> {
         if let Some(open) = self.claims.get(&claim_id) {
@@ -320,13 +321,13 @@
             };
         }
         if claim_id.incarnation == self.incarnation {
-            // The claim of a completed run is open until a quorum has stored the result, or until its window
-            // has ended: this one never ran.
+            // The claim of a completed run is open until a quorum has stored the result, or until its
+            // window has ended: this one never ran.
             return Some(Message::Release { key: key.clone(), claim: claim_id });
         }
         // A claim of an earlier incarnation whose state is gone. If the run's own completion arrives later,
         // it takes precedence in the merge. `retain_ms: 0` leaves the replica's expiry unchanged.
-        let run = CompletedRun::abandoned(claim_id, body);
+        let run = CompletedRun::abandoned(claim_id, body_digest);
         let is_lost = claim_id.incarnation < self.incarnation && !predecessor_alive;
         is_lost.then(|| Message::Completed { key: key.clone(), retain_ms: 0, run })
     }
@@ -338,8 +339,8 @@
             ClaimState::Granted => {}
             ClaimState::Replicating { .. } => {
                 if claim.is_stored_by_quorum() {
-                    claim.replicated_at.get_or_insert(now);
-                    claim.report_replicated(true, out);
+                    claim.quorum_stored_at.get_or_insert(now);
+                    claim.report_stored_by_quorum(true, out);
                 }
                 if claim.is_stored_by_all() {
                     self.remove(id);
@@ -361,13 +362,13 @@
                 claim.state = ClaimState::Granted;
                 out.push(ClaimAction::Notify(claim.attempt, ClaimOutcome::Granted));
             }
-            Decision::RunningElsewhere if is_waiting => {}
-            Decision::RunningElsewhere => {
+            Decision::AwaitingRemoteRun if is_waiting => {}
+            Decision::AwaitingRemoteRun => {
                 claim.release(out);
                 claim.state = ClaimState::AwaitingRemoteRun;
                 claim.retry_interval = POLL_INTERVAL;
                 claim.retry_at = now + POLL_INTERVAL;
-                out.push(ClaimAction::Notify(claim.attempt, ClaimOutcome::RunningElsewhere));
+                out.push(ClaimAction::Notify(claim.attempt, ClaimOutcome::AwaitingRemoteRun));
             }
             Decision::Final(outcome) => {
                 if !is_waiting {
--- a/fleet/src/claims/coordinator/attempt.rs
+++ b/fleet/src/claims/coordinator/attempt.rs
@@ -9,24 +9,27 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId(pub u64);
 
-/// What an attempt is notified of.
+/// What an attempt is notified of. Several may follow each other: [`ClaimOutcome::Granted`] and
+/// [`ClaimOutcome::AwaitingRemoteRun`] are interim, all others are final.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum ClaimOutcome {
-    /// Its run may start.
+    /// Its run may start. Once that has completed, [`ClaimOutcome::StoredByQuorum`] follows.
     Granted,
     /// Its run must not start. No run has started under this attempt; whether another attempt's has is not
     /// said.
     Rejected(RejectReason),
-    /// A run of another attempt may have started; the outcome of that run follows.
-    RunningElsewhere,
-    /// The result of another attempt's run.
-    RemoteOutcome(RunResult),
+    /// Its run must not start, as a run of another attempt (a remote run) may have started. What became of
+    /// that one follows: its result, a rejection (it never started, or its window has ended), a body
+    /// mismatch, or that its outcome is unknown.
+    AwaitingRemoteRun,
+    /// The result of the remote run.
+    RemoteResult(RunResult),
     /// Its key was used with another body.
     BodyMismatch,
-    /// The outcome of another attempt's run is not known in time.
+    /// The outcome of the remote run is not known in time.
     Unknown,
     /// Whether a quorum has stored the result of its run in time.
-    Replicated(bool),
+    StoredByQuorum(bool),
 }
 
 /// An attempt's request for permission to run.
@@ -37,9 +40,9 @@
     /// Its key.
     pub key: Key,
     /// The digest of its body.
-    pub body: BodyDigest,
+    pub body_digest: BodyDigest,
     /// When the key's idempotency window ends.
-    pub expires_at: Time,
+    pub window_ends_at: Time,
     /// When the request was received.
     pub received_at: Time,
     /// The same in Unix milliseconds.
--- a/fleet/src/claims/coordinator/claim.rs
+++ b/fleet/src/claims/coordinator/claim.rs
@@ -56,7 +56,7 @@
     /// A quorum has granted it.
     Granted,
     /// Another claim prevents it, whose run has not completed yet.
-    RunningElsewhere,
+    AwaitingRemoteRun,
     /// It is closed with this outcome.
     Final(ClaimOutcome),
 }
@@ -81,8 +81,9 @@
     pub(super) attempt: AttemptId,
     pub(super) id: ClaimId,
     key: Key,
-    body: BodyDigest,
-    expires_at: Time,
+    body_digest: BodyDigest,
+    /// When the key's idempotency window ends.
+    window_ends_at: Time,
     received_at: Time,
     received_unix_ms: u64,
     /// This node's index in the configuration that was newest when the claim was first made. It only breaks
@@ -96,23 +97,24 @@
     /// The latest incarnations of the replicas that any of them knows.
     incarnations: BTreeMap<NodeId, Incarnation>,
     pub(super) state: ClaimState,
-    /// When a quorum had stored the result.
-    pub(super) replicated_at: Option<Time>,
+    /// Since when a quorum has stored the result.
+    pub(super) quorum_stored_at: Option<Time>,
     pub(super) retry_interval: Duration,
     pub(super) retry_at: Time,
 }
 
 impl Claim {
     pub(super) fn new(now: Time, id: ClaimId, request: RunRequest, configs: &ActiveConfigs) -> Claim {
-        let RunRequest { attempt, key, body, expires_at, received_at, received_unix_ms, deadline } = request;
+        let RunRequest { attempt, key, body_digest, window_ends_at, received_at, received_unix_ms, deadline } =
+            request;
         let max_margin = deadline.saturating_sub(now) / ANSWER_MARGIN_MAX_DIVISOR;
         let node_index = configs.newest().index_of(id.node);
         let mut claim = Claim {
             attempt,
             id,
             key: detach(&key),
-            body,
-            expires_at,
+            body_digest,
+            window_ends_at,
             received_at,
             received_unix_ms,
             // `u32::MAX`: not a member, which sorts last.
@@ -122,7 +124,7 @@
             responses: BTreeMap::new(),
             incarnations: BTreeMap::new(),
             state: ClaimState::Collecting,
-            replicated_at: None,
+            quorum_stored_at: None,
             retry_interval: INITIAL_RETRY_INTERVAL,
             retry_at: now + INITIAL_RETRY_INTERVAL,
         };
@@ -166,13 +168,19 @@
 
     /// Returns the message that replicas are sent in the claim's state; none while its run is under way.
     pub(super) fn outgoing_message(&self, now: Time) -> Option<Message> {
-        let retain_ms = millis_ceil(self.expires_at.saturating_sub(now));
-        let Claim { id: claim_id, body, .. } = *self;
+        let retain_ms = millis_ceil(self.window_ends_at.saturating_sub(now));
+        let Claim { id: claim_id, body_digest, .. } = *self;
         let key = self.key.clone();
         match &self.state {
             ClaimState::Collecting => {
                 let config_versions = self.groups.iter().map(|group| group.version).collect();
-                Some(Message::Claim(ClaimRequest { claim: claim_id, key, body, retain_ms, config_versions }))
+                Some(Message::Claim(ClaimRequest {
+                    claim: claim_id,
+                    key,
+                    body: body_digest,
+                    retain_ms,
+                    config_versions,
+                }))
             }
             ClaimState::AwaitingRemoteRun => Some(Message::QueryKey { claim: claim_id, key }),
             ClaimState::Replicating { result, .. } => {
@@ -181,7 +189,7 @@
                     node_index: self.node_index,
                     claim: claim_id,
                     result: result.clone(),
-                    body,
+                    body: body_digest,
                 };
                 Some(Message::Completed { key, retain_ms, run })
             }
@@ -204,8 +212,8 @@
         }
     }
 
-    /// Sends the request to pending replicas that satisfy the predicate, and sets `retry_at`. Polling keeps its
-    /// interval; other states back off exponentially.
+    /// Sends the request to pending replicas that satisfy the predicate, and sets `retry_at`. Polling keeps
+    /// its interval; other states back off exponentially.
     pub(super) fn send_and_schedule_retry(
         &mut self,
         now: Time,
@@ -226,10 +234,10 @@
     }
 
     /// Notifies the attempt, once, whether a quorum has stored its result.
-    pub(super) fn report_replicated(&mut self, is_replicated: bool, out: &mut Vec<ClaimAction>) {
+    pub(super) fn report_stored_by_quorum(&mut self, is_stored: bool, out: &mut Vec<ClaimAction>) {
         if let ClaimState::Replicating { reported: reported @ false, .. } = &mut self.state {
             *reported = true;
-            out.push(ClaimAction::Notify(self.attempt, ClaimOutcome::Replicated(is_replicated)));
+            out.push(ClaimAction::Notify(self.attempt, ClaimOutcome::StoredByQuorum(is_stored)));
         }
     }
 
@@ -238,7 +246,7 @@
     }
 
     pub(super) fn has_expired(&self, now: Time) -> bool {
-        now >= self.expires_at + LATE_READ_GRACE
+        now >= self.window_ends_at + LATE_READ_GRACE
     }
 
     /// Whether a tick has something to do.
@@ -304,11 +312,13 @@
         })
     }
 
-    /// Decides from the responses so far; none if the decision depends on further ones. The checks in order:
+    /// Decides from the responses so far; none if the decision depends on further ones. The checks in
+    /// order:
     ///
     /// 1. a conflict that is about an earlier request, whose window had ended: the attempt is rejected;
     /// 2. a completed run of the key, whichever replica reports it: its result is the outcome;
-    /// 3. for a claim that waits for a remote run: whether a quorum reports that the key is free;
+    /// 3. for a claim that waits for a remote run: whether a quorum reports that the key is free; if not, no
+    ///    decision yet;
     /// 4. a quorum of grants: the run may start;
     /// 5. whether replicas without a response could still complete a quorum: no decision yet;
     /// 6. otherwise [`Claim::evaluate_without_quorum`].
@@ -320,8 +330,8 @@
         let completed =
             self.conflicts().find_map(|(conflict, _)| conflict.completed.as_ref().map(|run| (conflict, run)));
         if let Some((conflict, run)) = completed {
-            let outcome = if conflict.body == self.body {
-                ClaimOutcome::RemoteOutcome(run.result.clone())
+            let outcome = if conflict.body == self.body_digest {
+                ClaimOutcome::RemoteResult(run.result.clone())
             } else {
                 ClaimOutcome::BodyMismatch
             };
@@ -375,8 +385,8 @@
         if self.id < lowest.claim && !lowest_has_quorum {
             return None;
         }
-        Some(if lowest.body == self.body {
-            Decision::RunningElsewhere
+        Some(if lowest.body == self.body_digest {
+            Decision::AwaitingRemoteRun
         } else {
             Decision::Final(ClaimOutcome::BodyMismatch)
         })
--- a/fleet/src/claims/coordinator/tests.rs
+++ b/fleet/src/claims/coordinator/tests.rs
@@ -9,8 +9,8 @@
     RunRequest {
         attempt: AttemptId(attempt),
         key: Bytes::from("k"),
-        body: 5,
-        expires_at: at(10_000),
+        body_digest: 5,
+        window_ends_at: at(10_000),
         received_at: at(0),
         received_unix_ms: 1,
         deadline: at(2_000),
@@ -108,7 +108,7 @@
     assert_eq!(fixture.out.len(), 3, "every replica is sent the result");
     fixture.out.clear();
     let claim = self::claim();
-    for (from, outcomes) in [(1, vec![]), (2, vec![ClaimOutcome::Replicated(true)]), (3, vec![])] {
+    for (from, outcomes) in [(1, vec![]), (2, vec![ClaimOutcome::StoredByQuorum(true)]), (3, vec![])] {
         assert_eq!(fixture.respond(from, Message::Stored { claim, stored: true }), outcomes);
     }
     assert_eq!(fixture.claims.open_claims(), 0);
@@ -126,8 +126,8 @@
 fn an_attempt_without_a_quorum_waits_for_the_run_that_was_first_and_gets_its_result() {
     let mut fixture = Fixture::new();
     assert_eq!(fixture.block(2, other(1), None), []);
-    assert_eq!(fixture.block(3, other(1), None), [ClaimOutcome::RunningElsewhere]);
-    assert_eq!(fixture.block(3, other(1), Some("job")), [ClaimOutcome::RemoteOutcome(succeeded("job"))]);
+    assert_eq!(fixture.block(3, other(1), None), [ClaimOutcome::AwaitingRemoteRun]);
+    assert_eq!(fixture.block(3, other(1), Some("job")), [ClaimOutcome::RemoteResult(succeeded("job"))]);
     assert_eq!(fixture.claims.open_claims(), 0);
 }
 
@@ -135,7 +135,7 @@
 fn a_completed_run_is_believed_whichever_replica_reports_it_and_a_body_mismatch_is_reported() {
     let mut fixture = Fixture::new();
     fixture.grant(2, 1, vec![]);
-    assert_eq!(fixture.block(3, other(1), Some("job")), [ClaimOutcome::RemoteOutcome(succeeded("job"))]);
+    assert_eq!(fixture.block(3, other(1), Some("job")), [ClaimOutcome::RemoteResult(succeeded("job"))]);
     let mut fixture = Fixture::new();
     let conflict = ConflictingClaim { claim: other(1), body: 6, completed: None, expired_ms: 0 };
     let blocked = Message::Blocked { claim: claim(), conflict };
@@ -176,7 +176,7 @@
     fixture.grant(1, 1, vec![]);
     fixture.claims.handle_unreachable(at(1), id(3), &mut fixture.out);
     let lower = ClaimId { node: NodeId(0), incarnation: Incarnation(1), number: 1 };
-    assert_eq!(fixture.block(2, lower, None), [ClaimOutcome::RunningElsewhere]);
+    assert_eq!(fixture.block(2, lower, None), [ClaimOutcome::AwaitingRemoteRun]);
 }
 
 #[test]
@@ -196,7 +196,7 @@
     fixture.grant(3, 1, vec![]);
     fixture.complete(succeeded("job"));
     fixture.tick(1_750, |_| true);
-    assert_eq!(fixture.outcomes(), [ClaimOutcome::Replicated(false)]);
+    assert_eq!(fixture.outcomes(), [ClaimOutcome::StoredByQuorum(false)]);
     assert_eq!(fixture.claims.open_claims(), 1, "the replicas must still get the result");
     fixture.tick(18_000, |_| true);
     assert_eq!(fixture.claims.open_claims(), 0);
--- a/fleet/src/replica_node/metrics.rs
+++ b/fleet/src/replica_node/metrics.rs
@@ -41,11 +41,11 @@
         match outcome {
             ClaimOutcome::Granted => self.granted += 1,
             ClaimOutcome::Rejected(_) | ClaimOutcome::BodyMismatch => self.rejected += 1,
-            ClaimOutcome::RemoteOutcome(_) => self.remote_outcomes += 1,
+            ClaimOutcome::RemoteResult(_) => self.remote_outcomes += 1,
             ClaimOutcome::Unknown => self.unknown_outcomes += 1,
-            ClaimOutcome::Replicated(true) => self.replicated += 1,
-            ClaimOutcome::Replicated(false) => self.unreplicated += 1,
-            ClaimOutcome::RunningElsewhere => {}
+            ClaimOutcome::StoredByQuorum(true) => self.replicated += 1,
+            ClaimOutcome::StoredByQuorum(false) => self.unreplicated += 1,
+            ClaimOutcome::AwaitingRemoteRun => {}
         }
     }
 }
--- a/fleet/src/replica_node/runs.rs
+++ b/fleet/src/replica_node/runs.rs
@@ -20,7 +20,7 @@
     }
 
     pub(super) fn request_run(&mut self, now: Time, request: RunRequest, out: &mut Vec<Action>) {
-        let exceeds_window = request.expires_at.saturating_sub(now) > self.configs.newest().window();
+        let exceeds_window = request.window_ends_at.saturating_sub(now) > self.configs.newest().window();
         let reason = self.reason_not_to_claim().or(exceeds_window.then_some(RejectReason::DeadlineExceeded));
         if let Some(reason) = reason {
             self.metrics.rejected += 1;
--- a/fleet/src/replica_node/tests.rs
+++ b/fleet/src/replica_node/tests.rs
@@ -15,7 +15,7 @@
 }
 
 fn remote(result: &'static str) -> ClaimOutcome {
-    ClaimOutcome::RemoteOutcome(succeeded(result))
+    ClaimOutcome::RemoteResult(succeeded(result))
 }
 
 fn rejected(reason: RejectReason) -> ClaimOutcome {
@@ -27,11 +27,11 @@
     let mut fleet = Fixture::new(5, true);
     fleet.request_run(1, 1, "k");
     fleet.request_run(2, 2, "k");
-    assert_eq!(fleet.outcomes(), [(1, ClaimOutcome::Granted), (2, ClaimOutcome::RunningElsewhere)]);
+    assert_eq!(fleet.outcomes(), [(1, ClaimOutcome::Granted), (2, ClaimOutcome::AwaitingRemoteRun)]);
     fleet.complete_run(1, 1, "job");
     let mut outcomes = fleet.outcomes();
     outcomes.sort_by_key(|(attempt, _)| *attempt);
-    assert_eq!(outcomes, [(1, ClaimOutcome::Replicated(true)), (2, remote("job"))]);
+    assert_eq!(outcomes, [(1, ClaimOutcome::StoredByQuorum(true)), (2, remote("job"))]);
     fleet.request_run(3, 3, "k");
     assert_eq!(fleet.outcomes(), [(3, remote("job"))]);
     assert_eq!(fleet.node(1).open_claims(), 0, "every replica has stored it");
@@ -288,7 +288,7 @@
     assert_eq!(fleet.outcomes(), [(1, ClaimOutcome::Granted)]);
     fleet.handle(id(1), Event::Deactivated);
     fleet.complete_run(1, 1, "job");
-    assert_eq!(fleet.outcomes(), [(1, ClaimOutcome::Replicated(true))]);
+    assert_eq!(fleet.outcomes(), [(1, ClaimOutcome::StoredByQuorum(true))]);
     fleet.down.insert(id(3));
     fleet.request_run(2, 2, "l");
     assert_eq!(fleet.outcomes(), [(2, rejected(RejectReason::Superseded))]);
--- a/fleet/src/replica_node/tests/fixture.rs
+++ b/fleet/src/replica_node/tests/fixture.rs
@@ -116,8 +116,8 @@
         let request = RunRequest {
             attempt: AttemptId(attempt),
             key: Key::from_static(key.as_bytes()),
-            body: 1,
-            expires_at: self.now + at(9_000),
+            body_digest: 1,
+            window_ends_at: self.now + at(9_000),
             received_at: self.now,
             received_unix_ms: attempt,
             deadline: self.now + at(2_000),
--- a/fleet/src/replication/key_state.rs
+++ b/fleet/src/replication/key_state.rs
@@ -59,10 +59,11 @@
 
 /// A run that has ended.
 ///
-/// Of two runs the smaller one in the derived order takes precedence, so the order of the fields is the order
-/// of precedence: the run whose request was received earlier, then the one of the node with the lower index,
-/// then the lower claim, and of one claim the success, as [`RunResult::Succeeded`] stands before [`RunResult::Failed`]. The `u64::MAX` of
-/// [`CompletedRun::abandoned`] is part of it: such a run yields to every one that was reported.
+/// Of two runs the smaller one in the derived order takes precedence, so the order of the fields is the
+/// order of precedence: the run whose request was received earlier, then the one of the node with the lower
+/// index, then the lower claim, and of one claim the success, as [`RunResult::Succeeded`] stands before
+/// [`RunResult::Failed`]. The `u64::MAX` of [`CompletedRun::abandoned`] is part of it: such a run yields to
+/// every one that was reported.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CompletedRun {
     /// When the node received the request, in Unix milliseconds.
@@ -83,14 +84,14 @@
 impl CompletedRun {
     /// Returns the run of a claim whose node has lost its state. Whether it ran is not known, so it counts
     /// as failed; a completion that the run itself reported prevails over this one.
-    pub fn abandoned(claim_id: ClaimId, body: BodyDigest) -> CompletedRun {
+    pub fn abandoned(claim_id: ClaimId, body_digest: BodyDigest) -> CompletedRun {
         let result = RunResult::Failed;
         CompletedRun {
             received_at: ABANDONED_RECEIVED_AT,
             node_index: u32::MAX,
             claim: claim_id,
             result,
-            body,
+            body: body_digest,
         }
     }
 
@@ -111,7 +112,8 @@
 /// What is known of a key.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct KeyState {
-    /// Claims whose runs may have started, with the digests of their bodies. Empty once a run has completed.
+    /// Claims whose runs may have started, with the digests of their bodies. Empty once a run has
+    /// completed.
     pub started: BTreeMap<ClaimId, BodyDigest>,
     /// The completed run that prevails.
     pub completed: Option<CompletedRun>,
@@ -125,8 +127,9 @@
         self.completed = match (self.completed.take(), other.completed) {
             (Some(ours), Some(theirs)) => {
                 let (retained, dropped) = if ours <= theirs { (ours, theirs) } else { (theirs, ours) };
-                // No conflict: either both are reports of one run, of which the success prevails, or the dropped
-                // one is a placeholder for a claim whose node lost its state and which may never have run.
+                // No conflict: either both are reports of one run, of which the success prevails, or the
+                // dropped one is a placeholder for a claim whose node lost its state and which may never
+                // have run.
                 let superseded = dropped.result == RunResult::Failed
                     && (retained.claim == dropped.claim || dropped.is_abandoned());
                 if retained != dropped && !superseded {
--- a/fleet/src/replication/replica_table.rs
+++ b/fleet/src/replication/replica_table.rs
@@ -1,10 +1,10 @@
 //! A node's replica of the fleet's key table: which claim it has granted for each key, what it knows of
 //! other runs, and how it responds to claims.
 //!
-//! A replica votes for a claim by granting it: `vote` is the claim that it has granted. A grant is never moved
-//! to another claim; it ends only when its claim is released, when the key's idempotency window and
-//! [`LATE_READ_GRACE`] have ended, or when the replica loses its state, after which it grants nothing until it
-//! has caught up. So two claims on one key can't both get a quorum.
+//! A replica votes for a claim by granting it: `vote` is the claim that it has granted. A grant is never
+//! moved to another claim; it ends only when its claim is released, when the key's idempotency window and
+//! [`LATE_READ_GRACE`] have ended, or when the replica loses its state, after which it grants nothing until
+//! it has caught up. So two claims on one key can't both get a quorum.
 
 mod entry;
 mod outcome;
@@ -34,6 +34,7 @@
     this_node: NodeId,
     incarnation: Incarnation,
     entries: BTreeMap<Key, Entry>,
+    /// The keys by the end of their windows.
     by_expiry: BTreeSet<(Time, Key)>,
     bytes: usize,
     max_bytes: usize,
@@ -43,8 +44,8 @@
 }
 
 impl ReplicaTable {
-    /// Creates an empty table for this incarnation of the node. `has_stored_state` says that the node
-    /// has its earlier state and will restore it; otherwise the table votes for no key until it has caught up.
+    /// Creates an empty table for this incarnation of the node. `has_stored_state` says that the node has
+    /// its earlier state and will restore it; otherwise the table votes for no key until it has caught up.
     pub fn new(
         this_node: NodeId,
         incarnation: Incarnation,
@@ -70,7 +71,8 @@
         TableSize { keys: self.entries.len(), bytes: self.bytes }
     }
 
-    /// Drops all state and begins another incarnation. What is known of other nodes' incarnations stays true.
+    /// Drops all state and begins another incarnation. What is known of other nodes' incarnations stays
+    /// true.
     pub fn reset(&mut self, incarnation: Incarnation, now: Time) {
         let incarnations = std::mem::take(&mut self.incarnations);
         let empty = ReplicaTable::new(self.this_node, incarnation, self.max_bytes, false, now);
@@ -118,8 +120,8 @@
         becomes_complete
     }
 
-    /// Whether the replica can vote for a key. True if every quorum that a forgotten vote of this replica could
-    /// belong to contains another replica whose knowledge this one has merged.
+    /// Whether the replica can vote for a key. True if every quorum that a forgotten vote of this replica
+    /// could belong to contains another replica whose knowledge this one has merged.
     pub fn can_vote_for(&self, key: &[u8], configs: &ActiveConfigs) -> bool {
         self.sync_state.can_vote_for(self.this_node, key, configs)
     }
@@ -137,11 +139,11 @@
     /// Advances the time: removes keys whose window has ended. Returns whether the table has become
     /// complete, as everything that it may have lost has expired.
     pub fn tick(&mut self, now: Time, configs: &ActiveConfigs) -> bool {
-        while let Some((expires_at, key)) = self.by_expiry.first().cloned() {
-            if now < expires_at + LATE_READ_GRACE {
+        while let Some((window_ends_at, key)) = self.by_expiry.first().cloned() {
+            if now < window_ends_at + LATE_READ_GRACE {
                 break;
             }
-            self.by_expiry.remove(&(expires_at, key.clone()));
+            self.by_expiry.remove(&(window_ends_at, key.clone()));
             if let Some(entry) = self.entries.remove(&key) {
                 self.bytes -= entry.bytes(&key);
             }
@@ -154,21 +156,21 @@
     }
 
     /// Updates a key's entry, which is created if it is absent and removed if nothing is known of it any
-    /// more. The key is retained at least until `expires_at`.
-    fn update<T>(&mut self, key: &Key, expires_at: Time, change: impl FnOnce(&mut Entry) -> T) -> T {
+    /// more. The key's window ends at `window_ends_at` at the earliest.
+    fn update<T>(&mut self, key: &Key, window_ends_at: Time, change: impl FnOnce(&mut Entry) -> T) -> T {
         let (key, mut entry) = match self.entries.remove_entry(key) {
             Some((key, entry)) => {
-                self.by_expiry.remove(&(entry.expires_at, key.clone()));
+                self.by_expiry.remove(&(entry.window_ends_at, key.clone()));
                 self.bytes -= entry.bytes(&key);
                 (key, entry)
             }
-            None => (detach(key), Entry::new(expires_at)),
+            None => (detach(key), Entry::new(window_ends_at)),
         };
-        entry.expires_at = entry.expires_at.max(expires_at);
+        entry.window_ends_at = entry.window_ends_at.max(window_ends_at);
         let returned = change(&mut entry);
         if !entry.state.is_empty() || entry.vote.is_some() {
             self.bytes += entry.bytes(&key);
-            self.by_expiry.insert((entry.expires_at, key.clone()));
+            self.by_expiry.insert((entry.window_ends_at, key.clone()));
             self.entries.insert(key, entry);
         }
         returned
--- a/fleet/src/replication/replica_table/entry.rs
+++ b/fleet/src/replication/replica_table/entry.rs
@@ -6,7 +6,7 @@
 use crate::{millis_ceil, Time, MAX_RESULT_BYTES};
 
 /// An estimate, on the high side, of the memory that an entry takes in addition to its key and its result, in
-/// bytes. It is fixed: the waiters and started claims of an entry, which are bounded, are not counted one by one.
+/// bytes. It is fixed: the waiters and started claims of an entry are not counted one by one.
 pub const ENTRY_OVERHEAD_BYTES: usize = 512;
 
 /// An attempt that waits for a key's run.
@@ -21,7 +21,9 @@
 /// A key's entry in the table.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct Entry {
-    pub(super) expires_at: Time,
+    /// When the key's idempotency window ends. The entry is retained for
+    /// [`LATE_READ_GRACE`](crate::LATE_READ_GRACE) longer.
+    pub(super) window_ends_at: Time,
     /// The claim that this replica has granted.
     pub(super) vote: Option<ClaimId>,
     pub(super) state: KeyState,
@@ -33,9 +35,9 @@
 }
 
 impl Entry {
-    pub(super) fn new(expires_at: Time) -> Entry {
+    pub(super) fn new(window_ends_at: Time) -> Entry {
         Entry {
-            expires_at,
+            window_ends_at,
             vote: None,
             state: KeyState::default(),
             waiters: Vec::new(),
@@ -52,7 +54,7 @@
     pub(super) fn record(&self, key: &Key, now: Time) -> ReplicaRecord {
         ReplicaRecord {
             key: key.clone(),
-            retain_ms: millis_ceil(self.expires_at.saturating_sub(now)),
+            retain_ms: millis_ceil(self.window_ends_at.saturating_sub(now)),
             started: self.state.started.iter().map(|(claim, body)| (*claim, *body)).collect(),
             completed: self.state.completed.clone(),
         }
--- a/fleet/src/replication/replica_table/paging.rs
+++ b/fleet/src/replication/replica_table/paging.rs
@@ -44,20 +44,21 @@
         let mut records = Vec::new();
         let (mut page_bytes, mut entries_read) = (0, 0);
         let mut last_read = None;
-        for (expires_at, key) in self.entries_before(from) {
+        for (window_ends_at, key) in self.entries_before(from) {
             if page_bytes > PAGE_BYTES_SOFT_LIMIT || entries_read >= MAX_ENTRIES_PER_PAGE {
                 break;
             }
             entries_read += 1;
-            last_read = Some((expires_at, key));
+            last_read = Some((window_ends_at, key));
             let is_replica = configs.iter().any(|config| config.replicas_of(key).contains(&requester));
             let Some(entry) = self.entries.get(key).filter(|_| is_replica) else { continue };
             page_bytes += RECORD_OVERHEAD_BYTES + key.len() + entry.state.result_size();
             records.push(entry.record(key, now));
         }
         let is_truncated = page_bytes > PAGE_BYTES_SOFT_LIMIT || entries_read >= MAX_ENTRIES_PER_PAGE;
-        let next =
-            last_read.filter(|_| is_truncated).map(|(expires_at, key)| self.position(*expires_at, key));
+        let next = last_read
+            .filter(|_| is_truncated)
+            .map(|(window_ends_at, key)| self.position(*window_ends_at, key));
         let page = Page { round, records, next, completeness: self.completeness(configs) };
         PageRead { page, entries_read }
     }
@@ -74,8 +75,8 @@
         range.rev()
     }
 
-    fn position(&self, expires_at: Time, key: &Key) -> TablePosition {
-        let expires_ns = u64::try_from(expires_at.as_nanos()).unwrap_or(u64::MAX);
+    fn position(&self, window_ends_at: Time, key: &Key) -> TablePosition {
+        let expires_ns = u64::try_from(window_ends_at.as_nanos()).unwrap_or(u64::MAX);
         TablePosition { incarnation: self.incarnation, expires_ns, key: key.clone() }
     }
 
@@ -91,8 +92,8 @@
             }
             let started: BTreeMap<_, _> = started.into_iter().take(MAX_STARTED_PER_KEY).collect();
             let state = KeyState { started, completed: completed.map(with_storable_result) };
-            let expires_at = now + Duration::from_millis(retain_ms);
-            let conflict = self.update(&key, expires_at, |entry| entry.state.merge(state));
+            let window_ends_at = now + Duration::from_millis(retain_ms);
+            let conflict = self.update(&key, window_ends_at, |entry| entry.state.merge(state));
             outcome.conflicts.extend(conflict);
         }
         outcome
--- a/fleet/src/replication/replica_table/sync_state.rs
+++ b/fleet/src/replication/replica_table/sync_state.rs
@@ -57,9 +57,9 @@
         Completeness::PartialFrom(complete)
     }
 
-    /// Whether the replica can vote for a key. True if, in each configuration, every quorum that a forgotten
-    /// vote of this replica could belong to contains another replica whose knowledge this one has merged. Of a
-    /// donor that is not complete itself, the same is required for its own forgotten votes.
+    /// Whether the replica can vote for a key. True if, in each configuration, every quorum that a
+    /// forgotten vote of this replica could belong to contains another replica whose knowledge this one has
+    /// merged. Of a donor that is not complete itself, the same is required for its own forgotten votes.
     pub(super) fn can_vote_for(&self, this_node: NodeId, key: &[u8], configs: &ActiveConfigs) -> bool {
         let SyncState::Partial { donors, .. } = self else { return true };
         configs.iter().all(|config| {
@@ -89,8 +89,8 @@
 /// Whether every quorum of a key's replicas that `node` is part of has another member that satisfies the
 /// predicate. True if the node holds no replica of the key.
 ///
-/// A quorum containing `node` omits `replica_count - quorum` replicas; it contains a satisfying one for certain
-/// only if more than that satisfy.
+/// A quorum containing `node` omits `replica_count - quorum` replicas; it contains a satisfying one for
+/// certain only if more than that satisfy.
 fn intersects_every_quorum(
     config: &MembershipConfig,
     key: &[u8],
--- a/fleet/src/replication/replica_table/voting.rs
+++ b/fleet/src/replication/replica_table/voting.rs
@@ -55,8 +55,8 @@
             if let Some(reason) = self.reason_not_to_vote(key, configs) {
                 return Message::Uncertain { claim: claim_id, reason };
             }
-            let expires_at = now + Duration::from_millis(request.retain_ms);
-            self.update(key, expires_at, |entry| {
+            let window_ends_at = now + Duration::from_millis(request.retain_ms);
+            self.update(key, window_ends_at, |entry| {
                 entry.vote = Some(claim_id);
                 entry.state.started.insert(claim_id, request.body);
             });
@@ -143,8 +143,8 @@
         outcome
     }
 
-    fn store_run(&mut self, expires_at: Time, key: &Key, run: CompletedRun, outcome: &mut TableOutcome) {
-        let (waiters, kept) = self.update(key, expires_at, |entry| {
+    fn store_run(&mut self, window_ends_at: Time, key: &Key, run: CompletedRun, outcome: &mut TableOutcome) {
+        let (waiters, kept) = self.update(key, window_ends_at, |entry| {
             let state = KeyState { completed: Some(with_storable_result(run)), ..KeyState::default() };
             outcome.conflict = entry.state.merge(state);
             (std::mem::take(&mut entry.waiters), entry.state.completed.clone())
@@ -187,7 +187,7 @@
 /// The completed run of a key, or the claim of another attempt that has started on it; of several, the one
 /// that this replica has granted.
 fn find_conflict(entry: &Entry, now: Time, claim_id: ClaimId) -> Option<ConflictingClaim> {
-    let expired_ms = millis_ceil(now.saturating_sub(entry.expires_at));
+    let expired_ms = millis_ceil(now.saturating_sub(entry.window_ends_at));
     if let Some(run) = &entry.state.completed {
         return Some(conflict_with_run(run, expired_ms));
     }
--- a/fleet/tests/model/system.rs
+++ b/fleet/tests/model/system.rs
@@ -140,14 +140,14 @@
             state.runs[n] += 1;
         }
         (ClaimOutcome::Rejected(_), Attempt::Claiming) => *attempt = Attempt::Rejected,
-        (ClaimOutcome::RemoteOutcome(result), Attempt::Claiming) => {
+        (ClaimOutcome::RemoteResult(result), Attempt::Claiming) => {
             *attempt = Attempt::RemoteResult(result != RunResult::Failed);
         }
         (ClaimOutcome::Unknown | ClaimOutcome::BodyMismatch, Attempt::Claiming) => {
             *attempt = Attempt::Failed;
         }
-        (ClaimOutcome::Replicated(true), Attempt::Replicating) => *attempt = Attempt::Served,
-        (ClaimOutcome::Replicated(false), Attempt::Replicating) => *attempt = Attempt::Failed,
+        (ClaimOutcome::StoredByQuorum(true), Attempt::Replicating) => *attempt = Attempt::Served,
+        (ClaimOutcome::StoredByQuorum(false), Attempt::Replicating) => *attempt = Attempt::Failed,
         _ => {}
     }
 }
--- a/fleet/tests/model/transitions.rs
+++ b/fleet/tests/model/transitions.rs
@@ -127,8 +127,8 @@
     let request = RunRequest {
         attempt: AttemptId(n as u64),
         key: KEY,
-        body: 1,
-        expires_at: DEADLINE,
+        body_digest: 1,
+        window_ends_at: DEADLINE,
         received_at: NOW,
         received_unix_ms: n as u64,
         deadline: DEADLINE,
--- a/fleet/tests/sim/simulator.rs
+++ b/fleet/tests/sim/simulator.rs
@@ -245,19 +245,19 @@
                 }
                 &format!("rejected {reason:?}")
             }
-            ClaimOutcome::RunningElsewhere => "running elsewhere",
-            ClaimOutcome::RemoteOutcome(RunResult::Succeeded(result)) => {
+            ClaimOutcome::AwaitingRemoteRun => "running elsewhere",
+            ClaimOutcome::RemoteResult(RunResult::Succeeded(result)) => {
                 let made = format!("job of {key}");
                 if *result != made.as_bytes() || !self.observed.runs.contains_key(&key) {
                     self.observed.violations.push(format!("key {key} got a result that no run made"));
                 }
                 "remote outcome"
             }
-            ClaimOutcome::RemoteOutcome(RunResult::Failed) => "failed",
+            ClaimOutcome::RemoteResult(RunResult::Failed) => "failed",
             ClaimOutcome::BodyMismatch => "mismatch",
             ClaimOutcome::Unknown => "unknown",
-            ClaimOutcome::Replicated(true) => "replicated",
-            ClaimOutcome::Replicated(false) => "not replicated",
+            ClaimOutcome::StoredByQuorum(true) => "replicated",
+            ClaimOutcome::StoredByQuorum(false) => "not replicated",
         };
         *self.observed.ended.entry(name.to_string()).or_default() += 1;
         if outcome == ClaimOutcome::Granted {
@@ -353,8 +353,8 @@
         let request = RunRequest {
             attempt: AttemptId(attempt),
             key: Key::from(format!("key {key}")),
-            body: 1,
-            expires_at: self.now + WINDOW,
+            body_digest: 1,
+            window_ends_at: self.now + WINDOW,
             received_at: self.now,
             received_unix_ms: self.now.as_millis() as u64,
             deadline: self.now + CLIENT_TIMEOUT,
--- a/node/src/dispatcher.rs
+++ b/node/src/dispatcher.rs
@@ -285,7 +285,7 @@
         let now = clock::now();
         // Another node's outcome that is not known by then never will be, so these attempts are answered now.
         let is_too_late = |attempt: &&Attempt| {
-            attempt.phase == Phase::RunningElsewhere && attempt.request.deadline + TIMEOUT_MARGIN >= stops_at
+            attempt.phase == Phase::AwaitingRemoteRun && attempt.request.deadline + TIMEOUT_MARGIN >= stops_at
         };
         let too_late: Vec<_> = self.attempts.iter().filter(is_too_late).map(|attempt| attempt.id).collect();
         for id in too_late {
--- a/node/src/dispatcher/attempts.rs
+++ b/node/src/dispatcher/attempts.rs
@@ -31,7 +31,7 @@
     /// It waits for the outcome of another attempt of its key.
     WaitingForAttempt { since: UnixTime },
     /// It waits for the outcome of another node's run of its key. To the admission module it is over.
-    RunningElsewhere,
+    AwaitingRemoteRun,
     /// Its run is under way, or waits for the run gate.
     Running { started_at: UnixTime },
     /// Its run waits for a call with this body.
@@ -44,7 +44,7 @@
     /// When its run started on this node, if it did.
     pub(super) fn started_at(&self) -> Option<UnixTime> {
         match self {
-            Phase::Queued | Phase::WaitingForAttempt { .. } | Phase::RunningElsewhere => None,
+            Phase::Queued | Phase::WaitingForAttempt { .. } | Phase::AwaitingRemoteRun => None,
             Phase::Running { started_at }
             | Phase::AwaitingCall { started_at, .. }
             | Phase::Calling { started_at, .. } => Some(*started_at),
--- a/node/src/dispatcher/runs.rs
+++ b/node/src/dispatcher/runs.rs
@@ -173,7 +173,7 @@
         match event {
             GateEvent::Authorized { id, granted } => self.on_authorization(id, granted),
             GateEvent::Completed { id, completion } => self.on_completion_stored(id, completion),
-            GateEvent::RunningElsewhere(id) => self.release_to_remote_run(id),
+            GateEvent::AwaitingRemoteRun(id) => self.release_to_remote_run(id),
             GateEvent::RemoteOutcome { id, outcome } => self.complete_remote_run(id, &outcome),
             GateEvent::OutcomeUnknown(id) => self.abandon_key(id, RequestOutcome::Failed { timed_out: true }),
             GateEvent::BodyMismatch(id) => self.abandon_key(id, RequestOutcome::BodyMismatch),
@@ -206,7 +206,7 @@
     /// cores here.
     fn release_to_remote_run(&mut self, id: RequestId) {
         let Some(attempt) = self.attempts.get_mut(id) else { return };
-        if let Phase::Running { started_at } = std::mem::replace(&mut attempt.phase, Phase::RunningElsewhere)
+        if let Phase::Running { started_at } = std::mem::replace(&mut attempt.phase, Phase::AwaitingRemoteRun)
         {
             let took = clock::now().saturating_sub(started_at);
             self.admission_events.push(Event::Finished { id, outcome: AdmissionOutcome::Skipped, took });
--- a/node/src/peers.rs
+++ b/node/src/peers.rs
@@ -78,8 +78,8 @@
         self.send(Event::RunRequested(RunRequest {
             attempt: attempt_of(claim.id),
             key: claim.key.clone(),
-            body: claim::body_digest(claim.body),
-            expires_at: self.clock.time_of(claim.expires_at),
+            body_digest: claim::body_digest(claim.body),
+            window_ends_at: self.clock.time_of(claim.expires_at),
             received_at: self.clock.time_of(claim.received_at),
             received_unix_ms: clock::millis(claim.received_at),
             deadline: self.clock.time_of(claim.deadline),
@@ -87,7 +87,7 @@
     }
 
     /// A run has finished; for a success
-    /// [`Replicated`](oakwind_fleet::claims::coordinator::ClaimOutcome::Replicated) follows. Returns false if the queue is full.
+    /// [`StoredByQuorum`](oakwind_fleet::claims::coordinator::ClaimOutcome::StoredByQuorum) follows. Returns false if the queue is full.
     pub(crate) fn run_finished(&self, id: RequestId, result: RunResult) -> bool {
         self.send(Event::RunCompleted(attempt_of(id), result))
     }
--- a/node/src/run_gate.rs
+++ b/node/src/run_gate.rs
@@ -280,15 +280,15 @@
                 Some(GateEvent::RemoteOutcome { id, outcome: StoredOutcome::NeverStarted })
             }
             ClaimOutcome::Granted => None,
-            ClaimOutcome::Replicated(replicated) => {
-                self.pending.waiting_to_complete(id)?.peers = Approval::of(replicated);
+            ClaimOutcome::StoredByQuorum(is_stored) => {
+                self.pending.waiting_to_complete(id)?.peers = Approval::of(is_stored);
                 self.resolve(id)
             }
-            ClaimOutcome::RunningElsewhere => {
+            ClaimOutcome::AwaitingRemoteRun => {
                 self.cancel_start(id);
-                Some(GateEvent::RunningElsewhere(id))
+                Some(GateEvent::AwaitingRemoteRun(id))
             }
-            ClaimOutcome::RemoteOutcome(result) => {
+            ClaimOutcome::RemoteResult(result) => {
                 self.cancel_start(id);
                 let outcome = match result {
                     RunResult::Succeeded(result) => StoredOutcome::Succeeded(result),
--- a/node/src/run_gate/event.rs
+++ b/node/src/run_gate/event.rs
@@ -26,7 +26,7 @@
         granted: bool,
     },
     /// The run must not start, as another node may run its key. The outcome of that follows.
-    RunningElsewhere(RequestId),
+    AwaitingRemoteRun(RequestId),
     /// The outcome of another node's run of the key; the run must not start.
     RemoteOutcome {
         /// The attempt.
