--- a/node/src/dispatcher.rs
+++ b/node/src/dispatcher.rs
@@ -287,7 +287,7 @@
         // An attempt whose deadline is not before the stop could wait for another node's outcome until this process is
         // gone, so it is answered now.
         let waits_past_stop = |attempt: &&Attempt| {
-            attempt.phase == Phase::RunningElsewhere && attempt.request.deadline + TIMEOUT_MARGIN >= stops_at
+            attempt.phase == Phase::AwaitingRemoteRun && attempt.request.deadline + TIMEOUT_MARGIN >= stops_at
         };
         let waiting = self.attempts.iter().filter(waits_past_stop);
         let abandoned: Vec<_> = waiting.map(|attempt| attempt.id).collect();
--- a/node/src/dispatcher/runs.rs
+++ b/node/src/dispatcher/runs.rs
@@ -184,7 +184,7 @@
         match event {
             GateEvent::Authorized { id, granted } => self.on_authorization(id, granted),
             GateEvent::Completed { id, completion } => self.on_completion_stored(id, completion),
-            GateEvent::RunningElsewhere(id) => self.detach_from_admission(id),
+            GateEvent::AwaitingRemoteRun(id) => self.detach_from_admission(id),
             GateEvent::RemoteOutcome { id, outcome } => self.complete_remote_run(id, &outcome),
             GateEvent::OutcomeUnknown(id) => self.abandon_key(id, RequestOutcome::Failed { timed_out: true }),
             GateEvent::BodyMismatch(id) => self.abandon_key(id, RequestOutcome::BodyMismatch),
@@ -214,10 +214,10 @@
     }
 
     /// Ends an attempt for the admission module, as nothing of it runs here: another node runs its key, or may, or the
-    /// key's outcome is not known. It is authorized (`Running`), or detached already (`RunningElsewhere`).
+    /// key's outcome is not known. It is authorized (`Running`), or detached already (`AwaitingRemoteRun`).
     fn detach_from_admission(&mut self, id: RequestId) {
         let Some(attempt) = self.attempts.get_mut(id) else { return };
-        let phase = std::mem::replace(&mut attempt.phase, Phase::RunningElsewhere);
+        let phase = std::mem::replace(&mut attempt.phase, Phase::AwaitingRemoteRun);
         if let Phase::Running { started_at } = phase {
             let took = clock::now().saturating_sub(started_at);
             self.admission_events.push(Event::Finished { id, outcome: AdmissionOutcome::Skipped, took });
