--- a/fault-harness/src/model/frontend.rs
+++ b/fault-harness/src/model/frontend.rs
@@ -7,19 +7,21 @@
 use super::Ms;
 use crate::scenario::{Frontends, LoadBalancing, RepeatAt};
 
-/// An attempt is not begun with less than this left.
+/// No attempt, the first included, is begun with less than this left.
 pub const MIN_TIME_FOR_ATTEMPT: Ms = 5.0;
-/// A frontend waits between these multiples of its backoff before it retries.
+/// A frontend waits a random time between these multiples of its backoff before it retries.
 const FRONTEND_BACKOFF_FACTOR: std::ops::Range<f64> = 0.5..1.5;
-/// A client waits between these multiples of the backoff before it retries by itself.
+/// A client waits a random time between these multiples of its frontend's backoff before it retries by itself.
 const CLIENT_BACKOFF_FACTOR: std::ops::Range<f64> = 2.0..6.0;
 
 /// One frontend: what it knows of the nodes and how it picks one.
 #[derive(Debug, Clone)]
 pub struct Frontend {
     load_balancing: LoadBalancing,
+    /// Whether it heeds what a rejection asks: to stay away for a while (Retry-After), and to try no other node (give up).
     honours_rejection_hints: bool,
-    retries: i64,
+    /// How often it retries a request; none for no limit but the deadline.
+    retries: Option<u32>,
     backoff: Ms,
     try_next_node: bool,
     client_retries: u32,
@@ -32,7 +34,7 @@
 }
 
 impl Frontend {
-    /// A frontend of a scenario, which knows so many nodes.
+    /// A frontend of a scenario that knows `nodes` nodes.
     pub fn new(
         settings: &Frontends,
         load_balancing: LoadBalancing,
@@ -43,7 +45,8 @@
         Frontend {
             load_balancing,
             honours_rejection_hints,
-            retries: settings.retries,
+            // The scenario's -1 means no limit.
+            retries: u32::try_from(settings.retries).ok(),
             backoff: settings.backoff_ms,
             try_next_node: settings.try_next_node,
             client_retries: settings.client_retries,
@@ -119,7 +122,7 @@
     Rejected {
         /// How long to stay away (Retry-After).
         retry_after: Option<Ms>,
-        /// The wish that no other node be tried.
+        /// The node asks that no other node be tried.
         give_up: bool,
     },
     /// Failed.
@@ -130,7 +133,7 @@
     TimedOut,
 }
 
-/// How a client's request ended.
+/// How a client's request ended. The aliases are the names in histories of earlier builds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RequestOutcome {
@@ -154,7 +157,7 @@
 pub enum NextStep {
     /// Send an attempt to this node.
     Attempt(usize),
-    /// Wait until then.
+    /// Wait until this time, then proceed.
     WaitUntil(Ms),
     /// It is over.
     Finished(RequestOutcome),
@@ -162,26 +165,45 @@
 
 /// Which nodes the attempts of a request may go to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Affinity {
-    /// One attempt, at this node.
-    Sticky(usize),
-    /// One attempt, at any node but this one.
-    Avoid(usize),
-    /// One attempt, wherever the frontend picks.
-    SingleAttempt,
-    /// Any number of attempts, wherever the frontend picks.
-    None,
+pub enum Placement {
+    /// Wherever the frontend picks.
+    Any,
+    /// This node alone.
+    Only(usize),
+    /// Any node but this one.
+    Except(usize),
 }
 
-impl Affinity {
-    /// The affinity of a request that repeats no other, or of one that was first sent to a node, if to any.
-    pub fn of(is_repeat: bool, first_node: Option<usize>, repeat_at: RepeatAt) -> Affinity {
-        match (is_repeat, first_node, repeat_at) {
-            (false, ..) => Affinity::None,
-            (true, Some(node), RepeatAt::Same) => Affinity::Sticky(node),
-            (true, Some(node), RepeatAt::Other) => Affinity::Avoid(node),
-            (true, ..) => Affinity::SingleAttempt,
+/// Where the attempts of a request may go, and whether there may be more than one.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct AttemptPolicy {
+    /// Which nodes they may go to.
+    pub placement: Placement,
+    /// Whether the frontend or the client may retry.
+    pub may_retry: bool,
+}
+
+impl AttemptPolicy {
+    /// Any number of attempts, wherever the frontend picks.
+    pub const UNRESTRICTED: AttemptPolicy = AttemptPolicy { placement: Placement::Any, may_retry: true };
+
+    /// First requests are unrestricted. A repeat gets one attempt: at or away from the node of the original, if that was
+    /// sent to one.
+    pub fn of(is_repeat: bool, first_node: Option<usize>, repeat_at: RepeatAt) -> AttemptPolicy {
+        if !is_repeat {
+            return AttemptPolicy::UNRESTRICTED;
         }
+        let placement = match (first_node, repeat_at) {
+            (Some(node), RepeatAt::Same) => Placement::Only(node),
+            (Some(node), RepeatAt::Other) => Placement::Except(node),
+            _ => Placement::Any,
+        };
+        AttemptPolicy::single_attempt(placement)
+    }
+
+    /// One attempt.
+    pub fn single_attempt(placement: Placement) -> AttemptPolicy {
+        AttemptPolicy { placement, may_retry: false }
     }
 }
 
@@ -189,9 +211,11 @@
 #[derive(Debug, Clone)]
 pub struct RequestProgress {
     deadline: Ms,
-    affinity: Affinity,
+    policy: AttemptPolicy,
+    /// The nodes of its attempts, to be avoided by the next; emptied when no eligible node is left, and when the client retries.
     tried: Vec<usize>,
-    retries: i64,
+    /// Retries that its frontend has left; none for no limit.
+    retries: Option<u32>,
     client_retries: u32,
     /// How it ends if no further attempt is made.
     last_outcome: RequestOutcome,
@@ -199,10 +223,10 @@
 
 impl RequestProgress {
     /// A request whose client waits until `deadline`.
-    pub fn new(deadline: Ms, affinity: Affinity, frontend: &Frontend) -> RequestProgress {
+    pub fn new(deadline: Ms, policy: AttemptPolicy, frontend: &Frontend) -> RequestProgress {
         RequestProgress {
             deadline,
-            affinity,
+            policy,
             tried: Vec::new(),
             retries: frontend.retries,
             client_retries: frontend.client_retries,
@@ -215,10 +239,10 @@
         if now + MIN_TIME_FOR_ATTEMPT >= self.deadline {
             return NextStep::Finished(self.last_outcome);
         }
-        let node = match self.affinity {
-            Affinity::Sticky(node) => Some(node),
-            Affinity::Avoid(node) => frontend.pick(now, listed, &[node]).filter(|picked| *picked != node),
-            Affinity::SingleAttempt | Affinity::None => frontend.pick(now, listed, &self.tried),
+        let node = match self.policy.placement {
+            Placement::Only(node) => Some(node),
+            Placement::Except(node) => frontend.pick(now, listed, &[node]).filter(|picked| *picked != node),
+            Placement::Any => frontend.pick(now, listed, &self.tried),
         };
         match node {
             Some(node) => {
@@ -247,7 +271,9 @@
             AttemptOutcome::TimedOut => NextStep::Finished(RequestOutcome::TimedOut),
             AttemptOutcome::Rejected { retry_after, give_up } => {
                 self.last_outcome = RequestOutcome::Rejected;
-                if self.affinity == Affinity::None {
+                // Repeats are sent where the scenario wants them, not where the frontend would: their rejections do
+                // not steer other requests.
+                if self.policy.may_retry {
                     frontend.note_retry_after(now, node, retry_after);
                 }
                 self.on_rejection(now, give_up, frontend, listed)
@@ -260,7 +286,7 @@
     }
 
     fn on_rejection(&mut self, now: Ms, give_up: bool, frontend: &mut Frontend, listed: &[bool]) -> NextStep {
-        if self.affinity != Affinity::None {
+        if !self.policy.may_retry {
             return NextStep::Finished(self.last_outcome);
         }
         if give_up && frontend.honours_rejection_hints {
@@ -273,7 +299,7 @@
     }
 
     fn on_failure(&mut self, now: Ms, frontend: &mut Frontend, listed: &[bool]) -> NextStep {
-        if self.affinity != Affinity::None {
+        if !self.policy.may_retry {
             return NextStep::Finished(self.last_outcome);
         }
         self.retry(now, frontend, listed)
@@ -281,10 +307,11 @@
 
     /// The frontend retries after its backoff, if it has a retry left.
     fn retry(&mut self, now: Ms, frontend: &mut Frontend, listed: &[bool]) -> NextStep {
-        if self.retries == 0 {
-            return self.retry_by_client(now, frontend);
+        match &mut self.retries {
+            Some(0) => return self.retry_by_client(now, frontend),
+            Some(left) => *left -= 1,
+            None => {}
         }
-        self.retries -= 1;
         if frontend.eligible_nodes(now, listed, &self.tried).is_empty() {
             self.tried.clear();
         }
@@ -293,7 +320,7 @@
 
     /// The frontend has given up; the client may retry by itself.
     fn retry_by_client(&mut self, now: Ms, frontend: &mut Frontend) -> NextStep {
-        if self.client_retries == 0 || self.affinity != Affinity::None {
+        if self.client_retries == 0 || !self.policy.may_retry {
             return NextStep::Finished(self.last_outcome);
         }
         self.client_retries -= 1;
--- a/fault-harness/src/model/frontend/tests.rs
+++ b/fault-harness/src/model/frontend/tests.rs
@@ -22,7 +22,7 @@
         Frontends { try_next_node: true, retries: 0, client_retries: 0, ..Frontends::default() },
         false,
     );
-    let mut progress = RequestProgress::new(1000.0, Affinity::None, &frontend);
+    let mut progress = RequestProgress::new(1000.0, AttemptPolicy::UNRESTRICTED, &frontend);
     assert_eq!(progress.proceed(0.0, &mut frontend, &ALL), NextStep::Attempt(0));
     assert_eq!(progress.on_outcome(1.0, 0, REJECTED, &mut frontend, &ALL), NextStep::Attempt(1));
     assert_eq!(progress.on_outcome(2.0, 1, REJECTED, &mut frontend, &ALL), NextStep::Attempt(2));
@@ -40,11 +40,11 @@
             Frontends { retries: 0, client_retries: 0, ..Frontends::default() },
             honours_rejection_hints,
         );
-        let mut first = RequestProgress::new(1000.0, Affinity::None, &frontend);
+        let mut first = RequestProgress::new(1000.0, AttemptPolicy::UNRESTRICTED, &frontend);
         first.proceed(0.0, &mut frontend, &ALL);
         first.on_outcome(1.0, 0, rejected, &mut frontend, &ALL);
         frontend.next_node = 0;
-        let mut second = RequestProgress::new(1000.0, Affinity::None, &frontend);
+        let mut second = RequestProgress::new(1000.0, AttemptPolicy::UNRESTRICTED, &frontend);
         assert_eq!(second.proceed(2.0, &mut frontend, &ALL), NextStep::Attempt(next));
     }
 }
@@ -54,7 +54,7 @@
     let settings = Frontends { try_next_node: true, retries: 0, client_retries: 0, ..Frontends::default() };
     let mut frontend = frontend(settings, true);
     frontend.avoid_until = vec![0.0, 500.0, 500.0];
-    let mut progress = RequestProgress::new(1000.0, Affinity::None, &frontend);
+    let mut progress = RequestProgress::new(1000.0, AttemptPolicy::UNRESTRICTED, &frontend);
     assert_eq!(progress.proceed(0.0, &mut frontend, &ALL), NextStep::Attempt(0));
     assert_eq!(
         progress.on_outcome(1.0, 0, REJECTED, &mut frontend, &ALL),
@@ -65,7 +65,7 @@
 #[test]
 fn without_a_limit_it_goes_on_to_the_deadline() {
     let mut frontend = frontend(Frontends { retries: -1, client_retries: 0, ..Frontends::default() }, false);
-    let mut progress = RequestProgress::new(1000.0, Affinity::None, &frontend);
+    let mut progress = RequestProgress::new(1000.0, AttemptPolicy::UNRESTRICTED, &frontend);
     let (mut now, mut attempts, mut step) = (0.0, 0, NextStep::WaitUntil(0.0));
     let end = loop {
         step = match step {
@@ -87,9 +87,9 @@
 }
 
 #[test]
-fn a_client_retries_once_and_a_repeat_is_attempted_once_where_its_affinity_says() {
+fn a_client_retries_once_and_a_repeat_is_attempted_once_where_its_placement_says() {
     let mut frontend = frontend(Frontends { retries: 0, client_retries: 1, ..Frontends::default() }, false);
-    let mut progress = RequestProgress::new(1000.0, Affinity::None, &frontend);
+    let mut progress = RequestProgress::new(1000.0, AttemptPolicy::UNRESTRICTED, &frontend);
     progress.proceed(0.0, &mut frontend, &ALL);
     let NextStep::WaitUntil(until) = progress.on_outcome(1.0, 0, REJECTED, &mut frontend, &ALL) else {
         panic!("the client retries")
@@ -99,13 +99,15 @@
         progress.on_outcome(until, 1, REJECTED, &mut frontend, &ALL),
         NextStep::Finished(RequestOutcome::Rejected)
     );
-    let mut repeat = RequestProgress::new(1000.0, Affinity::Sticky(2), &frontend);
+    let mut repeat =
+        RequestProgress::new(1000.0, AttemptPolicy::single_attempt(Placement::Only(2)), &frontend);
     assert_eq!(repeat.proceed(0.0, &mut frontend, &ALL), NextStep::Attempt(2));
     assert_eq!(
         repeat.on_outcome(1.0, 2, REJECTED, &mut frontend, &ALL),
         NextStep::Finished(RequestOutcome::Rejected)
     );
-    let mut elsewhere = RequestProgress::new(1000.0, Affinity::Avoid(2), &frontend);
+    let mut elsewhere =
+        RequestProgress::new(1000.0, AttemptPolicy::single_attempt(Placement::Except(2)), &frontend);
     assert!(matches!(elsewhere.proceed(0.0, &mut frontend, &ALL), NextStep::Attempt(0 | 1)));
     assert_eq!(
         elsewhere.proceed(0.0, &mut frontend, &[false, false, true]),
@@ -116,7 +118,7 @@
 #[test]
 fn with_no_node_listed_the_frontend_rejects_by_itself() {
     let mut frontend = frontend(Frontends { client_retries: 0, ..Frontends::default() }, false);
-    let mut progress = RequestProgress::new(1000.0, Affinity::None, &frontend);
+    let mut progress = RequestProgress::new(1000.0, AttemptPolicy::UNRESTRICTED, &frontend);
     assert_eq!(
         progress.proceed(0.0, &mut frontend, &[false; 3]),
         NextStep::Finished(RequestOutcome::Rejected)
--- a/fault-harness/src/predict/clients.rs
+++ b/fault-harness/src/predict/clients.rs
@@ -3,7 +3,7 @@
 use super::event_queue::ScheduledEvent;
 use super::Prediction;
 use crate::history::Event;
-use crate::model::frontend::{Affinity, AttemptOutcome, Frontend, NextStep, RequestProgress};
+use crate::model::frontend::{AttemptOutcome, AttemptPolicy, Frontend, NextStep, RequestProgress};
 use crate::model::Ms;
 
 /// A request that is not over yet.
@@ -18,9 +18,9 @@
         let sent = self.schedule.requests[request].clone();
         self.note(Event::RequestSent { request, class: sent.class, repeats: sent.repeats });
         let first_node = sent.repeats.and_then(|first| self.first_nodes.get(&first).copied());
-        let affinity = Affinity::of(sent.repeats.is_some(), first_node, self.scenario.load.repeat_at);
+        let policy = AttemptPolicy::of(sent.repeats.is_some(), first_node, self.scenario.load.repeat_at);
         let deadline = self.now + self.scenario.classes[sent.class].deadline_ms as f64;
-        let progress = RequestProgress::new(deadline, affinity, &self.frontends[sent.frontend]);
+        let progress = RequestProgress::new(deadline, policy, &self.frontends[sent.frontend]);
         self.open_requests.insert(request, OpenRequest { progress, attempts: 0 });
         self.step(request, RequestProgress::proceed);
     }
--- a/fault-harness/src/schedule.rs
+++ b/fault-harness/src/schedule.rs
@@ -18,7 +18,7 @@
 pub struct FrontendProfile {
     /// How it picks a node.
     pub load_balancing: LoadBalancing,
-    /// Whether it honours Retry-After.
+    /// Whether it honours the hints of a rejection: Retry-After, and to try no other node.
     pub honours_rejection_hints: bool,
     /// How late it sees changes of the registry.
     pub registry_delay: Ms,
@@ -60,7 +60,7 @@
     }
 }
 
-/// Whether the frontend at this position honours Retry-After. Those that do are spread evenly, so that a few frontends
+/// Whether the frontend at this position honours the hints of a rejection. Those that do are spread evenly, so that a few frontends
 /// have the fraction that is asked for.
 fn honours_rejection_hints(settings: &Frontends, position: usize) -> bool {
     let count_before = |position: usize| (position as f64 * settings.retry_after_honoured).floor();
--- a/fault-harness/src/simulated/frontends.rs
+++ b/fault-harness/src/simulated/frontends.rs
@@ -15,7 +15,7 @@
 use super::interpreter::Interpreter;
 use crate::history::Event;
 use crate::model::frontend::{
-    Affinity, AttemptOutcome, Frontend as FrontendModel, NextStep, RequestProgress,
+    AttemptOutcome, AttemptPolicy, Frontend as FrontendModel, NextStep, RequestProgress,
 };
 use crate::model::registry::Registry;
 use crate::model::{ms_of_seconds, Ms};
@@ -99,7 +99,7 @@
         let deadline = self.context.now() + self.context.scenario.classes[class].deadline_ms as f64;
         self.context.note(Event::RequestSent { request, class, repeats: scheduled.repeats });
         let mut progress =
-            RequestProgress::new(deadline, self.affinity(scheduled.repeats), &self.model.borrow());
+            RequestProgress::new(deadline, self.attempt_policy(scheduled.repeats), &self.model.borrow());
         let mut step = self.proceed(&mut progress);
         let mut attempts = 0;
         let outcome = loop {
@@ -120,10 +120,10 @@
         self.context.note(Event::RequestEnded { request, outcome, attempts });
     }
 
-    /// Which nodes a request may be sent to, if it repeats another.
-    fn affinity(&self, repeats: Option<usize>) -> Affinity {
+    /// Where the attempts of a request may go, and whether it may be retried.
+    fn attempt_policy(&self, repeats: Option<usize>) -> AttemptPolicy {
         let first_node = repeats.and_then(|first| self.shared.first_nodes.borrow().get(&first).copied());
-        Affinity::of(repeats.is_some(), first_node, self.context.scenario.load.repeat_at)
+        AttemptPolicy::of(repeats.is_some(), first_node, self.context.scenario.load.repeat_at)
     }
 
     fn proceed(&self, progress: &mut RequestProgress) -> NextStep {
