--- a/fleet/src/claims/coordinator/claim.rs
+++ b/fleet/src/claims/coordinator/claim.rs
@@ -340,7 +340,7 @@
         if self.state == ClaimState::AwaitingRemoteRun {
             let is_free = self.has_quorums(|node| self.has_responded(node, &ReplicaResponse::KeyFree));
             // The claim that this attempt waited for was released without a run. The attempt is not claimed
-            // again here; the client may retry it.
+            // again here: it is rejected, and the client may retry.
             let rejected = ClaimOutcome::Rejected(RejectReason::ClaimReleased);
             return is_free.then_some(Decision::Final(rejected));
         }
--- a/fleet/src/message.rs
+++ b/fleet/src/message.rs
@@ -133,12 +133,12 @@
     Dead,
 }
 
-/// A position in a donor's table. Entries are transferred in descending order of expiry.
+/// A position in a donor's table. Entries are transferred in descending order of the ends of their windows.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TablePosition {
     /// The donor's incarnation; a position in another incarnation is void.
     pub incarnation: Incarnation,
-    /// When the entry expires on the donor's clock, in nanoseconds.
+    /// When the window of the entry's key ends on the donor's clock, in nanoseconds.
     pub expires_ns: u64,
     /// The entry's key.
     pub key: Key,
--- a/fleet/src/replica_node/metrics.rs
+++ b/fleet/src/replica_node/metrics.rs
@@ -25,7 +25,7 @@
     pub records_received: u64,
     /// Records that it sent as a donor.
     pub records_sent: u64,
-    /// Keys that ran twice.
+    /// Pairs of different completed runs of one key.
     pub conflicts: u64,
     /// How often it was suspended.
     pub suspensions: u64,
--- a/fleet/src/replica_node/tests/fixture.rs
+++ b/fleet/src/replica_node/tests/fixture.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-pub(super) fn settings(n: usize, incarnation: u64, is_restored: bool) -> Settings {
+pub(super) fn settings(n: usize, incarnation: u64, has_stored_state: bool) -> Settings {
     let position =
         StatePosition { incarnation: Incarnation(incarnation.saturating_sub(1)), uptime_seconds: 0 };
     Settings {
@@ -12,7 +12,7 @@
         max_table_bytes: 64 << 20,
         transfer_bytes_per_s: 16 << 20,
         probe_period: Duration::from_millis(500),
-        restored: is_restored.then(|| RestoredState { records: Vec::new(), position }),
+        restored: has_stored_state.then(|| RestoredState { records: Vec::new(), position }),
         is_durable: false,
     }
 }
@@ -37,10 +37,10 @@
 }
 
 impl Fixture {
-    pub(super) fn new(count: usize, is_restored: bool) -> Fixture {
+    pub(super) fn new(count: usize, has_stored_state: bool) -> Fixture {
         let numbers: Vec<usize> = (1..=count).collect();
         let config = Arc::new(config(1, &numbers, 1));
-        let node = |n: &usize| ReplicaNode::new(settings(*n, 1, is_restored), config.clone(), at(0));
+        let node = |n: &usize| ReplicaNode::new(settings(*n, 1, has_stored_state), config.clone(), at(0));
         let mut fixture = Fixture {
             nodes: numbers.iter().map(|n| (id(*n), node(n))).collect(),
             now: at(0),
--- a/fleet/src/replication/replica_table.rs
+++ b/fleet/src/replication/replica_table.rs
@@ -3,8 +3,8 @@
 //!
 //! A replica votes for a claim by granting it: `vote` is the claim that it has granted. A grant is never
 //! moved to another claim; it ends only when its claim is released, when the key's idempotency window and
-//! [`LATE_READ_GRACE`] have ended, or when the replica loses its state, after which it grants nothing until
-//! it has caught up. So two claims on one key can't both get a quorum.
+//! [`LATE_READ_GRACE`] have ended, or when the replica loses its state; it then grants a key only
+//! once `can_vote_for` holds. So two claims on one key can't both get a quorum.
 
 mod entry;
 mod outcome;
@@ -35,7 +35,7 @@
     incarnation: Incarnation,
     entries: BTreeMap<Key, Entry>,
     /// The keys by the end of their windows.
-    by_expiry: BTreeSet<(Time, Key)>,
+    by_window_end: BTreeSet<(Time, Key)>,
     bytes: usize,
     max_bytes: usize,
     /// The latest incarnation of each node that is known.
@@ -58,7 +58,7 @@
             this_node,
             incarnation,
             entries: BTreeMap::new(),
-            by_expiry: BTreeSet::new(),
+            by_window_end: BTreeSet::new(),
             bytes: 0,
             max_bytes,
             incarnations: BTreeMap::new(),
@@ -139,11 +139,11 @@
     /// Advances the time: removes keys whose window has ended. Returns whether the table has become
     /// complete, as everything that it may have lost has expired.
     pub fn tick(&mut self, now: Time, configs: &ActiveConfigs) -> bool {
-        while let Some((window_ends_at, key)) = self.by_expiry.first().cloned() {
+        while let Some((window_ends_at, key)) = self.by_window_end.first().cloned() {
             if now < window_ends_at + LATE_READ_GRACE {
                 break;
             }
-            self.by_expiry.remove(&(window_ends_at, key.clone()));
+            self.by_window_end.remove(&(window_ends_at, key.clone()));
             if let Some(entry) = self.entries.remove(&key) {
                 self.bytes -= entry.bytes(&key);
             }
@@ -160,7 +160,7 @@
     fn update<T>(&mut self, key: &Key, window_ends_at: Time, change: impl FnOnce(&mut Entry) -> T) -> T {
         let (key, mut entry) = match self.entries.remove_entry(key) {
             Some((key, entry)) => {
-                self.by_expiry.remove(&(entry.window_ends_at, key.clone()));
+                self.by_window_end.remove(&(entry.window_ends_at, key.clone()));
                 self.bytes -= entry.bytes(&key);
                 (key, entry)
             }
@@ -170,7 +170,7 @@
         let returned = change(&mut entry);
         if !entry.state.is_empty() || entry.vote.is_some() {
             self.bytes += entry.bytes(&key);
-            self.by_expiry.insert((entry.window_ends_at, key.clone()));
+            self.by_window_end.insert((entry.window_ends_at, key.clone()));
             self.entries.insert(key, entry);
         }
         returned
--- a/fleet/src/replication/replica_table/paging.rs
+++ b/fleet/src/replication/replica_table/paging.rs
@@ -69,8 +69,8 @@
         let from = from.filter(|from| from.incarnation == self.incarnation);
         let end = from.map(|from| (Duration::from_nanos(from.expires_ns), from.key.clone()));
         let range = match end {
-            Some(end) => self.by_expiry.range(..end),
-            None => self.by_expiry.range(..),
+            Some(end) => self.by_window_end.range(..end),
+            None => self.by_window_end.range(..),
         };
         range.rev()
     }
--- a/fleet/src/replication/replica_table/tests.rs
+++ b/fleet/src/replication/replica_table/tests.rs
@@ -17,8 +17,8 @@
     ActiveConfigs::new(id(1), Arc::new(config(1, &[1, 2, 3], 1)))
 }
 
-fn table(is_restored: bool) -> ReplicaTable {
-    ReplicaTable::new(id(1), Incarnation(7), 1 << 20, is_restored, at(0))
+fn table(has_stored_state: bool) -> ReplicaTable {
+    ReplicaTable::new(id(1), Incarnation(7), 1 << 20, has_stored_state, at(0))
 }
 
 fn claim(number: u64) -> ClaimId {
