--- a/fault-harness/src/check/router.rs
+++ b/fault-harness/src/check/router.rs
@@ -1,5 +1,5 @@
-//! The rule about the virtual router: two nodes that can receive each other's advertisements do
-//! not both keep the active role.
+//! The rule about the virtual router: two nodes that can receive each other's advertisements do not both
+//! keep the active role.
 
 use std::collections::BTreeSet;
 
@@ -29,7 +29,8 @@
 
 impl RouterRoles {
     /// Takes in an event, and records a dual-active state that has lasted longer than `max_dual_active`. Not checked while any
-    /// peer link is disturbed or any node is paused, since the history doesn't say who receives whom.
+    /// peer link is disturbed or any node is paused, since the history doesn't say which nodes
+    /// receive each other's advertisements.
     pub(super) fn observe(
         &mut self,
         at: Ms,
@@ -55,6 +56,7 @@
         }
     }
 
+    /// Updates which nodes are active and what keeps advertisements from being received.
     fn update_roles(&mut self, event: &Event) {
         match event {
             Event::RouterRole { node, active: true } => {
--- a/fault-harness/src/scenario/fleet.rs
+++ b/fault-harness/src/scenario/fleet.rs
@@ -35,10 +35,10 @@
     /// Whether interpreters are cold when the scenario begins.
     #[serde(default)]
     pub cold: bool,
-    /// Past so many on the cores, for each core, less is done in total.
+    /// The onset of thrashing: runnable tasks for each core past which less is done in total.
     #[serde(default = "defaults::thrash_at")]
     pub thrash_at: f64,
-    /// The fraction that is done at twice that concurrency; it falls evenly to there and stays.
+    /// The efficiency of a core that is left at twice that concurrency; it falls linearly from 1 to there and stays.
     #[serde(default = "defaults::thrash")]
     pub thrash: f64,
     /// Memory of an interpreter, for requests held and running.
