--- a/admission/src/admission.rs
+++ b/admission/src/admission.rs
@@ -1,17 +1,19 @@
 //! Admission control and scheduling of one server, without clock or I/O.
 //!
-//! [`Admission::handle`] shows the order of decisions for a batch of events. Each decision has a type or a function in
-//! a module of its own; here they are composed. Overload control follows the post on Project Clearwater "Tuning
-//! overload control for telco-grade performance": one permitted rate governs arrivals under overload and changes at
-//! most every two seconds, by latency, downstream rejections and use. The rest keeps the four rules (one answer in
-//! time, no effect twice, a safe drain, no collapse under overload) and orders what runs.
+//! [`Admission::handle`] shows the order of decisions for a batch of events. Each decision is a type or a
+//! function in its own module; this module composes them. Overload control follows the Project Clearwater
+//! post "Tuning overload control for telco-grade performance": under overload, a single permitted rate limits
+//! arrivals. It changes at most every two seconds, depending on latency, downstream rejections and how much
+//! of it was used. The other decisions enforce four rules (every request is answered in time, no effect
+//! occurs twice, a drain is safe, throughput does not collapse under overload) and determine the order of
+//! runs.
 //!
 //! | question | module |
 //! | --- | --- |
 //! | Is an arrival admitted? | `request_intake` (time, memory), `calls`, `overload` (permitted rate, token bucket) |
-//! | What is a retry answered with? | `requests`, `requests::idempotency_keys`, `requests::ended_attempts` |
+//! | How is a retry answered? | `requests`, `requests::idempotency_keys`, `requests::ended_attempts` |
 //! | Which request goes first? | `priority`, with `overload::arrival_rates` for quotas |
-//! | What is answered before it has run? | `deadlines`, `shedding` |
+//! | Which requests are answered without a run? | `deadlines`, `shedding` |
 //! | What runs, and how much at once? | `run_queue`, `concurrency_limit`, `warm_up`, `memory` |
 //! | Which calls are made? | `call_start`, `calls::limit` |
 //! | Is the server healthy? | `stall`, `drain` |
@@ -70,15 +72,15 @@
 use time::{Instant, Span};
 use warm_up::WarmUp;
 
-/// The one timer that the module sets: its ticks drive what changes with time.
+/// The only timer that the module sets. Its ticks trigger every decision that depends on time alone.
 const TIMER: TimerId = TimerId(0);
 
-/// The admission control and scheduling of one server.
+/// Admission control and scheduling of one server.
 #[derive(Debug)]
 pub struct Admission {
     settings: Settings,
     now: Instant,
-    /// Whether the initial actions were taken.
+    /// Whether the initial actions have been emitted.
     started: bool,
     requests: OpenRequests,
     estimates: ClassEstimates,
@@ -96,7 +98,7 @@
 }
 
 impl Admission {
-    /// Starts at `now`; `seed` feeds the random numbers.
+    /// Creates the state of a server that starts at `now`; `seed` initializes the random number generator.
     pub fn new(settings: Settings, seed: u64, now: Duration) -> Self {
         let now = Instant::from_clock(now);
         Admission {
@@ -119,8 +121,8 @@
         }
     }
 
-    /// Applies new settings. Classes and tenants keep their positions; those left out at the end stay. How the server
-    /// warms up was settled at its start.
+    /// Applies new settings. Classes and tenants keep their positions; those missing at the end of the new
+    /// lists are kept with their old settings. Changes to the warm-up settings have no effect after startup.
     pub fn reconfigure(&mut self, mut settings: Settings) {
         let classes = settings.classes.len();
         settings.classes.extend(self.settings.classes.drain(..).skip(classes));
@@ -134,7 +136,8 @@
         self.settings = settings;
     }
 
-    /// Applies events that happened at `now` and appends the actions that follow.
+    /// Applies a batch of events at time `now` and appends the resulting actions. A clock that steps back is
+    /// taken to stand still.
     pub fn handle(&mut self, now: Duration, events: &[Event], actions: &mut Vec<Action>) {
         self.now = self.now.max(Instant::from_clock(now));
         self.requests.start_batch();
@@ -148,7 +151,8 @@
         self.start_runs(actions);
     }
 
-    /// Requests a second permitted under overload; none before the first window has initialized it.
+    /// The requests per second that are permitted under overload; `None` until the first rate window has
+    /// initialized it.
     pub fn permitted_rate(&self) -> Option<f64> {
         self.overload.permitted_rate().map(quantities::RequestRate::value)
     }
@@ -162,8 +166,8 @@
         actions.push(Action::SetTimer(TIMER, TICK_PERIOD.to_duration()));
     }
 
-    /// What decisions read. Where a decision changes its own state, the context is made of the fields that it reads:
-    /// a method would borrow that state as well.
+    /// The state that decisions read. A decision that changes its own field of `self` builds the context from
+    /// the other fields instead, since this method borrows all of `self`.
     fn context(&self) -> Context<'_> {
         Context::new(self.now, &self.settings, self.requests.table(), &self.estimates)
     }
@@ -176,14 +180,15 @@
         self.calls.max_blocked_on_calls(&self.context(), self.max_safe_concurrency())
     }
 
-    /// What a rejected caller is told.
+    /// Advice for the caller of a rejected request.
     fn advice(&mut self, give_up: bool) -> Advice {
         let retry_after = self.retry_jitter.retry_after(&self.settings, self.signal.shed_fraction());
         Advice { retry_after, give_up }
     }
 
-    /// Rejects a queued request. `give_up` is set if the load seems to affect the whole tier (reading overloads the
-    /// cores, or more arrives than usual), and never for a cause local to this server (drain, stall, warm-up).
+    /// Rejects a queued request. The caller is told to give up if the whole tier seems to be overloaded
+    /// (reading overloads the cores, or more requests arrive than usual), but never if the cause may be local
+    /// to this server (drain, stall or warm-up).
     fn reject(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let is_warming_up = self.warm_up.fraction(self.now) < Fraction::ALL;
         let cause_is_local = self.drain.is_draining() || self.stall.is_stalled() || is_warming_up;
@@ -193,7 +198,8 @@
         self.requests.reject(id, advice, actions);
     }
 
-    /// Answers what would miss its deadline before the next tick, and what can't meet its objective any more.
+    /// Answers the requests that would miss their deadline before the next tick, and those that can no longer
+    /// meet their objective.
     fn enforce_deadlines(&mut self, actions: &mut Vec<Action>) {
         for id in deadlines::requests_to_answer(&self.context(), self.stall.is_stalled()) {
             if self.requests.is_queued(id) {
@@ -213,7 +219,7 @@
         }
     }
 
-    /// Starts the calls that the limit allows, the highest priority first.
+    /// Starts the calls that the call limit allows, in descending order of priority.
     fn start_calls(&mut self, actions: &mut Vec<Action>) {
         let calling = self.requests.table().count(Request::is_calling);
         let mut in_progress = self.calls.accrue_and_count_in_progress(self.now, calling);
--- a/admission/src/admission/call_start.rs
+++ b/admission/src/admission/call_start.rs
@@ -1,7 +1,7 @@
-//! What becomes of a request that waits for a call: the call is started or skipped, or the request waits or fails.
+//! Decides on a request that waits for a call: the call is started or skipped, or the request waits or fails.
 //!
-//! A call that may have had its effect is not made again for a request that is not idempotent, and no call outlasts the
-//! deadline of its request.
+//! For a request that is not idempotent, a call that may have taken effect is not repeated. No call outlasts
+//! the deadline of its request.
 
 use crate::admission::calls::DependencyCalls;
 use crate::admission::constants::TICK_PERIOD;
@@ -11,23 +11,24 @@
 use crate::admission::time::Span;
 use crate::interface::{Effect, RequestId};
 
-/// The fraction of the estimated work of its request that a run is taken to have left after the call.
+/// The fraction of a request's estimated work that is assumed to remain after the call.
 const WORK_AFTER_CALL: f64 = 0.5;
-/// The shortest timeout of a call, which is shorter than any answer takes: a timeout of zero would be no call.
+/// The shortest timeout of a call. No answer arrives this quickly, but the timeout must not be zero.
 const MIN_TIMEOUT: Span = Span::from_seconds(0.001);
 
-/// What to do with a request that waits for a call.
+/// The decision on a request that waits for a call.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum CallDecision {
-    /// It goes on without the call.
+    /// Resume the run without the call.
     Skip,
-    /// It fails.
+    /// Answer the request with a failure.
     Fail,
-    /// It calls with this timeout as soon as the call limit allows.
+    /// Start the call with this timeout as soon as the call limit allows.
     Call { timeout: Span },
 }
 
-/// The unanswered requests that wait for a call: the highest priority first, then the earliest objective.
+/// The unanswered requests that wait for a call, by descending priority and then by ascending objective
+/// deadline.
 pub(crate) fn awaiting_calls(requests: &RequestTable) -> Vec<RequestId> {
     let is_waiting = |entry: &Entry| entry.request.is_awaiting_call() && !entry.request.answer_settled;
     let mut waiting: Vec<Entry> = requests.iter().filter(is_waiting).collect();
@@ -38,8 +39,8 @@
     waiting.into_iter().map(|entry| entry.id).collect()
 }
 
-/// What to do with `request`, which waits for a call; `calls_at_limit` tells that as many are blocked on calls as may
-/// be.
+/// Decides on `request`, which waits for a call. `calls_at_limit` says whether the number of requests blocked
+/// on calls has reached its limit.
 pub(crate) fn decide_call(
     request: &Request,
     context: &Context,
@@ -52,7 +53,7 @@
     let time_left_for_call = request.objective_deadline - now - work_after_call;
     let failed_calls = request.phase.run().map(|run: &Run| run.failed_calls).unwrap_or_default();
     let skippable = class.skip_weight > 0.0;
-    // Once the objective has passed, skipping the call can't meet it any more: this is no reason to skip then.
+    // After the objective has passed, skipping the call cannot meet it any more and is no longer justified.
     let unmeetable = now < request.objective_deadline && time_left_for_call < calls.typical_time();
     if skippable && (calls_at_limit || failed_calls.any() || unmeetable) {
         return CallDecision::Skip;
--- a/admission/src/admission/calls.rs
+++ b/admission/src/admission/calls.rs
@@ -1,6 +1,9 @@
-//! Calls to the dependency: how many requests may be blocked on one, whether an arrival that will call is admitted, and
-//! what ended calls teach. Requests that are blocked on a call use no core and are outside the concurrency limit; their
-//! number has a limit of its own, at which a run that may call is started only if fewer of its priority or above wait.
+//! Calls to the dependency: how many requests may be blocked on a call, whether an arrival that may call is
+//! admitted, and what is learned from ended calls.
+//!
+//! Requests that are blocked on a call use no core and do not count towards the concurrency limit. Their
+//! number has a limit of its own: a run that may call starts only while fewer requests of the same or a
+//! higher priority are blocked on calls than this limit.
 
 pub(crate) mod history;
 pub(crate) mod limit;
@@ -13,7 +16,8 @@
 use history::{is_slow, CallHistory};
 use limit::{CallEnd, CallLimit};
 
-/// The most requests blocked on calls for each core while calls are quick: one to run and one to call.
+/// Maximum number of requests blocked on calls per core while calls are quick: one that runs and one that
+/// calls.
 const MAX_BLOCKED_ON_CALLS_PER_CORE: f64 = 2.0;
 
 /// A call that has ended.
@@ -21,18 +25,18 @@
     pub(crate) outcome: Outcome,
     /// Time since the call was started.
     pub(crate) duration: Span,
-    /// Time since the run reached the call.
+    /// Time since the run reached the call, including the wait before the call was started.
     pub(crate) waited: Span,
     /// The latency objective of the request.
     pub(crate) objective: Span,
 }
 
-/// Calls to the dependency.
+/// State of all calls to the dependency.
 #[derive(Debug)]
 pub(crate) struct DependencyCalls {
     limit: CallLimit,
     history: CallHistory,
-    /// Until when arrivals that will call are throttled, because calls were at their limit.
+    /// Until when arrivals that may call are throttled because calls were at their limit.
     throttled_until: Instant,
 }
 
@@ -50,12 +54,12 @@
         self.limit.reconfigure(dependency);
     }
 
-    /// Forgets that calls were at their limit.
+    /// Ends the throttling of arrivals that may call.
     pub(crate) fn reset(&mut self) {
         self.throttled_until = Instant::DISTANT_PAST;
     }
 
-    /// Forgets the calls that are older than a rate window.
+    /// Drops the records of calls that ended before the last rate window.
     pub(crate) fn drop_expired(&mut self, now: Instant) {
         self.history.drop_expired(now);
     }
@@ -65,17 +69,18 @@
         &self.limit
     }
 
-    /// Accrues the limit's balance up to `now`; returns the calls that the dependency works on.
+    /// Accrues the balance of the call limit up to `now`. Returns the number of calls that the dependency
+    /// works on.
     pub(crate) fn accrue_and_count_in_progress(&mut self, now: Instant, calling: usize) -> f64 {
         self.limit.accrue_and_count_in_progress(now, calling)
     }
 
-    /// How long a call takes that succeeds.
+    /// Mean duration of a successful call.
     pub(crate) fn typical_time(&self) -> Span {
         self.history.typical_time()
     }
 
-    /// A call has returned.
+    /// Records a call that has returned.
     pub(crate) fn call_returned(&mut self, now: Instant, call: &EndedCall) {
         if call.outcome == Outcome::Ok {
             self.history.call_succeeded(call.duration);
@@ -85,7 +90,7 @@
         self.call_ended(now, call.waited, &CallEnd { duration: call.duration, slow, orphaned });
     }
 
-    /// The run of a request ended before its call returned: the dependency goes on with the call.
+    /// Records a call whose run ended before it returned; the dependency continues to work on it.
     pub(crate) fn call_abandoned(&mut self, now: Instant, duration: Span, waited: Span) {
         self.call_ended(now, waited, &CallEnd { duration, slow: true, orphaned: true });
     }
@@ -95,13 +100,14 @@
         self.limit.call_ended(now, call);
     }
 
-    /// Whether arrivals that will call are throttled.
+    /// Whether arrivals that may call are throttled.
     pub(crate) fn are_throttled(&self, now: Instant) -> bool {
         now < self.throttled_until
     }
 
-    /// How many requests may be blocked on calls: twice the cores while calls are quick, else as many as can be
-    /// completed within the latency target. A further tier protects itself: only the concurrency limit counts there.
+    /// Maximum number of requests blocked on calls: twice the cores while calls are quick, otherwise as many
+    /// as can complete within the latency target. A further tier protects itself, so only the maximum safe
+    /// concurrency bounds calls to it.
     pub(crate) fn max_blocked_on_calls(&self, context: &Context, max_safe_concurrency: f64) -> usize {
         let cores = context.cores();
         if context.settings.dependency == Dependency::Tier {
@@ -118,16 +124,17 @@
         }
     }
 
-    /// Throttles arrivals that will call for a rate window from now if as many requests are blocked on calls as may be.
+    /// Throttles arrivals that may call for one rate window from now if the number of requests blocked on
+    /// calls has reached its limit.
     pub(crate) fn update_throttle(&mut self, context: &Context, max_blocked_on_calls: usize) {
         if context.requests.blocked_on_calls_count() >= max_blocked_on_calls {
             self.throttled_until = context.now + RATE_WINDOW;
         }
     }
 
-    /// Whether the arrival `request` is admitted as far as calls go. While arrivals are throttled, one that may call is
-    /// admitted only if few of its priority or above are in flight; the request is in the table already and counts
-    /// itself.
+    /// Whether calls permit the admission of the arrival `request`. While arrivals are throttled, one that
+    /// may call is admitted only if the open requests that may call, of the same or a higher priority, can
+    /// complete in time. The request is already in the table and counts itself.
     pub(crate) fn admits(&self, request: &Request, context: &Context) -> bool {
         if !self.are_throttled(context.now) || !request.may_call {
             return true;
--- a/admission/src/admission/context.rs
+++ b/admission/src/admission/context.rs
@@ -1,4 +1,4 @@
-//! What every decision may read: the time, the settings, the open requests and the estimates of their classes.
+//! The state that every decision may read: the time, the settings, the open requests and the class estimates.
 
 use crate::admission::class_estimates::ClassEstimates;
 use crate::admission::constants::MIN_DIVISOR;
@@ -8,7 +8,7 @@
 use crate::admission::time::{Instant, Span};
 use crate::interface::{Class, Settings};
 
-/// The state of the server at the time of a decision.
+/// Read-only view of the state of the server at the time of a decision.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Context<'a> {
     pub(crate) now: Instant,
@@ -18,7 +18,6 @@
 }
 
 impl<'a> Context<'a> {
-    /// The state in these parts.
     pub(crate) fn new(
         now: Instant,
         settings: &'a Settings,
@@ -38,24 +37,24 @@
         Span::from(self.class_of(request).latency_objective)
     }
 
-    /// The time since the request arrived over the latency objective of its class. The stretch of the objective by the
-    /// request's own work is not part of it.
+    /// Ratio of the time since the request arrived to the latency objective of its class. The extension of
+    /// the objective by the request's own work is not included.
     pub(crate) fn latency_over_objective(&self, request: &Request) -> Fraction {
         let objective = self.objective_of(request).max(Span::from_seconds(MIN_DIVISOR));
         Fraction::new((self.now - request.arrived_at) / objective)
     }
 
-    /// The number of cores of this server; at least one.
+    /// Number of cores of this server; at least one.
     pub(crate) fn cores(&self) -> f64 {
         f64::from(self.settings.cores.max(1))
     }
 
-    /// Requests a second that the cores can run.
+    /// Requests per second that the cores of this server can run.
     pub(crate) fn capacity(&self) -> RequestRate {
         self.estimates.capacity(self.cores())
     }
 
-    /// The number of callers of this tier; at least one.
+    /// Number of callers of this tier; at least one.
     pub(crate) fn callers(&self) -> f64 {
         f64::from(self.settings.callers.max(1))
     }
--- a/admission/src/admission/deadlines.rs
+++ b/admission/src/admission/deadlines.rs
@@ -1,8 +1,8 @@
-//! Which unanswered requests are answered now: those that would miss their deadline before the next tick, and those
-//! whose objective can no longer be met.
+//! Selects the unanswered requests to answer now: those that would miss their deadline before the next tick,
+//! and those whose objective can no longer be met.
 //!
-//! Every request has its answer by its deadline, as long as ticks come. A run in progress and an effect that may have
-//! begun go on until then.
+//! As long as ticks arrive, every request is answered by its deadline. After a missed objective, a run in
+//! progress and a request whose effect may have begun continue until the deadline.
 
 use crate::admission::constants::TICK_PERIOD;
 use crate::admission::context::Context;
@@ -21,7 +21,8 @@
     due.map(|entry| entry.id).collect()
 }
 
-/// Whether it is past its objective and worth nothing later. Runs in progress and effects that have begun go on.
+/// Whether the request is past its objective and a later answer earns nothing. Runs in progress and requests
+/// whose effect may have begun are excluded.
 fn objective_is_missed(request: &Request, context: &Context) -> bool {
     let class = context.class_of(request);
     let may_end = match request.phase {
--- a/admission/src/admission/events.rs
+++ b/admission/src/admission/events.rs
@@ -1,4 +1,4 @@
-//! What each event changes: which decisions it concerns, and in which order.
+//! Handling of events: the decisions that each event affects, and the order in which they are updated.
 
 use super::{Admission, TIMER};
 use crate::admission::calls::EndedCall;
@@ -17,7 +17,7 @@
 use crate::interface::{Action, Arrival, Effect, Event, Gauges, Outcome, RequestId};
 
 impl Admission {
-    /// Applies one event to the decisions that it concerns.
+    /// Applies one event to the decisions that it affects.
     pub(super) fn apply(&mut self, event: &Event, actions: &mut Vec<Action>) {
         match event {
             Event::Arrived(arrival) => self.arrive(arrival, actions),
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Queues an arrival, lets it share the outcome of the attempt that it repeats, or rejects it.
+    /// Queues or rejects an arrival. A retry of a known attempt is resolved against that attempt instead.
     fn arrive(&mut self, arrival: &Arrival, actions: &mut Vec<Action>) {
         let id = arrival.id;
         let class = usize::from(arrival.class.0);
@@ -69,8 +69,9 @@
         }
     }
 
-    /// Whether an arrival, in the table already, stays queued: there is time and memory for it, calls allow it, and it
-    /// finds a token, which it takes. Calls at their limit start to throttle arrivals here.
+    /// Whether an arrival, which is already in the table, stays queued: there must be time and memory for it,
+    /// calls must allow it, and the token bucket must admit it. Throttling of calls starts here if they are
+    /// at their limit.
     fn try_admit(&mut self, id: RequestId) -> bool {
         let max_blocked_on_calls = self.max_blocked_on_calls();
         let context = Context::new(self.now, &self.settings, self.requests.table(), &self.estimates);
@@ -86,7 +87,8 @@
         self.overload.admit(request.priority, &context, self.calls.are_throttled(self.now))
     }
 
-    /// A retry replaces a queued attempt or shares the outcome of one that has started: no effect occurs twice.
+    /// Resolves a retry against the attempt that it retries, so that no effect occurs twice: the retry
+    /// replaces a queued attempt, or shares the outcome of one that has started.
     fn resolve_retry(&mut self, id: RequestId, original: RequestId, actions: &mut Vec<Action>) {
         let memory_fits = MemoryUse::of(&self.context(), self.requests.keys()).fits();
         let Some(request) = self.requests.table().get(id) else { return };
@@ -95,25 +97,25 @@
             (true, true) if may_run => {
                 self.requests.prepare_replacement(id, original);
                 self.requests.retain_key(id, &self.settings, self.now, actions);
-                // The caller is told to give up: the retry in its place is queued here, and one more elsewhere could
-                // run a second time.
+                // The caller of the replaced attempt is told to give up: its retry is queued here, and
+                // another retry on a different server could run a second time.
                 let advice = self.advice(true);
                 self.requests.reject_replaced(original, id, advice, actions);
             }
-            // Neither attempt has run. The original keeps its place in the queue; the retry finds no memory, or came
-            // too late in a drain to run.
+            // Neither attempt has run. The original stays in the queue; the retry does not fit into memory or
+            // arrived too late in a drain to run.
             (true, _) => self.reject(id, actions),
             // The original has started or ended a run: the retry is answered with its outcome.
             (false, true) => self.requests.coalesce(id, actions),
-            // No memory to wait with. A rejection would state that nothing ran, but the original may have had its
-            // effect.
+            // There is no memory to hold the retry until the outcome is known. A rejection would claim that
+            // nothing ran, although the original may have taken effect.
             (false, false) => self.requests.fail(id, &self.settings, actions),
         }
     }
 
     fn run_finished(&mut self, id: RequestId, outcome: Outcome, took: Span) {
         if outcome == Outcome::Rejected {
-            // It never started: its key is free, and it tells nothing of the cores.
+            // The run never started: its key is released, and it says nothing about the load of the cores.
             return self.requests.run_rejected(id);
         }
         self.stall.record_progress(self.now);
@@ -158,15 +160,15 @@
     }
 
     fn start_drain(&mut self, left: Span, actions: &mut Vec<Action>) {
-        // The notice may have waited for this batch as long as the shortest time between two batches; the grace period
-        // counts from the notice.
+        // The notice may have waited for this batch for up to the shortest time between two batches, but the
+        // grace period starts with the notice.
         let grace = Span::from(self.settings.drain_grace.saturating_sub(self.settings.min_handle_interval));
         self.drain.start(self.now, left, grace, self.ticks.longest_delay());
         self.requests.limit_deadlines(self.drain.stop_at());
         actions.push(Action::SetHealth { healthy: false, static_answer: true });
     }
 
-    /// Looks at everything that changes with time or with the gauges.
+    /// Updates every decision that depends on time or on the gauges.
     fn on_tick(&mut self, gauges: &Gauges, actions: &mut Vec<Action>) {
         if self.ticks.record_tick(self.now) {
             self.reset_load_estimates();
@@ -180,7 +182,7 @@
         self.overload.on_tick(&context, self.calls.are_throttled(self.now));
         let load = ConnectionLoad {
             read_overload,
-            // Without the gauge the cores are not taken to have time to spare.
+            // Without the gauge of utilization, the cores are assumed to have no spare capacity.
             spare_capacity: gauges.utilization.is_some_and(has_spare_capacity),
         };
         if let Some(limit) = self.connections.adjust(&load, &context) {
@@ -196,14 +198,16 @@
         actions.push(Action::SetTimer(TIMER, TICK_PERIOD.to_duration()));
     }
 
-    /// After a long standstill nothing is known of the load, as at a start.
+    /// Discards the load estimates after a long gap between ticks: nothing is known of the load, as at
+    /// startup.
     fn reset_load_estimates(&mut self) {
         self.overload.reset(self.now);
         self.calls.reset();
         self.signal.reset();
     }
 
-    /// Reports bad health while the server is stalled; during a drain it does so anyway.
+    /// Reports bad health while the server is stalled, unless it is draining and therefore reports bad health
+    /// already.
     fn detect_stall(&mut self, actions: &mut Vec<Action>) {
         if self.concurrency.is_idle(self.requests.table()) {
             self.stall.record_progress(self.now);
--- a/admission/src/admission/idle_connections.rs
+++ b/admission/src/admission/idle_connections.rs
@@ -1,7 +1,8 @@
-//! How long idle connections stay open: the more callers return to theirs, the longer.
+//! Idle timeout of connections: the more often callers reuse their connections, the longer idle ones are kept
+//! open.
 //!
-//! A connection kept open costs memory, a closed one a new handshake. While reads and new connections overload the
-//! cores, all are kept for as long as callers keep them, to spare the handshakes.
+//! An open idle connection costs memory; a closed one costs a new handshake. While reads and new connections
+//! overload the cores, all connections are kept as long as the callers keep them, to avoid handshakes.
 
 use std::collections::BTreeMap;
 
@@ -12,35 +13,35 @@
 use crate::admission::time::{Instant, Span};
 use crate::interface::CallerId;
 
-/// The floor that read overload has set falls by this fraction with each tick while cores have time to spare: to a
-/// tenth in about a second. While they have not, it falls by as much in a rate window.
+/// Fraction by which the minimum set during read overload falls per tick while cores have spare capacity: to
+/// a tenth in about a second. Without spare capacity, it falls by this fraction per rate window.
 const FALL_WITH_SPARE_CAPACITY: f64 = 0.1;
-/// A floor of this or less has no effect: so short a time spares no handshake.
+/// A minimum of at most this length is ignored, because such a short time avoids no handshakes.
 const OVERLOAD_FLOOR_CUTOFF: Span = Span::from_seconds(1.0);
-/// A change by less than a fifth of the limit is not worth telling.
+/// Minimum relative change of the timeout that is reported to the server.
 const MIN_CHANGE: f64 = 0.2;
 
-/// What the limit depends on, beside the context.
+/// Load on which the idle timeout depends, in addition to the context.
 pub(crate) struct ConnectionLoad {
     /// Whether reads and new connections overload the cores.
     pub(crate) read_overload: bool,
-    /// Whether the cores have time to spare.
+    /// Whether the cores have spare capacity.
     pub(crate) spare_capacity: bool,
 }
 
-/// The limit of the time that a connection may be idle.
+/// Limit on the time that a connection may be idle.
 #[derive(Debug)]
 pub(crate) struct IdleConnectionLimit {
     last_request_at: BTreeMap<CallerId, Instant>,
-    /// The fraction of the requests whose caller returned within the timeout.
+    /// Fraction of the requests whose caller had sent its previous request within the caller's idle timeout.
     returning: RunningMean,
     limit: Span,
-    /// The limit's minimum during read overload, and after it until it has fallen.
+    /// Minimum of the limit, set to the callers' timeout during read overload; it decays afterwards.
     overload_floor: Span,
 }
 
 impl IdleConnectionLimit {
-    /// Connections are kept for `limit` at first; all callers are taken to return.
+    /// Creates a limit that starts at `limit`; all callers are assumed to return.
     pub(crate) fn new(limit: Span) -> Self {
         IdleConnectionLimit {
             last_request_at: BTreeMap::new(),
@@ -50,15 +51,16 @@
         }
     }
 
-    /// A request has come from this caller.
+    /// Records a request from this caller.
     pub(crate) fn record_request(&mut self, caller: CallerId, now: Instant, caller_timeout: Span) {
         let before = self.last_request_at.insert(caller, now);
         let returned = before.is_some_and(|at| now - at <= caller_timeout);
         self.returning.add(if returned { 1.0 } else { 0.0 }, SLOW_MEAN_WEIGHT);
     }
 
-    /// Adjusts the limit; returns the new one if it has changed by enough. It falls with the square of the fraction of
-    /// callers that return: where half of them do, a quarter of the callers' timeout is left.
+    /// Adjusts the limit. Returns the new value if it has changed enough to be reported. The limit falls with
+    /// the square of the fraction of callers that return: if half of them do, it is a quarter of the callers'
+    /// timeout.
     pub(crate) fn adjust(&mut self, load: &ConnectionLoad, context: &Context) -> Option<Span> {
         let timeout = Span::from(context.settings.idle_timeout);
         self.last_request_at.retain(|_, at| context.now - *at <= timeout);
--- a/admission/src/admission/memory.rs
+++ b/admission/src/admission/memory.rs
@@ -1,6 +1,6 @@
-//! The memory of queued and started requests and of retained keys, and whether it has room for more.
+//! Memory accounting for queued and started requests and for retained keys.
 //!
-//! Nothing is queued or started beyond the limit; keys are part of it, so that the table of keys is bounded.
+//! No request is queued or started beyond the limit. Keys count towards it, which bounds the table of keys.
 
 use crate::admission::constants::USABLE_MEMORY_FRACTION;
 use crate::admission::context::Context;
@@ -8,7 +8,7 @@
 use crate::admission::requests::request::Request;
 use crate::interface::Settings;
 
-/// Memory that is in use, against what may be used.
+/// Memory in use, and the limit for it.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct MemoryUse {
     used_kb: f64,
@@ -16,7 +16,7 @@
 }
 
 impl MemoryUse {
-    /// The memory of the open requests and the retained keys.
+    /// Computes the memory of the open requests and the retained keys.
     pub(crate) fn of(context: &Context, keys: &RetainedKeys) -> Self {
         let settings = context.settings;
         let requests = context.requests.memory_kb(running_factor(settings));
@@ -26,23 +26,23 @@
         }
     }
 
-    /// The same with so much more in use.
+    /// Memory use with `more_kb` kilobytes added.
     pub(crate) fn with(self, more_kb: f64) -> Self {
         MemoryUse { used_kb: self.used_kb + more_kb, ..self }
     }
 
-    /// Whether it is within the limit.
+    /// Whether the memory in use is within the limit.
     pub(crate) fn fits(&self) -> bool {
         self.used_kb <= self.limit_kb
     }
 
-    /// Whether it is over the limit.
+    /// Whether the memory in use is over the limit.
     pub(crate) fn is_exceeded(&self) -> bool {
         self.used_kb > self.limit_kb
     }
 }
 
-/// What a request needs more while it runs, in kB.
+/// Additional memory of a request while it runs, in kB.
 pub(crate) fn extra_memory_of_run(request: &Request, settings: &Settings) -> f64 {
     request.memory_kb * (running_factor(settings) - 1.0)
 }
--- a/admission/src/admission/overload.rs
+++ b/admission/src/admission/overload.rs
@@ -1,7 +1,7 @@
-//! Overload control: under overload an arrival needs a token of the permitted rate.
+//! Overload control: under overload, an arrival needs a token of the permitted rate.
 //!
-//! It composes the permitted rate, the latencies and downstream rejections that decrease it, and the arrivals that it
-//! is compared with.
+//! This module combines the permitted rate, the latencies and downstream rejections that decrease it, and the
+//! arrival rates that it is compared with.
 
 pub(crate) mod arrival_rates;
 pub(crate) mod detector;
@@ -22,7 +22,7 @@
 use permitted_rate::{PermittedRate, WindowLoad};
 use recent_arrivals::{RecentArrival, RecentArrivals};
 
-/// The permitted rate and everything that decides on it.
+/// The permitted rate and the measurements that determine it.
 #[derive(Debug)]
 pub(crate) struct OverloadControl {
     permitted_rate: PermittedRate,
@@ -33,7 +33,7 @@
 }
 
 impl OverloadControl {
-    /// Nothing is known of the load of so many tenants.
+    /// Creates the state for this number of tenants, without any load measurements.
     pub(crate) fn new(tenants: usize, now: Instant) -> Self {
         OverloadControl {
             permitted_rate: PermittedRate::new(now),
@@ -44,12 +44,12 @@
         }
     }
 
-    /// Adds tenants up to this number.
+    /// Extends the arrival rates to this number of tenants.
     pub(crate) fn resize(&mut self, tenants: usize) {
         self.arrival_rates.resize(tenants);
     }
 
-    /// Forgets the load, as at a start; the latencies of the last window stay.
+    /// Discards the load measurements, as at startup, except for the latencies of the last window.
     pub(crate) fn reset(&mut self, now: Instant) {
         self.permitted_rate.reset(now);
         self.overload = OverloadDetector::new();
@@ -57,22 +57,23 @@
         self.recent_arrivals.clear();
     }
 
-    /// Requests a second permitted under overload; none before the first window has initialized it.
+    /// The requests per second that are permitted under overload; `None` until the first rate window has
+    /// initialized it.
     pub(crate) fn permitted_rate(&self) -> Option<RequestRate> {
         self.permitted_rate.get()
     }
 
-    /// The arrival rates, all and by tenant.
+    /// The arrival rates, in total and by tenant.
     pub(crate) fn arrival_rates(&self) -> &ArrivalRates {
         &self.arrival_rates
     }
 
-    /// The most recent arrivals and which of them were admitted.
+    /// The most recent arrivals, with whether each was admitted.
     pub(crate) fn recent_arrivals(&self) -> &RecentArrivals {
         &self.recent_arrivals
     }
 
-    /// Whether requests were answered with success in the last rate window.
+    /// Whether any request was answered successfully in the last rate window.
     pub(crate) fn has_recent_answers(&self) -> bool {
         !self.latencies.is_empty()
     }
@@ -87,17 +88,17 @@
         self.recent_arrivals.add(arrival);
     }
 
-    /// An admitted request was shed after all.
+    /// Marks an admitted request as shed.
     pub(crate) fn request_shed(&mut self, id: RequestId) {
         self.recent_arrivals.shed(id);
     }
 
-    /// The dependency or the tier below has rejected a call.
+    /// Records that the dependency or the tier below has rejected a call.
     pub(crate) fn record_downstream_rejection(&mut self, now: Instant) {
         self.overload.record_downstream_rejection(now);
     }
 
-    /// A request was answered with success: it was handled, and its latency counts.
+    /// Records a successful answer: the request counts as handled, and its latency is sampled.
     pub(crate) fn request_answered(&mut self, request: &Request, context: &Context) {
         self.permitted_rate.count_handled();
         self.latencies.add(LatencySample {
@@ -107,7 +108,7 @@
         });
     }
 
-    /// Whether an arrival of this priority finds a token, or needs none.
+    /// Takes a token for an arrival of this priority; returns whether it is admitted.
     pub(crate) fn admit(&mut self, priority: Priority, context: &Context, calls_throttled: bool) -> bool {
         let priority_quantile = self.recent_arrivals.priority_quantile(priority);
         self.permitted_rate.admit(priority_quantile, context.now, || {
@@ -115,7 +116,7 @@
         })
     }
 
-    /// At a tick: at the end of a rate window, revises the permitted rate.
+    /// Handles a tick: at the end of a rate window, the permitted rate is updated.
     pub(crate) fn on_tick(&mut self, context: &Context, calls_throttled: bool) {
         let now = context.now;
         self.latencies.drop_expired(now);
--- a/admission/src/admission/overload/arrival_rates.rs
+++ b/admission/src/admission/overload/arrival_rates.rs
@@ -1,39 +1,42 @@
-//! How many requests arrive a second, in all and of each tenant: whether more arrive than usual, and how much of what
-//! a tenant sends is within its quota.
+//! Arrival rates, in total and per tenant. They show whether more requests arrive than usual, and what
+//! fraction of a tenant's requests is within its quota.
 //!
-//! Quotas hold for all servers together, of which this one sees its own arrivals only.
+//! A quota applies to all servers together, although each server sees only its own arrivals.
 
 use crate::admission::quantities::{Fraction, RequestRate};
 use crate::admission::running_mean::RunningMean;
 use crate::admission::time::{Instant, Span};
 use crate::interface::TenantId;
 
-/// The time over which arrivals are averaged: a few rate windows, so that a quota is not exceeded by one burst.
+/// Time over which arrivals are averaged: a few rate windows, so that a single burst does not exceed a quota.
 const AVERAGING_TIME: Span = Span::from_seconds(5.0);
-/// What one arrival adds to a rate that is averaged over `AVERAGING_TIME`.
+/// Increase of a rate, averaged over `AVERAGING_TIME`, by one arrival.
 const RATE_OF_ONE_ARRIVAL: f64 = 1.0 / 5.0;
-/// The least weight of the average so far that is divided by: a first arrival is no high rate.
+/// Minimum of the total weight so far when dividing by it, so that the first arrival does not yield a high
+/// rate.
 const MIN_WEIGHT_SO_FAR: f64 = 0.01;
-/// Weight of a rate window in the usual arrivals: the last five or so windows decide.
+/// Weight of a rate window in the mean of the usual arrival rate: about the last five windows dominate.
 const USUAL_WEIGHT: f64 = 0.2;
-/// Arrivals are usual while no more than this fraction is rejected: beyond, they contain retries of rejections.
+/// Maximum rejected fraction in a window that counts as usual: above it, the arrivals include retries of
+/// rejected requests.
 const MAX_REJECTED_IF_USUAL: Fraction = Fraction::new(0.1);
-/// At this many times the usual arrivals, other servers are taken to reject as well: a quarter is above the noise.
+/// Ratio to the usual arrival rate above which other servers are assumed to reject requests as well: an
+/// excess of a quarter is above the noise.
 const SPILLOVER_FACTOR: f64 = 1.25;
 
-/// Recent arrivals a second.
+/// Recent arrival rates.
 #[derive(Debug)]
 pub(crate) struct ArrivalRates {
     all: RequestRate,
     tenants: Vec<RequestRate>,
     counted_at: Instant,
     started_at: Instant,
-    /// All arrivals a second while few were rejected.
+    /// Mean of the total arrival rate over the windows in which few arrivals were rejected.
     usual: RunningMean,
 }
 
 impl ArrivalRates {
-    /// Nothing has arrived from so many tenants.
+    /// Creates rates of zero for this number of tenants.
     pub(crate) fn new(tenants: usize, now: Instant) -> Self {
         ArrivalRates {
             all: RequestRate::ZERO,
@@ -44,13 +47,13 @@
         }
     }
 
-    /// Adds tenants up to this number.
+    /// Extends the rates to this number of tenants.
     pub(crate) fn resize(&mut self, tenants: usize) {
         self.tenants.resize(tenants, RequestRate::ZERO);
     }
 
-    /// Starts to count anew. `started_at` stays: the correction for the start hardly applies any more, and the average
-    /// rises from zero over `AVERAGING_TIME`.
+    /// Resets all rates to zero. `started_at` is kept, so the bias correction for startup hardly applies any
+    /// more and the average rises from zero over `AVERAGING_TIME`.
     pub(crate) fn reset(&mut self, now: Instant) {
         self.all = RequestRate::ZERO;
         self.tenants.fill(RequestRate::ZERO);
@@ -71,27 +74,30 @@
         }
     }
 
-    /// All recent arrivals a second, bias-corrected (as at the start of an exponentially weighted moving average). It
-    /// is as of the last arrival: the average is not decayed from `counted_at` to `now`.
+    /// Total arrival rate, with the bias correction for the start of an exponential moving average. It is the
+    /// rate at the last arrival: the average is not decayed from `counted_at` to `now`.
     fn bias_corrected_total(&self, now: Instant) -> RequestRate {
         let ewma_weight_so_far = 1.0 - (-((now - self.started_at) / AVERAGING_TIME)).exp();
         RequestRate::per_second(self.all.value() / ewma_weight_so_far.max(MIN_WEIGHT_SO_FAR))
     }
 
-    /// At the end of a rate window: learns what usually arrives, unless much of it was rejected.
+    /// Adds the arrival rate at the end of a rate window to the usual rate, unless many of the arrivals were
+    /// rejected.
     pub(crate) fn window_ended(&mut self, rejected: Fraction, now: Instant) {
         if rejected <= MAX_REJECTED_IF_USUAL {
             self.usual.add(self.bias_corrected_total(now).value(), USUAL_WEIGHT);
         }
     }
 
-    /// Whether more arrives than usual: what other servers rejected is retried here.
+    /// Whether the arrival rate is clearly above the usual one, as when requests rejected by other servers
+    /// are retried here.
     pub(crate) fn exceeds_usual(&self, now: Instant) -> bool {
         self.bias_corrected_total(now) > RequestRate::per_second(SPILLOVER_FACTOR * self.usual.or_zero())
     }
 
-    /// The fraction of what a tenant sends that is within its quota, which is for all `servers` together: each is
-    /// taken to receive as much as this one. Without a quota, all is within it.
+    /// The fraction of a tenant's requests that is within its quota. The quota applies to all `servers`
+    /// together, and each is assumed to receive as many requests as this one. Without a quota, all requests
+    /// are within it.
     pub(crate) fn fraction_within_quota(&self, tenant: TenantId, quota: f64, servers: f64) -> Fraction {
         let local = self.tenants.get(usize::from(tenant.0)).copied().unwrap_or(RequestRate::ZERO);
         let sent = local.value() * servers;
--- a/admission/src/admission/overload/detector.rs
+++ b/admission/src/admission/overload/detector.rs
@@ -1,7 +1,7 @@
-//! When the server counts as overloaded, so that arrivals need a token: requests are queued and their mean latency is
-//! over target, or the dependency or the tier below has rejected a call lately (a downstream rejection).
+//! Overload detection. The server is overloaded if requests are queued and their mean latency is over target,
+//! or if the dependency or the tier below has recently rejected a call (a downstream rejection).
 //!
-//! A timeout of a call is no rejection.
+//! A call that times out does not count as rejected.
 
 use crate::admission::constants::RATE_WINDOW;
 use crate::admission::context::Context;
@@ -9,34 +9,36 @@
 use crate::admission::requests::request::Request;
 use crate::admission::time::Instant;
 
-/// One queued request is the next to run; more of them wait for others.
+/// Maximum number of queued requests that is not a sign of overload: one queued request is merely the next to
+/// run, while any further ones wait for others.
 const MAX_QUEUED_WITHOUT_OVERLOAD: usize = 1;
 
-/// Detects overload and remembers the last downstream rejection.
+/// Detects overload and keeps the time of the last downstream rejection.
 #[derive(Debug)]
 pub(crate) struct OverloadDetector {
-    /// The end of the rate window that the last downstream rejection started.
+    /// The end of the rate window that began with the last downstream rejection.
     rejection_ends_at: Instant,
 }
 
 impl OverloadDetector {
-    /// A detector that knows of no rejection.
+    /// Creates a detector without a downstream rejection.
     pub(crate) fn new() -> Self {
         OverloadDetector { rejection_ends_at: Instant::DISTANT_PAST }
     }
 
-    /// The dependency or the tier below has rejected a call: for a rate window the server counts as overloaded.
+    /// Records a downstream rejection: the server counts as overloaded for one rate window from now.
     pub(crate) fn record_downstream_rejection(&mut self, now: Instant) {
         self.rejection_ends_at = now + RATE_WINDOW;
     }
 
-    /// Whether there was a downstream rejection after this time. Both sides are a rate window later than what is
-    /// compared, since the end of the rejection is what is kept.
+    /// Whether a downstream rejection occurred after `window_start`. Both sides of the comparison are shifted
+    /// by one rate window, because the detector stores the end of the window.
     pub(crate) fn downstream_rejected_after(&self, window_start: Instant) -> bool {
         self.rejection_ends_at > window_start + RATE_WINDOW
     }
 
-    /// Whether the server is overloaded. While calls are throttled, what may call does not count: it waits on purpose.
+    /// Whether the server is overloaded. While calls are throttled, requests that may call are not counted,
+    /// because they are held back deliberately.
     pub(crate) fn is_overloaded(
         &self,
         context: &Context,
--- a/admission/src/admission/overload/latency.rs
+++ b/admission/src/admission/overload/latency.rs
@@ -1,8 +1,8 @@
-//! The latency of recent requests as a fraction of their latency objective, by which overload is detected.
+//! Latency of recent requests relative to their latency objectives, which is used to detect overload.
 //!
-//! Each class has an objective of its own, and the target of the mean latency is a fraction of it. Requests that are
-//! late before they have an answer count too: a server on which nothing ends is not quick. Failed runs do not count:
-//! quick failures would lower the mean.
+//! Each class has its own objective, and the target of the mean latency is a fraction of it. Requests that
+//! are over target and still unanswered count too; otherwise a server on which no request ends would seem
+//! fast. Failed runs do not count, because quick failures would lower the mean.
 
 use std::collections::VecDeque;
 
@@ -12,40 +12,41 @@
 use crate::admission::requests::request::Request;
 use crate::admission::time::Instant;
 
-/// The latency of a request that was answered.
+/// Latency of an answered request.
 #[derive(Debug)]
 pub(crate) struct LatencySample {
     pub(crate) at: Instant,
-    /// Its latency over the latency objective of its class.
+    /// Ratio of the latency to the latency objective of the class.
     pub(crate) latency_over_objective: Fraction,
-    /// Whether its latency may contain calls to the dependency.
+    /// Whether the latency may include calls to the dependency.
     pub(crate) may_call: bool,
 }
 
-/// Latencies of the requests that were answered with success in the last rate window.
+/// Latencies of the requests that were answered successfully in the last rate window.
 #[derive(Debug, Default)]
 pub(crate) struct LatencyTracker {
     samples: VecDeque<LatencySample>,
 }
 
 impl LatencyTracker {
-    /// Adds the latency of a request that was answered.
+    /// Adds the latency of an answered request.
     pub(crate) fn add(&mut self, sample: LatencySample) {
         self.samples.push_back(sample);
     }
 
-    /// Forgets what is older than a rate window.
+    /// Drops the samples that are older than a rate window.
     pub(crate) fn drop_expired(&mut self, now: Instant) {
         self.samples.retain(|sample| sample.at >= now - RATE_WINDOW);
     }
 
-    /// Whether no request was answered in the last rate window.
+    /// Whether no request was answered successfully in the last rate window.
     pub(crate) fn is_empty(&self) -> bool {
         self.samples.is_empty()
     }
 
-    /// Whether the mean latency is over target: that of the answered requests together with the unanswered ones that
-    /// are over target already. While calls are throttled, what may call is left out: its latency is intended.
+    /// Whether the mean latency is over target. The mean includes the answered requests and the unanswered
+    /// ones that are already over target. While calls are throttled, requests that may call are left out,
+    /// because their delay is intended.
     pub(crate) fn exceeds_target(&self, context: &Context, calls_throttled: bool) -> bool {
         self.mean(context, calls_throttled).value() > LATENCY_TARGET_FRACTION
     }
--- a/admission/src/admission/overload/recent_arrivals.rs
+++ b/admission/src/admission/overload/recent_arrivals.rs
@@ -1,5 +1,5 @@
-//! The most recent arrivals and which of them were admitted: the quantile of a priority among them is found, and the
-//! load signal is computed from them.
+//! The most recent arrivals, with whether each was admitted. They determine the quantile of a priority and
+//! the load signal.
 
 use std::collections::VecDeque;
 
@@ -9,9 +9,10 @@
 use crate::admission::time::Instant;
 use crate::interface::RequestId;
 
-/// Arrivals that are remembered: enough for a quantile to within a few percent, few enough to look at for each arrival.
+/// Number of arrivals that are kept: enough to determine a quantile to within a few percent, and few enough
+/// to be scanned for each arrival.
 const RECENT_ARRIVALS: usize = 64;
-/// Fewer arrivals than this say little: the rejected fraction is taken of this many.
+/// Minimum divisor of the rejected fraction: a smaller number of arrivals says little.
 const MIN_ARRIVALS: usize = 8;
 
 /// One of the most recent arrivals.
@@ -22,42 +23,42 @@
     /// The rank that callers compare with the advertised minimum.
     pub(crate) rank: Fraction,
     pub(crate) priority: Priority,
-    /// Whether it was queued and has not been shed since.
+    /// Whether the arrival was queued and has not been shed since.
     pub(crate) admitted: bool,
 }
 
-/// The most recent arrivals, the latest first; retries that share the outcome of another attempt are not among them.
+/// The most recent arrivals, latest first. Retries that share the outcome of another attempt are not
+/// included.
 #[derive(Debug, Default)]
 pub(crate) struct RecentArrivals {
     arrivals: VecDeque<RecentArrival>,
 }
 
 impl RecentArrivals {
-    /// Adds an arrival; the oldest makes way for it.
+    /// Adds an arrival; the oldest one is dropped if there are too many.
     pub(crate) fn add(&mut self, arrival: RecentArrival) {
         self.arrivals.push_front(arrival);
         self.arrivals.truncate(RECENT_ARRIVALS);
     }
 
-    /// An admitted request was shed after all.
+    /// Marks an admitted request as shed.
     pub(crate) fn shed(&mut self, id: RequestId) {
         for arrival in self.arrivals.iter_mut().filter(|arrival| arrival.id == id) {
             arrival.admitted = false;
         }
     }
 
-    /// Forgets all.
     pub(crate) fn clear(&mut self) {
         self.arrivals.clear();
     }
 
-    /// The quantile of this priority: the fraction of the recent arrivals that had a lower one.
+    /// The quantile of this priority: the fraction of the recent arrivals with a lower one.
     pub(crate) fn priority_quantile(&self, priority: Priority) -> Fraction {
         let lower = self.arrivals.iter().filter(|arrival| arrival.priority < priority).count();
         Fraction::new(lower as f64 / (self.arrivals.len().max(1) as f64))
     }
 
-    /// The arrivals of the last rate window, the latest first.
+    /// The arrivals of the last rate window, latest first.
     pub(crate) fn in_window(&self, now: Instant) -> impl Iterator<Item = &RecentArrival> {
         self.arrivals.iter().filter(move |arrival| arrival.at > now - RATE_WINDOW)
     }
--- a/admission/src/admission/overload/token_bucket.rs
+++ b/admission/src/admission/overload/token_bucket.rs
@@ -1,24 +1,24 @@
-//! The token bucket that holds arrivals to the permitted rate under overload.
+//! The token bucket that limits arrivals to the permitted rate under overload.
 //!
-//! It holds one second of the permitted rate. Lower
-//! priorities find part of it reserved for higher ones, and the highest may borrow a few tokens. Without overload no
-//! arrival is rejected, but each takes its token.
+//! It holds at most the requests permitted in one second. Part of it is reserved for higher priorities, and
+//! the highest priorities may borrow a few tokens. Without overload no arrival is rejected, but each still
+//! takes a token.
 
 use crate::admission::constants::MIN_SAMPLES;
 use crate::admission::quantities::{Fraction, RequestRate};
 use crate::admission::time::{Instant, Span};
 
-/// The fraction of the bucket that is reserved from arrivals of the lowest priority: under overload they get less than
-/// half of a burst.
+/// Fraction of the bucket that is reserved from arrivals of the lowest priority: under overload, they get
+/// less than half of a burst.
 const RESERVE: f64 = 0.6;
-/// The time whose permitted requests a full bucket holds: one burst of a second is served at once.
+/// Depth of the bucket as a time at the permitted rate: a burst of one second is admitted at once.
 const DEPTH: Span = Span::from_seconds(1.0);
-/// The smallest depth: below it no request would ever find a token.
+/// Minimum depth in tokens. With less, no request would ever find a token.
 const MIN_DEPTH: f64 = 1.0;
-/// What an admitted request takes.
+/// Number of tokens that an admitted request takes.
 const TOKENS_FOR_A_REQUEST: f64 = 1.0;
 
-/// Tokens that permit requests; they may be negative, borrowed by the highest priorities.
+/// State of the token bucket. The number of tokens is negative if the highest priorities have borrowed some.
 #[derive(Debug)]
 pub(crate) struct TokenBucket {
     tokens: f64,
@@ -26,13 +26,14 @@
 }
 
 impl TokenBucket {
-    /// An empty bucket.
+    /// Creates an empty bucket.
     pub(crate) fn new(now: Instant) -> Self {
         TokenBucket { tokens: 0.0, filled_at: now }
     }
 
-    /// Fills the bucket at `rate` and takes a token for an arrival of this priority quantile among the recent ones.
-    /// Returns whether it is admitted. While the server is not overloaded every arrival is, with a token or without.
+    /// Refills the bucket at `rate` and takes a token for an arrival, whose priority has this quantile among
+    /// the recent arrivals. Returns whether the arrival is admitted. While the server is not overloaded every
+    /// arrival is admitted, even without a token.
     pub(crate) fn take(
         &mut self,
         rate: RequestRate,
@@ -55,7 +56,8 @@
     }
 }
 
-/// The tokens that the highest priority may borrow: the standard error of a sample that is evidence enough.
+/// Maximum number of tokens that the highest priority may borrow: the standard error of a count of
+/// `MIN_SAMPLES`.
 fn max_debt() -> f64 {
     MIN_SAMPLES.sqrt()
 }
--- a/admission/src/admission/quantities.rs
+++ b/admission/src/admission/quantities.rs
@@ -1,4 +1,5 @@
-//! Fractions and rates: types over floating-point numbers, whose computations are those of the numbers.
+//! Types for fractions and rates. They wrap floating-point numbers, and their arithmetic is that of the
+//! numbers.
 
 use std::ops::{Add, Mul};
 
@@ -8,52 +9,50 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, PartialOrd)]
 pub(crate) struct Fraction(f64);
 
-/// A number of requests a second.
+/// A number of requests per second.
 #[derive(Debug, Clone, Copy, Default, PartialEq, PartialOrd)]
 pub(crate) struct RequestRate(f64);
 
 impl Fraction {
-    /// Nothing of it.
+    /// The fraction 0.
     pub(crate) const NONE: Fraction = Fraction(0.0);
-    /// All of it.
+    /// The fraction 1.
     pub(crate) const ALL: Fraction = Fraction(1.0);
 
-    /// A fraction of this value.
+    /// Creates a fraction with this value, which is not clamped.
     pub(crate) const fn new(value: f64) -> Self {
         Fraction(value)
     }
 
-    /// Its value.
+    /// The value as a number, usually 0 to 1.
     pub(crate) fn value(self) -> f64 {
         self.0
     }
 
-    /// What is missing to the whole.
+    /// One minus this fraction.
     pub(crate) fn complement(self) -> Fraction {
         Fraction(1.0 - self.0)
     }
 }
 
 impl RequestRate {
-    /// No requests.
+    /// Zero requests per second.
     pub(crate) const ZERO: RequestRate = RequestRate(0.0);
 
-    /// So many requests a second.
+    /// Creates a rate of this many requests per second.
     pub(crate) const fn per_second(requests: f64) -> Self {
         RequestRate(requests)
     }
 
-    /// The number of requests a second.
+    /// The rate in requests per second.
     pub(crate) fn value(self) -> f64 {
         self.0
     }
 
-    /// The higher of two rates.
     pub(crate) fn max(self, other: RequestRate) -> RequestRate {
         RequestRate(self.0.max(other.0))
     }
 
-    /// The lower of two rates.
     pub(crate) fn min(self, other: RequestRate) -> RequestRate {
         RequestRate(self.0.min(other.0))
     }
@@ -80,7 +79,7 @@
     }
 }
 
-/// The number of requests in a length of time.
+/// The number of requests in a time span at this rate.
 impl Mul<Span> for RequestRate {
     type Output = f64;
     fn mul(self, span: Span) -> f64 {
--- a/admission/src/admission/read_overload.rs
+++ b/admission/src/admission/read_overload.rs
@@ -1,28 +1,29 @@
-//! Whether reading requests is what overloads the cores: then reading itself must be shed, by what callers learn and
-//! by keeping their connections open.
+//! Detects whether reading requests overloads the cores. Then reads themselves must be reduced: callers are
+//! told to send less, and connections are kept open.
 
 use crate::admission::constants::{MIN_SAMPLES, SLOW_MEAN_WEIGHT};
 use crate::admission::requests::table::RequestTable;
 use crate::admission::running_mean::RunningMean;
 use crate::interface::Gauges;
 
-/// Reading is overloaded when reads, health checks and new connections are more than this fraction of what is runnable:
+/// Fraction of the runnable tasks above which reads, health checks and new connections overload the cores:
 /// clearly more than the runs. The value above one half is not derived.
 const MAX_FRACTION: f64 = 0.6;
 
-/// The fraction of runnable work that is not runs.
+/// Mean fraction of the runnable tasks that are not runs.
 #[derive(Debug)]
 pub(crate) struct ReadOverload {
     other_work: RunningMean,
 }
 
 impl ReadOverload {
-    /// At the start there is none, as if seen many times: one tick proves nothing.
+    /// Creates a detector whose mean starts at zero with the weight of several samples, so that a single tick
+    /// does not indicate overload.
     pub(crate) fn new() -> Self {
         ReadOverload { other_work: RunningMean::assumed(0.0, MIN_SAMPLES) }
     }
 
-    /// Adds the gauges of a tick.
+    /// Adds the gauges of a tick to the mean.
     pub(crate) fn update(&mut self, gauges: &Gauges, requests: &RequestTable) {
         let runnable = gauges.runnable.unwrap_or(0.0);
         let running = requests.running_count() as f64;
--- a/admission/src/admission/request_intake.rs
+++ b/admission/src/admission/request_intake.rs
@@ -1,4 +1,5 @@
-//! What is made of an arrival: its deadline, its latency objective, its priority, and whether it may be queued.
+//! Creates the request of an arrival with its deadline, latency objective and priority, and decides whether
+//! it may be queued.
 
 use crate::admission::class_estimates::ClassEstimates;
 use crate::admission::context::Context;
@@ -11,12 +12,12 @@
 use crate::admission::time::{Instant, Span};
 use crate::interface::{Arrival, Class, Dependency, Effect, Settings, TenantId};
 
-/// The work that is assumed of a class of which nothing is known.
+/// Work assumed for a class without estimates.
 const ASSUMED_WORK: Span = Span::from_seconds(1.0);
-/// The work by which the weight is divided where weights apply per unit of work already: one unit, a second.
+/// Work by which the weight is divided if weights already apply per unit of work: one unit, a second.
 const UNIT_WORK: Span = Span::from_seconds(1.0);
 
-/// The request of an arrival of a known class. Its cost hint is added to the estimates.
+/// Creates the request of an arrival, whose class must be known. The cost hint is added to the estimates.
 pub(crate) fn new_request(
     arrival: &Arrival,
     settings: &Settings,
@@ -46,15 +47,16 @@
     }
 }
 
-/// When an arrival has to be answered: as it says itself if arrivals do, else by its class; never before now.
+/// Deadline of an arrival: the one that it states, if arrivals carry deadlines, otherwise that of its class;
+/// never before `now`.
 fn deadline_of(arrival: &Arrival, settings: &Settings, arrived_at: Instant, now: Instant) -> Instant {
     let stated = arrival.remaining_time.filter(|_| settings.sends_deadline);
     let by_class = arrived_at + Span::from(settings.classes[usize::from(arrival.class.0)].deadline);
     stated.map_or(by_class, |remaining_time| now + Span::from(remaining_time)).max(now)
 }
 
-/// Weight for each second of work, within the tenant's quota. Weights per unit of work are such densities already;
-/// weights per request become densities by dividing by the mean work.
+/// Weight per second of work, reduced for the part beyond the tenant's quota. Weights per unit of work are
+/// used as they are; weights per request are divided by the mean work.
 fn priority_of(
     class: &Class,
     mean_work: Span,
@@ -69,7 +71,7 @@
     Priority::new(class.weight, work, within_quota, settings.over_quota_weight)
 }
 
-/// Whether there is time and memory for one more queued request, which is in the table already.
+/// Whether there is time and memory for one more queued request, which is already in the table.
 pub(crate) fn can_queue(request: &Request, context: &Context, keys: &RetainedKeys, drain: &Drain) -> bool {
     let settings = context.settings;
     let has_key = context.class_of(request).effect == Effect::IdempotencyKey;
--- a/admission/src/admission/requests.rs
+++ b/admission/src/admission/requests.rs
@@ -1,7 +1,8 @@
-//! The life of a request, from its arrival to its final answer, and the key that outlives it.
+//! Life cycle of a request from its arrival to its final answer, and retention of its idempotency key beyond
+//! that.
 //!
-//! Every request is answered once. One that was queued and never ran is rejected, one that has started fails. A key is
-//! released only when its request ends without a run, so that no effect occurs twice.
+//! Every request is answered once. A queued request that never ran is rejected; one that has started fails. A
+//! key is released only if its request ends without a run, so that no effect occurs twice.
 
 pub(crate) mod ended_attempts;
 pub(crate) mod idempotency_keys;
@@ -17,7 +18,7 @@
 use request::{Phase, Request};
 use table::RequestTable;
 
-/// The open requests, the retained keys, and the attempts that ended in this batch.
+/// The open requests, the retained keys, and the attempts that ended without a run in the current batch.
 #[derive(Debug, Default)]
 pub(crate) struct OpenRequests {
     table: RequestTable,
@@ -25,22 +26,22 @@
     ended_attempts: EndedAttempts,
 }
 
-/// What a rejected caller is told.
+/// Advice to the caller of a rejected request.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Advice {
-    /// How long it should wait before a retry.
+    /// How long the caller should wait before a retry; `None` if callers do not honor a retry-after.
     pub(crate) retry_after: Option<Duration>,
-    /// Whether it should not retry on another server.
+    /// Whether the caller is asked not to retry on another server.
     pub(crate) give_up: bool,
 }
 
 impl OpenRequests {
-    /// The table of the open requests.
+    /// The table of open requests.
     pub(crate) fn table(&self) -> &RequestTable {
         &self.table
     }
 
-    /// The table of the open requests, to be changed.
+    /// The table of open requests, for modification.
     pub(crate) fn table_mut(&mut self) -> &mut RequestTable {
         &mut self.table
     }
@@ -50,12 +51,12 @@
         &self.keys
     }
 
-    /// Starts a new batch of events.
+    /// Starts a new batch of events and drops the ended attempts of the previous one.
     pub(crate) fn start_batch(&mut self) {
         self.ended_attempts.clear();
     }
 
-    /// Everything has to be answered by this time.
+    /// Moves deadlines and objectives that lie after `stop_at` forward to it.
     pub(crate) fn limit_deadlines(&mut self, stop_at: Instant) {
         for request in self.table.values_mut() {
             request.deadline = request.deadline.min(stop_at);
@@ -63,15 +64,15 @@
         }
     }
 
-    /// Drops the keys whose time has passed.
+    /// Drops the keys whose retention has expired.
     pub(crate) fn expire_keys(&mut self, now: Instant) {
         self.keys.expire(now);
     }
 
-    /// The attempt that a retry with this class is matched to: the named attempt, which is open or has ended a run, or
-    /// the attempt that replaced it in this batch. None if the named attempt ended in this batch without a run, or if
-    /// the class does not deduplicate: without keys it does so only where responses are reused, and not with an attempt
-    /// that is still queued.
+    /// The attempt to which a retry of this class is matched: the named attempt if it is open or has ended a
+    /// run, or the attempt that replaced it in this batch. `None` if the named attempt ended in this batch
+    /// without a run, or if the class does not deduplicate. A class without keys deduplicates only where
+    /// responses are reused, and never with an attempt that is still queued.
     pub(crate) fn matched_attempt(
         &self,
         named: Option<RequestId>,
@@ -88,13 +89,12 @@
         shares_outcome.then_some(original)
     }
 
-    /// Whether this request is queued.
     pub(crate) fn is_queued(&self, id: RequestId) -> bool {
         self.table.get(id).is_some_and(Request::is_queued)
     }
 
-    /// The retry `id` takes the place of the queued attempt `replaced`, whose objective it keeps; both stay open for
-    /// the moment. `replaced` loses its key.
+    /// Prepares the retry `id` to replace the queued attempt `replaced`: the retry inherits its objective if
+    /// that is earlier, and the key of `replaced` is released. Both attempts remain open for now.
     pub(crate) fn prepare_replacement(&mut self, id: RequestId, replaced: RequestId) {
         let objective_deadline = self.table.get(replaced).map(|request| request.objective_deadline);
         if let (Some(request), Some(objective_deadline)) = (self.table.get_mut(id), objective_deadline) {
@@ -103,7 +103,7 @@
         self.keys.release(replaced);
     }
 
-    /// Rejects the attempt whose place the retry `id` has taken.
+    /// Rejects the attempt that the retry `id` has replaced.
     pub(crate) fn reject_replaced(
         &mut self,
         replaced: RequestId,
@@ -116,7 +116,7 @@
         self.ended_attempts.replaced(replaced, id);
     }
 
-    /// The retry `id` waits for the outcome of the attempt that it names.
+    /// Makes the retry `id` wait for the outcome of the attempt that it names.
     pub(crate) fn coalesce(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         if let Some(request) = self.table.get_mut(id) {
             request.phase = Phase::Coalesced;
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Retains the key of a request before its run.
+    /// Retains the idempotency key of a request before its run.
     pub(crate) fn retain_key(
         &mut self,
         id: RequestId,
@@ -144,14 +144,14 @@
         self.remove_queued(id, actions);
     }
 
-    /// Fails a request that has started; it is preempted where its effect may be repeated.
+    /// Answers a started request with a failure. Its run is preempted if its effect may be repeated.
     pub(crate) fn fail(&mut self, id: RequestId, settings: &Settings, actions: &mut Vec<Action>) {
         actions.push(Action::Fail(id));
         self.settle_and_end(id, settings, actions);
     }
 
-    /// A request needs no answer any more, because it has failed or was cancelled. A queued one ends; a run goes on
-    /// unless it may be repeated and preempted.
+    /// Marks a request as needing no answer, because it has failed or was cancelled. A queued or coalesced
+    /// request ends; a run continues unless it is idempotent and can be preempted.
     pub(crate) fn settle_and_end(&mut self, id: RequestId, settings: &Settings, actions: &mut Vec<Action>) {
         let Some(request) = self.table.get_mut(id) else { return };
         request.answer_settled = true;
@@ -167,7 +167,7 @@
         }
     }
 
-    /// The server rejected a run before it started: the key is free again.
+    /// Ends a request whose run the server rejected before it started, and releases its key.
     pub(crate) fn run_rejected(&mut self, id: RequestId) {
         self.keys.release(id);
         self.table.remove(id);
@@ -182,7 +182,7 @@
     }
 }
 
-/// Rejects an attempt that has no place in the table, or loses it.
+/// Appends the rejection of an attempt. The caller removes the attempt from the table if it is in it.
 pub(crate) fn push_rejection(id: RequestId, advice: Advice, actions: &mut Vec<Action>) {
     actions.push(Action::Reject { id, retry_after: advice.retry_after, give_up: advice.give_up });
 }
--- a/admission/src/admission/requests/idempotency_keys.rs
+++ b/admission/src/admission/requests/idempotency_keys.rs
@@ -1,4 +1,5 @@
-//! Which idempotency keys are retained, and until when: a retry within the window finds the run that it repeats.
+//! Retained idempotency keys and their expiry. While a key is retained, a retry finds the run that it
+//! repeats.
 //!
 //! Keys count as memory, which bounds their number.
 
@@ -8,17 +9,17 @@
 use crate::admission::time::{Instant, Span};
 use crate::interface::RequestId;
 
-/// A key is kept for two ticks more than it has to be: what arrives at the end of its window may be read late.
+/// Additional retention of a key, in ticks: a retry that arrives at the end of the window may be read late.
 const MARGIN_TICKS: f64 = 2.0;
 
-/// The retained keys, by the attempt that they belong to.
+/// Expiry times of the retained keys, by the attempt that each belongs to.
 #[derive(Debug, Default)]
 pub(crate) struct RetainedKeys {
     expiry: BTreeMap<RequestId, Instant>,
 }
 
 impl RetainedKeys {
-    /// Retains a key from now until its window and the deadline have passed; returns for how long.
+    /// Retains a key until both its window and the deadline have passed; returns the retention time.
     pub(crate) fn retain(&mut self, id: RequestId, window: Span, until_deadline: Span, now: Instant) -> Span {
         let retention = window.max(until_deadline) + MARGIN_TICKS * TICK_PERIOD;
         self.expiry.insert(id, now + retention);
@@ -30,7 +31,7 @@
         self.expiry.remove(&id).is_some()
     }
 
-    /// Drops the keys whose time has passed.
+    /// Drops the keys whose retention has expired.
     pub(crate) fn expire(&mut self, now: Instant) {
         self.expiry.retain(|_, until| *until > now);
     }
--- a/admission/src/admission/requests/table.rs
+++ b/admission/src/admission/requests/table.rs
@@ -1,11 +1,11 @@
-//! The table of open requests, in the order of their identifiers.
+//! The table of open requests, ordered by identifier.
 
 use std::collections::BTreeMap;
 
 use crate::admission::requests::request::Request;
 use crate::interface::RequestId;
 
-/// An open request with its identifier.
+/// An entry of the table of open requests.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Entry<'a> {
     pub(crate) id: RequestId,
@@ -49,27 +49,27 @@
         self.requests.values()
     }
 
-    /// All open requests, to be changed.
+    /// All open requests, for modification.
     pub(crate) fn values_mut(&mut self) -> impl Iterator<Item = &mut Request> {
         self.requests.values_mut()
     }
 
-    /// How many requests meet the condition.
+    /// Number of requests that meet the condition.
     pub(crate) fn count(&self, condition: impl Fn(&Request) -> bool) -> usize {
         self.requests.values().filter(|request| condition(request)).count()
     }
 
-    /// How many runs are in progress and not blocked on a call (they may wait for I/O).
+    /// Number of runs in progress that are not blocked on a call; they may wait for I/O.
     pub(crate) fn running_count(&self) -> usize {
         self.count(Request::is_running)
     }
 
-    /// How many requests are blocked on a call.
+    /// Number of requests blocked on a call.
     pub(crate) fn blocked_on_calls_count(&self) -> usize {
         self.count(Request::is_blocked_on_call)
     }
 
-    /// Memory of all requests, in kB; started ones need `running_factor` times their memory while queued.
+    /// Memory of all requests, in kB. A started request needs `running_factor` times its memory while queued.
     pub(crate) fn memory_kb(&self, running_factor: f64) -> f64 {
         let memory_of = |request: &Request| {
             if request.has_started() {
--- a/admission/src/admission/run_queue.rs
+++ b/admission/src/admission/run_queue.rs
@@ -1,7 +1,8 @@
-//! Which queued requests run next: the order of the queue, and how far the limits of concurrency, memory and calls
-//! let it move.
+//! Selects the queued requests that run next, from the order of the queue and the limits on concurrency,
+//! memory and calls.
 //!
-//! No more requests run than the concurrency limit allows, and with those blocked on calls no more than is safe.
+//! The number of running requests stays within the concurrency limit. Together with the requests blocked on
+//! calls it stays within the maximum safe concurrency.
 
 use crate::admission::context::Context;
 use crate::admission::memory::{extra_memory_of_run, MemoryUse};
@@ -10,25 +11,25 @@
 use crate::admission::time::Instant;
 use crate::interface::RequestId;
 
-/// The limits that starting a run must respect.
+/// Limits that apply when a run is started.
 pub(crate) struct RunLimits {
-    /// Maximum running requests.
+    /// Maximum number of running requests.
     pub(crate) concurrency: f64,
-    /// The maximum safe number of concurrent requests, those blocked on calls included.
+    /// Maximum safe number of concurrent requests, including those blocked on calls.
     pub(crate) max_safe_concurrency: f64,
-    /// How many requests may be blocked on calls.
+    /// Maximum number of requests blocked on calls.
     pub(crate) max_blocked_on_calls: usize,
 }
 
-/// What decides on the position of a queued request.
+/// Sort key of a queued request.
 struct QueuePosition {
     id: RequestId,
     band: f64,
     objective_deadline: Instant,
 }
 
-/// The queued requests in the order in which they run: the highest band of priorities first, within a band the
-/// earliest latency objective.
+/// The queued requests in the order in which they run: by descending scheduling band, and within a band by
+/// ascending objective deadline.
 pub(crate) fn queue_order(requests: &RequestTable) -> Vec<RequestId> {
     let mut queue: Vec<QueuePosition> = requests
         .iter()
@@ -47,8 +48,8 @@
     queue.into_iter().map(|position| position.id).collect()
 }
 
-/// The queued requests that start now, in order. What does not fit the memory or would call beyond the limit is passed
-/// over.
+/// The queued requests that start now, in order. A request that does not fit into memory, or that may call
+/// while calls are at their limit, is passed over.
 pub(crate) fn runs_to_start(context: &Context, mut memory: MemoryUse, limits: &RunLimits) -> Vec<RequestId> {
     let max_safe_on_cores = limits.max_safe_concurrency - context.requests.blocked_on_calls_count() as f64;
     let mut running = context.requests.running_count() as f64;
@@ -69,7 +70,8 @@
     starting
 }
 
-/// Whether as many requests of its priority or above are blocked on calls as may be.
+/// Whether the request may call and the number of requests of its priority or above that are blocked on calls
+/// has reached the limit.
 fn calls_are_full(request: &Request, requests: &RequestTable, max_blocked_on_calls: usize) -> bool {
     let goes_first = |other: &Request| other.is_blocked_on_call() && other.priority >= request.priority;
     request.may_call && requests.count(goes_first) >= max_blocked_on_calls
--- a/admission/src/admission/shedding.rs
+++ b/admission/src/admission/shedding.rs
@@ -1,7 +1,8 @@
-//! Load shedding: which queued requests are rejected because they, or those before them, would end too late.
+//! Load shedding: selects the queued requests to reject because they, or requests behind them, would end too
+//! late.
 //!
-//! What would miss its latency objective is rejected early, while another server can still answer, and the lowest
-//! priorities first.
+//! Requests that would miss their latency objective are rejected early, while another server can still answer
+//! them, and requests of the lowest priority are rejected first.
 
 use crate::admission::context::Context;
 use crate::admission::priority::Priority;
@@ -10,27 +11,28 @@
 use crate::admission::time::Span;
 use crate::interface::RequestId;
 
-/// The fraction of its estimated work that a running request is assumed to need still, at the least: estimates are
-/// means, and what has run for longer than the mean is not about to end.
+/// Minimum remaining work of a running request, as a fraction of its estimated work. Estimates are means, and
+/// a run that has exceeded the mean is not necessarily about to end.
 const MIN_REMAINING_WORK_OF_RUN: f64 = 0.5;
-/// A queued request is taken to meet its latency objective if at least this fraction of its estimated work fits before.
+/// A queued request is expected to meet its latency objective if at least this fraction of its estimated work
+/// can be done before the objective.
 const WORK_BEFORE_OBJECTIVE: f64 = 0.5;
 
-/// A queued request that is not shed so far.
+/// A queued request that has not been selected for shedding so far.
 struct Candidate {
     id: RequestId,
     work: Span,
     priority: Priority,
 }
 
-/// The queued requests to shed: the lowest priorities that would delay a request past its latency objective, in the
-/// order in which they are found. `concurrency` is the limit of running requests. Without `recent_answers` a
-/// request with no work ahead of it is kept all the same: only runs that succeed correct the estimates, and a wrong one
-/// would shed everything from then on.
+/// The queued requests to shed, in the order in which they are found: the lowest priorities that would delay
+/// a request past its latency objective. `concurrency` is the maximum number of running requests. Without
+/// `recent_answers`, a request with no work ahead of it is kept even if it would be late: only successful
+/// runs correct the estimates, and a wrong estimate would otherwise shed every request from then on.
 pub(crate) fn requests_to_shed(context: &Context, concurrency: f64, recent_answers: bool) -> Vec<RequestId> {
     let mut shed = Vec::new();
     let mut candidates: Vec<Candidate> = Vec::new();
-    // The remaining work of the runs and of the candidates, the last one's own included.
+    // Remaining work of the runs and of the candidates up to and including this one.
     let mut work_through_this = remaining_work_of_runs(context);
     for id in queue_order(context.requests) {
         let Some(request) = context.requests.get(id) else { continue };
@@ -54,7 +56,7 @@
     shed
 }
 
-/// Removes the candidate of the lowest priority; of several, the first of the queue.
+/// Removes the candidate with the lowest priority; among equals, the first in the queue.
 fn remove_lowest(candidates: &mut Vec<Candidate>) -> Option<Candidate> {
     let positions = 0..candidates.len();
     let lowest = positions
@@ -62,7 +64,7 @@
     Some(candidates.remove(lowest))
 }
 
-/// What running requests are expected to need still, all together.
+/// Total remaining work expected of all running requests.
 fn remaining_work_of_runs(context: &Context) -> Span {
     let running = context.requests.values().filter(|request| request.is_running());
     let remaining = running.map(|request| remaining_work(request, context).seconds());
--- a/admission/src/admission/stall.rs
+++ b/admission/src/admission/stall.rs
@@ -1,16 +1,16 @@
-//! Stall detection: a server on which no run ends or reaches a call for several mean run times reports bad health and
-//! queues nothing.
+//! Stall detection: a server on which no run ends or reaches a call for several mean run times reports bad
+//! health and queues no arrivals.
 //!
-//! It recovers with the first run that does.
+//! It recovers as soon as a run ends or reaches a call.
 
 use crate::admission::context::Context;
 use crate::admission::time::{Instant, Span};
 
-/// The server is stalled when no run ends or reaches a call for this many mean run times: few runs of a working server
-/// take so long.
+/// Number of mean run times without progress after which the server counts as stalled. On a working server,
+/// few runs take that long.
 const STALLED_AFTER_RUNS: f64 = 4.0;
 
-/// Watches whether runs make progress.
+/// Detects whether runs have stopped making progress.
 #[derive(Debug)]
 pub(crate) struct StallDetector {
     /// When a run last ended or reached a call.
@@ -19,7 +19,7 @@
 }
 
 impl StallDetector {
-    /// A server that starts now.
+    /// Creates the detector of a server that starts now.
     pub(crate) fn new(now: Instant) -> Self {
         StallDetector { progress_at: now, stalled: false }
     }
@@ -29,13 +29,14 @@
         self.stalled
     }
 
-    /// A run has ended or reached a call, or there is none to wait for.
+    /// Records that a run has ended or reached a call, or that there is no run to wait for.
     pub(crate) fn record_progress(&mut self, now: Instant) {
         self.progress_at = now;
     }
 
-    /// Looks whether progress is overdue; returns whether that has changed. Run times are `known` once there is a
-    /// permitted rate: it exists only after a window with 16 successful runs, so the mean is established.
+    /// Updates the state; returns whether it has changed. Run times are `known` once there is a permitted
+    /// rate: it is initialized after a window with 16 successful runs, so the mean run time is established by
+    /// then.
     pub(crate) fn update(&mut self, context: &Context, known: bool) -> bool {
         let mean_run = Span::from_seconds(context.cores() / context.capacity().value());
         let stalled = known && context.now - self.progress_at > STALLED_AFTER_RUNS * mean_run;
--- a/admission/src/admission/time.rs
+++ b/admission/src/admission/time.rs
@@ -1,81 +1,79 @@
-//! Points in time and lengths of time, both in seconds.
+//! Points in time and time spans, both in seconds.
 //!
-//! They are floating-point numbers, not [`Duration`], because the estimates are: decisions multiply, divide and
-//! average them, and a rounding to nanoseconds at each step would change decisions.
+//! They wrap floating-point numbers instead of [`Duration`], because the estimates are floating-point:
+//! decisions multiply, divide and average times, and rounding to nanoseconds at each step would change
+//! decisions.
 
 use std::ops::{Add, AddAssign, Div, Mul, Sub};
 use std::time::Duration;
 
-/// The longest time that is reported to the server: no setting comes near it, and a [`Duration`] holds it.
+/// Longest time span that is reported to the server: longer than any setting, and small enough for a
+/// [`Duration`].
 const LONGEST_REPORTED: f64 = 1e6;
 
 /// A point in time, in seconds on the clock of the embedding server.
 #[derive(Debug, Clone, Copy, Default, PartialEq, PartialOrd)]
 pub(crate) struct Instant(f64);
 
-/// A length of time, in seconds. It may be negative, for what is overdue.
+/// A time span in seconds. It is negative for an overdue time.
 #[derive(Debug, Clone, Copy, Default, PartialEq, PartialOrd)]
 pub(crate) struct Span(f64);
 
 impl Instant {
-    /// Before everything that happens.
+    /// A point in time before all others.
     pub(crate) const DISTANT_PAST: Instant = Instant(f64::NEG_INFINITY);
-    /// After everything that happens.
+    /// A point in time after all others.
     pub(crate) const DISTANT_FUTURE: Instant = Instant(f64::INFINITY);
 
-    /// The point in time at this reading of the server's clock.
+    /// Converts a reading of the server's clock.
     pub(crate) fn from_clock(reading: Duration) -> Self {
         Instant(reading.as_secs_f64())
     }
 
-    /// The later of two points in time.
     pub(crate) fn max(self, other: Instant) -> Instant {
         Instant(self.0.max(other.0))
     }
 
-    /// The earlier of two points in time.
     pub(crate) fn min(self, other: Instant) -> Instant {
         Instant(self.0.min(other.0))
     }
 
-    /// The order of two points in time, for sorting.
+    /// Total order of points in time, for sorting.
     pub(crate) fn total_cmp(self, other: Instant) -> std::cmp::Ordering {
         self.0.total_cmp(&other.0)
     }
 }
 
 impl Span {
-    /// No time at all.
+    /// The empty time span.
     pub(crate) const ZERO: Span = Span(0.0);
-    /// Longer than any other.
+    /// A time span longer than all others.
     pub(crate) const INFINITE: Span = Span(f64::INFINITY);
 
-    /// A length of so many seconds.
+    /// Creates a span of this many seconds.
     pub(crate) const fn from_seconds(seconds: f64) -> Self {
         Span(seconds)
     }
 
-    /// The length in seconds.
+    /// The span in seconds.
     pub(crate) fn seconds(self) -> f64 {
         self.0
     }
 
-    /// The length as the server takes it: a negative one is zero.
+    /// Converts the span for the server: a negative span becomes zero, and a long one is capped.
     pub(crate) fn to_duration(self) -> Duration {
         Duration::from_secs_f64(self.0.clamp(0.0, LONGEST_REPORTED))
     }
 
-    /// The longer of two lengths.
     pub(crate) fn max(self, other: Span) -> Span {
         Span(self.0.max(other.0))
     }
 
-    /// The shorter of two lengths.
     pub(crate) fn min(self, other: Span) -> Span {
         Span(self.0.min(other.0))
     }
 
-    /// The distance between two lengths.
+    /// The absolute difference of two spans.
     pub(crate) fn distance(self, other: Span) -> Span {
         Span((self.0 - other.0).abs())
     }
--- a/admission/src/interface.rs
+++ b/admission/src/interface.rs
@@ -1,5 +1,6 @@
 //! The interface between an embedding server and the admission module: settings, events and actions.
-//! Only types and defaults; every decision is in `admission.rs` and the modules below it.
+//!
+//! It holds only types and their defaults; every decision is in `admission.rs` and the modules below it.
 
 mod action;
 mod arrival;
--- a/admission/src/interface/arrival.rs
+++ b/admission/src/interface/arrival.rs
@@ -4,36 +4,36 @@
 
 use super::identifiers::{CallerId, ClassId, RequestId, TenantId};
 
-/// An attempt of a request that the server has read.
+/// An attempt of a request that the server has read from a connection.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Arrival {
-    /// The attempt.
+    /// Identifier of this attempt.
     pub id: RequestId,
-    /// The known attempt that this one is a retry of.
+    /// The attempt known to the server that this one is a retry of; `None` for a first attempt.
     pub retry_of: Option<RequestId>,
-    /// Its class.
+    /// Class of the request.
     pub class: ClassId,
-    /// Its tenant.
+    /// Tenant that the request belongs to.
     pub tenant: TenantId,
-    /// A rough estimate of its work, as time on a standard core.
+    /// The sender's rough estimate of the work, as time on a standard core.
     pub cost_hint: Option<Duration>,
-    /// Its memory while it is queued, in kB.
+    /// Memory of the request while it is queued, in kB.
     pub memory_kb: f64,
-    /// Time since it reached the machine.
+    /// Time since the request reached the machine; it may have waited in a socket before it was read.
     pub age: Duration,
-    /// Its rank, 0 to 1, which callers compare with [`Signal::MinRank`](crate::Signal::MinRank).
+    /// Rank of the request, 0 to 1, which callers compare with [`Signal::MinRank`](crate::Signal::MinRank).
     pub rank: f64,
-    /// The caller it came from.
+    /// The caller that sent the request.
     pub caller: CallerId,
-    /// How long the caller still waits, if the request says so.
+    /// How long the caller will still wait for the answer; `None` if the request does not say.
     pub remaining_time: Option<Duration>,
 }
 
-/// The rank of an arrival that states none: in the middle.
+/// Rank of an arrival that states none: the middle of the range.
 const DEFAULT_RANK: f64 = 0.5;
 
 impl Arrival {
-    /// A first attempt with 1 kB of memory, no cost hint and no time left stated.
+    /// Creates a first attempt with 1 kB of memory, without a cost hint or a remaining time.
     pub fn new(id: RequestId, class: ClassId) -> Self {
         Arrival {
             id,
--- a/admission/src/interface/event.rs
+++ b/admission/src/interface/event.rs
@@ -1,4 +1,4 @@
-//! What the server reports to the module.
+//! Events: what the server reports to the admission module.
 
 use std::time::Duration;
 
@@ -8,25 +8,27 @@
 /// How a run or a call ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// It succeeded.
+    /// The run or call succeeded.
     Ok,
-    /// It failed; its effect may have occurred.
+    /// The run or call failed; its effect may have occurred.
     Error,
-    /// A call or a run was rejected before it started.
+    /// The call or run was rejected before it started.
     Rejected,
-    /// A call timed out; its effect may have occurred.
+    /// The call timed out; its effect may have occurred.
     TimedOut,
-    /// A call could not reach the dependency.
+    /// The call did not reach the dependency.
     Unreachable,
-    /// The connection of a call was lost; its effect may have occurred.
+    /// The connection of the call was lost; its effect may have occurred.
     CutOff,
-    /// A run was stopped, or ended at a call because it had been answered or its caller had disconnected.
+    /// The run was stopped, or ended at a call because the request had been answered or its caller had
+    /// disconnected.
     Cancelled,
-    /// No run was started because the request had already ended, or another node runs its key.
+    /// No run was started because the request had already ended or another node runs the request with this
+    /// key.
     Skipped,
 }
 
-/// Load of the server, as far as it measures it.
+/// Load measurements of the server. A gauge that the server does not measure is `None`.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Gauges {
     /// Recent utilization of the cores, 0 to 1.
@@ -40,30 +42,33 @@
 pub enum Event {
     /// A request was read and is now queued.
     Arrived(Arrival),
-    /// A run or a coalesced request ended; `Ok` and `Error` were sent to the caller unless it had its answer.
+    /// A run or a coalesced request ended. The server has sent the result of `Ok` and `Error` to the caller,
+    /// unless the request had been answered before.
     Finished {
         /// The request.
         id: RequestId,
-        /// How it ended.
+        /// How the run ended.
         outcome: Outcome,
-        /// Time since the action that started it.
+        /// Time since the action that started the run or coalesced the request.
         took: Duration,
     },
-    /// A running request waits for [`Action::Call`](crate::Action::Call) and uses no core meanwhile.
+    /// A running request has reached a call. It waits for [`Action::Call`](crate::Action::Call) and uses no
+    /// core meanwhile.
     CallNeeded(RequestId),
-    /// A call ended; after `Ok` the request continues by itself, otherwise it waits for another action.
+    /// A call ended. After `Ok` the server resumes the request; otherwise the request waits for another
+    /// action.
     CallReturned {
         /// The request.
         id: RequestId,
         /// How the call ended.
         outcome: Outcome,
-        /// Time since [`Action::Call`](crate::Action::Call).
+        /// Time since the [`Action::Call`](crate::Action::Call) that started the call.
         took: Duration,
     },
-    /// The caller has cancelled or disconnected; no answer is needed.
+    /// The caller has cancelled the request or disconnected; the request needs no answer.
     Cancelled(RequestId),
-    /// Shutdown notice: the server drains and is stopped after this time.
+    /// Shutdown notice: the server drains and will be stopped after this time.
     Drain(Duration),
-    /// A timer is due.
+    /// A timer has expired; the gauges are read at that time.
     Timer(TimerId, Gauges),
 }
--- a/admission/src/interface/identifiers.rs
+++ b/admission/src/interface/identifiers.rs
@@ -1,6 +1,6 @@
 //! Identifiers of requests, classes, tenants, callers and timers.
 
-/// Identifies one attempt of a request on this server. Not reused while the server runs.
+/// Identifies one attempt of a request on this server. An identifier is not reused while the server runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u32);
 
--- a/admission/src/interface/settings.rs
+++ b/admission/src/interface/settings.rs
@@ -7,25 +7,26 @@
 
 /// The settings of a server.
 ///
-/// Invalid values have limited effects: zero cores, servers or callers count as one, and so does a maximum
-/// concurrency below one request per core; without memory every request is rejected; a zero deadline means an
-/// immediate answer; a zero share of the dependency allows one call at most. A request of a class that is not
-/// listed is rejected.
+/// Invalid values have bounded effects: zero cores, servers or callers count as one, and a maximum
+/// concurrency below one request per core counts as one per core. Without memory every request is rejected. A
+/// zero deadline means an immediate answer. A zero share of the dependency allows at most one call at a time.
+/// A request whose class is not listed is rejected.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// The classes of requests; [`ClassId`](crate::ClassId) is the position.
+    /// The request classes; a [`ClassId`](crate::ClassId) is a position in this list.
     pub classes: Vec<Class>,
-    /// Quota of each tenant, in requests per second over all servers; [`TenantId`](crate::TenantId) is the position.
+    /// Quota of each tenant, in requests per second over all servers; a [`TenantId`](crate::TenantId) is a
+    /// position in this list.
     pub tenant_quotas: Vec<f64>,
-    /// Fraction of its class's weight that a request beyond its tenant's quota has.
+    /// Fraction of its class's weight that a request beyond the quota of its tenant keeps.
     pub over_quota_weight: f64,
     /// Whether weights apply per unit of work instead of per request.
     pub weight_by_work: bool,
-    /// Servers of this tier at the start, including this one.
+    /// Number of servers of this tier at startup, including this one.
     pub servers: u32,
-    /// Callers of this tier at the start.
+    /// Number of callers of this tier at startup.
     pub callers: u32,
-    /// Cores of this server.
+    /// Number of cores of this server.
     pub cores: u32,
     /// Memory for queued and running requests and retained keys, in kB.
     pub memory_kb: f64,
@@ -37,44 +38,45 @@
     pub dependency: Dependency,
     /// How running requests can be preempted.
     pub preemption: Preemption,
-    /// How callers use the advertised value.
+    /// How callers use the value of [`Action::Advertise`](crate::Action::Advertise).
     pub signal: Signal,
-    /// How long the response of an idempotent request may be reused for others; zero means never.
-    /// The module only looks whether it is zero; the embedding server enforces the duration, as it names in
-    /// [`Arrival::retry_of`](crate::Arrival::retry_of) no attempt whose response is older.
+    /// How long the response of an idempotent request may be reused for its retries; zero means never. The
+    /// module only checks whether the value is zero. The embedding server enforces the duration: it names no
+    /// attempt with an older response in [`Arrival::retry_of`](crate::Arrival::retry_of).
     pub response_reuse: Duration,
     /// Whether the server has just started and has to warm up (slow start).
     pub cold: bool,
-    /// Speed at a cold start, at the least, as a fraction of full speed.
+    /// Minimum speed at a cold start, as a fraction of full speed.
     pub cold_speed: f64,
-    /// The longest time that warming up takes.
+    /// The longest time that warm-up takes.
     pub warm_up_time: Duration,
     /// Whether arrivals carry [`Arrival::remaining_time`](crate::Arrival::remaining_time).
     pub sends_deadline: bool,
-    /// Idle timeout of connections at the callers.
+    /// Time after which callers close their idle connections.
     pub idle_timeout: Duration,
     /// Whether a rejection may carry a retry-after.
     pub retry_after: bool,
     /// The longest retry-after that callers honor.
     pub max_retry_after: Duration,
-    /// Grace period of a drain: requests that arrive later than this after [`Event::Drain`](crate::Event::Drain) must
-    /// not run.
+    /// Grace period of a drain: a request that arrives later than this after
+    /// [`Event::Drain`](crate::Event::Drain) must not run.
     pub drain_grace: Duration,
-    /// Maximum safe concurrency per core of a warm server; never exceeded, not even for a moment.
+    /// Maximum safe concurrency per core of a warm server. It is a hard limit and is never exceeded, even
+    /// briefly.
     pub max_concurrency_per_core: f64,
     /// The shortest time between two calls of [`Admission::handle`](crate::Admission::handle).
     pub min_handle_interval: Duration,
 }
 
-/// The default memory, in kB: a gigabyte.
+/// Default memory, in kB: one gigabyte.
 const DEFAULT_MEMORY_KB: f64 = 1_000_000.0;
-/// The default idle timeout of connections at the callers.
+/// Default time after which callers close their idle connections.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// The default of the longest retry-after that callers honor, and of the grace period of a drain.
+/// Default of both the longest retry-after that callers honor and the grace period of a drain.
 const DEFAULT_GRACE: Duration = Duration::from_secs(1);
-/// The default of the maximum safe concurrency per core.
+/// Default maximum safe concurrency per core.
 const DEFAULT_MAX_CONCURRENCY_PER_CORE: f64 = 4.0;
-/// The default of the shortest time between two batches.
+/// Default of the shortest time between two batches of events.
 const DEFAULT_MIN_HANDLE_INTERVAL: Duration = Duration::from_millis(1);
 
 impl Default for Settings {
--- a/admission/src/lib.rs
+++ b/admission/src/lib.rs
@@ -11,7 +11,7 @@
 //! let start = Duration::from_secs(100);
 //! let mut admission = Admission::new(settings, 7, start);
 //! let mut actions = Vec::new();
-//! admission.handle(start, &[], &mut actions); // initial actions: health, idle limit, first timer
+//! admission.handle(start, &[], &mut actions); // initial actions: health, idle timeout, first timer
 //!
 //! actions.clear();
 //! let arrival = Arrival::new(RequestId(1), ClassId(0));
