--- a/admission/src/admission.rs
+++ b/admission/src/admission.rs
@@ -214,7 +214,7 @@
         let recent_answers = self.overload.has_recent_answers();
         let concurrency = self.concurrency.run_limit();
         for id in shedding::requests_to_shed(&self.context(), concurrency, recent_answers) {
-            self.overload.request_shed(id);
+            self.overload.mark_shed(id);
             self.reject(id, actions);
         }
     }
--- a/admission/src/admission/call_start/tests.rs
+++ b/admission/src/admission/call_start/tests.rs
@@ -6,7 +6,7 @@
 
 const SKIPPABLE: f64 = 0.5;
 
-/// What is decided on a request blocked on a call to a tier, so many seconds after its arrival.
+/// The decision on a request blocked on a call to a tier, `now` seconds after the request arrived.
 fn decision(class: &Class, request: Request, now: f64, calls_at_limit: bool) -> CallDecision {
     let settings = Settings { classes: vec![class.clone()], ..Settings::default() };
     let state = ServerState::new(settings);
@@ -20,7 +20,7 @@
     decide_call(&request, &state.context(now), &calls, calls_at_limit)
 }
 
-fn after_failures(repeatable: &[bool]) -> Request {
+fn awaiting_call_after_failures(repeatable: &[bool]) -> Request {
     let mut request = awaiting_call();
     for repeatable in repeatable {
         request.send_call(at(0.0));
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_call_may_take_until_the_deadline_or_until_the_objective_if_it_may_be_skipped() {
+fn a_call_times_out_at_the_deadline_or_at_the_objective_if_it_is_skippable() {
     let timeout =
         |skip_weight| decision(&Class { skip_weight, ..Class::default() }, awaiting_call(), 0.5, false);
     assert!(matches!(timeout(0.0), CallDecision::Call { timeout } if timeout > seconds(4.4)));
@@ -38,30 +38,31 @@
 }
 
 #[test]
-fn a_skippable_call_is_skipped_at_the_limit_after_a_failure_or_if_it_would_end_too_late() {
+fn a_skippable_call_is_skipped_at_the_call_limit_after_a_failure_or_if_it_would_miss_the_objective() {
     let class = Class { skip_weight: SKIPPABLE, ..Class::default() };
     assert_eq!(decision(&class, awaiting_call(), 0.5, true), CallDecision::Skip);
-    assert_eq!(decision(&class, after_failures(&[true]), 0.5, false), CallDecision::Skip);
+    assert_eq!(decision(&class, awaiting_call_after_failures(&[true]), 0.5, false), CallDecision::Skip);
     assert_eq!(decision(&class, awaiting_call(), 0.875, false), CallDecision::Skip);
 }
 
 #[test]
-fn a_request_fails_after_three_failed_calls_or_one_that_may_not_be_repeated() {
+fn a_request_fails_after_three_failed_calls_or_one_unrepeatable_failure() {
     let class = Class::default();
-    let fails =
-        |failures: &[bool]| decision(&class, after_failures(failures), 0.5, false) == CallDecision::Fail;
+    let fails = |failures: &[bool]| {
+        decision(&class, awaiting_call_after_failures(failures), 0.5, false) == CallDecision::Fail
+    };
     assert!(!fails(&[true, true]) && fails(&[true, true, true]) && fails(&[false]));
 }
 
 #[test]
-fn at_the_bound_an_idempotent_request_past_its_objective_fails() {
+fn at_the_call_limit_an_idempotent_request_past_its_objective_fails() {
     let late = |effect| decision(&Class { effect, ..Class::default() }, awaiting_call(), 1.5, true);
     assert_eq!(late(Effect::Idempotent), CallDecision::Fail);
     assert!(matches!(late(Effect::AtMostOnce), CallDecision::Call { .. }));
 }
 
 #[test]
-fn the_highest_priority_calls_first() {
+fn calls_start_in_descending_order_of_priority() {
     let heavy = Request { priority: priority(3.0), ..awaiting_call() };
     let answered = Request { answer_settled: true, ..awaiting_call() };
     let running = Request { phase: Phase::Queued, ..awaiting_call() };
--- a/admission/src/admission/calls/limit/tests.rs
+++ b/admission/src/admission/calls/limit/tests.rs
@@ -17,13 +17,13 @@
     CallEnd { duration: seconds(0.5), slow, orphaned: false }
 }
 
-/// The most calls that may be in progress before another starts.
+/// The number of calls in progress below which another call may start.
 fn allowed(limit: &CallLimit, now: f64) -> usize {
     (0..20).take_while(|calls| limit.allows_call(at(now), f64::from(*calls))).count()
 }
 
 #[test]
-fn slow_calls_lower_the_limit_to_a_part_of_the_share_and_quick_ones_restore_it() {
+fn slow_calls_lower_the_limit_to_its_minimum_and_quick_calls_restore_the_share() {
     let mut limit = limit(10.0);
     assert_eq!(allowed(&limit, 0.0), 10);
     limit.call_ended(at(0.0), &call_end(true));
@@ -35,16 +35,16 @@
 }
 
 #[test]
-fn calls_beyond_the_share_use_up_its_balance() {
+fn calls_beyond_the_usable_share_overdraw_the_balance() {
     let mut limit = limit(2.0);
     assert_eq!(limit.accrue_and_count_in_progress(at(1.0), 2), 2.0);
-    assert_eq!(allowed(&limit, 1.0), 0, "two calls for a second of 1.5");
+    assert_eq!(allowed(&limit, 1.0), 0, "two calls for one second overdraw the usable 1.5 call-seconds");
     limit.accrue_and_count_in_progress(at(2.0), 0);
     assert_eq!(allowed(&limit, 2.0), 2);
 }
 
 #[test]
-fn calls_that_were_given_up_count_until_the_dependency_ends_them() {
+fn orphaned_calls_count_until_the_dependency_ends_them() {
     let mut limit = limit(2.0);
     limit.call_ended(at(0.0), &CallEnd { orphaned: true, ..call_end(false) });
     assert_eq!(limit.accrue_and_count_in_progress(at(0.25), 1), 2.0);
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_share_below_one_call_leaves_a_pause_after_each() {
+fn a_share_below_one_call_enforces_a_pause_after_each_call() {
     let mut limit = limit(0.5);
     assert_eq!(allowed(&limit, 0.0), 1);
     limit.call_ended(at(0.0), &call_end(false));
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn one_call_may_take_half_of_the_share_less_its_lingering() {
+fn one_call_may_use_half_of_the_share_less_the_linger_time() {
     assert_eq!(limit(1.0).max_call_time(), seconds(1.5));
     assert_eq!(limit(0.0).max_call_time(), seconds(0.05));
 }
--- a/admission/src/admission/calls/tests.rs
+++ b/admission/src/admission/calls/tests.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn twice_the_cores_may_be_blocked_on_calls_while_they_are_quick_and_as_many_as_end_in_time_otherwise() {
+fn blocked_calls_are_limited_to_twice_the_cores_while_quick_and_to_the_completable_number_otherwise() {
     let state = ServerState::new(settings(Dependency::Off));
     let mut calls = calls_to(Dependency::Off);
     assert_eq!(calls.max_blocked_on_calls(&state.context(0.0), 6.0), 4);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn at_the_limit_only_arrivals_of_high_priority_that_will_call_are_admitted() {
+fn at_the_call_limit_only_high_priority_arrivals_that_may_call_are_admitted() {
     let caller = |weight| Request { may_call: true, priority: priority(weight), ..queued() };
     let requests = vec![awaiting_call(), awaiting_call(), caller(1.0)];
     let state = ServerState::with_requests(settings(Dependency::Off), requests);
@@ -49,9 +49,9 @@
         calls.update_throttle(&state.context(0.0), limit);
         calls.admits(&request, &state.context(0.0))
     };
-    assert!(admits(caller(1.0), 4), "below the limit");
-    assert!(!admits(caller(1.0), 2), "two go first");
-    assert!(!admits(caller(1.0), 4), "it is throttled for a while");
+    assert!(admits(caller(1.0), 4), "fewer requests than the limit are blocked on calls");
+    assert!(!admits(caller(1.0), 2), "two requests of the same priority are already blocked on calls");
+    assert!(!admits(caller(1.0), 4), "arrivals that may call stay throttled for a rate window");
     assert!(admits(caller(2.0), 2) && admits(queued(), 2));
     calls.reset();
     assert!(!calls.are_throttled(at(0.0)));
--- a/admission/src/admission/class_estimates/tests.rs
+++ b/admission/src/admission/class_estimates/tests.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_cost_hint_far_from_the_mean_is_bounded() {
+fn the_relative_cost_of_an_outlying_hint_is_bounded() {
     let mut estimates = ClassEstimates::new(1);
     for _ in 0..50 {
         estimates.relative_cost(0, Some(Duration::from_millis(100)));
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn capacity_is_that_of_the_cores_for_the_mean_work_of_the_known_classes() {
+fn capacity_is_the_number_of_cores_over_the_mean_work_of_the_estimated_classes() {
     let mut estimates = ClassEstimates::new(2);
     estimates.record_run(&queued(), seconds(0.5));
     assert_eq!(estimates.capacity(4.0).value(), 8.0);
--- a/admission/src/admission/concurrency_limit/tests.rs
+++ b/admission/src/admission/concurrency_limit/tests.rs
@@ -18,11 +18,11 @@
     assert_eq!(limit.core_limit(), 2.25);
     let empty = ServerState::new(Settings { cores: 2, ..Settings::default() });
     limit.adjust(&IDLE, &empty.context(0.0), 6.0);
-    assert_eq!(limit.core_limit(), 2.25, "nothing is queued");
+    assert_eq!(limit.core_limit(), 2.25, "the limit does not rise while no request is queued");
 }
 
 #[test]
-fn the_limit_falls_while_too_much_is_runnable_and_stays_between_cores_and_ceiling() {
+fn the_limit_falls_while_too_many_tasks_are_runnable_and_stays_within_its_bounds() {
     let state = server();
     let mut limit = ConcurrencyLimit::new(2.0);
     (0..100).for_each(|_| limit.adjust(&IDLE, &state.context(0.0), 6.0));
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn runs_that_wait_for_io_are_beyond_the_limit() {
+fn runs_that_wait_for_io_raise_the_run_limit() {
     let mut limit = ConcurrencyLimit::new(2.0);
     limit.adjust(&Gauges { utilization: Some(1.0), runnable: Some(1.0) }, &server().context(0.0), 6.0);
     assert_eq!(limit.run_limit(), 3.0);
--- a/admission/src/admission/events.rs
+++ b/admission/src/admission/events.rs
@@ -20,7 +20,7 @@
     /// Applies one event to the decisions that it affects.
     pub(super) fn apply(&mut self, event: &Event, actions: &mut Vec<Action>) {
         match event {
-            Event::Arrived(arrival) => self.arrive(arrival, actions),
+            Event::Arrived(arrival) => self.handle_arrival(arrival, actions),
             Event::Finished { id, outcome, took } => self.run_finished(*id, *outcome, Span::from(*took)),
             Event::CallNeeded(id) => self.call_needed(*id),
             Event::CallReturned { id, outcome, took } => {
@@ -33,7 +33,7 @@
     }
 
     /// Queues or rejects an arrival. A retry of a known attempt is resolved against that attempt instead.
-    fn arrive(&mut self, arrival: &Arrival, actions: &mut Vec<Action>) {
+    fn handle_arrival(&mut self, arrival: &Arrival, actions: &mut Vec<Action>) {
         let id = arrival.id;
         let class = usize::from(arrival.class.0);
         if self.requests.table().contains(id) {
--- a/admission/src/admission/idle_connections/tests.rs
+++ b/admission/src/admission/idle_connections/tests.rs
@@ -5,7 +5,7 @@
 use crate::admission::time::Span;
 use crate::interface::{CallerId, Settings};
 
-const CALM: ConnectionLoad = ConnectionLoad { read_overload: false, spare_capacity: true };
+const SPARE_CAPACITY: ConnectionLoad = ConnectionLoad { read_overload: false, spare_capacity: true };
 const READ_OVERLOAD: ConnectionLoad = ConnectionLoad { read_overload: true, spare_capacity: false };
 
 /// A server with ten callers that keep connections for 20 seconds.
@@ -24,16 +24,17 @@
     for _ in 0..200 {
         (0..5).for_each(|caller| limit.record_request(CallerId(caller), at(0.0), seconds(20.0)));
     }
-    let half_of_callers = adjusted(&mut limit, &CALM).expect("a new limit");
+    let half_of_callers =
+        adjusted(&mut limit, &SPARE_CAPACITY).expect("the limit changes by more than a fifth");
     assert!(half_of_callers > seconds(4.5) && half_of_callers < seconds(5.0), "{half_of_callers:?}");
-    assert_eq!(adjusted(&mut limit, &CALM), None, "no change is worth telling");
+    assert_eq!(adjusted(&mut limit, &SPARE_CAPACITY), None, "an unchanged limit is not reported");
 }
 
 #[test]
-fn under_read_overload_connections_are_kept_as_long_as_callers_keep_them_and_then_released() {
+fn read_overload_raises_the_limit_to_the_callers_timeout_and_it_decays_afterwards() {
     let mut limit = IdleConnectionLimit::new(seconds(0.5));
     assert_eq!(adjusted(&mut limit, &READ_OVERLOAD), Some(seconds(20.0)));
-    let limits: Vec<Span> = (0..60).filter_map(|_| adjusted(&mut limit, &CALM)).collect();
+    let limits: Vec<Span> = (0..60).filter_map(|_| adjusted(&mut limit, &SPARE_CAPACITY)).collect();
     assert_eq!(limits.last(), Some(&seconds(0.05)));
-    assert!(limits.len() > 5, "in steps");
+    assert!(limits.len() > 5, "the limit decays in several steps: {limits:?}");
 }
--- a/admission/src/admission/load_signal.rs
+++ b/admission/src/admission/load_signal.rs
@@ -66,12 +66,12 @@
             Signal::MinRank => min_rank_to_accept(load, context.now),
             Signal::Off | Signal::Credit | Signal::Weight => load.recent.rejected_fraction(context.now),
         };
-        self.step(target);
-        let value = self.value(load, context)?;
-        let worth_telling = self
+        self.move_shed_fraction(target);
+        let value = self.advertised_value(load, context)?;
+        let changed_enough = self
             .advertised
             .is_none_or(|advertised| (advertised - value).abs() > MIN_CHANGE * advertised.max(SMALL_VALUE));
-        if !worth_telling {
+        if !changed_enough {
             return None;
         }
         self.advertised = Some(value);
@@ -80,7 +80,7 @@
 
     /// Below the target, the shed fraction rises by a tenth of its distance to the target per tick. Otherwise
     /// it falls by 0.01 per tick, whatever the target, to probe for recovered capacity.
-    fn step(&mut self, target: Fraction) {
+    fn move_shed_fraction(&mut self, target: Fraction) {
         let shed_fraction = self.shed_fraction.value();
         let rise = RISE * (target.value() - shed_fraction).max(0.0);
         let fall = if rise > 0.0 { 0.0 } else { FALL };
@@ -88,7 +88,7 @@
     }
 
     /// The advertised value for the current shed fraction; `None` if callers use no signal.
-    fn value(&self, load: &SignalLoad, context: &Context) -> Option<f64> {
+    fn advertised_value(&self, load: &SignalLoad, context: &Context) -> Option<f64> {
         let shed_fraction = self.shed_fraction.value();
         match context.settings.signal {
             Signal::Off => None,
--- a/admission/src/admission/load_signal/tests.rs
+++ b/admission/src/admission/load_signal/tests.rs
@@ -4,7 +4,7 @@
 use crate::admission::tests::fixtures::{at, priority, ServerState};
 use crate::interface::{RequestId, Settings, Signal};
 
-/// Arrivals of ranks from 0 to 1, of which those below `rejected_below` were rejected.
+/// Forty arrivals with ranks from 0 to 1, of which those with a rank below `rejected_below` were rejected.
 fn arrivals(rejected_below: f64) -> RecentArrivals {
     let mut recent = RecentArrivals::default();
     for number in 0..40_u32 {
@@ -16,7 +16,7 @@
     recent
 }
 
-/// What is advertised over so many ticks.
+/// The values advertised over this number of ticks.
 fn advertised(signal: &mut LoadSignal, kind: Signal, recent: &RecentArrivals, ticks: u32) -> Vec<f64> {
     let state = ServerState::new(Settings { signal: kind, callers: 4, ..Settings::default() });
     let load = SignalLoad { recent, read_overload: false, concurrency_limit: 8.0 };
@@ -24,15 +24,18 @@
 }
 
 #[test]
-fn the_level_approaches_the_rank_below_which_rejections_outweigh_admissions() {
+fn the_minimum_rank_approaches_the_rank_below_which_rejections_outweigh_admissions() {
     let levels = advertised(&mut LoadSignal::default(), Signal::MinRank, &arrivals(0.5), 200);
-    assert!(levels.windows(2).filter(|pair| pair[1] > pair[0]).count() > 5, "in small steps");
+    assert!(
+        levels.windows(2).filter(|pair| pair[1] > pair[0]).count() > 5,
+        "the minimum rank rises in small steps: {levels:?}"
+    );
     assert!(levels.iter().all(|level| *level < 0.5));
     assert!(levels.last().is_some_and(|level| *level > 0.4), "{levels:?}");
 }
 
 #[test]
-fn the_level_falls_by_itself_once_nothing_is_rejected() {
+fn the_minimum_rank_decays_once_nothing_is_rejected() {
     let mut signal = LoadSignal::default();
     advertised(&mut signal, Signal::MinRank, &arrivals(0.5), 200);
     let levels = advertised(&mut signal, Signal::MinRank, &arrivals(0.0), 60);
@@ -40,7 +43,7 @@
 }
 
 #[test]
-fn an_idle_server_advertises_its_concurrency_as_credit_and_the_full_weight() {
+fn an_idle_server_advertises_its_concurrency_limit_as_credit_or_the_full_weight() {
     let first = |kind| advertised(&mut LoadSignal::default(), kind, &arrivals(0.0), 1);
     assert_eq!(first(Signal::Credit), [8.0]);
     assert_eq!(first(Signal::Weight), [1.0]);
--- a/admission/src/admission/memory.rs
+++ b/admission/src/admission/memory.rs
@@ -27,7 +27,7 @@
     }
 
     /// Memory use with `more_kb` kilobytes added.
-    pub(crate) fn with(self, more_kb: f64) -> Self {
+    pub(crate) fn with_additional(self, more_kb: f64) -> Self {
         MemoryUse { used_kb: self.used_kb + more_kb, ..self }
     }
 
--- a/admission/src/admission/memory/tests.rs
+++ b/admission/src/admission/memory/tests.rs
@@ -9,13 +9,13 @@
 }
 
 #[test]
-fn started_requests_count_with_the_memory_of_a_run_and_keys_with_theirs() {
+fn memory_use_is_the_sum_of_queued_requests_runs_and_retained_keys() {
     let large = || Request { memory_kb: 20.0, ..queued() };
     let run = Request { memory_kb: 20.0, ..running() };
     let state = ServerState::with_requests(settings(), vec![large(), run]);
     let mut keys = RetainedKeys::default();
     keys.retain(RequestId(1), seconds(1.0), seconds(1.0), at(0.0));
     let memory = MemoryUse::of(&state.context(0.0), &keys);
-    assert!(memory.fits(), "20 + 60 + 10 of 90 kB");
-    assert!(memory.with(0.5).is_exceeded());
+    assert!(memory.fits(), "20 kB queued, 60 kB running and 10 kB of keys fit into the usable 90 kB");
+    assert!(memory.with_additional(0.5).is_exceeded());
 }
--- a/admission/src/admission/overload.rs
+++ b/admission/src/admission/overload.rs
@@ -26,7 +26,7 @@
 #[derive(Debug)]
 pub(crate) struct OverloadControl {
     permitted_rate: PermittedRate,
-    overload: OverloadDetector,
+    detector: OverloadDetector,
     latencies: LatencyTracker,
     arrival_rates: ArrivalRates,
     recent_arrivals: RecentArrivals,
@@ -37,7 +37,7 @@
     pub(crate) fn new(tenants: usize, now: Instant) -> Self {
         OverloadControl {
             permitted_rate: PermittedRate::new(now),
-            overload: OverloadDetector::new(),
+            detector: OverloadDetector::new(),
             latencies: LatencyTracker::default(),
             arrival_rates: ArrivalRates::new(tenants, now),
             recent_arrivals: RecentArrivals::default(),
@@ -52,7 +52,7 @@
     /// Discards the load measurements, as at startup, except for the latencies of the last window.
     pub(crate) fn reset(&mut self, now: Instant) {
         self.permitted_rate.reset(now);
-        self.overload = OverloadDetector::new();
+        self.detector = OverloadDetector::new();
         self.arrival_rates.reset(now);
         self.recent_arrivals.clear();
     }
@@ -89,13 +89,13 @@
     }
 
     /// Marks an admitted request as shed.
-    pub(crate) fn request_shed(&mut self, id: RequestId) {
-        self.recent_arrivals.shed(id);
+    pub(crate) fn mark_shed(&mut self, id: RequestId) {
+        self.recent_arrivals.mark_shed(id);
     }
 
     /// Records that the dependency or the tier below has rejected a call.
     pub(crate) fn record_downstream_rejection(&mut self, now: Instant) {
-        self.overload.record_downstream_rejection(now);
+        self.detector.record_downstream_rejection(now);
     }
 
     /// Records a successful answer: the request counts as handled, and its latency is sampled.
@@ -112,7 +112,7 @@
     pub(crate) fn admit(&mut self, priority: Priority, context: &Context, calls_throttled: bool) -> bool {
         let priority_quantile = self.recent_arrivals.priority_quantile(priority);
         self.permitted_rate.admit(priority_quantile, context.now, || {
-            self.overload.is_overloaded(context, &self.latencies, calls_throttled)
+            self.detector.is_overloaded(context, &self.latencies, calls_throttled)
         })
     }
 
@@ -125,7 +125,7 @@
         }
         self.arrival_rates.window_ended(self.recent_arrivals.rejected_fraction(now), now);
         let load = WindowLoad {
-            downstream_rejected: self.overload.downstream_rejected_after(self.permitted_rate.window_start()),
+            downstream_rejected: self.detector.downstream_rejected_after(self.permitted_rate.window_start()),
             latency_exceeds_target: self.latencies.exceeds_target(context, calls_throttled),
             capacity: context.capacity(),
         };
--- a/admission/src/admission/overload/arrival_rates/tests.rs
+++ b/admission/src/admission/overload/arrival_rates/tests.rs
@@ -3,7 +3,7 @@
 use crate::admission::tests::fixtures::at;
 use crate::interface::TenantId;
 
-/// Rates after arrivals of the first of two tenants, `per_second` for so many seconds.
+/// Rates of two tenants after `per_second` arrivals per second of the first one for this number of seconds.
 fn after_arrivals(per_second: u32, seconds: u32) -> ArrivalRates {
     let mut rates = ArrivalRates::new(2, at(0.0));
     add_arrivals(&mut rates, 0, per_second, seconds);
@@ -18,19 +18,22 @@
 }
 
 #[test]
-fn what_a_tenant_sends_beyond_its_quota_over_all_servers_exceeds_it() {
+fn the_quota_is_compared_with_the_estimated_rate_over_all_servers() {
     let rates = after_arrivals(10, 40);
     let within =
         |tenant, quota, servers| rates.fraction_within_quota(TenantId(tenant), quota, servers).value();
-    assert!((0.45..0.55).contains(&within(0, 20.0, 4.0)), "40 of 20 a second");
+    assert!(
+        (0.45..0.55).contains(&within(0, 20.0, 4.0)),
+        "about 40 requests per second over four servers exceed the quota of 20"
+    );
     assert_eq!(within(0, 20.0, 1.0), 1.0);
-    assert_eq!(within(0, 0.0, 4.0), 1.0, "no quota");
-    assert_eq!(within(1, 20.0, 4.0), 1.0, "another tenant");
-    assert_eq!(within(7, 20.0, 4.0), 1.0, "an unknown tenant");
+    assert_eq!(within(0, 0.0, 4.0), 1.0, "a tenant without a quota is within it");
+    assert_eq!(within(1, 20.0, 4.0), 1.0, "the arrivals of another tenant do not count");
+    assert_eq!(within(7, 20.0, 4.0), 1.0, "an unknown tenant is within its quota");
 }
 
 #[test]
-fn more_than_usual_arrives_after_a_rise_by_more_than_a_quarter() {
+fn the_usual_rate_is_exceeded_after_an_increase_by_more_than_a_quarter() {
     let mut rates = after_arrivals(10, 40);
     rates.window_ended(Fraction::NONE, at(40.0));
     assert!(!rates.exceeds_usual(at(40.0)));
@@ -39,8 +42,8 @@
 }
 
 #[test]
-fn a_window_with_many_rejections_is_not_usual() {
+fn a_window_with_many_rejections_does_not_count_as_usual() {
     let mut rates = after_arrivals(10, 40);
     rates.window_ended(Fraction::new(0.2), at(40.0));
-    assert!(rates.exceeds_usual(at(40.0)), "nothing is usual yet");
+    assert!(rates.exceeds_usual(at(40.0)), "no window has counted as usual yet");
 }
--- a/admission/src/admission/overload/detector/tests.rs
+++ b/admission/src/admission/overload/detector/tests.rs
@@ -10,14 +10,17 @@
 }
 
 #[test]
-fn overload_is_latency_over_target_while_more_than_one_request_is_queued() {
+fn latency_over_target_with_more_than_one_queued_request_is_overload() {
     assert!(is_overloaded(vec![queued(), queued()], 0.5, false));
-    assert!(!is_overloaded(vec![queued(), queued()], 0.3, false), "latency is on target");
-    assert!(!is_overloaded(vec![queued(), running()], 0.5, false), "one is next");
+    assert!(!is_overloaded(vec![queued(), queued()], 0.3, false), "the latency is within the target");
+    assert!(
+        !is_overloaded(vec![queued(), running()], 0.5, false),
+        "a single queued request is not a sign of overload"
+    );
 }
 
 #[test]
-fn what_is_throttled_for_calls_is_no_overload() {
+fn requests_that_may_call_do_not_count_as_overload_while_calls_are_throttled() {
     let caller = || Request { may_call: true, ..queued() };
     assert!(is_overloaded(vec![caller(), caller()], 0.5, false));
     assert!(!is_overloaded(vec![caller(), caller()], 0.5, true));
--- a/admission/src/admission/overload/latency/tests.rs
+++ b/admission/src/admission/overload/latency/tests.rs
@@ -15,14 +15,14 @@
 }
 
 #[test]
-fn the_mean_of_answered_and_late_waiting_requests_is_compared_with_the_target() {
+fn the_mean_latency_includes_answered_requests_and_unanswered_ones_over_target() {
     let latencies = tracker(vec![sample(0.0, 0.1, false), sample(0.0, 0.1, false)]);
     let over_target = |requests| {
         let state = ServerState::with_requests(Settings::default(), requests);
         latencies.exceeds_target(&state.context(0.9), false)
     };
     assert!(!over_target(vec![]));
-    assert!(!over_target(vec![running()]), "0.37 in the mean");
+    assert!(!over_target(vec![running()]), "the mean of 0.1, 0.1 and 0.9 is below the target");
     assert!(over_target(vec![running(), queued()]));
     let answered = Request { answer_settled: true, ..running() };
     assert!(!over_target(vec![answered, queued()]));
--- a/admission/src/admission/overload/recent_arrivals.rs
+++ b/admission/src/admission/overload/recent_arrivals.rs
@@ -42,7 +42,7 @@
     }
 
     /// Marks an admitted request as shed.
-    pub(crate) fn shed(&mut self, id: RequestId) {
+    pub(crate) fn mark_shed(&mut self, id: RequestId) {
         for arrival in self.arrivals.iter_mut().filter(|arrival| arrival.id == id) {
             arrival.admitted = false;
         }
--- a/admission/src/admission/overload/recent_arrivals/tests.rs
+++ b/admission/src/admission/overload/recent_arrivals/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn the_quantile_of_a_priority_is_among_the_latest_64_arrivals() {
+fn the_priority_quantile_is_computed_over_the_latest_64_arrivals() {
     let recent = arrivals(1..=100);
     assert_eq!(recent.priority_quantile(priority(36.0)).value(), 0.0);
     assert_eq!(recent.priority_quantile(priority(69.0)).value(), 0.5);
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn the_rejected_fraction_is_of_at_least_eight_arrivals_of_the_last_window() {
+fn the_rejected_fraction_covers_the_last_window_and_divides_by_at_least_eight() {
     assert_eq!(arrivals(1..=20).rejected_fraction(at(1.0)).value(), 0.5);
     assert_eq!(arrivals(1..=4).rejected_fraction(at(1.0)).value(), 0.25);
     assert_eq!(arrivals(1..=20).rejected_fraction(at(2.0)).value(), 0.0);
@@ -33,6 +33,6 @@
 #[test]
 fn a_request_that_is_shed_later_counts_as_rejected() {
     let mut recent = arrivals(1..=20);
-    recent.shed(RequestId(2));
+    recent.mark_shed(RequestId(2));
     assert_eq!(recent.rejected_fraction(at(1.0)).value(), 0.55);
 }
--- a/admission/src/admission/overload/token_bucket/tests.rs
+++ b/admission/src/admission/overload/token_bucket/tests.rs
@@ -4,7 +4,8 @@
 
 const TEN_PER_SECOND: RequestRate = RequestRate::per_second(10.0);
 
-/// How many of a hundred arrivals of this priority quantile a bucket admits that was filled for so many seconds.
+/// How many of a hundred arrivals of this priority quantile are admitted by a bucket that has filled for
+/// `fill_seconds`.
 fn admitted(fill_seconds: f64, quantile: f64, overloaded: bool) -> usize {
     let mut bucket = TokenBucket::new(at(0.0));
     let mut takes = || bucket.take(TEN_PER_SECOND, Fraction::new(quantile), at(fill_seconds), || overloaded);
@@ -12,12 +13,12 @@
 }
 
 #[test]
-fn a_bucket_holds_at_most_a_second_of_the_rate() {
+fn the_bucket_holds_at_most_one_second_of_the_rate() {
     assert_eq!(admitted(60.0, 1.0, true), admitted(1.0, 1.0, true));
 }
 
 #[test]
-fn the_lowest_priority_finds_part_of_the_bucket_reserved_and_the_highest_may_borrow() {
+fn part_of_the_bucket_is_reserved_from_low_priorities_and_the_highest_may_borrow() {
     assert_eq!(admitted(1.0, 0.0, true), 4);
     assert_eq!(admitted(1.0, 1.0, true), 14);
     assert_eq!(admitted(0.0, 0.0, true), 0);
--- a/admission/src/admission/read_overload/tests.rs
+++ b/admission/src/admission/read_overload/tests.rs
@@ -3,12 +3,12 @@
 use crate::interface::Gauges;
 
 #[test]
-fn reading_is_overloaded_once_most_of_what_is_runnable_is_no_run_for_a_while() {
-    let mut reading = ReadOverload::new();
+fn read_overload_is_detected_after_many_ticks_on_which_most_runnable_tasks_are_not_runs() {
+    let mut detector = ReadOverload::new();
     let read_overload = Gauges { utilization: None, runnable: Some(10.0) };
     let mut overloaded_after = |ticks| {
-        (0..ticks).for_each(|_| reading.update(&read_overload, &RequestTable::default()));
-        reading.is_overloaded()
+        (0..ticks).for_each(|_| detector.update(&read_overload, &RequestTable::default()));
+        detector.is_overloaded()
     };
     assert!(!overloaded_after(5));
     assert!(overloaded_after(30));
--- a/admission/src/admission/request_intake.rs
+++ b/admission/src/admission/request_intake.rs
@@ -76,10 +76,10 @@
     let settings = context.settings;
     let has_key = context.class_of(request).effect == Effect::IdempotencyKey;
     let key_memory_kb = if has_key { settings.key_memory_kb } else { 0.0 };
-    let memory = MemoryUse::of(context, keys).with(key_memory_kb);
+    let memory = MemoryUse::of(context, keys).with_additional(key_memory_kb);
     drain.may_run(request.arrived_at)
         && request.deadline > context.now
-        && memory.with(extra_memory_of_run(request, settings)).fits()
+        && memory.with_additional(extra_memory_of_run(request, settings)).fits()
 }
 
 #[cfg(test)]
--- a/admission/src/admission/request_intake/tests.rs
+++ b/admission/src/admission/request_intake/tests.rs
@@ -20,13 +20,13 @@
 }
 
 #[test]
-fn deadline_and_objective_count_from_when_the_request_reached_the_machine() {
+fn deadline_and_objective_start_when_the_request_reaches_the_machine() {
     let request = request_of(&arrival(), Settings::default(), &Drain::default());
     assert_eq!((request.objective_deadline, request.deadline), (at(0.5), at(4.5)));
 }
 
 #[test]
-fn a_stated_deadline_holds_where_arrivals_state_one() {
+fn a_stated_deadline_applies_if_arrivals_carry_deadlines() {
     let stated = Arrival { remaining_time: Some(Duration::from_secs(2)), ..arrival() };
     let deadline = |sends_deadline| {
         let settings = Settings { sends_deadline, ..Settings::default() };
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn the_objective_is_stretched_by_the_work_and_ends_with_the_deadline() {
+fn the_objective_is_extended_by_the_work_but_not_beyond_the_deadline() {
     let class = Class { objective_stretch: 2.0, ..Class::default() };
     let settings = Settings { classes: vec![class], ..Settings::default() };
     let objective = |cost| {
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn everything_ends_with_the_drain_and_late_arrivals_are_not_queued() {
+fn a_drain_limits_the_deadline_and_late_arrivals_are_not_queued() {
     let mut drain = Drain::default();
     drain.start(at(-1.0), seconds(4.0), seconds(0.25), Span::ZERO);
     let request = request_of(&arrival(), Settings::default(), &drain);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_request_is_queued_only_if_its_run_fits_the_memory() {
+fn a_request_is_queued_only_if_its_run_fits_into_memory() {
     let settings = Settings { memory_kb: 10.0, running_memory_factor: 4.0, ..Settings::default() };
     let state = ServerState::new(settings);
     let fits = |memory_kb| {
--- a/admission/src/admission/requests.rs
+++ b/admission/src/admission/requests.rs
@@ -113,7 +113,7 @@
     ) {
         push_rejection(replaced, advice, actions);
         self.table.remove(replaced);
-        self.ended_attempts.replaced(replaced, id);
+        self.ended_attempts.record_replaced(replaced, id);
     }
 
     /// Makes the retry `id` wait for the outcome of the attempt that it names.
@@ -175,7 +175,7 @@
 
     fn remove_queued(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         self.table.remove(id);
-        self.ended_attempts.ended(id);
+        self.ended_attempts.record_ended(id);
         if self.keys.release(id) {
             actions.push(Action::ReleaseKey(id));
         }
--- a/admission/src/admission/requests/ended_attempts.rs
+++ b/admission/src/admission/requests/ended_attempts.rs
@@ -18,12 +18,12 @@
     }
 
     /// Records an attempt that ended without a replacement.
-    pub(crate) fn ended(&mut self, id: RequestId) {
+    pub(crate) fn record_ended(&mut self, id: RequestId) {
         self.successors.insert(id, None);
     }
 
     /// Records an attempt that was replaced by its retry.
-    pub(crate) fn replaced(&mut self, id: RequestId, retry: RequestId) {
+    pub(crate) fn record_replaced(&mut self, id: RequestId, retry: RequestId) {
         self.successors.insert(id, Some(retry));
     }
 
--- a/admission/src/admission/requests/ended_attempts/tests.rs
+++ b/admission/src/admission/requests/ended_attempts/tests.rs
@@ -2,19 +2,23 @@
 use crate::interface::RequestId;
 
 #[test]
-fn a_retry_stands_for_the_attempts_that_it_replaced_one_after_the_other() {
+fn a_chain_of_replacements_resolves_to_the_last_retry() {
     let mut attempts = EndedAttempts::default();
-    attempts.replaced(RequestId(1), RequestId(2));
-    attempts.replaced(RequestId(2), RequestId(3));
+    attempts.record_replaced(RequestId(1), RequestId(2));
+    attempts.record_replaced(RequestId(2), RequestId(3));
     assert_eq!(attempts.successor_of(RequestId(1)), Some(RequestId(3)));
-    assert_eq!(attempts.successor_of(RequestId(9)), Some(RequestId(9)), "not ended");
+    assert_eq!(
+        attempts.successor_of(RequestId(9)),
+        Some(RequestId(9)),
+        "an attempt that has not ended resolves to itself"
+    );
 }
 
 #[test]
-fn nothing_stands_for_an_attempt_that_ended_without_another_until_the_next_batch() {
+fn an_attempt_that_ended_without_a_replacement_resolves_to_none_until_the_next_batch() {
     let mut attempts = EndedAttempts::default();
-    attempts.replaced(RequestId(1), RequestId(2));
-    attempts.ended(RequestId(2));
+    attempts.record_replaced(RequestId(1), RequestId(2));
+    attempts.record_ended(RequestId(2));
     assert_eq!(attempts.successor_of(RequestId(1)), None);
     attempts.clear();
     assert_eq!(attempts.successor_of(RequestId(1)), Some(RequestId(1)));
--- a/admission/src/admission/requests/idempotency_keys/tests.rs
+++ b/admission/src/admission/requests/idempotency_keys/tests.rs
@@ -3,7 +3,7 @@
 use crate::interface::RequestId;
 
 #[test]
-fn a_key_is_retained_until_its_window_and_the_deadline_have_passed() {
+fn a_key_is_retained_until_both_its_window_and_the_deadline_have_passed() {
     let mut keys = RetainedKeys::default();
     let longer_window = keys.retain(RequestId(1), seconds(5.0), seconds(2.0), at(0.0));
     let longer_deadline = keys.retain(RequestId(2), seconds(5.0), seconds(8.0), at(0.0));
--- a/admission/src/admission/requests/tests.rs
+++ b/admission/src/admission/requests/tests.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_retry_that_takes_a_queued_attempts_place_keeps_the_earlier_objective() {
+fn a_retry_that_replaces_a_queued_attempt_keeps_the_earlier_objective() {
     let mut requests = with_request(queued());
     requests.table_mut().insert(RequestId(2), Request { objective_deadline: at(3.0), ..queued() });
     requests.prepare_replacement(RequestId(2), RequestId(1));
@@ -51,9 +51,9 @@
 }
 
 #[test]
-fn a_drain_brings_deadlines_and_objectives_forward() {
+fn a_drain_moves_deadlines_and_objectives_forward() {
     let mut requests = with_request(queued());
     requests.limit_deadlines(at(0.5));
-    let request = requests.table().get(RequestId(1)).expect("open");
+    let request = requests.table().get(RequestId(1)).expect("the request is still open");
     assert_eq!((request.deadline, request.objective_deadline), (at(0.5), at(0.5)));
 }
--- a/admission/src/admission/run_queue.rs
+++ b/admission/src/admission/run_queue.rs
@@ -59,7 +59,7 @@
             break;
         }
         let Some(request) = context.requests.get(id) else { continue };
-        let with_run = memory.with(extra_memory_of_run(request, context.settings));
+        let with_run = memory.with_additional(extra_memory_of_run(request, context.settings));
         if with_run.is_exceeded() || calls_are_full(request, context.requests, limits.max_blocked_on_calls) {
             continue;
         }
--- a/admission/src/admission/stall.rs
+++ b/admission/src/admission/stall.rs
@@ -34,12 +34,12 @@
         self.progress_at = now;
     }
 
-    /// Updates the state; returns whether it has changed. Run times are `known` once there is a permitted
+    /// Updates the state; returns whether it has changed. `run_times_known` is set once there is a permitted
     /// rate: it is initialized after a window with 16 successful runs, so the mean run time is established by
     /// then.
-    pub(crate) fn update(&mut self, context: &Context, known: bool) -> bool {
+    pub(crate) fn update(&mut self, context: &Context, run_times_known: bool) -> bool {
         let mean_run = Span::from_seconds(context.cores() / context.capacity().value());
-        let stalled = known && context.now - self.progress_at > STALLED_AFTER_RUNS * mean_run;
+        let stalled = run_times_known && context.now - self.progress_at > STALLED_AFTER_RUNS * mean_run;
         std::mem::replace(&mut self.stalled, stalled) != stalled
     }
 }
--- a/admission/src/admission/time/tests.rs
+++ b/admission/src/admission/time/tests.rs
@@ -3,7 +3,7 @@
 use super::{Instant, Span};
 
 #[test]
-fn instants_and_spans_compute_like_the_seconds_that_they_hold() {
+fn arithmetic_on_instants_and_spans_is_that_of_their_seconds() {
     let (early, late) = (0.1, 0.7);
     let elapsed = Instant::from_clock(Duration::from_secs_f64(late))
         - Instant::from_clock(Duration::from_secs_f64(early));
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn an_overdue_span_is_reported_as_zero_and_an_endless_one_as_finite() {
+fn a_negative_span_is_reported_as_zero_and_an_infinite_one_is_capped() {
     assert_eq!(Span::from_seconds(-2.0).to_duration(), Duration::ZERO);
     assert_eq!(Span::INFINITE.to_duration(), Duration::from_secs(1_000_000));
 }
--- a/admission/src/admission/warm_up/tests.rs
+++ b/admission/src/admission/warm_up/tests.rs
@@ -6,7 +6,7 @@
 use crate::interface::Settings;
 
 #[test]
-fn a_cold_server_gains_speed_evenly_until_it_is_warm() {
+fn the_speed_of_a_cold_server_rises_linearly_until_it_is_warm() {
     let warm_up_time = Duration::from_secs(10);
     let settings = Settings { cold: true, cold_speed: 0.5, warm_up_time, ..Settings::default() };
     let warm_up = WarmUp::new(&settings, at(0.0));
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_server_that_was_warm_at_its_start_has_full_speed() {
+fn a_server_that_starts_warm_has_full_speed() {
     let warm_up = WarmUp::new(&Settings { cold_speed: 0.1, ..Settings::default() }, at(0.0));
     assert_eq!(warm_up.fraction(at(0.0)), Fraction::ALL);
 }
