--- a/fleet/src/claims.rs
+++ b/fleet/src/claims.rs
@@ -1,4 +1,4 @@
-//! Claims: the votes of a key's replicas that a node collects before it runs a request, so that the key runs
-//! at most once in the fleet.
+//! Claims on idempotency keys. Before a node runs a request, it collects votes for its claim from the key's
+//! replicas, so that a key runs at most once in the fleet.
 
 pub mod coordinator;
--- a/fleet/src/claims/coordinator.rs
+++ b/fleet/src/claims/coordinator.rs
@@ -1,9 +1,10 @@
-//! The claims of this node's own attempts: whether a run may start, and when its result is replicated.
+//! Coordinates the claims that this node makes for its own attempts: decides whether a run may start and
+//! replicates its result.
 //!
-//! A run may start once a quorum of the key's replicas has granted its claim, in each active configuration.
+//! A run may start once a quorum of the key's replicas in each active configuration has granted its claim.
 //! Its result may be sent to the client once a quorum has stored it. A claim that can't get a quorum is
-//! released, and its attempt waits for the run that prevents it, or is rejected. No attempt waits past its
-//! deadline.
+//! released; its attempt waits for the result of the conflicting run, or is rejected. No attempt waits past
+//! its deadline.
 
 mod attempt;
 mod claim;
@@ -21,27 +22,27 @@
 
 use claim::{Claim, ClaimState, Decision, ReplicaResponse};
 
-/// The most claims that are open at once, including those whose result some replicas have not stored yet.
-/// Bounds the memory: a claim holds its key and, until it is closed, the result of its run.
+/// Maximum number of open claims, including those whose result is not stored by all replicas yet. Bounds the
+/// memory use: an open claim holds its key and the result of its run.
 pub const MAX_CLAIMS: usize = 8192;
-/// How long after a quorum has stored a result the remaining replicas are still sent it.
+/// How long the remaining replicas are still sent a result after a quorum has stored it.
 const FULL_REPLICATION_TIMEOUT: Duration = Duration::from_secs(10);
-/// A request without a response is sent again after this; the interval then doubles up to
-/// [`MAX_RETRY_INTERVAL`]. A claim's first interval is used twice, as it doubles only when a request is
-/// sent again; that of a result doubles from the first time that it is sent.
+/// Interval after which a request without a response is first retried. The interval doubles with each retry,
+/// up to [`MAX_RETRY_INTERVAL`]. For a claim the first two intervals are equal, because only a retry doubles
+/// it; for a result the first transmission doubles it too.
 const INITIAL_RETRY_INTERVAL: Duration = Duration::from_millis(50);
-/// The longest interval between two requests.
+/// Maximum interval between two retries of a request.
 const MAX_RETRY_INTERVAL: Duration = Duration::from_millis(800);
-/// An attempt that waits for another node's run asks for it this often; it is notified at once if no
-/// message is lost.
+/// Interval at which an attempt that waits for another attempt's run polls the replicas. They also notify it
+/// as soon as the run completes, so that it depends on polling only if a message is lost.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// A claim is given up this long before the deadline, since the answer needs time to reach the client.
-/// Where little time is left, see [`ANSWER_MARGIN_MAX_DIVISOR`].
+/// How long before the client's deadline a claim is given up, so that the answer can reach the client in
+/// time. [`ANSWER_MARGIN_MAX_DIVISOR`] caps it for short deadlines.
 const ANSWER_MARGIN: Duration = Duration::from_millis(250);
-/// The margin is at most the time until the deadline divided by this: a quarter of it.
+/// The answer margin is at most the time until the deadline divided by this, i.e. a quarter of it.
 const ANSWER_MARGIN_MAX_DIVISOR: u32 = 4;
 
-/// All open claims of this node.
+/// Tracks all open claims of this node.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct ClaimCoordinator {
     this_node: NodeId,
@@ -68,7 +69,7 @@
         self.claims.len()
     }
 
-    /// Makes further claims in another incarnation; open ones continue.
+    /// Sets the incarnation in which new claims are made. Open claims keep theirs.
     pub fn set_incarnation(&mut self, incarnation: Incarnation) {
         self.incarnation = incarnation;
     }
@@ -79,7 +80,8 @@
         id
     }
 
-    /// Claims the key of an attempt.
+    /// Claims the key of an attempt, or rejects the attempt if [`MAX_CLAIMS`] claims are open and none of
+    /// them can be evicted.
     pub fn request_run(
         &mut self,
         now: Time,
@@ -88,8 +90,8 @@
         out: &mut Vec<ClaimAction>,
     ) {
         if self.claims.len() >= MAX_CLAIMS {
-            // Evicts the oldest claim whose result a quorum has stored; its remaining replicas are no
-            // longer sent it.
+            // Evicts the oldest claim whose result a quorum has stored. The remaining replicas are not sent
+            // that result any more.
             let stored = self.claims.values().find(|claim| claim.quorum_stored_at.is_some());
             let Some(stored) = stored.map(|claim| claim.id) else {
                 let outcome = ClaimOutcome::Rejected(RejectReason::CapacityExceeded);
@@ -104,12 +106,12 @@
         self.claims.insert(id, claim);
     }
 
-    /// Renews the claims that are still collecting grants under the configurations that are active now.
-    /// Claims that wait for a remote run keep their replicas: they have released their grants and only
-    /// poll, until `give_up_at` at the latest. Those that are granted or replicate a result keep the
-    /// quorums that granted them.
+    /// Releases the claims that are still collecting grants and makes them again in the configurations that
+    /// are active now. Claims that wait for a remote run keep polling their old replicas: they hold no
+    /// grants, and end by `give_up_at`. Claims that are granted or replicate a result keep the replicas
+    /// that granted them.
     pub fn reconfigure(&mut self, now: Time, configs: &ActiveConfigs, out: &mut Vec<ClaimAction>) {
-        for id in self.claims_in(&ClaimState::Collecting) {
+        for id in self.claims_in_state(&ClaimState::Collecting) {
             let renewed = self.next_claim_id();
             let Some(mut claim) = self.claims.remove(&id) else { continue };
             claim.release(out);
@@ -121,11 +123,12 @@
         }
     }
 
-    fn claims_in(&self, state: &ClaimState) -> Vec<ClaimId> {
+    fn claims_in_state(&self, state: &ClaimState) -> Vec<ClaimId> {
         self.claims.values().filter(|claim| claim.state == *state).map(|claim| claim.id).collect()
     }
 
-    /// Replicates the result of an attempt's run.
+    /// Replicates the result of an attempt's run. If the attempt has no granted claim, it is notified at
+    /// once that the result is not stored.
     pub fn complete_run(
         &mut self,
         now: Time,
@@ -143,17 +146,17 @@
         claim.send_and_schedule_retry(now, |_| true, out);
     }
 
-    /// Closes an attempt's claim; no run may be in progress under it. If its run has ended, replicas are no
-    /// longer sent the result; otherwise the claim is released.
+    /// Closes the claim of an attempt; no run may be in progress under it. A claim without a run is released.
+    /// If its run has completed, the result is not sent to further replicas.
     pub fn release(&mut self, attempt: AttemptId, out: &mut Vec<ClaimAction>) {
         let claim = self.by_attempt.remove(&attempt).and_then(|id| self.claims.remove(&id));
-        // A release says that nothing ran, which is not true of a claim that replicates a result.
+        // A release tells the replicas that no run started, which is wrong for a claim with a result.
         if let Some(claim) = claim.filter(|claim| !claim.is_replicating()) {
             claim.release(out);
         }
     }
 
-    /// Handles the response of a replica in this incarnation of it.
+    /// Handles a response that replica `from` sent in `incarnation`.
     pub fn handle_response(
         &mut self,
         now: Time,
@@ -169,15 +172,15 @@
             Message::Blocked { claim: claim_id, conflict } => {
                 (claim_id, ReplicaResponse::Blocked { conflict, responded_at: now }, Vec::new())
             }
-            // The replica announces the configuration that this node lacks, and the claim is renewed under
-            // that one.
+            // The replica also announces the configuration that this node lacks. `reconfigure` makes the
+            // claim again once that configuration is active here.
             Message::Uncertain { reason: RejectReason::ConfigMismatch, .. } => return,
             Message::Uncertain { claim: claim_id, reason } => {
                 (claim_id, ReplicaResponse::Uncertain(reason), Vec::new())
             }
             Message::KeyFree { claim: claim_id } => (claim_id, ReplicaResponse::KeyFree, Vec::new()),
-            // A replica without capacity, or which could not write to its disk, answers `stored: false`; it
-            // stays pending and is retried.
+            // A replica that has no capacity or could not write to its disk responds `stored: false`. Its
+            // response stays pending, so the result is sent again.
             Message::Stored { claim: claim_id, stored: true } => {
                 (claim_id, ReplicaResponse::Stored, Vec::new())
             }
@@ -194,10 +197,11 @@
         self.act_on_responses(now, claim_id, out);
     }
 
-    /// Handles that a replica can't be reached: its grant is not to be expected. Claims in other states
-    /// keep the request pending, as a result must still be stored and a poll is repeated in any case.
+    /// Handles that a replica can't be reached: claims that are collecting grants stop waiting for its
+    /// response. In other states the response stays pending, since a result must still be stored and polls
+    /// are repeated anyway.
     pub fn handle_unreachable(&mut self, now: Time, node: NodeId, out: &mut Vec<ClaimAction>) {
-        for id in self.claims_in(&ClaimState::Collecting) {
+        for id in self.claims_in_state(&ClaimState::Collecting) {
             let Some(claim) = self.claims.get_mut(&id) else { continue };
             if claim.responses.get(&node) != Some(&ReplicaResponse::Pending) {
                 continue;
@@ -207,7 +211,7 @@
         }
     }
 
-    /// Handles that a link to a replica broke, with the messages that were on it: pending requests are sent
+    /// Handles that the link to a replica broke. Messages in transit are lost, so pending requests are sent
     /// again.
     pub fn handle_broken_link(&mut self, now: Time, node: NodeId, out: &mut Vec<ClaimAction>) {
         for claim in self.claims.values() {
@@ -217,7 +221,7 @@
         }
     }
 
-    /// Advances the time. `is_alive` says which replicas answer probes.
+    /// Retries and gives up claims that are due. `is_alive` tells whether a node answers probes.
     pub fn tick(&mut self, now: Time, is_alive: impl Fn(NodeId) -> bool, out: &mut Vec<ClaimAction>) {
         let due: Vec<ClaimId> =
             self.claims.values().filter(|claim| claim.is_due(now)).map(|claim| claim.id).collect();
@@ -253,13 +257,13 @@
             ClaimState::AwaitingRemoteRun => claim.reset_responses(),
             ClaimState::Granted | ClaimState::Replicating { .. } => {}
         }
-        // Until a quorum has stored the result, every replica is retried; afterwards only those that answer
-        // probes.
+        // Once a quorum has stored the result, only replicas that answer probes are sent it again.
         claim.send_and_schedule_retry(now, |node| quorum_stored_at.is_none() || is_alive(node), out);
         self.act_on_responses(now, id, out);
     }
 
-    /// Gives up a claim whose time has ended. Replicas are still sent the result of a run.
+    /// Notifies the attempt of a claim that has reached `give_up_at`, and closes the claim. A result is still
+    /// replicated.
     fn give_up(&mut self, id: ClaimId, out: &mut Vec<ClaimAction>) {
         let Some(claim) = self.claims.get_mut(&id) else { return };
         let outcome = match claim.state {
@@ -267,8 +271,8 @@
             ClaimState::Replicating { .. } => return claim.report_stored_by_quorum(false, out),
             ClaimState::Collecting => {
                 claim.release(out);
-                // A conflicting run may have started: its outcome is unknown. Only responses since the last
-                // retry count, as a retry drops the `Blocked` ones before it.
+                // A conflicting run may have started, and its outcome is unknown. Each retry resets the
+                // `Blocked` responses to pending, so only those since the last retry count.
                 if claim.is_blocked() {
                     ClaimOutcome::Unknown
                 } else {
@@ -289,11 +293,11 @@
         }
     }
 
-    /// Rejects the attempts whose claims are still collecting grants: the node was suspended or lost its
-    /// state, and may act on outdated knowledge. Claims that wait for a remote run stay open: they hold no
-    /// grants.
+    /// Rejects the attempts whose claims are still collecting grants. Called when the node was suspended or
+    /// lost its state, so what it knows of its peers may be outdated. Claims that wait for a remote run stay
+    /// open, because they hold no grants.
     pub fn reject_collecting(&mut self, out: &mut Vec<ClaimAction>) {
-        for id in self.claims_in(&ClaimState::Collecting) {
+        for id in self.claims_in_state(&ClaimState::Collecting) {
             if let Some(claim) = self.claims.get(&id) {
                 claim.release(out);
                 let outcome = ClaimOutcome::Rejected(RejectReason::NoQuorum);
@@ -303,8 +307,9 @@
         }
     }
 
-    /// Returns what became of a claim of this node, if that is known yet. `predecessor_alive` says that a
-    /// process of an earlier incarnation may still run what it started.
+    /// Returns the message that tells a replica the outcome of a claim of this node: the result, or that no
+    /// run started. Returns `None` while the outcome is open. `predecessor_alive` tells that the process of
+    /// an earlier incarnation may still complete its runs.
     pub fn resolve(
         &self,
         now: Time,
@@ -321,18 +326,19 @@
             };
         }
         if claim_id.incarnation == self.incarnation {
-            // The claim of a completed run is open until a quorum has stored the result, or until its
-            // window has ended: this one never ran.
+            // A claim with a completed run stays open until a quorum has stored the result or the key's
+            // window has ended, so a claim that is not open never ran.
             return Some(Message::Release { key: key.clone(), claim: claim_id });
         }
-        // A claim of an earlier incarnation whose state is gone. If the run's own completion arrives later,
-        // it takes precedence in the merge. `retain_ms: 0` leaves the replica's expiry unchanged.
+        // The claim was made in an earlier incarnation whose state is lost, so its run counts as abandoned.
+        // If the run's own result arrives later, it takes precedence in the merge. `retain_ms: 0` leaves the
+        // replica's expiry unchanged.
         let run = CompletedRun::abandoned(claim_id, body_digest);
         let is_lost = claim_id.incarnation < self.incarnation && !predecessor_alive;
         is_lost.then(|| Message::Completed { key: key.clone(), retain_ms: 0, run })
     }
 
-    /// Acts on the responses to a claim so far.
+    /// Checks whether the responses received so far decide a claim, and acts on the decision.
     fn act_on_responses(&mut self, now: Time, id: ClaimId, out: &mut Vec<ClaimAction>) {
         let Some(claim) = self.claims.get_mut(&id) else { return };
         match claim.state {
--- a/fleet/src/claims/coordinator/attempt.rs
+++ b/fleet/src/claims/coordinator/attempt.rs
@@ -1,61 +1,60 @@
-//! What an attempt requests, and what it is notified of.
+//! Run requests of attempts, and the outcomes that attempts are notified of.
 
 use crate::ids::NodeId;
 use crate::message::{Message, RejectReason};
 use crate::replication::key_state::{BodyDigest, Key, RunResult};
 use crate::Time;
 
-/// An attempt at a request, as its node numbers it.
+/// Identifies an attempt at a request; assigned by the node that received it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId(pub u64);
 
-/// What an attempt is notified of. Several may follow each other: [`ClaimOutcome::Granted`] and
-/// [`ClaimOutcome::AwaitingRemoteRun`] are interim, all others are final.
+/// Outcome of a claim, as its attempt is notified of it. [`ClaimOutcome::Granted`] and
+/// [`ClaimOutcome::AwaitingRemoteRun`] are interim and followed by another outcome; all others are final.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum ClaimOutcome {
-    /// Its run may start. Once that has completed, [`ClaimOutcome::StoredByQuorum`] follows.
+    /// The attempt's run may start. [`ClaimOutcome::StoredByQuorum`] follows once the run has completed.
     Granted,
-    /// Its run must not start. No run has started under this attempt; whether another attempt's has is not
-    /// said.
+    /// The attempt's run must not start, and none has. Another attempt's run may have started.
     Rejected(RejectReason),
-    /// Its run must not start, as a run of another attempt (a remote run) may have started. What became of
-    /// that one follows: its result, a rejection (it never started, or its window has ended), a body
-    /// mismatch, or that its outcome is unknown.
+    /// The attempt's run must not start, because a run of another attempt (the remote run) may have started.
+    /// The final outcome follows: the result of the remote run, a rejection (the remote run never started, or
+    /// its window has ended), a body mismatch, or an unknown outcome.
     AwaitingRemoteRun,
     /// The result of the remote run.
     RemoteResult(RunResult),
-    /// Its key was used with another body.
+    /// The key was already used with another request body.
     BodyMismatch,
-    /// The outcome of the remote run is not known in time.
+    /// The outcome of the remote run was still unknown shortly before the deadline.
     Unknown,
-    /// Whether a quorum has stored the result of its run in time.
+    /// Whether a quorum has stored the result of the attempt's run before the deadline.
     StoredByQuorum(bool),
 }
 
-/// An attempt's request for permission to run.
+/// Request of an attempt for permission to run.
 #[derive(Debug, Clone)]
 pub struct RunRequest {
-    /// The attempt.
+    /// The attempt that asks.
     pub attempt: AttemptId,
-    /// Its key.
+    /// Idempotency key of the client's request.
     pub key: Key,
-    /// The digest of its body.
+    /// Digest of the request body.
     pub body_digest: BodyDigest,
     /// When the key's idempotency window ends.
     pub window_ends_at: Time,
-    /// When the request was received.
+    /// When this node received the request.
     pub received_at: Time,
-    /// The same in Unix milliseconds.
+    /// When this node received the request, in Unix milliseconds.
     pub received_unix_ms: u64,
     /// When the client stops waiting.
     pub deadline: Time,
 }
 
-/// What is to be done.
+/// Action that the caller of [`ClaimCoordinator`](super::ClaimCoordinator) must carry out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimAction {
-    /// Send this message to a node.
+    /// Send the message to the node, which may be this node itself.
     Send(NodeId, Message),
-    /// Notify an attempt.
+    /// Notify the attempt of the outcome.
     Notify(AttemptId, ClaimOutcome),
 }
--- a/fleet/src/claims/coordinator/claim.rs
+++ b/fleet/src/claims/coordinator/claim.rs
@@ -1,4 +1,4 @@
-//! One claim: what its replicas have responded, and what follows from that.
+//! A single claim: the responses of its replicas, and the decision that follows from them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -13,55 +13,55 @@
 use crate::replication::key_state::{BodyDigest, ClaimId, CompletedRun, Key, RunResult};
 use crate::{millis_ceil, Time};
 
-/// What a replica has responded to the current request.
+/// Response of a replica to the request of the claim's current state.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) enum ReplicaResponse {
-    /// Nothing yet.
+    /// No response yet.
     Pending,
-    /// It granted the claim in this incarnation of it.
+    /// The replica granted the claim while in this incarnation.
     Granted(Incarnation),
-    /// The replica knows another claim on the key, started or completed.
+    /// The replica knows a conflicting claim on the key whose run may have started or has completed.
     Blocked {
         conflict: ConflictingClaim,
         /// When this node received the response.
         responded_at: Time,
     },
-    /// It knows of no run of the key.
+    /// The replica knows of no run of the key.
     KeyFree,
-    /// Neither granted nor denied; also set locally when the replica is unreachable.
+    /// The replica could neither grant nor deny the claim. Also set locally when it is unreachable.
     Uncertain(RejectReason),
-    /// It has stored the result.
+    /// The replica has stored the result.
     Stored,
 }
 
-/// How far a claim has got.
+/// State of a claim.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) enum ClaimState {
-    /// Replicas are asked to grant it.
+    /// The replicas are asked to grant the claim.
     Collecting,
-    /// A quorum has granted it, and its run may be under way.
+    /// A quorum has granted the claim, and its run may be in progress.
     Granted,
-    /// It is released, and its attempt waits for the run of another claim.
+    /// The claim is released, and its attempt waits for the run of another claim.
     AwaitingRemoteRun,
-    /// Its run has completed, and replicas are sent the result.
+    /// The run has completed, and its result is sent to the replicas.
     Replicating {
         result: RunResult,
-        /// Whether the attempt was notified.
+        /// Whether the attempt was notified of [`ClaimOutcome::StoredByQuorum`].
         reported: bool,
     },
 }
 
-/// What is decided from the responses to a claim.
+/// Decision on a claim, made from the responses to it.
 pub(super) enum Decision {
-    /// A quorum has granted it.
+    /// A quorum has granted the claim.
     Granted,
-    /// Another claim prevents it, whose run has not completed yet.
+    /// A conflicting claim has precedence, and its run has not completed yet.
     AwaitingRemoteRun,
-    /// It is closed with this outcome.
+    /// The claim is closed with this outcome.
     Final(ClaimOutcome),
 }
 
-/// The replicas of a key in one configuration.
+/// Replicas of a key in one configuration, and their quorum.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct ReplicaGroup {
     version: ConfigVersion,
@@ -87,17 +87,17 @@
     received_at: Time,
     received_unix_ms: u64,
     /// This node's index in the configuration that was newest when the claim was first made. It only breaks
-    /// ties between completed runs, and stays the same when the claim is renewed.
+    /// ties between completed runs, and does not change when the claim is made again.
     node_index: u32,
-    /// When the attempt must be notified at the latest.
+    /// Latest time at which the attempt must be notified of the outcome.
     pub(super) give_up_at: Time,
     /// The key's replicas in each active configuration.
     groups: Vec<ReplicaGroup>,
     pub(super) responses: BTreeMap<NodeId, ReplicaResponse>,
-    /// The latest incarnations of the replicas that any of them knows.
+    /// Latest incarnation of each replica, as far as any replica has reported it.
     incarnations: BTreeMap<NodeId, Incarnation>,
     pub(super) state: ClaimState,
-    /// Since when a quorum has stored the result.
+    /// When a quorum had stored the result.
     pub(super) quorum_stored_at: Option<Time>,
     pub(super) retry_interval: Duration,
     pub(super) retry_at: Time,
@@ -117,7 +117,7 @@
             window_ends_at,
             received_at,
             received_unix_ms,
-            // `u32::MAX`: not a member, which sorts last.
+            // A node that is not a member gets `u32::MAX`, which sorts last.
             node_index: node_index.and_then(|index| u32::try_from(index).ok()).unwrap_or(u32::MAX),
             give_up_at: deadline.saturating_sub(ANSWER_MARGIN.min(max_margin)),
             groups: Vec::new(),
@@ -132,7 +132,7 @@
         claim
     }
 
-    /// Takes the key's replicas from the active configurations; none has responded yet.
+    /// Sets the key's replicas in the active configurations, and marks all responses as pending.
     pub(super) fn set_configs(&mut self, configs: &ActiveConfigs) {
         let groups = configs.iter().map(|config| ReplicaGroup {
             version: config.version(),
@@ -145,15 +145,16 @@
         self.responses = replicas.into_iter().map(|node| (node, ReplicaResponse::Pending)).collect();
     }
 
-    /// Resets all responses to pending: every replica is to be asked.
+    /// Resets all responses to pending, so that every replica is asked.
     pub(super) fn reset_responses(&mut self) {
         for response in self.responses.values_mut() {
             *response = ReplicaResponse::Pending;
         }
     }
 
-    /// Reconsiders the responses so far: a replica that does not answer probes counts as unreachable, and a
-    /// conflicting claim may have been released since, so the replica is asked again.
+    /// Updates the responses before a retry. A pending replica that does not answer probes counts as
+    /// unreachable. A replica that was blocked is asked again, since the conflicting claim may have been
+    /// released.
     pub(super) fn reconsider_responses(&mut self, is_alive: impl Fn(NodeId) -> bool) {
         for (node, response) in &mut self.responses {
             match response {
@@ -166,7 +167,7 @@
         }
     }
 
-    /// Returns the message that replicas are sent in the claim's state; none while its run is under way.
+    /// Returns the request that is sent to replicas in the claim's state; `None` while its run is in progress.
     pub(super) fn outgoing_message(&self, now: Time) -> Option<Message> {
         let retain_ms = millis_ceil(self.window_ends_at.saturating_sub(now));
         let Claim { id: claim_id, body_digest, .. } = *self;
@@ -197,43 +198,43 @@
         }
     }
 
-    /// Sends the request to those replicas without a response that satisfy the predicate.
+    /// Sends the request to the replicas whose response is pending and for which `should_send` holds.
     pub(super) fn send_requests(
         &self,
         now: Time,
-        is_wanted: impl Fn(NodeId) -> bool,
+        should_send: impl Fn(NodeId) -> bool,
         out: &mut Vec<ClaimAction>,
     ) {
         let Some(request) = self.outgoing_message(now) else { return };
         for (node, response) in &self.responses {
-            if *response == ReplicaResponse::Pending && is_wanted(*node) {
+            if *response == ReplicaResponse::Pending && should_send(*node) {
                 out.push(ClaimAction::Send(*node, request.clone()));
             }
         }
     }
 
-    /// Sends the request to pending replicas that satisfy the predicate, and sets `retry_at`. Polling keeps
-    /// its interval; other states back off exponentially.
+    /// Sends the request like [`Claim::send_requests`], and schedules the next retry. Polls are sent at a
+    /// fixed interval; all other requests back off exponentially.
     pub(super) fn send_and_schedule_retry(
         &mut self,
         now: Time,
-        is_wanted: impl Fn(NodeId) -> bool,
+        should_send: impl Fn(NodeId) -> bool,
         out: &mut Vec<ClaimAction>,
     ) {
-        self.send_requests(now, is_wanted, out);
+        self.send_requests(now, should_send, out);
         self.retry_at = now + self.retry_interval;
         if self.state != ClaimState::AwaitingRemoteRun {
             self.retry_interval = (self.retry_interval * 2).min(MAX_RETRY_INTERVAL);
         }
     }
 
-    /// Tells all replicas that no run has started under the claim and none will.
+    /// Tells all replicas that no run has started under the claim and none will start.
     pub(super) fn release(&self, out: &mut Vec<ClaimAction>) {
         let message = Message::Release { key: self.key.clone(), claim: self.id };
         out.extend(self.responses.keys().map(|node| ClaimAction::Send(*node, message.clone())));
     }
 
-    /// Notifies the attempt, once, whether a quorum has stored its result.
+    /// Notifies the attempt whether a quorum has stored its result. Repeated calls have no effect.
     pub(super) fn report_stored_by_quorum(&mut self, is_stored: bool, out: &mut Vec<ClaimAction>) {
         if let ClaimState::Replicating { reported: reported @ false, .. } = &mut self.state {
             *reported = true;
@@ -249,7 +250,7 @@
         now >= self.window_ends_at + LATE_READ_GRACE
     }
 
-    /// Whether a tick has something to do.
+    /// Whether a retry, the give-up time or the expiry of the claim is due.
     pub(super) fn is_due(&self, now: Time) -> bool {
         let is_running = self.state == ClaimState::Granted;
         let is_reported = matches!(self.state, ClaimState::Replicating { reported: true, .. });
@@ -258,7 +259,7 @@
         must_retry || must_give_up || self.has_expired(now)
     }
 
-    /// Whether a response of this replica is expected in the claim's state.
+    /// Whether `from` is a replica of the claim and the claim's state expects such a response.
     pub(super) fn accepts(&self, from: NodeId, response: &ReplicaResponse) -> bool {
         let fits_state = match response {
             ReplicaResponse::Granted(_) => self.state == ClaimState::Collecting,
@@ -293,18 +294,19 @@
         self.responses.get(&node) == Some(response)
     }
 
-    /// Whether a quorum of the replicas satisfies the predicate in each configuration.
+    /// Whether in each configuration a quorum of the replicas satisfies the predicate.
     fn has_quorums(&self, satisfies: impl Fn(NodeId) -> bool) -> bool {
         self.groups.iter().all(|group| group.has_quorum(&satisfies))
     }
 
-    /// Whether a replica's grant counts: it is of the replica's latest incarnation that any replica knows.
+    /// Whether the replica has granted the claim in its latest incarnation that any replica knows of. Grants of
+    /// earlier incarnations do not count.
     fn is_granted_by(&self, node: NodeId) -> bool {
         let Some(ReplicaResponse::Granted(incarnation)) = self.responses.get(&node) else { return false };
         self.incarnations.get(&node) == Some(incarnation)
     }
 
-    /// The conflicting claims that replicas have responded with, and when.
+    /// Returns the conflicting claims that replicas have reported, with the time of each response.
     fn conflicts(&self) -> impl Iterator<Item = (&ConflictingClaim, Time)> {
         self.responses.values().filter_map(|response| match response {
             ReplicaResponse::Blocked { conflict, responded_at } => Some((conflict, *responded_at)),
@@ -312,18 +314,19 @@
         })
     }
 
-    /// Decides from the responses so far; none if the decision depends on further ones. The checks in
-    /// order:
+    /// Decides the claim from the responses received so far; `None` if further responses are needed. The
+    /// first rule that applies decides:
     ///
-    /// 1. a conflict that is about an earlier request, whose window had ended: the attempt is rejected;
-    /// 2. a completed run of the key, whichever replica reports it: its result is the outcome;
-    /// 3. for a claim that waits for a remote run: whether a quorum reports that the key is free; if not, no
-    ///    decision yet;
-    /// 4. a quorum of grants: the run may start;
-    /// 5. whether replicas without a response could still complete a quorum: no decision yet;
-    /// 6. otherwise [`Claim::evaluate_without_quorum`].
+    /// 1. A conflict belongs to an earlier request whose window had ended: the attempt is rejected.
+    /// 2. Any replica reports a completed run of the key: that run's result is the outcome.
+    /// 3. The claim waits for a remote run: the attempt is rejected once a quorum reports the key as free.
+    /// 4. A quorum has granted the claim: the run may start.
+    /// 5. Pending replicas could still complete a quorum: no decision yet.
+    /// 6. Otherwise [`Claim::evaluate_without_quorum`] decides.
     pub(super) fn evaluate_responses(&self) -> Option<Decision> {
-        if self.conflicts().any(|(conflict, responded_at)| self.is_of_earlier_request(conflict, responded_at))
+        if self
+            .conflicts()
+            .any(|(conflict, responded_at)| self.belongs_to_earlier_request(conflict, responded_at))
         {
             return Some(Decision::Final(ClaimOutcome::Rejected(RejectReason::WindowExpired)));
         }
@@ -339,8 +342,8 @@
         }
         if self.state == ClaimState::AwaitingRemoteRun {
             let is_free = self.has_quorums(|node| self.has_responded(node, &ReplicaResponse::KeyFree));
-            // The claim that this attempt waited for was released without a run. The attempt is not claimed
-            // again here: it is rejected, and the client may retry.
+            // The conflicting claim was released without a run. The key is not claimed again for this
+            // attempt; the client may retry.
             let rejected = ClaimOutcome::Rejected(RejectReason::ClaimReleased);
             return is_free.then_some(Decision::Final(rejected));
         }
@@ -355,28 +358,29 @@
         self.evaluate_without_quorum()
     }
 
-    /// Whether a conflict is about an earlier request with the same key, whose window had ended when this
-    /// one was received. `responded_at` is when the replica's response was received. The response took time
-    /// to arrive, so this is the latest time at which the window can have ended.
-    fn is_of_earlier_request(&self, conflict: &ConflictingClaim, responded_at: Time) -> bool {
+    /// Whether a conflict belongs to an earlier request with the same key whose window had ended when this
+    /// request was received. `responded_at` is when the replica's response arrived here; because of the
+    /// transmission time, it gives the latest time at which the window can have ended.
+    fn belongs_to_earlier_request(&self, conflict: &ConflictingClaim, responded_at: Time) -> bool {
         let window_ended_at = responded_at.saturating_sub(Duration::from_millis(conflict.expired_ms));
         conflict.expired_ms > 0 && self.received_at > window_ended_at
     }
 
-    /// The decision when the claim can't get a quorum by the responses so far.
+    /// Decides a claim that can't get a quorum any more, given the responses received so far.
     fn evaluate_without_quorum(&self) -> Option<Decision> {
         let Some((lowest, _)) = self.conflicts().min_by_key(|(conflict, _)| conflict.claim) else {
             let reason = self.responses.values().find_map(|response| match response {
                 ReplicaResponse::Uncertain(reason) => Some(*reason),
                 _ => None,
             });
-            // Without a reason, some grants are of an earlier incarnation and do not count.
+            // No reason was given if the quorum is missing only because grants of earlier incarnations do
+            // not count.
             let reason = reason.unwrap_or(RejectReason::Recovering);
             return Some(Decision::Final(ClaimOutcome::Rejected(reason)));
         };
-        // Where several claims have been granted by some replicas each, the lowest one keeps asking and the
-        // others yield. If the lowest of the others has a quorum in any configuration, this claim can't get
-        // one there.
+        // If several claims each hold the grants of some replicas, the claim with the lowest id keeps
+        // retrying and the others yield. It yields too if the lowest conflicting claim has a quorum in any
+        // configuration, since this claim can't get a quorum there.
         let blocked_by_lowest = |node: NodeId| match self.responses.get(&node) {
             Some(ReplicaResponse::Blocked { conflict, .. }) => conflict.claim == lowest.claim,
             _ => false,
--- a/fleet/src/claims/coordinator/tests.rs
+++ b/fleet/src/claims/coordinator/tests.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use std::sync::Arc;
 
-fn request(attempt: u64) -> RunRequest {
+fn run_request(attempt: u64) -> RunRequest {
     RunRequest {
         attempt: AttemptId(attempt),
         key: Bytes::from("k"),
@@ -21,7 +21,7 @@
     RunResult::Succeeded(Bytes::from(result))
 }
 
-/// A coordinator with one claim, which its three replicas were asked to grant.
+/// A coordinator with one open claim, whose three replicas have been asked to grant it.
 struct Fixture {
     claims: ClaimCoordinator,
     configs: ActiveConfigs,
@@ -33,13 +33,13 @@
         let configs = ActiveConfigs::new(id(1), Arc::new(config(1, &[1, 2, 3], 1)));
         let mut claims = ClaimCoordinator::new(id(1), Incarnation(4));
         let mut out = Vec::new();
-        claims.request_run(at(0), request(1), &configs, &mut out);
-        assert_eq!(out.len(), 3, "every replica is asked: {out:?}");
+        claims.request_run(at(0), run_request(1), &configs, &mut out);
+        assert_eq!(out.len(), 3, "every replica is asked to grant the claim: {out:?}");
         out.clear();
         Fixture { claims, configs, out }
     }
 
-    /// What the attempt was notified of since the last call.
+    /// Returns the outcomes that the attempt was notified of since the last call.
     fn outcomes(&mut self) -> Vec<ClaimOutcome> {
         let outcomes = self.out.drain(..).filter_map(|action| match action {
             ClaimAction::Notify(_, outcome) => Some(outcome),
@@ -58,23 +58,29 @@
         self.outcomes()
     }
 
-    /// The replica grants the claim in this incarnation of it, and knows of these.
+    /// Delivers a grant that replica `from` sent in `incarnation`, with the incarnations of other replicas that
+    /// it knows.
     fn grant(&mut self, from: usize, incarnation: u64, known: Vec<(NodeId, u64)>) -> Vec<ClaimOutcome> {
         let incarnations = known.into_iter().map(|(node, known)| (node, Incarnation(known))).collect();
-        let message = Message::Granted { claim: claim(), incarnations };
+        let message = Message::Granted { claim: fixture_claim(), incarnations };
         self.respond_in(incarnation, from, message)
     }
 
-    fn block(&mut self, from: usize, first: ClaimId, result: Option<&'static str>) -> Vec<ClaimOutcome> {
+    fn block(
+        &mut self,
+        from: usize,
+        conflicting: ClaimId,
+        result: Option<&'static str>,
+    ) -> Vec<ClaimOutcome> {
         let completed = result.map(|result| CompletedRun {
             received_at: 0,
             node_index: 0,
-            claim: first,
+            claim: conflicting,
             result: succeeded(result),
             body: 5,
         });
-        let conflict = ConflictingClaim { claim: first, body: 5, completed, expired_ms: 0 };
-        self.respond(from, Message::Blocked { claim: claim(), conflict })
+        let conflict = ConflictingClaim { claim: conflicting, body: 5, completed, expired_ms: 0 };
+        self.respond(from, Message::Blocked { claim: fixture_claim(), conflict })
     }
 
     fn complete(&mut self, result: RunResult) {
@@ -90,24 +96,25 @@
     }
 }
 
-/// The claim of the fixture.
-fn claim() -> ClaimId {
+/// Id of the fixture's claim.
+fn fixture_claim() -> ClaimId {
     ClaimId { node: id(1), incarnation: Incarnation(4), number: 1 }
 }
 
-fn other(number: u64) -> ClaimId {
+/// Id of a claim of another node, higher than that of the fixture's claim.
+fn conflicting_claim(number: u64) -> ClaimId {
     ClaimId { node: NodeId(u64::MAX), incarnation: Incarnation(1), number }
 }
 
 #[test]
-fn a_quorum_permits_a_run_and_a_quorum_permits_its_result() {
+fn a_run_starts_after_a_quorum_of_grants_and_its_result_is_reported_after_a_quorum_of_stores() {
     let mut fixture = Fixture::new();
     assert_eq!(fixture.grant(2, 1, vec![]), []);
     assert_eq!(fixture.grant(3, 1, vec![]), [ClaimOutcome::Granted]);
     fixture.complete(succeeded("job"));
     assert_eq!(fixture.out.len(), 3, "every replica is sent the result");
     fixture.out.clear();
-    let claim = self::claim();
+    let claim = fixture_claim();
     for (from, outcomes) in [(1, vec![]), (2, vec![ClaimOutcome::StoredByQuorum(true)]), (3, vec![])] {
         assert_eq!(fixture.respond(from, Message::Stored { claim, stored: true }), outcomes);
     }
@@ -118,36 +125,46 @@
 fn a_grant_of_an_earlier_incarnation_does_not_count() {
     let mut fixture = Fixture::new();
     assert_eq!(fixture.grant(2, 1, vec![]), []);
-    assert_eq!(fixture.grant(3, 1, vec![(id(2), 2)]), [], "the second has lost its state since");
+    assert_eq!(
+        fixture.grant(3, 1, vec![(id(2), 2)]),
+        [],
+        "replica 2 has begun another incarnation since its grant"
+    );
     assert_eq!(fixture.grant(2, 2, vec![]), [ClaimOutcome::Granted]);
 }
 
 #[test]
-fn an_attempt_without_a_quorum_waits_for_the_run_that_was_first_and_gets_its_result() {
+fn an_attempt_without_a_quorum_waits_for_the_conflicting_run_and_gets_its_result() {
     let mut fixture = Fixture::new();
-    assert_eq!(fixture.block(2, other(1), None), []);
-    assert_eq!(fixture.block(3, other(1), None), [ClaimOutcome::AwaitingRemoteRun]);
-    assert_eq!(fixture.block(3, other(1), Some("job")), [ClaimOutcome::RemoteResult(succeeded("job"))]);
+    assert_eq!(fixture.block(2, conflicting_claim(1), None), []);
+    assert_eq!(fixture.block(3, conflicting_claim(1), None), [ClaimOutcome::AwaitingRemoteRun]);
+    assert_eq!(
+        fixture.block(3, conflicting_claim(1), Some("job")),
+        [ClaimOutcome::RemoteResult(succeeded("job"))]
+    );
     assert_eq!(fixture.claims.open_claims(), 0);
 }
 
 #[test]
-fn a_completed_run_is_believed_whichever_replica_reports_it_and_a_body_mismatch_is_reported() {
+fn a_completed_run_reported_by_one_replica_is_accepted_and_a_body_mismatch_is_reported() {
     let mut fixture = Fixture::new();
     fixture.grant(2, 1, vec![]);
-    assert_eq!(fixture.block(3, other(1), Some("job")), [ClaimOutcome::RemoteResult(succeeded("job"))]);
+    assert_eq!(
+        fixture.block(3, conflicting_claim(1), Some("job")),
+        [ClaimOutcome::RemoteResult(succeeded("job"))]
+    );
     let mut fixture = Fixture::new();
-    let conflict = ConflictingClaim { claim: other(1), body: 6, completed: None, expired_ms: 0 };
-    let blocked = Message::Blocked { claim: claim(), conflict };
+    let conflict = ConflictingClaim { claim: conflicting_claim(1), body: 6, completed: None, expired_ms: 0 };
+    let blocked = Message::Blocked { claim: fixture_claim(), conflict };
     assert_eq!(fixture.respond(2, blocked.clone()), []);
     assert_eq!(fixture.respond(3, blocked), [ClaimOutcome::BodyMismatch]);
 }
 
 #[test]
-fn without_a_quorum_that_can_answer_nothing_runs_and_the_attempt_is_rejected_at_once() {
+fn an_attempt_is_rejected_at_once_when_too_few_replicas_can_vote() {
     let mut fixture = Fixture::new();
     assert_eq!(fixture.grant(1, 1, vec![]), []);
-    let uncertain = Message::Uncertain { claim: claim(), reason: RejectReason::Recovering };
+    let uncertain = Message::Uncertain { claim: fixture_claim(), reason: RejectReason::Recovering };
     assert_eq!(fixture.respond(2, uncertain), []);
     fixture.claims.handle_unreachable(at(1), id(3), &mut fixture.out);
     let is_release = |action: &&ClaimAction| matches!(action, ClaimAction::Send(_, Message::Release { .. }));
@@ -159,11 +176,11 @@
 }
 
 #[test]
-fn of_two_claims_with_some_of_the_replicas_each_the_lower_one_keeps_asking() {
+fn of_two_claims_that_each_hold_some_grants_the_lower_one_keeps_retrying() {
     let mut fixture = Fixture::new();
     fixture.grant(1, 1, vec![]);
     fixture.claims.handle_unreachable(at(1), id(3), &mut fixture.out);
-    assert_eq!(fixture.block(2, other(1), None), [], "this one is lower");
+    assert_eq!(fixture.block(2, conflicting_claim(1), None), [], "the fixture's claim is lower");
     fixture.tick(60, |_| true);
     assert!(
         matches!(fixture.out[..], [ClaimAction::Send(to, Message::Claim(_))] if to == id(2)),
@@ -187,8 +204,8 @@
     fixture.tick(1_750, |_| true);
     assert_eq!(fixture.outcomes(), [ClaimOutcome::Rejected(RejectReason::DeadlineExceeded)]);
     let mut fixture = Fixture::new();
-    fixture.block(2, other(1), None);
-    fixture.block(3, other(1), None);
+    fixture.block(2, conflicting_claim(1), None);
+    fixture.block(3, conflicting_claim(1), None);
     fixture.tick(1_750, |_| true);
     assert_eq!(fixture.outcomes(), [ClaimOutcome::Unknown]);
     let mut fixture = Fixture::new();
@@ -197,18 +214,18 @@
     fixture.complete(succeeded("job"));
     fixture.tick(1_750, |_| true);
     assert_eq!(fixture.outcomes(), [ClaimOutcome::StoredByQuorum(false)]);
-    assert_eq!(fixture.claims.open_claims(), 1, "the replicas must still get the result");
+    assert_eq!(fixture.claims.open_claims(), 1, "the result is still to be sent to the replicas");
     fixture.tick(18_000, |_| true);
     assert_eq!(fixture.claims.open_claims(), 0);
 }
 
 #[test]
-fn a_replica_that_does_not_answer_probes_is_not_sent_each_result_again_and_again() {
+fn a_result_stored_by_a_quorum_is_not_retried_to_a_replica_that_does_not_answer_probes() {
     let mut fixture = Fixture::new();
     fixture.grant(1, 1, vec![]);
     fixture.grant(2, 1, vec![]);
     fixture.complete(succeeded("job"));
-    let claim = self::claim();
+    let claim = fixture_claim();
     for from in [1, 2] {
         fixture.respond(from, Message::Stored { claim, stored: true });
     }
@@ -218,23 +235,23 @@
     fixture.tick(200, |_| true);
     assert!(
         matches!(fixture.out[..], [ClaimAction::Send(to, Message::Completed { .. })] if to == id(3)),
-        "it is back"
+        "the replica answers probes again"
     );
 }
 
 #[test]
-fn an_attempt_that_waited_for_a_run_that_never_started_is_rejected() {
+fn an_attempt_is_rejected_when_the_claim_it_waited_for_is_released_without_a_run() {
     let mut fixture = Fixture::new();
-    fixture.block(2, other(1), None);
-    fixture.block(3, other(1), None);
-    let claim = self::claim();
+    fixture.block(2, conflicting_claim(1), None);
+    fixture.block(3, conflicting_claim(1), None);
+    let claim = fixture_claim();
     for (from, outcomes) in [(2, vec![]), (1, vec![ClaimOutcome::Rejected(RejectReason::ClaimReleased)])] {
         assert_eq!(fixture.respond(from, Message::KeyFree { claim }), outcomes);
     }
 }
 
 #[test]
-fn a_new_config_renews_the_claim_in_both() {
+fn a_new_config_makes_the_claim_again_in_both_configs() {
     let mut fixture = Fixture::new();
     fixture.grant(2, 1, vec![]);
     fixture.configs.propose(Arc::new(config(2, &[1, 2, 4], 1))).unwrap();
@@ -252,26 +269,26 @@
     assert!(requests
         .iter()
         .all(|request| (request.claim.number, &request.config_versions[..]) == (2, &both)));
-    let claim = ClaimId { number: 2, ..claim() };
+    let claim = ClaimId { number: 2, ..fixture_claim() };
     for (from, is_granted) in [(1, false), (3, false), (4, true)] {
         let message = Message::Granted { claim, incarnations: vec![] };
         assert_eq!(
             fixture.respond(from, message) == [ClaimOutcome::Granted],
             is_granted,
-            "1 and 3 are a quorum of the first config alone"
+            "nodes 1 and 3 are a quorum of the first configuration only"
         );
     }
 }
 
 #[test]
-fn replicas_are_told_what_became_of_a_claim() {
+fn replicas_that_query_a_claim_get_its_outcome() {
     let mut fixture = Fixture::new();
-    let claim = self::claim();
-    assert_eq!(fixture.resolve(1, claim, false), None, "it may still start");
+    let claim = fixture_claim();
+    assert_eq!(fixture.resolve(1, claim, false), None, "the claim's run may still start");
     let unknown = ClaimId { number: 9, ..claim };
     assert!(matches!(fixture.resolve(1, unknown, false), Some(Message::Release { .. })));
     let earlier = ClaimId { incarnation: Incarnation(3), ..claim };
-    assert_eq!(fixture.resolve(1, earlier, true), None, "the predecessor may still run it");
+    assert_eq!(fixture.resolve(1, earlier, true), None, "the predecessor may still complete the run");
     let lost = fixture.resolve(1, earlier, false);
     assert!(matches!(
         lost,
@@ -279,7 +296,7 @@
     ));
     fixture.grant(2, 1, vec![]);
     fixture.grant(3, 1, vec![]);
-    assert_eq!(fixture.resolve(1, claim, false), None, "it runs");
+    assert_eq!(fixture.resolve(1, claim, false), None, "the run is in progress");
     fixture.complete(RunResult::Failed);
     assert!(matches!(fixture.resolve(6, claim, false), Some(Message::Completed { .. })));
 }
