--- a/fleet/src/audit.rs
+++ b/fleet/src/audit.rs
@@ -1,7 +1,5 @@
-//! Audits the records of all nodes: which versions they decided by, which nodes used an old version for too
-//! long, which keys ran twice, and where records are missing.
-//!
-//! Records come in, a [`Report`] goes out.
+//! Audits the decision records of all nodes. The [`Report`] lists the versions that the nodes used, nodes
+//! that used a replaced version for too long, keys that ran twice, and missing or changed records.
 
 pub mod decision_record;
 pub mod hash_chain;
@@ -18,16 +16,16 @@
     VersionKind, VersionUse,
 };
 
-/// What an audit covers, and what it allows.
+/// The period that an audit covers, and its limits.
 #[derive(Debug, Clone, Copy)]
 pub struct AuditOptions {
-    /// Earlier records are left out, in Unix milliseconds.
+    /// Start of the period in Unix milliseconds, inclusive; earlier records are ignored.
     pub from: u64,
-    /// Later records are left out, in Unix milliseconds.
+    /// End of the period in Unix milliseconds, inclusive; later records are ignored.
     pub until: u64,
-    /// For how long an old version may be used after it was replaced, in milliseconds.
+    /// Time in milliseconds for which a node may use a version after any node has replaced it.
     pub spread_ms: u64,
-    /// The idempotency window in milliseconds: a run after that is another request's.
+    /// Idempotency window in milliseconds; a later run of the same key belongs to another request.
     pub window_ms: u64,
 }
 
@@ -36,7 +34,7 @@
         (self.from..=self.until).contains(&record.at())
     }
 
-    /// The records of a journal that the audit covers.
+    /// Returns the records of a journal that the audit covers.
     fn records<'a>(&'a self, journal: &'a Journal) -> impl Iterator<Item = &'a Record> {
         journal.records.iter().filter(|record| self.covers(record))
     }
@@ -61,7 +59,8 @@
 fn summarize(journal: &Journal, options: &AuditOptions) -> JournalSummary {
     let records = || options.records(journal);
     let dropped = |record: &Record| if let Record::Dropped { count, .. } = record { *count } else { 0 };
-    // A process that started before the audited time may have stopped within it.
+    // Starts and stops are counted over the whole journal, because a process that started before the audited
+    // period may have stopped within it.
     let is_start = |record: &&Record| matches!(record, Record::ProcessStarted { .. });
     let is_stop = |record: &&Record| matches!(record, Record::ProcessStopped { .. });
     let started = journal.records.iter().filter(is_start).count();
@@ -77,14 +76,14 @@
     }
 }
 
-/// The span from the first to the last of these times.
+/// Returns the span from the earliest to the latest of these times, or `None` if there are none.
 fn time_span(mut times: impl Iterator<Item = u64>) -> Option<TimeSpan> {
     let first = times.next()?;
     let span = TimeSpan { first, last: first };
     Some(times.fold(span, |span, at| TimeSpan { first: span.first.min(at), last: span.last.max(at) }))
 }
 
-/// Returns what every node recorded of a transaction id or a key, in order.
+/// Returns the records of all nodes about a transaction id or an idempotency key, in order of time.
 pub fn explain<'a>(journals: &'a [Journal], txn_or_key: &str) -> Vec<NodeRecord<'a>> {
     let is_about = |record: &Record| match record {
         Record::Attempt { txn, key, .. } => txn == txn_or_key || key.as_deref() == Some(txn_or_key),
@@ -95,7 +94,7 @@
         .flat_map(|journal| journal.records.iter().map(|record| NodeRecord { node: &journal.node, record }))
         .filter(|found| is_about(found.record))
         .collect();
-    // The sort is stable, and within one node the records are in order already.
+    // The sort is stable: records of one node with the same time keep their order.
     found.sort_by_key(|found| found.record.at());
     found
 }
--- a/fleet/src/audit/decision_record.rs
+++ b/fleet/src/audit/decision_record.rs
@@ -1,93 +1,93 @@
-//! What a node records of its decisions. Records are written as JSON, one a line; the names in them must
-//! not change.
+//! The records that a node writes about its decisions. Each record is one line of JSON, whose names must not
+//! change.
 
 use serde::{Deserialize, Serialize};
 
 use crate::audit::hash_chain::ChainBreak;
 use crate::ids::ConfigVersion;
 
-/// The versions of everything that a decision depends on.
+/// The versions of the settings, membership configuration and program that made a decision.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Versions {
-    /// The digest of the settings.
+    /// Digest of the settings.
     pub settings: String,
-    /// The version of the newest membership configuration; 0 if the node does not replicate.
+    /// Version of the newest membership configuration; 0 if the node does not replicate.
     #[serde(rename = "list")]
     pub config: ConfigVersion,
-    /// The version of the program.
+    /// Version of the program.
     pub program: String,
 }
 
-/// What was decided of an attempt.
+/// A decision about an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Decision {
-    /// Its run starts.
+    /// The attempt's run starts.
     Run,
-    /// That run provably never started.
+    /// The run that was recorded for the attempt provably never started.
     #[serde(rename = "unrun")]
     NeverStarted,
-    /// The client got the result.
+    /// The result was sent to the client.
     Served,
-    /// It was rejected before it ran.
+    /// The attempt was rejected before it ran.
     #[serde(rename = "refused")]
     Rejected,
-    /// It failed.
+    /// The attempt failed.
     Failed,
 }
 
-/// A record.
+/// A record of the decision log.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "e")]
 pub enum Record {
-    /// A process started to record.
+    /// A process started and writes records from now on.
     #[serde(rename = "began")]
     ProcessStarted {
-        /// When, in Unix milliseconds.
+        /// Unix time in milliseconds.
         at: u64,
-        /// The node.
+        /// Name of the node.
         node: String,
-        /// The versions by which it decides.
+        /// The versions with which the process makes decisions.
         #[serde(rename = "by")]
         versions: Versions,
     },
-    /// Something was decided of an attempt.
+    /// A decision about an attempt was made.
     #[serde(rename = "try")]
     Attempt {
-        /// When, in Unix milliseconds.
+        /// Unix time in milliseconds.
         at: u64,
-        /// What was decided.
+        /// The decision.
         #[serde(rename = "did")]
         decision: Decision,
         /// The attempt's transaction id.
         txn: String,
-        /// Its idempotency key, in classes whose requests must not run twice.
+        /// Idempotency key of the request; absent in classes whose requests may run twice.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         key: Option<String>,
-        /// The name of its class.
+        /// Name of the request's class.
         class: String,
-        /// The versions by which it was decided.
+        /// The versions with which the decision was made.
         #[serde(rename = "by")]
         versions: Versions,
     },
-    /// Records were dropped, as the disk was slow.
+    /// Records were dropped because the disk was too slow to write them.
     #[serde(rename = "dropped")]
     Dropped {
-        /// When that was noticed, in Unix milliseconds.
+        /// Unix time in milliseconds at which the loss was detected.
         at: u64,
-        /// How many.
+        /// Number of dropped records.
         count: u64,
     },
-    /// The process shut down in order.
+    /// The process shut down cleanly.
     #[serde(rename = "ended")]
     ProcessStopped {
-        /// When, in Unix milliseconds.
+        /// Unix time in milliseconds.
         at: u64,
     },
 }
 
 impl Record {
-    /// Returns when the record was made, in Unix milliseconds.
+    /// Returns the Unix time of the record in milliseconds.
     pub fn at(&self) -> u64 {
         match self {
             Record::ProcessStarted { at, .. }
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Returns the versions that the record names, if it does.
+    /// Returns the versions in the record; records about dropped records and stopped processes have none.
     pub fn versions(&self) -> Option<&Versions> {
         match self {
             Record::ProcessStarted { versions, .. } | Record::Attempt { versions, .. } => Some(versions),
@@ -106,22 +106,22 @@
     }
 }
 
-/// A place at which the chain of a file is broken.
+/// A line of a file at which the hash chain is broken.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FileBreak {
-    /// The name of the file.
+    /// Name of the file.
     pub file: String,
-    /// What is wrong in it.
+    /// The line and the fault.
     pub chain_break: ChainBreak,
 }
 
 /// All records of one node.
 #[derive(Debug, Clone, Default)]
 pub struct Journal {
-    /// The node, as its records name it.
+    /// Name of the node, as its records give it.
     pub node: String,
-    /// The records, in order.
+    /// The records in the order in which they were written.
     pub records: Vec<Record>,
-    /// Where the chain of the records is broken.
+    /// The places at which the hash chain of the records is broken.
     pub breaks: Vec<FileBreak>,
 }
--- a/fleet/src/audit/hash_chain.rs
+++ b/fleet/src/audit/hash_chain.rs
@@ -1,37 +1,37 @@
-//! Records that are chained by digest, so that a record that was changed, cut off, left out or moved is
-//! detected, and at which line. A file continues the chain of the file before it.
+//! A hash chain over records, which detects and locates records that were changed, truncated, removed or
+//! reordered. Each file continues the chain of the previous file.
 //!
-//! A line holds the record's number, the digest and the record, separated by spaces. The digest covers the
-//! previous digest, the number and the record. It holds no secret: the chain shows damage and edits, not
-//! who made them.
+//! A line holds the record's number, its digest and the record, separated by spaces. The digest covers the
+//! previous record's digest, the number and the record. It is not keyed: anyone can compute a valid chain, so
+//! the chain detects damage and edits but does not authenticate their author.
 
 use std::fmt;
 
 use sha2::{Digest, Sha256};
 use thiserror::Error;
 
-/// The length of a digest as it is written, in hexadecimal digits; the rest of the SHA-256 digest is dropped.
+/// Length of a written digest in hexadecimal digits; the rest of the SHA-256 digest is dropped.
 const DIGEST_DIGITS: usize = 32;
 
-/// The digest before the first record.
+/// The digest that precedes the first record.
 const INITIAL_DIGEST: [u8; DIGEST_DIGITS] = [b'0'; DIGEST_DIGITS];
 
-/// A chain that is being written or read.
+/// The state of a chain while it is written or read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Chain {
-    /// The number of the last record.
+    /// Number of the last record; 0 before the first.
     number: u64,
     digest: [u8; DIGEST_DIGITS],
-    /// The records before are gone, so the digest of the next one can't be verified.
+    /// Whether the previous records are missing, so that the digest of the next record can't be verified.
     unverifiable: bool,
 }
 
-/// A place at which a chain is broken.
+/// A line at which a chain is broken.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ChainBreak {
-    /// The line of the text, from 1.
+    /// Line number in the text, counted from 1.
     pub line: usize,
-    /// What is wrong there.
+    /// The fault in the line.
     pub error: ChainError,
 }
 
@@ -41,27 +41,27 @@
     }
 }
 
-/// What is wrong with a line.
+/// A fault in a line of a chain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum ChainError {
     /// The line is not a record.
     #[error("no record")]
     Unreadable,
-    /// Records before it are missing, or were moved.
+    /// Records before the line are missing or were moved.
     #[error("record {found} where {expected} was due")]
     Missing {
-        /// The number of the record that was expected.
+        /// The record number that follows the previous line.
         expected: u64,
-        /// The number of the record that was found.
+        /// The record number in the line.
         found: u64,
     },
-    /// It, or the record before it, was changed.
+    /// The record, or the one before it, was changed.
     #[error("not as it was written")]
     Modified,
-    /// The line does not end, as a process that is killed while it writes leaves it.
+    /// The line has no line end, as when the process is killed while it writes the line.
     #[error("not whole, as a process that ends in the middle leaves it")]
     Incomplete,
-    /// Records behind it are gone.
+    /// Records after the line are missing.
     #[error("records are gone from the end: {last} was the last")]
     Truncated {
         /// The number of the last record that was written.
@@ -76,25 +76,27 @@
 }
 
 impl Chain {
-    /// Continues behind the record of this number and digest; none if that is not a digest.
+    /// Returns a chain that continues after the record with this number and digest, or `None` if the digest
+    /// has the wrong length.
     pub fn after(number: u64, digest: &str) -> Option<Chain> {
         let digest = digest.as_bytes().try_into().ok()?;
         Some(Chain { number, digest, unverifiable: false })
     }
 
-    /// Continues before the record of this number, when all records before it are gone.
+    /// Returns a chain whose next record has this number, for when all earlier records were deleted. The
+    /// digest of that record can't be verified.
     pub fn before(number: u64) -> Chain {
         Chain { number: number.saturating_sub(1), digest: INITIAL_DIGEST, unverifiable: number > 1 }
     }
 
-    /// Returns the number of the last record, 0 before the first.
+    /// Returns the number of the last record; 0 before the first.
     pub fn number(&self) -> u64 {
         self.number
     }
 
     /// Returns the digest of the last record.
     pub fn digest(&self) -> &str {
-        // Only hexadecimal digits are written.
+        // `digest_of` writes only hexadecimal digits, and a digest that was read comes from a `str`.
         std::str::from_utf8(&self.digest).unwrap_or_default()
     }
 
@@ -112,15 +114,16 @@
         digits
     }
 
-    /// Appends a record, which must not hold a line end, as one line.
+    /// Appends a record to the text as one line. The record must not contain a line end.
     pub fn append(&mut self, record: &str, text: &mut String) {
         self.number += 1;
         self.digest = self.digest_of(self.number, record);
         text.push_str(&format!("{} {} {record}\n", self.number, self.digest()));
     }
 
-    /// Verifies the next line. Returns its record and what is wrong with it. After a fault the chain
-    /// continues from what the line says, so that each fault is reported once.
+    /// Verifies the next line. Returns its record, if it can be read, and the fault, if there is one. After a
+    /// fault the chain continues from the number and the digest in the line, so that each fault is reported
+    /// once.
     fn verify<'a>(&mut self, line: &'a str) -> (Option<&'a str>, Option<ChainError>) {
         let mut words = line.splitn(3, ' ');
         let number = words.next().and_then(|word| word.parse::<u64>().ok());
@@ -131,7 +134,7 @@
             return (None, Some(ChainError::Unreadable));
         };
         let digest_matches = self.unverifiable || self.digest_of(number, record) == next.digest;
-        // A number may parse that was not written like this, such as one with a sign or leading zeros.
+        // `parse` also accepts a sign and leading zeros, which `append` never writes.
         let is_canonical = number.to_string().len() == line.find(' ').unwrap_or(0);
         let expected = self.number + 1;
         *self = next;
@@ -146,22 +149,22 @@
     }
 }
 
-/// The records of a text, and where its chain is broken.
+/// The records of a text and the faults in its chain.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ChainContents<'a> {
-    /// All records that could be read, with their numbers.
+    /// Each readable record with its number.
     pub records: Vec<(u64, &'a str)>,
-    /// Where the chain is broken.
+    /// The lines at which the chain is broken.
     pub breaks: Vec<ChainBreak>,
 }
 
-/// Reads a text that continues a chain, and advances the chain to the end of the text.
+/// Reads a text that continues a chain and advances the chain to the end of the text.
 pub fn read<'a>(text: &'a str, chain: &mut Chain) -> ChainContents<'a> {
     let mut contents = ChainContents::default();
     for (index, line) in text.split_inclusive('\n').enumerate() {
         let line_number = index + 1;
         let Some(line) = line.strip_suffix('\n') else {
-            // A record that is missing because of this is reported when the next file is read.
+            // The chain does not advance, so the missing record is reported when the next file is read.
             contents.breaks.push(ChainBreak { line: line_number, error: ChainError::Incomplete });
             continue;
         };
--- a/fleet/src/audit/hash_chain/tests.rs
+++ b/fleet/src/audit/hash_chain/tests.rs
@@ -23,10 +23,10 @@
     let (one, two) = (read(&text[..cut], &mut chain), read(&text[cut..], &mut chain));
     assert!(one.breaks.is_empty() && two.breaks.is_empty());
     assert_eq!(chain.number(), 4);
-    assert!(read(&text[cut..], &mut Chain::before(3)).breaks.is_empty(), "old files may be gone");
+    assert!(read(&text[cut..], &mut Chain::before(3)).breaks.is_empty(), "older files may have been deleted");
 }
 
-/// Every byte of a small file is changed to every other value, removed, or doubled.
+/// Changes every byte of a small file to every other ASCII value, removes it and doubles it.
 #[test]
 fn an_edit_of_any_byte_is_detected() {
     let text = chained(&RECORDS);
@@ -38,11 +38,11 @@
             }
             edited[at] = byte;
             let edited = String::from_utf8(edited).unwrap();
-            assert!(!breaks(&edited).is_empty(), "byte {at} as {byte}");
+            assert!(!breaks(&edited).is_empty(), "byte {at} changed to {byte}");
         }
-        let mut taken = text.clone();
-        taken.remove(at);
-        assert!(!breaks(&taken).is_empty(), "byte {at} taken out");
+        let mut removed = text.clone();
+        removed.remove(at);
+        assert!(!breaks(&removed).is_empty(), "byte {at} removed");
         let mut doubled = text.clone();
         doubled.insert(at, text.as_bytes()[at] as char);
         assert!(!breaks(&doubled).is_empty(), "byte {at} doubled");
@@ -50,31 +50,31 @@
 }
 
 #[test]
-fn a_cut_is_detected_at_every_byte_but_between_records_at_the_end_of_the_file() {
+fn a_truncated_file_is_detected_unless_it_ends_after_a_whole_record() {
     let text = chained(&RECORDS);
     for at in 1..text.len() {
         let found = breaks(&text[..at]);
-        let between = text.as_bytes()[at - 1] == b'\n';
-        assert_eq!(found.is_empty(), between, "{at}: {found:?}");
-        assert!(between || found[0].error == ChainError::Incomplete);
-        // If another file follows, the cut is detected there too.
+        let ends_at_record = text.as_bytes()[at - 1] == b'\n';
+        assert_eq!(found.is_empty(), ends_at_record, "{at}: {found:?}");
+        assert!(ends_at_record || found[0].error == ChainError::Incomplete);
+        // If another file follows, reading it detects the truncation too.
         let mut chain = Chain::default();
         read(&text[..at], &mut chain);
         let mut next =
             Chain::after(4, chained(&RECORDS).lines().last().unwrap().split(' ').nth(1).unwrap()).unwrap();
-        let mut more = String::new();
-        next.append("{}", &mut more);
-        assert!(!read(&more, &mut chain).breaks.is_empty(), "{at}");
+        let mut next_file = String::new();
+        next.append("{}", &mut next_file);
+        assert!(!read(&next_file, &mut chain).breaks.is_empty(), "{at}");
     }
 }
 
 #[test]
-fn records_that_were_moved_left_out_or_taken_from_another_chain_are_detected() {
+fn records_that_were_reordered_removed_or_copied_from_another_chain_are_detected() {
     let lines: Vec<String> = chained(&RECORDS).split_inclusive('\n').map(String::from).collect();
-    let of = |order: &[usize]| order.iter().map(|i| lines[*i].as_str()).collect::<String>();
-    assert!(breaks(&of(&[0, 1, 2, 3])).is_empty());
+    let in_order = |order: &[usize]| order.iter().map(|i| lines[*i].as_str()).collect::<String>();
+    assert!(breaks(&in_order(&[0, 1, 2, 3])).is_empty());
     for order in [&[1, 0, 2, 3][..], &[0, 2, 3], &[0, 1, 1, 2, 3], &[0, 1, 3, 2], &[1, 2, 3]] {
-        assert!(!breaks(&of(order)).is_empty(), "{order:?}");
+        assert!(!breaks(&in_order(order)).is_empty(), "{order:?}");
     }
     let other = chained(&["{\"a\":2}", "{\"b\":2}", "{}", "{}"]);
     let foreign = format!("{}{}{}", lines[0], other.split_inclusive('\n').nth(1).unwrap(), lines[2]);
--- a/fleet/src/audit/report.rs
+++ b/fleet/src/audit/report.rs
@@ -1,4 +1,4 @@
-//! What an audit reports. The report is also printed as JSON; the names and forms in it must not change.
+//! The report of an audit. It is also printed as JSON, whose names and structure must not change.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -7,16 +7,16 @@
 
 use super::decision_record::Record;
 
-/// A kind of version.
+/// Something whose version a decision depends on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum VersionKind {
-    /// Of the settings.
+    /// The settings, identified by their digest.
     Settings,
-    /// Of the membership configuration.
+    /// The membership configuration, identified by its number.
     #[serde(rename = "list")]
     MembershipConfig,
-    /// Of the program.
+    /// The program, identified by the version of its build.
     Program,
 }
 
@@ -30,13 +30,13 @@
     }
 }
 
-/// The first decision of any node by a version. In JSON it is a list of both.
+/// The first use of a version by any node. Serialized as the list `[at, node]`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(into = "(u64, String)")]
 pub struct FirstUse {
-    /// When, in Unix milliseconds.
+    /// Unix time in milliseconds.
     pub at: u64,
-    /// The node.
+    /// Name of the node.
     pub node: String,
 }
 
@@ -46,13 +46,13 @@
     }
 }
 
-/// The version that replaced another one. In JSON it is a list of both.
+/// The version that replaced another one. Serialized as the list `[at, id]`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(into = "(u64, String)")]
 pub struct Replacement {
-    /// When it was first used, in Unix milliseconds.
+    /// Unix time in milliseconds at which any node first used the new version.
     pub at: u64,
-    /// The version.
+    /// The new version.
     pub id: String,
 }
 
@@ -62,13 +62,13 @@
     }
 }
 
-/// A span of time, in Unix milliseconds. In JSON it is a list of both ends.
+/// A span of time. Serialized as the list `[first, last]`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(into = "(u64, u64)")]
 pub struct TimeSpan {
-    /// The first instant.
+    /// Unix time of the first record in milliseconds.
     pub first: u64,
-    /// The last instant.
+    /// Unix time of the last record in milliseconds.
     pub last: u64,
 }
 
@@ -78,52 +78,53 @@
     }
 }
 
-/// How a version was used.
+/// The use of one version by all nodes.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct VersionUse {
-    /// The kind of version.
+    /// What the version is a version of.
     pub kind: VersionKind,
-    /// The version: a digest, a number or the version of a build.
+    /// The version: a digest, a number or the version of a build, depending on the kind.
     pub id: String,
-    /// The first decision by it.
+    /// The first use by any node.
     pub first: FirstUse,
-    /// When a node last decided by it, in Unix milliseconds.
+    /// Unix time in milliseconds of the last use by any node.
     pub last: u64,
-    /// The nodes that decided by it.
+    /// Names of the nodes that used the version.
     pub nodes: BTreeSet<String>,
-    /// The number of decisions by it.
+    /// Number of decisions that were made with the version.
     pub decisions: u64,
-    /// The version that came after it, if there is one.
+    /// The version that replaced this one; `None` for the newest.
     pub replaced: Option<Replacement>,
 }
 
-/// A node that decided by a version after another one had replaced it.
+/// A node that still used a version after another node had replaced it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct Straggler {
-    /// The node.
+    /// Name of the node.
     pub node: String,
-    /// The kind of version.
+    /// What the version is a version of.
     pub kind: VersionKind,
     /// The old version.
     pub id: String,
-    /// For how long after the version was replaced on any node, in milliseconds.
+    /// Time in milliseconds from the first use of the new version on any node to the last use of the old
+    /// version on this node.
     pub for_ms: u64,
-    /// The number of decisions in that time.
+    /// Number of decisions that the node made with the old version in that time.
     pub decisions: u64,
     /// Whether the node has used a later version since.
     #[serde(rename = "is_level")]
     pub has_updated: bool,
 }
 
-/// A run of a key.
+/// A run of a request with an idempotency key. Serialized as the list `[at, node, txn]`.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(into = "(u64, String, String)")]
 pub struct RunRecord {
-    /// When it started, in Unix milliseconds.
+    /// Unix time in milliseconds at which the run started.
     pub at: u64,
-    /// The node.
+    /// Name of the node.
     pub node: String,
-    /// The attempt's transaction id.
+    /// Transaction id of the attempt.
     pub txn: String,
 }
 
@@ -138,24 +139,24 @@
 pub struct DuplicateRun {
     /// The key.
     pub key: String,
-    /// Its runs, in order.
+    /// All recorded runs of the key in order of time.
     pub runs: Vec<RunRecord>,
 }
 
 /// A summary of one node's records.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct JournalSummary {
-    /// The node.
+    /// Name of the node.
     pub node: String,
-    /// The number of records that could be read.
+    /// Number of readable records that the audit covers.
     pub records: usize,
-    /// When they were made; none if there are none.
+    /// The time that the records span; `None` if there are no records.
     pub span: Option<TimeSpan>,
-    /// The number of records that were dropped, as the disk was slow.
+    /// Number of records that were dropped because the disk was too slow to write them.
     pub dropped: u64,
-    /// The number of processes that ended without recording that.
+    /// Number of processes that started and did not record a clean shutdown.
     pub unfinished: usize,
-    /// Where the chain of the records is broken.
+    /// The places at which the hash chain is broken, each with the file, the line and the fault.
     pub breaks: Vec<String>,
 }
 
@@ -164,20 +165,20 @@
 pub struct Report {
     /// A summary of each node's records.
     pub nodes: Vec<JournalSummary>,
-    /// All versions, by kind and then by when they were first used.
+    /// All versions, ordered by kind and then by first use.
     pub versions: Vec<VersionUse>,
-    /// Nodes that used an old version for longer than was allowed.
+    /// Nodes that used an old version for longer than [`AuditOptions::spread_ms`](super::AuditOptions).
     pub stragglers: Vec<Straggler>,
-    /// Keys that ran more than once within their window.
+    /// Keys that ran more than once within the idempotency window.
     #[serde(rename = "twice")]
     pub duplicate_runs: Vec<DuplicateRun>,
-    /// Attempts that were rejected though they had run.
+    /// Attempts that were rejected after their run had started, as `TXN at NODE`.
     #[serde(rename = "refused_and_ran")]
     pub rejected_after_run: Vec<String>,
 }
 
 impl Report {
-    /// Whether nothing is wrong. That a process was killed is not.
+    /// Whether the audit found no fault. A process that was killed is not a fault.
     pub fn is_clean(&self) -> bool {
         let is_intact = |summary: &JournalSummary| summary.breaks.is_empty() && summary.dropped == 0;
         self.nodes.iter().all(is_intact)
@@ -187,11 +188,11 @@
     }
 }
 
-/// A record, and the node that made it. In JSON it is a list of both.
+/// A record and the node that made it. Serialized as the list `[node, record]`.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 #[serde(into = "(&'a str, &'a Record)")]
 pub struct NodeRecord<'a> {
-    /// The node.
+    /// Name of the node.
     pub node: &'a str,
     /// The record.
     pub record: &'a Record,
--- a/fleet/src/audit/run_index.rs
+++ b/fleet/src/audit/run_index.rs
@@ -1,4 +1,5 @@
-//! The runs and rejections of all nodes, by key and by attempt.
+//! An index of the runs and rejections that all nodes recorded, which finds duplicate runs of a key and
+//! rejections after a run.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,22 +7,24 @@
 use super::report::{DuplicateRun, RunRecord};
 use super::AuditOptions;
 
-/// An attempt at one node.
+/// An attempt, identified by its node and its transaction id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct NodeAttempt<'a> {
     node: &'a str,
     txn: &'a str,
 }
 
-/// The runs and rejections of all nodes.
+/// The recorded runs and rejections of all nodes.
 #[derive(Default)]
 pub(super) struct RunIndex<'a> {
-    by_key: BTreeMap<&'a str, Vec<RunRecord>>,
+    runs_by_key: BTreeMap<&'a str, Vec<RunRecord>>,
+    /// Attempts whose run has started.
     ran: BTreeSet<NodeAttempt<'a>>,
     rejected: Vec<NodeAttempt<'a>>,
 }
 
 impl<'a> RunIndex<'a> {
+    /// Indexes the records that the audit covers.
     pub(super) fn new(journals: &'a [Journal], options: &'a AuditOptions) -> RunIndex<'a> {
         let mut index = RunIndex::default();
         for journal in journals {
@@ -39,12 +42,12 @@
                 self.ran.insert(NodeAttempt { node, txn });
                 if let Some(key) = key {
                     let run = RunRecord { at: *at, node: node.into(), txn: txn.clone() };
-                    self.by_key.entry(key).or_default().push(run);
+                    self.runs_by_key.entry(key).or_default().push(run);
                 }
             }
             Decision::NeverStarted => {
                 self.ran.remove(&NodeAttempt { node, txn });
-                if let Some(runs) = key.as_deref().and_then(|key| self.by_key.get_mut(key)) {
+                if let Some(runs) = key.as_deref().and_then(|key| self.runs_by_key.get_mut(key)) {
                     runs.retain(|run| run.node != node || run.txn != *txn);
                 }
             }
@@ -53,8 +56,9 @@
         }
     }
 
+    /// Returns the keys of which two runs started less than `window_ms` apart.
     pub(super) fn duplicate_runs(&self, window_ms: u64) -> Vec<DuplicateRun> {
-        let duplicates = self.by_key.iter().filter_map(|(key, runs)| {
+        let duplicates = self.runs_by_key.iter().filter_map(|(key, runs)| {
             let mut runs = runs.clone();
             runs.sort();
             let is_duplicate = runs.windows(2).any(|pair| pair[1].at - pair[0].at < window_ms);
@@ -63,6 +67,7 @@
         duplicates.collect()
     }
 
+    /// Returns the attempts that were rejected and whose run had started, as `TXN at NODE`.
     pub(super) fn rejected_after_run(&self) -> Vec<String> {
         let ran = self.rejected.iter().filter(|attempt| self.ran.contains(*attempt));
         ran.map(|NodeAttempt { node, txn }| format!("{txn} at {node}")).collect()
--- a/fleet/src/audit/tests.rs
+++ b/fleet/src/audit/tests.rs
@@ -9,18 +9,18 @@
     Versions { settings: settings.into(), config: ConfigVersion(config), program: "1".into() }
 }
 
-fn decided(at: u64, decision: Decision, txn: &str, key: Option<&str>, versions: Versions) -> Record {
+fn attempt_record(at: u64, decision: Decision, txn: &str, key: Option<&str>, versions: Versions) -> Record {
     let (txn, key, class) = (txn.into(), key.map(Into::into), "book".into());
     Record::Attempt { at, decision, txn, key, class, versions }
 }
 
 /// A decision about an attempt at the request with the key "k".
-fn keyed(at: u64, decision: Decision, txn: &str) -> Record {
-    decided(at, decision, txn, Some("k"), versions("s", 1))
+fn record_with_key(at: u64, decision: Decision, txn: &str) -> Record {
+    attempt_record(at, decision, txn, Some("k"), versions("s", 1))
 }
 
-fn run(at: u64, txn: &str, versions: Versions) -> Record {
-    decided(at, Decision::Run, txn, None, versions)
+fn run_record(at: u64, txn: &str, versions: Versions) -> Record {
+    attempt_record(at, Decision::Run, txn, None, versions)
 }
 
 fn journal(node: &str, records: Vec<Record>) -> Journal {
@@ -28,9 +28,11 @@
 }
 
 #[test]
-fn versions_are_reported_with_who_used_them_first_and_last_and_what_replaced_them() {
-    let one = journal("n1", vec![run(100, "a", versions("s1", 1)), run(900, "b", versions("s2", 1))]);
-    let two = journal("n2", vec![run(50, "c", versions("s1", 1)), run(1500, "d", versions("s2", 2))]);
+fn the_report_names_the_first_and_last_use_and_the_replacement_of_each_version() {
+    let one =
+        journal("n1", vec![run_record(100, "a", versions("s1", 1)), run_record(900, "b", versions("s2", 1))]);
+    let two =
+        journal("n2", vec![run_record(50, "c", versions("s1", 1)), run_record(1500, "d", versions("s2", 2))]);
     let report = audit(&[one, two], &OPTIONS);
     let is_settings = |version: &&VersionUse| version.kind == VersionKind::Settings;
     let settings: Vec<&VersionUse> = report.versions.iter().filter(is_settings).collect();
@@ -41,18 +43,20 @@
 }
 
 #[test]
-fn a_node_that_used_an_old_version_is_reported_with_for_how_long_and_whether_it_has_updated() {
-    let quick = journal("n1", vec![run(0, "a", versions("s1", 1)), run(1000, "b", versions("s2", 1))]);
+fn a_node_that_used_an_old_version_is_reported_with_the_duration_and_whether_it_has_updated() {
+    let quick =
+        journal("n1", vec![run_record(0, "a", versions("s1", 1)), run_record(1000, "b", versions("s2", 1))]);
     let slow = journal(
         "n2",
         vec![
-            run(0, "c", versions("s1", 1)),
-            run(2000, "d", versions("s1", 1)),
-            run(5000, "e", versions("s1", 1)),
-            run(6000, "f", versions("s2", 1)),
+            run_record(0, "c", versions("s1", 1)),
+            run_record(2000, "d", versions("s1", 1)),
+            run_record(5000, "e", versions("s1", 1)),
+            run_record(6000, "f", versions("s2", 1)),
         ],
     );
-    let never = journal("n3", vec![run(0, "g", versions("s1", 1)), run(9000, "h", versions("s1", 1))]);
+    let never =
+        journal("n3", vec![run_record(0, "g", versions("s1", 1)), run_record(9000, "h", versions("s1", 1))]);
     let report = audit(&[quick, slow, never], &OPTIONS);
     let straggler = |node: &str, for_ms, decisions, has_updated| Straggler {
         node: node.into(),
@@ -69,34 +73,34 @@
 }
 
 #[test]
-fn a_key_that_ran_twice_in_its_window_and_an_attempt_that_was_rejected_after_its_run_are_reported() {
-    let started = |at, txn| keyed(at, Decision::Run, txn);
-    let one = journal("n1", vec![started(100, "a"), keyed(200, Decision::Rejected, "a")]);
-    let rejected = decided(6000, Decision::Rejected, "z", None, versions("s", 1));
+fn two_runs_of_a_key_in_its_window_and_a_rejection_after_a_run_are_reported() {
+    let started = |at, txn| record_with_key(at, Decision::Run, txn);
+    let one = journal("n1", vec![started(100, "a"), record_with_key(200, Decision::Rejected, "a")]);
+    let rejected = attempt_record(6000, Decision::Rejected, "z", None, versions("s", 1));
     let two = journal("n2", vec![started(5000, "b"), rejected]);
     let report = audit(&[one.clone(), two], &OPTIONS);
-    let run = |at, node: &str, txn: &str| RunRecord { at, node: node.into(), txn: txn.into() };
-    assert_eq!(report.duplicate_runs[0].runs, [run(100, "n1", "a"), run(5000, "n2", "b")]);
+    let expected_run = |at, node: &str, txn: &str| RunRecord { at, node: node.into(), txn: txn.into() };
+    assert_eq!(report.duplicate_runs[0].runs, [expected_run(100, "n1", "a"), expected_run(5000, "n2", "b")]);
     assert_eq!(report.rejected_after_run, ["a at n1"]);
     let later = audit(&[one.clone(), journal("n2", vec![started(10_100, "b")])], &OPTIONS);
-    assert!(later.duplicate_runs.is_empty(), "that is another request's");
+    assert!(later.duplicate_runs.is_empty(), "after the window the run belongs to another request");
     let never_started = journal(
         "n2",
         vec![
             started(5000, "b"),
-            keyed(5001, Decision::NeverStarted, "b"),
-            keyed(5002, Decision::Rejected, "b"),
+            record_with_key(5001, Decision::NeverStarted, "b"),
+            record_with_key(5002, Decision::Rejected, "b"),
         ],
     );
     let report = audit(&[one, never_started], &OPTIONS);
     assert!(
         report.duplicate_runs.is_empty() && report.rejected_after_run.len() == 1,
-        "no server accepted it"
+        "a run that never started is not a duplicate"
     );
 }
 
 #[test]
-fn missing_records_are_reported_and_a_process_that_was_killed_is_not_a_fault() {
+fn missing_records_are_reported_and_a_killed_process_is_not_a_fault() {
     let started = Record::ProcessStarted { at: 1, node: "n1".into(), versions: versions("s", 1) };
     let stopped = Record::ProcessStopped { at: 5 };
     let intact = journal("n1", vec![started.clone(), stopped, started.clone()]);
@@ -113,9 +117,15 @@
 }
 
 #[test]
-fn a_transaction_or_a_key_is_explained_over_all_nodes_in_order() {
-    let one = journal("n1", vec![keyed(100, Decision::Run, "a"), keyed(300, Decision::Served, "a")]);
-    let two = journal("n2", vec![keyed(200, Decision::Rejected, "b"), run(250, "c", versions("s", 1))]);
+fn explain_returns_the_records_of_a_transaction_or_key_from_all_nodes_in_order() {
+    let one = journal(
+        "n1",
+        vec![record_with_key(100, Decision::Run, "a"), record_with_key(300, Decision::Served, "a")],
+    );
+    let two = journal(
+        "n2",
+        vec![record_with_key(200, Decision::Rejected, "b"), run_record(250, "c", versions("s", 1))],
+    );
     let journals = [one, two];
     let explained = |txn_or_key| {
         let records = explain(&journals, txn_or_key);
@@ -127,10 +137,10 @@
 }
 
 #[test]
-fn records_are_read_as_they_were_written() {
+fn records_round_trip_through_json() {
     let records = [
         Record::ProcessStarted { at: 1, node: "n1".into(), versions: versions("s", 3) },
-        decided(2, Decision::Rejected, "a", None, versions("s", 3)),
+        attempt_record(2, Decision::Rejected, "a", None, versions("s", 3)),
         Record::Dropped { at: 3, count: 9 },
         Record::ProcessStopped { at: 4 },
     ];
--- a/fleet/src/audit/versions.rs
+++ b/fleet/src/audit/versions.rs
@@ -1,4 +1,4 @@
-//! Which versions the nodes decided by, and which nodes went on with an old one.
+//! Finds the versions that the nodes used, and the nodes that kept using a replaced version.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,14 +6,14 @@
 use super::report::{FirstUse, Replacement, Straggler, VersionKind, VersionUse};
 use super::AuditOptions;
 
-/// A version of one kind.
+/// A version together with its kind.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct VersionKey {
     kind: VersionKind,
     id: String,
 }
 
-/// The version of each kind that a decision names.
+/// Returns one key for each kind of version in a record.
 fn keys_of(versions: &Versions) -> impl Iterator<Item = VersionKey> {
     let keys = [
         VersionKey { kind: VersionKind::Settings, id: versions.settings.clone() },
@@ -23,7 +23,7 @@
     keys.into_iter()
 }
 
-/// How each version was used, by kind and then by when it was first used.
+/// Returns the use of each version, ordered by kind and then by first use.
 pub(super) fn version_uses(journals: &[Journal], options: &AuditOptions) -> Vec<VersionUse> {
     let mut uses: BTreeMap<VersionKey, VersionUse> = BTreeMap::new();
     for journal in journals {
@@ -44,7 +44,7 @@
         }
     }
     let mut uses: Vec<VersionUse> = uses.into_values().collect();
-    // Uses of one kind and time stay in the order of their ids, as the sort is stable.
+    // The sort is stable: uses of the same kind and time stay in the order of their ids.
     uses.sort_by_key(|version| (version.kind, version.first.at));
     for next in 1..uses.len() {
         if uses[next - 1].kind == uses[next].kind {
@@ -67,8 +67,8 @@
     }
 }
 
-/// Finds the old versions that a node used. A node that returned to an older version on purpose looks the
-/// same.
+/// Returns the replaced versions that a node used for longer than `options.spread_ms`. A deliberate rollback
+/// to an older version can't be told apart and is returned too.
 pub(super) fn find_stragglers(
     journal: &Journal,
     versions: &[VersionUse],
@@ -78,7 +78,7 @@
         versions.iter().find(|version| version.kind == kind && version.id == id)
     };
     let mut found: BTreeMap<VersionKey, Straggler> = BTreeMap::new();
-    // When the version that the node used last was first used on any node.
+    // For each kind, the time at which any node first used the version that this node used last.
     let mut last_used: BTreeMap<VersionKind, u64> = BTreeMap::new();
     for record in options.records(journal) {
         let Some(versions) = record.versions() else { continue };
--- a/fleet/src/envelope.rs
+++ b/fleet/src/envelope.rs
@@ -1,35 +1,35 @@
-//! Messages together with where they come from or go to.
+//! Messages together with their source or destination.
 
 use crate::ids::{Incarnation, LinkId, NodeId};
 use crate::message::Message;
 
-/// A message that a peer has sent.
+/// A message that was received from a peer.
 #[derive(Debug, Clone)]
 pub struct ReceivedMessage {
-    /// The link that it came by.
+    /// The link on which the message arrived.
     pub link: LinkId,
-    /// The peer.
+    /// The node that sent the message.
     pub from: NodeId,
-    /// The incarnation that the peer introduced itself with on the link.
+    /// The incarnation that the peer's hello on this link announced.
     pub incarnation: Incarnation,
-    /// The message.
+    /// The content.
     pub message: Message,
 }
 
-/// A message to a node.
+/// A message that is addressed to a node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Request {
-    /// The node.
+    /// The destination.
     pub to: NodeId,
-    /// The message.
+    /// The content.
     pub message: Message,
 }
 
-/// A message that goes back on the link that a request came by.
+/// A message that is sent back on the link on which its request arrived.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Response {
-    /// The link.
+    /// The link of the request.
     pub link: LinkId,
-    /// The message.
+    /// The content.
     pub message: Message,
 }
--- a/fleet/src/ids.rs
+++ b/fleet/src/ids.rs
@@ -1,5 +1,4 @@
-//! Identifiers that nodes exchange: nodes, their incarnations, versions of the membership configuration and
-//! links.
+//! Identifiers of nodes, their incarnations, membership configurations and links.
 
 use std::fmt;
 
@@ -24,8 +23,8 @@
     }
 }
 
-/// One lifetime of a node's replica state. A node that starts, or loses its state, begins a higher
-/// incarnation; grants of an earlier one no longer count.
+/// Number of a lifetime of a node's replica state. A node begins a higher incarnation when it starts or loses
+/// its state; grants from an earlier incarnation no longer count.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation(pub u64);
 
@@ -42,7 +41,7 @@
     }
 }
 
-/// The version of a membership configuration. Operators raise it with every change; 0 stands for no
+/// Version of a membership configuration. Operators increase it with every change; 0 means that there is no
 /// configuration.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ConfigVersion(pub u64);
@@ -53,16 +52,16 @@
     }
 }
 
-/// A connection to a peer, as the I/O layer numbers it. A response goes back on the link that its request
-/// came by.
+/// Number that the I/O layer assigns to a connection to a peer. A response is sent on the link on which its
+/// request arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LinkId(pub u64);
 
 impl LinkId {
-    /// The link of a node with itself; the I/O layer numbers connections from 1.
+    /// The link of a node to itself. The I/O layer numbers connections from 1.
     pub const LOOPBACK: LinkId = LinkId(0);
 
-    /// Returns the number of the next connection.
+    /// Returns the id of the connection that is opened after this one.
     pub fn next(self) -> LinkId {
         LinkId(self.0 + 1)
     }
--- a/fleet/src/test_support.rs
+++ b/fleet/src/test_support.rs
@@ -1,4 +1,4 @@
-//! Configurations and times that the unit tests share.
+//! Helpers for the unit tests: node ids, times and membership configurations.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use crate::membership::config::{Member, MembershipConfig, MembershipSpec};
 use crate::Time;
 
-/// The node of this number.
+/// The id of the node with this number.
 pub(crate) fn id(n: usize) -> NodeId {
     NodeId::of(&format!("n{n}"))
 }
@@ -17,8 +17,8 @@
     Duration::from_millis(millis)
 }
 
-/// The nodes of these numbers, distributed over some zones, with three replicas of a key and a window of 10
-/// s.
+/// A configuration of the nodes with these numbers, distributed over this many zones, with three replicas of
+/// each key and a window of 10 s.
 pub(crate) fn spec(version: u64, nodes: &[usize], zones: usize) -> MembershipSpec {
     let members = nodes.iter().map(|n| Member {
         name: format!("n{n}"),
@@ -33,7 +33,7 @@
     }
 }
 
-/// The same as a valid configuration.
+/// The validated configuration of [`spec`].
 pub(crate) fn config(version: u64, nodes: &[usize], zones: usize) -> MembershipConfig {
     MembershipConfig::new(spec(version, nodes, zones)).unwrap()
 }
