--- a/fleet/src/membership.rs
+++ b/fleet/src/membership.rs
@@ -1,7 +1,7 @@
-//! Who the members of the fleet are, which of them hold the replicas of a key, and which of them answer.
+//! Fleet membership: the members, the placement of the replicas of a key, and failure detection.
 //!
-//! What must be agreed on, the replicas of a key, follows from the membership configurations alone. Liveness
-//! decides only whom to ask first and how long to wait.
+//! All nodes must agree on the replicas of a key, so these depend only on the membership configurations.
+//! Liveness affects only the order in which members are contacted and the time to wait for them.
 
 pub mod active_configs;
 pub mod config;
--- a/fleet/src/membership/active_configs.rs
+++ b/fleet/src/membership/active_configs.rs
@@ -1,7 +1,8 @@
 //! The membership configurations that are active at the same time (joint configurations, as in Raft).
 //!
-//! A claim needs a quorum in each of them. The oldest one retires one idempotency window after so many of
-//! its members have adopted the next that no key can have a quorum of its replicas among the others.
+//! A claim needs a quorum in each active configuration. Members adopt the next configuration one by one. Once
+//! the members that have not adopted it are too few to hold a quorum of the replicas of any key, the oldest
+//! configuration is retired after one more idempotency window.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -13,63 +14,70 @@
 use crate::message::ConfigSignature;
 use crate::{Time, LATE_READ_GRACE};
 
-/// The most configurations that may be active at once; a further one waits until the oldest is retired.
+/// Maximum number of active configurations. A further one can be adopted only after the oldest is retired.
 pub const MAX_ACTIVE_CONFIGS: usize = 4;
 
-/// What became of a configuration that operators proposed.
+/// The outcome of a valid proposal of a configuration by the operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Proposal {
-    /// It is active now.
+    /// The configuration is active now.
     Adopted,
-    /// It was the newest one already.
+    /// The configuration was already the newest active one.
     Unchanged,
 }
 
-/// Why a proposed configuration was not adopted. The text names the key in the operators' file.
+/// The reason why a proposed configuration was not adopted. The text names the key in the operators' file.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ProposalError {
     /// A newer configuration is active.
-    #[error("list.number: {proposed} is lower than {newest}, which is active")]
+    #[error("list.number: {proposed} is lower than {newest}, the newest active configuration")]
     Outdated {
-        /// The proposed version.
+        /// Version of the proposed configuration.
         proposed: ConfigVersion,
-        /// The newest version.
+        /// Version of the newest active configuration.
         newest: ConfigVersion,
     },
-    /// Another configuration of the same version is active.
-    #[error("list.number: {version} is the version of the active configuration, which differs")]
+    /// A different configuration with the same version is active.
+    #[error(
+        "list.number: {version} is the version of the active configuration, whose content differs; \
+         raise the number with each change"
+    )]
     VersionReused {
-        /// The version of both.
+        /// Version of both configurations.
         version: ConfigVersion,
     },
-    /// Too many configurations are active.
-    #[error("list.number: {MAX_ACTIVE_CONFIGS} configurations are active; wait until {oldest} is retired")]
+    /// [`MAX_ACTIVE_CONFIGS`] configurations are active.
+    #[error(
+        "list.number: {MAX_ACTIVE_CONFIGS} configurations are active, the maximum; \
+         wait until {oldest} is retired"
+    )]
     TooManyActive {
-        /// The oldest version.
+        /// Version of the oldest active configuration.
         oldest: ConfigVersion,
     },
-    /// It can't follow the newest configuration.
+    /// The configuration can't follow the newest active one.
     #[error(transparent)]
     Invalid(#[from] ConfigError),
 }
 
-/// The active configurations, and who has adopted which.
+/// The active configurations and the versions that nodes have adopted.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct ActiveConfigs {
     this_node: NodeId,
-    /// In ascending order of version; never empty.
+    /// Ordered by ascending version; never empty.
     active: Vec<Arc<MembershipConfig>>,
     /// The highest version that each node has announced.
     adopted: BTreeMap<NodeId, ConfigVersion>,
-    /// When the oldest retires, once enough of its members have adopted the next.
+    /// When the oldest configuration is retired; set once enough of its members have adopted the next one.
     retires_at: Option<Time>,
     retired_through: ConfigVersion,
-    /// Configurations that came from a peer: their addresses are as that peer sees them.
+    /// Versions of configurations that were received from a peer, whose addresses may be valid only from that
+    /// peer.
     from_peers: BTreeSet<ConfigVersion>,
 }
 
 impl ActiveConfigs {
-    /// Creates the configurations of a node that knows one.
+    /// Creates the state of a node for which this configuration is the only active one.
     pub fn new(this_node: NodeId, config: Arc<MembershipConfig>) -> ActiveConfigs {
         ActiveConfigs {
             this_node,
@@ -86,7 +94,7 @@
         &self.active[self.active.len() - 1]
     }
 
-    /// Iterates over the active configurations, the oldest first.
+    /// Iterates over the active configurations from the oldest to the newest.
     pub fn iter(&self) -> std::slice::Iter<'_, Arc<MembershipConfig>> {
         self.active.iter()
     }
@@ -96,17 +104,17 @@
         self.active.len()
     }
 
-    /// Returns the active configuration of this version.
+    /// Returns the active configuration with this version.
     pub fn get(&self, version: ConfigVersion) -> Option<&Arc<MembershipConfig>> {
         self.active.iter().find(|config| config.version() == version)
     }
 
-    /// Returns the versions of the active configurations, the oldest first.
+    /// Returns the versions of the active configurations in ascending order.
     pub fn versions(&self) -> Vec<ConfigVersion> {
         self.active.iter().map(|config| config.version()).collect()
     }
 
-    /// Returns the signatures of the active configurations, the oldest first.
+    /// Returns the signatures of the active configurations in ascending order of version.
     pub fn signatures(&self) -> Vec<ConfigSignature> {
         let signature = |config: &Arc<MembershipConfig>| ConfigSignature {
             version: config.version(),
@@ -115,7 +123,7 @@
         self.active.iter().map(signature).collect()
     }
 
-    /// Returns every member of any active configuration.
+    /// Returns the members of all active configurations.
     pub fn all_members(&self) -> BTreeSet<NodeId> {
         self.active.iter().flat_map(|config| config.ids().iter().copied()).collect()
     }
@@ -125,18 +133,19 @@
         self.active.iter().map(|config| config.window()).max().unwrap_or_default()
     }
 
-    /// Whether an active configuration has the same version as this one and another content.
+    /// Whether an active configuration has the version of this signature but different content.
     pub fn conflicts_with(&self, other: ConfigSignature) -> bool {
         self.get(other.version).is_some_and(|config| config.digest() != other.digest)
     }
 
-    /// Returns the version up to which configurations are retired.
+    /// Returns the highest version up to which all configurations are retired; 0 if none is.
     pub fn retired_through(&self) -> ConfigVersion {
         self.retired_through
     }
 
-    /// Retires all configurations up to a version, as another node has: once true, that stays true. Returns
-    /// whether any was active.
+    /// Retires all configurations up to a version that another node has retired, except the newest. A
+    /// retirement is final, so this node need not check its conditions again. Returns whether any
+    /// configuration was active.
     pub fn retire_through(&mut self, version: ConfigVersion) -> bool {
         let before = self.active.len();
         let newest = self.newest().version();
@@ -150,16 +159,16 @@
         changed
     }
 
-    /// Whether a configuration of this version is unknown and not retired.
+    /// Whether the configuration with this version is neither active nor retired.
     pub fn is_missing(&self, version: ConfigVersion) -> bool {
         version > self.retired_through && self.get(version).is_none()
     }
 
-    /// Adopts a configuration of the operators.
+    /// Adopts a configuration that the operators propose.
     ///
     /// # Errors
     ///
-    /// Returns why it can't be adopted.
+    /// Returns the reason if the configuration can't be adopted.
     pub fn propose(&mut self, config: Arc<MembershipConfig>) -> Result<Proposal, ProposalError> {
         let version = config.version();
         let newest = self.newest().version();
@@ -177,7 +186,7 @@
         Ok(Proposal::Adopted)
     }
 
-    /// Takes a configuration of the version that is the newest already.
+    /// Handles a proposed configuration that has the version of the newest active one.
     fn propose_same_version(&mut self, config: Arc<MembershipConfig>) -> Result<Proposal, ProposalError> {
         let version = config.version();
         let last = self.active.len() - 1;
@@ -185,7 +194,7 @@
         if *known == config {
             return Ok(Proposal::Unchanged);
         }
-        // If it came from a peer before, its addresses were as that peer sees them.
+        // The known one was received from a peer; the proposed one has the addresses as seen from this node.
         if known.digest() == config.digest() && self.from_peers.remove(&version) {
             *known = config;
             return Ok(Proposal::Adopted);
@@ -193,8 +202,9 @@
         Err(ProposalError::VersionReused { version })
     }
 
-    /// Activates a configuration that a peer has: claims need a quorum in it too from now on. Returns
-    /// whether it is new.
+    /// Activates a configuration that was received from a peer, so that claims need a quorum in it too.
+    /// Returns `false`, without a change, if the configuration is active or retired or the maximum number of
+    /// configurations is active.
     pub fn add_from_peer(&mut self, config: Arc<MembershipConfig>) -> bool {
         if !self.is_missing(config.version()) || self.active.len() >= MAX_ACTIVE_CONFIGS {
             return false;
@@ -206,13 +216,13 @@
         true
     }
 
-    /// Records that a node has adopted configurations up to this version.
+    /// Records the newest version that a node has announced.
     pub fn record_adopted(&mut self, node: NodeId, newest: ConfigVersion) {
         let adopted = self.adopted.entry(node).or_default();
         *adopted = newest.max(*adopted);
     }
 
-    /// Returns the members of the oldest configuration that are not known to have adopted the next.
+    /// Returns the members of the oldest configuration that are not known to have adopted the next one.
     fn lagging_members(&self) -> BTreeSet<NodeId> {
         let Some(next) = self.active.get(1) else { return BTreeSet::new() };
         let has_adopted = |node: &NodeId| {
@@ -222,14 +232,14 @@
         self.active[0].ids().iter().copied().filter(|node| !has_adopted(node)).collect()
     }
 
-    /// Advances the time. Returns the version of the configuration that is retired, if one is.
+    /// Advances the time. Returns the version of the oldest configuration if it is retired now.
     pub fn tick(&mut self, now: Time) -> Option<ConfigVersion> {
         let oldest = self.active[0].clone();
         if self.active.len() < 2 || oldest.max_replicas_among(&self.lagging_members()) >= oldest.quorum() {
             self.retires_at = None;
             return None;
         }
-        // Until then a key may be retained that only replicas of this configuration know.
+        // Until then, keys that only replicas of the oldest configuration know may still be retained.
         let retires_at = *self.retires_at.get_or_insert(now + oldest.window() + LATE_READ_GRACE);
         if now < retires_at {
             return None;
--- a/fleet/src/membership/active_configs/tests.rs
+++ b/fleet/src/membership/active_configs/tests.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_higher_version_is_adopted_and_a_lower_one_or_another_content_of_the_same_is_rejected() {
+fn a_higher_version_is_adopted_and_a_lower_or_reused_version_is_rejected() {
     let mut configs = initial();
     let next = Arc::new(config(3, &[1, 2, 3, 4, 5], 1));
     assert_eq!(configs.propose(next.clone()), Ok(Proposal::Adopted));
@@ -36,31 +36,35 @@
 }
 
 #[test]
-fn a_config_retires_one_window_after_all_but_a_minority_have_adopted_the_next() {
+fn a_config_is_retired_one_window_after_all_but_a_minority_have_adopted_the_next() {
     let mut configs = initial();
     configs.propose(Arc::new(config(2, &[1, 2, 3, 5], 1))).unwrap();
     assert_eq!(configs.tick(at(1)), None);
     configs.record_adopted(id(2), version(2));
-    assert_eq!(configs.tick(at(100)), None, "the two that have not may hold two replicas of one key");
+    assert_eq!(
+        configs.tick(at(100)),
+        None,
+        "the two members that have not adopted it may hold a quorum of one key"
+    );
     configs.record_adopted(id(3), version(2));
     assert_eq!(configs.tick(at(200)), None);
-    assert_eq!(configs.tick(at(217)), None, "keys that only its replicas know may still be retained");
+    assert_eq!(configs.tick(at(217)), None, "keys that only its replicas know are still retained");
     assert_eq!(configs.tick(at(218)), Some(version(1)));
     assert_eq!(versions(&configs), [2]);
-    assert!(!configs.is_missing(version(1)), "it does not come back");
+    assert!(!configs.is_missing(version(1)), "a retired version is not missing");
     let mut other = initial();
     other.propose(Arc::new(config(2, &[1, 2, 3, 5], 1))).unwrap();
     let retired_through = configs.retired_through();
     assert!(
         other.retire_through(retired_through) && !other.retire_through(retired_through),
-        "once retired, it is retired for all"
+        "a version that one node retired is retired on another node, once"
     );
     assert_eq!((versions(&other), other.is_missing(version(1))), (vec![2], false));
-    assert_eq!(configs.tick(at(500)), None, "one stays active");
+    assert_eq!(configs.tick(at(500)), None, "the newest configuration is never retired");
 }
 
 #[test]
-fn a_config_of_a_peer_is_active_too_and_the_number_of_active_configs_is_bounded() {
+fn a_config_from_a_peer_becomes_active_and_the_number_of_active_configs_is_bounded() {
     let mut configs = initial();
     assert!(configs.add_from_peer(Arc::new(config(3, &[1, 2, 3, 4, 5], 1))));
     assert!(configs.add_from_peer(Arc::new(config(2, &[1, 2, 3, 4], 1))));
@@ -72,7 +76,7 @@
     assert_eq!(
         configs.propose(own_addresses.clone()),
         Ok(Proposal::Adopted),
-        "the operators' addresses prevail"
+        "the operators' addresses replace those from the peer"
     );
     assert_eq!(configs.newest(), &own_addresses);
     let reused = configs.propose(Arc::new(config(3, &[1, 2, 3, 4, 5], 1)));
--- a/fleet/src/membership/config.rs
+++ b/fleet/src/membership/config.rs
@@ -1,10 +1,9 @@
-//! A membership configuration: the versioned list of a fleet's members, and which of them hold replicas of
-//! a key.
+//! A membership configuration: the versioned list of a fleet's members, and the placement of replicas.
 //!
-//! Replicas are placed by rendezvous hashing (Thaler and Ravishankar 1998): the members with the highest
-//! scores of a hash of member and key, in different zones where there are enough. Placement depends on the
-//! configuration alone and never on who is reachable, so that two halves of a partitioned fleet can't
-//! choose different replicas.
+//! Replicas are placed by rendezvous hashing (Thaler and Ravishankar 1998): the score of a member for a key
+//! is a hash of both, and the members with the highest scores hold the replicas, in different zones if there
+//! are enough zones. Placement depends only on the configuration and not on which members are reachable, so
+//! that two sides of a network partition can't choose different replicas.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,94 +16,94 @@
 use crate::digest::{digest, mix, DigestKind};
 use crate::ids::{ConfigVersion, NodeId};
 
-/// The most members that a configuration may have.
+/// Maximum number of members in a configuration.
 pub const MAX_MEMBERS: usize = 1000;
-/// The most replicas that a key may have.
+/// Maximum number of replicas of a key.
 pub const MAX_REPLICAS: usize = 9;
-/// The longest name of a member or a zone, in bytes.
+/// Maximum length of the name of a member or a zone in bytes.
 const MAX_NAME_BYTES: usize = 64;
-/// The longest idempotency window.
+/// Maximum idempotency window.
 const MAX_WINDOW: Duration = Duration::from_secs(24 * 60 * 60);
-/// An error names at most this many members.
+/// Maximum number of members that an error names.
 const MAX_NAMES_IN_ERROR: usize = 5;
 
-/// Why a configuration is invalid, or can't follow the previous one. The text names the key in the
+/// The reason why a configuration is invalid or can't follow the previous one. The text names the key in the
 /// operators' file.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ConfigError {
     /// The version is 0.
-    #[error("list.number: 1 or more")]
+    #[error("list.number: must be at least 1, but is 0")]
     VersionZero,
-    /// There are no members, or too many.
-    #[error("list.members: 1 to {MAX_MEMBERS} nodes, not {count}")]
+    /// The number of members is out of range.
+    #[error("list.members: must have 1 to {MAX_MEMBERS} members, but has {count}")]
     MemberCount {
-        /// The number of members.
+        /// Number of members in the configuration.
         count: usize,
     },
     /// The number of replicas is out of range.
-    #[error("list.copies: 1 to {MAX_REPLICAS}, not {count}")]
+    #[error("list.copies: must be 1 to {MAX_REPLICAS}, but is {count}")]
     ReplicaCount {
-        /// The number of replicas.
+        /// Number of replicas in the configuration.
         count: usize,
     },
     /// The idempotency window is zero or too long.
-    #[error("list.window_ms: above 0 and at most a day, not {window:?}")]
+    #[error("list.window_ms: must be above 0 and at most one day, but is {window:?}")]
     Window {
-        /// The window.
+        /// The idempotency window in the configuration.
         window: Duration,
     },
     /// The name or the zone of a member is empty or too long.
-    #[error("list.members[{index}]: name and zone need 1 to {MAX_NAME_BYTES} bytes")]
+    #[error("list.members[{index}]: name and zone must each have 1 to {MAX_NAME_BYTES} bytes")]
     Name {
-        /// The member's index.
+        /// Index of the member, from 0.
         index: usize,
     },
     /// Two members have the same name.
-    #[error("list.members[{index}].name: {name:?} is there twice")]
+    #[error("list.members[{index}].name: {name:?} is also the name of an earlier member")]
     DuplicateName {
-        /// The index of the second one.
+        /// Index of the second member with the name.
         index: usize,
-        /// The name.
+        /// The duplicate name.
         name: String,
     },
-    /// Some keys would lose a quorum of their replicas at once.
+    /// The change removes or moves so many members that some keys would lose a quorum of their replicas.
     #[error(
-        "list.members: without {names} ({count} in all) some keys lose {lost} of their {replicas} replicas at once; \
-         remove them in steps"
+        "list.members: without {names} ({count} in all) some keys lose {lost} of their {replicas} replicas \
+         at once; remove or move these members in steps"
     )]
     QuorumLost {
-        /// The first members that are removed or moved to another address.
+        /// Names of the first [`MAX_NAMES_IN_ERROR`] members that are removed or get another address.
         names: String,
-        /// The number of members that are removed or moved.
+        /// Number of members that are removed or get another address.
         count: usize,
-        /// The most replicas that one key loses.
+        /// Maximum number of replicas that one key loses.
         lost: usize,
-        /// The replicas that a key has.
+        /// Number of replicas that each key has.
         replicas: usize,
     },
 }
 
-/// A member of the fleet.
+/// A member as a configuration describes it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Member {
-    /// Its name.
+    /// Name of the node, unique in the configuration; the node's id is derived from it.
     pub name: String,
-    /// Where its peers reach it, as this node sees it.
+    /// Address at which this node reaches the member; other nodes may use another address.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Failure domain; the replicas of a key are placed in different zones if there are enough.
     pub zone: String,
 }
 
-/// The content of a configuration as operators write it and peers send it, not validated yet.
+/// The content of a configuration, not validated yet, from the operators' file or from a peer.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MembershipSpec {
-    /// The version.
+    /// Version, at least 1.
     pub version: ConfigVersion,
-    /// The replicas of each key.
+    /// Number of replicas of each key, from 1 to [`MAX_REPLICAS`].
     pub replicas: usize,
-    /// The idempotency window: the longest time that a key is retained.
+    /// Idempotency window: how long a key is retained; at most one day.
     pub window: Duration,
-    /// The members.
+    /// The members, at most [`MAX_MEMBERS`].
     pub members: Vec<Member>,
 }
 
@@ -139,7 +138,8 @@
         Ok(())
     }
 
-    /// Addresses are left out: two nodes may reach a third one by different addresses.
+    /// Returns the digest of everything but the addresses, because two nodes may reach a third one at
+    /// different addresses.
     fn digest(&self) -> u64 {
         let mut text = format!("{} {} {}", self.version, self.replicas, self.window.as_millis());
         for member in &self.members {
@@ -149,19 +149,19 @@
     }
 }
 
-/// A member that may hold a replica of a key; the highest score comes first.
+/// A member that may hold a replica of a key. Candidates are ordered by their score.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Candidate {
     score: u64,
     index: usize,
 }
 
-/// A valid membership configuration.
+/// A validated membership configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct MembershipConfig {
     spec: MembershipSpec,
     ids: Vec<NodeId>,
-    /// The number of each member's zone, by the member's index.
+    /// Number of each member's zone, by the member's index.
     zones: Vec<usize>,
     zone_count: usize,
     digest: u64,
@@ -172,7 +172,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the first fault that is found.
+    /// Returns the first error that is found.
     pub fn new(spec: MembershipSpec) -> Result<MembershipConfig, ConfigError> {
         spec.validate()?;
         let mut zone_numbers: BTreeMap<&str, usize> = BTreeMap::new();
@@ -195,17 +195,17 @@
         self.spec.version
     }
 
-    /// Returns the idempotency window: the longest time that a key is retained.
+    /// Returns the idempotency window, for which a key is retained.
     pub fn window(&self) -> Duration {
         self.spec.window
     }
 
-    /// Returns the content from which the configuration was made.
+    /// Returns the content from which the configuration was created.
     pub fn spec(&self) -> &MembershipSpec {
         &self.spec
     }
 
-    /// Returns the digest of everything that nodes must agree on: all but the addresses.
+    /// Returns the digest of everything that nodes must agree on, which excludes the addresses.
     pub fn digest(&self) -> u64 {
         self.digest
     }
@@ -225,22 +225,23 @@
         self.index_of(node).map(|index| &self.spec.members[index])
     }
 
-    /// Returns the number of replicas that each key has.
+    /// Returns the number of replicas of each key: the configured number, or that of the members if lower.
     pub fn replica_count(&self) -> usize {
         self.spec.replicas.min(self.ids.len())
     }
 
-    /// Returns the number of a key's replicas that make a quorum: a majority.
+    /// Returns the number of a key's replicas that form a quorum: a majority.
     pub fn quorum(&self) -> usize {
         self.replica_count() / 2 + 1
     }
 
-    /// Returns the members that hold replicas of a key, the highest score first.
+    /// Returns the members that hold the replicas of a key, in descending order of their scores within the
+    /// zones' best members and then within the others.
     pub fn replicas_of(&self, key: &[u8]) -> Vec<NodeId> {
         let key = mix(digest(DigestKind::Key, key));
         let candidate = |index: usize| Candidate { score: mix(self.ids[index].0 ^ key), index };
-        // The best member of each zone, and then, if there are fewer zones than replicas, the best of the
-        // others.
+        // Choose the best member of each zone and then, if there are fewer zones than replicas, the best of
+        // the other members.
         let mut best_by_zone: Vec<Option<Candidate>> = vec![None; self.zone_count];
         for (index, zone) in self.zones.iter().enumerate() {
             best_by_zone[*zone] = best_by_zone[*zone].max(Some(candidate(index)));
@@ -256,7 +257,7 @@
         chosen.into_iter().map(|candidate| self.ids[candidate.index]).collect()
     }
 
-    /// Returns the most replicas of one key that these nodes can hold together.
+    /// Returns the maximum number of replicas of one key that these nodes can hold together.
     pub fn max_replicas_among(&self, nodes: &BTreeSet<NodeId>) -> usize {
         let mut by_zone: BTreeMap<usize, usize> = BTreeMap::new();
         for (id, zone) in self.ids.iter().zip(&self.zones) {
@@ -264,14 +265,15 @@
                 *by_zone.entry(*zone).or_default() += 1;
             }
         }
-        // One replica in each zone; those for which there are not enough zones may be anywhere.
+        // Each zone holds one replica; the replicas in excess of the number of zones may be in any zone.
         let beyond_zones = self.replica_count().saturating_sub(self.zone_count);
         let second_in_zone: usize = by_zone.values().map(|count| count - 1).sum();
         (by_zone.len() + second_in_zone.min(beyond_zones)).min(self.replica_count())
     }
 
-    /// Checks that this configuration can follow another one: no key may lose a quorum of its replicas at
-    /// once. A member with a new address counts as another node under the same name.
+    /// Checks that this configuration can follow another one: no key may lose a quorum of its replicas in one
+    /// change. A member with a new address counts as replaced, because it may be another node with the same
+    /// name.
     ///
     /// # Errors
     ///
--- a/fleet/src/membership/config/tests.rs
+++ b/fleet/src/membership/config/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::test_support::{config, spec};
 
-fn twelve() -> Vec<usize> {
+fn twelve_nodes() -> Vec<usize> {
     (1..=12).collect()
 }
 
@@ -10,8 +10,8 @@
 }
 
 #[test]
-fn replicas_are_in_different_zones_and_spread_evenly() {
-    let config = config(1, &twelve(), 3);
+fn replicas_are_in_different_zones_and_evenly_distributed() {
+    let config = config(1, &twelve_nodes(), 3);
     let mut counts: BTreeMap<NodeId, usize> = BTreeMap::new();
     for n in 0..3000_u32 {
         let replicas = config.replicas_of(&n.to_be_bytes());
@@ -22,8 +22,8 @@
 }
 
 #[test]
-fn all_zones_are_used_if_there_are_fewer_than_replicas_and_all_members_as_well() {
-    let two_zones = config(1, &twelve(), 2);
+fn with_fewer_zones_or_members_than_replicas_all_of_them_hold_replicas() {
+    let two_zones = config(1, &twelve_nodes(), 2);
     for n in 0..100_u32 {
         let replicas = two_zones.replicas_of(&n.to_be_bytes());
         assert_eq!((replicas.len(), zones_of(&two_zones, &replicas).len()), (3, 2));
@@ -33,38 +33,41 @@
 }
 
 #[test]
-fn one_more_member_moves_few_replicas() {
-    let (before, after) = (config(1, &twelve(), 1), config(2, &(1..=13).collect::<Vec<_>>(), 1));
+fn adding_a_member_moves_few_replicas() {
+    let (before, after) = (config(1, &twelve_nodes(), 1), config(2, &(1..=13).collect::<Vec<_>>(), 1));
     let is_moved = |n: &u32| before.replicas_of(&n.to_be_bytes()) != after.replicas_of(&n.to_be_bytes());
     let moved = (0..1300_u32).filter(is_moved).count();
-    assert!((200..400).contains(&moved), "three in thirteen: {moved}");
+    assert!(
+        (200..400).contains(&moved),
+        "expected about 3 in 13 keys to change, that is 300 of 1300: {moved}"
+    );
 }
 
 #[test]
-fn a_config_that_takes_a_quorum_of_some_keys_replicas_is_rejected() {
-    let before = config(1, &twelve(), 3);
+fn a_config_that_removes_a_quorum_of_the_replicas_of_some_key_is_rejected() {
+    let before = config(1, &twelve_nodes(), 3);
     let without = |removed: &[usize]| {
-        let left: Vec<usize> = twelve().into_iter().filter(|n| !removed.contains(n)).collect();
+        let left: Vec<usize> = twelve_nodes().into_iter().filter(|n| !removed.contains(n)).collect();
         config(2, &left, 3).check_follows(&before)
     };
     assert!(without(&[4]).is_ok());
-    assert!(without(&[1, 4, 7, 10]).is_ok(), "a whole zone has at most one replica of each key");
+    assert!(without(&[1, 4, 7, 10]).is_ok(), "one zone holds only one replica of each key");
     let error = without(&[1, 2]).unwrap_err().to_string();
     assert!(error.contains("n1, n2 (2 in all)") && error.contains("2 of their 3 replicas"), "{error}");
-    let mut moved = spec(2, &twelve(), 3);
+    let mut moved = spec(2, &twelve_nodes(), 3);
     moved.members[0].address.set_port(1);
     assert!(MembershipConfig::new(moved.clone()).unwrap().check_follows(&before).is_ok());
     moved.members[1].address.set_port(1);
     assert!(
         MembershipConfig::new(moved).unwrap().check_follows(&before).is_err(),
-        "two other nodes under old names"
+        "two members with new addresses count as replaced"
     );
 }
 
 #[test]
-fn the_bound_on_replicas_among_nodes_holds_for_every_key() {
+fn max_replicas_among_nodes_is_the_exact_maximum_over_all_keys() {
     for zones in 1..=4 {
-        let config = config(1, &twelve(), zones);
+        let config = config(1, &twelve_nodes(), zones);
         for nodes in [&[1, 2][..], &[1, 5, 9], &[2, 3, 4, 8, 12]] {
             let ids: BTreeSet<NodeId> = nodes.iter().map(|n| NodeId::of(&format!("n{n}"))).collect();
             let among =
@@ -76,7 +79,7 @@
 }
 
 #[test]
-fn an_invalid_config_is_rejected_with_the_key_at_fault() {
+fn an_invalid_config_is_rejected_with_an_error_that_names_the_key() {
     let error = |change: fn(&mut MembershipSpec)| {
         let mut spec = spec(1, &[1, 2, 3], 1);
         change(&mut spec);
@@ -91,7 +94,7 @@
 }
 
 #[test]
-fn the_digest_covers_zones_and_not_addresses() {
+fn the_digest_covers_zones_but_not_addresses() {
     let mut spec = spec(1, &[1, 2, 3], 1);
     let digest = config(1, &[1, 2, 3], 1).digest();
     spec.members[0].address.set_port(1);
--- a/fleet/src/membership/failure_detector.rs
+++ b/fleet/src/membership/failure_detector.rs
@@ -1,10 +1,11 @@
-//! Failure detection after SWIM (Das, Gupta and Motivala 2002): periodic probes, direct and then through
-//! other members, whose cost for a node does not grow with the fleet. Gossip about other members rides on
-//! probes and acknowledgements. A member that is wrongly suspected refutes that with a higher version of
-//! itself.
+//! Failure detection after SWIM (Das, Gupta and Motivala 2002). A node probes one member per period, first
+//! directly and then through other members, so that its cost does not grow with the size of the fleet. Probes
+//! and acknowledgements carry gossip about other members. A member that is wrongly suspected refutes the
+//! suspicion by gossiping a higher version of itself.
 //!
-//! The membership configuration says who the members are. The failure detector says only who answers, and
-//! nothing but the order and the patience with which members are asked depends on it.
+//! The membership configuration determines the members. The failure detector only tracks which of them
+//! answer, and its result affects only the order in which members are contacted and the time to wait for
+//! them.
 
 mod gossip;
 
@@ -21,25 +22,25 @@
 
 use gossip::GossipQueue;
 
-/// Members that are asked to probe one that did not answer directly.
+/// Number of members that are asked to probe a member that did not answer a direct probe.
 const INDIRECT_PROBES: usize = 3;
-/// A suspect counts as dead after this many probe periods.
+/// Number of probe periods after which a suspect is declared dead.
 const SUSPICION_PERIODS: u32 = 4;
-/// The part of a probe period after which a direct probe counts as unanswered.
+/// Fraction of the probe period after which a direct probe counts as unanswered.
 const DIRECT_PROBE_FRACTION: f64 = 0.4;
-/// The most members that a node contacts per tick after it has started or resumed.
+/// Maximum number of members that a node contacts per tick after it has started or resumed.
 const CONTACTS_PER_TICK: usize = 32;
-/// A node that has not heard enough members contacts the others again after this.
+/// Interval at which a node without a quorum again contacts the members that have not answered.
 const CONTACT_INTERVAL: Duration = Duration::from_millis(500);
-/// The most probes for other members that are remembered while they are unanswered.
+/// Maximum number of unanswered probes on behalf of other members; further ones replace the oldest.
 const MAX_RELAYED_PROBES: usize = 256;
 
-/// What is known of a member.
+/// The state of a member as this node knows it.
 #[derive(Debug, Clone)]
 struct MemberState {
     version: MemberVersion,
     liveness: Liveness,
-    /// When the member counts as dead if it is a suspect.
+    /// When the member is declared dead if it is still a suspect; meaningless for other members.
     dead_at: Time,
 }
 
@@ -49,69 +50,72 @@
     target: NodeId,
     seq: u64,
     started_at: Time,
-    /// Whether other members were asked to probe the target.
+    /// Whether other members have been asked to probe the target.
     is_indirect: bool,
 }
 
-/// A probe that this node sends for another one.
+/// A probe that this node has sent on behalf of another member.
 #[derive(Debug, Clone)]
 struct RelayedProbe {
+    /// Sequence number of this node's probe.
     seq: u64,
-    /// The sequence number and the link of the node that asked for it.
+    /// Sequence number of the requester's probe.
     requester_seq: u64,
+    /// Link on which the request arrived.
     requester_link: LinkId,
     target: NodeId,
 }
 
-/// A message to be sent.
+/// A message that the caller must send.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outbound {
-    /// To a node.
+    /// Send the message to this node.
     Send(NodeId, Message),
-    /// On the link that a request came by.
+    /// Send the message on this link, on which its request arrived.
     Respond(LinkId, Message),
 }
 
-/// The number of members by liveness.
+/// Number of members by liveness, without this node.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LivenessCounts {
-    /// Members that answer, directly or through others.
+    /// Members that answer probes, directly or through other members.
     pub alive: u64,
     /// Members that did not answer the last probe.
     pub suspect: u64,
-    /// Members that have not answered for long, or never did.
+    /// Members that were suspects for too long or have not been heard since this node started or resumed.
     pub dead: u64,
 }
 
-/// Tracks the liveness of all members but this node.
+/// Tracks the liveness of all other members.
 #[derive(Debug, Clone)]
 pub struct FailureDetector {
     this_node: NodeId,
     rng: ChaCha8Rng,
     probe_period: Duration,
     members: BTreeMap<NodeId, MemberState>,
-    /// Members that are still to be probed in this round; drawn anew when it is empty.
+    /// Members that have not been probed in this round. An empty round is refilled in random order.
     probe_round: Vec<NodeId>,
     probe: Option<Probe>,
     next_probe_at: Time,
-    /// A time before which no suspect counts as dead.
+    /// No suspect is due to be declared dead before this time.
     next_death_at: Time,
     gossip_queue: GossipQueue,
     local_version: MemberVersion,
     last_seq: u64,
     relayed_probes: VecDeque<RelayedProbe>,
-    /// An acknowledgement of an earlier sequence number may be from before the node was suspended.
+    /// Acknowledgements of earlier sequence numbers may have been sent before this node was suspended and
+    /// don't confirm a member.
     first_valid_seq: u64,
     uptime_seconds: u64,
     /// Members that have acknowledged a probe since the node started or resumed.
     confirmed: BTreeSet<NodeId>,
+    /// Members that are contacted in the next ticks.
     to_contact: Vec<NodeId>,
     contacted_at: Time,
 }
 
 impl FailureDetector {
-    /// Creates the failure detector of a node that has heard nobody yet. The seed determines the order of
-    /// probes.
+    /// Creates a failure detector without members. The seed determines the order of probes.
     pub fn new(
         this_node: NodeId,
         incarnation: Incarnation,
@@ -139,7 +143,7 @@
         }
     }
 
-    /// Sets the members: those of all active configurations.
+    /// Sets the members to those of all active configurations. New members are dead until they are heard.
     pub fn set_members(&mut self, nodes: &BTreeSet<NodeId>) {
         self.members.retain(|node, _| nodes.contains(node));
         for node in nodes.iter().filter(|node| **node != self.this_node) {
@@ -157,17 +161,18 @@
         self.confirmed.retain(|node| nodes.contains(node));
     }
 
-    /// Sets how long this node's incarnation has lasted, which its probes report.
+    /// Sets the duration of this node's incarnation, which its probes and acknowledgements report.
     pub fn set_uptime(&mut self, seconds: u64) {
         self.uptime_seconds = seconds;
     }
 
-    /// Sets this node's incarnation.
+    /// Sets this node's incarnation, in which no suspicion has been refuted yet.
     pub fn set_incarnation(&mut self, incarnation: Incarnation) {
         self.local_version = MemberVersion { incarnation, refutations: 0 };
     }
 
-    /// Forgets all that was heard, as the node was suspended.
+    /// Marks all members as dead and contacts them again, because the node was suspended and its knowledge of
+    /// them is out of date.
     pub fn reset(&mut self) {
         self.confirmed.clear();
         self.first_valid_seq = self.last_seq + 1;
@@ -183,7 +188,7 @@
         &self.confirmed
     }
 
-    /// Returns a member's liveness.
+    /// Returns a member's liveness; nodes that are not members are dead.
     pub fn liveness(&self, node: NodeId) -> Liveness {
         self.members.get(&node).map_or(Liveness::Dead, |member| member.liveness)
     }
@@ -201,7 +206,8 @@
         counts
     }
 
-    /// Records that a member has sent a message in this incarnation of it.
+    /// Records that a member has sent a message in this incarnation. Messages of earlier incarnations are
+    /// ignored.
     pub fn record_message(&mut self, node: NodeId, incarnation: Incarnation) {
         let member = self.members.get_mut(&node);
         if let Some(member) = member.filter(|member| member.version.incarnation <= incarnation) {
@@ -210,7 +216,7 @@
         }
     }
 
-    /// Handles a probe or an acknowledgement.
+    /// Handles a direct or indirect probe or acknowledgement; other messages are ignored.
     pub fn handle_message(
         &mut self,
         now: Time,
@@ -257,7 +263,7 @@
         self.close_probe(from, seq);
     }
 
-    /// Probes a member for another node.
+    /// Sends a probe on behalf of another member.
     fn relay_probe(&mut self, link: LinkId, requester_seq: u64, target: NodeId, out: &mut Vec<Outbound>) {
         let seq = self.next_seq();
         let relayed = RelayedProbe { seq, requester_seq, requester_link: link, target };
@@ -275,7 +281,8 @@
         }
     }
 
-    /// Handles that a node can't be reached directly: if it is being probed, other members are asked to.
+    /// Handles the failure to reach a node directly: if the node is being probed, starts indirect probes
+    /// without waiting for the timeout.
     pub fn handle_unreachable(&mut self, node: NodeId, out: &mut Vec<Outbound>) {
         if self.probe.as_ref().is_some_and(|probe| probe.target == node && !probe.is_indirect) {
             self.send_indirect_probes(out);
@@ -291,8 +298,8 @@
         Message::Ping { seq, uptime_seconds: self.uptime_seconds, gossip }
     }
 
-    /// Advances the time. `has_quorum` says that enough members have been heard since the node started or
-    /// resumed.
+    /// Advances the time. `has_quorum` is whether a quorum of the members has answered since this node
+    /// started or resumed.
     pub fn tick(&mut self, now: Time, has_quorum: bool, out: &mut Vec<Outbound>) {
         self.contact_members(now, has_quorum, out);
         self.declare_deaths(now);
@@ -307,8 +314,8 @@
         }
     }
 
-    /// After the node has started or resumed, contacts every member, a bounded number at a time, and again
-    /// at intervals those that have not answered, until enough have.
+    /// Contacts every member after the node has started or resumed, a bounded number per tick. Until the node
+    /// has a quorum, contacts the members that have not answered again at intervals.
     fn contact_members(&mut self, now: Time, has_quorum: bool, out: &mut Vec<Outbound>) {
         if !has_quorum && self.to_contact.is_empty() && now >= self.contacted_at + CONTACT_INTERVAL {
             let unconfirmed = self.members.keys().filter(|node| !self.confirmed.contains(node));
@@ -323,7 +330,7 @@
         }
     }
 
-    /// Marks as dead the members that have been suspects for too long.
+    /// Declares dead the members that have been suspects for too long.
     fn declare_deaths(&mut self, now: Time) {
         if now < self.next_death_at {
             return;
@@ -338,7 +345,7 @@
         self.next_death_at = suspects.map(|member| member.dead_at).min().unwrap_or(Time::MAX);
     }
 
-    /// Begins a probe period: the target of the last one is a suspect if it has not answered by now.
+    /// Begins a probe period. The target of the previous period becomes a suspect if it has not answered.
     fn begin_probe(&mut self, now: Time, out: &mut Vec<Outbound>) {
         if let Some(unanswered) = self.probe.take() {
             if self.liveness(unanswered.target) == Liveness::Alive {
--- a/fleet/src/membership/failure_detector/gossip.rs
+++ b/fleet/src/membership/failure_detector/gossip.rs
@@ -1,5 +1,5 @@
-//! Gossip about members: merging what other members report, and the updates that are still to be sent. Each
-//! is sent a bounded number of times, with probes and acknowledgements.
+//! Gossip about members: the merging of received updates, and the queue of updates to send. Probes and
+//! acknowledgements carry the updates, and each update is sent a bounded number of times.
 
 use std::cmp::Reverse;
 
@@ -7,26 +7,26 @@
 use crate::message::{GossipUpdate, Liveness};
 use crate::Time;
 
-/// The most gossip updates that one message carries.
+/// Maximum number of gossip updates in one message.
 pub(super) const MAX_UPDATES_PER_MESSAGE: usize = 8;
-/// An update is sent this many times, times the binary logarithm of the number of members.
+/// An update is sent this many times the bit length of the number of members, about its binary logarithm.
 const RETRANSMIT_FACTOR: u32 = 3;
 
-/// An update that is still to be sent.
+/// An update with the number of times that it is still to be sent.
 #[derive(Debug, Clone)]
 struct QueuedUpdate {
     update: GossipUpdate,
     transmissions_left: u32,
 }
 
-/// The updates that are still to be sent, at most one of each member.
+/// The updates that are still to be sent, at most one for each member.
 #[derive(Debug, Clone, Default)]
 pub(super) struct GossipQueue {
     updates: Vec<QueuedUpdate>,
 }
 
 impl GossipQueue {
-    /// Queues an update; it replaces an earlier one of the same member.
+    /// Queues an update, which replaces an earlier one about the same member.
     pub(super) fn push(&mut self, update: GossipUpdate, member_count: usize) {
         self.updates.retain(|queued| queued.update.node != update.node);
         let log_of_members = (usize::BITS - member_count.leading_zeros()).max(1);
@@ -34,7 +34,7 @@
         self.updates.push(QueuedUpdate { update, transmissions_left });
     }
 
-    /// Takes the updates for the next message: those that were sent least.
+    /// Returns the updates for the next message: those with the most transmissions left.
     pub(super) fn next_updates(&mut self) -> Vec<GossipUpdate> {
         self.updates.sort_by_key(|queued| Reverse(queued.transmissions_left));
         let mut updates = Vec::new();
@@ -48,7 +48,8 @@
 }
 
 impl FailureDetector {
-    /// Merges the updates that another member reports.
+    /// Merges updates that were received from another member; a message holds at most
+    /// [`MAX_UPDATES_PER_MESSAGE`], and any further ones are ignored.
     pub(super) fn merge_gossip(&mut self, now: Time, updates: Vec<GossipUpdate>) {
         for update in updates.into_iter().take(MAX_UPDATES_PER_MESSAGE) {
             if update.node == self.this_node {
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Refutes a suspicion of this node in its current incarnation.
+    /// Refutes a suspicion against this node if it concerns the current version of the node.
     fn refute(&mut self, update: GossipUpdate) {
         let is_current = update.version >= self.local_version
             && update.version.incarnation == self.local_version.incarnation;
@@ -77,7 +78,8 @@
         if (update.version, update.liveness) <= (member.version, member.liveness) {
             return;
         }
-        // A member that this node hears is not dead because others say so; it is probed first.
+        // A member that this node hears is only suspected if others report it as dead, so that this node
+        // probes it before it declares the member dead.
         let is_heard = member.liveness == Liveness::Alive;
         member.version = update.version;
         member.liveness =
--- a/fleet/src/membership/failure_detector/tests.rs
+++ b/fleet/src/membership/failure_detector/tests.rs
@@ -4,14 +4,14 @@
 
 const PERIOD: Duration = Duration::from_millis(1000);
 const LINK: LinkId = LinkId(1);
-const FIRST: Incarnation = Incarnation(1);
+const INCARNATION: Incarnation = Incarnation(1);
 
 fn id(n: u64) -> NodeId {
     NodeId(n)
 }
 
 fn detector(this_node: u64, count: u64) -> FailureDetector {
-    let mut detector = FailureDetector::new(id(this_node), FIRST, 7, PERIOD);
+    let mut detector = FailureDetector::new(id(this_node), INCARNATION, 7, PERIOD);
     detector.set_members(&(1..=count).map(id).collect());
     detector
 }
@@ -24,8 +24,8 @@
     out.iter().filter_map(target).collect()
 }
 
-/// The sequence number of the last probe that was sent to a node.
-fn seq_to(out: &[Outbound], node: NodeId) -> u64 {
+/// Returns the sequence number of the last probe that was sent to a node.
+fn last_seq_to(out: &[Outbound], node: NodeId) -> u64 {
     let found = out.iter().rev().find_map(|outbound| match outbound {
         Outbound::Send(to, Message::Ping { seq, .. }) if *to == node => Some(*seq),
         _ => None,
@@ -38,16 +38,20 @@
 }
 
 fn update(node: u64, refutations: u32, liveness: Liveness) -> GossipUpdate {
-    GossipUpdate { node: id(node), version: MemberVersion { incarnation: FIRST, refutations }, liveness }
+    GossipUpdate {
+        node: id(node),
+        version: MemberVersion { incarnation: INCARNATION, refutations },
+        liveness,
+    }
 }
 
 #[test]
-fn a_node_that_starts_contacts_every_member_and_confirms_those_that_answer() {
+fn after_a_start_every_member_is_contacted_and_those_that_answer_are_confirmed() {
     let (mut detector, mut out) = (detector(1, 4), Vec::new());
     detector.tick(at(0), false, &mut out);
     let contacted: BTreeSet<NodeId> = ping_targets(&out).into_iter().collect();
     assert_eq!(contacted, [2, 3, 4].map(id).into());
-    let seq = seq_to(&out, id(2));
+    let seq = last_seq_to(&out, id(2));
     detector.handle_message(at(1), LINK, id(2), ack(seq), &mut out);
     assert_eq!(*detector.confirmed(), [id(2)].into());
     out.clear();
@@ -57,25 +61,26 @@
 }
 
 #[test]
-fn after_a_reset_nobody_is_confirmed_and_acks_of_earlier_probes_do_not_count() {
+fn after_a_reset_no_member_is_confirmed_and_acks_of_earlier_probes_do_not_count() {
     let (mut detector, mut out) = (detector(1, 3), Vec::new());
     detector.tick(at(0), false, &mut out);
-    let earlier = seq_to(&out, id(2));
+    let earlier = last_seq_to(&out, id(2));
     detector.reset();
     detector.handle_message(at(1), LINK, id(2), ack(earlier), &mut out);
     assert!(detector.confirmed().is_empty());
     out.clear();
     detector.tick(at(2), false, &mut out);
-    let seq = seq_to(&out, id(2));
+    let seq = last_seq_to(&out, id(2));
     detector.handle_message(at(3), LINK, id(2), ack(seq), &mut out);
     assert_eq!(*detector.confirmed(), [id(2)].into());
 }
 
-/// A detector of four members that suspects one, which did not answer its probe, and since when.
-fn suspecting() -> (FailureDetector, NodeId, Time) {
+/// Returns a detector with three other members, the one that it suspects because a probe was not answered,
+/// and the time at which it became a suspect.
+fn detector_with_suspect() -> (FailureDetector, NodeId, Time) {
     let (mut detector, mut out) = (detector(1, 4), Vec::new());
     for node in [2, 3, 4] {
-        detector.record_message(id(node), FIRST);
+        detector.record_message(id(node), INCARNATION);
     }
     detector.tick(at(0), true, &mut out);
     let target = *ping_targets(&out).last().unwrap();
@@ -86,32 +91,36 @@
         _ => false,
     };
     let indirect = out.iter().filter(is_indirect_ping);
-    assert_eq!(indirect.count(), 2, "the others are asked to probe it: {out:?}");
+    assert_eq!(indirect.count(), 2, "both other members are asked to probe it: {out:?}");
     detector.tick(at(1000), true, &mut out);
     assert_eq!(detector.liveness(target), Liveness::Suspect);
     (detector, target, at(1000))
 }
 
 #[test]
-fn a_member_that_answers_neither_direct_nor_indirect_probes_is_suspected_and_then_dead() {
-    let (mut detector, target, suspected_at) = suspecting();
+fn a_member_that_answers_neither_direct_nor_indirect_probes_becomes_suspect_and_then_dead() {
+    let (mut detector, target, suspected_at) = detector_with_suspect();
     let mut out = Vec::new();
     detector.tick(suspected_at + at(3_999), true, &mut out);
     assert_ne!(detector.liveness(target), Liveness::Dead);
     detector.tick(suspected_at + at(4_000), true, &mut out);
     assert_eq!(detector.liveness(target), Liveness::Dead);
     assert_eq!(detector.counts().dead, 1);
-    detector.record_message(target, FIRST);
-    assert_eq!(detector.liveness(target), Liveness::Alive, "it sends messages itself");
+    detector.record_message(target, INCARNATION);
+    assert_eq!(
+        detector.liveness(target),
+        Liveness::Alive,
+        "a message from the member shows that it is alive"
+    );
 }
 
 #[test]
 fn an_indirect_ack_clears_the_probe() {
     let (mut detector, mut out) = (detector(1, 4), Vec::new());
-    (2..=4).for_each(|node| detector.record_message(id(node), FIRST));
+    (2..=4).for_each(|node| detector.record_message(id(node), INCARNATION));
     detector.tick(at(0), true, &mut out);
     let target = *ping_targets(&out).last().unwrap();
-    let seq = seq_to(&out, target);
+    let seq = last_seq_to(&out, target);
     detector.tick(at(400), true, &mut out);
     detector.handle_message(at(500), LINK, id(9), Message::IndirectAck { seq, target }, &mut out);
     detector.tick(at(1000), true, &mut out);
@@ -119,22 +128,22 @@
 }
 
 #[test]
-fn an_indirect_probe_is_answered_on_the_link_that_it_came_by() {
+fn an_indirect_probe_is_answered_on_the_link_of_its_request() {
     let (mut detector, mut out) = (detector(1, 4), Vec::new());
     let requester_link = LinkId(77);
     let indirect_ping = |target| Message::IndirectPing { seq: 5, target: id(target) };
     detector.handle_message(at(0), requester_link, id(2), indirect_ping(3), &mut out);
-    let seq = seq_to(&out, id(3));
+    let seq = last_seq_to(&out, id(3));
     detector.handle_message(at(1), LinkId(78), id(3), ack(seq), &mut out);
     let indirect_ack = Message::IndirectAck { seq: 5, target: id(3) };
     assert!(out.contains(&Outbound::Respond(requester_link, indirect_ack)));
     out.clear();
     detector.handle_message(at(0), requester_link, id(2), indirect_ping(9), &mut out);
-    assert!(out.is_empty(), "it is not a member");
+    assert!(out.is_empty(), "nodes that are not members are not probed");
 }
 
 #[test]
-fn a_member_that_is_wrongly_suspected_refutes_that_with_a_higher_version_and_is_believed() {
+fn a_wrongly_suspected_member_refutes_the_suspicion_with_a_higher_version() {
     let (mut detector, mut out) = (detector(1, 4), Vec::new());
     let ping = |update| Message::Ping { seq: 1, uptime_seconds: 0, gossip: vec![update] };
     let suspicion = update(1, 0, Liveness::Suspect);
@@ -147,18 +156,22 @@
         other.handle_message(at(0), LINK, id(3), ping(update), &mut Vec::new());
         other.liveness(id(1))
     };
-    other.record_message(id(1), FIRST);
-    assert_eq!(after(&mut other, update(1, 0, Liveness::Dead)), Liveness::Suspect, "it is heard here");
+    other.record_message(id(1), INCARNATION);
+    assert_eq!(
+        after(&mut other, update(1, 0, Liveness::Dead)),
+        Liveness::Suspect,
+        "a member that this node hears is only suspected"
+    );
     assert_eq!(after(&mut other, refutation), Liveness::Alive);
-    assert_eq!(after(&mut other, suspicion), Liveness::Alive, "that version is lower");
+    assert_eq!(after(&mut other, suspicion), Liveness::Alive, "a suspicion of a lower version is ignored");
     assert_eq!(after(&mut other, update(1, 1, Liveness::Suspect)), Liveness::Suspect);
 }
 
 #[test]
-fn gossip_is_sent_a_bounded_number_of_times_and_a_few_updates_at_a_time() {
+fn updates_are_sent_a_bounded_number_of_times_and_few_per_message() {
     let mut detector = detector(1, 100);
     for node in 2..=40 {
-        detector.record_message(id(node), FIRST);
+        detector.record_message(id(node), INCARNATION);
         detector.set_liveness(id(node), Liveness::Suspect, at(0));
     }
     let mut sent = 0;
