--- a/fleet/src/recovery.rs
+++ b/fleet/src/recovery.rs
@@ -1,5 +1,5 @@
-//! How a node comes back: the stages that it passes through, whether the state that it restored is the latest,
-//! and how it gets what it lacks from its peers without overloading them.
+//! Recovery of a node that has started or lost its state: the stages of recovery, the detection of stale
+//! restored state, and the transfer of missing state from peers at a bounded rate.
 
 pub(crate) mod donor;
 pub mod stages;
--- a/fleet/src/recovery/donor.rs
+++ b/fleet/src/recovery/donor.rs
@@ -1,8 +1,8 @@
-//! The serving side of a state transfer: which requester gets the next page of this node's table.
+//! The donor side of a state transfer, which schedules the requests for pages of this node's table.
 //!
-//! A donor serves a bounded number of requesters at a time and defers the others, and bounds the bytes that
-//! it sends and the entries that it reads per second, so that it keeps serving clients when many nodes
-//! recover at once.
+//! A donor serves a bounded number of requesters at a time and defers the others. It also bounds the bytes
+//! that it sends and the entries that it reads per second, so that it can still serve clients when many nodes
+//! recover at the same time.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -13,16 +13,17 @@
 use crate::recovery::token_bucket::TokenBucket;
 use crate::Time;
 
-/// The most requesters that a donor serves at a time.
+/// Maximum number of requesters that a donor serves at a time.
 const TRANSFER_SLOTS: usize = 8;
-/// A deferred requester comes back after this for each round of slots that is before it, and up to twice as
-/// long.
+/// Delay before a deferred requester asks again, for each group of [`TRANSFER_SLOTS`] deferred requesters.
+/// The requester adds a random part of up to the same length.
 const DEFERRAL_PER_ROUND: Duration = Duration::from_millis(10);
-/// Table entries that a donor reads for others per second. At about a microsecond each, a tenth of a core.
+/// Maximum number of table entries that a donor reads for other nodes per second. An entry takes about a
+/// microsecond, so this costs a tenth of a core.
 const ENTRIES_PER_S: u64 = 100_000;
-/// Table entries that it reads at once.
+/// Maximum number of table entries that a donor reads in a burst.
 const ENTRIES_BURST: u64 = 5_000;
-/// The cost of a page in addition to its entries, in entries.
+/// Cost of a page in addition to its entries, as a number of entries.
 const PAGE_OVERHEAD_ENTRIES: usize = 50;
 
 /// A request for a page.
@@ -31,20 +32,20 @@
     pub(crate) link: LinkId,
     pub(crate) node: NodeId,
     pub(crate) round: u32,
-    /// Where the page begins; none for the first.
+    /// Position at which the page begins; `None` for the first page.
     pub(crate) from: Option<TablePosition>,
 }
 
-/// The state of a node as a donor.
+/// The slots, queue and budgets of a donor.
 #[derive(Debug, Clone)]
 pub(crate) struct Donor {
     byte_budget: TokenBucket,
     entry_budget: TokenBucket,
-    /// At most one request of each node that has a slot.
+    /// Requests that wait for the budgets; at most one from each node that has a slot.
     queue: VecDeque<PageRequest>,
-    /// The nodes that have a slot, and when each last asked.
+    /// The nodes that have a slot, with the time of the last request of each.
     slots: BTreeMap<NodeId, Time>,
-    /// The nodes that were deferred and have not been back, and when.
+    /// The nodes that were deferred and have not been given a slot since, with the time of the deferral.
     deferred: BTreeMap<NodeId, Time>,
 }
 
@@ -60,13 +61,13 @@
         }
     }
 
-    /// Serves at this fraction of the usual rate from now on.
+    /// Sets the rate of reading entries to this fraction of [`ENTRIES_PER_S`].
     pub(crate) fn set_rate_fraction(&mut self, now: Time, fraction: f64) {
         self.entry_budget.set_rate(now, (ENTRIES_PER_S as f64 * fraction) as u64);
     }
 
-    /// Queues a request, which replaces an earlier one of the same node. Returns for how long the node is
-    /// deferred if no slot is free.
+    /// Queues a request, which replaces an earlier one of the same node. If no slot is free, returns the
+    /// delay after which the node may ask again.
     pub(crate) fn request(&mut self, now: Time, request: PageRequest) -> Option<Duration> {
         let node = request.node;
         self.queue.retain(|queued| queued.node != node);
@@ -83,7 +84,7 @@
         None
     }
 
-    /// Takes the next request if the budgets allow a page now.
+    /// Removes and returns the next request if the budgets allow a page to be sent now.
     pub(crate) fn next_request(&mut self, now: Time) -> Option<PageRequest> {
         let is_due = !self.queue.is_empty()
             && self.byte_budget.is_available(now)
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Records a page that was sent. The last page of a table frees the node's slot.
+    /// Charges a sent page to the budgets. The last page of the table frees the node's slot.
     pub(crate) fn record_sent(&mut self, node: NodeId, page: &Page, entries_read: usize) {
         self.byte_budget.consume(wire_size(page));
         self.entry_budget.consume(entries_read + PAGE_OVERHEAD_ENTRIES);
--- a/fleet/src/recovery/donor/tests.rs
+++ b/fleet/src/recovery/donor/tests.rs
@@ -7,19 +7,23 @@
 }
 
 #[test]
-fn a_donor_waits_when_its_byte_budget_is_used_up() {
+fn a_donor_sends_no_page_while_its_byte_budget_is_exhausted() {
     let mut donor = Donor::new(1000, at(0));
     donor.request(at(0), request(1, 1, 1));
     donor.request(at(0), request(1, 1, 2));
     donor.request(at(0), request(2, 2, 1));
-    assert_eq!(donor.next_request(at(0)), Some(request(1, 1, 2)), "the earlier request is replaced");
+    assert_eq!(
+        donor.next_request(at(0)),
+        Some(request(1, 1, 2)),
+        "the later request of the node replaces the earlier one"
+    );
     donor.record_sent(NodeId(1), &page(2, None, 1450), 1);
     assert_eq!(donor.next_request(at(400)), None);
     assert_eq!(donor.next_request(at(600)), Some(request(2, 2, 1)));
 }
 
 #[test]
-fn a_donor_serves_few_at_a_time_and_defers_the_others_for_longer_the_more_there_are() {
+fn a_donor_bounds_its_requesters_and_defers_the_others_in_proportion_to_their_number() {
     let mut donor = Donor::new(1 << 20, at(0));
     let mut deferrals = Vec::new();
     for node in 1..=100 {
@@ -31,14 +35,21 @@
         "{deferrals:?}"
     );
     let first = donor.next_request(at(1)).unwrap().node;
-    assert!(donor.request(at(2), request(99, 99, 1)).is_some(), "the first page is not the last");
+    assert!(
+        donor.request(at(2), request(99, 99, 1)).is_some(),
+        "no slot is free before the last page is sent"
+    );
     donor.record_sent(first, &page(1, None, 10), 1);
     assert_eq!(donor.request(at(3), request(99, 99, 1)), None);
-    assert_eq!(donor.request(at(2500), request(50, 50, 1)), None, "slots that nobody uses are freed");
+    assert_eq!(
+        donor.request(at(2500), request(50, 50, 1)),
+        None,
+        "slots that were not used for PAGE_TIMEOUT are freed"
+    );
 }
 
 #[test]
-fn the_entries_that_a_donor_reads_for_others_are_bounded_per_second() {
+fn the_number_of_entries_that_a_donor_reads_per_second_is_bounded() {
     let mut donor = Donor::new(1 << 20, at(0));
     let mut pages = 0;
     for now in (0..1000).step_by(10).map(at) {
@@ -51,5 +62,5 @@
     }
     let entries = pages * 2000;
     let most = ENTRIES_PER_S + ENTRIES_BURST + 2050;
-    assert!((ENTRIES_PER_S - 2050..most).contains(&entries), "{entries} in a second");
+    assert!((ENTRIES_PER_S - 2050..most).contains(&entries), "{entries} entries in one second");
 }
--- a/fleet/src/recovery/stages.rs
+++ b/fleet/src/recovery/stages.rs
@@ -1,33 +1,33 @@
-//! The stages in which a node recovers: what completes each stage, what sends the node back to an earlier
-//! one, and what the node is permitted in each.
+//! The stages of a node's recovery: the condition that completes each stage, the loss of a condition that
+//! returns the node to an earlier stage, and the permissions in each stage.
 //!
-//! No stage is skipped and none lasts for ever: if what it waits for does not come, it times out, and that
-//! is reported.
+//! The node passes through every stage. If the condition of a stage is not met in time, the stage times out
+//! and the timeout is reported, so that a node with a running backend always reaches the last stage.
 
 use std::fmt;
 use std::time::Duration;
 
 use crate::Time;
 
-/// A node that hears no majority continues without one after this: requests that are safe to repeat need
-/// none.
+/// Time after which a node that hears no majority continues without one, because requests that are safe to
+/// repeat need no quorum.
 const STARTING_TIMEOUT: Duration = Duration::from_secs(5);
-/// Catching up continues during later stages, but delays them no longer than this.
+/// Maximum time for which catching up delays the later stages; it continues during them.
 const CATCHING_UP_TIMEOUT: Duration = Duration::from_secs(5);
-/// The backend counts as warm after this, whatever it reports.
+/// Time after which the backend counts as warm regardless of what it reports.
 const WARMING_TIMEOUT: Duration = Duration::from_secs(60);
-/// The fraction of the usual rate at which a node serves donors' requests while its backend warms up: the
-/// cores are slow for both.
+/// Fraction of the usual rate at which a node serves state transfers to other nodes while its backend warms
+/// up, because the cold cores slow down both.
 const WARMING_DONOR_RATE: f64 = 0.5;
 
-/// A stage of recovery, the earliest first. Its number is part of the metrics.
+/// A stage of recovery, in order. The metrics report the number of the stage, so the order must not change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Stage {
-    /// The backend does not run yet, or no majority of the members is heard.
+    /// The node waits until its backend runs and a majority of the members is heard.
     Starting,
-    /// State that the node missed is still to be transferred.
+    /// The node waits for the transfer of state that it missed.
     CatchingUp,
-    /// The backend's cores are cold.
+    /// The node waits until the backend's cores are warm.
     Warming,
     /// The node has recovered.
     Full,
@@ -57,13 +57,13 @@
 /// The conditions that the stages depend on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Conditions {
-    /// A backend runs requests.
+    /// Whether the backend runs.
     pub backend_running: bool,
-    /// A majority of the members is heard.
+    /// Whether a majority of the members is heard.
     pub has_quorum: bool,
-    /// All donors that are alive have sent their tables, or nothing was missed.
+    /// Whether all live donors have sent their tables or the node missed no state.
     pub caught_up: bool,
-    /// When the backend's cores are warm, if they started cold.
+    /// When the backend's cores are warm; `None` if they did not start cold.
     pub warm_at: Option<Time>,
 }
 
@@ -73,14 +73,14 @@
     }
 }
 
-/// Why a stage ended.
+/// The reason for the end of a stage.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TransitionReason {
-    /// Its condition is met.
+    /// The condition of the stage is met.
     Completed,
-    /// Its condition is not met, and it has timed out.
+    /// The stage timed out before its condition was met.
     TimedOut,
-    /// The condition of an earlier stage is not met any more.
+    /// The condition of an earlier stage is no longer met.
     ConditionLost,
 }
 
@@ -91,9 +91,9 @@
     pub from: Stage,
     /// The stage that begins.
     pub to: Stage,
-    /// Why.
+    /// The reason for the end of the previous stage.
     pub reason: TransitionReason,
-    /// How long the stage lasted that ended.
+    /// Duration of the stage that ended.
     pub elapsed: Duration,
 }
 
@@ -103,37 +103,38 @@
         let reason = match (reason, from) {
             (TransitionReason::Completed, _) => "",
             (TransitionReason::TimedOut, Stage::Starting) => ": timed out without a quorum",
-            (TransitionReason::TimedOut, Stage::CatchingUp) => ": timed out before it had caught up",
+            (TransitionReason::TimedOut, Stage::CatchingUp) => ": timed out before the node had caught up",
             (TransitionReason::TimedOut, _) => ": timed out while the backend was cold",
-            (TransitionReason::ConditionLost, _) => ": its condition was lost",
+            (TransitionReason::ConditionLost, _) => ": the condition of an earlier stage is no longer met",
         };
         write!(f, "stage={to} previous={from} after_ms={}{reason}", elapsed.as_millis())
     }
 }
 
-/// What a node is permitted in a stage.
+/// The permissions of a node in a stage.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Permissions {
-    /// It reports itself to the membership service and passes health checks, so that clients connect. A
-    /// node that fell back to an earlier stage keeps its clients, as requests that are safe to repeat still
-    /// run.
+    /// Whether the node registers itself with the membership service and passes health checks, so that
+    /// clients connect. A node that returns to an earlier stage keeps its clients, because requests that are
+    /// safe to repeat still run.
     pub accept_clients: bool,
-    /// The fraction of the usual rate at which it serves other nodes that catch up.
+    /// Fraction of the usual rate at which the node serves state transfers to other nodes, from 0 to 1.
     pub donor_rate: f64,
 }
 
-/// The recovery of one node.
+/// The state of one node's recovery.
 #[derive(Debug, Clone)]
 pub struct RecoveryStages {
     stage: Stage,
     entered_at: Time,
+    /// The conditions at the previous tick.
     previous: Option<Conditions>,
-    /// The first stage has ended once: clients know the node.
+    /// Whether the first stage has ended once, after which clients may be connected.
     accepts_clients: bool,
 }
 
 impl RecoveryStages {
-    /// Creates the stages of a node that starts now.
+    /// Creates the state of a node that starts now, in the first stage.
     pub fn new(now: Time) -> RecoveryStages {
         RecoveryStages { stage: Stage::Starting, entered_at: now, previous: None, accepts_clients: false }
     }
@@ -143,7 +144,7 @@
         self.stage
     }
 
-    /// Returns when the stage ends at the latest; none for the last.
+    /// Returns when the current stage times out; `None` for the last stage.
     pub fn deadline(&self) -> Option<Time> {
         match self.stage {
             Stage::Starting => Some(self.entered_at + STARTING_TIMEOUT),
@@ -153,14 +154,14 @@
         }
     }
 
-    /// Returns what the node is permitted in the current stage.
+    /// Returns the permissions in the current stage.
     pub fn permissions(&self) -> Permissions {
         let donor_rate = if self.stage == Stage::Warming { WARMING_DONOR_RATE } else { 1.0 };
         Permissions { accept_clients: self.accepts_clients, donor_rate }
     }
 
-    /// Advances the time. Returns the transition if the stage changes; call it again then, as it may change
-    /// once more.
+    /// Advances the time. Returns the transition if the stage changes. The caller must then call this again,
+    /// because the condition of the new stage may be met already.
     pub fn tick(&mut self, now: Time, conditions: Conditions) -> Option<Transition> {
         let previous = self.previous.replace(conditions);
         if let Some(to) = self.lost_condition(now, previous.as_ref(), &conditions) {
@@ -172,7 +173,8 @@
             Stage::Warming => !conditions.is_cold(now),
             Stage::Full => return None,
         };
-        // Without a backend there is nothing to recover for; the platform restarts it.
+        // A stage does not time out without a backend, which the platform restarts, because the node can't
+        // run requests anyway.
         let has_timed_out =
             self.deadline().is_some_and(|deadline| now >= deadline) && conditions.backend_running;
         if is_complete {
@@ -184,8 +186,8 @@
         }
     }
 
-    /// Returns the earlier stage that the node falls back to, if the condition of that stage was met and is
-    /// not any more.
+    /// Returns the earlier stage to which the node returns, if the condition of that stage was met at the
+    /// previous tick and is no longer met.
     fn lost_condition(
         &self,
         now: Time,
--- a/fleet/src/recovery/stages/tests.rs
+++ b/fleet/src/recovery/stages/tests.rs
@@ -2,7 +2,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-const COLD: Conditions =
+const NOTHING_READY: Conditions =
     Conditions { backend_running: false, has_quorum: false, caught_up: false, warm_at: None };
 const WARM_AFTER: Duration = Duration::from_secs(8);
 
@@ -10,7 +10,7 @@
     Duration::from_millis(millis)
 }
 
-/// Ticks until the stage does not change any more; the transitions.
+/// Ticks until the stage no longer changes, and returns the transitions.
 fn transitions(
     recovery: &mut RecoveryStages,
     now: Time,
@@ -22,12 +22,16 @@
 }
 
 #[test]
-fn recovery_passes_through_every_stage_as_the_condition_of_each_is_met() {
+fn recovery_advances_to_the_next_stage_when_the_condition_of_the_current_one_is_met() {
     let mut recovery = RecoveryStages::new(at(0));
     assert!(!recovery.permissions().accept_clients);
-    assert_eq!(transitions(&mut recovery, at(10), COLD), []);
-    let mut conditions = Conditions { has_quorum: true, ..COLD };
-    assert_eq!(transitions(&mut recovery, at(20), conditions), [], "no backend runs");
+    assert_eq!(transitions(&mut recovery, at(10), NOTHING_READY), []);
+    let mut conditions = Conditions { has_quorum: true, ..NOTHING_READY };
+    assert_eq!(
+        transitions(&mut recovery, at(20), conditions),
+        [],
+        "without a backend the first stage does not end"
+    );
     (conditions.backend_running, conditions.warm_at) = (true, Some(at(8000)));
     assert_eq!(
         transitions(&mut recovery, at(30), conditions),
@@ -49,9 +53,9 @@
 }
 
 #[test]
-fn a_stage_whose_condition_is_never_met_times_out_and_reports_it() {
+fn a_stage_whose_condition_is_never_met_times_out_and_the_timeout_is_reported() {
     let mut recovery = RecoveryStages::new(at(0));
-    let conditions = Conditions { backend_running: true, warm_at: Some(at(1_000_000)), ..COLD };
+    let conditions = Conditions { backend_running: true, warm_at: Some(at(1_000_000)), ..NOTHING_READY };
     assert_eq!(transitions(&mut recovery, at(4_999), conditions), []);
     let mut reported = Vec::new();
     for now in (5_000..90_000).step_by(50) {
@@ -69,7 +73,7 @@
 }
 
 #[test]
-fn a_lost_condition_sends_the_node_back_to_the_stage_that_needs_it() {
+fn the_loss_of_a_condition_returns_the_node_to_the_stage_of_that_condition() {
     let recovered = Conditions { backend_running: true, has_quorum: true, caught_up: true, warm_at: None };
     let mut recovery = RecoveryStages::new(at(0));
     assert_eq!(transitions(&mut recovery, at(0), recovered).len(), 3);
@@ -77,7 +81,7 @@
     assert_eq!(
         transitions(&mut recovery, at(1_000), cold),
         [(Stage::Warming, TransitionReason::ConditionLost)],
-        "the backend restarted"
+        "the backend restarted with cold cores"
     );
     let not_caught_up = Conditions { caught_up: false, ..cold };
     assert_eq!(
@@ -89,26 +93,30 @@
         transitions(&mut recovery, at(3_000), no_quorum),
         [(Stage::Starting, TransitionReason::ConditionLost)]
     );
-    assert!(recovery.permissions().accept_clients, "clients stay");
-    assert_eq!(transitions(&mut recovery, at(4_000), recovered).len(), 3, "and recovered again: it is warm");
+    assert!(recovery.permissions().accept_clients, "clients stay connected");
+    assert_eq!(
+        transitions(&mut recovery, at(4_000), recovered).len(),
+        3,
+        "all conditions are met again, so all stages complete at once"
+    );
 }
 
 #[test]
-fn a_node_that_continued_without_a_quorum_is_not_sent_back_for_the_lack_of_it() {
+fn a_node_that_timed_out_without_a_quorum_does_not_return_to_the_first_stage() {
     let mut recovery = RecoveryStages::new(at(0));
-    let alone = Conditions { backend_running: true, caught_up: true, ..COLD };
-    transitions(&mut recovery, at(0), alone);
-    transitions(&mut recovery, at(5_000), alone);
-    assert_eq!((recovery.stage(), transitions(&mut recovery, at(60_000), alone)), (Stage::Full, vec![]));
+    let no_quorum = Conditions { backend_running: true, caught_up: true, ..NOTHING_READY };
+    transitions(&mut recovery, at(0), no_quorum);
+    transitions(&mut recovery, at(5_000), no_quorum);
+    assert_eq!((recovery.stage(), transitions(&mut recovery, at(60_000), no_quorum)), (Stage::Full, vec![]));
 }
 
-/// Whatever happens in whatever order: no stage is skipped, and none lasts longer than its timeout while a
-/// backend runs.
+/// Changes the conditions in a random order: no stage is skipped, and none lasts longer than its timeout
+/// while the backend runs.
 #[test]
-fn no_sequence_of_events_skips_a_stage_or_makes_one_last_for_ever() {
+fn no_sequence_of_events_skips_a_stage_or_prevents_its_timeout() {
     for seed in 0..300 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let (mut now, mut conditions) = (at(0), COLD);
+        let (mut now, mut conditions) = (at(0), NOTHING_READY);
         let mut recovery = RecoveryStages::new(now);
         let mut entered_at = now;
         for _ in 0..400 {
--- a/fleet/src/recovery/staleness.rs
+++ b/fleet/src/recovery/staleness.rs
@@ -1,11 +1,11 @@
-//! Detects that a node restored an old copy of its state, such as a backup of its disk. Such a node might
-//! grant a claim on a key that it granted to another claim before.
+//! Detects that a node has restored an old copy of its state, such as a backup of its disk. Such a node might
+//! grant a key to a second claim, because it no longer knows that it has granted the key.
 //!
-//! Peers track how long each incarnation of a node lasted, as the node reports it with its probes. The
-//! restored state carries the position at which it was written. A copy from before the last incarnation is
-//! always detected, as a majority has heard of every incarnation that granted a claim, and a majority is
-//! heard before the next one grants any. Within one incarnation the detection is as fine as probes are
-//! frequent.
+//! A node reports the duration of its incarnation with its probes, and peers track it. Restored state
+//! contains the position at which it was written. A copy from before the last incarnation is always detected:
+//! a majority has heard of every incarnation that granted a claim, and a node hears a majority before its
+//! next incarnation grants any. Within one incarnation the resolution of the detection is the interval
+//! between probes.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -14,16 +14,16 @@
 
 use crate::ids::{Incarnation, NodeId};
 
-/// Restored state may be this many seconds older than the latest that peers heard: it is written once a
-/// second, and seconds are rounded down.
+/// Number of seconds by which restored state may be older than the latest position that peers heard: the
+/// position is written once a second, and its seconds are rounded down.
 const TOLERANCE_SECONDS: u64 = 2;
 
-/// A point in the lifetime of a node's state.
+/// A point in the lifetime of a node's state, ordered by incarnation and then by uptime.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct StatePosition {
-    /// The incarnation.
+    /// The incarnation of the node.
     pub incarnation: Incarnation,
-    /// How long the incarnation had lasted, in seconds.
+    /// Time since the incarnation began, in seconds.
     pub uptime_seconds: u64,
 }
 
@@ -34,22 +34,22 @@
 }
 
 impl StatePosition {
-    /// Whether state that was written here lacks something that was known at `latest`.
+    /// Whether state that was written at this position is older than `latest` by more than the tolerance.
     pub fn is_stale(&self, latest: &StatePosition) -> bool {
         let tolerated = self.uptime_seconds.saturating_add(TOLERANCE_SECONDS);
         (self.incarnation, tolerated) < (latest.incarnation, latest.uptime_seconds)
     }
 }
 
-/// The latest positions of one node.
+/// The latest positions that one node has reported.
 #[derive(Debug, Clone, Copy)]
 struct TrackedNode {
     current: StatePosition,
-    /// The last position of the incarnation before.
+    /// The last reported position in the previous known incarnation.
     previous: Option<StatePosition>,
 }
 
-/// Tracks the latest position that each peer has reported.
+/// Tracks the latest positions that each peer has reported.
 #[derive(Debug, Clone, Default)]
 pub struct StalenessTracker {
     nodes: BTreeMap<NodeId, TrackedNode>,
@@ -67,8 +67,8 @@
         }
     }
 
-    /// Checks the state that a node restored when it began this incarnation. Returns the latest position
-    /// from before the incarnation if the restored state is older.
+    /// Checks the state that a node restored when it began this incarnation. If the state is stale, returns
+    /// the latest position that the node reported in an earlier incarnation.
     pub fn check(
         &self,
         node: NodeId,
@@ -81,7 +81,7 @@
         latest.filter(|latest| restored.is_stale(latest))
     }
 
-    /// Drops all nodes but those for which the predicate holds.
+    /// Removes all nodes except those for which the predicate holds.
     pub fn retain(&mut self, is_member: impl Fn(NodeId) -> bool) {
         self.nodes.retain(|node, _| is_member(*node));
     }
--- a/fleet/src/recovery/staleness/tests.rs
+++ b/fleet/src/recovery/staleness/tests.rs
@@ -6,20 +6,28 @@
     StatePosition { incarnation: Incarnation(incarnation), uptime_seconds }
 }
 
-/// What is known to be later than the state that the node restored for this incarnation.
+/// Checks the state that [`NODE`] restored when it began this incarnation.
 fn check(tracker: &StalenessTracker, incarnation: u64, restored: StatePosition) -> Option<StatePosition> {
     tracker.check(NODE, Incarnation(incarnation), restored)
 }
 
 #[test]
-fn state_from_before_the_last_reported_position_is_stale() {
+fn state_that_is_older_than_the_last_reported_position_is_stale() {
     let mut tracker = StalenessTracker::default();
     assert_eq!(check(&tracker, 5, position(1, 0)), None, "nothing is known of the node");
     tracker.record(NODE, position(5, 40));
-    assert_eq!(check(&tracker, 6, position(5, 38)), None, "it was killed before it stored its position");
+    assert_eq!(
+        check(&tracker, 6, position(5, 38)),
+        None,
+        "a position that was not stored before the kill is tolerated"
+    );
     assert_eq!(check(&tracker, 6, position(5, 37)), Some(position(5, 40)));
     assert_eq!(check(&tracker, 6, position(4, 9000)), Some(position(5, 40)), "an earlier incarnation");
-    assert_eq!(check(&tracker, 6, position(5, 60)), None, "it ran on without being heard");
+    assert_eq!(
+        check(&tracker, 6, position(5, 60)),
+        None,
+        "the state is newer than the last position that peers heard"
+    );
 }
 
 #[test]
@@ -33,7 +41,11 @@
     assert_eq!(check(&tracker, 6, position(5, 10)), Some(position(5, 40)));
     assert_eq!(check(&tracker, 7, position(6, 50)), Some(position(6, 100)));
     tracker.record(NODE, position(4, 500));
-    assert_eq!(check(&tracker, 7, position(6, 99)), None, "a report of an earlier incarnation arrives late");
+    assert_eq!(
+        check(&tracker, 7, position(6, 99)),
+        None,
+        "a late report of an earlier incarnation changes nothing"
+    );
 }
 
 #[test]
--- a/fleet/src/recovery/state_transfer.rs
+++ b/fleet/src/recovery/state_transfer.rs
@@ -1,10 +1,10 @@
-//! The requesting side of a state transfer: which donors a node still has to ask for their tables after it
-//! came back.
+//! The requesting side of a state transfer, which requests the tables of the donors after a node has started
+//! or lost state.
 //!
-//! Several donors are asked at once, a page at a time, those entries first that expire last. Each node
-//! draws its own order of donors, and comes back at a time of its own when a donor defers it, so that nodes
-//! that recover at once do not ask the same donor at once. A transfer can be interrupted at any point and
-//! continues where it was.
+//! Pages are requested from several donors in parallel, one page at a time from each, and the entries that
+//! expire last come first. Each node asks the donors in its own random order and retries after a random delay
+//! when a donor defers it, so that nodes that recover at the same time don't all ask the same donor. An
+//! interrupted transfer continues from its last position.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -19,27 +19,28 @@
 use crate::recovery::token_bucket::TokenBucket;
 use crate::Time;
 
-/// The most donors that are asked at a time.
+/// Maximum number of donors from which pages are requested at the same time.
 const PARALLEL_DONORS: usize = 8;
-/// A page that does not arrive within this is requested again, and a donor frees a slot that was not used
-/// for as long.
+/// Time after which a page that did not arrive is requested again, and after which a donor frees a slot that
+/// was not used.
 pub(crate) const PAGE_TIMEOUT: Duration = Duration::from_secs(2);
-/// A donor that was incomplete is asked whether it is complete by now after this, and up to twice as long.
+/// Minimum delay before an incomplete donor is asked again whether it is complete. A random part of up to the
+/// same length is added.
 const RECHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// The most donors that are asked per second whether they are complete: the cost for a donor does not grow
-/// with the fleet.
+/// Maximum number of donors that a node asks per second whether they are complete, so that the load on a
+/// donor does not grow with the size of the fleet.
 const RECHECKS_PER_S: u64 = 16;
 
-/// Estimated bytes of a page on a link, without its records.
+/// Estimated size of an encoded page without its records, in bytes.
 const PAGE_HEADER_BYTES: usize = 32;
-/// The same of a record, without its key, its claims and its run.
+/// Estimated size of an encoded record without its key, claims and run, in bytes.
 const RECORD_HEADER_BYTES: usize = 16;
-/// The same of a claim that has started.
+/// Estimated size of an encoded claim whose run has started, in bytes.
 const STARTED_CLAIM_BYTES: usize = 40;
-/// The same of a completed run, without its result.
+/// Estimated size of an encoded completed run without its result, in bytes.
 const COMPLETED_RUN_BYTES: usize = 64;
 
-/// Estimates how many bytes a page takes on a link.
+/// Returns the estimated size of an encoded page in bytes.
 pub(crate) fn wire_size(page: &Page) -> usize {
     let record_size = |record: &ReplicaRecord| {
         let run = record.completed.as_ref().map_or(0, |run| COMPLETED_RUN_BYTES + run.result.size());
@@ -48,26 +49,26 @@
     PAGE_HEADER_BYTES + page.records.iter().map(record_size).sum::<usize>()
 }
 
-/// How far the transfer from one donor has got.
+/// The progress of the transfer from one donor.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Progress {
-    /// The page from this position is to be requested.
+    /// The page at this position is still to be requested; `None` is the start of the table.
     Ready(Option<TablePosition>),
-    /// The page from this position was requested at this time.
+    /// The page at this position was requested at this time.
     Requested(Time, Option<TablePosition>),
-    /// The donor deferred the request for this position until this time.
+    /// The donor deferred the request for the page at this position, which is repeated at this time.
     Deferred(Time, Option<TablePosition>),
-    /// The donor has sent its whole table, which was incomplete. It may be asked at this time whether it
-    /// still is.
+    /// The donor has sent its whole table, which was incomplete. From this time on it may be asked whether
+    /// its table is complete.
     Incomplete(Time),
-    /// It was asked at this time whether it is complete.
+    /// The donor was asked at this time whether its table is complete.
     Rechecking(Time),
-    /// It has sent its whole table, which was complete.
+    /// The donor has sent its whole table, which was complete.
     Done,
 }
 
 impl Progress {
-    /// Whether a part of the donor's table is still to come.
+    /// Whether a part of the donor's table has not been received.
     fn is_open(&self) -> bool {
         matches!(self, Progress::Ready(_) | Progress::Requested(..) | Progress::Deferred(..))
     }
@@ -89,30 +90,32 @@
     }
 }
 
-/// A node whose table is requested.
+/// A donor and the progress of the transfer from it.
 #[derive(Debug, Clone)]
 struct DonorProgress {
     node: NodeId,
     progress: Progress,
 }
 
-/// What a donor's page brought.
+/// The content of a page that was received from a donor.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct ReceivedPage {
     pub(crate) records: Vec<ReplicaRecord>,
-    /// How complete the donor's table is, if this was the last page of it.
+    /// Completeness of the donor's table if this was its last page.
     pub(crate) finished: Option<Completeness>,
 }
 
-/// The transfers from all donors.
+/// The state of the transfers from all donors.
 #[derive(Debug, Clone)]
 pub(crate) struct StateTransfer {
+    /// Number of times that the transfer was started; pages of earlier rounds are ignored.
     round: u32,
-    /// In the order in which they are asked.
+    /// In the order in which pages are requested from them.
     donors: Vec<DonorProgress>,
+    /// Number of donors of whose tables a part has not been received.
     open_donors: usize,
     byte_budget: TokenBucket,
-    /// A time before which no incomplete donor is to be asked again.
+    /// No incomplete donor is due to be asked again before this time.
     next_recheck_at: Time,
     recheck_budget: TokenBucket,
     rng: ChaCha8Rng,
@@ -120,7 +123,7 @@
 
 impl StateTransfer {
     /// Creates a transfer without donors that receives at most this many bytes per second. The seed
-    /// determines the order of the donors.
+    /// determines the order of the donors and the random delays.
     pub(crate) fn new(bytes_per_s: u64, seed: u64, now: Time) -> StateTransfer {
         StateTransfer {
             round: 0,
@@ -133,7 +136,7 @@
         }
     }
 
-    /// Starts over with these donors.
+    /// Starts a new round with these donors.
     pub(crate) fn start(&mut self, donors: &BTreeSet<NodeId>) {
         self.round += 1;
         let ready = |node: &NodeId| DonorProgress { node: *node, progress: Progress::Ready(None) };
@@ -142,7 +145,7 @@
         self.update_open_donors();
     }
 
-    /// Requests the table of one more donor, or of one donor again.
+    /// Adds a donor, or restarts the transfer from it if it is one already.
     pub(crate) fn add_donor(&mut self, node: NodeId) {
         self.donors.retain(|donor| donor.node != node);
         self.donors.push(DonorProgress { node, progress: Progress::Ready(None) });
@@ -153,30 +156,31 @@
         self.open_donors = self.donors.iter().filter(|donor| donor.progress.is_open()).count();
     }
 
-    /// Whether a node's table is, or was, requested.
+    /// Whether a node is a donor of this round, even if its table has been received.
     pub(crate) fn has_donor(&self, node: NodeId) -> bool {
         self.donors.iter().any(|donor| donor.node == node)
     }
 
-    /// Drops all donors but these.
+    /// Removes all donors except these nodes.
     pub(crate) fn retain_donors(&mut self, nodes: &BTreeSet<NodeId>) {
         self.donors.retain(|donor| nodes.contains(&donor.node));
         self.update_open_donors();
     }
 
-    /// Returns the number of donors of whose tables a part is still to come.
+    /// Returns the number of donors of whose tables a part has not been received.
     pub(crate) fn open_donors(&self) -> usize {
         self.open_donors
     }
 
-    /// Whether a part is still to come of the table of any donor that satisfies the predicate.
+    /// Whether a part of the table of any donor that satisfies the predicate has not been received.
     pub(crate) fn is_open(&self, is_alive: impl Fn(NodeId) -> bool) -> bool {
         self.open_donors > 0
             && self.donors.iter().any(|donor| donor.progress.is_open() && is_alive(donor.node))
     }
 
-    /// Requests the next pages. `incarnation_of` returns the incarnation of a donor that is alive. Unless
-    /// this node's own table is complete, incomplete donors are asked whether they are complete by now.
+    /// Requests the next pages. `incarnation_of` returns the incarnation of a donor, or `None` if the donor
+    /// is not alive. Unless this node's own table is complete (`is_complete`), incomplete donors are asked
+    /// again whether their tables are complete.
     pub(crate) fn tick(
         &mut self,
         now: Time,
@@ -232,7 +236,7 @@
                 donor.progress = Progress::Requested(now, from.clone());
                 from
             } else {
-                // A page from the end of the table has no records, but says whether the donor is complete.
+                // The page at the end of the table has no records but reports whether the table is complete.
                 self.recheck_budget.consume(1);
                 donor.progress = Progress::Rechecking(now);
                 Some(TablePosition::end(incarnation))
@@ -243,14 +247,14 @@
         }
     }
 
-    /// Returns the progress of a donor from which a page of this round is awaited.
+    /// Returns the progress of a donor if this is the current round and a page from the donor is awaited.
     fn awaited(&mut self, node: NodeId, round: u32) -> Option<&mut Progress> {
         let is_current = round == self.round;
         let donor = self.donors.iter_mut().find(|donor| donor.node == node)?;
         Some(&mut donor.progress).filter(|progress| is_current && progress.is_awaiting_page())
     }
 
-    /// Takes in a page; none if it was not requested.
+    /// Receives a page. Returns `None` if the page was not requested.
     pub(crate) fn receive_page(&mut self, now: Time, from: NodeId, page: Page) -> Option<ReceivedPage> {
         let page_size = wire_size(&page);
         let recheck_at = now + RECHECK_INTERVAL.mul_f64(1.0 + self.rng.random::<f64>());
@@ -267,7 +271,8 @@
         Some(ReceivedPage { records: page.records, finished: is_last.then_some(page.completeness) })
     }
 
-    /// Handles that a donor has deferred a request by this time.
+    /// Handles the response of a donor that defers a request by `retry_after`. The request is repeated after
+    /// this time plus a random part of up to the same length, and after at most [`PAGE_TIMEOUT`].
     pub(crate) fn defer(&mut self, now: Time, from: NodeId, round: u32, retry_after: Duration) {
         let retry_at = now + retry_after.mul_f64(1.0 + self.rng.random::<f64>()).min(PAGE_TIMEOUT);
         if let Some(progress) = self.awaited(from, round) {
--- a/fleet/src/recovery/state_transfer/tests.rs
+++ b/fleet/src/recovery/state_transfer/tests.rs
@@ -2,7 +2,7 @@
 use crate::test_support::at;
 use bytes::Bytes;
 
-/// A page of a complete donor with one record of this size.
+/// A page from a complete donor with one record whose key has this many bytes.
 pub(crate) fn page(round: u32, next: Option<u64>, bytes: usize) -> Page {
     let record =
         ReplicaRecord { key: Bytes::from(vec![0; bytes]), retain_ms: 1, started: vec![], completed: None };
@@ -16,48 +16,54 @@
     transfer
 }
 
-/// The donors that are asked now, and from which position; the third is not alive.
+/// Returns the donors from which pages are requested now, each with the position. Node 3 is not alive.
 fn requests(transfer: &mut StateTransfer, now: Time) -> Vec<(u64, Option<u64>)> {
     let mut out = Vec::new();
     transfer.tick(now, false, |node| (node != NodeId(3)).then_some(Incarnation(1)), &mut out);
     let position = |message| match message {
         Message::Pull { from, .. } => from.map(|from: TablePosition| from.expires_ns),
-        _ => unreachable!(),
+        message => unreachable!("a transfer sends only pull requests, not {message:?}"),
     };
     out.into_iter().map(|request| (request.to.0, position(request.message))).collect()
 }
 
 #[test]
-fn several_donors_that_are_alive_are_asked_at_once_and_each_continues_where_it_was() {
+fn pages_are_requested_in_parallel_from_live_donors_each_at_its_own_position() {
     let mut transfer = transfer(1 << 20, 12);
-    let first: BTreeSet<u64> = requests(&mut transfer, at(0)).iter().map(|(n, _)| *n).collect();
-    assert!(first.len() == PARALLEL_DONORS && !first.contains(&3), "{first:?}");
-    let (one, other) = (*first.first().unwrap(), *first.last().unwrap());
+    let asked: BTreeSet<u64> = requests(&mut transfer, at(0)).iter().map(|(n, _)| *n).collect();
+    assert!(asked.len() == PARALLEL_DONORS && !asked.contains(&3), "{asked:?}");
+    let (one, other) = (*asked.first().unwrap(), *asked.last().unwrap());
     let received = transfer.receive_page(at(1), NodeId(one), page(1, Some(9), 10)).unwrap();
     assert_eq!((received.records.len(), received.finished), (1, None));
     assert_eq!(requests(&mut transfer, at(1)), [(one, Some(9))]);
     let last = transfer.receive_page(at(1), NodeId(one), page(1, None, 10)).unwrap();
     assert_eq!(last.finished, Some(Completeness::Complete));
-    assert!(matches!(requests(&mut transfer, at(2))[..], [(next, None)] if !first.contains(&next)));
-    assert!(transfer.receive_page(at(2), NodeId(one), page(1, None, 10)).is_none(), "it was not asked");
-    assert!(transfer.receive_page(at(2), NodeId(other), page(7, None, 10)).is_none(), "nor in that round");
+    assert!(matches!(requests(&mut transfer, at(2))[..], [(next, None)] if !asked.contains(&next)));
+    assert!(
+        transfer.receive_page(at(2), NodeId(one), page(1, None, 10)).is_none(),
+        "no page was requested from the donor"
+    );
+    assert!(
+        transfer.receive_page(at(2), NodeId(other), page(7, None, 10)).is_none(),
+        "no page was requested in that round"
+    );
     assert_eq!(transfer.open_donors(), 11);
 }
 
 #[test]
-fn each_node_draws_its_own_order_of_donors() {
-    let first = |seed| {
+fn each_node_asks_the_donors_in_its_own_random_order() {
+    let first_donor = |seed| {
         let mut transfer = StateTransfer::new(1 << 20, seed, at(0));
         transfer.start(&(10..110).map(NodeId).collect());
         requests(&mut transfer, at(0))[0].0
     };
-    let firsts: BTreeSet<u64> = (0..50).map(first).collect();
-    assert!(firsts.len() > 30, "{firsts:?}");
-    assert_eq!(first(7), first(7));
+    let first_donors: BTreeSet<u64> = (0..50).map(first_donor).collect();
+    assert!(first_donors.len() > 30, "{first_donors:?}");
+    assert_eq!(first_donor(7), first_donor(7), "a seed always determines the same order");
 }
 
 #[test]
-fn a_page_that_does_not_arrive_is_requested_again_from_where_it_was() {
+fn a_page_that_does_not_arrive_is_requested_again_at_the_same_position() {
     let mut transfer = transfer(1 << 20, 1);
     requests(&mut transfer, at(0));
     transfer.receive_page(at(0), NodeId(1), page(1, Some(9), 10));
@@ -67,20 +73,20 @@
 }
 
 #[test]
-fn an_incomplete_donor_is_asked_again_only_whether_it_is_complete() {
+fn from_an_incomplete_donor_only_the_end_of_the_table_is_requested_again() {
     let mut transfer = transfer(1 << 20, 1);
     requests(&mut transfer, at(0));
     let incomplete = Page { completeness: Completeness::PartialFrom(vec![]), ..page(1, None, 10) };
     let received = transfer.receive_page(at(0), NodeId(1), incomplete).unwrap();
     assert_eq!(received.finished, Some(Completeness::PartialFrom(vec![])));
     assert_eq!((transfer.open_donors(), requests(&mut transfer, at(999))), (0, vec![]));
-    assert_eq!(requests(&mut transfer, at(2000)), [(1, Some(0))], "from the end of its table");
+    assert_eq!(requests(&mut transfer, at(2000)), [(1, Some(0))], "at the end of the donor's table");
     transfer.receive_page(at(2001), NodeId(1), page(1, None, 0));
     assert_eq!(requests(&mut transfer, at(9000)), []);
 }
 
 #[test]
-fn deferred_requesters_come_back_at_different_times() {
+fn deferred_requesters_retry_at_different_times() {
     let retry_at = |seed| {
         let mut transfer = StateTransfer::new(1 << 20, seed, at(0));
         transfer.start(&[NodeId(1)].into());
@@ -93,7 +99,7 @@
 }
 
 #[test]
-fn a_requester_waits_when_its_byte_budget_is_used_up() {
+fn no_page_is_requested_while_the_byte_budget_is_exhausted() {
     let mut transfer = transfer(1000, 1);
     requests(&mut transfer, at(0));
     transfer.receive_page(at(0), NodeId(1), page(1, Some(9), 2000));
--- a/fleet/src/recovery/token_bucket.rs
+++ b/fleet/src/recovery/token_bucket.rs
@@ -2,11 +2,11 @@
 
 use crate::Time;
 
-/// Fills at a rate up to a capacity. It may be overdrawn once: the next taker waits until it is positive
-/// again.
+/// A bucket that is refilled at a constant rate up to its capacity. A consumer may overdraw it; then no
+/// tokens are available until the balance is positive again.
 #[derive(Debug, Clone)]
 pub(crate) struct TokenBucket {
-    /// Tokens per second.
+    /// Refill rate in tokens per second.
     rate: f64,
     capacity: f64,
     tokens: f64,
@@ -26,13 +26,13 @@
         self.tokens > 0.0
     }
 
-    /// Sets the rate from now on.
+    /// Sets the refill rate from this time on.
     pub(crate) fn set_rate(&mut self, now: Time, rate_per_s: u64) {
         self.fill(now);
         self.rate = rate_per_s as f64;
     }
 
-    /// Takes tokens, even if there are not enough.
+    /// Removes tokens; the balance may become negative.
     pub(crate) fn consume(&mut self, tokens: usize) {
         self.tokens -= tokens as f64;
     }
