--- a/node/src/dispatcher.rs
+++ b/node/src/dispatcher.rs
@@ -1,14 +1,15 @@
-//! The dispatcher connects the exchange to the admission module, which makes every decision. It gathers what happened
-//! since it last woke into one batch, calls [`Admission::handle`] with it, and carries out the resulting actions. It
-//! owns the open attempts, the idempotency table and the timers, and knows no wire protocol.
+//! The dispatcher connects the exchange to the admission module, which makes every decision. It collects the events
+//! since its last wake-up into one batch, calls [`Admission::handle`] with it, and carries out the resulting actions.
+//! It owns the open attempts, the idempotency table and the timers, and knows no wire protocol.
 //!
-//! An attempt passes through the modules in this order: `submission` matches its key against the idempotency table and
-//! hands it to the admission module; `actions` carries out what that decides; `runs` has the run gate authorize the
-//! run and sends it to the backend; `calls` makes the calls that the run needs; `runs` completes it and answers its
-//! client and every attempt that waits for its key. `handover` transfers the table to another process of this node.
+//! An attempt passes through the modules in this order: `submission` matches its key against the idempotency
+//! table and passes it to the admission module; `actions` carries out the decisions; `runs` has the run gate
+//! authorize the run and sends it to the backend; `calls` makes the calls that the run needs; `runs`
+//! completes the run and answers its client and every attempt that waits for the same key. `handover`
+//! transfers the table to another process of this node.
 //!
-//! The dispatcher guarantees that every submission is answered at most once, and that no key runs twice while it is in the
-//! idempotency table.
+//! The dispatcher guarantees that every submission is answered at most once, and that no key runs twice while
+//! it is in the idempotency table.
 
 mod actions;
 mod attempts;
@@ -43,11 +44,11 @@
 use idempotency::IdempotencyTable;
 use timers::Timers;
 
-/// How long the dispatcher sleeps where nothing is scheduled.
+/// Time until the next wake-up when no timer, drain or handover step is scheduled.
 const IDLE_WAKE_INTERVAL: Duration = Duration::from_secs(3600);
 
-/// The settings of the admission module. It accounts for the interpreter's memory. Keys stand in this process, in a table
-/// with a bound of its own, so they cost nothing there.
+/// Returns the settings for the admission module, with no memory charged per key: the module accounts for the
+/// interpreter's memory, whereas keys are kept in this process, in a table with a bound of its own.
 fn admission_settings(settings: &NamedSettings) -> Settings {
     Settings { key_memory_kb: 0.0, ..settings.settings.clone() }
 }
@@ -56,17 +57,19 @@
 pub(crate) struct Dispatcher {
     endpoints: DispatcherEndpoints,
     settings: NamedSettings,
-    /// Seeds the admission module's random numbers, and the spread of advised waits.
+    /// Seeds the admission module's random numbers and the jitter of advised waits.
     seed: u64,
-    /// None until a backend can run requests.
+    /// `None` until a backend can run requests.
     admission: Option<Admission>,
-    /// The admission module has been called with an empty batch, which starts its timers if it is the first.
+    /// Whether the admission module has been called with an empty batch. Right after the start that call makes it set
+    /// its timers; later empty batches are not passed on.
     empty_batch_handed_over: bool,
-    /// The batch of events that is being gathered.
+    /// The current batch: events for the next call of the admission module.
     admission_events: Vec<Event>,
-    /// Attempts whose key already has one in the batch, and every event that came after them.
+    /// Events left for the next batch: an attempt whose key already has an attempt in the current batch, and every
+    /// event that came after it.
     deferred: VecDeque<DispatcherEvent>,
-    /// Reused between calls of the admission module.
+    /// Buffer for the actions of one admission call, reused between calls.
     actions: Vec<Action>,
     attempts: AttemptTable,
     idempotency: IdempotencyTable,
@@ -74,15 +77,16 @@
     handover: HandoverProgress,
     run_gate: RunGate,
     decision_log: Option<DecisionLog>,
-    /// The number of rejections without the admission module, which spreads the waits that they advise.
+    /// Number of rejections made without the admission module; varies the jitter of the waits that they advise.
     jitter_sequence: Cell<u64>,
-    /// How far the clock had stepped ahead, in all, when that was last looked at.
+    /// Total of the forward steps of the system clock at the last check.
     observed_clock_steps: Duration,
 }
 
 impl Dispatcher {
-    /// A dispatcher that decides by these settings once a backend can run requests. Results that are kept for repeated
-    /// attempts take `max_result_bytes` at most, and their keys as much again.
+    /// Creates a dispatcher that applies `settings` once a backend can run requests. Results that are kept
+    /// for repeated attempts take `max_result_bytes` at most, and the entries of their keys about as much
+    /// again.
     pub(crate) fn new(
         endpoints: DispatcherEndpoints,
         settings: NamedSettings,
@@ -109,8 +113,8 @@
         }
     }
 
-    /// Has runs authorized by this gate from now on. `recovered` is what its stores had from earlier processes, or
-    /// `None` while the predecessor still has them.
+    /// Authorizes runs through `run_gate` from now on. `recovered` holds the records that its stores kept
+    /// from earlier processes; it is `None` while the predecessor still has the stores.
     pub(crate) fn set_run_gate(&mut self, run_gate: RunGate, recovered: Option<HandoverState>) {
         run_gate.register_metrics(&self.endpoints.metrics);
         self.run_gate = run_gate;
@@ -123,22 +127,22 @@
         }
     }
 
-    /// Records decisions in this log from now on.
+    /// Records decisions in `decision_log` from now on and publishes its counters.
     pub(crate) fn set_decision_log(&mut self, decision_log: DecisionLog) {
         let metrics = decision_log.metrics.clone();
         self.endpoints.metrics.register(move || metrics.values());
         self.decision_log = Some(decision_log);
     }
 
-    /// Serves until every other end of the exchange is gone.
+    /// Handles events until every handle of the exchange is dropped.
     pub(crate) async fn run(mut self) {
         loop {
             let wake = self.next_wake();
             tokio::select! {
                 event = self.endpoints.events.recv() => {
                     let Some(event) = event else { return };
-                    // On the single-threaded runtime the frontends' tasks that are ready run before this one goes on, so
-                    // that one wake-up is one batch.
+                    // On the single-threaded runtime, frontend tasks that are ready run before this task resumes, so
+                    // their events join the same batch.
                     tokio::task::yield_now().await;
                     self.handle(event);
                     while let Ok(event) = self.endpoints.events.try_recv() {
@@ -152,20 +156,22 @@
         }
     }
 
-    /// When something is to be done even if no event comes.
+    /// Time of the next wake-up if no event arrives earlier.
     fn next_wake(&self) -> UnixTime {
-        let closing = self.grace_ends_at().filter(|_| self.status().accepting);
-        let scheduled = [self.timers.next_wake(), closing, self.handover.next_wake()];
+        let grace_end = self.grace_ends_at().filter(|_| self.status().accepting);
+        let scheduled = [self.timers.next_wake(), grace_end, self.handover.next_wake()];
         scheduled.into_iter().flatten().min().unwrap_or_else(|| clock::now() + IDLE_WAKE_INTERVAL)
     }
 
-    /// When the grace period of a drain ends: from then on new requests must not run, so reading stops.
+    /// End of the grace period of a drain, `None` without a shutdown notice. New requests must not run after it, so
+    /// the frontends stop reading.
     fn grace_ends_at(&self) -> Option<UnixTime> {
         let shutdown = self.status().draining?;
         Some(shutdown.noticed_at + self.settings.settings.drain_grace)
     }
 
-    /// Hands the batch to the admission module and carries out its actions, until nothing more follows from them.
+    /// Passes the batch to the admission module and carries out its actions, and repeats this until neither
+    /// events nor deferred attempts are left.
     fn process_batch(&mut self) {
         let now = clock::now();
         self.follow_clock_steps();
@@ -185,7 +191,7 @@
         self.update_drain_status(now);
     }
 
-    /// Extends keys by what the system's clock has stepped ahead.
+    /// Extends all keys by the forward steps of the system clock since the last check, so that none expires early.
     fn follow_clock_steps(&mut self) {
         let total = clock::stepped_ahead();
         let step = total.saturating_sub(self.observed_clock_steps);
@@ -213,14 +219,14 @@
         });
     }
 
-    /// Whether somebody waits for an attempt: its client, or a successor for the outcome of its key.
+    /// Whether the outcome of an attempt is awaited: by its client, or by a successor that needs the key's outcome.
     fn is_awaited(&self, attempt: &Attempt) -> bool {
         let awaited_by_successor =
             self.handover.successor.is_some() && self.idempotency.is_holder(attempt.id);
         attempt.responder.is_some() || awaited_by_successor
     }
 
-    /// Takes in an event, or defers it behind one that has to wait for the next batch.
+    /// Handles an event, or defers it if an earlier one is deferred to the next batch, so that they stay in order.
     fn handle(&mut self, event: DispatcherEvent) {
         if !self.deferred.is_empty() {
             return self.deferred.push_back(event);
@@ -253,7 +259,8 @@
         }
     }
 
-    /// Starts the admission module once a backend can run requests: only then is it known whether that is cold.
+    /// Starts the admission module when a backend first reports that it can run requests. Whether the backend is cold
+    /// is known only then.
     fn start_admission(&mut self, cold: bool) {
         if self.admission.is_some() {
             return;
@@ -269,7 +276,7 @@
         }
     }
 
-    /// Takes over other settings. What has come by now is decided by the ones that it came under.
+    /// Applies new settings. Events that came before are decided under the old ones first.
     fn reconfigure(&mut self, settings: NamedSettings, digest: &str) {
         self.run_admission(clock::now());
         self.settings = settings;
@@ -281,11 +288,11 @@
         }
     }
 
-    /// The shutdown notice has come: the process is stopped at `stops_at`.
+    /// Handles the shutdown notice: the process is stopped at `stops_at`.
     fn drain(&mut self, stops_at: UnixTime) {
         let now = clock::now();
-        // An attempt whose deadline is not before the stop could wait for another node's outcome until this process is
-        // gone, so it is answered now.
+        // An attempt that waits for another node's run, with a deadline at the stop or later, could still be waiting
+        // when this process is stopped, so it is answered now.
         let waits_past_stop = |attempt: &&Attempt| {
             attempt.phase == Phase::AwaitingRemoteRun && attempt.request.deadline + TIMEOUT_MARGIN >= stops_at
         };
@@ -300,13 +307,14 @@
         }
     }
 
-    /// Answers a request and records that decision.
+    /// Answers a request and records the outcome in the decision log.
     fn answer(&self, request: &Request, responder: Responder, outcome: RequestOutcome) {
         self.log_decision(decision_log::decision_of(&outcome), request);
         responder.answer(outcome);
     }
 
-    /// Records a decision about an attempt, with the versions of the membership and the settings that it was made by.
+    /// Records a decision about an attempt in the decision log, with the version of the membership configuration and
+    /// the digest of the settings that applied to it.
     fn log_decision(&self, decision: Decision, request: &Request) {
         let Some(decision_log) = &self.decision_log else { return };
         // Peers may have adopted another version since the last decision; the run gate does not report that.
@@ -315,12 +323,13 @@
         decision_log.record(decision, request, self.dedup_key(request).as_deref(), class);
     }
 
-    /// What is published of this node. The borrow must end before the status is updated.
+    /// Borrows the published status of this node. The borrow must end before [`Self::update_status`] is called, which
+    /// would otherwise deadlock.
     fn status(&self) -> watch::Ref<'_, NodeStatus> {
         self.endpoints.status.borrow()
     }
 
-    /// Changes the published status; who watches it is woken only if it differs.
+    /// Changes the published status. Watchers are notified only if the status differs afterwards.
     fn update_status(&self, change: impl FnOnce(&mut NodeStatus)) {
         self.endpoints.status.send_if_modified(|status| {
             let before = status.clone();
--- a/node/src/dispatcher/actions.rs
+++ b/node/src/dispatcher/actions.rs
@@ -1,4 +1,4 @@
-//! Calls of the admission module with the batch of events, and what its actions do.
+//! Calls the admission module with the batch of events and carries out the resulting actions.
 
 use std::time::Duration;
 
@@ -12,14 +12,14 @@
 use crate::outcome::{RequestOutcome, RunState};
 
 impl Dispatcher {
-    /// Ends the batch: calls the admission module once with the gathered events, carries out its actions, and removes the
-    /// attempts whose clients cancelled them.
+    /// Ends the batch: calls the admission module once with the collected events, carries out its actions,
+    /// and removes the cancelled attempts of which no run is still to end.
     pub(super) fn run_admission(&mut self, now: UnixTime) {
         let events = std::mem::take(&mut self.admission_events);
         self.idempotency.end_batch();
         let Some(admission) = &mut self.admission else { return };
         if events.is_empty() {
-            // Only the first batch without events is handed over: at the start it makes the module set its timers.
+            // Only the first empty batch is passed on: right after the start it makes the module set its timers.
             if self.empty_batch_handed_over {
                 return;
             }
@@ -41,7 +41,7 @@
     fn execute(&mut self, action: Action, now: UnixTime) {
         match action {
             Action::Run(id) => self.start_run(id, now),
-            // No backend can pause a run: its progress is lost.
+            // No backend can pause a run, so the run is stopped and its progress is lost.
             Action::Pause(id) => self.stop_run(id),
             Action::Reject { id, retry_after, give_up } => self.reject(id, retry_after, give_up),
             Action::Fail(id) => self.fail(id, now),
@@ -67,8 +67,8 @@
         }
     }
 
-    /// Rejects an attempt. A rejection promises that the attempt never ran, so one that has started, or waits for one
-    /// that has, gets a failure instead.
+    /// Rejects an attempt. A rejection promises that the attempt never ran, so an attempt that has started,
+    /// or waits for another run of its key, is answered with a failure instead.
     fn reject(&mut self, id: RequestId, retry_after: Option<Duration>, give_up: bool) {
         let is_queued = self.attempts.get(id).is_some_and(|attempt| attempt.phase == Phase::Queued);
         let outcome = if is_queued {
@@ -102,7 +102,7 @@
         self.update_status(|status| status.health = Some(healthy));
     }
 
-    /// Removes an answered attempt, unless the end of a run of it, here or on another node, is still to be reported.
+    /// Removes an answered attempt, unless the end of its run, here or on another node, is still to be reported.
     fn remove_if_answer_ends_it(&mut self, id: RequestId) {
         if self.attempts.get(id).is_some_and(|attempt| attempt.phase.ends_with_answer()) {
             self.attempts.remove(id);
--- a/node/src/dispatcher/calls.rs
+++ b/node/src/dispatcher/calls.rs
@@ -10,10 +10,10 @@
 use crate::log;
 
 impl Dispatcher {
-    /// A run waits for a call: the admission module decides whether it is made.
+    /// Handles a run that needs a call. The admission module decides whether the call is made.
     pub(super) fn call_needed(&mut self, txn: &TransactionId, body: Bytes) {
         let Some(id) = self.attempts.id_of(txn) else {
-            return log!("dispatcher: a call is needed for an attempt that is not open: txn={txn}");
+            return log!("dispatcher: call request ignored, attempt is not open: txn={txn}");
         };
         let Some(attempt) = self.attempts.get_mut(id) else { return };
         if let Phase::Running { started_at } = attempt.phase {
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Makes the call that a run waits for. The backend abandons it at `call_deadline`.
+    /// Makes the call that a run waits for. The backend abandons the call at `call_deadline`.
     pub(super) fn start_call(&mut self, id: RequestId, now: UnixTime, call_deadline: UnixTime) {
         let Some(attempt) = self.attempts.get_mut(id) else { return };
         let Phase::AwaitingCall { started_at, body } = &attempt.phase else { return };
@@ -43,7 +43,8 @@
         }
     }
 
-    /// A call has ended. A reply goes to the run; for any other outcome the admission module decides what follows.
+    /// Handles the end of a call. A reply is passed to the run; after any other outcome the admission module decides
+    /// how the run goes on.
     pub(super) fn call_ended(&mut self, txn: &TransactionId, call_outcome: CallOutcome) {
         let Some(id) = self.attempts.id_of(txn) else { return };
         let Some(attempt) = self.attempts.get_mut(id) else { return };
@@ -68,14 +69,14 @@
         self.admission_events.push(Event::CallReturned { id, outcome, took });
     }
 
-    /// Sends a command to the backend that makes calls. A call that finds the queue full counts as unreachable.
+    /// Sends a command to the backend that makes calls. If the queue is full, a call ends as unreachable.
     pub(super) fn send_call_command(&mut self, command: CallCommand) {
         let called_txn = match &command {
             CallCommand::Call { request, .. } => Some(request.txn.clone()),
             CallCommand::Abandon(_) => None,
         };
         if self.endpoints.calls.try_send(command).is_err() {
-            log!("dispatcher: the queue of call commands is full");
+            log!("dispatcher: call command dropped, queue is full; a call counts as unreachable");
             if let Some(txn) = called_txn {
                 self.call_ended(&txn, CallOutcome::Unreachable);
             }
--- a/node/src/dispatcher/handover.rs
+++ b/node/src/dispatcher/handover.rs
@@ -1,8 +1,8 @@
-//! The dispatcher's part in an upgrade in place: what it takes over from the predecessor process and what it transfers to
-//! its successor. `crate::handover` is the link between the two processes.
+//! The dispatcher's part in an upgrade in place: the state that it receives from the predecessor process and
+//! the state that it transfers to its successor. `crate::handover` is the link between the two processes.
 //!
-//! While both processes live, no key runs twice: the predecessor rejects keys that it does not know once it has
-//! transferred its table, and the successor buffers attempts with keys until it has that table.
+//! No key runs twice while both processes run: once the predecessor has transferred its table, it rejects
+//! keys that are not in it; the successor buffers attempts with keys until it has received the table.
 
 use std::time::Duration;
 
@@ -20,37 +20,38 @@
 use crate::result_store::KeySource;
 use crate::run_gate::KeyedRun;
 
-/// The idempotency table is transferred this long after clients are sent to the successor. Requests that cross that
-/// notification still run here.
+/// Delay between directing clients to the successor and transferring the idempotency table. Requests that
+/// clients send before they learn of the successor still run here.
 const TRANSFER_DELAY: Duration = Duration::from_millis(100);
 
-/// The predecessor's side: this process hands over.
+/// This process as the predecessor: it transfers its state.
 impl Dispatcher {
-    /// A successor takes over: clients are sent to it, and it gets the idempotency table soon.
+    /// Starts a handover: clients are directed to the successor, and the table follows after [`TRANSFER_DELAY`].
     pub(super) fn begin_handover(&mut self, updates: mpsc::Sender<HandoverState>) {
         let transfer_at = clock::now() + TRANSFER_DELAY;
         self.handover.successor = Some(Successor { updates, transfer_at, transferred: false });
         self.update_status(|status| status.handed_over = true);
     }
 
-    /// The successor has ended before this process: this one serves on, unless it drains itself.
+    /// Handles the end of the successor process: this process acquires the stores again and continues to
+    /// serve, unless it is draining.
     pub(super) fn successor_lost(&mut self) {
         self.handover.successor = None;
         self.run_gate.acquire_stores(KeySource::Store);
         self.update_status(|status| {
-            // A process that drains still sends its clients elsewhere.
+            // A draining process still directs its clients to other nodes.
             if status.draining.is_none() {
                 status.handed_over = false;
             }
         });
     }
 
-    /// Whether the successor has the idempotency table, so that no key may be added here.
+    /// Whether the idempotency table has been transferred, so that no key may be added here.
     pub(super) fn state_is_transferred(&self) -> bool {
         self.handover.successor.as_ref().is_some_and(|successor| successor.transferred)
     }
 
-    /// Transfers the idempotency table to the successor once that is due.
+    /// Transfers the idempotency table to the successor when that is due.
     pub(super) fn transfer_state(&mut self, now: UnixTime) {
         let Some(successor) = &mut self.handover.successor else { return };
         if successor.transferred || now < successor.transfer_at {
@@ -61,7 +62,7 @@
         self.send_to_successor(self.idempotency.snapshot());
     }
 
-    /// Leaves the stores to the successor. Queued attempts may still run here, so their keys are stored as started.
+    /// Releases the stores to the successor. Queued attempts may still run here, so their keys are stored as started.
     fn release_stores(&mut self) {
         let queued = self.attempts.iter().filter(|attempt| attempt.phase == Phase::Queued);
         let runs: Vec<KeyedRun> = queued.filter_map(|attempt| self.keyed_run(attempt.id)).collect();
@@ -77,7 +78,7 @@
             return;
         };
         let record = IdempotencyRecord { key, body_digest, expires_at, state };
-        // The successor reads the seed of the full table only.
+        // The successor reads the seed only from the full table.
         let digest_seed = 0;
         self.send_to_successor(HandoverState { digest_seed, records: vec![record] });
     }
@@ -85,15 +86,15 @@
     fn send_to_successor(&mut self, state: HandoverState) {
         let Some(successor) = &self.handover.successor else { return };
         if successor.updates.try_send(state).is_err() {
-            log!("handover: the queue of updates is full, the successor gets no more of them");
+            log!("handover: update queue to the successor is full, no further updates are sent");
             self.handover.successor = None;
         }
     }
 }
 
-/// The successor's side: this process takes over.
+/// This process as the successor: it receives the predecessor's state.
 impl Dispatcher {
-    /// Takes in what the predecessor reports: its whole table at first, then the outcomes of its runs.
+    /// Imports the predecessor's records: its whole table first, then the outcomes of its runs as they end.
     pub(super) fn receive_state(&mut self, state: HandoverState) {
         let is_full_table = self.status().awaiting_state;
         if is_full_table {
@@ -102,7 +103,7 @@
         }
         for record in state.records {
             if is_full_table {
-                // The predecessor has stored all this.
+                // The predecessor has stored these records already.
                 self.import_record(record);
             } else if let Some(holder) = self.start_storing(&record) {
                 self.handover.storing.insert(holder, record);
@@ -116,8 +117,8 @@
         self.submit_buffered();
     }
 
-    /// Starts to store the outcome of a predecessor's run, so that it is stored before it is reported. Returns the
-    /// key's holder if the run gate reports later, `None` if there is nothing to wait for.
+    /// Starts storing the outcome of a predecessor's run, which must be stored before it is given to any client.
+    /// Returns the key's holder if a gate event follows, or `None` if there is nothing to wait for.
     fn start_storing(&mut self, record: &IdempotencyRecord) -> Option<RequestId> {
         if !self.run_gate.is_durable() {
             return None;
@@ -128,8 +129,8 @@
         self.run_gate.predecessor_run_completed(run, &outcome).then_some(holder)
     }
 
-    /// Imports a record whose outcome has been stored, or could not be: then the run counts as failed. Returns whether
-    /// this was the run of a predecessor.
+    /// Imports a predecessor's record once the store has accepted or refused its outcome; if refused, the run
+    /// counts as failed. Returns false if no outcome of a predecessor's run is being stored for `holder`.
     pub(super) fn finish_storing(&mut self, holder: RequestId, completion: &Completion) -> bool {
         let Some(mut record) = self.handover.storing.remove(&holder) else { return false };
         if !matches!(completion, Completion::Succeeded(_)) {
@@ -139,14 +140,14 @@
         true
     }
 
-    /// Adds what the predecessor knows of a key to the idempotency table.
+    /// Adds a predecessor's record to the idempotency table and completes the attempts that waited for its outcome.
     fn import_record(&mut self, record: IdempotencyRecord) {
         if let Some(imported) = self.insert_record(record) {
             self.complete_waiters(imported.waiters, &imported.outcome);
         }
     }
 
-    /// Adds what the predecessor knows of a key to the idempotency table, and stores the outcome if the record has one.
+    /// Does the same as [`Self::import_record`], and stores the outcome if the record has one.
     fn import_and_store_record(&mut self, record: IdempotencyRecord) {
         let key = record.key.clone();
         let Some(imported) = self.insert_record(record) else { return };
@@ -156,13 +157,13 @@
         self.complete_waiters(imported.waiters, &imported.outcome);
     }
 
-    /// Inserts a record into the idempotency table. The attempts that waited for its outcome are still to be completed.
+    /// Inserts a record into the idempotency table. The caller completes the attempts that waited for its outcome.
     fn insert_record(&mut self, record: IdempotencyRecord) -> Option<ImportedOutcome> {
         let id = self.attempts.allocate_id();
         self.idempotency.import(record, id)
     }
 
-    /// Takes in what the stores had from earlier processes. What started there and has no outcome has failed.
+    /// Imports the records that the stores kept from earlier processes. Runs without an outcome count as failed.
     pub(super) fn import_recovered(&mut self, records: Vec<IdempotencyRecord>) {
         for record in records {
             self.insert_record(record);
@@ -171,7 +172,7 @@
         self.fail_unfinished_earlier_runs();
     }
 
-    /// The predecessor reports nothing more.
+    /// Handles the end of the handover: the predecessor sends no more records.
     pub(super) fn predecessor_done(&mut self) {
         self.import_pending_records();
         self.fail_unfinished_earlier_runs();
@@ -180,34 +181,35 @@
         self.update_status(|status| status.predecessor_alive = false);
     }
 
-    /// Imports the records whose outcome is still being stored, without waiting for that: they have an outcome, so their
-    /// runs must not count as unfinished.
+    /// Imports the records whose outcomes are still being stored, without waiting for the store, because runs with an
+    /// outcome must not count as unfinished.
     fn import_pending_records(&mut self) {
         for record in std::mem::take(&mut self.handover.storing).into_values() {
             self.import_record(record);
         }
     }
 
-    /// Counts all runs of earlier processes without an outcome as failed.
+    /// Counts all runs of earlier processes without an outcome as failed and completes the attempts that
+    /// waited for them.
     fn fail_unfinished_earlier_runs(&mut self) {
         let waiters = self.idempotency.fail_unfinished_earlier_runs();
         self.complete_waiters(waiters, &StoredOutcome::Failed);
     }
 
-    /// Buffers an attempt with a key until the predecessor's table is known.
+    /// Buffers an attempt with a key until the predecessor's table has been received.
     pub(super) fn buffer_until_state_received(&mut self, submission: Submission) {
         self.handover.buffered.push(submission);
     }
 
-    /// Ends the wait for the predecessor's table: buffered attempts, and all that follow, are decided about.
+    /// Ends the wait for the predecessor's table and submits the buffered attempts.
     fn submit_buffered(&mut self) {
         self.update_status(|status| status.awaiting_state = false);
         let buffered = std::mem::take(&mut self.handover.buffered);
         self.deferred.extend(buffered.into_iter().map(DispatcherEvent::Submitted));
     }
 
-    /// Rejects buffered attempts that can wait no longer, or all of them once this process drains. They are answered in
-    /// time even if the predecessor never reports its table.
+    /// Rejects buffered attempts whose deadline is near, or all of them while this process drains, so that they are
+    /// answered in time even if the predecessor never transfers its table.
     pub(super) fn reject_expired_buffered(&mut self, now: UnixTime) {
         let is_draining = self.status().draining.is_some();
         let has_expired =
--- a/node/src/dispatcher/handover_progress.rs
+++ b/node/src/dispatcher/handover_progress.rs
@@ -1,4 +1,4 @@
-//! How far a handover between two processes of this node has come, as the dispatcher sees it.
+//! The dispatcher's state of a handover between two processes of this node.
 
 use std::collections::HashMap;
 
@@ -10,19 +10,20 @@
 use crate::exchange::{HandoverState, Submission};
 use crate::outcome::IdempotencyRecord;
 
-/// What the dispatcher keeps for a handover, in either direction.
+/// State of a handover in either direction: from the predecessor, to the successor.
 #[derive(Default)]
 pub(super) struct HandoverProgress {
-    /// The process that takes over from this one.
+    /// The process that takes over from this one, while it runs.
     pub(super) successor: Option<Successor>,
-    /// Attempts with keys that came before the predecessor's table. As many as connections allow at most.
+    /// Attempts with keys that came before the predecessor's table. Their number is bounded by what the connections
+    /// allow.
     pub(super) buffered: Vec<Submission>,
-    /// The predecessor's records with an outcome that is being stored, by the attempt that holds the key here.
+    /// The predecessor's records whose outcome is being stored, by the attempt that holds the key here.
     pub(super) storing: HashMap<RequestId, IdempotencyRecord>,
 }
 
 impl HandoverProgress {
-    /// When something is to be done for the handover.
+    /// Time of the next step: transferring the table or rejecting the buffered attempt with the nearest deadline.
     pub(super) fn next_wake(&self) -> Option<UnixTime> {
         let transfer = self.successor.as_ref().filter(|successor| !successor.transferred);
         let transfer_at = transfer.map(|successor| successor.transfer_at);
@@ -34,10 +35,10 @@
 
 /// The process that takes over from this one.
 pub(super) struct Successor {
-    /// Where the state and its changes are sent to it.
+    /// Queue of the table and its later changes.
     pub(super) updates: mpsc::Sender<HandoverState>,
-    /// When it gets the idempotency table.
+    /// When the idempotency table is to be transferred.
     pub(super) transfer_at: UnixTime,
-    /// Whether it has got that.
+    /// Whether the idempotency table has been transferred.
     pub(super) transferred: bool,
 }
--- a/node/src/dispatcher/runs.rs
+++ b/node/src/dispatcher/runs.rs
@@ -1,6 +1,6 @@
-//! Runs: how they are authorized, started and completed, and what their keys' other attempts get.
+//! Authorizes, starts and completes runs, and gives their outcomes to the other attempts of their keys.
 //!
-//! The end of a run is seen from four sides, each with a type of its own:
+//! The end of a run is described by four types, each for one of its recipients:
 //!
 //! | `Completion`, from the backend | the admission module's `Outcome` | `StoredOutcome` of the key | `RequestOutcome` for the client |
 //! | --- | --- | --- | --- |
@@ -33,9 +33,9 @@
             return;
         }
         let request = attempt.request.clone();
-        // Whatever asks for it, no key runs a second time.
+        // No key runs a second time, whatever the admission module decides.
         if self.dedup_key(&request).is_some_and(|key| !self.idempotency.try_start(&key, id)) {
-            log!("dispatcher: an attempt of a key that has run is not run: txn={}", request.txn);
+            log!("dispatcher: attempt failed, another attempt of its key has run: txn={}", request.txn);
             self.answer_attempt(id, RequestOutcome::Failed { timed_out: false });
             let outcome = AdmissionOutcome::Error;
             self.admission_events.push(Event::Finished { id, outcome, took: Duration::ZERO });
@@ -48,50 +48,51 @@
         match self.run_gate.authorize_run(run) {
             Authorization::Granted => self.send_to_backend(&request),
             Authorization::Denied => self.run_ended(&request.txn, Completion::NeverStarted),
-            // A gate event follows.
+            // A gate event with the decision follows.
             Authorization::Pending => {}
         }
     }
 
     fn send_to_backend(&mut self, request: &Rc<Request>) {
         if self.endpoints.runs.try_send(RunCommand::Run(request.clone())).is_err() {
-            log!("dispatcher: the queue of run commands is full");
+            log!("dispatcher: run not started, queue of run commands is full: txn={}", request.txn);
             return self.run_ended(&request.txn, Completion::NeverStarted);
         }
         self.log_decision(Decision::Run, request);
         self.endpoints.metrics.run_dispatched(request.class);
     }
 
-    /// Sends a command other than a run to the backend that runs requests.
+    /// Sends a command other than [`RunCommand::Run`] to the backend that runs requests.
     pub(super) fn send_run_command(&self, command: RunCommand) {
         if self.endpoints.runs.try_send(command).is_err() {
-            log!("dispatcher: the queue of run commands is full");
+            log!("dispatcher: run command dropped, queue of run commands is full");
         }
     }
 
-    /// A run has ended, or will not start. The run gate stores that before it is reported to anybody.
+    /// Handles the end of a run, or the fact that it will not start. The run gate stores the end before it is
+    /// reported to the client, the waiting attempts and the successor.
     pub(super) fn run_ended(&mut self, txn: &TransactionId, completion: Completion) {
         let Some(id) = self.attempts.id_of(txn) else {
-            return log!("dispatcher: a run ended of an attempt that is not open: txn={txn}");
+            return log!("dispatcher: completion ignored, attempt is not open: txn={txn}");
         };
         let Some(attempt) = self.attempts.get(id) else { return };
         if attempt.phase.started_at().is_none() {
-            return log!("dispatcher: a run ended that was never started: txn={txn}");
+            return log!("dispatcher: completion ignored, attempt has not been started: txn={txn}");
         }
         if completion == Completion::NeverStarted {
             self.run_gate.run_never_started(id);
             return self.complete_run(id, completion);
         }
         let run = self.keyed_run(id);
-        // `Some` if nothing is to be stored, or it can't be: the run is completed now, with what the gate returns. `None`
-        // if a `GateEvent::Completed` follows.
+        // The gate returns the completion to report if there is nothing to wait for: nothing is to be stored,
+        // or storing has failed. Otherwise a `GateEvent` follows.
         if let Some(completion) = self.run_gate.run_completed(run, completion) {
             self.complete_run(id, completion);
         }
     }
 
-    /// The end of a run is stored, or needs no storing: it is reported to its client, the waiting attempts and
-    /// the successor.
+    /// Completes a run whose end is stored, or need not be: reports it to the admission module, the client,
+    /// the waiting attempts and the successor.
     pub(super) fn complete_run(&mut self, id: RequestId, completion: Completion) {
         let now = clock::now();
         let Some(attempt) = self.attempts.get(id) else { return };
@@ -119,7 +120,7 @@
         self.attempts.remove(id);
     }
 
-    /// What is stored of a run that ended so.
+    /// Returns the outcome to store for the key of a run that ended with `completion`.
     fn stored_outcome(&self, id: RequestId, completion: &Completion) -> StoredOutcome {
         match completion {
             Completion::Succeeded(result) => StoredOutcome::Succeeded(self.owned_if_stored(id, result)),
@@ -128,7 +129,8 @@
         }
     }
 
-    /// A copy of a result that is to be stored, as that outlives the buffer it was read into; empty if it is not.
+    /// Copies a result that is to be stored, as the stored result outlives the buffer that it was read into.
+    /// Returns an empty result if the attempt holds no key, so that nothing is stored.
     fn owned_if_stored(&self, id: RequestId, result: &Bytes) -> Bytes {
         if self.idempotency.is_holder(id) {
             Bytes::copy_from_slice(result)
@@ -137,7 +139,7 @@
         }
     }
 
-    /// The outcome of an attempt's key is known: it is reported to the successor and the waiting attempts.
+    /// Stores the outcome of the key that an attempt holds, and reports it to the successor and the waiting attempts.
     fn complete_key(&mut self, id: RequestId, outcome: &StoredOutcome) {
         self.report_to_successor(id, RunState::from(outcome));
         let waiters = self.idempotency.complete(id, outcome.clone());
@@ -158,7 +160,7 @@
         }
     }
 
-    /// Gives waiting attempts the outcome of their key.
+    /// Completes waiting attempts with the outcome of their key.
     pub(super) fn complete_waiters(&mut self, waiters: Vec<RequestId>, outcome: &StoredOutcome) {
         let now = clock::now();
         for waiter in waiters {
@@ -179,7 +181,7 @@
         self.attempts.remove(id);
     }
 
-    /// The run gate reports.
+    /// Handles an event of the run gate.
     pub(super) fn on_gate_event(&mut self, event: GateEvent) {
         match event {
             GateEvent::Authorized { id, granted } => self.on_authorization(id, granted),
@@ -192,7 +194,7 @@
         }
     }
 
-    /// The run gate has decided whether a run may start.
+    /// Handles the run gate's decision whether a run may start.
     fn on_authorization(&mut self, id: RequestId, granted: bool) {
         let Some(attempt) = self.attempts.get(id) else { return };
         let request = attempt.request.clone();
@@ -200,21 +202,22 @@
             return self.send_to_backend(&request);
         }
         if granted {
-            // Its client has an answer or has cancelled, so nobody waits for the run.
+            // The client has been answered or has cancelled, so the result of the run is not needed.
             self.store_outcome(id, &StoredOutcome::NeverStarted);
         }
         self.run_ended(&request.txn, Completion::NeverStarted);
     }
 
-    /// The end of a run is stored: of a predecessor's run, or of one of this process.
+    /// Handles the stored end of a run: of a predecessor's run or of one of this process.
     fn on_completion_stored(&mut self, id: RequestId, completion: Completion) {
         if !self.finish_storing(id, &completion) {
             self.complete_run(id, completion);
         }
     }
 
-    /// Ends an attempt for the admission module, as nothing of it runs here: another node runs its key, or may, or the
-    /// key's outcome is not known. It is authorized (`Running`), or detached already (`AwaitingRemoteRun`).
+    /// Reports an attempt to the admission module as skipped, because it does not run here: another node runs
+    /// its key, or may do so, or the key's outcome is unknown. Does nothing to the admission module if the
+    /// attempt has already been detached (`AwaitingRemoteRun`).
     fn detach_from_admission(&mut self, id: RequestId) {
         let Some(attempt) = self.attempts.get_mut(id) else { return };
         let phase = std::mem::replace(&mut attempt.phase, Phase::AwaitingRemoteRun);
@@ -224,7 +227,7 @@
         }
     }
 
-    /// The outcome of another node's run of an attempt's key is known.
+    /// Completes an attempt with the outcome of another node's run of its key.
     fn complete_remote_run(&mut self, id: RequestId, outcome: &StoredOutcome) {
         self.detach_from_admission(id);
         self.answer_attempt(id, self.outcome_for_repeat(outcome));
@@ -233,7 +236,8 @@
         self.attempts.remove(id);
     }
 
-    /// The outcome of an attempt's key can't be known here. The key is released, so the next attempt asks again.
+    /// Ends an attempt whose key has an outcome that can't be known here. The key is released, so that the
+    /// next attempt asks the run gate again.
     pub(super) fn abandon_key(&mut self, id: RequestId, answer: RequestOutcome) {
         self.detach_from_admission(id);
         self.answer_attempt(id, answer);
@@ -242,14 +246,14 @@
         self.attempts.remove(id);
     }
 
-    /// The run of an attempt that holds a key, as the run gate is asked about it.
+    /// Describes the run of an attempt to the run gate; `None` if the attempt holds no key.
     pub(super) fn keyed_run(&self, id: RequestId) -> Option<KeyedRun> {
         let AssignedKey { key, body_digest, expires_at } = self.idempotency.assigned_key(id)?;
         let request = self.attempts.get(id).map(|attempt| attempt.request.clone());
         Some(KeyedRun { id, request, key, body_digest, expires_at })
     }
 
-    /// Stores the outcome of the key that an attempt holds; nobody is told when that is done.
+    /// Passes the outcome of the key that an attempt holds to the run gate for storing, without waiting for it.
     pub(super) fn store_outcome(&mut self, id: RequestId, outcome: &StoredOutcome) {
         if let Some(run) = self.keyed_run(id) {
             self.run_gate.store_outcome(&run, outcome);
@@ -257,7 +261,7 @@
     }
 }
 
-/// How the admission module counts a run that ended so.
+/// Returns the outcome that the admission module is told for a run that ended with `completion`.
 fn admission_outcome(completion: &Completion) -> AdmissionOutcome {
     match completion {
         Completion::Succeeded(_) => AdmissionOutcome::Ok,
