--- a/admission/tests/admission/calls.rs
+++ b/admission/tests/admission/calls.rs
@@ -8,7 +8,7 @@
 };
 
 #[test]
-fn a_request_whose_call_never_returns_fails_once_by_its_deadline() {
+fn a_request_whose_call_never_returns_is_failed_exactly_once_by_its_deadline() {
     let class = Class { deadline: ms(3000), may_call: true, ..Class::default() };
     let mut admission = started_admission(Settings {
         classes: vec![class],
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_call_that_may_have_run_is_not_retried_for_a_request_that_is_not_idempotent() {
+fn a_call_that_may_have_taken_effect_is_not_repeated_for_a_request_that_is_not_idempotent() {
     let mut settings = idempotency_key_settings();
     settings.classes[0].may_call = true;
     settings.dependency = Dependency::Tier;
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_dependency_share_below_one_call_leaves_gaps_between_calls() {
+fn a_dependency_share_below_one_call_spaces_calls_in_time() {
     let class =
         Class { may_call: true, latency_objective: ms(20_000), deadline: ms(60_000), ..Class::default() };
     let dependency = Dependency::Shared { share: 0.4, averaging_time: ms(5000), linger: ms(200) };
@@ -61,7 +61,7 @@
     }
     assert!(
         steps_with_call > 0 && f64::from(steps_with_call) / 400.0 <= 0.4,
-        "{steps_with_call} of 400 steps with a call in progress"
+        "a call was in progress in {steps_with_call} of 400 steps, at a share of 0.4"
     );
 }
 
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn quick_calls_to_a_tier_are_not_limited() {
+fn concurrent_quick_calls_to_a_tier_are_not_limited() {
     let class = Class { may_call: true, ..Class::default() };
     let settings =
         Settings { classes: vec![class], dependency: Dependency::Tier, cores: 8, ..Settings::default() };
@@ -114,8 +114,8 @@
         CallingServer { admission: started_admission(settings), next_id: 1, calls: Vec::new() }
     }
 
-    /// Takes a step at `at` milliseconds, in which a request may arrive. `outcome_of` says how a call ends now, if it
-    /// does.
+    /// Advances the server to `at` milliseconds, when a request may arrive. `outcome_of` returns the outcome
+    /// of a call that ends now.
     fn step(&mut self, at: u64, arrives: bool, outcome_of: impl Fn(&CallInProgress) -> Option<Outcome>) {
         let mut events = vec![timer_event()];
         for call in &self.calls {
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn a_dependency_share_below_one_call_is_kept_for_quick_calls_and_timeouts() {
+fn a_dependency_share_below_one_call_is_not_exceeded_by_quick_calls_or_timeouts() {
     let class =
         Class { may_call: true, latency_objective: ms(3000), deadline: ms(20_000), ..Class::default() };
     let (share, span) = (0.3, 5.0);
@@ -155,7 +155,7 @@
         CallingServer::new(Settings { classes: vec![class], dependency, cores: 2, ..Settings::default() });
     let mut concurrent_calls = Vec::new();
     for at in (10..40_000u64).step_by(10) {
-        // Quick calls for ten seconds, then calls that never return and time out.
+        // Calls are quick for ten seconds; after that they never return and time out.
         server.step(at, at % 200 == 0, |call| {
             let is_quick = call.since < 10_000 && at == call.since + 20;
             let is_timed_out = at >= call.since + call.timeout;
@@ -167,10 +167,13 @@
         .windows((span * 100.0) as usize)
         .map(|window| window.iter().sum::<f64>() / window.len() as f64);
     let peak = means.fold(0.0, f64::max);
-    assert!(peak > 0.0 && peak <= share, "{peak} calls in the mean of {span} s");
+    assert!(
+        peak > 0.0 && peak <= share,
+        "a mean of {peak} concurrent calls over {span} s, at a share of {share}"
+    );
 }
 
-/// The highest number of concurrent calls if each takes `call_millis`, after a few seconds of them.
+/// The highest number of concurrent calls, after eight seconds of calls that each take `call_millis`.
 fn max_concurrent_calls(call_millis: u64) -> usize {
     let class =
         Class { may_call: true, latency_objective: ms(2000), deadline: ms(60_000), ..Class::default() };
@@ -188,10 +191,10 @@
 }
 
 #[test]
-fn concurrent_long_calls_are_limited_so_that_an_overloaded_dependency_recovers() {
+fn long_calls_reduce_the_concurrency_so_that_an_overloaded_dependency_recovers() {
     let (long, quick) = (max_concurrent_calls(600), max_concurrent_calls(40));
-    assert!(long <= 1, "{long} long calls at once");
-    assert!(quick >= 3, "only {quick} quick calls at once");
+    assert!(long <= 1, "{long} long calls were in progress at once");
+    assert!(quick >= 3, "only {quick} quick calls were in progress at once");
 }
 
 #[test]
@@ -207,14 +210,20 @@
     for id in 1..=6 {
         let at = 50 * u64::from(id);
         let started = handle_at(&mut admission, at, &[arrival_event(id)]);
-        assert!(started.iter().any(|action| is_run_of(action, id)), "{id} of 6 below the limit of twelve");
+        assert!(
+            started.iter().any(|action| is_run_of(action, id)),
+            "request {id} of 6 was not started below the safe concurrency of twelve"
+        );
         let called = handle_at(&mut admission, at + 40, &[call_needed_event(id)]);
-        assert!(called.iter().any(|action| matches!(action, Action::Call(..))), "{id} called");
+        assert!(
+            called.iter().any(|action| matches!(action, Action::Call(..))),
+            "request {id} made no call: {called:?}"
+        );
     }
 }
 
 #[test]
-fn a_call_that_may_be_skipped_times_out_within_the_latency_objective() {
+fn a_skippable_call_times_out_within_the_latency_objective() {
     let class = Class {
         may_call: true,
         skip_weight: 0.3,
@@ -256,5 +265,5 @@
         let actions = handle_at(&mut admission, at, &calls_needed);
         calls = count_calls(&actions);
     }
-    assert!(calls < 8, "{calls} calls retried at once at a dependency that rejected all of them");
+    assert!(calls < 8, "{calls} calls were retried at once at a dependency that rejected all eight");
 }
--- a/admission/tests/admission/connections.rs
+++ b/admission/tests/admission/connections.rs
@@ -1,4 +1,4 @@
-//! The idle limit of connections.
+//! The idle timeout of connections that the module sets.
 
 use std::time::Duration;
 
@@ -51,15 +51,21 @@
 }
 
 #[test]
-fn the_idle_limit_is_raised_while_connecting_overloads_the_cores_and_lowered_afterwards() {
+fn the_idle_limit_is_raised_during_read_overload_and_lowered_afterwards() {
     let mut admission = started_admission(Settings { callers: 5000, ..Settings::default() });
-    let plain = Gauges { utilization: Some(0.95), runnable: Some(1.0) };
-    let before = idle_limits_with_gauges(&mut admission, 0, 20, plain);
-    assert!(before.last().is_some_and(|l| *l < ms(1000)), "callers do not return: {before:?}");
-    let overrun = Gauges { utilization: Some(1.0), runnable: Some(9.0) };
-    let during = idle_limits_with_gauges(&mut admission, 20, 5, overrun);
+    let normal_load = Gauges { utilization: Some(0.95), runnable: Some(1.0) };
+    let before = idle_limits_with_gauges(&mut admission, 0, 20, normal_load);
+    assert!(
+        before.last().is_some_and(|l| *l < ms(1000)),
+        "the limit is not low although no caller returns: {before:?}"
+    );
+    let read_overload = Gauges { utilization: Some(1.0), runnable: Some(9.0) };
+    let during = idle_limits_with_gauges(&mut admission, 20, 5, read_overload);
     assert_eq!(during.last(), Some(&ms(30_000)));
-    let spare = Gauges { utilization: Some(0.5), runnable: Some(1.0) };
-    let after = idle_limits_with_gauges(&mut admission, 25, 10, spare);
-    assert!(after.last().is_some_and(|l| *l < ms(1000)), "it recovers: {after:?}");
+    let spare_capacity = Gauges { utilization: Some(0.5), runnable: Some(1.0) };
+    let after = idle_limits_with_gauges(&mut admission, 25, 10, spare_capacity);
+    assert!(
+        after.last().is_some_and(|l| *l < ms(1000)),
+        "the limit has not fallen after the read overload: {after:?}"
+    );
 }
--- a/admission/tests/admission/idempotency.rs
+++ b/admission/tests/admission/idempotency.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn of_two_attempts_in_one_batch_only_one_runs() {
+fn of_an_attempt_and_its_retry_in_one_batch_only_the_retry_runs() {
     let mut admission = started_admission(Settings { cores: 4, ..idempotency_key_settings() });
     let actions = handle_at(&mut admission, 0, &[arrival_event(1), retry_event(2, 1)]);
     let runs: Vec<_> = actions.iter().filter(|action| matches!(action, Action::Run(_))).collect();
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn keys_retained_in_one_batch_fit_the_memory_limit_together() {
+fn all_keys_retained_in_one_batch_fit_into_the_memory_limit() {
     let mut admission =
         started_admission(Settings { key_memory_kb: 50.0, memory_kb: 160.0, ..idempotency_key_settings() });
     let actions = handle_at(
@@ -58,7 +58,7 @@
         &[arrival_event(1), arrival_event(2), arrival_event(3), arrival_event(4)],
     );
     let retained = actions.iter().filter(|action| matches!(action, Action::RetainKey(..))).count();
-    assert!((1..=2).contains(&retained), "{retained} entries of 50 kB in 160 kB");
+    assert!((1..=2).contains(&retained), "{retained} keys of 50 kB were retained in 160 kB");
 }
 
 #[test]
@@ -78,7 +78,10 @@
         started_admission(Settings { cores: 4, memory_kb: 10.0, ..idempotency_key_settings() });
     for id in 1..=50 {
         let actions = handle_at(&mut admission, u64::from(id), &[arrival_event(id)]);
-        assert!(actions.iter().any(|action| is_run_of(action, id)), "{id}: {actions:?}");
+        assert!(
+            actions.iter().any(|action| is_run_of(action, id)),
+            "request {id} was not run, so an earlier key was not released: {actions:?}"
+        );
         let (id, took) = (RequestId(id), ms(1));
         handle_at(&mut admission, 60, &[Event::Finished { id, outcome: Outcome::Rejected, took }]);
     }
--- a/admission/tests/admission/lifecycle.rs
+++ b/admission/tests/admission/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Drain, stalls, suspensions, reconfiguration and invalid input: every request is answered.
+//! Drain, stalls, suspensions, reconfiguration and invalid input. In each case every request is answered.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
     let events: Vec<_> = (1..=5).map(arrival_event).collect();
     handle_at(&mut admission, 0, &events);
     let answers = handle_at(&mut admission, 60_000, &[timer_event()]);
-    assert!(answers.contains(&Action::Fail(RequestId(1))), "it was running, so it fails");
+    assert!(answers.contains(&Action::Fail(RequestId(1))), "the running request is failed, not rejected");
     for id in 2..=5 {
         let rejected = |a: &Action| matches!(a, Action::Reject { id: r, .. } if *r == RequestId(id));
         assert_eq!(answers.iter().filter(|a| rejected(a)).count(), 1);
@@ -73,14 +73,14 @@
 }
 
 #[test]
-fn the_end_of_a_drain_leaves_time_for_the_longest_tick_delay() {
+fn a_drain_reserves_the_longest_tick_delay_before_the_stop() {
     let class = Class { latency_objective: ms(9000), deadline: ms(60_000), ..Class::default() };
     let mut admission = started_admission(Settings { classes: vec![class], ..Settings::default() });
     handle_at(&mut admission, 50, &[timer_event(), arrival_event(1)]);
     handle_at(&mut admission, 700, &[timer_event(), Event::Drain(ms(4000))]);
-    // The process is suspended again for its last 650 ms.
+    // The process is suspended again for the last 650 ms of the drain.
     let all: Vec<_> = (15..=80).flat_map(|n| handle_at(&mut admission, 50 * n, &[timer_event()])).collect();
-    assert!(all.contains(&Action::Fail(RequestId(1))), "unanswered when the server is stopped");
+    assert!(all.contains(&Action::Fail(RequestId(1))), "request 1 is unanswered when the server is stopped");
 }
 
 #[test]
@@ -99,12 +99,15 @@
     let rejected = handle_at(&mut admission, 4500, &[arrival_event(1000)]);
     assert!(
         rejected.iter().any(|action| matches!(action, Action::Reject { give_up: false, .. })),
-        "another server may accept it"
+        "a stalled server rejects arrivals, which another server may accept"
     );
     let done = finished_event(id, 1500);
     let after = handle_at(&mut admission, 4550, &[done, timer_event(), arrival_event(1001)]);
     assert!(after.contains(&Action::SetHealth { healthy: true, static_answer: true }));
-    assert!(!after.iter().any(|action| matches!(action, Action::Reject { .. })), "it recovers at once");
+    assert!(
+        !after.iter().any(|action| matches!(action, Action::Reject { .. })),
+        "arrivals are queued again as soon as a run has ended"
+    );
 }
 
 #[test]
@@ -167,7 +170,7 @@
     assert!(unknown.iter().any(|action| matches!(action, Action::Reject { id: RequestId(3), .. })));
     let classes = vec![idempotency_key_settings().classes[0].clone(), Class::default()];
     admission.reconfigure(Settings { classes, cores: 2, ..idempotency_key_settings() });
-    // A shorter list of classes leaves the positions of open requests valid.
+    // After a reconfiguration with fewer classes, the class positions of open requests remain valid.
     admission.reconfigure(Settings {
         classes: idempotency_key_settings().classes,
         cores: 2,
--- a/admission/tests/admission/main.rs
+++ b/admission/tests/admission/main.rs
@@ -1,5 +1,6 @@
-//! Regression tests of the admission module, one small case for each fault that was found or foreseen: one answer
-//! within the deadline, no effect twice, a safe drain and no overload collapse.
+//! Regression tests of the admission module, with one small case for each known or anticipated fault. They
+//! check its guarantees: one answer within the deadline, no effect twice, a safe drain and no overload
+//! collapse.
 
 mod calls;
 mod common;
--- a/admission/tests/admission/permitted_rate.rs
+++ b/admission/tests/admission/permitted_rate.rs
@@ -1,5 +1,5 @@
-//! The permitted rate: how it is initialized, cut and raised, downstream rejections, fast failures and the two seconds
-//! between changes.
+//! The permitted rate: initialization, decrease and increase, downstream rejections, fast failures, and the
+//! minimum of two seconds between changes.
 
 use std::time::Duration;
 
@@ -7,19 +7,20 @@
 
 use crate::random::LinearCongruential;
 
-/// Steps of a server in a second.
+/// Number of simulation steps per second.
 const STEPS_PER_SECOND: u32 = 20;
 
-/// A server that is advanced in steps of 50 ms; each run takes the time that its step is given.
+/// A simulated server that advances in steps of 50 ms. Each step determines the run time of the runs that it
+/// starts.
 struct ServerFixture {
     admission: Admission,
     now: Duration,
     next_id: u32,
-    /// When the running requests finish, and with which outcome.
+    /// When each running request finishes, and with which outcome.
     finishes: Vec<(Duration, RequestId, Outcome)>,
     rejected: Vec<RequestId>,
     advertised: Option<f64>,
-    /// The values of the permitted rate, each with the time of the change.
+    /// The successive values of the permitted rate, each with the time of the change.
     rates: Vec<(Duration, f64)>,
 }
 
@@ -47,7 +48,7 @@
         self.step_with_ranks(&vec![0.5; arrivals as usize], run_millis, outcome);
     }
 
-    /// One step with an arrival of each rank.
+    /// Advances one step with one arrival for each of the ranks.
     fn step_with_ranks(&mut self, ranks: &[f64], run_millis: u64, outcome: Outcome) {
         self.now += Duration::from_millis(50);
         let mut events = Vec::new();
@@ -79,7 +80,8 @@
         }
     }
 
-    /// Takes `steps` steps with `arrivals` arrivals each, whose runs take `run_millis` milliseconds.
+    /// Advances `steps` steps with `arrivals` arrivals each. Their runs take `run_millis` milliseconds and
+    /// succeed.
     fn run(&mut self, steps: u32, arrivals: u32, run_millis: u64) {
         (0..steps).for_each(|_| self.step(arrivals, run_millis, Outcome::Ok));
     }
@@ -94,7 +96,7 @@
 }
 
 #[test]
-fn the_first_window_initializes_the_rate_and_nothing_is_rejected_before() {
+fn the_first_window_initializes_the_rate_and_no_request_is_rejected_before() {
     let mut server = ServerFixture::new(settings());
     server.run(39, 1, 100);
     assert_eq!(server.admission.permitted_rate(), None);
@@ -104,7 +106,7 @@
 }
 
 #[test]
-fn the_rate_rises_only_if_at_least_half_of_it_is_used() {
+fn the_rate_rises_only_while_at_least_half_of_it_is_used() {
     let mut server = ServerFixture::new(settings());
     server.run(80, 1, 100);
     let before = server.rate();
@@ -115,7 +117,10 @@
         server.run(1, 1, 100);
         server.run(7, 0, 100);
     }
-    assert!(server.rate() <= raised_rate * 1.2, "one window may still count, no more");
+    assert!(
+        server.rate() <= raised_rate * 1.2,
+        "at most one further window of the heavier load may raise the rate"
+    );
     let light_load_rate = server.rate();
     for _ in 0..40 {
         server.run(1, 1, 100);
@@ -135,18 +140,22 @@
 }
 
 #[test]
-fn latency_above_target_cuts_the_rate_and_overload_is_rejected_early() {
+fn latency_over_target_cuts_the_rate_and_rejects_requests_early() {
     let mut server = ServerFixture::new(settings());
     server.run(100, 1, 100);
     let before = server.rate();
     server.run(200, 4, 400);
-    assert!(server.rate() < before.min(11.5), "4 cores do 10 a second, not {}", server.rate());
+    assert!(
+        server.rate() < before.min(11.5),
+        "four cores handle 10 requests per second, but the rate is {}",
+        server.rate()
+    );
     assert!(server.rejected.len() > 200);
     assert!(server.advertised.is_some_and(|level| level > 0.0));
 }
 
 #[test]
-fn a_cut_rate_and_a_raised_level_recover_under_light_load() {
+fn a_cut_rate_and_a_raised_minimum_rank_recover_under_light_load() {
     let mut server = ServerFixture::new(settings());
     server.run(100, 1, 100);
     server.run(200, 4, 400);
@@ -157,7 +166,7 @@
         server.run(1, 1, 100);
         server.run(3, 0, 100);
     }
-    assert_eq!(server.rejected.len(), rejected, "light load is never rejected afterwards");
+    assert_eq!(server.rejected.len(), rejected, "requests were rejected under light load after the overload");
     assert_eq!(server.advertised, Some(0.0));
     server.run(200, 1, 100);
     assert!(server.rate() > cut_rate);
@@ -177,14 +186,14 @@
 }
 
 #[test]
-fn a_rejected_call_cuts_the_rate_at_any_latency() {
+fn a_rejected_call_cuts_the_rate_even_at_low_latency() {
     let class = Class { may_call: true, ..Class::default() };
     let mut server =
         ServerFixture::new(Settings { classes: vec![class], dependency: Dependency::Tier, ..settings() });
     server.run(120, 1, 100);
     let before = server.rate();
     server.run(1, 1, 100);
-    let (_, id, _) = server.finishes.pop().expect("one runs");
+    let (_, id, _) = server.finishes.pop().expect("the request of the last step is running");
     let mut actions = Vec::new();
     server.admission.handle(server.now, &[Event::CallNeeded(id)], &mut actions);
     assert!(actions.iter().any(|a| matches!(a, Action::Call(..))));
@@ -192,7 +201,11 @@
     let rejected = Event::CallReturned { id, outcome: Outcome::Rejected, took };
     server.admission.handle(server.now, &[rejected], &mut actions);
     server.run(41, 1, 100);
-    assert!(server.rate() < before, "{} is not below {before}", server.rate());
+    assert!(
+        server.rate() < before,
+        "the rate {} is not below {before}, the rate before the rejection",
+        server.rate()
+    );
 }
 
 #[test]
@@ -200,17 +213,21 @@
     let mut server = ServerFixture::new(settings());
     server.run(100, 1, 100);
     server.run(60, 2, 1_000_000);
-    assert!(server.rejected.len() > 40, "only {} rejected during a stall", server.rejected.len());
+    assert!(
+        server.rejected.len() > 40,
+        "only {} requests were rejected while no run finished",
+        server.rejected.len()
+    );
 }
 
-/// A server of two cores after `seconds` of an uneven stream of about `per_second` requests a second.
+/// A server with two cores, after `seconds` of random arrivals at about `per_second` requests per second.
 fn two_core_server(seconds: u32, per_second: u32, run_millis: u64) -> ServerFixture {
     let mut server = ServerFixture::new(Settings { cores: 2, servers: 300, callers: 900, ..settings() });
     run_uneven(&mut server, seconds, per_second, run_millis);
     server
 }
 
-/// Offers an uneven stream of about `per_second` requests a second for `seconds`.
+/// Offers random arrivals at about `per_second` requests per second for `seconds`.
 fn run_uneven(server: &mut ServerFixture, seconds: u32, per_second: u32, run_millis: u64) {
     let mut random = LinearCongruential::new(7);
     for _ in 0..seconds * STEPS_PER_SECOND {
@@ -230,8 +247,8 @@
 #[test]
 fn noise_at_a_few_requests_a_second_rejects_nothing() {
     let server = two_core_server(120, 4, 250);
-    assert!(server.rejected.is_empty(), "{} rejected at half load", server.rejected.len());
-    assert!(server.rate() >= 3.0, "rate {}", server.rate());
+    assert!(server.rejected.is_empty(), "{} requests were rejected at half load", server.rejected.len());
+    assert!(server.rate() >= 3.0, "the rate fell to {} at half load", server.rate());
 }
 
 #[test]
@@ -244,18 +261,18 @@
     let mut server = ServerFixture::new(Settings { cores: 2, classes: vec![class], ..settings() });
     run_uneven(&mut server, 30, 3, 500);
     run_uneven(&mut server, 60, 9, 500);
-    // Two cores handle four requests a second; a window of eight requests is a small sample and must not lower the rate
-    // further.
+    // Two cores handle four requests per second. A window with eight requests is a small sample and must not
+    // lower the rate further.
     let cut_rate = server.rate();
-    assert!((2.8..6.0).contains(&cut_rate), "{cut_rate}");
+    assert!((2.8..6.0).contains(&cut_rate), "the rate under overload is {cut_rate}, but the capacity is 4");
     assert!(server.rejected.len() > 100);
     run_uneven(&mut server, 60, 3, 200);
-    assert!(server.rate() >= cut_rate, "{} below {cut_rate} under light load", server.rate());
+    assert!(server.rate() >= cut_rate, "the rate {} fell below {cut_rate} under light load", server.rate());
 }
 
 #[test]
-fn runs_longer_than_the_latency_target_do_not_hold_the_rate_down() {
-    // The latency objective is one second, so each run alone exceeds the latency target.
+fn runs_longer_than_the_latency_target_do_not_keep_the_rate_low() {
+    // The latency objective is one second, so a run of half a second alone exceeds the latency target.
     let mut server = two_core_server(120, 3, 500);
     assert!(server.rate() >= 0.9, "{}", server.rate());
     let rejected = server.rejected.len();
@@ -263,11 +280,11 @@
     assert!(server.rate() > 1.5 && server.rejected.len() < rejected + 20, "{}", server.rate());
 }
 
-/// Offers each server of the fleet a request in each step of a second with this chance. Returns the fraction of the
-/// requests that was rejected, or kept away by the advertised level.
+/// Offers each server of the fleet a request with probability `chance` in each step of one second. Returns
+/// the fraction of the requests that was rejected or not sent because of the advertised minimum rank.
 fn lost_fraction(fleet: &mut [ServerFixture], random: &mut LinearCongruential, chance: f64) -> f64 {
     let mut offered = 0.0;
-    let mut kept_away = 0.0;
+    let mut unsent = 0.0;
     let rejected_before: usize = fleet.iter().map(|server| server.rejected.len()).sum();
     for _ in 0..STEPS_PER_SECOND {
         for server in &mut *fleet {
@@ -276,13 +293,13 @@
             let level = server.advertised.unwrap_or(0.0);
             let is_sent = arrives && rank >= level;
             offered += f64::from(u8::from(arrives));
-            kept_away += f64::from(u8::from(arrives && !is_sent));
+            unsent += f64::from(u8::from(arrives && !is_sent));
             let sent_ranks: &[f64] = if is_sent { &[rank] } else { &[] };
             server.step_with_ranks(sent_ranks, 250, Outcome::Ok);
         }
     }
     let rejected: usize = fleet.iter().map(|server| server.rejected.len()).sum();
-    (kept_away + (rejected - rejected_before) as f64) / offered
+    (unsent + (rejected - rejected_before) as f64) / offered
 }
 
 #[test]
@@ -296,30 +313,31 @@
     let mut fleet: Vec<ServerFixture> =
         (1..=50).map(|seed| ServerFixture::seeded(settings.clone(), seed * 77)).collect();
     let mut random = LinearCongruential::new(11);
-    // For each second, the fraction of the requests that was rejected or kept away by the level. Each server can handle
-    // eight requests a second; it is offered 16 for half a minute, then five.
+    // For each second, the fraction of the requests that was rejected or not sent because of the advertised
+    // minimum rank. Each server can handle eight requests per second and is offered 16 for half a minute,
+    // then five.
     let lost_fractions: Vec<f64> = (0..90)
         .map(|second| lost_fraction(&mut fleet, &mut random, if second < 30 { 0.8 } else { 0.25 }))
         .collect();
     assert!(
         lost_fractions[20..30].iter().all(|fraction| (0.3..0.7).contains(fraction)),
-        "overload: {:?}",
+        "lost fractions under overload: {:?}",
         &lost_fractions[20..30]
     );
     assert!(
         lost_fractions[50..].iter().all(|fraction| *fraction < 0.02),
-        "recovered: {:?}",
+        "lost fractions after recovery: {:?}",
         &lost_fractions[50..]
     );
     let rises = lost_fractions[30..50].windows(2).map(|pair| pair[1] - pair[0]).fold(0.0, f64::max);
-    assert!(rises < 0.05, "recovering: {:?}", &lost_fractions[30..50]);
+    assert!(rises < 0.05, "lost fractions during recovery: {:?}", &lost_fractions[30..50]);
 }
 
 #[test]
-fn requests_shed_from_the_queue_raise_the_level() {
+fn requests_shed_from_the_queue_raise_the_advertised_minimum_rank() {
     let mut server = ServerFixture::new(Settings { cores: 1, ..settings() });
-    // The estimated run takes 800 ms and the rate is not initialized yet: the length of the queue alone causes
-    // rejections.
+    // The estimated run time is 800 ms and the rate is not initialized yet, so only the length of the queue
+    // causes rejections.
     server.run(1, 1, 800);
     server.run(40, 0, 800);
     server.run(4, 5, 800);
@@ -330,7 +348,7 @@
 }
 
 #[test]
-fn an_empty_token_bucket_still_admits_requests_of_the_greatest_weight() {
+fn requests_of_the_greatest_weight_may_borrow_from_an_empty_token_bucket() {
     let heavy_class = Class { weight: 10.0, ..Class::default() };
     let calls = Class { may_call: true, ..Class::default() };
     let mut server = ServerFixture::new(Settings {
@@ -352,10 +370,11 @@
     let flood: Vec<_> =
         (1000..1030).map(|id| Event::Arrived(Arrival::new(RequestId(id), ClassId(0)))).collect();
     let rejected = |actions: &[Action]| actions.iter().filter(|a| matches!(a, Action::Reject { .. })).count();
-    assert!(rejected(&handle(&flood)) >= 25, "the token bucket is empty");
+    assert!(rejected(&handle(&flood)) >= 25, "the token bucket was not empty after the flood");
     let heaviest = [2000, 2001, 2002].map(|id| Event::Arrived(Arrival::new(RequestId(id), ClassId(1))));
     assert_eq!(rejected(&handle(&heaviest)), 0);
-    // More of them than usual: clients would take their rejections to other servers as well.
+    // More arrivals than usual: other servers are assumed to reject requests too, so callers are told to give
+    // up.
     let more: Vec<_> =
         (3000..3020).map(|id| Event::Arrived(Arrival::new(RequestId(id), ClassId(1)))).collect();
     let answers = handle(&more);
--- a/admission/tests/admission/random.rs
+++ b/admission/tests/admission/random.rs
@@ -1,20 +1,20 @@
-//! A seeded generator of random numbers for the simulated clients.
+//! A seeded random number generator for the simulated clients.
 
-/// A linear congruential generator; the multiplier and the increment are Knuth's (MMIX).
+/// Linear congruential generator with the multiplier and increment of Knuth's MMIX.
 pub(crate) struct LinearCongruential(u64);
 
 impl LinearCongruential {
-    /// A generator that starts from this state.
+    /// Creates a generator with this initial state.
     pub(crate) fn new(state: u64) -> Self {
         LinearCongruential(state)
     }
 
-    /// The next number below `n`.
+    /// The next random number below `n`.
     pub(crate) fn below(&mut self, n: u64) -> u64 {
         (self.next_state() >> 33) % n
     }
 
-    /// The next number in 0..1.
+    /// The next random number from 0 to less than 1.
     pub(crate) fn fraction(&mut self) -> f64 {
         (self.next_state() >> 40) as f64 / (1u64 << 24) as f64
     }
--- a/admission/tests/admission/scheduling.rs
+++ b/admission/tests/admission/scheduling.rs
@@ -1,4 +1,4 @@
-//! Which requests run, in which order, and the estimates that this depends on.
+//! Which requests run, in which order, and the estimates on which this depends.
 
 use oakwind_admission::*;
 
@@ -20,11 +20,11 @@
     let mut admission = started_admission(cold);
     let events: Vec<_> = (1..=20).map(arrival_event).collect();
     let runs = runs_of(&handle_at(&mut admission, 0, &events)).len();
-    assert!((1..=4).contains(&runs), "{runs} on 4 cores");
+    assert!((1..=4).contains(&runs), "{runs} runs were started on 4 cold cores");
 }
 
 #[test]
-fn one_quick_first_run_does_not_set_the_estimated_run_time() {
+fn one_quick_first_run_does_not_determine_the_estimated_run_time() {
     let class = Class { latency_objective: ms(2000), deadline: ms(20_000), ..Class::default() };
     let mut admission = started_admission(Settings { classes: vec![class], ..Settings::default() });
     handle_at(&mut admission, 0, &[arrival_event(1)]);
@@ -32,7 +32,8 @@
     handle_at(&mut admission, 1000, &[arrival_event(2)]);
     handle_at(&mut admission, 2500, &[finished_event(2, 1500)]);
     handle_at(&mut admission, 3000, &[arrival_event(3)]);
-    // Four are queued behind a running one: by the mean of both runs the last cannot start in time.
+    // Four requests are queued behind a running one: by the mean of the two run times, the last cannot start
+    // in time.
     let actions = handle_at(
         &mut admission,
         3001,
@@ -42,7 +43,7 @@
 }
 
 #[test]
-fn queued_requests_run_although_they_fill_the_memory() {
+fn queued_requests_are_run_even_if_they_fill_the_memory() {
     let class = Class { latency_objective: ms(60_000), deadline: ms(60_000), ..Class::default() };
     let settings =
         Settings { classes: vec![class], memory_kb: 20.0, running_memory_factor: 4.0, ..Settings::default() };
@@ -55,7 +56,7 @@
         let done = Event::Finished { id, outcome: Outcome::Ok, took: ms(1) };
         actions = handle_at(&mut admission, ran, &[done]);
     }
-    assert!(ran >= 10, "{ran} ran");
+    assert!(ran >= 10, "only {ran} requests were run");
 }
 
 #[test]
@@ -88,13 +89,13 @@
     let answers: Vec<_> = (1..40).flat_map(|n| handle_at(&mut admission, 50 * n, &[timer_event()])).collect();
     assert!(
         answers.contains(&Action::Fail(RequestId(1))),
-        "it was blocked on a call past its latency objective"
+        "request 1, blocked on a call past its latency objective, is failed"
     );
     let rejected = |a: &&Action| matches!(a, Action::Reject { id: RequestId(3), retry_after: Some(_), .. });
     assert_eq!(
         answers.iter().filter(rejected).count(),
         1,
-        "queued past its latency objective, without an estimate"
+        "request 3, queued past its latency objective, is rejected even without an estimate"
     );
 }
 
@@ -112,25 +113,28 @@
 }
 
 #[test]
-fn a_server_that_was_slow_runs_requests_again_despite_a_long_estimated_run() {
+fn a_long_estimate_from_slow_runs_does_not_shed_every_later_request() {
     let class =
         Class { latency_objective: ms(300), deadline: ms(1200), late_weight: 0.2, ..Class::default() };
     let mut admission = started_admission(Settings { classes: vec![class], cores: 2, ..Settings::default() });
     let mut at = 0;
-    let mut once = |id: u32, took: u64| {
+    let mut run_alone = |id: u32, took: u64| {
         let ran = handle_at(&mut admission, at, &[arrival_event(id), timer_event()])
             .iter()
             .any(|action| is_run_of(action, id));
         at += took;
         let done = finished_event(id, took);
         handle_at(&mut admission, at, &[done, timer_event()]);
-        // Nothing finishes for about two seconds.
+        // No run finishes for about two seconds, so there are no recent answers.
         at += 2_050;
         handle_at(&mut admission, at, &[timer_event()]);
         ran
     };
-    assert!((1..=20).all(|id| once(id, 900)), "each alone, on slow cores");
-    assert!((21..=60).all(|id| once(id, 50)), "and once the cores are fast again");
+    assert!(
+        (1..=20).all(|id| run_alone(id, 900)),
+        "a request without others ahead of it was not run on slow cores"
+    );
+    assert!((21..=60).all(|id| run_alone(id, 50)), "a request was not run after the cores became fast again");
     let queue: Vec<Event> = (100..106).map(arrival_event).collect();
     assert!(!handle_at(&mut admission, 180_000, &queue)
         .iter()
@@ -138,7 +142,7 @@
 }
 
 #[test]
-fn the_permitted_rate_is_reset_after_a_long_suspension() {
+fn a_long_suspension_resets_the_permitted_rate_and_a_short_one_does_not() {
     let class = Class { latency_objective: ms(200), deadline: ms(1000), ..Class::default() };
     let mut admission = started_admission(Settings { classes: vec![class], ..Settings::default() });
     for n in 1..=200 {
@@ -147,7 +151,7 @@
     }
     let before = admission.permitted_rate();
     handle_at(&mut admission, 10_000 + 9_900, &[timer_event()]);
-    assert!(admission.permitted_rate().is_some(), "after a short suspension");
+    assert!(admission.permitted_rate().is_some(), "the permitted rate was reset after a short suspension");
     handle_at(&mut admission, 10_000 + 30_000, &[timer_event()]);
     assert!(before.is_some() && admission.permitted_rate().is_none());
     let first = handle_at(
@@ -155,5 +159,8 @@
         10_000 + 30_050,
         &[arrival_event(1000), arrival_event(1001), timer_event()],
     );
-    assert!(!first.iter().any(|action| matches!(action, Action::Reject { .. })), "as at a start: {first:?}");
+    assert!(
+        !first.iter().any(|action| matches!(action, Action::Reject { .. })),
+        "arrivals after the reset are rejected, unlike at startup: {first:?}"
+    );
 }
--- a/admission/tests/admission/slow_start.rs
+++ b/admission/tests/admission/slow_start.rs
@@ -1,5 +1,5 @@
-//! Slow start: many servers call a tier that has only just started. All of their calls together must stay within the
-//! concurrency that is safe on the cold servers. Simulated on one thread in virtual time; all randomness is seeded.
+//! Slow start: many servers call a tier that has just started. Their combined calls must stay within the safe
+//! concurrency of the cold servers. The simulation runs on one thread in virtual time with seeded randomness.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
@@ -8,17 +8,17 @@
 
 use crate::random::LinearCongruential;
 
-/// Virtual time between two steps.
+/// Virtual time of one step.
 const STEP_SECONDS: f64 = 0.005;
-/// Period over which the concurrency on the cores is averaged.
+/// Period over which the number of running requests is averaged.
 const AVERAGING_SECONDS: f64 = 2.0;
 /// How long a cold server takes to warm up.
 const WARM_UP_SECONDS: f64 = 12.0;
 /// Speed of a server at a cold start, as a fraction of full speed.
 const COLD_SPEED: f64 = 0.22;
-/// Cores of each server.
+/// Number of cores of each server.
 const CORES: f64 = 6.0;
-/// Maximum safe number of running requests for each core of a warm server.
+/// Maximum safe number of running requests per core of a warm server.
 const MAX_CONCURRENCY_PER_CORE: f64 = 8.0;
 /// Work of a request, in seconds on one core at full speed.
 const WORK_SECONDS: f64 = 0.3;
@@ -29,20 +29,21 @@
     cold: bool,
     /// Remaining work of each running request, in seconds.
     running: BTreeMap<RequestId, f64>,
-    /// Remaining work of the requests that wait for a call; they are on no core.
+    /// Remaining work of each request that is blocked on a call and uses no core, in seconds.
     calling: BTreeMap<RequestId, f64>,
     started_at: HashMap<RequestId, f64>,
     events: Vec<Event>,
-    /// When the timer that the module asked for is due.
+    /// When the timer that the module has set expires.
     timer_at: f64,
-    /// The running requests at each step of the averaging period, and their sum.
+    /// Number of running requests at each step of the averaging period; the next field is their sum.
     concurrency: VecDeque<f64>,
     concurrency_sum: f64,
     /// The highest mean concurrency, as a fraction of the maximum safe concurrency at that time.
     peak_concurrency: f64,
-    /// The most runs started in the averaging period beyond its budget, in units of the square root of the budget.
+    /// The highest number of runs started in an averaging period beyond its budget, in units of the square
+    /// root of the budget.
     excess_starts: f64,
-    /// When runs started within the averaging period.
+    /// Start times of the runs in the averaging period.
     starts: VecDeque<f64>,
 }
 
@@ -78,7 +79,7 @@
         }
     }
 
-    /// The speed of its cores at `now`, as a fraction of full speed.
+    /// Speed of the server's cores at `now`, as a fraction of full speed.
     fn speed(&self, now: f64) -> f64 {
         if self.cold {
             (COLD_SPEED + (1.0 - COLD_SPEED) * now / WARM_UP_SECONDS).min(1.0)
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Hands over a request whose caller waits for `remaining_time` seconds.
+    /// Adds the arrival of a request whose caller will wait for `remaining_time` seconds.
     fn receive(&mut self, id: RequestId, caller: u32, remaining_time: f64) {
         let arrival = Arrival {
             caller: CallerId(caller),
@@ -97,7 +98,8 @@
         self.events.push(Event::Arrived(arrival));
     }
 
-    /// Advances the running requests by one step, then applies the decisions. Returns the actions.
+    /// Advances the running requests by one step, passes the events to the module and applies its actions.
+    /// Returns the actions.
     fn step(&mut self, now: f64) -> Vec<Action> {
         let work_each = STEP_SECONDS * self.speed(now) * (CORES / self.running.len().max(1) as f64).min(1.0);
         let ids: Vec<RequestId> = self.running.keys().copied().collect();
@@ -143,7 +145,7 @@
         actions
     }
 
-    /// Updates the peak concurrency and the starts beyond the budget.
+    /// Updates the peak concurrency and the number of runs started beyond the budget.
     fn record_concurrency(&mut self, now: f64) {
         self.concurrency.push_back(self.running.len() as f64);
         self.concurrency_sum += self.running.len() as f64;
@@ -154,7 +156,8 @@
         self.peak_concurrency = self
             .peak_concurrency
             .max(self.concurrency_sum * STEP_SECONDS / AVERAGING_SECONDS / max_safe_concurrency);
-        // The settings allow the maximum safe concurrency and, beyond it, what the cores complete in that time.
+        // The budget is the maximum safe concurrency plus the runs that the cores complete in the averaging
+        // period.
         self.starts.retain(|at| *at > now - AVERAGING_SECONDS);
         let budget = max_safe_concurrency
             + CORES * self.speed(now - AVERAGING_SECONDS / 2.0).max(COLD_SPEED) * AVERAGING_SECONDS
@@ -163,18 +166,18 @@
     }
 }
 
-/// A call in progress at a cold server: which caller made it, for which request, and when.
+/// A call in progress at a cold server: the caller, its request, and the start time.
 struct CallInProgress {
     caller: usize,
     request: RequestId,
     since: f64,
 }
 
-/// Servers that call a tier of cold ones, which reject by their own decisions.
+/// A tier of warm servers that call a tier of cold ones. The cold servers decide on their own what to reject.
 struct Tiers {
     callers: Vec<Server>,
     callees: Vec<Server>,
-    /// The calls in progress at each callee, by the request that they are there.
+    /// Calls in progress at each callee, by the identifier of the request at the callee.
     calls: Vec<HashMap<RequestId, CallInProgress>>,
     random: LinearCongruential,
     next_id: u32,
@@ -198,7 +201,7 @@
         RequestId(self.next_id - 1)
     }
 
-    /// Advances the caller by one step; its clients ask for 1.2 times what the cores can do.
+    /// Advances a caller by one step. Its clients send 1.2 times the requests that its cores can handle.
     fn step_caller(&mut self, caller: usize, now: f64) {
         if self.random.fraction() < 1.2 * CORES / WORK_SECONDS * STEP_SECONDS {
             let id = self.next_id();
@@ -214,7 +217,7 @@
         }
     }
 
-    /// Advances the callee by one step and returns the calls that ended.
+    /// Advances a callee by one step and returns its ended calls to the callers.
     fn step_callee(&mut self, callee: usize, now: f64) {
         let server = &mut self.callees[callee];
         let before: Vec<RequestId> = server.running.keys().copied().collect();
@@ -237,7 +240,7 @@
         let caller = &mut self.callers[call.caller];
         if outcome == Outcome::Ok {
             if let Some(left) = caller.calling.get(&call.request) {
-                // The call succeeded: the rest of the request runs.
+                // The call succeeded, so the request resumes with its remaining work.
                 caller.running.insert(call.request, *left);
             }
         }
@@ -246,7 +249,7 @@
     }
 }
 
-/// Simulates `callers` servers that call `callees` cold ones while these warm up.
+/// Simulates `callers` warm servers that call `callees` cold ones until these are warm.
 fn simulate_cold_start(callers: usize, callees: usize, seed: u64) -> ColdStartLoad {
     let mut tiers = Tiers::new(callers, callees, seed);
     let mut now = 0.0;
@@ -262,9 +265,9 @@
     }
 }
 
-/// The highest load of a cold server.
+/// The highest load of any cold server.
 struct ColdStartLoad {
-    /// Mean concurrency, as a fraction of what is safe.
+    /// Mean concurrency, as a fraction of the maximum safe concurrency.
     concurrency: f64,
     /// Runs started beyond the budget, in units of the square root of the budget.
     excess_starts: f64,
@@ -275,17 +278,20 @@
 }
 
 #[test]
-fn cold_servers_survive_the_combined_calls_of_many_servers() {
+fn the_combined_calls_of_many_servers_do_not_overload_cold_servers() {
     println!("callers callees seed concurrency excess_starts");
     for (callers, callees) in [(8, 8), (20, 6), (30, 8), (30, 20)] {
         for seed in 1..=3 {
             let ColdStartLoad { concurrency, excess_starts } =
                 simulate_cold_start(callers, callees, 1000 * seed);
             println!("{callers:7} {callees:7} {seed:4} {concurrency:11.2} {excess_starts:13.2}");
-            assert!(concurrency < 1.0, "{callers} callers, {callees} callees, seed {seed}: {concurrency}");
+            assert!(
+                concurrency < 1.0,
+                "{callers} callers, {callees} callees, seed {seed}: mean concurrency {concurrency}"
+            );
             assert!(
                 excess_starts <= 2.0,
-                "{callers} callers, {callees} callees, seed {seed}: {excess_starts}"
+                "{callers} callers, {callees} callees, seed {seed}: excess starts {excess_starts}"
             );
         }
     }
--- a/admission/tests/model/arrivals.rs
+++ b/admission/tests/model/arrivals.rs
@@ -1,4 +1,4 @@
-//! Random arrivals, and which attempt a retry names.
+//! Random arrivals, and the attempt that each retry names.
 
 use std::time::Duration;
 
@@ -54,7 +54,8 @@
         }));
     }
 
-    /// A new effect, or with an idempotency key perhaps that of the last attempt of the class.
+    /// The effect of an arrival: a new one or, for a class with idempotency keys, possibly that of the last
+    /// attempt of the class, which makes the arrival a retry.
     fn random_effect(&mut self, class: usize) -> u32 {
         let new_effect = self.next_id;
         let keyed = self.settings.classes[class].effect == Effect::IdempotencyKey;
@@ -65,7 +66,8 @@
         same_class.map(|attempt| attempt.effect).next_back().unwrap_or(new_effect)
     }
 
-    /// The attempt that a retry with an idempotency key names: that of the retained key, or one of the same batch.
+    /// The attempt that a retry with an idempotency key names: that of the retained key, an attempt of the
+    /// same batch, or one that has run within the window.
     fn known_attempt(&self, effect: u32, arrived: u64) -> Option<RequestId> {
         if let Some((id, until)) = self.retained_keys.get(&effect) {
             if *until > arrived {
--- a/admission/tests/model/invariants.rs
+++ b/admission/tests/model/invariants.rs
@@ -7,7 +7,7 @@
 use crate::{ServerModel, State, ANSWER_SLACK_MICROS, START_MICROS};
 
 impl ServerModel {
-    /// Checks deadlines, memory, concurrency and calls after `step` seconds.
+    /// Checks deadlines, memory, concurrency and calls before the clock advances by `step` seconds.
     pub(crate) fn check_invariants(&mut self, step: f64) {
         let factor = self.settings.running_memory_factor;
         let mut memory = self.retained_keys.values().filter(|e| e.1 > self.now).count() as f64
@@ -24,17 +24,17 @@
             let unanswered = attempt.answers == 0 && !attempt.cancelled;
             assert!(
                 !unanswered || self.now <= attempt.deadline + ANSWER_SLACK_MICROS,
-                "{id:?} lost in state {:?}",
+                "{id:?} is unanswered past its deadline in state {:?}",
                 attempt.state
             );
         }
-        assert!(memory <= self.settings.memory_kb, "memory {memory} of {}", self.settings.memory_kb);
+        assert!(memory <= self.settings.memory_kb, "memory: {memory} of {} kB", self.settings.memory_kb);
         let now = self.now;
         self.lingering.retain(|until| *until > now);
         calling += self.lingering.len() as f64;
         let settings = &self.settings;
-        let fade = |span: Duration| (-step / span.as_secs_f64()).exp();
-        let decay = fade(self.concurrency_span);
+        let decay_factor = |span: Duration| (-step / span.as_secs_f64()).exp();
+        let decay = decay_factor(self.concurrency_span);
         self.concurrency = self.concurrency * decay + running * (1.0 - decay);
         let warm_up_fraction = if settings.cold {
             let part = (self.now - START_MICROS) as f64 / settings.warm_up_time.as_micros() as f64;
@@ -46,13 +46,13 @@
             f64::from(settings.cores) * (1.0 + (settings.max_concurrency_per_core - 1.0) * warm_up_fraction);
         assert!(
             self.concurrency <= max_safe_concurrency,
-            "concurrency {} over {max_safe_concurrency}",
+            "mean concurrency {} over {max_safe_concurrency}",
             self.concurrency
         );
         if let Dependency::Shared { share, averaging_time, .. } = settings.dependency {
-            let decay = fade(averaging_time);
+            let decay = decay_factor(averaging_time);
             self.calls = self.calls * decay + calling * (1.0 - decay);
-            assert!(self.calls <= share, "{} calls of {share}", self.calls);
+            assert!(self.calls <= share, "mean concurrent calls {} over {share}", self.calls);
         }
     }
 }
--- a/admission/tests/model/main.rs
+++ b/admission/tests/model/main.rs
@@ -1,6 +1,6 @@
-//! Randomized test: legal event sequences against an independent model of the server, which checks the invariants (one
-//! answer within the deadline, no effect twice, a safe drain, no overload collapse). The model keeps the state of every
-//! request by itself and sees only the actions of the module.
+//! Randomized test: feeds legal event sequences to the admission module and checks the invariants (one answer
+//! within the deadline, no effect twice, a safe drain, no overload collapse) against an independent model of
+//! the server. The model tracks the state of every request itself and sees only the actions of the module.
 
 mod actions;
 mod arrivals;
@@ -18,7 +18,7 @@
 use random::SeededRandom;
 use settings::random_settings;
 
-/// State of an attempt on the server.
+/// State of an attempt in the model of the server.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum State {
     Queued,
@@ -30,7 +30,7 @@
     Ended,
 }
 
-/// What the server knows of an attempt; times are in microseconds.
+/// An attempt in the model of the server; times are in microseconds.
 struct Attempt {
     class: usize,
     /// The effect that all attempts of one request share.
@@ -58,37 +58,40 @@
     attempts: BTreeMap<RequestId, Attempt>,
     /// For each effect, the attempt that its retained key refers to, and when the key expires.
     retained_keys: BTreeMap<u32, (RequestId, u64)>,
-    /// Events for the next call of the module.
+    /// Events for the next batch.
     events: Vec<Event>,
     timers: Vec<(u64, TimerId)>,
+    /// When the shutdown notice came and when the server is stopped, if it drains.
     drain_notice: Option<(u64, u64)>,
     /// Whether arrivals carry cost hints in this scenario.
     sends_hints: bool,
     gauges: Gauges,
+    /// Moving average of the number of running requests.
     concurrency: f64,
-    /// Period over which the concurrency is averaged.
+    /// Period over which the number of running requests is averaged.
     concurrency_span: Duration,
+    /// Moving average of the number of concurrent calls, including abandoned ones.
     calls: f64,
-    /// When the abandoned calls end at the dependency.
+    /// When each abandoned call ends at the dependency.
     lingering: Vec<u64>,
-    /// How many of a hundred calls return in a step.
+    /// Percentage of the calls in progress that return in each step.
     call_return_percent: u64,
-    /// A returned call has one of this many outcomes; the first five are failures.
+    /// Number of equally likely outcomes of a returned call; the first five are failures.
     call_outcomes: u64,
-    /// The shortest time of a run, and how much longer it may be.
+    /// Shortest run time and, in the next field, the upper bound of the random time added to it.
     shortest_run_micros: u64,
     run_spread_micros: u64,
 }
 
-/// Time of the first event.
+/// Time of the first event, in microseconds.
 const START_MICROS: u64 = 1_000_000;
-/// How long an abandoned call stays in progress at the dependency.
+/// How long an abandoned call stays in progress at the dependency, in microseconds.
 const LINGER_MICROS: u64 = 200_000;
-/// How long a run goes on after a call.
+/// How long a run continues after a call, in microseconds.
 const RUN_AFTER_CALL_MICROS: u64 = 50_000;
-/// Unit of the steps of virtual time.
+/// Unit of the steps of virtual time, in microseconds.
 const STEP_MICROS: u64 = 2_000;
-/// How long after its deadline an answer still counts, in microseconds.
+/// How long after its deadline a request may still be unanswered, in microseconds.
 const ANSWER_SLACK_MICROS: u64 = 50_000;
 
 impl ServerModel {
@@ -133,12 +136,12 @@
         self.events.extend(due.into_iter().map(|timer| Event::Timer(timer, gauges)));
     }
 
-    /// Runs 12 seconds of virtual time, in most scenarios with a drain at the end.
+    /// Runs 12 seconds of virtual time; most scenarios end with a drain.
     fn run_scenario(&mut self) {
         let mut admission = Admission::new(self.settings.clone(), 5, Duration::from_micros(self.now));
         let mut actions = Vec::new();
         let (stop, drains) = (13_000_000, self.random.chance(60));
-        // Some drains have hardly any time left.
+        // Half of the drains start 4 seconds before the stop; the others may have very little time left.
         let drain_notice = 9_000_000 + self.random.below(2) * self.random.below(3_950_000);
         let suspended_at = 9_000_000 + self.random.below(3_000_000);
         let mut suspends = self.random.chance(30);
@@ -151,7 +154,7 @@
             self.apply_all(&actions);
             let mut step = STEP_MICROS * (1 + self.random.below(8));
             if suspends && self.now > suspended_at {
-                // The process is suspended and not blamed for deadlines that pass meanwhile.
+                // The process is suspended; deadlines that pass meanwhile do not count as missed.
                 (suspends, step) = (false, 400_000);
                 self.attempts
                     .values_mut()
@@ -175,7 +178,7 @@
         if self.drain_notice.is_some() {
             let unanswered =
                 self.attempts.values().filter(|attempt| attempt.answers == 0 && !attempt.cancelled).count();
-            assert!(unanswered <= 2, "{unanswered} requests unanswered at the stop");
+            assert!(unanswered <= 2, "{unanswered} requests are unanswered when the server is stopped");
         }
     }
 }
--- a/admission/tests/model/progress.rs
+++ b/admission/tests/model/progress.rs
@@ -11,7 +11,8 @@
 }
 
 impl ServerModel {
-    /// Advances running requests and calls to the current time; nothing finishes while `stalled`.
+    /// Advances running requests and calls to the current time. While `stalled`, no run ends or reaches a
+    /// call.
     pub(crate) fn advance_running(&mut self, stalled: bool) {
         let ids: Vec<_> = self.attempts.keys().copied().collect();
         for id in ids {
@@ -23,12 +24,12 @@
         }
     }
 
-    /// Advances one attempt; `percent` is a random number below a hundred.
+    /// Advances one attempt; `percent` is a random number below a hundred that decides on the outcome.
     fn advance(&mut self, id: RequestId, percent: u64, stalled: bool) {
         let Some(attempt) = self.attempts.get(&id) else { return };
         match attempt.state {
             State::Running if stalled || self.now < attempt.ends_at => {}
-            State::Running if attempt.calls_left > 0 && self.class(id).may_call => self.come_to_call(id),
+            State::Running if attempt.calls_left > 0 && self.class(id).may_call => self.reach_call(id),
             State::Running => self.end_run(id, if percent < 5 { Outcome::Error } else { Outcome::Ok }),
             State::Calling if percent < self.call_return_percent => self.return_call(id),
             State::Coalesced => self.end_coalesced(id),
@@ -36,10 +37,10 @@
         }
     }
 
-    /// A run that needs no answer any more ends at its call.
-    fn come_to_call(&mut self, id: RequestId) {
+    /// Handles a run that reaches a call. The run ends there if its request needs no answer any more.
+    fn reach_call(&mut self, id: RequestId) {
         let took = self.time_since_start(id);
-        let attempt = self.attempts.get_mut(&id).expect("known");
+        let attempt = self.attempts.get_mut(&id).expect("the model has created this attempt");
         attempt.calls_left -= 1;
         if answered_or_cancelled(attempt) {
             attempt.state = State::Ended;
@@ -52,7 +53,7 @@
 
     fn end_run(&mut self, id: RequestId, outcome: Outcome) {
         let took = self.time_since_start(id);
-        let attempt = self.attempts.get_mut(&id).expect("known");
+        let attempt = self.attempts.get_mut(&id).expect("the model has created this attempt");
         attempt.answers += u32::from(!answered_or_cancelled(attempt));
         attempt.state = State::Ended;
         self.events.push(Event::Finished { id, outcome, took });
@@ -68,7 +69,7 @@
             4 => Outcome::CutOff,
             _ => Outcome::Ok,
         };
-        let attempt = self.attempts.get_mut(&id).expect("known");
+        let attempt = self.attempts.get_mut(&id).expect("the model has created this attempt");
         if outcome == Outcome::Ok {
             attempt.state = State::Running;
             attempt.ends_at = self.now + RUN_AFTER_CALL_MICROS;
@@ -83,12 +84,12 @@
         self.events.push(Event::CallReturned { id, outcome, took });
     }
 
-    /// A coalesced attempt ends with the attempt that it repeats.
+    /// Ends a coalesced attempt if the attempt that it repeats has ended.
     fn end_coalesced(&mut self, id: RequestId) {
         let took = self.time_since_start(id);
         let retry_of = self.attempts[&id].retry_of.expect("a coalesced attempt is a retry");
         if self.attempts.get(&retry_of).is_none_or(|original| original.state == State::Ended) {
-            let attempt = self.attempts.get_mut(&id).expect("present");
+            let attempt = self.attempts.get_mut(&id).expect("the attempt was found in the table above");
             attempt.answers += 1;
             attempt.state = State::Ended;
             self.events.push(Event::Finished { id, outcome: Outcome::Ok, took });
--- a/admission/tests/model/random.rs
+++ b/admission/tests/model/random.rs
@@ -1,10 +1,10 @@
-//! A seeded generator of random numbers.
+//! A seeded random number generator.
 
-/// A xorshift generator.
+/// Xorshift generator with 64 bits of state.
 pub(crate) struct SeededRandom(u64);
 
 impl SeededRandom {
-    /// A generator for this seed.
+    /// Creates a generator for this seed and skips its first eight numbers.
     pub(crate) fn new(seed: u64) -> Self {
         let mut random = SeededRandom(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1);
         for _ in 0..8 {
@@ -21,12 +21,12 @@
         self.0
     }
 
-    /// A number below `n`.
+    /// The next random number below `n`.
     pub(crate) fn below(&mut self, n: u64) -> u64 {
         self.next() % n
     }
 
-    /// True with a probability of `percent` in a hundred.
+    /// Returns true with a probability of `percent` in a hundred.
     pub(crate) fn chance(&mut self, percent: u64) -> bool {
         self.below(100) < percent
     }
--- a/admission/tests/model/settings.rs
+++ b/admission/tests/model/settings.rs
@@ -6,12 +6,12 @@
 
 use crate::random::SeededRandom;
 
-/// Milliseconds.
+/// A duration of `n` milliseconds.
 pub(crate) fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
-/// A random class; deadlines of a wide range are from half a second to a minute.
+/// A random class. With `wide_range`, deadlines range from half a second to a minute.
 fn random_class(random: &mut SeededRandom, wide_range: bool) -> Class {
     let effects = [Effect::Idempotent, Effect::IdempotencyKey, Effect::AtMostOnce];
     Class {
--- a/admission/tests/model/trace.rs
+++ b/admission/tests/model/trace.rs
@@ -1,12 +1,14 @@
-//! The recorded trace: what `Admission` decides in seeded scenarios, compared to the bit with what it decided when the
-//! fixtures were recorded. Settings and events of a scenario are a function of its seed and of the actions alone.
+//! Golden test of all decisions of `Admission` in seeded scenarios. They must equal the decisions recorded in
+//! the fixtures bit for bit. The settings and events of a scenario depend only on its seed and on the
+//! actions.
 //!
-//! A fixture has a line for each half second of virtual time: the number of actions so far, a digest of them and of
-//! the permitted rate after each batch, and the permitted rate. The first line that differs tells when decisions part.
-//! For some scenarios the first actions are recorded as text as well.
+//! A fixture has one line per half second of virtual time with the number of actions so far, a digest of all
+//! actions and of the permitted rate after each batch, and the current permitted rate. The first differing
+//! line shows when decisions diverge. For some scenarios the first actions are also recorded as text.
 //!
-//! A change that is meant to alter decisions records anew: `RECORD_TRACE=1 cargo test -p oakwind-admission --test model`.
-//! The figures depend on the floating-point functions of the platform (`exp`, `log2`, `powf`).
+//! After an intended change of decisions, the fixtures are recorded again with `RECORD_TRACE=1 cargo test -p
+//! oakwind-admission --test model`. The numbers depend on the platform's floating-point functions (`exp`,
+//! `log2`, `powf`).
 
 mod driver;
 mod perturbations;
@@ -19,24 +21,24 @@
 use driver::record_scenario;
 use recording::Recording;
 
-/// Scenarios whose digests are recorded, seeded from 1.
+/// Number of scenarios whose digests are recorded, with seeds from 1.
 const SCENARIOS: u64 = 64;
-/// Scenarios whose first actions are recorded as text as well.
+/// Number of scenarios whose first actions are also recorded as text.
 const SCENARIOS_WITH_TEXT: u64 = 4;
 
-/// Compares a recorded text with its fixture, or writes the fixture if the environment asks for it.
+/// Compares the recorded lines with a fixture, or writes the fixture if `RECORD_TRACE` is set.
 fn compare_with_fixture(file: &str, recorded: &[String]) {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/model/trace/fixtures").join(file);
     if std::env::var_os("RECORD_TRACE").is_some() {
-        fs::write(&path, recorded.join("\n") + "\n").expect("the fixture is writable");
+        fs::write(&path, recorded.join("\n") + "\n").expect("the fixture directory is writable");
         return;
     }
-    let fixture = fs::read_to_string(&path).expect("the fixture is readable");
+    let fixture = fs::read_to_string(&path).expect("a fixture is recorded for each scenario");
     let expected: Vec<&str> = fixture.lines().collect();
     for (index, (line, expected_line)) in recorded.iter().zip(&expected).enumerate() {
-        assert_eq!(line, expected_line, "{file}, line {}", index + 1);
+        assert_eq!(line, expected_line, "decisions diverge at {file}, line {}", index + 1);
     }
-    assert_eq!(recorded.len(), expected.len(), "number of lines of {file}");
+    assert_eq!(recorded.len(), expected.len(), "the number of lines differs from {file}");
 }
 
 #[test]
--- a/admission/tests/model/trace/driver.rs
+++ b/admission/tests/model/trace/driver.rs
@@ -1,4 +1,5 @@
-//! Runs a scenario of the trace: the events of the server model, what the plan adds, and the actions recorded.
+//! Runs a scenario of the trace: feeds the events of the server model and of the plan to the module and
+//! records the actions.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,16 +11,16 @@
 use crate::random::SeededRandom;
 use crate::{ServerModel, STEP_MICROS};
 
-/// Batches for which a stopped clock does not move.
+/// Number of batches for which a stopped clock does not advance.
 const STOPPED_CLOCK_BATCHES: u32 = 40;
 
 /// A scenario in progress.
 pub(super) struct Scenario {
     pub(super) plan: Plan,
     pub(super) model: ServerModel,
-    /// Feeds what the plan adds; the model has a generator of its own.
+    /// Source of randomness for the plan's additional events; the model has its own generator.
     pub(super) random: SeededRandom,
-    /// When the last call of each request was started.
+    /// When the last call of each request was started, in microseconds.
     pub(super) called_at: BTreeMap<RequestId, u64>,
     admission: Admission,
     recording: Recording,
@@ -27,7 +28,7 @@
     suspended: bool,
 }
 
-/// Runs the scenario of this seed from start to end.
+/// Runs the scenario of this seed and returns its recording.
 pub(super) fn record_scenario(seed: u64) -> Recording {
     let mut scenario = Scenario::new(seed);
     while scenario.model.now < scenario.plan.ends_at {
@@ -60,11 +61,11 @@
         }
     }
 
-    /// Hands the events to the module, records its actions and carries them out.
+    /// Passes the collected events to the module, records its actions and carries them out.
     fn handle_batch(&mut self) {
         self.correct_call_times();
         let events = std::mem::take(&mut self.model.events);
-        // A stopped clock may also step back; the module never goes back with it.
+        // A stopped clock may also step back; the module must keep its own time monotonic.
         let behind = if self.stopped_batches > 0 { self.random.below(3) * 700 } else { 0 };
         let now = self.model.now;
         let mut actions = Vec::new();
@@ -80,7 +81,7 @@
         self.reject_some_runs(&known);
     }
 
-    /// Moves the clock and adds the events of the step.
+    /// Advances the clock and adds the events of the step.
     fn advance(&mut self) {
         let step = self.next_step();
         self.model.now += step;
@@ -90,7 +91,7 @@
         self.drain();
         self.add_arrivals();
         self.set_gauges();
-        if !self.plan.timers_held_back.contains(now) {
+        if !self.plan.timer_gap.contains(now) {
             self.model.collect_timers();
         }
     }
@@ -121,9 +122,9 @@
         let (_, settings) = self.plan.reconfigurations.remove(0);
         self.admission.reconfigure(settings.clone());
         let known = settings.classes.len();
-        let left_out: Vec<_> = self.model.settings.classes.drain(..).skip(known).collect();
+        let unlisted: Vec<_> = self.model.settings.classes.drain(..).skip(known).collect();
         self.model.settings = settings;
-        self.model.settings.classes.extend(left_out);
+        self.model.settings.classes.extend(unlisted);
     }
 
     fn drain(&mut self) {
--- a/admission/tests/model/trace/plan.rs
+++ b/admission/tests/model/trace/plan.rs
@@ -1,4 +1,5 @@
-//! What a scenario of the trace does beside the steps of the server model: its settings, load, faults and drain.
+//! The plan of a scenario of the trace, beyond the steps of the server model: its settings, load, faults and
+//! drain.
 
 use oakwind_admission::{Dependency, Effect, Settings, Signal};
 
@@ -8,34 +9,35 @@
 
 /// Length of a scenario, in microseconds of virtual time.
 const LENGTH_MICROS: u64 = 30_000_000;
-/// How long the load stays the same.
+/// Length of a phase of constant load, in microseconds.
 const LOAD_PHASE_MICROS: u64 = 3_000_000;
 
-/// What the timers of a scenario say of the load.
+/// The gauges that the timer events of a scenario report.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum GaugeMode {
-    /// Nothing.
+    /// No gauges.
     Absent,
-    /// Only how busy the cores are.
+    /// Only the utilization of the cores.
     BusyOnly,
-    /// What the running requests make of it.
+    /// Utilization and runnable tasks that match the running requests.
     Measured,
-    /// Like `Measured`, and for a part of the time far more tasks than runs: reads overload the cores.
+    /// Like `Measured`, but part of the time with far more runnable tasks than runs: reads overload the
+    /// cores.
     ReadOverload,
-    /// Like `Measured`, and half of the runs wait for I/O.
+    /// Like `Measured`, but half of the runs wait for I/O.
     WaitingForIo,
 }
 
-/// A time for which something lasts, in microseconds of virtual time.
-pub(super) struct Stretch {
+/// A range of virtual time, in microseconds.
+pub(super) struct TimeRange {
     from: u64,
     to: u64,
 }
 
-impl Stretch {
+impl TimeRange {
     fn random(random: &mut SeededRandom, longest: u64) -> Self {
         let from = START_MICROS + random.below(LENGTH_MICROS);
-        Stretch { from, to: from + random.below(longest) }
+        TimeRange { from, to: from + random.below(longest) }
     }
 
     pub(super) fn contains(&self, now: u64) -> bool {
@@ -48,26 +50,26 @@
     pub(super) settings: Settings,
     pub(super) ends_at: u64,
     pub(super) gauge_mode: GaugeMode,
-    /// Chance of one more arrival in a step, in percent, for each phase of the load.
+    /// For each phase of the load, the probability of one more arrival in a step, in percent.
     arrival_percents: Vec<u64>,
-    /// Callers that arrivals come from.
+    /// Number of callers that send arrivals.
     pub(super) callers: u64,
     pub(super) call_return_percent: u64,
     pub(super) call_outcomes: u64,
     pub(super) shortest_run_micros: u64,
     pub(super) run_spread_micros: u64,
-    /// No run ends meanwhile.
-    pub(super) stalls: Vec<Stretch>,
-    /// No timer comes meanwhile, although events do.
-    pub(super) timers_held_back: Stretch,
-    /// The clock does not move, or moves back, for a number of batches from this time.
+    /// Ranges in which no run ends or reaches a call.
+    pub(super) stalls: Vec<TimeRange>,
+    /// Range in which no timer event is reported, although other events are.
+    pub(super) timer_gap: TimeRange,
+    /// From this time, the clock does not advance, or steps back, for a number of batches.
     pub(super) clock_stops_at: u64,
-    /// The process is suspended at this time for so long.
+    /// When the process is suspended and, in the next field, for how long; in microseconds.
     pub(super) suspended_at: u64,
     pub(super) suspension: u64,
     pub(super) drain_at: Option<u64>,
     pub(super) drain_time: u64,
-    /// When settings change, and to what.
+    /// The times of reconfigurations, each with the new settings.
     pub(super) reconfigurations: Vec<(u64, Settings)>,
 }
 
@@ -101,8 +103,8 @@
             call_outcomes: [8, 25, 400][random.below(3) as usize],
             shortest_run_micros,
             run_spread_micros,
-            stalls: (0..2).map(|_| Stretch::random(random, 5_000_000)).collect(),
-            timers_held_back: standstill_of_timers(random, seed),
+            stalls: (0..2).map(|_| TimeRange::random(random, 5_000_000)).collect(),
+            timer_gap: random_timer_gap(random, seed),
             clock_stops_at: START_MICROS + random.below(LENGTH_MICROS),
             suspended_at: START_MICROS + random.below(LENGTH_MICROS),
             suspension: [0, 400_000, 3_000_000, 11_000_000][random.below(4) as usize],
@@ -120,13 +122,14 @@
         plan
     }
 
-    /// Chance of one more arrival in a step, in percent.
+    /// Probability of one more arrival in a step, in percent.
     pub(super) fn arrival_percent(&self, now: u64) -> u64 {
         let phase = (now - START_MICROS) / LOAD_PHASE_MICROS;
         self.arrival_percents.get(phase as usize).copied().unwrap_or(0)
     }
 
-    /// A long drain with more arrivals than the server handles: retries name attempts that are still queued.
+    /// Plans a long drain with more arrivals than the server can handle, so that retries name attempts that
+    /// are still queued.
     fn drain_under_load(&mut self) {
         self.drain_time = 9_000_000;
         self.drain_at = Some(self.ends_at - self.drain_time);
@@ -135,7 +138,8 @@
         self.arrival_percents.iter_mut().skip(6).for_each(|percent| *percent = 25);
     }
 
-    /// Other settings with one class more, then with one class only. The effects of known classes stay.
+    /// Plans a reconfiguration with one additional class, then one with a single class. The effects of known
+    /// classes do not change.
     fn add_reconfigurations(&mut self, random: &mut SeededRandom) {
         let mut known = self.settings.classes.clone();
         let first_at = START_MICROS + 5_000_000 + random.below(8_000_000);
@@ -158,8 +162,8 @@
     }
 }
 
-/// Calls that take long without being slow use up the share of the dependency.
-fn make_calls_busy(settings: &mut Settings) {
+/// Sets a dependency share that long calls exhaust without being slow relative to the objective.
+fn exhaust_dependency_share(settings: &mut Settings) {
     settings.dependency = Dependency::Shared { share: 2.05, averaging_time: ms(600), linger: ms(100) };
     for class in &mut settings.classes {
         class.may_call = true;
@@ -168,14 +172,14 @@
     }
 }
 
-/// In some scenarios no timer comes for more than ten seconds.
-fn standstill_of_timers(random: &mut SeededRandom, seed: u64) -> Stretch {
+/// In some scenarios, a range of more than ten seconds without timer events; otherwise an empty range.
+fn random_timer_gap(random: &mut SeededRandom, seed: u64) -> TimeRange {
     let from = START_MICROS + random.below(15_000_000);
     let length = if seed % 5 == 1 { 10_500_000 + random.below(3_000_000) } else { 0 };
-    Stretch { from, to: from + length }
+    TimeRange { from, to: from + length }
 }
 
-/// Random settings that reach more of the decisions than those of the model do.
+/// Random settings that exercise more decisions than those of the model.
 fn scenario_settings(random: &mut SeededRandom, seed: u64) -> Settings {
     let mut settings = random_settings(random);
     for class in &mut settings.classes {
@@ -188,7 +192,7 @@
                 Dependency::Shared { share: 0.45, averaging_time: ms(4000), linger: ms(150) }
         }
         1 => settings.dependency = Dependency::Tier,
-        2 => make_calls_busy(&mut settings),
+        2 => exhaust_dependency_share(&mut settings),
         3 => settings.classes[0].effect = Effect::IdempotencyKey,
         _ => {}
     }
--- a/admission/tests/model/trace/recording.rs
+++ b/admission/tests/model/trace/recording.rs
@@ -1,12 +1,12 @@
-//! What is recorded of a scenario: exact text of each action, and a digest over all of them.
+//! The recording of a scenario: the exact text of its first actions, and digests over all actions.
 
 use std::time::Duration;
 
 use oakwind_admission::Action;
 
-/// Virtual time between two lines of digests.
+/// Virtual time between two lines of digests, in microseconds.
 const LINE_PERIOD_MICROS: u64 = 500_000;
-/// Actions that are recorded as text.
+/// Number of actions that are recorded as text.
 const FIRST_ACTIONS: usize = 300;
 
 /// The offset basis and the prime of the 64-bit FNV-1a hash.
@@ -23,7 +23,7 @@
 }
 
 impl Recording {
-    /// An empty recording that starts at `now_micros`.
+    /// Creates an empty recording that starts at `now_micros`.
     pub(super) fn new(now_micros: u64) -> Self {
         Recording {
             digest: FNV_OFFSET_BASIS,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Ends the recording with a line for all of it.
+    /// Ends the recording with a line that covers all actions.
     pub(super) fn finish(mut self, now_micros: u64, permitted_rate: Option<f64>) -> Self {
         self.add_line(now_micros, permitted_rate);
         self
@@ -63,7 +63,7 @@
         self.digests.push(format!("{seconds:.3} {} {:016x} {rate}", self.actions, self.digest));
     }
 
-    /// A line for each half second: time, number of actions, digest and permitted rate.
+    /// One line per half second: time, number of actions, digest and permitted rate.
     pub(super) fn digests(&self) -> &[String] {
         &self.digests
     }
@@ -92,7 +92,7 @@
     format!("{}ns", duration.as_nanos())
 }
 
-/// The action with all of its numbers exact.
+/// The text of an action with all of its numbers exact.
 fn exact_text(action: &Action) -> String {
     match *action {
         Action::Run(id) => format!("run {}", id.0),
