--- a/admission/src/admission/load_signal.rs
+++ b/admission/src/admission/load_signal.rs
@@ -1,8 +1,8 @@
 //! The load signal: the value advertised to callers, so that they do not send requests that would be
 //! rejected.
 //!
-//! It moves in small steps, so that callers do not react in lockstep, and falls over time to probe for
-//! recovered capacity. It follows which arrivals were rejected; it does not reject any itself.
+//! The signal moves in small steps, so that callers do not react in lockstep, and falls over time to probe
+//! for recovered capacity. It follows which arrivals were rejected; it does not reject any itself.
 
 use crate::admission::context::Context;
 use crate::admission::overload::recent_arrivals::{RecentArrival, RecentArrivals};
--- a/admission/src/admission/load_signal/tests.rs
+++ b/admission/src/admission/load_signal/tests.rs
@@ -25,21 +25,24 @@
 
 #[test]
 fn the_minimum_rank_approaches_the_rank_below_which_rejections_outweigh_admissions() {
-    let levels = advertised(&mut LoadSignal::default(), Signal::MinRank, &arrivals(0.5), 200);
+    let min_ranks = advertised(&mut LoadSignal::default(), Signal::MinRank, &arrivals(0.5), 200);
     assert!(
-        levels.windows(2).filter(|pair| pair[1] > pair[0]).count() > 5,
-        "the minimum rank rises in small steps: {levels:?}"
+        min_ranks.windows(2).filter(|pair| pair[1] > pair[0]).count() > 5,
+        "the minimum rank rises in small steps: {min_ranks:?}"
+    );
+    assert!(min_ranks.iter().all(|min_rank| *min_rank < 0.5));
+    assert!(
+        min_ranks.last().is_some_and(|min_rank| *min_rank > 0.4),
+        "the minimum rank stays too low: {min_ranks:?}"
     );
-    assert!(levels.iter().all(|level| *level < 0.5));
-    assert!(levels.last().is_some_and(|level| *level > 0.4), "{levels:?}");
 }
 
 #[test]
 fn the_minimum_rank_decays_once_nothing_is_rejected() {
     let mut signal = LoadSignal::default();
     advertised(&mut signal, Signal::MinRank, &arrivals(0.5), 200);
-    let levels = advertised(&mut signal, Signal::MinRank, &arrivals(0.0), 60);
-    assert_eq!(levels.last(), Some(&0.0));
+    let min_ranks = advertised(&mut signal, Signal::MinRank, &arrivals(0.0), 60);
+    assert_eq!(min_ranks.last(), Some(&0.0));
 }
 
 #[test]
--- a/admission/src/admission/overload/token_bucket.rs
+++ b/admission/src/admission/overload/token_bucket.rs
@@ -1,8 +1,8 @@
 //! The token bucket that limits arrivals to the permitted rate under overload.
 //!
-//! It holds at most the requests permitted in one second. Part of it is reserved for higher priorities, and
-//! the highest priorities may borrow a few tokens. Without overload no arrival is rejected, but each still
-//! takes a token.
+//! The bucket holds at most the requests permitted in one second. Part of it is reserved for higher
+//! priorities, and the highest priorities may borrow a few tokens. Without overload no arrival is rejected,
+//! but each still takes a token.
 
 use crate::admission::constants::MIN_SAMPLES;
 use crate::admission::quantities::{Fraction, RequestRate};
--- a/admission/src/admission/requests/table.rs
+++ b/admission/src/admission/requests/table.rs
@@ -39,17 +39,17 @@
         self.requests.remove(&id)
     }
 
-    /// All open requests with their identifiers.
+    /// All open requests with their identifiers, in ascending order of identifier.
     pub(crate) fn iter(&self) -> impl Iterator<Item = Entry<'_>> {
         self.requests.iter().map(|(id, request)| Entry { id: *id, request })
     }
 
-    /// All open requests.
+    /// All open requests, in ascending order of identifier.
     pub(crate) fn values(&self) -> impl Iterator<Item = &Request> {
         self.requests.values()
     }
 
-    /// All open requests, for modification.
+    /// All open requests, for modification, in ascending order of identifier.
     pub(crate) fn values_mut(&mut self) -> impl Iterator<Item = &mut Request> {
         self.requests.values_mut()
     }
--- a/admission/src/admission/stall.rs
+++ b/admission/src/admission/stall.rs
@@ -1,7 +1,7 @@
 //! Stall detection: a server on which no run ends or reaches a call for several mean run times reports bad
 //! health and queues no arrivals.
 //!
-//! It recovers as soon as a run ends or reaches a call.
+//! The server recovers as soon as a run ends or reaches a call.
 
 use crate::admission::context::Context;
 use crate::admission::time::{Instant, Span};
--- a/admission/src/admission/tests.rs
+++ b/admission/src/admission/tests.rs
@@ -1,3 +1,3 @@
-//! What the unit tests of the decisions share.
+//! Fixtures shared by the unit tests of the decisions.
 
 pub(crate) mod fixtures;
--- a/admission/tests/admission/lifecycle.rs
+++ b/admission/tests/admission/lifecycle.rs
@@ -95,7 +95,10 @@
     }
     let stalled: Vec<_> =
         (61..90).flat_map(|n| handle_at(&mut admission, 50 * n, &[timer_event()])).collect();
-    assert!(stalled.contains(&Action::SetHealth { healthy: false, static_answer: true }), "{stalled:?}");
+    assert!(
+        stalled.contains(&Action::SetHealth { healthy: false, static_answer: true }),
+        "bad health was not reported: {stalled:?}"
+    );
     let rejected = handle_at(&mut admission, 4500, &[arrival_event(1000)]);
     assert!(
         rejected.iter().any(|action| matches!(action, Action::Reject { give_up: false, .. })),
--- a/admission/tests/admission/permitted_rate.rs
+++ b/admission/tests/admission/permitted_rate.rs
@@ -134,7 +134,10 @@
     let mut server = ServerFixture::new(settings());
     server.run(200, 1, 100);
     server.run(200, 6, 300);
-    let gaps = server.rates.windows(2).map(|pair| pair[1].0.checked_sub(pair[0].0).unwrap());
+    let gaps = server
+        .rates
+        .windows(2)
+        .map(|pair| pair[1].0.checked_sub(pair[0].0).expect("the changes are in order of time"));
     assert!(server.rates.len() > 4);
     assert!(gaps.skip(1).all(|gap| gap >= Duration::from_millis(1999)));
 }
@@ -151,7 +154,7 @@
         server.rate()
     );
     assert!(server.rejected.len() > 200);
-    assert!(server.advertised.is_some_and(|level| level > 0.0));
+    assert!(server.advertised.is_some_and(|min_rank| min_rank > 0.0));
 }
 
 #[test]
@@ -290,8 +293,8 @@
         for server in &mut *fleet {
             let arrives = random.fraction() < chance;
             let rank = random.fraction();
-            let level = server.advertised.unwrap_or(0.0);
-            let is_sent = arrives && rank >= level;
+            let min_rank = server.advertised.unwrap_or(0.0);
+            let is_sent = arrives && rank >= min_rank;
             offered += f64::from(u8::from(arrives));
             unsent += f64::from(u8::from(arrives && !is_sent));
             let sent_ranks: &[f64] = if is_sent { &[rank] } else { &[] };
@@ -344,7 +347,7 @@
     assert_eq!(server.admission.permitted_rate(), None);
     assert!(server.rejected.len() > 10);
     server.run(10, 0, 800);
-    assert!(server.advertised.is_some_and(|level| level > 0.1), "{:?}", server.advertised);
+    assert!(server.advertised.is_some_and(|min_rank| min_rank > 0.1), "{:?}", server.advertised);
 }
 
 #[test]
@@ -379,5 +382,8 @@
         (3000..3020).map(|id| Event::Arrived(Arrival::new(RequestId(id), ClassId(1)))).collect();
     let answers = handle(&more);
     assert!(rejected(&answers) > 0);
-    assert!(!answers.iter().any(|a| matches!(a, Action::Reject { give_up: false, .. })), "{answers:?}");
+    assert!(
+        !answers.iter().any(|a| matches!(a, Action::Reject { give_up: false, .. })),
+        "a rejected caller was not told to give up: {answers:?}"
+    );
 }
--- a/admission/tests/admission/scheduling.rs
+++ b/admission/tests/admission/scheduling.rs
@@ -39,7 +39,10 @@
         3001,
         &[arrival_event(4), arrival_event(5), arrival_event(6), arrival_event(7)],
     );
-    assert!(actions.iter().any(|action| matches!(action, Action::Reject { .. })), "{actions:?}");
+    assert!(
+        actions.iter().any(|action| matches!(action, Action::Reject { .. })),
+        "no request was shed: {actions:?}"
+    );
 }
 
 #[test]
@@ -109,7 +112,7 @@
     handle_at(&mut admission, 10, &[arrival_event(2), arrival_event(3), late]);
     let done = finished_event(1, 20);
     let actions = handle_at(&mut admission, 20, &[done]);
-    assert!(actions.iter().any(|action| is_run_of(action, 4)), "{actions:?}");
+    assert!(actions.iter().any(|action| is_run_of(action, 4)), "request 4 was not run first: {actions:?}");
 }
 
 #[test]
--- a/admission/tests/admission/slow_start.rs
+++ b/admission/tests/admission/slow_start.rs
@@ -35,8 +35,9 @@
     events: Vec<Event>,
     /// When the timer that the module has set expires.
     timer_at: f64,
-    /// Number of running requests at each step of the averaging period; the next field is their sum.
+    /// Number of running requests at each step of the averaging period.
     concurrency: VecDeque<f64>,
+    /// Sum of `concurrency`.
     concurrency_sum: f64,
     /// The highest mean concurrency, as a fraction of the maximum safe concurrency at that time.
     peak_concurrency: f64,
--- a/admission/tests/model/main.rs
+++ b/admission/tests/model/main.rs
@@ -78,8 +78,9 @@
     call_return_percent: u64,
     /// Number of equally likely outcomes of a returned call; the first five are failures.
     call_outcomes: u64,
-    /// Shortest run time and, in the next field, the upper bound of the random time added to it.
+    /// Shortest run time.
     shortest_run_micros: u64,
+    /// Upper bound of the random time that is added to the shortest run time.
     run_spread_micros: u64,
 }
 
--- a/admission/tests/model/trace/plan.rs
+++ b/admission/tests/model/trace/plan.rs
@@ -64,8 +64,9 @@
     pub(super) timer_gap: TimeRange,
     /// From this time, the clock does not advance, or steps back, for a number of batches.
     pub(super) clock_stops_at: u64,
-    /// When the process is suspended and, in the next field, for how long; in microseconds.
+    /// When the process is suspended, in microseconds of virtual time.
     pub(super) suspended_at: u64,
+    /// How long the process is suspended, in microseconds.
     pub(super) suspension: u64,
     pub(super) drain_at: Option<u64>,
     pub(super) drain_time: u64,
