--- a/node/src/dispatcher/attempts.rs
+++ b/node/src/dispatcher/attempts.rs
@@ -1,4 +1,4 @@
-//! The attempts that are open, by their id and by their transaction id.
+//! The table of open attempts, indexed by their id and by their transaction id.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -10,32 +10,32 @@
 use crate::clock::UnixTime;
 use crate::exchange::{Request, Responder, SubmissionId, TransactionId};
 
-/// A request that fails this shortly before its deadline, or later, counts as timed out: one period of the admission
-/// module's timer, which fails requests up to a period before their deadline, and a little. What has no answer by then is
-/// answered without waiting any longer.
+/// Margin before a request's deadline from which a failure counts as a timeout, and at which a request that is
+/// still waiting is answered. It covers one period of the admission module's timer, which fails requests up to
+/// a period before their deadline, and a small reserve.
 pub(super) const TIMEOUT_MARGIN: Duration = Duration::from_millis(60);
 
-/// One attempt of a request, from the moment it is read until it is answered and nothing of it runs.
+/// One attempt of a request, kept from when it is read until it is answered and its run, if any, has ended.
 pub(super) struct Attempt {
     pub(super) id: RequestId,
     pub(super) request: Rc<Request>,
     pub(super) submission_id: SubmissionId,
-    /// The right to answer: used up by the answer, dropped when the client has cancelled.
+    /// The right to answer the attempt; `None` once it has been answered or its client has cancelled it.
     pub(super) responder: Option<Responder>,
     pub(super) phase: Phase,
 }
 
-/// How far an attempt has come.
+/// Processing state of an open attempt.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) enum Phase {
     /// The admission module has it in its queue.
     Queued,
     /// It waits for the outcome of another attempt of its key.
     WaitingForAttempt { since: UnixTime },
-    /// It waits for the outcome of another node's run of its key. To the admission module it is over.
+    /// It waits for the outcome of another node's run of its key. The admission module counts it as finished.
     AwaitingRemoteRun,
-    /// The admission module has started it: its run is under way, or waits for the run gate. The time since `started_at`
-    /// contains that wait.
+    /// The admission module has started it: its run is under way, or waits for the run gate. The time since
+    /// `started_at` includes that wait.
     Running { started_at: UnixTime },
     /// Its run waits for a call with this body.
     AwaitingCall { started_at: UnixTime, body: Bytes },
@@ -44,7 +44,7 @@
 }
 
 impl Phase {
-    /// When its run started on this node, if it did.
+    /// When the admission module started its run; `None` if no run of it has been started on this node.
     pub(super) fn started_at(&self) -> Option<UnixTime> {
         match self {
             Phase::Queued | Phase::WaitingForAttempt { .. } | Phase::AwaitingRemoteRun => None,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Whether the attempt is over once it is answered, as no run of it is still to end.
+    /// Whether the attempt can be removed once it is answered, because no run of it is still to end.
     pub(super) fn ends_with_answer(&self) -> bool {
         matches!(self, Phase::Queued | Phase::WaitingForAttempt { .. })
     }
@@ -74,15 +74,15 @@
 }
 
 impl AttemptTable {
-    /// An id for an attempt, or for a key of another process. Ids come again after four billion others, when no attempt
-    /// has the old one any more. It is never 0.
+    /// Returns an id for an attempt, or for a key that another process ran. It is never 0. Ids are reused after
+    /// about four billion others, when the earlier attempt is no longer open.
     pub(super) fn allocate_id(&mut self) -> RequestId {
         let id = RequestId(self.next_id);
         self.next_id = self.next_id.wrapping_add(1).max(1);
         id
     }
 
-    /// Adds an attempt; no other with its transaction id may be open.
+    /// Adds an attempt. No other open attempt may have its transaction id.
     pub(super) fn insert(&mut self, attempt: Attempt) {
         self.id_by_txn.insert(attempt.request.txn.clone(), attempt.id);
         self.by_id.insert(attempt.id, attempt);
@@ -95,22 +95,20 @@
         }
     }
 
-    /// An open attempt.
     pub(super) fn get(&self, id: RequestId) -> Option<&Attempt> {
         self.by_id.get(&id)
     }
 
-    /// An open attempt, to be changed.
     pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut Attempt> {
         self.by_id.get_mut(&id)
     }
 
-    /// The id of the open attempt with this transaction id.
+    /// Returns the id of the open attempt with this transaction id.
     pub(super) fn id_of(&self, txn: &TransactionId) -> Option<RequestId> {
         self.id_by_txn.get(txn).copied()
     }
 
-    /// All open attempts, in no order.
+    /// Iterates over all open attempts in arbitrary order.
     pub(super) fn iter(&self) -> impl Iterator<Item = &Attempt> {
         self.by_id.values()
     }
--- a/node/src/dispatcher/idempotency.rs
+++ b/node/src/dispatcher/idempotency.rs
@@ -1,4 +1,4 @@
-//! The idempotency table: which attempt holds a key, what its run came to, and which attempts wait for that.
+//! The idempotency table: which attempt holds a key, the outcome of its run, and the attempts that wait for it.
 //!
 //! At most one attempt of a key is allowed to run until the key expires. Results take a bounded amount of memory:
 //! without a durable store the oldest results are dropped first, while the fact that the key has run is kept.
@@ -20,80 +20,76 @@
 };
 use entry::Entry;
 
-/// Estimated memory that one entry takes beside its result, in bytes; rather too high than too low.
+/// Estimated memory of one entry without its result, in bytes. The estimate is deliberately high.
 const ENTRY_BYTES: usize = 512;
-/// Every process has capacity for this many keys, however little memory it is given.
+/// Number of keys that a table can hold however low its memory bound is.
 const MIN_CAPACITY: usize = 1000;
-/// Expired entries are removed at most this often.
+/// Shortest interval between two removals of expired entries.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How an attempt relates to what is known of its key.
+/// Result of matching an attempt against the entry of its key.
 #[derive(Debug, PartialEq)]
 pub(crate) enum KeyMatch {
-    /// The key is not known, so this is its first attempt.
+    /// The key is unknown or has expired, so this is its first attempt.
     New,
-    /// The attempt repeats this one.
+    /// The attempt repeats the request of this attempt, which holds the key.
     RepeatOf(RequestId),
-    /// The key is known with another body. A client must not get the result of another request.
+    /// The key is known with another body, so it belongs to another request, whose result the client must not get.
     BodyMismatch,
 }
 
 /// A key that an attempt holds.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct AssignedKey {
-    /// The key.
     pub(crate) key: IdempotencyKey,
     /// Digest of the body that its attempts carry.
     pub(crate) body_digest: BodyDigest,
-    /// When the key expires.
     pub(crate) expires_at: UnixTime,
 }
 
 /// The outcome of a run of the predecessor process, and the attempts here that waited for it.
 #[derive(Debug, PartialEq)]
 pub(crate) struct ImportedOutcome {
-    /// Attempts that waited.
     pub(crate) waiters: Vec<RequestId>,
-    /// What they waited for.
     pub(crate) outcome: StoredOutcome,
 }
 
-/// All keys that have not expired.
+/// The entries of all keys that have not expired, and of those whose run has not ended.
 #[derive(Debug, Default)]
 pub(crate) struct IdempotencyTable {
-    /// Seeds the digests of bodies, so that no client can construct a collision.
+    /// Seeds the digests of bodies. It is random, so that no client can construct a collision.
     digest_seed: u64,
     entries: HashMap<IdempotencyKey, Entry>,
-    /// The key of each holder.
+    /// The key that each holder holds.
     key_by_holder: HashMap<RequestId, IdempotencyKey>,
-    /// Keys with an attempt in the batch that is being gathered.
+    /// Keys of the attempts in the current batch.
     keys_in_batch: HashSet<IdempotencyKey>,
     last_swept_at: UnixTime,
-    /// Keys with outcomes, the oldest first. Some may have been removed since.
+    /// Keys in the order in which their outcomes came, the oldest first. Some may have been removed since.
     keys_with_outcome: VecDeque<IdempotencyKey>,
-    /// Memory that results take at present.
+    /// Total length of the stored results.
     result_bytes: usize,
     max_result_bytes: usize,
-    /// No result is dropped before its key expires, and memory is reserved for the results to come.
+    /// Whether results are kept until their keys expire. Memory is then reserved for the results of pending runs.
     durable: bool,
-    /// Keys without an outcome.
+    /// Number of keys without an outcome.
     pending_count: usize,
 }
 
 impl IdempotencyTable {
-    /// An empty table whose results take `max_result_bytes` at most, and whose keys about as much.
+    /// Creates an empty table whose results take `max_result_bytes` at most, and whose keys about as much again.
     pub(crate) fn new(max_result_bytes: usize) -> Self {
-        // A random number from the standard library's hasher.
+        // The hasher is seeded at random, so its hash of a constant is a random number.
         let digest_seed = RandomState::new().hash_one(());
         IdempotencyTable { digest_seed, max_result_bytes, ..IdempotencyTable::default() }
     }
 
-    /// The same table, with results that stay for as long as their keys.
+    /// Makes the table keep results until their keys expire.
     pub(crate) fn into_durable(self) -> Self {
         IdempotencyTable { durable: true, ..self }
     }
 
-    /// Uses this seed for the digests of bodies, so that digests from another process match. The table must be empty.
+    /// Sets the seed of the body digests, so that they match those of another process. The table must be empty.
     pub(crate) fn set_digest_seed(&mut self, seed: u64) {
         debug_assert!(self.entries.is_empty());
         self.digest_seed = seed;
@@ -103,7 +99,7 @@
         BodyDigest(digest(self.digest_seed, body))
     }
 
-    /// The whole table, as it is transferred to a successor process.
+    /// Returns the whole table in the form that is transferred to a successor process.
     pub(crate) fn snapshot(&self) -> HandoverState {
         HandoverState {
             digest_seed: self.digest_seed,
@@ -111,8 +107,8 @@
         }
     }
 
-    /// Takes in a record of another process, under the id `id` if its key is new here. Returns the outcome if the
-    /// record brought one.
+    /// Imports a record of another process. If its key is new here, `id` becomes the key's holder. Returns
+    /// the outcome if the record completes the key's run.
     pub(crate) fn import(&mut self, record: IdempotencyRecord, id: RequestId) -> Option<ImportedOutcome> {
         let IdempotencyRecord { key, body_digest, expires_at, state } = record;
         if !self.entries.contains_key(&key) {
@@ -123,7 +119,7 @@
         }
         let entry = self.entries.get(&key)?;
         let outcome = StoredOutcome::from_run_state(state)?;
-        // It comes too late if the key has an outcome, or its run is that of an attempt of this process.
+        // The outcome is ignored if the key has one already, or if an attempt of this process runs the key.
         if !entry.run_by_earlier_process || entry.outcome.is_some() {
             return None;
         }
@@ -131,8 +127,8 @@
         Some(ImportedOutcome { waiters, outcome })
     }
 
-    /// Counts the predecessor's runs without an outcome as failed, as it reports nothing more. Returns the attempts
-    /// that waited for them.
+    /// Counts the runs of earlier processes without an outcome as failed, because no outcome of them can follow.
+    /// Returns the attempts that waited for them.
     pub(crate) fn fail_unfinished_earlier_runs(&mut self) -> Vec<RequestId> {
         let is_lost = |entry: &&Entry| entry.run_by_earlier_process && entry.outcome.is_none();
         let lost: Vec<RequestId> =
@@ -140,18 +136,18 @@
         lost.into_iter().flat_map(|id| self.complete(id, StoredOutcome::Failed)).collect()
     }
 
-    /// Whether an attempt of this key came in the batch that is being gathered.
+    /// Whether the current batch has an attempt of this key.
     pub(crate) fn is_in_batch(&self, key: &IdempotencyKey) -> bool {
         self.keys_in_batch.contains(key)
     }
 
-    /// The batch has been decided.
+    /// Ends the current batch, as the admission module decides about it now.
     pub(crate) fn end_batch(&mut self) {
         self.keys_in_batch.clear();
     }
 
-    /// Registers an attempt of a key for this batch, and relates it to what is known of the key. `received_at` is when the
-    /// machine received it; an entry that had expired by then is released.
+    /// Matches an attempt against the entry of its key and, unless the bodies differ, adds the key to the current
+    /// batch. `received_at` is when the machine received the attempt; an entry that had expired by then is released.
     pub(crate) fn register_attempt(
         &mut self,
         key: IdempotencyKey,
@@ -173,7 +169,7 @@
         matched
     }
 
-    /// Makes an attempt the holder of a key until it expires. An earlier holder loses the key.
+    /// Makes an attempt the holder of a key until `expires_at`. An earlier holder loses the key.
     pub(crate) fn assign(
         &mut self,
         key: &IdempotencyKey,
@@ -181,7 +177,7 @@
         holder: RequestId,
         expires_at: UnixTime,
     ) {
-        // The entry outlives the buffer that the key was read into.
+        // Copied, because the entry outlives the buffer that the key was read into.
         let key = Bytes::copy_from_slice(key);
         if let Some(entry) = self.entries.get_mut(&key) {
             self.key_by_holder.remove(&entry.holder);
@@ -201,7 +197,7 @@
         self.pending_count += 1;
     }
 
-    /// Removes the key that an attempt holds.
+    /// Removes the entry of the key that an attempt holds, if it holds one.
     pub(crate) fn release(&mut self, id: RequestId) {
         let entry = self.key_by_holder.remove(&id).and_then(|key| self.entries.remove(&key));
         if let Some(entry) = entry {
@@ -210,17 +206,18 @@
         }
     }
 
-    /// Whether there is no capacity for one more key. A key can't be dropped before it expires, so memory is bounded
-    /// by taking no more.
+    /// Whether the table has no capacity for another key. A key can't be dropped before it expires, so memory is
+    /// bounded by refusing new keys.
     pub(crate) fn is_full(&self) -> bool {
-        // With the largest results for all open keys and this one, so that no result has to be dropped.
+        // Counts the longest result for each pending key and the new one, so that no result has to be dropped.
         let worst_case_result_bytes =
             if self.durable { self.result_bytes + (self.pending_count + 1) * MAX_RESULT_BYTES } else { 0 };
         let capacity = (self.max_result_bytes / ENTRY_BYTES).max(MIN_CAPACITY);
         self.entries.len() >= capacity || worst_case_result_bytes > self.max_result_bytes
     }
 
-    /// The outcome of the key's run, if it is known and the key is that of this body.
+    /// Returns the outcome of the key's run if it is known, the key had not expired at `received_at`, and its
+    /// attempts carry this body.
     pub(crate) fn outcome(
         &self,
         key: &IdempotencyKey,
@@ -232,17 +229,17 @@
         entry.outcome.clone().filter(|_| matches)
     }
 
-    /// The attempt that holds this key.
+    /// Returns the attempt that holds this key.
     pub(crate) fn holder(&self, key: &IdempotencyKey) -> Option<RequestId> {
         self.entries.get(key).map(|entry| entry.holder)
     }
 
-    /// Whether anything is known of this key.
+    /// Whether the table has an entry for this key.
     pub(crate) fn contains(&self, key: &IdempotencyKey) -> bool {
         self.entries.contains_key(key)
     }
 
-    /// The key that this attempt holds.
+    /// Returns the key that this attempt holds.
     pub(crate) fn assigned_key(&self, id: RequestId) -> Option<AssignedKey> {
         let key = self.key_by_holder.get(&id)?;
         let entry = self.entries.get(key)?;
@@ -254,8 +251,9 @@
         self.key_by_holder.contains_key(&id)
     }
 
-    /// Whether this attempt may run, as no other attempt of its key has. From then on it counts as run. A key that is not
-    /// in the table has been released: nothing of it runs or has run.
+    /// Returns whether this attempt may run, which is so unless another attempt of its key has been started. If it
+    /// may, it is recorded as the one that runs. A key that is not in the table has been released: no attempt of it
+    /// is running or has run.
     pub(crate) fn try_start(&mut self, key: &IdempotencyKey, id: RequestId) -> bool {
         let Some(entry) = self.entries.get_mut(key) else { return true };
         *entry.run_by.get_or_insert(id) == id
@@ -263,7 +261,8 @@
 
     /// Makes an attempt wait for the outcome of its key's run. Returns the outcome if it is known already.
     pub(crate) fn wait_for_outcome(&mut self, key: &IdempotencyKey, id: RequestId) -> Option<StoredOutcome> {
-        // The entry that the attempt was matched to may have been released since; what became of it is not known.
+        // The entry that the attempt was matched against may have been released since, and its outcome is
+        // unknown then.
         let Some(entry) = self.entries.get_mut(key) else { return Some(StoredOutcome::Failed) };
         if entry.outcome.is_none() {
             entry.waiters.push(id);
@@ -271,8 +270,8 @@
         entry.outcome.clone()
     }
 
-    /// Stores the outcome of an attempt's run and returns the attempts that waited for it. A run that never started
-    /// frees its key, so that another attempt may run.
+    /// Stores the outcome of the run of a key, which attempt `id` holds, and returns the attempts that waited
+    /// for it. If the run never started, the key is released, so that another attempt may run.
     pub(crate) fn complete(&mut self, id: RequestId, outcome: StoredOutcome) -> Vec<RequestId> {
         let Some(key) = self.key_by_holder.get(&id) else { return Vec::new() };
         let Some(entry) = self.entries.get_mut(key) else { return Vec::new() };
@@ -282,7 +281,8 @@
             return waiters;
         }
         let outcome = match outcome {
-            // It ran, but the result can't be given again, so that repeats must not take it for one to run anew.
+            // The run succeeded, but its result is too long to be stored. Repeated attempts fail instead of
+            // running again.
             StoredOutcome::Succeeded(result) if self.durable && result.len() > MAX_RESULT_BYTES => {
                 StoredOutcome::Failed
             }
@@ -297,8 +297,9 @@
         waiters
     }
 
-    /// Keeps results within their bound of memory: of the oldest ones only the fact that they ran stays. In a durable
-    /// table there is nothing to drop, as [`is_full`](Self::is_full) reserves memory for all results to come.
+    /// Keeps results within their memory bound: drops the oldest results and keeps only the fact that their
+    /// keys ran. In a durable table there is nothing to drop, as [`is_full`](Self::is_full) reserves memory
+    /// for all results to come.
     fn drop_oldest_results(&mut self) {
         while self.result_bytes > self.max_result_bytes {
             let Some(oldest) = self.keys_with_outcome.pop_front() else { break };
@@ -309,7 +310,8 @@
         }
     }
 
-    /// Removes the key of an attempt whose outcome can't be known. Returns the attempts that waited for it.
+    /// Releases the key that an attempt holds, because its outcome can't be known. Returns the attempts that
+    /// waited for that outcome.
     pub(crate) fn abandon(&mut self, id: RequestId) -> Vec<RequestId> {
         let entry = self.key_by_holder.get(&id).and_then(|key| self.entries.get_mut(key));
         let waiters = entry.map(|entry| std::mem::take(&mut entry.waiters)).unwrap_or_default();
--- a/node/src/dispatcher/idempotency/entry.rs
+++ b/node/src/dispatcher/idempotency/entry.rs
@@ -1,32 +1,32 @@
-//! What the idempotency table knows of one key.
+//! The entry of one key in the idempotency table.
 
 use oakwind_admission::RequestId;
 
 use crate::clock::UnixTime;
 use crate::outcome::{BodyDigest, IdempotencyKey, IdempotencyRecord, RunState, StoredOutcome};
 
-/// What is known of one key.
+/// What the idempotency table stores for one key.
 #[derive(Debug)]
 pub(super) struct Entry {
-    /// The latest attempt that the admission module gave the key to. It differs from `run_by` where an earlier attempt
-    /// ran and a later one took over its key.
+    /// The latest attempt that the admission module assigned the key to. It differs from `run_by` if an earlier
+    /// attempt ran and a later one took over its key.
     pub(super) holder: RequestId,
     /// Digest of the body that all attempts of the key carry.
     pub(super) body_digest: BodyDigest,
-    /// When the key expires.
     pub(super) expires_at: UnixTime,
-    /// The attempt whose run counts, if one was started.
+    /// The attempt that was started for the key; no other may be. `None` until one is started.
     pub(super) run_by: Option<RequestId>,
-    /// The run belongs to an earlier process: the predecessor in an upgrade, or one whose stores were recovered.
+    /// Whether the run belongs to an earlier process: the predecessor in an upgrade, or one whose stores were
+    /// recovered.
     pub(super) run_by_earlier_process: bool,
-    /// The outcome of its run, once that is known.
+    /// The outcome of the run; `None` until it is known.
     pub(super) outcome: Option<StoredOutcome>,
     /// Attempts that wait for the outcome.
     pub(super) waiters: Vec<RequestId>,
 }
 
 impl Entry {
-    /// A key that an attempt of this process holds and that has not run.
+    /// Creates the entry of a key that an attempt of this process holds and that has not run.
     pub(super) fn new(holder: RequestId, body_digest: BodyDigest, expires_at: UnixTime) -> Self {
         Entry {
             holder,
@@ -39,13 +39,14 @@
         }
     }
 
-    /// A key whose run belongs to an earlier process; here it goes by `id`.
+    /// Creates the entry of a key whose run belongs to an earlier process. `id` stands for the attempt of
+    /// that process.
     pub(super) fn of_earlier_process(id: RequestId, body_digest: BodyDigest, expires_at: UnixTime) -> Self {
         Entry { run_by: Some(id), run_by_earlier_process: true, ..Entry::new(id, body_digest, expires_at) }
     }
 
-    /// Whether an attempt received at that time is a new request: the key has expired and no run of it is under way.
-    /// A run that takes longer than its key lasts must not get a second one beside it.
+    /// Whether an attempt received at `received_at` is a new request: the key had expired by then and is not running.
+    /// While a run outlasts its key, no second run of the key may start.
     pub(super) fn has_expired(&self, received_at: UnixTime) -> bool {
         received_at > self.expires_at && !self.is_running()
     }
@@ -59,7 +60,7 @@
         self.outcome.as_ref().map_or(RunState::Pending, RunState::from)
     }
 
-    /// Memory that its result takes.
+    /// Length of the stored result; 0 if there is none.
     pub(super) fn result_bytes(&self) -> usize {
         if let Some(StoredOutcome::Succeeded(result)) = &self.outcome {
             result.len()
@@ -68,7 +69,7 @@
         }
     }
 
-    /// The entry as it is transferred to another process.
+    /// Converts the entry to the record that is transferred to another process.
     pub(super) fn to_record(&self, key: &IdempotencyKey) -> IdempotencyRecord {
         IdempotencyRecord {
             key: key.clone(),
--- a/node/src/dispatcher/idempotency/tests.rs
+++ b/node/src/dispatcher/idempotency/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-const A: RequestId = RequestId(1);
-const B: RequestId = RequestId(2);
+const FIRST_ATTEMPT: RequestId = RequestId(1);
+const SECOND_ATTEMPT: RequestId = RequestId(2);
 
 fn at(seconds: u64) -> UnixTime {
     Duration::from_secs(seconds)
@@ -11,22 +11,26 @@
     Bytes::from_static(b"k")
 }
 
-/// A was received at 100 s and holds its key until 117 s.
-fn table_with_a() -> IdempotencyTable {
+/// A table in which the first attempt was received at 100 s and holds its key until 117 s.
+fn table_with_first_attempt() -> IdempotencyTable {
     let mut table = IdempotencyTable::new(10);
     assert_eq!(table.register_attempt(key(), b"x", at(100)), KeyMatch::New);
-    table.assign(&key(), b"x", A, at(117));
+    table.assign(&key(), b"x", FIRST_ATTEMPT, at(117));
     table.end_batch();
     table
 }
 
 #[test]
-fn an_attempt_received_before_its_key_expired_repeats_it_however_late_it_is_read() {
-    let mut table = table_with_a();
+fn an_attempt_received_before_its_key_expired_is_a_repeat_if_read_within_the_grace() {
+    let mut table = table_with_first_attempt();
     table.sweep(at(120));
-    assert_eq!(table.register_attempt(key(), b"x", at(117)), KeyMatch::RepeatOf(A));
-    assert_eq!(table.register_attempt(key(), b"x", at(118)), KeyMatch::New, "a new request");
-    let mut table = table_with_a();
+    assert_eq!(table.register_attempt(key(), b"x", at(117)), KeyMatch::RepeatOf(FIRST_ATTEMPT));
+    assert_eq!(
+        table.register_attempt(key(), b"x", at(118)),
+        KeyMatch::New,
+        "an attempt received after the expiry is a new request"
+    );
+    let mut table = table_with_first_attempt();
     table.sweep(at(126));
     assert_eq!(
         table.register_attempt(key(), b"x", at(117)),
@@ -37,17 +41,17 @@
 
 #[test]
 fn one_attempt_of_a_key_runs_and_the_others_get_its_outcome() {
-    let mut table = table_with_a();
-    assert!(table.try_start(&key(), A));
-    assert!(!table.try_start(&key(), B));
-    assert_eq!(table.wait_for_outcome(&key(), B), None);
+    let mut table = table_with_first_attempt();
+    assert!(table.try_start(&key(), FIRST_ATTEMPT));
+    assert!(!table.try_start(&key(), SECOND_ATTEMPT));
+    assert_eq!(table.wait_for_outcome(&key(), SECOND_ATTEMPT), None);
     let outcome = StoredOutcome::Succeeded(Bytes::from_static(b"job"));
-    assert_eq!(table.complete(A, outcome.clone()), [B]);
-    assert_eq!(table.wait_for_outcome(&key(), B), Some(outcome));
+    assert_eq!(table.complete(FIRST_ATTEMPT, outcome.clone()), [SECOND_ATTEMPT]);
+    assert_eq!(table.wait_for_outcome(&key(), SECOND_ATTEMPT), Some(outcome));
 }
 
 #[test]
-fn the_table_is_full_at_its_capacity_and_not_when_keys_have_expired() {
+fn the_table_is_full_at_its_capacity_until_keys_expire() {
     let mut table = IdempotencyTable::new(0);
     for n in 0..u32::try_from(MIN_CAPACITY).unwrap() {
         assert!(!table.is_full());
@@ -76,85 +80,85 @@
     );
     table.sweep(at(126));
     assert!(!table.is_full());
-    table.assign(&key(4), b"x", A, at(140));
-    table.complete(A, StoredOutcome::Succeeded(vec![0; MAX_RESULT_BYTES + 1].into()));
+    table.assign(&key(4), b"x", FIRST_ATTEMPT, at(140));
+    table.complete(FIRST_ATTEMPT, StoredOutcome::Succeeded(vec![0; MAX_RESULT_BYTES + 1].into()));
     assert_eq!(
         table.outcome(&key(4), b"x", at(130)),
         Some(StoredOutcome::Failed),
-        "longer than a stored result may be"
+        "a result over the maximum length is not stored"
     );
 }
 
 #[test]
 fn a_run_that_never_started_frees_its_key() {
-    let mut table = table_with_a();
-    assert!(table.try_start(&key(), A));
-    assert_eq!(table.complete(A, StoredOutcome::NeverStarted), []);
+    let mut table = table_with_first_attempt();
+    assert!(table.try_start(&key(), FIRST_ATTEMPT));
+    assert_eq!(table.complete(FIRST_ATTEMPT, StoredOutcome::NeverStarted), []);
     assert_eq!(table.register_attempt(key(), b"x", at(101)), KeyMatch::New);
-    assert!(table.try_start(&key(), B));
+    assert!(table.try_start(&key(), SECOND_ATTEMPT));
 }
 
 #[test]
-fn a_key_passes_to_a_newer_attempt_and_is_seen_in_its_batch() {
-    let mut table = table_with_a();
+fn a_key_can_be_assigned_to_a_newer_attempt_and_is_in_its_batch() {
+    let mut table = table_with_first_attempt();
     assert!(!table.is_in_batch(&key()));
-    assert_eq!(table.register_attempt(key(), b"x", at(101)), KeyMatch::RepeatOf(A));
+    assert_eq!(table.register_attempt(key(), b"x", at(101)), KeyMatch::RepeatOf(FIRST_ATTEMPT));
     assert!(table.is_in_batch(&key()));
-    table.assign(&key(), b"x", B, at(118));
-    table.release(A);
+    table.assign(&key(), b"x", SECOND_ATTEMPT, at(118));
+    table.release(FIRST_ATTEMPT);
     assert_eq!(
         table.register_attempt(key(), b"x", at(102)),
-        KeyMatch::RepeatOf(B),
-        "A no longer holds the key"
+        KeyMatch::RepeatOf(SECOND_ATTEMPT),
+        "the first attempt no longer holds the key"
     );
 }
 
 #[test]
 fn no_key_expires_early_when_the_clock_steps_ahead() {
     let mut table = IdempotencyTable::new(1000);
-    table.assign(&key(), b"b", A, at(117));
+    table.assign(&key(), b"b", FIRST_ATTEMPT, at(117));
     table.extend_all(Duration::from_secs(3600));
     table.sweep(at(3716));
-    assert_eq!(table.register_attempt(key(), b"b", at(3716)), KeyMatch::RepeatOf(A));
+    assert_eq!(table.register_attempt(key(), b"b", at(3716)), KeyMatch::RepeatOf(FIRST_ATTEMPT));
     table.sweep(at(3717) + LATE_READ_GRACE);
     assert!(!table.contains(&key()));
 }
 
 #[test]
 fn a_known_key_with_another_body_is_a_mismatch_until_it_expires() {
-    let mut table = table_with_a();
+    let mut table = table_with_first_attempt();
     assert_eq!(table.register_attempt(key(), b"y", at(101)), KeyMatch::BodyMismatch);
     assert!(!table.is_in_batch(&key()), "a mismatch is not part of the batch");
-    assert_eq!(table.register_attempt(key(), b"x", at(101)), KeyMatch::RepeatOf(A));
+    assert_eq!(table.register_attempt(key(), b"x", at(101)), KeyMatch::RepeatOf(FIRST_ATTEMPT));
     assert_eq!(table.register_attempt(key(), b"y", at(118)), KeyMatch::New);
 }
 
 #[test]
-fn the_oldest_results_are_dropped_at_the_memory_bound_but_not_that_they_ran() {
-    let mut table = table_with_a();
+fn the_oldest_results_are_dropped_at_the_memory_bound_but_their_keys_stay_run() {
+    let mut table = table_with_first_attempt();
     let result = |bytes| StoredOutcome::Succeeded(Bytes::from_static(bytes));
-    assert_eq!(table.complete(A, result(b"seven b")), []);
+    assert_eq!(table.complete(FIRST_ATTEMPT, result(b"seven b")), []);
     let other = Bytes::from_static(b"l");
-    table.assign(&other.clone(), b"x", B, at(117));
-    assert_eq!(table.complete(B, result(b"four")), []);
-    assert_eq!(table.wait_for_outcome(&key(), B), Some(StoredOutcome::Failed));
-    assert_eq!(table.wait_for_outcome(&other, A), Some(result(b"four")));
+    table.assign(&other.clone(), b"x", SECOND_ATTEMPT, at(117));
+    assert_eq!(table.complete(SECOND_ATTEMPT, result(b"four")), []);
+    assert_eq!(table.wait_for_outcome(&key(), SECOND_ATTEMPT), Some(StoredOutcome::Failed));
+    assert_eq!(table.wait_for_outcome(&other, FIRST_ATTEMPT), Some(result(b"four")));
     table.sweep(at(126));
     assert_eq!((table.result_bytes, table.keys_with_outcome.len()), (0, 0));
 }
 
 #[test]
 fn a_key_does_not_expire_while_it_is_running() {
-    let mut table = table_with_a();
-    assert!(table.try_start(&key(), A));
+    let mut table = table_with_first_attempt();
+    assert!(table.try_start(&key(), FIRST_ATTEMPT));
     table.sweep(at(300));
     assert_eq!(
         table.register_attempt(key(), b"x", at(300)),
-        KeyMatch::RepeatOf(A),
-        "it may still have its effect"
+        KeyMatch::RepeatOf(FIRST_ATTEMPT),
+        "the run may still have its effect"
     );
-    assert_eq!(table.wait_for_outcome(&key(), B), None);
-    assert_eq!(table.complete(A, StoredOutcome::Failed), [B]);
+    assert_eq!(table.wait_for_outcome(&key(), SECOND_ATTEMPT), None);
+    assert_eq!(table.complete(FIRST_ATTEMPT, StoredOutcome::Failed), [SECOND_ATTEMPT]);
     assert_eq!(table.register_attempt(key(), b"x", at(301)), KeyMatch::New);
     table.sweep(at(302));
     assert!(!table.contains(&key()));
--- a/node/src/dispatcher/submission.rs
+++ b/node/src/dispatcher/submission.rs
@@ -1,6 +1,7 @@
-//! New attempts: which of them the admission module decides about, and which are answered without it.
+//! Receives new attempts: passes them to the admission module, or answers them without its decision.
 //!
-//! No attempt of a key goes to the admission module while an earlier run of that key may be unknown here.
+//! While an earlier run of a key may be unknown to this process, no attempt of that key is passed to the admission
+//! module.
 
 use std::rc::Rc;
 
@@ -14,24 +15,27 @@
 use crate::log;
 use crate::outcome::{digest, IdempotencyKey, RequestOutcome, StoredOutcome};
 
-/// The mean wait that a rejection without the admission module advises, as a fraction of `max_retry_after`.
+/// Mean wait that a rejection without the admission module advises, as a fraction of `max_retry_after`.
 const MEAN_RETRY_FRACTION: f64 = 0.25;
 
-/// Jitter: the advised wait is its mean times a factor from this one to this one and 1.
+/// Smallest jitter factor. The advised wait is its mean times a factor between this one and this one plus 1.
 const MIN_JITTER_FACTOR: f64 = 0.5;
 
-/// The upper bits of a number, as many as an `f64` holds exactly, as a fraction from 0 to under 1.
+/// Maps a number to a fraction from 0 to under 1, using as many of its upper bits as an `f64` holds exactly.
 fn unit_fraction(bits: u64) -> f64 {
     (bits >> (u64::BITS - f64::MANTISSA_DIGITS)) as f64 / (1_u64 << f64::MANTISSA_DIGITS) as f64
 }
 
 impl Dispatcher {
-    /// A frontend has read an attempt.
+    /// Handles an attempt that a frontend has read.
     pub(super) fn submit(&mut self, submission: Submission) {
         let request = submission.request.clone();
-        // The backends could not tell two open attempts with one transaction id apart.
+        // The backends can't distinguish two open attempts with the same transaction id.
         if self.attempts.id_of(&request.txn).is_some() {
-            log!("dispatcher: a transaction id was used again while it is open: txn={}", request.txn);
+            log!(
+                "dispatcher: request failed, an open attempt has the same transaction id: txn={}",
+                request.txn
+            );
             return self.answer_submission(submission, RequestOutcome::Failed { timed_out: false });
         }
         let now = clock::now();
@@ -59,7 +63,8 @@
         if let Some(outcome) = self.outcome_without_decision(&key, request, now) {
             return self.answer_submission(submission, outcome);
         }
-        // Of two attempts of one key in a batch, the second is matched against the outcome of the first.
+        // If the batch already has an attempt of this key, the admission module decides about that one first.
+        // This one is then matched against the result.
         if self.idempotency.is_in_batch(&key) {
             return self.deferred.push_back(DispatcherEvent::Submitted(submission));
         }
@@ -67,13 +72,13 @@
             KeyMatch::New => self.open_attempt(submission, None, now),
             KeyMatch::RepeatOf(holder) => self.open_attempt(submission, Some(holder), now),
             KeyMatch::BodyMismatch => {
-                log!("dispatcher: a key came with another body than before: txn={}", request.txn);
+                log!("dispatcher: request refused, its key was used with another body: txn={}", request.txn);
                 self.answer_submission(submission, RequestOutcome::BodyMismatch);
             }
         }
     }
 
-    /// The outcome of an attempt with this key, if it cannot go to the admission module.
+    /// Returns the outcome of an attempt that must not be passed to the admission module, or `None` if it may be.
     fn outcome_without_decision(
         &self,
         key: &IdempotencyKey,
@@ -81,24 +86,27 @@
         now: UnixTime,
     ) -> Option<RequestOutcome> {
         if self.may_have_run_unrecorded(key, now) {
-            log!("dispatcher: a key may have run, its stored record is damaged: txn={}", request.txn);
+            log!(
+                "dispatcher: request failed, its key may have run and the stored record is damaged: txn={}",
+                request.txn
+            );
             return Some(RequestOutcome::Failed { timed_out: false });
         }
         if self.idempotency.contains(key) {
             return None;
         }
-        // The successor would not learn of this key and could run it as well.
+        // The successor would not learn of the new key and could run it a second time.
         if self.state_is_transferred() {
             return Some(self.rejection_without_admission());
         }
         if self.idempotency.is_full() {
-            log!("dispatcher: the idempotency table is full");
+            log!("dispatcher: request rejected, idempotency table is full: txn={}", request.txn);
             return Some(self.rejection_without_admission());
         }
         None
     }
 
-    /// Opens an attempt, about which the admission module decides. `repeats` is the attempt that holds its key.
+    /// Opens an attempt and reports its arrival to the admission module. `repeats` is the attempt that holds its key.
     fn open_attempt(&mut self, submission: Submission, repeats: Option<RequestId>, now: UnixTime) {
         let Submission { request, id: submission_id, responder } = submission;
         let id = self.attempts.allocate_id();
@@ -118,8 +126,8 @@
         self.attempts.insert(Attempt { id, request, submission_id, responder, phase: Phase::Queued });
     }
 
-    /// The outcome of a request that comes before anything can run here. A request whose key has run must not get a
-    /// rejection, which would promise that it has not.
+    /// Returns the outcome of a request that comes before a backend can run requests. A request whose key has
+    /// run must not be rejected, because a rejection promises that it has not run.
     fn outcome_before_start(
         &self,
         key: Option<&IdempotencyKey>,
@@ -144,7 +152,7 @@
         Some(self.outcome_for_repeat(&outcome))
     }
 
-    /// What an attempt gets whose key has this outcome.
+    /// Converts the stored outcome of a key to the answer for a repeated attempt.
     pub(super) fn outcome_for_repeat(&self, outcome: &StoredOutcome) -> RequestOutcome {
         match outcome {
             StoredOutcome::Succeeded(result) => RequestOutcome::Served(result.clone()),
@@ -153,15 +161,15 @@
         }
     }
 
-    /// Whether a key that is not in the table may have run, as its stored record may be damaged.
+    /// Whether a key that is not in the table may have run, because its stored record may be damaged.
     fn may_have_run_unrecorded(&self, key: &IdempotencyKey, now: UnixTime) -> bool {
         !self.idempotency.contains(key) && self.run_gate.may_have_run(key, now)
     }
 
-    /// The rejection of a request that the admission module does not decide about, or whose run it had started in vain:
-    /// nothing can run requests yet, a table is full or has been transferred, the run gate denied the run, its queue was
-    /// full, or no server accepted it. The advised wait differs each time and from node to node, so that callers don't
-    /// come back all at once.
+    /// Returns the rejection of a request that did not run although the admission module did not reject it: no
+    /// backend can run requests yet, the idempotency table is full or has been transferred, the run gate denied
+    /// the run, the queue of run commands was full, or no server accepted the run. The advised wait varies between
+    /// rejections and between nodes, so that callers don't retry all at once.
     pub(super) fn rejection_without_admission(&self) -> RequestOutcome {
         let settings = &self.settings.settings;
         let sequence = self.jitter_sequence.replace(self.jitter_sequence.get() + 1);
@@ -170,13 +178,13 @@
         RequestOutcome::Rejected { retry_after: settings.retry_after.then(wait), give_up: false }
     }
 
-    /// The key by which a request is deduplicated: of classes with [`Effect::IdempotencyKey`] only.
+    /// Returns the key by which a request is deduplicated; `None` for classes without [`Effect::IdempotencyKey`].
     pub(super) fn dedup_key(&self, request: &Request) -> Option<IdempotencyKey> {
         let class = self.settings.settings.classes.get(usize::from(request.class.0))?;
         request.key.clone().filter(|_| class.effect == Effect::IdempotencyKey)
     }
 
-    /// The client of a submission has cancelled it, so it gets no answer.
+    /// Handles the cancellation of a submission by its client: the submission gets no answer.
     pub(super) fn cancel(&mut self, submission_id: &SubmissionId) {
         self.handover.buffered.retain(|buffered| buffered.id != *submission_id);
         let Some(id) = self.attempts.id_of(&submission_id.txn) else { return };
@@ -191,7 +199,7 @@
         self.answer(&submission.request, submission.responder, outcome);
     }
 
-    /// Answers an attempt, unless it has been answered or cancelled.
+    /// Answers an attempt, unless it has been answered or cancelled already.
     pub(super) fn answer_attempt(&mut self, id: RequestId, outcome: RequestOutcome) {
         let Some(attempt) = self.attempts.get_mut(id) else { return };
         if let Some(responder) = attempt.responder.take() {
--- a/node/src/dispatcher/tests.rs
+++ b/node/src/dispatcher/tests.rs
@@ -12,8 +12,8 @@
 };
 use crate::outcome::{digest, BodyDigest, Completion, IdempotencyRecord, RunState};
 
-/// Turns a test that would hang into one that fails.
-const GUARD: Duration = Duration::from_secs(60);
+/// Time limit of one test, so that a test that hangs fails; also the deadline of its requests.
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 const KEYED_CLASS: ClassId = ClassId(1);
 const DIGEST_SEED: u64 = 7;
 const SETTINGS: &str = r#"{"services": [
@@ -23,7 +23,7 @@
   "safety": {"drainGrace": 200000, "fallMultiple": 8.0},
   "limits": {"maxRetryAfter": 1000000, "retryAfter": true}, "servers": 1, "tick": 4000}"#;
 
-/// A running dispatcher, and all that stands around it.
+/// A running dispatcher with the other ends of its exchange.
 struct Node {
     exchange: Exchange,
     backend: BackendEndpoints,
@@ -32,7 +32,7 @@
 }
 
 impl Node {
-    /// A node whose backend is up.
+    /// Starts a dispatcher whose backend is up.
     async fn start(awaiting_state: bool) -> Node {
         let node = Node::start_without_backend(awaiting_state);
         node.exchange.report(BackendEvent::Up { cold: false }).await;
@@ -48,19 +48,19 @@
         Node { exchange, backend, answer_queue, answers }
     }
 
-    /// Submits an attempt of a keyed class; its answer carries the tag.
+    /// Submits an attempt of a keyed class, whose answer carries `tag`.
     async fn submit(&self, tag: u64, key: &'static [u8], body: &'static [u8]) -> SubmissionId {
         let responder = Responder::new(&self.answer_queue, RequestTag(tag)).unwrap();
         self.exchange.submit(request(tag, key, body), responder).await
     }
 
-    /// Submits an attempt that the backend is to run, and waits until it has got the command.
+    /// Submits an attempt and waits until the backend has received the command to run it.
     async fn submit_and_start(&mut self, tag: u64, key: &'static [u8], body: &'static [u8]) {
         self.submit(tag, key, body).await;
         assert_eq!(self.next_run().await.txn, txn(tag));
     }
 
-    /// The next request that the backend is to run.
+    /// Waits for the next request that the backend is told to run.
     async fn next_run(&mut self) -> Rc<Request> {
         loop {
             if let RunCommand::Run(request) = self.backend.runs.recv().await.unwrap() {
@@ -78,8 +78,8 @@
         (tag.0, outcome)
     }
 
-    /// Whether the backend has got no run by now.
-    fn runs_nothing(&mut self) -> bool {
+    /// Whether no command to run a request is queued for the backend.
+    fn has_no_run_command(&mut self) -> bool {
         std::iter::from_fn(|| self.backend.runs.try_recv().ok())
             .all(|command| !matches!(command, RunCommand::Run(_)))
     }
@@ -98,17 +98,17 @@
         memory_kb: 32.0,
         rank: 0.5,
         received_at: now,
-        deadline: now + GUARD,
+        deadline: now + TEST_TIMEOUT,
         body: Bytes::from_static(body),
     }
 }
 
-/// What a predecessor knows of the key `known`, which came with the body `body`.
-fn known(state: RunState) -> IdempotencyRecord {
+/// The predecessor's record of the key `known`, whose attempts carry the body `body`.
+fn predecessor_record(state: RunState) -> IdempotencyRecord {
     IdempotencyRecord {
         key: Bytes::from_static(b"known"),
         body_digest: BodyDigest(digest(DIGEST_SEED, b"body")),
-        expires_at: clock::now() + GUARD,
+        expires_at: clock::now() + TEST_TIMEOUT,
         state,
     }
 }
@@ -125,41 +125,49 @@
     Completion::Succeeded(Bytes::from_static(result))
 }
 
-fn run(test: impl Future<Output = ()>) {
+fn run_test(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    let guarded = async { tokio::time::timeout(GUARD, test).await.expect("the test hangs") };
-    runtime.block_on(LocalSet::new().run_until(guarded));
+    let with_timeout = async { tokio::time::timeout(TEST_TIMEOUT, test).await.expect("test timed out") };
+    runtime.block_on(LocalSet::new().run_until(with_timeout));
 }
 
 #[test]
 fn a_repeated_attempt_gets_the_result_of_the_first_and_does_not_run() {
-    run(async {
+    run_test(async {
         let mut node = Node::start(false).await;
         node.submit_and_start(1, b"key", b"body").await;
         node.submit(2, b"key", b"body").await;
         node.complete(1, succeeded(b"result")).await;
         assert_eq!(node.next_answer().await, (1, served(b"result")));
-        assert_eq!(node.next_answer().await, (2, served(b"result")), "it waited for the first");
+        assert_eq!(
+            node.next_answer().await,
+            (2, served(b"result")),
+            "the second attempt waits for the run of the first"
+        );
         node.submit(3, b"key", b"body").await;
-        assert_eq!(node.next_answer().await, (3, served(b"result")), "it came after the first had ended");
-        assert!(node.runs_nothing());
+        assert_eq!(
+            node.next_answer().await,
+            (3, served(b"result")),
+            "an attempt after the end of the run gets its stored result"
+        );
+        assert!(node.has_no_run_command());
     });
 }
 
 #[test]
 fn a_known_key_with_another_body_is_answered_as_a_mismatch() {
-    run(async {
+    run_test(async {
         let mut node = Node::start(false).await;
         node.submit_and_start(1, b"key", b"body").await;
         node.submit(2, b"key", b"another body").await;
         assert_eq!(node.next_answer().await, (2, RequestOutcome::BodyMismatch));
-        assert!(node.runs_nothing());
+        assert!(node.has_no_run_command());
     });
 }
 
 #[test]
 fn a_run_that_never_started_is_rejected_and_frees_its_key() {
-    run(async {
+    run_test(async {
         let mut node = Node::start(false).await;
         node.submit_and_start(1, b"key", b"body").await;
         node.complete(1, Completion::NeverStarted).await;
@@ -172,8 +180,8 @@
 }
 
 #[test]
-fn requests_are_rejected_while_no_backend_is_up_and_each_is_advised_another_wait() {
-    run(async {
+fn requests_before_a_backend_is_up_are_rejected_with_different_advised_waits() {
+    run_test(async {
         let mut node = Node::start_without_backend(false);
         let mut waits = Vec::new();
         for tag in 1..=2 {
@@ -181,11 +189,11 @@
             let (_, RequestOutcome::Rejected { retry_after: Some(wait), give_up: false }) =
                 node.next_answer().await
             else {
-                panic!("not rejected");
+                panic!("expected a rejection that advises a wait");
             };
             waits.push(wait);
         }
-        // A quarter of `maxRetryAfter`, by half more or less.
+        // A quarter of `maxRetryAfter`, plus or minus half of that.
         let range = Duration::from_millis(125)..Duration::from_millis(375);
         assert!(waits.iter().all(|wait| range.contains(wait)) && waits[0] != waits[1], "{waits:?}");
     });
@@ -193,27 +201,31 @@
 
 #[test]
 fn a_successor_buffers_keyed_attempts_until_it_has_the_table_and_runs_no_key_in_it() {
-    run(async {
+    run_test(async {
         let mut node = Node::start(true).await;
         node.submit(1, b"known", b"body").await;
         node.submit(2, b"new", b"body").await;
         tokio::task::yield_now().await;
-        assert!(node.runs_nothing());
-        let table = HandoverState { digest_seed: DIGEST_SEED, records: vec![known(RunState::Pending)] };
+        assert!(node.has_no_run_command());
+        let table =
+            HandoverState { digest_seed: DIGEST_SEED, records: vec![predecessor_record(RunState::Pending)] };
         node.exchange.receive_state(table).await;
         assert_eq!(node.next_run().await.txn, txn(2));
         let result = RunState::Succeeded(Bytes::from_static(b"result"));
-        node.exchange.receive_state(HandoverState { digest_seed: 0, records: vec![known(result)] }).await;
+        node.exchange
+            .receive_state(HandoverState { digest_seed: 0, records: vec![predecessor_record(result)] })
+            .await;
         assert_eq!(node.next_answer().await, (1, served(b"result")));
-        assert!(node.runs_nothing());
+        assert!(node.has_no_run_command());
     });
 }
 
 #[test]
-fn runs_that_a_predecessor_did_not_report_have_failed_once_it_is_gone() {
-    run(async {
+fn unreported_runs_of_a_predecessor_count_as_failed_once_it_has_ended() {
+    run_test(async {
         let mut node = Node::start(true).await;
-        let table = HandoverState { digest_seed: DIGEST_SEED, records: vec![known(RunState::Pending)] };
+        let table =
+            HandoverState { digest_seed: DIGEST_SEED, records: vec![predecessor_record(RunState::Pending)] };
         node.exchange.receive_state(table).await;
         node.submit(1, b"known", b"body").await;
         node.exchange.predecessor_done().await;
@@ -224,7 +236,7 @@
 
 #[test]
 fn a_predecessor_transfers_its_table_then_outcomes_and_rejects_new_keys() {
-    run(async {
+    run_test(async {
         let mut node = Node::start(false).await;
         node.submit_and_start(1, b"key", b"body").await;
         let (updates, mut transferred) = mpsc::channel(8);
@@ -244,30 +256,34 @@
         assert_eq!(node.next_answer().await, (1, served(b"result")));
         node.exchange.successor_lost().await;
         node.submit(3, b"new", b"body").await;
-        assert_eq!(node.next_run().await.txn, txn(3), "it serves on");
+        assert_eq!(
+            node.next_run().await.txn,
+            txn(3),
+            "the node continues to serve once the successor is lost"
+        );
     });
 }
 
 #[test]
 fn after_the_shutdown_notice_the_node_has_drained_once_its_runs_have_ended() {
-    run(async {
+    run_test(async {
         let mut node = Node::start(false).await;
         node.submit_and_start(1, b"key", b"body").await;
-        node.exchange.drain(clock::now() + GUARD).await;
+        node.exchange.drain(clock::now() + TEST_TIMEOUT).await;
         let mut status = node.exchange.status();
         status.wait_for(|status| status.draining.is_some()).await.unwrap();
         assert!(!status.borrow().drained);
         node.complete(1, succeeded(b"result")).await;
         assert_eq!(node.next_answer().await, (1, served(b"result")));
         status.wait_for(|status| status.drained).await.unwrap();
-        // `drainGrace` after the notice nothing more is read.
+        // Reading stops `drainGrace` after the notice.
         status.wait_for(|status| !status.accepting).await.unwrap();
     });
 }
 
 #[test]
 fn a_cancelled_submission_gets_no_answer_and_a_transaction_id_can_be_open_once() {
-    run(async {
+    run_test(async {
         let mut node = Node::start(false).await;
         node.submit_and_start(1, b"key", b"body").await;
         node.submit(1, b"other", b"body").await;
--- a/node/src/dispatcher/timers.rs
+++ b/node/src/dispatcher/timers.rs
@@ -8,12 +8,12 @@
 
 use crate::clock::UnixTime;
 
-/// Gauges are requested this long before the timer that reports them fires, as the backend takes a moment to answer.
+/// Time by which gauges are requested before the timer that reports them fires, to allow for the backend's answer.
 const GAUGE_REQUEST_LEAD: Duration = Duration::from_millis(5);
-/// Gauges older than this are reported as unknown: ten periods of the admission module's timer.
+/// Age above which gauges are reported as unknown: ten periods of the admission module's timer.
 const MAX_GAUGE_AGE: Duration = Duration::from_millis(500);
 
-/// A timer that has not fired. The one that fires first comes first in the order.
+/// A timer that has not fired, ordered by the time at which it fires.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct PendingTimer {
     fires_at: UnixTime,
@@ -30,7 +30,6 @@
 }
 
 impl Timers {
-    /// Has a timer fire at a point in time.
     pub(super) fn schedule(&mut self, fires_at: UnixTime, timer: TimerId) {
         self.pending.push(Reverse(PendingTimer { fires_at, timer }));
     }
@@ -41,7 +40,8 @@
         Some(if self.gauges_requested { at } else { at.saturating_sub(GAUGE_REQUEST_LEAD) })
     }
 
-    /// Takes the request for gauges that is due now, if one is: once for each time that timers fire.
+    /// Returns whether gauges are to be requested now, and marks them as requested. True at most once between two
+    /// firings.
     pub(super) fn take_gauge_request(&mut self, now: UnixTime) -> bool {
         let is_near = self.next_firing().is_some_and(|at| at <= now + GAUGE_REQUEST_LEAD);
         let request = is_near && !self.gauges_requested;
@@ -49,13 +49,13 @@
         request
     }
 
-    /// Takes in gauges that were read now.
+    /// Sets the latest gauges, which were read at `now`.
     pub(super) fn set_gauges(&mut self, now: UnixTime, gauges: Gauges) {
         self.gauges = gauges;
         self.gauges_read_at = now;
     }
 
-    /// Removes the timers that have fired by now and returns their events, the earliest first.
+    /// Removes the timers that are due at `now` and returns their events, the earliest first.
     pub(super) fn pop_fired(&mut self, now: UnixTime) -> Vec<Event> {
         let is_fresh = self.gauges_read_at + MAX_GAUGE_AGE >= now;
         let gauges = if is_fresh { self.gauges } else { Gauges::default() };
