--- a/node/src/exchange.rs
+++ b/node/src/exchange.rs
@@ -1,6 +1,6 @@
-//! The exchange is the only place where frontends and backends meet. Frontends submit requests and receive exactly one
-//! outcome for each; backends receive commands and report events. The dispatcher stands between them. No wire protocol
-//! is known here, and every queue is bounded.
+//! The exchange is the only place where frontends and backends meet. Frontends submit requests and receive
+//! exactly one outcome for each; backends receive commands and report events. The dispatcher connects
+//! the two. This module knows no wire protocol, and every queue in it is bounded.
 
 mod command;
 mod event;
@@ -21,9 +21,9 @@
 pub(crate) use request::{Answer, Request, RequestTag, Responder, Submission, SubmissionId, TransactionId};
 pub(crate) use status::{NodeStatus, ShutdownNotice, StartMode};
 
-/// Events that may wait for the dispatcher. Who has more to report waits with them.
+/// Capacity of the dispatcher's event queue. A task that reports an event waits while the queue is full.
 const EVENT_QUEUE_CAPACITY: usize = 1024;
-/// Commands that may wait for a backend. The runs that are admitted at a time are bounded far below this.
+/// Capacity of the command queue of each backend. The runs that are admitted at a time are bounded far below this.
 const COMMAND_QUEUE_CAPACITY: usize = 4096;
 
 /// The handle by which frontends, backends and operators reach the dispatcher.
@@ -32,25 +32,24 @@
     events: mpsc::Sender<DispatcherEvent>,
     status: watch::Receiver<NodeStatus>,
     metrics: Rc<Metrics>,
-    /// How many requests have been submitted.
+    /// Number of requests submitted so far; numbers the submissions.
     submitted: Rc<Cell<u64>>,
 }
 
-/// The dispatcher's ends of the exchange.
+/// The dispatcher's ends of the queues, the published status and the metrics.
 pub(crate) struct DispatcherEndpoints {
-    /// Events for the dispatcher.
     pub(crate) events: mpsc::Receiver<DispatcherEvent>,
     /// Commands to the backend that runs requests.
     pub(crate) runs: mpsc::Sender<RunCommand>,
     /// Commands to the backend that makes calls.
     pub(crate) calls: mpsc::Sender<CallCommand>,
-    /// What is published of the node.
+    /// The published status of the node.
     pub(crate) status: watch::Sender<NodeStatus>,
     /// Counters of requests and runs.
     pub(crate) metrics: Rc<Metrics>,
 }
 
-/// The backends' ends of the exchange.
+/// The backends' ends of the command queues.
 pub(crate) struct BackendEndpoints {
     /// Commands to the backend that runs requests.
     pub(crate) runs: mpsc::Receiver<RunCommand>,
@@ -60,15 +59,13 @@
 
 /// All ends of a new exchange.
 pub(crate) struct Endpoints {
-    /// The handle on it.
+    /// The handle for frontends, backends and operators.
     pub(crate) exchange: Exchange,
-    /// The dispatcher's ends.
     pub(crate) dispatcher: DispatcherEndpoints,
-    /// The backends' ends.
     pub(crate) backend: BackendEndpoints,
 }
 
-/// Creates an exchange.
+/// Creates an exchange for a process that starts in `mode`.
 pub(crate) fn new(mode: StartMode) -> Endpoints {
     let (events, dispatcher_events) = mpsc::channel(EVENT_QUEUE_CAPACITY);
     let (runs, backend_runs) = mpsc::channel(COMMAND_QUEUE_CAPACITY);
@@ -90,7 +87,7 @@
 }
 
 impl Exchange {
-    /// Submits a request; its outcome comes by the responder.
+    /// Submits a request. Its outcome is sent through `responder`.
     pub(crate) async fn submit(&self, request: Request, mut responder: Responder) -> SubmissionId {
         self.metrics.request_started();
         responder.count_in(self.metrics.clone(), request.class);
@@ -101,68 +98,69 @@
         id
     }
 
-    /// The client of a submission has disconnected or cancelled it, so it gets no answer.
+    /// Reports that the client of a submission has disconnected or cancelled it, so that it gets no answer.
     pub(crate) async fn cancelled(&self, id: SubmissionId) {
         self.send(DispatcherEvent::Cancelled(id)).await;
     }
 
-    /// A backend reports an event.
+    /// Reports an event of a backend.
     pub(crate) async fn report(&self, event: BackendEvent) {
         self.send(DispatcherEvent::Backend(event)).await;
     }
 
-    /// The shutdown notice has come: the process is stopped at `stops_at`.
+    /// Starts the drain after a shutdown notice: the process is stopped at `stops_at`.
     pub(crate) async fn drain(&self, stops_at: UnixTime) {
         self.send(DispatcherEvent::Drain(stops_at)).await;
     }
 
-    /// Operators turn maintenance mode on or off.
+    /// Turns maintenance mode on or off, as an operator requested.
     pub(crate) async fn set_maintenance(&self, on: bool) {
         self.send(DispatcherEvent::SetMaintenance(on)).await;
     }
 
-    /// The recovery of this node keeps clients off, or lets them come.
+    /// Reports whether this node is recovering. A recovering node takes no clients.
     pub(crate) async fn set_recovering(&self, on: bool) {
         self.send(DispatcherEvent::SetRecovering(on)).await;
     }
 
-    /// Other settings apply from now on. They must follow the present ones, and `digest` names them in decision records.
+    /// Applies new settings, which must be able to follow the present ones. `digest` identifies them in decision
+    /// records.
     pub(crate) async fn reconfigure(&self, settings: NamedSettings, digest: String) {
         self.send(DispatcherEvent::Reconfigure { settings: Box::new(settings), digest }).await;
     }
 
-    /// A successor process takes over. `updates` gets the whole state at first, then every change of it.
+    /// Starts a handover to a successor process. `updates` receives the whole state first, then each change of it.
     pub(crate) async fn begin_handover(&self, updates: mpsc::Sender<HandoverState>) {
         self.send(DispatcherEvent::BeginHandover(updates)).await;
     }
 
-    /// The successor process has ended.
+    /// Reports that the successor process has ended.
     pub(crate) async fn successor_lost(&self) {
         self.send(DispatcherEvent::SuccessorLost).await;
     }
 
-    /// The predecessor process has transferred its state, or a change of it.
+    /// Passes on the state of the predecessor process, or a change of it.
     pub(crate) async fn receive_state(&self, state: HandoverState) {
         self.send(DispatcherEvent::StateReceived(state)).await;
     }
 
-    /// The predecessor process reports nothing more.
+    /// Reports that the predecessor process transfers nothing more.
     pub(crate) async fn predecessor_done(&self) {
         self.send(DispatcherEvent::PredecessorDone).await;
     }
 
-    /// Counters of what this process has done.
+    /// Returns the metrics of this process.
     pub(crate) fn metrics(&self) -> &Metrics {
         &self.metrics
     }
 
-    /// What the dispatcher publishes of this node, to be watched.
+    /// Returns a receiver of the status that the dispatcher publishes for this node.
     pub(crate) fn status(&self) -> watch::Receiver<NodeStatus> {
         self.status.clone()
     }
 
     async fn send(&self, event: DispatcherEvent) {
-        // The dispatcher ends only with the process; then the event concerns nobody.
+        // The dispatcher ends only with the process, so an event that can no longer be sent has no recipient.
         let _ = self.events.send(event).await;
     }
 }
--- a/node/src/exchange/command.rs
+++ b/node/src/exchange/command.rs
@@ -1,4 +1,4 @@
-//! Commands of the dispatcher to the backends.
+//! Commands from the dispatcher to the backends.
 
 use std::rc::Rc;
 
@@ -14,16 +14,15 @@
     Run(Rc<Request>),
     /// Stop a run.
     Stop(TransactionId),
-    /// Give a run the reply to its call.
+    /// Pass the reply of a call to the run that waits for it.
     Resolve {
-        /// The attempt that runs.
+        /// Transaction id of the running attempt.
         txn: TransactionId,
-        /// The reply.
         reply: Bytes,
     },
-    /// Let a run go on without its call.
+    /// Let a run continue without the call that it waits for.
     Skip(TransactionId),
-    /// Report the gauges.
+    /// Report the values of the gauges.
     Gauges,
 }
 
@@ -32,13 +31,13 @@
 pub(crate) enum CallCommand {
     /// Make a call.
     Call {
-        /// The request that it is made for.
+        /// The request whose run needs the call.
         request: Rc<Request>,
-        /// The body that the run gave.
+        /// The body of the call, as the run supplied it.
         body: Bytes,
-        /// When the call is abandoned.
+        /// When the backend abandons the call.
         deadline: UnixTime,
     },
-    /// Abandon the call of a run, whose reply is not needed any more.
+    /// Abandon the call of a run, because its reply is no longer needed.
     Abandon(TransactionId),
 }
--- a/node/src/exchange/event.rs
+++ b/node/src/exchange/event.rs
@@ -1,4 +1,5 @@
-//! Events for the dispatcher: from frontends, backends, operators and the link to another process of this node.
+//! Events that the dispatcher receives from frontends, backends, operators and the handover link to another
+//! process of this node.
 
 use bytes::Bytes;
 use oakwind_settings::NamedSettings;
@@ -8,93 +9,93 @@
 use crate::clock::UnixTime;
 use crate::outcome::{Completion, IdempotencyRecord};
 
-/// An event for the dispatcher.
+/// An event that the dispatcher handles.
 #[derive(Debug)]
 pub(crate) enum DispatcherEvent {
     /// A frontend has read a request.
     Submitted(Submission),
-    /// The client of this submission has disconnected or cancelled it: its responder is void.
+    /// The client of this submission has disconnected or cancelled it: it must not be answered any more.
     Cancelled(SubmissionId),
-    /// A backend reports.
+    /// A backend has reported an event.
     Backend(BackendEvent),
-    /// The shutdown notice has come: the process is stopped at this time.
+    /// The shutdown notice has come. The process is stopped at this time.
     Drain(UnixTime),
-    /// Operators turn maintenance mode on or off.
+    /// An operator turns maintenance mode on or off.
     SetMaintenance(bool),
-    /// The recovery of this node keeps clients off, or lets them come.
+    /// Whether this node is recovering. A recovering node takes no clients.
     SetRecovering(bool),
-    /// Other settings apply from now on.
+    /// New settings apply from now on.
     Reconfigure {
-        /// The settings, which follow the present ones.
+        /// The new settings.
         settings: Box<NamedSettings>,
-        /// Their digest in decision records.
+        /// Digest that identifies the settings in decision records.
         digest: String,
     },
-    /// A successor process takes over; the state of this one is sent to it here.
+    /// A successor process takes over. The state of this process is sent to it through this queue.
     BeginHandover(mpsc::Sender<HandoverState>),
     /// The successor process has ended.
     SuccessorLost,
     /// The predecessor's state, or a change of it.
     StateReceived(HandoverState),
-    /// The predecessor process reports nothing more.
+    /// The predecessor process transfers nothing more.
     PredecessorDone,
 }
 
-/// What a process transfers to its successor: the whole idempotency table at first, then every change of it.
+/// State that a process transfers to its successor: the whole idempotency table first, then each change of it.
 #[derive(Debug, Default)]
 pub(crate) struct HandoverState {
-    /// Seeds the digests of bodies. Only the first transfer has it.
+    /// Seed of the body digests. Only the first transfer carries it; later ones have 0.
     pub(crate) digest_seed: u64,
-    /// Records of keys.
+    /// The records of all keys, or of the keys that changed.
     pub(crate) records: Vec<IdempotencyRecord>,
 }
 
-/// What backends report.
+/// An event that a backend reports.
 #[derive(Debug)]
 pub(crate) enum BackendEvent {
     /// The backend can run requests.
     Up {
-        /// It has only just started.
+        /// Whether the backend has only just started.
         cold: bool,
     },
     /// A run has ended.
     RunEnded {
-        /// The attempt that ran.
+        /// Transaction id of the attempt that ran.
         txn: TransactionId,
-        /// How it ended.
+        /// How the run ended.
         completion: Completion,
     },
-    /// A run waits for a call.
+    /// A run needs a call and waits for its reply.
     CallNeeded {
-        /// The attempt that runs.
+        /// Transaction id of the running attempt.
         txn: TransactionId,
         /// The body of the call.
         body: Bytes,
     },
     /// The call of a run has ended.
     CallEnded {
-        /// The attempt that runs.
+        /// Transaction id of the running attempt.
         txn: TransactionId,
         /// How the call ended.
         outcome: CallOutcome,
     },
-    /// The gauges, in the order of the settings.
+    /// Values of the gauges, in the order of the settings.
     Gauges(Vec<f64>),
 }
 
 /// How a call ended.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum CallOutcome {
-    /// With a reply.
+    /// The call returned this reply.
     Ok(Bytes),
-    /// It failed and may have had its effect.
+    /// The call failed and may have had its effect.
     Failed,
-    /// It was rejected: it never ran.
+    /// The call was rejected: it never ran.
     Rejected,
-    /// It ran out of time and may have had its effect.
+    /// The call timed out and may have had its effect.
     TimedOut,
-    /// Nobody was reached: it never ran.
+    /// No server could be reached: the call never ran.
     Unreachable,
-    /// Its connection broke; it may have had its effect.
+    /// The connection of the call broke; the call may have had its effect.
     CutOff,
 }
--- a/node/src/exchange/request.rs
+++ b/node/src/exchange/request.rs
@@ -1,4 +1,4 @@
-//! Requests and the right to answer them.
+//! Requests, their submission to the dispatcher, and the right to answer them.
 
 use std::fmt::{self, Display, Formatter};
 use std::rc::Rc;
@@ -12,13 +12,13 @@
 use crate::metrics::Metrics;
 use crate::outcome::{IdempotencyKey, RequestOutcome};
 
-/// Identifies one attempt on all connections: up to 16 hexadecimal digits, new with every attempt. What a peer sends in
-/// its place may be any bytes.
+/// Identifies one attempt on all connections: up to 16 hexadecimal digits, new with every attempt. An
+/// id that a peer sends may have any bytes.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct TransactionId(Bytes);
 
 impl TransactionId {
-    /// The id as it is written on connections.
+    /// Returns the id as it is sent on connections.
     pub(crate) fn as_bytes(&self) -> &[u8] {
         &self.0
     }
@@ -39,27 +39,24 @@
 /// One attempt of a request, as a frontend read it.
 #[derive(Debug, Clone)]
 pub(crate) struct Request {
-    /// Its transaction id.
     pub(crate) txn: TransactionId,
-    /// Its class.
     pub(crate) class: ClassId,
-    /// Its tenant.
     pub(crate) tenant: TenantId,
-    /// In keyed classes: the same for all attempts of one request.
+    /// Idempotency key, the same for all attempts of one request. Used in keyed classes only.
     pub(crate) key: Option<IdempotencyKey>,
     /// The client that sent it.
     pub(crate) caller: CallerId,
-    /// The work to expect, as time on one core.
+    /// Expected work, as time on one core; `None` if the client gave no hint.
     pub(crate) cost_hint: Option<Duration>,
-    /// Memory booked for it while it is open, in KB.
+    /// Memory that is reserved for the request while it is open, in KB.
     pub(crate) memory_kb: f64,
-    /// Its rank, from 0 to under 1.
+    /// Rank of the request, from 0 to under 1.
     pub(crate) rank: f64,
-    /// When it reached this machine.
+    /// When the request reached this machine.
     pub(crate) received_at: UnixTime,
-    /// When its client stops waiting.
+    /// When the client stops waiting for the answer.
     pub(crate) deadline: UnixTime,
-    /// Its body, as it was read.
+    /// Body of the request, as it was read.
     pub(crate) body: Bytes,
 }
 
@@ -67,35 +64,34 @@
 /// may submit the same one a second time.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct SubmissionId {
-    /// The request's transaction id.
+    /// Transaction id of the submitted request.
     pub(crate) txn: TransactionId,
     sequence: u64,
 }
 
 impl SubmissionId {
-    /// The submission of a transaction id that comes `sequence`th on this exchange.
+    /// Creates the id of the submission that is number `sequence` on this exchange.
     pub(super) fn new(txn: TransactionId, sequence: u64) -> Self {
         SubmissionId { txn, sequence }
     }
 }
 
-/// A request with the right to answer it.
+/// A submitted request, with the right to answer it.
 #[derive(Debug)]
 pub(crate) struct Submission {
-    /// The request.
     pub(crate) request: Rc<Request>,
-    /// By what its frontend cancels it.
+    /// Id by which the frontend cancels the submission.
     pub(crate) id: SubmissionId,
-    /// The right to answer it.
+    /// Sends the answer to the frontend.
     pub(crate) responder: Responder,
 }
 
-/// Identifies a request among those whose answers come by one queue.
+/// Identifies a request among those whose answers share one queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(crate) struct RequestTag(pub(crate) u64);
 
 impl RequestTag {
-    /// The tag that follows this one.
+    /// Returns the tag that follows this one.
     pub(crate) fn next(self) -> RequestTag {
         RequestTag(self.0 + 1)
     }
@@ -104,42 +100,43 @@
 /// The answer to a request, as its frontend receives it.
 #[derive(Debug)]
 pub(crate) struct Answer {
-    /// The request that it answers.
+    /// Tag of the request.
     pub(crate) tag: RequestTag,
-    /// What the request came to.
+    /// Outcome of the request.
     pub(crate) outcome: RequestOutcome,
 }
 
-/// Where the answer to a request is counted.
+/// The metrics, and the class, for which the answer to a request is counted.
 #[derive(Debug)]
 struct AnswerCounter {
     metrics: Rc<Metrics>,
     class: ClassId,
 }
 
-/// The right to give one request its outcome. Answering consumes it, so no request is answered twice. The answer has a
-/// place in the queue reserved from the start, so answering never waits.
+/// The right to answer one request. Answering consumes the responder, so no request is answered twice. A place
+/// in the answer queue is reserved from the start, so answering never waits.
 #[derive(Debug)]
 pub(crate) struct Responder {
     tag: RequestTag,
     permit: Option<mpsc::OwnedPermit<Answer>>,
-    /// Set when the request is submitted.
+    /// `None` until the request is submitted.
     counter: Option<AnswerCounter>,
 }
 
 impl Responder {
-    /// A responder that sends the answer with this tag to the queue, or `None` while the queue has no place to reserve.
+    /// Creates a responder that sends its answer, with this tag, to the queue `answers`. Returns `None` if the
+    /// queue has no free place to reserve.
     pub(crate) fn new(answers: &mpsc::Sender<Answer>, tag: RequestTag) -> Option<Self> {
         let permit = answers.clone().try_reserve_owned().ok()?;
         Some(Responder { tag, permit: Some(permit), counter: None })
     }
 
-    /// Counts the answer for a class.
+    /// Sets the metrics and the class for which the answer and the end of the request are counted.
     pub(super) fn count_in(&mut self, metrics: Rc<Metrics>, class: ClassId) {
         self.counter = Some(AnswerCounter { metrics, class });
     }
 
-    /// Gives the request its outcome.
+    /// Answers the request and counts the answer.
     pub(crate) fn answer(mut self, outcome: RequestOutcome) {
         if let Some(counter) = &self.counter {
             counter.metrics.request_answered(counter.class, &outcome);
--- a/node/src/exchange/status.rs
+++ b/node/src/exchange/status.rs
@@ -1,56 +1,56 @@
-//! What the dispatcher publishes of the node.
+//! The status of the node that the dispatcher publishes.
 
 use std::time::Duration;
 
 use crate::clock::UnixTime;
 
-/// The shutdown notice.
+/// A notice that the process is to be shut down.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct ShutdownNotice {
-    /// When the process is stopped.
+    /// When the process is going to be stopped.
     pub(crate) stops_at: UnixTime,
     /// When the notice came.
     pub(crate) noticed_at: UnixTime,
 }
 
-/// The state of the node, for all who accept, answer or report on its behalf.
+/// Status of the node, as read by the tasks that accept connections, answer health checks and report metrics.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct NodeStatus {
     /// Whether the admission module finds the node healthy; `None` until it has started.
     pub(crate) health: Option<bool>,
-    /// Operators have turned maintenance mode on.
+    /// Whether an operator has turned maintenance mode on.
     pub(crate) maintenance: bool,
-    /// The node is recovering and not ready for clients.
+    /// Whether the node is recovering and not ready for clients.
     pub(crate) recovering: bool,
-    /// The backend started cold and counts as warm from then on.
+    /// When the backend counts as warm; `None` if it did not start cold, or has not started.
     pub(crate) warm_at: Option<UnixTime>,
     /// Connections that are idle for this long are closed; `None` until the admission module has started.
     pub(crate) idle_timeout: Option<Duration>,
-    /// The shutdown notice, once it has come.
+    /// The shutdown notice; `None` until it has come.
     pub(crate) draining: Option<ShutdownNotice>,
-    /// A successor process serves new clients; this one answers what it has read.
+    /// Whether a successor process serves new clients. This one still answers the requests that it has read.
     pub(crate) handed_over: bool,
-    /// The predecessor's state is still to come.
+    /// Whether the predecessor's state has not been received yet.
     pub(crate) awaiting_state: bool,
-    /// The predecessor process is still there.
+    /// Whether the predecessor process may still be running.
     pub(crate) predecessor_alive: bool,
-    /// Requests that arrive are still read.
+    /// Whether requests that arrive are still read.
     pub(crate) accepting: bool,
-    /// After the shutdown notice: all open requests have their answers.
+    /// Whether, after the shutdown notice, all open requests have been answered.
     pub(crate) drained: bool,
 }
 
 /// How a process starts.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct StartMode {
-    /// A predecessor process is to transfer its state.
+    /// Whether a predecessor process is to transfer its state.
     pub(crate) awaiting_state: bool,
-    /// The node is recovering and not ready for clients.
+    /// Whether the node is recovering and not ready for clients.
     pub(crate) recovering: bool,
 }
 
 impl NodeStatus {
-    /// The status of a process that has only just started.
+    /// Returns the status of a process that has just started.
     pub(super) fn new(mode: StartMode) -> Self {
         let StartMode { awaiting_state, recovering } = mode;
         NodeStatus {
@@ -68,18 +68,18 @@
         }
     }
 
-    /// The answer to health checks.
+    /// Whether health checks are answered as healthy.
     pub(crate) fn healthy(&self) -> bool {
         self.health == Some(true) && !self.maintenance && !self.recovering
     }
 
-    /// Whether requests can be served: the admission module has started, the predecessor's state is known, and this
-    /// process is not to leave.
+    /// Whether requests can be served: the admission module has started, the predecessor's state has been received,
+    /// and this process neither hands over nor drains.
     pub(crate) fn is_serving(&self) -> bool {
         self.health.is_some() && !self.awaiting_state && !self.handed_over && self.draining.is_none()
     }
 
-    /// Whether two processes are this node at present.
+    /// Whether another process, a predecessor or a successor, runs for this node beside this one.
     pub(crate) fn shares_node(&self) -> bool {
         self.handed_over || self.predecessor_alive
     }
--- a/node/src/outcome.rs
+++ b/node/src/outcome.rs
@@ -1,71 +1,71 @@
-//! What requests, runs and idempotency keys come to: the types that the dispatcher, the frontends, the backends and the
-//! stores share. This module depends on none of them.
+//! Outcomes of requests, runs and idempotency keys: the types that the dispatcher, the frontends, the backends
+//! and the stores share. This module depends on none of them.
 
 use std::hash::Hasher;
 use std::time::Duration;
 
 use bytes::Bytes;
-/// How long an expired key is kept for attempts that are read late, and the longest result that is stored, in bytes: the
-/// same for every store.
+/// Time for which an expired key is kept for attempts that are read late, and length of the longest result that
+/// is stored, in bytes. Both are the same for every store.
 pub(crate) use oakwind_fleet::{LATE_READ_GRACE, MAX_RESULT_BYTES};
 use siphasher::sip::SipHasher13;
 
 use crate::clock::UnixTime;
 
-/// Names one request across all its attempts and all classes. The class is no part of it, as a class may be renamed
+/// Identifies one request across all its attempts. The class is not part of the key, because a class may be renamed
 /// between two attempts and the request must not run a second time.
 pub(crate) type IdempotencyKey = Bytes;
 
-/// Digest of a request's body, by the seed of the process that first saw its key.
+/// Digest of a request's body, computed with the seed of the process that first received its key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct BodyDigest(pub(crate) u64);
 
-/// The one final answer to a request.
+/// The final answer to a request; each request gets one.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum RequestOutcome {
-    /// Served, with the result of a run.
+    /// The request was served with this result of a run.
     Served(Bytes),
-    /// Rejected: this attempt never ran.
+    /// The request was rejected: this attempt never ran.
     Rejected {
-        /// How long the caller should wait before it tries again.
+        /// Time that the caller should wait before it tries again; `None` if no wait is advised.
         retry_after: Option<Duration>,
-        /// The caller is asked not to try another node.
+        /// Whether the caller is asked not to try another node.
         give_up: bool,
     },
-    /// Failed; it may have had its effect.
+    /// The request failed and may have had its effect.
     Failed {
-        /// The request ran out of time.
+        /// Whether the request ran out of time.
         timed_out: bool,
     },
-    /// Its key came with another body before; nothing ran for it.
+    /// The request's key has been used with another body; no run was started for this request.
     BodyMismatch,
 }
 
 /// How a run ended.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum Completion {
-    /// With a result.
+    /// The run ended with this result.
     Succeeded(Bytes),
-    /// With an error; it may have had its effect.
+    /// The run ended with an error and may have had its effect.
     Failed,
-    /// It was stopped, or ended at a call, because its request was over.
+    /// The run was stopped, or ended at a call, because its request had already ended.
     Cancelled,
-    /// The backend started nothing, because the request was over.
+    /// The backend did not start the run, because its request had already ended.
     Skipped,
-    /// It provably never started: no server accepted it.
+    /// The run provably never started: no server accepted it.
     NeverStarted,
 }
 
-/// The state of a key's run, as one process reports it to the next.
+/// The state of a key's run, as a process reports it to its successor.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum RunState {
-    /// It runs, or may still start.
+    /// The run is in progress or may still start.
     Pending,
-    /// It ended with this result.
+    /// The run ended with this result.
     Succeeded(Bytes),
-    /// It failed and may have had its effect.
+    /// The run failed and may have had its effect.
     Failed,
-    /// It provably never started, so the key is free.
+    /// The run provably never started, so the key is free.
     NeverStarted,
 }
 
@@ -79,32 +79,30 @@
     }
 }
 
-/// All that one process tells another, or a store, of a key.
+/// The record of a key, as it is transferred to another process or recovered from a store.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct IdempotencyRecord {
-    /// The key.
     pub(crate) key: IdempotencyKey,
     /// Digest of the body that its attempts carry.
     pub(crate) body_digest: BodyDigest,
-    /// When the key expires.
     pub(crate) expires_at: UnixTime,
-    /// The state of its run.
+    /// State of the key's run.
     pub(crate) state: RunState,
 }
 
-/// What is stored of a run that is over.
+/// The outcome of an ended run that is stored for its key.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum StoredOutcome {
-    /// Its result.
+    /// The run ended with this result.
     Succeeded(Bytes),
-    /// It failed and may have had its effect.
+    /// The run failed and may have had its effect.
     Failed,
-    /// It provably never started.
+    /// The run provably never started.
     NeverStarted,
 }
 
 impl StoredOutcome {
-    /// The outcome in a reported state, or `None` while the run is pending.
+    /// Converts a reported state; returns `None` while the run is pending.
     pub(crate) fn from_run_state(state: RunState) -> Option<Self> {
         match state {
             RunState::Pending => None,
@@ -115,7 +113,8 @@
     }
 }
 
-/// The digest of a key or a body. Processes exchange digests, so it is the same in every release.
+/// Returns the digest of a key or a body. Processes exchange digests, so the algorithm must not change
+/// between releases.
 pub(crate) fn digest(seed: u64, bytes: &[u8]) -> u64 {
     let mut hasher = SipHasher13::new_with_keys(seed, 0);
     hasher.write(bytes);
--- a/node/src/run_gate.rs
+++ b/node/src/run_gate.rs
@@ -1,9 +1,9 @@
-//! The run gate: the one seam between the dispatcher and everything that keeps idempotency keys beyond this process. The
-//! dispatcher asks it whether a run may start, and reports to it that a run has ended.
+//! The run gate: the only interface between the dispatcher and the stores that keep idempotency keys outside
+//! this process. The dispatcher asks it whether a run may start, and reports the end of each run to it.
 //!
-//! Behind it stand the result store on disk and the peer nodes: either, both or neither. A run starts only once each of
-//! them has recorded that, and its end is reported only once each has stored it. Without either everything is granted
-//! at once.
+//! The stores are the result store on disk and the peer nodes: either, both or neither. A run starts only once
+//! each of them has recorded the start, and its end is reported only once each has stored it. Without either,
+//! every run is granted at once.
 
 mod event;
 mod keyed_run;
@@ -25,17 +25,17 @@
 pub(crate) use keyed_run::KeyedRun;
 use pending::{Approval, PendingRun, PendingRuns};
 
-/// Everything that keeps keys beyond the process, if anything does.
+/// The stores that keep idempotency keys outside this process, if any are configured.
 #[derive(Default)]
 pub(crate) struct RunGate {
     store: Option<ResultStore>,
     peers: Option<Peers>,
-    /// Runs that wait for the store or the peers. As many as there are runs, at most.
+    /// Runs that wait for the store or the peers. Bounded by the number of runs.
     pending: PendingRuns,
 }
 
 impl RunGate {
-    /// A run gate with a store, peers, both or neither.
+    /// Creates a run gate with a store, peers, both or neither.
     pub(crate) fn new(store: Option<ResultStore>, peers: Option<Peers>) -> Self {
         RunGate { store, peers, pending: PendingRuns::default() }
     }
@@ -52,23 +52,24 @@
         }
     }
 
-    /// Whether keys outlast the process, and results are kept for as long as their keys.
+    /// Whether keys outlast the process. Results are then kept until their keys expire.
     pub(crate) fn is_durable(&self) -> bool {
         self.store.is_some() || self.peers.is_some()
     }
 
-    /// The version of the membership configuration; 0 without peers.
+    /// Returns the version of the membership configuration; 0 without peers.
     pub(crate) fn membership_version(&self) -> ConfigVersion {
         self.peers.as_ref().map(|peers| peers.metrics.membership_version.get()).unwrap_or_default()
     }
 
-    /// Whether a key that is not known may have run, as its record in the store may be damaged.
+    /// Whether a key that is not in the idempotency table may have run, because its record in the store may
+    /// be damaged.
     pub(crate) fn may_have_run(&self, key: &[u8], now: UnixTime) -> bool {
         self.store.as_ref().is_some_and(|store| store.uncertain_keys.contains(key, now))
     }
 
-    /// Acquires the store and the place in the fleet from another process of this node, once that releases them. Where the
-    /// keys are to come from the store, [`GateEvent::Recovered`] reports them.
+    /// Acquires the store and the place in the fleet from another process of this node, once that process releases
+    /// them. With [`KeySource::Store`], [`GateEvent::Recovered`] reports the keys.
     pub(crate) fn acquire_stores(&mut self, keys: KeySource) {
         if let Some(store) = &mut self.store {
             store.open_after_predecessor(keys);
@@ -79,7 +80,7 @@
         }
     }
 
-    /// The predecessor process has ended, whether or not it released anything.
+    /// Takes over from a predecessor process that has ended, whether or not it released its stores.
     pub(crate) fn predecessor_ended(&self) {
         if let Some(peers) = &self.peers {
             peers.activate();
@@ -87,7 +88,8 @@
         }
     }
 
-    /// Releases the store and the place in the fleet to the successor process. These runs may still start here.
+    /// Releases the store and the place in the fleet to the successor process. `runs` may still start here,
+    /// so they are recorded as started first.
     pub(crate) fn release_stores(&mut self, runs: &[KeyedRun]) {
         for run in runs {
             self.write(run, RecordState::Started, Bytes::new());
@@ -100,7 +102,7 @@
         }
     }
 
-    /// Asks whether a run may start. An attempt without a key always may.
+    /// Decides whether a run may start. The run of an attempt without a key (`None`) always may.
     pub(crate) fn authorize_run(&mut self, run: Option<KeyedRun>) -> Authorization {
         let Some(run) = run.filter(|_| self.is_durable()) else { return Authorization::Granted };
         let store = self.write(&run, RecordState::Started, Bytes::new());
@@ -119,7 +121,7 @@
         }
     }
 
-    /// Asks the peers to grant a run.
+    /// Claims a run from the peers.
     fn claim(&self, run: &KeyedRun) -> Approval {
         let Some(peers) = &self.peers else { return Approval::Granted };
         let Some(request) = &run.request else { return Approval::Denied };
@@ -133,7 +135,7 @@
         }))
     }
 
-    /// Stores how a run has ended. Returns the completion that may be reported, or `None` if a
+    /// Stores how a run has ended. Returns the completion if it may be reported now, or `None` if a
     /// [`GateEvent::Completed`] or [`GateEvent::OutcomeUnknown`] follows.
     pub(crate) fn run_completed(
         &mut self,
@@ -142,7 +144,7 @@
     ) -> Option<Completion> {
         let Some(run) = run.filter(|_| self.is_durable()) else { return Some(completion) };
         let outcome = match &completion {
-            // What is stored outlives the buffer that the result was read into.
+            // Copied, because the stored result outlives the buffer that it was read into.
             Completion::Succeeded(result) => StoredOutcome::Succeeded(Bytes::copy_from_slice(result)),
             _ => StoredOutcome::Failed,
         };
@@ -158,7 +160,7 @@
         }
     }
 
-    /// Has the peers keep the outcome of a run.
+    /// Replicates the outcome of a run to the peers.
     fn replicate(&self, id: RequestId, outcome: StoredOutcome) -> Approval {
         let Some(peers) = &self.peers else { return Approval::Granted };
         match outcome {
@@ -166,14 +168,15 @@
                 Approval::requested(peers.run_finished(id, RunResult::Succeeded(result)))
             }
             StoredOutcome::Failed | StoredOutcome::NeverStarted => {
-                // Nobody waits for that, as a failure promises nothing.
+                // The answer to the client does not wait for the peers, because a failure makes no promise
+                // about the run.
                 peers.run_finished(id, RunResult::Failed);
                 Approval::Granted
             }
         }
     }
 
-    /// Stores how a run of the predecessor process ended. Returns true if a [`GateEvent::Completed`] follows.
+    /// Stores how a run of the predecessor process ended. Returns whether a [`GateEvent::Completed`] follows.
     pub(crate) fn predecessor_run_completed(&mut self, run: KeyedRun, outcome: &StoredOutcome) -> bool {
         let completion = match outcome {
             StoredOutcome::Succeeded(result) => Completion::Succeeded(result.clone()),
@@ -193,14 +196,14 @@
         true
     }
 
-    /// A run never started and never will.
+    /// Reports to the peers that a run never started and never will.
     pub(crate) fn run_never_started(&mut self, id: RequestId) {
         if let Some(peers) = &self.peers {
             peers.run_never_started(id);
         }
     }
 
-    /// Stores the outcome of a run for which nobody waits.
+    /// Stores the outcome of a run without reporting when that is done.
     pub(crate) fn store_outcome(&mut self, run: &KeyedRun, outcome: &StoredOutcome) {
         if *outcome == StoredOutcome::NeverStarted {
             self.run_never_started(run.id);
@@ -217,7 +220,7 @@
         }
     }
 
-    /// Writes a record to the store. Without a store, or while another process has it, there is nothing to wait for.
+    /// Writes a record to the store. The approval is granted without a store, or while another process has it.
     fn write(&self, run: &KeyedRun, state: RecordState, result: Bytes) -> Approval {
         let writer = self.store.as_ref().and_then(|store| store.writer.as_ref());
         let Some(writer) = writer else { return Approval::Granted };
@@ -225,7 +228,7 @@
         Approval::requested(writer.write(run.id, record))
     }
 
-    /// The next event. It never comes where nothing is kept beyond the process.
+    /// Waits for the next event. It never comes if neither a store nor peers are configured.
     pub(crate) async fn next_event(&mut self) -> GateEvent {
         loop {
             let RunGate { store, peers, .. } = self;
@@ -260,7 +263,7 @@
             StoreEvent::Opened(recovered) => {
                 let store = self.store.as_mut()?;
                 store.uncertain_keys = recovered.uncertain_keys;
-                // Otherwise the predecessor has transferred all this, and more of late.
+                // With `KeySource::Predecessor` the predecessor has transferred these keys, and newer ones as well.
                 (store.key_source == KeySource::Store).then_some(GateEvent::Recovered(recovered.keys))
             }
         }
@@ -275,7 +278,7 @@
                 self.pending.waiting_to_start(id)?.peers = Approval::of(outcome == ClaimOutcome::Granted);
                 self.resolve(id)
             }
-            // The dispatcher knows already that it waits for another node's run.
+            // The run is not waiting to start: `AwaitingRemoteRun` has been reported for this attempt before.
             ClaimOutcome::Rejected(_) => {
                 Some(GateEvent::RemoteOutcome { id, outcome: StoredOutcome::NeverStarted })
             }
@@ -307,14 +310,14 @@
         }
     }
 
-    /// A run that waited does not start here: the store records that its key is free.
+    /// Cancels a run that waits to start, and records in the store that it never started, so that its key is free.
     fn cancel_start(&mut self, id: RequestId) {
         if let Some(run) = self.pending.remove(id) {
             self.write(&run, RecordState::NeverStarted, Bytes::new());
         }
     }
 
-    /// The event of a run for which nothing is pending any more, or which has been denied.
+    /// Returns the event of a run once neither store nor peers are awaited for it, or one of them has denied it.
     fn resolve(&mut self, id: RequestId) -> Option<GateEvent> {
         let resolved = self.pending.remove_resolved(id)?;
         let denied = resolved.is_denied();
--- a/node/src/run_gate/event.rs
+++ b/node/src/run_gate/event.rs
@@ -1,4 +1,4 @@
-//! The answers of the run gate: at once, or later as events.
+//! Answers of the run gate, given at once or later as events.
 
 use oakwind_admission::RequestId;
 
@@ -7,44 +7,45 @@
 /// Whether a run may start.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum Authorization {
-    /// It may.
+    /// The run may start now.
     Granted,
-    /// It may not, and never will.
+    /// The run must not start, now or later.
     Denied,
-    /// A [`GateEvent`] follows.
+    /// The decision follows as a [`GateEvent`].
     Pending,
 }
 
-/// What the run gate reports later, as it could not be known at once.
+/// An answer of the run gate that depends on the store or the peers.
 #[derive(Debug)]
 pub(crate) enum GateEvent {
-    /// Whether the run of an attempt may start.
+    /// The decision whether the run of an attempt may start.
     Authorized {
-        /// The attempt.
+        /// Id of the attempt.
         id: RequestId,
-        /// If not, the run has never started.
+        /// Whether the run may start. If not, it has never started.
         granted: bool,
     },
-    /// The run must not start, as another node may run its key. The outcome of that follows.
+    /// The run must not start, because another node may run its key. The outcome of that run follows.
     AwaitingRemoteRun(RequestId),
     /// The outcome of another node's run of the key; the run must not start.
     RemoteOutcome {
-        /// The attempt.
+        /// Id of the attempt.
         id: RequestId,
-        /// The outcome.
+        /// Outcome of the other node's run.
         outcome: StoredOutcome,
     },
-    /// The outcome of another node's run is not known in time, or too few replicas have the result of the own run.
+    /// The outcome of another node's run did not become known in time, or too few replicas stored the result of this
+    /// node's run.
     OutcomeUnknown(RequestId),
-    /// The key came with another body before.
+    /// The key of the attempt has been used with another body.
     BodyMismatch(RequestId),
-    /// The run has ended so, and that is stored.
+    /// The run has ended, and its end may be reported now.
     Completed {
-        /// The attempt.
+        /// Id of the attempt.
         id: RequestId,
-        /// How it ended.
+        /// How the run ended; failed if its end could not be stored.
         completion: Completion,
     },
-    /// What the store had from earlier processes.
+    /// The records that the store kept from earlier processes.
     Recovered(Vec<IdempotencyRecord>),
 }
--- a/node/src/run_gate/keyed_run.rs
+++ b/node/src/run_gate/keyed_run.rs
@@ -1,4 +1,4 @@
-//! The run of an attempt that holds a key, as the run gate is asked about it.
+//! The run of an attempt that holds a key, as described to the run gate.
 
 use std::rc::Rc;
 
@@ -11,14 +11,12 @@
 /// The run of an attempt that holds a key.
 #[derive(Debug, Clone)]
 pub(crate) struct KeyedRun {
-    /// The attempt.
+    /// Id of the attempt.
     pub(crate) id: RequestId,
-    /// Its request; none where another process of this node had it.
+    /// The request; `None` if another process of this node received it.
     pub(crate) request: Option<Rc<Request>>,
-    /// Its key.
     pub(crate) key: IdempotencyKey,
-    /// Digest of its body.
+    /// Digest of the request's body.
     pub(crate) body_digest: BodyDigest,
-    /// When the key expires.
     pub(crate) expires_at: UnixTime,
 }
--- a/node/src/run_gate/pending.rs
+++ b/node/src/run_gate/pending.rs
@@ -1,4 +1,4 @@
-//! Runs that wait for the store or the peers, and how the approvals of the two are combined.
+//! Runs that wait for the store or the peers, and the combination of their approvals.
 
 use std::collections::HashMap;
 
@@ -7,19 +7,19 @@
 use super::keyed_run::KeyedRun;
 use crate::outcome::Completion;
 
-/// The answer of the store or of the peers to one question.
+/// Answer of the store, or of the peers, on the start or the end of one run.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum Approval {
-    /// It agrees, is not configured, or was not asked.
+    /// It has recorded the run, is not configured, or was not asked.
     Granted,
-    /// It will answer.
+    /// It has been asked and will answer.
     Pending,
-    /// It does not agree.
+    /// It has not recorded the run.
     Denied,
 }
 
 impl Approval {
-    /// The approval in an answer.
+    /// Returns the approval that an answer expresses.
     pub(super) fn of(agrees: bool) -> Self {
         if agrees {
             Approval::Granted
@@ -28,7 +28,7 @@
         }
     }
 
-    /// The approval after a request: pending, or denied if the request could not be queued.
+    /// Returns the approval after a request: pending, or denied if the request could not be queued.
     pub(super) fn requested(queued: bool) -> Self {
         if queued {
             Approval::Pending
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Both approvals in one: it is pending as long as either is.
+    /// Combines both approvals: pending while either is pending, then denied if either is denied.
     pub(super) fn and(self, other: Approval) -> Self {
         match (self, other) {
             (Approval::Pending, _) | (_, Approval::Pending) => Approval::Pending,
@@ -51,57 +51,57 @@
 #[derive(Debug)]
 pub(super) struct PendingRun {
     pub(super) run: KeyedRun,
-    /// How it ended; `None` if it waits to start.
+    /// How the run ended; `None` if it waits to start.
     pub(super) completion: Option<Completion>,
     pub(super) store: Approval,
     pub(super) peers: Approval,
 }
 
 impl PendingRun {
-    /// Whether the store or the peers have denied it.
+    /// Whether the store or the peers have denied the run.
     pub(super) fn is_denied(&self) -> bool {
         self.store == Approval::Denied || self.peers == Approval::Denied
     }
 
-    /// Whether nothing more is awaited: one denial is enough.
+    /// Whether no answer is awaited any more: both have granted the run, or either has denied it.
     fn is_resolved(&self) -> bool {
         self.is_denied() || (self.store == Approval::Granted && self.peers == Approval::Granted)
     }
 }
 
-/// The pending runs by their attempts.
+/// The pending runs, indexed by their attempts.
 #[derive(Debug, Default)]
 pub(super) struct PendingRuns {
     by_attempt: HashMap<RequestId, PendingRun>,
 }
 
 impl PendingRuns {
-    /// Has a run wait. It replaces an earlier entry of its attempt.
+    /// Adds a pending run, replacing an earlier one of the same attempt.
     pub(super) fn insert(&mut self, pending: PendingRun) {
         self.by_attempt.insert(pending.run.id, pending);
     }
 
-    /// The run of an attempt, if it waits to start.
+    /// Returns the run of an attempt, if it waits to start.
     pub(super) fn waiting_to_start(&mut self, id: RequestId) -> Option<&mut PendingRun> {
         self.by_attempt.get_mut(&id).filter(|pending| pending.completion.is_none())
     }
 
-    /// The run of an attempt, if it waits to be reported as completed.
+    /// Returns the run of an attempt, if it waits to be reported as completed.
     pub(super) fn waiting_to_complete(&mut self, id: RequestId) -> Option<&mut PendingRun> {
         self.by_attempt.get_mut(&id).filter(|pending| pending.completion.is_some())
     }
 
-    /// The run of an attempt, if it waits for the store.
+    /// Returns the run of an attempt, if it waits for the store.
     pub(super) fn waiting_for_store(&mut self, id: RequestId) -> Option<&mut PendingRun> {
         self.by_attempt.get_mut(&id).filter(|pending| pending.store == Approval::Pending)
     }
 
-    /// Removes the run of an attempt, whatever it waits for.
+    /// Removes the run of an attempt, whether or not answers are awaited for it.
     pub(super) fn remove(&mut self, id: RequestId) -> Option<KeyedRun> {
         self.by_attempt.remove(&id).map(|pending| pending.run)
     }
 
-    /// Removes the run of an attempt if nothing more is awaited for it.
+    /// Removes the run of an attempt if no answer is awaited for it any more.
     pub(super) fn remove_resolved(&mut self, id: RequestId) -> Option<PendingRun> {
         if self.by_attempt.get(&id)?.is_resolved() {
             self.by_attempt.remove(&id)
--- a/node/src/run_gate/pending/tests.rs
+++ b/node/src/run_gate/pending/tests.rs
@@ -7,7 +7,7 @@
 
 const ID: RequestId = RequestId(1);
 
-/// One run that waits with these approvals.
+/// A table of pending runs with one run in this state.
 fn pending(completion: Option<Completion>, store: Approval, peers: Approval) -> PendingRuns {
     let run = KeyedRun {
         id: ID,
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_run_is_resolved_once_both_have_granted_it() {
+fn a_run_is_resolved_once_the_store_and_the_peers_have_granted_it() {
     let mut runs = pending(None, Approval::Pending, Approval::Pending);
     runs.waiting_for_store(ID).unwrap().store = Approval::Granted;
     assert!(runs.remove_resolved(ID).is_none());
@@ -47,14 +47,14 @@
 }
 
 #[test]
-fn one_denial_of_a_run_resolves_it_though_the_other_is_pending() {
+fn one_denial_resolves_a_run_while_the_other_approval_is_pending() {
     let mut runs = pending(None, Approval::Pending, Approval::Pending);
     runs.waiting_for_store(ID).unwrap().store = Approval::Denied;
     assert!(runs.remove_resolved(ID).unwrap().is_denied());
 }
 
 #[test]
-fn a_run_waits_to_start_until_it_has_ended_and_to_complete_after_that() {
+fn a_run_waits_to_start_without_a_completion_and_to_complete_with_one() {
     let mut runs = pending(None, Approval::Granted, Approval::Pending);
     assert!(runs.waiting_to_start(ID).is_some() && runs.waiting_to_complete(ID).is_none());
     let mut runs = pending(Some(Completion::Failed), Approval::Granted, Approval::Pending);
