--- a/fleet/src/replica_node.rs
+++ b/fleet/src/replica_node.rs
@@ -1,8 +1,8 @@
-//! The state machine of one node: membership, failure detection, the replica table, the claims of its own
-//! attempts and state transfer, put together.
+//! The state machine of one node. It combines membership, failure detection, the replica table, the claims
+//! of the node's own attempts and state transfer.
 //!
-//! An [`Event`] goes in with the time, [`Action`]s come out. Messages that a node sends to itself do not
-//! leave it.
+//! [`ReplicaNode::handle`] takes an [`Event`] and the current time, and emits the resulting [`Action`]s.
+//! Messages that a node sends to itself are delivered within the call.
 
 mod configs;
 mod event;
@@ -35,25 +35,25 @@
 pub use metrics::ReplicaMetrics;
 pub use notification::Notification;
 
-/// The longest time between two [`Event::Tick`]s.
+/// Maximum interval between two [`Event::Tick`]s.
 pub const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// A node that received no event for this long was suspended.
+/// A gap between two events that is longer than this means that the process was suspended.
 const SUSPENSION_THRESHOLD: Duration = Duration::from_secs(1);
 
-/// Whether this process takes part in the fleet.
+/// Whether this process participates in the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Participation {
     Active,
-    /// A successor process has taken over.
+    /// A successor process of this node has taken over.
     Deactivated,
-    /// Another process runs under the same name.
+    /// Another process runs under this node's name.
     Superseded,
 }
 
-/// The backend of the node.
+/// The node's backend, which has started.
 #[derive(Debug, Clone, Copy)]
 struct Backend {
-    /// When its cores are warm, if they started cold.
+    /// When the cores are warm; `None` if they did not start cold.
     warm_at: Option<Time>,
 }
 
@@ -71,33 +71,34 @@
     state_transfer: StateTransfer,
     donor: Donor,
     staleness: StalenessTracker,
-    /// When this incarnation began.
+    /// When this incarnation began, on this process's clock.
     incarnation_began_at: Time,
     recovery: RecoveryStages,
-    /// The backend, once it runs.
+    /// The backend; `None` until it has started.
     backend: Option<Backend>,
-    /// The position of the state that was restored, while this incarnation relies on it.
+    /// Position of the restored state; `None` if this incarnation does not rely on restored state.
     restored: Option<StatePosition>,
     participation: Participation,
-    /// Operators were told that state was lost.
+    /// Whether the loss of state was reported in this incarnation.
     reported_state_loss: bool,
     has_quorum: bool,
-    /// Whether a majority was heard in this incarnation: before that, no peer relies on its number.
+    /// Whether a majority was heard in this incarnation. Before that, no peer relies on the incarnation's
+    /// number.
     had_quorum: bool,
     predecessor_alive: bool,
     last_event_at: Time,
-    /// Messages of this node to itself.
+    /// Messages from this node to itself that are not delivered yet.
     loopback: VecDeque<Message>,
     last_sequence: StoreSequence,
-    /// Responses that are sent once a change is stored.
+    /// Responses that must not be sent before a change is stored, by the change's number.
     awaiting_store: BTreeMap<StoreSequence, Vec<Response>>,
-    /// Peers with a configuration that conflicts with an active one.
+    /// Peers that have a configuration which conflicts with an active one of this node.
     conflicting_peers: BTreeSet<NodeId>,
     metrics: ReplicaMetrics,
 }
 
 impl ReplicaNode {
-    /// Creates a node that starts now with this configuration.
+    /// Creates a node that starts at `now` with this configuration.
     pub fn new(settings: Settings, config: Arc<MembershipConfig>, now: Time) -> ReplicaNode {
         let id = NodeId::of(&settings.name);
         let Settings { name, incarnation, seed, transfer_bytes_per_s, restored, is_durable, .. } = settings;
@@ -143,7 +144,7 @@
         self.configs.all_members().into_iter().filter(|node| *node != self.id).collect()
     }
 
-    /// Returns the message with which the node introduces itself to another one.
+    /// Returns the message with which the node introduces itself to node `to`.
     pub fn hello(&self, to: NodeId) -> Hello {
         Hello {
             name: self.name.clone(),
@@ -157,7 +158,7 @@
         }
     }
 
-    /// Returns the position of the node's state, which is to be stored with it.
+    /// Returns the current position of the node's state, which is stored along with the state.
     pub fn position(&self) -> StatePosition {
         let uptime = self.last_event_at.saturating_sub(self.incarnation_began_at);
         StatePosition { incarnation: self.incarnation, uptime_seconds: uptime.as_secs() }
@@ -173,7 +174,7 @@
         self.incarnation
     }
 
-    /// Returns the active configurations.
+    /// Returns the membership configurations that are active at this node.
     pub fn configs(&self) -> &ActiveConfigs {
         &self.configs
     }
@@ -183,7 +184,8 @@
         &self.table
     }
 
-    /// Whether the node makes and grants claims: it takes part, and hears a majority of the members.
+    /// Whether the node makes and grants claims: its process is active and has heard a majority of the
+    /// members.
     pub fn has_quorum(&self) -> bool {
         self.has_quorum && self.participation == Participation::Active
     }
@@ -193,7 +195,7 @@
         self.table.is_complete()
     }
 
-    /// Returns the number of donors of whose tables a part is still to come.
+    /// Returns the number of donors whose tables are not transferred in full yet.
     pub fn open_donors(&self) -> usize {
         self.state_transfer.open_donors()
     }
@@ -203,17 +205,17 @@
         self.failure_detector.counts()
     }
 
-    /// Returns what the node has done.
+    /// Returns the node's counters.
     pub fn metrics(&self) -> ReplicaMetrics {
         self.metrics
     }
 
-    /// Returns the number of open claims of its own attempts.
+    /// Returns the number of open claims of the node's own attempts.
     pub fn open_claims(&self) -> usize {
         self.claims.open_claims()
     }
 
-    /// Returns how long it takes at most until the node can vote for every key.
+    /// Returns the longest time until the node can vote for every key; zero if it can.
     pub fn time_until_complete(&self, now: Time) -> Duration {
         self.table.time_until_complete(now, &self.configs).unwrap_or_default()
     }
@@ -223,7 +225,7 @@
         self.recovery.stage()
     }
 
-    /// Handles an event.
+    /// Handles an event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         let since_last_event = now.saturating_sub(self.last_event_at);
         self.last_event_at = self.last_event_at.max(now);
@@ -231,8 +233,8 @@
             self.resume(since_last_event, out);
         }
         if self.participation == Participation::Active {
-            // If a successor has the store, peers must not hear of a later position than what is stored
-            // there.
+            // Once a successor process owns the store, peers must not be told a later position than the one
+            // that is stored.
             self.failure_detector.set_uptime(self.position().uptime_seconds);
         }
         self.handle_event(now, event, out);
@@ -307,8 +309,8 @@
         self.failure_detector.liveness(node) == Liveness::Alive
     }
 
-    /// The node hears a quorum once it has heard a majority of the newest configuration's members, itself
-    /// among them.
+    /// Sets `has_quorum` once a majority of the newest configuration's members has been heard. This node
+    /// counts as heard.
     fn check_quorum(&mut self, out: &mut Vec<Action>) {
         if self.has_quorum {
             return;
--- a/fleet/src/replica_node/configs.rs
+++ b/fleet/src/replica_node/configs.rs
@@ -1,5 +1,4 @@
-//! How a node adopts membership configurations, from operators and from peers, and what follows when they
-//! change.
+//! Adoption of membership configurations from operators and from peers.
 
 use std::sync::Arc;
 
@@ -23,7 +22,8 @@
         }
     }
 
-    /// Applies a change of the active configurations.
+    /// Applies a change of the active configurations to the failure detector, state transfers and open
+    /// claims, and announces it to the peers.
     pub(super) fn apply_configs(&mut self, now: Time, out: &mut Vec<Action>) {
         let others = self.other_members();
         self.failure_detector.set_members(&self.configs.all_members());
@@ -40,7 +40,8 @@
         out.push(Action::SendHello);
     }
 
-    /// Compares the configurations that are active at a peer with those that are active here.
+    /// Compares the peer's active configurations with this node's. Retires those that the peer has retired,
+    /// and requests those that are missing here.
     pub(super) fn compare_configs(&mut self, now: Time, from: NodeId, hello: &Hello, out: &mut Vec<Action>) {
         if let Some(newest) = hello.configs.last() {
             self.configs.record_adopted(from, newest.version);
@@ -52,7 +53,8 @@
         let retired_through = self.configs.retired_through();
         let has_retired = hello.configs.iter().any(|signature| signature.version <= retired_through);
         if hello.configs.len() > 1 && has_retired {
-            // The peer would not grant claims that are not made in the configuration that is retired here.
+            // As long as a configuration that is retired here is active at the peer, the peer does not grant
+            // this node's claims. The hello makes the peer retire it too.
             let hello = Message::Hello(self.hello(from));
             self.send(from, hello, out);
         }
@@ -74,7 +76,7 @@
         if self.conflicting_peers.contains(&from) {
             return;
         }
-        // The peer's own configuration is valid; what else arrives is ignored.
+        // The active configurations of a peer are valid. An invalid one is ignored.
         let Ok(config) = MembershipConfig::new(spec) else { return };
         let version = config.version();
         if self.configs.add_from_peer(Arc::new(config)) {
--- a/fleet/src/replica_node/event.rs
+++ b/fleet/src/replica_node/event.rs
@@ -1,4 +1,4 @@
-//! What goes into a node's state machine, and what comes out.
+//! Settings, input events and output actions of a node's state machine.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,100 +15,101 @@
 use crate::replication::replica_table::StoredRecord;
 use crate::Time;
 
-/// How a node starts.
+/// Settings with which a node starts.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Its name.
+    /// The node's name, which is unique in the fleet.
     pub name: String,
-    /// Its incarnation; higher than all before it, as far as is known.
+    /// The node's incarnation, higher than all earlier ones as far as is known.
     pub incarnation: Incarnation,
-    /// The seed of its random numbers.
+    /// Seed of the node's random numbers.
     pub seed: u64,
-    /// The most memory that its replica of the key table may take, in bytes.
+    /// Maximum memory use of the node's replica of the key table, in bytes.
     pub max_table_bytes: usize,
-    /// The most bytes per second that it sends, and receives, in state transfers.
+    /// Maximum rate of state transfers, in bytes per second; applies to sending and receiving separately.
     pub transfer_bytes_per_s: u64,
-    /// The interval between two probes.
+    /// Interval between two probes.
     pub probe_period: Duration,
-    /// The state that it stored in its last incarnation; none if that is lost or was never stored.
+    /// The state that the node stored in its last incarnation; `None` if it is lost or was never stored.
     pub restored: Option<RestoredState>,
-    /// Whether changes are stored before responses are sent.
+    /// Whether changes are stored on disk before the responses that depend on them are sent.
     pub is_durable: bool,
 }
 
 /// The state that a node stored in its last incarnation.
 #[derive(Debug, Clone)]
 pub struct RestoredState {
-    /// The records.
+    /// The stored records, in any order.
     pub records: Vec<StoredRecord>,
-    /// The position at which the last of them was stored.
+    /// The node's position when the last record was stored.
     pub position: StatePosition,
 }
 
-/// The number of a change that is being stored, in order.
+/// Sequence number of a change that is stored on disk.
 pub type StoreSequence = u64;
 
-/// What happens to a node.
+/// Input to a node's state machine.
 #[derive(Debug, Clone)]
 pub enum Event {
     /// An attempt asks for permission to run.
     RunRequested(RunRequest),
-    /// The run of an attempt has completed.
+    /// The run of an attempt has completed with this result.
     RunCompleted(AttemptId, RunResult),
-    /// The run of an attempt never started and never will.
+    /// The run of an attempt has not started and never will.
     RunCancelled(AttemptId),
     /// A peer has sent a message.
     MessageReceived(ReceivedMessage),
-    /// A peer can't be reached now.
+    /// A peer is unreachable.
     PeerUnreachable(NodeId),
-    /// The link to a peer broke, with the messages that were on it.
+    /// The link to a peer broke, and messages in transit are lost.
     LinkBroken(NodeId),
-    /// Operators propose a configuration.
+    /// Operators have proposed a membership configuration.
     ConfigProposed(Arc<MembershipConfig>),
-    /// A change is stored, or could not be.
+    /// A change was stored on disk, or could not be stored.
     StoreFinished {
-        /// The change.
+        /// Sequence number of the change.
         sequence: StoreSequence,
-        /// Whether it is stored.
+        /// Whether the change was stored.
         stored: bool,
     },
-    /// A successor process takes over this node: this one grants nothing more.
+    /// A successor process takes over this node. This process grants no further claims.
     Deactivated,
-    /// The other process of this node has exited or let go: this one begins at least this incarnation.
+    /// The other process of this node has exited or handed back the node. This process begins an incarnation
+    /// with at least this number.
     Activated(Incarnation),
-    /// Whether a predecessor process may still run what it started.
+    /// Whether a predecessor process may still have runs in progress.
     PredecessorAlive(bool),
-    /// The backend runs requests.
+    /// The backend has started.
     BackendStarted {
-        /// When its cores are warm, if they started cold.
+        /// When the backend's cores are warm; `None` if they did not start cold.
         warm_at: Option<Time>,
     },
-    /// Time passes.
+    /// Triggers periodic work; sent at least every [`TICK_INTERVAL`](super::TICK_INTERVAL).
     Tick,
 }
 
-/// What is to be done.
+/// Output of a node's state machine, which the caller must carry out.
 #[derive(Debug, Clone)]
 pub enum Action {
-    /// Send a message to a node.
+    /// Send the message to the node.
     Send(NodeId, Message),
-    /// Send a response on the link that the request came by; nothing if the link is closed.
+    /// Send the response on the link on which the request was received; dropped if the link is closed.
     Respond(LinkId, Message),
-    /// Notify an attempt.
+    /// Notify the attempt of the outcome of its claim.
     NotifyAttempt(AttemptId, ClaimOutcome),
-    /// Store what is known of a key, and report it by [`Event::StoreFinished`].
+    /// Store the record of a key on disk, and report the end with [`Event::StoreFinished`].
     Store {
-        /// The number of the change.
+        /// Sequence number of the change.
         sequence: StoreSequence,
         /// The key.
         key: Key,
-        /// What is known of it; none if it is to be removed.
+        /// The record to store; `None` if the key is to be removed.
         record: Option<StoredRecord>,
     },
-    /// Send a new [`Message::Hello`] on every link, as something in it has changed.
+    /// Send a new [`Message::Hello`] on every link, because its content has changed.
     SendHello,
-    /// What the node is permitted has changed.
+    /// Apply the permissions of the recovery stage that the node has entered.
     SetPermissions(Permissions),
-    /// Report something to operators.
+    /// Log the notification for operators.
     Notify(Notification),
 }
--- a/fleet/src/replica_node/incarnation.rs
+++ b/fleet/src/replica_node/incarnation.rs
@@ -1,4 +1,4 @@
-//! When a node begins another incarnation, and what it forgets then or when it was suspended.
+//! Transitions to another incarnation, and the state that a node discards then or after a suspension.
 
 use std::time::Duration;
 
@@ -19,13 +19,13 @@
             out.push(Action::Notify(Notification::Superseded { incarnation }));
             return;
         }
-        // The system's clock has gone back since the last incarnation. Nothing was granted under this
-        // number yet.
+        // The system clock was set back since the last incarnation, so this incarnation's number is too low.
+        // Nothing has been granted under it yet, so the node can take a higher number.
         self.set_incarnation(incarnation.next(), out);
     }
 
-    /// Handles that the restored state is stale: nothing in it can be relied on, and what the node granted
-    /// in this incarnation must not count.
+    /// Handles that a peer knows a later position of this node's state than the restored one. The node then
+    /// discards its state and begins another incarnation, so that its grants in this one no longer count.
     pub(super) fn handle_stale_state(&mut self, now: Time, latest: StatePosition, out: &mut Vec<Action>) {
         let Some(restored) = self.restored.filter(|restored| restored.is_stale(&latest)) else { return };
         self.metrics.stale_states += 1;
@@ -33,8 +33,8 @@
         self.begin_incarnation(now, self.incarnation.next(), out);
     }
 
-    /// Takes part again after another process of this node had taken over. What other nodes granted
-    /// meanwhile is unknown.
+    /// Participates again after another process of this node had taken over. Claims that were granted in the
+    /// meantime are unknown to this process, so it begins an incarnation without state.
     pub(super) fn activate(&mut self, now: Time, incarnation: Incarnation, out: &mut Vec<Action>) {
         if self.participation != Participation::Deactivated {
             return;
@@ -43,7 +43,7 @@
         self.begin_incarnation(now, incarnation.max(self.incarnation.next()), out);
     }
 
-    /// Begins another incarnation without any state.
+    /// Begins another incarnation with an empty replica table, and starts to catch up.
     fn begin_incarnation(&mut self, now: Time, incarnation: Incarnation, out: &mut Vec<Action>) {
         self.restored = None;
         self.reported_state_loss = false;
@@ -65,13 +65,13 @@
         out.push(Action::SendHello);
     }
 
-    /// Resumes after the process was suspended. Nothing that was heard before counts any more.
+    /// Handles that the process was suspended. Liveness that was observed before the suspension is discarded.
     pub(super) fn resume(&mut self, suspended_for: Duration, out: &mut Vec<Action>) {
         self.metrics.suspensions += 1;
         self.has_quorum = false;
         self.failure_detector.reset();
         self.with_claims(out, ClaimCoordinator::reject_collecting);
-        // Its votes are still valid, but runs may have completed meanwhile that it has not heard of.
+        // The node's votes are still valid, but it may have missed runs that completed in the meantime.
         self.state_transfer.start(&self.other_members());
         out.push(Action::Notify(Notification::Resumed { suspended_for }));
     }
--- a/fleet/src/replica_node/messages.rs
+++ b/fleet/src/replica_node/messages.rs
@@ -1,4 +1,4 @@
-//! How a node handles the messages of its peers, and its own.
+//! Handling of messages from peers and of messages that the node sends to itself.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 impl ReplicaNode {
     pub(super) fn handle_message(&mut self, now: Time, received: ReceivedMessage, out: &mut Vec<Action>) {
         let ReceivedMessage { link, from, incarnation, message } = received;
-        // A hello changes the incarnation that its link stands for.
+        // A hello states the sender's incarnation itself; the link may still have an earlier one.
         let incarnation = if let Message::Hello(hello) = &message { hello.incarnation } else { incarnation };
         if from != self.id {
             self.record_peer(from, incarnation, &message);
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Handles the requests to this node as a replica, as the node of a claim, and as a donor, and what
-    /// donors respond.
+    /// Handles requests to this node as a replica, as the owner of a claim and as a donor, and the responses
+    /// of donors.
     fn handle_request(
         &mut self,
         now: Time,
@@ -92,12 +92,12 @@
                 self.state_transfer.defer(now, from, round, retry_after);
                 self.request_pages(now, out);
             }
-            // All others are handled before.
+            // `handle_message` handles all other messages.
             _ => {}
         }
     }
 
-    /// Records what every message of a peer tells of it.
+    /// Records a peer's incarnation, liveness and, if the message states it, uptime.
     fn record_peer(&mut self, from: NodeId, incarnation: Incarnation, message: &Message) {
         if let Message::Ping { uptime_seconds, .. } | Message::Ack { uptime_seconds, .. } = message {
             let position = StatePosition { incarnation, uptime_seconds: *uptime_seconds };
@@ -119,15 +119,15 @@
         }
         self.conflicting_peers.remove(&from);
         if hello.link_cut {
-            // The messages that were lost with the link are in the peer's table.
+            // The peer's table contains what the lost messages reported, so it is transferred.
             self.state_transfer.add_donor(from);
         }
         self.compare_configs(now, from, hello, out);
         self.check_quorum(out);
     }
 
-    /// Tells a peer if a later incarnation of it is known, or a later position than that of the state it
-    /// restored.
+    /// Notifies a peer if a later incarnation of it is known, or if the state that it restored is older than
+    /// the latest position that is known of it.
     fn check_incarnation(&mut self, link: LinkId, from: NodeId, hello: &Hello, out: &mut Vec<Action>) {
         let latest = self.table.incarnation_of(from);
         if hello.incarnation < latest {
@@ -180,7 +180,8 @@
         self.reason_not_to_claim().or(has_conflict.then_some(RejectReason::ConfigConflict))
     }
 
-    /// Sends what follows from a message to the replica, once the change is stored.
+    /// Sends the queries and responses that result from a message to the replica. Responses wait until the
+    /// change is stored if the node is durable.
     fn apply_table_outcome(&mut self, now: Time, outcome: TableOutcome, out: &mut Vec<Action>) {
         let TableOutcome { responses, queries, changed_key, conflict } = outcome;
         self.report_conflicts(conflict, out);
--- a/fleet/src/replica_node/metrics.rs
+++ b/fleet/src/replica_node/metrics.rs
@@ -1,42 +1,43 @@
-//! Counters of what a node has done.
+//! Counters of a node's claims, votes and state transfers.
 
 use crate::claims::coordinator::ClaimOutcome;
 
-/// What a node has done since its process started.
+/// Counters of a node since its process started.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ReplicaMetrics {
-    /// Runs that were permitted.
+    /// Own claims that a quorum has granted.
     pub granted: u64,
-    /// Attempts that were rejected.
+    /// Attempts that were rejected, including those with a body mismatch.
     pub rejected: u64,
-    /// Attempts that got the result of another node's run.
+    /// Attempts that received the result of another attempt's run.
     pub remote_outcomes: u64,
-    /// Attempts that did not get it in time.
+    /// Attempts for which the outcome of another attempt's run stayed unknown until shortly before the
+    /// deadline.
     pub unknown_outcomes: u64,
-    /// Results that a quorum stored in time.
+    /// Results that a quorum stored before the deadline.
     pub replicated: u64,
-    /// Results that no quorum stored in time.
+    /// Results that no quorum stored before the deadline.
     pub unreplicated: u64,
-    /// Claims that this node has granted as a replica.
+    /// Claim requests that the node granted as a replica, retries included.
     pub votes_granted: u64,
-    /// Claims that it has not granted as a replica.
+    /// Claim requests that the node did not grant as a replica, retries included.
     pub votes_rejected: u64,
-    /// Records that it received from donors.
+    /// Records received from donors in state transfers.
     pub records_received: u64,
-    /// Records that it sent as a donor.
+    /// Records sent as a donor in state transfers.
     pub records_sent: u64,
-    /// Pairs of different completed runs of one key.
+    /// Duplicate runs, i.e. pairs of different completed runs of one key.
     pub conflicts: u64,
-    /// How often it was suspended.
+    /// Suspensions of the process.
     pub suspensions: u64,
-    /// Requesters that it deferred as a donor.
+    /// Page requests that the node deferred as a donor.
     pub transfers_deferred: u64,
-    /// How often the state that it restored was stale.
+    /// Restored states that turned out to be stale.
     pub stale_states: u64,
 }
 
 impl ReplicaMetrics {
-    /// Counts what an attempt is notified of.
+    /// Counts an outcome that an attempt is notified of.
     pub(super) fn count_outcome(&mut self, outcome: &ClaimOutcome) {
         match outcome {
             ClaimOutcome::Granted => self.granted += 1,
--- a/fleet/src/replica_node/notification.rs
+++ b/fleet/src/replica_node/notification.rs
@@ -1,4 +1,4 @@
-//! What operators are told of a node, as lines of its log.
+//! Notifications for operators, which are written to the node's log.
 
 use std::fmt;
 use std::time::Duration;
@@ -9,19 +9,19 @@
 use crate::recovery::staleness::StatePosition;
 use crate::replication::key_state::RunConflict;
 
-/// Something that operators may want to know. It is displayed as the text of a log line.
+/// Notification for operators. Its `Display` form is the text of the log line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Notification {
-    /// A majority of the members is heard: claims are made and granted.
+    /// A majority of the members has been heard, so the node makes and grants claims.
     QuorumReached,
-    /// The node was suspended, and acts on nothing that it heard before.
+    /// The process was suspended. The node discards what it knew of its peers' liveness.
     Resumed {
-        /// For how long.
+        /// Time since the last event before the suspension.
         suspended_for: Duration,
     },
-    /// The replica table is complete: the node can vote for every key.
+    /// The replica table is complete, so the node can vote for every key.
     TableComplete {
-        /// The number of keys in it.
+        /// The number of keys in the table.
         keys: usize,
     },
     /// Another process runs under the node's name.
@@ -33,36 +33,36 @@
     StaleState {
         /// The position of the restored state.
         restored: StatePosition,
-        /// The latest position that is known.
+        /// The latest position that a peer knows.
         latest: StatePosition,
     },
-    /// A configuration of the operators is active.
+    /// A configuration that operators proposed is now active.
     ConfigAdopted(ConfigVersion),
-    /// A configuration of the operators is rejected.
+    /// A configuration that operators proposed was rejected.
     ConfigRejected(ProposalError),
-    /// A configuration that a peer has is active too.
+    /// A configuration that was received from a peer is now active.
     ConfigReceived(ConfigVersion),
-    /// A configuration is retired.
+    /// The configurations up to this version are retired.
     ConfigRetired(ConfigVersion),
-    /// A peer has a configuration of the same version with another content.
+    /// A peer has a configuration with the version of an active one but different content.
     ConfigConflict {
         /// The peer.
         node: NodeId,
-        /// The version.
+        /// The version of both configurations.
         version: ConfigVersion,
     },
-    /// Two runs of one key have completed.
+    /// Two different runs of one key have completed.
     DuplicateRun(RunConflict),
-    /// There is no capacity for all records of a donor.
+    /// Records of a donor were dropped, because the replica table or an entry of it is full.
     CapacityExceeded {
         /// The donor.
         donor: NodeId,
     },
-    /// The node has entered another stage of its recovery.
+    /// The node's recovery has entered another stage.
     StageChanged(Transition),
-    /// State was lost: the node can vote for every key once it has caught up, and at the latest after this.
+    /// The node's replica state was lost, so it can't vote for every key until it has caught up.
     StateLost {
-        /// The longest time until the table is complete.
+        /// The longest time until the replica table is complete.
         complete_within: Duration,
     },
 }
@@ -71,19 +71,19 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Notification::QuorumReached => {
-                write!(f, "quorum reached: requests with idempotency keys run")
+                write!(f, "quorum reached: making and granting claims on idempotency keys")
             }
             Notification::Resumed { suspended_for } => write!(
                 f,
-                "resumed after a suspension: suspended_ms={}: nothing with a key runs until a majority \
-                 is heard again",
+                "resumed after a suspension: suspended_ms={}: rejecting requests with idempotency keys until \
+                 a majority of the members is heard again",
                 suspended_for.as_millis()
             ),
             Notification::TableComplete { keys } => write!(f, "replica table complete: keys={keys}"),
             Notification::Superseded { incarnation } => write!(
                 f,
-                "superseded by another process under this name: incarnation={incarnation}: nothing with a \
-                 key runs here"
+                "superseded by another process under this name: incarnation={incarnation}: rejecting \
+                 requests with idempotency keys"
             ),
             Notification::StaleState { restored, latest } => {
                 write!(f, "restored state is stale and counts as lost: restored={restored} latest={latest}")
@@ -100,18 +100,19 @@
             }
             Notification::ConfigConflict { node, version } => write!(
                 f,
-                "a peer has another membership configuration of the same version: node={node} version={version}"
+                "membership configuration conflicts with that of a peer: node={node} version={version}: \
+                 granting no claims of this peer"
             ),
             Notification::DuplicateRun(RunConflict { retained, dropped }) => {
-                write!(f, "conflict: a key ran twice: retained={} dropped={}", retained.claim, dropped.claim)
+                write!(f, "duplicate run of a key: retained={} dropped={}", retained.claim, dropped.claim)
             }
             Notification::CapacityExceeded { donor } => {
-                write!(f, "no capacity for all records of a donor: donor={donor}")
+                write!(f, "records of a donor dropped for lack of capacity: donor={donor}")
             }
             Notification::StageChanged(transition) => transition.fmt(f),
             Notification::StateLost { complete_within } => write!(
                 f,
-                "replica state lost: complete_within_s={:.1}: votes for a key once it has caught up \
+                "replica state lost: complete_within_s={:.1}: voting for a key once this node has caught up \
                  with the key's other replicas",
                 complete_within.as_secs_f64()
             ),
--- a/fleet/src/replica_node/runs.rs
+++ b/fleet/src/replica_node/runs.rs
@@ -1,4 +1,4 @@
-//! How a node claims keys for its own attempts.
+//! Claims on keys for the node's own attempts.
 
 use super::{Action, Participation, ReplicaNode};
 use crate::claims::coordinator::{ClaimAction, ClaimCoordinator, ClaimOutcome, RunRequest};
@@ -6,7 +6,7 @@
 use crate::Time;
 
 impl ReplicaNode {
-    /// Returns why this node neither makes nor grants claims, if it does not.
+    /// Returns the reason why this node currently neither makes nor grants claims; `None` if it does.
     pub(super) fn reason_not_to_claim(&self) -> Option<RejectReason> {
         if self.participation == Participation::Superseded {
             Some(RejectReason::Superseded)
--- a/fleet/src/replica_node/state_sync.rs
+++ b/fleet/src/replica_node/state_sync.rs
@@ -1,5 +1,5 @@
-//! How a node's replica table gets to disk and to other nodes: storing changes, and both sides of state
-//! transfers.
+//! Persistence and transfer of a node's replica table: storing changes on disk, sending pages as a donor, and
+//! requesting and merging pages of donors.
 
 use super::{Action, Notification, ReplicaNode, StoreSequence};
 use crate::envelope::{Request, Response};
@@ -12,7 +12,8 @@
 use crate::{millis_ceil, Time};
 
 impl ReplicaNode {
-    /// Stores what is known of a key. Returns the number of the change.
+    /// Requests that the current record of a key is stored on disk, or removed there if the table has no
+    /// entry for the key. Returns the number of the change.
     pub(super) fn store(&mut self, key: &Key, now: Time, out: &mut Vec<Action>) -> StoreSequence {
         self.last_sequence += 1;
         let sequence = self.last_sequence;
@@ -21,8 +22,8 @@
         sequence
     }
 
-    /// Sends the responses that waited for a change to be stored. What could not be stored must not be
-    /// promised.
+    /// Sends the responses that waited for a change to be stored. If the change could not be stored, grants
+    /// and confirmations are replaced by negative responses, because a restart would forget them.
     pub(super) fn finish_store(&mut self, sequence: StoreSequence, stored: bool, out: &mut Vec<Action>) {
         for Response { link, message } in self.awaiting_store.remove(&sequence).unwrap_or_default() {
             let message = match message {
@@ -46,7 +47,7 @@
         self.serve_pages(now, out);
     }
 
-    /// Sends pages to the nodes that have asked for them, as far as the donor's budgets allow.
+    /// Sends pages to the nodes that have requested them, as far as the donor's rate limits allow.
     pub(super) fn serve_pages(&mut self, now: Time, out: &mut Vec<Action>) {
         while let Some(PageRequest { link, node, round, from }) = self.donor.next_request(now) {
             let read = self.table.page(now, node, round, from.as_ref(), &self.configs);
@@ -102,8 +103,8 @@
         out.push(Action::Notify(Notification::TableComplete { keys }));
     }
 
-    /// Reports once per incarnation that state was lost, and for how long at most the node can't vote for
-    /// every key.
+    /// Reports, once per incarnation, that the replica state was lost, with the longest time until the node
+    /// can vote for every key again.
     pub(super) fn report_state_loss(&mut self, now: Time, out: &mut Vec<Action>) {
         let Some(complete_within) = self.table.time_until_complete(now, &self.configs) else { return };
         if !self.reported_state_loss {
--- a/fleet/src/replica_node/tests.rs
+++ b/fleet/src/replica_node/tests.rs
@@ -14,7 +14,7 @@
     RunResult::Succeeded(Bytes::from(result))
 }
 
-fn remote(result: &'static str) -> ClaimOutcome {
+fn remote_result(result: &'static str) -> ClaimOutcome {
     ClaimOutcome::RemoteResult(succeeded(result))
 }
 
@@ -31,14 +31,14 @@
     fleet.complete_run(1, 1, "job");
     let mut outcomes = fleet.outcomes();
     outcomes.sort_by_key(|(attempt, _)| *attempt);
-    assert_eq!(outcomes, [(1, ClaimOutcome::StoredByQuorum(true)), (2, remote("job"))]);
+    assert_eq!(outcomes, [(1, ClaimOutcome::StoredByQuorum(true)), (2, remote_result("job"))]);
     fleet.request_run(3, 3, "k");
-    assert_eq!(fleet.outcomes(), [(3, remote("job"))]);
-    assert_eq!(fleet.node(1).open_claims(), 0, "every replica has stored it");
+    assert_eq!(fleet.outcomes(), [(3, remote_result("job"))]);
+    assert_eq!(fleet.node(1).open_claims(), 0, "every replica has stored the result");
 }
 
 #[test]
-fn nothing_runs_before_a_majority_is_heard_or_while_no_replica_can_vote() {
+fn an_attempt_is_rejected_while_the_replicas_are_recovering_or_unreachable() {
     let mut fleet = Fixture::new(3, false);
     fleet.request_run(1, 1, "k");
     assert_eq!(fleet.outcomes(), [(1, rejected(RejectReason::Recovering))]);
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_node_that_comes_back_without_its_state_catches_up_and_votes_again() {
+fn a_node_that_restarts_without_its_state_catches_up_and_votes_again() {
     let mut fleet = Fixture::new(3, true);
     fleet.request_run(1, 1, "k");
     fleet.complete_run(1, 1, "job");
@@ -62,12 +62,12 @@
     fleet.outcomes.clear();
     fleet.down.insert(id(3));
     fleet.request_run(2, 2, "k");
-    assert_eq!(fleet.outcomes(), [(2, remote("job"))]);
+    assert_eq!(fleet.outcomes(), [(2, remote_result("job"))]);
     fleet.request_run(2, 3, "l");
-    assert_eq!(fleet.outcomes(), [(3, ClaimOutcome::Granted)], "by the first node and itself");
+    assert_eq!(fleet.outcomes(), [(3, ClaimOutcome::Granted)], "granted by nodes 1 and 2");
 }
 
-/// The second node restarts with the empty state that it had at this position.
+/// Restarts node 2 with the empty state that it had at this position.
 fn restore_second_node(fleet: &mut Fixture, position: StatePosition) {
     let restored = Some(RestoredState { records: Vec::new(), position });
     let incarnation = position.incarnation.next();
@@ -80,16 +80,16 @@
     fleet.advance(300);
 }
 
-const AFTER_4_S: StatePosition = StatePosition { incarnation: Incarnation(1), uptime_seconds: 4 };
+const POSITION_AFTER_4_S: StatePosition = StatePosition { incarnation: Incarnation(1), uptime_seconds: 4 };
 
 #[test]
-fn a_stale_copy_of_the_stored_state_is_detected_and_counts_as_lost() {
+fn a_restored_state_that_is_stale_is_detected_and_counts_as_lost() {
     let mut fleet = Fixture::new(3, true);
     fleet.advance(5_000);
     fleet.request_run(1, 1, "k");
     fleet.complete_run(1, 1, "job");
     fleet.advance(5_000);
-    restore_second_node(&mut fleet, AFTER_4_S);
+    restore_second_node(&mut fleet, POSITION_AFTER_4_S);
     let is_detected = |(_, notification): &(NodeId, Notification)| {
         matches!(notification, Notification::StaleState { restored, latest }
             if restored.uptime_seconds == 4 && latest.uptime_seconds >= 9)
@@ -97,25 +97,25 @@
     assert!(fleet.notifications.iter().any(is_detected), "{:?}", fleet.notifications);
     assert!(
         fleet.has_notified(2, Notification::TableComplete { keys: 1 }),
-        "it catches up: {:?}",
+        "node 2 catches up: {:?}",
         fleet.notifications
     );
     fleet.outcomes.clear();
     fleet.down.insert(id(3));
     fleet.request_run(2, 2, "k");
-    assert_eq!(fleet.outcomes(), [(2, remote("job"))]);
+    assert_eq!(fleet.outcomes(), [(2, remote_result("job"))]);
 }
 
 #[test]
-fn state_that_was_stored_to_the_end_is_relied_on_at_once() {
+fn a_restored_state_that_is_current_makes_the_table_complete_at_once() {
     let mut fleet = Fixture::new(3, true);
     fleet.advance(5_000);
-    restore_second_node(&mut fleet, AFTER_4_S);
+    restore_second_node(&mut fleet, POSITION_AFTER_4_S);
     assert!(fleet.node(2).is_complete() && fleet.node(2).metrics().stale_states == 0);
 }
 
 #[test]
-fn nodes_that_all_lost_their_state_do_not_vouch_for_each_other() {
+fn nodes_that_all_lost_their_state_do_not_complete_each_others_tables() {
     let mut fleet = Fixture::new(3, true);
     fleet.request_run(1, 1, "k");
     fleet.complete_run(1, 1, "job");
@@ -132,16 +132,16 @@
     fleet.restart(1, settings(1, 3, false), 1);
     fleet.advance(3_500);
     fleet.request_run(2, 3, "k");
-    assert_eq!(fleet.outcomes(), [(3, ClaimOutcome::Granted)], "its window has ended");
+    assert_eq!(fleet.outcomes(), [(3, ClaimOutcome::Granted)], "the window of the lost key has ended");
     fleet.advance(2_500);
     assert!(
         fleet.node(1).is_complete(),
-        "a node that came later waits no longer than those that vouch for it"
+        "a node that restarts later completes its table once its donors are complete"
     );
 }
 
 #[test]
-fn messages_that_were_lost_with_a_link_are_recovered_from_the_table() {
+fn messages_lost_with_a_cut_link_are_recovered_from_the_peers_table() {
     let mut fleet = Fixture::new(3, true);
     fleet.request_run(1, 1, "k");
     fleet.complete_run(1, 1, "job");
@@ -185,13 +185,13 @@
         })
     };
     let (first, second) = (Incarnation(1), Incarnation(2));
-    let of_second = Event::MessageReceived(ReceivedMessage {
+    let hello_of_second = Event::MessageReceived(ReceivedMessage {
         link: LinkId(99),
         from: id(1),
         incarnation: second,
         message: hello(second),
     });
-    fleet.handle(id(2), of_second);
+    fleet.handle(id(2), hello_of_second);
     fleet.handle(id(2), received(id(1), first, hello(first)));
     assert!(fleet.has_notified(1, Notification::Superseded { incarnation: second }));
     fleet.request_run(1, 1, "k");
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn a_clock_that_went_back_does_not_begin_an_earlier_incarnation() {
+fn a_node_whose_clock_was_set_back_takes_a_higher_incarnation() {
     let mut fleet = Fixture::new(3, true);
     fleet.restart(1, settings(1, 0, false), 1);
     let hello = Message::Hello(fleet.node(1).hello(id(2)));
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn a_config_spreads_to_all_and_claims_need_both_until_the_old_one_retires() {
+fn a_config_reaches_all_nodes_and_the_old_one_retires() {
     let mut fleet = Fixture::new(4, true);
     let next = Arc::new(config(2, &[1, 2, 3, 4, 5], 1));
     let fifth = ReplicaNode::new(settings(5, 1, true), next.clone(), fleet.now);
@@ -218,7 +218,7 @@
         let versions: Vec<ConfigVersion> = versions.iter().map(|version| ConfigVersion(*version)).collect();
         fleet.nodes.values().all(|node| node.configs().versions() == versions)
     };
-    assert!(have_active(&fleet, &[1, 2]), "they request what they lack");
+    assert!(have_active(&fleet, &[1, 2]), "nodes request the configurations that they lack");
     fleet.advance(100);
     fleet.request_run(5, 1, "k");
     assert_eq!(fleet.outcomes(), [(1, ClaimOutcome::Granted)]);
@@ -282,7 +282,7 @@
 }
 
 #[test]
-fn a_node_grants_nothing_while_a_successor_process_takes_over_and_completes_what_it_started() {
+fn a_deactivated_node_grants_no_claims_but_completes_its_runs_until_it_is_activated_again() {
     let mut fleet = Fixture::new(3, true);
     fleet.request_run(1, 1, "k");
     assert_eq!(fleet.outcomes(), [(1, ClaimOutcome::Granted)]);
@@ -297,5 +297,5 @@
     fleet.advance(1_000);
     fleet.down.insert(id(3));
     fleet.request_run(2, 3, "m");
-    assert_eq!(fleet.outcomes(), [(3, ClaimOutcome::Granted)], "it has caught up in a new incarnation");
+    assert_eq!(fleet.outcomes(), [(3, ClaimOutcome::Granted)], "node 1 has caught up in a new incarnation");
 }
--- a/fleet/src/replica_node/tests/fixture.rs
+++ b/fleet/src/replica_node/tests/fixture.rs
@@ -1,4 +1,4 @@
-//! A fleet of nodes that exchange messages over links that lose nothing.
+//! A simulated fleet whose nodes exchange messages over links without message loss.
 
 use super::*;
 
@@ -17,7 +17,7 @@
     }
 }
 
-/// The link of a node with another one is numbered by the id of that node.
+/// Returns the link to a node. Its number is the id of that node.
 pub(super) fn link_of(node: NodeId) -> LinkId {
     LinkId(node.0)
 }
@@ -26,13 +26,13 @@
     Event::MessageReceived(ReceivedMessage { link: link_of(from), from, incarnation, message })
 }
 
-/// A fleet of nodes in their first incarnation.
+/// A fleet of nodes that start in their first incarnation.
 pub(super) struct Fixture {
     pub(super) nodes: BTreeMap<NodeId, ReplicaNode>,
     pub(super) now: Time,
     pub(super) outcomes: Vec<(AttemptId, ClaimOutcome)>,
     pub(super) notifications: Vec<(NodeId, Notification)>,
-    /// Nodes that neither send nor receive.
+    /// Nodes that neither send nor receive messages and handle no events.
     pub(super) down: BTreeSet<NodeId>,
 }
 
@@ -56,13 +56,13 @@
         &self.nodes[&id(n)]
     }
 
-    /// Starts the process of a node anew with the configuration of another one.
+    /// Restarts a node with the newest configuration of node `config_of`.
     pub(super) fn restart(&mut self, n: usize, settings: Settings, config_of: usize) {
         let config = self.node(config_of).configs().newest().clone();
         self.nodes.insert(id(n), ReplicaNode::new(settings, config, self.now));
     }
 
-    /// Handles an event and all that follows from it.
+    /// Handles an event and all events that result from it.
     pub(super) fn handle(&mut self, node: NodeId, event: Event) {
         let mut events = VecDeque::from([(node, event)]);
         while let Some((node, event)) = events.pop_front() {
@@ -129,7 +129,7 @@
         self.handle(id(n), Event::RunCompleted(AttemptId(attempt), succeeded(result)));
     }
 
-    /// What attempts were notified of since the last call.
+    /// Returns the outcomes that attempts were notified of since the last call.
     pub(super) fn outcomes(&mut self) -> Vec<(u64, ClaimOutcome)> {
         self.outcomes.drain(..).map(|(attempt, outcome)| (attempt.0, outcome)).collect()
     }
