--- a/fleet/src/replication.rs
+++ b/fleet/src/replication.rs
@@ -1,5 +1,5 @@
-//! The replicated state: what a replica knows of each key, how it votes on claims, and how the states of two
-//! replicas are merged.
+//! The replicated state of idempotency keys: the state of each key, voting on claims, and the merge of the
+//! states of two replicas.
 
 pub mod key_state;
 pub mod replica_table;
--- a/fleet/src/replication/key_state.rs
+++ b/fleet/src/replication/key_state.rs
@@ -1,10 +1,11 @@
-//! What is known of a key's runs, and how the states of two replicas are merged.
+//! The state of a key's runs, and the merge of the states of two replicas.
 //!
-//! The merge is a join-semilattice: commutative, associative and idempotent, with unknown < started <
-//! completed. All runs that may have started are kept, since any of them may be the one that ran; a
-//! completed run prevails over them. Two different runs of one key can't complete while fewer than a quorum
-//! of its replicas lose their state within one idempotency window. If they do, the earliest run prevails:
-//! by the time its request was received, then by its node's index in the membership configuration.
+//! The states form a join-semilattice under the merge, which is commutative, associative and idempotent, with
+//! unknown < started < completed. All claims whose runs may have started are kept, since any of them may be
+//! the one that ran; a completed run replaces them. Two different runs of one key can't complete as long as
+//! fewer than a quorum of its replicas lose their state within one idempotency window. If two do complete,
+//! the run whose request was received earliest prevails, then the one with the lowest node index in the
+//! membership configuration.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -20,14 +21,14 @@
 /// A collision-resistant digest of a request's body.
 pub type BodyDigest = u128;
 
-/// Identifies one attempt's claim on a key, among all nodes and at all times.
+/// Identifies an attempt's claim on a key; unique across all nodes and incarnations.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ClaimId {
     /// The node that makes the claim.
     pub node: NodeId,
     /// The node's incarnation.
     pub incarnation: Incarnation,
-    /// The number of the claim in that incarnation.
+    /// Sequence number that the node gave the claim.
     pub number: u64,
 }
 
@@ -37,18 +38,18 @@
     }
 }
 
-/// How a run ended. The order of the variants is part of the order of precedence of [`CompletedRun`]:
-/// `Succeeded` must stay before `Failed`, so that of two reports of one run the success prevails.
+/// Result of a run. The order of the variants is part of the precedence of [`CompletedRun`]: `Succeeded` must
+/// stay before `Failed`, so that the success prevails if one run is reported with both.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum RunResult {
-    /// It returned these bytes.
+    /// The run returned these bytes.
     Succeeded(Bytes),
-    /// It failed and may have had its effect, or nobody knows what became of it.
+    /// The run failed, in which case it may still have had its effect, or its outcome is unknown.
     Failed,
 }
 
 impl RunResult {
-    /// Returns the size of the result in bytes.
+    /// Returns the size of the result in bytes; 0 for a failure.
     pub fn size(&self) -> usize {
         match self {
             RunResult::Succeeded(bytes) => bytes.len(),
@@ -59,31 +60,31 @@
 
 /// A run that has ended.
 ///
-/// Of two runs the smaller one in the derived order takes precedence, so the order of the fields is the
-/// order of precedence: the run whose request was received earlier, then the one of the node with the lower
-/// index, then the lower claim, and of one claim the success, as [`RunResult::Succeeded`] stands before
-/// [`RunResult::Failed`]. The `u64::MAX` of [`CompletedRun::abandoned`] is part of it: such a run yields to
-/// every one that was reported.
+/// The smaller of two runs in the derived order takes precedence, so the order of the fields matters: first
+/// the run whose request was received earlier, then the one with the lower node index, then the one with the
+/// lower claim id. Of two reports on the same claim the success takes precedence, since
+/// [`RunResult::Succeeded`] precedes [`RunResult::Failed`]. A [`CompletedRun::abandoned`] run has the latest
+/// possible `received_at`, so that every reported run takes precedence over it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CompletedRun {
     /// When the node received the request, in Unix milliseconds.
     pub received_at: u64,
-    /// The node's index in the membership configuration that was newest when it received the attempt.
+    /// The node's index in the membership configuration that was newest when it first made the claim.
     pub node_index: u32,
-    /// The claim under which it ran.
+    /// The claim under which the run started.
     pub claim: ClaimId,
-    /// How it ended.
+    /// The result of the run.
     pub result: RunResult,
     /// The digest of the request's body.
     pub body: BodyDigest,
 }
 
-/// [`CompletedRun::received_at`] of a run whose node has lost its state: later than every real one.
+/// [`CompletedRun::received_at`] of an abandoned run; later than that of every reported run.
 const ABANDONED_RECEIVED_AT: u64 = u64::MAX;
 
 impl CompletedRun {
-    /// Returns the run of a claim whose node has lost its state. Whether it ran is not known, so it counts
-    /// as failed; a completion that the run itself reported prevails over this one.
+    /// Returns the placeholder for the run of a claim whose node has lost its state. It is not known whether
+    /// the run took place, so it counts as failed. A reported run takes precedence over it.
     pub fn abandoned(claim_id: ClaimId, body_digest: BodyDigest) -> CompletedRun {
         let result = RunResult::Failed;
         CompletedRun {
@@ -100,7 +101,7 @@
     }
 }
 
-/// Two completed runs of one key.
+/// Two different completed runs of one key, i.e. a duplicate run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RunConflict {
     /// The run that prevails.
@@ -109,10 +110,10 @@
     pub dropped: CompletedRun,
 }
 
-/// What is known of a key.
+/// What a replica knows of a key's runs.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct KeyState {
-    /// Claims whose runs may have started, with the digests of their bodies. Empty once a run has
+    /// Claims whose runs may have started, with the digests of their request bodies. Empty once a run has
     /// completed.
     pub started: BTreeMap<ClaimId, BodyDigest>,
     /// The completed run that prevails.
@@ -127,12 +128,11 @@
         self.completed = match (self.completed.take(), other.completed) {
             (Some(ours), Some(theirs)) => {
                 let (retained, dropped) = if ours <= theirs { (ours, theirs) } else { (theirs, ours) };
-                // No conflict: either both are reports of one run, of which the success prevails, or the
-                // dropped one is a placeholder for a claim whose node lost its state and which may never
-                // have run.
-                let superseded = dropped.result == RunResult::Failed
+                // A dropped failure is no conflict if both are reports on the same claim, or if it is the
+                // placeholder of an abandoned run, which may never have taken place.
+                let is_superseded = dropped.result == RunResult::Failed
                     && (retained.claim == dropped.claim || dropped.is_abandoned());
-                if retained != dropped && !superseded {
+                if retained != dropped && !is_superseded {
                     conflict = Some(RunConflict { retained: retained.clone(), dropped });
                 }
                 Some(retained)
@@ -146,12 +146,12 @@
         conflict
     }
 
-    /// Whether nothing is known.
+    /// Whether no run of the key is known.
     pub fn is_empty(&self) -> bool {
         self.started.is_empty() && self.completed.is_none()
     }
 
-    /// Returns the size of the result in bytes.
+    /// Returns the size of the completed run's result in bytes; 0 if no run has completed.
     pub fn result_size(&self) -> usize {
         self.completed.as_ref().map_or(0, |run| run.result.size())
     }
--- a/fleet/src/replication/key_state/tests.rs
+++ b/fleet/src/replication/key_state/tests.rs
@@ -53,17 +53,17 @@
 }
 
 #[test]
-fn of_two_completed_runs_the_earliest_prevails_and_both_are_reported() {
+fn the_earlier_of_two_completed_runs_prevails_and_the_conflict_is_reported() {
     let states = all_states();
     let mut state = states[6].clone();
     let RunConflict { retained, dropped } = state.merge(states[7].clone()).unwrap();
     assert_eq!((retained.received_at, dropped.received_at), (4, 5));
     assert_eq!(state.completed, Some(retained));
     let mut failed = states[5].clone();
-    assert_eq!(failed.merge(states[4].clone()), None, "of one run a result prevails over a failure");
+    assert_eq!(failed.merge(states[4].clone()), None, "for the same claim a success prevails over a failure");
     assert_eq!(failed, states[4]);
     let abandoned = CompletedRun::abandoned(claim(9), 1);
     let mut abandoned = KeyState { completed: Some(abandoned), ..KeyState::default() };
-    assert_eq!(abandoned.merge(states[6].clone()), None, "that one may never have run");
+    assert_eq!(abandoned.merge(states[6].clone()), None, "an abandoned run may never have taken place");
     assert_eq!(abandoned, states[6]);
 }
--- a/fleet/src/replication/replica_table.rs
+++ b/fleet/src/replication/replica_table.rs
@@ -1,10 +1,10 @@
-//! A node's replica of the fleet's key table: which claim it has granted for each key, what it knows of
-//! other runs, and how it responds to claims.
+//! A node's replica of the fleet's key table. It holds the claim that this node has granted for each key and
+//! what it knows of the key's runs, and responds to claims.
 //!
-//! A replica votes for a claim by granting it: `vote` is the claim that it has granted. A grant is never
-//! moved to another claim; it ends only when its claim is released, when the key's idempotency window and
-//! [`LATE_READ_GRACE`] have ended, or when the replica loses its state; it then grants a key only
-//! once `can_vote_for` holds. So two claims on one key can't both get a quorum.
+//! A replica votes for a claim by granting it; `vote` is the granted claim. A grant is never moved to another
+//! claim. It ends only when the claim is released, when the key's idempotency window and [`LATE_READ_GRACE`]
+//! have ended, or when the replica loses its state. After a loss of state, the replica grants claims on a key
+//! only once `can_vote_for` holds for it. Therefore two claims on one key can't both get a quorum.
 
 mod entry;
 mod outcome;
@@ -34,18 +34,20 @@
     this_node: NodeId,
     incarnation: Incarnation,
     entries: BTreeMap<Key, Entry>,
-    /// The keys by the end of their windows.
+    /// The keys, ordered by the end of their idempotency windows.
     by_window_end: BTreeSet<(Time, Key)>,
+    /// Estimated memory use of all entries, including the space reserved for results.
     bytes: usize,
     max_bytes: usize,
-    /// The latest incarnation of each node that is known.
+    /// The latest known incarnation of each node.
     incarnations: BTreeMap<NodeId, Incarnation>,
     sync_state: SyncState,
 }
 
 impl ReplicaTable {
-    /// Creates an empty table for this incarnation of the node. `has_stored_state` says that the node has
-    /// its earlier state and will restore it; otherwise the table votes for no key until it has caught up.
+    /// Creates an empty table for an incarnation of the node. With `has_stored_state` the node's earlier
+    /// state is expected to be restored into it. Otherwise the replica votes for a key only once it has
+    /// caught up.
     pub fn new(
         this_node: NodeId,
         incarnation: Incarnation,
@@ -66,41 +68,41 @@
         }
     }
 
-    /// Returns the number of keys and the memory they take.
+    /// Returns the number of keys and their memory use.
     pub fn size(&self) -> TableSize {
         TableSize { keys: self.entries.len(), bytes: self.bytes }
     }
 
-    /// Drops all state and begins another incarnation. What is known of other nodes' incarnations stays
-    /// true.
+    /// Drops all entries and begins another incarnation. The incarnations of other nodes are kept, as they
+    /// stay valid.
     pub fn reset(&mut self, incarnation: Incarnation, now: Time) {
         let incarnations = std::mem::take(&mut self.incarnations);
         let empty = ReplicaTable::new(self.this_node, incarnation, self.max_bytes, false, now);
         *self = ReplicaTable { incarnations, ..empty };
     }
 
-    /// Renumbers the incarnation, in which nothing was granted yet.
+    /// Sets the number of the incarnation. Nothing may have been granted in it yet.
     pub fn set_incarnation(&mut self, incarnation: Incarnation) {
         self.incarnation = incarnation;
     }
 
-    /// Records that a node has reached this incarnation. Its grants of earlier ones no longer count.
+    /// Records that a node has reached an incarnation. Its grants in earlier incarnations no longer count.
     pub fn record_incarnation(&mut self, node: NodeId, incarnation: Incarnation) {
         let known = self.incarnations.entry(node).or_default();
         *known = incarnation.max(*known);
     }
 
-    /// Returns the latest incarnation of a node that is known.
+    /// Returns the latest known incarnation of a node.
     pub fn incarnation_of(&self, node: NodeId) -> Incarnation {
         self.incarnations.get(&node).copied().unwrap_or_default()
     }
 
-    /// Records that a donor has sent its whole table, and how complete that table is.
+    /// Records that a donor has sent its whole table, and the completeness of that table.
     pub fn record_sync(&mut self, donor: NodeId, completeness: Completeness) {
         self.sync_state.record(donor, completeness);
     }
 
-    /// Returns how complete this table is, as other nodes are told.
+    /// Returns the completeness of this table, as it is reported to other nodes.
     pub fn completeness(&self, configs: &ActiveConfigs) -> Completeness {
         self.sync_state.completeness(self.this_node, configs)
     }
@@ -111,7 +113,7 @@
     }
 
     /// Marks the table complete if every other member has sent its whole table and was itself complete.
-    /// Returns whether it has become complete.
+    /// Returns whether this call has made it complete.
     pub fn finish_sync(&mut self, configs: &ActiveConfigs) -> bool {
         let becomes_complete = !self.is_complete() && self.completeness(configs) == Completeness::Complete;
         if becomes_complete {
@@ -120,24 +122,24 @@
         becomes_complete
     }
 
-    /// Whether the replica can vote for a key. True if every quorum that a forgotten vote of this replica
-    /// could belong to contains another replica whose knowledge this one has merged.
+    /// Whether the replica can vote for a key. This holds if every quorum that a lost vote of this replica
+    /// could have been part of contains another replica whose table this one has merged.
     pub fn can_vote_for(&self, key: &[u8], configs: &ActiveConfigs) -> bool {
         self.sync_state.can_vote_for(self.this_node, key, configs)
     }
 
-    /// Returns how long it takes at most until the table is complete; none if it is.
+    /// Returns the longest time until the table is complete; `None` if it is complete.
     pub fn time_until_complete(&self, now: Time, configs: &ActiveConfigs) -> Option<Duration> {
         self.sync_state.time_until_complete(now, configs)
     }
 
-    /// Whether a donor has sent its whole table since this node lost its state, or nothing was lost.
+    /// Whether a donor has sent its whole table since this node lost its state. True if no state was lost.
     pub fn has_synced_from(&self, donor: NodeId) -> bool {
         self.sync_state.has_synced_from(donor)
     }
 
-    /// Advances the time: removes keys whose window has ended. Returns whether the table has become
-    /// complete, as everything that it may have lost has expired.
+    /// Removes keys whose window and [`LATE_READ_GRACE`] have ended. Returns whether this call has made the
+    /// table complete, because all state that it may have lost has expired.
     pub fn tick(&mut self, now: Time, configs: &ActiveConfigs) -> bool {
         while let Some((window_ends_at, key)) = self.by_window_end.first().cloned() {
             if now < window_ends_at + LATE_READ_GRACE {
@@ -155,8 +157,8 @@
         all_expired
     }
 
-    /// Updates a key's entry, which is created if it is absent and removed if nothing is known of it any
-    /// more. The key's window ends at `window_ends_at` at the earliest.
+    /// Updates the entry of a key. Creates it if it is absent, and removes it if it is empty afterwards.
+    /// Extends the key's window to `window_ends_at` if it ends earlier.
     fn update<T>(&mut self, key: &Key, window_ends_at: Time, change: impl FnOnce(&mut Entry) -> T) -> T {
         let (key, mut entry) = match self.entries.remove_entry(key) {
             Some((key, entry)) => {
@@ -176,23 +178,23 @@
         returned
     }
 
-    /// Whether there is no capacity for a new key with a result of this size.
+    /// Whether the table has no capacity for a new key with a result of this size.
     fn is_full(&self, key: &Key, result_bytes: usize) -> bool {
         self.bytes + ENTRY_OVERHEAD_BYTES + key.len() + result_bytes > self.max_bytes
     }
 
-    /// Returns what is to be stored on disk of a key; none if nothing is known of it.
+    /// Returns the record of a key that is stored on disk; `None` if the table has no entry for the key.
     pub fn stored_record(&self, key: &Key, now: Time) -> Option<StoredRecord> {
         let entry = self.entries.get(key)?;
         Some(StoredRecord { vote: entry.vote, record: entry.record(key, now) })
     }
 
-    /// Returns the claim that this replica has granted for a key.
+    /// Returns the claim that this replica has granted for a key, if any.
     pub fn vote(&self, key: &[u8]) -> Option<ClaimId> {
         self.entries.get(key)?.vote
     }
 
-    /// Returns what this replica knows of a key.
+    /// Returns the state of a key; `None` if the table has no entry for it.
     pub fn state_of(&self, key: &[u8]) -> Option<&KeyState> {
         self.entries.get(key).map(|entry| &entry.state)
     }
--- a/fleet/src/replication/replica_table/entry.rs
+++ b/fleet/src/replication/replica_table/entry.rs
@@ -5,20 +5,20 @@
 use crate::replication::key_state::{ClaimId, Key, KeyState};
 use crate::{millis_ceil, Time, MAX_RESULT_BYTES};
 
-/// An estimate, on the high side, of the memory that an entry takes in addition to its key and its result, in
-/// bytes. It is fixed: the waiters and started claims of an entry are not counted one by one.
+/// Conservative estimate of an entry's memory use in bytes, apart from its key and its result. It is a
+/// constant that covers the entry's waiters and started claims, which are not counted individually.
 pub const ENTRY_OVERHEAD_BYTES: usize = 512;
 
-/// An attempt that waits for a key's run.
+/// An attempt that waits for the run of a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct Waiter {
-    /// The link that it asked on.
+    /// The link on which the attempt's node asked.
     pub(super) link: LinkId,
-    /// The claim that it asked for.
+    /// The claim of the attempt.
     pub(super) claim_id: ClaimId,
 }
 
-/// A key's entry in the table.
+/// Entry of a key in the table.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct Entry {
     /// When the key's idempotency window ends. The entry is retained for
@@ -27,10 +27,10 @@
     /// The claim that this replica has granted.
     pub(super) vote: Option<ClaimId>,
     pub(super) state: KeyState,
-    /// Attempts that wait for the key's run.
+    /// Attempts to notify of the outcome of the key's run.
     pub(super) waiters: Vec<Waiter>,
-    /// When the node of a started claim was last asked what became of it. For one key, at most one
-    /// `QueryClaim` is sent per interval, also if several claims have started.
+    /// When a `QueryClaim` for this key was last sent. The interval between two of them applies to the key,
+    /// even if several claims on it have started.
     pub(super) claim_queried_at: Option<Time>,
 }
 
@@ -45,7 +45,8 @@
         }
     }
 
-    /// The memory that the entry takes. Until the run completes, capacity for the largest result is reserved.
+    /// Returns the estimated memory use of the entry. Until a run has completed, this reserves space for a
+    /// result of maximum size.
     pub(super) fn bytes(&self, key: &Key) -> usize {
         let result = if self.state.completed.is_some() { self.state.result_size() } else { MAX_RESULT_BYTES };
         ENTRY_OVERHEAD_BYTES + key.len() + result
--- a/fleet/src/replication/replica_table/outcome.rs
+++ b/fleet/src/replication/replica_table/outcome.rs
@@ -1,4 +1,4 @@
-//! What follows from a change of a replica table.
+//! Results of operations on a replica table.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,32 +6,33 @@
 use crate::message::ReplicaRecord;
 use crate::replication::key_state::{ClaimId, Key, RunConflict};
 
-/// What a node stores on disk of one key. The fields are encoded by position.
+/// Record of one key as a node stores it on disk. The fields are encoded by position and must not be
+/// reordered.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredRecord {
-    /// The claim that this replica has granted.
+    /// The claim that this replica has granted, if any.
     pub vote: Option<ClaimId>,
-    /// What it knows of the key.
+    /// What this replica knows of the key.
     pub record: ReplicaRecord,
 }
 
-/// What follows from a message to the replica.
+/// Messages and changes that result from a message to the replica.
 #[derive(Debug, Default)]
 pub struct TableOutcome {
-    /// Responses to the attempts that have asked for the key.
+    /// Response to the message, and notifications of waiting attempts.
     pub responses: Vec<Response>,
-    /// Queries to other nodes.
+    /// Queries for the outcome of conflicting claims, to be sent to other nodes.
     pub queries: Vec<Request>,
     /// The key whose entry changed and must be stored before the responses are sent.
     pub changed_key: Option<Key>,
-    /// Two runs of one key that have both completed.
+    /// The conflict, if two different runs of the key have completed.
     pub conflict: Option<RunConflict>,
 }
 
-/// What became of records that a donor sent.
+/// Result of merging the records of a donor.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct MergeOutcome {
-    /// Whether some of them were dropped for lack of capacity.
+    /// Whether records, or started claims of a record, were dropped for lack of capacity.
     pub dropped: bool,
     /// Pairs of different completed runs of one key.
     pub conflicts: Vec<RunConflict>,
@@ -42,6 +43,6 @@
 pub struct TableSize {
     /// The number of keys.
     pub keys: usize,
-    /// The memory that they take, reservations included.
+    /// Estimated memory use of the keys in bytes, including the space reserved for results.
     pub bytes: usize,
 }
--- a/fleet/src/replication/replica_table/paging.rs
+++ b/fleet/src/replication/replica_table/paging.rs
@@ -1,5 +1,5 @@
-//! Transfer of a table between nodes: pages of what a requester holds replicas of, and merging what donors
-//! send.
+//! Transfer of a table between nodes: reading pages of the keys that a requester is a replica of, and merging
+//! the records of donors.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,26 +13,28 @@
 use crate::replication::key_state::{Key, KeyState};
 use crate::{Time, MAX_RESULT_BYTES};
 
-/// The most started claims taken from one record; a record with more is truncated and reported as dropped.
+/// Maximum number of started claims that are taken from one record. Further ones are dropped and reported in
+/// [`MergeOutcome::dropped`].
 const MAX_STARTED_PER_KEY: usize = 16;
-/// No record is added to a page once the page is larger than this; the last one may exceed it.
+/// Page size in bytes above which no further record is added. The last record may exceed it.
 const PAGE_BYTES_SOFT_LIMIT: usize = 64 * 1024;
-/// A page ends after this many entries were read for it, whether or not the requester holds replicas of them.
+/// Maximum number of entries that are read for a page, including those that the requester is no replica of.
 const MAX_ENTRIES_PER_PAGE: usize = 512;
-/// The part of an entry's overhead in memory that it takes in a message.
+/// Estimated size of an encoded record without its key and result, as a fraction of the entry's overhead in
+/// memory.
 const RECORD_OVERHEAD_BYTES: usize = ENTRY_OVERHEAD_BYTES / 4;
 
-/// A page, and what it cost to read it.
+/// A page, and the cost of reading it.
 #[derive(Debug)]
 pub struct PageRead {
-    /// The page.
+    /// The page to send to the requester.
     pub page: Page,
     /// The number of entries that were read for it.
     pub entries_read: usize,
 }
 
 impl ReplicaTable {
-    /// Reads a page of what the requester holds replicas of, in descending order of expiry.
+    /// Reads a page of the keys that the requester is a replica of, in descending order of expiry.
     pub fn page(
         &self,
         now: Time,
@@ -63,9 +65,9 @@
         PageRead { page, entries_read }
     }
 
-    /// Entries that follow the position in paging order (descending expiry).
+    /// Returns the entries that follow the position in paging order, i.e. in descending order of expiry.
     fn entries_before(&self, from: Option<&TablePosition>) -> impl Iterator<Item = &(Time, Key)> {
-        // A position in another incarnation of this table is not valid here; paging starts again.
+        // A position of another incarnation of this table is invalid, so paging restarts at the first entry.
         let from = from.filter(|from| from.incarnation == self.incarnation);
         let end = from.map(|from| (Duration::from_nanos(from.expires_ns), from.key.clone()));
         let range = match end {
@@ -80,7 +82,7 @@
         TablePosition { incarnation: self.incarnation, expires_ns, key: key.clone() }
     }
 
-    /// Merges records of a donor.
+    /// Merges the records of a donor into the table. A new key is dropped if there is no capacity for it.
     pub fn merge_records(&mut self, now: Time, records: Vec<ReplicaRecord>) -> MergeOutcome {
         let mut outcome = MergeOutcome::default();
         for ReplicaRecord { key, retain_ms, started, completed } in records {
@@ -99,11 +101,11 @@
         outcome
     }
 
-    /// Restores what this node stored on its disk in its last incarnation.
+    /// Restores the records that this node stored on disk in its last incarnation.
     pub fn restore(&mut self, now: Time, records: Vec<StoredRecord>) {
         for StoredRecord { vote, record } in records {
             let key = record.key.clone();
-            // There was capacity for it when it was stored.
+            // There was capacity for the record when it was stored, so the outcome is not checked.
             self.merge_records(now, vec![record]);
             if let Some(entry) = self.entries.get_mut(&key) {
                 entry.vote = vote;
--- a/fleet/src/replication/replica_table/sync_state.rs
+++ b/fleet/src/replication/replica_table/sync_state.rs
@@ -1,4 +1,4 @@
-//! Whether a replica has all the state that it had before, or how far it has caught up since it lost it.
+//! Tracks whether a replica's state is complete and, after a loss of state, how far it has caught up.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,22 +9,22 @@
 use crate::message::Completeness;
 use crate::{Time, LATE_READ_GRACE};
 
-/// How far a replica has caught up.
+/// Completeness of a replica's state.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) enum SyncState {
-    /// Nothing is missing.
+    /// No state is missing.
     Complete,
-    /// State was lost.
+    /// State was lost and is not recovered in full.
     Partial {
-        /// When it was lost.
+        /// When the state was lost.
         since: Time,
-        /// Donors that have sent their whole tables since, and how complete those are.
+        /// Donors that have sent their whole tables since then, and the completeness of those tables.
         donors: BTreeMap<NodeId, Completeness>,
     },
 }
 
 impl SyncState {
-    /// State is lost now.
+    /// Returns the state of a replica that has lost its state at `now`.
     pub(super) fn lost(now: Time) -> SyncState {
         SyncState::Partial { since: now, donors: BTreeMap::new() }
     }
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Whether a donor has sent its whole table since state was lost, or none was.
+    /// Whether a donor has sent its whole table since state was lost. True if no state was lost.
     pub(super) fn has_synced_from(&self, donor: NodeId) -> bool {
         match self {
             SyncState::Complete => true,
@@ -44,8 +44,8 @@
         }
     }
 
-    /// How complete the table is, as other nodes are told. Only donors that are complete themselves count,
-    /// so that nodes which all lost their state can't vouch for each other.
+    /// Returns the completeness of the table, as it is reported to other nodes. Only donors that are complete
+    /// themselves count, so that nodes which have all lost their state can't make each other complete.
     pub(super) fn completeness(&self, this_node: NodeId, configs: &ActiveConfigs) -> Completeness {
         let SyncState::Partial { donors, .. } = self else { return Completeness::Complete };
         let is_complete =
@@ -57,24 +57,24 @@
         Completeness::PartialFrom(complete)
     }
 
-    /// Whether the replica can vote for a key. True if, in each configuration, every quorum that a
-    /// forgotten vote of this replica could belong to contains another replica whose knowledge this one has
-    /// merged. Of a donor that is not complete itself, the same is required for its own forgotten votes.
+    /// Whether the replica can vote for a key. This holds if, in each configuration, every quorum that a lost
+    /// vote of this replica could have been part of contains another replica whose table this one has merged.
+    /// A donor that is not complete itself counts only if the same holds for its own lost votes.
     pub(super) fn can_vote_for(&self, this_node: NodeId, key: &[u8], configs: &ActiveConfigs) -> bool {
         let SyncState::Partial { donors, .. } = self else { return true };
         configs.iter().all(|config| {
-            let knows_our_votes_on_key = |donor: NodeId| match donors.get(&donor) {
+            let accounts_for_lost_vote = |donor: NodeId| match donors.get(&donor) {
                 Some(Completeness::Complete) => true,
                 Some(Completeness::PartialFrom(synced_from)) => {
                     intersects_every_quorum(config, key, donor, |other| synced_from.contains(&other))
                 }
                 None => false,
             };
-            intersects_every_quorum(config, key, this_node, knows_our_votes_on_key)
+            intersects_every_quorum(config, key, this_node, accounts_for_lost_vote)
         })
     }
 
-    /// How long it takes at most until everything that was lost has expired; none if nothing was lost.
+    /// Returns the longest time until all lost state has expired; `None` if no state is missing.
     pub(super) fn time_until_complete(&self, now: Time, configs: &ActiveConfigs) -> Option<Duration> {
         match self {
             SyncState::Complete => None,
@@ -86,11 +86,11 @@
     }
 }
 
-/// Whether every quorum of a key's replicas that `node` is part of has another member that satisfies the
-/// predicate. True if the node holds no replica of the key.
+/// Whether every quorum of a key's replicas that contains `node` also contains another replica that satisfies
+/// the predicate. True if `node` is not a replica of the key.
 ///
-/// A quorum containing `node` omits `replica_count - quorum` replicas; it contains a satisfying one for
-/// certain only if more than that satisfy.
+/// A quorum that contains `node` omits `replica_count - quorum` of the other replicas, so it is certain to
+/// contain one that satisfies the predicate only if more of them than that satisfy it.
 fn intersects_every_quorum(
     config: &MembershipConfig,
     key: &[u8],
--- a/fleet/src/replication/replica_table/tests.rs
+++ b/fleet/src/replication/replica_table/tests.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn the_first_claim_is_granted_each_time_it_arrives_and_blocks_every_other_one() {
+fn the_first_claim_is_granted_on_every_retry_and_blocks_other_claims() {
     let (mut table, configs) = (table(true), configs());
     let first = table.claim(at(0), LINK, &request(1, "k"), &configs);
     assert!(is_granted(&first) && first.changed_key.is_some());
@@ -66,11 +66,14 @@
     assert!(
         matches!(other.queries[..], [Request { to, message: Message::QueryClaim { .. } }] if to == id(2))
     );
-    assert!(is_granted(&table.claim(at(3), LINK, &request(3, "l"), &configs)), "another key");
+    assert!(
+        is_granted(&table.claim(at(3), LINK, &request(3, "l"), &configs)),
+        "a claim on another key is granted"
+    );
 }
 
 #[test]
-fn a_completed_run_reaches_the_attempts_that_wait_and_those_that_come_later() {
+fn a_completed_run_is_reported_to_waiting_and_to_later_attempts() {
     let (mut table, configs) = (table(true), configs());
     table.claim(at(0), LINK, &request(1, "k"), &configs);
     table.claim(at(1), OTHER_LINK, &request(2, "k"), &configs);
@@ -92,12 +95,12 @@
 }
 
 #[test]
-fn a_released_claim_frees_its_key_for_the_next_and_notifies_the_attempts_that_wait() {
+fn a_release_frees_the_key_for_the_next_claim_and_notifies_waiting_attempts() {
     let (mut table, configs) = (table(true), configs());
     table.claim(at(0), LINK, &request(1, "k"), &configs);
     table.claim(at(1), OTHER_LINK, &request(2, "k"), &configs);
     let unknown = table.release(at(2), &"k".into(), claim(9));
-    assert!(unknown.responses.is_empty(), "that claim is unknown");
+    assert!(unknown.responses.is_empty(), "the replica knows no such claim");
     let released = table.release(at(2), &"k".into(), claim(1));
     let response = Response { link: OTHER_LINK, message: Message::KeyFree { claim: claim(2) } };
     assert_eq!(released.responses, [response]);
@@ -108,27 +111,27 @@
 }
 
 #[test]
-fn a_replica_that_lost_its_state_grants_nothing_until_it_has_caught_up_or_a_window_has_passed() {
+fn a_replica_that_lost_its_state_grants_no_claim_until_it_has_caught_up_or_the_window_has_ended() {
     let (mut lost, configs) = (table(false), configs());
     let is_recovering = |outcome: &TableOutcome| is_uncertain(outcome, RejectReason::Recovering);
     assert!(is_recovering(&lost.claim(at(0), LINK, &request(1, "k"), &configs)));
     lost.record_sync(id(2), Completeness::Complete);
     assert!(
         is_recovering(&lost.claim(at(1), LINK, &request(1, "k"), &configs)),
-        "the other replica may know of a run"
+        "replica 3 may know of a run"
     );
     lost.record_sync(id(3), Completeness::PartialFrom(vec![id(1)]));
     assert!(
         is_recovering(&lost.claim(at(1), LINK, &request(1, "k"), &configs)),
-        "that donor is incomplete itself"
+        "donor 3 has not merged the table of node 2"
     );
     lost.record_sync(id(3), Completeness::PartialFrom(vec![id(1), id(2)]));
     assert!(is_granted(&lost.claim(at(2), LINK, &request(1, "k"), &configs)));
-    assert!(!lost.finish_sync(&configs), "for every key it needs the third replica to be complete");
+    assert!(!lost.finish_sync(&configs), "a complete table requires that donor 3 is complete");
     assert_eq!(
         lost.completeness(&configs),
         Completeness::PartialFrom(vec![id(2)]),
-        "an incomplete donor vouches for nobody"
+        "an incomplete donor does not count"
     );
     lost.record_sync(id(3), Completeness::Complete);
     assert!(
@@ -142,7 +145,7 @@
 }
 
 #[test]
-fn a_run_that_a_donor_knows_blocks_every_claim_but_its_own() {
+fn a_started_claim_from_a_donor_blocks_every_other_claim() {
     let (mut table, configs) = (table(false), configs());
     let record =
         ReplicaRecord { key: "k".into(), retain_ms: 5_000, started: vec![(claim(1), 5)], completed: None };
@@ -155,7 +158,7 @@
 }
 
 #[test]
-fn a_claim_in_other_configs_is_not_granted_and_a_grant_reports_incarnations() {
+fn a_claim_that_lacks_an_active_config_is_not_granted_and_a_grant_reports_incarnations() {
     let (mut table, mut configs) = (table(true), configs());
     table.record_incarnation(id(3), Incarnation(9));
     let first = table.claim(at(0), LINK, &request(1, "k"), &configs);
@@ -170,7 +173,7 @@
 }
 
 #[test]
-fn a_full_table_rejects_new_keys_and_drops_none_early() {
+fn a_full_table_rejects_new_keys_and_evicts_none_before_its_window_ends() {
     let configs = configs();
     let max_bytes = 3 * MAX_RESULT_BYTES + 5 * ENTRY_OVERHEAD_BYTES;
     let mut table = ReplicaTable::new(id(1), Incarnation(7), max_bytes, true, at(0));
@@ -179,9 +182,15 @@
     }
     let fourth = table.claim(at(1), LINK, &request(4, "d"), &configs);
     assert!(is_uncertain(&fourth, RejectReason::CapacityExceeded));
-    assert!(is_granted(&table.claim(at(1), LINK, &request(1, "a"), &configs)), "known ones continue");
+    assert!(
+        is_granted(&table.claim(at(1), LINK, &request(1, "a"), &configs)),
+        "a known key needs no new capacity"
+    );
     table.complete_run(at(2), LINK, &"a".into(), 9_000, run(1, "short"));
-    assert!(is_granted(&table.claim(at(3), LINK, &request(4, "d"), &configs)), "its result took less");
+    assert!(
+        is_granted(&table.claim(at(3), LINK, &request(4, "d"), &configs)),
+        "the result of key a takes less space than was reserved"
+    );
     table.tick(at(17_999), &configs);
     assert_eq!(table.size().keys, 4);
     table.tick(at(18_003), &configs);
@@ -189,7 +198,7 @@
 }
 
 #[test]
-fn pages_cover_all_that_the_requester_holds_those_that_expire_last_first() {
+fn pages_contain_all_keys_of_the_requester_in_descending_order_of_expiry() {
     let (mut donor, configs) = (table(true), configs());
     donor.max_bytes = 64 << 20;
     let mut requester = ReplicaTable::new(id(2), Incarnation(3), 64 << 20, false, at(0));
@@ -218,11 +227,11 @@
     let read = donor.page(at(2000), id(2), 1, Some(&outdated), &configs);
     assert!(!read.page.records.is_empty());
     let read = donor.page(at(2000), id(9), 1, None, &configs);
-    assert!(read.page.records.is_empty(), "it holds no replicas");
+    assert!(read.page.records.is_empty(), "node 9 is not a replica of any key");
 }
 
 #[test]
-fn a_restored_vote_is_granted_again_after_a_restart() {
+fn a_restored_vote_grants_the_same_claim_again_after_a_restart() {
     let (mut table, configs) = (table(true), configs());
     let key = table.claim(at(0), LINK, &request(1, "k"), &configs).changed_key.unwrap();
     let stored = table.stored_record(&key, at(0)).unwrap();
--- a/fleet/src/replication/replica_table/voting.rs
+++ b/fleet/src/replication/replica_table/voting.rs
@@ -1,4 +1,4 @@
-//! How a replica responds to claims and queries, and what it stores of completed and released runs.
+//! Responses of a replica to claims and queries, and its handling of completed runs and released claims.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -12,14 +12,15 @@
 use crate::replication::key_state::{ClaimId, CompletedRun, Key, KeyState, RunResult};
 use crate::{millis_ceil, Time, MAX_RESULT_BYTES};
 
-/// The most attempts that are notified when a key's run completes. It bounds the memory of an entry; attempts
-/// beyond it poll, as all of them do in case a message is lost.
+/// Maximum number of attempts that are notified when a key's run completes. Bounds the memory use of an
+/// entry. Further attempts get the outcome by polling, which all attempts do in case a message is lost.
 const MAX_WAITERS_PER_KEY: usize = 16;
-/// For one key, at most one `QueryClaim` is sent per interval.
+/// Minimum interval between two `QueryClaim` messages for the same key.
 const CLAIM_QUERY_INTERVAL: Duration = Duration::from_millis(500);
 
 impl ReplicaTable {
-    /// Handles a claim.
+    /// Handles a claim request: grants it, reports a conflicting claim, or responds that the replica can't
+    /// vote.
     pub fn claim(
         &mut self,
         now: Time,
@@ -43,8 +44,8 @@
     ) -> Message {
         let ClaimRequest { claim: claim_id, key, .. } = request;
         let claim_id = *claim_id;
-        // The claim must be made in every configuration active here; otherwise a quorum of one of them could
-        // grant another claim on the key.
+        // The claim must be made in every configuration that is active here. Otherwise a quorum in one of
+        // them could grant another claim on the key.
         if configs.iter().any(|config| !request.config_versions.contains(&config.version())) {
             return Message::Uncertain { claim: claim_id, reason: RejectReason::ConfigMismatch };
         }
@@ -85,9 +86,9 @@
         others.into_iter().filter_map(|node| Some((node, *self.incarnations.get(&node)?))).collect()
     }
 
-    /// Returns the response to a claim, or to an attempt that only asks, if another run of the key has
-    /// started or completed. The attempt is notified when a started run completes, and that run's node is
-    /// asked for it at intervals.
+    /// Returns the response to a claim or a query if another run of the key may have started or has
+    /// completed. While that run is not completed, the waiter is added to those that are notified of its
+    /// outcome, and the node of the conflicting claim is queried at intervals.
     fn respond_if_blocked(
         &mut self,
         now: Time,
@@ -104,7 +105,7 @@
         Some(Message::Blocked { claim: waiter.claim_id, conflict })
     }
 
-    /// Responds to an attempt that asks for a key without claiming it.
+    /// Handles a query for the state of a key, which makes no claim.
     pub fn query_key(
         &mut self,
         now: Time,
@@ -123,8 +124,8 @@
         outcome
     }
 
-    /// Stores a completed run, and notifies the attempts that wait for it. A replica without an entry for the
-    /// key may have no room; it then responds `stored: false`.
+    /// Handles a completed run: stores it and notifies the attempts that wait for it. If the table has no
+    /// entry for the key and no capacity for a new one, the response is `stored: false`.
     pub fn complete_run(
         &mut self,
         now: Time,
@@ -144,22 +145,22 @@
     }
 
     fn store_run(&mut self, window_ends_at: Time, key: &Key, run: CompletedRun, outcome: &mut TableOutcome) {
-        let (waiters, kept) = self.update(key, window_ends_at, |entry| {
+        let (waiters, retained) = self.update(key, window_ends_at, |entry| {
             let state = KeyState { completed: Some(with_storable_result(run)), ..KeyState::default() };
             outcome.conflict = entry.state.merge(state);
             (std::mem::take(&mut entry.waiters), entry.state.completed.clone())
         });
         outcome.changed_key = Some(key.clone());
-        let Some(kept) = kept else { return };
+        let Some(retained) = retained else { return };
         let to_response = |Waiter { link, claim_id }| {
-            let conflict = conflict_with_run(&kept, 0);
+            let conflict = conflict_with_run(&retained, 0);
             Response { link, message: Message::Blocked { claim: claim_id, conflict } }
         };
         outcome.responses.extend(waiters.into_iter().map(to_response));
     }
 
-    /// Removes a claim under which nothing ran. Attempts that wait for it are told once no run of the key
-    /// is left.
+    /// Removes a claim under which no run has started. Once no other run of the key is known, the waiting
+    /// attempts are notified that the key is free.
     pub fn release(&mut self, now: Time, key: &Key, claim_id: ClaimId) -> TableOutcome {
         let mut outcome = TableOutcome::default();
         let knows_claim =
@@ -184,8 +185,8 @@
     }
 }
 
-/// The completed run of a key, or the claim of another attempt that has started on it; of several, the one
-/// that this replica has granted.
+/// Returns the completed run of a key or, if there is none, another claim whose run may have started. The
+/// claim that this replica has granted takes precedence over other started claims.
 fn find_conflict(entry: &Entry, now: Time, claim_id: ClaimId) -> Option<ConflictingClaim> {
     let expired_ms = millis_ceil(now.saturating_sub(entry.window_ends_at));
     if let Some(run) = &entry.state.completed {
@@ -201,14 +202,15 @@
     ConflictingClaim { claim: run.claim, body: run.body, completed: Some(run.clone()), expired_ms }
 }
 
-/// Adds an attempt to those that are notified of the key's run, as far as there is room for it.
+/// Adds an attempt to those that are notified of the key's run, unless [`MAX_WAITERS_PER_KEY`] are waiting.
 fn add_waiter(entry: &mut Entry, waiter: Waiter) {
     if entry.waiters.len() < MAX_WAITERS_PER_KEY && !entry.waiters.contains(&waiter) {
         entry.waiters.push(waiter);
     }
 }
 
-/// The query to the node of a conflicting claim what became of it, if one is due.
+/// Returns a query for the outcome of a conflicting claim to the node that made it; `None` if
+/// [`CLAIM_QUERY_INTERVAL`] has not passed since the last query.
 fn query_claim_owner(
     entry: &mut Entry,
     now: Time,
@@ -224,7 +226,8 @@
     Some(Request { to: claim.node, message })
 }
 
-/// Copies the result out of its receive buffer; one that is too long is replaced by `Failed`.
+/// Copies the result out of the receive buffer. A result longer than [`MAX_RESULT_BYTES`] is replaced by
+/// [`RunResult::Failed`].
 pub(super) fn with_storable_result(run: CompletedRun) -> CompletedRun {
     let result = match run.result {
         RunResult::Succeeded(bytes) if bytes.len() <= MAX_RESULT_BYTES => {
