--- a/fleet/src/message.rs
+++ b/fleet/src/message.rs
@@ -1,8 +1,8 @@
-//! The peer protocol: every message that nodes exchange.
+//! The peer protocol: all messages that nodes exchange.
 //!
-//! Messages are encoded by position. A later build appends new variants, and new fields at the end of
-//! existing ones, so that an older build can skip what it does not know. Variants and fields must never be
-//! reordered or removed.
+//! Messages are encoded by position. Later builds may only append variants, and fields at the end of existing
+//! variants, so that older builds can skip what they do not know. Variants and fields must never be reordered
+//! or removed.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -12,176 +12,181 @@
 use crate::recovery::staleness::StatePosition;
 use crate::replication::key_state::{BodyDigest, ClaimId, CompletedRun, Key};
 
-/// The number of message kinds that this build knows; later builds use higher kinds.
+/// Number of message kinds that this build knows. Kinds that later builds add have higher numbers.
 pub const MESSAGE_KINDS: u32 = 22;
 
-/// Identifies one membership configuration: two nodes that agree on it have computed the same digest.
+/// Identifies a membership configuration. Two nodes agree on it if they have computed the same digest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ConfigSignature {
     /// The configuration's version.
     pub version: ConfigVersion,
-    /// The digest of its content, addresses aside.
+    /// Digest of the configuration's content without the members' addresses.
     pub digest: u64,
 }
 
-/// Introduces a node to a peer.
+/// Introduction of a node to a peer.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Hello {
     /// The sender's name.
     pub name: String,
-    /// The node that the sender means to reach.
+    /// The node that the sender intends to reach.
     pub to: NodeId,
     /// The sender's incarnation.
     pub incarnation: Incarnation,
-    /// The configurations that are active at the sender, the newest last.
+    /// Configurations that are active at the sender, in ascending order of version.
     pub configs: Vec<ConfigSignature>,
-    /// Configurations up to this version are retired, as the sender knows.
+    /// Version up to which the sender knows the configurations to be retired.
     pub retired_through: ConfigVersion,
-    /// The previous link was cut because the receiver was too slow, and the messages on it are lost.
+    /// Whether the sender cut the previous link because the receiver was too slow. Messages on it are lost.
     pub link_cut: bool,
-    /// How long the sender's incarnation has lasted, in seconds.
+    /// Time since the sender's incarnation began, in seconds.
     pub uptime_seconds: u64,
-    /// The position of the state that the sender restored from its disk, if it restored any.
+    /// Position of the state that the sender restored from its disk; `None` if it relies on no restored
+    /// state.
     pub restored: Option<StatePosition>,
 }
 
-/// Asks a replica to grant a claim on a key.
+/// Request to a replica to grant a claim on a key.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ClaimRequest {
-    /// The claim.
+    /// The claim to grant.
     pub claim: ClaimId,
-    /// The key.
+    /// The key that is claimed.
     pub key: Key,
-    /// The digest of the request's body.
+    /// Digest of the client request's body.
     pub body: BodyDigest,
-    /// How much longer the key is retained, in milliseconds.
+    /// Remaining idempotency window of the key, in milliseconds.
     pub retain_ms: u64,
-    /// The versions of the configurations in which the claim needs a quorum.
+    /// Versions of the configurations in which the claim needs a quorum.
     pub config_versions: Vec<ConfigVersion>,
 }
 
-/// The claim that prevents another one from being granted.
+/// A claim that prevents the requested claim from being granted.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ConflictingClaim {
-    /// The claim whose run has started, or completed.
+    /// The claim, whose run may have started or has completed.
     pub claim: ClaimId,
-    /// The digest of its request's body.
+    /// Digest of the body of the claim's client request.
     pub body: BodyDigest,
-    /// Its completed run, if the replica knows of it.
+    /// The completed run of the claim; `None` if the replica does not know of a completion.
     pub completed: Option<CompletedRun>,
-    /// How long ago its idempotency window ended, in milliseconds; 0 while the window is open.
+    /// Time since the key's idempotency window ended, in milliseconds; 0 while the window is open.
     pub expired_ms: u64,
 }
 
-/// Why a replica can't answer a claim, or a node rejects an attempt before it ran.
+/// Reason why a replica can neither grant nor deny a claim, or why a node rejects an attempt without a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum RejectReason {
-    /// The replica lost its state and has neither caught up nor waited for one idempotency window.
+    /// The replica lost its state, has not caught up yet, and one idempotency window has not passed since.
     Recovering,
-    /// The node has not heard a majority of the members since it started or resumed.
+    /// The node has not heard a majority of the members since it started or resumed after a suspension.
     NoQuorum,
-    /// There is no capacity for one more key.
+    /// The table has no capacity for another key, or the node for another open claim.
     CapacityExceeded,
-    /// Another process runs under the node's name.
+    /// Another process runs under the node's name or has taken over the node.
     Superseded,
-    /// The replica has active configurations in which the claim does not ask for a quorum.
+    /// The claim is not made in every configuration that is active at the replica.
     ConfigMismatch,
-    /// The replica has another configuration of the same version.
+    /// The replica has a configuration with the same version as one of the requester's but different content.
     ConfigConflict,
     /// The replica could not write its grant to disk.
     NotDurable,
-    /// The replica can't be reached.
+    /// The replica is unreachable.
     Unreachable,
     /// The node is not a member of the newest configuration.
     NotMember,
-    /// No quorum answered before the deadline.
+    /// No quorum responded before the deadline, or the requested idempotency window exceeds the configured
+    /// one.
     DeadlineExceeded,
-    /// The key's idempotency window has ended, but the key is not removed yet.
+    /// The key was used by an earlier request whose idempotency window has ended, but is not removed yet.
     WindowExpired,
-    /// The run that the attempt waited for never started.
+    /// The claim that the attempt waited for was released without a run.
     ClaimReleased,
 }
 
-/// How often a node has come back or refuted a suspicion; the higher version of a member prevails in gossip.
+/// Version of a member's liveness in gossip; the higher version prevails. It increases with each incarnation
+/// and each refuted suspicion.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MemberVersion {
     /// The member's incarnation.
     pub incarnation: Incarnation,
-    /// How many suspicions it has refuted in that incarnation.
+    /// Number of suspicions that the member has refuted in that incarnation.
     pub refutations: u32,
 }
 
-/// A member's liveness, as it is gossiped.
+/// Gossip about the liveness of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct GossipUpdate {
-    /// The member.
+    /// The member that the update is about.
     pub node: NodeId,
-    /// The version of the member that the update is about.
+    /// The version of the liveness.
     pub version: MemberVersion,
-    /// The member's liveness.
+    /// The member's liveness at that version.
     pub liveness: Liveness,
 }
 
-/// Whether a member answers probes.
+/// Liveness of a member, as determined by probes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Liveness {
-    /// It answers.
+    /// The member answers probes.
     Alive,
-    /// It did not answer the last probe.
+    /// The member did not answer the last probe.
     Suspect,
-    /// It was a suspect for too long, or was never heard.
+    /// The member did not refute a suspicion in time, or was never heard.
     Dead,
 }
 
-/// A position in a donor's table. Entries are transferred in descending order of the ends of their windows.
+/// Position in a donor's table. Entries are transferred in descending order of the end of their idempotency
+/// window.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TablePosition {
-    /// The donor's incarnation; a position in another incarnation is void.
+    /// The donor's incarnation. A position in another incarnation is invalid.
     pub incarnation: Incarnation,
-    /// When the window of the entry's key ends on the donor's clock, in nanoseconds.
+    /// End of the entry's idempotency window on the donor's clock, in nanoseconds.
     pub expires_ns: u64,
-    /// The entry's key.
+    /// The key of the entry.
     pub key: Key,
 }
 
 impl TablePosition {
-    /// Returns the position behind every entry of the table.
+    /// Returns the position after the last entry of the table.
     pub fn end(incarnation: Incarnation) -> TablePosition {
         TablePosition { incarnation, expires_ns: 0, key: Key::new() }
     }
 }
 
-/// What a replica knows of one key.
+/// State of one key at a replica, as it is transferred and stored.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ReplicaRecord {
     /// The key.
     pub key: Key,
-    /// How much longer the key is retained, in milliseconds.
+    /// Remaining idempotency window of the key, in milliseconds.
     pub retain_ms: u64,
-    /// Claims whose runs may have started.
+    /// Claims whose runs may have started, with the digests of their request bodies.
     pub started: Vec<(ClaimId, BodyDigest)>,
-    /// The completed run.
+    /// The completed run of the key, if the replica knows of one.
     pub completed: Option<CompletedRun>,
 }
 
-/// Whether a replica's table holds all that was granted before.
+/// Whether a replica's table accounts for all unexpired claims that the replica has granted, including those
+/// from before a loss of state.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Completeness {
-    /// For every key.
+    /// The table is complete for every key.
     Complete,
-    /// For the keys of which enough other replicas are among these nodes, from which the table was
-    /// synchronized.
+    /// State was lost, and the tables of these nodes, complete themselves, have been merged since. The table
+    /// is complete only for keys of which enough other replicas are among these nodes.
     PartialFrom(Vec<NodeId>),
 }
 
-/// One page of a donor's table.
+/// A page of a donor's table, sent in response to [`Message::Pull`].
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Page {
-    /// The round of the request.
+    /// The requester's round, as stated in the request.
     pub round: u32,
-    /// The donor's records, those that expire last first.
+    /// Records of the keys that the requester is a replica of, in descending order of expiry.
     pub records: Vec<ReplicaRecord>,
-    /// Where the next page begins; none on the last page.
+    /// Position at which the next page begins; `None` on the last page.
     pub next: Option<TablePosition>,
     /// Whether the donor's own table is complete.
     pub completeness: Completeness,
@@ -190,36 +195,37 @@
 /// A message between two nodes.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// Introduces the sender. The first message on every link, sent again when anything in it changes.
+    /// Introduces the sender. This is the first message on every link, and is sent again when its content
+    /// changes.
     Hello(Hello),
-    /// Response to a [`Message::Hello`] of an earlier incarnation than the one that is known.
+    /// Response to a [`Message::Hello`] whose incarnation is lower than the latest known one of its sender.
     Superseded {
-        /// The incarnation that is known.
+        /// The latest known incarnation of the receiver.
         incarnation: Incarnation,
     },
     /// Requests a membership configuration.
     RequestMembershipConfig {
-        /// Its version.
+        /// Version of the requested configuration.
         version: ConfigVersion,
     },
-    /// A membership configuration.
+    /// Response to [`Message::RequestMembershipConfig`], with the configuration.
     MembershipConfig(MembershipSpec),
-    /// Probes the receiver.
+    /// Probes the liveness of the receiver.
     Ping {
         /// The probe's sequence number.
         seq: u64,
-        /// How long the sender's incarnation has lasted, in seconds.
+        /// Time since the sender's incarnation began, in seconds.
         uptime_seconds: u64,
-        /// Liveness of other members.
+        /// Liveness updates about any members.
         gossip: Vec<GossipUpdate>,
     },
     /// Response to a [`Message::Ping`].
     Ack {
         /// The probe's sequence number.
         seq: u64,
-        /// How long the sender's incarnation has lasted, in seconds.
+        /// Time since the sender's incarnation began, in seconds.
         uptime_seconds: u64,
-        /// Liveness of other members.
+        /// Liveness updates about any members.
         gossip: Vec<GossipUpdate>,
     },
     /// Asks the receiver to probe another member.
@@ -236,98 +242,103 @@
         /// The member that answered.
         target: NodeId,
     },
-    /// Asks a replica to grant a claim.
+    /// Requests that a replica grants a claim.
     Claim(ClaimRequest),
-    /// The replica has granted the claim.
+    /// Response to [`Message::Claim`]: the replica has granted the claim.
     Granted {
-        /// The claim.
+        /// The granted claim.
         claim: ClaimId,
-        /// The incarnations that the replica knows of the key's other replicas.
+        /// Latest incarnations of the key's other replicas, as far as the replica knows them.
         incarnations: Vec<(NodeId, Incarnation)>,
     },
-    /// The replica has not granted the claim, as another one was first.
+    /// Response to [`Message::Claim`] or [`Message::QueryKey`]: the run of another claim may have started or
+    /// has completed. Also sent to waiting attempts when that run completes.
     Blocked {
-        /// The claim that was requested.
+        /// The claim of the attempt that asked.
         claim: ClaimId,
-        /// The claim that was first.
+        /// The conflicting claim.
         conflict: ConflictingClaim,
     },
-    /// The replica can neither grant nor deny the claim.
+    /// Response to [`Message::Claim`] or [`Message::QueryKey`]: the replica can neither grant nor deny
+    /// the claim, or can't tell whether the key is free.
     Uncertain {
-        /// The claim that was requested.
+        /// The claim of the attempt that asked.
         claim: ClaimId,
-        /// Why.
+        /// The reason.
         reason: RejectReason,
     },
-    /// A run has completed.
+    /// Requests that a replica stores a completed run.
     Completed {
-        /// The key.
+        /// The key of the run.
         key: Key,
-        /// How much longer the key is retained, in milliseconds.
+        /// Remaining idempotency window of the key, in milliseconds.
         retain_ms: u64,
-        /// The run.
+        /// The completed run.
         run: CompletedRun,
     },
     /// Response to [`Message::Completed`].
     Stored {
-        /// The run's claim.
+        /// The claim of the run.
         claim: ClaimId,
-        /// Whether the replica has stored the run.
+        /// Whether the replica has stored the run; false if it lacks capacity or could not write to its disk.
         stored: bool,
     },
-    /// The claim is withdrawn: no run has started under it and none will.
+    /// Withdraws a claim: no run has started under it and none will.
     Release {
-        /// The key.
+        /// The key of the claim.
         key: Key,
-        /// The claim.
+        /// The withdrawn claim.
         claim: ClaimId,
     },
-    /// Asks what is known of a key, without claiming it.
+    /// Requests the state of a key from a replica, without claiming the key.
     QueryKey {
         /// The withdrawn claim of the attempt that asks.
         claim: ClaimId,
-        /// The key.
+        /// The key to look up.
         key: Key,
     },
-    /// Response to [`Message::QueryKey`]: no run of the key has started or completed.
+    /// Response to [`Message::QueryKey`]: the replica knows of no run of the key. Also sent to waiting
+    /// attempts when the last claim on the key is released.
     KeyFree {
         /// The claim of the attempt that asked.
         claim: ClaimId,
     },
-    /// Asks the node that made a claim what became of it.
+    /// Requests the outcome of a claim from the node that made it. The node sends [`Message::Completed`] or
+    /// [`Message::Release`], or nothing while the outcome is open.
     QueryClaim {
-        /// The key.
+        /// The key of the claim.
         key: Key,
-        /// The claim.
+        /// The claim to look up.
         claim: ClaimId,
-        /// The digest of its request's body.
+        /// Digest of the body of the claim's client request.
         body: BodyDigest,
     },
-    /// Requests a page of the table.
+    /// Requests a page of a donor's table.
     Pull {
         /// The requester's round; a page of an earlier round is ignored.
         round: u32,
-        /// Where the page begins; none for the first.
+        /// Position at which the page begins; `None` for the first page.
         from: Option<TablePosition>,
     },
-    /// A page of the table.
+    /// Response to [`Message::Pull`], with a page of the donor's table.
     Page(Page),
-    /// Response to [`Message::Pull`]: the donor serves too many others now.
+    /// Response to [`Message::Pull`]: the donor is serving too many other nodes.
     Deferred {
-        /// The round of the request.
+        /// The requester's round, as stated in the request.
         round: u32,
-        /// When to ask again, in milliseconds.
+        /// Delay before the next request, in milliseconds.
         retry_after_ms: u64,
     },
-    /// The state that the receiver restored is older than the latest that is known of it.
+    /// Response to a [`Message::Hello`] whose restored state is older than the latest known position of its
+    /// sender.
     StaleState {
-        /// The latest position that is known.
+        /// The latest known position of the receiver's state.
         latest: StatePosition,
     },
 }
 
 impl Message {
-    /// Whether this is a response, which goes back on the link that the request came by.
+    /// Whether this is a response, which must be sent on the link on which the request was received.
     pub fn is_response(&self) -> bool {
         matches!(
             self,
@@ -347,8 +358,7 @@
     }
 }
 
-/// Copies bytes out of the buffer that they were received in, so that storing them does not keep the whole
-/// buffer alive.
+/// Copies bytes out of their receive buffer, so that storing them does not keep the whole buffer alive.
 pub(crate) fn detach(bytes: &Bytes) -> Bytes {
     Bytes::copy_from_slice(bytes)
 }
