--- a/fleet/src/membership/config.rs
+++ b/fleet/src/membership/config.rs
@@ -72,7 +72,7 @@
          at once; remove or move these members in steps"
     )]
     QuorumLost {
-        /// Names of the first [`MAX_NAMES_IN_ERROR`] members that are removed or get another address.
+        /// Names of the first members (at most `MAX_NAMES_IN_ERROR`) that are removed or get another address.
         names: String,
         /// Number of members that are removed or get another address.
         count: usize,
--- a/fleet/tests/common/mod.rs
+++ b/fleet/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Configurations for tests.
+//! Node names and membership configurations for the model and the simulation.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,12 +6,12 @@
 use oakwind_fleet::ids::ConfigVersion;
 use oakwind_fleet::membership::config::{Member, MembershipConfig, MembershipSpec};
 
-/// The name of a node.
+/// Returns the name of the node with this number.
 pub(crate) fn name(n: usize) -> String {
     format!("n{n}")
 }
 
-/// A configuration of these nodes with three replicas of each key, the nodes distributed over some zones.
+/// Returns a configuration of these nodes, distributed over this many zones, with three replicas of each key.
 pub(crate) fn config(version: u64, nodes: &[usize], zones: usize, window: Duration) -> Arc<MembershipConfig> {
     let members = nodes.iter().map(|n| Member {
         name: name(*n),
--- a/fleet/tests/golden.rs
+++ b/fleet/tests/golden.rs
@@ -1,7 +1,8 @@
-//! Golden bytes of what nodes exchange and store: each kind of peer message, the record of a key that a
-//! node stores on its disk, the decision records and the digests that all nodes must compute alike.
-//! `postcard` encodes variants and fields by position, so every field has a value of its own and a
-//! reordering is detected. A name may change, these bytes must not.
+//! Golden tests for the encoding of what nodes exchange and store: all peer messages, the record of a key on
+//! a node's disk, the decision records, and the digests that all nodes must compute alike.
+//!
+//! `postcard` encodes variants and fields by position. Every field has a distinct value, so that a reordering
+//! of the fields is detected. Names of fields may change; the bytes must not.
 
 use std::collections::BTreeMap;
 use std::fmt::Debug;
@@ -32,7 +33,7 @@
     (0..hexadecimal.len()).step_by(2).map(digits).collect()
 }
 
-/// The value is encoded as these bytes, and these bytes are decoded as the value.
+/// Asserts that the value is encoded as these bytes and that these bytes are decoded as the value.
 fn assert_golden<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, golden: &str) {
     let encoded = postcard::to_allocvec(value).unwrap();
     assert_eq!(hexadecimal(&encoded), golden, "{value:?}");
@@ -108,7 +109,7 @@
 }
 
 #[test]
-fn a_hello_keeps_its_bytes() {
+fn hellos_and_their_rejections_keep_their_encoding() {
     let signature = |version, digest| ConfigSignature { version: ConfigVersion(version), digest };
     let hello = Hello {
         name: "n1".into(),
@@ -136,13 +137,13 @@
 }
 
 #[test]
-fn messages_about_membership_configs_keep_their_bytes() {
+fn membership_config_messages_keep_their_encoding() {
     assert_golden(&Message::RequestMembershipConfig { version: ConfigVersion(1043) }, "029308");
     assert_golden(&Message::MembershipConfig(config_spec()), "038108028208830803026e31007f00000184080465617374026e32010000000000000000000000000000000185080477657374026e33007f00000386080465617374");
 }
 
 #[test]
-fn probes_keep_their_bytes() {
+fn probes_keep_their_encoding() {
     assert_golden(
         &Message::Ping { seq: 1044, uptime_seconds: 1045, gossip: gossip() },
         "049408950803f207f307f40700f507f607f70701f807f907fa0702",
@@ -156,7 +157,7 @@
 }
 
 #[test]
-fn claims_and_their_responses_keep_their_bytes() {
+fn claims_and_their_responses_keep_their_encoding() {
     let request = ClaimRequest {
         claim: claim(),
         key: KEY,
@@ -195,7 +196,7 @@
 }
 
 #[test]
-fn each_reject_reason_keeps_its_byte() {
+fn reject_reasons_keep_their_encoding() {
     let reasons = [
         (RejectReason::Recovering, "00"),
         (RejectReason::NoQuorum, "01"),
@@ -217,7 +218,7 @@
 }
 
 #[test]
-fn results_of_runs_keep_their_bytes() {
+fn results_of_runs_keep_their_encoding() {
     assert_golden(
         &Message::Completed { key: KEY, retain_ms: 1062, run: run(succeeded()) },
         "0c036b6579a608ef07f007ec07ed07ee070006726573756c74f107",
@@ -231,7 +232,7 @@
 }
 
 #[test]
-fn pages_of_a_table_keep_their_bytes() {
+fn pages_of_a_table_keep_their_encoding() {
     assert_golden(&Message::Pull { round: 1064, from: None }, "12a80800");
     assert_golden(&Message::Pull { round: 1065, from: Some(position()) }, "12a90801fb07fc070466726f6d");
     let first = Page {
@@ -247,13 +248,13 @@
 }
 
 #[test]
-fn there_are_as_many_kinds_of_messages_as_before() {
+fn the_number_of_message_kinds_is_unchanged() {
     assert_eq!(MESSAGE_KINDS, 22);
 }
 
-/// What a node stores on its disk of a key: its vote, and what it knows.
+/// A stored record holds the node's vote on a key and the key's replicated state.
 #[test]
-fn stored_records_of_keys_keep_their_bytes() {
+fn stored_records_keep_their_encoding() {
     assert_golden(
         &StoredRecord { vote: Some(claim()), record: open_record() },
         "01e907ea07eb07036b6579fd0702e907ea07eb07fe07ec07ed07ee07ff0700",
@@ -272,7 +273,7 @@
     Versions { settings: "digest".into(), config: ConfigVersion(1072), program: "1.2.3".into() }
 }
 
-fn attempt(decision: Decision, key: Option<&str>) -> Record {
+fn attempt_record(decision: Decision, key: Option<&str>) -> Record {
     Record::Attempt {
         at: 1073,
         decision,
@@ -284,9 +285,9 @@
 }
 
 #[test]
-fn decision_records_keep_their_text() {
+fn decision_records_keep_their_json() {
     let by = r#""by":{"settings":"digest","list":1072,"program":"1.2.3"}"#;
-    let tried = |did: &str, key: &str| {
+    let attempt_json = |did: &str, key: &str| {
         format!(r#"{{"e":"try","at":1073,"did":"{did}","txn":"try",{key}"class":"book",{by}}}"#)
     };
     let records = [
@@ -294,11 +295,11 @@
             Record::ProcessStarted { at: 1074, node: "n1".into(), versions: versions() },
             format!(r#"{{"e":"began","at":1074,"node":"n1",{by}}}"#),
         ),
-        (attempt(Decision::Run, Some("key")), tried("run", r#""key":"key","#)),
-        (attempt(Decision::NeverStarted, None), tried("unrun", "")),
-        (attempt(Decision::Served, None), tried("served", "")),
-        (attempt(Decision::Rejected, None), tried("refused", "")),
-        (attempt(Decision::Failed, None), tried("failed", "")),
+        (attempt_record(Decision::Run, Some("key")), attempt_json("run", r#""key":"key","#)),
+        (attempt_record(Decision::NeverStarted, None), attempt_json("unrun", "")),
+        (attempt_record(Decision::Served, None), attempt_json("served", "")),
+        (attempt_record(Decision::Rejected, None), attempt_json("refused", "")),
+        (attempt_record(Decision::Failed, None), attempt_json("failed", "")),
         (Record::Dropped { at: 1075, count: 1076 }, r#"{"e":"dropped","at":1075,"count":1076}"#.into()),
         (Record::ProcessStopped { at: 1077 }, r#"{"e":"ended","at":1077}"#.into()),
     ];
@@ -309,7 +310,7 @@
 }
 
 #[test]
-fn chained_lines_keep_their_text() {
+fn lines_of_a_hash_chain_keep_their_text() {
     let (mut chain, mut text) = (Chain::default(), String::new());
     chain.append("{}", &mut text);
     chain.append("{\"a\":1}", &mut text);
@@ -318,10 +319,10 @@
     assert_eq!((contents.records, contents.breaks), (vec![(1, "{}"), (2, "{\"a\":1}")], vec![]));
 }
 
-/// Nodes of two builds must agree on the ids of nodes, on the digest of a configuration and on the replicas
+/// Nodes of different builds must agree on the ids of nodes, the digest of a configuration and the replicas
 /// of a key.
 #[test]
-fn digests_that_nodes_share_keep_their_values() {
+fn node_ids_config_digests_and_replica_placement_are_unchanged() {
     assert_eq!(format!("{:x}", NodeId::of("n1").0), "705db633e061d248");
     let config = MembershipConfig::new(config_spec()).unwrap();
     assert_eq!(format!("{:x}", config.digest()), "51d764d4bed1f886");
--- a/fleet/tests/golden_audit.rs
+++ b/fleet/tests/golden_audit.rs
@@ -1,5 +1,5 @@
-//! Golden text of what the audit prints as JSON, and of the faults of a hash chain. Operators' tools read
-//! both.
+//! Golden tests for the JSON that the audit prints and for the text of hash chain errors. Operators' tools
+//! read both, so neither may change.
 
 use oakwind_fleet::audit::decision_record::{Decision, FileBreak, Journal, Record, Versions};
 use oakwind_fleet::audit::hash_chain::{ChainBreak, ChainError};
@@ -10,20 +10,21 @@
     Versions { settings: settings.into(), config: ConfigVersion(config), program: "1.2.3".into() }
 }
 
-fn attempt(at: u64, decision: Decision, txn: &str, key: Option<&str>, versions: Versions) -> Record {
+fn attempt_record(at: u64, decision: Decision, txn: &str, key: Option<&str>, versions: Versions) -> Record {
     let (txn, key, class) = (txn.into(), key.map(Into::into), "book".into());
     Record::Attempt { at, decision, txn, key, class, versions }
 }
 
-/// Two nodes with a duplicate run, a rejection after a run, stragglers, dropped records and a broken chain.
+/// Returns the journals of two nodes with a duplicate run, a rejection after a run, stragglers, dropped
+/// records and a broken chain.
 fn journals() -> [Journal; 2] {
     let chain_break = ChainBreak { line: 7, error: ChainError::Missing { expected: 8, found: 9 } };
     let first = Journal {
         node: "n1".into(),
         records: vec![
             Record::ProcessStarted { at: 100, node: "n1".into(), versions: versions("s1", 1) },
-            attempt(200, Decision::Run, "a", Some("k"), versions("s1", 1)),
-            attempt(300, Decision::Rejected, "a", Some("k"), versions("s2", 2)),
+            attempt_record(200, Decision::Run, "a", Some("k"), versions("s1", 1)),
+            attempt_record(300, Decision::Rejected, "a", Some("k"), versions("s2", 2)),
             Record::Dropped { at: 400, count: 3 },
         ],
         breaks: vec![FileBreak { file: "1.log".into(), chain_break }],
@@ -31,9 +32,9 @@
     let second = Journal {
         node: "n2".into(),
         records: vec![
-            attempt(250, Decision::Run, "b", Some("k"), versions("s1", 1)),
-            attempt(5000, Decision::Served, "b", Some("k"), versions("s1", 1)),
-            attempt(5100, Decision::Failed, "c", None, versions("s2", 2)),
+            attempt_record(250, Decision::Run, "b", Some("k"), versions("s1", 1)),
+            attempt_record(5000, Decision::Served, "b", Some("k"), versions("s1", 1)),
+            attempt_record(5100, Decision::Failed, "c", None, versions("s2", 2)),
             Record::ProcessStopped { at: 6000 },
         ],
         breaks: vec![],
@@ -42,7 +43,7 @@
 }
 
 #[test]
-fn an_audit_report_keeps_its_json() {
+fn the_json_of_an_audit_report_is_unchanged() {
     let options = AuditOptions { from: 0, until: u64::MAX, spread_ms: 2000, window_ms: 10_000 };
     let report = serde_json::to_string(&audit(&journals(), &options)).unwrap();
     let golden = concat!(
@@ -67,7 +68,7 @@
 }
 
 #[test]
-fn an_explanation_keeps_its_json() {
+fn the_json_of_an_explanation_is_unchanged() {
     let explanation = serde_json::to_string(&explain(&journals(), "k")).unwrap();
     let golden = concat!(
         r#"[["n1",{"e":"try","at":200,"did":"run","txn":"a","key":"k","class":"book","#,
@@ -82,15 +83,15 @@
 }
 
 #[test]
-fn faults_of_a_chain_keep_their_text() {
-    let faults = [
+fn the_texts_of_hash_chain_errors_are_unchanged() {
+    let errors = [
         (ChainError::Unreadable, "no record"),
         (ChainError::Missing { expected: 8, found: 9 }, "record 9 where 8 was due"),
         (ChainError::Modified, "not as it was written"),
         (ChainError::Incomplete, "not whole, as a process that ends in the middle leaves it"),
         (ChainError::Truncated { last: 5 }, "records are gone from the end: 5 was the last"),
     ];
-    for (error, text) in faults {
+    for (error, text) in errors {
         assert_eq!(ChainBreak { line: 7, error }.to_string(), format!("line 7: {text}"));
     }
 }
--- a/fleet/tests/model/delivery.rs
+++ b/fleet/tests/model/delivery.rs
@@ -1,4 +1,4 @@
-//! What a node does with a message, and what a mutant does instead.
+//! The handling of a delivered message by a node, and the deviations of the mutants.
 
 use oakwind_fleet::ids::{ConfigVersion, Incarnation, LinkId};
 use oakwind_fleet::membership::active_configs::ActiveConfigs;
@@ -10,11 +10,11 @@
 };
 
 impl System {
-    /// Delivers a message, which stays in the network.
+    /// Delivers a message. It stays in the network, so that it can be delivered again.
     pub(crate) fn deliver(&self, state: &mut State, envelope: Envelope) {
         let Envelope { from, incarnation, to, message } = envelope;
         let n = to.0;
-        // A link begins with the incarnation of the sender.
+        // The first message on a link announces the incarnation of the sender.
         if from != to {
             state.tables[n].record_incarnation(id(from), incarnation);
         }
@@ -43,7 +43,8 @@
                 let read = state.tables[n].page(NOW, id(from), round, position.as_ref(), &state.configs[n]);
                 send(state, to, from, Message::Page(read.page));
             }
-            // The round is the incarnation that asked: a page for an earlier one is no response to it.
+            // The model uses the requester's incarnation as the round, so that a page that an earlier
+            // incarnation requested is ignored.
             Message::Page(page) if u64::from(page.round) == state.incarnations[n].0 => {
                 self.deliver_page(state, from, to, page);
             }
@@ -94,11 +95,14 @@
         to: Node,
         response: Message,
     ) {
-        let response = self.response_as_understood(response);
+        let response = self.interpret_response(response);
         let counts_any_incarnation = self.mutant == Some(Mutant::EarlierIncarnationsCount);
         let incarnation = if counts_any_incarnation { Incarnation(1) } else { incarnation };
-        let responders: Vec<Node> =
-            if self.one_is_enough(&response) { (0..NODES).map(Node).collect() } else { vec![from] };
+        let responders: Vec<Node> = if self.counts_one_response_as_all(&response) {
+            (0..NODES).map(Node).collect()
+        } else {
+            vec![from]
+        };
         let mut actions = Vec::new();
         for responder in responders {
             let response = response.clone();
@@ -107,8 +111,8 @@
         apply_actions(state, to, actions);
     }
 
-    /// A response as the node, or the mutant, understands it.
-    fn response_as_understood(&self, response: Message) -> Message {
+    /// Returns the response as the node, or the mutant, interprets it.
+    fn interpret_response(&self, response: Message) -> Message {
         match (self.mutant, response) {
             (Some(Mutant::UncertainIsGranted), Message::Uncertain { claim, .. })
             | (Some(Mutant::EarlierIncarnationsCount), Message::Granted { claim, .. }) => {
@@ -118,8 +122,8 @@
         }
     }
 
-    /// Whether the mutant takes the response of one replica for that of all.
-    fn one_is_enough(&self, response: &Message) -> bool {
+    /// Whether the mutant counts the response of one replica as the response of all.
+    fn counts_one_response_as_all(&self, response: &Message) -> bool {
         matches!(
             (self.mutant, response),
             (Some(Mutant::OneGrant), Message::Granted { .. })
@@ -128,7 +132,7 @@
     }
 }
 
-/// Puts a message of a node into the network.
+/// Adds a message of a node to the network.
 fn send(state: &mut State, from: Node, to: Node, message: Message) {
     let incarnation = state.incarnations[from.0];
     state.net.insert(Envelope { from, incarnation, to, message });
--- a/fleet/tests/model/system.rs
+++ b/fleet/tests/model/system.rs
@@ -1,4 +1,5 @@
-//! The model: the states of the nodes, the messages between them, and every action that may follow.
+//! The types of the model: the state of the nodes and the network, the actions, the mutants, and the steps to
+//! the state at which a search begins.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -16,28 +17,29 @@
 use stateright::Model;
 
 pub(crate) const KEY: Key = Key::from_static(b"k");
-/// The attempts are at the first two nodes; the last node is a member of the second configuration only.
+/// Number of nodes. The last one is a member of the second configuration only.
 pub(crate) const NODES: usize = 4;
+/// Number of attempts. Attempt `n` is at node `n`.
 pub(crate) const ATTEMPTS: usize = 2;
 
-/// A rule that is left out.
+/// A change of the protocol that omits one rule.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Mutant {
-    /// One grant is enough.
+    /// One grant counts as a quorum.
     OneGrant,
-    /// A replica that lost its state votes at once.
+    /// A replica that has lost its state votes without catching up.
     VotesWithoutState,
-    /// It votes once it has caught up with one other replica.
+    /// A replica that has lost its state votes after it has received the table of one other replica.
     CatchesUpWithOne,
-    /// Grants of a replica's earlier incarnation count.
+    /// Grants from an earlier incarnation of a replica count.
     EarlierIncarnationsCount,
-    /// While two configurations are active, only the newest counts.
+    /// While two configurations are active, a claim needs a quorum only in the newest.
     NewestConfigAlone,
-    /// A replica grants a key to the last claim that arrives.
+    /// A replica changes its vote to the claim that arrived last.
     VotesChange,
     /// An uncertain response counts as a grant.
     UncertainIsGranted,
-    /// A result is served when one replica has stored it.
+    /// A result is served after one replica has stored it.
     OneReplicaStores,
     /// The claim of a run that timed out is released as if the run had not started.
     ReleasesRunningClaim,
@@ -45,9 +47,11 @@
     WaitsPastDeadline,
 }
 
+/// The index of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct Node(pub(crate) usize);
 
+/// A message in the network.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct Envelope {
     pub(crate) from: Node,
@@ -56,16 +60,18 @@
     pub(crate) message: Message,
 }
 
+/// The state of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(crate) enum Attempt {
     NotStarted,
     Claiming,
     Running,
-    /// Its run has completed, and replicas are sent the result.
+    /// The run has completed and its result is sent to the replicas.
     Replicating,
     Served,
     Failed,
     Rejected,
+    /// The attempt received the result of a run on another node, and whether that run succeeded.
     RemoteResult(bool),
 }
 
@@ -77,10 +83,10 @@
     pub(crate) claims: Vec<ClaimCoordinator>,
     pub(crate) net: BTreeSet<Envelope>,
     pub(crate) attempts: Vec<Attempt>,
-    /// The number of runs that have started, by attempt.
+    /// Number of runs that have started, by attempt.
     pub(crate) runs: Vec<u32>,
     pub(crate) timed_out: Vec<bool>,
-    /// Nodes whose first process has exited.
+    /// Whether each node has been restarted.
     pub(crate) restarted: Vec<bool>,
     pub(crate) restarts: u32,
 }
@@ -92,6 +98,7 @@
     CompleteRun(usize),
     TimeOut(usize),
     Restart(Node),
+    /// The first node requests the table of the second.
     Pull(Node, Node),
     AdoptConfig(Node),
 }
@@ -100,20 +107,21 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum PathStep {
     Do(fn() -> Act),
-    /// The claim of an attempt reaches a replica.
+    /// Delivers the claim of the first node to the second.
     Claim(usize, usize),
-    /// The grant of a replica reaches the attempt's node.
+    /// Delivers the grant of the first node to the second.
     Grant(usize, usize),
-    /// A node gets the whole table of another one: the requester, and the donor.
+    /// Transfers the whole table to the first node, the requester, from the second node, the donor.
     CatchUp(usize, usize),
 }
 
 pub(crate) struct System {
     pub(crate) mutant: Option<Mutant>,
-    /// The path to the state at which the search begins.
+    /// The steps to the state at which the search begins.
     pub(crate) path: &'static [PathStep],
-    /// Whether a restart, and a change of the configuration, may happen.
+    /// Whether one node may restart without its state.
     pub(crate) restart: bool,
+    /// Whether the nodes may adopt the second configuration.
     pub(crate) change: bool,
 }
 
@@ -176,15 +184,16 @@
 }
 
 impl System {
-    /// Takes one step of the path.
+    /// Returns the state after one step of the path.
     pub(crate) fn step(&self, state: &State, step: PathStep) -> State {
-        let next = |state: &State, act| self.next_state(state, act).expect("a step that leads somewhere");
+        let next =
+            |state: &State, act| self.next_state(state, act).expect("each step of a path changes the state");
         let sent = |state: &State, from: usize, to: usize, fits: fn(&Message) -> bool| {
             let envelope = state
                 .net
                 .iter()
                 .find(|envelope| envelope.from.0 == from && envelope.to.0 == to && fits(&envelope.message));
-            Act::Deliver(Box::new(envelope.expect("a message that was sent").clone()))
+            Act::Deliver(Box::new(envelope.expect("the message of a path step was sent before").clone()))
         };
         match step {
             PathStep::Do(act) => next(state, act()),
--- a/fleet/tests/model/transitions.rs
+++ b/fleet/tests/model/transitions.rs
@@ -1,4 +1,4 @@
-//! What may happen in each state, what follows from it, and the rules that hold in every state.
+//! The model's initial state, the actions in each state, their effects, and the properties to check.
 
 use std::collections::BTreeSet;
 
@@ -21,12 +21,12 @@
 
     fn init_states(&self) -> Vec<State> {
         let nodes = || (0..NODES).map(Node);
-        let one = config(1, &[0, 1, 2]);
+        let initial_config = config(1, &[0, 1, 2]);
         let mut configs: Vec<ActiveConfigs> =
-            nodes().map(|node| ActiveConfigs::new(id(node), one.clone())).collect();
-        // The new node has heard a majority, and so knows both configurations.
+            nodes().map(|node| ActiveConfigs::new(id(node), initial_config.clone())).collect();
+        // The new node has heard a majority of the members and therefore knows both configurations.
         configs[3].propose(config(2, &[0, 1, 3])).unwrap();
-        // It can't know that it has never voted.
+        // The new node's table is incomplete at first, because the node can't know that it has never voted.
         let tables =
             nodes().map(|node| ReplicaTable::new(id(node), Incarnation(1), 1 << 20, node.0 != 3, Time::ZERO));
         let first = State {
@@ -90,7 +90,9 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::<Self>::always("a key runs once", |_, state| state.runs.iter().sum::<u32>() <= 1),
+            Property::<Self>::always("a key runs at most once", |_, state| {
+                state.runs.iter().sum::<u32>() <= 1
+            }),
             Property::<Self>::always("a rejected attempt never ran", |_, state| {
                 state
                     .attempts
@@ -139,7 +141,7 @@
 }
 
 fn complete_run(state: &mut State, n: usize) {
-    // An attempt that timed out has had its answer.
+    // The client of an attempt that timed out has already received an error.
     state.attempts[n] = if state.timed_out[n] { Attempt::Failed } else { Attempt::Replicating };
     let result = RunResult::Succeeded(Key::from_static(b"job"));
     let mut actions = Vec::new();
@@ -169,7 +171,7 @@
         let is_complete = self.mutant == Some(Mutant::VotesWithoutState);
         state.tables[n] = ReplicaTable::new(id(node), state.incarnations[n], 1 << 20, is_complete, NOW);
         if n < ATTEMPTS {
-            // The attempt has no process left to answer.
+            // The process that would answer the attempt has exited.
             state.claims[n] = ClaimCoordinator::new(id(node), state.incarnations[n]);
             if state.attempts[n] != Attempt::NotStarted {
                 state.attempts[n] = Attempt::Failed;
--- a/fleet/tests/sim/machine.rs
+++ b/fleet/tests/sim/machine.rs
@@ -1,4 +1,4 @@
-//! The machines of the nodes, and the events that happen to them.
+//! The machines of the simulated nodes and the events that are scheduled for them.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,31 +12,34 @@
 use oakwind_fleet::replication::replica_table::StoredRecord;
 use oakwind_fleet::Time;
 
-/// What happens to a node.
+/// An event for a node or its machine.
 pub(crate) enum SimEvent {
     Tick,
     Event(Event),
-    /// An attempt at a key arrives.
+    /// An attempt at the key with this number arrives from a client.
     Attempt(usize),
-    /// The run of an attempt has ended.
+    /// The run of an attempt ends.
     EndRun(AttemptId),
+    /// The process is killed and restarts after `down`.
     Kill {
         down: Duration,
         disk: Disk,
     },
     Start,
+    /// The process receives no event for this long.
     Suspend(Duration),
+    /// A zone is disconnected from the other zones.
     Partition {
         zone: usize,
         until: Time,
     },
     Propose(Arc<MembershipConfig>),
-    /// Its disk is backed up.
-    Copy,
+    /// A backup of the disk is made.
+    BackUpDisk,
 }
 
 impl SimEvent {
-    /// Whether it happens to the machine, whichever process runs there.
+    /// Whether the event is for the machine, whichever process runs there, and not for one process.
     pub(crate) fn is_for_machine(&self) -> bool {
         matches!(
             self,
@@ -45,38 +48,40 @@
                 | SimEvent::Partition { .. }
                 | SimEvent::Propose(_)
                 | SimEvent::Attempt(_)
-                | SimEvent::Copy
+                | SimEvent::BackUpDisk
         )
     }
 
+    /// Whether the event takes effect while the process is suspended; others wait until it resumes.
     pub(crate) fn reaches_suspended_process(&self) -> bool {
         matches!(self, SimEvent::Kill { .. } | SimEvent::Partition { .. } | SimEvent::Start)
     }
 }
 
-/// What a node that was killed finds on its disk, if it has one.
+/// The state of the disk after a kill. Only a node with durable storage reads its disk when it restarts.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum Disk {
     Intact,
     Lost,
-    /// A backup that was made a while ago.
-    OldCopy,
+    /// The disk was replaced by an earlier backup.
+    OldBackup,
 }
 
-/// What is stored on a disk.
+/// The contents of a disk.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct DiskContents {
-    /// Each record, and when it expires.
+    /// The stored records, each with the time at which it expires.
     pub(crate) records: BTreeMap<Key, (StoredRecord, Time)>,
     pub(crate) position: Option<StatePosition>,
 }
 
-/// An event that is scheduled.
+/// An event with the time and the process for which it is scheduled.
 pub(crate) struct Scheduled {
     pub(crate) at: Time,
+    /// Order of events that are scheduled for the same time.
     pub(crate) number: u64,
     pub(crate) node: usize,
-    /// The process of the node that it is for; others never receive it.
+    /// The process of the node that receives the event; later processes don't receive it.
     pub(crate) process: u64,
     pub(crate) sim_event: SimEvent,
 }
@@ -98,18 +103,21 @@
     }
 }
 
-/// A node's machine: its process, if it runs, and its disk.
+/// The machine of a node, with its process and its disk.
 pub(crate) struct Machine {
+    /// The state of the process; `None` while no process runs.
     pub(crate) replica: Option<ReplicaNode>,
+    /// Number of processes that have been started; also the incarnation of the current one.
     pub(crate) process: u64,
     pub(crate) suspended_until: Time,
     pub(crate) disk: DiskContents,
-    pub(crate) copy: DiskContents,
+    pub(crate) backup: DiskContents,
+    /// Whether the node restores its state from the disk.
     pub(crate) is_durable: bool,
 }
 
 impl Machine {
-    /// Ends the process; its disk is as a restart will find it.
+    /// Ends the process and sets the contents of the disk for the next process.
     pub(crate) fn kill(&mut self, disk: Disk) {
         self.replica = None;
         self.suspended_until = Time::ZERO;
@@ -117,10 +125,10 @@
             Disk::Intact => {}
             Disk::Lost => {
                 self.disk = DiskContents::default();
-                // Its disk is lost with all that was on it: it can't know what it had granted.
+                // Without its disk the node can't know which claims it has granted.
                 self.is_durable = false;
             }
-            Disk::OldCopy => self.disk = std::mem::take(&mut self.copy),
+            Disk::OldBackup => self.disk = std::mem::take(&mut self.backup),
         }
     }
 }
--- a/fleet/tests/sim/simulator.rs
+++ b/fleet/tests/sim/simulator.rs
@@ -1,4 +1,5 @@
-//! The simulator: nodes, links and disks in virtual time, and what is observed of them.
+//! A discrete-event simulator of nodes, links and disks in virtual time, which records its observations of
+//! the nodes.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
@@ -31,27 +32,30 @@
     Duration::from_millis(millis)
 }
 
-/// What goes wrong on the links.
+/// The faults and the delay of the links.
 #[derive(Clone)]
 pub(crate) struct LinkQuality {
+    /// Probability that a message is lost, and that a delivered one is delayed by another second.
     loss: f64,
+    /// Probability that a message is delivered twice.
     duplication: f64,
-    /// The bounds of the delay in milliseconds.
+    /// Bounds of the random delay in milliseconds.
     delay_ms: RangeInclusive<u64>,
 }
 
 pub(crate) struct Sim {
     pub(crate) now: Time,
-    pub(crate) number: u64,
+    /// Number of events that have been scheduled.
+    pub(crate) scheduled_count: u64,
     pub(crate) rng: ChaCha8Rng,
     pub(crate) queue: BinaryHeap<Reverse<Scheduled>>,
     pub(crate) machines: Vec<Machine>,
     pub(crate) index: HashMap<NodeId, usize>,
-    /// The configuration of nodes that start.
+    /// The configuration with which nodes start.
     pub(crate) config: Arc<MembershipConfig>,
     pub(crate) zones: usize,
     pub(crate) link_quality: LinkQuality,
-    /// Zones that are cut off, and until when.
+    /// The zones that are disconnected from the others, each with the time at which it is reconnected.
     pub(crate) partitioned: BTreeMap<usize, Time>,
     pub(crate) observed: Observed,
     pub(crate) last_attempt: u64,
@@ -68,7 +72,7 @@
         let all: Vec<usize> = (0..nodes).collect();
         let mut sim = Sim {
             now: Duration::ZERO,
-            number: 0,
+            scheduled_count: 0,
             rng: ChaCha8Rng::seed_from_u64(seed),
             queue: BinaryHeap::new(),
             machines: Vec::new(),
@@ -81,13 +85,13 @@
             last_attempt: 0,
         };
         for _ in 0..nodes + 10 {
-            let (disk, copy) = (DiskContents::default(), DiskContents::default());
+            let (disk, backup) = (DiskContents::default(), DiskContents::default());
             sim.machines.push(Machine {
                 replica: None,
                 process: 0,
                 suspended_until: Time::ZERO,
                 disk,
-                copy,
+                backup,
                 is_durable: durable,
             });
         }
@@ -95,10 +99,11 @@
         sim
     }
 
-    pub(crate) fn at(&mut self, at: Time, node: usize, sim_event: SimEvent) {
-        self.number += 1;
+    /// Schedules an event for a node and its current process.
+    pub(crate) fn schedule(&mut self, at: Time, node: usize, sim_event: SimEvent) {
+        self.scheduled_count += 1;
         let process = self.machines[node].process;
-        self.queue.push(Reverse(Scheduled { at, number: self.number, node, process, sim_event }));
+        self.queue.push(Reverse(Scheduled { at, number: self.scheduled_count, node, process, sim_event }));
     }
 
     pub(crate) fn start(&mut self, node: usize) {
@@ -131,7 +136,7 @@
         let replica = ReplicaNode::new(settings, config, now);
         machine.disk.position = Some(replica.position());
         machine.replica = Some(replica);
-        self.at(now, node, SimEvent::Tick);
+        self.schedule(now, node, SimEvent::Tick);
     }
 
     fn zone(&self, node: usize) -> usize {
@@ -143,7 +148,9 @@
         a != b && (self.partitioned.contains_key(&a) || self.partitioned.contains_key(&b))
     }
 
-    fn carry(&mut self, from: usize, to: usize, to_process: Option<u64>, message: Message) {
+    /// Sends a message over a link, subject to the faults of the link. `to_process` is the destination
+    /// process; `None` is the current one.
+    fn transmit(&mut self, from: usize, to: usize, to_process: Option<u64>, message: Message) {
         self.observed.messages += 1;
         if matches!(message, Message::Page(_)) {
             let interval = SendingInterval { node: from, tenth_of_second: self.now.as_millis() / 100 };
@@ -164,10 +171,10 @@
             let at = self.now + delay;
             if self.machines[to].replica.is_none() {
                 let node = NodeId::of(&name(to));
-                self.at(at, from, SimEvent::Event(Event::PeerUnreachable(node)));
+                self.schedule(at, from, SimEvent::Event(Event::PeerUnreachable(node)));
                 return;
             }
-            self.number += 1;
+            self.scheduled_count += 1;
             let event = Event::MessageReceived(ReceivedMessage {
                 link,
                 from: NodeId::of(&name(from)),
@@ -175,12 +182,13 @@
                 message: message.clone(),
             });
             let process = to_process.unwrap_or(self.machines[to].process);
-            let (number, sim_event) = (self.number, SimEvent::Event(event));
+            let (number, sim_event) = (self.scheduled_count, SimEvent::Event(event));
             self.queue.push(Reverse(Scheduled { at, number, node: to, process, sim_event }));
         }
     }
 
-    fn event(&mut self, node: usize, event: Event) {
+    /// Passes an event to a node and carries out the actions that it returns.
+    fn handle_event(&mut self, node: usize, event: Event) {
         let mut out = Vec::new();
         let Some(replica) = &mut self.machines[node].replica else { return };
         replica.handle(self.now, event, &mut out);
@@ -188,13 +196,13 @@
             match action {
                 Action::Send(to, message) => {
                     if let Some(to) = self.index.get(&to).copied() {
-                        self.carry(node, to, None, message);
+                        self.transmit(node, to, None, message);
                     }
                 }
                 Action::Respond(link, message) => {
-                    self.carry(node, (link.0 & 0xffff) as usize - 1, Some(link.0 >> 16), message);
+                    self.transmit(node, (link.0 & 0xffff) as usize - 1, Some(link.0 >> 16), message);
                 }
-                Action::NotifyAttempt(attempt, outcome) => self.notify(node, attempt, outcome),
+                Action::NotifyAttempt(attempt, outcome) => self.observe_outcome(node, attempt, outcome),
                 Action::Store { sequence, key, record } => {
                     let records = &mut self.machines[node].disk.records;
                     match record {
@@ -205,13 +213,13 @@
                         None => drop(records.remove(&key)),
                     }
                     let at = self.now + ms(self.rng.random_range(0..3));
-                    self.at(at, node, SimEvent::Event(Event::StoreFinished { sequence, stored: true }));
+                    self.schedule(at, node, SimEvent::Event(Event::StoreFinished { sequence, stored: true }));
                 }
                 Action::SendHello => self.send_hello(node),
-                Action::Notify(Notification::DuplicateRun(_)) => self.observed.conflicts += 1,
+                Action::Notify(Notification::DuplicateRun(_)) => self.observed.duplicate_runs += 1,
                 Action::Notify(Notification::StaleState { .. }) => {
                     self.observed.stale_states += 1;
-                    // What is on its disk is stale.
+                    // The node discards the stale state on its disk.
                     self.machines[node].disk = DiskContents::default();
                 }
                 Action::Notify(_) | Action::SetPermissions(_) => {}
@@ -219,7 +227,7 @@
         }
     }
 
-    /// A node that has just started, or has other configurations, introduces itself to every member.
+    /// Sends the hello of a node to every other member, after a start or a change of its configurations.
     fn send_hello(&mut self, node: usize) {
         let Some(replica) = &self.machines[node].replica else { return };
         let hellos: Vec<(usize, Message)> = replica
@@ -229,53 +237,57 @@
             .filter(|to| *to != replica.id())
             .map(|to| (self.index[&to], Message::Hello(replica.hello(to))))
             .collect();
-        hellos.into_iter().for_each(|(to, hello)| self.carry(node, to, None, hello));
+        hellos.into_iter().for_each(|(to, hello)| self.transmit(node, to, None, hello));
     }
 
-    fn notify(&mut self, node: usize, attempt: AttemptId, outcome: ClaimOutcome) {
+    /// Records the outcome of a claim and checks it against the earlier observations.
+    fn observe_outcome(&mut self, node: usize, attempt: AttemptId, outcome: ClaimOutcome) {
         let Some(observed) = self.observed.attempts.get_mut(&attempt.0) else { return };
         let key = observed.key;
         let name = match &outcome {
             ClaimOutcome::Granted => "granted",
             ClaimOutcome::Rejected(reason) => {
                 if observed.has_run {
-                    self.observed
-                        .violations
-                        .push(format!("token {} of key {key} ran and is rejected: {reason:?}", attempt.0));
+                    self.observed.violations.push(format!(
+                        "attempt {} at key {key} was rejected after its run: {reason:?}",
+                        attempt.0
+                    ));
                 }
                 &format!("rejected {reason:?}")
             }
             ClaimOutcome::AwaitingRemoteRun => "running elsewhere",
             ClaimOutcome::RemoteResult(RunResult::Succeeded(result)) => {
-                let made = format!("job of {key}");
-                if *result != made.as_bytes() || !self.observed.runs.contains_key(&key) {
-                    self.observed.violations.push(format!("key {key} got a result that no run made"));
+                let expected = format!("job of {key}");
+                if *result != expected.as_bytes() || !self.observed.runs.contains_key(&key) {
+                    self.observed
+                        .violations
+                        .push(format!("key {key} has a remote result that no run returned"));
                 }
-                "remote outcome"
+                "remote result"
             }
-            ClaimOutcome::RemoteResult(RunResult::Failed) => "failed",
-            ClaimOutcome::BodyMismatch => "mismatch",
+            ClaimOutcome::RemoteResult(RunResult::Failed) => "remote failure",
+            ClaimOutcome::BodyMismatch => "body mismatch",
             ClaimOutcome::Unknown => "unknown",
             ClaimOutcome::StoredByQuorum(true) => "replicated",
             ClaimOutcome::StoredByQuorum(false) => "not replicated",
         };
-        *self.observed.ended.entry(name.to_string()).or_default() += 1;
+        *self.observed.outcomes.entry(name.to_string()).or_default() += 1;
         if outcome == ClaimOutcome::Granted {
             observed.has_run = true;
             let runs = self.observed.runs.entry(key).or_default();
             if let Some(previous) = runs.last() {
                 self.observed.violations.push(format!(
-                    "key {key} runs by token {} at {node} at {:?}, and did by {} at {:?}",
+                    "key {key} runs for attempt {} on node {node} at {:?}, but ran for attempt {} at {:?}",
                     attempt.0, self.now, previous.attempt.0, previous.at
                 ));
             }
             runs.push(ObservedRun { at: self.now, attempt });
-            let over = self.now + ms(self.rng.random_range(5..80));
-            self.at(over, node, SimEvent::EndRun(attempt));
+            let run_ends_at = self.now + ms(self.rng.random_range(5..80));
+            self.schedule(run_ends_at, node, SimEvent::EndRun(attempt));
         }
     }
 
-    /// Simulates until this time.
+    /// Runs the simulation until this time.
     pub(crate) fn play(&mut self, until: Time) {
         while let Some(Reverse(next)) = self.queue.peek() {
             if next.at > until {
@@ -288,7 +300,8 @@
         self.now = until;
     }
 
-    /// Delivers an event, unless the process that it is for is gone or suspended.
+    /// Delivers an event. An event for a process that has exited is dropped, and one for a suspended process
+    /// is postponed.
     fn deliver(&mut self, scheduled: Scheduled) {
         let Scheduled { at, node, process, .. } = scheduled;
         let machine = &self.machines[node];
@@ -297,7 +310,7 @@
             return;
         }
         if machine.suspended_until > at && !scheduled.sim_event.reaches_suspended_process() {
-            // It receives all that when it resumes.
+            // The process receives the event when it resumes.
             let at = machine.suspended_until;
             return self.queue.push(Reverse(Scheduled { at, ..scheduled }));
         }
@@ -308,16 +321,16 @@
         let machine = &mut self.machines[node];
         match sim_event {
             SimEvent::Tick => self.tick(node),
-            SimEvent::Event(event) => self.event(node, event),
+            SimEvent::Event(event) => self.handle_event(node, event),
             SimEvent::Attempt(key) => self.start_attempt(node, key),
             SimEvent::EndRun(attempt) => {
                 let key = self.observed.attempts[&attempt.0].key;
                 let result = RunResult::Succeeded(Key::from(format!("job of {key}")));
-                self.event(node, Event::RunCompleted(attempt, result));
+                self.handle_event(node, Event::RunCompleted(attempt, result));
             }
             SimEvent::Kill { down, disk } => {
                 machine.kill(disk);
-                self.at(at + down, node, SimEvent::Start);
+                self.schedule(at + down, node, SimEvent::Start);
             }
             SimEvent::Start => {
                 self.start(node);
@@ -327,22 +340,22 @@
             SimEvent::Partition { zone, until } => {
                 if until > at {
                     self.partitioned.insert(zone, until);
-                    self.at(until, node, SimEvent::Partition { zone, until });
+                    self.schedule(until, node, SimEvent::Partition { zone, until });
                 } else {
                     self.partitioned.remove(&zone);
                 }
             }
-            SimEvent::Propose(config) => self.event(node, Event::ConfigProposed(config)),
-            SimEvent::Copy => machine.copy = machine.disk.clone(),
+            SimEvent::Propose(config) => self.handle_event(node, Event::ConfigProposed(config)),
+            SimEvent::BackUpDisk => machine.backup = machine.disk.clone(),
         }
     }
 
     fn tick(&mut self, node: usize) {
-        self.event(node, Event::Tick);
+        self.handle_event(node, Event::Tick);
         let machine = &mut self.machines[node];
         machine.disk.position = machine.replica.as_ref().map(ReplicaNode::position);
         if machine.replica.is_some() {
-            self.at(self.now + TICK_INTERVAL, node, SimEvent::Tick);
+            self.schedule(self.now + TICK_INTERVAL, node, SimEvent::Tick);
         }
     }
 
@@ -359,17 +372,18 @@
             received_unix_ms: self.now.as_millis() as u64,
             deadline: self.now + CLIENT_TIMEOUT,
         };
-        self.event(node, Event::RunRequested(request));
+        self.handle_event(node, Event::RunRequested(request));
     }
 
-    /// Spreads keys over some time, each with up to three attempts at any nodes, all within its window.
+    /// Schedules one to three attempts at each of these keys on random nodes. The attempts at a key are
+    /// within 1.5 s, half of its idempotency window, from a random time between `from` and `from + over`.
     pub(crate) fn load(&mut self, keys: std::ops::Range<usize>, from: Time, over: Duration, nodes: usize) {
         for key in keys {
-            let at = from + over.mul_f64(self.rng.random());
+            let base = from + over.mul_f64(self.rng.random());
             for _ in 0..self.rng.random_range(1..=3) {
                 let later = ms(self.rng.random_range(0..1500));
                 let node = self.rng.random_range(0..nodes);
-                self.at(at + later, node, SimEvent::Attempt(key));
+                self.schedule(base + later, node, SimEvent::Attempt(key));
             }
         }
     }
