--- a/fleet/src/membership/active_configs.rs
+++ b/fleet/src/membership/active_configs.rs
@@ -30,7 +30,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ProposalError {
     /// A newer configuration is active.
-    #[error("list.number: {proposed} is lower than {newest}, the newest active configuration")]
+    #[error(
+        "list.number: {proposed} is lower than {newest}, the version of the newest active configuration"
+    )]
     Outdated {
         /// Version of the proposed configuration.
         proposed: ConfigVersion,
--- a/fleet/src/membership/config.rs
+++ b/fleet/src/membership/config.rs
@@ -235,8 +235,8 @@
         self.replica_count() / 2 + 1
     }
 
-    /// Returns the members that hold the replicas of a key, in descending order of their scores within the
-    /// zones' best members and then within the others.
+    /// Returns the members that hold the replicas of a key: the best member of each zone and then, if there
+    /// are fewer zones than replicas, other members, each in descending order of their scores.
     pub fn replicas_of(&self, key: &[u8]) -> Vec<NodeId> {
         let key = mix(digest(DigestKind::Key, key));
         let candidate = |index: usize| Candidate { score: mix(self.ids[index].0 ^ key), index };
--- a/fleet/src/membership/failure_detector.rs
+++ b/fleet/src/membership/failure_detector.rs
@@ -30,7 +30,7 @@
 const DIRECT_PROBE_FRACTION: f64 = 0.4;
 /// Maximum number of members that a node contacts per tick after it has started or resumed.
 const CONTACTS_PER_TICK: usize = 32;
-/// Interval at which a node without a quorum again contacts the members that have not answered.
+/// Interval at which a node without a quorum contacts the members that have not answered.
 const CONTACT_INTERVAL: Duration = Duration::from_millis(500);
 /// Maximum number of unanswered probes on behalf of other members; further ones replace the oldest.
 const MAX_RELAYED_PROBES: usize = 256;
@@ -314,8 +314,8 @@
         }
     }
 
-    /// Contacts every member after the node has started or resumed, a bounded number per tick. Until the node
-    /// has a quorum, contacts the members that have not answered again at intervals.
+    /// Contacts every member after the node has started or resumed, a bounded number per tick. Then contacts
+    /// the members that have not answered again at intervals until the node has a quorum.
     fn contact_members(&mut self, now: Time, has_quorum: bool, out: &mut Vec<Outbound>) {
         if !has_quorum && self.to_contact.is_empty() && now >= self.contacted_at + CONTACT_INTERVAL {
             let unconfirmed = self.members.keys().filter(|node| !self.confirmed.contains(node));
