--- a/node/src/decision_log.rs
+++ b/node/src/decision_log.rs
@@ -1,9 +1,10 @@
-//! The decision log: what this node decided of each attempt, and by which versions of the settings, of the membership
-//! configuration and of the program.
+//! The decision log: what this node decided about each attempt, and under which versions of the settings, of
+//! the membership configuration and of the program.
 //!
-//! Records go to files in a folder, whose number and length are bounded, as a chain of digests: an edit of any record shows.
-//! A thread of its own writes them. No request waits for the disk; a record that it cannot take in time is dropped and
-//! counted, and the log says how many were.
+//! The log is a folder with a bounded number of files of bounded length. Its records form a hash chain, so
+//! that any later edit of a record is detected. A dedicated thread writes them, and no request waits for the
+//! disk: a record that finds the queue to this thread full is dropped. Drops are counted, and a record in the
+//! log tells how many there were.
 
 mod error;
 mod files;
@@ -27,25 +28,26 @@
 pub(crate) use reader::read_journal;
 use writer::LogWriter;
 
-/// Bytes of a SHA-256 digest that tell settings apart.
+/// Length of a settings digest in bytes: a truncated SHA-256.
 const SETTINGS_DIGEST_BYTES: usize = 8;
 
-/// The handle of the dispatcher on the decision log. Once it is dropped, what waits is written and the log is closed.
+/// Handle of the dispatcher on the decision log. Dropping it writes the queued records and closes the log.
 pub(crate) struct DecisionLog {
     writer: LogWriter,
-    /// The versions that decisions are made by now.
+    /// Versions that are in effect now and go into each record.
     versions: RefCell<Versions>,
     /// Counters for operators.
     pub(crate) metrics: Arc<DecisionLogMetrics>,
 }
 
 impl DecisionLog {
-    /// Starts to record what this node decides by the settings with this digest. A folder that the predecessor still has
-    /// open is waited for, and records wait with it.
+    /// Starts the log of the decisions of `node`, with `settings_digest` as the version of its settings.
+    /// Returns at once: if the predecessor still has the folder locked, the writer thread waits for it and
+    /// records are queued.
     ///
     /// # Errors
     ///
-    /// If the folder cannot be used.
+    /// If the lock file in the folder cannot be opened or the writer thread cannot be started.
     pub(crate) fn start(
         config: &DecisionLogConfig,
         node: &str,
@@ -63,19 +65,20 @@
         Ok(DecisionLog { writer, versions: RefCell::new(versions), metrics })
     }
 
-    /// Decisions are made by other settings from now on.
+    /// Sets the settings digest for all later records.
     pub(crate) fn set_settings_digest(&self, digest: String) {
         self.versions.borrow_mut().settings = digest;
     }
 
-    /// Decisions are made by this version of the membership configuration from now on.
+    /// Sets the version of the membership configuration for all later records.
     pub(crate) fn set_membership_version(&self, version: ConfigVersion) {
         if self.versions.borrow().config != version {
             self.versions.borrow_mut().config = version;
         }
     }
 
-    /// Records what was decided of an attempt. The key is given in classes that must not run twice.
+    /// Records the decision on an attempt. `key` is its idempotency key, absent in classes whose requests may
+    /// run twice.
     pub(crate) fn record(&self, decision: Decision, request: &Request, key: Option<&[u8]>, class: &str) {
         let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
         let record = Record::Attempt {
@@ -92,13 +95,13 @@
     }
 }
 
-/// The digest that tells settings apart. It is the same for settings that say the same, however they are written.
+/// Digest that identifies settings, in hexadecimal. Whitespace and the order of keys do not change it.
 pub(crate) fn settings_digest(settings: &Value) -> String {
     let digest = Sha256::digest(settings.to_string().as_bytes());
     digest.iter().take(SETTINGS_DIGEST_BYTES).map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// The decision that an outcome shows.
+/// The decision to record for an attempt that ended with this outcome.
 pub(crate) fn decision_of(outcome: &RequestOutcome) -> Decision {
     match outcome {
         RequestOutcome::Served(_) => Decision::Served,
--- a/node/src/decision_log/error.rs
+++ b/node/src/decision_log/error.rs
@@ -1,20 +1,20 @@
-//! Why no decision can be recorded.
+//! Errors of starting the decision log.
 
 use std::io;
 use std::path::PathBuf;
 
-/// Why no decision can be recorded.
+/// Reason why the decision log cannot be started.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum DecisionLogError {
-    /// The folder cannot be used.
+    /// The lock file in the folder cannot be opened.
     #[error("records file, folder: {}: {source}", folder.display())]
     Folder {
-        /// The folder.
+        /// Folder of the log, as configured.
         folder: PathBuf,
-        /// What is wrong with it.
+        /// Error of opening the lock file.
         source: io::Error,
     },
-    /// The writer thread could not be started.
+    /// The operating system refused to start the writer thread.
     #[error("the writer thread of the decision log cannot be started: {0}")]
     Thread(#[source] io::Error),
 }
--- a/node/src/decision_log/files.rs
+++ b/node/src/decision_log/files.rs
@@ -1,4 +1,4 @@
-//! The files of a decision log, and the chain that runs through them.
+//! The files of a decision log, and the hash chain that continues from one file to the next.
 
 use std::collections::BTreeMap;
 use std::fs::{self, File};
@@ -11,13 +11,13 @@
 use super::metrics::DecisionLogMetrics;
 use crate::config::DecisionLogConfig;
 
-/// Says which record was written last, so that a truncated log shows.
+/// File with the number and the digest of the last record, which reveals a truncated log.
 pub(super) const END_FILE: &str = "end";
-/// The name of that file while it is written.
+/// Name of the end file while it is being written; it is then renamed to replace the old one atomically.
 const TEMPORARY_END_FILE: &str = "end-new";
 const FILE_EXTENSION: &str = "log";
 
-/// The files of a folder by the number of their first record.
+/// The log files in a folder, by the number of their first record.
 pub(super) fn log_files(folder: &Path) -> io::Result<BTreeMap<u64, PathBuf>> {
     let mut files = BTreeMap::new();
     for entry in fs::read_dir(folder)? {
@@ -29,7 +29,7 @@
     Ok(files)
 }
 
-/// The number of the first record of a file, by its name; none if it is no file of a log.
+/// Number of the first record of a log file, from its name; none if the name is not that of a log file.
 fn first_record_of(path: &Path) -> Option<u64> {
     if path.extension()? != FILE_EXTENSION {
         return None;
@@ -37,8 +37,8 @@
     path.file_stem()?.to_str()?.parse().ok()
 }
 
-/// Writes the files of a folder. Each process begins a file of its own, so that what the one before left incomplete stays
-/// as it is.
+/// Writer of the log files in a folder. Each process begins a new file, so that an incomplete record at the
+/// end of the previous process's file stays as it is.
 pub(super) struct LogFiles {
     folder: PathBuf,
     chain: Chain,
@@ -49,7 +49,7 @@
 }
 
 impl LogFiles {
-    /// Continues the chain of a folder.
+    /// Opens a folder, to continue the chain behind the last record of its newest file.
     pub(super) fn open(config: &DecisionLogConfig) -> io::Result<LogFiles> {
         let mut chain = Chain::default();
         if let Some((first_record, newest)) = log_files(&config.folder)?.pop_last() {
@@ -66,12 +66,12 @@
         })
     }
 
-    /// Appends records to the chain.
+    /// Appends records to the chain and to the current file, and updates the end file and the counters.
     pub(super) fn append(&mut self, records: &[Record], metrics: &DecisionLogMetrics) -> io::Result<()> {
         let first_record = self.chain.number() + 1;
         let mut text = String::new();
         for record in records {
-            // Every record can be serialized.
+            // Serialization cannot fail: a record holds only strings, numbers and enums.
             let line = serde_json::to_string(record).unwrap_or_default();
             self.chain.append(&line, &mut text);
         }
@@ -87,7 +87,7 @@
         Ok(())
     }
 
-    /// Begins a file. The oldest one goes if there are too many.
+    /// Creates the next file, after removing the oldest ones to stay within `max_files`.
     fn next_file(&mut self, first_record: u64) -> io::Result<File> {
         let mut files = log_files(&self.folder)?;
         while files.len() >= self.max_files {
@@ -99,7 +99,7 @@
         File::options().append(true).create_new(true).open(path)
     }
 
-    /// Says which record is the last.
+    /// Replaces the end file by one that names the last record written.
     fn write_end(&self) -> io::Result<()> {
         let temporary = self.folder.join(TEMPORARY_END_FILE);
         fs::write(&temporary, format!("{} {}\n", self.chain.number(), self.chain.digest()))?;
--- a/node/src/decision_log/metrics.rs
+++ b/node/src/decision_log/metrics.rs
@@ -4,7 +4,7 @@
 
 use crate::metrics::Metric;
 
-/// Counters that operators read.
+/// Counters of the decision log since the process started.
 #[derive(Debug, Default)]
 pub(crate) struct DecisionLogMetrics {
     written: AtomicU64,
@@ -13,7 +13,7 @@
 }
 
 impl DecisionLogMetrics {
-    /// All counters by the names that operators know.
+    /// All counters under their public metric names.
     pub(crate) fn values(&self) -> Vec<Metric> {
         let counters = [
             ("records_written", &self.written),
@@ -23,13 +23,13 @@
         counters.map(|(name, counter)| Metric::new(name, counter.load(Ordering::Relaxed))).into()
     }
 
-    /// A batch of records was written.
+    /// Counts a batch of written records and its length in bytes.
     pub(super) fn count_written(&self, records: usize, bytes: usize) {
         self.written.fetch_add(records as u64, Ordering::Relaxed);
         self.bytes.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    /// A record was dropped.
+    /// Counts a record that was dropped because it could not be queued.
     pub(super) fn count_dropped(&self) {
         self.dropped.fetch_add(1, Ordering::Relaxed);
     }
--- a/node/src/decision_log/reader.rs
+++ b/node/src/decision_log/reader.rs
@@ -1,4 +1,4 @@
-//! Reads the decision log of a node, for the commands that audit it.
+//! Reader of a node's decision log, for the audit commands.
 
 use std::fs;
 use std::io;
@@ -9,7 +9,7 @@
 
 use super::files::{log_files, END_FILE};
 
-/// Reads what the folder of a node holds, with the places at which its chain is broken.
+/// Reads all records in the folder of a node, and every break in their hash chain.
 ///
 /// # Errors
 ///
@@ -26,7 +26,8 @@
         let chain_break = ChainBreak { line: 1, error: ChainError::Truncated { last } };
         journal.breaks.push(FileBreak { file: END_FILE.into(), chain_break });
     }
-    // The records know the node's name; the folder may have another one.
+    // The name that the node recorded itself takes precedence over that of the folder, which may have been
+    // renamed.
     let node = journal.records.iter().find_map(|record| match record {
         Record::ProcessStarted { node, .. } => Some(node.clone()),
         _ => None,
@@ -40,17 +41,18 @@
 fn read_file(path: &Path, chain: &mut Chain, journal: &mut Journal) -> io::Result<()> {
     let text = String::from_utf8_lossy(&fs::read(path)?).into_owned();
     let contents = hash_chain::read(&text, chain);
-    // A later build may know other records, which are skipped.
+    // Records that this build cannot parse are skipped: a later build may have written other kinds.
     let records = contents.records.iter().filter_map(|(_, line)| serde_json::from_str(line).ok());
     journal.records.extend(records);
-    // A record that was being written when its process ended is no edit: the next one follows the record before it.
+    // An incomplete record is not reported: it is left by a process that was killed during a write, and the
+    // record behind it continues the chain from the one before it.
     let breaks = contents.breaks.into_iter().filter(|found| found.error != ChainError::Incomplete);
     let file = file_name(path);
     journal.breaks.extend(breaks.map(|chain_break| FileBreak { file: file.clone(), chain_break }));
     Ok(())
 }
 
-/// The number of the last record, as the end file says.
+/// Number of the last record according to the end file; none if that file is absent or cannot be parsed.
 fn recorded_end(folder: &Path) -> Option<u64> {
     let text = fs::read_to_string(folder.join(END_FILE)).ok()?;
     text.split(' ').next()?.parse().ok()
--- a/node/src/decision_log/tests.rs
+++ b/node/src/decision_log/tests.rs
@@ -12,7 +12,7 @@
     Versions { settings: "s".into(), config: ConfigVersion(0), program: "1".into() }
 }
 
-fn attempt(txn: String) -> Record {
+fn run_decision(txn: String) -> Record {
     Record::Attempt {
         at: 5,
         decision: Decision::Run,
@@ -23,7 +23,7 @@
     }
 }
 
-/// A process that writes so many records of attempts, and may be killed after them.
+/// Writes the log of one process with `count` attempts; a killed process writes no stop record.
 fn write_as_process(config: &DecisionLogConfig, count: usize, killed: bool) {
     let mut files = LogFiles::open(config).unwrap();
     let metrics = DecisionLogMetrics::default();
@@ -31,7 +31,7 @@
         .append(&[Record::ProcessStarted { at: 1, node: "n1".into(), versions: versions() }], &metrics)
         .unwrap();
     for i in 0..count {
-        files.append(&[attempt(format!("{i:x}"))], &metrics).unwrap();
+        files.append(&[run_decision(format!("{i:x}"))], &metrics).unwrap();
     }
     if !killed {
         files.append(&[Record::ProcessStopped { at: 9 }], &metrics).unwrap();
@@ -53,7 +53,9 @@
     fs::remove_dir_all(&config.folder).unwrap();
 }
 
-/// Every byte of small files is changed, and the file cut there.
+/// Guards against a hash chain that misses an edit: flips a bit of every byte of every file, truncates every
+/// file at every offset, and removes every file. Only the removal of the oldest file is legitimate, as old
+/// files are rotated out.
 #[test]
 fn an_edit_or_a_truncation_at_any_byte_of_any_file_is_found() {
     let config = config("edits", 300, 8);
@@ -76,7 +78,7 @@
         assert_eq!(
             read_journal(&config.folder).unwrap().breaks.is_empty(),
             first,
-            "old files may be gone: {path:?}"
+            "only the oldest file may be missing: {path:?}"
         );
         fs::write(path, &original).unwrap();
     }
@@ -84,7 +86,7 @@
 }
 
 #[test]
-fn a_record_that_a_killed_process_left_incomplete_is_no_edit() {
+fn an_incomplete_record_of_a_killed_process_is_not_reported_as_a_break() {
     let config = config("killed", 10_000, 8);
     write_as_process(&config, 2, true);
     let path = log_files(&config.folder).unwrap().into_values().next().unwrap();
@@ -98,17 +100,17 @@
 }
 
 #[test]
-fn settings_that_say_the_same_have_the_same_digest_however_they_are_written() {
+fn the_settings_digest_ignores_whitespace_and_the_order_of_keys() {
     let digest = |text: &str| settings_digest(&serde_json::from_str(text).unwrap());
     assert_eq!(digest("{\"a\": 1, \"b\": 2}"), digest("{\"b\":2,\"a\":1}"));
     assert_ne!(digest("{\"a\": 1}"), digest("{\"a\": 2}"));
 }
 
-/// The text in the folders of operators, which must not change.
+/// Stored format: logs written by earlier releases must stay readable, so these texts must not change.
 #[test]
 fn each_kind_of_record_serializes_to_its_golden_text_and_deserializes_from_it() {
-    let by = r#"{"settings":"s","list":0,"program":"1"}"#;
-    let tried = |decision, key: Option<&str>| Record::Attempt {
+    let versions_text = r#"{"settings":"s","list":0,"program":"1"}"#;
+    let attempt = |decision, key: Option<&str>| Record::Attempt {
         at: 5,
         decision,
         txn: "a1".into(),
@@ -116,19 +118,19 @@
         class: "book".into(),
         versions: versions(),
     };
-    let text = |did: &str, key: &str| {
-        format!(r#"{{"e":"try","at":5,"did":"{did}","txn":"a1",{key}"class":"book","by":{by}}}"#)
+    let attempt_text = |did: &str, key: &str| {
+        format!(r#"{{"e":"try","at":5,"did":"{did}","txn":"a1",{key}"class":"book","by":{versions_text}}}"#)
     };
     for (record, golden) in [
         (
             Record::ProcessStarted { at: 1, node: "n1".into(), versions: versions() },
-            format!(r#"{{"e":"began","at":1,"node":"n1","by":{by}}}"#),
+            format!(r#"{{"e":"began","at":1,"node":"n1","by":{versions_text}}}"#),
         ),
-        (tried(Decision::Run, Some("k")), text("run", r#""key":"k","#)),
-        (tried(Decision::NeverStarted, None), text("unrun", "")),
-        (tried(Decision::Served, None), text("served", "")),
-        (tried(Decision::Rejected, None), text("refused", "")),
-        (tried(Decision::Failed, None), text("failed", "")),
+        (attempt(Decision::Run, Some("k")), attempt_text("run", r#""key":"k","#)),
+        (attempt(Decision::NeverStarted, None), attempt_text("unrun", "")),
+        (attempt(Decision::Served, None), attempt_text("served", "")),
+        (attempt(Decision::Rejected, None), attempt_text("refused", "")),
+        (attempt(Decision::Failed, None), attempt_text("failed", "")),
         (Record::Dropped { at: 7, count: 3 }, r#"{"e":"dropped","at":7,"count":3}"#.into()),
         (Record::ProcessStopped { at: 9 }, r#"{"e":"ended","at":9}"#.into()),
     ] {
@@ -138,7 +140,7 @@
 }
 
 #[test]
-fn a_file_is_written_to_its_golden_text() {
+fn a_log_file_and_its_end_file_are_written_as_their_golden_texts() {
     let config = config("golden", 10_000, 8);
     write_as_process(&config, 1, false);
     let text = fs::read_to_string(config.folder.join("000000000001.log")).unwrap();
--- a/node/src/decision_log/writer.rs
+++ b/node/src/decision_log/writer.rs
@@ -1,4 +1,4 @@
-//! The thread that writes the decision log.
+//! The writer thread of the decision log, and the queue to it.
 
 use std::fs::{File, TryLockError};
 use std::io;
@@ -17,27 +17,27 @@
 use crate::config::DecisionLogConfig;
 use crate::log;
 
-/// Records that may wait for the disk; more are dropped.
+/// Capacity of the queue to the writer thread, in records. A record that finds the queue full is dropped.
 const QUEUE_CAPACITY: usize = 8192;
-/// Records that share one write, beside the first.
+/// Most queued records that one write takes in addition to its first.
 const MAX_BATCH: usize = 512;
-/// Between two attempts to lock a folder that the predecessor still has.
+/// Delay between attempts to lock a folder that the predecessor still has locked.
 const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(50);
-/// Locked by the process that writes to the folder.
+/// File that the process which writes to the folder holds a lock on.
 const LOCK_FILE: &str = "lock";
 const THREAD_NAME: &str = "decision-log";
 
-/// What the handle and the thread share.
+/// State shared by the handle and the writer thread.
 #[derive(Default)]
 struct Shared {
-    /// Records that were dropped, of which the log is still to tell.
+    /// Dropped records that no [`Record::Dropped`] in the log covers yet.
     unreported_drops: AtomicU64,
-    /// The process ends: a folder that is not locked by now is not waited for.
+    /// Set when the process ends; the thread then no longer waits for the lock of the folder.
     is_closing: AtomicBool,
 }
 
-/// The queue to the thread. When it is dropped, the thread writes what waits, and that is waited for; if the disk stands
-/// still then, the platform's stop ends the process.
+/// Handle of the writer thread. Dropping it waits until the thread has written all queued records. There is
+/// no timeout: if the disk hangs meanwhile, the process lasts until the platform kills it.
 pub(super) struct LogWriter {
     queue: Option<SyncSender<Record>>,
     thread: Option<JoinHandle<()>>,
@@ -45,10 +45,11 @@
 }
 
 impl LogWriter {
-    /// Starts the thread, which waits for the folder if the predecessor still has it and then writes `first`.
+    /// Starts the thread, which locks the folder, waiting for the predecessor if necessary, and writes
+    /// `start_record`.
     pub(super) fn start(
         config: &DecisionLogConfig,
-        first: Record,
+        start_record: Record,
         metrics: &Arc<DecisionLogMetrics>,
     ) -> Result<LogWriter, DecisionLogError> {
         let folder = &config.folder;
@@ -59,7 +60,7 @@
         let thread = WriterThread {
             config: config.clone(),
             lock,
-            first,
+            start_record,
             records,
             shared: shared.clone(),
             metrics: metrics.clone(),
@@ -69,7 +70,7 @@
         Ok(LogWriter { queue: Some(queue), thread: Some(thread), shared })
     }
 
-    /// Queues a record; false if it is dropped.
+    /// Queues a record. Returns false if the queue is full or closed and the record is dropped.
     pub(super) fn write(&self, record: Record) -> bool {
         let queued = self.queue.as_ref().is_some_and(|queue| queue.try_send(record).is_ok());
         if !queued {
@@ -84,17 +85,17 @@
         self.queue = None;
         self.shared.is_closing.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
-            // The thread has logged what went wrong.
+            // An I/O error needs no handling here: the thread has logged it.
             let _ = thread.join();
         }
     }
 }
 
-/// The state of the thread.
+/// State owned by the writer thread.
 struct WriterThread {
     config: DecisionLogConfig,
     lock: File,
-    first: Record,
+    start_record: Record,
     records: Receiver<Record>,
     shared: Arc<Shared>,
     metrics: Arc<DecisionLogMetrics>,
@@ -105,7 +106,9 @@
         let folder = self.config.folder.clone();
         if let Err(error) = self.lock_and_write() {
             let folder = folder.display();
-            log!("decision log: failed, nothing more is recorded: folder={folder} error={error}");
+            log!(
+                "decision log: writer failed, no more decisions are recorded: folder={folder} error={error}"
+            );
         }
     }
 
@@ -117,7 +120,7 @@
         }
     }
 
-    /// Waits until no other process has the folder; false if this one ends before.
+    /// Waits until the folder is locked for this process. Returns false if this process ends first.
     fn wait_for_lock(&self) -> io::Result<bool> {
         loop {
             match self.lock.try_lock() {
@@ -131,10 +134,11 @@
         }
     }
 
-    /// Writes until the queue is closed and empty.
+    /// Writes the start record, then queued records until the queue is closed and empty, then the stop
+    /// record.
     fn write_all(self) -> io::Result<()> {
         let mut files = LogFiles::open(&self.config)?;
-        files.append(&[self.first], &self.metrics)?;
+        files.append(&[self.start_record], &self.metrics)?;
         while let Ok(next) = self.records.recv() {
             let mut batch = vec![next];
             batch.extend(self.records.try_iter().take(MAX_BATCH));
