--- a/node/src/result_store.rs
+++ b/node/src/result_store.rs
@@ -1,11 +1,12 @@
 //! The durable store of idempotency keys and their results.
 //!
-//! That the run of a key starts is on the disk before it starts, and how it ended is there before its answer leaves. A
-//! process that starts again finds both: it answers a repeat with the first result, and never runs again what may have run.
+//! A record that the run of a key starts is durable before the run starts, and a record of how the run ended
+//! is durable before its answer is sent. After a restart, the process answers a repeat from the stored result
+//! and never runs a request again that may have run already.
 //!
-//! The store is a log of records in segment files. [`segment_index`] and [`recovery`] decide without I/O, [`record`] and
-//! [`segment`] are the byte formats, [`segment_log`] does the I/O on a [`disk`], and [`writer`] is the thread that waits for
-//! it.
+//! The store is a log of records in segment files. [`segment_index`] and [`recovery`] hold the logic without
+//! I/O, [`record`] and [`segment`] the byte formats. [`segment_log`] does the I/O through [`disk`], on the
+//! thread of [`writer`].
 
 mod disk;
 mod metrics;
@@ -34,54 +35,54 @@
 pub(crate) use writer::StoreEvent;
 use writer::{StartedWriter, StoreWriter};
 
-/// Between two attempts to open a folder that the predecessor of this process still has open.
+/// Delay between attempts to open a folder that the predecessor of this process still has open.
 const OPEN_RETRY_INTERVAL: Duration = Duration::from_millis(10);
-/// How long such a folder is waited for.
+/// Time after which these attempts end and the process goes on without a store.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why a result store could not be opened.
+/// Reason why a result store could not be opened.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum StoreError {
-    /// The folder cannot be used.
+    /// The folder or a file in it cannot be accessed, or another process has the folder open.
     #[error("folder: {}: {source}", folder.display())]
     Folder {
-        /// The folder.
+        /// Folder of the store, as configured.
         folder: PathBuf,
-        /// What is wrong with it.
+        /// Error of the operation on the folder; `WouldBlock` if another process has it open.
         source: io::Error,
     },
-    /// The writer thread could not be started.
+    /// The operating system refused to start the writer thread.
     #[error("the writer thread of the result store cannot be started: {0}")]
     Thread(#[source] io::Error),
 }
 
-/// Where a process learns the keys of the one that had the store open before it.
+/// Source from which a process learns the keys of its predecessor in an upgrade in place.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum KeySource {
-    /// That process transfers them.
+    /// The predecessor transfers them in the handover.
     Predecessor,
-    /// They are read from the store.
+    /// They are read from the store once the predecessor has closed it.
     Store,
 }
 
-/// The result store as its user sees it.
+/// The result store: its configuration, its writer thread and what was recovered from it.
 pub(crate) struct ResultStore {
     config: ResultStoreConfig,
-    /// The longest that any key is remembered.
+    /// Longest idempotency window of any key.
     max_window: Duration,
-    /// None while another process of this node has the folder open.
+    /// Absent until this process opens the folder or waits in the background to open it.
     pub(crate) writer: Option<StoreWriter>,
     events: Option<mpsc::Receiver<StoreEvent>>,
-    /// Where the keys of the process that had the folder open come from.
+    /// Source of the predecessor's keys in an upgrade in place.
     pub(crate) key_source: KeySource,
-    /// Keys that may have run, as damage to the folder left that uncertain.
+    /// Keys that may have run although no intact record says so, because files of the store are damaged.
     pub(crate) uncertain_keys: UncertainKeys,
     /// Counters for operators.
     pub(crate) metrics: Arc<StoreMetrics>,
 }
 
 impl ResultStore {
-    /// A store whose folder is not open, as another process of this node may have it.
+    /// Creates the store without opening its folder, which another process of this node may still have open.
     pub(crate) fn closed(config: ResultStoreConfig, max_window: Duration) -> Self {
         ResultStore {
             config,
@@ -94,11 +95,11 @@
         }
     }
 
-    /// Opens the folder and returns what is in it.
+    /// Opens the folder, starts the writer thread and returns the recovered state.
     ///
     /// # Errors
     ///
-    /// If the folder cannot be used, or another process has it open.
+    /// If the folder cannot be accessed, another process has it open, or the writer thread cannot be started.
     pub(crate) fn open(&mut self) -> Result<RecoveredState, StoreError> {
         let OpenedLog { log, mut recovered } = open_log(&self.config, self.max_window)?;
         report_recovery(&recovered, &self.metrics);
@@ -107,7 +108,8 @@
         Ok(recovered)
     }
 
-    /// Opens the folder in the background once the predecessor has closed it; a [`StoreEvent::Opened`] follows.
+    /// Opens the folder in the background once the predecessor has closed it, and then sends
+    /// [`StoreEvent::Opened`]. If that fails, the process goes on without storing anything.
     pub(crate) fn open_after_predecessor(&mut self, key_source: KeySource) {
         self.key_source = key_source;
         let config = self.config.clone();
@@ -116,12 +118,12 @@
         let opened = self.start_writer(move |events| {
             let OpenedLog { log, recovered } = open_with_retries(&config, max_window)?;
             report_recovery(&recovered, &metrics);
-            // Nobody receives events any more only if the process ends.
+            // The receiver is dropped only when the process ends; the event has no use then.
             let _ = events.blocking_send(StoreEvent::Opened(recovered));
             Some(log)
         });
         if let Err(error) = opened.map_err(StoreError::Thread) {
-            log!("result store: not opened, nothing is stored: error={error}");
+            log!("result store: open failed, keys and results are not stored: error={error}");
         }
     }
 
@@ -136,7 +138,8 @@
         Ok(())
     }
 
-    /// The next event of the writer thread; never while the folder is not open here.
+    /// Waits for the next event of the writer thread; pending for ever if there is no such thread or it has
+    /// ended.
     pub(crate) async fn next_event(&mut self) -> StoreEvent {
         let event = match &mut self.events {
             Some(events) => events.recv().await,
@@ -144,7 +147,7 @@
         };
         match event {
             Some(event) => event,
-            // The thread has ended and reported all.
+            // There is no writer thread, or it has ended and all its events were received.
             None => std::future::pending().await,
         }
     }
@@ -156,14 +159,15 @@
         .map_err(|source| StoreError::Folder { folder: config.folder.clone(), source })
 }
 
-/// Opens the log of a folder that the predecessor may have open for a moment more; none if that takes too long.
+/// Opens the log of a folder that the predecessor is about to close; none if it still fails after
+/// [`OPEN_TIMEOUT`].
 fn open_with_retries(config: &ResultStoreConfig, max_window: Duration) -> Option<OpenedLog> {
     let give_up_at = clock::now() + OPEN_TIMEOUT;
     loop {
         match open_log(config, max_window) {
             Ok(opened) => return Some(opened),
             Err(error) if clock::now() >= give_up_at => {
-                log!("result store: not opened, nothing is stored: error={error}");
+                log!("result store: open failed, keys and results are not stored: error={error}");
                 return None;
             }
             Err(_) => std::thread::sleep(OPEN_RETRY_INTERVAL),
@@ -171,7 +175,7 @@
     }
 }
 
-/// Logs and counts what was found in a folder.
+/// Logs the number of recovered keys, damage and a clock setback, and sets the damage counters.
 fn report_recovery(recovered: &RecoveredState, metrics: &StoreMetrics) {
     log!("result store: recovered: keys={}", recovered.keys.len());
     let damage = recovered.damage;
@@ -186,7 +190,7 @@
     }
     if !recovered.clock_setback.is_zero() {
         log!(
-            "result store: clock was set back, what is left of each key's window counts from now: setback_ms={}",
+            "result store: clock was set back, expiry times are moved back as far: setback_ms={}",
             clock::millis(recovered.clock_setback)
         );
     }
--- a/node/src/result_store/disk.rs
+++ b/node/src/result_store/disk.rs
@@ -1,4 +1,4 @@
-//! The operations of a disk that the segment log needs, so that tests can put a failing one in its place.
+//! Durable file operations of the segment log, as a trait so that tests can inject disk failures.
 
 use std::fs::File;
 use std::io::{self, Write};
@@ -6,11 +6,12 @@
 
 /// Durable operations on files.
 pub(crate) trait Disk {
-    /// Creates a new file with these bytes; it survives a crash once this returns.
+    /// Creates a file with these bytes; fails if it exists. File and content survive a crash once this
+    /// returns.
     fn create(&mut self, path: &Path, bytes: &[u8]) -> io::Result<File>;
-    /// Appends bytes; they survive a crash once this returns.
+    /// Appends bytes, which survive a crash once this returns.
     fn append(&mut self, file: &mut File, bytes: &[u8]) -> io::Result<()>;
-    /// Removes a file.
+    /// Removes a file; after a crash it may be there again.
     fn remove(&mut self, path: &Path) -> io::Result<()>;
 }
 
@@ -22,7 +23,7 @@
         let mut file = File::options().append(true).create_new(true).open(path)?;
         file.write_all(bytes)?;
         file.sync_all()?;
-        // A new file name is durable only once its folder is.
+        // The directory entry of the new file is durable only once the directory itself is synced.
         path.parent().map_or(Ok(()), |folder| File::open(folder)?.sync_all())?;
         Ok(file)
     }
--- a/node/src/result_store/record.rs
+++ b/node/src/result_store/record.rs
@@ -1,8 +1,9 @@
 //! The byte format of the records in a segment.
 //!
-//! A record is a header of [`HEADER_BYTES`], the key and the result. The header and the payload (key and result) have a
-//! checksum each. Both are keyed with the seed of the store, so that no client can send a key or a result that passes for
-//! a record when the bytes behind a damaged one are searched for the next.
+//! A record is a header of [`HEADER_BYTES`] followed by the payload: the key and the result. Header and
+//! payload have a checksum each. Both checksums are keyed with the secret seed of the store: the bytes behind
+//! a damaged record are searched for the next record, and no client must be able to send a key or a result
+//! that is taken for one.
 
 use std::time::Duration;
 
@@ -11,14 +12,14 @@
 use crate::clock::{millis, UnixTime};
 use crate::outcome::{digest, BodyDigest};
 
-/// Bytes of a record before its key.
+/// Length of a record's header in bytes, with its magic number and checksums.
 pub(crate) const HEADER_BYTES: usize = 60;
 /// The first bytes of every record.
 pub(super) const RECORD_MAGIC: u32 = 0x4f41_4b52;
-/// Distinguishes the key of the checksums from that of other digests with the same seed.
+/// Mask that derives the key of the checksums from the seed, so that it differs from that of other digests.
 const CHECKSUM_SEED_MASK: u64 = 1;
 
-/// What a record says about the run of its key.
+/// State of the run of a key, as a record stores it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RecordState {
     /// The run may have started.
@@ -27,7 +28,7 @@
     Succeeded = 2,
     /// The run failed and may have had its effect.
     Failed = 3,
-    /// The run provably never started: the key may be used again.
+    /// The run certainly never started, so the key may be used again.
     NeverStarted = 4,
 }
 
@@ -43,24 +44,24 @@
 /// One record of the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Record {
-    /// Its number; numbers have no gaps, so a missing one shows that a record was lost.
+    /// Number in the sequence of all records. It has no gaps, so a missing number reveals a lost record.
     pub(crate) number: u64,
-    /// When it was written.
+    /// Time at which the record was accepted for writing.
     pub(crate) written_at: UnixTime,
-    /// Until when its key is remembered.
+    /// End of the key's idempotency window.
     pub(crate) expires_at: UnixTime,
-    /// The digest of the body that all attempts with this key carry.
+    /// Digest of the request body, which is the same in all attempts with this key.
     pub(crate) body_digest: BodyDigest,
-    /// The state of the key's run.
+    /// State of the key's run.
     pub(crate) state: RecordState,
     /// The idempotency key.
     pub(crate) key: Bytes,
-    /// The result, if the run succeeded.
+    /// Result of the run; empty unless it succeeded.
     pub(crate) result: Bytes,
 }
 
 impl Record {
-    /// A record to be written; the log assigns its number and time when it accepts it.
+    /// Creates a record to be written. The log sets its number and time of writing when it accepts it.
     pub(crate) fn new(
         key: Bytes,
         body_digest: BodyDigest,
@@ -71,12 +72,12 @@
         Record { number: 0, written_at: Duration::ZERO, expires_at, body_digest, state, key, result }
     }
 
-    /// The length of its encoding in bytes.
+    /// Length of the encoded record in bytes.
     pub(crate) fn encoded_len(&self) -> usize {
         HEADER_BYTES + self.key.len() + self.result.len()
     }
 
-    /// Appends its encoding.
+    /// Appends the encoded record to `output`.
     pub(crate) fn encode(&self, seed: u64, output: &mut BytesMut) {
         let payload = [&self.key[..], &self.result[..]].concat();
         let mut header = BytesMut::with_capacity(HEADER_BYTES);
@@ -86,7 +87,7 @@
         header.put_u64(millis(self.expires_at));
         header.put_u64(millis(self.written_at));
         header.put_u16(self.state as u16);
-        // Clients' keys and stored results are bounded far below these types.
+        // The limits on keys and stored results are far below the range of these length fields.
         header.put_u16(u16::try_from(self.key.len()).unwrap_or(u16::MAX));
         header.put_u32(u32::try_from(self.result.len()).unwrap_or(u32::MAX));
         header.put_u32(checksum(seed, &payload));
@@ -97,16 +98,17 @@
     }
 }
 
-/// The header of a record, which names the key by its digest alone.
+/// Header of a record. It identifies the key by its digest, so that a record with a damaged payload still
+/// does.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct RecordHeader {
-    /// The number of the record.
+    /// Number of the record in the sequence of all records.
     pub(crate) number: u64,
-    /// The digest of its key.
+    /// Digest of the key, with the seed of the store.
     pub(crate) key_digest: u64,
-    /// When it was written.
+    /// Time at which the record was accepted for writing.
     pub(crate) written_at: UnixTime,
-    /// Until when its key is remembered.
+    /// End of the key's idempotency window.
     pub(crate) expires_at: UnixTime,
     body_digest: BodyDigest,
     state: RecordState,
@@ -116,7 +118,7 @@
 }
 
 impl RecordHeader {
-    /// Decodes the header at the start of these bytes, if there is an intact one.
+    /// Decodes the header at the start of `bytes`; none if it is truncated or damaged or there is no header.
     pub(super) fn decode(seed: u64, bytes: &[u8]) -> Option<RecordHeader> {
         let mut header = bytes.get(..HEADER_BYTES)?;
         if header.get_u32() != RECORD_MAGIC || header.get_u32() != checksum(seed, header) {
@@ -144,12 +146,13 @@
         })
     }
 
-    /// The length of the whole record in bytes.
+    /// Length of the whole record in bytes.
     pub(super) fn record_len(&self) -> usize {
         HEADER_BYTES.saturating_add(self.payload_len)
     }
 
-    /// The record that this header begins, if its payload is intact; `bytes` begin with the header.
+    /// Decodes the whole record; none if its payload is truncated or damaged. `bytes` must begin with this
+    /// header.
     pub(super) fn decode_payload(&self, seed: u64, bytes: &Bytes) -> Option<Record> {
         let payload = bytes.get(HEADER_BYTES..self.record_len())?;
         if checksum(seed, payload) != self.payload_checksum {
@@ -168,7 +171,7 @@
     }
 }
 
-/// The low half of a keyed digest.
+/// Checksum of `bytes`: the low half of a digest keyed with the seed.
 fn checksum(seed: u64, bytes: &[u8]) -> u32 {
     digest(seed ^ CHECKSUM_SEED_MASK, bytes) as u32
 }
--- a/node/src/result_store/record/tests.rs
+++ b/node/src/result_store/record/tests.rs
@@ -16,7 +16,7 @@
     }
 }
 
-/// The bytes in the folders of operators, which must not change.
+/// Stored format: records written by earlier releases must stay readable, so these bytes must not change.
 #[test]
 fn each_record_state_encodes_to_its_golden_bytes_and_decodes_from_them() {
     for (record, golden) in [
--- a/node/src/result_store/recovery.rs
+++ b/node/src/result_store/recovery.rs
@@ -1,8 +1,8 @@
-//! What a start learns from the bytes of the segments, intact or damaged: which keys are known, and of which it is uncertain
-//! whether they ran. No I/O.
+//! Recovery of the state of a store at startup from its segments, intact or damaged: the keys that are known,
+//! and those that may have run although no intact record says so. No I/O.
 //!
-//! Records are numbered without gaps, so a missing number shows that a record was lost. A key whose record may have been
-//! lost counts as one that ran.
+//! Records are numbered without gaps, so a missing number reveals a lost record. A key whose record may have
+//! been lost is treated as one that may have run.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -15,38 +15,38 @@
 use crate::clock::UnixTime;
 use crate::outcome::{digest, IdempotencyRecord, RunState};
 
-/// A segment as it was read.
+/// Segment as it was read from its file.
 pub(crate) struct Segment {
-    /// Its number, from its file name.
+    /// Number of the segment, from its file name.
     pub(crate) number: SegmentNumber,
-    /// All its bytes.
+    /// Content of the file, header included.
     pub(crate) bytes: Bytes,
 }
 
-/// Keys of which it is uncertain whether they ran.
+/// Keys that may have run although no intact record says so.
 #[derive(Debug, Default, PartialEq)]
 pub(crate) struct UncertainKeys {
-    /// Until when each is uncertain, by the digest of the key.
+    /// Time until which a key is uncertain, by the digest of the key.
     by_digest: HashMap<u64, UnixTime>,
-    /// Until then every key that is not known is uncertain.
+    /// Time until which every key without a known state is uncertain.
     all_until: UnixTime,
     seed: u64,
 }
 
 impl UncertainKeys {
-    /// Whether a key that is not known may have run.
+    /// Whether a key without a known state may have run.
     pub(crate) fn contains(&self, key: &[u8], now: UnixTime) -> bool {
         if now < self.all_until {
             return true;
         }
-        // Spares the digest where nothing was damaged, which is nearly always.
+        // Avoids the digest in the usual case that nothing was damaged.
         if self.by_digest.is_empty() {
             return false;
         }
         self.by_digest.get(&digest(self.seed, key)).is_some_and(|until| now < *until)
     }
 
-    /// When no key is uncertain any more.
+    /// Time from which no key is uncertain any more.
     pub(crate) fn resolved_at(&self) -> UnixTime {
         self.by_digest.values().copied().fold(self.all_until, UnixTime::max)
     }
@@ -57,44 +57,45 @@
     }
 }
 
-/// What was not as it was written.
+/// Damage found in the segments.
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
 pub(crate) struct Damage {
-    /// Records whose key or result cannot be read.
+    /// Number of records with an intact header and a damaged payload (key or result).
     pub(crate) unreadable: u64,
-    /// Records that are missing, as far as the numbers show.
+    /// Number of missing records, as far as gaps in the record numbers show.
     pub(crate) missing: u64,
-    /// Bytes that belong to no record.
+    /// Bytes that are part of no record.
     pub(crate) unrecognized_bytes: u64,
 }
 
-/// What a start learns.
+/// State recovered from the segments.
 #[derive(Debug, Default)]
 pub(crate) struct RecoveredState {
-    /// The seed of the digests of keys and bodies.
+    /// Seed of the store, which the digests of keys and bodies use.
     pub(crate) seed: u64,
-    /// The keys that are known, with what became of their runs.
+    /// Keys with an intact last record, and the states of their runs.
     pub(crate) keys: Vec<IdempotencyRecord>,
-    /// The keys that may have run all the same.
+    /// Keys that may have run although no intact record says so.
     pub(crate) uncertain_keys: UncertainKeys,
-    /// What was skipped.
+    /// Damage that recovery skipped.
     pub(crate) damage: Damage,
-    /// How far the clock was set back since the last record.
+    /// Time by which the clock was set back since the latest record; zero if it was not.
     pub(crate) clock_setback: Duration,
-    /// The number of the next record.
+    /// Number that the next record gets.
     pub(crate) next_record: u64,
 }
 
-/// The result of a recovery.
+/// Result of a recovery.
 pub(crate) struct Recovered {
-    /// The index of the segments that were read.
+    /// Index of the segments that were read.
     pub(crate) index: SegmentIndex,
-    /// What they hold.
+    /// State recovered from these segments.
     pub(crate) state: RecoveredState,
 }
 
-/// Reads what the segments hold, in the order of their numbers, at `now`. No key is uncertain for longer than
-/// `max_window`, unless a record was kept for longer.
+/// Recovers the state of a store at `now` from its segments, which come in ascending order of their numbers.
+/// A lost record makes keys uncertain for at most `max_window`, or the longest window of any record found if
+/// that is longer.
 pub(crate) fn recover(
     seed: u64,
     segments: impl Iterator<Item = Segment>,
@@ -109,38 +110,41 @@
     recovery.finish(now)
 }
 
-/// What is behind a place where records are missing, which tells when they were written at the latest.
+/// End of a gap in the record numbers. It bounds the time at which the missing records were written.
 #[derive(Debug, Clone, Copy)]
 enum GapEnd {
-    /// A record or segment that was written then.
+    /// A record or segment follows the gap; this is the time at which it was written.
     NextRecord(UnixTime),
-    /// Nothing: this start.
+    /// Nothing follows the gap, so the missing records may have been written until this start.
     Restart,
 }
 
-/// A record whose key or result cannot be read, as its header describes it.
+/// Record with a damaged payload, as its header describes it.
 struct UnreadableRecord {
     key_digest: u64,
     expires_at: UnixTime,
 }
 
-/// A recovery under way.
+/// State of a recovery that is in progress.
 struct Recovery {
     seed: u64,
     index: SegmentIndex,
     damage: Damage,
-    /// The last record of each key.
+    /// Last intact record of each key.
     last_records: HashMap<Bytes, Record>,
     unreadable: Vec<UnreadableRecord>,
-    /// Where records are missing.
+    /// Gaps in the record numbers.
     gaps: Vec<GapEnd>,
-    /// The number of the next record if none is missing.
-    expected: Option<u64>,
-    /// Records may be missing before the first one that is found.
+    /// Number of the next record if none is missing; absent before the first number is known.
+    expected_number: Option<u64>,
+    /// Whether records may be missing before the first one that is found.
     unknown_start: bool,
-    /// The end of the last segment may have held more.
+    /// Whether the segment read last ends in a truncated header or unrecognized bytes, so that its end may
+    /// have held more records.
     torn_end: bool,
-    newest: UnixTime,
+    /// Latest time at which any record was written.
+    newest_write: UnixTime,
+    /// Longest idempotency window, including those of the records read so far.
     max_window: Duration,
 }
 
@@ -153,10 +157,10 @@
             last_records: HashMap::new(),
             unreadable: Vec::new(),
             gaps: Vec::new(),
-            expected: None,
+            expected_number: None,
             unknown_start: false,
             torn_end: false,
-            newest: Duration::ZERO,
+            newest_write: Duration::ZERO,
             max_window,
         }
     }
@@ -171,11 +175,11 @@
             self.torn_end = false;
         } else {
             self.damage.unrecognized_bytes += header_len as u64;
-            // Where the oldest segment does not tell its first number, only a record at its very start shows that none is
-            // missing before it.
+            // Without its header, the oldest segment does not tell the number of its first record. Only a
+            // record directly behind the header shows that no earlier record of the segment was lost.
             let starts_with_record = !matches!(items.first(), None | Some(ScanItem::Unrecognized(_)));
-            self.unknown_start |= self.expected.is_none() && !starts_with_record;
-            // Without the header, what is before the first record is as unknown as what is behind the last.
+            self.unknown_start |= self.expected_number.is_none() && !starts_with_record;
+            // A file that is shorter than a header was truncated, and nothing tells how many records it held.
             self.torn_end = bytes.len() < SEGMENT_HEADER_BYTES;
         }
         for item in items {
@@ -196,7 +200,7 @@
         self.observe_number(record.number, 1, GapEnd::NextRecord(record.written_at));
         self.observe_times(record.written_at, record.expires_at);
         self.index.add_record(record);
-        // Key and result outlive the segment that they were read from.
+        // Copied, as slices would keep the bytes of the whole segment alive.
         let key = Bytes::copy_from_slice(&record.key);
         let result = Bytes::copy_from_slice(&record.result);
         self.last_records.insert(key.clone(), Record { key, result, ..*record });
@@ -210,35 +214,38 @@
             .push(UnreadableRecord { key_digest: header.key_digest, expires_at: header.expires_at });
     }
 
-    /// So many records begin with this number: notices how many are missing before them.
+    /// Registers `records` records from `number` on, and the gap before them if numbers are missing; `end` is
+    /// its end.
     fn observe_number(&mut self, number: u64, records: u64, end: GapEnd) {
-        let missing = self.expected.map_or(0, |expected| number.saturating_sub(expected));
+        let missing = self.expected_number.map_or(0, |expected| number.saturating_sub(expected));
         let unknown_start = std::mem::take(&mut self.unknown_start);
         if missing > 0 || unknown_start {
             self.gaps.push(end);
         }
-        // A number comes again where a write failed and was repeated.
-        self.expected = Some(self.expected.unwrap_or(0).max(number.saturating_add(records)));
+        // A number can occur twice: after a failed write, the next one reuses its numbers in a new segment.
+        self.expected_number = Some(self.expected_number.unwrap_or(0).max(number.saturating_add(records)));
         self.damage.missing += missing;
     }
 
     fn observe_times(&mut self, written_at: UnixTime, expires_at: UnixTime) {
-        self.newest = self.newest.max(written_at);
+        self.newest_write = self.newest_write.max(written_at);
         self.max_window = self.max_window.max(expires_at.saturating_sub(written_at));
     }
 
     fn finish(mut self, now: UnixTime) -> Recovered {
-        // If the clock was set back, what remains of each key's time counts from now: otherwise entries would stay for as
-        // long as the clock went back, and fill the store.
-        let clock_setback = self.newest.saturating_sub(now);
+        // If the clock was set back, expiry times are moved back as far. Otherwise entries would be kept
+        // longer by that time and fill the store.
+        let clock_setback = self.newest_write.saturating_sub(now);
         let uncertain_keys = self.uncertain_keys(clock_setback, now);
         self.index.finish_recovery(clock_setback, uncertain_keys.resolved_at());
-        // What may have been lost at the end leaves a gap, so that the next start knows of it too.
-        let next_record = self.expected.unwrap_or(0).saturating_add(u64::from(self.torn_end));
+        // After a torn end one number is skipped, so that the next start finds a gap and treats keys as
+        // uncertain too.
+        let next_record = self.expected_number.unwrap_or(0).saturating_add(u64::from(self.torn_end));
         let known = self.last_records.into_values();
         let state = RecoveredState {
             seed: self.seed,
-            // What a damaged record said about a known key came later, or is no more than this one says.
+            // Unreadable records add nothing to a known key: an earlier one is superseded, and a later one
+            // could at most tell how the run ended.
             keys: known.filter_map(|record| idempotency_record(record, clock_setback)).collect(),
             uncertain_keys,
             damage: self.damage,
@@ -264,7 +271,7 @@
     }
 }
 
-/// What a record says about its key; none if the key is free.
+/// State of a key according to its last record; none if the run never started and the key is free.
 fn idempotency_record(record: Record, clock_setback: Duration) -> Option<IdempotencyRecord> {
     let state = match record.state {
         RecordState::Started => RunState::Pending,
--- a/node/src/result_store/recovery/tests.rs
+++ b/node/src/result_store/recovery/tests.rs
@@ -16,15 +16,15 @@
     SegmentHeader { seed: SEED, first_record, created_at }.encode(output);
 }
 
-/// A record and where it is.
-struct Placed {
+/// A record and its location: the index of its segment and its range of bytes there.
+struct PlacedRecord {
     record: Record,
     segment: usize,
     range: Range<usize>,
 }
 
-/// Records that were acknowledged one after the other, a second apart, in two segments.
-fn written_segments() -> (Vec<BytesMut>, Vec<Placed>) {
+/// Two segments with seven records, written one second apart, and the locations of these records.
+fn written_segments() -> (Vec<BytesMut>, Vec<PlacedRecord>) {
     let mut records = Vec::new();
     let mut segments = vec![BytesMut::new(), BytesMut::new()];
     let (a, b, c, d) = ("aaa", "bb", "c", "dddd");
@@ -49,7 +49,7 @@
         let (written_at, expires_at) = (at(90 + number), at(107 + number));
         let record = Record { number, written_at, expires_at, body_digest, state, key, result };
         record.encode(SEED, bytes);
-        records.push(Placed { record, segment, range: start..bytes.len() });
+        records.push(PlacedRecord { record, segment, range: start..bytes.len() });
     }
     (segments, records)
 }
@@ -76,26 +76,27 @@
     assert!(!state.uncertain_keys.contains(b"other", at(108)));
 }
 
-/// Whether damage hits a range of bytes in a segment.
+/// Whether damage affects a range of bytes in the segment with this index.
 type DamagePredicate<'a> = dyn Fn(usize, &Range<usize>) -> bool + 'a;
 
-/// Which bytes are damaged, and whether that shows.
-struct Damaged<'a> {
-    hits: &'a DamagePredicate<'a>,
+/// Damage to the segments: the affected bytes, and whether recovery can detect it.
+struct InjectedDamage<'a> {
+    affects: &'a DamagePredicate<'a>,
     is_detectable: bool,
     description: String,
 }
 
-/// What the damage leaves must be as it was acknowledged, and nothing that ran may look as if it had not.
-fn assert_recovers(segments: &[BytesMut], damaged: &Damaged) {
-    let Damaged { hits, is_detectable, description } = damaged;
+/// Asserts that undamaged last records are recovered as acknowledged, and that after damage which can be
+/// detected every key that may have run is either known or uncertain.
+fn assert_recovers(segments: &[BytesMut], damage: &InjectedDamage) {
+    let InjectedDamage { affects, is_detectable, description } = damage;
     let (recovered, records) = (recovered(segments, at(108)), written_segments().1);
     for key in [&b"aaa"[..], b"bb", b"c"] {
         let of_key = records.iter().filter(|placed| placed.record.key == key);
-        let is_damaged = of_key.clone().any(|placed| hits(placed.segment, &placed.range));
+        let is_damaged = of_key.clone().any(|placed| affects(placed.segment, &placed.range));
         let last = of_key.last().unwrap();
         let known = state_of(&recovered, key);
-        if !hits(last.segment, &last.range) {
+        if !affects(last.segment, &last.range) {
             let acknowledged = match last.record.state {
                 RecordState::Succeeded => RunState::Succeeded(last.record.result.clone()),
                 RecordState::Started => RunState::Pending,
@@ -111,17 +112,17 @@
 
 #[test]
 fn a_corrupt_byte_neither_hides_a_run_nor_changes_records_outside_it() {
-    for which in 0..2 {
-        for offset in 0..written_segments().0[which].len() {
+    for damaged_segment in 0..2 {
+        for offset in 0..written_segments().0[damaged_segment].len() {
             for flip in [0xff, 1, 0x80] {
                 let mut segments = written_segments().0;
-                segments[which][offset] ^= flip;
-                let damaged = Damaged {
-                    hits: &|segment, range| segment == which && range.contains(&offset),
+                segments[damaged_segment][offset] ^= flip;
+                let damage = InjectedDamage {
+                    affects: &|segment, range| segment == damaged_segment && range.contains(&offset),
                     is_detectable: true,
-                    description: format!("segment {which}, byte {offset} ^ {flip}"),
+                    description: format!("segment {damaged_segment}, byte {offset} ^ {flip}"),
                 };
-                assert_recovers(&segments, &damaged);
+                assert_recovers(&segments, &damage);
             }
         }
     }
@@ -129,24 +130,25 @@
 
 #[test]
 fn a_truncation_neither_hides_a_run_nor_changes_records_before_it() {
-    for which in 0..2 {
-        for length in 0..written_segments().0[which].len() {
+    for damaged_segment in 0..2 {
+        for length in 0..written_segments().0[damaged_segment].len() {
             let (mut segments, records) = written_segments();
-            segments[which].truncate(length);
-            // Between two records of the last segment a cut leaves no trace.
-            let ends = records.iter().any(|placed| placed.segment == 1 && placed.range.end == length);
-            let damaged = Damaged {
-                hits: &|segment, range| segment == which && range.end > length,
-                is_detectable: which == 0 || !(ends || length == SEGMENT_HEADER_BYTES),
-                description: format!("segment {which} cut to {length}"),
+            segments[damaged_segment].truncate(length);
+            // A truncation at the end of a record of the last segment cannot be detected.
+            let at_record_end =
+                records.iter().any(|placed| placed.segment == 1 && placed.range.end == length);
+            let damage = InjectedDamage {
+                affects: &|segment, range| segment == damaged_segment && range.end > length,
+                is_detectable: damaged_segment == 0 || !(at_record_end || length == SEGMENT_HEADER_BYTES),
+                description: format!("segment {damaged_segment} truncated to {length}"),
             };
-            assert_recovers(&segments, &damaged);
+            assert_recovers(&segments, &damage);
         }
     }
 }
 
 #[test]
-fn uncertainty_ends_with_the_time_of_the_missing_records_and_outlasts_one_more_start() {
+fn uncertainty_ends_with_the_window_of_the_missing_records_and_outlasts_one_more_start() {
     let (mut segments, _) = written_segments();
     let middle = SEGMENT_HEADER_BYTES + 2 * HEADER_BYTES;
     segments[0][SEGMENT_HEADER_BYTES + 8..middle].fill(0);
@@ -155,9 +157,9 @@
     assert!(!state.uncertain_keys.contains(b"lost", state.uncertain_keys.resolved_at()));
     assert!(
         state.uncertain_keys.resolved_at() <= at(102) + MAX_WINDOW,
-        "the record after it tells when it was written"
+        "the record behind the gap bounds the time at which the lost one was written"
     );
-    // A torn end: what the next process writes leaves a gap, so that the process after it is uncertain as well.
+    // After a torn end, the next process skips a record number, so that the process after it finds a gap.
     let (mut segments, _) = written_segments();
     let length = segments[1].len() - HEADER_BYTES - 10;
     segments[1].truncate(length);
@@ -171,18 +173,21 @@
 }
 
 #[test]
-fn after_a_clock_setback_the_rest_of_a_keys_time_counts_from_now() {
+fn after_a_clock_setback_the_rest_of_a_keys_window_counts_from_now() {
     let state = recovered(&written_segments().0, at(50));
     assert_eq!(state.clock_setback, at(106 - 50));
-    // Its end was recorded at 102 s and is kept until 119 s, thirteen seconds after the last record.
+    // The result of "aaa" was written at 102 s and expires at 119 s, which is 13 s after the last record, of
+    // 106 s.
     let until = state.keys.iter().find(|record| record.key == b"aaa"[..]).unwrap().expires_at;
     assert_eq!(until, at(50 + 13));
 }
 
+/// A client could place the bytes of a record in a result, to be found when the record around them is
+/// damaged. Their checksum needs the seed of the store, which clients do not know.
 #[test]
 fn a_record_forged_inside_a_result_is_not_recovered() {
     let mut inner = BytesMut::new();
-    let fake = Record {
+    let forged = Record {
         number: 5,
         written_at: at(100),
         expires_at: at(117),
@@ -191,10 +196,10 @@
         key: "forged".into(),
         result: Bytes::new(),
     };
-    fake.encode(SEED + 1, &mut inner);
+    forged.encode(SEED + 1, &mut inner);
     let mut bytes = BytesMut::new();
     put_header(5, at(100), &mut bytes);
-    Record { key: "k".into(), state: RecordState::Succeeded, result: inner.freeze(), ..fake }
+    Record { key: "k".into(), state: RecordState::Succeeded, result: inner.freeze(), ..forged }
         .encode(SEED, &mut bytes);
     bytes[SEGMENT_HEADER_BYTES] ^= 1;
     assert_eq!(state_of(&recovered(&[bytes], at(101)), b"forged"), None);
--- a/node/src/result_store/segment.rs
+++ b/node/src/result_store/segment.rs
@@ -1,4 +1,5 @@
-//! The byte format of a segment file: a header, then records. Finds the intact records among damaged bytes.
+//! The byte format of a segment file, a header followed by records, and the scan that finds intact records
+//! among damaged bytes.
 
 use std::fmt::{self, Display, Formatter};
 use std::path::{Path, PathBuf};
@@ -11,25 +12,25 @@
 use crate::hexadecimal;
 use crate::outcome::digest;
 
-/// Bytes of a segment before its first record.
+/// Length of a segment's header in bytes.
 pub(crate) const SEGMENT_HEADER_BYTES: usize = 40;
 const SEGMENT_MAGIC: u64 = 0x4f41_4b57_494e_4401;
-/// Bytes at the end of a segment header that hold its checksum.
+/// Length of the checksum at the end of a segment header in bytes.
 const CHECKSUM_BYTES: usize = 8;
-/// The checksum of a segment header has no seed, as the header is where the seed is read from.
+/// Seed of the checksum of a segment header. It is fixed, as the seed of the store is read from this header.
 const CHECKSUM_SEED: u64 = 0;
 const FILE_PREFIX: &str = "keys-";
 const FILE_SUFFIX: &str = ".log";
 
-/// The number of a segment. Segments are numbered in the order in which they are created.
+/// Number of a segment. Segments are numbered in the order in which they are created.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct SegmentNumber(pub(crate) u64);
 
 impl SegmentNumber {
-    /// The first segment of a store.
+    /// Number of the first segment of a store.
     pub(crate) const FIRST: SegmentNumber = SegmentNumber(1);
 
-    /// The number that follows this one.
+    /// Number of the segment that is created after this one.
     pub(crate) fn next(self) -> SegmentNumber {
         SegmentNumber(self.0 + 1)
     }
@@ -41,19 +42,19 @@
     }
 }
 
-/// The header of a segment.
+/// Header of a segment.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct SegmentHeader {
-    /// The seed of the store, repeated in every segment so that damage in one place does not lose it.
+    /// Seed of the store, repeated in every segment so that damage to one file does not lose it.
     pub(crate) seed: u64,
-    /// The number of the first record in the segment.
+    /// Number of the first record in the segment.
     pub(crate) first_record: u64,
-    /// When the segment was created.
+    /// Time at which the segment was created.
     pub(crate) created_at: UnixTime,
 }
 
 impl SegmentHeader {
-    /// Appends its encoding.
+    /// Appends the encoded header to `output`.
     pub(crate) fn encode(self, output: &mut BytesMut) {
         let start = output.len();
         output.put_u64(SEGMENT_MAGIC);
@@ -64,7 +65,7 @@
         output.put_u64(checksum);
     }
 
-    /// Decodes the header at the start of these bytes, if it is intact.
+    /// Decodes the header at the start of `bytes`; none if it is truncated or damaged.
     pub(crate) fn decode(bytes: &[u8]) -> Option<SegmentHeader> {
         let mut header = bytes.get(..SEGMENT_HEADER_BYTES)?;
         let checksum = digest(CHECKSUM_SEED, &header[..SEGMENT_HEADER_BYTES - CHECKSUM_BYTES]);
@@ -77,18 +78,18 @@
     }
 }
 
-/// What the scan of a segment finds, in the order of its bytes.
+/// Item that the scan of a segment finds; items come in the order of their bytes.
 #[derive(Debug, PartialEq)]
 pub(crate) enum ScanItem {
-    /// A record as it was written.
+    /// Record whose header and payload are intact.
     Intact(Record),
-    /// A record whose key or result is damaged.
+    /// Intact header of a record whose payload (key or result) is damaged or truncated.
     DamagedPayload(RecordHeader),
-    /// So many bytes that belong to no record.
+    /// Length in bytes of a stretch that is part of no record.
     Unrecognized(usize),
 }
 
-/// Scans the bytes behind a segment's header.
+/// Scans `bytes`, which are those behind a segment's header, for records.
 pub(crate) fn scan(seed: u64, bytes: &Bytes) -> Vec<ScanItem> {
     let mut items = Vec::new();
     let mut position = 0;
@@ -100,13 +101,13 @@
     items
 }
 
-/// An item of a scan and how many bytes it takes.
+/// Item of a scan and the number of bytes that it takes.
 struct Scanned {
     item: ScanItem,
     len: usize,
 }
 
-/// What the bytes begin with.
+/// Determines the item at the start of `bytes`.
 fn scan_item(seed: u64, bytes: &Bytes) -> Scanned {
     let Some(header) = RecordHeader::decode(seed, bytes) else {
         let len = next_header(seed, bytes, 1);
@@ -115,12 +116,12 @@
     if let Some(record) = header.decode_payload(seed, bytes) {
         return Scanned { item: ScanItem::Intact(record), len: header.record_len() };
     }
-    // The payload may have been cut off anywhere, so the next record can begin right behind the header.
+    // The payload may be truncated at any point, so the next record can begin directly behind this header.
     let len = next_header(seed, bytes, HEADER_BYTES);
     Scanned { item: ScanItem::DamagedPayload(header), len }
 }
 
-/// The offset of the first intact record header at or behind `from`, or the end of the bytes.
+/// Offset of the first intact record header at or behind `from`; the length of `bytes` if there is none.
 fn next_header(seed: u64, bytes: &[u8], from: usize) -> usize {
     let magic = RECORD_MAGIC.to_be_bytes();
     (from..bytes.len())
@@ -129,13 +130,13 @@
         .unwrap_or(bytes.len())
 }
 
-/// The path of a segment file.
+/// Path of a segment file.
 pub(crate) fn segment_path(folder: &Path, segment: SegmentNumber) -> PathBuf {
     let number = segment.0;
     folder.join(format!("{FILE_PREFIX}{number:016x}{FILE_SUFFIX}"))
 }
 
-/// The number of the segment that a file name stands for, if it is one.
+/// Number of the segment with this file name; none if the name is not that of a segment.
 pub(crate) fn segment_number(file_name: &str) -> Option<SegmentNumber> {
     let digits = file_name.strip_prefix(FILE_PREFIX)?.strip_suffix(FILE_SUFFIX)?;
     hexadecimal::parse(digits).map(SegmentNumber)
--- a/node/src/result_store/segment/tests.rs
+++ b/node/src/result_store/segment/tests.rs
@@ -3,7 +3,7 @@
 
 const SEED: u64 = 0x0102_0304_0506_0708;
 
-/// The bytes in the folders of operators, which must not change.
+/// Stored format: segments written by earlier releases must stay readable, so these bytes must not change.
 #[test]
 fn a_segment_header_encodes_to_its_golden_bytes_and_decodes_from_them() {
     let golden = "4f414b57494e440101020304050607080000000000000a0b000001a2353a2d264d3aba2a26104250";
--- a/node/src/result_store/segment_index.rs
+++ b/node/src/result_store/segment_index.rs
@@ -1,7 +1,8 @@
-//! Accounts for what the segments hold and decides what is to be done with them: whether one more key has capacity, when a
-//! segment is full and which one goes next. No I/O.
+//! Accounting of the records in the segments, and the decisions that follow from it: whether there is
+//! capacity for one more key, when a segment is full, and which segment is removed or compacted next. No I/O.
 //!
-//! Segments go in the order in which they were created, so a record never outlives a later one of its key.
+//! Segments are removed in the order of their creation. A record therefore never outlives a later record of
+//! its key.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -13,84 +14,87 @@
 use crate::clock::UnixTime;
 use crate::outcome::{LATE_READ_GRACE, MAX_RESULT_BYTES};
 
-/// A segment is full at this part of the whole store.
+/// Segment length at which a segment is full, as a divisor of the store's size.
 const SEGMENTS_PER_STORE: u64 = 16;
-/// Keys take up to this part of the store; the rest is left to compaction.
-const LIVE_SHARE: u64 = 2;
-/// The oldest segment is compacted once all together take more than three quarters of the store.
+/// Space for current records and reservations, as a divisor of the store's size. The rest is headroom for
+/// compaction.
+const LIVE_DATA_DIVISOR: u64 = 2;
+/// Numerator and denominator of the share of the store's size above which the oldest segment is compacted:
+/// 3/4.
 const COMPACTION_NUMERATOR: u64 = 3;
 const COMPACTION_DENOMINATOR: u64 = 4;
-/// How often expired keys are looked for.
+/// Interval between scans for expired keys.
 const EXPIRY_SCAN_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The hard limits of a store.
+/// Hard limits of a store.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct Limits {
-    /// Bytes of all segments together.
+    /// Limit on the bytes of all segments together.
     pub(crate) max_bytes: u64,
 }
 
 impl Limits {
-    /// A segment that has this length takes no more records.
+    /// Length in bytes at which a segment is full and a new one is created.
     fn segment_bytes(self) -> u64 {
         self.max_bytes / SEGMENTS_PER_STORE
     }
 
-    /// Above this length the oldest segment is compacted.
+    /// Bytes of all segments together above which the oldest segment may be compacted.
     fn compaction_threshold(self) -> u64 {
         self.max_bytes / COMPACTION_DENOMINATOR * COMPACTION_NUMERATOR
     }
 }
 
-/// What is to be done before the next record is written.
+/// Step to be done before the next record is written.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum MaintenanceStep {
-    /// Begin a new segment.
+    /// Create a new segment and append to it from then on.
     Rotate,
-    /// Remove the segment of this number: none of its records is current.
+    /// Remove the segment with this number, none of whose records is the last of its key.
     Remove(SegmentNumber),
-    /// Write the current records of the segment of this number again, then remove it.
+    /// Append the current records of the segment with this number to the active segment, then remove it.
     Compact(SegmentNumber),
 }
 
-/// A segment as the index knows it.
+/// Accounting of one segment.
 #[derive(Debug)]
 struct SegmentEntry {
     number: SegmentNumber,
     bytes: u64,
-    /// Records in it that are the last of their key.
+    /// Number of records in the segment that are the last of their key.
     current_records: u64,
 }
 
-/// Where the last record of a key is.
+/// Location of the last record of a key, and the space it takes.
 #[derive(Debug)]
 struct RecordLocation {
     segment: SegmentNumber,
-    /// The number of the record.
+    /// Number of the record in the sequence of all records.
     record: u64,
     bytes: u64,
     expires_at: UnixTime,
-    /// Whether capacity is reserved for the end of the key's run.
+    /// Whether space is reserved for the completion record of the key's run.
     reserves_completion: bool,
 }
 
-/// The index of all segments and of the last record of each key.
+/// Index of all segments and of the last record of each key.
 #[derive(Debug)]
 pub(crate) struct SegmentIndex {
     limits: Limits,
     segments: VecDeque<SegmentEntry>,
     locations: HashMap<Bytes, RecordLocation>,
-    /// Bytes of the last records of all keys.
+    /// Bytes of the last records of all keys together.
     current_bytes: u64,
-    /// Bytes reserved for the ends of runs that have started.
+    /// Bytes reserved for the completion records of runs that have started.
     reserved_bytes: u64,
     last_expiry_scan: UnixTime,
-    /// No segment is removed before then: its damaged records may be needed by one more start.
+    /// Time before which no segment is removed: its damaged records tell the next start, too, which keys are
+    /// uncertain.
     retained_until: UnixTime,
 }
 
 impl SegmentIndex {
-    /// The index of an empty store.
+    /// Creates the index of an empty store.
     pub(crate) fn new(limits: Limits) -> Self {
         SegmentIndex {
             limits,
@@ -103,19 +107,20 @@
         }
     }
 
-    /// A segment of so many bytes follows those before.
+    /// Adds a segment of `bytes` bytes behind the last one.
     pub(crate) fn add_segment(&mut self, number: SegmentNumber, bytes: u64) {
         self.segments.push_back(SegmentEntry { number, bytes, current_records: 0 });
     }
 
-    /// The last segment grew by so many bytes.
+    /// Adds `bytes` to the length of the last segment.
     pub(crate) fn grow_last_segment(&mut self, bytes: u64) {
         if let Some(segment) = self.segments.back_mut() {
             segment.bytes += bytes;
         }
     }
 
-    /// This record is in the last segment and is the last of its key.
+    /// Adds a record of the last segment, which becomes the last record of its key. A never-started record
+    /// frees the key.
     pub(crate) fn add_record(&mut self, record: &Record) {
         let Some(segment) = self.segments.back_mut() else { return };
         segment.current_records += 1;
@@ -128,7 +133,7 @@
         };
         self.current_bytes += location.bytes;
         self.reserved_bytes += reserved_for(&record.key, location.reserves_completion);
-        // The key outlives the buffer that it was read into.
+        // Copied, as a slice would keep the whole buffer that the key was read into alive.
         let key = Bytes::copy_from_slice(&record.key);
         if let Some(previous) = self.locations.insert(key.clone(), location) {
             self.release(&key, &previous);
@@ -138,7 +143,7 @@
         }
     }
 
-    /// Gives back what a record that is no longer the last of its key took.
+    /// Releases the space of a record that is no longer the last of its key.
     fn release(&mut self, key: &Bytes, location: &RecordLocation) {
         self.current_bytes -= location.bytes;
         self.reserved_bytes -= reserved_for(key, location.reserves_completion);
@@ -154,8 +159,9 @@
         }
     }
 
-    /// Finishes recovery: the clock was set back by `clock_setback`, and segments are kept until `retained_until` for the
-    /// sake of their damaged records. Runs that had started will report no end, so nothing is reserved for one.
+    /// Finishes recovery. Expiry times are moved back by `clock_setback`, and no segment is removed before
+    /// `retained_until`, as its damaged records are still needed. Reservations are released, as runs that had
+    /// started before this start will never report their completion.
     pub(crate) fn finish_recovery(&mut self, clock_setback: Duration, retained_until: UnixTime) {
         self.retained_until = retained_until;
         self.reserved_bytes = 0;
@@ -165,8 +171,8 @@
         }
     }
 
-    /// Whether this record may be written after `pending` bytes that were accepted but are not written yet. The end of a
-    /// run is always accepted, as its capacity was reserved when the run started.
+    /// Whether there is capacity for this record behind `pending` bytes that were accepted but are not
+    /// written yet. A completion record is always accepted, as its space was reserved when the run started.
     pub(crate) fn has_capacity(&self, record: &Record, pending: u64) -> bool {
         if record.state != RecordState::Started {
             return true;
@@ -174,16 +180,16 @@
         let required = pending + required_bytes(record);
         let current = self.current_bytes + self.reserved_bytes + required;
         let stored = self.bytes() + self.reserved_bytes + required;
-        current <= self.limits.max_bytes / LIVE_SHARE
+        current <= self.limits.max_bytes / LIVE_DATA_DIVISOR
             && stored + self.limits.segment_bytes() <= self.limits.max_bytes
     }
 
-    /// Whether this record is the last of its key.
+    /// Whether this record is the last one of its key.
     pub(crate) fn is_current(&self, record: &Record) -> bool {
         self.locations.get(&record.key).is_some_and(|location| location.record == record.number)
     }
 
-    /// What is to be done at `now` before the next record is written, if anything.
+    /// Next step to be done before a record is written; none if nothing is left to do at `now`.
     pub(crate) fn next_step(&mut self, now: UnixTime) -> Option<MaintenanceStep> {
         if now >= self.last_expiry_scan + EXPIRY_SCAN_INTERVAL {
             self.last_expiry_scan = now;
@@ -212,39 +218,41 @@
         }
     }
 
-    /// Whether compaction frees enough: where nearly every record is current it would only move them round and round.
+    /// Whether the store is full enough for compaction and compaction would free enough. With nearly all
+    /// records current, it would only copy the same records again and again.
     fn needs_compaction(&self) -> bool {
         let obsolete = self.bytes().saturating_sub(self.current_bytes);
         self.bytes() > self.limits.compaction_threshold() && obsolete > 2 * self.limits.segment_bytes()
     }
 
-    /// The segment of this number was removed.
+    /// Removes the segment with this number from the index.
     pub(crate) fn remove_segment(&mut self, number: SegmentNumber) {
         self.segments.retain(|segment| segment.number != number);
     }
 
-    /// The number for a new segment.
+    /// Number that the next segment gets.
     pub(crate) fn next_segment_number(&self) -> SegmentNumber {
         self.segments.back().map_or(SegmentNumber::FIRST, |segment| segment.number.next())
     }
 
-    /// Bytes of all segments.
+    /// Bytes of all segments together.
     pub(crate) fn bytes(&self) -> u64 {
         self.segments.iter().map(|segment| segment.bytes).sum()
     }
 
-    /// The number of keys that are remembered.
+    /// Number of keys that are remembered.
     pub(crate) fn key_count(&self) -> usize {
         self.locations.len()
     }
 }
 
-/// The bytes that a record takes, with what it reserves for the end of its run.
+/// Bytes that a record needs: its own, and those reserved for the completion record of its run.
 pub(crate) fn required_bytes(record: &Record) -> u64 {
     record.encoded_len() as u64 + reserved_for(&record.key, record.state == RecordState::Started)
 }
 
-/// The bytes of the largest record of a run's end, if they are reserved.
+/// Bytes reserved for the completion record of a key's run: those of the largest possible one, or 0 if none
+/// is reserved.
 fn reserved_for(key: &Bytes, reserves_completion: bool) -> u64 {
     if reserves_completion {
         (HEADER_BYTES + key.len() + MAX_RESULT_BYTES) as u64
--- a/node/src/result_store/segment_log.rs
+++ b/node/src/result_store/segment_log.rs
@@ -1,5 +1,5 @@
-//! The folder of a result store: a lock file, a file with the seed and the segments of a log. Does the I/O that the
-//! [`SegmentIndex`] decides on; no record is reported as stored before it is durable.
+//! The folder of a result store: a lock file, a seed file and the segments of a log. This module does the I/O
+//! that the [`SegmentIndex`] decides on. No record is reported as stored before it is durable.
 
 use std::fs::{File, TryLockError};
 use std::io::{self, Read};
@@ -19,39 +19,40 @@
 use crate::log;
 use crate::outcome::MAX_RESULT_BYTES;
 
-/// Locked by the process that has the folder open.
+/// File that the process which has the folder open holds a lock on.
 const LOCK_FILE: &str = "lock";
-/// Holds a segment header for the sake of the seed in it.
+/// File with the seed of the store, in the format of a segment header.
 const SEED_FILE: &str = "seed";
 
-/// The log of one folder, which belongs to this process alone while it is open.
+/// The log in one folder. While it is open, the folder is locked for this process.
 pub(crate) struct SegmentLog<D: Disk = SystemDisk> {
     path: PathBuf,
     disk: D,
-    /// Released when the log is dropped.
+    /// Lock on the folder, released when the log is dropped.
     _lock: File,
     seed: u64,
     index: SegmentIndex,
-    /// The segment that records are appended to; a new one is created where there is none.
+    /// Segment that records are appended to; absent after a disk error, until the next write creates a new
+    /// one.
     active_segment: Option<File>,
     next_record: u64,
 }
 
-/// A log that was opened, and what was found in its folder.
+/// A newly opened log and the state recovered from its folder.
 pub(crate) struct OpenedLog<D: Disk = SystemDisk> {
-    /// The log.
+    /// Log that new records are written to.
     pub(crate) log: SegmentLog<D>,
-    /// What was in the folder.
+    /// State recovered from the segments.
     pub(crate) recovered: RecoveredState,
 }
 
 impl<D: Disk> SegmentLog<D> {
-    /// Opens a folder and recovers what is in it. No key counts as remembered for longer than `max_window`, unless a
-    /// record says so.
+    /// Locks a folder, recovers its state and creates a new segment. After damage, keys are uncertain for at
+    /// most `max_window`, unless a record has a longer window.
     ///
     /// # Errors
     ///
-    /// The kind is `WouldBlock` if another process has the folder open.
+    /// If a disk operation fails; the kind is `WouldBlock` if another process has the folder open.
     pub(crate) fn open(
         path: &Path,
         mut disk: D,
@@ -77,10 +78,11 @@
         Ok(OpenedLog { log, recovered })
     }
 
-    /// Writes the records for which there is capacity, with one wait for the disk. Returns for each whether it is durable.
+    /// Writes the records for which there is capacity, with one sync of the disk. Returns for each record
+    /// whether it is durable.
     pub(crate) fn write(&mut self, mut records: Vec<Record>, now: UnixTime) -> Vec<bool> {
         if let Err(error) = self.maintain(now) {
-            log!("result store: maintenance failed: error={error}");
+            log!("result store: maintenance failed, the next write tries again: error={error}");
         }
         let mut pending = 0;
         let accepted: Vec<bool> =
@@ -92,16 +94,21 @@
             .map(|(record, _)| record)
             .collect();
         if let Err(error) = self.append(&to_write) {
-            log!("result store: append failed: records={} error={error}", to_write.len());
+            log!(
+                "result store: append failed, the next write begins a new segment: records={} error={error}",
+                to_write.len()
+            );
             return vec![false; accepted.len()];
         }
         accepted
     }
 
-    /// Numbers a record if there is capacity for it behind `pending` bytes, which it is added to.
+    /// Assigns a number and a time to a record if there is capacity for it behind `pending` bytes, and adds
+    /// the bytes that it needs to `pending`.
     fn accept(&mut self, record: &mut Record, pending: &mut u64, now: UnixTime) -> bool {
         if record.result.len() > MAX_RESULT_BYTES {
-            // It was delivered once; later attempts get 'failed'.
+            // The result is delivered to the first attempt but not stored; later attempts are answered as
+            // failed.
             record.state = RecordState::Failed;
             record.result = Bytes::new();
         }
@@ -115,20 +122,20 @@
         true
     }
 
-    /// Appends numbered records to the active segment.
+    /// Appends records that have their numbers to the active segment, durably.
     fn append(&mut self, records: &[&Record]) -> io::Result<()> {
         let Some(first) = records.first() else { return Ok(()) };
         let mut bytes = BytesMut::new();
         for record in records {
             record.encode(self.seed, &mut bytes);
         }
-        // After an error the end of the segment is unknown: the next record goes to a new one, under the numbers that
-        // were not used.
+        // After an error it is unknown where the segment ends, so the next record goes to a new segment. It
+        // reuses the numbers of the records that were not written, as numbers must have no gaps.
         let Some(segment) = &mut self.active_segment else {
             self.next_record = first.number;
-            return Err(io::Error::other("no segment could be created"));
+            return Err(io::Error::other("there is no active segment, as creating one failed"));
         };
-        // Also what was written in part takes space.
+        // Counted before the write, as a partial write takes space too.
         self.index.grow_last_segment(bytes.len() as u64);
         if let Err(e) = self.disk.append(segment, &bytes) {
             self.active_segment = None;
@@ -141,7 +148,7 @@
         Ok(())
     }
 
-    /// Does what the index asks for.
+    /// Does the maintenance steps that the index asks for, after creating an active segment if there is none.
     fn maintain(&mut self, now: UnixTime) -> io::Result<()> {
         if self.active_segment.is_none() {
             self.rotate(now)?;
@@ -156,7 +163,7 @@
         Ok(())
     }
 
-    /// Creates a segment, which is the active one from then on.
+    /// Creates a segment and makes it the active one.
     fn rotate(&mut self, now: UnixTime) -> io::Result<()> {
         let number = self.index.next_segment_number();
         let header = SegmentHeader { seed: self.seed, first_record: self.next_record, created_at: now };
@@ -174,8 +181,8 @@
         Ok(())
     }
 
-    /// Writes the current records of the oldest segment again, durably, and only then removes it: a crash at any moment
-    /// leaves each record at least once.
+    /// Appends the current records of the oldest segment to the active one, durably, and only then removes
+    /// the oldest segment, so that a crash at any moment leaves at least one copy of each record.
     fn compact(&mut self, number: SegmentNumber) -> io::Result<()> {
         let bytes = Bytes::from(read_file(&segment_path(&self.path, number), u64::MAX)?);
         let mut current = Vec::new();
@@ -191,18 +198,18 @@
         self.remove_segment(number)
     }
 
-    /// The number of keys that are remembered.
+    /// Number of keys that are remembered.
     pub(crate) fn key_count(&self) -> usize {
         self.index.key_count()
     }
 
-    /// Bytes of all segments.
+    /// Bytes of all segments together.
     pub(crate) fn bytes(&self) -> u64 {
         self.index.bytes()
     }
 }
 
-/// Locks the folder for this process.
+/// Locks the folder for this process; fails at once if another process holds the lock.
 fn lock_folder(path: &Path) -> io::Result<File> {
     let lock = File::options().write(true).create(true).truncate(false).open(path.join(LOCK_FILE))?;
     match lock.try_lock() {
@@ -214,8 +221,8 @@
     }
 }
 
-/// Reads the seed, from a segment if its own file is damaged, and writes that file again then. A store without any gets a
-/// new seed.
+/// Reads the seed of the store. If the seed file is missing or damaged, it is written anew with the seed from
+/// a segment or, if no segment has an intact header, with a new random seed.
 fn open_seed(
     path: &Path,
     segments: &[SegmentNumber],
@@ -240,16 +247,17 @@
     SegmentHeader::decode(&bytes)
 }
 
-/// Reads a segment. One that cannot be read counts as damaged, so that one bad file does not prevent the start.
+/// Reads a segment. A file that cannot be read is treated as an empty, damaged segment, so that the process
+/// still starts.
 fn read_segment(folder: &Path, number: SegmentNumber, limits: Limits) -> Segment {
     let bytes = read_file(&segment_path(folder, number), limits.max_bytes).unwrap_or_else(|error| {
-        log!("result store: segment not readable: segment={number} error={error}");
+        log!("result store: segment unreadable, treated as damaged: segment={number} error={error}");
         Vec::new()
     });
     Segment { number, bytes: bytes.into() }
 }
 
-/// The numbers of the segments in a folder, in ascending order.
+/// Numbers of the segments in a folder, in ascending order.
 fn segment_numbers(folder: &Path) -> io::Result<Vec<SegmentNumber>> {
     let mut numbers = Vec::new();
     for entry in std::fs::read_dir(folder)? {
@@ -271,7 +279,7 @@
     }
 }
 
-/// A seed that no client can predict.
+/// Generates a seed that clients cannot predict, so that they cannot forge checksums.
 fn random_seed() -> u64 {
     use std::hash::{BuildHasher, RandomState};
     RandomState::new().hash_one(())
--- a/node/src/result_store/segment_log/tests.rs
+++ b/node/src/result_store/segment_log/tests.rs
@@ -38,7 +38,9 @@
     }
 }
 
-/// A disk that completes so many more operations, does the next one in part, and none after it; it may come back.
+/// Disk with injected failures. The last of the `remaining` operations, if it is a write, writes only
+/// `partial_bytes` bytes and fails; all operations after it fail. A test may raise `remaining` again to end
+/// the failure.
 #[derive(Clone)]
 struct FailingDisk {
     remaining: Rc<Cell<u32>>,
@@ -46,11 +48,11 @@
 }
 
 impl FailingDisk {
-    fn use_one(&self) -> io::Result<()> {
+    fn consume_operation(&self) -> io::Result<()> {
         let remaining = self.remaining.get();
         self.remaining.set(remaining.saturating_sub(1));
         if remaining == 0 {
-            Err(io::Error::other("the disk fails"))
+            Err(io::Error::other("injected disk failure"))
         } else {
             Ok(())
         }
@@ -63,8 +65,8 @@
         if fails_here {
             std::fs::write(path, &bytes[..self.partial_bytes.min(bytes.len())])?;
         }
-        self.use_one().and_then(|()| if fails_here { self.use_one() } else { Ok(()) })?;
-        // Nothing here has to survive a crash of the machine, so nothing waits for a real disk.
+        self.consume_operation().and_then(|()| if fails_here { self.consume_operation() } else { Ok(()) })?;
+        // Not synced, as these tests do not crash the machine.
         let mut file = File::options().append(true).create_new(true).open(path)?;
         file.write_all(bytes).map(|()| file)
     }
@@ -74,12 +76,12 @@
             self.remaining.set(0);
             file.write_all(&bytes[..self.partial_bytes.min(bytes.len())])?;
         }
-        self.use_one()?;
+        self.consume_operation()?;
         file.write_all(bytes)
     }
 
     fn remove(&mut self, path: &Path) -> io::Result<()> {
-        self.use_one()?;
+        self.consume_operation()?;
         SystemDisk.remove(path)
     }
 }
@@ -95,16 +97,16 @@
 }
 
 #[test]
-fn one_process_has_the_folder_open_and_the_next_one_recovers_what_it_wrote() {
+fn the_folder_is_open_in_one_process_at_a_time_and_the_next_one_recovers_its_records() {
     let folder = TestFolder::new();
     let OpenedLog { mut log, .. } = folder.open(SystemDisk, at(0));
-    let again = SegmentLog::open(&folder.0, SystemDisk, LIMITS, MAX_WINDOW, at(0));
-    assert_eq!(again.err().unwrap().kind(), io::ErrorKind::WouldBlock);
+    let second = SegmentLog::open(&folder.0, SystemDisk, LIMITS, MAX_WINDOW, at(0));
+    assert_eq!(second.err().unwrap().kind(), io::ErrorKind::WouldBlock);
     let records =
         vec![record("k", RecordState::Started, 0, at(0)), record("k", RecordState::Succeeded, 9, at(1))];
     assert_eq!(log.write(records, at(1)), [true, true]);
     drop(log);
-    // The seed is known from the segments as well.
+    // The segments hold copies of the seed, so damage to the seed file does not lose it.
     std::fs::write(folder.0.join(SEED_FILE), b"damaged").unwrap();
     let OpenedLog { log: _log, recovered } = folder.open(SystemDisk, at(2));
     assert_eq!(recovered.keys[0].state, RunState::Succeeded(vec![7; 9].into()));
@@ -112,7 +114,7 @@
 }
 
 #[test]
-fn the_limit_holds_completions_always_have_capacity_and_expired_keys_free_theirs() {
+fn the_size_limit_holds_while_completions_always_have_capacity_and_expired_keys_free_theirs() {
     let folder = TestFolder::new();
     let OpenedLog { mut log, .. } = folder.open(SystemDisk, at(0));
     let mut started = Vec::new();
@@ -130,20 +132,20 @@
         assert!(folder.bytes() <= LIMITS.max_bytes);
     }
     assert_eq!(log.write(vec![record("more", RecordState::Started, 0, at(2))], at(2)), [false]);
-    // No key was dropped to make room.
+    // No key was evicted to make room.
     drop(log);
     let OpenedLog { mut log, recovered } = folder.open(SystemDisk, at(3));
     assert_eq!(recovered.keys.len(), started.len());
     let late = at(30_000);
     assert_eq!(log.write(vec![record("more", RecordState::Started, 0, late)], late), [true]);
     assert_eq!(log.key_count(), 1);
-    // A result that is too long counts as failed for later attempts.
+    // A result that is too long is not stored; the run is recorded as failed.
     log.write(vec![record("more", RecordState::Succeeded, MAX_RESULT_BYTES + 1, late)], late);
     drop(log);
     assert_eq!(folder.open(SystemDisk, late).recovered.keys[0].state, RunState::Failed);
 }
 
-/// A seeded generator of numbers below a bound.
+/// Seeded generator of pseudo-random numbers below a bound.
 struct Random(u64);
 
 impl Random {
@@ -153,14 +155,14 @@
     }
 }
 
-/// The last record of a key that was reported as durable.
+/// Last record of a key that was reported as durable.
 struct Acknowledged {
     record: Record,
-    /// A later record failed, and may be on the disk all the same.
+    /// Whether a later record of the key was reported as not durable; it may be on the disk all the same.
     may_be_outdated: bool,
 }
 
-/// What a seed does to one folder, in several processes one after the other.
+/// Sequence of processes that use one folder; their writes and disk failures are drawn from a seed.
 struct FaultRun {
     seed: u64,
     random: Random,
@@ -182,7 +184,8 @@
         }
     }
 
-    /// A process that writes until its disk fails at some moment, in appending, rotating or compacting.
+    /// Runs a process that opens the folder, checks the recovered state and writes batches. Its disk fails at
+    /// a random operation, in an append, a rotation or a compaction.
     fn run_process(&mut self) {
         let remaining = Rc::new(Cell::new(u32::MAX));
         let disk =
@@ -200,7 +203,7 @@
             assert!(self.folder.bytes() <= LIMITS.max_bytes, "seed {}", self.seed);
         }
         if self.random.below(2) == 0 {
-            // The disk comes back while the process lives.
+            // The disk works again while the process is still running.
             remaining.set(u32::MAX);
             let now = at(self.now);
             assert_eq!(log.write(vec![record("back", RecordState::Started, 0, now)], now).len(), 1);
@@ -236,7 +239,7 @@
         batch
     }
 
-    /// The oldest run that has started and that no record of the batch is about.
+    /// The oldest run that has started, has not completed and has no record in the batch.
     fn oldest_started(&self, batch: &[Record]) -> Option<Record> {
         let started = self.acknowledged.values().filter(|last| {
             last.record.state == RecordState::Started
@@ -257,9 +260,9 @@
     fn draw_start(&mut self) -> Record {
         self.next_key += 1;
         let number = self.next_key;
-        let lifetime = if self.random.below(8) == 0 { 60_000 } else { 1_000 };
+        let window_ms = if self.random.below(8) == 0 { 60_000 } else { 1_000 };
         let started = record(&format!("key {number}"), RecordState::Started, 0, at(self.now));
-        Record { number, expires_at: at(self.now + lifetime), ..started }
+        Record { number, expires_at: at(self.now + window_ms), ..started }
     }
 
     fn acknowledge(&mut self, batch: Vec<Record>, durable: &[bool]) {
--- a/node/src/result_store/writer.rs
+++ b/node/src/result_store/writer.rs
@@ -1,4 +1,4 @@
-//! The thread that waits for the disk. Records that arrive while it waits share the next wait.
+//! The writer thread of the result store. Records that arrive during a sync of the disk share the next one.
 
 use std::io;
 use std::sync::mpsc::{sync_channel, Receiver, SyncSender};
@@ -14,57 +14,60 @@
 use crate::clock;
 use crate::log;
 
-/// Records that may wait for the disk, and events that may wait to be read. A record beyond that is not stored.
+/// Capacity of the queue of records to write and of the queue of events. A record that finds the record queue
+/// full is not stored; if the event queue is full, the writer thread waits.
 const QUEUE_CAPACITY: usize = 4096;
 const THREAD_NAME: &str = "result-store";
 
-/// What the writer thread reports.
+/// Event that the writer thread reports.
 #[derive(Debug)]
 pub(crate) enum StoreEvent {
-    /// A record was processed.
+    /// A record was written, or could not be.
     Written {
-        /// The request that it was written for.
+        /// Request that the record belongs to.
         request: RequestId,
-        /// Whether it survives a crash from now on; otherwise it may or may not be found by the next start.
+        /// Whether the record survives a crash from now on. If false, the next start may or may not recover
+        /// it.
         durable: bool,
     },
-    /// The folder that the predecessor had open is open here now.
+    /// The folder was opened after the predecessor closed it; this is its recovered state.
     Opened(RecoveredState),
 }
 
-/// A record to be written for a request.
+/// Record to be written for a request.
 struct WriteRequest {
     request: RequestId,
     record: Record,
 }
 
-/// A writer whose thread has been started.
+/// A started writer thread: its handle and its events.
 pub(super) struct StartedWriter {
-    /// The queue to the thread.
+    /// Handle that queues records.
     pub(super) writer: StoreWriter,
-    /// What the thread reports.
+    /// Events of the thread.
     pub(super) events: mpsc::Receiver<StoreEvent>,
 }
 
-/// The queue to the writer thread. Once it is dropped, the thread writes what it was given and closes the log.
+/// Handle of the writer thread. After it is dropped, the thread writes the queued records and closes the log.
 pub(crate) struct StoreWriter {
     queue: SyncSender<WriteRequest>,
     metrics: Arc<StoreMetrics>,
 }
 
 impl StoreWriter {
-    /// Queues a record; a [`StoreEvent::Written`] follows. Returns false if the queue is full, and then no event follows.
+    /// Queues a record, for which a [`StoreEvent::Written`] will follow. Returns false, with no event to
+    /// follow, if the queue is full.
     pub(crate) fn write(&self, request: RequestId, record: Record) -> bool {
         let queued = self.queue.try_send(WriteRequest { request, record }).is_ok();
         if !queued {
-            log!("result store: write queue full: capacity={QUEUE_CAPACITY}");
+            log!("result store: write queue full, record not stored: capacity={QUEUE_CAPACITY}");
             self.metrics.count_batch(0, 1);
         }
         queued
     }
 
-    /// Starts the thread. It gets its log by `open`, which may send an event first; without a log nothing is stored. At
-    /// most `max_batch` records share a wait for the disk.
+    /// Starts the thread. It calls `open` for its log, which may send an event. If `open` returns none, every
+    /// record is reported as not durable. At most `max_batch` records share one sync of the disk.
     ///
     /// # Errors
     ///
@@ -85,7 +88,7 @@
     }
 }
 
-/// The state of the thread.
+/// State owned by the writer thread.
 struct WriterThread {
     log: Option<SegmentLog>,
     requests: Receiver<WriteRequest>,
@@ -95,7 +98,7 @@
 }
 
 impl WriterThread {
-    /// Writes until the queue is closed and empty.
+    /// Writes queued records in batches until the queue is closed and empty.
     fn run(mut self) {
         while let Ok(first) = self.requests.recv() {
             let more = std::iter::from_fn(|| self.requests.try_recv().ok()).take(self.max_batch - 1);
