--- a/node/src/peers.rs
+++ b/node/src/peers.rs
@@ -1,8 +1,9 @@
-//! The fleet's I/O: the links with other nodes, their messages and the folder of votes. What the replica node of
-//! `oakwind-fleet` decides is carried out here, and what arrives goes to it; no decision is made here.
+//! The fleet's I/O: links to other nodes, the messages on them and the vote store. This module passes what it
+//! receives to the replica node of `oakwind-fleet` and carries out the actions that the replica node returns.
+//! It makes no decision of its own.
 //!
-//! The run gate has a [`Peers`] handle. Behind it the task of a [`PeerDriver`] owns everything else: a [`replica_host`]
-//! with the replica node and the [`links`], and the [`vote_store`].
+//! The run gate holds a [`Peers`] handle. The task of a [`PeerDriver`] owns the rest: a [`replica_host`] with
+//! the replica node and the [`links`], and the [`vote_store`].
 
 mod claim;
 mod completeness_marker;
@@ -36,24 +37,25 @@
 use metrics::PeerMetrics;
 use monotonic_clock::{incarnation_now, MonotonicClock};
 
-/// Events that may wait for the driver, and responses that may wait to be read. A request beyond that is rejected.
+/// Capacity of the queue of events to the driver and of the queue of responses from it. While the event queue
+/// is full, requests for claims are rejected.
 const QUEUE_CAPACITY: usize = 4096;
 
-/// The run gate's handle on the fleet.
+/// Handle with which the run gate requests claims from the fleet and reports the ends of runs.
 pub(crate) struct Peers {
     events: mpsc::Sender<Event>,
     responses: mpsc::Receiver<ClaimResponse>,
     clock: MonotonicClock,
-    /// Counters and gauges for operators.
+    /// Counters and gauges of the replica node and its links; the driver updates them.
     pub(crate) metrics: Rc<PeerMetrics>,
 }
 
-/// A node's place in its fleet: the handle, and the driver that is to be run. With a predecessor, which still has the address
-/// and the folder, the driver begins once that has let go of them.
+/// Creates the handle and the driver of this node; the caller runs the driver. If a predecessor still holds
+/// the address and the vote store, the driver opens them only after the predecessor has released them.
 ///
 /// # Errors
 ///
-/// If the address or the folder cannot be used.
+/// If the address cannot be listened on or the vote store cannot be opened.
 pub(crate) fn new(
     config: FleetConfig,
     seed: u64,
@@ -73,7 +75,8 @@
 }
 
 impl Peers {
-    /// Asks for a claim; a [`ClaimResponse`] follows. Returns false if the queue is full, and then nothing follows.
+    /// Requests a claim; a [`ClaimResponse`] follows. Returns false, with no response to follow, if the event
+    /// queue is full.
     pub(crate) fn request_claim(&self, claim: &ClaimParameters) -> bool {
         self.send(Event::RunRequested(RunRequest {
             attempt: attempt_of(claim.id),
@@ -86,33 +89,35 @@
         }))
     }
 
-    /// A run has finished; for a success
-    /// [`StoredByQuorum`](oakwind_fleet::claims::coordinator::ClaimOutcome::StoredByQuorum) follows. Returns false if the queue is full.
+    /// Reports the result of a run. After a success, a response with
+    /// [`StoredByQuorum`](oakwind_fleet::claims::coordinator::ClaimOutcome::StoredByQuorum) follows. Returns
+    /// false if the event queue is full.
     pub(crate) fn run_finished(&self, id: RequestId, result: RunResult) -> bool {
         self.send(Event::RunCompleted(attempt_of(id), result))
     }
 
-    /// A run never started. Returns false if the queue is full.
+    /// Reports that a run never started. Returns false if the event queue is full.
     pub(crate) fn run_never_started(&self, id: RequestId) -> bool {
         self.send(Event::RunCancelled(attempt_of(id)))
     }
 
-    /// A successor takes over the node's place in the fleet.
+    /// Reports that a successor process takes over this node's membership in the fleet.
     pub(crate) fn deactivate(&self) {
         self.send(Event::Deactivated);
     }
 
-    /// This process takes the node's place in the fleet, as the other process has let go of it or is gone.
+    /// Reports that this process takes over the node's membership in the fleet: the other process has
+    /// released it or has ended.
     pub(crate) fn activate(&self) {
         self.send(Event::Activated(incarnation_now()));
     }
 
-    /// Whether a predecessor may still run what it started.
+    /// Sets whether a predecessor may still be executing runs that it started.
     pub(crate) fn set_predecessor_running(&self, is_running: bool) {
         self.send(Event::PredecessorAlive(is_running));
     }
 
-    /// Where another membership configuration can be proposed.
+    /// The sender of driver events, for proposing another membership configuration.
     pub(crate) fn event_sender(&self) -> mpsc::Sender<Event> {
         self.events.clone()
     }
@@ -120,12 +125,12 @@
     fn send(&self, event: Event) -> bool {
         let sent = self.events.try_send(event).is_ok();
         if !sent {
-            log!("fleet: event queue full: capacity={QUEUE_CAPACITY}");
+            log!("fleet: event queue full, event dropped: capacity={QUEUE_CAPACITY}");
         }
         sent
     }
 
-    /// The next response to a claim; it never comes once the driver has ended.
+    /// Waits for the next response to a claim; waits forever once the driver has ended.
     pub(crate) async fn next_response(&mut self) -> ClaimResponse {
         match self.responses.recv().await {
             Some(response) => response,
--- a/node/src/peers/claim.rs
+++ b/node/src/peers/claim.rs
@@ -1,4 +1,4 @@
-//! Claims on keys, as the run gate asks the fleet for them, and the responses to them.
+//! Requests of the run gate for claims on keys, and the fleet's responses to them.
 
 use bytes::Bytes;
 use oakwind_admission::RequestId;
@@ -7,43 +7,43 @@
 
 use crate::clock::UnixTime;
 
-/// The run of an attempt, for which the peers are asked for a claim.
+/// The attempt for whose run a claim is requested.
 pub(crate) struct ClaimParameters<'a> {
-    /// The attempt.
+    /// The dispatcher's number of the attempt.
     pub(crate) id: RequestId,
-    /// Its key.
+    /// The idempotency key.
     pub(crate) key: Bytes,
-    /// Its body.
+    /// The request body. Its digest detects a different request with the same key.
     pub(crate) body: &'a [u8],
-    /// When the key expires.
+    /// End of the idempotency window.
     pub(crate) expires_at: UnixTime,
-    /// When its request was received.
+    /// When the request was received.
     pub(crate) received_at: UnixTime,
-    /// When its caller stops waiting.
+    /// When the client stops waiting for a response.
     pub(crate) deadline: UnixTime,
 }
 
-/// What the fleet decided of an attempt's claim, or of its run.
+/// The fleet's decision on the claim of an attempt, or on the result of its run.
 #[derive(Debug)]
 pub(crate) struct ClaimResponse {
-    /// The attempt.
+    /// The dispatcher's number of the attempt.
     pub(crate) id: RequestId,
-    /// The decision.
+    /// The decision of the claim coordinator.
     pub(crate) outcome: ClaimOutcome,
 }
 
-/// The attempt as the fleet numbers it.
+/// The claim coordinator's identifier of an attempt.
 pub(super) fn attempt_of(id: RequestId) -> AttemptId {
     AttemptId(u64::from(id.0))
 }
 
-/// The attempt as the dispatcher numbers it.
+/// The dispatcher's identifier of an attempt; the inverse of [`attempt_of`].
 pub(super) fn request_of(attempt: AttemptId) -> RequestId {
-    // Every attempt came from a request.
+    // The conversion does not fail, as every attempt identifier was made from a request identifier.
     RequestId(u32::try_from(attempt.0).unwrap_or(0))
 }
 
-/// The first bytes of a body's SHA-256 digest, which tell bodies apart.
+/// The first 16 bytes of the SHA-256 digest of a request body.
 pub(super) fn body_digest(body: &[u8]) -> u128 {
     let digest = Sha256::digest(body);
     digest.first_chunk().map_or(0, |first_bytes| u128::from_be_bytes(*first_bytes))
--- a/node/src/peers/completeness_marker.rs
+++ b/node/src/peers/completeness_marker.rs
@@ -1,5 +1,6 @@
-//! The marker in the folder of votes. It says that what the folder holds is complete, and up to which position of this
-//! node's state: a process that finds it may rely on the folder, and other nodes can tell whether the folder is an old copy.
+//! The completeness marker, a file in the vote store's folder. It states that the vote store is complete, and
+//! up to which position of this node's state. A process that finds the marker may rely on the votes, and
+//! other nodes can tell from the position whether the folder is an outdated copy.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -10,24 +11,24 @@
 use crate::log;
 
 const MARKER_FILE: &str = "sound";
-/// The name of the marker while it is written.
+/// Name under which the marker is written before it replaces the previous one.
 const TEMPORARY_FILE: &str = "sound-new";
 
 /// Writes and reads the marker of one folder.
 pub(crate) struct CompletenessMarker {
     folder: PathBuf,
-    /// Whether the folder is complete, so that the marker may be written.
+    /// Whether the vote store is complete, which permits writing the marker.
     is_complete: bool,
     written: Option<StatePosition>,
 }
 
 impl CompletenessMarker {
-    /// The marker of a folder that is complete or not.
+    /// Creates the marker for a folder. `is_complete` tells whether the vote store in it is complete.
     pub(crate) fn new(folder: &Path, is_complete: bool) -> CompletenessMarker {
         CompletenessMarker { folder: folder.into(), is_complete, written: None }
     }
 
-    /// The position that the last process reached; none if the folder is not complete.
+    /// Reads the position that the previous process reached; none if there is no valid marker.
     pub(crate) fn read(&self) -> Option<StatePosition> {
         let text = fs::read_to_string(self.folder.join(MARKER_FILE)).ok()?;
         let (incarnation, seconds) = text.trim_end().split_once(' ')?;
@@ -37,14 +38,15 @@
         })
     }
 
-    /// The folder is complete from now on.
+    /// Declares the vote store complete from this position on and writes the marker.
     pub(crate) fn set_complete(&mut self, position: StatePosition) {
         self.is_complete = true;
         self.advance(position);
     }
 
-    /// This process has reached a position, which is written if it is another one. It need not survive a crash of the
-    /// machine: if it does not, other nodes know a later position, or no node is left that does.
+    /// Writes the position that this process has reached, if it differs from the written one. The file is not
+    /// synced: if a crash of the machine loses it, either other nodes know a later position, or no node is
+    /// left that knows one.
     pub(crate) fn advance(&mut self, position: StatePosition) {
         if !self.is_complete || self.written == Some(position) {
             return;
@@ -56,19 +58,19 @@
         match written {
             Ok(()) => self.written = Some(position),
             Err(error) => {
-                log!("fleet: the completeness marker of the vote store is not written: error={error}");
+                log!("fleet: completeness marker not written, retrying at the next tick: error={error}");
             }
         }
     }
 
-    /// The folder is not complete any more.
+    /// Declares the vote store incomplete and removes the marker.
     pub(crate) fn invalidate(&mut self) {
         self.is_complete = false;
-        // If the marker cannot be removed, the next start finds out what this one did.
+        // If the removal fails, the next start detects the same damage or staleness as this one.
         let _ = fs::remove_file(self.folder.join(MARKER_FILE));
     }
 
-    /// Another process has the folder from now on and writes its marker.
+    /// Stops writing the marker, as another process now owns the folder and writes the marker.
     pub(crate) fn release(&mut self) {
         self.is_complete = false;
     }
--- a/node/src/peers/completeness_marker/tests.rs
+++ b/node/src/peers/completeness_marker/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// A folder for one test.
+/// Creates a folder that only the test of this name uses.
 fn test_folder(name: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("oakwind-marker-{name}-{}", std::process::id()));
     fs::create_dir_all(&folder).unwrap();
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn the_marker_tells_the_next_process_which_position_the_last_one_reached() {
+fn the_marker_gives_the_next_process_the_last_position_unless_incomplete_or_malformed() {
     let folder = test_folder("position");
     let position =
         |uptime_seconds| StatePosition { incarnation: Incarnation(1_764_000_000_000_000), uptime_seconds };
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn the_marker_is_a_line_with_the_incarnation_and_its_seconds() {
+fn the_marker_is_one_line_with_the_incarnation_and_its_uptime_in_seconds() {
     let folder = test_folder("text");
     let position = StatePosition { incarnation: Incarnation(1_796_189_499_690_723), uptime_seconds: 3 };
     CompletenessMarker::new(&folder, true).advance(position);
--- a/node/src/peers/connection.rs
+++ b/node/src/peers/connection.rs
@@ -1,4 +1,4 @@
-//! One link with a peer: a task that reads and writes messages until either end closes it.
+//! One link to a peer: a task that reads and writes messages until either end closes the connection.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,32 +17,32 @@
 use crate::clock::{self, UnixTime};
 use crate::{log, sockets};
 
-/// By then after the start of a link it has to be connected, and the peer has to have sent its preamble.
+/// Time limit for connecting to a peer, and again for receiving the peer's preamble on the connection.
 pub(super) const IDENTIFICATION_TIMEOUT: Duration = Duration::from_secs(1);
-/// Initial capacity of the buffer of a link's input.
+/// Initial capacity of the input buffer of a link.
 const INPUT_BUFFER_BYTES: usize = 16 * 1024;
 
-/// How a link comes about.
+/// How a link is established.
 pub(super) enum Origin {
-    /// This node dials a peer.
+    /// This node connects to the peer at this address.
     Dial(SocketAddr),
-    /// A peer has dialed this node.
+    /// A peer has connected to this node.
     Accepted(TcpStream),
 }
 
 /// The task of a link.
 pub(super) struct Connection {
-    /// The number of the link.
+    /// Identifies the link in the table of links and in its events.
     pub(super) link: LinkId,
-    /// What waits to be written.
+    /// Bytes that wait to be written.
     pub(super) output: Rc<OutputQueue>,
-    /// Where messages and the end of the link are reported.
+    /// Receives the messages of the link and its end.
     pub(super) events: mpsc::Sender<LinkEvent>,
-    /// Counters.
+    /// Counters shared by all links.
     pub(super) metrics: Rc<LinkMetrics>,
 }
 
-/// The input of a link.
+/// Received bytes of a link that are not decoded yet.
 struct Input {
     bytes: BytesMut,
     /// Whether the peer's preamble was read.
@@ -54,13 +54,14 @@
     pub(super) fn spawn(self, origin: Origin) {
         spawn_local(async move {
             if let Err(error) = self.run(origin).await {
-                // Any other error may happen at any time, and a peer that is gone is noticed by what it does not answer.
+                // Other errors are ordinary connection failures; the failure detector notices an unreachable
+                // peer.
                 if error.kind() == io::ErrorKind::InvalidData {
                     increase(&self.metrics.protocol_errors, 1);
                     log!("fleet: link closed, its peer sent invalid data: error={error}");
                 }
             }
-            // Nobody receives events any more only if the process ends.
+            // Sending fails only when the process ends, as the driver receives events until then.
             let _ = self.events.send(LinkEvent::Closed(self.link)).await;
         });
     }
@@ -73,7 +74,8 @@
         self.exchange(stream, clock::now() + IDENTIFICATION_TIMEOUT).await
     }
 
-    /// Reads and writes until either end is done. The peer's preamble has to come by `preamble_deadline`.
+    /// Reads and writes until either end closes the link. The peer's preamble must arrive by
+    /// `preamble_deadline`.
     async fn exchange(&self, mut stream: TcpStream, preamble_deadline: UnixTime) -> io::Result<()> {
         let mut input = Input { bytes: BytesMut::with_capacity(INPUT_BUFFER_BYTES), has_preamble: false };
         let mut writing = BytesMut::new();
@@ -107,7 +109,7 @@
         }
     }
 
-    /// Reports a message; false if nobody receives events any more.
+    /// Reports a message to the driver; false if the driver has ended.
     async fn report(&self, decoded: Decoded) -> bool {
         match decoded {
             Decoded::Message(message) => {
@@ -123,19 +125,19 @@
 }
 
 impl Input {
-    /// Takes the preamble off the input, once it is there.
+    /// Removes the preamble from the input and checks it, once it is complete.
     fn read_preamble(&mut self) -> io::Result<()> {
         if self.has_preamble || self.bytes.len() < PREAMBLE.len() {
             return Ok(());
         }
         if self.bytes.split_to(PREAMBLE.len()) != PREAMBLE[..] {
-            return Err(invalid_data("the link does not begin as one of a peer"));
+            return Err(invalid_data("the link does not begin with the preamble of the peer protocol"));
         }
         self.has_preamble = true;
         Ok(())
     }
 
-    /// Takes the next message off the input, once it is there.
+    /// Removes the next message from the input, once the preamble and the message are complete.
     fn next_message(&mut self) -> io::Result<Option<Decoded>> {
         if !self.has_preamble {
             return Ok(None);
--- a/node/src/peers/driver.rs
+++ b/node/src/peers/driver.rs
@@ -1,4 +1,4 @@
-//! The task that connects a replica node to its links, its folder and its clock.
+//! The task that connects a replica node to its links, its vote store and its clock.
 
 use std::io;
 use std::rc::Rc;
@@ -27,36 +27,36 @@
 use crate::result_store::{ResultStore, StoreEvent};
 use crate::sockets::{self, AddressUse};
 
-/// Events of links that may wait; a link that has more waits.
+/// Capacity of the queue of link events. While it is full, the links read no further messages.
 const LINK_EVENT_CAPACITY: usize = 1024;
-/// Between two attempts to accept a link after one failed, as for lack of descriptors.
+/// Delay before links are accepted again after a failure, for example when file descriptors ran out.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What connects the driver to the rest of the process.
+/// Channels between the driver and the rest of the process.
 pub(super) struct Channels {
-    /// Events from the handle.
+    /// Events from the run gate's handle.
     pub(super) events: mpsc::Receiver<Event>,
-    /// Responses for the handle.
+    /// Responses to the run gate's handle.
     pub(super) responses: mpsc::Sender<ClaimResponse>,
-    /// Has the status of the backend, and receives whether this node is recovering.
+    /// Provides the status of the backend, and is told whether this node is recovering.
     pub(super) exchange: Exchange,
 }
 
-/// The task, before it runs.
+/// The driver before its task runs.
 pub(crate) struct PeerDriver {
     config: FleetConfig,
     seed: u64,
     clock: MonotonicClock,
     channels: Channels,
     metrics: Rc<PeerMetrics>,
-    /// None while a predecessor has the address.
+    /// None while a predecessor listens on the address.
     listener: Option<TcpListener>,
-    /// None while a predecessor has the folder, or if there is no folder.
+    /// None while a predecessor has the vote store open, or if no vote store is configured.
     opened: Option<OpenVoteStore>,
 }
 
 impl PeerDriver {
-    /// A driver that has neither its address nor its folder yet.
+    /// Creates a driver that has opened neither its address nor its vote store.
     pub(super) fn new(
         config: FleetConfig,
         seed: u64,
@@ -67,11 +67,11 @@
         PeerDriver { config, seed, clock, channels, metrics, listener: None, opened: None }
     }
 
-    /// Takes the address and the folder.
+    /// Listens on the address and opens the vote store.
     ///
     /// # Errors
     ///
-    /// If one of them cannot be used.
+    /// If the address cannot be listened on or the vote store cannot be opened.
     pub(super) fn open(&mut self) -> Result<(), PeerStartError> {
         let address = self.config.listen;
         let listener = sockets::listen(address, AddressUse::Exclusive);
@@ -80,7 +80,8 @@
         Ok(())
     }
 
-    /// Runs for as long as the process. With a predecessor it begins when that lets go.
+    /// Runs until the handle is dropped. If there is a predecessor, the address and the vote store are opened
+    /// after the predecessor has released them.
     pub(crate) async fn run(mut self) {
         if self.listener.is_none() {
             if !self.wait_for_predecessor().await {
@@ -95,7 +96,8 @@
         RunningDriver::start(self).run().await;
     }
 
-    /// Rejects all requests until the predecessor lets go; false if the handle is gone.
+    /// Rejects all requests for claims until the predecessor has released the node's membership; false if the
+    /// handle was dropped.
     async fn wait_for_predecessor(&mut self) -> bool {
         loop {
             match self.channels.events.recv().await {
@@ -103,7 +105,7 @@
                 Some(Event::RunRequested(request)) => {
                     let outcome = ClaimOutcome::Rejected(RejectReason::NoQuorum);
                     let response = ClaimResponse { id: request_of(request.attempt), outcome };
-                    // The run gate ends only with the process.
+                    // Sending fails only when the process ends, as the run gate lives as long as the process.
                     let _ = self.channels.responses.send(response).await;
                 }
                 Some(_) => {}
@@ -113,7 +115,7 @@
     }
 }
 
-/// The task while it runs.
+/// The state of the driver while its task runs.
 struct RunningDriver {
     config: FleetConfig,
     clock: MonotonicClock,
@@ -123,14 +125,14 @@
     link_events: mpsc::Receiver<LinkEvent>,
     store: Option<ResultStore>,
     host: ReplicaHost,
-    /// Whether the replica node knows that a backend runs requests.
+    /// Whether the start of the backend was reported to the replica node.
     backend_reported: bool,
 }
 
-/// What the task woke up for.
+/// What the task waits for.
 enum Wakeup {
     Tick,
-    /// An event from the handle; none if the handle is gone.
+    /// An event from the handle; none if the handle was dropped.
     Handle(Option<Event>),
     Link(LinkEvent),
     Store(StoreEvent),
@@ -202,7 +204,8 @@
         }
     }
 
-    /// Waits for what comes next. A tick goes before all else: a node that was suspended notices that before it acts.
+    /// Waits for the next wakeup. Ticks have precedence, so that a node that was suspended detects the
+    /// suspension before it acts on anything else.
     async fn wait(&mut self, ticks: &mut Interval) -> Wakeup {
         tokio::select! {
             biased;
@@ -216,11 +219,11 @@
 
     fn on_tick(&mut self) -> Event {
         if self.host.accepts_links() && self.listener.is_none() {
-            // The other process may have the address for a moment more.
+            // A failure is retried at the next tick: the other process may not have closed its listener yet.
             self.listener = sockets::listen(self.config.listen, AddressUse::Exclusive).ok();
         }
         self.host.update_metrics(&self.metrics);
-        // Before any node hears of it.
+        // The marker is written before any peer learns of the new position.
         self.host.advance_marker();
         let status = self.channels.exchange.status();
         let status = status.borrow();
@@ -234,13 +237,13 @@
         match accepted {
             Ok(stream) => self.host.accept(stream),
             Err(error) => {
-                log!("fleet: link not accepted: error={error}");
+                log!("fleet: link not accepted, retrying: error={error}");
                 clock::until(clock::now() + ACCEPT_RETRY_INTERVAL).await;
             }
         }
     }
 
-    /// Closes the folder when another process takes over, and opens it when this one does.
+    /// Closes the vote store when another process takes over, and opens it when this process takes over.
     async fn move_store(&mut self, event: &Event) {
         match event {
             Event::Deactivated => {
@@ -255,10 +258,10 @@
         }
     }
 
-    /// Reports what the replica node has decided to the rest of the process.
+    /// Passes the responses and the recovery state of the replica node to the rest of the process.
     async fn report(&mut self) {
         for response in self.host.drain_responses() {
-            // The run gate ends only with the process.
+            // Sending fails only when the process ends, as the run gate lives as long as the process.
             let _ = self.channels.responses.send(response).await;
         }
         if let Some(is_recovering) = self.host.drain_recovering_change() {
@@ -267,7 +270,7 @@
     }
 }
 
-/// What the folder reports, as an event of the replica node.
+/// Converts an event of the vote store to an event of the replica node; none if it does not concern the node.
 fn stored_event(event: &StoreEvent) -> Option<Event> {
     match event {
         StoreEvent::Written { request, durable } => {
--- a/node/src/peers/error.rs
+++ b/node/src/peers/error.rs
@@ -1,22 +1,22 @@
-//! Why a node cannot take its place in its fleet.
+//! Errors that keep a node from joining its fleet at startup.
 
 use std::io;
 use std::net::SocketAddr;
 
 use crate::result_store::StoreError;
 
-/// Why a node cannot take its place in its fleet.
+/// An error that keeps a node from joining its fleet at startup.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum PeerStartError {
-    /// The address cannot be listened on.
-    #[error("fleet file, listen: {address}: {source}")]
+    /// Listening on the configured address failed.
+    #[error("fleet file, listen: cannot listen on {address}: {source}")]
     Listen {
-        /// The address.
+        /// The configured address.
         address: SocketAddr,
-        /// Why not.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The folder of votes cannot be opened.
+    /// The vote store cannot be opened.
     #[error("fleet file, {0}")]
     VoteStore(#[from] StoreError),
 }
--- a/node/src/peers/link.rs
+++ b/node/src/peers/link.rs
@@ -1,4 +1,4 @@
-//! What the task of a link and the table of links share: the output queue, the events and the counters of a link.
+//! Types shared by the task of a link and the table of links: the output queue, the events and the counters.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -10,71 +10,70 @@
 
 use super::message_codec::{encode, PREAMBLE};
 
-/// Initial capacity of the buffer of a link's output.
+/// Initial capacity of the output queue of a link.
 const OUTPUT_BUFFER_BYTES: usize = 4096;
 
-/// What a link reports.
+/// An event that the task of a link reports to the driver.
 #[derive(Debug)]
 pub(crate) enum LinkEvent {
     /// A message arrived.
     Received {
-        /// The link.
+        /// The link on which the message arrived.
         link: LinkId,
-        /// The message.
+        /// The decoded message.
         message: Message,
     },
-    /// The link is closed; all that it received was reported.
+    /// The link is closed. All messages that were received on it were reported before.
     Closed(LinkId),
 }
 
-/// Counters of all links.
+/// Counters over all links since the start of the process.
 #[derive(Debug, Default)]
 pub(crate) struct LinkMetrics {
-    /// Messages received.
+    /// Messages of known kinds that were received.
     pub(crate) messages_received: Cell<u64>,
-    /// Messages sent.
+    /// Messages queued for sending, including those dropped when their link was closed.
     pub(crate) messages_sent: Cell<u64>,
-    /// Bytes received.
+    /// Bytes received, including preambles and headers.
     pub(crate) bytes_received: Cell<u64>,
-    /// Bytes sent.
+    /// Bytes of messages queued for sending with their headers, without the preambles.
     pub(crate) bytes_sent: Cell<u64>,
-    /// Links that were closed because the peer read too slowly.
+    /// Links that were closed because their output queue exceeded the limit.
     pub(crate) overflows: Cell<u64>,
-    /// Links that were closed because the peer sent bytes that are no message.
+    /// Links that were closed because the peer sent bytes that violate the format.
     pub(crate) protocol_errors: Cell<u64>,
-    /// Messages of kinds that only a later build knows.
+    /// Received messages of unknown kinds, which were skipped.
     pub(crate) unknown_kinds: Cell<u64>,
 }
 
-/// Adds to a counter.
 pub(super) fn increase(counter: &Cell<u64>, amount: usize) {
     counter.set(counter.get() + amount as u64);
 }
 
-/// What waits to be written on a link, shared by its task and the table of links.
+/// Bytes that wait to be written on a link, shared by the task of the link and the table of links.
 pub(super) struct OutputQueue {
     bytes: RefCell<BytesMut>,
     changed: Notify,
     closing: Cell<bool>,
 }
 
-/// What was added to an output queue.
+/// The effect of adding a message to an output queue.
 pub(super) struct Queued {
-    /// Bytes of the message.
+    /// Length of the message in bytes, with its header.
     pub(super) message_bytes: usize,
-    /// Bytes that wait now.
+    /// Length of the queue in bytes, with the message.
     pub(super) waiting_bytes: usize,
 }
 
 impl OutputQueue {
-    /// A queue with the preamble of a link.
+    /// Creates a queue that contains the preamble of a link.
     pub(super) fn new() -> Rc<OutputQueue> {
         let mut bytes = BytesMut::with_capacity(OUTPUT_BUFFER_BYTES);
         bytes.extend_from_slice(PREAMBLE);
         Rc::new(OutputQueue { bytes: RefCell::new(bytes), changed: Notify::new(), closing: Cell::new(false) })
     }
 
-    /// Adds a message.
+    /// Adds a message and wakes the task of the link.
     pub(super) fn push(&self, message: &Message) -> Queued {
         let mut bytes = self.bytes.borrow_mut();
         let before = bytes.len();
@@ -83,23 +82,23 @@
         Queued { message_bytes: bytes.len() - before, waiting_bytes: bytes.len() }
     }
 
-    /// Removes all that waits, to be written.
+    /// Removes and returns all waiting bytes.
     pub(super) fn take(&self) -> BytesMut {
         self.bytes.borrow_mut().split()
     }
 
-    /// Waits until something was added, or the task is to end.
+    /// Waits until a message was added or the queue was closed.
     pub(super) async fn changed(&self) {
         self.changed.notified().await;
     }
 
-    /// Has the task end; what waits is not written.
+    /// Tells the task of the link to end. Waiting bytes are not written.
     pub(super) fn close(&self) {
         self.closing.set(true);
         self.changed.notify_one();
     }
 
-    /// Whether the task is to end.
+    /// Whether the queue was closed, so that the task of the link must end.
     pub(super) fn is_closing(&self) -> bool {
         self.closing.get()
     }
--- a/node/src/peers/links.rs
+++ b/node/src/peers/links.rs
@@ -1,8 +1,9 @@
-//! The table of links with peers. A node dials one link to each peer for its own requests and accepts one from each for
-//! theirs; a response travels on the link of its request.
+//! The table of links to peers. A node dials one link to each peer for its own requests and accepts one link
+//! from each peer for the peer's requests. A response is sent on the link on which its request arrived.
 //!
-//! Guarantees: the number of links is bounded each way, and so are the bytes that wait to be written on one. A peer that
-//! reads more slowly than it is sent to loses its link, and the next link tells it so.
+//! Guarantees: the numbers of dialed and of accepted links are bounded, and so is the output queue of each
+//! link. If a peer reads so slowly that the queue of its link exceeds the bound, the link is closed. The
+//! hello on the next dialed link reports to the peer that messages were lost.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -19,59 +20,59 @@
 use crate::clock::{self, UnixTime};
 use crate::log;
 
-/// Bytes that may wait to be written on a link.
+/// Limit of the output queue of a link, in bytes.
 const MAX_OUTPUT_BYTES: usize = 1024 * 1024;
-/// A peer is not dialed again for so long after a failure, and for twice as long after each further one.
+/// Delay before a peer is dialed again after a first failure; it doubles with each further failure.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
-/// The longest that a peer is not dialed.
+/// Upper limit of the delay before a peer is dialed again.
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
-/// Failures beyond this do not lengthen the backoff, whose computation they might overflow.
+/// Limit of the counted failures, so that computing the backoff does not overflow.
 const MAX_COUNTED_FAILURES: u32 = 10;
 
 /// The process at the other end of a link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct RemoteProcess {
-    /// The node.
+    /// The node to which the process belongs.
     pub(crate) node: NodeId,
-    /// The incarnation of the node that the process is.
+    /// The incarnation of the node in this process.
     pub(crate) incarnation: Incarnation,
 }
 
-/// A link and the node at its other end.
+/// A link whose peer is known, because this node dialed it or because it has identified itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct KnownLink {
-    /// The link.
+    /// Identifies the link.
     pub(crate) link: LinkId,
-    /// The node.
+    /// The node at the other end.
     pub(crate) node: NodeId,
 }
 
-/// A link that was closed, if this node had dialed it.
+/// A closed link that this node had dialed.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct ClosedLink {
     /// The node that was dialed.
     pub(crate) node: NodeId,
-    /// Whether that had identified itself.
+    /// Whether the node had identified itself on the link.
     pub(crate) was_identified: bool,
 }
 
-/// The peer cannot be sent anything now.
+/// There is no link to a peer, and none can be dialed now: the backoff has not elapsed, the limit of links is
+/// reached or no address of the peer is known.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the peer cannot be reached now")]
+#[error("no link to the peer is open and none can be dialed now")]
 pub(crate) struct PeerUnreachable;
 
-/// A link of the table.
+/// The table's entry for a link.
 struct LinkState {
     output: Rc<OutputQueue>,
     /// The process at the other end, once it has identified itself.
     remote: Option<RemoteProcess>,
-    /// The node that this node dialed; none if the link was accepted.
+    /// The peer that this node dialed; none if the link was accepted.
     dialed: Option<NodeId>,
     last_used: UnixTime,
 }
 
-/// A link that this node dialed. The least recently used one comes first in the order, and of several the one of the
-/// lowest node.
+/// A link that this node dialed, ordered by the time of its last use and then by node.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct DialedLink {
     last_used: UnixTime,
@@ -79,7 +80,7 @@
     link: LinkId,
 }
 
-/// Why a peer is not dialed for a while.
+/// The failures to dial a peer and the end of the resulting backoff.
 #[derive(Default)]
 struct DialBackoff {
     failures: u32,
@@ -92,17 +93,17 @@
     links: HashMap<LinkId, LinkState>,
     dialed: HashMap<NodeId, LinkId>,
     backoffs: HashMap<NodeId, DialBackoff>,
-    /// Peers whose last link overflowed, which their next link tells them.
+    /// Peers whose last dialed link was closed by an overflow; the hello on the next link reports it.
     overflowed: HashSet<NodeId>,
-    /// Limit of the links each way.
+    /// Limit of the dialed links, and also of the accepted links.
     max_links: usize,
     events: mpsc::Sender<LinkEvent>,
-    /// Counters of all links.
+    /// Counters shared by all links.
     pub(crate) metrics: Rc<LinkMetrics>,
 }
 
 impl LinkTable {
-    /// A table without links, for at most `max_links` each way.
+    /// Creates an empty table for at most `max_links` dialed links and as many accepted links.
     pub(crate) fn new(max_links: usize, events: mpsc::Sender<LinkEvent>) -> LinkTable {
         LinkTable {
             next_id: LinkId(1),
@@ -116,17 +117,17 @@
         }
     }
 
-    /// The number of links.
+    /// The number of dialed and accepted links, including links that are closing.
     pub(crate) fn len(&self) -> usize {
         self.links.len()
     }
 
-    /// Sends a message to a node on the link that was dialed to it. Dials `address` if there is no link, with `hello` as the
-    /// first message.
+    /// Sends a message to a node on the dialed link to the node. If there is none, dials `address` and sends
+    /// `hello` as the first message.
     ///
     /// # Errors
     ///
-    /// If there is no link, and none can be dialed now.
+    /// If there is no dialed link and none can be dialed now.
     pub(crate) fn send(
         &mut self,
         node: NodeId,
@@ -164,8 +165,8 @@
         Ok(link)
     }
 
-    /// Whether one more link may be dialed; at the limit the least recently used one is closed, unless that was used just
-    /// now.
+    /// Whether one more link may be dialed. At the limit, closes the least recently used dialed link to make
+    /// room, unless that link was used within the identification timeout.
     fn has_capacity_to_dial(&mut self, now: UnixTime) -> bool {
         if self.dialed.len() < self.max_links {
             return true;
@@ -187,7 +188,7 @@
         dialed.min()
     }
 
-    /// Adds a connection that a peer has dialed; at the limit the least recently used one is closed.
+    /// Adds a connection from a peer. At the limit, closes the least recently used accepted link.
     pub(crate) fn accept(&mut self, stream: TcpStream) {
         let accepted =
             || self.links.iter().filter(|(_, state)| state.dialed.is_none() && !state.output.is_closing());
@@ -210,7 +211,8 @@
         link
     }
 
-    /// Sends a message on a link, unless that is closed.
+    /// Queues a message on a link, or drops it if the link is no longer in the table. Closes the link if its
+    /// output queue exceeds the limit.
     pub(crate) fn send_on(&mut self, link: LinkId, message: &Message) {
         let Some(state) = self.links.get_mut(&link) else { return };
         state.last_used = clock::now();
@@ -232,24 +234,24 @@
         }
     }
 
-    /// Closes all links that peers have dialed.
+    /// Closes all accepted links.
     pub(crate) fn close_accepted(&mut self) {
         for state in self.links.values().filter(|state| state.dialed.is_none()) {
             state.output.close();
         }
     }
 
-    /// The process at the other end of a link, once it has identified itself.
+    /// The process at the other end of a link; none until it has identified itself.
     pub(crate) fn remote(&self, link: LinkId) -> Option<RemoteProcess> {
         self.links.get(&link)?.remote
     }
 
-    /// The node that this node dialed on a link.
+    /// The peer that this node dialed on a link; none if the link was accepted.
     pub(crate) fn dialed_node(&self, link: LinkId) -> Option<NodeId> {
         self.links.get(&link)?.dialed
     }
 
-    /// The process at the other end of a link has identified itself.
+    /// Records which process is at the other end of a link, as given in its hello.
     pub(crate) fn identify(&mut self, link: LinkId, remote: RemoteProcess) {
         let Some(state) = self.links.get_mut(&link) else { return };
         state.remote = Some(remote);
@@ -258,7 +260,7 @@
             self.backoffs.remove(&remote.node);
             return;
         }
-        // A process that dials again has given up the link that it had, whatever has become of that.
+        // A process that dials again has abandoned its earlier link, even if this end has not seen it close.
         for (other, state) in &self.links {
             if *other != link && state.dialed.is_none() && state.remote == Some(remote) {
                 state.output.close();
@@ -266,7 +268,7 @@
         }
     }
 
-    /// The links whose other ends are known.
+    /// All links whose peers are known.
     pub(crate) fn known_links(&self) -> Vec<KnownLink> {
         let known = self.links.iter().filter_map(|(link, state)| {
             let node = state.dialed.or(state.remote.map(|remote| remote.node))?;
@@ -275,7 +277,7 @@
         known.collect()
     }
 
-    /// Removes a link that is closed; returns what it was if this node had dialed it.
+    /// Removes a link whose task has ended. Returns the link's peer if this node had dialed the link.
     pub(crate) fn remove(&mut self, link: LinkId) -> Option<ClosedLink> {
         let state = self.links.remove(&link)?;
         let node = state.dialed?;
@@ -295,7 +297,7 @@
         backoff.not_before = clock::now() + delay;
     }
 
-    /// Forgets how dialing went for all but these nodes.
+    /// Discards the backoff and the overflow mark of nodes that are not members.
     pub(crate) fn retain_nodes(&mut self, is_member: impl Fn(NodeId) -> bool) {
         self.backoffs.retain(|node, _| is_member(*node));
         self.overflowed.retain(|node| is_member(*node));
--- a/node/src/peers/links/tests.rs
+++ b/node/src/peers/links/tests.rs
@@ -29,7 +29,8 @@
     })
 }
 
-fn large() -> Message {
+/// A message of about 60 kB, of which a few exceed the limit of the output queue.
+fn large_message() -> Message {
     let claim = ClaimId { node: NodeId(1), incarnation: Incarnation(1), number: 1 };
     let result = RunResult::Succeeded(Bytes::from(vec![7; 60_000]));
     let run = CompletedRun { received_at: 1, node_index: 0, claim, result, body: 1 };
@@ -37,26 +38,26 @@
 }
 
 #[test]
-fn a_peer_that_does_not_read_loses_its_link_and_the_next_link_says_so() {
+fn an_overflowing_link_is_closed_and_the_hello_on_the_next_link_reports_it() {
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         let (event_sender, mut events) = mpsc::channel(64);
         let mut links = LinkTable::new(4, event_sender);
-        links.send(PEER, || Some(address), hello, &large()).unwrap();
+        links.send(PEER, || Some(address), hello, &large_message()).unwrap();
         let (silent, _) = listener.accept().await.unwrap();
         while links.metrics.overflows.get() == 0 {
-            links.send(PEER, || Some(address), hello, &large()).unwrap();
-            // The link's task writes what the system accepts.
+            links.send(PEER, || Some(address), hello, &large_message()).unwrap();
+            // Lets the link's task write as much as the socket buffers hold.
             tokio::task::yield_now().await;
         }
-        let Some(LinkEvent::Closed(link)) = events.recv().await else { panic!("the link is closed") };
+        let Some(LinkEvent::Closed(link)) = events.recv().await else { panic!("the link was not closed") };
         assert_eq!(links.remove(link), Some(ClosedLink { node: PEER, was_identified: false }));
         drop(silent);
-        // A peer that never identified itself is not dialed again at once.
-        assert_eq!(links.send(PEER, || Some(address), hello, &large()), Err(PeerUnreachable));
+        // After a link without identification the peer is dialed again only after the backoff.
+        assert_eq!(links.send(PEER, || Some(address), hello, &large_message()), Err(PeerUnreachable));
         clock::until(clock::now() + INITIAL_BACKOFF).await;
-        links.send(PEER, || Some(address), hello, &large()).unwrap();
+        links.send(PEER, || Some(address), hello, &large_message()).unwrap();
         let (mut next, _) = listener.accept().await.unwrap();
         let mut bytes = BytesMut::with_capacity(64 * 1024);
         let first = loop {
@@ -82,10 +83,10 @@
         for _ in 0..3 {
             peers.push(TcpStream::connect(address).await.unwrap());
             links.accept(listener.accept().await.unwrap().0);
-            // Their times differ.
+            // Gives the links different times of last use.
             clock::until(clock::now() + Duration::from_millis(2)).await;
         }
-        let Some(LinkEvent::Closed(first)) = events.recv().await else { panic!("one is closed") };
+        let Some(LinkEvent::Closed(first)) = events.recv().await else { panic!("no link was closed") };
         assert_eq!((first, links.remove(first)), (LinkId(1), None));
         assert_eq!(links.len(), 2);
     });
--- a/node/src/peers/message_codec.rs
+++ b/node/src/peers/message_codec.rs
@@ -1,50 +1,51 @@
-//! The byte format of the messages between nodes. A link begins, each way, with [`PREAMBLE`]; each message follows its
-//! length and a checksum. Bytes that do not fit are an error, which ends the link; a message kind that only a later build
-//! knows is skipped.
+//! The byte format of the messages between nodes. In each direction a link begins with [`PREAMBLE`]; a header
+//! with length and checksum precedes each message. Bytes that violate the format are an error, which closes
+//! the link. A message of a kind that this release does not know is skipped, as a newer release may have
+//! added it.
 
 use bytes::{Buf, BufMut, BytesMut};
 use oakwind_fleet::message::{Message, MESSAGE_KINDS};
 
 use crate::outcome::digest;
 
-/// What every link begins with, each way: the protocol and its version.
+/// First bytes of a link in each direction: the name of the protocol and its version.
 pub(crate) const PREAMBLE: &[u8; 8] = b"OAKPEER1";
 /// The longest message in bytes: a page of a state transfer, or the longest result with its key.
 const MAX_MESSAGE_BYTES: usize = 256 * 1024;
-/// Bytes before a message: its length and its checksum.
+/// Length of the header before a message: its length and its checksum, four bytes each.
 const HEADER_BYTES: usize = 8;
-/// The seed of the checksum; another version of the protocol has another.
+/// The seed of the checksum. Each version of the protocol has its own.
 const CHECKSUM_SEED: u64 = 1;
 
-/// A message that was taken off a link.
+/// The outcome of decoding one message.
 #[derive(Debug, PartialEq)]
 pub(crate) enum Decoded {
-    /// A message.
+    /// A message of a known kind.
     Message(Message),
-    /// A message of a kind that only a later build knows.
+    /// A message of a kind that a newer release has added; it is skipped.
     UnknownKind,
 }
 
-/// Why bytes are no message.
+/// Why the received bytes cannot be decoded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum CodecError {
     /// The length is above the limit.
-    #[error("a message of {0} bytes is too long")]
+    #[error("message of {0} bytes exceeds the limit of {MAX_MESSAGE_BYTES} bytes")]
     TooLong(usize),
-    /// The checksum is not that of the bytes.
-    #[error("a message has a wrong checksum")]
+    /// The checksum in the header does not match the bytes of the message.
+    #[error("message checksum mismatch")]
     Checksum,
-    /// The message does not say of which kind it is.
-    #[error("a message has no kind")]
+    /// The message does not begin with the number of its kind.
+    #[error("message does not begin with a valid kind")]
     MissingKind,
-    /// The message does not have the fields of its kind.
-    #[error("a message of kind {0} is malformed")]
+    /// The fields of a message of this kind cannot be decoded.
+    #[error("message of kind {0} is malformed")]
     Malformed(u32),
 }
 
-/// Appends a message.
+/// Appends a message with its header to the output.
 pub(crate) fn encode(output: &mut BytesMut, message: &Message) {
-    // Every message can be serialized.
+    // Serialization to memory does not fail for any message.
     let bytes = postcard::to_allocvec(message).unwrap_or_default();
     output.reserve(HEADER_BYTES + bytes.len());
     output.put_u32(u32::try_from(bytes.len()).unwrap_or(u32::MAX));
@@ -52,11 +53,12 @@
     output.put_slice(&bytes);
 }
 
-/// Takes the next message off the buffer, once it is there whole.
+/// Removes the next message from the buffer; none until the message is complete.
 ///
 /// # Errors
 ///
-/// If the bytes are no message. The buffer is of no more use then.
+/// If the bytes violate the format. The position of the next message is unknown then, so the link must be
+/// closed.
 pub(crate) fn decode(buffer: &mut BytesMut) -> Result<Option<Decoded>, CodecError> {
     let Some(mut header) = buffer.get(..HEADER_BYTES) else { return Ok(None) };
     let length = header.get_u32() as usize;
@@ -78,14 +80,14 @@
     if kind >= MESSAGE_KINDS {
         return Ok(Some(Decoded::UnknownKind));
     }
-    // A later build may have added fields behind those that are known here.
+    // Trailing bytes are ignored: a newer release may have appended fields to the message.
     match postcard::take_from_bytes(&bytes) {
         Ok((message, _)) => Ok(Some(Decoded::Message(message))),
         Err(_) => Err(CodecError::Malformed(kind)),
     }
 }
 
-/// The low half of a digest.
+/// The checksum of a message: the lower 32 bits of the seeded digest.
 fn checksum(bytes: &[u8]) -> u32 {
     digest(CHECKSUM_SEED, bytes) as u32
 }
--- a/node/src/peers/message_codec/tests.rs
+++ b/node/src/peers/message_codec/tests.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn messages_are_decoded_as_they_were_encoded_however_they_are_split() {
+fn messages_decode_to_what_was_encoded_wherever_the_input_is_split() {
     let mut whole = BytesMut::new();
     messages().iter().for_each(|message| encode(&mut whole, message));
     for cut in 0..whole.len() {
@@ -53,13 +53,13 @@
 }
 
 #[test]
-fn the_number_of_message_kinds_is_that_of_the_last_kind() {
+fn the_number_of_message_kinds_is_one_more_than_the_last_kind() {
     let last = messages().pop().unwrap();
     let bytes = postcard::to_allocvec(&last).unwrap();
     assert_eq!(postcard::take_from_bytes::<u32>(&bytes).unwrap().0, MESSAGE_KINDS - 1);
 }
 
-/// These bytes as a message with the right length and checksum.
+/// Prefixes these bytes with a header of the right length and checksum.
 fn framed(bytes: &[u8]) -> BytesMut {
     let mut buffer = BytesMut::new();
     buffer.put_u32(bytes.len() as u32);
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn kinds_and_fields_of_a_later_build_are_skipped() {
+fn kinds_and_fields_of_a_newer_release_are_skipped() {
     let later = postcard::to_allocvec(&(MESSAGE_KINDS + 3, "whatever")).unwrap();
     assert_eq!(decode(&mut framed(&later)), Ok(Some(Decoded::UnknownKind)));
     let mut longer = postcard::to_allocvec(&Message::KeyFree { claim: claim() }).unwrap();
@@ -92,7 +92,7 @@
         }
     }
     for length in 0..64 {
-        // A message that was cut short, with the right checksum.
+        // A truncated message with the right length and checksum must not panic.
         let bytes = postcard::to_allocvec(&messages()[3]).unwrap();
         let _ = decode(&mut framed(&bytes[..length.min(bytes.len() - 1)]));
     }
--- a/node/src/peers/message_codec/tests/golden.rs
+++ b/node/src/peers/message_codec/tests/golden.rs
@@ -1,10 +1,11 @@
-//! Golden bytes of a link: what it begins with, and the header before each message. The messages themselves are pinned
-//! beside their types, in `fleet/tests/golden.rs`.
+//! Golden bytes of a link: its preamble and the header before each message. The golden bytes of the messages
+//! themselves are in `fleet/tests/golden.rs`.
 
 use super::*;
 use crate::test_support::hex;
 
-/// Length and checksum of the message, four bytes each, and then the message.
+/// The header is the length and the checksum of the message, four bytes each. Nodes of other releases depend
+/// on these bytes.
 #[test]
 fn a_message_on_a_link_keeps_its_bytes() {
     assert_eq!(PREAMBLE, b"OAKPEER1");
--- a/node/src/peers/metrics.rs
+++ b/node/src/peers/metrics.rs
@@ -10,7 +10,7 @@
 use crate::clock;
 use crate::metrics::Metric;
 
-/// Counters and gauges that operators read; the driver updates them with each tick.
+/// Counters and gauges of the replica node and its links; the driver updates them with each tick.
 #[derive(Debug, Default)]
 pub(crate) struct PeerMetrics {
     counters: Cell<ReplicaMetrics>,
@@ -20,7 +20,7 @@
 }
 
 impl PeerMetrics {
-    /// All of them by the names that operators know.
+    /// All metrics under the names shown to operators, without the prefix.
     pub(crate) fn values(&self) -> Vec<Metric> {
         let counters = self.counters.get();
         let mut values = vec![
@@ -43,7 +43,7 @@
         values
     }
 
-    /// Takes the values of this moment.
+    /// Copies the current values of the node and its links.
     pub(super) fn update(&self, node: &ReplicaNode, links: &LinkTable, now: Time) {
         self.counters.set(node.metrics());
         let version = node.configs().newest().version();
--- a/node/src/peers/monotonic_clock.rs
+++ b/node/src/peers/monotonic_clock.rs
@@ -1,5 +1,6 @@
-//! The clock of the replica node, which never goes back when the system's clock does, nor stops while the process does;
-//! and incarnations, which are numbered by the Unix clock.
+//! The clock of the replica node and the numbering of incarnations. The clock is monotonic: it is unaffected
+//! by changes of the system clock and continues while the process is suspended. Incarnations are numbered by
+//! the Unix clock.
 
 use std::time::{Duration, Instant};
 
@@ -8,27 +9,27 @@
 
 use crate::clock::{self, UnixTime};
 
-/// The time at which a process begins, so that what was before it has a time too.
+/// The clock's value at the start of the process. Times up to this long before the start can be represented.
 const TIME_AT_START: Duration = Duration::from_secs(3600);
 
-/// Counts from the start of the process.
+/// A monotonic clock whose value at its start is [`TIME_AT_START`].
 #[derive(Debug, Clone, Copy)]
 pub(super) struct MonotonicClock {
     started: Instant,
 }
 
 impl MonotonicClock {
-    /// A clock that starts now.
+    /// Starts a clock.
     pub(super) fn start() -> MonotonicClock {
         MonotonicClock { started: Instant::now() }
     }
 
-    /// Now.
+    /// The current time of this clock.
     pub(super) fn now(&self) -> Time {
         TIME_AT_START + self.started.elapsed()
     }
 
-    /// The time of a point on the Unix clock.
+    /// Converts a time of the Unix clock to a time of this clock.
     pub(super) fn time_of(&self, at: UnixTime) -> Time {
         let now = self.now();
         let unix_now = clock::now();
@@ -40,7 +41,8 @@
     }
 }
 
-/// The incarnation that begins now. It is above those of earlier processes, as the clock is.
+/// The incarnation of a process that starts now, in microseconds of the Unix clock. It is higher than those
+/// of earlier processes unless the clock was set back.
 pub(super) fn incarnation_now() -> Incarnation {
     Incarnation(u64::try_from(clock::now().as_micros()).unwrap_or(u64::MAX))
 }
--- a/node/src/peers/replica_host.rs
+++ b/node/src/peers/replica_host.rs
@@ -1,4 +1,5 @@
-//! A replica node with its links: what links report becomes events of the node, and the node's actions are carried out.
+//! Hosts a replica node: converts what its links report into events of the node, and carries out the node's
+//! actions.
 
 use std::collections::VecDeque;
 
@@ -21,25 +22,25 @@
 use crate::log;
 use crate::result_store::ResultStore;
 
-/// A replica node, its links and its marker.
+/// A replica node with its links and its completeness marker.
 pub(super) struct ReplicaHost {
     node: ReplicaNode,
     links: LinkTable,
     clock: MonotonicClock,
-    /// Says in the folder of votes whether that is complete.
+    /// The completeness marker of the vote store; none if no vote store is configured.
     marker: Option<CompletenessMarker>,
-    /// Events that follow from what was done.
+    /// Events that resulted from carrying out actions and are not handled yet.
     pending_events: VecDeque<Event>,
-    /// Responses that are to be reported.
+    /// Responses that the driver has not collected yet.
     responses: Vec<ClaimResponse>,
-    /// Whether peers may dial this process.
+    /// Whether this process accepts links; false after a successor has taken over.
     accepts_links: bool,
-    /// Whether the node is recovering, if that has changed and is to be reported.
+    /// Whether the node is recovering, if that has changed and the driver has not collected the change yet.
     recovering_change: Option<bool>,
 }
 
 impl ReplicaHost {
-    /// A host whose peers may dial it.
+    /// Creates a host that accepts links.
     pub(super) fn new(
         node: ReplicaNode,
         links: LinkTable,
@@ -58,17 +59,17 @@
         }
     }
 
-    /// Whether peers may dial this process.
+    /// Whether this process accepts links; false after a successor has taken over.
     pub(super) fn accepts_links(&self) -> bool {
         self.accepts_links
     }
 
-    /// Adds a link that a peer has dialed.
+    /// Adds a connection from a peer as a link.
     pub(super) fn accept(&mut self, stream: TcpStream) {
         self.links.accept(stream);
     }
 
-    /// The responses since the last call.
+    /// Removes and returns the responses since the last call.
     pub(super) fn drain_responses(&mut self) -> Vec<ClaimResponse> {
         std::mem::take(&mut self.responses)
     }
@@ -78,12 +79,12 @@
         self.recovering_change.take()
     }
 
-    /// Has the metrics show this moment.
+    /// Copies the current counters and gauges into the metrics.
     pub(super) fn update_metrics(&self, metrics: &PeerMetrics) {
         metrics.update(&self.node, &self.links, self.clock.now());
     }
 
-    /// Writes to the marker which position this process has reached.
+    /// Writes the position that this process has reached to the marker.
     pub(super) fn advance_marker(&mut self) {
         let position = self.node.position();
         if let Some(marker) = &mut self.marker {
@@ -91,20 +92,22 @@
         }
     }
 
-    /// Leaves the marker to another process.
+    /// Stops writing the marker, as another process now writes it.
     pub(super) fn release_marker(&mut self) {
         if let Some(marker) = &mut self.marker {
             marker.release();
         }
     }
 
-    /// What a link reports, as an event of the node; none if the link's peer has to identify itself first.
+    /// Converts an event of a link to an event of the node; none if the event does not concern the node, such
+    /// as an invalid hello or the end of an accepted link.
     pub(super) fn on_link_event(&mut self, event: LinkEvent) -> Option<Event> {
         match event {
             LinkEvent::Received { link, message } => self.on_message(link, message),
             LinkEvent::Closed(link) => {
                 let ClosedLink { node, was_identified } = self.links.remove(link)?;
-                // Messages that were on an identified link may have arrived.
+                // The peer may have received messages on an identified link. Without identification it was
+                // not reached.
                 Some(if was_identified { Event::LinkBroken(node) } else { Event::PeerUnreachable(node) })
             }
         }
@@ -117,19 +120,22 @@
             }
         }
         let Some(RemoteProcess { node: from, incarnation }) = self.links.remote(link) else {
-            log!("fleet: link closed, its peer sent invalid data: error=the first message is no hello");
+            log!("fleet: link closed, its peer sent invalid data: error=the first message is not a hello");
             self.links.close(link);
             return None;
         };
         Some(Event::MessageReceived(ReceivedMessage { link, from, incarnation, message }))
     }
 
-    /// The peer of a link says who it is. Returns false and closes the link if that is no member, or the peer takes this
-    /// node for another one.
+    /// Handles the hello of a link's peer. Returns false and closes the link if the peer is not a member, or
+    /// if it expects another node at this end.
     fn identify(&mut self, link: LinkId, hello: &Hello) -> bool {
         let node = NodeId::of(&hello.name);
         if !self.is_expected(link, node, hello) {
-            log!("fleet: link closed, not a member or meant for another node: name={:?}", hello.name);
+            log!(
+                "fleet: link closed, its peer is not a member or expects another node: name={:?}",
+                hello.name
+            );
             self.links.close(link);
             return false;
         }
@@ -143,7 +149,8 @@
 
     fn is_expected(&self, link: LinkId, node: NodeId, hello: &Hello) -> bool {
         let newest = self.node.configs().newest().version();
-        // A peer with a newer configuration may be a member by that one.
+        // A peer with a newer configuration may be a member in that configuration, which this node does not
+        // know yet.
         let has_newer = hello.configs.last().is_some_and(|signature| signature.version > newest);
         let is_member = self.node.configs().all_members().contains(&node);
         let is_for_this_node = hello.to == self.node.id() && node != self.node.id();
@@ -156,7 +163,8 @@
         self.links.send_on(link, &hello);
     }
 
-    /// Gives an event to the node and carries out the actions that follow, until nothing more follows from them.
+    /// Passes an event to the node and carries out the resulting actions, and likewise for the events that
+    /// result from these actions, until none is left.
     pub(super) fn handle(&mut self, event: Event, store: Option<&ResultStore>) {
         match &event {
             Event::Deactivated => {
@@ -195,13 +203,13 @@
     fn send(&mut self, to: NodeId, message: &Message) {
         let ReplicaHost { node, links, .. } = self;
         let configs = node.configs();
-        // The newest configuration has the address that holds.
+        // The newest configuration that contains the node has its current address.
         let address = || {
             let members = configs.iter().rev().filter_map(|config| config.member(to));
             members.map(|member| member.address).next()
         };
         let sent = links.send(to, address, || Message::Hello(node.hello(to)), message);
-        // One event is enough for all messages of one batch.
+        // One event is enough for all messages to a node that fail in one batch of actions.
         let is_reported = |event: &Event| matches!(event, Event::PeerUnreachable(node) if *node == to);
         if sent.is_err() && !self.pending_events.iter().any(is_reported) {
             self.pending_events.push_back(Event::PeerUnreachable(to));
@@ -216,7 +224,8 @@
         self.links.retain_nodes(|node| members.contains(&node));
     }
 
-    /// Stores what is known of a key. Where that is not possible, the node gets the failure at once.
+    /// Writes the record of a key to the vote store. If it cannot be written, the failure is reported to the
+    /// node at once.
     fn store(
         &mut self,
         sequence: StoreSequence,
@@ -225,7 +234,7 @@
         store: Option<&ResultStore>,
     ) {
         let writer = store.and_then(|store| store.writer.as_ref());
-        // The sequence comes back as it went: so many writes are never pending.
+        // The lower 32 bits identify the write, as never that many writes are pending at the same time.
         let request = RequestId((sequence & u64::from(u32::MAX)) as u32);
         if !writer.is_some_and(|writer| writer.write(request, vote_record(key, record))) {
             self.pending_events.push_back(Event::StoreFinished { sequence, stored: false });
@@ -241,8 +250,8 @@
                 _ => {}
             }
         }
-        // Each place in the code may log a few lines a second: stage changes have one of their own, so that they do not
-        // suppress the others.
+        // The log limits the lines per second of each call site. Stage changes have their own call site, so
+        // that they do not cause other notifications to be suppressed.
         match notification {
             Notification::StageChanged(transition) => log!("fleet: recovery: {transition}"),
             notification => log!("fleet: {notification}"),
--- a/node/src/peers/vote_store.rs
+++ b/node/src/peers/vote_store.rs
@@ -1,6 +1,7 @@
-//! The durable votes of this node: what the last process left in the folder, and whether that can be relied on.
+//! The durable votes of this node: opens the vote store, restores the votes of the previous process and
+//! checks whether they are complete.
 //!
-//! Votes are kept by the journal of the result store, as results of their keys.
+//! Votes are stored in a journal of the result store's format, each as the result of its key.
 
 use std::time::Duration;
 
@@ -19,26 +20,26 @@
 use crate::result_store::recovery::{Damage, RecoveredState};
 use crate::result_store::{ResultStore, StoreError};
 
-/// Between two attempts to open a folder that the predecessor of this process still has open.
+/// Delay between attempts to open a vote store that the predecessor of this process still has open.
 const OPEN_RETRY_INTERVAL: Duration = Duration::from_millis(10);
-/// How long such a folder is waited for.
+/// How long opening is retried before the node continues without the vote store.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(2);
-/// Votes carry the digest of the body themselves.
+/// Placeholder for the body digest of the record, as votes contain the digest themselves.
 const NO_BODY_DIGEST: BodyDigest = BodyDigest(0);
 
-/// An open folder.
+/// An opened vote store with the votes that were restored from it.
 pub(crate) struct OpenVoteStore {
-    /// The store.
+    /// The journal to which votes are written.
     pub(crate) store: ResultStore,
-    /// What the last process left, if that can be relied on.
+    /// The votes of the previous process; none if they are damaged or incomplete.
     pub(crate) restored: Option<RestoredState>,
 }
 
-/// Opens the folder of votes; none if the configuration names no folder.
+/// Opens the vote store; none if the configuration names no folder for it.
 ///
 /// # Errors
 ///
-/// If the folder cannot be used.
+/// If the folder or its files cannot be opened.
 pub(crate) fn open(config: &FleetConfig) -> Result<Option<OpenVoteStore>, StoreError> {
     let Some(store_config) = config.vote_store.clone() else { return Ok(None) };
     let mut marker = CompletenessMarker::new(&store_config.folder, true);
@@ -48,21 +49,21 @@
     let restored = position.zip(decode_votes(&recovered, clock::now()));
     let restored = restored.map(|(position, records)| RestoredState { records, position });
     if restored.is_none() && position.is_some() {
-        log!("fleet: the vote store is damaged or incomplete and counts as lost");
-        // Otherwise the next start would rely on what this one does not.
+        log!("fleet: vote store damaged or incomplete, its votes are treated as lost");
+        // Without this, the next start would rely on votes that this one has discarded.
         marker.invalidate();
     }
     Ok(Some(OpenVoteStore { store, restored }))
 }
 
-/// Opens a folder that another process of this node may have open for a moment more.
+/// Opens the vote store, retrying while another process of this node may still have it open.
 pub(crate) async fn open_with_retries(config: &FleetConfig) -> Option<OpenVoteStore> {
     let give_up_at = clock::now() + OPEN_TIMEOUT;
     loop {
         match open(config) {
             Ok(opened) => return opened,
             Err(error) if clock::now() >= give_up_at => {
-                log!("fleet: vote store not opened: error={error}");
+                log!("fleet: vote store not opened, continuing without it: error={error}");
                 return None;
             }
             Err(_) => clock::until(clock::now() + OPEN_RETRY_INTERVAL).await,
@@ -70,7 +71,7 @@
     }
 }
 
-/// All votes of a folder; none if anything in it was damaged, or is from the future.
+/// Decodes all recovered votes; none if anything in the store was damaged or the clock has been set back.
 fn decode_votes(recovered: &RecoveredState, now: UnixTime) -> Option<Vec<StoredRecord>> {
     if recovered.damage != Damage::default() || !recovered.clock_setback.is_zero() {
         return None;
@@ -78,7 +79,7 @@
     recovered.keys.iter().map(|record| decode_vote(record, now)).collect()
 }
 
-/// The vote in a record of the folder, with what is left of its time at `now`.
+/// Decodes the vote in a record. Its retention is what remains at `now`.
 fn decode_vote(record: &IdempotencyRecord, now: UnixTime) -> Option<StoredRecord> {
     let RunState::Succeeded(bytes) = &record.state else { return None };
     let stored: StoredRecord = postcard::from_bytes(bytes).ok()?;
@@ -87,13 +88,13 @@
     Some(StoredRecord { record, ..stored })
 }
 
-/// The record that stores what is known of a key; one that frees the key if nothing is known.
+/// Encodes the vote on a key and the key's runs as a record. Without them, the record marks the key as free.
 pub(super) fn vote_record(key: Bytes, stored: Option<&StoredRecord>) -> Record {
     let now = clock::now();
     let Some(stored) = stored else {
         return Record::new(key, NO_BODY_DIGEST, now, RecordState::NeverStarted, Bytes::new());
     };
-    // Every record can be serialized.
+    // Serialization to memory does not fail for any record.
     let bytes = postcard::to_allocvec(stored).unwrap_or_default();
     let expires_at = now + Duration::from_millis(stored.record.retain_ms);
     Record::new(key, NO_BODY_DIGEST, expires_at, RecordState::Succeeded, bytes.into())
--- a/node/src/peers/vote_store/tests.rs
+++ b/node/src/peers/vote_store/tests.rs
@@ -3,7 +3,7 @@
 use oakwind_fleet::ids::{Incarnation, NodeId};
 use oakwind_fleet::replication::key_state::{ClaimId, CompletedRun, RunResult};
 
-/// The bytes in the folders of operators, which must not change.
+/// Existing vote stores contain these bytes, so the encoding must not change.
 #[test]
 fn each_kind_of_vote_encodes_to_its_golden_bytes_and_decodes_from_them() {
     let claim = ClaimId {
