--- a/node/src/handover/message.rs
+++ b/node/src/handover/message.rs
@@ -1,4 +1,4 @@
-//! The lines that the two processes exchange.
+//! The messages that the predecessor and the successor exchange, and their encoding.
 
 use std::time::Duration;
 
@@ -10,31 +10,33 @@
 
 /// The successor's request to take over.
 pub(super) const TAKE_OVER: &[u8] = b"TAKE\r\n";
-/// The successor has been succeeded itself.
+/// The successor's report that a further process has taken over from it.
 pub(super) const SUPERSEDED: &[u8] = b"PASSED\r\n";
 
-/// The successor has to send its first line this soon after it connected, and the predecessor its whole table this soon
-/// after it was asked.
+/// Time limit for the successor to send its first line after it connected, and for the predecessor to send
+/// its whole table after the request. The predecessor also waits this long after it failed to accept a
+/// connection.
 pub(super) const REPLY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The fields of the predecessor's messages, after their kind.
+// Positions of the fields in the predecessor's messages; field 0 is the kind.
 const NUMBER_FIELD: usize = 1;
 const EXPIRY_FIELD: usize = 2;
 const STATE_FIELD: usize = 3;
 const KEY_LENGTH_FIELD: usize = 4;
 
-/// What the predecessor sends.
+/// A message from the predecessor.
 #[derive(Debug, PartialEq)]
 pub(super) enum PredecessorMessage {
     /// The seed of body digests.
     DigestSeed(u64),
-    /// What is known of a key.
+    /// The state of one key.
     Record(IdempotencyRecord),
-    /// All keys have been sent.
+    /// The end of the table; later records report how runs ended.
     TableComplete,
 }
 
-/// Removes the next complete message from the input, if there is one. The error holds a line that is not understood.
+/// Removes the next message from the input; none until the message is complete. The error contains the line
+/// that could not be parsed.
 pub(super) fn decode(input: &mut BytesMut) -> Result<Option<PredecessorMessage>, ProtocolError> {
     let Some(message) = line_codec::decode(input, |words| words.next() == Some(b"KEY"))? else {
         return Ok(None);
@@ -48,7 +50,7 @@
     Ok(Some(decoded))
 }
 
-/// The hexadecimal number that follows the kind of a message: the seed, or the digest of a body.
+/// The hexadecimal number in field 1: the digest seed of `SEED`, or the body digest of `KEY`.
 fn hexadecimal(message: &Message) -> Result<u64, ProtocolError> {
     let digits = message.field(NUMBER_FIELD);
     let number = std::str::from_utf8(&digits).ok().and_then(hexadecimal::parse);
@@ -61,7 +63,7 @@
     if key_length > key_and_result.len() {
         return Err(message.protocol_error());
     }
-    // What is stored outlives the buffer that it was read into.
+    // Copied, so that the stored key does not keep the whole input buffer allocated.
     let key = Bytes::copy_from_slice(&key_and_result[..key_length]);
     let state = match &message.field(STATE_FIELD)[..] {
         b"open" => RunState::Pending,
@@ -91,7 +93,8 @@
     let (word, result) = match state {
         RunState::Pending => ("open", &[][..]),
         RunState::Succeeded(result) if key.len() + result.len() <= MAX_BODY => ("done", &result[..]),
-        // The result is too long for a message, but that the key has run must be known.
+        // A result that is too long for a message is sent as a failure, so that the successor knows that the
+        // key has run.
         RunState::Succeeded(_) | RunState::Failed => ("failed", &[][..]),
         RunState::NeverStarted => ("free", &[][..]),
     };
--- a/node/src/handover/predecessor.rs
+++ b/node/src/handover/predecessor.rs
@@ -1,4 +1,4 @@
-//! The predecessor's side: this process serves and hands over to a successor.
+//! The predecessor's side of a handover: this process serves and hands over to a successor.
 
 use std::io;
 use std::path::Path;
@@ -13,54 +13,59 @@
 use crate::exchange::{Exchange, HandoverState};
 use crate::log;
 
-/// Updates that may wait to be sent to the successor. If there are more, the handover ends.
+/// Capacity of the queue of updates to the successor. If it overflows, the handover ends.
 const MAX_QUEUED_UPDATES: usize = 1024;
 
-/// Waits for successors at this socket and hands over to the one that comes. If that ends, this process serves on and
-/// waits for another, unless a third process has taken over from it.
+/// Waits for successors on this socket and hands over to the first that requests it. If the successor ends,
+/// this process serves again and waits for another one, unless a further process has taken over from the
+/// successor.
 pub(crate) async fn serve_successors(socket_path: &Path, exchange: Exchange) {
     loop {
-        // A socket that is there is that of a process which has handed over or has ended.
+        // An existing socket file was left by a process that has handed over or has ended.
         let _ = std::fs::remove_file(socket_path);
         let listener = match UnixListener::bind(socket_path) {
             Ok(listener) => listener,
             Err(error) => {
                 let socket = socket_path.display();
-                return log!("handover: no upgrade in place is possible: socket={socket} error={error}");
+                return log!(
+                    "handover: socket not bound, upgrades in place are disabled: socket={socket} error={error}"
+                );
             }
         };
         loop {
             match run_handover(&listener, &exchange).await {
                 HandoverOutcome::NotRequested => {}
                 HandoverOutcome::Superseded => {
-                    return log!("handover: another process has taken over in turn")
+                    return log!("handover: successor superseded, another process has taken over in turn")
                 }
                 HandoverOutcome::SuccessorEnded => break,
             }
         }
-        // A successor that fails must not leave clients without a server.
-        log!("handover: the successor has ended");
+        // If the successor fails, this process must serve again, or clients would be left without a server.
+        log!("handover: successor ended, serving again unless draining");
         exchange.successor_lost().await;
     }
 }
 
-/// How a handover ended.
+/// How a connection from another process ended.
 #[derive(Debug, PartialEq)]
 pub(super) enum HandoverOutcome {
-    /// It only asked whether a process serves here, or did not ask to take over.
+    /// The other process did not request to take over; it may only have checked whether a process serves
+    /// here.
     NotRequested,
-    /// It took over and has ended.
+    /// The successor took over and has ended, or the connection to it was lost.
     SuccessorEnded,
-    /// It took over, and another process has taken over from it.
+    /// The successor took over, and a further process has taken over from it.
     Superseded,
 }
 
-/// Hands over to the next process that connects. Returns once it is known how that ended.
+/// Hands over to the next process that connects, if it requests to take over. Returns once the handover has
+/// ended.
 pub(super) async fn run_handover(listener: &UnixListener, exchange: &Exchange) -> HandoverOutcome {
     let mut successor = match listener.accept().await {
         Ok((successor, _)) => successor,
         Err(error) => {
-            log!("handover: a successor was not accepted: error={error}");
+            log!("handover: connection not accepted, retrying: error={error}");
             clock::until(clock::now() + REPLY_TIMEOUT).await;
             return HandoverOutcome::NotRequested;
         }
@@ -74,7 +79,7 @@
         }
         () = clock::until(clock::now() + REPLY_TIMEOUT) => return HandoverOutcome::NotRequested,
     }
-    log!("handover: a successor takes over");
+    log!("handover: successor takes over, state transfer begins");
     let (updates, queued_updates) = mpsc::channel(MAX_QUEUED_UPDATES);
     exchange.begin_handover(updates).await;
     send_updates(&mut successor, queued_updates).await
@@ -92,12 +97,12 @@
             update = updates.recv() => {
                 let Some(update) = update else { return HandoverOutcome::SuccessorEnded };
                 if let Err(error) = send_update(successor, update, is_table).await {
-                    log!("handover: the successor is not reached: error={error}");
+                    log!("handover: state not sent to the successor: error={error}");
                     return HandoverOutcome::SuccessorEnded;
                 }
                 is_table = false;
             }
-            // All that a successor sends after its request is that it is superseded.
+            // After its request a successor sends nothing except that it was superseded.
             read = successor.read(&mut input) => {
                 let is_superseded = read.is_ok_and(|length| length > 0);
                 return if is_superseded { HandoverOutcome::Superseded } else { HandoverOutcome::SuccessorEnded };
--- a/node/src/handover/successor.rs
+++ b/node/src/handover/successor.rs
@@ -1,4 +1,4 @@
-//! The successor's side: this process takes over from the one that serves.
+//! The successor's side of a handover: this process takes over from the process that serves.
 
 use std::io;
 use std::path::PathBuf;
@@ -14,38 +14,38 @@
 use crate::line_codec::ProtocolError;
 use crate::log;
 
-/// Takes over, and passes on to the dispatcher what the predecessor knows and goes on to report. Returns once the
-/// predecessor has ended.
+/// Takes over from the predecessor and passes its table and later outcomes to the dispatcher. Returns once
+/// the predecessor has ended or the state transfer has failed.
 pub(crate) async fn take_over(socket_path: PathBuf, exchange: Exchange) {
     let received = async {
         let mut predecessor = UnixStream::connect(socket_path).await?;
         receive_state(&mut predecessor, &exchange).await
     };
     match received.await {
-        Ok(()) => log!("handover: the predecessor has ended"),
-        Err(error) => log!("handover: the state of the predecessor is incomplete: error={error}"),
+        Ok(()) => log!("handover: predecessor ended, state transfer complete"),
+        Err(error) => log!("handover: state transfer from the predecessor incomplete: error={error}"),
     }
     exchange.predecessor_done().await;
 }
 
-/// Why the predecessor's state is not, or not completely, known.
+/// Why the state transfer from the predecessor did not complete.
 #[derive(Debug, Error)]
 enum HandoverError {
-    /// The connection failed.
-    #[error("connection failed: {0}")]
+    /// Connecting, reading or writing failed.
+    #[error("connection to the predecessor failed: {0}")]
     Connection(#[from] io::Error),
-    /// The predecessor sent what is no message of the handover.
+    /// The predecessor sent a line that is not a valid message.
     #[error(transparent)]
     Protocol(#[from] ProtocolError),
     /// The predecessor ended before it had sent its whole table.
-    #[error("the predecessor ended before its table was complete")]
+    #[error("the predecessor ended before it had sent its whole table of keys")]
     PredecessorEnded,
     /// The predecessor did not send its whole table in time.
-    #[error("the table was not complete within {REPLY_TIMEOUT:?}")]
+    #[error("the predecessor did not send its whole table of keys within {REPLY_TIMEOUT:?}")]
     TimedOut,
 }
 
-/// What has been received and not yet passed on.
+/// State that was received from the predecessor and not yet passed to the dispatcher.
 #[derive(Default)]
 struct Received {
     state: HandoverState,
@@ -64,8 +64,8 @@
         Ok(())
     }
 
-    /// What the dispatcher is to get now: nothing before the table is complete, then every record once. The table is
-    /// passed on even if it is empty, as the dispatcher waits for it.
+    /// Removes and returns the state to pass to the dispatcher now: none before the table is complete, then
+    /// each record once. An empty table is passed as well, because the dispatcher waits for it.
     fn drain_ready(&mut self, exchange: &Exchange) -> Option<HandoverState> {
         let is_awaited = !self.state.records.is_empty() || exchange.status().borrow().awaiting_state;
         if !self.table_complete || !is_awaited {
@@ -76,7 +76,8 @@
     }
 }
 
-/// Receives the predecessor's state until that ends. Ending before its table is complete is an error.
+/// Receives the predecessor's state until the predecessor ends. It is an error if it ends before its table is
+/// complete.
 async fn receive_state(predecessor: &mut UnixStream, exchange: &Exchange) -> Result<(), HandoverError> {
     predecessor.write_all(TAKE_OVER).await?;
     let table_deadline = clock::now() + REPLY_TIMEOUT;
--- a/node/src/handover/tests.rs
+++ b/node/src/handover/tests.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn records_are_decoded_as_they_were_encoded_whatever_bytes_they_hold() {
+fn records_with_any_bytes_round_trip_and_oversized_results_become_failures() {
     for state in
         [RunState::Pending, RunState::Succeeded("x\r\n".into()), RunState::Failed, RunState::NeverStarted]
     {
--- a/node/src/handover/tests/golden.rs
+++ b/node/src/handover/tests/golden.rs
@@ -1,5 +1,5 @@
-//! The exact bytes that two processes of a node exchange during an upgrade in place. One of the two is an older
-//! release, so these bytes and the name of the socket stay as they are whatever the code calls them.
+//! Golden bytes that two processes of a node exchange during an upgrade in place. One of the two may be of an
+//! older release, so these bytes and the name of the socket must not change.
 
 use crate::test_support::{bytes, hex};
 use std::path::PathBuf;
@@ -15,7 +15,7 @@
 use crate::handover::{socket_path, take_over};
 use crate::outcome::{BodyDigest, IdempotencyRecord, RunState};
 
-/// A line, then as many bytes as it announces; `\r\n` ends both.
+/// A `KEY` line and the body whose length it gives; `\r\n` ends both.
 const OPEN: &str = "4b455920312031373634353736303030313233206f70656e203220320d0a6b310d0a";
 const DONE: &str = "4b4559203230203137363435373630303031323420646f6e65203420380d0a0d0a20ff72000d0a0d0a";
 const FAILED: &str = "4b4559203330302031373634353736303030313235206661696c6564203420340d0a6b6579330d0a";
@@ -25,12 +25,13 @@
 const PASSED: &str = "5041535345440d0a";
 const SEED: &str = "5345454420666564636261393837363534333231300d0a";
 const ALL: &str = "414c4c0d0a";
-/// `SEED`, `KEY`, `KEY`, `ALL`: what the predecessor sends at first.
+
+/// The predecessor's response to `TAKE`: `SEED`, `KEY`, `KEY`, `ALL`.
 fn whole_table() -> String {
     [SEED, OPEN, DONE, ALL].concat()
 }
 
-/// A process that has a predecessor.
+/// The start mode of a process that has a predecessor.
 const AWAITING_STATE: StartMode = StartMode { awaiting_state: true, recovering: false };
 const DIGEST_SEED: u64 = 0xfedc_ba98_7654_3210;
 
@@ -63,20 +64,21 @@
     tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap().block_on(test);
 }
 
-fn socket(name: &str) -> PathBuf {
+/// A socket path that only the test of this name uses.
+fn test_socket(name: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("oakwind-golden-{}-{name}.sock", std::process::id()));
     let _ = std::fs::remove_file(&path);
     path
 }
 
-/// Reads exactly as many bytes as are expected.
-async fn read(stream: &mut UnixStream, expected: &str) -> String {
+/// Reads as many bytes as the hexadecimal text `expected` stands for, and returns them in hexadecimal.
+async fn read_hex(stream: &mut UnixStream, expected: &str) -> String {
     let mut read = vec![0; expected.len() / 2];
     stream.read_exact(&mut read).await.unwrap();
     hex(&read)
 }
 
-async fn next(dispatcher: &mut DispatcherEndpoints) -> DispatcherEvent {
+async fn next_event(dispatcher: &mut DispatcherEndpoints) -> DispatcherEvent {
     dispatcher.events.recv().await.unwrap()
 }
 
@@ -90,7 +92,7 @@
 }
 
 #[test]
-fn these_bytes_are_read_as_each_kind_of_record() {
+fn each_kind_of_record_is_decoded_from_these_bytes() {
     let all = [OPEN, DONE, FAILED, FREE].concat();
     let mut input = BytesMut::from(&bytes(&all)[..]);
     for expected in [open(), done(), failed(), free()] {
@@ -101,7 +103,7 @@
 
 #[test]
 fn a_result_too_long_for_a_message_is_sent_as_a_failure() {
-    // The key and the result have 256 KiB together at the most.
+    // The key and the result together are limited to 256 KiB.
     let longest = vec![b'r'; 256 * 1024 - 2];
     let mut output = BytesMut::new();
     encode(
@@ -130,8 +132,8 @@
 }
 
 #[test]
-fn the_socket_has_this_name() {
-    // The value that it has anyway, in case it is not set.
+fn the_socket_path_is_derived_from_the_listen_address() {
+    // Sets the variable to its effective value, as it may not be set.
     std::env::set_var("TMPDIR", std::env::temp_dir());
     let name =
         |listen: &str| socket_path(listen.parse().unwrap()).map(|path| path.file_name().unwrap().to_owned());
@@ -144,78 +146,84 @@
 fn the_predecessor_answers_take_with_its_whole_table_and_reports_outcomes_after_it() {
     run(async {
         let Endpoints { exchange, mut dispatcher, backend: _backend } = exchange::new(StartMode::default());
-        let path = socket("old");
+        let path = test_socket("old");
         let listener = UnixListener::bind(&path).unwrap();
-        let old = run_handover(&listener, &exchange);
-        let new = async {
-            let mut new = UnixStream::connect(&path).await.unwrap();
-            new.write_all(&bytes(TAKE)).await.unwrap();
-            let DispatcherEvent::BeginHandover(updates) = next(&mut dispatcher).await else { panic!() };
+        let predecessor = run_handover(&listener, &exchange);
+        let successor = async {
+            let mut successor = UnixStream::connect(&path).await.unwrap();
+            successor.write_all(&bytes(TAKE)).await.unwrap();
+            let DispatcherEvent::BeginHandover(updates) = next_event(&mut dispatcher).await else { panic!() };
             updates
                 .send(HandoverState { digest_seed: DIGEST_SEED, records: vec![open(), done()] })
                 .await
                 .unwrap();
-            assert_eq!(read(&mut new, &whole_table()).await, whole_table());
+            assert_eq!(read_hex(&mut successor, &whole_table()).await, whole_table());
             updates.send(HandoverState { digest_seed: 0, records: vec![failed()] }).await.unwrap();
             updates.send(HandoverState { digest_seed: 0, records: vec![free()] }).await.unwrap();
-            assert_eq!(read(&mut new, &[FAILED, FREE].concat()).await, [FAILED, FREE].concat());
-            new.write_all(&bytes(PASSED)).await.unwrap();
-            (new, updates)
+            assert_eq!(read_hex(&mut successor, &[FAILED, FREE].concat()).await, [FAILED, FREE].concat());
+            successor.write_all(&bytes(PASSED)).await.unwrap();
+            (successor, updates)
         };
-        let (outcome, _kept_open) = tokio::join!(old, new);
+        let (outcome, _kept_open) = tokio::join!(predecessor, successor);
         assert_eq!(outcome, HandoverOutcome::Superseded);
         std::fs::remove_file(path).unwrap();
     });
 }
 
 #[test]
-fn the_predecessor_accepts_no_other_first_message_and_notices_that_a_successor_ends() {
+fn the_predecessor_ignores_other_first_messages_and_detects_the_end_of_the_successor() {
     run(async {
         let Endpoints { exchange, mut dispatcher, backend: _backend } = exchange::new(StartMode::default());
-        let path = socket("first");
+        let path = test_socket("first");
         let listener = UnixListener::bind(&path).unwrap();
-        let new = async {
-            let mut new = UnixStream::connect(&path).await.unwrap();
-            new.write_all(&bytes(PASSED)).await.unwrap();
+        let successor = async {
+            let mut successor = UnixStream::connect(&path).await.unwrap();
+            successor.write_all(&bytes(PASSED)).await.unwrap();
         };
-        assert_eq!(tokio::join!(run_handover(&listener, &exchange), new).0, HandoverOutcome::NotRequested);
-        let new = async {
-            let mut new = UnixStream::connect(&path).await.unwrap();
-            new.write_all(&bytes(TAKE)).await.unwrap();
-            let DispatcherEvent::BeginHandover(updates) = next(&mut dispatcher).await else { panic!() };
+        assert_eq!(
+            tokio::join!(run_handover(&listener, &exchange), successor).0,
+            HandoverOutcome::NotRequested
+        );
+        let successor = async {
+            let mut successor = UnixStream::connect(&path).await.unwrap();
+            successor.write_all(&bytes(TAKE)).await.unwrap();
+            let DispatcherEvent::BeginHandover(updates) = next_event(&mut dispatcher).await else { panic!() };
             updates
         };
-        assert_eq!(tokio::join!(run_handover(&listener, &exchange), new).0, HandoverOutcome::SuccessorEnded);
+        assert_eq!(
+            tokio::join!(run_handover(&listener, &exchange), successor).0,
+            HandoverOutcome::SuccessorEnded
+        );
         std::fs::remove_file(path).unwrap();
     });
 }
 
 #[test]
-fn the_successor_sends_take_receives_the_table_and_outcomes_and_says_when_it_is_superseded() {
+fn the_successor_sends_take_receives_the_table_and_outcomes_and_reports_when_it_is_superseded() {
     run(async {
         let Endpoints { exchange, mut dispatcher, backend: _backend } = exchange::new(AWAITING_STATE);
-        let path = socket("new");
+        let path = test_socket("new");
         let listener = UnixListener::bind(&path).unwrap();
-        let new = take_over(path.clone(), exchange);
-        let old = async {
-            let (mut old, _) = listener.accept().await.unwrap();
-            assert_eq!(read(&mut old, TAKE).await, TAKE);
-            old.write_all(&bytes(&whole_table())).await.unwrap();
-            let DispatcherEvent::StateReceived(state) = next(&mut dispatcher).await else { panic!() };
+        let successor = take_over(path.clone(), exchange);
+        let predecessor = async {
+            let (mut predecessor, _) = listener.accept().await.unwrap();
+            assert_eq!(read_hex(&mut predecessor, TAKE).await, TAKE);
+            predecessor.write_all(&bytes(&whole_table())).await.unwrap();
+            let DispatcherEvent::StateReceived(state) = next_event(&mut dispatcher).await else { panic!() };
             assert_eq!((state.digest_seed, state.records), (DIGEST_SEED, vec![open(), done()]));
             dispatcher.status.send_modify(|status| status.awaiting_state = false);
-            old.write_all(&bytes(FAILED)).await.unwrap();
-            let DispatcherEvent::StateReceived(state) = next(&mut dispatcher).await else { panic!() };
+            predecessor.write_all(&bytes(FAILED)).await.unwrap();
+            let DispatcherEvent::StateReceived(state) = next_event(&mut dispatcher).await else { panic!() };
             assert_eq!(state.records, [failed()]);
             dispatcher.status.send_modify(|status| status.handed_over = true);
-            assert_eq!(read(&mut old, PASSED).await, PASSED);
-            old.write_all(&bytes(FREE)).await.unwrap();
-            let DispatcherEvent::StateReceived(state) = next(&mut dispatcher).await else { panic!() };
+            assert_eq!(read_hex(&mut predecessor, PASSED).await, PASSED);
+            predecessor.write_all(&bytes(FREE)).await.unwrap();
+            let DispatcherEvent::StateReceived(state) = next_event(&mut dispatcher).await else { panic!() };
             assert_eq!(state.records, [free()]);
-            drop(old);
-            assert!(matches!(next(&mut dispatcher).await, DispatcherEvent::PredecessorDone));
+            drop(predecessor);
+            assert!(matches!(next_event(&mut dispatcher).await, DispatcherEvent::PredecessorDone));
         };
-        tokio::join!(new, old);
+        tokio::join!(successor, predecessor);
         std::fs::remove_file(path).unwrap();
     });
 }
@@ -224,35 +232,35 @@
 fn an_empty_table_is_transferred_as_well() {
     run(async {
         let Endpoints { exchange, mut dispatcher, backend: _backend } = exchange::new(AWAITING_STATE);
-        let path = socket("empty");
+        let path = test_socket("empty");
         let listener = UnixListener::bind(&path).unwrap();
-        let old = async {
-            let (mut old, _) = listener.accept().await.unwrap();
-            old.write_all(&bytes(&[SEED, ALL].concat())).await.unwrap();
-            let DispatcherEvent::StateReceived(state) = next(&mut dispatcher).await else { panic!() };
+        let predecessor = async {
+            let (mut predecessor, _) = listener.accept().await.unwrap();
+            predecessor.write_all(&bytes(&[SEED, ALL].concat())).await.unwrap();
+            let DispatcherEvent::StateReceived(state) = next_event(&mut dispatcher).await else { panic!() };
             assert_eq!((state.digest_seed, state.records), (DIGEST_SEED, vec![]));
             dispatcher.status.send_modify(|status| status.awaiting_state = false);
         };
-        tokio::join!(take_over(path.clone(), exchange), old);
+        tokio::join!(take_over(path.clone(), exchange), predecessor);
         std::fs::remove_file(path).unwrap();
     });
 }
 
 #[test]
-fn of_a_table_that_is_cut_off_or_not_understood_nothing_is_passed_on() {
+fn nothing_is_passed_to_the_dispatcher_from_a_truncated_or_malformed_table() {
     for sent in [[SEED, OPEN].concat(), [SEED, TAKE, ALL].concat()] {
         run(async {
             let Endpoints { exchange, mut dispatcher, backend: _backend } = exchange::new(AWAITING_STATE);
-            let path = socket("cut");
+            let path = test_socket("cut");
             let listener = UnixListener::bind(&path).unwrap();
-            let old = async {
-                let (mut old, _) = listener.accept().await.unwrap();
-                assert_eq!(read(&mut old, TAKE).await, TAKE);
-                old.write_all(&bytes(&sent)).await.unwrap();
-                drop(old);
-                assert!(matches!(next(&mut dispatcher).await, DispatcherEvent::PredecessorDone));
+            let predecessor = async {
+                let (mut predecessor, _) = listener.accept().await.unwrap();
+                assert_eq!(read_hex(&mut predecessor, TAKE).await, TAKE);
+                predecessor.write_all(&bytes(&sent)).await.unwrap();
+                drop(predecessor);
+                assert!(matches!(next_event(&mut dispatcher).await, DispatcherEvent::PredecessorDone));
             };
-            tokio::join!(take_over(path.clone(), exchange), old);
+            tokio::join!(take_over(path.clone(), exchange), predecessor);
             std::fs::remove_file(path).unwrap();
         });
     }
