--- a/node/src/admin.rs
+++ b/node/src/admin.rs
@@ -1,11 +1,11 @@
-//! The admin interface: HTTP/1.1, one call a connection. It is served whatever the load.
+//! The admin interface: HTTP/1.1 with one call per connection. It responds regardless of the load.
 //!
 //! | call | response |
 //! | --- | --- |
 //! | `GET /ops/readiness` | 200 once this process can serve, else 503 |
 //! | `GET /ops/stats` | the metrics |
-//! | `PUT /ops/drain/start` | maintenance mode: health checks fail, everything else goes on |
-//! | `PUT /ops/drain/stop` | the end of maintenance mode |
+//! | `PUT /ops/drain/start` | enters maintenance mode: health checks fail, all other requests are served as before |
+//! | `PUT /ops/drain/stop` | leaves maintenance mode |
 
 use std::io;
 use std::rc::Rc;
@@ -22,24 +22,24 @@
 use crate::http::{parse_call, response, Call, Status, MAX_HEAD_BYTES};
 use crate::log;
 
-/// Connections at a time. One more evicts one on which no call has arrived yet.
+/// Limit of open connections. A further connection evicts one on which no complete call has arrived yet.
 pub(crate) const MAX_CONNECTIONS: usize = 16;
 /// Initial capacity of the read buffer, in bytes.
 const READ_BUFFER_BYTES: usize = 1024;
-/// The header field of all responses.
+/// The `Content-Type` header of all responses.
 const CONTENT_TYPE: &str = "Content-Type: text/plain; charset=utf-8\r\n";
 
-/// What all connections of operators share.
+/// State shared by all connections to the admin interface.
 pub(crate) struct AdminServer {
-    /// The way to the dispatcher.
+    /// The status and the metrics of this process, and the queue of events to the dispatcher.
     pub(crate) exchange: Exchange,
-    /// The names of the classes in the metrics.
+    /// Provides the class names under which the metrics are shown.
     pub(crate) registry: Rc<ClassRegistry>,
 }
 
-/// Serves one connection to its end.
+/// Serves one connection until it is closed.
 pub(crate) async fn serve(mut stream: TcpStream, guard: ConnectionGuard, server: Rc<AdminServer>) {
-    // A client whose connection breaks gets no response.
+    // The client of a lost connection cannot be answered, so the error is only logged.
     if let Err(error) = serve_call(&mut stream, &guard, &server).await {
         log!("admin: connection lost: error={error}");
     }
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Switches maintenance mode; responds once health checks are answered accordingly.
+    /// Enters or leaves maintenance mode. Responds once health checks reflect the change.
     async fn set_maintenance(&self, enabled: bool) -> Bytes {
         self.exchange.set_maintenance(enabled).await;
         let mut status = self.exchange.status();
--- a/node/src/heartbeat.rs
+++ b/node/src/heartbeat.rs
@@ -1,6 +1,7 @@
-//! Heartbeats to the membership service, through which clients find this node.
+//! Heartbeats to the membership service, from which clients learn the address of this node.
 //!
-//! A heartbeat is a UDP datagram `HB NAME UP`; the last one is `HB NAME OUT`, so that the service drops the node at once.
+//! A heartbeat is a UDP datagram `HB NAME UP`. The last one is `HB NAME OUT`, with which the service removes
+//! the node at once.
 
 use std::io;
 use std::net::{Ipv4Addr, Ipv6Addr, SocketAddr};
@@ -14,17 +15,19 @@
 use crate::exchange::{Exchange, NodeStatus};
 use crate::log;
 
-/// Between two heartbeats. The service drops a node after 3 s without one, so that ten in a row may get lost.
+/// Interval between heartbeats. The service removes a node after 3 s without one, which is ten intervals, so
+/// that several heartbeats in a row may be lost.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
 
-/// What a node has to report.
+/// What this process reports to the membership service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Liveness {
-    /// It serves.
+    /// The node serves clients.
     Up,
-    /// It drains and is to be dropped.
+    /// The node is draining and must be removed.
     Out,
-    /// Nothing for now: a successor reports under the same name, or recovery is not far enough for clients.
+    /// No report for now: a successor reports under the same name, or the node's recovery does not permit
+    /// clients yet.
     Paused,
 }
 
@@ -40,7 +43,8 @@
     }
 }
 
-/// Sends heartbeats until the shutdown notice, and a last one then. Without a membership service there are none.
+/// Sends heartbeats until the shutdown notice, and then the last one. Returns if no membership service
+/// is configured.
 pub(crate) async fn report(
     name: String,
     mut addresses: watch::Receiver<UpstreamAddresses>,
@@ -70,14 +74,14 @@
         let next = clock::now() + HEARTBEAT_INTERVAL;
         tokio::select! {
             () = clock::until(next) => {}
-            // A service at a new address gets a heartbeat at once.
+            // After a change of the service's address, the new address receives a heartbeat at once.
             Ok(()) = addresses.changed() => {}
             _ = status.wait_for(|status| status.draining.is_some() || status.handed_over) => {}
         }
     }
 }
 
-/// Sends a datagram, from a new socket where the one before is of the other IP version or there is none.
+/// Sends a datagram. Reuses the socket unless there is none yet or its IP version differs from the service's.
 async fn send(socket: &mut Option<UdpSocket>, service: SocketAddr, datagram: &str) -> io::Result<()> {
     let reaches_service =
         |socket: &UdpSocket| socket.local_addr().is_ok_and(|local| local.is_ipv4() == service.is_ipv4());
--- a/node/src/heartbeat/tests.rs
+++ b/node/src/heartbeat/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::exchange::{self, Endpoints, ShutdownNotice, StartMode};
 
-/// The status of a process that has just started, with changes.
+/// The status of a process that has just started, modified by `change`.
 fn status(change: impl FnOnce(&mut NodeStatus)) -> NodeStatus {
     let Endpoints { exchange, .. } = exchange::new(StartMode::default());
     let mut status = exchange.status().borrow().clone();
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_node_reports_unless_it_recovers_or_a_successor_reports_under_its_name() {
+fn heartbeats_pause_while_the_node_recovers_or_a_successor_reports_under_its_name() {
     assert_eq!(Liveness::of(&status(|_| {})), Liveness::Up);
     assert_eq!(Liveness::of(&status(|status| status.maintenance = true)), Liveness::Up);
     assert_eq!(Liveness::of(&status(|status| status.recovering = true)), Liveness::Paused);
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_node_that_drains_reports_its_end_also_while_it_recovers() {
+fn a_draining_node_reports_out_even_while_recovering_unless_a_successor_has_taken_over() {
     assert_eq!(Liveness::of(&status(draining)), Liveness::Out);
     let recovering = |status: &mut NodeStatus| {
         draining(status);
--- a/node/src/metrics.rs
+++ b/node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics of a process: counted where things happen, and shown under `/ops/stats`.
+//! The metrics of a process. Other modules update or register them, and `GET /ops/stats` shows them.
 
 use std::cell::{Cell, RefCell};
 use std::fmt::{self, Debug, Formatter, Write};
@@ -7,51 +7,51 @@
 
 use crate::outcome::RequestOutcome;
 
-/// Every name begins with this.
+/// Prefix of the name of each metric, separated by an underscore.
 const NAME_PREFIX: &str = "svc";
 
-/// What became of the requests of one class.
+/// Counters of the requests of one class, by outcome, and of their runs.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 struct ClassCounters {
-    /// Requests that were served.
+    /// Requests answered with the result of a run.
     served: u64,
-    /// Requests that were rejected.
+    /// Requests rejected without a run.
     rejected: u64,
-    /// Requests that failed.
+    /// Requests that failed, or whose body did not match the earlier one of the same key.
     failed: u64,
-    /// Runs that were handed to the backend.
+    /// Runs that were sent to the backend.
     runs: u64,
 }
 
-/// The metrics of a process, all from 0 at its start.
+/// The metrics of a process; all counters are 0 at its start.
 #[derive(Debug, Default)]
 pub(crate) struct Metrics {
-    /// By the position of the class.
+    /// Counters by the position of the class in the registry.
     classes: RefCell<Vec<ClassCounters>>,
-    /// Requests without a response.
+    /// Number of requests that are not finished.
     open_requests: Cell<u64>,
     reloads_applied: Cell<u64>,
     reloads_rejected: Cell<u64>,
     sources: RefCell<Vec<Source>>,
 }
 
-/// One metric at the moment when it is read.
+/// The value of one metric at the time of reading.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Metric {
-    /// Its name, without the prefix.
+    /// The name without the prefix.
     pub(crate) name: &'static str,
-    /// Its value.
+    /// The current value of the counter or gauge.
     pub(crate) value: u64,
 }
 
 impl Metric {
-    /// A metric by its name without the prefix.
+    /// Creates a metric from its name without the prefix and its value.
     pub(crate) fn new(name: &'static str, value: u64) -> Self {
         Metric { name, value }
     }
 }
 
-/// Reads the metrics that another module keeps.
+/// A callback that reads the metrics of another module.
 struct Source(Box<dyn Fn() -> Vec<Metric>>);
 
 impl Debug for Source {
@@ -66,7 +66,7 @@
         self.open_requests.set(self.open_requests.get() + 1);
     }
 
-    /// Counts a request as no longer open: it has its response, or its client has gone.
+    /// Counts a request as no longer open: it was answered, or its client has disconnected.
     pub(crate) fn request_finished(&self) {
         self.open_requests.set(self.open_requests.get().saturating_sub(1));
     }
@@ -80,18 +80,19 @@
         });
     }
 
-    /// Counts a run that was handed to the backend.
+    /// Counts a run that was sent to the backend.
     pub(crate) fn run_dispatched(&self, class: ClassId) {
         self.update_class(class, |counters| counters.runs += 1);
     }
 
-    /// Counts a reload at SIGHUP, whether it was applied or rejected.
+    /// Counts a configuration reload on SIGHUP as applied or rejected.
     pub(crate) fn configuration_reloaded(&self, applied: bool) {
         let counter = if applied { &self.reloads_applied } else { &self.reloads_rejected };
         counter.set(counter.get() + 1);
     }
 
-    /// Shows the metrics that another module keeps, after those from before.
+    /// Registers the metrics of another module. [`render`](Self::render) lists them in the order of
+    /// registration.
     pub(crate) fn register(&self, read: impl Fn() -> Vec<Metric> + 'static) {
         self.sources.borrow_mut().push(Source(Box::new(read)));
     }
@@ -105,7 +106,8 @@
         update(&mut classes[position]);
     }
 
-    /// All metrics as text, a line each. `class_names` are the names of the classes by position.
+    /// Renders all metrics as text with one line per metric. `class_names` are the names of the classes by
+    /// position.
     pub(crate) fn render(&self, class_names: &[String]) -> String {
         let mut text = String::new();
         let classes = self.classes.borrow();
@@ -133,6 +135,6 @@
 }
 
 fn write_metric(text: &mut String, name: &str, value: u64) {
-    // Writing to memory does not fail.
+    // Writing to a string does not fail.
     let _ = writeln!(text, "{NAME_PREFIX}_{name} {value}");
 }
--- a/node/src/vrrp.rs
+++ b/node/src/vrrp.rs
@@ -1,5 +1,5 @@
-//! VRRP version 3 (RFC 9568) for IPv4, carried over UDP to configured peers. The uwsgi listener is open while this node
-//! has the active role.
+//! VRRP version 3 (RFC 9568) for IPv4, carried over UDP to configured peers. The uwsgi listener is open only
+//! while this node has the active role.
 
 mod machine;
 mod packet;
@@ -17,19 +17,20 @@
 use machine::{Event, Output, Parameters, Role, Router};
 use packet::Advertisement;
 
-/// Longer than any advertisement, in bytes; a longer datagram is cut off and so dropped.
+/// Size of the receive buffer, which is larger than any advertisement. A longer datagram is truncated by the
+/// system and then dropped as malformed.
 const MAX_DATAGRAM_BYTES: usize = 2048;
 
-/// Binds the socket that advertisements arrive at.
+/// Binds the socket on which advertisements are sent and received.
 ///
 /// # Errors
 ///
-/// Where the system does not grant the address.
+/// If the configured address cannot be bound.
 pub(crate) async fn bind(config: &VrrpConfig) -> io::Result<UdpSocket> {
     UdpSocket::bind(config.listen).await
 }
 
-/// Runs the virtual router until the shutdown notice; `active` follows whether it has the active role.
+/// Runs the virtual router until the shutdown notice. `active` is true while this node has the active role.
 pub(crate) async fn run(
     config: VrrpConfig,
     socket: UdpSocket,
@@ -60,7 +61,7 @@
         event = tokio::select! {
             received = socket.recv_from(&mut buffer) => match received {
                 Ok((length, from)) => decode_event(&config, &buffer[..length], from),
-                // Where a peer is down, the rejection of an earlier datagram is reported here.
+                // While a peer is down, the system reports the rejection of an earlier advertisement here.
                 Err(_) => None,
             },
             () = clock::until(timer) => Some(Event::Tick),
@@ -69,7 +70,7 @@
     }
 }
 
-/// The parameters of the state machine.
+/// Converts the configuration to the parameters of the state machine.
 fn parameters(config: &VrrpConfig) -> Parameters {
     let local = match config.listen.ip() {
         IpAddr::V4(address) => address,
@@ -85,7 +86,8 @@
     }
 }
 
-/// The event that a datagram stands for, if it is an advertisement of this virtual router from one of its peers.
+/// Decodes a datagram to an event; none if it is not a valid advertisement of this virtual router from one of
+/// the configured peers.
 fn decode_event(config: &VrrpConfig, datagram: &[u8], from: SocketAddr) -> Option<Event> {
     if !config.peers.iter().any(|peer| peer.ip() == from.ip()) {
         log!("vrrp: datagram dropped, not from a peer: vrid={} from={from}", config.vrid);
@@ -95,7 +97,7 @@
     match Advertisement::decode(datagram) {
         Ok(advertisement) if advertisement.vrid != config.vrid => {
             log!(
-                "vrrp: datagram dropped, of another virtual router: vrid={} from={from} received_vrid={}",
+                "vrrp: datagram dropped, for another virtual router: vrid={} from={from} received_vrid={}",
                 config.vrid,
                 advertisement.vrid
             );
--- a/node/src/vrrp/machine.rs
+++ b/node/src/vrrp/machine.rs
@@ -1,5 +1,5 @@
-//! The state machine of RFC 9568, section 6.4. It has no clock and no socket: it takes events with their time and
-//! returns what is to be sent.
+//! The state machine of RFC 9568, section 6.4. It performs no I/O and reads no clock: the caller passes each
+//! event with the current time and sends the returned advertisements.
 
 use std::net::Ipv4Addr;
 use std::time::Duration;
@@ -12,9 +12,10 @@
 /// The priority in an advertisement by which the active router releases its role.
 const RELEASE_PRIORITY: u8 = 0;
 
-/// The skew time is this part of the interval for each step that the priority is below this number (RFC 9568, section 6.1).
+/// The skew time is `(256 - priority) / 256` of the interval (RFC 9568, section 6.1).
 const SKEW_DIVISOR: u32 = 256;
-/// The active router counts as down after so many intervals without an advertisement, and the skew time.
+/// The active router is considered down after this many intervals without an advertisement plus the skew
+/// time.
 const MISSED_ADVERTISEMENTS: u32 = 3;
 
 /// The configuration of a virtual router.
@@ -22,73 +23,75 @@
 pub(crate) struct Parameters {
     /// The number of the virtual router (VRID).
     pub(crate) vrid: u8,
-    /// 1 to 254, or 255 for the owner of the addresses.
+    /// The priority in the election: 1 to 254, or 255 for the owner of the addresses.
     pub(crate) priority: u8,
-    /// Between two advertisements.
+    /// Interval between advertisements while this router is active.
     pub(crate) interval: Duration,
-    /// Whether this router takes over from an active one with a lower priority.
+    /// Whether this router takes over from an active router with a lower priority.
     pub(crate) preempt: bool,
-    /// The addresses that the virtual router stands for.
+    /// The addresses of the virtual router.
     pub(crate) addresses: Vec<Ipv4Addr>,
-    /// The primary address of this router; the higher one wins between equal priorities.
+    /// The primary address of this router. Between equal priorities the higher address wins.
     pub(crate) local: Ipv4Addr,
 }
 
-/// The states of RFC 9568.
+/// The states of a virtual router in RFC 9568.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Role {
     /// Not started, or shut down.
     Initialize,
-    /// Another router is active, as far as this one knows.
+    /// This router monitors the active router and is ready to take over.
     Backup,
-    /// This router serves the addresses.
+    /// This router serves the addresses of the virtual router.
     Active,
 }
 
-/// What happens to a router, besides the passing of time.
+/// An input of the state machine.
 #[derive(Debug)]
 pub(crate) enum Event {
-    /// It starts.
+    /// The router starts.
     Startup,
-    /// It is to stop.
+    /// The router must stop.
     Shutdown,
-    /// Its timer may have expired.
+    /// The timer may have expired.
     Tick,
     /// A valid advertisement of this virtual router has arrived.
     Advertised {
         /// The sender's primary address.
         from: Ipv4Addr,
-        /// Its content.
+        /// The decoded advertisement.
         advertisement: Advertisement,
     },
 }
 
-/// What a router asks for.
+/// An action that the caller must perform.
 #[derive(Debug, PartialEq)]
 pub(crate) enum Output {
-    /// Send this to all peers.
+    /// Send this advertisement to all peers.
     Send(Advertisement),
 }
 
-/// A virtual router.
+/// The state machine of a virtual router on this node.
 #[derive(Debug)]
 pub(crate) struct Router {
     parameters: Parameters,
     role: Role,
-    /// The interval of the active router.
+    /// The advertisement interval of the active router, from its last advertisement; at first this router's
+    /// own interval.
     active_interval: Duration,
-    /// The only timer: while active the next advertisement, while backup when the active router counts as down.
+    /// While active, when the next advertisement is due; while backup, when the active router is considered
+    /// down.
     timer: UnixTime,
 }
 
 impl Router {
-    /// A router that has not started.
+    /// Creates a router in the state [`Role::Initialize`].
     pub(crate) fn new(parameters: Parameters) -> Self {
         let active_interval = parameters.interval;
         Router { parameters, role: Role::Initialize, active_interval, timer: Duration::ZERO }
     }
 
-    /// The state it is in.
+    /// The current state.
     pub(crate) fn role(&self) -> Role {
         self.role
     }
@@ -98,7 +101,7 @@
         (self.role != Role::Initialize).then_some(self.timer)
     }
 
-    /// Processes an event and returns what is to be sent.
+    /// Handles an event and returns the actions to perform.
     pub(crate) fn handle(&mut self, now: UnixTime, event: Event) -> Vec<Output> {
         match (self.role, event) {
             (Role::Initialize, Event::Startup) if self.parameters.priority == OWNER_PRIORITY => {
@@ -151,7 +154,8 @@
             self.transition_to_backup(now);
             return Vec::new();
         }
-        // A router that has released the role, or claims it with less priority, learns at once which one is active.
+        // The other router has released the role or has the lower rank: an advertisement tells it at once
+        // which router is active.
         self.advertise(now)
     }
 
@@ -175,12 +179,13 @@
         Advertisement { vrid: *vrid, priority, interval: *interval, addresses: addresses.clone() }
     }
 
-    /// The skew time: shorter for higher priorities, so that the best backup takes over first.
+    /// The skew time. It is shorter for higher priorities, so that the backup with the highest priority takes
+    /// over first.
     fn skew(&self) -> Duration {
         self.active_interval * (SKEW_DIVISOR - u32::from(self.parameters.priority)) / SKEW_DIVISOR
     }
 
-    /// How long after the last advertisement the active router counts as down.
+    /// Time after the last advertisement at which the active router is considered down.
     fn down_interval(&self) -> Duration {
         MISSED_ADVERTISEMENTS * self.active_interval + self.skew()
     }
--- a/node/src/vrrp/packet.rs
+++ b/node/src/vrrp/packet.rs
@@ -5,66 +5,64 @@
 
 use thiserror::Error;
 
-/// The version of the protocol.
 const VERSION: u8 = 3;
-/// The packet type of an advertisement.
 const ADVERTISEMENT_TYPE: u8 = 1;
-/// The version and the packet type share the first byte.
+/// Position of the version in the first byte; the packet type is in the lower bits.
 const VERSION_SHIFT: u32 = 4;
 const TYPE_MASK: u8 = 0xf;
 const VERSION_AND_TYPE: u8 = VERSION << VERSION_SHIFT | ADVERTISEMENT_TYPE;
-/// Bytes before the addresses.
+/// Length of the header, which precedes the addresses.
 const HEAD_BYTES: usize = 8;
-/// Where the checksum stands in the head.
+/// Position of the checksum in the header.
 const CHECKSUM_RANGE: std::ops::Range<usize> = 6..8;
-/// Bytes of an address.
+/// Length of an IPv4 address.
 const ADDRESS_BYTES: usize = 4;
-/// The unit of intervals, in milliseconds.
+/// Milliseconds in a centisecond, the unit of the interval field.
 const CENTISECOND_MS: u64 = 10;
-/// The bits of the field that the interval takes.
+/// The lower 12 bits of the field hold the interval; the others are reserved.
 const INTERVAL_MASK: u16 = 0xfff;
 
-/// The lower 16 bits of a sum.
+/// Mask of the lower 16 bits when the checksum is folded.
 const WORD_MASK: u32 = 0xffff;
 
-/// An advertisement.
+/// An advertisement of a virtual router.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Advertisement {
     /// The number of the virtual router (VRID).
     pub(crate) vrid: u8,
     /// The sender's priority; 0 releases the active role.
     pub(crate) priority: u8,
-    /// Between two of the sender's advertisements.
+    /// Interval between the sender's advertisements. It is encoded in centiseconds, at most 40.95 s.
     pub(crate) interval: Duration,
     /// The addresses of the virtual router.
     pub(crate) addresses: Vec<Ipv4Addr>,
 }
 
-/// Why a packet is dropped.
+/// Why a received packet is dropped.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub(crate) enum Malformed {
-    /// Shorter than its head, or than its addresses need.
-    #[error("packet cut short")]
+    /// The packet is shorter than the header, or than the header and the announced number of addresses.
+    #[error("packet is shorter than its header and addresses")]
     Short,
-    /// Not version 3.
-    #[error("version {0}, not {VERSION}")]
+    /// The version in the packet is not 3.
+    #[error("unsupported version {0}, expected {VERSION}")]
     Version(u8),
-    /// Not an advertisement.
-    #[error("unknown packet type {0}")]
+    /// The packet type is not that of an advertisement.
+    #[error("unknown packet type {0}, expected {ADVERTISEMENT_TYPE}")]
     Kind(u8),
-    /// Damaged on the way.
-    #[error("wrong checksum")]
+    /// The checksum does not match the packet.
+    #[error("checksum mismatch")]
     Checksum,
-    /// It stands for no address, or has bytes after its last one.
-    #[error("wrong number of addresses")]
+    /// The packet announces no address, or has bytes after the last announced address.
+    #[error("packet has no addresses, or bytes after the last address")]
     Addresses,
-    /// No time between two advertisements.
-    #[error("advertisement interval of 0")]
+    /// The advertisement interval is 0.
+    #[error("advertisement interval is 0")]
     Interval,
 }
 
 impl Advertisement {
-    /// Encodes the packet.
+    /// Encodes the packet with its checksum.
     pub(crate) fn encode(&self) -> Vec<u8> {
         let centiseconds =
             (self.interval.as_millis() as u64 / CENTISECOND_MS).min(u64::from(INTERVAL_MASK)) as u16;
@@ -79,11 +77,11 @@
         bytes
     }
 
-    /// Decodes a packet and checks it as section 7.1 asks, as far as that is possible from the packet alone.
+    /// Decodes a packet and performs the checks of section 7.1 that need no more than the packet itself.
     ///
     /// # Errors
     ///
-    /// Where the packet is to be dropped.
+    /// If a check fails, so that the packet must be dropped.
     pub(crate) fn decode(bytes: &[u8]) -> Result<Self, Malformed> {
         let Some([first, vrid, priority, count, high, low, ..]) = bytes.first_chunk::<HEAD_BYTES>().copied()
         else {
@@ -108,7 +106,7 @@
             return Err(Malformed::Addresses);
         }
         let centiseconds = u64::from(u16::from_be_bytes([high, low]) & INTERVAL_MASK);
-        // After an interval of 0 the active router would count as down at once.
+        // With an interval of 0 the active router would be considered down at once.
         if centiseconds == 0 {
             return Err(Malformed::Interval);
         }
@@ -126,7 +124,8 @@
     }
 }
 
-/// The one's complement of the one's complement sum, over the packet alone as the RFC has it for IPv4.
+/// The one's complement of the one's complement sum over the packet. For IPv4 the RFC includes no
+/// pseudo-header.
 fn checksum(bytes: &[u8]) -> u16 {
     let words = bytes.chunks(2).map(|pair| u16::from_be_bytes([pair[0], *pair.get(1).unwrap_or(&0)]));
     let mut sum: u32 = words.map(u32::from).sum();
--- a/node/src/vrrp/packet/tests.rs
+++ b/node/src/vrrp/packet/tests.rs
@@ -6,15 +6,16 @@
 }
 
 #[test]
-fn the_encoding_is_that_of_the_rfc() {
+fn the_encoding_matches_the_rfc() {
     let one = Advertisement { addresses: vec![Ipv4Addr::new(127, 0, 1, 1)], ..advertisement() };
-    // The sum of 3133 6401 0064 7f00 0101 is 0x11599, folded 0x159a, and its complement is ea65.
+    // The checksum: the sum of 3133 6401 0064 7f00 0101 is 0x11599, folded 0x159a, and its complement is
+    // 0xea65.
     assert_eq!(one.encode(), [0x31, 51, 100, 1, 0, 100, 0xea, 0x65, 127, 0, 1, 1]);
     assert_eq!(Advertisement::decode(&advertisement().encode()), Ok(advertisement()));
 }
 
 #[test]
-fn each_fault_of_a_packet_is_reported_as_such() {
+fn each_defect_of_a_packet_has_its_own_error() {
     let good = advertisement().encode();
     let with = |at: usize, byte: u8| {
         let mut bytes = good.clone();
@@ -29,8 +30,8 @@
     assert_eq!(Advertisement::decode(&[]), Err(Malformed::Short));
     let none = Advertisement { addresses: vec![], ..advertisement() };
     assert_eq!(Advertisement::decode(&none.encode()), Err(Malformed::Addresses));
-    let hasty = Advertisement { interval: Duration::ZERO, ..advertisement() };
-    assert_eq!(Advertisement::decode(&hasty.encode()), Err(Malformed::Interval));
+    let zero_interval = Advertisement { interval: Duration::ZERO, ..advertisement() };
+    assert_eq!(Advertisement::decode(&zero_interval.encode()), Err(Malformed::Interval));
     let longer = [&good[..], &[0, 0, 0, 0]].concat();
     assert_eq!(Advertisement::decode(&longer), Err(Malformed::Addresses));
 }
