--- a/node/src/backend.rs
+++ b/node/src/backend.rs
@@ -1,4 +1,5 @@
-//! The backends: what runs requests, and what answers the calls that they make.
+//! The backends: the interpreter or uwsgi servers, which run requests, and the index or uwsgi servers, which
+//! answer the calls that running requests make.
 
 pub(crate) mod index;
 pub(crate) mod interpreter;
@@ -17,21 +18,21 @@
 use crate::clock::{self, UnixTime};
 use crate::exchange::{BackendEvent, CallCommand, CallOutcome, Exchange, Request, TransactionId};
 
-/// Without commands for this long, idle connections are looked at.
+/// Time without commands or ended calls after which stale idle connections are closed.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A call that has ended.
+/// The outcome of a call that has ended.
 struct EndedCall<T> {
-    /// The request that it was made for.
+    /// The request that the call was made for.
     txn: TransactionId,
     outcome: T,
 }
 
-/// Calls in progress by the request that each is for. Each has a connection of its own.
+/// Calls or runs in progress, by the id of their request. Each uses a connection of its own.
 struct CallsInProgress<T> {
     tasks: JoinSet<EndedCall<T>>,
     handles: HashMap<TransactionId, AbortHandle>,
-    /// Bounds the connections, and so the descriptors of the process.
+    /// One permit for each connection, which bounds the file descriptors that the calls use.
     connections: Arc<Semaphore>,
 }
 
@@ -44,8 +45,8 @@
         }
     }
 
-    /// Starts a call and cancels any other for the same request. It ends with `no_connection` where no connection
-    /// becomes free by the deadline.
+    /// Starts a call and cancels an earlier one for the same request. The outcome is `no_connection` if no
+    /// permit for a connection becomes available by the deadline.
     fn start(
         &mut self,
         txn: TransactionId,
@@ -69,17 +70,18 @@
         self.handles.insert(txn, handle);
     }
 
-    /// Closes the connection of a call; false if there is none.
+    /// Cancels the call for a request, which closes its connection. Returns false if no such call is in
+    /// progress.
     fn cancel(&mut self, txn: &TransactionId) -> bool {
         self.handles.remove(txn).map(|handle| handle.abort()).is_some()
     }
 
-    /// The next call that ended; waits for ever while none is in progress.
+    /// Waits for the next call to end. Never completes while no call is in progress.
     async fn next(&mut self) -> EndedCall<T> {
         loop {
             match self.tasks.join_next_with_id().await {
                 Some(Ok((id, ended))) => {
-                    // A call that was cancelled or replaced meanwhile has no outcome.
+                    // The outcome of a call that was cancelled or replaced in the meantime is dropped.
                     if self.handles.get(&ended.txn).is_some_and(|handle| handle.id() == id) {
                         self.handles.remove(&ended.txn);
                         return ended;
@@ -92,9 +94,10 @@
     }
 }
 
-/// A peer that answers calls.
+/// A backend that answers the calls of running requests.
 pub(crate) trait CallBackend {
-    /// Makes a call and waits for its outcome, until the deadline at the latest.
+    /// Makes a call for a request and returns its outcome. The call is given up at the deadline or shortly
+    /// after it.
     fn call(
         self: Rc<Self>,
         request: Rc<Request>,
@@ -102,11 +105,12 @@
         deadline: UnixTime,
     ) -> impl Future<Output = CallOutcome>;
 
-    /// Closes connections that are of no more use. Called now and then.
+    /// Closes idle connections that can't be reused. Called after [`IDLE_CHECK_INTERVAL`] without commands or
+    /// ended calls.
     fn close_stale_connections(&self) {}
 }
 
-/// Makes calls until no more commands can come, over at most so many connections at a time.
+/// Makes calls until the command channel closes, over at most `max_connections` connections at a time.
 pub(crate) async fn make_calls<B: CallBackend + 'static>(
     backend: Rc<B>,
     exchange: Exchange,
--- a/node/src/backend/index.rs
+++ b/node/src/backend/index.rs
@@ -1,7 +1,7 @@
-//! Calls to the tier below by way of the index.
+//! The client of the index, which answers calls to the tier below.
 //!
-//! Each call has a connection to itself while it lasts, and a connection whose response is malformed, late or missing is
-//! closed. So a fault costs no call but its own.
+//! A connection carries one call at a time and is closed if the response is malformed, late or missing. A
+//! fault therefore affects only the call during which it occurs.
 
 use std::cell::RefCell;
 use std::io;
@@ -20,36 +20,36 @@
 use crate::log;
 use crate::sockets;
 
-/// A connection is used again only if it has been idle for less than this. The index closes idle connections, and a call
-/// that crosses the close would have no outcome that is known.
+/// A connection is reused only if it has been idle for less than this. The index closes idle connections, and
+/// a call that crosses the close would have an unknown outcome.
 const MAX_IDLE: Duration = Duration::from_millis(250);
-/// A call without a response is given up this long after its deadline: the index itself reports at the deadline that it
-/// was slow.
+/// Time after the deadline of a call at which it is given up without a response. The index reports a slow
+/// call at the deadline itself, and this leaves time for that report to arrive.
 const RESPONSE_GRACE: Duration = Duration::from_millis(150);
-/// A response that has begun is complete after this long, or the connection is closed.
+/// Time in which a response that has begun must be complete; otherwise the connection is closed.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// A connection without a call on it.
+/// An open connection that no call uses.
 struct IdleConnection {
     connection: LineConnection,
     address: SocketAddr,
     since: UnixTime,
-    /// The request of the last call. No call for the same request is made here, as a second copy of the last response
-    /// would be taken for its own.
+    /// The request of the last call on the connection. The next call must be for another request: a duplicate
+    /// of the last response would be taken for the response to a second call of the same request.
     last_txn: TransactionId,
 }
 
 /// The client of the index.
 pub(crate) struct Index {
     addresses: watch::Receiver<UpstreamAddresses>,
-    /// The connection that was used last comes last.
+    /// Idle connections; the most recently used one comes last.
     idle: RefCell<Vec<IdleConnection>>,
     max_idle: usize,
 }
 
 impl Index {
-    /// A client of the index at the latest address; where that is none, no call reaches anybody. At most `max_idle`
-    /// connections are kept for later calls.
+    /// Creates a client that uses the latest address of the index; without an address every call is
+    /// unreachable. At most `max_idle` connections are kept open for later calls.
     pub(crate) fn new(addresses: watch::Receiver<UpstreamAddresses>, max_idle: usize) -> Rc<Self> {
         Rc::new(Index { addresses, idle: RefCell::default(), max_idle })
     }
@@ -64,7 +64,7 @@
 
     fn keep_idle(&self, connection: LineConnection, address: SocketAddr, last_txn: TransactionId) {
         let mut idle = self.idle.borrow_mut();
-        // What comes beside a response belongs to no call.
+        // Input after the response belongs to no call, so the connection is closed.
         if connection.input.is_empty() && idle.len() < self.max_idle {
             idle.push(IdleConnection { connection, address, since: clock::now(), last_txn });
         }
@@ -81,7 +81,7 @@
             Some(connection) => connection,
             None => match sockets::connect(address, deadline).await {
                 Ok(stream) => LineConnection::new(stream),
-                // A connection that was never made proves that the call never ran.
+                // The call was never sent, so it can't have run.
                 Err(error) => {
                     log!("index: connection failed: address={address} error={error}");
                     return Ok(CallOutcome::Unreachable);
@@ -99,7 +99,7 @@
     }
 }
 
-/// Waits for the response to the call for a request; none where nothing comes in time.
+/// Waits for the response to the call of a request; none if no response begins in time.
 async fn receive_response(
     connection: &mut LineConnection,
     txn: &TransactionId,
--- a/node/src/backend/interpreter.rs
+++ b/node/src/backend/interpreter.rs
@@ -1,8 +1,8 @@
-//! The link to the interpreter, which runs requests.
+//! The client of the interpreter, which runs requests.
 //!
-//! A link that breaks is made again. Over the new one all notices from before are read before any command is sent, so
-//! that no run is started twice and no end of one is missed. The interpreter ignores a command that it has carried out
-//! already.
+//! If the link breaks, the client reconnects. On a new link it reads all earlier notices before it sends any
+//! command, so that no run is started twice and the end of no run is missed. The interpreter ignores a
+//! command that it has already carried out.
 
 mod runs;
 
@@ -23,15 +23,17 @@
 use crate::sockets;
 use runs::Runs;
 
-/// Between the beginnings of two attempts to connect: neither side spins where links are accepted and closed at once.
+/// Minimum time between the beginnings of two connection attempts. It prevents a busy loop on both sides if
+/// links are accepted and closed at once.
 const RECONNECT_INTERVAL: Duration = Duration::from_millis(50);
-/// A connection is made within this time, or tried again.
+/// Time after which a connection attempt is given up and the next one starts.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// A message that has begun is complete after this long, or the link is made again.
+/// Time in which a message that has begun must be complete; otherwise the client reconnects.
 const MESSAGE_TIMEOUT: Duration = Duration::from_secs(2);
-/// The tag of the question whose answer shows that all notices from before it have been read.
+/// Tag of the gauge query that is sent first on a link. Its response comes after all earlier notices.
 const FENCE_TAG: &[u8] = b"fence";
-/// The interpreter has restarted if its start is later than the one that is known by this much.
+/// The interpreter counts as restarted if its start time, computed from its uptime, moves forward by more
+/// than this.
 const RESTART_THRESHOLD: Duration = Duration::from_secs(1);
 
 // The fields of the interpreter's messages, after their kind: `BANNER STATE UPTIME`, `TOPS TAG GAUGE...`,
@@ -45,21 +47,21 @@
 const TXN_FIELD: usize = 2;
 const COMPLETION_FIELD: usize = 3;
 
-/// Why a link ended that did not break.
+/// Why a link was closed without a fault.
 enum LinkEnd {
-    /// No more commands can come.
+    /// The command channel is closed.
     CommandsClosed,
     /// The interpreter is at another address.
     AddressChanged,
 }
 
-/// Why a wait without a link ended.
+/// How a wait without a link ended.
 enum Wait<T> {
-    /// What was waited for is done.
+    /// The awaited future completed with this output.
     Done(T),
     /// The interpreter is at another address.
     AddressChanged,
-    /// No more commands can come.
+    /// The command channel is closed.
     CommandsClosed,
 }
 
@@ -69,14 +71,15 @@
     exchange: Exchange,
     commands: mpsc::Receiver<RunCommand>,
     runs: Runs,
-    /// The number of the last notice that was read.
+    /// The number of the last notice that was processed; 0 before the first one.
     last_notice: u64,
-    /// When the interpreter was started, as far as is known.
+    /// When the interpreter started, computed from its uptime; none before the first link.
     started_at: Option<UnixTime>,
 }
 
 impl Interpreter {
-    /// A client of the interpreter at the latest address. Classes are sent by their names in the registry.
+    /// Creates a client that connects to the latest address of the interpreter. Classes are sent by their
+    /// names in `registry`.
     pub(crate) fn new(
         addresses: watch::Receiver<UpstreamAddresses>,
         exchange: Exchange,
@@ -87,7 +90,7 @@
         Interpreter { addresses, exchange, commands, runs, last_notice: 0, started_at: None }
     }
 
-    /// Holds the link until no more commands can come.
+    /// Keeps a link to the interpreter open until the command channel closes.
     pub(crate) async fn run(mut self) {
         loop {
             let Some(address) = self.addresses.borrow_and_update().interpreter else { return };
@@ -111,7 +114,8 @@
         }
     }
 
-    /// Waits for something and records the commands that come meanwhile. A new address cancels the wait.
+    /// Awaits a future while there is no link, and records the commands that arrive in the meantime. A new
+    /// address cancels the wait.
     async fn wait_disconnected<T>(&mut self, awaited: impl Future<Output = T>) -> Wait<T> {
         tokio::pin!(awaited);
         loop {
@@ -144,7 +148,7 @@
             tokio::select! {
                 transferred = link.transfer() => transferred?,
                 () = message_timeout(incomplete_since) => return Err(ProtocolError::Incomplete.into()),
-                // Runs and the numbers of notices carry on over the link to the new address.
+                // Runs and the number of the last notice remain valid on the link to the new address.
                 Ok(()) = self.addresses.changed() => return Ok(LinkEnd::AddressChanged),
                 command = self.commands.recv(), if has_capacity => {
                     let Some(command) = command else { return Ok(LinkEnd::CommandsClosed) };
@@ -157,7 +161,7 @@
         }
     }
 
-    /// Records a command and sends it, unless notices from before this link are still to be read.
+    /// Records a command, and sends it if all notices from before this link have been read.
     fn process_command(&mut self, command: &RunCommand, is_synced: bool, output: &mut BytesMut) {
         self.runs.record(command);
         if is_synced {
@@ -165,7 +169,7 @@
         }
     }
 
-    /// Processes a message. True once all notices from before this link have been read.
+    /// Processes a message. Returns true if it shows that all notices from before this link have been read.
     async fn process_message(&mut self, message: Message, output: &mut BytesMut) -> io::Result<bool> {
         match &message.field(0)[..] {
             b"BANNER" => self.process_banner(&message, output).await?,
@@ -187,14 +191,14 @@
         Ok(false)
     }
 
-    /// Processes the first message on a link, which states whether and for how long the interpreter has been up.
+    /// Processes the first message on a link, which states whether the interpreter is cold, and its uptime.
     async fn process_banner(&mut self, message: &Message, output: &mut BytesMut) -> io::Result<()> {
         let cold = match &message.field(BANNER_STATE_FIELD)[..] {
             b"fresh" => true,
             b"seasoned" => false,
             _ => return Err(message.protocol_error().into()),
         };
-        // A clock that was set ahead meanwhile does not make the start of the interpreter a later one.
+        // Steps of the system clock are subtracted: a clock that was set ahead must not look like a restart.
         let uptime = Duration::from_millis(message.numeric_field(UPTIME_FIELD)?);
         let started_at = clock::now().saturating_sub(clock::stepped_ahead() + uptime);
         if self.started_at.is_some_and(|known| started_at > known + RESTART_THRESHOLD) {
@@ -206,7 +210,8 @@
         Ok(())
     }
 
-    /// Fails all runs: an interpreter that has restarted may have run any of them, so none is started again.
+    /// Fails all runs after a restart of the interpreter. Each of them may have had its effect, so none is
+    /// started again.
     async fn process_restart(&mut self) {
         log!("interpreter: restarted: lost_runs={}", self.runs.len());
         self.last_notice = 0;
@@ -215,7 +220,7 @@
         }
     }
 
-    /// Processes what the interpreter says of a run.
+    /// Processes a notice about a run.
     async fn process_notice(&mut self, notice: u64, message: Message) -> io::Result<()> {
         let txn = TransactionId::from(message.field(TXN_FIELD));
         let body = message.body.clone().unwrap_or_default();
@@ -234,7 +239,8 @@
         Ok(())
     }
 
-    /// Processes a command that was not carried out. A run that was not started ends here: its client waits for it.
+    /// Processes the rejection of a command. A run that was not started is reported as ended, as its client
+    /// still waits for a response.
     async fn process_error(&mut self, message: &Message) {
         let command = message.field(COMMAND_FIELD);
         let txn = TransactionId::from(message.field(TXN_FIELD));
@@ -245,7 +251,7 @@
     }
 }
 
-/// Waits until a message that has begun is overdue; for ever where none has.
+/// Waits until a message that has begun is overdue. Never completes if no message has begun.
 async fn message_timeout(incomplete_since: Option<UnixTime>) {
     match incomplete_since {
         Some(since) => clock::until(since + MESSAGE_TIMEOUT).await,
--- a/node/src/backend/interpreter/runs.rs
+++ b/node/src/backend/interpreter/runs.rs
@@ -1,4 +1,5 @@
-//! Runs from the command that started them to the notice that ended them, and the commands that are sent for each.
+//! The runs that were started on the interpreter and whose end has not been read, and the commands that are
+//! sent for them.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -9,7 +10,7 @@
 use crate::exchange::{Request, RunCommand, TransactionId};
 use crate::line_codec::encode;
 
-/// How a run goes on after the call that it waits for.
+/// The result of a call that a run waits for.
 #[derive(Debug)]
 enum CallResult {
     Reply(Bytes),
@@ -20,9 +21,9 @@
 #[derive(Debug)]
 struct Run {
     request: Rc<Request>,
-    /// The notice of the call that it waits for.
+    /// The number of the notice that asked for the latest call; 0 before the first call.
     call_notice: u64,
-    /// The result of that call; void after the next notice.
+    /// The result of the latest call; none while the run waits for it.
     call_result: Option<CallResult>,
     is_stopped: bool,
 }
@@ -35,7 +36,7 @@
 }
 
 impl Runs {
-    /// No runs; classes are sent by their names in the registry.
+    /// Creates an empty table. Classes are sent by their names in `registry`.
     pub(super) fn new(registry: Rc<ClassRegistry>) -> Self {
         Runs { runs: BTreeMap::new(), registry }
     }
@@ -44,7 +45,7 @@
         self.runs.len()
     }
 
-    /// Removes a run; false if there is none.
+    /// Removes a run. Returns false if there is no run for the request.
     pub(super) fn remove(&mut self, txn: &TransactionId) -> bool {
         self.runs.remove(txn).is_some()
     }
@@ -54,7 +55,7 @@
         std::mem::take(&mut self.runs).into_keys().collect()
     }
 
-    /// Records that a run waits for a call since this notice.
+    /// Records that a run waits for the call that this notice asks for.
     pub(super) fn await_call(&mut self, txn: &TransactionId, notice: u64) {
         if let Some(run) = self.runs.get_mut(txn) {
             run.call_notice = notice;
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Records what a command changes, so that it can be sent again until its effect has been read.
+    /// Records a command, so that it can be sent again on a new link until its effect has been read.
     pub(super) fn record(&mut self, command: &RunCommand) {
         match command {
             RunCommand::Run(request) => {
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Writes what a recorded command asks of its run.
+    /// Appends the message for a recorded command. Appends nothing if its run has ended.
     pub(super) fn encode_command(&self, command: &RunCommand, output: &mut BytesMut) {
         match command {
             RunCommand::Gauges => encode(output, &[b"TOP", b"g"], None),
@@ -97,7 +98,8 @@
         }
     }
 
-    /// Writes all commands whose end or effect has not been read. To a run that goes on they change nothing.
+    /// Appends the messages for all commands whose effect has not been read. The interpreter ignores those
+    /// that it has already carried out.
     pub(super) fn encode_all(&self, output: &mut BytesMut) {
         for run in self.runs.values() {
             self.encode_run(run, output);
--- a/node/src/backend/interpreter/runs/tests.rs
+++ b/node/src/backend/interpreter/runs/tests.rs
@@ -24,7 +24,7 @@
     }))
 }
 
-/// What is written for all runs after these commands.
+/// Records the commands and returns the messages that are sent on a new link.
 fn encoded(runs: &mut Runs, commands: &[RunCommand]) -> String {
     commands.iter().for_each(|command| runs.record(command));
     let mut output = BytesMut::new();
--- a/node/src/backend/uwsgi.rs
+++ b/node/src/backend/uwsgi.rs
@@ -1,6 +1,8 @@
-//! uwsgi servers that run requests or answer their calls, over one connection for each.
+//! The client of uwsgi servers, which run requests or answer their calls. Each run or call uses its own
+//! connection.
 //!
-//! A request never ran where a server rejects it with 503 and Retry-After, and where no server could be connected to.
+//! A request is known not to have run if a server rejects it with 503 and Retry-After, or if no server
+//! accepted a connection.
 
 mod response;
 
@@ -25,10 +27,10 @@
 use crate::uwsgi::{encode_packet, Variable};
 use response::{read_response, ServerOutcome};
 
-/// A run is left alone this long after its deadline: its result may still serve a later attempt.
+/// Time for which a run may continue after its deadline, as its result may still serve a later attempt.
 const RESULT_GRACE: Duration = Duration::from_secs(10);
 
-/// Selects the addresses of the servers from those of all backends.
+/// Selects the addresses of one group of servers from those of all backends.
 pub(crate) type SelectAddresses = fn(&UpstreamAddresses) -> &Vec<SocketAddr>;
 
 /// A connection to one of the servers.
@@ -37,7 +39,7 @@
     address: SocketAddr,
 }
 
-/// Servers that stand in for each other.
+/// A group of interchangeable servers.
 pub(crate) struct Servers {
     addresses: watch::Receiver<UpstreamAddresses>,
     select: SelectAddresses,
@@ -46,7 +48,8 @@
 }
 
 impl Servers {
-    /// The servers at the latest addresses. Classes and tenants are sent by their names in the registry.
+    /// Creates a client of the servers at the latest addresses. Classes and tenants are sent by their names
+    /// in `registry`.
     pub(crate) fn new(
         addresses: watch::Receiver<UpstreamAddresses>,
         select: SelectAddresses,
@@ -55,7 +58,8 @@
         Rc::new(Servers { addresses, select, next: Cell::new(0), registry })
     }
 
-    /// Connects to the first server in turn that accepts. A failed attempt proves that nothing ran there.
+    /// Tries the servers in round-robin order and returns the first connection. A request can't have run on a
+    /// server to which the connection failed.
     async fn connect(&self, deadline: UnixTime) -> Option<ServerConnection> {
         let addresses = (self.select)(&self.addresses.borrow()).clone();
         let first = self.next.get();
@@ -91,7 +95,7 @@
         }
     }
 
-    /// The packet of a request; none if it does not fit one.
+    /// Encodes the packet of a request; none if the variables do not fit in one packet.
     fn encode(&self, request: &Request, body_length: usize, deadline: UnixTime) -> Option<BytesMut> {
         let path = format!("/{}", self.registry.class_name(request.class));
         let tenant = self.registry.tenant_name(request.tenant);
@@ -119,7 +123,7 @@
     read_response(stream).await
 }
 
-/// Runs requests on uwsgi servers, in the interpreter's place, until no more commands can come.
+/// Runs requests on uwsgi servers instead of the interpreter until the command channel closes.
 pub(crate) async fn run_requests(
     servers: Rc<Servers>,
     exchange: Exchange,
@@ -144,7 +148,7 @@
                         exchange.report(BackendEvent::RunEnded { txn, completion: Completion::Cancelled }).await;
                     }
                 }
-                // These servers make their own calls, and nobody measures their cores.
+                // uwsgi servers make their calls themselves and report no gauges.
                 Some(RunCommand::Resolve { .. } | RunCommand::Skip(_) | RunCommand::Gauges) => {}
             },
             ended = runs.next() => {
@@ -154,7 +158,7 @@
     }
 }
 
-/// What an exchange with a server says of the run that was asked for.
+/// The completion of a run, derived from the outcome of the exchange with its server.
 fn completion(outcome: ServerOutcome) -> Completion {
     match outcome {
         ServerOutcome::Succeeded(result) => Completion::Succeeded(result),
--- a/node/src/backend/uwsgi/response.rs
+++ b/node/src/backend/uwsgi/response.rs
@@ -12,13 +12,13 @@
 
 use crate::http::{Status, MAX_HEADER_FIELDS, MAX_HEAD_BYTES};
 
-/// Longest body of a response, in bytes.
+/// Maximum length of a response body, in bytes.
 const MAX_BODY_BYTES: usize = 256 * 1024;
-/// The status codes of a result.
+/// Status codes of a successful response.
 const SUCCESS_CODES: RangeInclusive<u16> = 200..=299;
-/// With Retry-After: the server did not start.
+/// Status code that, together with Retry-After, means that the server did not start the request.
 const SERVICE_UNAVAILABLE: u16 = Status::SERVICE_UNAVAILABLE.code;
-/// The time ran out at the server.
+/// Status code of a request that timed out at the server.
 const GATEWAY_TIMEOUT: u16 = Status::GATEWAY_TIMEOUT.code;
 /// Initial capacity of the read buffer, in bytes.
 const READ_BUFFER_BYTES: usize = 8 * 1024;
@@ -26,26 +26,27 @@
 /// Why a response can't be used.
 #[derive(Debug, Error)]
 pub(super) enum ResponseError {
-    /// The head is no HTTP.
-    #[error("{0}")]
+    /// The head is not valid HTTP.
+    #[error("response head is not valid HTTP: {0}")]
     Malformed(#[from] httparse::Error),
     /// The head is longer than [`MAX_HEAD_BYTES`].
-    #[error("head longer than {MAX_HEAD_BYTES} bytes")]
+    #[error("response head is longer than {MAX_HEAD_BYTES} bytes")]
     HeadTooLong,
-    /// uwsgi servers use no transfer encoding.
+    /// The response uses a transfer encoding, which uwsgi servers are not expected to do.
     #[error("Transfer-Encoding is not supported")]
     TransferEncoding,
-    /// The stated length is no text.
-    #[error("Content-Length: {0}")]
+    /// The value of Content-Length is not UTF-8.
+    #[error("Content-Length is not UTF-8: {0}")]
     LengthNotText(#[from] Utf8Error),
-    /// The stated length is no number.
-    #[error("Content-Length: {0}")]
+    /// The value of Content-Length is not a number.
+    #[error("Content-Length is not a number: {0}")]
     LengthNotNumber(#[from] ParseIntError),
-    /// The stated length is over [`MAX_BODY_BYTES`].
-    #[error("Content-Length: {0} is over {MAX_BODY_BYTES}")]
+    /// The value of Content-Length is over [`MAX_BODY_BYTES`].
+    #[error("Content-Length {0} is over the limit of {MAX_BODY_BYTES} bytes")]
     BodyTooLong(usize),
-    /// A result does not state its length, so that a complete one looks like one that was cut off.
-    #[error("result without Content-Length")]
+    /// A successful response has no Content-Length, so that a complete body can't be told from a truncated
+    /// one.
+    #[error("successful response has no Content-Length")]
     LengthMissing,
 }
 
@@ -60,9 +61,9 @@
 pub(super) enum ServerOutcome {
     /// The server responded with 2xx and this body.
     Succeeded(Bytes),
-    /// The server responded that it did not start.
+    /// The server responded that it did not start the request.
     Rejected,
-    /// The time ran out, here or at the server.
+    /// The request timed out, here or at the server.
     TimedOut,
     /// The server failed, or its response was malformed.
     Failed,
@@ -72,19 +73,19 @@
     Unreachable,
 }
 
-/// What the head of a response says.
+/// The decoded head of a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct ResponseHead {
-    /// Bytes of the head itself.
+    /// Length of the head, in bytes.
     pub(super) size: usize,
     pub(super) status: u16,
-    /// Bytes of the body, where they are stated.
+    /// Value of Content-Length, in bytes; none if the field is absent.
     pub(super) content_length: Option<usize>,
-    /// Whether there is a Retry-After.
+    /// Whether the response has a Retry-After field.
     pub(super) has_retry_after: bool,
 }
 
-/// Reads a response to its end.
+/// Reads a complete response and classifies it by its status.
 pub(super) async fn read_response(stream: &mut TcpStream) -> io::Result<ServerOutcome> {
     let mut input = BytesMut::with_capacity(READ_BUFFER_BYTES);
     let head = loop {
--- a/node/src/http.rs
+++ b/node/src/http.rs
@@ -1,13 +1,14 @@
-//! The HTTP/1.1 that is spoken beside the main protocols: heads of calls, and complete responses.
+//! The part of HTTP/1.1 that the admin interface and the uwsgi protocol need: heads of requests and complete
+//! responses.
 
 use bytes::Bytes;
 
-/// Longest head, in bytes.
+/// Maximum length of a head, in bytes.
 pub(crate) const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// Most header fields in a head.
+/// Maximum number of header fields in a head.
 pub(crate) const MAX_HEADER_FIELDS: usize = 64;
 
-/// The version in the status line of responses.
+/// The protocol version in the status line of responses.
 const VERSION: &str = "HTTP/1.1";
 
 /// The status of a response.
@@ -24,9 +25,9 @@
     pub(crate) const OK: Status = Status::new(200, "OK");
     /// The request is malformed.
     pub(crate) const BAD_REQUEST: Status = Status::new(400, "Bad Request");
-    /// There is nothing at the path.
+    /// The path does not exist.
     pub(crate) const NOT_FOUND: Status = Status::new(404, "Not Found");
-    /// The path has no such method.
+    /// The path does not support the method.
     pub(crate) const METHOD_NOT_ALLOWED: Status = Status::new(405, "Method Not Allowed");
     /// The request was not complete in time.
     pub(crate) const REQUEST_TIMEOUT: Status = Status::new(408, "Request Timeout");
@@ -36,9 +37,9 @@
     pub(crate) const HEADER_FIELDS_TOO_LARGE: Status = Status::new(431, "Request Header Fields Too Large");
     /// The request failed.
     pub(crate) const INTERNAL_SERVER_ERROR: Status = Status::new(500, "Internal Server Error");
-    /// The request is not served now.
+    /// The request can't be served at present.
     pub(crate) const SERVICE_UNAVAILABLE: Status = Status::new(503, "Service Unavailable");
-    /// The request ran out of time.
+    /// The request was not served by its deadline.
     pub(crate) const GATEWAY_TIMEOUT: Status = Status::new(504, "Gateway Timeout");
 
     const fn new(code: u16, reason: &'static str) -> Self {
@@ -46,7 +47,7 @@
     }
 }
 
-/// The request line of a call.
+/// The request line of a call to the admin interface.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Call {
     /// The method.
@@ -59,7 +60,7 @@
 ///
 /// # Errors
 ///
-/// Where the input is no HTTP head, or one with more than [`MAX_HEADER_FIELDS`].
+/// If the input is not the head of an HTTP request, or has more than [`MAX_HEADER_FIELDS`] header fields.
 pub(crate) fn parse_call(input: &[u8]) -> Result<Option<Call>, httparse::Error> {
     let mut fields = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
     let mut request = httparse::Request::new(&mut fields);
@@ -71,7 +72,7 @@
     Ok(Some(Call { method: request.method.unwrap_or_default().to_string(), path: path.to_string() }))
 }
 
-/// A response after which the connection is closed. Each of the header `fields` ends in CR LF.
+/// Encodes a response that announces the close of the connection. Each of the header `fields` ends in CR LF.
 pub(crate) fn response(status: Status, fields: &str, body: &[u8]) -> Bytes {
     let Status { code, reason } = status;
     let length = body.len();
