--- a/node/src/frontend.rs
+++ b/node/src/frontend.rs
@@ -1,5 +1,5 @@
-//! The frontends: what clients connect to. One module a protocol; all share the limit of connections and the way in
-//! which connections are closed.
+//! The frontends, to which clients connect: one module for each protocol, and the connection limit and the
+//! closing of connections, which all of them share.
 
 pub(crate) mod connection_limiter;
 pub(crate) mod jsonrpc;
@@ -16,18 +16,19 @@
 use crate::clock;
 use connection_limiter::{ConnectionGuard, ConnectionState};
 
-/// How long a connection is read from after its last response.
+/// Time for which a connection is still read from after its last response.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(2);
-/// How often a connection is read from after its last response.
+/// Maximum number of reads from a connection after its last response.
 const MAX_LINGER_READS: u32 = 32;
-/// Bytes of each of these reads, which are dropped.
+/// Maximum number of bytes that each of these reads drops.
 const LINGER_BUFFER_BYTES: usize = 4096;
-/// A request books less memory than this, in KB: one absurd value would spoil the sum of all that is booked.
+/// Exclusive upper limit of the memory that a request may book, in KB. A single absurd value would distort
+/// the sum of all booked memory.
 const MAX_MEMORY_KB: f64 = 2_000.0;
 
-/// Closes a connection so that its last response arrives: the system resets a connection that is closed over unread
-/// bytes. What the client goes on to send is read and dropped until it closes too, for [`LINGER_TIMEOUT`] at most, and
-/// only while no other connection needs the slot.
+/// Closes a connection without losing its last response: the operating system resets a connection that is
+/// closed with unread input. Further input is therefore read and dropped until the client closes the
+/// connection too, for at most [`LINGER_TIMEOUT`], and only while no other connection needs the slot.
 pub(crate) async fn lingering_close(stream: &mut TcpStream, guard: &ConnectionGuard) -> io::Result<()> {
     guard.set_state(ConnectionState::Unproven);
     let deadline = clock::now() + LINGER_TIMEOUT;
@@ -45,20 +46,20 @@
     drain_available(stream).await
 }
 
-/// Closes a connection for which there is no slot: what has arrived by now is the last that is read of it.
+/// Closes a connection for which there is no slot, after dropping the input that has already arrived.
 pub(crate) async fn reject(mut stream: TcpStream) {
     // The connection is closed either way.
     let _ = drain_available(&mut stream).await;
 }
 
-/// Drops what has arrived by now.
+/// Drops the input that has already arrived, without waiting for more.
 async fn drain_available(stream: &mut TcpStream) -> io::Result<()> {
-    // Lets the runtime ask the system what has arrived.
+    // Lets the runtime poll the socket for input.
     tokio::task::yield_now().await;
     shut_down_and_drain(stream).now_or_never().unwrap_or(Ok(()))
 }
 
-/// Ends the outgoing half of the connection and drops what arrives until the client ends its half.
+/// Shuts down the sending half of the connection and drops input until the client shuts down its half.
 async fn shut_down_and_drain(stream: &mut TcpStream) -> io::Result<()> {
     stream.shutdown().await?;
     let mut dropped = [0; LINGER_BUFFER_BYTES];
@@ -70,7 +71,7 @@
     Ok(())
 }
 
-/// Whether a request may book so much memory.
+/// Whether a request may book this much memory.
 fn is_valid_memory(memory_kb: f64) -> bool {
     memory_kb > 0.0 && memory_kb < MAX_MEMORY_KB
 }
--- a/node/src/frontend/connection_limiter.rs
+++ b/node/src/frontend/connection_limiter.rs
@@ -1,7 +1,8 @@
-//! Bounds the connections of a frontend and decides which of them is evicted when a new one needs its slot.
+//! Limits the connections of a frontend and decides which one is evicted when a new one needs its slot.
 //!
-//! A busy connection is never evicted. Of the others the one that has shown least is, and among equals the one that has
-//! been so for longest: clients that hold connections without sending requests shut nobody out.
+//! A busy connection is never evicted. Of the others, the one with the lowest [`ConnectionState`] is, and
+//! among equals the one that has been in this state for longest. Clients that hold connections without
+//! sending requests therefore can't keep other clients out.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -12,41 +13,41 @@
 
 use crate::clock::{self, UnixTime};
 
-/// A client's first message is complete this long after it connected, and a later one this long after its first byte.
-/// Clients that send nothing or never complete a message don't hold a connection for longer.
+/// Time in which a client must complete its first message after connecting, or a later one after its first
+/// byte. It limits how long a client that sends nothing or never completes a message holds a connection.
 pub(crate) const MESSAGE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a connection is doing, in the order in which connections are evicted.
+/// The state of a connection. The lower states are evicted first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum ConnectionState {
-    /// Its client has sent nothing that could be served.
+    /// The client has not sent a message that could be served, or the connection is closing.
     Unproven,
-    /// Its client has been served, and no request is open.
+    /// The client has sent a message that could be served, and no request is open.
     Idle,
     /// No request is open, and responses are still to be written.
     Flushing,
-    /// Its client waits for a response.
+    /// The client waits for a response.
     Busy,
 }
 
-/// A connection that is counted.
+/// What the limiter knows of one connection.
 struct ConnectionSlot {
     state: ConnectionState,
-    /// When it took on this state.
+    /// When the connection entered this state.
     since: UnixTime,
     eviction: Rc<Notify>,
-    /// It was told to close and is not counted any more.
+    /// Whether the connection was told to close. It then no longer counts towards the limit.
     is_evicted: bool,
 }
 
 /// Counts the connections of one frontend.
 pub(crate) struct ConnectionLimiter {
     max_connections: usize,
-    /// Half of the connections belong to another process of this node.
+    /// Whether half of the connections are left to another process of this node during an upgrade in place.
     shared: Cell<bool>,
     slots: RefCell<HashMap<u64, ConnectionSlot>>,
     next_id: Cell<u64>,
-    /// A connection has closed, or has written all its responses.
+    /// Notified when a connection has closed, or has written all its responses.
     changed: Notify,
 }
 
@@ -58,7 +59,7 @@
 }
 
 impl ConnectionLimiter {
-    /// A limiter without connections.
+    /// Creates a limiter that admits `max_connections`.
     pub(crate) fn new(max_connections: usize) -> Rc<Self> {
         Rc::new(ConnectionLimiter {
             max_connections,
@@ -69,7 +70,8 @@
         })
     }
 
-    /// Admits one more connection and evicts another one for it where none is left. None where all are busy.
+    /// Admits a connection, for which another one is evicted if no slot is free. None if all connections are
+    /// busy.
     pub(crate) fn admit(self: &Rc<Self>) -> Option<ConnectionGuard> {
         if self.count() >= self.capacity() && !self.evict_one() {
             return None;
@@ -87,8 +89,8 @@
         Some(ConnectionGuard { limiter: self.clone(), id, eviction })
     }
 
-    /// Leaves half of the connections to another process of this node, or takes them back. The descriptors are counted
-    /// over both processes.
+    /// Leaves half of the connections to another process of this node, or takes them back: both processes
+    /// together must stay within the limit on file descriptors.
     pub(crate) fn set_shared(&self, shared: bool) {
         self.shared.set(shared);
         while self.count() > self.capacity() && self.evict_one() {}
@@ -106,7 +108,7 @@
         self.slots.borrow().values().filter(|slot| !slot.is_evicted).count()
     }
 
-    /// Tells one connection to close; false where all are busy.
+    /// Tells one connection to close. Returns false if all connections are busy.
     fn evict_one(&self) -> bool {
         let mut slots = self.slots.borrow_mut();
         let candidates =
@@ -133,8 +135,8 @@
 }
 
 impl ConnectionGuard {
-    /// Records what the connection is doing. One that has become busy is not evicted any more: its request came before
-    /// it closed.
+    /// Sets the state of the connection. The eviction of a connection that becomes busy is revoked, as its
+    /// request arrived before the connection closed.
     pub(crate) fn set_state(&self, state: ConnectionState) {
         if let Some(slot) = self.limiter.slots.borrow_mut().get_mut(&self.id) {
             if slot.state != state {
@@ -153,7 +155,8 @@
         self.limiter.slots.borrow().get(&self.id).is_some_and(|slot| slot.is_evicted)
     }
 
-    /// Waits until the connection is evicted. It may have become busy between that and the end of this wait.
+    /// Waits until the connection is evicted. The connection may have become busy before this wait ends,
+    /// which revokes the eviction.
     pub(crate) async fn evicted(&self) {
         self.eviction.notified().await;
     }
--- a/node/src/frontend/connection_limiter/tests.rs
+++ b/node/src/frontend/connection_limiter/tests.rs
@@ -14,7 +14,7 @@
     assert_eq!(
         guards.iter().map(is_notified_of_eviction).collect::<Vec<_>>(),
         [false, false, false, true],
-        "busy ones are not evicted"
+        "busy connections are not evicted"
     );
     drop(guards);
     let guards = [limiter.admit().unwrap(), limiter.admit().unwrap()];
@@ -40,12 +40,12 @@
     sixth.set_state(ConnectionState::Busy);
     let seventh = limiter.admit().unwrap();
     seventh.set_state(ConnectionState::Busy);
-    assert!(limiter.admit().is_none(), "all are busy");
+    assert!(limiter.admit().is_none(), "all connections are busy");
     drop((fourth, sixth));
     let (last, other) = (limiter.admit().unwrap(), limiter.admit().unwrap());
     other.set_state(ConnectionState::Busy);
     let newest = limiter.admit().unwrap();
-    // A request came on the one that was evicted: it stays and is counted.
+    // A request arrives on the evicted connection, which therefore stays open and counts towards the limit.
     last.set_state(ConnectionState::Busy);
     assert!(limiter.admit().is_some() && is_notified_of_eviction(&newest));
 }
@@ -61,10 +61,10 @@
     assert_eq!(guards.each_ref().map(is_notified_of_eviction), [false, true]);
     assert!(
         limiter.all_flushed().now_or_never().is_none(),
-        "one waits for its response, one has not read it"
+        "one client waits for its response, another has not read it"
     );
     let fourth = limiter.admit().unwrap();
-    assert!(is_notified_of_eviction(&guards[0]), "it is evicted before one that waits for its response");
+    assert!(is_notified_of_eviction(&guards[0]), "flushing connections are evicted before busy ones");
     drop(guards);
     third.set_state(ConnectionState::Idle);
     assert!(limiter.all_flushed().now_or_never().is_some());
--- a/node/src/frontend/jsonrpc.rs
+++ b/node/src/frontend/jsonrpc.rs
@@ -1,4 +1,4 @@
-//! The JSON-RPC frontend: JSON-RPC 2.0 over TCP, one message a line.
+//! The JSON-RPC frontend: JSON-RPC 2.0 over TCP, one message per line.
 //!
 //! Methods are the classes of the settings, `status` (a health check) and `withdraw` (the client no longer waits for a
 //! request). Before the node closes a connection it sends the notification `draining` and gives the client time to
@@ -6,7 +6,7 @@
 //!
 //! | module | what it does |
 //! | --- | --- |
-//! | `connection` | the life of one connection: reading, deadlines, requests and their responses, closing |
+//! | `connection` | serves one connection: reading, deadlines, requests and their responses, closing |
 //! | `message` | decodes the envelope of a message |
 //! | `request` | decodes and checks the parameters of a request |
 //! | `response` | error codes, and the bytes of results, errors and notifications |
--- a/node/src/frontend/jsonrpc/connection.rs
+++ b/node/src/frontend/jsonrpc/connection.rs
@@ -1,4 +1,4 @@
-//! The life of one connection: what it reads and writes, and when it closes.
+//! Serves one connection: reads requests, writes responses, and closes it.
 
 mod deadlines;
 mod requests;
@@ -21,27 +21,28 @@
 use crate::frontend::lingering_close;
 use crate::frontend::write_backlog::WriteBacklog;
 
-/// Requests that may be open on one connection.
+/// Maximum number of open requests on one connection.
 const MAX_OPEN_REQUESTS: usize = 32;
-/// Longest line, in bytes; a body of 2 KiB in base64 and all other fields take a quarter of it.
+/// Maximum length of a line, in bytes. A body of 2 KiB in base64 and all other fields take a quarter of it.
 const MAX_LINE_BYTES: usize = 16 * 1024;
-/// While so many bytes are unwritten nothing more is read: a client that reads nothing does not fill the memory.
+/// Number of unwritten bytes from which nothing more is read, so that a client that reads no responses can't
+/// fill the memory.
 const MAX_UNWRITTEN_BYTES: usize = 64 * 1024;
 /// Free space that is kept in the read buffer for each read, in bytes.
 const READ_CHUNK_BYTES: usize = 4096;
-/// A connection is closed after so many faulty messages in a row: a client that sends them at full speed does not take
-/// the core.
+/// Number of consecutive invalid messages after which a connection is closed, so that a client that sends
+/// them at full speed can't occupy the core.
 const MAX_CONSECUTIVE_ERRORS: u32 = 16;
-/// A connection whose client was told that it closes, and which stays idle, is closed after this long.
+/// Time for which a connection may stay idle after the notification `draining` before it is closed.
 const DRAINING_IDLE_TIMEOUT: Duration = Duration::from_secs(1);
-/// How soon a connection is looked at again where nothing is to end before that.
+/// Longest wait until the deadlines of a connection are checked again.
 const MAX_WAIT: Duration = Duration::from_secs(3600);
-/// Bytes of a faulty message that are logged.
+/// Maximum number of bytes of an invalid message that are logged.
 const MAX_LOGGED_BYTES: usize = 120;
 
 /// A request that has no response yet.
 struct OpenRequest {
-    /// The id as it was sent.
+    /// The JSON-RPC id as it was sent.
     id: Bytes,
     submission: SubmissionId,
 }
@@ -49,11 +50,11 @@
 /// Whether the connection is about to close.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Closing {
-    /// It stays open.
+    /// The connection stays open.
     No,
-    /// It closes once all responses are written, unless one more request comes before that.
+    /// The connection closes once all responses are written, unless another request arrives before that.
     WhenIdle,
-    /// Nothing more is read, and it closes once all responses are written.
+    /// Nothing more is read, and the connection closes once all responses are written.
     StopReading,
 }
 
@@ -63,7 +64,7 @@
     registry: Rc<ClassRegistry>,
     status: watch::Receiver<NodeStatus>,
     guard: ConnectionGuard,
-    /// Where answers come in; each request gets a place in this queue.
+    /// The queue of answers, in which each request reserves a place.
     answers: mpsc::Sender<Answer>,
     open: HashMap<RequestTag, OpenRequest>,
     next_tag: RequestTag,
@@ -71,31 +72,31 @@
     backlog: WriteBacklog,
     /// Whether the node was draining already when the client connected.
     opened_while_draining: bool,
-    /// When the client was told that the connection closes.
+    /// When the notification `draining` was written.
     draining_since: Option<UnixTime>,
     last_used: UnixTime,
-    /// Whether the client has sent something that could be served.
+    /// Whether the client has sent a message that could be served.
     is_proven: bool,
-    /// When the first message, or the one that has begun, is to be complete.
+    /// By when the first message, or the one that has begun, must be complete.
     message_deadline: Option<UnixTime>,
     consecutive_errors: u32,
     closing: Closing,
-    /// The connection is about to close, and the system is asked once more whether a message has arrived.
+    /// Whether the connection is about to close, unless a last poll of the socket finds input.
     is_final_check: bool,
 }
 
-/// Serves one connection to its end.
+/// Serves one connection until it is closed.
 pub(crate) async fn serve(
     mut stream: TcpStream,
     guard: ConnectionGuard,
     exchange: Exchange,
     registry: Rc<ClassRegistry>,
 ) {
-    // A withdrawn request may hold its place in the channel for a moment longer than it is open.
+    // A withdrawn request may keep its place in the channel for a moment after it is no longer open.
     let (answer_sender, answers) = mpsc::channel(2 * MAX_OPEN_REQUESTS);
     let mut connection = Connection::new(guard, exchange, registry, answer_sender);
     let ended = connection.run(&mut stream, answers).await;
-    // Whatever ended the connection, nobody waits any more for what is still open on it.
+    // Whatever ended the connection, the client no longer waits for the requests that are still open.
     for request in std::mem::take(&mut connection.open).into_values() {
         connection.exchange.cancelled(request.submission).await;
     }
@@ -164,10 +165,11 @@
                     }
                     self.process_input(&mut input).await;
                 }
-                // Comes after reading, so that what has arrived is served. A client sends a request that crosses the
-                // close again, once.
+                // Polled after reading, so that a request that has arrived is served. A client retries a
+                // request that crosses the close, but only once.
                 () = self.guard.evicted() => {
-                    // A client that does not read its responses keeps no slot that another one needs.
+                    // A client that does not read its responses must not keep a slot that another client
+                    // needs.
                     if self.open.is_empty() && !self.output.is_empty() {
                         return Ok(());
                     }
@@ -176,7 +178,8 @@
                     }
                 }
                 changed = self.status.changed() => if changed.is_err() { return Ok(()) },
-                // A timer takes a millisecond or two, in which evicted connections would add up past the limit.
+                // A timer would take a millisecond or two, in which evicted connections would accumulate
+                // beyond the limit.
                 () = std::future::ready(()), if closes_at_once => {}
                 () = clock::until(wake_at) => {}
             }
@@ -184,7 +187,7 @@
         Ok(())
     }
 
-    /// Responds with an error, reads nothing more, and closes once all open requests have their responses.
+    /// Responds with an error, stops reading, and closes once all open requests have their responses.
     fn fail(&mut self, message: &'static str) {
         RpcError::invalid_request(message).without_id().write(&mut self.output);
         self.consecutive_errors += 1;
@@ -202,7 +205,8 @@
     async fn process_input(&mut self, input: &mut BytesMut) {
         self.last_used = clock::now();
         let lines = self.process_lines(input).await;
-        // A request that came before the close keeps the connection. Anything else was the last that is read.
+        // A request that arrived before the close keeps the connection open. After any other input nothing is
+        // read.
         if self.closing == Closing::WhenIdle {
             self.closing = if self.open.is_empty() { Closing::StopReading } else { Closing::No };
         }
@@ -210,12 +214,12 @@
         let running = if lines > 0 { None } else { self.message_deadline };
         self.message_deadline = running.or((!input.is_empty()).then(|| self.last_used + MESSAGE_TIMEOUT));
         if lines > 1 {
-            // Other connections have their turn beside a client that sends without a pause.
+            // Lets other connections run while this client sends without a pause.
             tokio::task::yield_now().await;
         }
     }
 
-    /// Serves all complete lines; returns how many there were.
+    /// Processes all complete lines and returns their number.
     async fn process_lines(&mut self, input: &mut BytesMut) -> usize {
         let mut lines = 0;
         while let Some(end) = input.iter().position(|byte| *byte == b'\n') {
--- a/node/src/frontend/jsonrpc/connection/deadlines.rs
+++ b/node/src/frontend/jsonrpc/connection/deadlines.rs
@@ -1,4 +1,4 @@
-//! What depends on time and on the node's status: deadlines of messages and responses, idle connections, draining.
+//! The deadlines of a connection: incomplete messages, unread responses, idle connections and draining.
 
 use std::io;
 
@@ -8,8 +8,8 @@
 use crate::frontend::jsonrpc::response::write_draining;
 
 impl Connection {
-    /// Applies what depends on time and on the node's status. Returns when to do so again at the latest; none if the
-    /// connection is to close.
+    /// Applies all deadlines and the node's status to the connection. Returns when to do so again at the
+    /// latest; none if the connection is to close.
     pub(super) async fn check_deadlines(&mut self, input_is_empty: bool) -> io::Result<Option<UnixTime>> {
         if self.draining_since.is_none() && self.is_draining() {
             self.announce_close();
@@ -21,7 +21,7 @@
         }
         self.is_final_check = is_closing;
         if is_closing {
-            // A message may arrive in this moment: the system is asked once more before the connection closes.
+            // A message may just be arriving: the socket is polled once more before the connection closes.
             tokio::task::yield_now().await;
         }
         self.publish_state();
@@ -33,8 +33,8 @@
         Ok(Some(if is_closing { now } else { self.next_deadline(write_deadline) }))
     }
 
-    /// Whether the client is to go elsewhere. One that connected during the drain came on purpose and stays for as long
-    /// as connections are accepted.
+    /// Whether the client is to use another node. A client that connected during the drain did so
+    /// deliberately and stays for as long as connections are accepted.
     fn is_draining(&self) -> bool {
         let status = self.status.borrow();
         let stays = self.opened_while_draining && status.accepting;
@@ -46,7 +46,7 @@
         self.open.is_empty() && self.output.is_empty()
     }
 
-    /// Tells the connection limiter what the connection is doing.
+    /// Reports the state of the connection to the connection limiter.
     fn publish_state(&self) {
         self.guard.set_state(if !self.open.is_empty() {
             ConnectionState::Busy
@@ -64,7 +64,7 @@
         [idle_deadline, self.message_deadline, write_deadline].into_iter().flatten().min().unwrap_or_default()
     }
 
-    /// When the connection has been idle for too long.
+    /// The time at which the connection will have been idle for too long.
     fn idle_deadline(&self) -> UnixTime {
         let (since, timeout) = match self.draining_since {
             Some(told) => (told.max(self.last_used), Some(DRAINING_IDLE_TIMEOUT)),
@@ -75,8 +75,9 @@
         since + timeout.filter(|_| is_idle).unwrap_or(MAX_WAIT)
     }
 
-    /// Whether the connection has been idle for too long and its client was told before: a client that closes the
-    /// connection itself loses no request to it.
+    /// Whether the connection has been idle for too long since its client was notified. At the first timeout
+    /// it only sends the notification: a client that then closes the connection itself loses no request by
+    /// the close.
     fn check_idle_timeout(&mut self) -> bool {
         if clock::now() < self.idle_deadline() {
             return false;
--- a/node/src/frontend/jsonrpc/connection/requests.rs
+++ b/node/src/frontend/jsonrpc/connection/requests.rs
@@ -16,7 +16,7 @@
         let start = line[..line.len().min(MAX_LOGGED_BYTES)].escape_ascii();
         log!("jsonrpc: message rejected: code={} error={message:?} line={start}", code as i32);
         response.write(&mut self.output);
-        // A proven client may use a class that a reload is still to bring.
+        // A client that was served before may already use a class that this node learns at its next reload.
         let may_be_early = matches!(code, ErrorCode::MethodNotFound | ErrorCode::InvalidParams);
         if !(self.is_proven && may_be_early) {
             self.consecutive_errors += 1;
@@ -56,7 +56,8 @@
             let error = RpcError { code: ErrorCode::MethodNotFound, message: "no such method" };
             return Err(error.in_reply_to(id.as_ref()));
         };
-        // Without an id no response is possible, so nothing is run, and the client learns why.
+        // A result can't be returned without an id, so nothing is run, and the client gets an error with a
+        // null id.
         let Some(id) = id else {
             return Err(RpcError::invalid_request("a request has an id").without_id());
         };
@@ -83,7 +84,7 @@
 
     async fn withdraw(&mut self, withdrawal: &Withdrawal<'_>) {
         let named = |open: &OpenRequest| withdrawal.names(&open.id, open.submission.txn.as_bytes());
-        // A request that got its response meanwhile is not open any more.
+        // A request that got its response in the meantime is no longer open.
         let Some(tag) = self.open.iter().find(|(_, open)| named(open)).map(|(tag, _)| *tag) else { return };
         if let Some(open) = self.open.remove(&tag) {
             self.exchange.cancelled(open.submission).await;
@@ -92,7 +93,7 @@
 
     /// Writes the response to a request.
     pub(super) fn respond(&mut self, answer: &Answer) {
-        // A request that was withdrawn meanwhile gets no response.
+        // A request that was withdrawn in the meantime gets no response.
         let Some(open) = self.open.remove(&answer.tag) else { return };
         self.last_used = clock::now();
         write_outcome(&mut self.output, &open.id, &answer.outcome);
--- a/node/src/frontend/jsonrpc/message.rs
+++ b/node/src/frontend/jsonrpc/message.rs
@@ -22,7 +22,7 @@
     params: Option<&'a RawValue>,
 }
 
-/// A message of the protocol.
+/// A message from a client.
 #[derive(Debug)]
 pub(super) struct Message<'a> {
     /// The id as it was sent; none in a notification.
@@ -39,7 +39,8 @@
             Category::Data => RpcError::invalid_request("not a request").without_id(),
             _ => RpcError { code: ErrorCode::ParseError, message: "not JSON" }.without_id(),
         })?;
-        // The decoder reads a struct from an array too, by position; here an array is a batch, which is not served.
+        // The decoder also accepts an array as a struct, by position. In JSON-RPC an array is a batch, which
+        // is not supported.
         if !is_object(line) {
             return Err(RpcError::invalid_request("not a request").without_id());
         }
@@ -55,7 +56,7 @@
     }
 }
 
-/// The request that a client withdraws: by its id on this connection, by its txn, or by both.
+/// The parameters of `withdraw`, which name a request by its id on this connection, by its txn, or by both.
 #[derive(Deserialize)]
 pub(super) struct Withdrawal<'a> {
     #[serde(borrow, default)]
@@ -73,14 +74,14 @@
             .ok_or(RpcError::invalid_params("withdraw names an id or a txn"))
     }
 
-    /// Whether it names the request with this id and txn.
+    /// Whether the withdrawal names the request with this id and txn.
     pub(super) fn names(&self, id: &[u8], txn: &[u8]) -> bool {
         self.id.is_none_or(|named| named.get().as_bytes() == id)
             && self.txn.as_ref().is_none_or(|named| named.as_bytes() == txn)
     }
 }
 
-/// Ids are numbers and strings.
+/// Whether an id is a number or a string, not an object, an array or a Boolean.
 fn is_valid_id(id: &RawValue) -> bool {
     !matches!(id.get().as_bytes().first(), Some(b'{' | b'[' | b't' | b'f'))
 }
--- a/node/src/frontend/jsonrpc/request.rs
+++ b/node/src/frontend/jsonrpc/request.rs
@@ -15,34 +15,33 @@
 use crate::exchange::Request;
 use crate::frontend::is_valid_memory;
 
-/// Longest body, in bytes.
+/// Maximum length of a body, in bytes.
 const MAX_BODY_BYTES: usize = 2 * 1024;
-/// Longest idempotency key, in bytes.
+/// Maximum length of an idempotency key, in bytes.
 const MAX_KEY_BYTES: usize = 64;
-/// Longest id of a request on all links, in hexadecimal digits.
+/// Maximum length of a request's id, in hexadecimal digits.
 const MAX_TXN_DIGITS: usize = 16;
 /// The tenant of requests that name none.
 const DEFAULT_TENANT: TenantId = TenantId(0);
-/// Milliseconds in a second.
 const MILLIS_PER_SECOND: f64 = 1e3;
 
-/// The parameters of a request. The names in JSON are the clients'.
+/// The parameters of a request. The JSON names are part of the protocol.
 #[derive(Deserialize)]
 struct Params<'a> {
     #[serde(borrow)]
     txn: Cow<'a, str>,
-    /// When the request came to the machine, in Unix milliseconds.
+    /// When the request was first received, in Unix milliseconds.
     #[serde(rename = "door")]
     received_at_ms: f64,
-    /// The client's number.
+    /// The number of the client.
     #[serde(rename = "lb", default)]
     client: u32,
     #[serde(rename = "team", borrow, default)]
     tenant: Cow<'a, str>,
-    /// How long the client waits from then on.
+    /// How long the client waits for the response, counted from `received_at_ms`.
     #[serde(rename = "limit")]
     timeout_ms: Option<f64>,
-    /// The work to expect.
+    /// The CPU time that the request is expected to take.
     #[serde(rename = "cpu")]
     cost_ms: Option<f64>,
     #[serde(rename = "ram")]
@@ -56,7 +55,7 @@
     body: Cow<'a, str>,
 }
 
-/// Decodes the parameters of a request of this class. Texts stay slices of `line` where that is possible.
+/// Decodes the parameters of a request of this class. Strings are slices of `line` where that is possible.
 pub(super) fn decode(
     registry: &ClassRegistry,
     class: ClassId,
@@ -68,7 +67,7 @@
     let key = params.idempotency_key(registry.requires_key(class), line)?;
     params.check_ranges()?;
     let now = clock::now();
-    // A clock that runs ahead must not make a request newer than what the key table knows.
+    // A client whose clock runs ahead must not make a request newer than what the key table knows.
     let received_at = duration_from_millis(params.received_at_ms)?.min(now);
     let tenant = params.tenant(registry)?;
     let deadline = params.deadline(registry, class, received_at, now)?;
@@ -90,7 +89,7 @@
 }
 
 impl Params<'_> {
-    /// The idempotency key, in classes whose requests carry one.
+    /// The idempotency key; none in classes whose requests carry none.
     fn idempotency_key(&self, requires_key: bool, line: &Bytes) -> Result<Option<Bytes>, RpcError> {
         if !requires_key {
             return Ok(None);
@@ -102,7 +101,7 @@
     }
 
     fn check_ranges(&self) -> Result<(), RpcError> {
-        // On the links a txn is one field of a line.
+        // A txn is sent to the backends as one field of a line.
         if !is_txn(&self.txn) {
             return Err(RpcError::invalid_params("txn is up to 16 hex digits"));
         }
@@ -115,7 +114,7 @@
         Ok(())
     }
 
-    /// The tenant; the first one of the settings where none is named.
+    /// The tenant of the request; the first one of the settings if the request names none.
     fn tenant(&self, registry: &ClassRegistry) -> Result<TenantId, RpcError> {
         match registry.tenant_id(&self.tenant) {
             Some(tenant) => Ok(tenant),
@@ -151,7 +150,7 @@
         .map_err(|_| RpcError::invalid_params("no such time"))
 }
 
-/// A text of a line as bytes, copied only where the decoder had to replace escapes.
+/// A string of a line as bytes, which is copied only if the decoder had to replace escape sequences.
 #[expect(clippy::ptr_arg, reason = "whether the text is borrowed from the line decides")]
 fn slice_of(line: &Bytes, text: &Cow<str>) -> Bytes {
     match text {
--- a/node/src/frontend/jsonrpc/response.rs
+++ b/node/src/frontend/jsonrpc/response.rs
@@ -8,23 +8,23 @@
 
 use crate::exchange::RequestOutcome;
 
-/// Tells the client that the connection is about to close.
+/// The notification that the connection is about to close.
 const DRAINING_NOTIFICATION: &[u8] = b"{\"jsonrpc\":\"2.0\",\"method\":\"draining\"}\n";
-/// The id of an error where that of the request is not known.
+/// The id of an error response if the id of the request is not known.
 const NULL_ID: &[u8] = b"null";
 
-/// The codes of errors: the first four are the standard's, the others this protocol's own.
+/// The error codes. The first four are defined by JSON-RPC 2.0, the others by this protocol.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ErrorCode {
     ParseError = -32700,
     InvalidRequest = -32600,
     MethodNotFound = -32601,
     InvalidParams = -32602,
-    /// Rejected: the attempt never ran.
+    /// The attempt was rejected and never ran.
     Rejected = -32011,
-    /// Failed; it may have had its effect.
+    /// The attempt failed and may have had its effect.
     Failed = -32000,
-    /// Failed because its time ran out.
+    /// The attempt did not complete by its deadline.
     TimedOut = -32001,
 }
 
@@ -44,13 +44,14 @@
         RpcError { code: ErrorCode::InvalidParams, message }
     }
 
-    /// This error as the response to a message: to its id, or to nobody where it is a notification.
+    /// The error as the response to the message with this id. A notification, which has no id, gets no
+    /// response.
     pub(super) fn in_reply_to(self, id: Option<&Bytes>) -> ErrorResponse {
         let reply_to = id.map_or(ReplyTo::Nobody, |id| ReplyTo::Request(id.clone()));
         ErrorResponse { reply_to, error: self }
     }
 
-    /// This error as the response to a message whose id is not known or can't be used.
+    /// The error as the response to a message whose id is not known or can't be used.
     pub(super) fn without_id(self) -> ErrorResponse {
         ErrorResponse { reply_to: ReplyTo::UnknownRequest, error: self }
     }
@@ -59,15 +60,15 @@
 /// Which request an error responds to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum ReplyTo {
-    /// The one with this id, as it was sent.
+    /// The request with this id, as it was sent.
     Request(Bytes),
-    /// One whose id is not known.
+    /// A request whose id is not known.
     UnknownRequest,
-    /// None: notifications get no response.
+    /// No request, as notifications get no response.
     Nobody,
 }
 
-/// An error and which request it responds to.
+/// An error and the request that it responds to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct ErrorResponse {
     pub(super) reply_to: ReplyTo,
@@ -75,7 +76,7 @@
 }
 
 impl ErrorResponse {
-    /// Appends the response, if there is anybody to get it.
+    /// Appends the response, unless it is for a notification.
     pub(super) fn write(&self, output: &mut BytesMut) {
         match &self.reply_to {
             ReplyTo::Request(id) => write_error(output, id, self.error, ""),
--- a/node/src/frontend/uwsgi.rs
+++ b/node/src/frontend/uwsgi.rs
@@ -1,13 +1,13 @@
-//! The uwsgi frontend: one request in a uwsgi packet on each connection, and the response as HTTP.
+//! The uwsgi frontend: each connection carries one request in a uwsgi packet, and its response in HTTP.
 //!
 //! | variable | meaning |
 //! | --- | --- |
 //! | `PATH_INFO` | `/` and the class; `/status` is a health check |
-//! | `CONTENT_LENGTH` | bytes of body after the packet; none if absent |
-//! | `HTTP_IDEMPOTENCY_KEY` | in keyed classes: the same for all attempts of one request, with the same body |
-//! | `HTTP_X_TENANT` | the tenant by name; without one the request counts to nobody's share |
-//! | `HTTP_X_DEADLINE` | when the caller stops waiting, in Unix milliseconds; at the latest, and without one, the class's deadline from now |
-//! | `HTTP_X_COST` | the work to expect, in milliseconds on one core |
+//! | `CONTENT_LENGTH` | length of the body after the packet, in bytes; no body if absent |
+//! | `HTTP_IDEMPOTENCY_KEY` | required in keyed classes; all attempts of one request have the same key and the same body |
+//! | `HTTP_X_TENANT` | name of the tenant; without one the request counts towards no tenant's share |
+//! | `HTTP_X_DEADLINE` | when the client stops waiting, in Unix milliseconds; limited to the class's deadline from now, which is also the default |
+//! | `HTTP_X_COST` | expected CPU time, in milliseconds on one core |
 //! | `HTTP_X_RAM` | the memory that is booked for the request while it is queued, in KB, under 2,000 |
 
 mod context;
@@ -34,16 +34,16 @@
 pub(crate) use request_ids::RequestIds;
 use response::{encode_error, encode_health, encode_outcome};
 
-/// How long a client may take to read its response.
+/// Time in which a client must read its response.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Initial capacity of the read buffer, in bytes.
 const READ_BUFFER_BYTES: usize = 4096;
-/// Bytes that are read at a time, and dropped, while the client waits for its response.
+/// Maximum number of bytes that one read drops while the client waits for its response.
 const DROPPED_CHUNK_BYTES: usize = 1024;
-/// The one request of a connection.
+/// The tag of the only request of a connection.
 const ONLY_REQUEST: RequestTag = RequestTag(0);
 
-/// Serves one connection to its end.
+/// Serves one connection until it is closed.
 pub(crate) async fn serve(mut stream: TcpStream, guard: ConnectionGuard, frontend: Rc<UwsgiFrontend>) {
     // A client whose connection breaks gets no response.
     if let Err(error) = serve_request(&mut stream, &guard, &frontend).await {
--- a/node/src/frontend/uwsgi/context.rs
+++ b/node/src/frontend/uwsgi/context.rs
@@ -1,4 +1,4 @@
-//! What all connections of the uwsgi frontend share.
+//! The state that all connections of the uwsgi frontend share.
 
 use std::rc::Rc;
 
@@ -6,12 +6,12 @@
 use crate::class_registry::ClassRegistry;
 use crate::exchange::Exchange;
 
-/// What all connections of this frontend share.
+/// The state that all connections of the uwsgi frontend share.
 pub(crate) struct UwsgiFrontend {
-    /// The way to the dispatcher.
+    /// The channel to the dispatcher.
     pub(crate) exchange: Exchange,
     /// The classes and tenants in the settings.
     pub(crate) registry: Rc<ClassRegistry>,
-    /// Ids for the requests, which come without any.
+    /// The ids for requests, as uwsgi requests carry none.
     pub(crate) ids: RequestIds,
 }
--- a/node/src/frontend/uwsgi/request.rs
+++ b/node/src/frontend/uwsgi/request.rs
@@ -14,17 +14,19 @@
 use crate::frontend::is_valid_memory;
 use crate::uwsgi::{PacketHead, Variables, HEAD_BYTES};
 
-/// Most bytes of variables in a packet.
+/// Maximum length of the variables in a packet, in bytes.
 const MAX_VARIABLES_BYTES: usize = 16 * 1024;
-/// Longest body, in bytes.
+/// Maximum length of a body, in bytes.
 const MAX_BODY_BYTES: usize = 64 * 1024;
-/// Longest idempotency key, in bytes.
+/// Maximum length of an idempotency key, in bytes.
 const MAX_KEY_BYTES: usize = 256;
-/// The memory that is booked for a request that does not say, in KB.
+/// Memory that is booked for a request without `HTTP_X_RAM`, in KB.
 const DEFAULT_MEMORY_KB: f64 = 32.0;
-/// All clients of this frontend count as one in the decisions, as none keeps a connection.
+/// The caller of all requests: the clients of this frontend count as one in the decisions, as none keeps a
+/// connection.
 const CALLER: CallerId = CallerId(u32::MAX);
-/// No position in the list of tenants: the request counts to no tenant's share.
+/// The tenant of requests that name none. It is not in the settings, so these requests count towards no
+/// tenant's share.
 const NO_TENANT: TenantId = TenantId(u16::MAX);
 /// The rank of a request, which this protocol does not carry.
 const DEFAULT_RANK: f64 = 0.5;
@@ -43,15 +45,15 @@
     body: Bytes,
 }
 
-/// What a packet asks for.
+/// The purpose of a packet.
 pub(super) enum Target {
     /// A health check.
     Health,
-    /// To run this request.
+    /// A request to run.
     Run(Request),
 }
 
-/// Reads a packet and its body; one that is cut off is an I/O error and starts nothing.
+/// Reads a packet and its body. A packet or body that is cut off is an I/O error, and nothing is run.
 pub(super) async fn read_request(
     stream: &mut TcpStream,
     input: &mut BytesMut,
@@ -94,7 +96,7 @@
     }
 }
 
-/// Reads until the input has so many bytes.
+/// Reads until the input has at least `length` bytes.
 async fn fill(stream: &mut TcpStream, input: &mut BytesMut, length: usize) -> io::Result<()> {
     while input.len() < length {
         input.reserve(length - input.len());
@@ -106,7 +108,7 @@
 }
 
 impl UwsgiFrontend {
-    /// Decodes what a packet asks for.
+    /// Decodes a packet into a health check or a request.
     pub(super) fn resolve(&self, packet: &ReceivedPacket, now: UnixTime) -> Result<Target, RequestError> {
         let variables = &packet.variables;
         let path = variables.text("PATH_INFO").ok_or(RequestError::BadRequest("PATH_INFO is missing"))?;
@@ -139,7 +141,7 @@
         }))
     }
 
-    /// The idempotency key, in classes whose requests carry one.
+    /// The idempotency key; none in classes whose requests carry none.
     fn idempotency_key(&self, variables: &Variables, class: ClassId) -> Result<Option<Bytes>, RequestError> {
         if !self.registry.requires_key(class) {
             return Ok(None);
--- a/node/src/frontend/uwsgi/request_ids.rs
+++ b/node/src/frontend/uwsgi/request_ids.rs
@@ -1,4 +1,4 @@
-//! Ids for the requests of uwsgi clients, which come without any.
+//! Generates ids for the requests of uwsgi clients, which carry none.
 
 use std::cell::Cell;
 
@@ -12,11 +12,12 @@
 const SECOND_FACTOR: u64 = 0x94d0_49bb_1331_11eb;
 const LAST_SHIFT: u32 = 31;
 
-/// A source of ids that are not used twice, here or by JSON-RPC clients, but by a chance of one in 2^64.
+/// A generator of request ids. The probability that two ids, of this frontend or of JSON-RPC clients, are
+/// equal is one in 2^64.
 pub(crate) struct RequestIds(Cell<u64>);
 
 impl RequestIds {
-    /// The ids that follow from a seed.
+    /// Creates a generator whose sequence is determined by the seed.
     pub(crate) fn new(seed: u64) -> Self {
         RequestIds(Cell::new(seed))
     }
--- a/node/src/frontend/uwsgi/response.rs
+++ b/node/src/frontend/uwsgi/response.rs
@@ -1,4 +1,4 @@
-//! Responses in HTTP.
+//! Encodes the HTTP responses of the uwsgi frontend.
 
 use bytes::Bytes;
 
@@ -6,7 +6,7 @@
 use crate::exchange::RequestOutcome;
 use crate::http::{self, Status};
 
-/// When a rejected client may try again, in seconds, where the decision does not say.
+/// The Retry-After of a rejection that states no time, in seconds, and the minimum for those that do.
 const DEFAULT_RETRY_AFTER_SECONDS: u128 = 1;
 const MILLIS_PER_SECOND: u128 = 1000;
 
@@ -33,7 +33,7 @@
     match outcome {
         RequestOutcome::Served(result) => encode(Status::OK, "", result),
         RequestOutcome::Rejected { retry_after, give_up } => {
-            // Whole seconds, rounded up: an attempt that comes early would be rejected again.
+            // Rounded up to whole seconds: an earlier attempt would be rejected again.
             let seconds = retry_after.map_or(DEFAULT_RETRY_AFTER_SECONDS, |after| {
                 after.as_millis().div_ceil(MILLIS_PER_SECOND).max(DEFAULT_RETRY_AFTER_SECONDS)
             });
--- a/node/src/frontend/write_backlog.rs
+++ b/node/src/frontend/write_backlog.rs
@@ -1,19 +1,19 @@
-//! By when a client has to have read what was written for it, so that a client that reads nothing, or a byte now and
-//! then, does not hold its connection and memory.
+//! The deadline by which a client must read its responses, so that a client that reads nothing, or only a
+//! byte now and then, can't hold a connection and its memory.
 
 use std::time::Duration;
 
 use crate::clock::UnixTime;
 
-/// What is queued at some moment is written this long after it, or the connection is closed.
+/// Time in which the output that is queued at some moment must be written; otherwise the connection is
+/// closed.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A position in the output that is to be reached in time.
+/// A position in the output, and the deadline for reaching it.
 #[derive(Debug, Clone, Copy)]
 struct Target {
-    /// Bytes that are to be written since the connection was opened.
+    /// The position, in bytes since the connection was opened.
     total_written: u64,
-    /// By when.
     deadline: UnixTime,
 }
 
@@ -31,8 +31,8 @@
         self.total_written += bytes as u64;
     }
 
-    /// When the connection is to be closed unless its client reads on; none while nothing is queued. No byte is queued
-    /// for more than twice the timeout, however fast more are added.
+    /// The time at which the connection is closed unless its client reads further; none while nothing is
+    /// queued. No byte stays queued for more than twice the timeout, however fast others are added.
     pub(crate) fn deadline(&mut self, queued: usize, now: UnixTime) -> Option<UnixTime> {
         if queued == 0 {
             self.target = None;
--- a/node/src/frontend/write_backlog/tests.rs
+++ b/node/src/frontend/write_backlog/tests.rs
@@ -3,11 +3,11 @@
 const START: UnixTime = Duration::from_secs(1_000);
 
 #[test]
-fn small_writes_do_not_extend_the_deadline_of_what_is_queued() {
+fn small_writes_do_not_extend_the_deadline_of_queued_output() {
     let mut backlog = WriteBacklog::default();
     assert_eq!(backlog.deadline(0, START), None);
     assert_eq!(backlog.deadline(100, START), Some(START + WRITE_TIMEOUT));
-    // A byte now and then, while more is queued.
+    // One byte is written each second while more output is queued.
     for second in 1..5 {
         backlog.record_write(1);
         let now = START + Duration::from_secs(second);
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn what_is_queued_later_gets_a_deadline_once_what_was_queued_before_is_written() {
+fn later_output_gets_a_deadline_once_earlier_output_is_written() {
     let mut backlog = WriteBacklog::default();
     backlog.deadline(100, START);
     backlog.record_write(100);
@@ -24,7 +24,7 @@
     assert_eq!(backlog.deadline(40, later), Some(later + WRITE_TIMEOUT));
     backlog.record_write(40);
     assert_eq!(backlog.deadline(0, later), None, "nothing is queued");
-    // The deadline of late responses counts from when they are queued.
+    // After an idle time, the deadline counts from when output is queued again.
     let next = later + Duration::from_secs(60);
     assert_eq!(backlog.deadline(7, next), Some(next + WRITE_TIMEOUT));
 }
