--- a/node/src/backend/interpreter.rs
+++ b/node/src/backend/interpreter.rs
@@ -30,7 +30,8 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time in which a message that has begun must be complete; otherwise the client reconnects.
 const MESSAGE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Tag of the gauge query that is sent first on a link. Its response comes after all earlier notices.
+/// Tag of the gauge query that answers the banner of a new link. Its response follows all notices from before
+/// the link.
 const FENCE_TAG: &[u8] = b"fence";
 /// The interpreter counts as restarted if its start time, computed from its uptime, moves forward by more
 /// than this.
--- a/node/src/frontend/jsonrpc.rs
+++ b/node/src/frontend/jsonrpc.rs
@@ -1,8 +1,8 @@
 //! The JSON-RPC frontend: JSON-RPC 2.0 over TCP, one message per line.
 //!
-//! Methods are the classes of the settings, `status` (a health check) and `withdraw` (the client no longer waits for a
-//! request). Before the node closes a connection it sends the notification `draining` and gives the client time to
-//! close it first, so that no request crosses the close.
+//! The methods are the classes of the settings, `status` (a health check) and `withdraw` (the client no
+//! longer waits for a request). Before the node closes a connection it sends the notification `draining` and
+//! gives the client time to close it first, so that no request crosses the close.
 //!
 //! | module | what it does |
 //! | --- | --- |
--- a/node/src/frontend/jsonrpc/message.rs
+++ b/node/src/frontend/jsonrpc/message.rs
@@ -28,7 +28,7 @@
     /// The id as it was sent; none in a notification.
     pub(super) id: Option<Bytes>,
     pub(super) method: Cow<'a, str>,
-    /// The parameters in JSON; an empty object where there are none.
+    /// The parameters in JSON; an empty object if there are none.
     pub(super) params: &'a str,
 }
 
--- a/node/src/frontend/jsonrpc/request.rs
+++ b/node/src/frontend/jsonrpc/request.rs
@@ -55,7 +55,7 @@
     body: Cow<'a, str>,
 }
 
-/// Decodes the parameters of a request of this class. Strings are slices of `line` where that is possible.
+/// Decodes the parameters of a request of this class. Strings are slices of `line` if possible.
 pub(super) fn decode(
     registry: &ClassRegistry,
     class: ClassId,
