--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -1,7 +1,8 @@
-//! The configuration of a node: the platform's JSON, and the operators' files that switch further parts on.
+//! The configuration of a node: the platform's JSON file, and the operators' TOML files that enable optional
+//! parts.
 //!
-//! All files are read and checked together, at the start and at each reload. What is wrong is a [`ConfigError`], one line
-//! that names the key; nothing of a configuration with an error is used.
+//! All files are read and checked together, at startup and at each reload. An error in any of them is a
+//! [`ConfigError`], a line that names the key, and none of the files is then used.
 
 mod decision_log;
 mod error;
@@ -24,36 +25,36 @@
 pub(crate) use upstreams::UpstreamAddresses;
 pub(crate) use uwsgi::{UwsgiConfig, VrrpConfig};
 
-/// Names the platform's configuration where the command line does not.
+/// Environment variable with the path of the platform's file, which is used if the command line names none.
 const CONFIG_VARIABLE: &str = "BALANCER_CONFIG";
 
-/// The files of a configuration, as the command line names them.
+/// The paths of the configuration files, as given on the command line.
 #[derive(Debug)]
 pub(crate) struct ConfigFiles {
-    /// The platform's JSON; by default the file that `BALANCER_CONFIG` names.
+    /// The platform's JSON file; if none, the file that `BALANCER_CONFIG` names.
     pub(crate) config: Option<PathBuf>,
-    /// Switches the uwsgi frontend on.
+    /// The operators' file that enables the uwsgi frontend.
     pub(crate) uwsgi: Option<PathBuf>,
-    /// Makes idempotency keys and results outlast the process.
+    /// The operators' file that enables the result store.
     pub(crate) result_store: Option<PathBuf>,
-    /// Makes the node a member of a fleet.
+    /// The operators' file that makes the node a member of a fleet.
     pub(crate) fleet: Option<PathBuf>,
-    /// Makes the node record its decisions.
+    /// The operators' file that enables the decision log.
     pub(crate) decision_log: Option<PathBuf>,
 }
 
-/// A whole configuration.
+/// The checked contents of all configuration files.
 #[derive(Debug)]
 pub(crate) struct Configuration {
-    /// The platform's part.
+    /// The platform's configuration.
     pub(crate) node: NodeConfig,
-    /// The uwsgi frontend.
+    /// The uwsgi frontend; none if it is not enabled.
     pub(crate) uwsgi: Option<UwsgiConfig>,
-    /// Where idempotency keys and results outlast the process.
+    /// The result store; none if idempotency keys and results are kept in memory only.
     pub(crate) result_store: Option<ResultStoreConfig>,
-    /// The fleet.
+    /// The fleet; none if the node is not a member of one.
     pub(crate) fleet: Option<FleetConfig>,
-    /// Where decisions are recorded.
+    /// The decision log; none if decisions are not recorded.
     pub(crate) decision_log: Option<DecisionLogConfig>,
 }
 
@@ -62,7 +63,7 @@
     ///
     /// # Errors
     ///
-    /// If a file cannot be read or is not valid, or if they contradict each other.
+    /// If a file cannot be read or is not valid, or if the files contradict each other.
     pub(crate) fn load(&self) -> Result<Configuration, ConfigError> {
         let mut node = NodeConfig::read(&self.node_config_path()?)?;
         let uwsgi = self.uwsgi.as_deref().map(UwsgiConfig::read).transpose()?;
@@ -71,7 +72,7 @@
             node.upstreams.uwsgi_call_servers.clone_from(&uwsgi.call_servers);
         }
         if node.upstreams.interpreter.is_none() && node.upstreams.uwsgi_run_servers.is_empty() {
-            let problem = "missing, and no uwsgi servers run the requests in its place";
+            let problem = "missing, and no uwsgi servers are configured to run requests instead";
             return Err(ConfigError::inconsistent("vm", problem));
         }
         let result_store = self.result_store.as_deref().map(ResultStoreConfig::read).transpose()?;
@@ -83,11 +84,11 @@
         Ok(Configuration { node, uwsgi, result_store, fleet, decision_log })
     }
 
-    /// Reads and checks all files for a start: the node has to be a member of the fleet that it starts with.
+    /// Reads and checks all files at startup, when the node must be a member of its configured fleet.
     ///
     /// # Errors
     ///
-    /// As for [`ConfigFiles::load`].
+    /// As for [`ConfigFiles::load`], or if the node is not a member of the fleet.
     pub(crate) fn load_for_startup(&self) -> Result<Configuration, ConfigError> {
         let configuration = self.load()?;
         if let Some(fleet) = &configuration.fleet {
--- a/node/src/config/decision_log.rs
+++ b/node/src/config/decision_log.rs
@@ -1,4 +1,4 @@
-//! The operators' file that makes a node record its decisions.
+//! The operators' file that enables the decision log.
 
 use std::ops::RangeInclusive;
 use std::path::PathBuf;
@@ -13,14 +13,14 @@
 const FILES_RANGE: RangeInclusive<u64> = 2..=1000;
 const DEFAULT_FILES: usize = 8;
 
-/// Where decisions are recorded.
+/// Location and limits of the decision log.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct DecisionLogConfig {
-    /// A folder of this node alone.
+    /// The folder of the log files, which no other node uses.
     pub(crate) folder: PathBuf,
-    /// A file that has this length is closed, and the next one begun.
+    /// Size, in bytes, at which a log file is closed and the next one begun.
     pub(crate) max_file_bytes: u64,
-    /// Files that are kept.
+    /// Maximum number of log files that are kept.
     pub(crate) max_files: usize,
 }
 
--- a/node/src/config/error.rs
+++ b/node/src/config/error.rs
@@ -1,4 +1,5 @@
-//! What is wrong with a configuration. Every error is one line that names the key, and the value where it has one.
+//! Errors in configuration files. The text of each is one line that names the key and, if there is one, its
+//! value.
 
 use std::fmt::Display;
 use std::io;
@@ -8,50 +9,51 @@
 /// A configuration that cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ConfigError {
-    /// No file is named.
-    #[error("no configuration: name one with --config or BALANCER_CONFIG")]
+    /// Neither the command line nor the environment names the platform's file.
+    #[error("no configuration file given: use --config or set BALANCER_CONFIG")]
     NoFile,
     /// A file cannot be read.
-    #[error("{}: {source}", path.display())]
+    #[error("cannot read {}: {source}", path.display())]
     Unreadable {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// Why not.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The platform's JSON, its settings or a membership configuration is malformed, as their parsers say.
+    /// The platform's JSON, its settings or a membership configuration is malformed. Holds the message of the
+    /// parser.
     #[error("{0}")]
     Malformed(String),
     /// An operators' file is malformed.
     #[error("{file} file, line {line}{key}: {message}")]
     MalformedOperatorsFile {
-        /// Which file.
+        /// The kind of file, such as `uwsgi`.
         file: &'static str,
-        /// The line, from 1.
+        /// The number of the line, from 1.
         line: usize,
-        /// The key after a comma; empty if the file is no TOML.
+        /// A comma and the key; empty if the file is not valid TOML.
         key: String,
-        /// What is wrong.
+        /// The message of the parser.
         message: String,
     },
     /// A number is outside its range.
-    #[error("{key}: {value} is out of range, {} to {} are possible", range.start(), range.end())]
+    #[error("{key}: {value} is out of range, must be from {} to {}", range.start(), range.end())]
     OutOfRange {
         /// The key.
         key: String,
         /// Its value.
         value: u64,
-        /// What is possible.
+        /// The allowed values.
         range: RangeInclusive<u64>,
     },
-    /// A text is not what is needed.
+    /// A string does not have the expected form.
     #[error("{key}: {value:?} is not {expected}")]
     Invalid {
         /// The key.
         key: String,
         /// Its value.
         value: String,
-        /// What is needed.
+        /// A description of the expected form.
         expected: &'static str,
     },
     /// A key is missing, or its value contradicts another one.
@@ -59,18 +61,18 @@
     Inconsistent {
         /// The key.
         key: String,
-        /// What is wrong.
+        /// A description of the problem.
         problem: String,
     },
 }
 
 impl ConfigError {
-    /// An error from a parser, which may put an excerpt of the text on lines of its own.
+    /// Converts the error of a parser. Only its first line is kept, as further lines may quote the input.
     pub(super) fn malformed(error: &impl Display) -> ConfigError {
         ConfigError::Malformed(first_line(error))
     }
 
-    /// A key is missing, or its value contradicts another one.
+    /// Creates an error for a key that is missing, or whose value contradicts another one.
     pub(super) fn inconsistent(key: impl Into<String>, problem: impl Into<String>) -> ConfigError {
         ConfigError::Inconsistent { key: key.into(), problem: problem.into() }
     }
--- a/node/src/config/fleet.rs
+++ b/node/src/config/fleet.rs
@@ -21,7 +21,7 @@
 const DEFAULT_LINKS: usize = 128;
 const KB_PER_S_RANGE: RangeInclusive<u64> = 64..=10_000_000;
 const DEFAULT_KB_PER_S: u64 = 16_000;
-/// Bytes of the kilobyte in `kb_per_s`.
+/// Bytes in a kilobyte, the unit of `kb_per_s`.
 const KILOBYTE: u64 = 1000;
 const PROBE_MS_RANGE: RangeInclusive<u64> = 50..=60_000;
 const DEFAULT_PROBE_MS: u64 = 500;
@@ -29,22 +29,22 @@
 /// The zone of members that name none.
 const DEFAULT_ZONE: &str = "here";
 
-/// A node's place in its fleet.
+/// The settings of a node as a member of its fleet.
 #[derive(Debug, Clone)]
 pub(crate) struct FleetConfig {
     /// This node's name in the membership configuration.
     pub(crate) name: String,
-    /// Where peers connect.
+    /// The address that peers connect to.
     pub(crate) listen: SocketAddr,
-    /// Bytes that the replicas held for other nodes may take.
+    /// Maximum memory of the replicas held for other nodes, in bytes.
     pub(crate) max_replica_bytes: usize,
-    /// Links that may be open, both ways together.
+    /// Maximum number of open links, inbound and outbound together.
     pub(crate) max_links: usize,
-    /// Bytes a second for state transfers, each way.
+    /// Maximum rate of state transfers in each direction, in bytes a second.
     pub(crate) transfer_bytes_per_second: u64,
-    /// Between two probes of the failure detector.
+    /// Time between two probes of the failure detector.
     pub(crate) probe_interval: Duration,
-    /// Where the votes of this node outlast the process; none if they don't.
+    /// The store that makes this node's votes survive a restart; none if they are kept in memory only.
     pub(crate) vote_store: Option<ResultStoreConfig>,
     /// The membership configuration.
     pub(crate) membership: Arc<MembershipConfig>,
@@ -145,7 +145,7 @@
 }
 
 impl FleetConfig {
-    /// Fails unless this fits the platform's configuration.
+    /// Checks the limits that depend on the platform's configuration.
     pub(super) fn check_against(&self, node: &NodeConfig) -> Result<(), ConfigError> {
         let window = node.max_idempotency_window();
         if self.membership.window() < window {
@@ -154,13 +154,13 @@
             return Err(ConfigError::inconsistent("fleet file, list.window_ms", problem));
         }
         if self.max_links > node.max_descriptors / 2 {
-            let problem = format!("half of limits.sockets ({}) at the most", node.max_descriptors);
+            let problem = format!("must be at most half of limits.sockets ({})", node.max_descriptors);
             return Err(ConfigError::inconsistent("fleet file, links", problem));
         }
         Ok(())
     }
 
-    /// Fails unless this node is a member of the fleet, which it has to be when it starts.
+    /// Checks that this node is a member of the fleet, which is required at startup.
     pub(super) fn check_membership(&self) -> Result<(), ConfigError> {
         if self.membership.index_of(NodeId::of(&self.name)).is_none() {
             let problem = format!("{:?} is not on the list", self.name);
--- a/node/src/config/missing_keys.rs
+++ b/node/src/config/missing_keys.rs
@@ -1,9 +1,9 @@
-//! Compares two JSON documents by the keys that they have.
+//! Finds the keys of a JSON document that a later version of it lacks.
 
 use serde_json::value::Value;
 
-/// The keys of `before` that `after` lacks, each as a path with dots. Of the members of a list, a key counts as missing if
-/// each member had it before.
+/// The keys of `before` that `after` lacks, as dotted paths. In a member of a list, a key counts as missing
+/// if every member of the list had it before.
 pub(super) fn missing_keys(before: &Value, after: &Value) -> Vec<String> {
     match (before, after) {
         (Value::Object(before), Value::Object(after)) => {
@@ -22,14 +22,14 @@
     }
 }
 
-/// The keys that each of the old members of a list had and the new one lacks.
+/// The keys that every old member of a list had and the new member lacks.
 fn missing_in_every(before: &[Value], new: &Value) -> Vec<String> {
     let in_each = before.iter().map(|old| missing_keys(old, new));
     let common = in_each.reduce(|common, one| common.into_iter().filter(|key| one.contains(key)).collect());
     common.unwrap_or_default()
 }
 
-/// Puts a key before paths; an empty path stands for the key itself.
+/// Prefixes paths with a key; an empty path stands for the key itself.
 fn with_prefix(key: &str, paths: Vec<String>) -> Vec<String> {
     let join = |path: String| if path.is_empty() { key.to_string() } else { format!("{key}.{path}") };
     paths.into_iter().map(join).collect()
--- a/node/src/config/node.rs
+++ b/node/src/config/node.rs
@@ -15,11 +15,11 @@
 use super::upstreams::UpstreamAddresses;
 use crate::hexadecimal;
 
-/// The fewest descriptors that a node can work with.
+/// Minimum of `limits.sockets`, below which a node can't work.
 const MIN_DESCRIPTORS: usize = 32;
 const DEFAULT_DESCRIPTORS: usize = 1024;
 const DEFAULT_MEMORY_MB: usize = 192;
-/// Keys are remembered for so much longer than the settings say, as clocks of callers differ.
+/// Time for which keys are remembered beyond the window in the settings, as the clocks of callers differ.
 const WINDOW_MARGIN: Duration = Duration::from_secs(1);
 
 /// The platform's configuration.
@@ -27,23 +27,23 @@
 pub(crate) struct NodeConfig {
     /// The node's name.
     pub(crate) name: String,
-    /// Where JSON-RPC clients connect.
+    /// The address that JSON-RPC clients connect to.
     pub(crate) listen: SocketAddr,
-    /// Where operators call; none if they don't.
+    /// The address of the admin interface; none if it is disabled.
     pub(crate) ops: Option<SocketAddr>,
     /// The services that the node connects to.
     pub(crate) upstreams: UpstreamAddresses,
-    /// Seed of the random numbers.
+    /// The seed of the random number generators.
     pub(crate) seed: u64,
-    /// How long after the shutdown notice the process is stopped.
+    /// Time from the shutdown notice until the platform stops the process.
     pub(crate) stop_timeout: Duration,
-    /// Descriptors that the process may hold.
+    /// Maximum number of file descriptors that the process may have open.
     pub(crate) max_descriptors: usize,
-    /// Bytes of memory that the process may take.
+    /// Maximum memory of the process, in bytes.
     pub(crate) max_memory_bytes: usize,
-    /// The settings of the admission module, with the names in them.
+    /// The settings of the admission module, with the names of classes and tenants.
     pub(crate) settings: NamedSettings,
-    /// The whole file.
+    /// The complete file as JSON.
     pub(crate) json: Value,
 }
 
@@ -81,7 +81,7 @@
     ///
     /// # Errors
     ///
-    /// If it cannot be read or is not valid.
+    /// If the file cannot be read or is not valid.
     pub(crate) fn read(path: &Path) -> Result<Self, ConfigError> {
         NodeConfig::parse(&read_text(path)?)
     }
@@ -90,7 +90,7 @@
     ///
     /// # Errors
     ///
-    /// If it is not valid.
+    /// If the text is not a valid configuration.
     pub(crate) fn parse(text: &str) -> Result<Self, ConfigError> {
         let raw = parse_json(text)?;
         let settings = parse_settings(raw.settings)?;
@@ -117,7 +117,7 @@
         })
     }
 
-    /// The longest that any key is remembered, with a margin.
+    /// The longest time for which any idempotency key is remembered, including a margin.
     pub(crate) fn max_idempotency_window(&self) -> Duration {
         let classes = self.settings.settings.classes.iter();
         let longest =
@@ -125,9 +125,9 @@
         longest + WINDOW_MARGIN
     }
 
-    /// The first key of the configuration `before` that this one lacks. It prevents that a running node takes over a file
-    /// that is not whole, whose missing keys would be taken for their defaults. In a list, the keys are needed that each of
-    /// its members had.
+    /// The first key of the configuration `before` that this one lacks. A running node does not apply such a
+    /// file: it may be incomplete, and its missing keys would take their defaults. In a list, only keys that
+    /// every member had are required.
     pub(crate) fn first_missing_key(&self, before: &NodeConfig) -> Option<String> {
         missing_keys(&before.json, &self.json).into_iter().next()
     }
@@ -155,18 +155,18 @@
     let parsed = oakwind_settings::parse(raw.get()).map_err(|error| ConfigError::malformed(&error))?;
     let classes = &parsed.settings.classes;
     if parsed.classes.is_empty() {
-        return Err(ConfigError::inconsistent("settings.services", "names no class"));
+        return Err(ConfigError::inconsistent("settings.services", "must have at least one class"));
     }
     if let Some(i) = classes.iter().position(|class| class.deadline.is_zero()) {
         let key = format!("settings.services[{i}].deadline");
-        return Err(ConfigError::inconsistent(key, "0 is no time to answer in"));
+        return Err(ConfigError::inconsistent(key, "must be greater than 0"));
     }
-    // Keys would be forgotten while their attempts still come.
+    // Without a window, a key would be forgotten while attempts with it may still arrive.
     let lacks_window =
         |class: &Class| class.effect == Effect::IdempotencyKey && class.idempotency_window.is_zero();
     if let Some(i) = classes.iter().position(lacks_window) {
         let key = format!("settings.services[{i}].window");
-        return Err(ConfigError::inconsistent(key, "missing or 0, and its keys may come again"));
+        return Err(ConfigError::inconsistent(key, "missing or 0, but required for a class with keys"));
     }
     Ok(parsed)
 }
@@ -175,13 +175,13 @@
     hexadecimal::parse(text).ok_or_else(|| ConfigError::Invalid {
         key: "seed".into(),
         value: text.into(),
-        expected: "hexadecimal",
+        expected: "a hexadecimal number of 64 bits",
     })
 }
 
 fn check_descriptors(count: usize) -> Result<(), ConfigError> {
     if count < MIN_DESCRIPTORS {
-        let problem = format!("{count} is too few, {MIN_DESCRIPTORS} at least");
+        let problem = format!("{count} is too low, must be at least {MIN_DESCRIPTORS}");
         return Err(ConfigError::inconsistent("limits.sockets", problem));
     }
     Ok(())
--- a/node/src/config/parse.rs
+++ b/node/src/config/parse.rs
@@ -1,4 +1,4 @@
-//! What the configuration files have in common: reading, parsing, addresses, ranges, paths.
+//! Reading and parsing of configuration files, and checks of addresses, ranges and paths in them.
 
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -9,34 +9,34 @@
 
 use super::error::{first_line, ConfigError};
 
-/// Bytes of a mebibyte, the unit of the keys that end in `_mb`.
+/// Bytes in a mebibyte, the unit of the keys that end in `_mb`.
 pub(super) const MEBIBYTE: u64 = 1024 * 1024;
 
-/// The text of a file.
+/// Reads a file as text.
 pub(super) fn read_text(path: &Path) -> Result<String, ConfigError> {
     std::fs::read_to_string(path)
         .map_err(|source| ConfigError::Unreadable { path: path.to_path_buf(), source })
 }
 
-/// A file that operators write, in TOML.
+/// A TOML file that is written by operators.
 pub(super) trait OperatorsFile: Sized {
-    /// What errors call it.
+    /// The kind of file, as error messages name it.
     const FILE: &'static str;
-    /// Its keys as they are written.
+    /// The keys and unchecked values of the file.
     type Raw: DeserializeOwned;
 
     /// Checks the values of the keys.
     ///
     /// # Errors
     ///
-    /// If one of them is not valid.
+    /// If a value is not valid.
     fn from_raw(raw: Self::Raw) -> Result<Self, ConfigError>;
 
     /// Parses and checks the text of a file.
     ///
     /// # Errors
     ///
-    /// If it is not valid.
+    /// If the text is not valid TOML, or a key or value is not valid.
     fn parse(text: &str) -> Result<Self, ConfigError> {
         Self::from_raw(parse_toml(Self::FILE, text)?)
     }
@@ -45,7 +45,7 @@
     ///
     /// # Errors
     ///
-    /// If it cannot be read or is not valid.
+    /// If the file cannot be read or is not valid.
     fn read(path: &Path) -> Result<Self, ConfigError> {
         Self::parse(&read_text(path)?)
     }
@@ -63,26 +63,26 @@
         .map_err(|error| malformed(format!(", {}", error.path()), error.inner()))
 }
 
-/// The number, from 1, of the line that a byte of a text is on.
+/// The number, from 1, of the line that contains a byte of a text.
 fn line_at(text: &str, byte: usize) -> usize {
     text[..byte.min(text.len())].lines().count().max(1)
 }
 
-/// An address with a port.
+/// Parses an IP address with a port.
 pub(super) fn parse_address(key: &str, text: &str) -> Result<SocketAddr, ConfigError> {
     text.parse().map_err(|_| ConfigError::Invalid {
         key: key.into(),
         value: text.into(),
-        expected: "an address with a port",
+        expected: "an IP address with a port",
     })
 }
 
-/// A list of addresses.
+/// Parses a list of IP addresses with ports.
 pub(super) fn parse_addresses(key: &str, texts: &[String]) -> Result<Vec<SocketAddr>, ConfigError> {
     texts.iter().map(|text| parse_address(key, text)).collect()
 }
 
-/// Fails if a value is outside its range.
+/// Checks that a value is within its range.
 pub(super) fn check_range(key: &str, value: u64, range: RangeInclusive<u64>) -> Result<(), ConfigError> {
     if range.contains(&value) {
         return Ok(());
@@ -90,7 +90,8 @@
     Err(ConfigError::OutOfRange { key: key.into(), value, range })
 }
 
-/// Fails unless a path is absolute: a relative one would depend on where the process was started.
+/// Checks that a path is absolute: a relative one would depend on the directory in which the process was
+/// started.
 pub(super) fn check_absolute(key: &str, path: &Path) -> Result<(), ConfigError> {
     if path.is_absolute() {
         return Ok(());
--- a/node/src/config/result_store.rs
+++ b/node/src/config/result_store.rs
@@ -1,4 +1,5 @@
-//! The operators' file that makes idempotency keys and results outlast the process.
+//! The operators' file that enables the result store, which makes idempotency keys and results survive a
+//! restart.
 
 use std::ops::RangeInclusive;
 use std::path::PathBuf;
@@ -8,20 +9,20 @@
 use super::error::ConfigError;
 use super::parse::{check_absolute, check_range, OperatorsFile, MEBIBYTE};
 
-/// The size that a store may have, in mebibytes.
+/// Allowed maximum size of a store, in mebibytes.
 pub(super) const FILE_MB_RANGE: RangeInclusive<u64> = 4..=65_536;
 pub(super) const DEFAULT_FILE_MB: u64 = 64;
 const BATCH_RANGE: RangeInclusive<u64> = 1..=4096;
 pub(super) const DEFAULT_BATCH: usize = 1024;
 
-/// Where idempotency keys and results outlast the process.
+/// Location and limits of a store that survives a restart of the process.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct ResultStoreConfig {
-    /// A folder on a disk that lasts, of this node alone.
+    /// A folder on a persistent disk, which no other node uses.
     pub(crate) folder: PathBuf,
-    /// Bytes that the folder may take.
+    /// Maximum size of the folder, in bytes.
     pub(crate) max_bytes: u64,
-    /// Records that may share one wait for the disk.
+    /// Maximum number of records that are written with one sync of the disk.
     pub(crate) max_batch: usize,
 }
 
--- a/node/src/config/tests.rs
+++ b/node/src/config/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 
-const SMALL: &str = r#"{"name": "n1", "listen": "127.0.0.1:0", "seed": "8c1f", "stop_ms": 3000,
+const MINIMAL: &str = r#"{"name": "n1", "listen": "127.0.0.1:0", "seed": "8c1f", "stop_ms": 3000,
     "settings": {"services": [{"name": "quote", "slo": 1, "deadline": 2, "effect": "repeatable"}],
     "specifics": {"cores": 2, "memoryKb": 64.5}, "safety": {"drainGrace": 8, "fallMultiple": 3}}}"#;
 
-/// A change of a valid file, and the key that the error then names.
+/// A change that makes a valid file invalid, and the key that the error must name.
 struct InvalidChange {
     from: &'static str,
     to: &'static str,
@@ -23,15 +23,15 @@
     }
 }
 
-/// The error of the small configuration with a change.
+/// The error of the minimal configuration after a change.
 fn error_after(from: &str, to: &str) -> String {
-    assert!(SMALL.contains(from));
-    NodeConfig::parse(&SMALL.replace(from, to)).unwrap_err().to_string()
+    assert!(MINIMAL.contains(from));
+    NodeConfig::parse(&MINIMAL.replace(from, to)).unwrap_err().to_string()
 }
 
 #[test]
-fn a_small_configuration_is_enough() {
-    let config = NodeConfig::parse(SMALL).unwrap();
+fn a_configuration_without_optional_keys_is_valid() {
+    let config = NodeConfig::parse(MINIMAL).unwrap();
     assert_eq!((config.seed, config.max_descriptors, config.upstreams.interpreter), (0x8c1f, 1024, None));
     assert_eq!(config.settings.classes, ["quote"]);
 }
@@ -62,8 +62,8 @@
 }
 
 #[test]
-fn a_key_of_the_configuration_before_counts_as_missing_wherever_it_was() {
-    let before = SMALL.replace(r#""effect""#, r#""lateWorth": 0.5, "effect""#).replace(
+fn a_key_of_the_previous_configuration_is_found_missing_at_any_depth() {
+    let before = MINIMAL.replace(r#""effect""#, r#""lateWorth": 0.5, "effect""#).replace(
         "}]",
         r#"}, {"name": "book", "slo": 1, "deadline": 2, "effect": "by_key", "window": 9, "worth": 2}], "tenants": []"#,
     );
@@ -75,7 +75,7 @@
     assert_eq!(first_missing_key("quote", "price"), None);
     assert_eq!(first_missing_key(r#", "tenants": []"#, ""), Some("settings.tenants".into()));
     assert_eq!(first_missing_key(r#""name": "book", "#, ""), Some("settings.services.1.name".into()));
-    assert_eq!(first_missing_key(r#""lateWorth": 0.5, "#, ""), None, "not each of the classes had it");
+    assert_eq!(first_missing_key(r#""lateWorth": 0.5, "#, ""), None, "not every class had it");
 }
 
 #[test]
@@ -123,7 +123,7 @@
     assert_errors_name_keys::<DecisionLogConfig>(valid, &changes);
 }
 
-/// The values of keys that a file leaves out, which operators rely on.
+/// Guards the defaults on which operators rely.
 #[test]
 fn keys_that_are_left_out_have_their_documented_defaults() {
     let store = ResultStoreConfig::parse("folder = '/f'\n").unwrap();
--- a/node/src/config/uwsgi.rs
+++ b/node/src/config/uwsgi.rs
@@ -1,4 +1,4 @@
-//! The operators' file of the uwsgi frontend, with the servers behind it and its virtual router.
+//! The operators' file of the uwsgi frontend, its uwsgi servers and its virtual router.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::ops::RangeInclusive;
@@ -9,27 +9,27 @@
 use super::error::ConfigError;
 use super::parse::{check_range, parse_address, parse_addresses, OperatorsFile};
 
-/// The numbers that a virtual router may have (RFC 9568, section 5.2.3).
+/// Allowed identifiers of a virtual router (RFC 9568, section 5.2.3).
 const VRID_RANGE: RangeInclusive<u64> = 1..=255;
-/// 0 is what an advertisement says when the active node gives the role up.
+/// Allowed priorities. 0 is reserved for the advertisement by which the active node gives up its role.
 const PRIORITY_RANGE: RangeInclusive<u64> = 1..=255;
 const DEFAULT_PRIORITY: u8 = 100;
 const DEFAULT_INTERVAL_MS: u64 = 1000;
-/// The unit of the interval between two advertisements.
+/// Milliseconds in a centisecond, the unit of the advertisement interval.
 const CENTISECOND_MS: u64 = 10;
-/// The most centiseconds that an advertisement can tell.
+/// The longest interval that an advertisement can state, which is 4095 centiseconds.
 const MAX_INTERVAL_MS: u64 = 4095 * CENTISECOND_MS;
-/// The most addresses that an advertisement can list.
+/// The maximum number of addresses that an advertisement can list.
 const MAX_ADDRESSES: u64 = 255;
 
 /// The uwsgi frontend, its servers and its virtual router.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct UwsgiConfig {
-    /// Where uwsgi clients connect.
+    /// The address that uwsgi clients connect to.
     pub(crate) listen: SocketAddr,
-    /// uwsgi servers that run requests, in place of the interpreter.
+    /// uwsgi servers that run requests instead of the interpreter.
     pub(crate) run_servers: Vec<SocketAddr>,
-    /// uwsgi servers that serve the calls to the tier below, in place of the index.
+    /// uwsgi servers that answer the calls to the tier below instead of the index.
     pub(crate) call_servers: Vec<SocketAddr>,
     /// The virtual router; without one the listener is always open.
     pub(crate) vrrp: Option<VrrpConfig>,
@@ -38,19 +38,19 @@
 /// The virtual router that opens and closes the uwsgi listener.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct VrrpConfig {
-    /// Its number, 1 to 255.
+    /// The identifier of the virtual router, 1 to 255.
     pub(crate) vrid: u8,
-    /// 1 to 254, or 255 for the owner of the address.
+    /// The priority of this node, 1 to 254, or 255 for the owner of the addresses.
     pub(crate) priority: u8,
-    /// Between two advertisements.
+    /// Time between two advertisements.
     pub(crate) interval: Duration,
     /// Whether a higher priority takes over from a lower one that is active.
     pub(crate) preempt: bool,
-    /// The addresses that the virtual router stands for.
+    /// The addresses of the virtual router.
     pub(crate) addresses: Vec<Ipv4Addr>,
-    /// Where advertisements come in.
+    /// The address at which advertisements are received.
     pub(crate) listen: SocketAddr,
-    /// Where advertisements are sent.
+    /// The addresses to which advertisements are sent.
     pub(crate) peers: Vec<SocketAddr>,
 }
 
@@ -115,7 +115,7 @@
         let interval_key = "uwsgi file, vrrp.interval_ms";
         check_range(interval_key, raw.interval_ms, CENTISECOND_MS..=MAX_INTERVAL_MS)?;
         if !raw.interval_ms.is_multiple_of(CENTISECOND_MS) {
-            let problem = format!("{} is not in whole hundredths of a second", raw.interval_ms);
+            let problem = format!("{} is not a multiple of {CENTISECOND_MS}", raw.interval_ms);
             return Err(ConfigError::inconsistent(interval_key, problem));
         }
         check_range("uwsgi file, vrrp.addresses", raw.addresses.len() as u64, 1..=MAX_ADDRESSES)?;
