--- a/node/src/server.rs
+++ b/node/src/server.rs
@@ -1,12 +1,12 @@
-//! The server: puts a node together from its configuration and runs it until it has drained.
+//! The server: assembles a node from its configuration and runs it until it has drained.
 //!
 //! | module | what it does |
 //! | --- | --- |
 //! | `startup` | opens listeners and links, and starts the tasks of a node |
 //! | `accept` | accepts connections, and opens and closes the listeners of the frontends |
-//! | `capacity` | shares the file descriptors out between clients and backends |
+//! | `capacity` | divides the file descriptors between clients and backends |
 //! | `reload` | applies changed configuration files while the node runs |
-//! | `shutdown` | signals, and the drain before the process ends |
+//! | `shutdown` | handles signals, and drains the node before the process ends |
 
 mod accept;
 mod capacity;
@@ -28,29 +28,29 @@
 /// Why a node did not start.
 #[derive(Debug, Error)]
 pub(crate) enum StartupError {
-    /// A configuration file can't be served.
+    /// A configuration file can't be read, or the configuration is not valid.
     #[error("{0}")]
     Config(ConfigError),
     /// The asynchronous runtime could not be built.
-    #[error("no runtime: {0}")]
+    #[error("cannot start the asynchronous runtime: {0}")]
     Runtime(io::Error),
-    /// The handlers of signals could not be installed.
-    #[error("no signals: {0}")]
+    /// The signal handlers could not be installed.
+    #[error("cannot install the signal handlers: {0}")]
     Signals(io::Error),
-    /// An address could not be listened at.
-    #[error("{key}: {address}: {source}")]
+    /// A listener or UDP socket could not be opened.
+    #[error("{key}: cannot listen at {address}: {source}")]
     Bind {
         /// The configuration key of the address.
         key: &'static str,
         /// The address.
         address: SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The result store could not be opened.
     #[error("remembered file, {0}")]
     ResultStore(#[source] StoreError),
-    /// The node could not take its place in its fleet.
+    /// The part of the node that talks to its peers could not be started.
     #[error("{0}")]
     Peers(#[source] PeerStartError),
     /// The decision log could not be opened.
@@ -62,7 +62,7 @@
 ///
 /// # Errors
 ///
-/// Where the configuration is not valid, or an address or a folder that it names can't be opened.
+/// If the configuration is not valid, or an address or a folder that it names can't be opened.
 pub(crate) fn serve(files: &ConfigFiles) -> Result<(), StartupError> {
     let loaded = files.load_for_startup().map_err(StartupError::Config)?;
     let runtime =
--- a/node/src/server/accept.rs
+++ b/node/src/server/accept.rs
@@ -16,12 +16,12 @@
 use crate::sockets::{self, AddressUse};
 use crate::{clock, log};
 
-/// Between two attempts to open a listener.
+/// Delay between attempts to open a listener.
 const REBIND_INTERVAL: Duration = Duration::from_millis(100);
-/// After a failed accept: the process does not spin while the system has no descriptors left.
+/// Delay after a failed accept, which prevents a busy loop while no file descriptors are left.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Opens a listener; an error names the configuration key.
+/// Opens a listener. `key` is the configuration key that an error names.
 pub(super) fn bind(
     key: &'static str,
     address: SocketAddr,
@@ -30,26 +30,27 @@
     sockets::listen(address, address_use).map_err(|source| StartupError::Bind { key, address, source })
 }
 
-/// Where a listener listens, with the port that the system chose for 0.
+/// The address of a listener, with the port that the system chose for port 0.
 pub(super) fn local_address(listener: &TcpListener) -> String {
     listener.local_addr().map_or_else(|error| error.to_string(), |address| address.to_string())
 }
 
-/// The listener of a frontend, which is open while this process accepts clients.
+/// The listener of a frontend. It is open while this process accepts clients.
 pub(super) struct FrontendListener {
     /// The protocol, as the log names it.
     pub(super) protocol: &'static str,
-    /// Where it listens.
+    /// The address to listen at.
     pub(super) address: SocketAddr,
     /// Whether a successor may listen at the same address.
     pub(super) address_use: AddressUse,
-    /// Whether this node has the active role of its virtual router; always true without one.
+    /// Whether this node has the active role of its virtual router; always true without a virtual router.
     pub(super) active: watch::Receiver<bool>,
 }
 
 impl FrontendListener {
-    /// Serves whenever this node is active and no successor has taken over. Connections that were accepted before the
-    /// listener closes are served to their end. `opened` is a listener that is open already.
+    /// Accepts and serves connections whenever this node is active and no successor has taken over.
+    /// Connections that were accepted before the listener closes are served to their end. `opened` is the
+    /// listener to use first, if it is already open.
     pub(super) async fn run<F: Future<Output = ()> + 'static>(
         mut self,
         mut opened: Option<TcpListener>,
@@ -67,7 +68,7 @@
                 Ok(listener) => listener,
                 Err(error) => {
                     log!("frontend: listener not opened: protocol={protocol} error={error}");
-                    // The router that was active before may hold the address for a moment.
+                    // The previously active router may hold the address for a moment.
                     clock::until(clock::now() + REBIND_INTERVAL).await;
                     continue;
                 }
@@ -79,11 +80,11 @@
         }
     }
 
-    /// Waits until clients are to be accepted here; false once that can't happen any more.
+    /// Waits until clients are to be accepted here. Returns false once that can no longer happen.
     async fn wait_until_active(&mut self, exchange: &Exchange) -> bool {
         let mut status = exchange.status();
         loop {
-            // The status is published for as long as the process lasts.
+            // An error can't occur in practice: the status is published for as long as the process lasts.
             let accepting = status
                 .wait_for(|status| !status.handed_over || !status.accepting)
                 .await
@@ -98,7 +99,7 @@
         }
     }
 
-    /// Waits until clients are not to be accepted here any more.
+    /// Waits until clients are no longer to be accepted here.
     async fn wait_until_inactive(&mut self, exchange: &Exchange) {
         let mut status = exchange.status();
         tokio::select! {
@@ -109,8 +110,9 @@
     }
 }
 
-/// Accepts connections until `closing` completes, and serves each in a task of its own. Connections that the system had
-/// taken by then are served too. Where all others are busy, one more is rejected.
+/// Accepts connections until `closing` completes, and serves each in a task of its own. Connections that the
+/// system had queued by then are served too. A connection is rejected if no slot is free and all others are
+/// busy.
 pub(super) async fn accept_until<F: Future<Output = ()> + 'static>(
     closing: impl Future<Output = ()>,
     listener: TcpListener,
@@ -134,7 +136,8 @@
         match accepted {
             Ok(stream) => {
                 start(stream);
-                // A connection that was evicted for this one closes first, so that the descriptors suffice.
+                // Lets a connection that was evicted for this one close first, so that the file descriptors
+                // suffice.
                 tokio::task::yield_now().await;
             }
             Err(error) => {
@@ -143,6 +146,6 @@
             }
         }
     }
-    // Closing the listener alone would reset the connections that the system has taken and their requests.
+    // Only closing the listener would reset the connections that the system has queued, and their requests.
     sockets::close(listener).into_iter().for_each(start);
 }
--- a/node/src/server/capacity.rs
+++ b/node/src/server/capacity.rs
@@ -1,24 +1,26 @@
-//! Shares the file descriptors of the process out, so that no frontend can use up what the other frontend and the
-//! backends need.
+//! Divides the file descriptors of the process, so that no frontend can use up those that the other frontend
+//! and the backends need.
 
 use crate::admin;
 use crate::config::Configuration;
 use crate::exchange::Exchange;
 use crate::frontend::connection_limiter::ConnectionLimiter;
 
-/// Descriptors for what is neither a client's nor a backend's connection: listeners, signals and the runtime's own.
+/// Descriptors reserved for everything but connections to clients and backends: listeners, signals and the
+/// runtime.
 const RESERVED_DESCRIPTORS: usize = 24;
-/// Connections that are shared out even where `limits.sockets` leaves fewer.
+/// Minimum number of connections to divide, even if `limits.sockets` leaves fewer.
 const MIN_CONNECTIONS: usize = 8;
 
-/// With a uwsgi frontend, JSON-RPC clients get half of the connections, uwsgi clients a quarter and each backend an eighth.
+/// With a uwsgi frontend, JSON-RPC clients get a half of the connections, uwsgi clients a quarter and each
+/// backend an eighth.
 const JSONRPC_DIVISOR: usize = 2;
 const UWSGI_DIVISOR: usize = 4;
 const BACKEND_DIVISOR: usize = 8;
-/// Without one, JSON-RPC clients get two of three shares and each backend one.
+/// Without a uwsgi frontend, JSON-RPC clients get two thirds of the connections and each backend one third.
 const SHARES_WITHOUT_UWSGI: usize = 3;
 
-/// How many connections each side of the node may have at a time.
+/// Maximum number of simultaneous connections of each kind.
 #[derive(Debug)]
 pub(super) struct ConnectionCapacity {
     /// From JSON-RPC clients.
@@ -30,7 +32,7 @@
 }
 
 impl ConnectionCapacity {
-    /// The shares that a configuration leaves.
+    /// Divides the connections that remain within the limits of a configuration.
     pub(super) fn new(loaded: &Configuration) -> Self {
         let peers = loaded.fleet.as_ref().map_or(0, |fleet| fleet.max_links);
         let admin = if loaded.node.ops.is_some() { admin::MAX_CONNECTIONS } else { 0 };
--- a/node/src/server/reload.rs
+++ b/node/src/server/reload.rs
@@ -1,7 +1,8 @@
 //! Applies changed configuration files while the node runs.
 //!
-//! A file is applied completely or not at all: the addresses of backends and services, the settings, and a newer membership
-//! configuration of the fleet. Everything else in the files takes effect at a restart or an upgrade.
+//! The files are applied completely or not at all. A reload changes the addresses of backends and services,
+//! the settings, and the membership configuration of the fleet if it is newer. Everything else in the files
+//! takes effect at a restart or an upgrade.
 
 use oakwind_fleet::replica_node::Event;
 use oakwind_settings::{NamedSettings, SettingsError};
@@ -18,30 +19,30 @@
 /// Why changed files were not applied.
 #[derive(Debug, Error)]
 enum ReloadError {
-    /// A file is not valid by itself.
+    /// A file can't be read, or the configuration is not valid.
     #[error("{0}")]
     Config(ConfigError),
     /// A backend or service was added or removed, or its protocol changed.
     #[error("{0}: adding, removing or replacing this backend or service needs a restart")]
     UpstreamKindChanged(&'static str),
-    /// A key is left out that the configuration before had: the file may not be complete.
-    #[error("{0}: missing, the configuration before had it")]
+    /// A key of the previous configuration is missing: the file may be incomplete.
+    #[error("{0}: missing, but present in the previous configuration")]
     KeyMissing(String),
-    /// The settings can't follow the ones in force.
+    /// The settings can't replace the ones in force.
     #[error("{0}")]
     Settings(SettingsError),
 }
 
-/// What makes the node read its files again.
+/// The cause of a reload.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Trigger {
     /// SIGHUP.
     Signal,
-    /// The predecessor has ended; it alone may have received a SIGHUP that was meant for the node.
+    /// The predecessor has ended. A SIGHUP that was meant for the node may have reached only the predecessor.
     PredecessorEnded,
 }
 
-/// Files that were read and can be applied.
+/// A checked configuration that can be applied.
 struct Candidate {
     config: NodeConfig,
     /// The settings, merged with the ones in force.
@@ -57,15 +58,15 @@
     pub(super) registry: &'a ClassRegistry,
     /// The configuration that the process started with.
     pub(super) initial: &'a NodeConfig,
-    /// The latest one that was applied, if any.
+    /// The configuration that was applied last; none before the first reload.
     pub(super) applied: Option<NodeConfig>,
     pub(super) upstream_addresses: watch::Sender<UpstreamAddresses>,
-    /// The fleet's events, if the node is in one.
+    /// The channel for events of the fleet; none if the node is not a member of one.
     pub(super) fleet_events: Option<mpsc::Sender<Event>>,
 }
 
 impl Reloader<'_> {
-    /// Applies files for as long as the process lasts. Never returns.
+    /// Reloads the files at each trigger. Never returns.
     pub(super) async fn run(mut self) {
         let mut status = self.exchange.status();
         let mut awaits_predecessor = status.borrow().predecessor_alive;
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Reads the files and checks that they can follow the ones in force.
+    /// Reads the files and checks that they can replace the ones in force.
     fn read(&self) -> Result<Candidate, ReloadError> {
         let current = self.applied.as_ref().unwrap_or(self.initial);
         let Configuration { node: config, fleet, .. } = self.files.load().map_err(ReloadError::Config)?;
@@ -103,7 +104,7 @@
         });
         let settings_changed = settings != self.registry.settings();
         if settings_changed {
-            // The dispatcher knows a class before any frontend accepts a request of it.
+            // The dispatcher must know a class before a frontend accepts a request of that class.
             let digest = settings_digest(&config.json["settings"]);
             self.exchange.reconfigure(settings.clone(), digest).await;
             self.registry.replace_settings(settings, clock::now());
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Hands the fleet's configuration over; whether it is accepted is decided there, by its version.
+    /// Sends the membership configuration to the fleet's task, which accepts it if its version is newer.
     fn propose_membership(&self, fleet: FleetConfig) {
         let Some(events) = &self.fleet_events else { return };
         if events.try_send(Event::ConfigProposed(fleet.membership)).is_err() {
@@ -130,7 +131,7 @@
     }
 }
 
-/// Waits until the files are to be read again.
+/// Waits for the next cause of a reload.
 async fn next_trigger(
     hangup: &mut Signal,
     status: &mut watch::Receiver<NodeStatus>,
--- a/node/src/server/shutdown.rs
+++ b/node/src/server/shutdown.rs
@@ -1,4 +1,4 @@
-//! Signals, and the drain between the shutdown notice and the end of the process.
+//! Signal handlers, and the drain between the shutdown notice and the end of the process.
 
 use std::io;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 use crate::exchange::Exchange;
 use crate::frontend::connection_limiter::ConnectionLimiter;
 
-/// The process ends by itself this long before it would be stopped.
+/// Margin by which the process ends by itself before the platform stops it.
 const EXIT_MARGIN: Duration = Duration::from_millis(100);
 
 /// The signals that a node handles.
@@ -20,14 +20,14 @@
     pub(super) hangup: Signal,
 }
 
-/// SIGTERM and SIGINT: either is the shutdown notice.
+/// SIGTERM and SIGINT, each of which is the shutdown notice.
 pub(super) struct ShutdownSignals {
     terminate: Signal,
     interrupt: Signal,
 }
 
 impl Signals {
-    /// Installs the handlers; without them each of the signals would end the process.
+    /// Installs the handlers. Without a handler, each of the signals would end the process.
     pub(super) fn install() -> io::Result<Self> {
         let terminate = signal(SignalKind::terminate())?;
         let interrupt = signal(SignalKind::interrupt())?;
@@ -70,8 +70,8 @@
     tokio::join!(jsonrpc.all_closed(), uwsgi.all_closed());
 }
 
-/// Waits until shortly before the process is stopped, and then until every response is written: idle connections need
-/// not end by themselves, but a response that is still to be written does not get lost.
+/// Waits until shortly before the process is stopped, and then until every response is written. The process
+/// may end while idle connections are still open, but not while a response is still to be written.
 async fn flushed_before_stop(
     exchange: &Exchange,
     stop_at: UnixTime,
--- a/node/src/server/startup.rs
+++ b/node/src/server/startup.rs
@@ -33,12 +33,13 @@
 use crate::sockets::AddressUse;
 use crate::{clock, handover, heartbeat, log, peers, vrrp};
 
-/// Results that are stored for repeats take one part in so many of the memory of the process.
+/// Divides the memory limit of the process; the quotient is the memory for stored results.
 const RESULT_MEMORY_DIVISOR: usize = 8;
-/// One part in so many of a backend's connections may be kept idle for later calls.
+/// Divides the connections of a backend; the quotient is the maximum number of idle ones that are kept for
+/// later calls.
 const IDLE_CONNECTION_DIVISOR: usize = 4;
 
-/// What the tasks of a node are made from.
+/// The parts of a node that its tasks share.
 struct Node {
     config: NodeConfig,
     uwsgi: Option<UwsgiConfig>,
@@ -48,9 +49,10 @@
     upstream_addresses: watch::Receiver<UpstreamAddresses>,
     jsonrpc_limiter: Rc<ConnectionLimiter>,
     uwsgi_limiter: Rc<ConnectionLimiter>,
-    /// Connections to each backend.
+    /// Maximum number of connections to each backend.
     backend_connections: usize,
-    /// The socket by which a successor takes over; none where upgrades in place are not possible.
+    /// The path of the socket through which a successor takes over; none if upgrades in place are not
+    /// possible.
     handover_socket: Option<PathBuf>,
     /// Whether this process takes over from a predecessor.
     is_upgrade: bool,
@@ -61,17 +63,19 @@
 struct StartingStore {
     /// None if none is configured.
     store: Option<ResultStore>,
-    /// What it has from earlier processes; none if there is no store, or the predecessor still has it.
+    /// The state that was recovered from the store; none if there is no store, or the predecessor still has
+    /// it open.
     recovered: Option<HandoverState>,
 }
 
 /// Runs a node until it has drained.
 pub(super) async fn run(files: &ConfigFiles, loaded: Configuration) -> Result<(), StartupError> {
-    // Comes first: a signal without a handler ends the process.
+    // The handlers are installed first, as a signal without a handler ends the process.
     let Signals { shutdown, hangup } = Signals::install().map_err(StartupError::Signals)?;
     let handover_socket = handover::socket_path(loaded.node.listen);
     let is_upgrade = handover::has_predecessor(handover_socket.as_deref()).await;
-    // A process that takes over is as far in its recovery as its predecessor was.
+    // A process that takes over inherits the recovery state of its predecessor and starts no recovery of its
+    // own.
     let recovering = loaded.fleet.is_some() && !is_upgrade;
     let mode = StartMode { awaiting_state: is_upgrade, recovering };
     let Endpoints { exchange, dispatcher, backend } = exchange::new(mode);
@@ -116,7 +120,8 @@
 }
 
 impl Node {
-    /// Opens the admin interface, if one is configured. It responds from now on, whatever the load.
+    /// Opens the admin interface, if it is configured. It has connections of its own, so that it responds
+    /// under any load.
     fn start_admin(&self) -> Result<(), StartupError> {
         let Some(address) = self.config.ops else { return Ok(()) };
         let listener = bind("ops", address, AddressUse::Exclusive)?;
@@ -129,7 +134,8 @@
         Ok(())
     }
 
-    /// Starts the virtual router, if one is configured; the result follows whether it has the active role.
+    /// Starts the virtual router, if one is configured. The returned receiver tells whether it has the active
+    /// role.
     async fn start_vrrp(&self) -> Result<Option<watch::Receiver<bool>>, StartupError> {
         let Some(vrrp) = self.uwsgi.as_ref().and_then(|uwsgi| uwsgi.vrrp.as_ref()) else { return Ok(None) };
         let socket = vrrp::bind(vrrp).await.map_err(|source| StartupError::Bind {
@@ -142,8 +148,8 @@
         Ok(Some(active))
     }
 
-    /// Starts what runs requests, the interpreter or uwsgi servers, and what takes their calls, the index or uwsgi
-    /// servers.
+    /// Starts the client of the backend that runs requests, the interpreter or uwsgi servers, and the client
+    /// of the backend that answers their calls, the index or uwsgi servers.
     fn start_backends(&self, endpoints: BackendEndpoints) {
         let addresses = &self.upstream_addresses;
         let exchange = &self.exchange;
@@ -171,8 +177,8 @@
         Servers::new(self.upstream_addresses.clone(), select, self.registry.clone())
     }
 
-    /// Starts the dispatcher with all that it decides by: the result store, the fleet and the decision log, as far as
-    /// they are configured. Returns where events for the fleet go.
+    /// Starts the dispatcher, together with the result store, the fleet and the decision log if they are
+    /// configured. Returns the channel for events of the fleet.
     fn start_dispatcher(
         &self,
         endpoints: DispatcherEndpoints,
@@ -204,8 +210,8 @@
         Ok(fleet_events)
     }
 
-    /// The result store, if one is configured, and what it knows. In an upgrade the predecessor has it open until it
-    /// has handed over, so that nothing is known of it yet.
+    /// Opens the result store, if one is configured, and recovers its state. In an upgrade in place the
+    /// predecessor has the store open until the handover, so it is not opened yet.
     fn open_result_store(
         &self,
         store_config: Option<config::ResultStoreConfig>,
@@ -220,8 +226,8 @@
         Ok(StartingStore { store: Some(store), recovered: Some(recovered) })
     }
 
-    /// Opens the frontends, reports to the membership service, and takes part in upgrades in place. Returns only where
-    /// a frontend can't be opened.
+    /// Opens the frontends, reports to the membership service, and takes part in upgrades in place. Returns
+    /// only if a frontend can't be opened.
     async fn serve_clients(
         &self,
         vrrp_active: Option<watch::Receiver<bool>>,
@@ -247,8 +253,8 @@
         std::future::pending().await
     }
 
-    /// Waits until the backend is up. Until then the predecessor serves, and a process that is to stop before that
-    /// takes nothing over.
+    /// Waits until the backend is up. The predecessor serves until then, and a process that receives the
+    /// shutdown notice before that does not take over.
     async fn wait_until_servable(&self) {
         let mut status = self.exchange.status();
         if status.wait_for(|status| status.health.is_some() && status.draining.is_none()).await.is_ok() {
@@ -272,13 +278,14 @@
         Ok(())
     }
 
-    /// Opens the uwsgi frontend; behind a virtual router only while that has the active role.
+    /// Opens the uwsgi frontend. With a virtual router, it is open only while this node has the active role.
     fn open_uwsgi_frontend(
         &self,
         uwsgi: &UwsgiConfig,
         vrrp_active: Option<watch::Receiver<bool>>,
     ) -> Result<(), StartupError> {
-        // An address that can't be opened ends the start, where it is to be open from the start.
+        // Without a virtual router the listener is open from the start, and startup fails if it can't be
+        // opened.
         let listener = match vrrp_active {
             Some(_) => None,
             None => Some(bind("uwsgi listen", uwsgi.listen, self.address_use())?),
@@ -310,7 +317,7 @@
     }
 }
 
-/// The role of a listener without a virtual router.
+/// The role of a node without a virtual router: always active.
 fn always_active() -> watch::Receiver<bool> {
     watch::channel(true).1
 }
