--- a/node/src/commands.rs
+++ b/node/src/commands.rs
@@ -1,4 +1,5 @@
-//! The commands by which operators query the decision logs of a fleet: `oakwind fleet audit` and `oakwind fleet explain`.
+//! The commands `oakwind fleet audit` and `oakwind fleet explain`, with which operators query the decision
+//! logs of a fleet.
 
 mod tables;
 
@@ -12,7 +13,7 @@
 
 use crate::decision_log::read_journal;
 
-/// Look into the records of a fleet's nodes.
+/// Query the decision logs of a fleet's nodes.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "fleet")]
 pub(crate) struct FleetCommand {
@@ -27,46 +28,47 @@
     Explain(Explain),
 }
 
-/// Check the chains of records, and say who decided by which version. Exit status 1 if anything is wrong.
+/// Verify the decision logs, and show which versions each node decided by. Exit status 1 if anything is
+/// wrong.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "audit")]
 struct Audit {
-    /// folders of records, one a node
+    /// folders of decision logs, one for each node
     #[argh(positional)]
     folders: Vec<PathBuf>,
-    /// from when, in Unix milliseconds
+    /// start of the period to audit, in Unix milliseconds
     #[argh(option, default = "0")]
     from: u64,
-    /// until when, in Unix milliseconds
+    /// end of the period to audit, in Unix milliseconds
     #[argh(option, default = "u64::MAX")]
     until: u64,
     /// how long an old version may be used after it was replaced, in milliseconds (default: 2000)
     #[argh(option, default = "2000")]
     spread_ms: u64,
-    /// how long a key may come again, in milliseconds (default: 130000)
+    /// idempotency window, in milliseconds (default: 130000)
     #[argh(option, default = "130000")]
     window_ms: u64,
-    /// say it as JSON
+    /// print the result as JSON
     #[argh(switch)]
     json: bool,
 }
 
-/// Say what every node did with a try or a key, in order. Exit status 1 if nobody knows it.
+/// Show what each node did with an attempt or a key, in order. Exit status 1 if no node has a record of it.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "explain")]
 struct Explain {
-    /// the try's txn, or the key
+    /// txn of the attempt, or the idempotency key
     #[argh(positional, arg_name = "about")]
     txn_or_key: String,
-    /// folders of records, one a node
+    /// folders of decision logs, one for each node
     #[argh(positional)]
     folders: Vec<PathBuf>,
-    /// say it as JSON
+    /// print the result as JSON
     #[argh(switch)]
     json: bool,
 }
 
-/// What a command found.
+/// The finding of a command, which decides the exit status.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Verdict {
     /// An audit found nothing wrong, or an attempt or key is known.
@@ -85,30 +87,30 @@
     }
 }
 
-/// Why a command has no answer.
+/// Why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum CommandError {
     /// The command line names no folder.
-    #[error("name at least one folder of records")]
+    #[error("no folder of decision logs given")]
     NoFolder,
     /// A folder cannot be read.
     #[error("{}: {source}", folder.display())]
     Folder {
-        /// The folder.
+        /// The path of the folder.
         folder: PathBuf,
-        /// Why not.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The answer cannot be written as JSON.
-    #[error("no JSON: {0}")]
+    /// The result cannot be written as JSON.
+    #[error("cannot write the result as JSON: {0}")]
     Json(#[from] serde_json::Error),
 }
 
-/// Answers a query on standard output.
+/// Runs a query and prints its result to standard output.
 ///
 /// # Errors
 ///
-/// If a folder cannot be read.
+/// If no folder is given, a folder cannot be read, or the result cannot be written as JSON.
 pub(crate) fn run(command: &FleetCommand) -> Result<Verdict, CommandError> {
     match &command.query {
         Query::Audit(options) => run_audit(options),
--- a/node/src/commands/tables.rs
+++ b/node/src/commands/tables.rs
@@ -1,13 +1,13 @@
-//! The answers of the commands as tables for people.
+//! Formats the results of the commands as text tables.
 
 use std::iter;
 
 use oakwind_fleet::audit::decision_record::{Decision, Record};
 use oakwind_fleet::audit::{DuplicateRun, JournalSummary, NodeRecord, Report, Straggler, VersionUse};
 
-/// What stands in a cell without a value.
+/// The text of a cell without a value.
 const NO_VALUE: &str = "-";
-/// Between two columns.
+/// The gap between two columns.
 const COLUMN_GAP: &str = "  ";
 
 const NODE_COLUMNS: usize = 6;
@@ -20,7 +20,8 @@
 const ATTEMPT_HEADINGS: [&str; ATTEMPT_COLUMNS] =
     ["at (Unix ms)", "node", "did", "txn", "key", "class", "settings", "list", "program"];
 
-/// An audit's report: a table of nodes, a table of versions, and a line for each finding.
+/// Formats the report of an audit: a table of nodes, a table of versions, a line for each finding, and the
+/// verdict.
 pub(super) fn report(report: &Report) -> String {
     let findings = report
         .stragglers
@@ -84,12 +85,12 @@
     format!("{attempt} was turned away though it had run")
 }
 
-/// What the nodes did with an attempt or a key, a row for each decision.
+/// Formats what the nodes did with an attempt or a key, with a row for each decision.
 pub(super) fn explanation(records: &[NodeRecord<'_>]) -> String {
     table(&ATTEMPT_HEADINGS, records.iter().filter_map(attempt_row))
 }
 
-/// The row of a decision; none if the record is no decision.
+/// The row of a decision; none if the record is not a decision.
 fn attempt_row(found: &NodeRecord<'_>) -> Option<[String; ATTEMPT_COLUMNS]> {
     let NodeRecord { node, record } = *found;
     let Record::Attempt { at, decision, txn, key, class, versions } = record else { return None };
@@ -118,7 +119,7 @@
     }
 }
 
-/// Rows under their headings, each column as wide as its longest cell.
+/// Formats rows under their headings. Each column is as wide as its longest cell.
 fn table<const N: usize>(headings: &[&str; N], rows: impl Iterator<Item = [String; N]>) -> String {
     let rows: Vec<[String; N]> = rows.collect();
     let widths: [usize; N] = std::array::from_fn(|column| {
@@ -132,7 +133,7 @@
     text
 }
 
-/// The cells of a row, padded to the widths of their columns.
+/// Formats the cells of a row, padded to the widths of their columns.
 fn line<const N: usize>(cells: &[&str; N], widths: &[usize; N]) -> String {
     let padded = cells.iter().zip(widths).map(|(cell, width)| format!("{cell:<width$}"));
     let line = padded.collect::<Vec<_>>().join(COLUMN_GAP);
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -1,4 +1,5 @@
-//! A dispatch node: one program on real sockets round the decisions of `oakwind_admission`.
+//! A dispatch node: the program that serves clients and backends over the network, with the decisions of
+//! `oakwind_admission`.
 
 mod admin;
 mod backend;
@@ -51,8 +52,8 @@
     Version(Version),
 }
 
-/// Defines a command whose options name the files of a configuration. A macro, as argh has no options that several
-/// commands share.
+/// Defines a command with the options that name the configuration files. This is a macro because argh can't
+/// share options between commands.
 macro_rules! configured_command {
     ($(#[doc = $doc:literal])* $command:ident, $name:literal) => {
         #[allow(clippy::doc_markdown, reason = "the comments are what `--help` prints")]
@@ -63,16 +64,16 @@
             /// the node's configuration in JSON (default: the file that BALANCER_CONFIG names)
             #[argh(option)]
             config: Option<PathBuf>,
-            /// a file that switches the uwsgi front on, such as deploy/uwsgi.toml
+            /// a file that enables the uwsgi frontend, such as deploy/uwsgi.toml
             #[argh(option)]
             uwsgi: Option<PathBuf>,
-            /// a file that makes keys and results outlast the process, such as deploy/remembered.toml
+            /// a file that makes keys and results survive a restart, such as deploy/remembered.toml
             #[argh(option, long = "remembered")]
             result_store: Option<PathBuf>,
-            /// a file that makes the node one of a fleet whose nodes talk, such as deploy/fleet.toml
+            /// a file that makes the node a member of a fleet, such as deploy/fleet.toml
             #[argh(option)]
             fleet: Option<PathBuf>,
-            /// a file that makes the node keep records of what it decides, such as deploy/records.toml
+            /// a file that makes the node log its decisions, such as deploy/records.toml
             #[argh(option, long = "records")]
             decision_log: Option<PathBuf>,
         }
@@ -87,12 +88,12 @@
 }
 
 configured_command! {
-    /// Serve until SIGTERM or SIGINT, and drain then. SIGHUP makes it read its files again.
+    /// Serve until SIGTERM or SIGINT, then drain. SIGHUP reloads the configuration files.
     Serve, "serve"
 }
 
 configured_command! {
-    /// Read the configuration and say whether it can be served.
+    /// Read the configuration files and report whether a node can serve with them.
     CheckConfig, "check-config"
 }
 
@@ -113,13 +114,13 @@
     }
 }
 
-/// Why a command ended without a result.
+/// Why a command failed.
 #[derive(Debug, thiserror::Error)]
 enum ProgramError {
     /// The node did not start.
     #[error("{0}")]
     Startup(#[from] server::StartupError),
-    /// The configuration can't be served.
+    /// The configuration is not valid.
     #[error("{0}")]
     Config(#[from] config::ConfigError),
     /// The decision logs can't be queried.
