--- a/node/src/class_registry.rs
+++ b/node/src/class_registry.rs
@@ -1,5 +1,5 @@
-//! The classes and tenants of the settings in force: their names and positions, and the bounds of a class that the
-//! frontends need. It follows the settings at a reload.
+//! The classes and tenants of the settings in force: their names and positions, and the limits of a class
+//! that the frontends need. A reload replaces them.
 
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
@@ -9,10 +9,11 @@
 
 use crate::clock::UnixTime;
 
-/// For this long after a reload requests of a class that was removed are still accepted: they were on their way.
+/// Time after a reload in which requests of a removed class are still accepted, as they may have been sent
+/// before it.
 const REMOVED_CLASS_GRACE: Duration = Duration::from_secs(1);
 
-/// The names and bounds in the settings in force. Frontends and backends share it.
+/// The names and limits in the settings in force. Frontends and backends share the registry.
 #[derive(Debug)]
 pub(crate) struct ClassRegistry {
     settings: RefCell<NamedSettings>,
@@ -21,7 +22,7 @@
 }
 
 impl ClassRegistry {
-    /// The registry of these settings.
+    /// Creates the registry with the settings at startup.
     pub(crate) fn new(settings: NamedSettings) -> Self {
         ClassRegistry { settings: RefCell::new(settings), replaced_at: Cell::default() }
     }
@@ -31,18 +32,18 @@
         self.settings.borrow().clone()
     }
 
-    /// Puts other settings into force, which keep the positions of the ones before.
+    /// Puts new settings into force, in which classes and tenants must keep their positions.
     pub(crate) fn replace_settings(&self, settings: NamedSettings, now: UnixTime) {
         self.replaced_at.set(now);
         *self.settings.borrow_mut() = settings;
     }
 
-    /// The names of all classes by position, those that were removed among them.
+    /// The names of all classes by position, including removed ones.
     pub(crate) fn class_names(&self) -> Vec<String> {
         self.settings.borrow().classes.clone()
     }
 
-    /// The class of this name, if its requests are accepted now.
+    /// The class with this name; none if there is none, or its requests are no longer accepted.
     pub(crate) fn class_id(&self, name: &str, now: UnixTime) -> Option<ClassId> {
         let settings = self.settings.borrow();
         let in_grace = now < self.replaced_at.get() + REMOVED_CLASS_GRACE;
@@ -50,7 +51,7 @@
         position_of(&settings.classes, removed, name).map(ClassId)
     }
 
-    /// The name of a class; empty if there is none.
+    /// The name of a class; empty if there is no such class.
     pub(crate) fn class_name(&self, class: ClassId) -> String {
         self.settings.borrow().classes.get(usize::from(class.0)).cloned().unwrap_or_default()
     }
@@ -65,13 +66,14 @@
         self.class_setting(class, |class| class.effect == Effect::IdempotencyKey).unwrap_or(false)
     }
 
-    /// The tenant of this name. One that was removed is still known, as its clients may not know yet.
+    /// The tenant with this name. A removed tenant is still found, as its clients may not know of the removal
+    /// yet.
     pub(crate) fn tenant_id(&self, name: &str) -> Option<TenantId> {
         position_of(&self.settings.borrow().tenants, &[], name).map(TenantId)
     }
 
-    /// The deadline of a request: the one that was asked for, but none later than that of its class. So no request is
-    /// queued for ever, and sums of times don't overflow.
+    /// The deadline of a request: the requested one, limited to that of its class. The limit prevents
+    /// requests from being queued for ever, and sums of times from overflowing.
     pub(crate) fn request_deadline(
         &self,
         class: ClassId,
@@ -82,13 +84,13 @@
         requested.map_or(latest, |requested| requested.min(latest))
     }
 
-    /// A request's cost hint within the time that its class has. One absurd hint does not spoil the mean that all
-    /// estimates are made from.
+    /// The cost hint of a request, limited to the deadline of its class, so that a single absurd hint does
+    /// not distort the mean on which all estimates are based.
     pub(crate) fn bounded_cost_hint(&self, class: ClassId, cost_hint: Duration) -> Duration {
         cost_hint.min(self.class_timeout(class))
     }
 
-    /// How long clients wait for requests of a class.
+    /// Time for which clients wait for the response to a request of a class; zero if there is no such class.
     fn class_timeout(&self, class: ClassId) -> Duration {
         self.class_setting(class, |class| class.deadline).unwrap_or_default()
     }
--- a/node/src/class_registry/tests.rs
+++ b/node/src/class_registry/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn requests_of_a_removed_class_are_accepted_for_a_moment_and_not_after_that() {
+fn requests_of_a_removed_class_are_accepted_only_during_the_grace_period() {
     let parsed = |name: &str| {
         let text = format!(
             r#"{{"services": [{{"name": "{name}", "slo": 1, "deadline": 2, "effect": "by_key"}}],
@@ -24,6 +24,6 @@
     assert_eq!(
         (registry.class_name(ClassId(0)), registry.requires_key(ClassId(0))),
         ("book".into(), true),
-        "open requests keep it"
+        "open requests keep the removed class"
     );
 }
--- a/node/src/clock.rs
+++ b/node/src/clock.rs
@@ -1,8 +1,9 @@
-//! The clock of a process: the system's Unix clock, but it never goes back.
+//! The clock of a process: it follows the system's Unix clock, but never goes back.
 //!
-//! Deadlines are points on it and travel with the requests that they bound. When the system's clock is set back, this one
-//! is slewed: it runs slower until the other has caught up. When the system's clock steps ahead, as after a sleep of the
-//! machine, this one follows, and [`stepped_ahead`] returns by how much: stored keys must not expire early because of it.
+//! Deadlines are points in time on this clock and are sent along with the requests that they limit. When the
+//! system clock is set back, this clock is slewed: it runs slower until the system clock has caught up. When
+//! the system clock steps ahead, as after a suspend of the machine, this clock follows, and [`stepped_ahead`]
+//! returns by how much, so that stored keys do not expire early.
 
 use std::cell::RefCell;
 use std::sync::OnceLock;
@@ -13,26 +14,27 @@
 /// A point in time, as the time since the Unix epoch.
 pub(crate) type UnixTime = Duration;
 
-/// While the system's clock is behind, this one runs slower by one part in so many.
+/// While the system clock is behind, this clock runs slower by one part in this number.
 const SLEW_DIVISOR: u32 = 20;
-/// What the system's clock gains on the monotonic one between two readings is a step from this on.
+/// The system clock counts as stepped ahead if it gains at least this much on the monotonic clock between two
+/// readings.
 const STEP_THRESHOLD: Duration = Duration::from_millis(500);
-/// The longest sleep: far enough for every deadline, near enough for the runtime's timer.
+/// The longest sleep. It is longer than every deadline, and short enough for the runtime's timer.
 const MAX_SLEEP: Duration = Duration::from_secs(86_400);
-/// For tests: so long after its start, in milliseconds, the process sees the system's clock set by so many
-/// milliseconds, as AT:BY (`3000:-3600000`).
+/// Environment variable by which tests simulate a step of the system clock. The value `AT:BY`, such as
+/// `3000:-3600000`, sets the clock by `BY` milliseconds at `AT` milliseconds after the start of the process.
 const SIMULATED_STEP_VARIABLE: &str = "OAKWIND_REHEARSED_CLOCK";
 
-/// Derives the time of this clock from readings of the system's clock and of the monotonic one.
+/// Derives the time of this clock from readings of the system clock and of the monotonic clock.
 #[derive(Debug)]
 struct SlewedClock {
     /// The last time that was returned.
     returned: UnixTime,
-    /// The last reading of the system's clock.
+    /// The last reading of the system clock.
     system: UnixTime,
     /// The last reading of the monotonic clock.
     monotonic: Duration,
-    /// All steps ahead together.
+    /// The sum of all steps ahead.
     stepped_ahead: Duration,
 }
 
@@ -45,7 +47,7 @@
         let passed = monotonic.saturating_sub(self.monotonic);
         let gained = system.saturating_sub(self.system).saturating_sub(passed);
         if gained >= STEP_THRESHOLD {
-            // What only makes up for having been set back is no step of this clock.
+            // A step that only makes up for an earlier step back is not a step of this clock.
             self.stepped_ahead += gained.min(system.saturating_sub(self.returned + passed));
         }
         let slowed = passed.saturating_sub(passed / SLEW_DIVISOR);
@@ -56,12 +58,12 @@
     }
 }
 
-/// A step of the system's clock that a process is to see.
+/// A simulated step of the system clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct SimulatedStep {
-    /// How long after the start of the process.
+    /// When the step occurs, as the time since the start of the process.
     after: Duration,
-    /// By how much, in milliseconds; negative where the clock is set back.
+    /// The size of the step, in milliseconds; negative if the clock is set back.
     by_ms: i64,
 }
 
@@ -72,7 +74,7 @@
         Some(SimulatedStep { after, by_ms: by_ms.parse().ok()? })
     }
 
-    /// What the system's clock reads with this step.
+    /// The reading of the system clock with this step applied.
     fn apply(self, system: UnixTime, since_start: Duration) -> UnixTime {
         let by = Duration::from_millis(self.by_ms.unsigned_abs());
         match since_start >= self.after {
@@ -99,7 +101,7 @@
     });
 }
 
-/// Now.
+/// The current time on this clock.
 pub(crate) fn now() -> UnixTime {
     let system = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     CLOCK.with_borrow_mut(|clock| {
@@ -109,22 +111,22 @@
     })
 }
 
-/// How far this clock has stepped ahead since the process started, in all.
+/// The sum of all steps ahead of this clock since the process started.
 pub(crate) fn stepped_ahead() -> Duration {
     CLOCK.with_borrow(|clock| clock.slewed.as_ref().map_or(Duration::ZERO, |slewed| slewed.stepped_ahead))
 }
 
-/// A time in whole milliseconds, as it is written and sent.
+/// Converts a time to whole milliseconds, the form in which times are stored and sent.
 pub(crate) fn millis(time: Duration) -> u64 {
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Now, in whole milliseconds.
+/// The current time in whole Unix milliseconds.
 pub(crate) fn now_millis() -> u64 {
     millis(now())
 }
 
-/// Sleeps until a point in time, for [`MAX_SLEEP`] at most.
+/// Sleeps until a point in time, but for at most [`MAX_SLEEP`].
 pub(crate) fn until(at: UnixTime) -> Sleep {
     let wait = at.saturating_sub(now()).min(MAX_SLEEP);
     tokio::time::sleep_until(tokio::time::Instant::now() + wait)
--- a/node/src/clock/tests.rs
+++ b/node/src/clock/tests.rs
@@ -5,10 +5,10 @@
 }
 
 #[test]
-fn time_is_the_systems_while_that_runs_evenly() {
+fn the_clock_follows_a_system_clock_that_runs_evenly() {
     let mut clock = SlewedClock::new(ms(1_000_000), ms(0));
     for at in (0..5_000).step_by(37) {
-        // The system's clock may be steered by a little.
+        // The system clock may be adjusted by a small rate.
         let system = ms(1_000_000 + at + at / 1000);
         assert_eq!(clock.now(system, ms(at)), system);
     }
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn after_the_systems_clock_is_set_back_time_runs_slower_until_it_has_caught_up() {
+fn after_the_system_clock_is_set_back_the_clock_runs_slower_until_it_has_caught_up() {
     let mut clock = SlewedClock::new(ms(1_000_000), ms(0));
     let mut last = clock.now(ms(1_001_000), ms(1_000));
     for at in (1_100..12_000).step_by(100) {
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_step_ahead_is_followed_and_counted_and_one_back_to_where_it_was_is_not() {
+fn a_step_ahead_is_followed_and_counted_and_the_step_back_is_neither() {
     let mut clock = SlewedClock::new(ms(1_000_000), ms(0));
     assert_eq!(clock.now(ms(1_060_100), ms(100)), ms(1_060_100));
     assert_eq!(clock.stepped_ahead, ms(60_000));
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_simulated_step_names_when_and_by_how_much() {
+fn a_simulated_step_is_parsed_from_its_time_and_size() {
     let step = |after, by_ms| Some(SimulatedStep { after, by_ms });
     assert_eq!(SimulatedStep::parse("3000:-3600000"), step(ms(3000), -3_600_000));
     assert_eq!(SimulatedStep::parse("0:60000"), step(ms(0), 60_000));
--- a/node/src/hexadecimal.rs
+++ b/node/src/hexadecimal.rs
@@ -1,8 +1,8 @@
-//! Numbers in hexadecimal digits.
+//! Parses hexadecimal numbers.
 
 const RADIX: u32 = 16;
 
-/// The number that hexadecimal digits stand for; none if they are no such digits, or too many.
+/// Parses a hexadecimal number; none if a digit is not hexadecimal or the number does not fit in 64 bits.
 pub(crate) fn parse(digits: &str) -> Option<u64> {
     u64::from_str_radix(digits, RADIX).ok()
 }
--- a/node/src/line_codec.rs
+++ b/node/src/line_codec.rs
@@ -2,7 +2,7 @@
 //!
 //! A message is one line of fields, separated by single spaces and ended by CR LF. Some kinds of message carry a body:
 //! their last field is its length in bytes, and the body follows, ended by CR LF as well. Lines and bodies are bounded,
-//! so that a faulty peer can't fill the memory.
+//! so that a faulty peer can't exhaust the memory.
 
 use std::io::{self, Write};
 use std::str::FromStr;
@@ -12,40 +12,40 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Longest line, in bytes.
+/// Maximum length of a line, in bytes.
 const MAX_LINE_BYTES: usize = 16 * 1024;
-/// Longest body, in bytes.
+/// Maximum length of a body, in bytes.
 pub(crate) const MAX_BODY: usize = 256 * 1024;
-/// Bytes that may wait to be written before no more commands are accepted.
+/// Number of unwritten bytes from which no more commands are accepted.
 const MAX_UNWRITTEN_BYTES: usize = 1024 * 1024;
 /// Initial capacity of a connection's read buffer, in bytes.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
 /// Free space that is kept in the read buffer for each read, in bytes.
 const READ_CHUNK_BYTES: usize = 16 * 1024;
-/// Bytes of an unknown line that an error message quotes.
+/// Maximum number of bytes of an unknown line that an error message quotes.
 const MAX_QUOTED_BYTES: usize = 80;
 /// Ends a line and a body.
 const CRLF: &[u8] = b"\r\n";
 
-/// What a peer sent that the protocol does not allow.
+/// A violation of the protocol by a peer.
 #[derive(Debug, Error)]
 pub(crate) enum ProtocolError {
-    /// More than [`MAX_LINE_BYTES`] came without a line end.
-    #[error("line without an end after {MAX_LINE_BYTES} bytes")]
+    /// More than [`MAX_LINE_BYTES`] arrived without a line end.
+    #[error("line has no end after {MAX_LINE_BYTES} bytes")]
     UnterminatedLine,
     /// A line ends in LF alone, or is longer than [`MAX_LINE_BYTES`].
     #[error("line does not end in CR LF, or is longer than {MAX_LINE_BYTES} bytes")]
     MalformedLine,
-    /// The last field of a line with a body is no length, or one over [`MAX_BODY`].
+    /// The last field of a line with a body is not a number, or is over [`MAX_BODY`].
     #[error("body length is not a number up to {MAX_BODY}")]
     BadLength,
-    /// CR LF does not follow after as many bytes as the line states.
-    #[error("body is not as long as its line states")]
+    /// The body is not followed by CR LF at the length that its line states.
+    #[error("body does not have the length that its line states")]
     LengthMismatch,
-    /// A message has begun and was not completed in time.
-    #[error("message not completed in time")]
+    /// A message began and was not complete in time.
+    #[error("message not complete in time")]
     Incomplete,
-    /// No message of the protocol looks like this line.
+    /// The line is not a message of the protocol.
     #[error("unexpected message: \"{0}\"")]
     Unexpected(String),
 }
@@ -56,7 +56,7 @@
     }
 }
 
-/// A decoded message; its parts are slices of the buffer that it was read into.
+/// A decoded message, whose line and body are slices of the read buffer.
 #[derive(Debug, PartialEq)]
 pub(crate) struct Message {
     line: Bytes,
@@ -65,7 +65,7 @@
 }
 
 impl Message {
-    /// The field at a position; empty if there are fewer.
+    /// The field at a position, from 0; empty if the line has fewer fields.
     pub(crate) fn field(&self, position: usize) -> Bytes {
         let field = fields(&self.line).nth(position).unwrap_or_default();
         self.line.slice_ref(field)
@@ -75,7 +75,7 @@
     ///
     /// # Errors
     ///
-    /// Where the field is missing or is no such number.
+    /// If the field is missing or is not a number of this type.
     pub(crate) fn numeric_field<T: FromStr>(&self, position: usize) -> Result<T, ProtocolError> {
         parse_number(&self.field(position)).ok_or_else(|| self.protocol_error())
     }
@@ -84,7 +84,7 @@
     ///
     /// # Errors
     ///
-    /// Where one of them is no number.
+    /// If one of the fields is not a number.
     pub(crate) fn numeric_fields(&self, from: usize) -> Result<Vec<f64>, ProtocolError> {
         fields(&self.line)
             .skip(from)
@@ -92,7 +92,7 @@
             .collect()
     }
 
-    /// The error that shows this message as one that was not expected.
+    /// The error that reports this message as unexpected.
     pub(crate) fn protocol_error(&self) -> ProtocolError {
         let shown = &self.line[..self.line.len().min(MAX_QUOTED_BYTES)];
         ProtocolError::Unexpected(shown.escape_ascii().to_string())
@@ -107,12 +107,12 @@
     std::str::from_utf8(field).ok()?.parse().ok()
 }
 
-/// Removes the next complete message from the buffer and returns it; none while it is still incomplete. `has_body`
-/// decides by a line's fields whether a body follows.
+/// Removes the next complete message from the buffer and returns it; none while the message is incomplete.
+/// `has_body` decides by the fields of a line whether a body follows.
 ///
 /// # Errors
 ///
-/// Where the buffer does not begin with a message of the protocol. The connection can't be used any more.
+/// If the buffer does not begin with a message of the protocol. The connection can no longer be used then.
 pub(crate) fn decode(
     buffer: &mut BytesMut,
     has_body: impl FnOnce(&mut dyn Iterator<Item = &[u8]>) -> bool,
@@ -134,7 +134,7 @@
     decode_body(buffer, line_end, length)
 }
 
-/// The rest of [`decode`] for a message whose body has this length.
+/// Completes [`decode`] for a message with a body of this length.
 fn decode_body(
     buffer: &mut BytesMut,
     line_end: usize,
@@ -155,7 +155,7 @@
     Ok(Some(Message { line: message.slice(..line_end - 1), body: Some(body) }))
 }
 
-/// Appends a message with these fields; with a body its length is added as the last field.
+/// Appends a message with these fields. If there is a body, its length is added as the last field.
 pub(crate) fn encode(output: &mut BytesMut, fields: &[&[u8]], body: Option<&[u8]>) {
     for (position, field) in fields.iter().enumerate() {
         if position > 0 {
@@ -171,11 +171,11 @@
     output.put_slice(CRLF);
 }
 
-/// A connection with buffers for what was read but not decoded, and for what is still to be written.
+/// A connection with a read buffer and a write buffer.
 #[derive(Debug)]
 pub(crate) struct LineConnection {
     stream: TcpStream,
-    /// Bytes that were read and not decoded yet.
+    /// Bytes that were read but not decoded yet.
     pub(crate) input: BytesMut,
     /// Bytes that are still to be written.
     pub(crate) output: BytesMut,
@@ -187,22 +187,22 @@
         LineConnection { stream, input: BytesMut::with_capacity(READ_BUFFER_BYTES), output: BytesMut::new() }
     }
 
-    /// Whether the connection is open and nothing has arrived on it, as far as is known without waiting.
+    /// Whether the connection is open and has no unread input, as far as can be told without waiting.
     pub(crate) fn is_idle(&self) -> bool {
         let read = self.stream.try_read(&mut [0]);
         self.input.is_empty() && read.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Whether more may be added to the output.
+    /// Whether the output is short enough to accept more messages.
     pub(crate) fn has_write_capacity(&self) -> bool {
         self.output.len() < MAX_UNWRITTEN_BYTES
     }
 
-    /// Reads and writes until something was read. Cancelling it loses no byte.
+    /// Reads and writes until input was read. Cancelling the future loses no bytes.
     ///
     /// # Errors
     ///
-    /// Where the connection fails, or the peer has closed it.
+    /// If the connection fails, or the peer has closed it.
     pub(crate) async fn transfer(&mut self) -> io::Result<()> {
         let LineConnection { stream, input, output } = self;
         let (mut reader, mut writer) = stream.split();
--- a/node/src/log.rs
+++ b/node/src/log.rs
@@ -1,28 +1,31 @@
-//! The log: [`log!`](macro@crate::log) writes a line to standard error, a few a second from each place in the code.
+//! The log: [`log!`](macro@crate::log) writes a line to standard error. The rate of lines from each call site
+//! is limited.
 //!
-//! A line is `SECONDS COMPONENT: EVENT: KEY=VALUE ...`; an error comes last, as `error=...`, and may have spaces.
+//! A line is `SECONDS COMPONENT: EVENT: KEY=VALUE ...`. An error comes last, as `error=...`, and may contain
+//! spaces.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use crate::clock;
 
-/// Lines that one place may write in a second.
+/// Maximum number of lines that one call site may write in a second.
 const MAX_LINES_PER_SECOND: u64 = 5;
 
-/// What one place in the code has written in the current second. However many errors a peer causes, they take neither
-/// the node's core nor its supervisor's disk.
+/// Limits the lines that one call site writes in a second, so that a peer that causes many errors can fill
+/// neither the node's core nor the disk of its supervisor.
 pub(crate) struct RateLimiter {
     second: AtomicU64,
     lines: AtomicU64,
 }
 
 impl RateLimiter {
-    /// A place that has written nothing yet.
+    /// Creates the limiter of a call site that has written nothing.
     pub(crate) const fn new() -> Self {
         RateLimiter { second: AtomicU64::new(0), lines: AtomicU64::new(0) }
     }
 
-    /// Whether a line may be written in this second; if so, how many were suppressed just before it.
+    /// The number of lines that were suppressed just before this one; none if this one must be suppressed
+    /// too. `second` is the current time.
     pub(crate) fn admit(&self, second: u64) -> Option<u64> {
         let suppressed = if self.second.swap(second, Ordering::Relaxed) == second {
             0
@@ -33,8 +36,8 @@
     }
 }
 
-/// Writes a line, `COMPONENT: EVENT: KEY=VALUE ...`, unless this place has written enough in this second. Takes the
-/// arguments of `format!`.
+/// Writes a line, `COMPONENT: EVENT: KEY=VALUE ...`, unless this call site has reached its limit for the
+/// current second. Takes the arguments of `format!`.
 #[macro_export]
 macro_rules! log {
     ($($arguments:tt)*) => {{
@@ -43,7 +46,7 @@
     }};
 }
 
-/// What the macro expands to; not to be called otherwise.
+/// Implements [`log!`](macro@crate::log), and must not be called directly.
 pub(crate) fn write(limiter: &RateLimiter, line: std::fmt::Arguments) {
     let now = clock::now();
     let seconds = now.as_secs();
--- a/node/src/log/tests.rs
+++ b/node/src/log/tests.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 
 #[test]
-fn a_place_writes_a_few_lines_a_second_and_counts_the_suppressed_ones() {
+fn a_call_site_writes_a_few_lines_a_second_and_counts_the_suppressed_ones() {
     let limiter = RateLimiter::new();
     let written = (0..50).filter(|_| limiter.admit(7).is_some()).count();
     assert_eq!(written as u64, MAX_LINES_PER_SECOND);
@@ -51,15 +51,15 @@
     calls.map(|format| format.split('"').next().unwrap()).collect()
 }
 
-/// The pages on which operators find the log lines.
+/// The text of the pages that describe the log lines to operators.
 fn operators_pages() -> String {
     let docs = Path::new(env!("CARGO_MANIFEST_DIR")).join("../docs");
     let pages = ["on-call.md", "fleet-operators.md"];
     pages.map(|page| fs::read_to_string(docs.join(page)).unwrap()).concat()
 }
 
-/// What is wrong with the format text of a log line, if anything.
-fn fault_of(format: &str, pages: &str) -> Option<&'static str> {
+/// The violated rule on the form of a log line, if any.
+fn violation_of(format: &str, pages: &str) -> Option<&'static str> {
     let mut parts = format.split(": ");
     let component = parts.next().unwrap_or_default();
     let event = parts.next().unwrap_or_default();
@@ -85,18 +85,18 @@
         let source = fs::read_to_string(&path).unwrap();
         for format in log_formats(&source) {
             lines += 1;
-            assert_eq!(fault_of(format, &pages), None, "{}: {format:?}", path.display());
+            assert_eq!(violation_of(format, &pages), None, "{}: {format:?}", path.display());
         }
     }
     assert!(lines > 50, "{lines} log lines were found");
 }
 
 #[test]
-fn a_log_line_of_another_form_is_found() {
+fn log_lines_of_another_form_are_detected() {
     let pages = "`fleet: listening: address=...`";
-    assert_eq!(fault_of("fleet: listening: address={address}", pages), None);
-    assert_eq!(fault_of("health is good", pages), Some("no component"));
-    assert_eq!(fault_of("fleet: address={address}", pages), Some("no event"));
-    assert_eq!(fault_of("fleet: listening: {address}", pages), Some("values without a key"));
-    assert_eq!(fault_of("fleet: closed", pages), Some("not on a page for operators"));
+    assert_eq!(violation_of("fleet: listening: address={address}", pages), None);
+    assert_eq!(violation_of("health is good", pages), Some("no component"));
+    assert_eq!(violation_of("fleet: address={address}", pages), Some("no event"));
+    assert_eq!(violation_of("fleet: listening: {address}", pages), Some("values without a key"));
+    assert_eq!(violation_of("fleet: closed", pages), Some("not on a page for operators"));
 }
--- a/node/src/sockets.rs
+++ b/node/src/sockets.rs
@@ -1,6 +1,6 @@
 //! Opens TCP listeners and connections.
 //!
-//! Every connection sends small writes at once (`TCP_NODELAY`), and none is waited for without a deadline.
+//! Every connection sends small writes at once (`TCP_NODELAY`), and every connection attempt has a deadline.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,15 +9,15 @@
 
 use crate::clock::{self, UnixTime};
 
-/// Connections that the system may queue until they are accepted.
+/// Maximum number of connections that the system queues until they are accepted.
 const ACCEPT_BACKLOG: u32 = 1024;
 
 /// Whether other processes may listen at the same address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum AddressUse {
-    /// They may not.
+    /// No other process may.
     Exclusive,
-    /// They may, as processes of one node do in an upgrade in place.
+    /// Other processes may, as those of one node do in an upgrade in place.
     Shared,
 }
 
@@ -25,7 +25,7 @@
 ///
 /// # Errors
 ///
-/// Where the system does not grant the address.
+/// If the system does not grant the address.
 pub(crate) fn listen(address: SocketAddr, address_use: AddressUse) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
@@ -38,13 +38,14 @@
 ///
 /// # Errors
 ///
-/// Where the system can't accept one, as when no descriptor is left.
+/// If the system can't accept a connection, for instance because no file descriptor is left.
 pub(crate) async fn accept(listener: &TcpListener) -> io::Result<TcpStream> {
     listener.accept().await.map(|(stream, _)| without_delay(stream))
 }
 
-/// Closes a listener and returns the connections that the system had queued for it. The system is asked directly, as what
-/// the runtime knows may be older; closing the listener alone would reset these connections.
+/// Closes a listener and returns the connections that the system had queued for it. Only closing the listener
+/// would reset these connections. The system is queried directly, as the readiness that the runtime knows may
+/// be outdated.
 pub(crate) fn close(listener: TcpListener) -> Vec<TcpStream> {
     let Ok(listener) = listener.into_std() else { return Vec::new() };
     let queued = std::iter::from_fn(|| listener.accept().ok()).take(ACCEPT_BACKLOG as usize);
@@ -59,7 +60,7 @@
 ///
 /// # Errors
 ///
-/// Where the peer does not accept the connection by the deadline.
+/// If the connection fails, or is not established by the deadline.
 pub(crate) async fn connect(address: SocketAddr, deadline: UnixTime) -> io::Result<TcpStream> {
     tokio::select! {
         connected = TcpStream::connect(address) => connected.map(without_delay),
@@ -67,7 +68,7 @@
     }
 }
 
-/// Sets `TCP_NODELAY`. Where the system refuses, only time is lost.
+/// Sets `TCP_NODELAY`. If that fails, small writes may be delayed, but the connection works.
 fn without_delay(stream: TcpStream) -> TcpStream {
     let _ = stream.set_nodelay(true);
     stream
--- a/node/src/sockets/tests.rs
+++ b/node/src/sockets/tests.rs
@@ -28,10 +28,11 @@
     run(async {
         let listener = listen(local(), AddressUse::Exclusive).unwrap();
         let address = listener.local_addr().unwrap();
-        // More than the runtime does in one turn of a task; nothing was asked of the listener before.
+        // More connections than the runtime accepts in one poll of a task; the listener was never polled
+        // before.
         let clients: Vec<_> = (0..300).map(|_| std::net::TcpStream::connect(address).unwrap()).collect();
         assert_eq!(close(listener).len(), clients.len());
-        assert!(std::net::TcpStream::connect(address).is_err(), "it is closed");
+        assert!(std::net::TcpStream::connect(address).is_err(), "the listener is closed");
     });
 }
 
@@ -42,7 +43,7 @@
         socket.bind(local()).unwrap();
         let listener = socket.listen(0).unwrap();
         let address = listener.local_addr().unwrap();
-        // Nobody accepts, so that the system's queue fills up; then connecting hangs.
+        // No connection is accepted, so that the system's queue fills up. From then on connecting hangs.
         let mut held = Vec::new();
         loop {
             match connect(address, clock::now() + Duration::from_millis(300)).await {
--- a/node/src/uwsgi.rs
+++ b/node/src/uwsgi.rs
@@ -1,11 +1,12 @@
-//! The uwsgi packet.
+//! Encodes and decodes uwsgi packets.
 //!
-//! It is a head of four bytes (a modifier, the size of the variables in little-endian, another modifier) and the
-//! variables, each a name and a value with a length of two bytes before them. A body may follow the packet.
+//! A packet is a head of four bytes (a modifier, the size of the variables in little-endian order, another
+//! modifier) and the variables. Each variable is a name and a value, each preceded by its length in two
+//! bytes. A body may follow the packet.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
-/// Bytes of the head.
+/// Length of the head, in bytes.
 pub(crate) const HEAD_BYTES: usize = 4;
 
 /// The fields of the head.
@@ -13,9 +14,9 @@
 pub(crate) struct PacketHead {
     /// The kind of packet; 0 for a request.
     pub(crate) modifier1: u8,
-    /// Bytes of the variables.
+    /// Length of the variables, in bytes.
     pub(crate) size: usize,
-    /// Its meaning depends on the first.
+    /// A further modifier, whose meaning depends on `modifier1`.
     pub(crate) modifier2: u8,
 }
 
@@ -27,7 +28,7 @@
     }
 }
 
-/// The variables of a packet, as slices of the buffer that it was read into.
+/// The variables of a packet, as slices of the read buffer.
 #[derive(Debug, Default, PartialEq)]
 pub(crate) struct Variables(Vec<ReceivedVariable>);
 
@@ -46,14 +47,14 @@
 }
 
 impl<'a> Variable<'a> {
-    /// A variable with its value.
+    /// Creates a variable with a name and a value.
     pub(crate) fn new(name: &'a str, value: &'a [u8]) -> Self {
         Variable { name, value }
     }
 }
 
 impl Variables {
-    /// Decodes the variables of a packet; none if their lengths do not add up.
+    /// Decodes the variables of a packet; none if their lengths do not add up to that of the block.
     pub(crate) fn parse(mut block: Bytes) -> Option<Variables> {
         let mut variables = Vec::new();
         while !block.is_empty() {
@@ -64,12 +65,12 @@
         Some(Variables(variables))
     }
 
-    /// The value of a variable; the last one where the name occurs more than once.
+    /// The value of a variable; the last one if the name occurs more than once.
     pub(crate) fn get(&self, name: &str) -> Option<&Bytes> {
         self.0.iter().rev().find(|variable| variable.name == name.as_bytes()).map(|variable| &variable.value)
     }
 
-    /// The value of a variable as text, unless it is absent or empty.
+    /// The value of a variable as text; none if it is absent, empty or not UTF-8.
     pub(crate) fn text(&self, name: &str) -> Option<&str> {
         std::str::from_utf8(self.get(name)?).ok().filter(|text| !text.is_empty())
     }
--- a/node/src/uwsgi/tests.rs
+++ b/node/src/uwsgi/tests.rs
@@ -2,7 +2,7 @@
 use crate::test_support::hex;
 
 #[test]
-fn an_encoded_packet_is_decoded_and_a_cut_one_is_not() {
+fn an_encoded_packet_is_decoded_and_a_truncated_one_is_not() {
     let packet =
         encode_packet(&[Variable::new("PATH_INFO", b"/book"), Variable::new("EMPTY", b"")]).unwrap().freeze();
     let head = PacketHead::parse(&packet).unwrap();
@@ -11,8 +11,8 @@
     assert_eq!((variables.text("PATH_INFO"), variables.text("EMPTY")), (Some("/book"), None));
     assert_eq!(PacketHead::parse(&packet[..3]), None);
     for cut in HEAD_BYTES + 1..packet.len() {
-        let whole = Variables::parse(packet.slice(HEAD_BYTES..cut));
-        assert!(whole.is_none() || cut == HEAD_BYTES + 2 + 9 + 2 + 5, "cut at {cut}");
+        let decoded = Variables::parse(packet.slice(HEAD_BYTES..cut));
+        assert!(decoded.is_none() || cut == HEAD_BYTES + 2 + 9 + 2 + 5, "cut at {cut}");
     }
 }
 
