--- a/node/src/config/node.rs
+++ b/node/src/config/node.rs
@@ -133,7 +133,7 @@
     }
 }
 
-/// An address that may be left out.
+/// Parses an address whose key is optional.
 fn parse_optional_address(key: &str, text: Option<&str>) -> Result<Option<SocketAddr>, ConfigError> {
     text.map(|text| parse_address(key, text)).transpose()
 }
@@ -145,7 +145,7 @@
     Ok(raw)
 }
 
-/// An error of the JSON parser, with the key if there is one.
+/// Converts an error of the JSON parser, which names the key if there is one.
 fn malformed_json(error: &serde_path_to_error::Error<serde_json::Error>) -> ConfigError {
     let has_key = error.path().iter().next().is_some();
     ConfigError::Malformed(if has_key { first_line(error) } else { first_line(error.inner()) })
--- a/node/src/frontend/jsonrpc/connection/deadlines.rs
+++ b/node/src/frontend/jsonrpc/connection/deadlines.rs
@@ -70,7 +70,7 @@
             Some(told) => (told.max(self.last_used), Some(DRAINING_IDLE_TIMEOUT)),
             None => (self.last_used, self.status.borrow().idle_timeout),
         };
-        // An incomplete message has a deadline of its own.
+        // An incomplete message has its own deadline.
         let is_idle = self.is_quiet() && self.message_deadline.is_none();
         since + timeout.filter(|_| is_idle).unwrap_or(MAX_WAIT)
     }
--- a/node/src/frontend/uwsgi/request.rs
+++ b/node/src/frontend/uwsgi/request.rs
@@ -28,7 +28,7 @@
 /// The tenant of requests that name none. It is not in the settings, so these requests count towards no
 /// tenant's share.
 const NO_TENANT: TenantId = TenantId(u16::MAX);
-/// The rank of a request, which this protocol does not carry.
+/// The rank of all requests, as this protocol does not carry one.
 const DEFAULT_RANK: f64 = 0.5;
 
 /// Why a packet was not served; no request was submitted.
--- a/node/src/frontend/write_backlog.rs
+++ b/node/src/frontend/write_backlog.rs
@@ -26,7 +26,7 @@
 }
 
 impl WriteBacklog {
-    /// Counts bytes that the system has accepted.
+    /// Records that the system has accepted this number of bytes.
     pub(crate) fn record_write(&mut self, bytes: usize) {
         self.total_written += bytes as u64;
     }
--- a/node/src/line_codec.rs
+++ b/node/src/line_codec.rs
@@ -1,8 +1,8 @@
 //! The line protocol of the interpreter, the index and the upgrade handover.
 //!
-//! A message is one line of fields, separated by single spaces and ended by CR LF. Some kinds of message carry a body:
-//! their last field is its length in bytes, and the body follows, ended by CR LF as well. Lines and bodies are bounded,
-//! so that a faulty peer can't exhaust the memory.
+//! A message is one line of fields, separated by single spaces and ended by CR LF. Some kinds of message
+//! carry a body: their last field is its length in bytes, and the body follows, ended by CR LF as well. The
+//! length of lines and bodies is limited, so that a faulty peer can't exhaust the memory.
 
 use std::io::{self, Write};
 use std::str::FromStr;
--- a/node/src/server/capacity.rs
+++ b/node/src/server/capacity.rs
@@ -23,11 +23,11 @@
 /// Maximum number of simultaneous connections of each kind.
 #[derive(Debug)]
 pub(super) struct ConnectionCapacity {
-    /// From JSON-RPC clients.
+    /// Connections from JSON-RPC clients.
     pub(super) jsonrpc: usize,
-    /// From uwsgi clients.
+    /// Connections from uwsgi clients; 0 without a uwsgi frontend.
     pub(super) uwsgi: usize,
-    /// To each of the two backends.
+    /// Connections to each of the two backends.
     pub(super) per_backend: usize,
 }
 
--- a/node/src/server/reload.rs
+++ b/node/src/server/reload.rs
@@ -36,7 +36,7 @@
 /// The cause of a reload.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Trigger {
-    /// SIGHUP.
+    /// The process received SIGHUP.
     Signal,
     /// The predecessor has ended. A SIGHUP that was meant for the node may have reached only the predecessor.
     PredecessorEnded,
--- a/node/src/server/startup.rs
+++ b/node/src/server/startup.rs
@@ -61,7 +61,7 @@
 /// The result store at the start of a process.
 #[derive(Default)]
 struct StartingStore {
-    /// None if none is configured.
+    /// The store; none if it is not configured.
     store: Option<ResultStore>,
     /// The state that was recovered from the store; none if there is no store, or the predecessor still has
     /// it open.
