--- a/fault-harness/src/history.rs
+++ b/fault-harness/src/history.rs
@@ -1,5 +1,6 @@
-//! The history of a play, in order: every attempt written, every answer, every run, and all that was done to the fleet.
-//! The checker and all statistics are functions of it. A file holds one event a line, as JSON, and can be checked again.
+//! The history of a play: in order of time, every attempt written, every answer, every run, and every change
+//! that the harness made to the fleet. The checker and all statistics are computed from the history alone. A
+//! history file holds one event per line, as JSON, so that a play can be checked again later.
 
 mod event;
 mod file;
@@ -13,68 +14,71 @@
 use crate::model::Ms;
 use crate::scenario::RunScope;
 
-/// What the checker and the statistics need to know of a class.
+/// Parameters of a class that the checker and the statistics use.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ClassParameters {
-    /// Its name.
+    /// Name of the class in the scenario.
     pub name: String,
-    /// Its latency objective: an answer within this time earns the full weight.
+    /// Latency objective: a request answered within this time earns its full weight.
     #[serde(alias = "aim")]
     pub latency_objective: Ms,
-    /// How long a client waits.
+    /// Time that a client waits for an answer, in milliseconds since the request was sent.
     pub deadline: Ms,
-    /// How long an idempotency key may come again; 0 in classes without keys.
+    /// Idempotency window: how long after a request another one with its key counts as a repeat; 0 in classes
+    /// without keys.
     #[serde(alias = "window")]
     pub idempotency_window: Ms,
-    /// Weight of a request: that of the scenario times its mean work in milliseconds.
+    /// Weight of a request: the weight of the class in the scenario times its mean work in milliseconds.
     #[serde(alias = "worth")]
     pub weight: f64,
     /// Fraction of the weight that an answer after the latency objective earns.
     #[serde(alias = "late_worth")]
     pub late_weight: f64,
-    /// Fraction of the weight that is earned without the call of the dependency.
+    /// Fraction of the weight that an answer computed without the call of the dependency earns.
     #[serde(alias = "skip_worth")]
     pub skip_weight: f64,
 }
 
-/// The parameters that a play is checked by.
+/// The parameters against which a play is checked.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RuleParameters {
-    /// The scenario's name.
+    /// Name of the scenario.
     pub scenario: String,
-    /// The seed.
+    /// Seed of all random choices of the play.
     pub seed: u64,
-    /// How long load was sent, in seconds.
+    /// Duration of the load, in seconds.
     pub seconds: f64,
-    /// How many nodes there are.
+    /// Number of nodes in the fleet.
     pub nodes: usize,
-    /// The classes.
+    /// Classes of the scenario; events refer to a class by its position here.
     pub classes: Vec<ClassParameters>,
-    /// Within what an idempotency key may run once.
+    /// Scope within which an idempotency key may run only once: a node or the fleet.
     #[serde(alias = "once")]
     pub run_once_per: RunScope,
-    /// How long after its deadline an answer still counts; it allows for the delays of a busy machine.
+    /// Time after its deadline up to which an answer still counts as in time, to allow for scheduling delays
+    /// on a busy machine.
     #[serde(rename = "slack")]
     pub timing_tolerance: Ms,
-    /// What arrives later than this after the shutdown notice is not run.
+    /// Grace period of the drain: an attempt that arrives later than this after the shutdown notice must not
+    /// run.
     pub drain_grace: Ms,
-    /// Descriptors that a program may hold.
+    /// Maximum number of file descriptors that a node process may hold open.
     #[serde(alias = "sockets")]
     pub descriptors: u64,
-    /// Memory that a program may take, in KB.
+    /// Maximum resident memory of a node process, in KB.
     pub memory_kb: u64,
-    /// How long two nodes may both have the role of the virtual router, once nothing keeps them from receiving each
-    /// other's advertisements.
+    /// Maximum time for which two nodes may both hold the role of the virtual router while they can receive
+    /// each other's advertisements.
     #[serde(alias = "two_active")]
     pub max_dual_active: Ms,
 }
 
-/// The history of a whole play.
+/// The complete history of one play.
 #[derive(Debug, Clone, PartialEq)]
 pub struct History {
-    /// The parameters that it is checked by.
+    /// Parameters against which the play is checked.
     pub parameters: RuleParameters,
-    /// What was observed, in order.
+    /// Observed events, in order of time.
     pub observations: Vec<Observation>,
 }
 
--- a/fault-harness/src/history/event.rs
+++ b/fault-harness/src/history/event.rs
@@ -1,4 +1,5 @@
-//! The events of a history. Names that they had in the first form of histories are aliases, so that old files are read.
+//! The events of a history. The serde aliases are the names in the first version of the history format, so
+//! that old files can still be read.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,27 +10,27 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Response {
-    /// Served, with this result.
+    /// The request was served; holds the result.
     Served(String),
-    /// Rejected.
+    /// The node rejected the request.
     #[serde(alias = "refused")]
     Rejected {
-        /// After how long to retry (Retry-After).
+        /// Delay after which the node asks the frontend to retry (Retry-After); none if it does not say.
         #[serde(alias = "later")]
         retry_after: Option<Ms>,
-        /// The node asks the frontend to give up: no other node is to be tried.
+        /// Whether the node asks the frontend to give up rather than to try another node.
         #[serde(alias = "giveup")]
         give_up: bool,
     },
-    /// Any other error.
+    /// The request failed in any other way.
     Failed,
 }
 
-/// The end of a result that was made without the call of the dependency.
+/// Suffix of a result that was computed without the call of the dependency.
 pub const DEGRADED_SUFFIX: &str = " poorer";
 
 impl Response {
-    /// The outcome of the attempt that got this answer.
+    /// The outcome of an attempt that received this answer.
     pub fn outcome(&self) -> AttemptOutcome {
         match self {
             Response::Served(result) => {
@@ -43,286 +44,288 @@
     }
 }
 
-/// On which connection an attempt was when that ended without its answer.
+/// State of the connection of an attempt when that connection ended before the attempt was answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ConnectionLoss {
-    /// One that the node was closing as idle when the attempt was written; it was sent again.
+    /// The node was closing the connection as idle while the attempt was written; the attempt is sent again.
     #[serde(alias = "crossed")]
     CrossedClose,
-    /// One on which nothing had been answered yet.
+    /// No attempt had been answered on the connection yet.
     #[serde(alias = "fresh")]
     NewConnection,
-    /// One on which others had been answered.
+    /// Other attempts had been answered on the connection.
     #[serde(alias = "used")]
     UsedConnection,
 }
 
-/// How a program ended.
+/// How the process of a node ended.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ProcessExit {
-    /// The harness killed it.
+    /// The harness killed the process.
     Killed,
-    /// By itself after the shutdown notice.
+    /// The process exited after its shutdown notice.
     #[serde(alias = "left")]
     ShutDown,
-    /// It was still running when its time for a graceful shutdown was over.
+    /// The process was still running when the time for a graceful shutdown had passed.
     #[serde(alias = "overstayed")]
     ShutdownTimedOut,
-    /// By itself, without a notice: its exit status.
+    /// The process exited without a shutdown notice; holds the exit status.
     Crashed(String),
 }
 
-/// An event with its time.
+/// An event and the time at which it happened.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Observation {
-    /// When, in milliseconds since the load began.
+    /// Time of the event, in milliseconds since the load began.
     #[serde(rename = "at_ms", alias = "t")]
     pub at: Ms,
-    /// What happened.
+    /// The event.
     #[serde(flatten)]
     pub event: Event,
 }
 
-/// What can happen in a play. Nodes, frontends, classes and requests go by their positions, attempts by their ids.
+/// An event of a play. Nodes, frontends, classes and requests are identified by their positions, attempts by
+/// their ids.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum Event {
-    /// A client sent a request. A repeat has the idempotency key of another request.
+    /// A client sent a request. A repeat carries the idempotency key of an earlier request.
     #[serde(alias = "asked")]
     RequestSent {
-        /// The request.
+        /// Position of the request in the schedule.
         #[serde(alias = "n")]
         request: usize,
-        /// Its class.
+        /// Position of its class.
         class: usize,
-        /// The request whose key it repeats.
+        /// Position of the request whose key this one repeats; none for a first request.
         repeats: Option<usize>,
     },
-    /// A client's request is over.
+    /// The request of a client ended.
     #[serde(alias = "over")]
     RequestEnded {
-        /// The request.
+        /// Position of the request in the schedule.
         #[serde(alias = "n")]
         request: usize,
         /// How it ended.
         #[serde(alias = "end")]
         outcome: RequestOutcome,
-        /// Its attempts.
+        /// Number of attempts that were made for the request.
         #[serde(alias = "tries")]
         attempts: u32,
     },
-    /// An attempt was written to a node.
+    /// A frontend wrote an attempt to a node.
     #[serde(alias = "wrote")]
     AttemptWritten {
-        /// The attempt.
+        /// Id of the attempt.
         #[serde(alias = "txn")]
         attempt: u64,
-        /// The request.
+        /// Position of the request in the schedule.
         #[serde(alias = "n")]
         request: usize,
-        /// The node.
+        /// Position of the node.
         node: usize,
-        /// The frontend.
+        /// Position of the frontend.
         #[serde(alias = "front")]
         frontend: usize,
-        /// When its caller stops waiting.
+        /// Time at which the caller stops waiting.
         #[serde(alias = "due")]
         deadline: Ms,
     },
-    /// An attempt was answered.
+    /// A frontend received the answer to an attempt.
     #[serde(alias = "answered")]
     AttemptAnswered {
-        /// The attempt.
+        /// Id of the attempt.
         #[serde(alias = "txn")]
         attempt: u64,
         /// The answer.
         #[serde(alias = "kind")]
         response: Response,
     },
-    /// An attempt's caller cancelled it.
+    /// The caller cancelled an attempt.
     #[serde(alias = "withdrew")]
     AttemptCancelled {
-        /// The attempt.
+        /// Id of the attempt.
         #[serde(alias = "txn")]
         attempt: u64,
     },
-    /// An attempt's connection ended without its answer.
+    /// The connection of an attempt ended before the attempt was answered.
     #[serde(alias = "dropped")]
     ConnectionLost {
-        /// The attempt.
+        /// Id of the attempt.
         #[serde(alias = "txn")]
         attempt: u64,
-        /// On which connection it was.
+        /// State of that connection.
         #[serde(alias = "why")]
         loss: ConnectionLoss,
     },
-    /// A line came that is no answer, or answers nothing that is open.
+    /// A node sent a line that is not an answer, or that answers no open attempt.
     #[serde(alias = "stray")]
     UnexpectedLine {
-        /// The node.
+        /// Position of the node.
         node: usize,
-        /// The attempt that it answers a second time, if it does.
+        /// Id of the attempt, if the line is a second answer to it.
         #[serde(alias = "txn")]
         attempt: Option<u64>,
-        /// What came.
+        /// The line that was received.
         text: String,
     },
-    /// A run started.
+    /// The interpreter of a node started to run an attempt.
     #[serde(alias = "began")]
     RunStarted {
-        /// The attempt.
+        /// Id of the attempt.
         #[serde(alias = "txn")]
         attempt: u64,
-        /// The node.
+        /// Position of the node.
         node: usize,
     },
-    /// A run ended, with this result if it worked.
+    /// A run ended.
     #[serde(alias = "ended")]
     RunEnded {
-        /// The attempt.
+        /// Id of the attempt.
         #[serde(alias = "txn")]
         attempt: u64,
-        /// The node.
+        /// Position of the node.
         node: usize,
-        /// Its result.
+        /// Result of the run; none if the run failed.
         result: Option<String>,
     },
-    /// A run called the dependency.
+    /// A run made its call of the dependency.
     #[serde(alias = "called")]
     DependencyCalled {
-        /// The attempt.
+        /// Id of the attempt.
         #[serde(alias = "txn")]
         attempt: u64,
-        /// The node.
+        /// Position of the node.
         node: usize,
     },
-    /// A program logged something about the fleet.
+    /// The process of a node logged a line about the fleet.
     #[serde(alias = "said")]
     FleetLogged {
-        /// The node.
+        /// Position of the node.
         node: usize,
-        /// The line.
+        /// The log line.
         text: String,
     },
-    /// A body, class or reply reached the interpreter changed, or a command was about a request that never came.
+    /// The interpreter received a body, class or reply that differs from what was sent, or a command for a
+    /// request that was never sent to its node.
     #[serde(alias = "spoilt")]
     Corrupted {
-        /// The node.
+        /// Position of the node.
         node: usize,
-        /// What was wrong.
+        /// Description of the difference.
         text: String,
     },
-    /// A program was started and serves.
+    /// The process of a node started and accepts requests.
     #[serde(alias = "up")]
     NodeUp {
-        /// The node.
+        /// Position of the node.
         node: usize,
-        /// Whether its interpreter is cold.
+        /// Whether its interpreter starts cold and has to warm up.
         cold: bool,
     },
-    /// A program got its shutdown notice (SIGTERM).
+    /// The process of a node received its shutdown notice (SIGTERM).
     #[serde(alias = "notice")]
     ShutdownNotice {
-        /// The node.
+        /// Position of the node.
         node: usize,
     },
-    /// A program has ended.
+    /// The process of a node ended.
     #[serde(alias = "down")]
     NodeDown {
-        /// The node.
+        /// Position of the node.
         node: usize,
         /// How it ended.
         #[serde(alias = "way")]
         exit: ProcessExit,
     },
-    /// The state that a node keeps over restarts was erased, truncated or replaced.
+    /// The stored state that a node keeps across restarts was erased, truncated or replaced.
     #[serde(alias = "wiped")]
     StateLost {
-        /// The node.
+        /// Position of the node.
         node: usize,
     },
-    /// A node's process was paused, or resumed.
+    /// The process of a node was paused or resumed.
     #[serde(alias = "still")]
     Paused {
-        /// The node.
+        /// Position of the node.
         node: usize,
-        /// Whether it is paused from now on.
+        /// True if the process is paused from now on, false if it is resumed.
         #[serde(alias = "still")]
         paused: bool,
     },
-    /// Traffic between a node and a frontend is disturbed, or no longer is. Without a frontend, that of all frontends is.
+    /// A disturbance of the traffic between a node and a frontend begins or ends.
     #[serde(alias = "disturbed")]
     LinkDisturbed {
-        /// The node.
+        /// Position of the node.
         node: usize,
-        /// The frontend.
+        /// Position of the frontend; none if the traffic with all frontends is disturbed.
         #[serde(alias = "front")]
         frontend: Option<usize>,
-        /// Whether it is disturbed from now on.
+        /// True if the disturbance begins, false if it ends.
         #[serde(alias = "on")]
         disturbed: bool,
     },
-    /// Traffic among nodes is disturbed, or no longer is.
+    /// A disturbance of the traffic between nodes begins or ends.
     #[serde(alias = "peers")]
     PeerLinksDisturbed {
-        /// Whether it is disturbed from now on.
+        /// True if the disturbance begins, false if it ends.
         #[serde(alias = "on")]
         disturbed: bool,
     },
-    /// A node has the role of the virtual router, or no longer has it.
+    /// A node took or gave up the role of the virtual router.
     #[serde(alias = "role")]
     RouterRole {
-        /// The node.
+        /// Position of the node.
         node: usize,
-        /// Whether it has the role from now on.
+        /// True if the node holds the role from now on.
         active: bool,
     },
     /// The harness injected a fault.
     #[serde(alias = "fault")]
     FaultInjected {
-        /// What it is, and for which nodes.
+        /// Kind of the fault and the nodes that it affects.
         text: String,
-        /// When it is over.
+        /// Time at which the fault ends.
         until: Ms,
     },
     /// A frontend opened a connection.
     #[serde(alias = "connected")]
     ConnectionOpened {
-        /// The node.
+        /// Position of the node.
         node: usize,
-        /// The frontend.
+        /// Position of the frontend.
         #[serde(alias = "front")]
         frontend: usize,
     },
-    /// A sample of the resources that a program takes.
+    /// A sample of the resources that the process of a node uses.
     #[serde(alias = "sample")]
     ResourceSample {
-        /// The node.
+        /// Position of the node.
         node: usize,
-        /// Resident memory.
+        /// Resident memory, in KB.
         #[serde(alias = "rss_kb")]
         memory_kb: u64,
-        /// Open descriptors.
+        /// Number of open file descriptors.
         #[serde(alias = "files")]
         descriptors: u64,
-        /// CPU time since its start.
+        /// CPU time since the process started, in milliseconds.
         cpu_ms: u64,
     },
-    /// An interpreter has died of the load that the program put on it.
+    /// An interpreter died of the load that its node put on it.
     #[serde(alias = "fell")]
     InterpreterDied {
-        /// The node.
+        /// Position of the node.
         node: usize,
-        /// Of what.
+        /// Cause of death: too much concurrency or too much memory.
         #[serde(alias = "text")]
         cause: String,
     },
     /// The harness itself was scheduled late.
     #[serde(alias = "late")]
     HarnessDelayed {
-        /// By how much.
+        /// How late the harness was scheduled.
         #[serde(alias = "by")]
         delay: Ms,
     },
--- a/fault-harness/src/history/file.rs
+++ b/fault-harness/src/history/file.rs
@@ -1,4 +1,4 @@
-//! The file of a history: a line with its parameters, and a line for each event, as JSON.
+//! History files: one line with the parameters, then one line per event, as JSON.
 
 use std::fs::File;
 use std::io::{self, BufRead, BufReader, BufWriter, Write};
@@ -8,36 +8,36 @@
 
 use super::{History, Observation};
 
-/// The field that names the kind of an event.
+/// Field that holds the kind of an event.
 const TAG: &str = "event";
-/// The name of that field in the first form of histories.
+/// Name of that field in the first version of the history format.
 const FORMER_TAG: &str = "e";
 
-/// Why a history can't be read.
+/// Reason why a history cannot be read.
 #[derive(Debug, thiserror::Error)]
 pub enum HistoryError {
-    /// The file can't be opened or read.
-    #[error("the file cannot be read: {0}")]
+    /// The file cannot be opened or read.
+    #[error("cannot read the history file: {0}")]
     Io(#[from] io::Error),
-    /// The file has no line at all.
-    #[error("the file is empty")]
+    /// The file has no lines, not even the parameters.
+    #[error("the history file is empty; its first line must hold the parameters of the play")]
     Empty,
-    /// A line is not what a history has there.
+    /// A line is not valid JSON, or not the parameters (line 1) or an event (any other line).
     #[error("line {line}: {source}")]
     Line {
-        /// Its number, from 1.
+        /// Line number, from 1.
         line: usize,
-        /// What is wrong with it.
+        /// The error of the JSON parser.
         source: serde_json::Error,
     },
 }
 
 impl History {
-    /// Reads a file that [`History::write`] wrote, or one in the first form of histories.
+    /// Reads a file that [`History::write`] wrote, or one in the first version of the format.
     ///
     /// # Errors
     ///
-    /// If the file cannot be read, or a line of it is no event.
+    /// If the file cannot be read, is empty, or has a line that is not valid.
     pub fn read(path: &Path) -> Result<History, HistoryError> {
         let mut lines = BufReader::new(File::open(path)?).lines();
         let first = lines.next().ok_or(HistoryError::Empty)??;
@@ -45,7 +45,7 @@
             serde_json::from_str(&first).map_err(|source| HistoryError::Line { line: 1, source })?;
         let mut observations = Vec::new();
         for (index, text) in lines.enumerate() {
-            // The parameters are line 1.
+            // Line 1 holds the parameters, so the events start at line 2.
             let line = index + 2;
             let observation = parse(&text?).map_err(|source| HistoryError::Line { line, source })?;
             observations.push(observation);
@@ -53,7 +53,7 @@
         Ok(History { parameters, observations })
     }
 
-    /// Writes it, an event a line.
+    /// Writes the history to a file, one event per line.
     ///
     /// # Errors
     ///
@@ -70,7 +70,8 @@
     }
 }
 
-/// Parses the line of an event. `serde` knows no alias for the field that names an event's kind: it is renamed first.
+/// Parses a line that holds an event. `serde` has no alias for the tag of an enum, so the former name of that
+/// field is replaced first.
 fn parse(line: &str) -> Result<Observation, serde_json::Error> {
     let mut fields: Map<String, Value> = serde_json::from_str(line)?;
     if let Some(kind) = fields.remove(FORMER_TAG) {
--- a/fault-harness/src/history/parameters.rs
+++ b/fault-harness/src/history/parameters.rs
@@ -1,4 +1,4 @@
-//! The parameters that a play is checked by, as they follow from its scenario.
+//! Derives the parameters against which a play is checked from its scenario.
 
 use super::{ClassParameters, RuleParameters};
 use crate::scenario::{Class, Scenario};
@@ -6,12 +6,13 @@
 
 /// Memory is configured in MB and sampled in KB.
 const KB_PER_MB: u64 = 1024;
-/// A node that receives a higher priority gives way at once, and receives it within an interval of advertisements; two
-/// are allowed.
+/// Number of advertisement intervals for which two nodes may be active at once. A node that receives an
+/// advertisement with a higher priority gives up the role at once, and it receives one within an interval;
+/// two intervals are allowed.
 const MAX_DUAL_ACTIVE_INTERVALS: f64 = 2.0;
 
 impl RuleParameters {
-    /// The parameters that a play of a scenario is checked by.
+    /// The parameters against which a play of `scenario` with this seed is checked.
     pub fn of(scenario: &Scenario, seed: u64) -> RuleParameters {
         let vrrp_interval = scenario.fleet.vrrp.as_ref().map_or(0.0, |vrrp| vrrp.interval_ms as f64);
         RuleParameters {
--- a/fault-harness/src/history/tests.rs
+++ b/fault-harness/src/history/tests.rs
@@ -13,7 +13,7 @@
 const PARAMETERS: &str = r#"{"scenario":"x","seed":1,"seconds":1.0,"nodes":1,"classes":[],"run_once_per":"node","slack":1.0,"drain_grace":1.0,"descriptors":1,"memory_kb":1,"max_dual_active":1.0}"#;
 
 #[test]
-fn a_line_that_is_no_event_is_told_with_its_number() {
+fn an_invalid_line_is_reported_with_its_line_number() {
     let text =
         format!("{PARAMETERS}\n{{\"at_ms\":1.0,\"event\":\"node_up\",\"node\":0,\"cold\":true}}\n{{}}\n");
     assert!(read(&text).unwrap_err().to_string().starts_with("line 3: "));
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_history_is_read_as_it_was_written_in_the_present_form() {
+fn a_history_in_the_current_format_round_trips() {
     let text = format!("{PARAMETERS}\n{{\"at_ms\":1.5,\"event\":\"paused\",\"node\":0,\"paused\":true}}\n");
     let history = read(&text).unwrap();
     let paused = Observation { at: 1.5, event: Event::Paused { node: 0, paused: true } };
--- a/fault-harness/src/model/dependency.rs
+++ b/fault-harness/src/model/dependency.rs
@@ -1,18 +1,19 @@
-//! The dependency that all nodes share: slots that work on calls, a short queue, rejections when that is full.
+//! Model of the dependency that all nodes share: a number of slots that work on calls, and a short queue;
+//! calls that find the queue full are rejected.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use super::Ms;
 
-/// A call, by a number of the caller's.
+/// Id of a call, chosen by the caller.
 pub type CallId = u64;
 
 /// How a call ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallEnd {
-    /// It succeeded.
+    /// The call completed before its deadline.
     Completed(CallId),
-    /// Its deadline passed before or during its work.
+    /// The deadline of the call passed while it was queued or in a slot.
     TimedOut(CallId),
 }
 
@@ -23,26 +24,26 @@
     deadline: Ms,
 }
 
-/// A call that has a slot.
+/// A call that occupies a slot.
 #[derive(Debug, Clone, Copy)]
 struct ActiveCall {
     ends_at: Ms,
     call: Call,
 }
 
-/// The dependency as a state machine.
+/// The state of the dependency, advanced in virtual time.
 #[derive(Debug, Clone)]
 pub struct Dependency {
     slots: usize,
     queue_limit: usize,
-    /// The fraction of the slots that a fault leaves.
+    /// Fraction of the slots that a fault leaves; 1 without a fault.
     capacity_factor: f64,
     active: BTreeMap<CallId, ActiveCall>,
     queue: VecDeque<Call>,
 }
 
 impl Dependency {
-    /// A dependency that works on `slots` calls at once and queues up to `queue_limit` more.
+    /// Creates a dependency that works on up to `slots` calls at once and queues up to `queue_limit` more.
     pub fn new(slots: usize, queue_limit: usize) -> Dependency {
         Dependency {
             slots,
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Leaves it a fraction of its slots; calls that have one keep it.
+    /// Sets the fraction of the slots that may be used; calls that already occupy a slot keep it.
     pub fn set_capacity_factor(&mut self, factor: f64) {
         self.capacity_factor = factor;
     }
@@ -62,7 +63,8 @@
         (self.slots as f64 * self.capacity_factor).round() as usize
     }
 
-    /// Starts or queues a call that takes `work` and is of no use after `deadline`. False if it is rejected.
+    /// Starts or queues a call that takes `work` and is abandoned at `deadline`. Returns false if the call is
+    /// rejected.
     pub fn try_call(&mut self, now: Ms, id: CallId, work: Ms, deadline: Ms) -> bool {
         let call = Call { id, work, deadline };
         if self.active.len() < self.capacity() {
@@ -80,7 +82,7 @@
         self.active.insert(call.id, ActiveCall { ends_at, call });
     }
 
-    /// A call is cancelled. One that has a slot keeps it to its end.
+    /// Cancels a call if it is queued; one that occupies a slot keeps it until it ends.
     pub fn cancel(&mut self, id: CallId) {
         self.queue.retain(|call| call.id != id);
     }
@@ -92,7 +94,7 @@
         ends.chain(deadlines).min_by(f64::total_cmp)
     }
 
-    /// Lets time pass, and returns which calls ended.
+    /// Advances the time to `now` and returns the calls that ended.
     pub fn advance(&mut self, now: Ms) -> Vec<CallEnd> {
         let mut ended = Vec::new();
         while let Some(at) = self.next_event_at().filter(|at| *at <= now) {
--- a/fault-harness/src/model/dependency/tests.rs
+++ b/fault-harness/src/model/dependency/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn slots_work_the_queue_waits_and_the_rest_is_rejected() {
+fn calls_beyond_the_slots_are_queued_and_beyond_the_queue_rejected() {
     let mut dependency = Dependency::new(1, 1);
     assert!(dependency.try_call(0.0, 1, 100.0, 1000.0) && dependency.try_call(0.0, 2, 100.0, 1000.0));
     assert!(!dependency.try_call(0.0, 3, 100.0, 1000.0), "the queue is full");
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_call_whose_deadline_has_passed_times_out_wherever_it_is() {
+fn a_call_times_out_at_its_deadline_in_a_slot_or_in_the_queue() {
     let mut dependency = Dependency::new(1, 2);
     dependency.try_call(0.0, 1, 500.0, 50.0);
     dependency.try_call(0.0, 2, 10.0, 20.0);
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn without_slots_it_rejects_all_and_what_is_queued_can_be_cancelled() {
+fn without_slots_all_calls_are_rejected_and_a_queued_call_can_be_cancelled() {
     let mut dependency = Dependency::new(2, 2);
     dependency.try_call(0.0, 1, 100.0, 1000.0);
     dependency.set_capacity_factor(0.0);
--- a/fault-harness/src/model/frontend.rs
+++ b/fault-harness/src/model/frontend.rs
@@ -1,5 +1,6 @@
-//! The behaviour of frontends and of the clients behind them: which node an attempt goes to, and what follows each
-//! outcome of an attempt. A [`RequestProgress`] is one client's request from its first attempt to its end.
+//! Model of frontends and of the clients behind them: the choice of the node for an attempt, and the reaction
+//! to each outcome of an attempt. A [`RequestProgress`] follows the request of one client from its first
+//! attempt to its end.
 
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -7,34 +8,36 @@
 use super::Ms;
 use crate::scenario::{Frontends, LoadBalancing, RepeatAt};
 
-/// No attempt, the first included, is begun with less than this left.
+/// Least time before the deadline at which an attempt, also the first one, is still started.
 pub const MIN_TIME_FOR_ATTEMPT: Ms = 5.0;
-/// A frontend waits a random time between these multiples of its backoff before it retries.
+/// Range of the random factor by which a frontend multiplies its backoff before a retry.
 const FRONTEND_BACKOFF_FACTOR: std::ops::Range<f64> = 0.5..1.5;
-/// A client waits a random time between these multiples of its frontend's backoff before it retries by itself.
+/// Range of the random factor by which a client multiplies the backoff of its frontend before a retry of its
+/// own.
 const CLIENT_BACKOFF_FACTOR: std::ops::Range<f64> = 2.0..6.0;
 
-/// One frontend: what it knows of the nodes and how it picks one.
+/// The state of one frontend: what it knows about the nodes, and its load balancing.
 #[derive(Debug, Clone)]
 pub struct Frontend {
     load_balancing: LoadBalancing,
-    /// Whether it heeds what a rejection asks: to stay away for a while (Retry-After), and to try no other node (give up).
+    /// Whether the frontend honours the hints of a rejection: to avoid the node for a time (Retry-After), and
+    /// to try no other node (give up).
     honours_rejection_hints: bool,
-    /// How often it retries a request; none for no limit but the deadline.
+    /// Maximum number of retries of a request; none if only the deadline limits them.
     retries: Option<u32>,
     backoff: Ms,
     try_next_node: bool,
     client_retries: u32,
     next_node: usize,
-    /// For each node, until when its Retry-After asks this frontend to stay away.
+    /// By node, the time until which its Retry-After asks this frontend to avoid it.
     avoid_until: Vec<Ms>,
-    /// For each node, this frontend's open attempts there.
+    /// By node, the number of open attempts of this frontend.
     open_attempts: Vec<u32>,
     rng: ChaCha8Rng,
 }
 
 impl Frontend {
-    /// A frontend of a scenario that knows `nodes` nodes.
+    /// Creates a frontend of a scenario with `nodes` nodes.
     pub fn new(
         settings: &Frontends,
         load_balancing: LoadBalancing,
@@ -45,7 +48,7 @@
         Frontend {
             load_balancing,
             honours_rejection_hints,
-            // The scenario's -1 means no limit.
+            // A negative number in the scenario means that there is no limit.
             retries: u32::try_from(settings.retries).ok(),
             backoff: settings.backoff_ms,
             try_next_node: settings.try_next_node,
@@ -57,20 +60,20 @@
         }
     }
 
-    /// It restarts and knows nothing of before.
+    /// Restarts the frontend, which loses what it knows about the nodes.
     pub fn restart(&mut self) {
         self.avoid_until.fill(0.0);
         self.open_attempts.fill(0);
     }
 
-    /// The listed nodes that it may send to, without those already tried.
+    /// The listed nodes to which an attempt may be sent, except those already tried.
     fn eligible_nodes(&self, now: Ms, listed: &[bool], tried: &[usize]) -> Vec<usize> {
         let is_avoided = |node: usize| self.honours_rejection_hints && self.avoid_until[node] > now;
         let is_eligible = |node: &usize| listed[*node] && !is_avoided(*node) && !tried.contains(node);
         (0..listed.len()).filter(is_eligible).collect()
     }
 
-    /// Picks a node, one that was not tried if there is any.
+    /// Picks a node for an attempt, preferably one that was not tried.
     fn pick(&mut self, now: Ms, listed: &[bool], tried: &[usize]) -> Option<usize> {
         let mut candidates = self.eligible_nodes(now, listed, tried);
         if candidates.is_empty() {
@@ -91,15 +94,16 @@
         Some(picked)
     }
 
-    /// The candidate with the fewest open attempts; of several, the first one from a random position on.
+    /// The candidate with the fewest open attempts; of several, the first one in order from a random
+    /// position.
     fn least_loaded(&mut self, candidates: &[usize]) -> usize {
         let start = self.rng.random_range(0..candidates.len());
         let rotated = candidates[start..].iter().chain(&candidates[..start]);
         rotated.copied().min_by_key(|node| self.open_attempts[*node]).unwrap_or(candidates[0])
     }
 
-    /// Takes in the Retry-After of a node, if this frontend honours it.
-    fn note_retry_after(&mut self, now: Ms, node: usize, retry_after: Option<Ms>) {
+    /// Records the Retry-After of a node, if this frontend honours it.
+    fn record_retry_after(&mut self, now: Ms, node: usize, retry_after: Option<Ms>) {
         if let Some(delay) = retry_after.filter(|_| self.honours_rejection_hints) {
             self.avoid_until[node] = self.avoid_until[node].max(now + delay);
         }
@@ -113,82 +117,82 @@
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum AttemptOutcome {
-    /// Served; `degraded` if without the call of the dependency.
+    /// The node served the request.
     Served {
-        /// The call was skipped.
+        /// Whether the result was computed without the call of the dependency.
         degraded: bool,
     },
-    /// Rejected.
+    /// The node rejected the request.
     Rejected {
-        /// How long to stay away (Retry-After).
+        /// Time for which to avoid the node (Retry-After); none if the node does not say.
         retry_after: Option<Ms>,
-        /// The node asks that no other node be tried.
+        /// Whether the node asks the frontend to try no other node.
         give_up: bool,
     },
-    /// Failed.
+    /// The request failed.
     Failed,
-    /// The connection ended without an answer, or there was none.
+    /// The connection ended before the answer, or could not be opened.
     ConnectionLost,
-    /// The caller's time ran out.
+    /// The caller stopped waiting at its deadline.
     TimedOut,
 }
 
-/// How a client's request ended. The aliases are the names in histories of earlier builds.
+/// How the request of a client ended. The aliases are the names in the first version of the history format.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RequestOutcome {
-    /// Served.
+    /// The request was served.
     Served,
-    /// Served without the call of the dependency.
+    /// The request was served with a result computed without the call of the dependency.
     #[serde(alias = "poorer")]
     Degraded,
-    /// Rejected by the last attempt, or by the frontend.
+    /// The node of the last attempt rejected the request, or the frontend had no node to send it to.
     #[serde(alias = "refused")]
     Rejected,
-    /// Failed.
+    /// The request failed.
     Failed,
-    /// No answer in time.
+    /// No answer came before the deadline.
     #[serde(alias = "silent")]
     TimedOut,
 }
 
-/// What is to be done next for a client's request.
+/// The next step of a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum NextStep {
     /// Send an attempt to this node.
     Attempt(usize),
-    /// Wait until this time, then proceed.
+    /// Wait until this time, then call [`RequestProgress::proceed`].
     WaitUntil(Ms),
-    /// It is over.
+    /// The request is over.
     Finished(RequestOutcome),
 }
 
 /// Which nodes the attempts of a request may go to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Placement {
-    /// Wherever the frontend picks.
+    /// Any node, as the frontend picks.
     Any,
-    /// This node alone.
+    /// Only this node.
     Only(usize),
-    /// Any node but this one.
+    /// Any node except this one.
     Except(usize),
 }
 
-/// Where the attempts of a request may go, and whether there may be more than one.
+/// The nodes to which the attempts of a request may go, and whether there may be more than one attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AttemptPolicy {
-    /// Which nodes they may go to.
+    /// Nodes to which the attempts may go.
     pub placement: Placement,
     /// Whether the frontend or the client may retry.
     pub may_retry: bool,
 }
 
 impl AttemptPolicy {
-    /// Any number of attempts, wherever the frontend picks.
+    /// Any number of attempts, at the nodes that the frontend picks.
     pub const UNRESTRICTED: AttemptPolicy = AttemptPolicy { placement: Placement::Any, may_retry: true };
 
-    /// First requests are unrestricted. A repeat gets one attempt: at or away from the node of the original, if that was
-    /// sent to one.
+    /// The policy of a request. First requests are unrestricted. A repeat gets one attempt: at the node of
+    /// the first attempt of the original, or away from it, if the original was sent at all.
     pub fn of(is_repeat: bool, first_node: Option<usize>, repeat_at: RepeatAt) -> AttemptPolicy {
         if !is_repeat {
             return AttemptPolicy::UNRESTRICTED;
@@ -201,28 +205,29 @@
         AttemptPolicy::single_attempt(placement)
     }
 
-    /// One attempt.
+    /// A single attempt without retries, with this placement.
     pub fn single_attempt(placement: Placement) -> AttemptPolicy {
         AttemptPolicy { placement, may_retry: false }
     }
 }
 
-/// One client's request, from its first attempt to its end.
+/// The progress of the request of one client, from its first attempt to its end.
 #[derive(Debug, Clone)]
 pub struct RequestProgress {
     deadline: Ms,
     policy: AttemptPolicy,
-    /// The nodes of its attempts, to be avoided by the next; emptied when no eligible node is left, and when the client retries.
+    /// Nodes of earlier attempts, which the next attempt avoids; cleared when no eligible node is left, and
+    /// when the client retries.
     tried: Vec<usize>,
-    /// Retries that its frontend has left; none for no limit.
+    /// Retries that the frontend has left; none if only the deadline limits them.
     retries: Option<u32>,
     client_retries: u32,
-    /// How it ends if no further attempt is made.
+    /// Outcome of the request if no further attempt is made.
     last_outcome: RequestOutcome,
 }
 
 impl RequestProgress {
-    /// A request whose client waits until `deadline`.
+    /// Creates the progress of a request whose client waits until `deadline`.
     pub fn new(deadline: Ms, policy: AttemptPolicy, frontend: &Frontend) -> RequestProgress {
         RequestProgress {
             deadline,
@@ -234,7 +239,7 @@
         }
     }
 
-    /// What to do now: at its start, and whenever a wait is over.
+    /// Returns the next step, at the start of the request and at the end of each wait.
     pub fn proceed(&mut self, now: Ms, frontend: &mut Frontend, listed: &[bool]) -> NextStep {
         if now + MIN_TIME_FOR_ATTEMPT >= self.deadline {
             return NextStep::Finished(self.last_outcome);
@@ -250,12 +255,12 @@
                 frontend.open_attempts[node] += 1;
                 NextStep::Attempt(node)
             }
-            // No node takes it: the frontend rejects the request itself.
+            // No eligible node: the frontend rejects the request itself.
             None => self.retry_by_client(now, frontend),
         }
     }
 
-    /// What to do after an attempt has ended.
+    /// Returns the next step after an attempt has ended.
     pub fn on_outcome(
         &mut self,
         now: Ms,
@@ -271,10 +276,10 @@
             AttemptOutcome::TimedOut => NextStep::Finished(RequestOutcome::TimedOut),
             AttemptOutcome::Rejected { retry_after, give_up } => {
                 self.last_outcome = RequestOutcome::Rejected;
-                // Repeats are sent where the scenario wants them, not where the frontend would: their rejections do
-                // not steer other requests.
+                // Repeats are sent where the scenario says rather than where the frontend would send them, so
+                // their rejections must not steer other requests.
                 if self.policy.may_retry {
-                    frontend.note_retry_after(now, node, retry_after);
+                    frontend.record_retry_after(now, node, retry_after);
                 }
                 self.on_rejection(now, give_up, frontend, listed)
             }
@@ -305,7 +310,7 @@
         self.retry(now, frontend, listed)
     }
 
-    /// The frontend retries after its backoff, if it has a retry left.
+    /// Lets the frontend retry after its backoff, if it has a retry left.
     fn retry(&mut self, now: Ms, frontend: &mut Frontend, listed: &[bool]) -> NextStep {
         match &mut self.retries {
             Some(0) => return self.retry_by_client(now, frontend),
@@ -318,7 +323,7 @@
         self.wait_until(now + frontend.jittered_backoff(FRONTEND_BACKOFF_FACTOR))
     }
 
-    /// The frontend has given up; the client may retry by itself.
+    /// Lets the client retry by itself, after the frontend has given up.
     fn retry_by_client(&mut self, now: Ms, frontend: &mut Frontend) -> NextStep {
         if self.client_retries == 0 || !self.policy.may_retry {
             return NextStep::Finished(self.last_outcome);
--- a/fault-harness/src/model/frontend/tests.rs
+++ b/fault-harness/src/model/frontend/tests.rs
@@ -17,7 +17,7 @@
 const REJECTED: AttemptOutcome = AttemptOutcome::Rejected { retry_after: None, give_up: false };
 
 #[test]
-fn one_that_attempts_the_next_node_goes_through_its_list_and_then_gives_up() {
+fn a_frontend_that_tries_the_next_node_tries_each_listed_node_once() {
     let mut frontend = frontend(
         Frontends { try_next_node: true, retries: 0, client_retries: 0, ..Frontends::default() },
         false,
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn retry_after_is_honoured_by_those_that_do() {
+fn only_a_frontend_that_honours_rejection_hints_avoids_a_node_for_its_retry_after() {
     let rejected = AttemptOutcome::Rejected { retry_after: Some(500.0), give_up: false };
     for (honours_rejection_hints, next) in [(true, 1), (false, 0)] {
         let mut frontend = frontend(
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn the_next_node_is_not_tried_before_its_retry_after_is_over() {
+fn trying_the_next_node_skips_nodes_whose_retry_after_has_not_passed() {
     let settings = Frontends { try_next_node: true, retries: 0, client_retries: 0, ..Frontends::default() };
     let mut frontend = frontend(settings, true);
     frontend.avoid_until = vec![0.0, 500.0, 500.0];
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn without_a_limit_it_goes_on_to_the_deadline() {
+fn without_a_retry_limit_attempts_go_on_until_the_deadline() {
     let mut frontend = frontend(Frontends { retries: -1, client_retries: 0, ..Frontends::default() }, false);
     let mut progress = RequestProgress::new(1000.0, AttemptPolicy::UNRESTRICTED, &frontend);
     let (mut now, mut attempts, mut step) = (0.0, 0, NextStep::WaitUntil(0.0));
@@ -87,12 +87,12 @@
 }
 
 #[test]
-fn a_client_retries_once_and_a_repeat_is_attempted_once_where_its_placement_says() {
+fn a_client_retries_once_and_a_repeat_gets_one_attempt_at_its_placement() {
     let mut frontend = frontend(Frontends { retries: 0, client_retries: 1, ..Frontends::default() }, false);
     let mut progress = RequestProgress::new(1000.0, AttemptPolicy::UNRESTRICTED, &frontend);
     progress.proceed(0.0, &mut frontend, &ALL);
     let NextStep::WaitUntil(until) = progress.on_outcome(1.0, 0, REJECTED, &mut frontend, &ALL) else {
-        panic!("the client retries")
+        panic!("the client has one retry, so the rejection must lead to a wait")
     };
     assert_eq!(progress.proceed(until, &mut frontend, &ALL), NextStep::Attempt(1));
     assert_eq!(
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn with_no_node_listed_the_frontend_rejects_by_itself() {
+fn with_no_listed_node_the_frontend_rejects_the_request() {
     let mut frontend = frontend(Frontends { client_retries: 0, ..Frontends::default() }, false);
     let mut progress = RequestProgress::new(1000.0, AttemptPolicy::UNRESTRICTED, &frontend);
     assert_eq!(
--- a/fault-harness/src/model/interpreter.rs
+++ b/fault-harness/src/model/interpreter.rs
@@ -1,6 +1,7 @@
-//! An interpreter with cores of its own, which all runs share; past a certain concurrency less is done in total. A fresh
-//! one is slow and warms up. A run can be paused and keeps its memory. The interpreter dies of too much concurrency or
-//! memory, as the platform's rules say.
+//! Model of an interpreter whose cores are shared by all its runs. Beyond a certain concurrency its total
+//! throughput falls. A cold interpreter is slow and warms up over time. A run can be paused, and it keeps its
+//! memory while paused. Too high a concurrency or memory use kills the interpreter, as the rules of the
+//! platform define.
 
 mod gauges;
 mod load_history;
@@ -17,58 +18,62 @@
 pub use run::RunRequest;
 pub use spec::InterpreterSpec;
 
-/// Averaging window of the concurrency that is compared with the limit ("in the mean of 2 s", the platform's rule).
+/// Averaging window of the concurrency that is compared with the limit ("in the mean of 2 s" in the rules of
+/// the platform).
 const OVERLOAD_WINDOW: Ms = 2000.0;
-/// Overhead tasks that may be queued, for each core; while there are more, no connection is accepted. The platform's
-/// machines hold as many unread requests.
+/// Maximum number of queued overhead tasks for each core; while there are more, no connection is accepted.
+/// The machines of the platform hold as many unread requests.
 const MAX_OVERHEAD_TASKS_PER_CORE: f64 = 128.0;
-/// Averaging window of the busy fraction of the cores that is reported.
+/// Averaging window of the reported busy fraction of the cores.
 const CPU_BUSY_WINDOW: Ms = 500.0;
-/// An unstarted request's memory counts only this long after it was written; a run's counts from its start.
+/// The memory of a request that has not started to run counts only from this long after it was written; that
+/// of a run counts from its start.
 const MEMORY_ACCOUNTING_DELAY: Ms = 100.0;
-/// While it warms up, its speed is recomputed this often.
+/// Interval at which the speed is recomputed while the interpreter warms up.
 const WARMING_STEP: Ms = 25.0;
-/// The mean number of runs on the cores, for each core, over which a warm interpreter dies ("No fall-over" among the
-/// platform's rules; `fallMultiple` in a node's settings). The limit rises linearly from 1 (no warm-up) to this (warm).
+/// Mean number of runs on the cores, for each core, above which a warm interpreter dies (rule "No fall-over"
+/// of the platform; `fallMultiple` in the settings of a node). The limit rises linearly from 1 at the start
+/// of the warm-up to this value at its end.
 pub const MAX_MEAN_RUNS_PER_CORE: f64 = 8.0;
 
-/// What has happened in an interpreter.
+/// An event in an interpreter. The numbers are ids of attempts.
 #[derive(Debug, Clone, PartialEq)]
 pub enum InterpreterEvent {
-    /// An attempt was read.
+    /// The request of an attempt was read completely.
     RequestRead(u64),
-    /// A run is complete.
+    /// A run has done all its work.
     Completed(u64),
-    /// A run was stopped, or came to its call when its request was over.
+    /// A run ended without a result: its request was over when it was to pause, to wait or to make its call.
     Aborted(u64),
-    /// A run waits for its call.
+    /// A run has reached its call of the dependency and waits for the reply.
     CallStarted(u64),
-    /// The interpreter has died, of this.
+    /// The interpreter died; holds the cause.
     Died(&'static str),
 }
 
-/// The interpreter.
+/// The state of an interpreter, advanced in virtual time.
 #[derive(Debug, Clone)]
 pub struct InterpreterModel {
     spec: InterpreterSpec,
-    /// When it started, if cold; one that has been up for long has none.
+    /// Time of a cold start; none if the interpreter was warm from the beginning.
     cold_since: Option<Ms>,
-    /// The fraction of the speed that a fault leaves.
+    /// Fraction of the speed that a fault leaves; 1 without a fault.
     pub speed_factor: f64,
     is_suspended: bool,
-    /// The time up to which work is done.
+    /// Time up to which the work has been computed.
     advanced_to: Ms,
     runs: BTreeMap<u64, Run>,
-    /// Reading and connecting, which share the cores with the runs: one for each core at a time, the others wait.
+    /// Tasks of reading requests and accepting connections, which share the cores with the runs. As many
+    /// tasks as there are cores are worked on at a time; the others wait.
     overhead_tasks: VecDeque<OverheadTask>,
     requests: BTreeMap<u64, OpenRequest>,
-    /// How many runs shared the cores, and how much of the cores was busy.
+    /// Number of runs on the cores and busy fraction of the cores, over time.
     load: LoadHistory,
     is_dead: bool,
 }
 
 impl InterpreterModel {
-    /// One that starts now.
+    /// Creates an interpreter that starts now, with nothing to run.
     pub fn new(spec: InterpreterSpec, now: Ms, is_cold: bool) -> InterpreterModel {
         InterpreterModel {
             spec,
@@ -84,25 +89,25 @@
         }
     }
 
-    /// Whether it was cold when it started.
+    /// Whether the interpreter was cold when it started.
     pub fn is_cold(&self) -> bool {
         self.cold_since.is_some()
     }
 
-    /// Suspends the whole process, or lets it go on. While it is suspended, time passes and nothing is done.
+    /// Suspends or resumes the whole process. While it is suspended, time passes but no work is done.
     pub fn set_suspended(&mut self, now: Ms, suspended: bool) -> Vec<InterpreterEvent> {
         let events = self.advance(now);
         self.is_suspended = suspended;
         events
     }
 
-    /// A request was written to the node.
+    /// Registers a request that was written to the node and uses `memory_kb` of memory while it is held.
     pub fn register_request(&mut self, now: Ms, attempt: u64, memory_kb: f64) {
         self.requests.insert(attempt, OpenRequest { memory_kb, counts_from: now + MEMORY_ACCOUNTING_DELAY });
     }
 
-    /// A request is over for its caller: answered or cancelled. A run that is paused or waits for its call ends with it; one
-    /// that shares the cores goes on.
+    /// Closes a request that was answered or cancelled. Its run is aborted if it is paused or waits for its
+    /// call; one that is on the cores continues.
     pub fn close_request(&mut self, now: Ms, attempt: u64) -> Vec<InterpreterEvent> {
         let mut events = self.advance(now);
         self.requests.remove(&attempt);
@@ -113,34 +118,35 @@
         events
     }
 
-    /// Whether a request is known and not over.
+    /// Whether a request is registered and not closed.
     pub fn has_request(&self, attempt: u64) -> bool {
         self.requests.contains_key(&attempt)
     }
 
-    /// Whether a request has a run that is not over: it shares the cores, is paused or waits for its call.
+    /// Whether a request has a run that has not ended: it is on the cores, paused or waiting for its call.
     pub fn has_open_run(&self, attempt: u64) -> bool {
         self.runs.contains_key(&attempt)
     }
 
-    /// Starts to run a request that was registered.
+    /// Starts the run of a registered request.
     pub fn start_run(&mut self, now: Ms, request: RunRequest) -> Vec<InterpreterEvent> {
         let events = self.advance(now);
         let half = request.work / 2.0;
         let call_at = request.calls_dependency.then_some(half);
         let run = Run { remaining: request.work, call_at, state: RunState::Running };
-        // A second start of an open run is ignored: it keeps the progress that it has made.
+        // A second start of an open run is ignored, so that the run keeps its progress.
         self.runs.entry(request.attempt).or_insert(run);
         self.record_load();
         events
     }
 
-    /// An attempt has come and is to be read, which takes `work`; it is not known before.
+    /// Starts to read the request of an attempt, which takes `work`. The request is not registered before it
+    /// is read.
     pub fn start_reading(&mut self, now: Ms, attempt: u64, work: Ms) -> Vec<InterpreterEvent> {
         self.add_overhead_task(now, OverheadTask { remaining: work, reads: Some(attempt) })
     }
 
-    /// A new connection has come; to accept it takes `work`.
+    /// Accepts a new connection, which takes `work`.
     pub fn accept_connection(&mut self, now: Ms, work: Ms) -> Vec<InterpreterEvent> {
         self.add_overhead_task(now, OverheadTask { remaining: work, reads: None })
     }
@@ -156,7 +162,7 @@
         events
     }
 
-    /// An attempt that may not have been read yet is not to be read any more.
+    /// Cancels the reading of an attempt, if it has not been read yet.
     pub fn cancel_reading(&mut self, now: Ms, attempt: u64) -> Vec<InterpreterEvent> {
         let events = self.advance(now);
         self.overhead_tasks.retain(|task| task.reads != Some(attempt));
@@ -164,17 +170,18 @@
         events
     }
 
-    /// Whether so many overhead tasks are queued, requests to read above all, that no more connections are accepted.
+    /// Whether the queue of overhead tasks, most of them requests to read, is so long that no more
+    /// connections are accepted.
     pub fn is_read_queue_full(&self) -> bool {
         self.overhead_tasks.len() as f64 > MAX_OVERHEAD_TASKS_PER_CORE * self.spec.cores
     }
 
-    /// Overhead tasks that share the cores: one for each core at most.
+    /// Number of overhead tasks that are worked on: one for each core at most.
     fn active_overhead_tasks(&self) -> usize {
         self.overhead_tasks.len().min(self.spec.cores.ceil() as usize)
     }
 
-    /// Pauses a run; one whose request is over ends.
+    /// Pauses a run, or aborts it if its request is closed.
     pub fn pause_run(&mut self, now: Ms, attempt: u64) -> Vec<InterpreterEvent> {
         let mut events = self.advance(now);
         let is_over = !self.has_request(attempt);
@@ -190,7 +197,7 @@
         events
     }
 
-    /// Resumes a paused run, or one that waits for its call.
+    /// Resumes a run that is paused or waits for its call.
     pub fn resume_run(&mut self, now: Ms, attempt: u64) -> Vec<InterpreterEvent> {
         let events = self.advance(now);
         if let Some(run) = self.runs.get_mut(&attempt) {
@@ -203,12 +210,12 @@
         events
     }
 
-    /// Whether a run waits for its call.
+    /// Whether a run waits for the reply to its call.
     pub fn is_at_call(&self, attempt: u64) -> bool {
         self.runs.get(&attempt).is_some_and(|run| run.state == RunState::WaitingForCall)
     }
 
-    /// What it reports of itself.
+    /// The load that the interpreter reports to its node.
     pub fn gauges(&self, now: Ms) -> Gauges {
         Gauges {
             cpu_busy: self.load.mean(now, CPU_BUSY_WINDOW, LoadMetric::CpuBusy),
@@ -217,7 +224,7 @@
         }
     }
 
-    /// Its speed now, as a fraction of a core of speed 1.
+    /// Current speed of a core, as a fraction of a core of speed 1.
     pub fn speed(&self, now: Ms) -> f64 {
         if self.is_suspended {
             return 0.0;
@@ -225,12 +232,12 @@
         self.spec.speed * self.speed_factor * self.warm_fraction(now)
     }
 
-    /// The fraction of its speed that it has by its warm-up.
+    /// Fraction of the full speed that the warm-up has reached.
     fn warm_fraction(&self, now: Ms) -> f64 {
         self.cold_since.map_or(1.0, |since| self.spec.warm_fraction(now - since))
     }
 
-    /// Time of the next internal event, if nothing is changed until then.
+    /// Time of the next internal event, if the state is not changed from outside before.
     pub fn next_event_at(&self) -> Option<Ms> {
         if self.is_suspended || self.is_dead {
             return None;
@@ -244,13 +251,13 @@
         if !least.is_finite() || rate <= 0.0 {
             return None;
         }
-        // At least a tolerance ahead, so that time always moves on.
+        // At least one tolerance ahead, so that time always advances.
         let ends = self.advanced_to + (least / rate).max(EPSILON_MS);
         let is_warming = self.cold_since.is_some_and(|since| self.advanced_to - since < self.spec.warm_ms);
         Some(if is_warming { ends.min(self.advanced_to + WARMING_STEP) } else { ends })
     }
 
-    /// Lets time pass, and returns what happened.
+    /// Advances the time to `now` and returns the events up to then.
     pub fn advance(&mut self, now: Ms) -> Vec<InterpreterEvent> {
         let mut events = Vec::new();
         while let Some(next) = self.next_event_at().filter(|next| *next <= now) {
@@ -265,7 +272,7 @@
     }
 
     fn work_until(&mut self, until: Ms, events: &mut Vec<InterpreterEvent>) {
-        // While it warms up, the speed half way is the mean.
+        // During the warm-up the speed is linear in time, so the speed half way is the mean of the interval.
         let halfway = self.advanced_to + (until - self.advanced_to) / 2.0;
         let done = (until - self.advanced_to) * self.rate(halfway);
         self.advanced_to = until;
@@ -313,13 +320,14 @@
         self.runs.values().filter(|run| run.is_running()).count()
     }
 
-    /// Runs and overhead tasks that are running, sharing the cores.
+    /// Number of runs and overhead tasks that share the cores.
     fn runnable_tasks(&self) -> usize {
         self.running() + self.active_overhead_tasks()
     }
 
-    /// What each runnable task gets done in a millisecond: processor sharing, with efficiency falling linearly from 1 at the
-    /// onset of thrashing to `thrash_efficiency` at twice that concurrency, where it stays.
+    /// Work that each runnable task gets done per millisecond: processor sharing, with an efficiency that
+    /// falls linearly from 1 at the onset of thrashing to `thrash_efficiency` at twice that concurrency and
+    /// stays there.
     fn rate(&self, now: Ms) -> f64 {
         let concurrency = self.runnable_tasks() as f64 / self.spec.cores;
         let excess = ((concurrency - self.spec.thrash_onset_per_core) / self.spec.thrash_onset_per_core)
@@ -341,11 +349,11 @@
         requests.sum()
     }
 
-    /// Notes how many are runnable from now on.
+    /// Records the load from now on.
     fn record_load(&mut self) {
         let cpu_busy = (self.runnable_tasks() as f64 / self.spec.cores).min(1.0);
         let load = Load { runs: self.running() as f64, cpu_busy };
-        // The longer of the two averaging windows.
+        // `OVERLOAD_WINDOW` is the longer of the two averaging windows.
         self.load.record(self.advanced_to, load, OVERLOAD_WINDOW);
     }
 
@@ -353,7 +361,7 @@
         let max_runs =
             self.spec.cores * (1.0 + (MAX_MEAN_RUNS_PER_CORE - 1.0) * self.warm_fraction(self.advanced_to));
         if self.load.mean(self.advanced_to, OVERLOAD_WINDOW, LoadMetric::Runs) > max_runs {
-            return Some("too many on its cores");
+            return Some("too many runs on its cores");
         }
         (self.memory_kb(self.advanced_to) > self.spec.memory_kb).then_some("out of memory")
     }
--- a/fault-harness/src/model/interpreter/gauges.rs
+++ b/fault-harness/src/model/interpreter/gauges.rs
@@ -1,18 +1,18 @@
-//! The load figures of an interpreter's protocol.
+//! The gauges of the interpreter protocol.
 
-/// What an interpreter reports of itself.
+/// The load that an interpreter reports to its node.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Gauges {
-    /// The mean fraction of the cores that was busy over the last `CPU_BUSY_WINDOW`.
+    /// Mean busy fraction of the cores over the last `CPU_BUSY_WINDOW`.
     pub cpu_busy: f64,
-    /// How many runs and overhead tasks share the cores now.
+    /// Number of runs and overhead tasks that share the cores now.
     pub runnable: f64,
-    /// The fraction of the memory in use.
+    /// Fraction of the memory in use; above 1 the interpreter dies.
     pub memory_used: f64,
 }
 
 impl Gauges {
-    /// All of them, in the order of the interpreter's protocol.
+    /// All gauges, in the order of the interpreter protocol.
     pub fn as_array(&self) -> [f64; 3] {
         [self.cpu_busy, self.runnable, self.memory_used]
     }
--- a/fault-harness/src/model/interpreter/load_history.rs
+++ b/fault-harness/src/model/interpreter/load_history.rs
@@ -4,16 +4,16 @@
 
 use crate::model::Ms;
 
-/// What is averaged.
+/// A metric of the load that can be averaged.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum LoadMetric {
-    /// The number of runs that share the cores.
+    /// Number of runs that share the cores.
     Runs,
-    /// The fraction of the cores that is busy.
+    /// Fraction of the cores that is busy.
     CpuBusy,
 }
 
-/// A figure for each metric: its value, or the integral of its value over time.
+/// One number for each metric: either its value, or the integral of its value over time.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Load {
     pub(super) runs: f64,
@@ -29,8 +29,9 @@
     }
 }
 
-/// The values from `at` on, and their integrals over all time before, in value times milliseconds. The integrals make a mean
-/// over a window cheap, however much happened in it.
+/// The values from `at` on, and the integrals of the values over all time before, in value times
+/// milliseconds. With the integrals the mean over a window takes two look-ups, however many changes the
+/// window holds.
 #[derive(Debug, Clone, Copy)]
 struct Sample {
     at: Ms,
@@ -39,24 +40,24 @@
 }
 
 impl Sample {
-    /// The integral of a metric up to a time at which the values still hold.
+    /// The integral of a metric up to `until`, which must not be after the next sample.
     fn integral(&self, metric: LoadMetric, until: Ms) -> f64 {
         self.integrals.of(metric) + self.values.of(metric) * (until - self.at)
     }
 }
 
-/// Samples, oldest first; there always is one.
+/// Samples, oldest first; never empty.
 #[derive(Debug, Clone)]
 pub(super) struct LoadHistory(VecDeque<Sample>);
 
 impl LoadHistory {
-    /// The history of an interpreter that starts now, with nothing to do.
+    /// Creates the history of an interpreter that starts now, without load.
     pub(super) fn new(now: Ms) -> LoadHistory {
         LoadHistory(VecDeque::from([Sample { at: now, values: Load::default(), integrals: Load::default() }]))
     }
 
-    /// Records the values from now on, and forgets samples that no mean over `longest_window` needs. That has to be the
-    /// longest window that [`LoadHistory::mean`] is asked for.
+    /// Records the values from now on, and removes the samples that no mean over `longest_window` needs.
+    /// `longest_window` must be the longest window that [`LoadHistory::mean`] is called with.
     pub(super) fn record(&mut self, now: Ms, values: Load, longest_window: Ms) {
         let integrals = self.0.back().map_or(Load::default(), |last| Load {
             runs: last.integral(LoadMetric::Runs, now),
@@ -69,14 +70,14 @@
         }
     }
 
-    /// The mean of a metric over the window before now.
+    /// The mean of a metric over the `window` that ends now.
     pub(super) fn mean(&self, now: Ms, window: Ms, metric: LoadMetric) -> f64 {
         (self.integral(metric, now) - self.integral(metric, now - window)) / window
     }
 
     fn integral(&self, metric: LoadMetric, until: Ms) -> f64 {
         let after = self.0.partition_point(|sample| sample.at <= until);
-        // Before the first sample there was nothing.
+        // There was no load before the first sample.
         let sample = after.checked_sub(1).and_then(|position| self.0.get(position));
         sample.map_or(0.0, |sample| sample.integral(metric, until))
     }
--- a/fault-harness/src/model/interpreter/run.rs
+++ b/fault-harness/src/model/interpreter/run.rs
@@ -1,57 +1,57 @@
-//! What an interpreter works on: runs of requests, and overhead tasks beside them.
+//! The work of an interpreter: runs of requests, and overhead tasks.
 
 use crate::model::Ms;
 
-/// A request to run.
+/// The parameters of a run.
 #[derive(Debug, Clone, Copy)]
 pub struct RunRequest {
-    /// Its attempt.
+    /// Id of the attempt that is run.
     pub attempt: u64,
-    /// Work on a core of speed 1.
+    /// Work of the run: its duration on a core of speed 1.
     pub work: Ms,
-    /// Whether it calls the dependency half way through.
+    /// Whether the run calls the dependency half way through its work.
     pub calls_dependency: bool,
 }
 
-/// Where a run is.
+/// State of a run.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum RunState {
-    /// Runnable: it shares the cores with the others.
+    /// Runnable: the run shares the cores with the others.
     Running,
-    /// Off the cores, with its progress.
+    /// Paused: off the cores, with its progress kept.
     Paused,
-    /// It waits for its call.
+    /// The run waits for the reply to its call.
     WaitingForCall,
 }
 
-/// A run, from its start to its end.
+/// A run that has not ended.
 #[derive(Debug, Clone)]
 pub(super) struct Run {
     pub(super) remaining: Ms,
-    /// The work that remains when the call is made; none after it, or without one.
+    /// Remaining work at which the call is made; none after the call, or if there is none.
     pub(super) call_at: Option<Ms>,
     pub(super) state: RunState,
 }
 
 impl Run {
-    /// Whether it shares the cores.
+    /// Whether the run shares the cores.
     pub(super) fn is_running(&self) -> bool {
         self.state == RunState::Running
     }
 }
 
-/// A request that was written to the node and is not over.
+/// A request that was written to the node and is not closed.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct OpenRequest {
     pub(super) memory_kb: f64,
-    /// From when on it counts against the memory.
+    /// Time from which its memory counts.
     pub(super) counts_from: Ms,
 }
 
-/// Work beside the runs: reading a request, or accepting a connection.
+/// Work that is no run: reading a request, or accepting a connection.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct OverheadTask {
     pub(super) remaining: Ms,
-    /// The attempt that is read; none for a connection.
+    /// Id of the attempt whose request is read; none for a connection.
     pub(super) reads: Option<u64>,
 }
--- a/fault-harness/src/model/interpreter/spec.rs
+++ b/fault-harness/src/model/interpreter/spec.rs
@@ -1,31 +1,31 @@
-//! The size and speed of an interpreter, and how it warms up.
+//! Size and speed of an interpreter, and its warm-up.
 
 use crate::model::{ms_of_seconds, Ms};
 use crate::scenario::Fleet;
 
-/// The size and speed of an interpreter.
+/// Size and speed of an interpreter.
 #[derive(Debug, Clone)]
 pub struct InterpreterSpec {
-    /// Its cores.
+    /// Number of cores.
     pub cores: f64,
-    /// The speed of each core when warm.
+    /// Speed of each core when the interpreter is warm; 1 is the speed in which work is measured.
     pub speed: f64,
-    /// The fraction of that speed that a fresh one has.
+    /// Fraction of that speed that a cold interpreter starts with.
     pub warm_from: f64,
-    /// How long it warms up.
+    /// Duration of the warm-up.
     pub warm_ms: Ms,
-    /// Runnable tasks for each core past which less is done in total.
+    /// Number of runnable tasks for each core above which the total throughput falls.
     pub thrash_onset_per_core: f64,
-    /// The efficiency of a core, as a fraction of 1, that is left from twice that concurrency on.
+    /// Efficiency of a core, from 0 to 1, at twice that concurrency and above.
     pub thrash_efficiency: f64,
-    /// Its memory.
+    /// Available memory, in KB.
     pub memory_kb: f64,
-    /// Memory of a running request, as a multiple of one held.
+    /// Memory of a request with an open run, as a multiple of its memory while it is only held.
     pub run_factor: f64,
 }
 
 impl InterpreterSpec {
-    /// The spec of an interpreter of a fleet, whose cores have this speed.
+    /// The spec of an interpreter of `fleet` whose cores have this speed.
     pub fn of(fleet: &Fleet, speed: f64) -> InterpreterSpec {
         InterpreterSpec {
             cores: f64::from(fleet.cores),
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The fraction of its speed that an interpreter has at the time `since_start` after a cold start.
+    /// Fraction of the full speed at `since_start` after a cold start.
     pub fn warm_fraction(&self, since_start: Ms) -> f64 {
         if since_start >= self.warm_ms {
             return 1.0;
--- a/fault-harness/src/model/interpreter/tests.rs
+++ b/fault-harness/src/model/interpreter/tests.rs
@@ -17,10 +17,10 @@
     RunRequest { attempt, work, calls_dependency: false }
 }
 
-/// Lets it run to its next end.
+/// Advances the interpreter to its next events.
 fn run_to_next_event(interpreter: &mut InterpreterModel) -> (Ms, Vec<InterpreterEvent>) {
     loop {
-        let at = interpreter.next_event_at().expect("something runs");
+        let at = interpreter.next_event_at().expect("a run or an overhead task is in progress");
         let happened = interpreter.advance(at);
         if !happened.is_empty() {
             return (at, happened);
@@ -29,28 +29,29 @@
 }
 
 #[test]
-fn cores_are_shared_and_high_concurrency_gets_less_done() {
+fn runs_share_the_cores_and_high_concurrency_lowers_the_throughput() {
     let mut interpreter = InterpreterModel::new(spec(), 0.0, false);
     for attempt in 0..2 {
         interpreter.register_request(0.0, attempt, 1.0);
         interpreter.start_run(0.0, work(attempt, 100.0));
     }
     let (at, ended) = run_to_next_event(&mut interpreter);
-    assert!((at - 100.0).abs() < 1e-3 && ended.len() == 2, "two on two cores: {at}");
+    assert!((at - 100.0).abs() < 1e-3 && ended.len() == 2, "two runs on two cores: {at}");
     for attempt in 10..16 {
         interpreter.register_request(at, attempt, 1.0);
         interpreter.start_run(at, work(attempt, 100.0));
     }
-    // Six on two cores are at twice the concurrency of 1.5: efficiency 0.5 x a share of 1/3 of a core.
+    // Six runs on two cores are at twice the onset concurrency of 1.5: efficiency 0.5 times a share of 1/3 of
+    // a core.
     let (end, _) = run_to_next_event(&mut interpreter);
     assert!((end - at - 600.0).abs() < 1e-3, "{}", end - at);
 }
 
 #[test]
-fn requests_are_read_one_a_core_at_a_time_beside_the_runs() {
+fn each_core_reads_one_request_at_a_time_beside_the_runs() {
     let mut interpreter = InterpreterModel::new(spec(), 0.0, false);
     (1..=4).for_each(|attempt| drop(interpreter.start_reading(0.0, attempt, 10.0)));
-    assert_eq!(interpreter.gauges(0.0).runnable, 2.0, "two wait unread");
+    assert_eq!(interpreter.gauges(0.0).runnable, 2.0, "two of the four requests wait to be read");
     assert!(interpreter.cancel_reading(5.0, 3).is_empty());
     assert_eq!(
         run_to_next_event(&mut interpreter),
@@ -67,17 +68,18 @@
 }
 
 #[test]
-fn a_cold_interpreter_does_what_its_warm_up_allows() {
+fn a_cold_interpreter_speeds_up_over_its_warm_up() {
     let mut interpreter = InterpreterModel::new(spec(), 0.0, true);
     interpreter.register_request(0.0, 1, 1.0);
     interpreter.start_run(0.0, work(1, 8000.0));
-    // Over 8 s from a quarter to the whole it does 5,000; the rest at full speed.
+    // In the 8 s of the warm-up, from a quarter of the speed to all of it, it does 5,000 ms of work; the rest
+    // takes 3,000 ms at full speed.
     let (at, _) = run_to_next_event(&mut interpreter);
     assert!((at - 11_000.0).abs() < 20.0, "{at}");
 }
 
 #[test]
-fn a_run_waits_for_its_call_and_ends_there_if_its_request_is_over() {
+fn a_run_waits_for_its_call_or_is_aborted_there_if_its_request_is_closed() {
     let mut interpreter = InterpreterModel::new(spec(), 0.0, false);
     for attempt in 1..=2 {
         interpreter.register_request(0.0, attempt, 1.0);
@@ -88,14 +90,14 @@
         run_to_next_event(&mut interpreter),
         (50.0, vec![InterpreterEvent::CallStarted(1), InterpreterEvent::Aborted(2)])
     );
-    assert_eq!(interpreter.next_event_at(), None, "it waits");
+    assert_eq!(interpreter.next_event_at(), None, "the run waits for the reply");
     interpreter.resume_run(80.0, 1);
     let (at, ended) = run_to_next_event(&mut interpreter);
     assert!((at - 130.0).abs() < 1e-3 && ended == [InterpreterEvent::Completed(1)]);
 }
 
 #[test]
-fn a_run_that_waits_for_its_call_ends_with_its_request() {
+fn closing_a_request_aborts_its_run_that_waits_for_its_call() {
     let mut interpreter = InterpreterModel::new(spec(), 0.0, false);
     interpreter.register_request(0.0, 1, 1.0);
     interpreter.start_run(0.0, RunRequest { attempt: 1, work: 100.0, calls_dependency: true });
@@ -105,7 +107,7 @@
 }
 
 #[test]
-fn what_is_paused_keeps_its_progress_and_ends_when_its_request_is_over() {
+fn a_paused_run_keeps_its_progress_and_is_aborted_when_its_request_is_closed() {
     let mut interpreter = InterpreterModel::new(spec(), 0.0, false);
     for attempt in 1..=2 {
         interpreter.register_request(0.0, attempt, 1.0);
@@ -119,7 +121,7 @@
 }
 
 #[test]
-fn while_paused_nothing_is_done_and_memory_stays() {
+fn a_suspended_interpreter_does_no_work_and_keeps_its_memory() {
     let mut interpreter = InterpreterModel::new(spec(), 0.0, false);
     interpreter.register_request(0.0, 1, 10.0);
     interpreter.start_run(0.0, work(1, 100.0));
@@ -131,7 +133,7 @@
 }
 
 #[test]
-fn it_dies_of_lasting_concurrency_and_of_memory_and_a_cold_one_of_lower_concurrency() {
+fn sustained_concurrency_or_memory_kills_it_and_a_cold_one_has_a_lower_limit() {
     let concurrency = |count: u64, cold: bool, until: Ms| {
         let mut interpreter = InterpreterModel::new(InterpreterSpec { memory_kb: 1e9, ..spec() }, 0.0, cold);
         for attempt in 0..count {
@@ -140,13 +142,16 @@
         }
         interpreter.advance(until)
     };
-    let died = [InterpreterEvent::Died("too many on its cores")];
+    let died = [InterpreterEvent::Died("too many runs on its cores")];
     assert_eq!(concurrency(17, false, 2100.0), died);
-    assert!(concurrency(17, false, 1000.0).is_empty(), "a mean over 2 s");
+    assert!(concurrency(17, false, 1000.0).is_empty(), "the concurrency is averaged over 2 s");
     assert!(concurrency(15, false, 2100.0).is_empty());
     assert_eq!(concurrency(12, true, 2100.0), died);
     let mut interpreter = InterpreterModel::new(spec(), 0.0, false);
     interpreter.register_request(0.0, 1, 1200.0);
-    assert!(interpreter.advance(50.0).is_empty(), "it is not counted yet");
+    assert!(
+        interpreter.advance(50.0).is_empty(),
+        "the memory of an unstarted request counts only after a delay"
+    );
     assert_eq!(interpreter.advance(150.0), [InterpreterEvent::Died("out of memory")]);
 }
--- a/fault-harness/src/model/registry.rs
+++ b/fault-harness/src/model/registry.rs
@@ -1,35 +1,37 @@
-//! The registry: which nodes are listed, and which were at an earlier time, as frontends see the list with a delay.
+//! The registry: the list of nodes now and at earlier times, since frontends see changes of the list with a
+//! delay.
 
 use super::Ms;
 
 #[derive(Debug, Clone, Default)]
 struct Entry {
-    /// When the last heartbeat came; none for a node that left or timed out.
+    /// Time of the last heartbeat; none for a node that deregistered or timed out.
     last_heartbeat: Option<Ms>,
     listed: bool,
 }
 
-/// A change of the list.
+/// A change of one node's place on the list.
 #[derive(Debug, Clone, Copy)]
 struct Change {
     at: Ms,
     node: usize,
-    /// Whether the node is listed from then on.
+    /// Whether the node is listed from `at` on.
     listed: bool,
 }
 
-/// The registry: the list of nodes as heartbeats, deregistrations and timeouts have left it, with its past.
+/// The list of nodes, as heartbeats, deregistrations and timeouts determine it, with all its past changes.
 #[derive(Debug, Clone)]
 pub struct Registry {
     heartbeat_timeout: Ms,
     entries: Vec<Entry>,
-    /// Every change, in order of time for each node.
+    /// All changes; those of one node are in order of time.
     changes: Vec<Change>,
     is_unreachable: bool,
 }
 
 impl Registry {
-    /// A registry of `nodes` nodes that drops one whose last heartbeat is `heartbeat_timeout` ago.
+    /// Creates a registry for `nodes` nodes that removes a node from the list `heartbeat_timeout` after its
+    /// last heartbeat.
     pub fn new(nodes: usize, heartbeat_timeout: Ms) -> Registry {
         Registry {
             heartbeat_timeout,
@@ -39,7 +41,8 @@
         }
     }
 
-    /// A node reports that it is up, or deregisters (`is_up` is false).
+    /// Handles a heartbeat of a node (`is_up`) or its deregistration (not `is_up`). Both are lost during an
+    /// outage.
     pub fn on_heartbeat(&mut self, now: Ms, node: usize, is_up: bool) {
         if self.is_unreachable {
             return;
@@ -48,7 +51,8 @@
         self.set_listed(now, node, is_up);
     }
 
-    /// Starts or ends an outage. Meanwhile the list is frozen; at its end every listed node gets a full timeout to report.
+    /// Starts or ends an outage of the registry. The list is frozen during the outage; at its end every
+    /// listed node gets a full heartbeat timeout to report.
     pub fn set_unreachable(&mut self, now: Ms, is_unreachable: bool) {
         self.advance(now);
         if self.is_unreachable && !is_unreachable {
@@ -66,7 +70,7 @@
         }
     }
 
-    /// Lets time pass: nodes whose heartbeats have stopped are dropped.
+    /// Advances the time to `now` and removes the nodes whose heartbeats have timed out from the list.
     pub fn advance(&mut self, now: Ms) {
         if self.is_unreachable {
             return;
@@ -80,7 +84,7 @@
         }
     }
 
-    /// Whether each node is listed in the list as it was at `seen_at`.
+    /// Returns, by node, whether it was on the list at `seen_at`.
     pub fn listed_at(&mut self, now: Ms, seen_at: Ms) -> Vec<bool> {
         self.advance(now);
         let mut listed = vec![false; self.entries.len()];
