--- a/fault-harness/src/check.rs
+++ b/fault-harness/src/check.rs
@@ -1,8 +1,9 @@
-//! The rules: invariants that every play keeps, as a function of its history. Each has a test with a history that violates
-//! it.
+//! Checks the invariants (rules) that every play must keep, as a function of its history. Each rule has a
+//! test with a history that violates it.
 //!
-//! An attempt may go unanswered where an injected fault affected its node or link, or the harness ran late, at some moment
-//! between the attempt's writing and its deadline: the node was killed or paused, or the link was disturbed.
+//! An attempt is exempt from the rule that it gets an answer if, at some moment between its writing and its
+//! deadline, its node was killed or paused, its link was disturbed by a fault, or the harness itself ran
+//! late.
 
 mod answers;
 mod attempts;
@@ -24,7 +25,7 @@
 use crate::history::{Event, History, RuleParameters};
 use crate::model::Ms;
 
-/// Checks a history.
+/// Checks a history and returns all violations in it.
 pub fn check(history: &History) -> Verdict {
     let mut checker = Checker::new(&history.parameters);
     for observation in &history.observations {
@@ -33,8 +34,8 @@
     checker.finish(history.observations.last().map_or(0.0, |last| last.at))
 }
 
-/// The state of a check. Rules that need several parts of the state are methods of `Checker`, each family in a module of its
-/// own; others are types with an `observe`.
+/// The state of a check. Rules that need several parts of the state are methods of `Checker`, grouped into
+/// one module for each kind of rule; the others are types with an `observe` method.
 struct Checker<'a> {
     parameters: &'a RuleParameters,
     violations: Violations,
@@ -58,7 +59,8 @@
         }
     }
 
-    /// No two of these depend on each other for the same event; their order only decides that of what is found at one moment.
+    /// Passes an event to all rules. No two of them depend on each other for the same event; their order only
+    /// determines the order of violations found at the same moment.
     fn observe(&mut self, at: Ms, event: &Event) {
         self.exemptions.observe(at, event);
         self.attempts.observe(at, event);
--- a/fault-harness/src/check/attempts.rs
+++ b/fault-harness/src/check/attempts.rs
@@ -1,18 +1,18 @@
-//! The attempts of a history: where each was sent, for which request, and what became of it.
+//! The attempts of a history: the node and request of each, and its outcome.
 
 use std::collections::{BTreeMap, HashMap};
 
 use crate::history::{ConnectionLoss, Event, Response};
 use crate::model::Ms;
 
-/// The answer to an attempt, with its time.
+/// The answer to an attempt, and its time.
 #[derive(Debug)]
 pub(super) struct Answer {
     pub(super) at: Ms,
     pub(super) response: Response,
 }
 
-/// The loss of an attempt's connection, with its time.
+/// The loss of the connection of an attempt, and its time.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Loss {
     pub(super) at: Ms,
@@ -22,23 +22,23 @@
 /// One attempt of a request at one node.
 #[derive(Debug)]
 pub(super) struct Attempt {
-    /// The request, as index into those of the schedule.
+    /// Position of the request in the schedule.
     pub(super) request: usize,
-    /// The node that it was written to.
+    /// Position of the node to which it was written.
     pub(super) node: usize,
-    /// The frontend that wrote it.
+    /// Position of the frontend that wrote it.
     pub(super) frontend: usize,
-    /// When it was written.
+    /// Time at which it was written.
     pub(super) written_at: Ms,
-    /// When its caller stops waiting.
+    /// Time at which its caller stops waiting.
     pub(super) deadline: Ms,
-    /// Its first answer.
+    /// Its first answer; later ones are violations.
     pub(super) answer: Option<Answer>,
-    /// When its caller cancelled it.
+    /// Time at which its caller cancelled it.
     pub(super) cancelled_at: Option<Ms>,
-    /// The loss of its connection, without an answer.
+    /// Loss of its connection before it was answered.
     pub(super) loss: Option<Loss>,
-    /// Whether the interpreter began to run it.
+    /// Whether an interpreter started to run it.
     pub(super) has_run: bool,
 }
 
@@ -57,18 +57,17 @@
         }
     }
 
-    /// Whether it was rejected.
     pub(super) fn is_rejected(&self) -> bool {
         matches!(self.answer, Some(Answer { response: Response::Rejected { .. }, .. }))
     }
 }
 
-/// What is known of a request.
+/// What the history says about a request.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Request {
-    /// The request whose idempotency key it has, by index: itself, or the one that it repeats.
+    /// Position of the request whose idempotency key it has: its own, or that of the request that it repeats.
     pub(super) original_request: usize,
-    /// Its class, as index into those of the parameters.
+    /// Position of its class in the parameters.
     pub(super) class: usize,
 }
 
@@ -80,8 +79,8 @@
 }
 
 impl Attempts {
-    /// Takes in the events that concern attempts alone: requests, and what was written, cancelled and lost. The checks of
-    /// answers set an attempt's `answer`, those of runs its `has_run`.
+    /// Handles the events that concern attempts alone: the sending of requests, and the writing, cancelling
+    /// and loss of attempts. The rules about answers set `answer` of an attempt, those about runs `has_run`.
     pub(super) fn observe(&mut self, at: Ms, event: &Event) {
         match event {
             Event::RequestSent { request, class, repeats } => {
@@ -102,36 +101,36 @@
         }
     }
 
-    /// The attempt with this id, if one was written.
+    /// The attempt with this id, if it was written.
     pub(super) fn get(&self, id: u64) -> Option<&Attempt> {
         self.by_id.get(&id)
     }
 
-    /// Changes an attempt; one that was never written is left out.
+    /// Changes an attempt; has no effect if it was never written.
     pub(super) fn update(&mut self, id: u64, change: impl FnOnce(&mut Attempt)) {
         if let Some(attempt) = self.by_id.get_mut(&id) {
             change(attempt);
         }
     }
 
-    /// The request with this index, if a client sent it.
+    /// The request at this position, if a client sent it.
     pub(super) fn request(&self, index: usize) -> Option<Request> {
         self.requests.get(&index).copied()
     }
 
-    /// The idempotency key of an attempt: the index of the original request. A request whose sending is not in the history is
-    /// taken for an original.
+    /// The idempotency key of an attempt: the position of the original request. A request whose sending is
+    /// not in the history counts as an original.
     pub(super) fn key_of(&self, id: u64) -> Option<usize> {
         let index = self.by_id.get(&id)?.request;
         Some(self.request(index).map_or(index, |request| request.original_request))
     }
 
-    /// How many were written.
+    /// Number of attempts that were written.
     pub(super) fn len(&self) -> usize {
         self.by_id.len()
     }
 
-    /// All attempts, by id.
+    /// All attempts, in order of their ids.
     pub(super) fn iter(&self) -> impl Iterator<Item = (u64, &Attempt)> {
         self.by_id.iter().map(|(id, attempt)| (*id, attempt))
     }
--- a/fault-harness/src/check/exemptions.rs
+++ b/fault-harness/src/check/exemptions.rs
@@ -1,5 +1,5 @@
-//! Intervals in which an injected fault or a delay of the harness kept a node from answering; an attempt that overlaps one
-//! is exempt from the rule that each gets an answer.
+//! Intervals in which an injected fault or a delay of the harness may have kept a node from answering. An
+//! attempt that overlaps one is exempt from the rule that each attempt gets an answer.
 
 use std::collections::HashMap;
 
@@ -7,19 +7,19 @@
 use crate::history::{Event, ProcessExit};
 use crate::model::Ms;
 
-/// A stretch of time; it ends at infinity while its condition still holds.
+/// An interval of time; its end is infinite while its condition still holds.
 #[derive(Debug, Clone, Copy)]
 struct Interval {
     begin: Ms,
     end: Ms,
 }
 
-/// Intervals of time in which a condition held; the last may still be open.
+/// The intervals in which a condition held; the last one may still be open.
 #[derive(Debug, Default)]
 struct Intervals(Vec<Interval>);
 
 impl Intervals {
-    /// Notes that the condition holds from now on, or no longer does.
+    /// Records that the condition holds from `at` on, or no longer holds.
     fn set(&mut self, at: Ms, holds: bool) {
         let open = self.0.last_mut().filter(|interval| interval.end.is_infinite());
         match (open, holds) {
@@ -41,28 +41,28 @@
     frontend: usize,
 }
 
-/// Where and when attempts are exempt from an answer.
+/// The nodes, links and times at which attempts are exempt from an answer.
 #[derive(Debug, Default)]
 pub(super) struct Exemptions {
-    /// By node: its process was killed.
+    /// By node, when its process was down after the harness killed it.
     killed: HashMap<usize, Intervals>,
-    /// By node: its process was paused.
+    /// By node, when its process was paused.
     paused: HashMap<usize, Intervals>,
-    /// By node and frontend: the traffic between them suffered.
+    /// By link, when its traffic was disturbed.
     disturbed_links: HashMap<ClientLink, Intervals>,
-    /// By node: the traffic of all frontends with it suffered.
+    /// By node, when its traffic with all frontends was disturbed.
     disturbed_nodes: HashMap<usize, Intervals>,
-    /// The harness itself was delayed.
+    /// When the harness itself ran late.
     harness_delayed: Intervals,
 }
 
 impl Exemptions {
-    /// Takes in the events that begin or end an interval.
+    /// Handles the events that begin or end an interval.
     pub(super) fn observe(&mut self, at: Ms, event: &Event) {
         match event {
             Event::NodeUp { node, .. } => self.killed.entry(*node).or_default().set(at, false),
-            // A node that is shut down must answer what it has read, and a crash is a violation of its own; only a kill by
-            // the harness exempts.
+            // A node that shuts down must answer what it has read, and a crash is a violation of its own; so
+            // only a kill by the harness makes attempts exempt.
             Event::NodeDown { node, exit: ProcessExit::Killed } => {
                 self.killed.entry(*node).or_default().set(at, true);
             }
@@ -81,8 +81,8 @@
         }
     }
 
-    /// Whether an injected fault affected the attempt's node or link, or the harness was delayed, at some moment between the
-    /// attempt's writing and `until`.
+    /// Whether an injected fault affected the node or link of the attempt, or the harness ran late, at some
+    /// moment between the writing of the attempt and `until`.
     pub(super) fn overlaps(&self, attempt: &Attempt, until: Ms) -> bool {
         let affected = |intervals: Option<&Intervals>| {
             intervals.is_some_and(|intervals| intervals.overlaps(attempt.written_at, until))
--- a/fault-harness/src/check/processes.rs
+++ b/fault-harness/src/check/processes.rs
@@ -1,4 +1,5 @@
-//! The rules about processes: limits hold, the program does not crash, and the interpreter gets what was sent.
+//! The rules about processes: resource limits hold, the node process does not crash, and the interpreter
+//! receives what was sent.
 
 use std::collections::BTreeSet;
 
@@ -7,7 +8,7 @@
 use crate::history::{Event, ProcessExit};
 use crate::model::Ms;
 
-/// What a node's program is limited in.
+/// A resource of the node process that has a limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Resource {
     Memory,
@@ -17,18 +18,18 @@
 impl Resource {
     fn label(self) -> &'static str {
         match self {
-            Resource::Memory => "memory, KB",
-            Resource::Descriptors => "descriptors",
+            Resource::Memory => "resident memory in KB",
+            Resource::Descriptors => "open file descriptors",
         }
     }
 }
 
-/// The limits that were already found exceeded, by node.
+/// Limits that were already reported as exceeded, by node.
 #[derive(Debug, Default)]
 pub(super) struct ExceededLimits(BTreeSet<(usize, Resource)>);
 
 impl Checker<'_> {
-    /// Checks what was seen of a node's processes.
+    /// Checks an event about the processes of a node.
     pub(super) fn observe_process(&mut self, at: Ms, event: &Event) {
         match event {
             Event::ResourceSample { node, memory_kb, descriptors, .. } => {
@@ -36,9 +37,9 @@
                 self.check_limit(at, *node, Resource::Descriptors, *descriptors, self.parameters.descriptors);
             }
             Event::NodeDown { node, exit } => self.check_exit(at, *node, exit),
-            // The interpreter dies only of exceeding concurrency or memory.
+            // An interpreter dies only of too much concurrency or memory, both of which are limits.
             Event::InterpreterDied { node, cause } => {
-                let text = format!("the interpreter of n{} has died: {cause}", node + 1);
+                let text = format!("the interpreter of n{} died: {cause}", node + 1);
                 self.violations.record(at, Rule::LimitExceeded, text);
             }
             Event::Corrupted { node, text } => {
@@ -48,10 +49,10 @@
         }
     }
 
-    /// A limit that is exceeded is one violation, however long it stays so.
+    /// Checks one limit. A limit that is exceeded is one violation, however long it stays exceeded.
     fn check_limit(&mut self, at: Ms, node: usize, resource: Resource, value: u64, limit: u64) {
         if value > limit && self.exceeded_limits.0.insert((node, resource)) {
-            let text = format!("n{}: {}: {value} of {limit}", node + 1, resource.label());
+            let text = format!("n{}: {} is {value}, above the limit of {limit}", node + 1, resource.label());
             self.violations.record(at, Rule::LimitExceeded, text);
         }
     }
@@ -59,12 +60,14 @@
     fn check_exit(&mut self, at: Ms, node: usize, exit: &ProcessExit) {
         match exit {
             ProcessExit::Crashed(status) => {
-                let text = format!("n{} ended by itself: {status}", node + 1);
+                let text = format!("the process of n{} exited without a shutdown notice: {status}", node + 1);
                 self.violations.record(at, Rule::Crashed, text);
             }
             ProcessExit::ShutdownTimedOut => {
-                let text =
-                    format!("n{} was still running when its time for a graceful shutdown was over", node + 1);
+                let text = format!(
+                    "the process of n{} was still running when its time for a graceful shutdown had passed",
+                    node + 1
+                );
                 self.violations.record(at, Rule::LimitExceeded, text);
             }
             ProcessExit::Killed | ProcessExit::ShutDown => {}
--- a/fault-harness/src/check/router.rs
+++ b/fault-harness/src/check/router.rs
@@ -1,4 +1,4 @@
-//! The rule about the virtual router: two nodes that can receive each other's advertisements do not both
+//! The rule about the virtual router: two nodes that can receive each other's advertisements must not both
 //! keep the active role.
 
 use std::collections::BTreeSet;
@@ -7,30 +7,30 @@
 use crate::history::Event;
 use crate::model::Ms;
 
-/// How long more than one node has been active though they can receive each other's advertisements.
+/// Since when more than one node has been active although they can receive each other's advertisements.
 #[derive(Debug, Clone, Copy, Default)]
 enum DualActiveState {
     #[default]
     None,
     Since(Ms),
-    /// Reported once, until it is over.
+    /// Already reported; reported again only after the state has ended and begun again.
     Reported,
 }
 
-/// Follows which nodes are active.
+/// The nodes that are active, and what keeps advertisements from being received.
 #[derive(Debug, Default)]
 pub(super) struct RouterRoles {
     active: BTreeSet<usize>,
     paused: BTreeSet<usize>,
-    /// Disturbances of the links among nodes that are in effect.
+    /// Number of disturbances of the links among nodes that are in effect.
     disturbances: usize,
     dual_active: DualActiveState,
 }
 
 impl RouterRoles {
-    /// Takes in an event, and records a dual-active state that has lasted longer than `max_dual_active`. Not checked while any
-    /// peer link is disturbed or any node is paused, since the history doesn't say which nodes
-    /// receive each other's advertisements.
+    /// Handles an event, and records a violation for a dual-active state that has lasted longer than
+    /// `max_dual_active`. The rule is not checked while any link among nodes is disturbed or any node is
+    /// paused, since the history does not say which nodes receive each other's advertisements then.
     pub(super) fn observe(
         &mut self,
         at: Ms,
@@ -81,6 +81,6 @@
 
     fn describe(&self) -> String {
         let names: Vec<String> = self.active.iter().map(|node| format!("n{}", node + 1)).collect();
-        format!("{} are all active", names.join(" and "))
+        format!("{} all hold the active role of the virtual router", names.join(" and "))
     }
 }
--- a/fault-harness/src/check/runs.rs
+++ b/fault-harness/src/check/runs.rs
@@ -1,4 +1,5 @@
-//! The rules about runs: what was rejected or came too late does not run, and a key runs once within its window.
+//! The rules about runs: an attempt that was rejected or came too late must not run, and a key runs only once
+//! within its idempotency window.
 
 use std::collections::HashMap;
 
@@ -8,45 +9,44 @@
 use crate::model::Ms;
 use crate::scenario::RunScope;
 
-/// A run of a keyed request.
+/// A run of a request that has an idempotency key.
 #[derive(Debug, Clone, Copy)]
 struct Run {
-    /// The attempt that ran.
+    /// Id of the attempt that was run.
     attempt: u64,
     node: usize,
-    /// The generation of the node's stored state; each loss of that state begins a new one.
+    /// Generation of the stored state of the node; each loss of that state begins a new one.
     generation: usize,
-    /// When the attempt was written, from where the window counts.
+    /// Time at which the attempt was written, from which the idempotency window counts.
     written_at: Ms,
     started_at: Ms,
 }
 
-/// A result that a run made.
+/// A result that a run computed.
 #[derive(Debug)]
 pub(super) struct RunResult {
-    /// The node that made it.
+    /// Position of the node that ran it.
     pub(super) node: usize,
-    /// The result.
     pub(super) result: String,
 }
 
-/// What is known of runs, by idempotency key.
+/// Known runs and results, by idempotency key.
 #[derive(Debug, Default)]
 pub(super) struct Runs {
     by_key: HashMap<usize, Vec<Run>>,
-    /// Results stay valid after a node lost its state: a truncated store, or an old backup that was restored, may still
-    /// have one.
+    /// Results stay valid after a node lost its stored state: a truncated store, or an old backup that was
+    /// restored, may still contain one.
     results: HashMap<usize, Vec<RunResult>>,
-    /// The generation of each node's stored state.
+    /// By node, the generation of its stored state; none for the first.
     generations: HashMap<usize, usize>,
-    /// When each node got its shutdown notice.
+    /// By node, the time of its shutdown notice.
     shutdown_notices: HashMap<usize, Ms>,
-    /// Runs of a key that had already run within its window, at any node.
+    /// Number of runs of a key that had already run within its window, at any node.
     pub(super) duplicate_runs_in_fleet: usize,
 }
 
 impl Runs {
-    /// The results that runs of a key made.
+    /// The results that the runs of a key computed.
     pub(super) fn results_of(&self, key: usize) -> &[RunResult] {
         self.results.get(&key).map_or(&[], Vec::as_slice)
     }
@@ -55,7 +55,7 @@
         self.generations.get(&node).copied().unwrap_or(0)
     }
 
-    /// Runs of the key whose idempotency window is still open at `written_at`.
+    /// The runs of a key whose idempotency window is still open at `written_at`.
     fn within_window(&self, key: usize, written_at: Ms, window: Ms) -> impl Iterator<Item = &Run> {
         let runs = self.by_key.get(&key).into_iter().flatten();
         runs.filter(move |run| written_at <= run.written_at + window)
@@ -63,7 +63,7 @@
 }
 
 impl Checker<'_> {
-    /// Takes in the events that concern runs, and checks each run that begins.
+    /// Handles the events that concern runs, and checks each run that starts.
     pub(super) fn observe_run(&mut self, at: Ms, event: &Event) {
         match event {
             Event::RunStarted { attempt, node } => self.check_run(at, *attempt, *node),
@@ -82,26 +82,29 @@
     fn check_run(&mut self, at: Ms, id: u64, node: usize) {
         self.attempts.update(id, |attempt| attempt.has_run = true);
         let Some(attempt) = self.attempts.get(id) else {
-            // No frontend sent this id, so the node changed it on the way to the interpreter.
-            let text = format!("n{} runs {id:016x}, which was never written", node + 1);
+            // No frontend sent this id, so the node corrupted it on the way to the interpreter.
+            let text = format!("n{} ran attempt {id:016x}, which no frontend sent", node + 1);
             return self.violations.record(at, Rule::Corrupted, text);
         };
         let written_at = attempt.written_at;
         let request = attempt.request;
         if attempt.is_rejected() {
-            let text = format!("attempt {id:016x} at n{} runs after it was rejected", node + 1);
+            let text = format!("attempt {id:016x} at n{} ran after it had been rejected", node + 1);
             self.violations.record(at, Rule::RejectedAndRan, text);
         }
         let grace = self.parameters.drain_grace + self.parameters.timing_tolerance;
         if self.runs.shutdown_notices.get(&node).is_some_and(|notice| written_at > notice + grace) {
-            let text = format!("attempt {id:016x} came to n{} too long after its shutdown notice", node + 1);
+            let text = format!(
+                "attempt {id:016x} was written to n{} after the grace period of its shutdown notice, and ran",
+                node + 1
+            );
             self.violations.record(at, Rule::RunAfterShutdownNotice, text);
         }
         let generation = self.runs.generation(node);
         self.check_key(request, Run { attempt: id, node, generation, written_at, started_at: at });
     }
 
-    /// Checks a run against earlier ones of its key, if its class has keys.
+    /// Checks a run against earlier runs of its key, if its class has keys.
     fn check_key(&mut self, request: usize, run: Run) {
         let Some(request) = self.attempts.request(request) else { return };
         let Some(class) = self.parameters.classes.get(request.class) else { return };
@@ -126,7 +129,7 @@
 
     fn record_second_run(&mut self, key: usize, first: &Run, second: &Run) {
         let text = format!(
-            "the key of request {key} runs again at n{}: {:016x}, then {:016x}",
+            "the idempotency key of request {key} ran twice at n{}: attempts {:016x} and {:016x}",
             second.node + 1,
             first.attempt,
             second.attempt
@@ -139,7 +142,8 @@
             return;
         }
         let text = format!(
-            "the key of request {key} runs at n{} ({:016x}), and did at n{} at {:.0} ms ({:016x})",
+            "the idempotency key of request {key} ran at n{} (attempt {:016x}) \
+             after it had run at n{} at {:.0} ms (attempt {:016x})",
             second.node + 1,
             second.attempt,
             first.node + 1,
--- a/fault-harness/src/check/verdict.rs
+++ b/fault-harness/src/check/verdict.rs
@@ -1,4 +1,5 @@
-//! What the checker reports: the rules (the invariants of a play), each violation of one, and the verdict on a whole history.
+//! The report of the checker: the rules (the invariants of a play), the violations of them, and the verdict
+//! on a whole history.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +7,7 @@
 
 use crate::model::Ms;
 
-/// An invariant, named by what violates it.
+/// An invariant of a play, named after its violation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
@@ -18,49 +19,53 @@
     DuplicateRun,
     /// An idempotency key ran twice in the fleet within its window.
     DuplicateRunInFleet,
-    /// An attempt was rejected that had run, or that runs later.
+    /// An attempt was rejected but also ran, before or after the rejection.
     RejectedAndRan,
-    /// An attempt ran that came after the shutdown notice and its grace period.
+    /// An attempt ran although it arrived after the grace period of the shutdown notice.
     RunAfterShutdownNotice,
     /// An attempt was served with a result that no run of its key made.
     ForeignResult,
-    /// What reached the interpreter differs from what was sent.
+    /// The interpreter received something that differs from what was sent.
     Corrupted,
-    /// A limit was exceeded: memory, descriptors, concurrency on the cores, or the time for a graceful shutdown.
+    /// A limit was exceeded: memory, descriptors, concurrency on the cores, or the time for a graceful
+    /// shutdown.
     LimitExceeded,
-    /// The program exited unexpectedly.
+    /// The process of a node exited unexpectedly.
     Crashed,
-    /// Two nodes had the role of the virtual router for too long, though they could receive each other's advertisements.
+    /// Two nodes held the role of the virtual router for too long, although they could receive each other's
+    /// advertisements.
     DualActive,
 }
 
 /// One violation of an invariant.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Violation {
-    /// When the rule was broken.
+    /// Time of the violation.
     pub at: Ms,
-    /// Which rule.
+    /// The rule that was violated.
     pub rule: Rule,
-    /// What happened, with the attempt, the node and the key.
+    /// Description, with the attempt, node and key concerned.
     pub text: String,
 }
 
-/// What the checker found.
+/// The result of the check of a history.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Verdict {
-    /// Every violation, by time.
+    /// All violations, in order of time.
     #[serde(rename = "breaches")]
     pub violations: Vec<Violation>,
-    /// Attempts written to nodes.
+    /// Number of attempts that were written to nodes.
     pub written: usize,
-    /// Those among them that were exempt from an answer, since a fault or a delay of the harness affected them.
+    /// Number of those that got no answer but were exempt, because a fault or a delay of the harness affected
+    /// them.
     pub excused: usize,
-    /// Runs of a key that had already run within its window, at any node, whether or not the scenario forbids it.
+    /// Number of runs of a key that had already run within its window, at any node, whether or not the
+    /// scenario forbids it.
     pub duplicate_runs_in_fleet: usize,
 }
 
 impl Verdict {
-    /// How often each rule was broken.
+    /// Number of violations of each rule; rules without violations are left out.
     pub fn by_rule(&self) -> BTreeMap<Rule, usize> {
         let mut counts = BTreeMap::new();
         self.violations.iter().for_each(|violation| *counts.entry(violation.rule).or_default() += 1);
@@ -73,12 +78,11 @@
 pub(super) struct Violations(Vec<Violation>);
 
 impl Violations {
-    /// Records a violation.
     pub(super) fn record(&mut self, at: Ms, rule: Rule, text: String) {
         self.0.push(Violation { at, rule, text });
     }
 
-    /// All violations by time; those of one moment stay in the order in which they were found.
+    /// All violations in order of time; those of the same moment stay in the order in which they were found.
     pub(super) fn into_sorted(mut self) -> Vec<Violation> {
         self.0.sort_by(|earlier, later| earlier.at.total_cmp(&later.at));
         self.0
