--- a/fault-harness/src/simulated.rs
+++ b/fault-harness/src/simulated.rs
@@ -1,5 +1,5 @@
-//! Simulations on sockets of all that a node talks to: the dependency, frontends with their clients, and its interpreter.
-//! Each drives a model and speaks the platform's protocol.
+//! Simulations, on sockets, of all peers of a node: the dependency, the frontends with their clients, and the
+//! interpreter of the node. Each drives a model and speaks the protocol of the platform.
 
 pub mod dependency;
 pub mod frontends;
@@ -9,23 +9,23 @@
 
 use crate::wire;
 
-/// The longest line of a command, and the longest body, in bytes.
+/// Maximum length of the line of a command, and of its body, in bytes.
 const MAX_COMMAND_BYTES: u64 = 256 * 1024;
-/// What ends a line and a body.
+/// Terminator of a line and of a body.
 const LINE_END: &str = "\r\n";
-/// Transaction ids are hexadecimal.
+/// Radix of transaction ids.
 const TXN_RADIX: u32 = 16;
 
-/// A command to an interpreter, or to the dependency.
+/// A command that a node sends to its interpreter or to the dependency.
 pub(crate) struct Command {
-    /// Its line in words; there is at least one.
+    /// The words of its line; at least one.
     words: Vec<String>,
-    /// Its body, which is empty if its kind has none.
+    /// The body; empty if commands of this kind have none.
     body: Vec<u8>,
 }
 
 impl Command {
-    /// Reads a command. None at the end of the input, and where it is malformed.
+    /// Reads a command. Returns none at the end of the input, or if the command is malformed.
     pub(crate) async fn read(input: &mut (impl AsyncBufRead + Unpin)) -> Option<Command> {
         let mut line = String::new();
         let length = (&mut *input).take(MAX_COMMAND_BYTES).read_line(&mut line).await.ok()?;
@@ -40,12 +40,12 @@
         Some(Command { words: words.into_iter().map(String::from).collect(), body })
     }
 
-    /// Its first word.
+    /// The name of the command, which is its first word.
     pub(crate) fn name(&self) -> &str {
         &self.words[0]
     }
 
-    /// A word after the name, counted from 0.
+    /// The argument at this position, from 0.
     pub(crate) fn argument(&self, position: usize) -> Option<&str> {
         self.words.get(position + 1).map(String::as_str)
     }
@@ -54,13 +54,13 @@
         self.words.len() - 1
     }
 
-    /// Its first argument as a transaction id.
+    /// The first argument, as a transaction id.
     pub(crate) fn txn(&self) -> Option<u64> {
         u64::from_str_radix(self.argument(0)?, TXN_RADIX).ok()
     }
 }
 
-/// Reads a body and what ends it.
+/// Reads a body and its terminator.
 async fn read_body(input: &mut (impl AsyncBufRead + Unpin), length: usize) -> Option<Vec<u8>> {
     if length as u64 > MAX_COMMAND_BYTES {
         return None;
--- a/fault-harness/src/simulated/dependency.rs
+++ b/fault-harness/src/simulated/dependency.rs
@@ -1,4 +1,4 @@
-//! The dependency on a socket: the calls of all nodes come in, and its replies go out.
+//! The dependency on a socket: receives the calls of all nodes and sends the replies.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -16,13 +16,13 @@
 use crate::scenario::Dependency as DependencySettings;
 use crate::schedule::{call_time, generator, RandomStream};
 
-/// Replies that wait to be written on one connection.
+/// Maximum number of replies that wait to be written on one connection.
 const REPLY_QUEUE: usize = 256;
 
-/// The arguments of `GET`: the transaction, the timeout, and the length of the body.
+/// Number of arguments of `GET`: transaction id, timeout, and length of the body.
 const CALL_ARGUMENTS: usize = 3;
 
-/// A connection of a node, as its calls know it.
+/// The connection on which a call came, and the interpreter of its node.
 #[derive(Clone)]
 struct Caller {
     node: usize,
@@ -32,24 +32,24 @@
 
 impl Caller {
     fn reply(&self, text: String) {
-        // The connection may have ended, and its calls with it.
+        // The connection may have ended; its calls are given up then.
         let _ = self.replies.try_send(text);
     }
 }
 
-/// A command that cannot be executed, at which the connection ends.
+/// A command that cannot be executed; the connection ends.
 struct MalformedCommand;
 
-/// A call that is to be made.
+/// A call that a node requests.
 struct CallRequest<'a> {
     txn: u64,
-    /// How long the caller waits.
+    /// Time that the caller waits, in milliseconds.
     timeout: Ms,
     body: &'a [u8],
 }
 
 impl CallRequest<'_> {
-    /// The call that a command asks for.
+    /// Parses the arguments of a `GET` command.
     fn parse(command: &Command) -> Result<CallRequest<'_>, MalformedCommand> {
         if command.argument_count() != CALL_ARGUMENTS {
             return Err(MalformedCommand);
@@ -60,27 +60,27 @@
     }
 }
 
-/// A call that has no reply yet.
+/// A call without a reply.
 struct OpenCall {
     txn: u64,
     caller: Caller,
 }
 
-/// The dependency that all nodes share.
+/// The simulated dependency, shared by all nodes.
 pub struct Dependency {
     context: Rc<PlayContext>,
     settings: DependencySettings,
     model: RefCell<DependencyModel>,
-    /// Open calls by their numbers in the model.
+    /// Open calls, by their ids in the model.
     calls: RefCell<HashMap<u64, OpenCall>>,
     next_call: Cell<u64>,
     rng: RefCell<ChaCha8Rng>,
-    /// Something has changed in what will happen next.
+    /// Signals that the time of the next event may have changed.
     changed: Notify,
 }
 
 impl Dependency {
-    /// The dependency of a scenario.
+    /// Creates the dependency of a scenario.
     pub fn new(context: Rc<PlayContext>, settings: DependencySettings) -> Rc<Dependency> {
         let model = DependencyModel::new(settings.slots, settings.queue);
         let rng = generator(context.seed, RandomStream::Calls, 0);
@@ -95,13 +95,13 @@
         })
     }
 
-    /// Leaves it a fraction of its slots.
+    /// Sets the fraction of the slots that may be used.
     pub fn set_capacity_factor(&self, factor: f64) {
         self.model.borrow_mut().set_capacity_factor(factor);
         self.changed.notify_one();
     }
 
-    /// Works on calls, for as long as the play.
+    /// Advances the model in real time until the end of the play.
     pub async fn work(self: Rc<Self>) {
         loop {
             let next = self.model.borrow().next_event_at().unwrap_or(f64::INFINITY);
@@ -121,7 +121,7 @@
             CallEnd::Completed(number) => (number, true),
             CallEnd::TimedOut(number) => (number, false),
         };
-        // Nobody waits for a call that was given up.
+        // No caller waits for a call that was given up.
         let Some(call) = self.calls.borrow_mut().remove(&number) else { return };
         if is_done {
             let body = format!("reply {number} to {:016x}", call.txn);
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Executes a command.
+    /// Executes a command that came on the connection of `caller`, and adds a started call to `own_calls`.
     fn execute(
         &self,
         command: &Command,
@@ -180,12 +180,12 @@
         Ok(())
     }
 
-    /// Gives up a node's call for a transaction, if there is one.
+    /// Gives up the call of a node for a transaction, if there is one.
     fn give_up(&self, node: usize, txn: u64) {
-        let is_meant = |call: &OpenCall| call.caller.node == node && call.txn == txn;
+        let is_the_call = |call: &OpenCall| call.caller.node == node && call.txn == txn;
         let calls = self.calls.borrow();
         let numbers: Vec<u64> =
-            calls.iter().filter(|(_, call)| is_meant(call)).map(|(number, _)| *number).collect();
+            calls.iter().filter(|(_, call)| is_the_call(call)).map(|(number, _)| *number).collect();
         drop(calls);
         for number in numbers {
             self.calls.borrow_mut().remove(&number);
@@ -193,7 +193,7 @@
         }
     }
 
-    /// Begins a call and returns its number, unless it is answered at once.
+    /// Starts a call and returns its id in the model; none if the call is rejected at once.
     fn call(&self, request: &CallRequest, caller: &Caller) -> Option<u64> {
         let CallRequest { txn, timeout, body } = *request;
         if !caller.interpreter.expects_call(txn, body) {
--- a/fault-harness/src/simulated/frontends.rs
+++ b/fault-harness/src/simulated/frontends.rs
@@ -1,4 +1,4 @@
-//! Frontends and the clients behind them, on connections with the nodes.
+//! Frontends and the clients behind them, which send attempts to the nodes over connections.
 
 mod attempt;
 mod connection;
@@ -25,39 +25,39 @@
 use attempt::Attempt;
 use connection::Connection;
 
-/// Lines that wait to be written on a connection.
+/// Maximum number of lines that wait to be written on a connection.
 const WRITE_QUEUE: usize = 64;
-/// Between two checks for idle connections.
+/// Interval between checks for idle connections.
 const IDLE_CHECK_INTERVAL: Ms = 250.0;
 
-/// Where frontends reach a node.
+/// The endpoints of a node, as the frontends use them.
 pub struct NodeEndpoints {
-    /// Its current address; none while it is down.
+    /// Current address of its process; none while it is down.
     pub address: watch::Receiver<Option<SocketAddr>>,
-    /// The relay from each frontend.
+    /// The relays to the node, by frontend.
     pub relays: Vec<Relay>,
-    /// Its interpreter, which holds what was written to the node.
+    /// Interpreter of the node, which accounts for the requests that are written to the node.
     pub interpreter: Rc<Interpreter>,
 }
 
-/// What all frontends share.
+/// State that all frontends share.
 #[derive(Clone)]
 pub struct Shared {
-    /// The endpoints of all nodes.
+    /// Endpoints of all nodes, by position.
     pub nodes: Rc<Vec<NodeEndpoints>>,
-    /// The membership service.
+    /// Registry from which the frontends take the list of nodes.
     pub registry: Rc<RefCell<Registry>>,
-    /// Attempts so far, of all frontends.
+    /// Number of attempts of all frontends so far, from which the next id is derived.
     pub attempts: Rc<Cell<u64>>,
-    /// The node that each request was first sent to.
+    /// Node to which each request was first sent, by position of the request.
     pub first_nodes: Rc<RefCell<HashMap<usize, usize>>>,
 }
 
-/// One frontend.
+/// A simulated frontend.
 pub struct Frontend {
     context: Rc<PlayContext>,
     number: usize,
-    /// How late it sees changes of the registry.
+    /// Delay with which it sees changes of the registry.
     registry_delay: Ms,
     model: RefCell<FrontendModel>,
     shared: Shared,
@@ -65,7 +65,7 @@
 }
 
 impl Frontend {
-    /// A frontend of the schedule.
+    /// Creates the frontend at this position of the schedule.
     pub fn new(context: Rc<PlayContext>, number: usize, shared: Shared) -> Rc<Frontend> {
         let profile = &context.schedule.frontends[number];
         let registry_delay = profile.registry_delay;
@@ -86,13 +86,14 @@
         })
     }
 
-    /// Whether each node is registered, as this frontend sees it.
+    /// Returns, by node, whether it is on the list of the registry as this frontend sees it.
     fn listed(&self) -> Vec<bool> {
         let now = self.context.now();
         self.shared.registry.borrow_mut().listed_at(now, now - self.registry_delay)
     }
 
-    /// Handles one client's request from its first attempt to its end.
+    /// Handles the request of one client from its first attempt to its end, and records both ends of the
+    /// request in the history.
     pub async fn serve_client(self: Rc<Self>, request: usize) {
         let scheduled = &self.context.schedule.requests[request];
         let class = scheduled.class;
@@ -120,7 +121,7 @@
         self.context.note(Event::RequestEnded { request, outcome, attempts });
     }
 
-    /// Where the attempts of a request may go, and whether it may be retried.
+    /// The policy for the attempts of a request that repeats the given request, if any.
     fn attempt_policy(&self, repeats: Option<usize>) -> AttemptPolicy {
         let first_node = repeats.and_then(|first| self.shared.first_nodes.borrow().get(&first).copied());
         AttemptPolicy::of(repeats.is_some(), first_node, self.context.scenario.load.repeat_at)
@@ -135,7 +136,8 @@
         progress.on_outcome(now, node, outcome, &mut self.model.borrow_mut(), &self.listed())
     }
 
-    /// Sends an attempt to a node. It is sent again, once, if it crosses a close.
+    /// Sends an attempt to a node. If the attempt crosses the close of an idle connection it is sent again,
+    /// once.
     async fn send_attempt(&self, node: usize, request: usize, deadline: Ms) -> AttemptOutcome {
         for _ in 0..2 {
             let Ok(connection) = self.connection(node).await else { break };
@@ -147,7 +149,7 @@
         AttemptOutcome::ConnectionLost
     }
 
-    /// A connection with capacity, new if there is none.
+    /// Returns a connection to the node that has capacity for another attempt; opens one if there is none.
     async fn connection(&self, node: usize) -> io::Result<Rc<Connection>> {
         let is_usable = |connection: &&Rc<Connection>| connection.node == node && connection.has_capacity();
         if let Some(usable) = self.connections.borrow().iter().rfind(is_usable) {
@@ -170,7 +172,8 @@
         Ok(connection)
     }
 
-    /// Closes connections that are idle, and drops those that have ended; for as long as the play.
+    /// Closes idle and draining connections that have no open attempts, and removes those that have ended.
+    /// Runs until the end of the play.
     pub async fn close_idle_connections(self: Rc<Self>) {
         let idle_timeout = ms_of_seconds(self.context.scenario.frontends.idle_timeout_s);
         loop {
@@ -186,7 +189,7 @@
         }
     }
 
-    /// Restarts: its connections end, and what is open on them is cancelled.
+    /// Simulates a restart of the frontend: closes its connections and cancels the open attempts on them.
     pub fn restart(&self) {
         for connection in self.connections.borrow_mut().drain(..) {
             connection.stop_writing();
--- a/fault-harness/src/simulated/frontends/attempt.rs
+++ b/fault-harness/src/simulated/frontends/attempt.rs
@@ -1,4 +1,5 @@
-//! Attempts of a frontend: each is read by the node's machine, written, and answered or cancelled.
+//! Attempts of a frontend: each is read by the machine of the node, written to the node, and then answered or
+//! cancelled.
 
 use std::rc::Rc;
 
@@ -15,32 +16,34 @@
 use crate::scenario::NodeEvent;
 use crate::wire;
 
-/// After the latest answer that counts the caller still listens so long, to distinguish a late answer from none.
+/// Time for which the caller still listens after the latest answer that counts, to distinguish a late answer
+/// from none.
 const LISTEN_MARGIN: Ms = 100.0;
-/// The ids of attempts begin here.
+/// First id of the attempts of a play.
 const FIRST_ATTEMPT_ID: u64 = 1 << 40;
-/// The least time limit that is written, in milliseconds.
-const LEAST_TIME_LIMIT: Ms = 1.0;
-/// The least cost that is hinted, in milliseconds.
-const LEAST_COST_HINT: Ms = 0.01;
+/// Minimum time limit that is written to a node, in milliseconds.
+const MIN_TIME_LIMIT: Ms = 1.0;
+/// Minimum cost hint that is written to a node, in milliseconds.
+const MIN_COST_HINT: Ms = 0.01;
 
-/// An attempt that is to be sent.
+/// An attempt to be sent.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Attempt {
     pub(super) id: u64,
     pub(super) request: usize,
-    /// When its caller stops waiting.
+    /// Time at which its caller stops waiting.
     pub(super) deadline: Ms,
 }
 
 impl Frontend {
-    /// An id that no other attempt of the play has.
+    /// Returns an id that is unique among the attempts of the play.
     pub(super) fn next_attempt_id(&self) -> u64 {
         let count = &self.shared.attempts;
         FIRST_ATTEMPT_ID + count.replace(count.get() + 1)
     }
 
-    /// Writes an attempt and waits for its outcome; none where it crossed a close.
+    /// Writes an attempt and waits for its outcome. Returns none if the attempt crossed the close of an idle
+    /// connection.
     pub(super) async fn send(&self, connection: &Rc<Connection>, attempt: Attempt) -> Option<AttemptOutcome> {
         let context = &self.context;
         let id = connection.next_id.replace(connection.next_id.get() + 1);
@@ -53,7 +56,7 @@
         let (sender, mut outcome) = oneshot::channel();
         connection.add_open_attempt(id, OpenAttempt::new(attempt.id, context.now(), sender));
         self.record_written(connection, attempt);
-        // Where the connection has ended meanwhile, its end gives the outcome.
+        // If the connection has ended meanwhile, its closing delivers the outcome.
         let _ = out.send(line).await;
         let listen_until = attempt.deadline + context.scenario.rules.slack_ms + LISTEN_MARGIN;
         tokio::select! {
@@ -77,7 +80,8 @@
         context.record_event(node, NodeEvent::AttemptWritten);
     }
 
-    /// Waits until the node's machine has read an attempt; an outcome if it will not be written.
+    /// Waits until the machine of the node has read an attempt. Returns an outcome if the attempt is not to
+    /// be written.
     async fn wait_until_read(&self, connection: &Connection, attempt: Attempt) -> Option<AttemptOutcome> {
         let context = &self.context;
         let interpreter = &self.shared.nodes[connection.node].interpreter;
@@ -92,7 +96,7 @@
         };
         connection.unread.set(connection.unread.get() - 1);
         match is_read {
-            // Nobody writes what its client no longer waits for.
+            // An attempt whose client no longer waits for an answer is not written.
             Some(true) if context.now() + MIN_TIME_FOR_ATTEMPT >= attempt.deadline => {
                 Some(AttemptOutcome::TimedOut)
             }
@@ -105,12 +109,12 @@
         }
     }
 
-    /// The line of an attempt that has this id on its connection.
+    /// The request line of an attempt that has this id on its connection.
     fn request_line(&self, id: u64, attempt: Attempt, received_at: Ms) -> String {
         let context = &self.context;
         let request = &context.schedule.requests[attempt.request];
         let class = &context.scenario.classes[request.class];
-        // A repeat has the key of the request that it repeats.
+        // A repeat carries the key of the request that it repeats.
         let key_owner = request.repeats.unwrap_or(attempt.request);
         let key = class.idempotency_key.then(|| format!("{key_owner:032x}"));
         let line = wire::Request {
@@ -120,8 +124,8 @@
             received_at: context.clock.unix_ms(received_at),
             frontend: self.number,
             tenant: &request.tenant,
-            time_limit_ms: (attempt.deadline - received_at).max(LEAST_TIME_LIMIT) as u64,
-            cost_hint_ms: request.cost_hint.max(LEAST_COST_HINT),
+            time_limit_ms: (attempt.deadline - received_at).max(MIN_TIME_LIMIT) as u64,
+            cost_hint_ms: request.cost_hint.max(MIN_COST_HINT),
             memory_kb: request.memory_kb,
             idempotency_key: key.as_deref(),
             content: &BASE64.encode(context.body(attempt.request)),
@@ -129,12 +133,12 @@
         line.to_string()
     }
 
-    /// Notifies the node that nobody waits for an attempt any more.
+    /// Cancels an attempt: notifies the node that its caller no longer waits.
     fn cancel(&self, connection: &Connection, id: u64, attempt: Attempt, out: &mpsc::Sender<String>) {
         self.context.note(Event::AttemptCancelled { attempt: attempt.id });
         self.shared.nodes[connection.node].interpreter.close_request(attempt.id);
         connection.detach_caller(id);
-        // The connection may have ended.
+        // The connection may have ended, in which case nobody needs the notification.
         let _ = out.try_send(wire::withdraw(id));
     }
 }
--- a/fault-harness/src/simulated/frontends/connection.rs
+++ b/fault-harness/src/simulated/frontends/connection.rs
@@ -1,4 +1,4 @@
-//! A connection between a frontend and a node: attempts go out, answers come in.
+//! A connection from a frontend to a node, on which attempts are sent and answers received.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -17,64 +17,66 @@
 use crate::scenario::NodeEvent;
 use crate::wire::{self, NodeMessage};
 
-/// Attempts that may be open on a connection.
+/// Maximum number of open attempts on a connection.
 const MAX_OPEN_ATTEMPTS: usize = 32;
-/// The longest answer, in bytes.
+/// Maximum length of an answer, in bytes.
 const MAX_ANSWER_BYTES: u64 = 64 * 1024;
-/// Characters of an unexpected line that the history keeps.
+/// Maximum number of characters of an unexpected line that are recorded in the history.
 const MAX_RECORDED_CHARACTERS: usize = 200;
-/// An attempt that crosses a close within this is sent again, once.
+/// An attempt whose connection closes within this time after the attempt was written counts as crossing the
+/// close, and is sent again, once.
 const CROSSING_TOLERANCE: Ms = 50.0;
 
-/// An attempt on a connection that is not answered yet.
+/// An attempt on a connection that has not been answered.
 pub(super) struct OpenAttempt {
     pub(super) attempt: u64,
     written_at: Ms,
-    /// Nothing else was open on the connection when it was written.
-    is_only_one: bool,
-    /// The caller; none once it has stopped waiting.
+    /// Whether no other attempt was open on the connection when it was written.
+    was_connection_idle: bool,
+    /// Channel to the caller; none once the caller has stopped waiting.
     caller: Option<oneshot::Sender<AttemptOutcome>>,
 }
 
 impl OpenAttempt {
     pub(super) fn new(attempt: u64, written_at: Ms, caller: oneshot::Sender<AttemptOutcome>) -> OpenAttempt {
-        OpenAttempt { attempt, written_at, is_only_one: false, caller: Some(caller) }
+        OpenAttempt { attempt, written_at, was_connection_idle: false, caller: Some(caller) }
     }
 
-    /// Tells its caller the outcome.
+    /// Reports the outcome to its caller.
     pub(super) fn end(self, outcome: AttemptOutcome) {
         if let Some(caller) = self.caller {
-            // It may have stopped waiting.
+            // The caller may have stopped waiting.
             let _ = caller.send(outcome);
         }
     }
 }
 
-/// The answer to the attempt that has this id on its connection.
+/// The answer to the attempt with this id on its connection.
 struct Answer {
     id: u64,
     response: Response,
 }
 
-/// A connection with a node.
+/// A connection to a node.
 pub(super) struct Connection {
     pub(super) node: usize,
-    /// Lines to write; none once the connection is to end.
+    /// Channel for lines to write; none once the connection is to close.
     pub(super) out: RefCell<Option<mpsc::Sender<String>>>,
     open: RefCell<BTreeMap<u64, OpenAttempt>>,
-    /// The attempts that were answered here by their ids on the connection, to recognize a second answer.
+    /// Attempts that were answered on this connection, by their ids on the connection, to recognize a second
+    /// answer.
     answered: RefCell<HashMap<u64, u64>>,
-    /// The id of the next attempt.
+    /// Id of the next attempt on this connection.
     pub(super) next_id: Cell<u64>,
-    /// Attempts on it that are still to be read.
+    /// Number of attempts that wait to be read by the machine of the node before they are written.
     pub(super) unread: Cell<usize>,
     pub(super) last_used: Cell<Ms>,
-    /// Nothing new is to be sent here.
+    /// Whether no new attempts may be sent on this connection.
     pub(super) is_draining: Cell<bool>,
 }
 
 impl Connection {
-    /// A connection on which the lines of `out` are written.
+    /// Creates a connection on which the lines sent to `out` are written.
     pub(super) fn new(node: usize, out: mpsc::Sender<String>, now: Ms) -> Rc<Connection> {
         Rc::new(Connection {
             node,
@@ -88,17 +90,17 @@
         })
     }
 
-    /// Whether another attempt may be sent on it.
+    /// Whether another attempt may be sent on this connection.
     pub(super) fn has_capacity(&self) -> bool {
         !self.is_draining.get() && self.open.borrow().len() + self.unread.get() < MAX_OPEN_ATTEMPTS
     }
 
-    /// Whether no attempt is open on it, or about to be.
+    /// Whether no attempt is open or about to be written on this connection.
     pub(super) fn is_unused(&self) -> bool {
         self.open.borrow().is_empty() && self.unread.get() == 0
     }
 
-    /// Ends it as soon as all lines are written.
+    /// Closes the connection once all queued lines are written.
     pub(super) fn stop_writing(&self) {
         self.is_draining.set(true);
         self.out.take();
@@ -106,12 +108,13 @@
 
     pub(super) fn add_open_attempt(&self, id: u64, mut open: OpenAttempt) {
         let mut all_open = self.open.borrow_mut();
-        open.is_only_one = all_open.is_empty();
+        open.was_connection_idle = all_open.is_empty();
         self.last_used.set(open.written_at);
         all_open.insert(id, open);
     }
 
-    /// Keeps an attempt open whose caller no longer waits, to recognize its answer.
+    /// Removes the caller of an attempt that stopped waiting. The attempt stays open, so that a late answer
+    /// is recognized.
     pub(super) fn detach_caller(&self, id: u64) {
         if let Some(open) = self.open.borrow_mut().get_mut(&id) {
             open.caller = None;
@@ -122,7 +125,7 @@
         self.open.take().into_values()
     }
 
-    /// Writes lines and reads answers until either end closes, then fails what is still open.
+    /// Writes lines and reads answers until either end closes the connection, then fails the open attempts.
     pub(super) async fn run(
         self: Rc<Self>,
         context: Rc<PlayContext>,
@@ -155,7 +158,7 @@
         self.close(&context, &interpreter);
     }
 
-    /// Fails what is still open; what crossed an idle close is to be sent again.
+    /// Fails the open attempts, except that one that crossed an idle close is sent again.
     fn close(&self, context: &PlayContext, interpreter: &Interpreter) {
         self.stop_writing();
         let now = context.now();
@@ -166,7 +169,7 @@
             }
             let loss = self.loss_of(&open, now);
             context.note(Event::ConnectionLost { attempt: open.attempt, loss });
-            // One that crossed a close ends without an outcome.
+            // The caller of an attempt that crossed a close gets no outcome and sends it again.
             if loss != ConnectionLoss::CrossedClose {
                 open.end(AttemptOutcome::ConnectionLost);
             }
@@ -176,7 +179,7 @@
     fn loss_of(&self, open: &OpenAttempt, now: Ms) -> ConnectionLoss {
         if self.answered.borrow().is_empty() {
             ConnectionLoss::NewConnection
-        } else if open.is_only_one && now - open.written_at <= CROSSING_TOLERANCE {
+        } else if open.was_connection_idle && now - open.written_at <= CROSSING_TOLERANCE {
             ConnectionLoss::CrossedClose
         } else {
             ConnectionLoss::UsedConnection
@@ -210,7 +213,7 @@
     }
 }
 
-/// The answer that a message is, if it is one.
+/// Converts a message of the node to an answer; none if it is not an answer.
 fn answer_of(message: NodeMessage) -> Option<Answer> {
     match message {
         NodeMessage::Served { id, content } => {
--- a/fault-harness/src/simulated/interpreter.rs
+++ b/fault-harness/src/simulated/interpreter.rs
@@ -1,5 +1,5 @@
-//! The interpreter of a node: it runs and pauses requests as its node commands, notifies the node of each outcome, and keeps
-//! its notices over broken links.
+//! The simulated interpreter of a node: it runs and pauses requests as the node commands, notifies the node
+//! of each outcome, and retains its notices so that they survive a lost link.
 
 mod link;
 
@@ -17,10 +17,10 @@
 use crate::scenario::NodeEvent;
 use crate::wire;
 
-/// Notices that are kept for links to come.
+/// Maximum number of notices that are retained for the next link.
 const RETAINED_NOTICES: usize = 4000;
 
-/// A notice to the node.
+/// A numbered notice to the node.
 struct Notice {
     number: u64,
     text: String,
@@ -34,24 +34,24 @@
 
 struct State {
     model: InterpreterModel,
-    /// The incarnation of the node that it belongs to.
+    /// Incarnation of the node process that the interpreter belongs to.
     incarnation: u64,
     started_at: Ms,
     notices: VecDeque<Notice>,
     last_notice: u64,
-    /// When each run began.
+    /// Start time of each open run.
     run_starts: HashMap<u64, Ms>,
-    /// Replies of the dependency, until the node hands them on.
+    /// Replies of the dependency that the node has not forwarded yet.
     replies: HashMap<u64, String>,
-    /// Runs that go on without their call.
+    /// Runs that continue without their call.
     without_call: HashSet<u64>,
-    /// Frontends that wait until their request is read.
+    /// Channels to the frontends that wait until their request is read.
     unread: HashMap<u64, Sender<()>>,
     is_up: bool,
 }
 
 impl State {
-    /// The state of an interpreter that starts now and has run nothing.
+    /// Creates the state of an interpreter that starts now and has no runs.
     fn new(model: InterpreterModel, incarnation: u64, started_at: Ms) -> State {
         State {
             model,
@@ -68,23 +68,23 @@
     }
 }
 
-/// One node's interpreter.
+/// The simulated interpreter of one node.
 pub struct Interpreter {
     context: Rc<PlayContext>,
     node: usize,
     state: RefCell<State>,
-    /// Something has changed in what will happen next.
+    /// Signals that the time of the next event may have changed.
     changed: Notify,
-    /// The number of the last notice.
+    /// Number of the last notice; wakes the task that writes notices.
     last_notice: watch::Sender<u64>,
-    /// The number of the current link; older ones have ended.
+    /// Number of the current link; links with lower numbers must end.
     link: watch::Sender<u64>,
-    /// Why it has died; its node is restarted with it.
+    /// Cause of death of the interpreter, until the harness has taken it to restart the node.
     cause_of_death: RefCell<Option<&'static str>>,
 }
 
 impl Interpreter {
-    /// An interpreter that is up, and has been for long unless it is cold.
+    /// Creates an interpreter that is up. It is warm unless `cold` is set.
     pub fn new(context: Rc<PlayContext>, node: usize, cold: bool) -> Rc<Interpreter> {
         let state = State::new(Interpreter::model(&context, node, cold), 1, context.now());
         Rc::new(Interpreter {
@@ -103,7 +103,7 @@
         InterpreterModel::new(spec, context.now(), cold)
     }
 
-    /// Stops with its node; all that it ran is lost.
+    /// Stops the interpreter together with its node; all runs are lost.
     pub fn stop(&self) {
         let model = Interpreter::model(&self.context, self.node, true);
         let mut state = self.state.borrow_mut();
@@ -114,7 +114,7 @@
         self.link.send_modify(|link| *link += 1);
     }
 
-    /// Starts with a new incarnation of its node, cold.
+    /// Starts the interpreter, cold, together with a new incarnation of its node.
     pub fn start(&self) {
         let model = Interpreter::model(&self.context, self.node, true);
         let incarnation = self.state.borrow().incarnation + 1;
@@ -124,22 +124,22 @@
         self.changed.notify_one();
     }
 
-    /// Whether it is cold.
+    /// Whether the interpreter was cold when it started.
     pub fn is_cold(&self) -> bool {
         self.state.borrow().model.is_cold()
     }
 
-    /// Why it has died, returned once.
+    /// The cause of death if the interpreter has died; each death is returned once.
     pub fn take_cause_of_death(&self) -> Option<&'static str> {
         self.cause_of_death.take()
     }
 
-    /// Suspends the whole process, or lets it go on.
+    /// Suspends or resumes the whole process.
     pub fn set_suspended(&self, suspended: bool) {
         self.update(|model, now| model.set_suspended(now, suspended));
     }
 
-    /// Sets the fraction of its speed that it has from now on.
+    /// Sets the fraction of the full speed that is available from now on.
     pub fn set_speed_factor(&self, factor: f64) {
         self.update(|model, now| {
             let events = model.advance(now);
@@ -148,8 +148,9 @@
         });
     }
 
-    /// Begins to read a request, which takes the cores; the node has it only once it is read. The receiver gets a
-    /// message then; its sender is dropped if the interpreter stops before.
+    /// Starts to read a request, which takes time on the cores; the request is written to the node only after
+    /// it is read. The receiver gets a message at that time; its sender is dropped if the interpreter stops
+    /// before.
     pub fn read_request(&self, txn: u64) -> Receiver<()> {
         let (sender, receiver) = oneshot::channel();
         let work = self.context.scenario.fleet.read_ms;
@@ -158,18 +159,18 @@
         receiver
     }
 
-    /// Gives up reading a request that nobody waits for any more.
+    /// Cancels the reading of a request whose caller no longer waits.
     pub fn cancel_read(&self, txn: u64) {
         self.state.borrow_mut().unread.remove(&txn);
         self.update(|model, now| model.cancel_reading(now, txn));
     }
 
-    /// Whether so much is queued to be read that no more connections are accepted.
+    /// Whether so many requests wait to be read that no more connections are accepted.
     pub fn is_read_queue_full(&self) -> bool {
         self.state.borrow().model.is_read_queue_full()
     }
 
-    /// Holds a request that was written to the node.
+    /// Registers a request that was written to the node, and the memory that it takes.
     pub fn hold_request(&self, txn: u64, memory_kb: f64) {
         self.update(|model, now| {
             model.register_request(now, txn, memory_kb);
@@ -177,24 +178,24 @@
         });
     }
 
-    /// Does the work of a connection that a frontend has opened.
+    /// Takes up the work of accepting a connection that a frontend has opened.
     pub fn accept_connection(&self) {
         let work = self.context.scenario.fleet.connect_ms;
         self.update(|model, now| model.accept_connection(now, work));
     }
 
-    /// Closes a request whose caller no longer waits.
+    /// Closes a request that was answered or whose caller no longer waits.
     pub fn close_request(&self, txn: u64) {
         self.update(|model, now| model.close_request(now, txn));
     }
 
-    /// Whether a run waits for its call with this body.
+    /// Whether a run waits for its call and `body` is the body of that call.
     pub fn expects_call(&self, txn: u64, body: &[u8]) -> bool {
         let state = self.state.borrow();
         state.model.is_at_call(txn) && body == Interpreter::call_body(txn, state.incarnation).as_bytes()
     }
 
-    /// Records the dependency's reply; the node has to hand on just that.
+    /// Records the reply of the dependency to a call, to check that the node forwards it unchanged.
     pub fn record_reply(&self, txn: u64, reply: &str) {
         self.state.borrow_mut().replies.insert(txn, reply.into());
     }
@@ -203,14 +204,14 @@
         format!("call of {txn:016x} in life {incarnation}")
     }
 
-    /// Changes the model and handles what comes of it.
+    /// Changes the model, handles the resulting events, and wakes the task that waits for the next event.
     fn update(&self, change: impl FnOnce(&mut InterpreterModel, Ms) -> Vec<InterpreterEvent>) {
         let events = change(&mut self.state.borrow_mut().model, self.context.now());
         self.handle(events);
         self.changed.notify_one();
     }
 
-    /// Works on its runs, for as long as the play.
+    /// Advances the model in real time until the end of the play.
     pub async fn work(self: Rc<Self>) {
         loop {
             let next = self.state.borrow().model.next_event_at().unwrap_or(f64::INFINITY);
@@ -247,12 +248,12 @@
 
     fn on_read(&self, txn: u64) {
         if let Some(sender) = self.state.borrow_mut().unread.remove(&txn) {
-            // Its frontend may have given up.
+            // The frontend may have stopped waiting.
             let _ = sender.send(());
         }
     }
 
-    /// The result of a run, which no other run has.
+    /// The result of a run; it is unique, so that the checker can tell which run made it.
     fn result_of(&self, txn: u64) -> String {
         let state = self.state.borrow();
         let suffix = if state.without_call.contains(&txn) { DEGRADED_SUFFIX } else { "" };
@@ -277,7 +278,7 @@
         self.notify(|notice| wire::value(notice, &format!("{txn:016x}"), word, duration as u64, &body));
     }
 
-    /// Adds a notice; the text is made with its number.
+    /// Adds a notice; `text` is called with its number.
     fn notify(&self, text: impl FnOnce(u64) -> String) {
         let mut state = self.state.borrow_mut();
         let number = state.last_notice + 1;
--- a/fault-harness/src/simulated/interpreter/link.rs
+++ b/fault-harness/src/simulated/interpreter/link.rs
@@ -1,4 +1,4 @@
-//! The link between an interpreter and its node: commands come in, notices and answers go out.
+//! The link between an interpreter and its node: receives commands, and sends answers and notices.
 
 use std::rc::Rc;
 
@@ -14,13 +14,13 @@
 use crate::scenario::NodeEvent;
 use crate::wire;
 
-/// Answers to commands that wait to be written.
+/// Maximum number of answers that wait to be written.
 const ANSWER_QUEUE: usize = 1024;
-/// How long an interpreter that was warm at the start claims to have been up before the play.
+/// Uptime before the play that the banner of an initially warm interpreter claims.
 const UP_BEFORE_PLAY: Ms = 60_000.0;
 
 impl Interpreter {
-    /// Serves one link, until the next one begins or this one ends.
+    /// Serves one link until it ends or the next one begins.
     pub async fn serve(self: Rc<Self>, stream: DuplexStream) {
         if !self.state.borrow().is_up {
             return;
@@ -38,7 +38,8 @@
         }
     }
 
-    /// Executes commands until the link ends or one is malformed. `CONNECT` says after which notice the node wants them.
+    /// Executes commands until the link ends or a command is malformed. `CONNECT` carries the number of the
+    /// notice after which the node wants notices.
     async fn read_commands(
         &self,
         mut input: impl AsyncBufRead + Unpin,
@@ -47,7 +48,7 @@
     ) {
         while let Some(command) = Command::read(&mut input).await {
             if command.name() == "CONNECT" && command.argument_count() == 1 {
-                // The link ends with its receiver.
+                // If the receiver is gone, the link is ending anyway.
                 let _ = answers.send(self.banner()).await;
                 let notice = command.argument(0).and_then(|number| number.parse().ok());
                 resume_from.send_replace(notice);
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Writes answers and notices, once the node has said after which notice it wants them.
+    /// Writes answers and notices, once the node has said after which notice it wants to resume.
     async fn write_notices(
         &self,
         mut writer: impl AsyncWrite + Unpin,
@@ -82,7 +83,7 @@
         };
         let mut last_notice = self.last_notice.subscribe();
         loop {
-            // The banner comes before the notices that follow it.
+            // Pending answers go first, since the banner must precede the notices.
             let mut text = String::new();
             while let Ok(answer) = answers.try_recv() {
                 text.push_str(&answer);
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Appends the notices after this number, and returns the number of the last one.
+    /// Appends the notices after number `sent`, and returns the number of the last notice.
     fn append_notices(&self, sent: u64, text: &mut String) -> u64 {
         let state = self.state.borrow();
         for notice in state.notices.iter().filter(|notice| notice.number > sent) {
@@ -112,7 +113,7 @@
         sent.max(state.last_notice)
     }
 
-    /// Executes a command; returns the answer, which may be empty, or none where the command is malformed.
+    /// Executes a command. Returns the answer, which may be empty, or none if the command is malformed.
     fn execute(&self, command: &Command) -> Option<String> {
         if command.name() == "TOP" {
             let gauges = self.state.borrow().model.gauges(self.context.now());
@@ -130,20 +131,20 @@
         Some(String::new())
     }
 
-    /// Resumes a run that was paused. One that waits for its call goes on waiting.
+    /// Resumes a paused run. A run that waits for its call continues to wait.
     fn resume(&self, txn: u64) {
         self.update(|model, now| if model.is_at_call(txn) { Vec::new() } else { model.resume_run(now, txn) });
     }
 
     /// Resumes a run with the reply to its call.
     fn resolve(&self, txn: u64, body: &[u8]) {
-        // A command that crossed the end of its run resolves nothing.
+        // The command crossed the end of its run, so there is nothing to resume.
         if !self.state.borrow().model.is_at_call(txn) {
             return;
         }
         let reply = self.state.borrow_mut().replies.remove(&txn);
         if reply.as_ref().is_none_or(|reply| reply.as_bytes() != body) {
-            let text = format!("the reply to the call of {txn:016x} is not the one that came");
+            let text = format!("the reply to the call of {txn:016x} differs from what the dependency sent");
             self.context.note(Event::Corrupted { node: self.node, text });
         }
         self.update(|model, now| model.resume_run(now, txn));
@@ -157,12 +158,15 @@
         }
     }
 
-    /// Begins a run. The answer is an error if no such request was written to the node, or not with this class and body.
+    /// Starts a run. The answer is an error if no such request was written to the node, or it has another
+    /// class or body.
     fn apply(&self, txn: u64, command: &Command) -> Option<String> {
         let class = command.argument(1)?;
         let attempt = self.context.attempt(txn).filter(|attempt| attempt.node == self.node);
         let Some(attempt) = attempt.filter(|attempt| self.is_intact(*attempt, class, &command.body)) else {
-            let text = format!("APPLY {txn:016x} {class}: no such request came here, or its body is another");
+            let text = format!(
+                "APPLY {txn:016x} {class}: no request with this id, class and body was written to the node"
+            );
             self.context.note(Event::Corrupted { node: self.node, text });
             return Some(format!("ERROR APPLY {}\r\n", command.argument(0)?));
         };
@@ -177,7 +181,7 @@
         Some(String::new())
     }
 
-    /// Whether a class and a body are those with which an attempt was written.
+    /// Whether the class and body are those of the request as it was written.
     fn is_intact(&self, attempt: WrittenAttempt, class: &str, body: &[u8]) -> bool {
         let request = &self.context.schedule.requests[attempt.request];
         self.context.scenario.classes[request.class].name == class
--- a/fault-harness/src/simulated/tests.rs
+++ b/fault-harness/src/simulated/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// The commands that an input holds until its end, or until one that is malformed.
+/// Reads commands until the end of the input, or until one that is malformed.
 fn read_all(mut input: &[u8]) -> Vec<Command> {
     let runtime = tokio::runtime::Builder::new_current_thread().build().unwrap();
     runtime.block_on(async {
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_command_has_a_name_arguments_and_a_body_if_its_kind_has_one() {
+fn a_command_is_parsed_into_name_arguments_and_body() {
     let commands = read_all(b"APPLY 1f book 4\r\nbody\r\nBREAK 1f\r\n");
     assert_eq!(commands.len(), 2);
     let [apply, pause] = &commands[..] else { unreachable!() };
@@ -24,14 +24,14 @@
 }
 
 #[test]
-fn a_transaction_id_that_is_not_hexadecimal_is_none() {
+fn a_transaction_id_that_is_not_hexadecimal_is_rejected() {
     let commands = read_all(b"BREAK xyz\r\nTOP\r\n");
     assert!(commands.iter().all(|command| command.txn().is_none()));
     assert_eq!(commands.len(), 2);
 }
 
 #[test]
-fn a_line_without_its_end_and_a_body_that_is_cut_off_or_too_long_are_no_commands() {
+fn an_unterminated_line_and_a_truncated_or_oversized_body_are_malformed() {
     assert!(read_all(b"BREAK 1f\n").is_empty());
     assert!(read_all(b"BREAK 1f").is_empty());
     assert!(read_all(b"APPLY 1f book 4\r\nbo").is_empty());
