--- a/fault-harness/src/predict.rs
+++ b/fault-harness/src/predict.rs
@@ -1,7 +1,8 @@
-//! Plays a scenario without sockets and without the program, in virtual time: the same models, the same frontends, and a
-//! plain node in the program's place, which runs a little more than its cores hold and keeps a short queue. Its history is
-//! checked and evaluated like any other. It says what to expect of a calm fleet; what the program decides under overload it
-//! does not know, and faults on links it leaves out.
+//! Predicts a play in virtual time, without sockets and without the real node process: the same models and
+//! frontends, with a simple node in place of the real one, which runs slightly more requests than it has
+//! cores and keeps a short queue. The history is checked and evaluated like that of a play. A prediction
+//! shows what to expect of a fleet without overload: it does not model the decisions of the real node under
+//! overload, and it leaves out faults on links.
 
 mod clients;
 mod event_queue;
@@ -24,14 +25,15 @@
 use event_queue::{EventQueue, ScheduledEvent};
 use server::{Attempt, Node};
 
-/// Between two heartbeats of a node.
+/// Interval between the heartbeats of a node.
 const HEARTBEAT_INTERVAL: Ms = 300.0;
-/// When nodes send their first heartbeat: before the load, so that every frontend has them on its list.
+/// Time of the first heartbeat of all nodes: long before the load, so that every frontend has them on its
+/// list.
 const FIRST_HEARTBEAT: Ms = -1e5;
-/// After the load, the prediction goes on until the longest deadline is over, and this.
-const PAUSE_AFTER_DEADLINES: Ms = 1000.0;
+/// Time for which the prediction continues after the longest deadline of the last requests.
+const MARGIN_AFTER_DEADLINES: Ms = 1000.0;
 
-/// When something happens next in the interpreter of a node.
+/// The time of the next event of an interpreter, and the node of that interpreter.
 #[derive(Clone, Copy)]
 struct NextInterpreterEvent {
     at: Ms,
@@ -47,7 +49,7 @@
     nodes: Vec<Node>,
     frontends: Vec<Frontend>,
     open_requests: HashMap<usize, OpenRequest>,
-    /// The node that each request went to first.
+    /// Node to which each request was first sent, by position of the request.
     first_nodes: HashMap<usize, usize>,
     attempts: BTreeMap<u64, Attempt>,
     next_attempt: u64,
@@ -57,7 +59,8 @@
     observations: Vec<Observation>,
 }
 
-/// Plays a scenario in virtual time and returns what would be seen.
+/// Predicts the play of a scenario and returns its history. The seed of the scenario is used if none is
+/// given.
 pub fn predict(scenario: &Scenario, seed: Option<u64>) -> History {
     let seed = seed.unwrap_or(scenario.seed);
     let mut prediction = Prediction::new(scenario, seed);
@@ -115,11 +118,11 @@
     fn run(&mut self) {
         self.schedule_all();
         let longest = self.scenario.classes.iter().map(|class| class.deadline_ms).max().unwrap_or(0) as f64;
-        let end = ms_of_seconds(self.scenario.seconds) + longest + PAUSE_AFTER_DEADLINES;
+        let end = ms_of_seconds(self.scenario.seconds) + longest + MARGIN_AFTER_DEADLINES;
         while self.advance(end) {}
     }
 
-    /// Schedules all requests, all faults that have a time, and the first heartbeat.
+    /// Schedules all requests, all faults that start at a given time, and the first heartbeat of the load.
     fn schedule_all(&mut self) {
         for (position, request) in self.schedule.requests.iter().enumerate() {
             self.queue.schedule(request.at, ScheduledEvent::ClientRequest(position));
@@ -132,8 +135,8 @@
         self.queue.schedule(0.0, ScheduledEvent::Heartbeat);
     }
 
-    /// Lets time pass until the next thing happens at a node, in the dependency or in the queue, and takes it in. Returns
-    /// whether the end was not reached.
+    /// Advances the time to the next event of an interpreter, the dependency or the queue, and handles it.
+    /// Returns false if there is none before `end`.
     fn advance(&mut self, end: Ms) -> bool {
         let interpreter = self.next_interpreter_event();
         let call = self.dependency.as_ref().and_then(Dependency::next_event_at);
@@ -144,8 +147,8 @@
         }
         self.now = next.max(self.now);
         if let Some(first) = interpreter.filter(|first| first.at <= next) {
-            let events = self.nodes[first.node].vm.advance(self.now);
-            self.take_in(first.node, events);
+            let events = self.nodes[first.node].interpreter.advance(self.now);
+            self.handle_interpreter_events(first.node, events);
         } else if call.is_some_and(|at| at <= next) {
             let dependency = self.dependency.as_mut();
             let ended = dependency.map(|dependency| dependency.advance(self.now)).unwrap_or_default();
@@ -156,11 +159,12 @@
         true
     }
 
-    /// When something happens next in an interpreter, and at which node; the first of several at the same time.
+    /// The next event of all interpreters; of several at the same time, that of the first node.
     fn next_interpreter_event(&self) -> Option<NextInterpreterEvent> {
         let nodes = self.nodes.iter().enumerate();
-        let next = nodes
-            .filter_map(|(node, state)| Some(NextInterpreterEvent { at: state.vm.next_event_at()?, node }));
+        let next = nodes.filter_map(|(node, state)| {
+            Some(NextInterpreterEvent { at: state.interpreter.next_event_at()?, node })
+        });
         next.min_by(|one, other| one.at.total_cmp(&other.at))
     }
 
@@ -179,7 +183,7 @@
         }
     }
 
-    /// All nodes that are up send a heartbeat to the registry.
+    /// Sends the heartbeats of all nodes that are up and not paused to the registry.
     fn send_heartbeats(&mut self) {
         for (position, node) in self.nodes.iter().enumerate() {
             if node.is_up && !node.is_paused {
--- a/fault-harness/src/predict/clients.rs
+++ b/fault-harness/src/predict/clients.rs
@@ -1,4 +1,4 @@
-//! Clients and frontends: a request's way from its sending to its end, attempt by attempt.
+//! Clients and frontends of a prediction: the progress of each request, attempt by attempt.
 
 use super::event_queue::ScheduledEvent;
 use super::Prediction;
@@ -6,14 +6,14 @@
 use crate::model::frontend::{AttemptOutcome, AttemptPolicy, Frontend, NextStep, RequestProgress};
 use crate::model::Ms;
 
-/// A request that is not over yet.
+/// A request that has not ended.
 pub(super) struct OpenRequest {
     progress: RequestProgress,
     attempts: u32,
 }
 
 impl Prediction<'_> {
-    /// A client sends a request.
+    /// Sends the request of a client.
     pub(super) fn send(&mut self, request: usize) {
         let sent = self.schedule.requests[request].clone();
         self.note(Event::RequestSent { request, class: sent.class, repeats: sent.repeats });
@@ -22,22 +22,23 @@
         let deadline = self.now + self.scenario.classes[sent.class].deadline_ms as f64;
         let progress = RequestProgress::new(deadline, policy, &self.frontends[sent.frontend]);
         self.open_requests.insert(request, OpenRequest { progress, attempts: 0 });
-        self.step(request, RequestProgress::proceed);
+        self.take_next_step(request, RequestProgress::proceed);
     }
 
-    /// Goes on with a request after its backoff.
+    /// Continues with a request after its backoff.
     pub(super) fn proceed_after_backoff(&mut self, request: usize) {
-        self.step(request, RequestProgress::proceed);
+        self.take_next_step(request, RequestProgress::proceed);
     }
 
-    /// An attempt of a request has ended.
+    /// Handles the end of an attempt.
     pub(super) fn end_attempt(&mut self, request: usize, node: usize, outcome: AttemptOutcome) {
-        self.step(request, |progress, now, frontend, listed| {
+        self.take_next_step(request, |progress, now, frontend, listed| {
             progress.on_outcome(now, node, outcome, frontend, listed)
         });
     }
 
-    fn step(
+    /// Determines the next step of a request with `next`, and takes it.
+    fn take_next_step(
         &mut self,
         request: usize,
         next: impl FnOnce(&mut RequestProgress, Ms, &mut Frontend, &[bool]) -> NextStep,
--- a/fault-harness/src/predict/event_queue.rs
+++ b/fault-harness/src/predict/event_queue.rs
@@ -1,16 +1,18 @@
-//! What will happen in a prediction, by time; events of one moment come in the order in which they were scheduled.
+//! The event queue of a prediction, in order of time; events of the same moment come in the order in which
+//! they were scheduled.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
 use crate::model::Ms;
 
-/// Something that will happen. Requests, injections and nodes go by their positions, attempts by their ids.
+/// A scheduled event. Requests, injections and nodes are identified by their positions, attempts by their
+/// ids.
 #[derive(Debug)]
 pub(super) enum ScheduledEvent {
     /// A client sends a request.
     ClientRequest(usize),
-    /// A frontend goes on with a request after a wait.
+    /// A frontend continues with a request after its backoff.
     BackoffElapsed(usize),
     /// The caller of an attempt stops waiting.
     AttemptTimeout(u64),
@@ -18,13 +20,13 @@
     FaultStart(usize),
     /// A fault ends.
     FaultEnd(usize),
-    /// A node is up again.
+    /// A node restarts.
     NodeRestart(usize),
     /// All nodes send a heartbeat to the registry.
     Heartbeat,
 }
 
-/// An event with its time.
+/// An event and its time.
 #[derive(Debug)]
 struct Entry {
     at: Ms,
@@ -47,32 +49,32 @@
 }
 
 impl Ord for Entry {
-    /// The earliest is the greatest: the heap hands out the greatest first.
+    /// The earliest entry is the greatest, since the heap returns the greatest first.
     fn cmp(&self, other: &Self) -> Ordering {
         other.at.total_cmp(&self.at).then(other.sequence.cmp(&self.sequence))
     }
 }
 
-/// The queue of events.
+/// Queue of scheduled events.
 #[derive(Debug, Default)]
 pub(super) struct EventQueue {
     entries: BinaryHeap<Entry>,
+    /// Number of events scheduled so far, from which the sequence number of the next one is derived.
     scheduled: u64,
 }
 
 impl EventQueue {
-    /// Schedules an event.
     pub(super) fn schedule(&mut self, at: Ms, event: ScheduledEvent) {
         self.scheduled += 1;
         self.entries.push(Entry { at, sequence: self.scheduled, event });
     }
 
-    /// When the next event comes.
+    /// Time of the next event; none if the queue is empty.
     pub(super) fn next_at(&self) -> Option<Ms> {
         self.entries.peek().map(|entry| entry.at)
     }
 
-    /// Takes the next event out.
+    /// Removes and returns the next event.
     pub(super) fn pop(&mut self) -> Option<ScheduledEvent> {
         self.entries.pop().map(|entry| entry.event)
     }
--- a/fault-harness/src/predict/faults.rs
+++ b/fault-harness/src/predict/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of a prediction: those on nodes, on the dependency, on the membership service and on frontends.
+//! The faults that a prediction supports: those on nodes, the dependency, the registry and frontends.
 
 use super::event_queue::ScheduledEvent;
 use super::Prediction;
@@ -9,13 +9,13 @@
 use crate::scenario::{Fault, FaultKind};
 
 impl Prediction<'_> {
-    /// A fault begins.
+    /// Records the start of a fault, activates it, and schedules its end if it has a duration.
     pub(super) fn begin_fault(&mut self, position: usize) {
         let injection = &self.schedule.injections[position];
         let Fault { what, duration_s, down_s, .. } = injection.fault;
-        let lasts = ms_of_seconds(duration_s.or(down_s).unwrap_or(0.0));
+        let duration = ms_of_seconds(duration_s.or(down_s).unwrap_or(0.0));
         let text = format!("{} {}", what.name(), injection.targets.len());
-        let until = self.now + lasts;
+        let until = self.now + duration;
         self.note(Event::FaultInjected { text, until });
         if duration_s.is_some() {
             self.queue.schedule(until, ScheduledEvent::FaultEnd(position));
@@ -23,7 +23,7 @@
         self.set_fault(position, true);
     }
 
-    /// Sets a fault on or off for all its targets.
+    /// Activates or ends a fault for all its targets.
     pub(super) fn set_fault(&mut self, position: usize, on: bool) {
         let injection = self.schedule.injections[position].clone();
         let factor = if on { injection.fault.factor } else { 1.0 };
@@ -50,19 +50,20 @@
             FaultKind::Pause => {
                 self.nodes[node].is_paused = on;
                 self.note(Event::Paused { node, paused: on });
-                let events = self.nodes[node].vm.set_suspended(self.now, on);
-                self.take_in(node, events);
+                let events = self.nodes[node].interpreter.set_suspended(self.now, on);
+                self.handle_interpreter_events(node, events);
             }
             FaultKind::Slow => {
-                let events = self.nodes[node].vm.advance(self.now);
-                self.nodes[node].vm.speed_factor = if on { fault.factor } else { 1.0 };
-                self.take_in(node, events);
+                let events = self.nodes[node].interpreter.advance(self.now);
+                self.nodes[node].interpreter.speed_factor = if on { fault.factor } else { 1.0 };
+                self.handle_interpreter_events(node, events);
             }
             _ => {}
         }
     }
 
-    /// Takes a node down with all that it knows; it may be restarted after a while.
+    /// Takes a node down, with the loss of its stored state and open attempts, and schedules its restart if
+    /// there is a delay for it.
     pub(super) fn take_down(&mut self, node: usize, restart_after: Option<Ms>) {
         if !self.nodes[node].is_up {
             return;
@@ -70,12 +71,12 @@
         self.note(Event::NodeDown { node, exit: ProcessExit::Killed });
         self.note(Event::StateLost { node });
         let now = self.now;
-        let vm = self.cold_interpreter(node);
-        let place = &mut self.nodes[node];
-        place.is_up = false;
-        place.vm = vm;
-        place.queue.clear();
-        place.keys.clear();
+        let interpreter = self.cold_interpreter(node);
+        let state = &mut self.nodes[node];
+        state.is_up = false;
+        state.interpreter = interpreter;
+        state.queue.clear();
+        state.keys.clear();
         self.fail_open_attempts(node);
         if let Some(delay) = restart_after {
             self.queue.schedule(now + delay, ScheduledEvent::NodeRestart(node));
@@ -94,9 +95,9 @@
         }
     }
 
-    /// A node is up again, cold.
+    /// Restarts a node, cold.
     pub(super) fn restart(&mut self, node: usize) {
-        self.nodes[node].vm = self.cold_interpreter(node);
+        self.nodes[node].interpreter = self.cold_interpreter(node);
         self.nodes[node].is_up = true;
         self.note(Event::NodeUp { node, cold: true });
         self.send_heartbeats();
--- a/fault-harness/src/predict/server.rs
+++ b/fault-harness/src/predict/server.rs
@@ -1,4 +1,4 @@
-//! The plain node: it reads attempts, queues and runs them, and answers.
+//! The simple node of a prediction: it reads attempts, queues and runs them, and answers.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -11,53 +11,54 @@
 use crate::model::Ms;
 use crate::schedule::{call_time, ClientRequest};
 
-/// Runs at a time, for each core.
+/// Maximum number of concurrent runs, for each core.
 const RUNS_PER_CORE: f64 = 1.25;
-/// Attempts that may be queued, for each core.
+/// Maximum number of queued attempts, for each core.
 const QUEUE_PER_CORE: usize = 6;
-/// How long a frontend is asked to stay away with a rejection.
+/// Time for which a rejection asks the frontend to avoid the node (Retry-After).
 const RETRY_AFTER: Ms = 250.0;
-/// A node whose interpreter died is restarted after this.
+/// Delay before the restart of a node whose interpreter died.
 const RESTART_DELAY: Ms = 2000.0;
 
-/// What is known of an idempotency key at a node.
+/// State of an idempotency key at a node.
 #[derive(Clone)]
 pub(super) enum KeyState {
-    /// It runs; these attempts wait for the result as well.
+    /// A request with the key is queued or runs; holds the ids of the attempts that wait for the same result.
     Running(Vec<u64>),
-    /// It has run, with this result.
+    /// A request with the key has run; holds its result.
     Done(String),
 }
 
-/// A node.
+/// The state of a node.
 pub(super) struct Node {
-    pub(super) vm: InterpreterModel,
+    pub(super) interpreter: InterpreterModel,
     pub(super) is_up: bool,
     pub(super) is_paused: bool,
-    /// Attempts that wait for a core.
+    /// Ids of the attempts that wait for a core.
     pub(super) queue: VecDeque<u64>,
+    /// Idempotency keys, as positions of the original requests.
     pub(super) keys: HashMap<usize, KeyState>,
 }
 
 impl Node {
-    /// A node that is up.
-    pub(super) fn new(vm: InterpreterModel) -> Node {
-        Node { vm, is_up: true, is_paused: false, queue: VecDeque::new(), keys: HashMap::new() }
+    /// Creates a node that is up.
+    pub(super) fn new(interpreter: InterpreterModel) -> Node {
+        Node { interpreter, is_up: true, is_paused: false, queue: VecDeque::new(), keys: HashMap::new() }
     }
 }
 
-/// An attempt at a node.
+/// An attempt that was sent to a node.
 pub(super) struct Attempt {
     pub(super) request: usize,
     pub(super) node: usize,
     pub(super) deadline: Ms,
-    /// Whether its caller still waits.
+    /// Whether its caller still waits for the outcome.
     pub(super) is_open: bool,
     pub(super) is_read: bool,
 }
 
 impl Prediction<'_> {
-    /// An attempt comes to a node.
+    /// Handles the arrival of an attempt at a node, which fails at once if the node is down.
     pub(super) fn arrive(&mut self, request: usize, node: usize) {
         if !self.nodes[node].is_up {
             return self.end_attempt(request, node, AttemptOutcome::ConnectionLost);
@@ -69,16 +70,16 @@
         let attempt = Attempt { request, node, deadline, is_open: true, is_read: false };
         self.attempts.insert(id, attempt);
         self.queue.schedule(deadline, ScheduledEvent::AttemptTimeout(id));
-        let events = self.nodes[node].vm.start_reading(self.now, id, self.scenario.fleet.read_ms);
-        self.take_in(node, events);
+        let events = self.nodes[node].interpreter.start_reading(self.now, id, self.scenario.fleet.read_ms);
+        self.handle_interpreter_events(node, events);
     }
 
-    /// An attempt whose caller still waits.
+    /// Returns the attempt if its caller still waits.
     fn open_attempt(&mut self, id: u64) -> Option<&mut Attempt> {
         self.attempts.get_mut(&id).filter(|attempt| attempt.is_open)
     }
 
-    /// The caller of an attempt stops waiting.
+    /// Handles the deadline of an attempt, at which its caller stops waiting.
     pub(super) fn time_out(&mut self, id: u64) {
         let Some(attempt) = self.open_attempt(id) else { return };
         if attempt.is_read {
@@ -86,19 +87,20 @@
         }
         attempt.is_open = false;
         let Attempt { request, node, .. } = *attempt;
-        let events = self.nodes[node].vm.cancel_reading(self.now, id);
+        let events = self.nodes[node].interpreter.cancel_reading(self.now, id);
         self.end_attempt(request, node, AttemptOutcome::TimedOut);
-        self.take_in(node, events);
+        self.handle_interpreter_events(node, events);
     }
 
-    /// An attempt was read: it is answered, joins a run of its key, is queued or rejected.
+    /// Handles an attempt that was read: it is answered, waits for a run of its key, is queued or is
+    /// rejected.
     fn on_read(&mut self, id: u64) {
         let Some(attempt) = self.open_attempt(id) else { return };
         attempt.is_read = true;
         let Attempt { request, node, deadline, .. } = *attempt;
         let ClientRequest { class, frontend, memory_kb, repeats, .. } = self.schedule.requests[request];
         self.note(Event::AttemptWritten { attempt: id, request, node, frontend, deadline });
-        self.nodes[node].vm.register_request(self.now, id, memory_kb);
+        self.nodes[node].interpreter.register_request(self.now, id, memory_kb);
         let has_key = self.scenario.classes[class].idempotency_key;
         let key = has_key.then_some(repeats.unwrap_or(request));
         match key.and_then(|key| self.nodes[node].keys.get_mut(&key)) {
@@ -112,7 +114,7 @@
         self.start_queued(node);
     }
 
-    /// Queues an attempt, or rejects it where the queue is full.
+    /// Queues an attempt, or rejects it if the queue is full.
     fn enqueue(&mut self, id: u64, node: usize, key: Option<usize>) {
         let capacity = QUEUE_PER_CORE * self.scenario.fleet.cores as usize;
         let state = &mut self.nodes[node];
@@ -126,7 +128,8 @@
         state.queue.push_back(id);
     }
 
-    /// Starts queued attempts as long as there is capacity on the cores.
+    /// Starts queued attempts while there is capacity on the cores, and skips those whose caller has stopped
+    /// waiting.
     fn start_queued(&mut self, node: usize) {
         while self.has_capacity(node) {
             let Some(id) = self.nodes[node].queue.pop_front() else { return };
@@ -135,19 +138,19 @@
             let calls_dependency = self.scenario.classes[sent.class].calls_dependency;
             let run = RunRequest { attempt: id, work: sent.work, calls_dependency };
             self.note(Event::RunStarted { attempt: id, node });
-            let events = self.nodes[node].vm.start_run(self.now, run);
-            self.take_in(node, events);
+            let events = self.nodes[node].interpreter.start_run(self.now, run);
+            self.handle_interpreter_events(node, events);
         }
     }
 
     fn has_capacity(&self, node: usize) -> bool {
         let max_runs = (f64::from(self.scenario.fleet.cores) * RUNS_PER_CORE).ceil();
         let state = &self.nodes[node];
-        state.is_up && !state.is_paused && state.vm.gauges(self.now).runnable < max_runs
+        state.is_up && !state.is_paused && state.interpreter.gauges(self.now).runnable < max_runs
     }
 
-    /// Takes in what happened at the interpreter of a node.
-    pub(super) fn take_in(&mut self, node: usize, events: Vec<InterpreterEvent>) {
+    /// Handles the events of the interpreter of a node.
+    pub(super) fn handle_interpreter_events(&mut self, node: usize, events: Vec<InterpreterEvent>) {
         for event in events {
             match event {
                 InterpreterEvent::RequestRead(id) => self.on_read(id),
@@ -165,7 +168,7 @@
         }
     }
 
-    /// A run is over: its attempt is answered, and all that joined it.
+    /// Handles the end of a run: answers its attempt, and all that waited for the result.
     fn end_run(&mut self, node: usize, id: u64, result: Option<String>) {
         self.note(Event::RunEnded { attempt: id, node, result: result.clone() });
         let Some(attempt) = self.attempts.get(&id) else { return };
@@ -178,7 +181,7 @@
         }
     }
 
-    /// Keeps the result of a key's run, if there is one, and returns the attempts that joined the run.
+    /// Stores the result of the run of a key, if there is one, and returns the attempts that waited for it.
     fn finish_key(&mut self, node: usize, key: usize, result: Option<&String>) -> Vec<u64> {
         let keys = &mut self.nodes[node].keys;
         match keys.remove(&key) {
@@ -196,7 +199,7 @@
         }
     }
 
-    /// A run calls the dependency.
+    /// Starts the call of a run; a call that the dependency rejects counts as timed out.
     fn call_dependency(&mut self, node: usize, id: u64) {
         let Some(deadline) = self.attempts.get(&id).map(|attempt| attempt.deadline) else { return };
         let Some(settings) = &self.scenario.dependency else { return };
@@ -209,7 +212,8 @@
         }
     }
 
-    /// A call is over; where it failed, the run goes on without it or the request fails.
+    /// Handles the end of a call. The run continues, unless the call failed and the class gives no weight to
+    /// results without it: then the request fails.
     pub(super) fn end_call(&mut self, end: CallEnd) {
         let (CallEnd::Completed(id) | CallEnd::TimedOut(id)) = end;
         let Some(attempt) = self.attempts.get(&id) else { return };
@@ -218,19 +222,19 @@
         if matches!(end, CallEnd::TimedOut(_)) && class.skip_weight <= 0.0 {
             self.answer(id, Response::Failed);
         }
-        let events = self.nodes[node].vm.resume_run(self.now, id);
-        self.take_in(node, events);
+        let events = self.nodes[node].interpreter.resume_run(self.now, id);
+        self.handle_interpreter_events(node, events);
     }
 
-    /// Answers an attempt whose caller still waits.
+    /// Answers an attempt if its caller still waits.
     fn answer(&mut self, id: u64, response: Response) {
         let Some(attempt) = self.open_attempt(id) else { return };
         attempt.is_open = false;
         let Attempt { request, node, .. } = *attempt;
         let outcome = response.outcome();
         self.note(Event::AttemptAnswered { attempt: id, response });
-        let events = self.nodes[node].vm.close_request(self.now, id);
+        let events = self.nodes[node].interpreter.close_request(self.now, id);
         self.end_attempt(request, node, outcome);
-        self.take_in(node, events);
+        self.handle_interpreter_events(node, events);
     }
 }
--- a/fault-harness/src/predict/tests.rs
+++ b/fault-harness/src/predict/tests.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn a_calm_fleet_serves_all_and_keeps_the_rules() {
+fn a_fleet_without_overload_serves_nearly_all_requests_without_violations() {
     let history = predict(&scenario(0.3, ""), None);
     assert_eq!(check(&history).violations, []);
     let figures = statistics(&history);
@@ -23,14 +23,14 @@
 }
 
 #[test]
-fn one_seed_gives_one_history() {
+fn the_same_seed_gives_the_same_history_and_another_seed_another_one() {
     let scenario = scenario(0.9, "[[fault]]\nat_s = 5\nwhat = 'kill'\nfraction = 0.5\ndown_s = 1.0\n");
     assert_eq!(predict(&scenario, Some(3)), predict(&scenario, Some(3)));
     assert_ne!(predict(&scenario, Some(3)), predict(&scenario, Some(4)));
 }
 
 #[test]
-fn overload_is_rejected_and_a_killed_half_is_missed_until_it_is_warm() {
+fn overload_is_rejected_and_killed_nodes_lower_the_served_weight_until_they_are_warm() {
     let over = statistics(&predict(&scenario(1.6, ""), None));
     assert!(over.served < 0.9 && over.outcomes.rejected > 0.05, "{:?}", over.outcomes);
     let history =
@@ -41,11 +41,11 @@
 }
 
 #[test]
-fn a_kill_that_ends_many_open_attempts_gives_one_history() {
+fn a_kill_that_ends_many_open_attempts_keeps_the_history_deterministic() {
     let kills = "[[fault]]\nat_s = 2\nrepeat_every_s = 2\nwhat = 'kill'\nfraction = 0.75\ndown_s = 0.2\n";
     let scenario = scenario(1.5, kills);
     let first = predict(&scenario, Some(1));
     for _ in 0..5 {
-        assert!(predict(&scenario, Some(1)) == first, "another history of the same seed");
+        assert!(predict(&scenario, Some(1)) == first, "the same seed gave a different history");
     }
 }
