--- a/fault-harness/src/node.rs
+++ b/fault-harness/src/node.rs
@@ -1,5 +1,5 @@
-//! A node as the harness sees it: its program as a process, its interpreter, its relays, its state directories, and what
-//! can be done to all of them.
+//! A node of a play: its process, its simulated interpreter, its relays and its state folders, with the
+//! operations that the faults need.
 
 mod builds;
 mod error;
@@ -33,50 +33,52 @@
 pub use lifecycle::Ending;
 pub use relays::{PeerRelays, ServiceRelays};
 
-/// A membership configuration.
+/// A membership configuration that the harness gives to nodes.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Membership {
-    /// Its version.
+    /// The version, which increases with each change of the member nodes.
     pub version: u64,
-    /// The nodes in it, by position.
+    /// Positions of the member nodes.
     pub nodes: Vec<usize>,
 }
 
-/// One node.
+/// One node of a play.
 pub struct Node {
     context: Rc<PlayContext>,
-    /// Its position in the fleet.
+    /// Position in the fleet.
     index: usize,
-    /// Its interpreter.
+    /// The simulated interpreter of the node.
     pub interpreter: Rc<Interpreter>,
-    /// Its relays to services and frontends.
+    /// The relays to services and frontends.
     pub relays: ServiceRelays,
-    /// Its relays for datagrams with the other nodes of the virtual router.
+    /// The relays for the datagrams exchanged with the other nodes of the virtual router; empty without a
+    /// virtual router.
     pub router_relays: RefCell<Vec<PeerRelays>>,
-    /// Its relays for connections with the other nodes that replicate.
+    /// The relays for replication connections with the other nodes; empty if nodes do not replicate.
     pub peer_relays: RefCell<Vec<PeerRelays>>,
-    /// The file that makes it one of the virtual router.
+    /// The content of `uwsgi.toml`, which makes the node a member of the virtual router; absent without a
+    /// virtual router.
     pub router_config: RefCell<Option<String>>,
-    /// The addresses at which it and its peers listen, if nodes replicate.
+    /// The addresses for replication connections; absent if nodes do not replicate.
     pub peer_addresses: RefCell<Option<PeerAddresses>>,
-    /// The membership configuration that it is given next.
+    /// The membership configuration that the node was given last, or will be given at its next start.
     pub membership: RefCell<Membership>,
     previous_membership: RefCell<Option<Membership>>,
-    /// How the system's clock is set for its program.
+    /// The shift of the system clock as its process sees it, as AT:BY in milliseconds.
     clock: RefCell<Option<String>>,
-    /// Whether it can vote, as far as it has logged.
+    /// Whether the process has logged that it can vote.
     pub can_vote: Cell<bool>,
-    /// Whether the program has logged anything since it was started.
+    /// Whether the process has logged anything since its start.
     has_logged: Cell<bool>,
-    /// Where it serves; none while it is down.
+    /// The JSON-RPC address at which the node serves; none while it is down.
     pub address: watch::Sender<Option<SocketAddr>>,
     programs: Programs,
-    /// The build that it runs; none is the default one.
+    /// The name of the build that the node runs; none means the default build.
     build: RefCell<Option<String>>,
     folder: PathBuf,
     state_folders: StateFolders,
     log_enabled: bool,
-    /// Where its program finds the services, once they listen.
+    /// The addresses of its simulated services; none until they listen.
     service_addresses: Cell<Option<ServiceAddresses>>,
     program: RefCell<Option<Program>>,
     ending: Cell<Option<Ending>>,
@@ -84,11 +86,11 @@
 }
 
 impl Node {
-    /// A node that is not started yet, with a directory of its own below `folder`.
+    /// Creates a node, not started yet, with its own directory below `folder`.
     ///
     /// # Errors
     ///
-    /// If its directory cannot be made.
+    /// If its directory cannot be created.
     pub fn new(
         context: Rc<PlayContext>,
         index: usize,
@@ -132,12 +134,12 @@
         }))
     }
 
-    /// Its name in scenarios and reports.
+    /// The name of the node in scenarios and reports, such as `n1`.
     pub fn name(&self) -> String {
         node_name(self.index)
     }
 
-    /// Handles a line that the program has logged.
+    /// Records the events that a log line of the process reports.
     fn on_log_line(&self, line: LogLine) {
         if line.ready_to_vote {
             self.can_vote.set(true);
@@ -154,23 +156,23 @@
         }
     }
 
-    /// Keeps a copy of its state directories, for a restart with old ones.
+    /// Copies the state folders, for a later restart with stale state.
     pub fn keep_copy(&self) {
         self.state_folders.keep_copy();
     }
 
-    /// Gives it a membership configuration, which it reads at once if it runs.
+    /// Writes a membership configuration for the node, and sends SIGHUP so that a running process reloads it.
     pub fn apply_membership(&self, membership: &Membership) {
         let previous = self.membership.replace(membership.clone());
         let is_older = previous.version < membership.version;
         *self.previous_membership.borrow_mut() = is_older.then_some(previous);
-        // A configuration that cannot be written is not applied.
+        // If the file cannot be written, the node keeps the configuration that it has.
         if self.write_fleet_config().is_ok() {
             self.reload();
         }
     }
 
-    /// Whether it answers a health check, and is healthy.
+    /// Whether the node answers a health check and reports itself healthy.
     pub async fn is_healthy(&self) -> bool {
         let Some(address) = *self.address.borrow() else { return false };
         let Ok(mut stream) = TcpStream::connect(address).await else { return false };
--- a/fault-harness/src/node/builds.rs
+++ b/fault-harness/src/node/builds.rs
@@ -7,39 +7,39 @@
 
 use super::StartError;
 
-/// The name of the build that nodes run unless the scenario says otherwise.
+/// The name under which `--program` replaces the build that nodes run by default.
 const DEFAULT_BUILD: &str = "default";
 
-/// An option `--program` that is malformed.
+/// A malformed `--program` option; holds the option's value.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-#[error("--program {0}: is not NAME=PATH")]
+#[error("--program {0}: expected NAME=PATH")]
 pub struct ProgramOptionError(String);
 
-/// A build of the program.
+/// A build of the node program that a node can run.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Build {
     /// The path of its executable.
     pub path: PathBuf,
-    /// Arguments that it gets besides those of every node.
+    /// Additional arguments, after those that every node gets.
     pub arguments: Vec<String>,
 }
 
-/// The builds of the program.
+/// The builds that the nodes of a play can run.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Programs {
-    /// The one that nodes run unless the scenario says otherwise.
+    /// The build that nodes run unless the scenario names another one.
     pub default: Build,
-    /// Others by name.
+    /// The builds that `--program` options name, by name.
     pub others: BTreeMap<String, Build>,
 }
 
 impl Programs {
-    /// The builds that options NAME=PATH name, with arguments behind the path. The default build is at `default_path`
-    /// unless one of them is named `default`.
+    /// Parses options of the form `NAME=PATH ARGUMENTS...`. The default build is the one at `default_path`
+    /// unless an option names a build `default`.
     ///
     /// # Errors
     ///
-    /// If an option does not have that form.
+    /// If an option has no `=`.
     pub fn from_options(default_path: PathBuf, options: &[String]) -> Result<Programs, ProgramOptionError> {
         let mut others = BTreeMap::new();
         for option in options {
@@ -54,7 +54,7 @@
         Ok(Programs { default, others })
     }
 
-    /// The build with this name, or the default one.
+    /// The build with this name, or the default build if no name is given.
     pub(super) fn named(&self, name: Option<&str>) -> Result<Build, StartError> {
         let Some(name) = name else { return Ok(self.default.clone()) };
         self.others.get(name).cloned().ok_or_else(|| StartError::UnknownBuild(name.into()))
--- a/fault-harness/src/node/builds/tests.rs
+++ b/fault-harness/src/node/builds/tests.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn nodes_run_the_build_beside_the_harness_unless_an_option_names_the_default() {
+fn default_build_is_beside_the_harness_unless_an_option_overrides_it() {
     let programs = from_options(&["old=/builds/old"]).unwrap();
     assert_eq!(programs.named(None).unwrap().path, PathBuf::from("/beside/oakwind"));
     assert_eq!(programs.named(Some("old")).unwrap().path, PathBuf::from("/builds/old"));
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn words_behind_the_path_are_arguments_of_the_build() {
+fn words_after_the_path_are_arguments_of_the_build() {
     let programs = from_options(&["bad=/builds/harness --mutant=answers-twice --verbose"]).unwrap();
     let build = programs.named(Some("bad")).unwrap();
     assert_eq!(build.path, PathBuf::from("/builds/harness"));
@@ -23,9 +23,12 @@
 }
 
 #[test]
-fn an_option_without_a_path_and_a_build_that_no_option_names_are_errors() {
+fn option_without_a_path_and_unknown_build_name_are_errors() {
     let error = from_options(&["old=/builds/old", "/builds/new"]).unwrap_err();
-    assert_eq!(error.to_string(), "--program /builds/new: is not NAME=PATH");
+    assert_eq!(error.to_string(), "--program /builds/new: expected NAME=PATH");
     let error = from_options(&[]).unwrap().named(Some("old")).unwrap_err();
-    assert_eq!(error.to_string(), "no --program old=PATH names the build \"old\"");
+    assert_eq!(
+        error.to_string(),
+        "the scenario names the build \"old\", but there is no option --program old=PATH"
+    );
 }
--- a/fault-harness/src/node/error.rs
+++ b/fault-harness/src/node/error.rs
@@ -1,22 +1,22 @@
-//! Why a node cannot be started.
+//! Errors at the start of a node.
 
 use std::io;
 use std::path::PathBuf;
 
 use thiserror::Error;
 
-/// Why a node cannot be started.
+/// An error that prevents the start of a node.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// The scenario names a build that no option names.
-    #[error("no --program {0}=PATH names the build {0:?}")]
+    /// The scenario names a build for which there is no `--program` option.
+    #[error("the scenario names the build {0:?}, but there is no option --program {0}=PATH")]
     UnknownBuild(String),
     /// The program cannot be executed.
     #[error("{}: the program cannot be started: {source}", path.display())]
     Program {
         /// The executable.
         path: PathBuf,
-        /// Why.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// One of the node's files or directories cannot be read or written.
@@ -24,16 +24,16 @@
     File {
         /// The file or directory.
         path: PathBuf,
-        /// Why.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The services that it connects to do not listen.
-    #[error("the services that the node connects to do not listen")]
+    /// The simulated services of the node have no listening sockets yet.
+    #[error("the simulated services of the node are not listening")]
     NoListeners,
 }
 
 impl StartError {
-    /// A function that names the file or directory of an I/O error.
+    /// Returns a function that adds the path of the file or directory to an I/O error.
     pub(super) fn file(path: impl Into<PathBuf>) -> impl FnOnce(io::Error) -> StartError {
         let path = path.into();
         move |source| StartError::File { path, source }
--- a/fault-harness/src/node/lifecycle.rs
+++ b/fault-harness/src/node/lifecycle.rs
@@ -1,4 +1,4 @@
-//! How a node's program ends and is restarted, and what faults do to its process.
+//! The end and restart of a node's process, and the faults that act on the process.
 
 use std::process::ExitStatus;
 use std::rc::Rc;
@@ -11,21 +11,21 @@
 use crate::process::{Program, Signal};
 use crate::scenario::{Fault, StoredState};
 
-/// A node whose interpreter died is restarted after this.
+/// Delay before the restart of a node whose interpreter has died.
 const RESTART_DELAY_AFTER_DEATH: Ms = 2000.0;
 
-/// Why a program is expected to end.
+/// Why a node's process is expected to end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Ending {
-    /// A fault kills it.
+    /// The harness kills it: a fault, a shutdown that timed out, or the death of its interpreter.
     Killed,
-    /// It was told to shut down.
+    /// It has received SIGTERM and shuts down gracefully.
     ShuttingDown,
-    /// The play has ended.
+    /// The play is over, and all processes are killed.
     PlayEnded,
 }
 
-/// How a node is restarted after its program has ended.
+/// The restart of a node after its process has ended.
 #[derive(Debug, Clone)]
 pub(super) struct PlannedRestart {
     delay: Ms,
@@ -37,7 +37,7 @@
 }
 
 impl PlannedRestart {
-    /// With the state that the program left, and nothing else changed.
+    /// A restart with the stored state, build, clock and membership unchanged.
     fn unchanged(delay: Ms) -> PlannedRestart {
         PlannedRestart {
             delay,
@@ -49,7 +49,8 @@
         }
     }
 
-    /// As a fault says; the draw decides where a file is cut.
+    /// A restart with the changes that a fault describes. `draw` selects the byte at which a file is
+    /// truncated.
     fn after_fault(delay: Ms, fault: &Fault, draw: u64) -> PlannedRestart {
         PlannedRestart {
             delay,
@@ -63,7 +64,7 @@
 }
 
 impl Node {
-    /// Handles the end of its program.
+    /// Handles the end of the process: records it and schedules the planned restart.
     pub(super) fn on_exit(self: &Rc<Self>) {
         let status = self.program.borrow_mut().take().and_then(|mut program| program.wait().ok());
         self.address.send_replace(None);
@@ -80,7 +81,7 @@
         spawn_local(async move {
             node.context.clock.until(node.context.now() + planned.delay).await;
             if let Err(error) = node.restart(&planned) {
-                node.note_down(ProcessExit::Crashed(format!("not started again: {error}")));
+                node.note_down(ProcessExit::Crashed(format!("the node could not be restarted: {error}")));
             }
         });
     }
@@ -110,28 +111,31 @@
         *self.planned_restart.borrow_mut() = planned;
     }
 
-    /// Kills it with its interpreter; it is restarted after `down`, if that is given.
+    /// Kills the process and its interpreter. The node is restarted after `down`; without it the node stays
+    /// down.
     pub fn kill(&self, down: Option<Ms>, fault: &Fault, draw: u64) {
         self.schedule_restart(down.map(|delay| PlannedRestart::after_fault(delay, fault, draw)));
         self.end(Ending::Killed);
         self.interpreter.stop();
     }
 
-    /// Ends its program at once, if there is one.
+    /// Kills the process at once, if it runs.
     pub fn end(&self, ending: Ending) {
         let program = self.program.borrow();
         let Some(program) = &*program else { return };
         self.ending.set(Some(ending));
-        // It may have ended already.
+        // The signal fails if the process has already ended.
         let _ = program.signal(Signal::KILL);
         if ending == Ending::Killed {
-            // Noted before its connections are seen to end.
+            // Recorded before any connection of the process is seen to close, so that the history explains
+            // the closing.
             self.note_down(ProcessExit::Killed);
             self.address.send_replace(None);
         }
     }
 
-    /// Tells it to shut down; it is killed when its time for that is over. It is restarted like after [`Node::kill`].
+    /// Sends SIGTERM, and SIGKILL if the process still runs after `fleet.stop_ms`. The node is restarted as
+    /// after [`Node::kill`].
     pub fn shut_down(self: &Rc<Self>, down: Option<Ms>, fault: &Fault, draw: u64) {
         let Some(id) = self.signal(Signal::TERM) else { return };
         self.schedule_restart(down.map(|delay| PlannedRestart::after_fault(delay, fault, draw)));
@@ -148,21 +152,21 @@
         });
     }
 
-    /// Tells it to read its files again.
+    /// Sends SIGHUP, so that the process reloads its configuration files.
     pub fn reload(&self) {
         self.signal(Signal::HUP);
     }
 
-    /// Sends a signal to its program, if there is one, and returns the program's id.
+    /// Sends a signal to the process, if it runs, and returns the process id.
     fn signal(&self, signal: Signal) -> Option<u32> {
         let program = self.program.borrow();
         let program = program.as_ref()?;
-        // It may have ended already.
+        // The signal fails if the process has already ended.
         let _ = program.signal(signal);
         Some(program.id())
     }
 
-    /// Pauses it, or resumes it.
+    /// Pauses or resumes the process, and its interpreter unless `program_only` is set.
     pub fn set_paused(&self, paused: bool, program_only: bool) {
         self.signal(if paused { Signal::STOP } else { Signal::CONT });
         if !program_only {
@@ -171,9 +175,11 @@
         self.context.note(Event::Paused { node: self.index, paused });
     }
 
-    /// Notes the resources that its program takes, and ends it where its interpreter has died.
+    /// Records the resource usage of the process. Kills the process and plans its restart if its interpreter
+    /// has died.
     pub fn sample(&self) {
-        // Until it logs, its process may still be a copy of this one, with all that this one has open.
+        // Before its first log line the process may still be the fork of the harness, whose memory and open
+        // descriptors would be counted as its own.
         let usage = self.program.borrow().as_ref().filter(|_| self.has_logged.get()).and_then(Program::usage);
         if let Some(usage) = usage {
             self.context.note(Event::ResourceSample {
@@ -190,7 +196,7 @@
     }
 }
 
-/// How a program ended, for the history; none where that was noted when it was killed.
+/// How a process ended, for the history; none if that was already recorded when the harness killed it.
 fn process_exit(ending: Option<Ending>, status: Option<ExitStatus>) -> Option<ProcessExit> {
     match (ending, status) {
         (Some(Ending::Killed), _) => None,
--- a/fault-harness/src/node/relays.rs
+++ b/fault-harness/src/node/relays.rs
@@ -2,24 +2,24 @@
 
 use crate::relay::Relay;
 
-/// Relays to services and frontends.
+/// The relays between a node and its services and frontends.
 pub struct ServiceRelays {
-    /// To its interpreter.
+    /// The relay to its interpreter.
     pub interpreter: Relay,
-    /// To the dependency.
+    /// The relay to the dependency.
     pub dependency: Relay,
-    /// To the membership service.
+    /// The relay to the registry.
     pub registry: Relay,
-    /// From each frontend.
+    /// The relay from each frontend, by the frontend's position.
     pub frontends: Vec<Relay>,
 }
 
-/// Relays between a node and another one.
+/// The relays between a node and one of its peers.
 pub struct PeerRelays {
-    /// The other node.
+    /// Position of the peer.
     pub peer: usize,
-    /// For what the node sends: its datagrams, or the connections that it opens.
+    /// The relay for the datagrams that the node sends, or the connections that it opens.
     pub outgoing: Relay,
-    /// For what the other node sends: its datagrams, or the connections that it opens.
+    /// The relay for the datagrams that the peer sends, or the connections that it opens.
     pub incoming: Relay,
 }
--- a/fault-harness/src/node/services.rs
+++ b/fault-harness/src/node/services.rs
@@ -1,5 +1,5 @@
-//! The services that a node connects to: its interpreter, the dependency and the membership service. Each node reaches
-//! them at addresses of its own, through its relays.
+//! The services that a node connects to: its interpreter, the dependency and the registry. Each node reaches
+//! them at its own addresses, through its own relays.
 
 use std::cell::RefCell;
 use std::io;
@@ -17,10 +17,10 @@
 use crate::settings::ServiceAddresses;
 use crate::simulated::dependency::Dependency;
 
-/// Connections or datagrams that wait for a service.
+/// Maximum number of connections or datagrams queued for a service.
 const SERVICE_QUEUE: usize = 64;
 
-/// The sockets on which services listen for one node.
+/// The sockets on which the services listen for one node.
 struct ServiceListeners {
     interpreter: TcpListener,
     dependency: TcpListener,
@@ -47,7 +47,7 @@
 }
 
 impl Node {
-    /// Serves what the node connects to, for as long as the play.
+    /// Runs the services that the node connects to until the end of the play.
     pub async fn serve_services(
         self: Rc<Self>,
         dependency: Option<Rc<Dependency>>,
@@ -79,7 +79,8 @@
         }
     }
 
-    /// Hands a report for the membership service on, if it is one of this node's.
+    /// Passes a heartbeat on to the registry. A datagram that is not a heartbeat of this node is recorded as
+    /// corrupted.
     fn on_report(&self, report: &[u8], registry: &RefCell<Registry>) {
         let text = String::from_utf8_lossy(report);
         let words: Vec<&str> = text.split(' ').collect();
@@ -87,7 +88,8 @@
             ["HB", name, "UP"] if name == self.name() => true,
             ["HB", name, "OUT"] if name == self.name() => false,
             _ => {
-                let text = format!("not a report of this node: {text}");
+                let text =
+                    format!("the registry got a datagram that is not a heartbeat of this node: {text}");
                 return self.context.note(Event::Corrupted { node: self.index, text });
             }
         };
--- a/fault-harness/src/node/startup.rs
+++ b/fault-harness/src/node/startup.rs
@@ -1,4 +1,4 @@
-//! How a node's program is started: its files, its command line, and the reading of its log.
+//! The start of a node's process: its configuration files, its command line, and the reader of its log.
 
 use std::fs::{File, OpenOptions};
 use std::io::{self, Write};
@@ -14,19 +14,21 @@
 use crate::program_log::LogLine;
 use crate::settings;
 
-/// Lines of a log that wait to be read; a program that logs more is blocked.
+/// Maximum number of log lines queued for the harness; a process that logs faster blocks on standard error.
 const LOG_QUEUE: usize = 1024;
-/// The variable that tells a program how the system's clock is set.
+/// The environment variable that shifts the system clock as the program sees it, as AT:BY in milliseconds.
 const CLOCK_VARIABLE: &str = "OAKWIND_REHEARSED_CLOCK";
-/// Variables that would let a program read or write what is not the play's.
+/// Environment variables that are removed, because they would let the program use files or a clock from
+/// outside the play.
 const REMOVED_VARIABLES: [&str; 3] = ["TMPDIR", "BALANCER_CONFIG", CLOCK_VARIABLE];
-/// The seeds of nodes are so far apart from play to play.
+/// Distance between the node seeds of two plays with consecutive seeds; above the number of nodes, so that
+/// they never overlap.
 const SEEDS_PER_PLAY: u64 = 1000;
-/// The bits of a seed that depend on the time of the start begin here.
+/// Shift of the start time within a node's seed, so that a restarted node gets a different seed.
 const START_TIME_SHIFT: u32 = 32;
 
 impl Node {
-    /// Starts it for the first time, once its services listen.
+    /// Starts the process for the first time, once its simulated services listen.
     ///
     /// # Errors
     ///
@@ -41,7 +43,7 @@
     pub(super) fn start(self: &Rc<Self>) -> Result<(), StartError> {
         let (sender, log) = mpsc::channel::<String>(LOG_QUEUE);
         let mut command = self.command()?;
-        // Once the play is over nobody reads any more.
+        // Sending fails once the play is over and the receiver is dropped.
         let program = Program::start(&mut command, move |line| drop(sender.blocking_send(line)))
             .map_err(|source| StartError::Program { path: command.get_program().into(), source })?;
         *self.program.borrow_mut() = Some(program);
@@ -51,7 +53,7 @@
         Ok(())
     }
 
-    /// Writes the program's files and returns the command that starts it.
+    /// Writes the configuration files and returns the command that starts the process.
     fn command(&self) -> Result<Command, StartError> {
         let addresses = self.service_addresses.get().ok_or(StartError::NoListeners)?;
         let build = self.programs.named(self.build.borrow().as_deref())?;
@@ -79,13 +81,13 @@
         Ok(command)
     }
 
-    /// The seed of the program's own random numbers, another one at each start.
+    /// The seed of the program's random numbers, which is different at each start.
     fn seed(&self) -> u64 {
         let of_node = self.context.seed.wrapping_mul(SEEDS_PER_PLAY).wrapping_add(self.index as u64);
         of_node ^ ((self.context.now() as u64) << START_TIME_SHIFT)
     }
 
-    /// Writes the configuration of the fleet, with the membership of now.
+    /// Writes `fleet.toml` with the current membership configuration.
     pub(super) fn write_fleet_config(&self) -> Result<PathBuf, StartError> {
         let peer_addresses = self.peer_addresses.borrow();
         let Some(addresses) = &*peer_addresses else { return Ok(self.folder.join("fleet.toml")) };
@@ -104,18 +106,18 @@
         Ok(path)
     }
 
-    /// Handles and stores each line of the program's log until the program ends.
+    /// Handles each log line, and writes it to the log file if logs are kept, until the process ends.
     async fn read_log(self: Rc<Self>, mut log: mpsc::Receiver<String>) {
         let mut file = self.log_enabled.then(|| self.open_log());
         while let Some(line) = log.recv().await {
             self.has_logged.set(true);
             if let Some(Ok(file)) = &mut file {
-                // A play goes on without a log that cannot be written.
+                // The play continues if the log cannot be written.
                 let _ = writeln!(file, "{line}");
             }
             self.on_log_line(LogLine::parse(&line));
         }
-        // The log ends with the program.
+        // Standard error is closed when the process ends.
         self.on_exit();
     }
 
--- a/fault-harness/src/node/state_folders.rs
+++ b/fault-harness/src/node/state_folders.rs
@@ -1,4 +1,4 @@
-//! The folders that keep a node's state over restarts: idempotency keys with their results, and votes.
+//! The folders that persist a node's state across restarts: idempotency keys with their results, and votes.
 
 use std::fs::OpenOptions;
 use std::io;
@@ -6,11 +6,11 @@
 
 use crate::scenario::StoredState;
 
-/// The folder of keys and results.
+/// The name of the folder for idempotency keys and results.
 const RESULTS: &str = "remembered";
-/// The folder of votes.
+/// The name of the folder for votes.
 const VOTES: &str = "votes";
-/// The extension of files of records.
+/// The extension of record files.
 const RECORDS_EXTENSION: &str = "log";
 
 /// The state folders of one node.
@@ -20,7 +20,7 @@
 }
 
 impl StateFolders {
-    /// Makes both folders.
+    /// Creates both folders below `root`.
     pub(super) fn create(root: &Path) -> io::Result<StateFolders> {
         let folders = StateFolders { root: root.to_path_buf() };
         std::fs::create_dir_all(folders.results())?;
@@ -28,12 +28,12 @@
         Ok(folders)
     }
 
-    /// Where keys and results are.
+    /// The folder of idempotency keys and results.
     pub(super) fn results(&self) -> PathBuf {
         self.root.join(RESULTS)
     }
 
-    /// Where votes are.
+    /// The folder of votes.
     pub(super) fn votes(&self) -> PathBuf {
         self.root.join(VOTES)
     }
@@ -42,17 +42,18 @@
         self.root.join(format!("{name}-copy"))
     }
 
-    /// Keeps a copy of both, for a restart with old ones.
+    /// Copies both folders, for a later restart with stale state.
     pub(super) fn keep_copy(&self) {
         for name in [RESULTS, VOTES] {
             let copy = self.copy_of(name);
-            // What can't be copied is missed when it is put back.
+            // If copying fails, the restart that restores the copy reports the error or lacks the file.
             let _ = std::fs::create_dir_all(&copy);
             let _ = copy_files(&self.root.join(name), &copy);
         }
     }
 
-    /// Leaves both as a restarted node is to find them; the draw decides where a file is cut.
+    /// Puts both folders into the state that a restarted node is to find. `draw` selects the byte at which a
+    /// file is truncated.
     pub(super) fn prepare(&self, state: StoredState, draw: u64) -> io::Result<()> {
         for name in [RESULTS, VOTES] {
             let folder = self.root.join(name);
@@ -70,7 +71,7 @@
     }
 }
 
-/// The files of a folder by name.
+/// The files of a folder, sorted by name.
 fn files(folder: &Path) -> io::Result<Vec<PathBuf>> {
     let entries = std::fs::read_dir(folder)?;
     let mut paths = entries.map(|entry| Ok(entry?.path())).collect::<io::Result<Vec<_>>>()?;
@@ -92,7 +93,7 @@
     Ok(())
 }
 
-/// Cuts the newest file of records at a byte that the draw decides.
+/// Truncates the newest record file at a byte that `draw` selects.
 fn cut_newest(folder: &Path, draw: u64) -> io::Result<()> {
     let is_record = |path: &PathBuf| path.extension().is_some_and(|extension| extension == RECORDS_EXTENSION);
     let Some(path) = files(folder)?.into_iter().rfind(is_record) else { return Ok(()) };
--- a/fault-harness/src/play.rs
+++ b/fault-harness/src/play.rs
@@ -1,5 +1,5 @@
-//! Plays a scenario: starts the nodes and all that they talk to, sends the load, injects the faults, and ends every process
-//! that it started.
+//! Plays a scenario: starts the nodes and the simulated services, sends the load, injects the faults, and
+//! ends every process that it started.
 
 mod disturbance;
 mod error;
@@ -24,29 +24,30 @@
 
 pub use error::PlayError;
 
-/// Between the last node's readiness and the load.
+/// Delay between the time when the last node is ready and the start of the load.
 const PAUSE_BEFORE_LOAD: Ms = 500.0;
-/// After the load, the play goes on until the longest deadline is over, and this.
+/// Time that the play continues after the load has ended and the longest deadline and the checker's slack
+/// have passed.
 const PAUSE_AFTER_DEADLINES: Ms = 500.0;
 
-/// How to play.
+/// Options of one play.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// The seed; the scenario's own if there is none.
+    /// The seed of the schedule; the scenario's own seed if absent.
     pub seed: Option<u64>,
-    /// Where the program is, and other builds by name.
+    /// The builds of the program that nodes run.
     pub programs: Programs,
-    /// Where logs and histories go; none are kept without it.
+    /// The directory for logs and histories; if absent, none are kept.
     pub out: Option<PathBuf>,
     /// Whether progress is printed on standard error.
     pub progress: bool,
 }
 
-/// Plays a scenario to its end.
+/// Plays a scenario to its end and returns the recorded history.
 ///
 /// # Errors
 ///
-/// If the program can't be started or does not serve, and if the play is interrupted.
+/// If the program cannot be started, a node is not ready in time, or a signal interrupts the play.
 pub fn play(scenario: &Scenario, options: &Options) -> Result<History, PlayError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let set = LocalSet::new();
@@ -59,7 +60,7 @@
             _ = terminate.recv() => Err(PlayError::Interrupted),
         }
     }));
-    // Tasks hold the nodes, and with them the processes.
+    // The tasks hold references to the nodes; dropping them drops the nodes, which kills their processes.
     drop(set);
     history
 }
@@ -84,7 +85,7 @@
     Ok(context.take_history())
 }
 
-/// Connects the nodes with each other, starts them and waits until they serve.
+/// Sets up the links among the nodes, starts the nodes and waits until they are ready.
 async fn start_nodes(testbed: &Testbed) -> Result<(), PlayError> {
     let fleet = &testbed.context.scenario.fleet;
     if let Some(vrrp) = &fleet.vrrp {
@@ -99,7 +100,7 @@
     testbed.ready().await
 }
 
-/// Starts the tasks that go on for as long as the play.
+/// Starts the tasks that run until the end of the play.
 fn start_tasks(testbed: &Rc<Testbed>, options: &Options) {
     spawn_local(monitoring::sample(testbed.clone()));
     spawn_local(monitoring::monitor_own_delay(testbed.context.clone()));
@@ -111,7 +112,7 @@
     }
 }
 
-/// Sends each request at its time.
+/// Sends each request at its scheduled time.
 async fn send_load(testbed: &Testbed) {
     let context = &testbed.context;
     let requests = &context.schedule.requests;
@@ -124,7 +125,7 @@
     }
 }
 
-/// Ends all programs; faults that still wait are not injected.
+/// Ends all node processes. Faults that are still pending are not injected.
 fn stop(testbed: &Testbed) {
     testbed.context.remove_listener();
     testbed.pending_injections.borrow_mut().clear();
--- a/fault-harness/src/play/disturbance.rs
+++ b/fault-harness/src/play/disturbance.rs
@@ -1,4 +1,5 @@
-//! Disturbed links: which relays a fault on links or a partition concerns, and for how long.
+//! Link faults and partitions: selects the relays that a fault affects and disturbs them until the fault
+//! ends.
 
 use std::rc::Rc;
 
@@ -13,36 +14,36 @@
 use crate::scenario::{Directions, FaultKind, Link, Traffic};
 use crate::schedule::Injection;
 
-/// What happens to the traffic of some links.
+/// A disturbance of the traffic on some links of the target nodes.
 pub(super) struct LinkFault<'a> {
-    /// Which links of the nodes are meant.
+    /// The kinds of links that are disturbed.
     pub(super) links: &'a [Link],
-    /// Which direction suffers, as seen from the nodes.
+    /// The disturbed direction, as seen from the target nodes.
     pub(super) directions: Directions,
-    /// What it suffers.
+    /// The effect on the traffic.
     pub(super) traffic: &'a Traffic,
-    /// When it ends.
+    /// When the disturbance ends, on the play's clock.
     pub(super) until: Ms,
 }
 
-/// The link between a node and a frontend, by their positions.
+/// The link between a node and a frontend, identified by their positions.
 #[derive(Debug, Clone, Copy)]
 struct FrontendLink {
     node: usize,
     frontend: usize,
 }
 
-/// A relay between a node and anything but another node.
+/// A relay between a node and a frontend or a service.
 struct ServiceRelay {
     relay: Relay,
-    /// The link, where it is one with a frontend.
+    /// The frontend link that the relay carries; absent for links to services.
     frontend: Option<FrontendLink>,
 }
 
 /// A relay between two nodes.
 struct PeerRelay {
     relay: Relay,
-    /// Which direction suffers, as seen from the end that opens connections.
+    /// The disturbed direction, as seen from the node that opens the connections.
     directions: Directions,
 }
 
@@ -94,7 +95,7 @@
 }
 
 impl Testbed {
-    /// Disturbs links of the nodes that a fault is injected into, until it ends.
+    /// Disturbs the selected links of an injection's target nodes until the fault ends.
     pub(super) fn disturb(&self, injection: &Injection, fault: &LinkFault) {
         let number = self.next_disturbance.replace(self.next_disturbance.get() + 1);
         let relays = self.disturbed_relays(injection, fault);
@@ -131,7 +132,8 @@
         disturbed
     }
 
-    /// Relays with frontends. Frontends within a zone that is cut off still reach its nodes.
+    /// Adds the relays between a node and the frontends. In a partition, frontends in the partitioned zone
+    /// still reach the nodes of that zone.
     fn add_frontend_relays(
         &self,
         injection: &Injection,
@@ -150,7 +152,7 @@
         }
     }
 
-    /// Relays for connections among nodes that replicate.
+    /// Adds the relays for replication connections between a node and its peers.
     fn add_peer_relays(
         &self,
         injection: &Injection,
@@ -170,7 +172,7 @@
     }
 }
 
-/// Relays for datagrams of the virtual router, one for each direction.
+/// Adds the relays for the virtual router's datagrams, one for each direction.
 fn add_router_relays(
     injection: &Injection,
     node: &Rc<Node>,
@@ -190,7 +192,8 @@
     }
 }
 
-/// Whether another node is on the same side of a partition: such nodes reach each other.
+/// Whether another node is on the same side of the partition as the targets, so that they still reach each
+/// other.
 fn are_cut_off_together(injection: &Injection, other: usize) -> bool {
     injection.fault.what == FaultKind::Partition && injection.targets.contains(&other)
 }
--- a/fault-harness/src/play/faults.rs
+++ b/fault-harness/src/play/faults.rs
@@ -1,4 +1,4 @@
-//! The faults of a play: when each is injected, what it does, and how it ends.
+//! Fault injection: when each fault is injected, what it does, and how it is undone.
 
 use std::cmp::Reverse;
 use std::rc::Rc;
@@ -14,11 +14,11 @@
 use crate::scenario::{Directions, Fault, FaultKind, Link, Traffic};
 use crate::schedule::{Injection, InjectionTime};
 
-/// One node learns of a membership configuration so much later than the one before it.
+/// Delay between announcing a membership configuration to one node and to the next.
 const ANNOUNCEMENT_INTERVAL: Ms = 100.0;
 
 impl Testbed {
-    /// Arms the faults: those with a time, and those that wait for an event.
+    /// Schedules the faults that have a time and registers those that wait for an event.
     pub(super) fn arm(self: &Rc<Self>) {
         let load_start = self.context.load_start.get();
         for injection in &self.context.schedule.injections {
@@ -45,11 +45,12 @@
         });
     }
 
-    /// Injects the faults that wait for this event.
+    /// Injects the pending faults that wait for this event.
     fn inject_on(self: &Rc<Self>, event: InjectionTime) {
         for injection in self.take_pending(event) {
             if injection.delay == 0.0 {
-                // At once: a moment later the node would be further on.
+                // Injected synchronously: a spawned task would run after the node has progressed past the
+                // event.
                 self.inject(&injection);
             } else {
                 self.inject_at(self.context.now() + injection.delay, injection);
@@ -65,7 +66,7 @@
         due
     }
 
-    /// Injects a fault now, and ends it at its time.
+    /// Injects a fault now and undoes it after its duration.
     fn inject(self: &Rc<Self>, injection: &Injection) {
         let fault = &injection.fault;
         let duration = fault.duration_s.map_or(0.0, ms_of_seconds);
@@ -132,7 +133,7 @@
         });
     }
 
-    /// The membership service receives no reports until then.
+    /// Drops the heartbeats for the registry until the given time.
     fn interrupt_registry(&self, until: Ms) {
         self.registry.borrow_mut().set_unreachable(self.context.now(), true);
         let registry = self.registry.clone();
@@ -152,16 +153,17 @@
         self.change_membership(|listed| listed.retain(|node| !nodes.contains(node)));
     }
 
-    /// Announces the next membership configuration to all nodes, one after the other.
+    /// Announces the next membership configuration to all nodes, one after the other at
+    /// [`ANNOUNCEMENT_INTERVAL`].
     fn change_membership(&self, change: impl FnOnce(&mut Vec<usize>)) {
         let newest = self.nodes.iter().map(|node| node.membership.borrow().clone());
-        // The first of those with the highest version.
+        // Among nodes with the same highest version, the first one is taken.
         let Some(current) = newest.min_by_key(|membership| Reverse(membership.version)) else { return };
         let mut nodes = current.nodes.clone();
         change(&mut nodes);
         nodes.sort_unstable();
         nodes.dedup();
-        // Nodes that join later are in it already.
+        // If the nodes to be added are already in the newest configuration, its version is announced again.
         let version = if nodes == current.nodes { current.version } else { current.version + 1 };
         let next = Membership { version, nodes };
         for (position, node) in self.nodes.iter().cloned().enumerate() {
@@ -174,7 +176,7 @@
         }
     }
 
-    /// Undoes a fault for all nodes that it was injected into.
+    /// Undoes a fault at the given time on all nodes that it was injected into.
     fn undo_at(self: &Rc<Self>, at: Ms, injection: &Injection, undo: impl Fn(&Rc<Node>, &Fault) + 'static) {
         let testbed = self.clone();
         let injection = injection.clone();
@@ -185,7 +187,7 @@
     }
 }
 
-/// A fault in words, for the history and the charts.
+/// A short description of a fault for the history and the charts, such as `kill n1`.
 fn describe(injection: &Injection) -> String {
     let what = injection.fault.what.name();
     match (&injection.fault.zone, injection.targets.len()) {
--- a/fault-harness/src/play/links.rs
+++ b/fault-harness/src/play/links.rs
@@ -1,4 +1,5 @@
-//! The links among nodes: each ordered pair of nodes has a relay of its own, so that each can be disturbed alone.
+//! The links among nodes. Each ordered pair of nodes has its own relay, so that each direction between two
+//! nodes can be disturbed independently.
 
 use std::collections::HashMap;
 use std::io;
@@ -17,34 +18,37 @@
 use crate::schedule::{generator, RandomStream};
 use crate::settings;
 
-/// Relays among nodes have numbers from here on, which decide their random numbers.
+/// The first number of the relays among nodes. The number selects a relay's random stream, so it must not
+/// overlap the numbers of the relays to services.
 const FIRST_PEER_RELAY: usize = 1 << 16;
-/// Datagrams or connections that wait to be forwarded.
+/// Maximum number of datagrams or connections queued for forwarding.
 const QUEUE_CAPACITY: usize = 64;
-/// The versions of the first two membership configurations.
+/// The version of the membership configuration without the nodes that join later.
 const FIRST_MEMBERSHIP: u64 = 1;
+/// The version of the membership configuration with the nodes that join later.
 const SECOND_MEMBERSHIP: u64 = 2;
 
-/// Two different nodes, in order.
+/// An ordered pair of different nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct Pair {
     from: usize,
     to: usize,
 }
 
-/// The relays of all pairs of nodes.
+/// The relays of all ordered pairs of nodes.
 struct RelaysByPair {
     nodes: usize,
     relays: HashMap<Pair, Relay>,
 }
 
 impl RelaysByPair {
-    /// The relay from one node of a pair to the other.
+    /// The relay for the connections that `pair.from` opens to `pair.to`, or the datagrams that it sends
+    /// there.
     fn of_pair(&self, pair: Pair) -> Relay {
         self.relays[&pair].clone()
     }
 
-    /// The relays of one node with all others.
+    /// The relays between one node and each of the others.
     fn of_node(&self, node: usize) -> Vec<PeerRelays> {
         let with_peer = |peer| PeerRelays {
             peer,
@@ -60,19 +64,20 @@
     (0..count).flat_map(move |from| others(count, from).map(move |to| Pair { from, to }))
 }
 
-/// All nodes but one.
+/// All nodes except one.
 fn others(count: usize, node: usize) -> impl Iterator<Item = usize> {
     (0..count).filter(move |other| *other != node)
 }
 
 impl Testbed {
-    /// An address that belongs to this play and this node alone: a port that is free there stays free.
+    /// A loopback address that only this node of this play uses, so that no other process can take a port
+    /// that was free there.
     fn unique_address(&self, node: usize) -> io::Result<Ipv4Addr> {
         let network = (self.context.number % MAX_NETWORKS) as u8;
         Ok(loopback::process_block()?.address(network, node as u8 + 1))
     }
 
-    /// A relay for each pair of nodes, with random numbers of its own.
+    /// Creates a relay for each ordered pair of nodes, each with its own random stream.
     fn relays_by_pair(&self) -> RelaysByPair {
         let nodes = self.nodes.len();
         let relay = |pair: Pair| {
@@ -82,7 +87,7 @@
         RelaysByPair { nodes, relays: pairs(nodes).map(|pair| (pair, relay(pair))).collect() }
     }
 
-    /// Joins all nodes to one virtual router, each pair by a relay in each direction.
+    /// Connects all nodes as one virtual router, with a relay for each direction between two nodes.
     pub(super) async fn connect_router(&self, interval_ms: u64) -> io::Result<()> {
         let count = self.nodes.len();
         let mut listen_addresses = Vec::new();
@@ -93,7 +98,8 @@
         let proxies = bind_proxies(count).await?;
         let relays = self.relays_by_pair();
         for pair in pairs(count) {
-            // What `from` sends to its proxy of `to` reaches `to` from its proxy of `from`.
+            // A datagram that `from` sends to its proxy socket for `to` is delivered to `to` from the proxy
+            // socket that `to` has for `from`.
             let incoming = proxies[pair.from][pair.to].clone();
             let outgoing = proxies[pair.to][pair.from].clone();
             forward_datagrams(relays.of_pair(pair), incoming, outgoing, listen_addresses[pair.to]);
@@ -108,7 +114,8 @@
         Ok(())
     }
 
-    /// Connects all nodes that replicate, each pair by a relay for each one that opens connections.
+    /// Connects all replicating nodes. Between two nodes there is one relay for the connections that each of
+    /// them opens.
     pub(super) async fn connect_peers(&self) -> io::Result<()> {
         let count = self.nodes.len();
         let mut listen_addresses = Vec::new();
@@ -143,13 +150,13 @@
         if node < initial_members {
             Membership { version: FIRST_MEMBERSHIP, nodes: (0..initial_members).collect() }
         } else {
-            // A node that joins later knows the configuration that it is in.
+            // A node that joins later starts with the configuration that includes it.
             Membership { version: SECOND_MEMBERSHIP, nodes: (0..count).collect() }
         }
     }
 }
 
-/// For each node, the sockets at which it reaches the others.
+/// Binds a proxy socket for each pair of nodes: `[node][other]` is where `node` reaches `other`.
 async fn bind_proxies(count: usize) -> io::Result<Vec<Vec<Rc<UdpSocket>>>> {
     let mut proxies = Vec::new();
     for _ in 0..count {
@@ -162,29 +169,30 @@
     Ok(proxies)
 }
 
-/// Forwards datagrams from one socket to an address, through a relay.
+/// Forwards the datagrams that arrive at `incoming` through a relay; they are sent to `address` from
+/// `outgoing`.
 fn forward_datagrams(relay: Relay, incoming: Rc<UdpSocket>, outgoing: Rc<UdpSocket>, address: SocketAddr) {
     let (sender, mut receiver) = mpsc::channel::<Vec<u8>>(QUEUE_CAPACITY);
     spawn_local(relay.datagrams(incoming, Direction::To, sender));
     spawn_local(async move {
         while let Some(datagram) = receiver.recv().await {
-            // A datagram may be lost.
+            // A send error counts as a lost datagram, which the protocol tolerates.
             let _ = outgoing.send_to(&datagram, address).await;
         }
     });
 }
 
-/// Forwards each connection that a listener accepts to an address, through a relay.
+/// Forwards each connection that a listener accepts through a relay to an address.
 fn forward_connections(relay: Relay, listener: TcpListener, address: SocketAddr) {
     let (sender, mut receiver) = mpsc::channel::<DuplexStream>(QUEUE_CAPACITY);
     spawn_local(relay.accept(listener, sender));
     spawn_local(async move {
         while let Some(mut end) = receiver.recv().await {
             spawn_local(async move {
-                // Where nobody listens, the end is dropped, and with it the connection.
+                // If the node does not listen, dropping `end` closes the connection for the peer.
                 let Ok(mut stream) = TcpStream::connect(address).await else { return };
                 let _ = stream.set_nodelay(true);
-                // A connection may end at any time.
+                // Either end may close the connection at any time; that is not an error of the play.
                 let _ = copy_bidirectional(&mut end, &mut stream).await;
             });
         }
--- a/fault-harness/src/play/monitoring.rs
+++ b/fault-harness/src/play/monitoring.rs
@@ -1,4 +1,5 @@
-//! Tasks that watch a play: samples of the resources that programs take, whether the harness itself runs late, and progress.
+//! Tasks that monitor a play: resource usage of the node processes, scheduling delays of the harness itself,
+//! and progress output.
 
 use std::rc::Rc;
 
@@ -7,16 +8,16 @@
 use crate::model::{seconds_of_ms, Ms};
 use crate::play_context::PlayContext;
 
-/// Between two samples of the resources that programs take.
+/// Interval between two samples of a node process's resource usage.
 const SAMPLE_INTERVAL: Ms = 500.0;
-/// Between two checks whether the harness runs late.
+/// Interval between two checks for scheduling delays of the harness.
 const HEARTBEAT_INTERVAL: Ms = 10.0;
-/// From this on, the harness notes that it ran late.
+/// Scheduling delays of the harness above this are recorded in the history.
 const DELAY_THRESHOLD: Ms = 25.0;
-/// Between two lines of progress.
+/// Interval between two progress lines.
 const PROGRESS_INTERVAL: Ms = 5_000.0;
 
-/// Samples the resources that each program takes, for as long as the play.
+/// Samples the resource usage of every node process until the end of the play.
 pub(super) async fn sample(testbed: Rc<Testbed>) {
     loop {
         for node in &testbed.nodes {
@@ -27,7 +28,7 @@
     }
 }
 
-/// Notes where the harness itself runs late: what it sees then is not the program's doing.
+/// Records when the harness itself runs late: late observations at such a time are not caused by the program.
 pub(super) async fn monitor_own_delay(context: Rc<PlayContext>) {
     loop {
         let expected = context.now() + HEARTBEAT_INTERVAL;
--- a/fault-harness/src/play/testbed.rs
+++ b/fault-harness/src/play/testbed.rs
@@ -1,4 +1,4 @@
-//! The nodes of a play and everything they talk to, set up but not started.
+//! The nodes of a play and everything that they connect to, set up but not started.
 
 use std::cell::{Cell, RefCell};
 use std::path::Path;
@@ -17,26 +17,26 @@
 use crate::simulated::dependency::Dependency;
 use crate::simulated::frontends::{Frontend, NodeEndpoints, Shared};
 
-/// All nodes serve within this, or the play does not begin.
+/// Time within which all nodes have to be ready; otherwise the play fails.
 const READY_TIMEOUT: Ms = 30_000.0;
-/// Between two looks whether all nodes serve.
+/// Interval between two checks whether all nodes are ready.
 const READY_POLL_INTERVAL: Ms = 50.0;
 
-/// The parts of a play.
+/// The nodes, frontends and simulated services of a play.
 pub(super) struct Testbed {
     pub(super) context: Rc<PlayContext>,
     pub(super) nodes: Vec<Rc<Node>>,
     pub(super) frontends: Vec<Rc<Frontend>>,
-    /// The dependency, if requests call one.
+    /// The simulated dependency; absent if the scenario has none.
     pub(super) dependency: Option<Rc<Dependency>>,
     pub(super) registry: Rc<RefCell<Registry>>,
-    /// Faults whose event has not occurred yet.
+    /// Faults that wait for an event that has not occurred yet.
     pub(super) pending_injections: RefCell<Vec<Injection>>,
-    /// The number of the next disturbance of links.
+    /// The number of the next link disturbance.
     pub(super) next_disturbance: Cell<u64>,
 }
 
-/// Makes relays with numbers that count up; the number decides a relay's random numbers.
+/// Creates relays with consecutive numbers; the number selects a relay's random stream.
 struct RelayFactory<'a> {
     context: &'a PlayContext,
     made: u64,
@@ -50,7 +50,7 @@
 }
 
 impl Testbed {
-    /// Sets up all parts of a scenario; the simulated services run from now on.
+    /// Sets up all parts of a scenario and starts the simulated services.
     pub(super) fn new(
         scenario: &Scenario,
         options: &Options,
@@ -82,7 +82,8 @@
         })
     }
 
-    /// Waits until every node serves and every frontend sees it on its list.
+    /// Waits until every node is healthy, can vote if it replicates, and is on the registry list of every
+    /// frontend.
     pub(super) async fn ready(&self) -> Result<(), PlayError> {
         let timeout = self.ready_timeout();
         let deadline = self.context.now() + timeout;
@@ -96,7 +97,8 @@
         }
     }
 
-    /// Nodes that replicate may have to wait for the longest idempotency window before they vote.
+    /// The time to wait for readiness. Replicating nodes may have to wait for the longest idempotency window
+    /// before they can vote.
     fn ready_timeout(&self) -> Ms {
         let scenario = &self.context.scenario;
         if scenario.fleet.peers.is_none() {
@@ -106,7 +108,7 @@
         READY_TIMEOUT + window as f64
     }
 
-    /// The name of a node that does not serve yet, or is not on every frontend's list.
+    /// The name of the first node that is not ready, if there is one.
     async fn first_unready(&self, now: Ms) -> Option<String> {
         let latest = self
             .context
@@ -120,7 +122,7 @@
             if !*is_listed || !node.is_healthy().await {
                 return Some(node.name());
             }
-            // Keyed requests run once the nodes that hold replicas can vote.
+            // Keyed requests can run only when the nodes that hold replicas of the key can vote.
             if node.peer_addresses.borrow().is_some() && !node.can_vote.get() {
                 return Some(node.name());
             }
--- a/fault-harness/src/play/workspace.rs
+++ b/fault-harness/src/play/workspace.rs
@@ -1,19 +1,19 @@
-//! The directory where a play keeps its files.
+//! The directory for the files of a play.
 
 use std::io;
 use std::path::{Path, PathBuf};
 
 use crate::play_context::unique_number;
 
-/// A directory of one play; removed at the end unless its files are to be kept.
+/// The directory of one play. A temporary directory is removed when this is dropped.
 pub(super) struct Workspace {
-    /// Where it is.
+    /// The canonical path of the directory.
     pub(super) path: PathBuf,
     is_permanent: bool,
 }
 
 impl Workspace {
-    /// The given directory, which is kept, or a temporary one.
+    /// Creates the given directory, which is kept, or a temporary one if none is given.
     pub(super) fn new(out: Option<&Path>) -> io::Result<Workspace> {
         let scratch = || format!("oakwind-fault-harness-{}-{}", std::process::id(), unique_number());
         let path = out.map_or_else(|| std::env::temp_dir().join(scratch()), Path::to_path_buf);
@@ -25,7 +25,7 @@
 impl Drop for Workspace {
     fn drop(&mut self) {
         if !self.is_permanent {
-            // What can't be removed stays in the system's temporary directory.
+            // Files that cannot be removed stay in the system's temporary directory.
             let _ = std::fs::remove_dir_all(&self.path);
         }
     }
--- a/fault-harness/src/play_context.rs
+++ b/fault-harness/src/play_context.rs
@@ -1,4 +1,5 @@
-//! What all parts of a play share: its clock, its schedule, the history so far, and the listener for what nodes do.
+//! State shared by all parts of a play: its clock, its schedule, the history so far, and the listener for
+//! node events.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -11,27 +12,27 @@
 use crate::scenario::{NodeEvent, Scenario};
 use crate::schedule::Schedule;
 
-/// An attempt that was written to a node.
+/// An attempt that a frontend has written to a node.
 #[derive(Debug, Clone, Copy)]
 pub struct WrittenAttempt {
-    /// The request.
+    /// Position of the request in the schedule.
     pub request: usize,
-    /// The node.
+    /// Position of the node.
     pub node: usize,
 }
 
-/// An event of a node, and how often it has occurred there.
+/// An event of a node and the number of times it has occurred on that node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Occurrence {
-    /// The node.
+    /// Position of the node.
     pub node: usize,
-    /// What it did.
+    /// The kind of event.
     pub event: NodeEvent,
-    /// How often it has done that by now.
+    /// The number of occurrences on this node, including this one.
     pub count: u64,
 }
 
-/// Events of a node, to be counted.
+/// Key of the event counters.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct EventKey {
     node: usize,
@@ -40,19 +41,19 @@
 
 type Listener = Box<dyn Fn(Occurrence)>;
 
-/// One play.
+/// The shared state of one play.
 pub struct PlayContext {
-    /// Its clock; all times of the play are on it.
+    /// The clock that all times of the play refer to.
     pub clock: Clock,
-    /// When the load began, on that clock.
+    /// When the load starts, on `clock`; 0 until all nodes are ready.
     pub load_start: Cell<Ms>,
-    /// The scenario.
+    /// The scenario that is played.
     pub scenario: Scenario,
     /// The schedule drawn from the scenario and the seed.
     pub schedule: Schedule,
-    /// The seed.
+    /// The seed of all random numbers of the play.
     pub seed: u64,
-    /// A number that no other play of this process has.
+    /// A number that is unique among the plays of this process.
     pub number: u32,
     observations: RefCell<Vec<Observation>>,
     attempts: RefCell<HashMap<u64, WrittenAttempt>>,
@@ -61,7 +62,7 @@
 }
 
 impl PlayContext {
-    /// A play that begins now.
+    /// Creates the state of a play and starts its clock.
     pub fn new(scenario: Scenario, schedule: Schedule, seed: u64) -> Rc<PlayContext> {
         Rc::new(PlayContext {
             clock: Clock::begin(),
@@ -77,37 +78,37 @@
         })
     }
 
-    /// The time on the play's clock.
+    /// The current time on the play's clock.
     pub fn now(&self) -> Ms {
         self.clock.now()
     }
 
-    /// Adds an event to the history.
+    /// Adds an event to the history, at the current time.
     pub fn note(&self, event: Event) {
         self.observations.borrow_mut().push(Observation { at: self.now(), event });
     }
 
-    /// Records an attempt that is about to be written.
+    /// Records an attempt that is about to be written to a node.
     pub fn record_attempt(&self, txn: u64, attempt: WrittenAttempt) {
         self.attempts.borrow_mut().insert(txn, attempt);
     }
 
-    /// An attempt that was written.
+    /// The recorded attempt with this transaction id.
     pub fn attempt(&self, txn: u64) -> Option<WrittenAttempt> {
         self.attempts.borrow().get(&txn).copied()
     }
 
-    /// Sets the listener for events of nodes.
+    /// Sets the listener that is called for every node event.
     pub fn set_listener(&self, listener: impl Fn(Occurrence) + 'static) {
         *self.listener.borrow_mut() = Some(Box::new(listener));
     }
 
-    /// Removes the listener, and with it all that it holds.
+    /// Removes the listener and drops everything that it holds.
     pub fn remove_listener(&self) {
         self.listener.borrow_mut().take();
     }
 
-    /// Counts an event of a node and calls the listener.
+    /// Counts an event of a node and notifies the listener.
     pub fn record_event(&self, node: usize, event: NodeEvent) {
         let count = self.count(EventKey { node, event });
         if let Some(listener) = &*self.listener.borrow() {
@@ -122,15 +123,16 @@
         *count
     }
 
-    /// The body of a request: its number, work and class, which is all that the interpreter goes by.
+    /// The body of a request: its position, work and class, which are all that the simulated interpreter
+    /// uses.
     pub fn body(&self, request: usize) -> String {
         let scheduled = &self.schedule.requests[request];
-        // Repeats carry the body of the request that they repeat.
+        // A repeat has the same body as the request that it repeats.
         let original = scheduled.repeats.unwrap_or(request);
         format!("{original} {:.3} {}", scheduled.work, self.scenario.classes[scheduled.class].name)
     }
 
-    /// Takes the history so far; times count from when the load began.
+    /// Takes the history so far, with times converted to milliseconds since the start of the load.
     pub fn take_history(&self) -> History {
         let load_start = self.load_start.get();
         let mut observations = self.observations.take();
@@ -146,7 +148,7 @@
     }
 }
 
-/// A number that nobody else in this process has got.
+/// Returns a number that is unique within this process.
 pub fn unique_number() -> u32 {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     NEXT.fetch_add(1, Ordering::Relaxed)
--- a/fault-harness/src/process.rs
+++ b/fault-harness/src/process.rs
@@ -1,5 +1,5 @@
-//! A program as a process: its log line by line, signals by its id, the resources that it takes. It ends with its value,
-//! whatever happens.
+//! A child process: its log lines, signals by process id, and resource usage. The process is killed when its
+//! [`Program`] is dropped, so that none outlives the harness after an error.
 
 use std::io::{self, BufRead, BufReader};
 use std::process::{Child, Command, ExitStatus, Stdio};
@@ -7,38 +7,38 @@
 pub use rustix::process::Signal;
 use rustix::process::{kill_process, Pid};
 
-/// Ticks of the kernel's clock per second, in which it counts CPU time.
+/// Clock ticks per second, the unit of the CPU times in `/proc` (`USER_HZ` on Linux).
 const TICKS_PER_SECOND: u64 = 100;
-/// Milliseconds in a second.
 const MS_PER_SECOND: u64 = 1000;
-/// The fields of `/proc/ID/stat` between the program's name and its CPU times.
+/// The number of fields of `/proc/PID/stat` between the program's name and its CPU times.
 const STAT_FIELDS_BEFORE_TIMES: usize = 11;
-/// The CPU times that count: in user mode and in the kernel.
+/// The number of CPU times that are added up: user mode and kernel mode.
 const STAT_TIMES: usize = 2;
 
-/// A program that was started. It is killed and waited for when this is dropped.
+/// A child process. Dropping this kills the process and waits for its end.
 #[derive(Debug)]
 pub struct Program {
     child: Child,
 }
 
-/// The resources that a program takes.
+/// The resource usage of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Usage {
     /// Resident memory, in KB.
     pub memory_kb: u64,
-    /// Open descriptors.
+    /// Number of open file descriptors.
     pub descriptors: u64,
-    /// CPU time since its start, in milliseconds.
+    /// CPU time since the start of the process, in milliseconds.
     pub cpu_ms: u64,
 }
 
 impl Program {
-    /// Starts it. Its lines on standard error go to `on_line`, on a thread that ends with them.
+    /// Starts the process. A thread passes each line of its standard error to `on_line` until the stream is
+    /// closed.
     ///
     /// # Errors
     ///
-    /// If it can't be started.
+    /// If the process cannot be started.
     pub fn start(
         command: &mut Command,
         mut on_line: impl FnMut(String) + Send + 'static,
@@ -49,23 +49,23 @@
         Ok(Program { child })
     }
 
-    /// Its id.
+    /// The process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends it a signal.
+    /// Sends a signal to the process.
     ///
     /// # Errors
     ///
-    /// If it has ended.
+    /// If the process has ended.
     pub fn signal(&self, signal: Signal) -> io::Result<()> {
         let pid =
             i32::try_from(self.child.id()).ok().and_then(Pid::from_raw).ok_or(io::ErrorKind::InvalidInput)?;
         Ok(kill_process(pid, signal)?)
     }
 
-    /// Its status, if it has ended.
+    /// The exit status, if the process has ended.
     ///
     /// # Errors
     ///
@@ -74,7 +74,7 @@
         self.child.try_wait()
     }
 
-    /// Waits for its end.
+    /// Waits until the process ends.
     ///
     /// # Errors
     ///
@@ -83,7 +83,7 @@
         self.child.wait()
     }
 
-    /// The resources that it takes now; none once it has ended.
+    /// The current resource usage; none once the process has ended.
     pub fn usage(&self) -> Option<Usage> {
         let folder = format!("/proc/{}", self.child.id());
         let status = std::fs::read_to_string(format!("{folder}/status")).ok()?;
@@ -91,7 +91,7 @@
         let memory_kb = rss.split_whitespace().next()?.parse().ok()?;
         let descriptors = std::fs::read_dir(format!("{folder}/fd")).ok()?.count() as u64;
         let stat = std::fs::read_to_string(format!("{folder}/stat")).ok()?;
-        // The name before may hold anything, but no closing bracket comes after it.
+        // The program's name may contain any character, but no closing bracket follows the one that ends it.
         let times = stat.rsplit(") ").next()?.split(' ').skip(STAT_FIELDS_BEFORE_TIMES).take(STAT_TIMES);
         let ticks: u64 = times.filter_map(|ticks| ticks.parse::<u64>().ok()).sum();
         Some(Usage { memory_kb, descriptors, cpu_ms: ticks * MS_PER_SECOND / TICKS_PER_SECOND })
@@ -100,7 +100,7 @@
 
 impl std::ops::Drop for Program {
     fn drop(&mut self) {
-        // It may have ended already.
+        // Killing fails if the process has already ended.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
--- a/fault-harness/src/relay.rs
+++ b/fault-harness/src/relay.rs
@@ -1,5 +1,5 @@
-//! Relays: the traffic between a node and what it talks to passes through one, which can disturb each direction alone.
-//! Neither end notices the relay itself.
+//! Relays: all traffic of a node passes through relays, which can disturb each direction independently.
+//! Without a disturbance a relay is transparent to both ends.
 
 mod condition;
 mod datagrams;
@@ -22,7 +22,7 @@
 use crate::scenario::{Directions, Traffic};
 use condition::{Condition, Disturbance};
 
-/// One direction through a relay.
+/// A direction of traffic through a relay.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Direction {
     /// To the node.
@@ -31,7 +31,7 @@
     From,
 }
 
-/// A relay. Clones are the same relay.
+/// A relay. Clones share the same disturbances and random numbers.
 #[derive(Debug, Clone)]
 pub struct Relay {
     clock: Clock,
@@ -40,13 +40,13 @@
 }
 
 impl Relay {
-    /// A relay without disturbances. The generator draws delays and losses.
+    /// Creates a relay without disturbances. `rng` is the source of random delays and losses.
     pub fn new(clock: Clock, rng: ChaCha8Rng) -> Relay {
         let condition = Rc::new(watch::channel(Condition::default()).0);
         Relay { clock, condition, rng: Rc::new(RefCell::new(rng)) }
     }
 
-    /// Disturbs its traffic until [`Relay::restore`] is called with the same number.
+    /// Disturbs the traffic until [`Relay::restore`] is called with the same number.
     pub fn disturb(&self, number: u64, directions: Directions, traffic: &Traffic) {
         let disturbance = Disturbance { number, directions, traffic: traffic.clone() };
         self.condition.send_modify(|condition| condition.add(disturbance));
@@ -57,11 +57,11 @@
         self.condition.send_modify(|condition| condition.remove(number));
     }
 
-    /// Connects to a node and returns the other end.
+    /// Connects to a node and returns the other end of the relayed connection.
     ///
     /// # Errors
     ///
-    /// If the relay is disconnected, or the node does not accept the connection.
+    /// If the relay is disconnected, or the connection to the node fails.
     pub async fn open(&self, node: SocketAddr) -> io::Result<DuplexStream> {
         self.wait_until_connectable().await;
         if self.is_disconnected() {
@@ -71,7 +71,8 @@
         Ok(self.attach(stream))
     }
 
-    /// Accepts the connections that a node opens and hands out the other end of each. Ends with the listener.
+    /// Accepts the connections that a node opens and sends the other end of each to `ends`. Returns when the
+    /// listener fails.
     pub async fn accept(self, listener: TcpListener, ends: mpsc::Sender<DuplexStream>) {
         while let Ok((stream, _)) = listener.accept().await {
             if self.is_disconnected() {
@@ -81,13 +82,13 @@
             let ends = ends.clone();
             spawn_local(async move {
                 relay.wait_until_connectable().await;
-                // Nobody receives it any more once the play is over.
+                // Sending fails once the play is over and the receiver is dropped.
                 let _ = ends.send(relay.attach(stream)).await;
             });
         }
     }
 
-    /// What its traffic in a direction suffers now.
+    /// The combined effect of the current disturbances on the traffic in a direction.
     fn traffic(&self, direction: Direction) -> Traffic {
         self.condition.borrow().traffic(direction)
     }
@@ -96,17 +97,17 @@
         self.condition.borrow().is_disconnected()
     }
 
-    /// Waits until a new connection comes through, or is refused.
+    /// Waits until a new connection can be established, or is to be refused.
     async fn wait_until_connectable(&self) {
         self.wait_for(|condition| condition.is_disconnected() || !condition.is_blackholed()).await;
     }
 
     async fn wait_for(&self, holds: impl FnMut(&Condition) -> bool) {
-        // The sender lives as long as the relay.
+        // Waiting cannot fail: `self` holds the sender.
         let _ = self.condition.subscribe().wait_for(holds).await;
     }
 
-    /// Draws the delay of a chunk or datagram.
+    /// Draws the delay of a chunk or datagram: the fixed delay plus a random jitter.
     fn draw_delay(&self, traffic: &Traffic) -> Ms {
         let jitter = if traffic.jitter_ms > 0.0 {
             self.rng.borrow_mut().random_range(0.0..traffic.jitter_ms)
@@ -116,7 +117,7 @@
         traffic.delay_ms + jitter
     }
 
-    /// Draws whether something of this probability happens.
+    /// Draws whether an event of this probability happens.
     fn draw(&self, probability: f64) -> bool {
         probability > 0.0 && self.rng.borrow_mut().random::<f64>() < probability
     }
--- a/fault-harness/src/relay/condition.rs
+++ b/fault-harness/src/relay/condition.rs
@@ -1,12 +1,12 @@
-//! The disturbances of a relay, and what they add up to.
+//! The disturbances of a relay and their combined effect.
 
 use super::Direction;
 use crate::scenario::{Directions, Traffic};
 
-/// One disturbance.
+/// A disturbance of the traffic of a relay.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct Disturbance {
-    /// The number by which it is ended.
+    /// The number that [`Condition::remove`] takes to end it.
     pub(super) number: u64,
     pub(super) directions: Directions,
     pub(super) traffic: Traffic,
@@ -22,11 +22,11 @@
     }
 }
 
-/// The condition of a relay.
+/// The current disturbances of a relay.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub(super) struct Condition {
     disturbances: Vec<Disturbance>,
-    /// How often connections were reset.
+    /// How often all connections were reset. An open connection ends when this changes.
     pub(super) resets: u64,
 }
 
@@ -41,7 +41,8 @@
         self.disturbances.retain(|disturbance| disturbance.number != number);
     }
 
-    /// What traffic in a direction suffers from all disturbances: delays add up, of the rest the worst counts.
+    /// The combined effect of all disturbances on a direction: delays are added up; of the other values the
+    /// worst applies.
     pub(super) fn traffic(&self, direction: Direction) -> Traffic {
         let mut total = Traffic::default();
         for disturbance in self.disturbances.iter().filter(|disturbance| disturbance.concerns(direction)) {
@@ -67,7 +68,7 @@
     }
 }
 
-/// The lower of two rates, where 0 is no limit.
+/// The lower of two rates, where 0 means no limit.
 fn lower_rate(first: f64, second: f64) -> f64 {
     if first > 0.0 && second > 0.0 {
         first.min(second)
--- a/fault-harness/src/relay/condition/tests.rs
+++ b/fault-harness/src/relay/condition/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn delays_add_up_and_of_losses_and_rates_the_worst_counts() {
+fn delays_are_added_up_and_the_worst_loss_and_rate_apply() {
     let mut condition = Condition::default();
     let first = Traffic { delay_ms: 10.0, jitter_ms: 1.0, loss: 0.1, kb_per_s: 50.0, ..Traffic::default() };
     let second = Traffic { delay_ms: 20.0, jitter_ms: 2.0, loss: 0.3, kb_per_s: 8.0, ..Traffic::default() };
@@ -15,11 +15,11 @@
     assert_eq!((total.delay_ms, total.jitter_ms), (30.0, 3.0));
     assert_eq!((total.loss, total.kb_per_s), (0.3, 8.0));
     condition.remove(2);
-    assert_eq!(condition.traffic(Direction::To).kb_per_s, 50.0, "a rate without a limit is no lower one");
+    assert_eq!(condition.traffic(Direction::To).kb_per_s, 50.0, "0 means no limit, not the lowest rate");
 }
 
 #[test]
-fn a_disturbance_of_one_direction_leaves_the_other_alone() {
+fn disturbance_of_one_direction_does_not_affect_the_other() {
     let mut condition = Condition::default();
     let blackhole = Traffic { blackhole: true, ..Traffic::default() };
     condition.add(disturbance(1, Directions::From, blackhole));
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn connections_are_reset_by_a_reset_and_by_a_disconnection_alone() {
+fn only_reset_and_disconnect_reset_connections() {
     let mut condition = Condition::default();
     condition.add(disturbance(1, Directions::Both, Traffic { delay_ms: 1.0, ..Traffic::default() }));
     assert_eq!(condition.resets, 0);
--- a/fault-harness/src/relay/datagrams.rs
+++ b/fault-harness/src/relay/datagrams.rs
@@ -1,4 +1,4 @@
-//! Datagrams through a relay, which can be lost, duplicated and reordered.
+//! Relaying of datagrams, which can be lost, duplicated and reordered.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -10,15 +10,16 @@
 use super::{Direction, Relay};
 use crate::model::Ms;
 
-/// Datagrams on their way; more are lost.
+/// Maximum number of datagrams in flight; more are dropped.
 const MAX_IN_FLIGHT: usize = 1024;
 /// The largest datagram, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 64 * 1024;
-/// How much later a datagram is delivered that others are to overtake.
+/// Additional delay of a datagram that is selected for reordering, so that later ones overtake it.
 const REORDER_DELAY: Ms = 20.0;
 
 impl Relay {
-    /// Relays the datagrams that a socket receives in one direction. Ends when nobody receives them any more.
+    /// Relays the datagrams that a socket receives, as traffic in `direction`. Ends when the receiver of
+    /// `deliver` is dropped.
     pub async fn datagrams(
         self,
         socket: Rc<UdpSocket>,
@@ -43,7 +44,7 @@
                 let clock = self.clock;
                 spawn_local(async move {
                     clock.until(deliver_at).await;
-                    // Nobody receives it any more once the play is over.
+                    // Sending fails once the play is over and the receiver is dropped.
                     let _ = deliver.send(datagram).await;
                     drop(permit);
                 });
--- a/fault-harness/src/relay/stream.rs
+++ b/fault-harness/src/relay/stream.rs
@@ -1,4 +1,4 @@
-//! Connections through a relay: both directions keep their order, whatever delays them.
+//! Relaying of connections. Each direction keeps the order of its bytes, whatever the delays.
 
 use std::io;
 use std::time::Duration;
@@ -11,32 +11,34 @@
 use super::{Direction, Relay};
 use crate::model::Ms;
 
-/// Chunks on their way in one direction of a connection; a sender of more is blocked.
+/// Maximum number of chunks in flight in one direction of a connection; reading pauses when it is reached.
 const CHUNK_QUEUE: usize = 64;
 /// The largest chunk, in bytes.
 const CHUNK_BYTES: usize = 16 * 1024;
-/// Bytes that an end may have sent and the relay has not read.
+/// Size of the buffer, in bytes, between the relay and the end that is not the node.
 const BUFFER_BYTES: usize = 64 * 1024;
-/// Rates of traffic are in kilobytes.
+/// Bytes in a kilobyte, the unit of traffic rates.
 const BYTES_PER_KB: f64 = 1000.0;
 
-/// Bytes on their way.
+/// A chunk of bytes with its delivery time.
 struct DelayedChunk {
     deliver_at: Ms,
     bytes: Vec<u8>,
 }
 
 impl Relay {
-    /// Relays a connection from now on and returns its other end.
+    /// Starts relaying a connection of the node and returns the other end.
     pub(super) fn attach(&self, stream: TcpStream) -> DuplexStream {
-        // Chunks must not wait to be merged; where this is refused they are delivered later, but they are.
+        // Nagle's algorithm would delay small chunks. If the option cannot be set they arrive later, but do
+        // arrive.
         let _ = stream.set_nodelay(true);
         let (outer, inner) = duplex(BUFFER_BYTES);
         spawn_local(self.clone().relay_connection(stream, inner));
         outer
     }
 
-    /// Relays both directions until one end breaks, both are done, or the connection is reset.
+    /// Relays both directions until either end fails, both streams have ended, or the relay resets its
+    /// connections.
     async fn relay_connection(self, mut node: TcpStream, mut other: DuplexStream) {
         let resets = self.condition.borrow().resets;
         let (from_node, to_node) = node.split();
@@ -48,7 +50,7 @@
             )
         };
         tokio::select! {
-            // Either end sees the connection end, whatever ended it.
+            // The result is not needed: returning closes the connection for both ends.
             _ = both_directions => {}
             () = self.wait_for(|condition| condition.resets != resets) => {}
         }
@@ -66,7 +68,7 @@
         tokio::try_join!(reading, writing).map(|_| ())
     }
 
-    /// Reads chunks to the stream's end and draws when each is to be delivered.
+    /// Reads chunks until the end of the stream and draws the delivery time of each.
     async fn read_chunks(
         &self,
         direction: Direction,
@@ -81,7 +83,7 @@
                 return Ok(());
             }
             let delay = self.draw_delay(&self.traffic(direction));
-            // A stream keeps its order.
+            // No chunk is delivered before the one that precedes it in the stream.
             last_delivery = last_delivery.max(self.clock.now() + delay);
             let chunk = DelayedChunk { deliver_at: last_delivery, bytes: buffer[..length].to_vec() };
             if sender.send(chunk).await.is_err() {
@@ -90,7 +92,8 @@
         }
     }
 
-    /// Delivers each chunk at its time, not while it is blackholed, and no faster than the rate allows.
+    /// Delivers each chunk at its delivery time, or after the end of a blackhole, at no more than the
+    /// permitted rate.
     async fn write_chunks(
         &self,
         direction: Direction,
--- a/fault-harness/src/relay/tests.rs
+++ b/fault-harness/src/relay/tests.rs
@@ -14,8 +14,8 @@
     }));
 }
 
-/// A node that echoes.
-async fn echo() -> SocketAddr {
+/// Starts a node that sends back everything that it receives.
+async fn start_echo_node() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     spawn_local(async move {
@@ -29,34 +29,35 @@
     address
 }
 
-async fn echoes(end: &mut DuplexStream, text: &[u8]) -> bool {
+/// Whether `text` comes back through the relay.
+async fn is_echoed(end: &mut DuplexStream, text: &[u8]) -> bool {
     let mut got = vec![0; text.len()];
     end.write_all(text).await.is_ok() && end.read_exact(&mut got).await.is_ok() && got == text
 }
 
 #[test]
-fn a_cut_ends_what_is_open_and_refuses_what_is_new_until_it_is_restored() {
+fn disconnect_closes_open_connections_and_refuses_new_ones_until_restored() {
     run(|relay| async move {
-        let node = echo().await;
+        let node = start_echo_node().await;
         let mut end = relay.open(node).await.unwrap();
-        assert!(echoes(&mut end, b"before").await);
+        assert!(is_echoed(&mut end, b"before").await);
         relay.disturb(1, Directions::Both, &Traffic { disconnect: true, ..Traffic::default() });
-        assert!(!echoes(&mut end, b"within").await);
+        assert!(!is_echoed(&mut end, b"within").await);
         assert!(relay.open(node).await.is_err());
         relay.restore(1);
-        assert!(echoes(&mut relay.open(node).await.unwrap(), b"after").await);
+        assert!(is_echoed(&mut relay.open(node).await.unwrap(), b"after").await);
     });
 }
 
 #[test]
-fn silence_one_way_holds_back_what_goes_that_way_and_lets_it_pass_in_the_end() {
+fn one_way_blackhole_holds_back_bytes_and_delivers_them_when_restored() {
     run(|relay| async move {
-        let mut end = relay.open(echo().await).await.unwrap();
+        let mut end = relay.open(start_echo_node().await).await.unwrap();
         relay.disturb(1, Directions::From, &Traffic { blackhole: true, ..Traffic::default() });
         end.write_all(b"hello").await.unwrap();
         let mut got = [0; 5];
         let early = tokio::time::timeout(Duration::from_millis(50), end.read_exact(&mut got)).await;
-        assert!(early.is_err(), "nothing passes");
+        assert!(early.is_err(), "bytes passed through the blackhole");
         relay.restore(1);
         end.read_exact(&mut got).await.unwrap();
         assert_eq!(&got, b"hello");
@@ -64,9 +65,9 @@
 }
 
 #[test]
-fn delays_add_up_and_keep_the_order_of_a_stream() {
+fn delay_with_jitter_keeps_the_order_of_a_stream() {
     run(|relay| async move {
-        let mut end = relay.open(echo().await).await.unwrap();
+        let mut end = relay.open(start_echo_node().await).await.unwrap();
         relay.disturb(1, Directions::To, &Traffic { delay_ms: 30.0, jitter_ms: 20.0, ..Traffic::default() });
         let before = relay.clock.now();
         let text: Vec<u8> = (0..=255).collect();
@@ -80,7 +81,7 @@
 }
 
 #[test]
-fn datagrams_are_lost_and_duplicated_by_chance() {
+fn datagrams_are_lost_and_duplicated_at_the_given_probability() {
     run(|relay| async move {
         let count = |traffic: Traffic| {
             let relay = relay.clone();
@@ -89,13 +90,13 @@
                 let address = socket.local_addr().unwrap();
                 relay.disturb(1, Directions::Both, &traffic);
                 let (deliver, mut got) = mpsc::channel(1024);
-                let carried = spawn_local(relay.clone().datagrams(Rc::new(socket), Direction::To, deliver));
+                let relaying = spawn_local(relay.clone().datagrams(Rc::new(socket), Direction::To, deliver));
                 let from = UdpSocket::bind("127.0.0.1:0").await.unwrap();
                 for _ in 0..200 {
                     from.send_to(b"x", address).await.unwrap();
                     tokio::task::yield_now().await;
                 }
-                // Whatever is lost, the last one that is not marks the end.
+                // With the disturbance removed, an `end` datagram is delivered after all earlier ones.
                 relay.restore(1);
                 let mut number = 0;
                 loop {
@@ -106,7 +107,7 @@
                         _ => break,
                     }
                 }
-                carried.abort();
+                relaying.abort();
                 number
             }
         };
