--- a/fault-harness/src/mutant.rs
+++ b/fault-harness/src/mutant.rs
@@ -1,5 +1,5 @@
-//! A plain node in the program's place, which can be told to break a rule. It shows that the checker finds violations
-//! through the sockets, and not only in a history that was made up.
+//! A minimal node that replaces the program and breaks one rule on purpose. It verifies that the checker
+//! finds violations in a real play over sockets, and not only in histories constructed by tests.
 
 mod connections;
 mod fault;
@@ -22,23 +22,23 @@
 use crate::wire;
 use fault::Fault;
 
-/// The fault shows at every so many requests.
+/// The fault occurs once in this many opportunities.
 const FAULT_PERIOD: u64 = 5;
 /// The error code of a request whose run failed.
 const RUN_FAILED: i64 = -32000;
 
-/// Why a mutant cannot serve.
+/// An error that prevents a mutant from serving, or stops it.
 #[derive(Debug, Error)]
 pub enum MutantError {
-    /// There is no such fault.
-    #[error("no fault is called {0:?}")]
+    /// The value of `--mutant` names no fault.
+    #[error("unknown mutant fault: {0:?}")]
     UnknownFault(String),
     /// The configuration cannot be read.
     #[error("{}: {source}", path.display())]
     Config {
-        /// The configuration's file.
+        /// The path of the configuration file.
         path: PathBuf,
-        /// Why.
+        /// The error of reading or parsing it.
         source: io::Error,
     },
     /// A socket cannot be opened, or the connection with the interpreter has ended.
@@ -46,14 +46,14 @@
     Io(#[from] io::Error),
 }
 
-/// What a mutant reads of a node's configuration.
+/// The part of a node's configuration file that a mutant uses.
 #[derive(Debug, Clone, Deserialize)]
 struct Config {
     name: String,
     listen: SocketAddr,
     /// The address of the interpreter.
     vm: SocketAddr,
-    /// The address of the membership service.
+    /// The address of the registry, which receives the heartbeats.
     members: SocketAddr,
 }
 
@@ -64,11 +64,12 @@
     }
 }
 
-/// Serves until it is killed, with the fault of this name; with an empty name, there is none.
+/// Runs a mutant until its process is killed. `fault` names the rule that it breaks; an empty name means
+/// none.
 ///
 /// # Errors
 ///
-/// If there is no such fault, the configuration cannot be read, or the connection with the interpreter ends.
+/// If the name is unknown, the configuration cannot be read, or the connection with the interpreter ends.
 pub fn serve(config: &Path, fault: &str) -> Result<(), MutantError> {
     let fault = Fault::named(fault).ok_or_else(|| MutantError::UnknownFault(fault.into()))?;
     let config = Config::read(config)?;
@@ -76,7 +77,7 @@
     Ok(runtime.block_on(LocalSet::new().run_until(connections::serve(fault, config)))?)
 }
 
-/// An attempt without an answer.
+/// An attempt that has not been answered yet.
 struct OpenAttempt {
     id: u64,
     key: Option<String>,
@@ -84,7 +85,7 @@
 }
 
 impl OpenAttempt {
-    /// Sends an answer; a client that has disconnected misses it.
+    /// Queues an answer. It is dropped if the client has disconnected or its queue is full.
     fn answer(&self, answer: &Value) {
         let _ = self.answers.try_send(response(self.id, answer));
     }
@@ -102,30 +103,30 @@
     }
 }
 
-/// What is known of an idempotency key.
+/// The state of an idempotency key.
 #[derive(Default)]
 struct KeyState {
-    /// The result, once there is one.
+    /// The stored result; absent until a run of the key has succeeded.
     result: Option<String>,
-    /// Attempts that wait for it.
+    /// Attempts that wait for the result.
     waiting: Vec<OpenAttempt>,
 }
 
-/// What the interpreter reports of a run that is over.
+/// The interpreter's report of a finished run.
 struct FinishedRun {
     txn: String,
     succeeded: bool,
     result: String,
 }
 
-/// The node, apart from its connections.
+/// The state of a mutant, apart from its connections.
 struct Mutant {
     fault: Fault,
-    /// Commands for the interpreter.
+    /// The queue of commands for the interpreter.
     commands: mpsc::Sender<String>,
     open: RefCell<HashMap<String, OpenAttempt>>,
     keys: RefCell<HashMap<String, KeyState>>,
-    /// How often the fault could have shown.
+    /// How often the fault could have occurred.
     occasions: Cell<u64>,
     previous_result: RefCell<String>,
 }
@@ -142,8 +143,8 @@
         })
     }
 
-    /// Whether this fault shows this time.
-    fn shows(&self, fault: Fault) -> bool {
+    /// Counts an opportunity for this fault and returns whether the fault occurs this time.
+    fn occurs(&self, fault: Fault) -> bool {
         self.fault == fault
             && self.occasions.replace(self.occasions.get() + 1) % FAULT_PERIOD == FAULT_PERIOD - 1
     }
@@ -156,14 +157,15 @@
         let Some(attempt) = self.join_earlier_run(attempt) else { return };
         let body = BASE64.decode(text("content")).unwrap_or_default();
         let mut body = String::from_utf8_lossy(&body).into_owned();
-        if self.shows(Fault::ChangesBodies) {
+        if self.occurs(Fault::ChangesBodies) {
             body.push(' ');
         }
         self.open.borrow_mut().insert(txn.clone(), attempt);
         self.command(format!("APPLY {txn} {class} {}\r\n{body}\r\n", body.len()));
     }
 
-    /// Answers an attempt whose key has a result, or lets it wait for one. Returns the attempt if it has to run.
+    /// Answers an attempt whose key has a result, or queues it if a run of the key is open. Returns the
+    /// attempt if it has to run.
     fn join_earlier_run(&self, attempt: OpenAttempt) -> Option<OpenAttempt> {
         if self.fault == Fault::DuplicateRun {
             return Some(attempt);
@@ -182,7 +184,8 @@
     }
 
     fn command(&self, text: String) {
-        // A queue that is full loses the command, which the checker will see.
+        // A command is dropped if the queue is full. The attempt then stays unanswered, which the checker
+        // reports.
         let _ = self.commands.try_send(text);
     }
 
@@ -193,16 +196,16 @@
             self.store_result(key, result);
         }
         let previous = self.previous_result.replace(run.result.clone());
-        if self.shows(Fault::LosesAnswers) {
+        if self.occurs(Fault::LosesAnswers) {
             return;
         }
-        if self.shows(Fault::RefusesWhatRan) {
+        if self.occurs(Fault::RefusesWhatRan) {
             return attempt.answer_rejected();
         }
-        if self.shows(Fault::MixesResults) {
+        if self.occurs(Fault::MixesResults) {
             return attempt.answer_result(&previous);
         }
-        let answers = if self.shows(Fault::DuplicateAnswer) { 2 } else { 1 };
+        let answers = if self.occurs(Fault::DuplicateAnswer) { 2 } else { 1 };
         for _ in 0..answers {
             match result {
                 Some(result) => attempt.answer_result(result),
@@ -211,7 +214,7 @@
         }
     }
 
-    /// Stores a key's result and answers the attempts that wait for it.
+    /// Stores the result of a key and answers the attempts that wait for it.
     fn store_result(&self, key: &str, result: &str) {
         let mut keys = self.keys.borrow_mut();
         let Some(known) = keys.get_mut(key) else { return };
@@ -222,7 +225,7 @@
     }
 }
 
-/// A JSON-RPC response with these members, as a line.
+/// Formats a JSON-RPC response with these members as a line.
 fn response(id: u64, members: &Value) -> String {
     let mut message = json!({"jsonrpc": "2.0", "id": id});
     for (key, value) in members.as_object().into_iter().flatten() {
--- a/fault-harness/src/mutant/connections.rs
+++ b/fault-harness/src/mutant/connections.rs
@@ -1,4 +1,5 @@
-//! The connections of a mutant: clients, the interpreter, and heartbeats for the membership service.
+//! The sockets of a mutant: connections of clients, the connection to the interpreter, and heartbeats to the
+//! registry.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,14 +15,14 @@
 
 use super::{response, Config, Fault, FinishedRun, Mutant};
 
-/// Lines that wait to be written on a connection.
+/// Maximum number of lines queued for writing on a connection.
 const WRITE_QUEUE: usize = 1024;
-/// Between two heartbeats.
+/// Interval between two heartbeats.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
-/// What ends a body on the interpreter's link, in bytes.
+/// Length of the line end that terminates a body on the interpreter's link, in bytes.
 const BODY_END: usize = b"\r\n".len();
 
-/// Serves until the connection with the interpreter ends.
+/// Serves clients until the connection with the interpreter ends, which is returned as an error.
 pub(super) async fn serve(fault: Fault, config: Config) -> io::Result<()> {
     let (reader, mut writer) = TcpStream::connect(config.vm).await?.into_split();
     let (commands, queued_commands) = mpsc::channel::<String>(WRITE_QUEUE);
@@ -52,7 +53,7 @@
 async fn send_heartbeats(name: String, members: SocketAddr) {
     let Ok(socket) = UdpSocket::bind("127.0.0.1:0").await else { return };
     loop {
-        // The next heartbeat makes up for one that is lost.
+        // A heartbeat that cannot be sent is ignored, since the next one replaces it.
         let _ = socket.send_to(format!("HB {name} UP").as_bytes(), members).await;
         tokio::time::sleep(HEARTBEAT_INTERVAL).await;
     }
@@ -67,7 +68,7 @@
         let Ok(request) = serde_json::from_str::<Value>(&line) else { return };
         let id = request["id"].as_u64().unwrap_or_default();
         match request["method"].as_str() {
-            // A client that does not read its answers misses this one.
+            // If the write queue is full because the client does not read, this answer is dropped.
             Some("status") => drop(answers.try_send(response(id, &json!({"result": {"up": true}})))),
             Some("withdraw") | None => {}
             Some(class) => mutant.request(id, class, &request["params"], &answers),
@@ -97,7 +98,7 @@
     }
 }
 
-/// Reads the body that follows a notice.
+/// Reads the body that follows a notice, with its line end. A malformed length counts as 0.
 async fn read_body(input: &mut BufReader<OwnedReadHalf>, length: &str) -> io::Result<String> {
     let length = length.parse::<usize>().unwrap_or(0);
     let mut body = vec![0; length + BODY_END];
--- a/fault-harness/src/mutant/fault.rs
+++ b/fault-harness/src/mutant/fault.rs
@@ -1,26 +1,26 @@
-//! The faults that a mutant can have.
+//! The faults that a mutant can be started with.
 
-/// What is wrong with a mutant.
+/// A rule that a mutant breaks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Fault {
-    /// Nothing.
+    /// The mutant breaks no rule.
     None,
-    /// It does not recognize keys that come again.
+    /// It runs a request again whose idempotency key it has already seen.
     DuplicateRun,
-    /// It never gives some answers.
+    /// It leaves some requests unanswered.
     LosesAnswers,
-    /// It gives some answers twice.
+    /// It sends some answers twice.
     DuplicateAnswer,
-    /// It refuses some requests that ran.
+    /// It answers some requests that ran with a rejection.
     RefusesWhatRan,
-    /// It answers some requests with the result of another.
+    /// It answers some requests with the result of the previous run.
     MixesResults,
-    /// It changes some bodies on their way to the interpreter.
+    /// It changes some request bodies before it passes them to the interpreter.
     ChangesBodies,
 }
 
 impl Fault {
-    /// The fault that `--mutant` names.
+    /// Parses the value of `--mutant`; an empty value means no fault.
     pub(super) fn named(name: &str) -> Option<Fault> {
         Some(match name {
             "" => Fault::None,
--- a/fault-harness/src/schedule.rs
+++ b/fault-harness/src/schedule.rs
@@ -1,5 +1,5 @@
-//! What a scenario and a seed come to: every request, every speed and every fault with its targets, drawn before anything
-//! starts. The same seed gives the same schedule, whatever the machine does.
+//! The schedule of a play: all requests, core speeds and faults with their targets, drawn from a scenario and
+//! a seed before the play starts. The same seed always gives the same schedule, independent of the machine.
 
 mod injections;
 mod random;
@@ -13,33 +13,33 @@
 pub use random::{call_time, generator, RandomStream};
 pub use requests::ClientRequest;
 
-/// A frontend.
+/// The drawn properties of a frontend.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FrontendProfile {
-    /// How it picks a node.
+    /// Its load balancing policy.
     pub load_balancing: LoadBalancing,
-    /// Whether it honours the hints of a rejection: Retry-After, and to try no other node.
+    /// Whether it honours the hints of a rejection: Retry-After, and the hint not to try another node.
     pub honours_rejection_hints: bool,
-    /// How late it sees changes of the registry.
+    /// Delay after which it sees changes of the registry.
     pub registry_delay: Ms,
-    /// Its zone.
+    /// Position of its zone in the scenario.
     pub zone: usize,
 }
 
-/// The whole schedule.
+/// The schedule of a play.
 #[derive(Debug, Clone)]
 pub struct Schedule {
-    /// Speeds of the nodes' cores.
+    /// Core speed of each node's interpreter, by the node's position.
     pub speeds: Vec<f64>,
-    /// The frontends.
+    /// The frontends, by position.
     pub frontends: Vec<FrontendProfile>,
-    /// All requests: those sent first by time, then the repeats.
+    /// All requests: the originals in order of time, followed by the repeats.
     pub requests: Vec<ClientRequest>,
-    /// All fault injections.
+    /// All fault injections, in the order of the scenario's faults.
     pub injections: Vec<Injection>,
 }
 
-/// Draws the schedule.
+/// Draws the schedule of a scenario.
 pub fn schedule(scenario: &Scenario, seed: u64) -> Schedule {
     let mut rng = generator(seed, RandomStream::Fleet, 0);
     let [slowest, fastest] = scenario.fleet.speed;
@@ -60,8 +60,8 @@
     }
 }
 
-/// Whether the frontend at this position honours the hints of a rejection. Those that do are spread evenly, so that a few frontends
-/// have the fraction that is asked for.
+/// Whether the frontend at this position honours the hints of a rejection. Those that do are spread evenly,
+/// so that even a few frontends have the configured fraction.
 fn honours_rejection_hints(settings: &Frontends, position: usize) -> bool {
     let count_before = |position: usize| (position as f64 * settings.retry_after_honoured).floor();
     count_before(position + 1) > count_before(position)
--- a/fault-harness/src/schedule/injections.rs
+++ b/fault-harness/src/schedule/injections.rs
@@ -1,4 +1,4 @@
-//! The fault injections of a schedule: when each fault is injected, and into which nodes or frontends.
+//! The fault injections of a schedule: the time and the targets of each fault.
 
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -10,35 +10,36 @@
 /// When a fault is injected.
 #[derive(Debug, Clone, PartialEq)]
 pub enum InjectionTime {
-    /// At this time.
+    /// At this time after the start of the load.
     Time(Ms),
-    /// Once a node has done something so many times.
+    /// When an event has occurred this many times on a node.
     Event {
-        /// The node.
+        /// Position of the node.
         node: usize,
-        /// What it has done.
+        /// The kind of event.
         event: NodeEvent,
-        /// How many times.
+        /// The number of occurrences, from 1.
         count: u64,
     },
 }
 
-/// A fault with its time and its targets.
+/// One injection of a fault, with its time and its targets.
 #[derive(Debug, Clone)]
 pub struct Injection {
-    /// When.
+    /// The time or event that triggers the injection.
     pub at: InjectionTime,
-    /// So long after that; waves come one after the other.
+    /// Delay after the trigger; it grows from wave to wave.
     pub delay: Ms,
-    /// The fault.
+    /// The fault as the scenario describes it.
     pub fault: Fault,
-    /// Nodes, or frontends where the fault is about those.
+    /// Positions of the target nodes, or of the target frontends for [`FaultKind::Frontends`].
     pub targets: Vec<usize>,
-    /// A random number for what the fault itself leaves open.
+    /// A random number for details that the scenario does not fix, such as the byte at which a file is
+    /// truncated.
     pub random: u64,
 }
 
-/// Draws all injections.
+/// Draws all injections of a scenario.
 pub(super) fn draw(scenario: &Scenario, seed: u64) -> Vec<Injection> {
     let mut rng = generator(seed, RandomStream::Faults, 0);
     let node_names = scenario.node_names();
@@ -57,7 +58,7 @@
     injections
 }
 
-/// When a fault is injected: once at an event, or at its time and again after each interval.
+/// The triggers of a fault: one event, or its time and each repetition until the end of the scenario.
 fn times(fault: &Fault, seconds: f64, node_names: &[String]) -> Vec<InjectionTime> {
     if let Some(trigger) = &fault.when {
         let node = node_names.iter().position(|name| *name == trigger.node).unwrap_or(0);
@@ -73,7 +74,8 @@
     times
 }
 
-/// The nodes or frontends that a fault is injected into. Those of several waves keep the order in which they were drawn.
+/// Draws the target nodes or frontends of a fault. For a fault with several waves they keep their random
+/// order.
 fn draw_targets(
     rng: &mut ChaCha8Rng,
     scenario: &Scenario,
@@ -94,11 +96,11 @@
     targets
 }
 
-/// Draws a fraction of so many, one at least.
+/// Draws a fraction of `count` positions, at least one.
 fn draw_fraction(rng: &mut ChaCha8Rng, count: usize, fraction: f64) -> Vec<usize> {
     let drawn = ((count as f64 * fraction).round() as usize).clamp(1, count);
     let mut positions: Vec<usize> = (0..count).collect();
-    // A shuffle of which the first ones are taken.
+    // A partial Fisher-Yates shuffle.
     for index in 0..drawn {
         positions.swap(index, rng.random_range(index..count));
     }
@@ -106,7 +108,7 @@
     positions
 }
 
-/// Deals targets out to waves; a fault without targets has one wave.
+/// Splits the targets into waves of equal size; a fault without targets has one empty wave.
 fn waves(fault: &Fault, targets: &[usize]) -> Vec<Vec<usize>> {
     if targets.is_empty() {
         return vec![Vec::new()];
--- a/fault-harness/src/schedule/requests.rs
+++ b/fault-harness/src/schedule/requests.rs
@@ -1,4 +1,4 @@
-//! The requests of a schedule, and their repeats.
+//! The client requests of a schedule, and their repeats.
 
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -8,31 +8,31 @@
 use crate::model::{ms_of_seconds, Ms};
 use crate::scenario::{LoadStep, Scenario};
 
-/// Memory of a request while it is held, in KB, between these.
+/// The range of the memory that a held request takes, in KB.
 const REQUEST_MEMORY_KB: [f64; 2] = [14.0, 45.0];
 
-/// One client's request.
+/// A request of a client.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClientRequest {
-    /// When it is sent.
+    /// When the client sends it, in milliseconds after the start of the load.
     pub at: Ms,
-    /// Position of its class.
+    /// Position of its class in the scenario.
     pub class: usize,
-    /// Its tenant.
+    /// Name of its tenant.
     pub tenant: String,
-    /// The frontend that it comes through.
+    /// Position of the frontend that receives it.
     pub frontend: usize,
-    /// Its work on a core of speed 1.
+    /// CPU time of its run on a core of speed 1.
     pub work: Ms,
-    /// What the frontend says of its work.
+    /// The frontend's estimate of `work`, which is sent with the request.
     pub cost_hint: Ms,
-    /// Its memory while held.
+    /// Memory that it takes while it is held, in KB.
     pub memory_kb: f64,
-    /// The request that this one repeats, if it does: its position.
+    /// Position of the request that this one repeats; absent for original requests.
     pub repeats: Option<usize>,
 }
 
-/// Draws all requests: first ones by time, then the repeats.
+/// Draws all requests: the originals in order of time, followed by the repeats.
 pub(super) fn draw(scenario: &Scenario, seed: u64) -> Vec<ClientRequest> {
     let mut rng = generator(seed, RandomStream::Load, 0);
     let mut requests = draw_first_requests(scenario, &mut rng);
@@ -42,7 +42,7 @@
 
 fn draw_first_requests(scenario: &Scenario, rng: &mut ChaCha8Rng) -> Vec<ClientRequest> {
     let end = ms_of_seconds(scenario.seconds);
-    // Arrivals at the highest rate are thinned out to the rate of the moment.
+    // A Poisson process at the highest rate is thinned to the rate at each time.
     let highest_factor = scenario.load.steps.iter().map(|step| step.rate_factor).fold(1.0, f64::max);
     let rate_per_ms = scenario.rate() * highest_factor / ms_of_seconds(1.0);
     let Ok(gaps) = Exp::new(rate_per_ms) else { return Vec::new() };
@@ -65,13 +65,13 @@
     scenario.load.steps.iter().find(is_within)
 }
 
-/// What requests are drawn from.
+/// The distributions that requests are drawn from.
 struct RequestSource<'a> {
     scenario: &'a Scenario,
     class_shares: Vec<f64>,
     tenants: Vec<&'a String>,
     tenant_shares: Vec<f64>,
-    /// The error of a hint, as a logarithm.
+    /// The logarithm of the ratio between a cost hint and the work.
     hint_errors: Option<Normal<f64>>,
 }
 
@@ -87,14 +87,14 @@
         }
     }
 
-    /// Draws a request; the order of the draws decides the schedule of a seed.
+    /// Draws a request. The order of the draws must not change, because it determines the schedule of a seed.
     fn draw(&self, rng: &mut ChaCha8Rng, at: Ms, step: Option<&LoadStep>) -> ClientRequest {
         let class = position_by_share(rng, &self.class_shares);
         let shape = &self.scenario.classes[class];
         let mut work = log_normal(rng, shape.work_ms, shape.cv);
         let hint_error = self.hint_errors.map_or(0.0, |errors| errors.sample(rng));
         let cost_hint = work * hint_error.exp();
-        // What makes a request costly is not in its hint.
+        // The hint does not include the extra work of a costly request.
         if let Some(step) = step {
             if rng.random::<f64>() < step.costly_fraction {
                 work *= step.costly_factor;
@@ -108,7 +108,8 @@
     }
 }
 
-/// Draws which requests with an idempotency key are sent a second time, and when.
+/// Draws which requests with an idempotency key are repeated, and when. Repeats after the end of the scenario
+/// are left out.
 fn draw_repeats(scenario: &Scenario, rng: &mut ChaCha8Rng, requests: &mut Vec<ClientRequest>) {
     let load = &scenario.load;
     let end = ms_of_seconds(scenario.seconds);
--- a/fault-harness/src/schedule/tests.rs
+++ b/fault-harness/src/schedule/tests.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn one_seed_gives_one_plan_and_another_gives_another() {
+fn same_seed_gives_the_same_schedule_and_another_seed_a_different_one() {
     let scenario = scenario("[[fault]]\nat_s = 3\nwhat = 'kill'\nfraction = 0.7\n");
     let (one, same, other) = (schedule(&scenario, 4), schedule(&scenario, 4), schedule(&scenario, 5));
     assert_eq!(one.requests, same.requests);
@@ -16,21 +16,27 @@
 }
 
 #[test]
-fn requests_come_at_the_rate_and_in_the_parts_that_are_asked_for() {
+fn requests_have_the_configured_rate_class_shares_work_and_repeats() {
     let requests = schedule(&scenario(""), 1).requests;
-    let firsts: Vec<&ClientRequest> = requests.iter().filter(|ask| ask.repeats.is_none()).collect();
-    let within = |from: Ms, to: Ms| firsts.iter().filter(|ask| ask.at >= from && ask.at < to).count() as f64;
-    assert!((within(0.0, 10_000.0) / 2000.0 - 1.0).abs() < 0.1);
-    assert!((within(10_000.0, 15_000.0) / 3000.0 - 1.0).abs() < 0.1);
-    let books: Vec<f64> = firsts.iter().filter(|ask| ask.class == 1).map(|ask| ask.work).collect();
-    assert!((books.len() as f64 / firsts.len() as f64 - 0.25).abs() < 0.02);
-    assert!((books.iter().sum::<f64>() / books.len() as f64 / 40.0 - 1.0).abs() < 0.05);
-    let repeats = requests.len() - firsts.len();
-    assert!((repeats as f64 / books.len() as f64 - 0.45).abs() < 0.08, "some come after the end");
+    let originals: Vec<&ClientRequest> =
+        requests.iter().filter(|request| request.repeats.is_none()).collect();
+    let count_within = |from: Ms, to: Ms| {
+        originals.iter().filter(|request| request.at >= from && request.at < to).count() as f64
+    };
+    assert!((count_within(0.0, 10_000.0) / 2000.0 - 1.0).abs() < 0.1);
+    assert!((count_within(10_000.0, 15_000.0) / 3000.0 - 1.0).abs() < 0.1);
+    let book_work: Vec<f64> =
+        originals.iter().filter(|request| request.class == 1).map(|request| request.work).collect();
+    assert!((book_work.len() as f64 / originals.len() as f64 - 0.25).abs() < 0.02);
+    assert!((book_work.iter().sum::<f64>() / book_work.len() as f64 / 40.0 - 1.0).abs() < 0.05);
+    // Repeats that would come after the end of the scenario are left out, hence less than the fraction of
+    // 0.5.
+    let repeats = requests.len() - originals.len();
+    assert!((repeats as f64 / book_work.len() as f64 - 0.45).abs() < 0.08, "{repeats} repeats");
 }
 
 #[test]
-fn a_repeated_fault_hits_other_targets() {
+fn repeated_fault_draws_new_targets_each_time() {
     let injections =
         schedule(&scenario("[[fault]]\nat_s = 1\nrepeat_every_s = 4\nwhat = 'kill'\nfraction = 0.3\n"), 1)
             .injections;
@@ -40,7 +46,7 @@
 }
 
 #[test]
-fn waves_hit_every_target_once() {
+fn waves_cover_every_target_exactly_once() {
     let scenario = scenario(
         "[[fault]]\nat_s = 1\nwhat = 'shutdown'\nfraction = 1.0\nwaves = 4\nwave_interval_s = 2.0\n",
     );
