--- a/fault-harness/src/scenario.rs
+++ b/fault-harness/src/scenario.rs
@@ -1,5 +1,6 @@
-//! Scenarios: the fleet, the load, the services around it and the faults. A file is checked whole before anything starts;
-//! each mistake is one line that names its key. `docs/fault-harness.md` explains every key.
+//! Scenarios: the fleet, the load, the simulated services and the faults. A file is validated as a whole
+//! before anything starts; each mistake is one line that names its key. `docs/fault-harness.md` explains
+//! every key.
 
 mod defaults;
 mod error;
@@ -25,18 +26,19 @@
 pub use rules::{Rules, RunScope};
 pub use services::{Dependency, Frontends, LoadBalancing, Registry};
 
-/// A scenario as it is written. Times ending in `_s` are seconds, in `_ms` milliseconds.
+/// A scenario, as its file describes it. Fields ending in `_s` are in seconds, those ending in `_ms` in
+/// milliseconds.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// What it is called in reports.
+    /// Name of the scenario in reports.
     pub name: String,
-    /// What it is about, in a sentence.
+    /// Description in one sentence.
     #[serde(default, alias = "about")]
     pub description: String,
-    /// How long load is sent.
+    /// Duration of the load, in seconds.
     pub seconds: f64,
-    /// What the random numbers begin with.
+    /// Seed of the random numbers; an option of a command can replace it.
     #[serde(default = "defaults::seed")]
     pub seed: u64,
     /// The nodes.
@@ -49,37 +51,37 @@
     /// The frontends and the clients behind them.
     #[serde(default, alias = "fronts")]
     pub frontends: Frontends,
-    /// The dependency, if requests call one.
+    /// The dependency that runs call; absent if there is none.
     #[serde(alias = "below")]
     pub dependency: Option<Dependency>,
     /// The registry that nodes send heartbeats to and frontends take the list of nodes from.
     #[serde(default, alias = "members")]
     pub registry: Registry,
-    /// What the checker holds the fleet to.
+    /// Parameters of the rules that the checker applies.
     #[serde(default)]
     pub rules: Rules,
-    /// What goes wrong.
+    /// The faults that are injected.
     #[serde(default, rename = "fault")]
     pub faults: Vec<Fault>,
 }
 
 impl Scenario {
-    /// Reads and checks a file, with some keys set to other values.
+    /// Reads and validates a file after overriding some keys.
     ///
     /// # Errors
     ///
-    /// If the file cannot be read, or with every mistake in it.
+    /// If the file cannot be read, or all mistakes that were found in it.
     pub fn read(path: &Path, changes: &[(String, String)]) -> Result<Scenario, ScenarioErrors> {
         let text = std::fs::read_to_string(path)
             .map_err(|source| ScenarioError::Unreadable { path: path.into(), source })?;
         Scenario::parse(&text, changes)
     }
 
-    /// Reads and checks a text, with some keys set to other values (`load.load=1.2`).
+    /// Parses and validates a text after overriding some keys, such as `load.load` with `1.2`.
     ///
     /// # Errors
     ///
-    /// Every mistake.
+    /// All mistakes that were found.
     pub fn parse(text: &str, changes: &[(String, String)]) -> Result<Scenario, ScenarioErrors> {
         let mut table: toml::Table = text.parse().map_err(|error| syntax_error(&error, text))?;
         for (key, value) in changes {
@@ -97,19 +99,19 @@
         }
     }
 
-    /// What all cores can do when warm, in milliseconds of work a millisecond.
+    /// Capacity of all cores when warm, in milliseconds of work per millisecond.
     pub fn capacity(&self) -> f64 {
         let speed = f64::midpoint(self.fleet.speed[0], self.fleet.speed[1]);
         self.fleet.nodes as f64 * f64::from(self.fleet.cores) * speed
     }
 
-    /// The mean work of a request.
+    /// Mean work of a request over all classes, in milliseconds.
     pub fn mean_work(&self) -> f64 {
         let shares: f64 = self.classes.iter().map(|class| class.share).sum();
         self.classes.iter().map(|class| class.share * class.work_ms).sum::<f64>() / shares
     }
 
-    /// First attempts a second, outside of steps.
+    /// Rate of first attempts outside of steps, per second.
     pub fn rate(&self) -> f64 {
         match (self.load.rate, self.load.load) {
             (Some(rate), _) => rate,
@@ -125,13 +127,13 @@
         (1..=self.fleet.nodes).map(|number| format!("n{number}")).collect()
     }
 
-    /// The zone of a node or of a frontend, by position.
+    /// Position of the zone of the node, or of the frontend, at this position.
     pub fn zone_of(&self, position: usize) -> usize {
         position % self.fleet.zones.len()
     }
 }
 
-/// The error of a text that is not TOML: the last line of the parser's message, and the line that it is about.
+/// Converts a TOML syntax error: keeps the last line of the parser's message and the line number.
 fn syntax_error(error: &toml::de::Error, text: &str) -> ScenarioError {
     let start = error.span().map_or(0, |span| span.start.min(text.len()));
     let line = text.get(..start).unwrap_or(text).matches('\n').count() + 1;
--- a/fault-harness/src/scenario/defaults.rs
+++ b/fault-harness/src/scenario/defaults.rs
@@ -1,36 +1,37 @@
-//! Defaults of keys whose tables have required keys beside them; serde takes these by function.
+//! Defaults of optional keys in tables that also have required keys. Serde needs a function for each; the
+//! other tables implement `Default`.
 
 use std::collections::BTreeMap;
 
-/// Cores of an interpreter.
+/// Number of cores of an interpreter.
 const CORES: u32 = 2;
-/// The speed of a fresh interpreter, as a fraction.
+/// Speed of a newly started interpreter, as a fraction of its full speed.
 const WARM_FROM: f64 = 0.25;
-/// How long an interpreter warms up, in seconds.
+/// Warm-up time of an interpreter, in seconds.
 const WARM_S: f64 = 8.0;
-/// The concurrency for each core past which less is done in total.
+/// Runnable tasks per core above which the total throughput falls.
 const THRASH_AT: f64 = 1.4;
-/// The fraction that is done at twice that concurrency.
+/// Efficiency of a core at twice the concurrency of `THRASH_AT`.
 const THRASH: f64 = 0.7;
 /// Memory of an interpreter, in KB.
 const MEMORY_KB: f64 = 24_000.0;
-/// Memory of a running request, as a multiple of one held.
+/// Memory of a running request, as a multiple of that of a held one.
 const RUN_FACTOR: f64 = 8.0;
-/// Time of a program after SIGTERM, in milliseconds.
+/// Time between SIGTERM and SIGKILL, in milliseconds.
 const STOP_MS: u64 = 6_000;
-/// Descriptors of a program.
+/// Maximum number of open descriptors of a program.
 const SOCKETS: u64 = 512;
-/// Memory of a program, in MB.
+/// Maximum memory of a program, in MB.
 const MEMORY_MB: u64 = 64;
-/// The coefficient of variation of work.
+/// Coefficient of variation of the work of a request, and of the duration of a call to the dependency.
 const VARIATION: f64 = 0.5;
-/// The standard deviation of the logarithm of hints.
+/// Standard deviation of the logarithm of hint over work.
 const HINT_ERROR: f64 = 0.25;
-/// When a repeat is sent, in milliseconds after the first: between these.
+/// Range of the delay of a repeat after the original, in milliseconds.
 const REPEAT_AFTER_MS: [f64; 2] = [200.0, 3000.0];
-/// The work of a costly request, as a multiple.
+/// Work of a costly request, as a multiple of the work drawn for it.
 const COSTLY_FACTOR: f64 = 8.0;
-/// What is left of a speed or of slots during a fault.
+/// Remaining fraction of the speed or of the slots during a fault.
 const FAULT_FACTOR: f64 = 0.5;
 
 pub(super) fn seed() -> u64 {
--- a/fault-harness/src/scenario/error.rs
+++ b/fault-harness/src/scenario/error.rs
@@ -1,29 +1,29 @@
-//! What can be wrong with a scenario. Every error is one line that names the key.
+//! Errors in scenarios. Every error is one line that names the key.
 
 use std::fmt::{self, Display, Formatter};
 use std::io;
 use std::path::PathBuf;
 
-/// One mistake in a scenario.
+/// A mistake in a scenario.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioError {
-    /// The file can't be read.
-    #[error("{}: {source}", path.display())]
+    /// The file cannot be read.
+    #[error("{}: the scenario cannot be read: {source}", path.display())]
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The text is not TOML.
     #[error("line {line}: {message}")]
     Syntax {
-        /// The line, from 1.
+        /// The number of the line, from 1.
         line: usize,
         /// The parser's message.
         message: String,
     },
-    /// A key is unknown, missing, given twice, or has a value of another type.
+    /// A key is unknown, missing, given twice, or has a value of the wrong type.
     #[error("{key}: {message}")]
     Malformed {
         /// The table or the key.
@@ -31,75 +31,75 @@
         /// The parser's message.
         message: String,
     },
-    /// A value is not among those allowed.
-    #[error("{key}: {requirement}, not {value}")]
+    /// The value of a key is out of its range.
+    #[error("{key}: must be {requirement}, not {value}")]
     NotAllowed {
         /// The key.
         key: String,
         /// Its value.
         value: String,
-        /// What is allowed.
+        /// The allowed values, completing the sentence "must be ...".
         requirement: &'static str,
     },
-    /// A key is missing that others make necessary, or given together with one that excludes it.
+    /// A key is missing that another one requires, or is given together with one that excludes it.
     #[error("{key}: {requirement}")]
     Inconsistent {
         /// The key.
         key: String,
-        /// What has to hold.
+        /// The text that follows the key in the message.
         requirement: &'static str,
     },
-    /// A node is named that the fleet does not have.
-    #[error("{key}: there is no node {node:?}")]
+    /// A key names a node that the fleet does not have.
+    #[error("{key}: the fleet has no node {node:?}")]
     UnknownNode {
-        /// The key that names it.
+        /// The key that names the node.
         key: String,
-        /// Its name.
+        /// The name.
         node: String,
     },
-    /// A zone is named that the fleet does not have.
-    #[error("{key}: there is no zone {zone:?}")]
+    /// A key names a zone that the fleet does not have.
+    #[error("{key}: the fleet has no zone {zone:?}")]
     UnknownZone {
-        /// The key that names it.
+        /// The key that names the zone.
         key: String,
-        /// Its name.
+        /// The name.
         zone: String,
     },
-    /// A clock is not given as AT:BY.
-    #[error("{key}: {value:?} is not AT:BY in milliseconds")]
+    /// A clock shift does not have the form AT:BY.
+    #[error("{key}: must be AT:BY in milliseconds, not {value:?}")]
     InvalidClock {
         /// The key.
         key: String,
         /// Its value.
         value: String,
     },
-    /// The load comes to more requests than a history may hold.
-    #[error("{key}: {count:.0} requests in all, over {max:.0}")]
+    /// The load results in more requests than a history may hold.
+    #[error("{key}: {count:.0} requests in total, more than the limit of {max:.0}")]
     TooManyRequests {
         /// The key.
         key: &'static str,
-        /// How many there would be.
+        /// The number of requests at the highest rate of the scenario.
         count: f64,
-        /// How many there may be.
+        /// The maximum number of requests.
         max: f64,
     },
-    /// An override names a position that a list does not have.
-    #[error("{key}: no such position")]
+    /// An override names a position that the list does not have.
+    #[error("{key}: the list has no such position")]
     NoSuchPosition {
         /// The key of the override.
         key: String,
     },
-    /// An override names a key within a value that is no table.
-    #[error("{key}: {within} is no table")]
+    /// An override names a key within a value that is not a table.
+    #[error("{key}: {within} is not a table")]
     NotATable {
         /// The key of the override.
         key: String,
-        /// The part of it that is no table.
+        /// The part of the key whose value is not a table.
         within: String,
     },
 }
 
-/// All mistakes of a scenario, one at least.
+/// All mistakes in a scenario; never empty.
 #[derive(Debug)]
 pub struct ScenarioErrors(Vec<ScenarioError>);
 
@@ -123,7 +123,7 @@
 }
 
 impl Display for ScenarioErrors {
-    /// A line for each mistake.
+    /// Writes one line for each mistake.
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
         let lines: Vec<String> = self.0.iter().map(ToString::to_string).collect();
         formatter.write_str(&lines.join("\n"))
--- a/fault-harness/src/scenario/fault.rs
+++ b/fault-harness/src/scenario/fault.rs
@@ -1,144 +1,147 @@
-//! The `[[fault]]` tables: what goes wrong, when, and its targets.
+//! The `[[fault]]` tables: the kind of each fault, its time and its targets.
 
 use serde::Deserialize;
 
 use super::defaults;
 
-/// What goes wrong, when, and for which nodes.
+/// A fault with its time and its targets.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// When; in its place `when` may stand.
+    /// Time of the injection, in seconds after the start of the load; excludes `when`.
     pub at_s: Option<f64>,
-    /// It is injected again each time so long after, with its targets drawn anew.
+    /// Interval at which the fault is injected again, in seconds; its targets are drawn anew each time.
     #[serde(alias = "again_s")]
     pub repeat_every_s: Option<f64>,
-    /// An event that it waits for.
+    /// The event that triggers the injection; excludes `at_s`.
     pub when: Option<Trigger>,
-    /// How long it lasts, where it lasts.
+    /// Duration in seconds, for the kinds of faults that have one.
     #[serde(alias = "for_s")]
     pub duration_s: Option<f64>,
-    /// What happens.
+    /// The kind of fault.
     pub what: FaultKind,
-    /// Nodes by name.
+    /// Names of the target nodes.
     #[serde(default)]
     pub nodes: Vec<String>,
-    /// All nodes of this zone.
+    /// The zone whose nodes are the targets.
     pub zone: Option<String>,
-    /// This fraction of all nodes, drawn by the seed.
+    /// Fraction of all nodes, or of all frontends, that are drawn as targets by the seed.
     #[serde(alias = "part")]
     pub fraction: Option<f64>,
-    /// Its targets are hit in so many waves.
+    /// Number of waves that the targets are split into.
     #[serde(default = "defaults::waves")]
     pub waves: usize,
-    /// Between two waves.
+    /// Interval between two waves, in seconds.
     #[serde(default = "defaults::wave_interval_s", alias = "every_s")]
     pub wave_interval_s: f64,
-    /// After `kill` and `shutdown`: how long until the node is started again; absent, it stays down.
+    /// For `kill` and `shutdown`: time until the restart of the node, in seconds; if absent, the node stays
+    /// down.
     pub down_s: Option<f64>,
-    /// What a restarted node finds in its folder.
+    /// The stored state that a restarted node finds.
     #[serde(default)]
     pub folder: StoredState,
-    /// For `slow`: what is left of the speed. For `dependency`: what is left of the slots.
+    /// For `slow`: remaining fraction of the speed. For `dependency`: remaining fraction of the slots.
     #[serde(default = "defaults::fault_factor")]
     pub factor: f64,
-    /// For `pause`: the interpreter goes on.
+    /// For `pause`: whether only the program is paused and the interpreter keeps running.
     #[serde(default)]
     pub program_only: bool,
-    /// For `link`: whose traffic with the node.
+    /// For `link`: the kinds of links of the target nodes that are disturbed.
     #[serde(default)]
     pub between: Vec<Link>,
-    /// For `link`: of its traffic with other nodes, only that with these.
+    /// For `link` with `peers`: the peers whose links are disturbed; all if empty.
     #[serde(default)]
     pub with: Vec<String>,
-    /// For `link`: in which direction.
+    /// For `link`: the disturbed direction, as seen from the target nodes.
     #[serde(default, alias = "way")]
     pub direction: Directions,
-    /// For `link`: what happens to the traffic.
+    /// For `link`: the effect on the traffic.
     #[serde(default)]
     pub traffic: Traffic,
-    /// For `restart`: the build that the node has from then on, by the name of `--program`.
+    /// For `kill` and `shutdown`: the build that the node runs from its restart on, by its name in
+    /// `--program`.
     pub program: Option<String>,
-    /// After `kill` and `shutdown`: the restarted program sees the system's clock set by so much, from so long after its start
-    /// on: AT:BY in milliseconds.
+    /// For `kill` and `shutdown`: the clock shift of the restarted program, as AT:BY in milliseconds: AT
+    /// after its start, it sees the system clock set by BY.
     pub clock: Option<String>,
-    /// After `kill` and `shutdown`: the node starts with the membership configuration before the last.
+    /// For `kill` and `shutdown`: whether the node restarts with the membership configuration before the last
+    /// one.
     #[serde(default, alias = "old_list")]
     pub previous_membership: bool,
 }
 
-/// An event that a fault waits for: a node has done something so many times.
+/// The event that triggers a fault: a number of occurrences on one node.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Trigger {
-    /// Which node.
+    /// Name of the node.
     pub node: String,
-    /// What it has done.
+    /// The kind of event.
     pub event: NodeEvent,
-    /// How many times.
+    /// The number of occurrences that triggers the fault.
     pub count: u64,
-    /// So long after that.
+    /// Delay between the event and the injection, in milliseconds.
     #[serde(default)]
     pub after_ms: f64,
 }
 
-/// What a fault can wait for.
+/// The kinds of events that can trigger a fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum NodeEvent {
-    /// An attempt was written to it.
+    /// An attempt was written to the node.
     #[serde(alias = "written")]
     AttemptWritten,
-    /// A run started.
+    /// The interpreter started a run.
     #[serde(alias = "began")]
     RunStarted,
-    /// A run ended, and the interpreter is about to say so.
+    /// A run ended, and the interpreter is about to report it.
     #[serde(alias = "ended")]
     RunEnded,
-    /// An attempt was served.
+    /// The node answered an attempt with a result.
     #[serde(alias = "served")]
     AttemptServed,
 }
 
-/// What can go wrong.
+/// The kinds of faults.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
     /// The program and its interpreter are killed (SIGKILL).
     Kill,
-    /// The program gets SIGTERM, and SIGKILL when its time for a graceful shutdown is over.
+    /// The program gets SIGTERM, and SIGKILL if it still runs after the time for a graceful shutdown.
     #[serde(alias = "leave")]
     Shutdown,
-    /// The program is paused (SIGSTOP), and its interpreter with it.
+    /// The program and its interpreter are paused (SIGSTOP).
     #[serde(alias = "stop")]
     Pause,
-    /// The interpreter has a fraction of its speed.
+    /// The interpreter runs at a fraction of its speed.
     Slow,
-    /// The targets are partitioned from everybody else: neither side hears the other.
+    /// The targets are partitioned from all others; no traffic passes in either direction.
     Partition,
-    /// Traffic with the targets suffers.
+    /// The traffic on some links of the targets is disturbed.
     Link,
-    /// The dependency has a fraction of its slots and rejects what finds none.
+    /// The dependency has only a fraction of its slots and rejects calls that find none free.
     #[serde(alias = "below")]
     Dependency,
-    /// The registry receives no heartbeats; its list stays as it is.
+    /// The registry receives no heartbeats and leaves its list unchanged.
     #[serde(alias = "members")]
     Registry,
-    /// Frontends restart: all their connections end at once. `fraction` counts frontends here.
+    /// Frontends restart: all their connections close at once. `fraction` is the fraction of frontends.
     #[serde(alias = "fronts")]
     Frontends,
-    /// The program gets SIGHUP.
+    /// The program reloads its configuration files (SIGHUP).
     Reload,
-    /// The next membership configuration lacks the targets. All nodes get it, one after the other.
+    /// The targets are removed from the membership configuration, which all nodes get one after the other.
     #[serde(alias = "unlist")]
     RemoveMembers,
-    /// The next membership configuration has the targets as well. All nodes get it, one after the other.
+    /// The targets are added to the membership configuration, which all nodes get one after the other.
     #[serde(alias = "enlist")]
     AddMembers,
 }
 
 impl FaultKind {
-    /// Whether it lasts for a while, which the scenario has to give.
+    /// Whether the fault lasts for a time that the scenario has to give as `duration_s`.
     pub fn has_duration(self) -> bool {
         match self {
             FaultKind::Pause
@@ -156,7 +159,7 @@
         }
     }
 
-    /// Its name in scenarios, reports and charts.
+    /// The name of the fault in scenarios, reports and charts.
     pub fn name(self) -> &'static str {
         match self {
             FaultKind::Kill => "kill",
@@ -179,77 +182,78 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StoredState {
-    /// What it left.
+    /// The state that the program left.
     #[default]
     #[serde(alias = "keep")]
     Intact,
-    /// Nothing.
+    /// No state.
     #[serde(alias = "lost")]
     Erased,
-    /// What it left, with the newest file truncated at a byte drawn by the seed.
+    /// The state that the program left, with the newest file truncated at a byte drawn by the seed.
     #[serde(alias = "cut")]
     Truncated,
-    /// A copy that was made when the load began.
+    /// A copy of the state from the start of the load.
     #[serde(alias = "old")]
     Stale,
 }
 
-/// Whose traffic with a node.
+/// The kinds of links of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Link {
-    /// Frontends.
+    /// Links to the frontends.
     #[serde(alias = "clients")]
     Frontends,
-    /// Its interpreter.
+    /// The link to its interpreter.
     #[serde(alias = "vm")]
     Interpreter,
-    /// The dependency.
+    /// The link to the dependency.
     #[serde(alias = "below")]
     Dependency,
-    /// The registry.
+    /// The link to the registry.
     #[serde(alias = "members")]
     Registry,
-    /// Other nodes.
+    /// Links to other nodes, for replication and for the virtual router.
     Peers,
 }
 
-/// In which direction traffic suffers.
+/// The directions in which the traffic of a node is disturbed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Directions {
-    /// Both.
+    /// Both directions.
     #[default]
     Both,
-    /// What goes to the node.
+    /// Traffic to the node.
     To,
-    /// What comes from it.
+    /// Traffic from the node.
     From,
 }
 
-/// What happens to traffic. All that is named happens together.
+/// The effect of a disturbance on traffic. All given effects apply together.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Traffic {
-    /// Connections end, and new ones end at once. Datagrams are lost.
+    /// Open connections are closed, and new ones are closed at once. Datagrams are lost.
     #[serde(alias = "cut")]
     pub disconnect: bool,
-    /// Connections are accepted, and nothing passes until it is over. Datagrams are lost.
+    /// Connections are accepted and stay open, but no bytes pass until the disturbance ends. Datagrams are
+    /// lost.
     #[serde(alias = "silent")]
     pub blackhole: bool,
-    /// Connections are reset once, when it begins.
+    /// Open connections are reset once, when the disturbance begins.
     pub reset: bool,
-    /// What passes is delayed by this.
+    /// Delay of each chunk or datagram, in milliseconds.
     pub delay_ms: f64,
-    /// And by up to this more, drawn for each piece.
+    /// Maximum additional random delay, in milliseconds, drawn for each chunk or datagram.
     #[serde(alias = "spread_ms")]
     pub jitter_ms: f64,
-    /// Bytes a second, in thousands; 0 means no limit.
+    /// Maximum rate of a connection in each direction, in 1000 bytes per second; 0 means no limit.
     pub kb_per_s: f64,
-    /// The fraction of datagrams that is lost.
+    /// Fraction of datagrams that are lost.
     pub loss: f64,
-    /// The fraction that arrives twice.
+    /// Fraction of datagrams that arrive twice.
     pub duplicate: f64,
-    /// The fraction that is overtaken by the next one.
+    /// Fraction of datagrams that are delayed so that later ones overtake them.
     pub reorder: f64,
 }
--- a/fault-harness/src/scenario/fleet.rs
+++ b/fault-harness/src/scenario/fleet.rs
@@ -1,4 +1,4 @@
-//! The `[fleet]` table: the nodes, their interpreters, the builds they run and how they are linked.
+//! The `[fleet]` table: the nodes, their interpreters, the builds that they run and the links among them.
 
 use std::collections::BTreeMap;
 
@@ -6,100 +6,105 @@
 
 use super::defaults;
 
-/// Replicas of a key, unless a scenario says otherwise.
+/// Default number of replicas of a key.
 const DEFAULT_REPLICAS: usize = 3;
-/// Time between two probes, unless a scenario says otherwise, in milliseconds.
+/// Default interval between two probes, in milliseconds.
 const DEFAULT_PROBE_MS: u64 = 250;
 
-/// The nodes, each with an interpreter of its own.
+/// The nodes, each with its own interpreter.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
-    /// How many; they are called n1, n2 and so on.
+    /// Number of nodes, from 1 to 64; their names are n1, n2 and so on.
     pub nodes: usize,
-    /// The zones, which nodes and frontends are dealt out to in turn.
+    /// Names of the zones. Nodes and frontends are assigned to them in turn.
     #[serde(default = "defaults::zones")]
     pub zones: Vec<String>,
-    /// Cores of each interpreter.
+    /// Number of cores of each interpreter.
     #[serde(default = "defaults::cores")]
     pub cores: u32,
-    /// Speeds of the cores are drawn between these.
+    /// Range from which the core speed of each node is drawn; 1 is the reference speed.
     #[serde(default = "defaults::speed")]
     pub speed: [f64; 2],
-    /// A fresh interpreter begins with this part of its speed.
+    /// Fraction of its speed at which a newly started interpreter begins.
     #[serde(default = "defaults::warm_from")]
     pub warm_from: f64,
-    /// It is at full speed after so long, rising evenly.
+    /// Time after which a newly started interpreter has its full speed, in seconds; the speed rises linearly.
     #[serde(default = "defaults::warm_s")]
     pub warm_s: f64,
-    /// Whether interpreters are cold when the scenario begins.
+    /// Whether interpreters are cold at the start of the scenario.
     #[serde(default)]
     pub cold: bool,
-    /// The onset of thrashing: runnable tasks for each core past which less is done in total.
+    /// Onset of thrashing: the number of runnable tasks per core above which the total throughput falls.
     #[serde(default = "defaults::thrash_at")]
     pub thrash_at: f64,
-    /// The efficiency of a core that is left at twice that concurrency; it falls linearly from 1 to there and stays.
+    /// Efficiency of a core at twice the concurrency of `thrash_at`. It falls linearly from 1 at `thrash_at`
+    /// to this value and stays there.
     #[serde(default = "defaults::thrash")]
     pub thrash: f64,
-    /// Memory of an interpreter, for requests held and running.
+    /// Memory of an interpreter for held and running requests, in KB.
     #[serde(default = "defaults::memory_kb")]
     pub memory_kb: f64,
-    /// A running request takes this many times the memory of one that is held.
+    /// Memory of a running request, as a multiple of that of a held one.
     #[serde(default = "defaults::run_factor")]
     pub run_factor: f64,
-    /// Work on a core for each request that is read, whatever becomes of it.
+    /// CPU time for reading a request, whether it is run or not, in milliseconds.
     #[serde(default)]
     pub read_ms: f64,
-    /// Work on a core for each new connection.
+    /// CPU time for accepting a connection, in milliseconds.
     #[serde(default)]
     pub connect_ms: f64,
-    /// How long after SIGTERM the process is stopped.
+    /// Time between SIGTERM and SIGKILL at a shutdown, in milliseconds.
     #[serde(default = "defaults::stop_ms")]
     pub stop_ms: u64,
-    /// Descriptors that the program may hold.
+    /// Maximum number of open descriptors of the program.
     #[serde(default = "defaults::sockets")]
     pub sockets: u64,
-    /// Memory that the program may take.
+    /// Maximum resident memory of the program, in MB.
     #[serde(default = "defaults::memory_mb")]
     pub memory_mb: u64,
-    /// Whether each node has a folder that keeps keys and results over restarts.
+    /// Whether each node has a folder in which keys and results survive restarts.
     #[serde(default)]
     pub folder: bool,
-    /// Whether the nodes are one virtual router (VRRP), which talk among themselves.
+    /// The virtual router (VRRP) that the nodes form; absent if they form none.
     pub vrrp: Option<Vrrp>,
-    /// Whether the nodes talk among themselves so that a keyed request runs once in the fleet.
+    /// Replication of idempotency keys, by which a keyed request runs once in the fleet; absent without
+    /// replication.
     pub peers: Option<Replication>,
-    /// Nodes that see the system's clock set by so much, so long after their first start: AT:BY in milliseconds.
+    /// Clock shifts by node name, as AT:BY in milliseconds: AT after its first start, the node sees the
+    /// system clock set by BY.
     #[serde(default)]
     pub clocks: BTreeMap<String, String>,
-    /// Nodes that run another build: the name given to `--program NAME=PATH`, and the nodes.
+    /// Nodes that run another build, by the name of the build in `--program NAME=PATH`.
     #[serde(default)]
     pub programs: BTreeMap<String, Vec<String>>,
 }
 
-/// The virtual router that the nodes are: the first one has the highest priority, the next ones less.
+/// The virtual router that the nodes form. The first node has the highest priority, each further one a lower
+/// one.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Vrrp {
-    /// Between two advertisements, whole hundredths of a second.
+    /// Interval between two advertisements, in milliseconds; a multiple of 10.
     pub interval_ms: u64,
 }
 
-/// How nodes share the outcomes of keyed requests.
+/// Replication of idempotency keys among the nodes.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Replication {
-    /// Off, to see what the same faults do without it.
+    /// Whether replication is on; switched off to compare the same faults without it.
     #[serde(alias = "on")]
     pub enabled: bool,
-    /// Replicas of each key.
+    /// Number of replicas of each key, from 1 to 9.
     #[serde(alias = "copies")]
     pub replicas: usize,
-    /// Between two probes.
+    /// Interval between two probes, in milliseconds.
     pub probe_ms: u64,
-    /// Whether what a node has granted is in a folder that outlasts it.
+    /// Whether each node has a folder in which its votes survive restarts.
     pub folder: bool,
-    /// Nodes, the last ones, that are in no membership configuration yet when the scenario begins.
+    /// Number of nodes, counted from the last one, that are not in the first membership configuration and
+    /// join later.
     #[serde(alias = "later")]
     pub joining_nodes: usize,
 }
--- a/fault-harness/src/scenario/former_keys.rs
+++ b/fault-harness/src/scenario/former_keys.rs
@@ -1,24 +1,25 @@
-//! The keys that scenarios had in their first form. Files in that form are still read, through `serde(alias)` at each key;
-//! this table lets an override find the key of a file in the other form.
+//! Former names of scenario keys. Files with former names are still read, through `serde(alias)` at each key;
+//! with this table an override finds its key whether the file has the former or the present name.
 
-/// A key with the name that it had.
+/// The former and the present name of a key.
 struct Renamed {
     former: &'static str,
     present: &'static str,
 }
 
-/// All renamed keys. None of these names means something else in another table.
+/// All renamed keys. Each of these names has the same meaning in every table, so a lookup needs no table
+/// name.
 const RENAMED: &[Renamed] = &[
-    // Of the scenario.
+    // Top level of a scenario.
     Renamed { former: "about", present: "description" },
     Renamed { former: "fronts", present: "frontends" },
     Renamed { former: "below", present: "dependency" },
     Renamed { former: "members", present: "registry" },
-    // Of `[fleet.peers]`.
+    // `[fleet.peers]`
     Renamed { former: "on", present: "enabled" },
     Renamed { former: "copies", present: "replicas" },
     Renamed { former: "later", present: "joining_nodes" },
-    // Of `[[class]]`.
+    // `[[class]]`
     Renamed { former: "aim_ms", present: "latency_objective_ms" },
     Renamed { former: "worth", present: "weight" },
     Renamed { former: "late_worth", present: "late_weight" },
@@ -26,39 +27,40 @@
     Renamed { former: "window_ms", present: "idempotency_window_ms" },
     Renamed { former: "calls", present: "calls_dependency" },
     Renamed { former: "skip_worth", present: "skip_weight" },
-    // Of `[load]`.
+    // `[load]`
     Renamed { former: "repeats", present: "repeat_fraction" },
-    // Of `[[load.step]]`.
+    // `[[load.step]]`
     Renamed { former: "times", present: "rate_factor" },
     Renamed { former: "costly", present: "costly_fraction" },
     Renamed { former: "costly_times", present: "costly_factor" },
-    // Of `[frontends]`.
+    // `[frontends]`
     Renamed { former: "choose", present: "load_balancing" },
     Renamed { former: "walk", present: "try_next_node" },
     Renamed { former: "heed", present: "retry_after_honoured" },
     Renamed { former: "list_late_ms", present: "registry_delay_ms" },
     Renamed { former: "idle_s", present: "idle_timeout_s" },
-    // Of `[registry]`.
+    // `[registry]`
     Renamed { former: "lapse_s", present: "heartbeat_timeout_s" },
-    // Of `[rules]`.
+    // `[rules]`
     Renamed { former: "once", present: "run_once_per" },
-    // Of `[[fault]]`.
+    // `[[fault]]`
     Renamed { former: "again_s", present: "repeat_every_s" },
     Renamed { former: "for_s", present: "duration_s" },
     Renamed { former: "part", present: "fraction" },
     Renamed { former: "every_s", present: "wave_interval_s" },
     Renamed { former: "way", present: "direction" },
     Renamed { former: "old_list", present: "previous_membership" },
-    // Of the traffic of a fault.
+    // `traffic` of a `[[fault]]`
     Renamed { former: "cut", present: "disconnect" },
     Renamed { former: "silent", present: "blackhole" },
     Renamed { former: "spread_ms", present: "jitter_ms" },
 ];
 
-/// Tables whose keys are names that the scenario's author gives.
+/// Tables whose keys are names chosen by the author of the scenario, which are never renamed.
 const TABLES_OF_NAMES: [&str; 3] = ["tenants", "programs", "clocks"];
 
-/// The form of a key that a table has it in, or its present form if the table does not have it.
+/// The name, former or present, under which the table has this key; the present name if the table does not
+/// have it.
 pub(super) fn as_written(parent: Option<&str>, key: &str, table: &toml::Table) -> String {
     let is_name = parent.is_some_and(|parent| TABLES_OF_NAMES.contains(&parent));
     let renamed = RENAMED.iter().find(|renamed| renamed.former == key || renamed.present == key);
--- a/fault-harness/src/scenario/load.rs
+++ b/fault-harness/src/scenario/load.rs
@@ -1,4 +1,4 @@
-//! The `[[class]]` and `[load]` tables: what clients request, how often, and the weight of an answer.
+//! The `[[class]]` and `[load]` tables: the requests of clients, their rate, and the weight of their answers.
 
 use std::collections::BTreeMap;
 
@@ -10,36 +10,36 @@
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// The method it goes by.
+    /// The JSON-RPC method of its requests.
     pub name: String,
-    /// Its part of all requests.
+    /// Its share of all requests, relative to the shares of the other classes.
     pub share: f64,
-    /// Mean work on one core of speed 1.
+    /// Mean CPU time of a run on a core of speed 1, in milliseconds.
     pub work_ms: f64,
-    /// How far work is spread: standard deviation over mean.
+    /// Coefficient of variation of the work: standard deviation over mean.
     #[serde(default = "defaults::variation")]
     pub cv: f64,
-    /// The latency objective: an answer within this time earns the full weight.
+    /// The latency objective, in milliseconds: an answer within this time earns the full weight.
     #[serde(alias = "aim_ms")]
     pub latency_objective_ms: u64,
-    /// How long a client waits.
+    /// Time that a client waits for an answer, in milliseconds.
     pub deadline_ms: u64,
-    /// Weight of a request, for each millisecond of its mean work.
+    /// Weight of a request per millisecond of its mean work.
     #[serde(default = "defaults::weight", alias = "worth")]
     pub weight: f64,
-    /// Fraction of the weight that an answer between latency objective and deadline earns.
+    /// Fraction of the weight that an answer between the latency objective and the deadline earns.
     #[serde(default, alias = "late_worth")]
     pub late_weight: f64,
-    /// Whether its requests have an idempotency key, which must not run twice within its window.
+    /// Whether its requests have an idempotency key, which must not run twice within the idempotency window.
     #[serde(default, alias = "keyed")]
     pub idempotency_key: bool,
-    /// For classes with keys: how long a key may come again.
+    /// For classes with keys: the time within which a key may be repeated, in milliseconds.
     #[serde(default, alias = "window_ms")]
     pub idempotency_window_ms: u64,
-    /// Whether its runs call the dependency, half way through.
+    /// Whether its runs call the dependency, after half of their work.
     #[serde(default, alias = "calls")]
     pub calls_dependency: bool,
-    /// Fraction of the weight that is earned without that call; 0 means that the call must not be skipped.
+    /// Fraction of the weight that is earned if the call is skipped; 0 means that it must not be skipped.
     #[serde(default, alias = "skip_worth")]
     pub skip_weight: f64,
 }
@@ -48,59 +48,59 @@
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// First attempts a second; in its place `load` may stand.
+    /// Rate of first attempts, per second; excludes `load`.
     pub rate: Option<f64>,
-    /// The fraction of what all cores can do when warm.
+    /// Rate of first attempts, as a fraction of the capacity of all cores when warm; excludes `rate`.
     pub load: Option<f64>,
-    /// Stretches in which more or less is asked for, or some requests are costly.
+    /// Periods with a different rate, or in which some requests are costly.
     #[serde(default, rename = "step")]
     pub steps: Vec<LoadStep>,
-    /// The tenants that send requests, and the fraction of each.
+    /// The tenants that send requests, with their shares of the requests.
     #[serde(default = "defaults::tenants")]
     pub tenants: BTreeMap<String, f64>,
-    /// How wrong hints of cost are: the standard deviation of their logarithm.
+    /// Error of cost hints: the standard deviation of the logarithm of hint over work.
     #[serde(default = "defaults::hint_error")]
     pub hint_error: f64,
-    /// The fraction of requests with an idempotency key that clients send a second time, not marked as a retry, whatever
-    /// came of the first.
+    /// Fraction of requests with an idempotency key that clients send a second time, not marked as a retry,
+    /// whatever the outcome of the first.
     #[serde(default, alias = "repeats")]
     pub repeat_fraction: f64,
-    /// How long after the first they do, between these.
+    /// Range of the delay of a repeat after the original, in milliseconds.
     #[serde(default = "defaults::repeat_after_ms")]
     pub repeat_after_ms: [f64; 2],
-    /// Where a repeat goes.
+    /// The node to which a repeat is sent.
     #[serde(default)]
     pub repeat_at: RepeatAt,
 }
 
-/// Where a repeat goes.
+/// The node to which a repeat is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RepeatAt {
-    /// To the node that the first went to.
+    /// The node that got the original.
     #[default]
     Same,
-    /// To another one.
+    /// Another node than the one that got the original.
     Other,
-    /// To whichever the frontend picks.
+    /// The node that the frontend picks.
     Any,
 }
 
-/// A stretch of the load.
+/// A period with a different load.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadStep {
-    /// When it begins.
+    /// Start of the period, in seconds after the start of the load.
     pub from_s: f64,
-    /// When it is over.
+    /// End of the period, in seconds after the start of the load.
     pub to_s: f64,
-    /// The rate, as a multiple of the usual one.
+    /// Rate in the period, as a multiple of the rate outside of steps.
     #[serde(default = "defaults::rate_factor", alias = "times")]
     pub rate_factor: f64,
-    /// The fraction of the requests that are costly.
+    /// Fraction of the requests that are costly.
     #[serde(default, alias = "costly")]
     pub costly_fraction: f64,
-    /// The work of a costly request, as a multiple of what it was drawn as.
+    /// Work of a costly request, as a multiple of the work drawn for it.
     #[serde(default = "defaults::costly_factor", alias = "costly_times")]
     pub costly_factor: f64,
 }
--- a/fault-harness/src/scenario/overrides.rs
+++ b/fault-harness/src/scenario/overrides.rs
@@ -1,13 +1,14 @@
-//! Changes single keys of a scenario from outside, as `--set` and sweeps do.
+//! Overrides of single keys of a scenario, as `--set` and sweeps use them.
 
 use toml::{Table, Value};
 
 use super::former_keys;
 use super::ScenarioError;
 
-/// Sets a dotted key of a table; numbers in it are positions in lists.
+/// Sets a dotted key of a table; numbers in the key are positions in lists.
 ///
-/// A key may be given in its present or its former form, whichever the file has: the override replaces the file's value.
+/// Each part of the key may have its present or its former name, whichever of the two the file has: the
+/// override replaces the value in the file.
 pub(super) fn set(table: &mut Table, key: &str, value: &str) -> Result<(), ScenarioError> {
     let (path, last) = key.rsplit_once('.').map_or((None, key), |(path, last)| (Some(path), last));
     let mut root = Value::Table(std::mem::take(table));
@@ -27,7 +28,7 @@
     Ok(())
 }
 
-/// The value within this one that a word of a key names; a table that is missing is added.
+/// Returns the value within `place` that one part of a key names. A missing table is added.
 fn descend<'a>(
     place: &'a mut Value,
     parent: Option<&str>,
@@ -48,7 +49,7 @@
     }
 }
 
-/// A value in TOML, or the text itself where it is none.
+/// Parses a TOML value; a text that is not valid TOML becomes a string.
 fn parse(text: &str) -> Value {
     let parsed = format!("value = {text}").parse::<Table>().ok();
     let value = parsed.and_then(|mut table| table.remove("value"));
--- a/fault-harness/src/scenario/rules.rs
+++ b/fault-harness/src/scenario/rules.rs
@@ -1,29 +1,29 @@
-//! The `[rules]` table: what the checker holds the fleet to.
+//! The `[rules]` table: parameters of the rules that the checker applies.
 
 use serde::{Deserialize, Serialize};
 
-/// Within what an idempotency key may run once.
+/// The scope within which an idempotency key may run only once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RunScope {
-    /// Each node.
+    /// Once on each node.
     #[default]
     Node,
-    /// The whole fleet.
+    /// Once in the whole fleet.
     Fleet,
 }
 
-/// How long after its deadline an answer still counts, unless a scenario says otherwise.
+/// Default time after its deadline at which an answer still counts, in milliseconds.
 const DEFAULT_SLACK_MS: f64 = 150.0;
 
-/// What the checker holds the fleet to.
+/// Parameters of the rules that the checker applies.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rules {
-    /// Within what an idempotency key may run once.
+    /// The scope within which an idempotency key may run only once.
     #[serde(alias = "once")]
     pub run_once_per: RunScope,
-    /// An answer still counts that comes so long after its deadline.
+    /// Time after its deadline at which an answer still counts, in milliseconds.
     pub slack_ms: f64,
 }
 
--- a/fault-harness/src/scenario/services.rs
+++ b/fault-harness/src/scenario/services.rs
@@ -1,33 +1,34 @@
-//! The tables of everything around the nodes: `[frontends]`, `[dependency]`, which all nodes share, and `[registry]`.
+//! The tables of the services around the nodes: `[frontends]`, `[dependency]`, which all nodes share, and
+//! `[registry]`.
 
 use serde::Deserialize;
 
 use super::defaults;
 
-/// How many frontends there are, unless a scenario says otherwise.
+/// Default number of frontends.
 const DEFAULT_FRONTENDS: usize = 4;
-/// Their mean wait between two attempts, in milliseconds.
+/// Default mean delay between two attempts of a frontend, in milliseconds.
 const DEFAULT_BACKOFF_MS: f64 = 50.0;
-/// The fraction of them that honours Retry-After.
+/// Default fraction of frontends that honour Retry-After.
 const DEFAULT_RETRY_AFTER_HONOURED: f64 = 0.6;
-/// How late they see a change of the registry, in milliseconds: between these.
+/// Default range of the delay after which frontends see a change of the registry, in milliseconds.
 const DEFAULT_REGISTRY_DELAY_MS: [f64; 2] = [500.0, 1500.0];
-/// After how many seconds they close an idle connection.
+/// Default time after which frontends close an idle connection, in seconds.
 const DEFAULT_IDLE_TIMEOUT_S: f64 = 10.0;
-/// After how many seconds without a heartbeat the registry drops a node.
+/// Default time without a heartbeat after which the registry drops a node, in seconds.
 const DEFAULT_HEARTBEAT_TIMEOUT_S: f64 = 3.0;
 
-/// How a frontend picks a node.
+/// The policy by which a frontend picks a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LoadBalancing {
-    /// The next one on its list.
+    /// The next node on the frontend's list.
     #[serde(alias = "round")]
     RoundRobin,
-    /// The one with the fewest open requests of this frontend.
+    /// The node with the fewest open requests of this frontend.
     #[serde(alias = "least")]
     LeastRequests,
-    /// Any one, at random.
+    /// A random node.
     #[serde(alias = "chance")]
     Random,
 }
@@ -36,27 +37,28 @@
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Frontends {
-    /// How many.
+    /// Number of frontends, from 1 to 64.
     pub count: usize,
-    /// How they pick a node; frontends take turns in this list.
+    /// Load balancing policies, assigned to the frontends in turn.
     #[serde(alias = "choose")]
     pub load_balancing: Vec<LoadBalancing>,
-    /// How often one retries after a rejection or a failure; -1 means no limit but the deadline.
+    /// How often a frontend retries after a rejection or a failure; -1 means until the deadline.
     pub retries: i64,
-    /// The mean wait between two attempts, in milliseconds.
+    /// Mean delay between two attempts, in milliseconds.
     pub backoff_ms: f64,
-    /// After a rejection it tries the next node on its list at once.
+    /// Whether a frontend tries the next node on its list immediately after a rejection.
     #[serde(alias = "walk")]
     pub try_next_node: bool,
-    /// The fraction of frontends that honour Retry-After, and the wish that no other node be tried.
+    /// Fraction of frontends that honour Retry-After and the hint not to try another node.
     #[serde(alias = "heed")]
     pub retry_after_honoured: f64,
-    /// How often a client retries by itself, with the same key, unmarked.
+    /// How often a client itself retries, with the same key and not marked as a retry.
     pub client_retries: u32,
-    /// How late they see a change of the registry: between these, drawn for each frontend.
+    /// Range of the delay after which a frontend sees a change of the registry, in milliseconds; drawn for
+    /// each frontend.
     #[serde(alias = "list_late_ms")]
     pub registry_delay_ms: [f64; 2],
-    /// They close connections that are idle for this long.
+    /// Time after which frontends close an idle connection, in seconds.
     #[serde(alias = "idle_s")]
     pub idle_timeout_s: f64,
 }
@@ -77,18 +79,18 @@
     }
 }
 
-/// The dependency that all nodes share.
+/// The simulated dependency, which all nodes share.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Dependency {
-    /// Calls that it works on at a time.
+    /// Number of calls that it processes concurrently.
     pub slots: usize,
-    /// Mean time of one.
+    /// Mean duration of a call, in milliseconds.
     pub work_ms: f64,
-    /// How far that is spread.
+    /// Coefficient of variation of the duration.
     #[serde(default = "defaults::variation")]
     pub cv: f64,
-    /// Calls that may be queued; more are rejected.
+    /// Maximum number of queued calls; more are rejected.
     #[serde(default)]
     pub queue: usize,
 }
@@ -97,7 +99,7 @@
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Registry {
-    /// A node is taken off the list so long after its last heartbeat.
+    /// Time after its last heartbeat at which a node is dropped from the list, in seconds.
     #[serde(alias = "lapse_s")]
     pub heartbeat_timeout_s: f64,
 }
--- a/fault-harness/src/scenario/validation.rs
+++ b/fault-harness/src/scenario/validation.rs
@@ -1,4 +1,5 @@
-//! Checks a scenario whole before anything starts: a function for each table, an error for each mistake.
+//! Validation of a scenario before anything is started, with a function for each table. All mistakes are
+//! reported, not only the first.
 
 mod fault;
 mod findings;
@@ -7,33 +8,35 @@
 use fault::FaultCheck;
 use findings::Findings;
 
-/// Requests that one scenario may ask for. Guards the memory, where the whole history stays until the end.
+/// Maximum number of requests of a scenario. It bounds memory usage, because the whole history is kept in
+/// memory until the end.
 const MAX_REQUESTS: f64 = 300_000.0;
-/// Nodes that one machine can hold.
+/// Maximum number of nodes, since all of them run on one machine.
 const MAX_NODES: usize = 64;
-/// Frontends that one machine can hold.
+/// Maximum number of frontends, since all of them run on one machine.
 const MAX_FRONTENDS: usize = 64;
-/// Cores that an interpreter may have.
+/// Maximum number of cores of an interpreter.
 const MAX_CORES: u32 = 64;
-/// Replicas that a key may have.
+/// Maximum number of replicas of a key.
 const MAX_REPLICAS: usize = 9;
-/// The longest scenario, in seconds.
+/// Maximum duration of a scenario, in seconds.
 const MAX_SECONDS: f64 = 7200.0;
-/// The fewest descriptors that the program gets along with.
+/// Minimum limit of descriptors with which the program can run.
 const MIN_SOCKETS: u64 = 32;
-/// The shortest interval between two advertisements of a virtual router, in milliseconds.
+/// Minimum interval between two advertisements of a virtual router, in milliseconds.
 const MIN_VRRP_INTERVAL_MS: u64 = 10;
-/// The shortest time between two probes, in milliseconds.
+/// Minimum interval between two probes, in milliseconds.
 const MIN_PROBE_MS: u64 = 50;
 
-/// All mistakes of a scenario whose keys and types are right.
+/// Returns all mistakes of a scenario that was deserialized without an error.
 pub(super) fn validate(scenario: &Scenario) -> Vec<ScenarioError> {
     let mut findings = Findings::default();
     let seconds = scenario.seconds;
-    findings.require(seconds > 0.0 && seconds <= MAX_SECONDS, "seconds", seconds, "above 0 and at most 7200");
+    let requirement = "above 0 and at most 7200";
+    findings.require(seconds > 0.0 && seconds <= MAX_SECONDS, "seconds", seconds, requirement);
     check_fleet(&scenario.fleet, &mut findings);
     check_node_references(scenario, &mut findings);
-    findings.require_consistent(!scenario.classes.is_empty(), "class", "at least one");
+    findings.require_consistent(!scenario.classes.is_empty(), "class", "at least one [[class]] is required");
     for (position, class) in scenario.classes.iter().enumerate() {
         check_class(scenario, position, class, &mut findings);
     }
@@ -49,10 +52,10 @@
 }
 
 fn check_fleet(fleet: &Fleet, findings: &mut Findings) {
-    findings.require((1..=MAX_NODES).contains(&fleet.nodes), "fleet.nodes", fleet.nodes, "1 to 64");
-    findings.require_consistent(!fleet.zones.is_empty(), "fleet.zones", "at least one");
+    findings.require((1..=MAX_NODES).contains(&fleet.nodes), "fleet.nodes", fleet.nodes, "from 1 to 64");
+    findings.require_consistent(!fleet.zones.is_empty(), "fleet.zones", "at least one zone is required");
     check_interpreter(fleet, findings);
-    findings.require(fleet.sockets >= MIN_SOCKETS, "fleet.sockets", fleet.sockets, "32 at least");
+    findings.require(fleet.sockets >= MIN_SOCKETS, "fleet.sockets", fleet.sockets, "32 or more");
     if let Some(vrrp) = &fleet.vrrp {
         let interval = vrrp.interval_ms;
         findings.require(interval >= MIN_VRRP_INTERVAL_MS, "fleet.vrrp.interval_ms", interval, "10 or more");
@@ -63,7 +66,7 @@
 }
 
 fn check_interpreter(fleet: &Fleet, findings: &mut Findings) {
-    findings.require((1..=MAX_CORES).contains(&fleet.cores), "fleet.cores", fleet.cores, "1 to 64");
+    findings.require((1..=MAX_CORES).contains(&fleet.cores), "fleet.cores", fleet.cores, "from 1 to 64");
     let [slowest, fastest] = fleet.speed;
     let is_speed = slowest > 0.0 && slowest <= fastest;
     let speeds = format!("{:?}", fleet.speed);
@@ -80,18 +83,13 @@
 
 fn check_replication(replication: &Replication, nodes: usize, findings: &mut Findings) {
     let Replication { replicas, probe_ms, joining_nodes, .. } = *replication;
-    findings.require((1..=MAX_REPLICAS).contains(&replicas), "fleet.peers.replicas", replicas, "1 to 9");
+    findings.require((1..=MAX_REPLICAS).contains(&replicas), "fleet.peers.replicas", replicas, "from 1 to 9");
     findings.require(probe_ms >= MIN_PROBE_MS, "fleet.peers.probe_ms", probe_ms, "50 or more");
     let leaves_members = joining_nodes < nodes;
-    findings.require(
-        leaves_members,
-        "fleet.peers.joining_nodes",
-        joining_nodes,
-        "fewer than there are nodes",
-    );
+    findings.require(leaves_members, "fleet.peers.joining_nodes", joining_nodes, "less than fleet.nodes");
 }
 
-/// The nodes that `fleet.programs` and `fleet.clocks` name.
+/// Checks that the nodes in `fleet.programs` and `fleet.clocks` exist.
 fn check_node_references(scenario: &Scenario, findings: &mut Findings) {
     let node_names = scenario.node_names();
     for (program, nodes) in &scenario.fleet.programs {
@@ -113,21 +111,23 @@
     findings.require(class.cv >= 0.0, &key("cv"), class.cv, "0 or more");
     let objective = class.latency_objective_ms;
     let is_objective = objective > 0 && objective <= class.deadline_ms;
-    let requirement = "above 0 and at most the deadline";
+    let requirement = "above 0 and at most deadline_ms";
     findings.require(is_objective, &key("latency_objective_ms"), objective, requirement);
     let window = class.idempotency_window_ms;
     let has_window = !class.idempotency_key || window > 0;
     let requirement = "above 0 in a class with idempotency keys";
     findings.require(has_window, &key("idempotency_window_ms"), window, requirement);
     let has_dependency = !class.calls_dependency || scenario.dependency.is_some();
-    findings.require_consistent(has_dependency, &key("calls_dependency"), "there is no [dependency]");
+    let requirement = "the scenario has no [dependency] to call";
+    findings.require_consistent(has_dependency, &key("calls_dependency"), requirement);
     findings.require_fraction(&key("late_weight"), class.late_weight);
 }
 
-/// The rate of requests, which follows from `[load]`, `[fleet]` and the classes together.
+/// Checks the rate of requests, which depends on `[load]`, `[fleet]` and the classes.
 fn check_rate(scenario: &Scenario, findings: &mut Findings) {
     let load = &scenario.load;
-    findings.require_consistent(load.rate.is_some() != load.load.is_some(), "load", "either rate or load");
+    let has_one_rate = load.rate.is_some() != load.load.is_some();
+    findings.require_consistent(has_one_rate, "load", "exactly one of rate and load is required");
     let rate = scenario.rate();
     findings.require(rate > 0.0 && rate.is_finite(), "load.rate", rate, "above 0");
     let highest_factor = load.steps.iter().map(|step| step.rate_factor).fold(1.0, f64::max);
@@ -141,7 +141,7 @@
     for (position, step) in load.steps.iter().enumerate() {
         check_step(position, step, findings);
     }
-    findings.require_consistent(!load.tenants.is_empty(), "load.tenants", "at least one");
+    findings.require_consistent(!load.tenants.is_empty(), "load.tenants", "at least one tenant is required");
     for (tenant, share) in &load.tenants {
         findings.require(*share > 0.0, &format!("load.tenants.{tenant}"), share, "above 0");
     }
@@ -151,24 +151,24 @@
 
 fn check_step(position: usize, step: &LoadStep, findings: &mut Findings) {
     let key = |name: &str| format!("load.step[{position}].{name}");
-    let is_stretch = step.from_s >= 0.0 && step.from_s < step.to_s;
-    findings.require(is_stretch, &key("from_s"), step.from_s, "0 or more and before to_s");
+    let is_period = step.from_s >= 0.0 && step.from_s < step.to_s;
+    findings.require(is_period, &key("from_s"), step.from_s, "0 or more and less than to_s");
     findings.require(step.rate_factor >= 0.0, &key("rate_factor"), step.rate_factor, "0 or more");
     findings.require_fraction(&key("costly_fraction"), step.costly_fraction);
 }
 
 fn check_frontends(frontends: &Frontends, findings: &mut Findings) {
     let count = frontends.count;
-    findings.require((1..=MAX_FRONTENDS).contains(&count), "frontends.count", count, "1 to 64");
+    findings.require((1..=MAX_FRONTENDS).contains(&count), "frontends.count", count, "from 1 to 64");
     let has_policy = !frontends.load_balancing.is_empty();
-    findings.require_consistent(has_policy, "frontends.load_balancing", "at least one");
+    findings.require_consistent(has_policy, "frontends.load_balancing", "at least one policy is required");
     findings.require_fraction("frontends.retry_after_honoured", frontends.retry_after_honoured);
     findings.require(frontends.retries >= -1, "frontends.retries", frontends.retries, "-1 or more");
     findings.require(frontends.backoff_ms > 0.0, "frontends.backoff_ms", frontends.backoff_ms, "above 0");
     findings.require_interval("frontends.registry_delay_ms", frontends.registry_delay_ms);
 }
 
-/// `[dependency]`, `[rules]` and `[registry]`.
+/// Checks `[dependency]`, `[rules]` and `[registry]`.
 fn check_services(scenario: &Scenario, findings: &mut Findings) {
     if let Some(dependency) = &scenario.dependency {
         findings.require(dependency.slots > 0, "dependency.slots", dependency.slots, "above 0");
--- a/fault-harness/src/scenario/validation/fault.rs
+++ b/fault-harness/src/scenario/validation/fault.rs
@@ -1,11 +1,11 @@
-//! The checks of a `[[fault]]`.
+//! Validation of a `[[fault]]` table.
 
 use std::fmt::Display;
 
 use super::findings::Findings;
 use crate::scenario::{Fault, FaultKind, Scenario, ScenarioError, StoredState, Traffic};
 
-/// The check of one `[[fault]]`.
+/// Validates one `[[fault]]` table.
 pub(super) struct FaultCheck<'a> {
     pub(super) scenario: &'a Scenario,
     pub(super) node_names: &'a [String],
@@ -36,30 +36,35 @@
         self.findings.require_consistent(holds, &self.key(name), requirement);
     }
 
-    /// When it is injected.
+    /// Checks when the fault is injected.
     fn check_time(&mut self) {
         let fault = self.fault;
-        self.require_consistent(fault.at_s.is_some() != fault.when.is_some(), "at_s", "either at_s or when");
+        let has_one_time = fault.at_s.is_some() != fault.when.is_some();
+        self.require_consistent(has_one_time, "at_s", "exactly one of at_s and when is required");
         if let Some(interval) = fault.repeat_every_s {
             self.require(interval >= 1.0, "repeat_every_s", interval, "1 or more");
-            self.require_consistent(fault.at_s.is_some(), "repeat_every_s", "only with at_s");
+            self.require_consistent(
+                fault.at_s.is_some(),
+                "repeat_every_s",
+                "allowed only together with at_s",
+            );
         }
         if let Some(at) = fault.at_s {
             let is_within = at >= 0.0 && at < self.scenario.seconds;
-            self.require(is_within, "at_s", at, "within the scenario's seconds");
+            self.require(is_within, "at_s", at, "0 or more and less than the scenario's seconds");
         }
         if let Some(trigger) = &fault.when {
             self.findings.require_node(self.node_names, &self.key("when.node"), &trigger.node);
         }
     }
 
-    /// What it is injected into, and in how many waves.
+    /// Checks the targets of the fault and the number of waves.
     fn check_targets(&mut self) {
         let fault = self.fault;
         let selectors = [!fault.nodes.is_empty(), fault.zone.is_some(), fault.fraction.is_some()];
         let given = selectors.iter().filter(|is_given| **is_given).count();
         let has_targets = !matches!(fault.what, FaultKind::Dependency | FaultKind::Registry);
-        let requirement = "one of nodes, zone and fraction names its targets";
+        let requirement = "exactly one of nodes, zone and fraction is required";
         self.require_consistent(!has_targets || given == 1, "nodes", requirement);
         for node in &fault.nodes {
             self.findings.require_node(self.node_names, &self.key("nodes"), node);
@@ -72,35 +77,43 @@
             self.findings.require_positive_fraction(&self.key("fraction"), fraction);
         }
         let counts_frontends = fault.what != FaultKind::Frontends || fault.fraction.is_some();
-        self.require_consistent(counts_frontends, "fraction", "of the frontends, for `frontends`");
+        let requirement =
+            "required for a fault of kind frontends, which selects its targets by fraction only";
+        self.require_consistent(counts_frontends, "fraction", requirement);
         self.require(fault.waves >= 1, "waves", fault.waves, "1 or more");
     }
 
-    /// How long it lasts, and what is left of a speed or of slots meanwhile.
+    /// Checks the duration of the fault, and the factor by which it reduces speed or slots.
     fn check_duration(&mut self) {
         let fault = self.fault;
         let only_resets =
             fault.what == FaultKind::Link && fault.traffic == Traffic { reset: true, ..Traffic::default() };
         let has_duration = fault.duration_s.is_some_and(|seconds| seconds > 0.0);
         let is_given = !fault.what.has_duration() || only_resets || has_duration;
-        self.require_consistent(is_given, "duration_s", "above 0: this fault lasts");
+        self.require_consistent(
+            is_given,
+            "duration_s",
+            "a duration above 0 is required for this kind of fault",
+        );
         self.require(fault.factor >= 0.0, "factor", fault.factor, "0 or more");
     }
 
-    /// The links and what happens to their traffic.
+    /// Checks the links of the fault and the disturbance of their traffic.
     fn check_traffic(&mut self) {
         let fault = self.fault;
         if fault.what == FaultKind::Link {
-            self.require_consistent(!fault.between.is_empty(), "between", "says whose traffic suffers");
+            let requirement = "at least one kind of link is required for a link fault";
+            self.require_consistent(!fault.between.is_empty(), "between", requirement);
             let changes_traffic = fault.traffic != Traffic::default();
-            self.require_consistent(changes_traffic, "traffic", "says what happens to it");
+            let requirement = "at least one disturbance is required for a link fault";
+            self.require_consistent(changes_traffic, "traffic", requirement);
         }
         self.findings.require_fraction(&self.key("traffic.loss"), fault.traffic.loss);
         self.findings.require_fraction(&self.key("traffic.duplicate"), fault.traffic.duplicate);
         self.findings.require_fraction(&self.key("traffic.reorder"), fault.traffic.reorder);
     }
 
-    /// What a restarted node finds.
+    /// Checks the clock and the stored state that a restarted node finds.
     fn check_restart(&mut self) {
         if let Some(clock) = &self.fault.clock {
             self.findings.require_clock(&self.key("clock"), clock);
@@ -108,7 +121,7 @@
         let fleet = &self.scenario.fleet;
         let has_folder = fleet.folder || fleet.peers.as_ref().is_some_and(|peers| peers.folder);
         let is_intact = self.fault.folder == StoredState::Intact;
-        let requirement = "neither fleet.folder nor fleet.peers.folder is on";
+        let requirement = "requires fleet.folder or fleet.peers.folder to be true";
         self.require_consistent(is_intact || has_folder, "folder", requirement);
     }
 }
