--- a/fault-harness/src/loopback.rs
+++ b/fault-harness/src/loopback.rs
@@ -1,23 +1,25 @@
-//! Loopback addresses that no other process of the harness or of the tests uses at the same time.
+//! Loopback addresses that no other process of the harness or of the tests uses concurrently.
 //!
-//! Ports that a program is to listen on have to be known before it starts, and a free port of a shared address can be
-//! taken by another process meanwhile. Therefore each process claims a block of 127.0.0.0/8 for itself: it holds a
-//! socket at the block's lock address, so that the system keeps two processes apart and frees the block however the
-//! process ends.
+//! The port that a program will listen on has to be known before the program starts. On a shared address,
+//! another process could take a free port in the meantime. Therefore each process claims a block of
+//! 127.0.0.0/8 for itself by binding a socket to the block's lock address. The operating system refuses a
+//! second bind, and releases the block however the process ends.
 
 use std::io;
 use std::net::{Ipv4Addr, UdpSocket};
 use std::ops::RangeInclusive;
 use std::sync::OnceLock;
 
-/// The second octets of the blocks: far from the addresses near 127.0.0.1 that programs use by default.
+/// The second octets of the blocks. They do not include the addresses near 127.0.0.1, which programs use by
+/// default.
 const BLOCKS: RangeInclusive<u8> = 100..=249;
-/// The third and fourth octet of a block's lock address, which no caller is given.
+/// The third and fourth octet of a block's lock address, which is above [`MAX_NETWORKS`] and so never given
+/// to a caller.
 const LOCK_HOST: [u8; 2] = [255, 254];
-/// The port of the lock: below the ports that the system hands out by itself.
+/// The port of the lock socket, below the range of ephemeral ports.
 const LOCK_PORT: u16 = 4109;
 
-/// The networks of a block that callers may use are numbered below this.
+/// Upper bound, exclusive, of the network numbers that callers may use within a block.
 pub const MAX_NETWORKS: u32 = 250;
 
 /// A block of loopback addresses that belongs to this process until it is dropped.
@@ -32,7 +34,7 @@
     ///
     /// # Errors
     ///
-    /// If all blocks are held, or sockets can't be opened.
+    /// If all blocks are claimed, or the lock socket cannot be opened.
     pub fn claim() -> io::Result<LoopbackBlock> {
         for second_octet in BLOCKS {
             let [third_octet, fourth_octet] = LOCK_HOST;
@@ -43,17 +45,18 @@
                 Err(error) => return Err(error),
             }
         }
-        Err(io::Error::new(io::ErrorKind::AddrInUse, "all blocks of loopback addresses are held"))
+        let message = "every block of loopback addresses is claimed by another process";
+        Err(io::Error::new(io::ErrorKind::AddrInUse, message))
     }
 
-    /// An address of the block. What belongs together, such as the nodes of one play, has one `network`, which is below
-    /// [`MAX_NETWORKS`].
+    /// Returns an address of the block. Addresses that belong together, such as those of the nodes of one
+    /// play, have the same `network`, which has to be below [`MAX_NETWORKS`].
     pub fn address(&self, network: u8, host: u8) -> Ipv4Addr {
         Ipv4Addr::new(127, self.second_octet, network, host)
     }
 }
 
-/// The block of this process, which is claimed at the first call.
+/// Returns the block of this process, which is claimed at the first call and held until the process ends.
 ///
 /// # Errors
 ///
--- a/fault-harness/src/loopback/tests.rs
+++ b/fault-harness/src/loopback/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn two_holders_never_share_a_block_and_a_dropped_block_is_free_again() {
+fn claimed_blocks_are_distinct_and_a_dropped_block_is_released() {
     let first = LoopbackBlock::claim().unwrap();
     let second = LoopbackBlock::claim().unwrap();
     assert_ne!(first.address(0, 1), second.address(0, 1));
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_process_keeps_its_block() {
+fn process_block_is_the_same_at_each_call() {
     let block = process_block().unwrap();
     assert_eq!(block.address(3, 4), process_block().unwrap().address(3, 4));
     TcpListener::bind((block.address(3, 4), 0)).unwrap();
--- a/fault-harness/src/mutant.rs
+++ b/fault-harness/src/mutant.rs
@@ -127,7 +127,7 @@
     open: RefCell<HashMap<String, OpenAttempt>>,
     keys: RefCell<HashMap<String, KeyState>>,
     /// How often the fault could have occurred.
-    occasions: Cell<u64>,
+    opportunities: Cell<u64>,
     previous_result: RefCell<String>,
 }
 
@@ -138,7 +138,7 @@
             commands,
             open: RefCell::default(),
             keys: RefCell::default(),
-            occasions: Cell::new(0),
+            opportunities: Cell::new(0),
             previous_result: RefCell::default(),
         })
     }
@@ -146,10 +146,10 @@
     /// Counts an opportunity for this fault and returns whether the fault occurs this time.
     fn occurs(&self, fault: Fault) -> bool {
         self.fault == fault
-            && self.occasions.replace(self.occasions.get() + 1) % FAULT_PERIOD == FAULT_PERIOD - 1
+            && self.opportunities.replace(self.opportunities.get() + 1) % FAULT_PERIOD == FAULT_PERIOD - 1
     }
 
-    fn request(&self, id: u64, class: &str, params: &Value, answers: &mpsc::Sender<String>) {
+    fn handle_request(&self, id: u64, class: &str, params: &Value, answers: &mpsc::Sender<String>) {
         let text = |key: &str| params[key].as_str().unwrap_or_default().to_string();
         let txn = text("txn");
         let key = params["unique"].as_str().map(String::from);
@@ -161,7 +161,7 @@
             body.push(' ');
         }
         self.open.borrow_mut().insert(txn.clone(), attempt);
-        self.command(format!("APPLY {txn} {class} {}\r\n{body}\r\n", body.len()));
+        self.send_command(format!("APPLY {txn} {class} {}\r\n{body}\r\n", body.len()));
     }
 
     /// Answers an attempt whose key has a result, or queues it if a run of the key is open. Returns the
@@ -183,13 +183,13 @@
         None
     }
 
-    fn command(&self, text: String) {
+    fn send_command(&self, text: String) {
         // A command is dropped if the queue is full. The attempt then stays unanswered, which the checker
         // reports.
         let _ = self.commands.try_send(text);
     }
 
-    fn finished(&self, run: FinishedRun) {
+    fn handle_finished_run(&self, run: FinishedRun) {
         let Some(attempt) = self.open.borrow_mut().remove(&run.txn) else { return };
         let result = Some(&run.result).filter(|_| run.succeeded);
         if let (Some(key), Some(result)) = (&attempt.key, result) {
--- a/fault-harness/src/mutant/connections.rs
+++ b/fault-harness/src/mutant/connections.rs
@@ -71,7 +71,7 @@
             // If the write queue is full because the client does not read, this answer is dropped.
             Some("status") => drop(answers.try_send(response(id, &json!({"result": {"up": true}})))),
             Some("withdraw") | None => {}
-            Some(class) => mutant.request(id, class, &request["params"], &answers),
+            Some(class) => mutant.handle_request(id, class, &request["params"], &answers),
         }
     }
 }
@@ -87,11 +87,11 @@
         match words[..] {
             ["VALUE", _, txn, end, _, length] => {
                 let result = read_body(&mut input, length).await?;
-                mutant.finished(FinishedRun { txn: txn.into(), succeeded: end == "done", result });
+                mutant.handle_finished_run(FinishedRun { txn: txn.into(), succeeded: end == "done", result });
             }
             ["AWAIT", notice, txn, length] => {
                 read_body(&mut input, length).await?;
-                mutant.command(format!("STUB {txn} {notice}\r\n"));
+                mutant.send_command(format!("STUB {txn} {notice}\r\n"));
             }
             _ => {}
         }
--- a/fault-harness/src/node.rs
+++ b/fault-harness/src/node.rs
@@ -157,8 +157,8 @@
     }
 
     /// Copies the state folders, for a later restart with stale state.
-    pub fn keep_copy(&self) {
-        self.state_folders.keep_copy();
+    pub fn copy_state(&self) {
+        self.state_folders.copy_state();
     }
 
     /// Writes a membership configuration for the node, and sends SIGHUP so that a running process reloads it.
--- a/fault-harness/src/node/lifecycle.rs
+++ b/fault-harness/src/node/lifecycle.rs
@@ -74,19 +74,19 @@
         }
         self.interpreter.stop();
         if let Some(exit) = process_exit(ending, status) {
-            self.note_down(exit);
+            self.record_down(exit);
         }
         let Some(planned) = self.planned_restart.borrow_mut().take() else { return };
         let node = self.clone();
         spawn_local(async move {
             node.context.clock.until(node.context.now() + planned.delay).await;
             if let Err(error) = node.restart(&planned) {
-                node.note_down(ProcessExit::Crashed(format!("the node could not be restarted: {error}")));
+                node.record_down(ProcessExit::Crashed(format!("the node could not be restarted: {error}")));
             }
         });
     }
 
-    fn note_down(&self, exit: ProcessExit) {
+    fn record_down(&self, exit: ProcessExit) {
         self.context.note(Event::NodeDown { node: self.index, exit });
     }
 
@@ -129,7 +129,7 @@
         if ending == Ending::Killed {
             // Recorded before any connection of the process is seen to close, so that the history explains
             // the closing.
-            self.note_down(ProcessExit::Killed);
+            self.record_down(ProcessExit::Killed);
             self.address.send_replace(None);
         }
     }
@@ -146,7 +146,7 @@
         spawn_local(async move {
             node.context.clock.until(deadline).await;
             if node.program.borrow().as_ref().is_some_and(|program| program.id() == id) {
-                node.note_down(ProcessExit::ShutdownTimedOut);
+                node.record_down(ProcessExit::ShutdownTimedOut);
                 node.end(Ending::Killed);
             }
         });
--- a/fault-harness/src/node/services.rs
+++ b/fault-harness/src/node/services.rs
@@ -58,11 +58,15 @@
         self.service_addresses.set(Some(addresses));
         let (interpreter_sender, mut interpreter_links) = mpsc::channel(SERVICE_QUEUE);
         let (dependency_sender, mut dependency_links) = mpsc::channel(SERVICE_QUEUE);
-        let (report_sender, mut reports) = mpsc::channel(SERVICE_QUEUE);
-        let report_socket = Rc::new(listeners.registry);
+        let (heartbeat_sender, mut heartbeats) = mpsc::channel(SERVICE_QUEUE);
+        let heartbeat_socket = Rc::new(listeners.registry);
         spawn_local(self.relays.interpreter.clone().accept(listeners.interpreter, interpreter_sender));
         spawn_local(self.relays.dependency.clone().accept(listeners.dependency, dependency_sender));
-        spawn_local(self.relays.registry.clone().datagrams(report_socket, Direction::From, report_sender));
+        spawn_local(self.relays.registry.clone().datagrams(
+            heartbeat_socket,
+            Direction::From,
+            heartbeat_sender,
+        ));
         loop {
             tokio::select! {
                 Some(link) = interpreter_links.recv() => {
@@ -73,7 +77,7 @@
                         spawn_local(dependency.clone().serve(self.index, self.interpreter.clone(), link));
                     }
                 }
-                Some(report) = reports.recv() => self.on_report(&report, &registry),
+                Some(heartbeat) = heartbeats.recv() => self.on_heartbeat_datagram(&heartbeat, &registry),
                 else => return,
             }
         }
@@ -81,8 +85,8 @@
 
     /// Passes a heartbeat on to the registry. A datagram that is not a heartbeat of this node is recorded as
     /// corrupted.
-    fn on_report(&self, report: &[u8], registry: &RefCell<Registry>) {
-        let text = String::from_utf8_lossy(report);
+    fn on_heartbeat_datagram(&self, heartbeat: &[u8], registry: &RefCell<Registry>) {
+        let text = String::from_utf8_lossy(heartbeat);
         let words: Vec<&str> = text.split(' ').collect();
         let is_up = match words[..] {
             ["HB", name, "UP"] if name == self.name() => true,
--- a/fault-harness/src/node/state_folders.rs
+++ b/fault-harness/src/node/state_folders.rs
@@ -43,7 +43,7 @@
     }
 
     /// Copies both folders, for a later restart with stale state.
-    pub(super) fn keep_copy(&self) {
+    pub(super) fn copy_state(&self) {
         for name in [RESULTS, VOTES] {
             let copy = self.copy_of(name);
             // If copying fails, the restart that restores the copy reports the error or lacks the file.
@@ -64,7 +64,7 @@
                     remove_files(&folder)?;
                     copy_files(&self.copy_of(name), &folder)?;
                 }
-                StoredState::Truncated => cut_newest(&folder, draw)?,
+                StoredState::Truncated => truncate_newest(&folder, draw)?,
             }
         }
         Ok(())
@@ -94,7 +94,7 @@
 }
 
 /// Truncates the newest record file at a byte that `draw` selects.
-fn cut_newest(folder: &Path, draw: u64) -> io::Result<()> {
+fn truncate_newest(folder: &Path, draw: u64) -> io::Result<()> {
     let is_record = |path: &PathBuf| path.extension().is_some_and(|extension| extension == RECORDS_EXTENSION);
     let Some(path) = files(folder)?.into_iter().rfind(is_record) else { return Ok(()) };
     let length = std::fs::metadata(&path)?.len();
--- a/fault-harness/src/play.rs
+++ b/fault-harness/src/play.rs
@@ -73,7 +73,7 @@
     let context = &testbed.context;
     context.load_start.set(context.now() + PAUSE_BEFORE_LOAD);
     for node in &testbed.nodes {
-        node.keep_copy();
+        node.copy_state();
     }
     start_tasks(&testbed, options);
     testbed.arm();
@@ -97,7 +97,7 @@
     for node in &testbed.nodes {
         node.begin().await?;
     }
-    testbed.ready().await
+    testbed.wait_until_ready().await
 }
 
 /// Starts the tasks that run until the end of the play.
--- a/fault-harness/src/play/disturbance.rs
+++ b/fault-harness/src/play/disturbance.rs
@@ -144,8 +144,8 @@
         let zones = &self.context.scenario.fleet.zones;
         for (frontend, relay) in node.relays.frontends.iter().enumerate() {
             let zone = &zones[self.context.schedule.frontends[frontend].zone];
-            let is_cut_off_too = injection.fault.zone.as_ref() == Some(zone);
-            if injection.fault.what != FaultKind::Partition || !is_cut_off_too {
+            let is_in_partition = injection.fault.zone.as_ref() == Some(zone);
+            if injection.fault.what != FaultKind::Partition || !is_in_partition {
                 let link = FrontendLink { node: index, frontend };
                 disturbed.services.push(ServiceRelay { relay: relay.clone(), frontend: Some(link) });
             }
@@ -163,8 +163,8 @@
         let names = self.context.scenario.node_names();
         let with = &injection.fault.with;
         for relays in &*node.peer_relays.borrow() {
-            let is_meant = with.is_empty() || with.contains(&names[relays.peer]);
-            if is_meant && !are_cut_off_together(injection, relays.peer) {
+            let is_selected = with.is_empty() || with.contains(&names[relays.peer]);
+            if is_selected && !are_on_same_side(injection, relays.peer) {
                 disturbed.add_peer(&relays.outgoing, directions);
                 disturbed.add_peer(&relays.incoming, opposite(directions));
             }
@@ -180,7 +180,7 @@
     disturbed: &mut DisturbedRelays,
 ) {
     for relays in &*node.router_relays.borrow() {
-        if are_cut_off_together(injection, relays.peer) {
+        if are_on_same_side(injection, relays.peer) {
             continue;
         }
         if directions != Directions::From {
@@ -194,7 +194,7 @@
 
 /// Whether another node is on the same side of the partition as the targets, so that they still reach each
 /// other.
-fn are_cut_off_together(injection: &Injection, other: usize) -> bool {
+fn are_on_same_side(injection: &Injection, other: usize) -> bool {
     injection.fault.what == FaultKind::Partition && injection.targets.contains(&other)
 }
 
--- a/fault-harness/src/play/faults.rs
+++ b/fault-harness/src/play/faults.rs
@@ -85,7 +85,7 @@
             FaultKind::Slow => self.slow_down(injection, until),
             FaultKind::Partition => self.partition(injection, until),
             FaultKind::Link => self.disturb_links(injection, until),
-            FaultKind::Dependency => self.weaken_dependency(fault.factor, until),
+            FaultKind::Dependency => self.reduce_dependency_capacity(fault.factor, until),
             FaultKind::Registry => self.interrupt_registry(until),
             FaultKind::Frontends => self.restart_frontends(injection),
             FaultKind::RemoveMembers => self.remove_from_membership(&injection.targets),
@@ -123,7 +123,7 @@
         self.disturb(injection, &LinkFault { links: between, directions: *direction, traffic, until });
     }
 
-    fn weaken_dependency(&self, factor: f64, until: Ms) {
+    fn reduce_dependency_capacity(&self, factor: f64, until: Ms) {
         let Some(dependency) = self.dependency.clone() else { return };
         dependency.set_capacity_factor(factor);
         let clock = self.context.clock;
@@ -145,8 +145,8 @@
     }
 
     fn restart_frontends(&self, injection: &Injection) {
-        let struck = injection.targets.iter().filter_map(|position| self.frontends.get(*position));
-        struck.for_each(|frontend| frontend.restart());
+        let targets = injection.targets.iter().filter_map(|position| self.frontends.get(*position));
+        targets.for_each(|frontend| frontend.restart());
     }
 
     fn remove_from_membership(&self, nodes: &[usize]) {
--- a/fault-harness/src/play/testbed.rs
+++ b/fault-harness/src/play/testbed.rs
@@ -84,7 +84,7 @@
 
     /// Waits until every node is healthy, can vote if it replicates, and is on the registry list of every
     /// frontend.
-    pub(super) async fn ready(&self) -> Result<(), PlayError> {
+    pub(super) async fn wait_until_ready(&self) -> Result<(), PlayError> {
         let timeout = self.ready_timeout();
         let deadline = self.context.now() + timeout;
         loop {
--- a/fault-harness/src/program_log/tests.rs
+++ b/fault-harness/src/program_log/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn lines_of_this_release_and_of_earlier_ones_mean_the_same() {
+fn log_lines_of_present_and_earlier_releases_are_parsed_alike() {
     let address: SocketAddr = "127.0.0.1:4100".parse().unwrap();
     for line in [
         "1796190601.221 frontend: listening: protocol=JSON-RPC address=127.0.0.1:4100",
--- a/fault-harness/src/settings.rs
+++ b/fault-harness/src/settings.rs
@@ -1,4 +1,4 @@
-//! The files that a node of a scenario is started with. Their keys are the program's own.
+//! The configuration files of a node in a scenario. Their keys are those that the node program reads.
 
 use std::fmt::Write as _;
 use std::net::SocketAddr;
@@ -10,43 +10,43 @@
 use crate::model::{ms_of_seconds, MS_PER_SECOND};
 use crate::scenario::{Class, Scenario};
 
-/// What arrives later than this after the shutdown notice is not run.
+/// Time after the shutdown notice from which on a node does not run newly received requests, in milliseconds.
 pub const DRAIN_GRACE_MS: f64 = 2000.0;
-/// The longest Retry-After.
+/// Maximum Retry-After, in milliseconds.
 const MAX_RETRY_AFTER_MS: u64 = 1000;
-/// Microseconds in a millisecond; the settings have microseconds.
+/// Microseconds in a millisecond; times in the settings are in microseconds.
 const US_PER_MS: u64 = 1000;
-/// The settings' time between two decisions of the policy, in microseconds.
+/// Interval between two decisions of the policy, in microseconds.
 const TICK_US: u64 = 4000;
-/// The weight of a request beyond its tenant's quota, as a fraction.
+/// Fraction of its weight that a request beyond its tenant's quota has.
 const OVER_QUOTA_FRACTION: f64 = 0.1;
-/// Memory that the interpreter takes for each request beside its own, in KB.
+/// Memory that the interpreter takes for each request in addition to the request's own memory, in KB.
 const ENTRY_KB: f64 = 1.0;
-/// A node's folder takes so much at the most, and its replica table as much memory.
+/// Maximum size of the files in a node's folder, and maximum memory of its replica table, in MB.
 const STORE_MB: u64 = 16;
-/// A node accepts so many links for each node of the fleet.
+/// Maximum number of links that a node accepts, per node of the fleet.
 const LINKS_PER_NODE: usize = 2;
-/// A node accepts so many links at least.
+/// Lower bound of the maximum number of links that a node accepts.
 const MIN_LINKS: usize = 4;
-/// Replicas keep a key for so long after the longest window.
+/// Time that replicas keep a key beyond the longest idempotency window or deadline, in milliseconds.
 const WINDOW_MARGIN_MS: u64 = 1000;
-/// The number of the virtual router that all nodes are.
+/// The id (VRID) of the virtual router that the nodes form.
 const VIRTUAL_ROUTER_ID: u8 = 51;
-/// The priority of the first node; each of the others has one less than the one before.
+/// The VRRP priority of the first node; each further node has a priority lower by 1.
 const HIGHEST_PRIORITY: usize = 200;
 
-/// Where a node reaches the services around it.
+/// The addresses at which a node reaches its simulated services.
 #[derive(Debug, Clone, Copy)]
 pub struct ServiceAddresses {
-    /// The interpreter.
+    /// Address of its interpreter.
     pub interpreter: SocketAddr,
-    /// The dependency.
+    /// Address of the dependency.
     pub dependency: SocketAddr,
-    /// The registry.
+    /// Address of the registry.
     pub registry: SocketAddr,
 }
 
-/// The platform's configuration of a node.
+/// Content of `config.json`, the configuration that the platform gives to a node.
 pub fn config(scenario: &Scenario, name: &str, seed: u64, services: &ServiceAddresses) -> String {
     let mut config = json!({
         "name": name, "listen": "127.0.0.1:0", "vm": services.interpreter, "members": services.registry,
@@ -73,7 +73,7 @@
     })
 }
 
-/// The settings of a class.
+/// The settings of a class of requests.
 fn service(class: &Class) -> Value {
     json!({
         "name": class.name, "slo": class.latency_objective_ms * US_PER_MS,
@@ -84,7 +84,7 @@
     })
 }
 
-/// The settings of the interpreter and of what it calls.
+/// The settings of the interpreter, its callers and the dependency.
 fn specifics(scenario: &Scenario) -> Value {
     let fleet = &scenario.fleet;
     let by_class =
@@ -101,7 +101,7 @@
     })
 }
 
-/// The quota of each tenant: its share of what the fleet can serve when warm.
+/// The quota of each tenant: its share of the rate that the fleet can serve when warm.
 fn tenants(scenario: &Scenario) -> Vec<Value> {
     let shares: f64 = scenario.load.tenants.values().sum();
     let rate = scenario.capacity() * MS_PER_SECOND / scenario.mean_work();
@@ -113,7 +113,8 @@
     (ms * US_PER_MS as f64) as u64
 }
 
-/// The file that makes a node one of a virtual router: where it listens, and where it reaches each of the others.
+/// Content of `uwsgi.toml`, which makes a node a member of the virtual router. `listen` is the address for
+/// its datagrams, `peers` are the addresses at which it reaches the other nodes.
 pub fn router(position: usize, interval_ms: u64, listen: SocketAddr, peers: &[SocketAddr]) -> String {
     let peers: Vec<String> = peers.iter().map(|peer| format!("'{peer}'")).collect();
     format!(
@@ -124,22 +125,22 @@
     )
 }
 
-/// The file that makes a node's keys and results outlast its process.
+/// Content of `remembered.toml`, which makes a node store its keys and results in a folder.
 pub fn result_store(folder: &Path) -> String {
     format!("folder = '{}'\nfile_mb = {STORE_MB}\n", folder.display())
 }
 
-/// Where peers of a node connect, and where it reaches each node of a fleet, itself among them.
+/// The addresses of the replication connections of a node.
 #[derive(Debug, Clone)]
 pub struct PeerAddresses {
-    /// Where its peers connect.
+    /// The address on which the node listens for its peers.
     pub listen: SocketAddr,
-    /// Where it reaches each node, by position.
+    /// The address at which it reaches each node of the fleet, itself included, by position.
     pub dial: Vec<SocketAddr>,
 }
 
-/// The file that makes a node one of a fleet that replicates; `members` are the nodes of the membership configuration of
-/// this version, by position.
+/// Content of `fleet.toml`, which makes a node replicate. `members` are the positions of the nodes in the
+/// membership configuration with this version.
 pub fn fleet(
     scenario: &Scenario,
     position: usize,
@@ -151,8 +152,8 @@
     let Some(replication) = &scenario.fleet.peers else { return String::new() };
     let names = scenario.node_names();
     let links = (LINKS_PER_NODE * names.len()).max(MIN_LINKS);
-    let keep_keys = |class: &Class| class.idempotency_window_ms.max(class.deadline_ms);
-    let window = scenario.classes.iter().map(keep_keys).max().unwrap_or(0) + WINDOW_MARGIN_MS;
+    let retention_ms = |class: &Class| class.idempotency_window_ms.max(class.deadline_ms);
+    let window = scenario.classes.iter().map(retention_ms).max().unwrap_or(0) + WINDOW_MARGIN_MS;
     let mut text = format!(
         "name = '{}'\nlisten = '{}'\nmemory_mb = {STORE_MB}\nlinks = {links}\nprobe_ms = {}\n",
         names[position], addresses.listen, replication.probe_ms
@@ -160,7 +161,7 @@
     if replication.folder {
         text += &result_store(folder);
     }
-    // Writing to memory does not fail.
+    // Writing to a `String` cannot fail.
     let _ =
         write!(text, "[list]\nnumber = {version}\ncopies = {}\nwindow_ms = {window}\n", replication.replicas);
     for member in members {
--- a/fault-harness/tests/old_form.rs
+++ b/fault-harness/tests/old_form.rs
@@ -1,5 +1,6 @@
-//! Scenarios and histories in their first form are still read, and mean what they meant. The files in
-//! `fixtures/old-form` were written for, or by, a build that knew no other form; the figures are that build's.
+//! Backward compatibility: scenarios and histories in the old form, with the former names of keys, are still
+//! read with the same meaning. The files in `fixtures/old-form` were written for or by a build that knew only
+//! that form; the expected figures are those of that build.
 
 use std::path::{Path, PathBuf};
 
@@ -9,7 +10,7 @@
 use oakwind_fault_harness::scenario::Scenario;
 use oakwind_fault_harness::statistics::{statistics, Statistics};
 
-fn fixture(name: &str) -> PathBuf {
+fn old_form(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/old-form").join(name)
 }
 
@@ -17,35 +18,35 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/present-form").join(name)
 }
 
-fn history(name: &str) -> History {
-    History::read(&fixture(name)).unwrap()
+fn old_history(name: &str) -> History {
+    History::read(&old_form(name)).unwrap()
 }
 
-/// How often each rule is broken.
+/// The number of violations of each rule that is broken.
 fn counts(verdict: &Verdict) -> Vec<(Rule, usize)> {
     verdict.by_rule().into_iter().collect()
 }
 
-/// The fractions of requests served in time, served late, rejected and failed.
+/// The fractions of requests that were served in time, served after the objective, rejected, and failed.
 fn fractions(figures: &Statistics) -> [f64; 4] {
     let outcomes = figures.outcomes;
     [outcomes.in_time, outcomes.after_objective, outcomes.rejected, outcomes.failed]
 }
 
-/// Connections a second: in the mean, at most, and at most with one node.
+/// New connections per second: the mean, the busiest second, and the busiest second of a single node.
 fn connection_rates(figures: &Statistics) -> [f64; 3] {
     let connections = figures.connections;
     [connections.mean, connections.busiest_second, connections.busiest_node]
 }
 
-/// The most memory in KB and the most descriptors.
+/// The peak memory in KB and the peak number of descriptors.
 fn peak_use(figures: &Statistics) -> [u64; 2] {
     [figures.peak_use.memory_kb, figures.peak_use.descriptors]
 }
 
 #[test]
-fn a_scenario_in_the_old_form_is_read_with_every_key() {
-    let scenario = Scenario::read(&fixture("scenario.toml"), &[]).unwrap();
+fn old_scenario_is_read_with_every_key() {
+    let scenario = Scenario::read(&old_form("scenario.toml"), &[]).unwrap();
     assert_eq!(scenario.faults.len(), 17);
     let figures = statistics(&predict(&scenario, None));
     assert_eq!((figures.requests, figures.served, figures.p99_ms), (9235, 0.984_345_823_122_170_9, 451.839));
@@ -53,13 +54,13 @@
 }
 
 #[test]
-fn a_scenario_means_the_same_in_both_forms() {
-    let old = Scenario::read(&fixture("scenario.toml"), &[]).unwrap();
+fn scenario_is_equal_in_both_forms() {
+    let old = Scenario::read(&old_form("scenario.toml"), &[]).unwrap();
     let present = Scenario::read(&present_form("scenario.toml"), &[]).unwrap();
     assert_eq!(old, present);
 }
 
-/// A key in its old and its present form, and a value that the fixtures do not have.
+/// Keys with their old and their present names, and a value that differs from the one in the fixtures.
 const OVERRIDES: [(&str, &str, &str); 14] = [
     ("about", "description", "'other'"),
     ("fleet.peers.copies", "fleet.peers.replicas", "3"),
@@ -78,18 +79,18 @@
 ];
 
 #[test]
-fn an_override_in_either_form_replaces_the_value_of_a_file_in_either_form() {
+fn override_in_either_form_replaces_the_value_in_a_file_of_either_form() {
     for (old_key, present_key, value) in OVERRIDES {
         let read = |path: &Path, key: &str| Scenario::read(path, &[(key.into(), value.into())]).unwrap();
         let expected = read(&present_form("scenario.toml"), present_key);
         assert_ne!(expected, Scenario::read(&present_form("scenario.toml"), &[]).unwrap(), "{present_key}");
         assert_eq!(read(&present_form("scenario.toml"), old_key), expected, "{old_key}");
-        assert_eq!(read(&fixture("scenario.toml"), old_key), expected, "{old_key} in an old file");
-        assert_eq!(read(&fixture("scenario.toml"), present_key), expected, "{present_key} in an old file");
+        assert_eq!(read(&old_form("scenario.toml"), old_key), expected, "{old_key} in an old file");
+        assert_eq!(read(&old_form("scenario.toml"), present_key), expected, "{present_key} in an old file");
     }
 }
 
-/// Every key of a table that holds no other keys, as a dotted path, with its value.
+/// Collects every key whose value is not a table or a list of tables, as a dotted path with its value.
 fn leaves(prefix: &str, value: &toml::Value, found: &mut Vec<(String, String)>) {
     let path = |key: &str| if prefix.is_empty() { key.to_string() } else { format!("{prefix}.{key}") };
     match value {
@@ -103,8 +104,8 @@
 }
 
 #[test]
-fn every_key_of_a_file_in_one_form_can_be_set_in_a_file_of_the_other() {
-    let files = [fixture("scenario.toml"), present_form("scenario.toml")];
+fn every_key_of_a_file_in_one_form_overrides_a_file_in_the_other() {
+    let files = [old_form("scenario.toml"), present_form("scenario.toml")];
     let expected = Scenario::read(&files[0], &[]).unwrap();
     for (keys_of, file) in [(&files[0], &files[1]), (&files[1], &files[0])] {
         let table: toml::Table = std::fs::read_to_string(keys_of).unwrap().parse().unwrap();
@@ -119,22 +120,22 @@
 }
 
 #[test]
-fn of_two_overrides_in_two_forms_the_later_one_counts() {
+fn last_of_two_overrides_in_different_forms_applies() {
     let changes = [("fronts.count".into(), "6".into()), ("frontends.count".into(), "7".into())];
-    for path in [fixture("scenario.toml"), present_form("scenario.toml")] {
+    for path in [old_form("scenario.toml"), present_form("scenario.toml")] {
         assert_eq!(Scenario::read(&path, &changes).unwrap().frontends.count, 7);
     }
 }
 
 #[test]
-fn a_tenant_whose_name_was_once_a_key_keeps_its_name() {
+fn override_does_not_rename_a_tenant_that_has_the_former_name_of_a_key() {
     let changes = [("load.tenants.below".into(), "0.3".into())];
     let scenario = Scenario::read(&present_form("scenario.toml"), &changes).unwrap();
     assert_eq!(scenario.load.tenants["below"], 0.3);
 }
 
 #[test]
-fn a_file_with_one_key_in_both_forms_is_turned_down_with_the_name_of_the_key() {
+fn file_with_a_key_in_both_forms_is_rejected_with_the_name_of_the_key() {
     let text = std::fs::read_to_string(present_form("scenario.toml")).unwrap();
     let both = text.replace("probe_ms = 300", "probe_ms = 300\ncopies = 2");
     let message = Scenario::parse(&both, &[]).unwrap_err().to_string();
@@ -145,8 +146,8 @@
 }
 
 #[test]
-fn a_recorded_play_in_the_old_form_has_the_verdict_and_the_statistics_that_it_had() {
-    let history = history("history.jsonl");
+fn old_history_of_a_play_has_the_same_verdict_and_statistics() {
+    let history = old_history("history.jsonl");
     assert_eq!(history.observations.len(), 1622);
     let verdict = check(&history);
     assert_eq!(counts(&verdict), []);
@@ -181,8 +182,8 @@
 }
 
 #[test]
-fn every_event_in_the_old_form_counts_as_it_did() {
-    let history = history("every-event.jsonl");
+fn old_history_with_every_kind_of_event_has_the_same_verdict_and_statistics() {
+    let history = old_history("every-event.jsonl");
     assert_eq!(history.observations.len(), 87);
     let verdict = check(&history);
     let expected = [
@@ -213,9 +214,9 @@
 }
 
 #[test]
-fn a_history_in_the_old_form_is_written_in_the_present_one_and_means_the_same() {
+fn old_history_is_written_in_the_present_form_without_loss() {
     for name in ["history.jsonl", "every-event.jsonl"] {
-        let old = history(name);
+        let old = old_history(name);
         let copy = std::env::temp_dir().join(format!("oakwind-present-{}-{name}", std::process::id()));
         old.write(&copy).unwrap();
         let text = std::fs::read_to_string(&copy).unwrap();
