--- a/settings/src/json.rs
+++ b/settings/src/json.rs
@@ -1,9 +1,9 @@
-//! The JSON form of the settings. The keys are given by the simulator and the operators' files; the fields have the
-//! names of the admission module's settings.
+//! The JSON form of the settings. The keys are fixed by the simulator and by operators' files; the fields are named
+//! after the admission module's settings.
 
 use serde::Deserialize;
 
-/// All settings.
+/// The root object of the settings.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct SettingsJson {
@@ -15,15 +15,15 @@
     pub(crate) limits: LimitsJson,
     #[serde(default)]
     pub(crate) tenants: Vec<TenantJson>,
-    /// `work` if weights apply per unit of work.
+    /// `work` if weights apply per unit of work; per request otherwise.
     #[serde(default, rename = "countedBy")]
     pub(crate) weight_unit: String,
-    /// Fraction of the weight beyond a tenant's quota.
+    /// Fraction of the weight that a request beyond its tenant's quota keeps.
     #[serde(default = "one", rename = "overShareWorth")]
     pub(crate) over_quota_weight: f64,
     #[serde(default)]
     pub(crate) servers: u32,
-    /// Shortest time between two calls of the module, in microseconds.
+    /// Minimum time between two calls of the admission module, in microseconds.
     #[serde(default, rename = "tick")]
     pub(crate) min_handle_interval_us: u64,
 }
@@ -39,7 +39,7 @@
     pub(crate) latency_objective_us: u64,
     #[serde(rename = "deadline")]
     pub(crate) deadline_us: u64,
-    /// Extension of the latency objective, as a multiple of the work.
+    /// Extension of the latency objective, as a multiple of the request's work.
     #[serde(default, rename = "aimStretch")]
     pub(crate) objective_stretch: f64,
     /// `repeatable`, `by_key` or `once`.
@@ -50,12 +50,12 @@
     /// Weight of a request.
     #[serde(default = "one", rename = "worth")]
     pub(crate) weight: f64,
-    /// Fraction of the weight after the latency objective.
+    /// Fraction of the weight that a response after the latency objective keeps.
     #[serde(default, rename = "lateWorth")]
     pub(crate) late_weight: f64,
 }
 
-/// What is specific to one server; times are in microseconds.
+/// Settings of one server; times are in microseconds.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct ServerJson {
@@ -64,7 +64,7 @@
     /// Memory of a running request, as a multiple of a queued one's.
     #[serde(default = "one", rename = "runFactor")]
     pub(crate) running_memory_factor: f64,
-    /// Memory of a retained idempotency key.
+    /// Memory of a retained idempotency key, in KB.
     #[serde(default, rename = "entryKb")]
     pub(crate) key_memory_kb: f64,
     /// `off`, `shared` or `tier`.
@@ -72,34 +72,34 @@
     pub(crate) dependency: String,
     #[serde(default)]
     pub(crate) callers: u32,
-    /// Share of the dependency's concurrent calls.
+    /// This server's share of the dependency's concurrent calls.
     #[serde(default, rename = "callsOut")]
     pub(crate) dependency_share: f64,
-    /// Period over which the share is a mean.
+    /// Period over which the share of concurrent calls is averaged.
     #[serde(default, rename = "shareSpan")]
     pub(crate) share_span_us: u64,
-    /// How long the dependency goes on with a call that timed out.
+    /// How long the dependency keeps working on a call that has timed out.
     #[serde(default, rename = "staysFor")]
     pub(crate) linger_us: u64,
     /// Whether each class calls the dependency, in the order of the services.
     #[serde(default, rename = "classCalls")]
     pub(crate) calls_by_class: Vec<bool>,
-    /// Fraction of the weight without the call, in the order of the services.
+    /// Fraction of the weight that a request served without its call keeps, in the order of the services.
     #[serde(default, rename = "classSkipWorth")]
     pub(crate) skip_weight_by_class: Vec<f64>,
     /// How long a response may be reused.
     #[serde(default, rename = "fresh")]
     pub(crate) response_reuse_us: u64,
-    /// Names of the gauges, in the order of their values.
+    /// Names of the gauges, in the order in which their values are reported.
     #[serde(default)]
     pub(crate) gauges: Vec<String>,
-    /// Idle timeout of connections at the callers.
+    /// Idle timeout that callers apply to connections.
     #[serde(default, rename = "idle")]
     pub(crate) idle_timeout_us: u64,
-    /// Whether the server has to warm up.
+    /// Whether the server starts cold and has to warm up.
     #[serde(default, rename = "justStarted")]
     pub(crate) is_cold: bool,
-    /// Whether arrivals carry the time left.
+    /// Whether arrivals carry the time remaining until the deadline.
     #[serde(default, rename = "passesDeadline")]
     pub(crate) sends_deadline: bool,
     /// `off`, `drop` or `pause`.
@@ -123,12 +123,12 @@
     /// Maximum concurrency per core.
     #[serde(rename = "fallMultiple")]
     pub(crate) max_concurrency_per_core: f64,
-    /// Longest time that warming up takes.
+    /// Maximum duration of the warm-up.
     #[serde(default, rename = "warmAfter")]
     pub(crate) warm_up_time_us: u64,
 }
 
-/// What callers honor; times are in microseconds.
+/// What callers honour in rejections; times are in microseconds.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
 pub(crate) struct LimitsJson {
@@ -143,12 +143,12 @@
 pub(crate) struct TenantJson {
     #[serde(default)]
     pub(crate) name: String,
-    /// Requests per second over all servers.
+    /// Quota in requests per second over all servers.
     #[serde(default)]
     pub(crate) quota_per_s: f64,
 }
 
-/// The default of factors and fractions.
+/// Default of factors and fractions.
 fn one() -> f64 {
     1.0
 }
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -13,30 +13,30 @@
 use json::{ClassJson, ServerJson, SettingsJson};
 use positions::Positions;
 
-/// Settings, with the names of the listed items in the order of their positions.
+/// Settings together with the names of gauges, classes and tenants, indexed by position.
 #[derive(Debug, Clone, PartialEq)]
 pub struct NamedSettings {
     /// The settings of the admission module.
     pub settings: Settings,
-    /// The names of the gauges.
+    /// Names of the gauges, in the order of the values that are reported.
     pub gauges: Vec<String>,
-    /// The names of the classes.
+    /// Names of the classes, in the order of `settings.classes`.
     pub classes: Vec<String>,
-    /// The names of the tenants.
+    /// Names of the tenants, in the order of `settings.tenant_quotas`.
     pub tenants: Vec<String>,
-    /// Positions of classes that newer settings left out: open requests still refer to them.
+    /// Positions of classes that the newest settings no longer list. They are kept because open requests refer to them.
     pub retired_classes: Vec<usize>,
-    /// Positions of tenants that newer settings left out.
+    /// Positions of tenants that the newest settings no longer list.
     pub retired_tenants: Vec<usize>,
 }
 
 impl NamedSettings {
-    /// The settings that replace `self` at a reload: classes and tenants with a known name keep its position, those
-    /// that are left out are retired, and new ones come after them.
+    /// Returns the settings that replace `self` at a reload: classes and tenants with a known name keep their position,
+    /// absent ones are retired, and new ones are appended.
     ///
     /// # Errors
     ///
-    /// If there would be more than 1,000 names of a kind.
+    /// If classes or tenants would have had more than 1,000 different names since the process started.
     pub fn reloaded_with(&self, new: NamedSettings) -> Result<NamedSettings, SettingsError> {
         let classes = Positions::merge(
             "services",
@@ -67,7 +67,7 @@
 ///
 /// # Errors
 ///
-/// If the text is no JSON, a key is missing or has a value that cannot be used.
+/// If the text is not JSON, a key is missing, or a value has the wrong type or is not one of its keywords.
 pub fn parse(text: &str) -> Result<NamedSettings, SettingsError> {
     let mut deserializer = serde_json::Deserializer::from_str(text);
     let json: SettingsJson = serde_path_to_error::deserialize(&mut deserializer)
@@ -175,12 +175,13 @@
     }
 }
 
-/// The error for a value that is not one of the words known for `key`.
+/// Returns the error for a value that is not one of the keywords of `key`.
 fn unknown_value<T>(key: &'static str, value: &str) -> Result<T, SettingsError> {
     Err(SettingsError::UnknownValue { key, value: value.to_owned() })
 }
 
-/// The gauges that the admission module uses: `values` in the order of `names`, which the settings list.
+/// Selects the gauges that the admission module uses from `values`, which are in the order of `names`. Other names are
+/// ignored.
 pub fn gauges(names: &[String], values: &[f64]) -> Gauges {
     let mut gauges = Gauges::default();
     for (name, &value) in names.iter().zip(values) {
--- a/settings/src/positions.rs
+++ b/settings/src/positions.rs
@@ -1,25 +1,25 @@
-//! Positions of named items across reloads: an item keeps its position for the life of the process, because open
-//! requests refer to it.
+//! Positions of named classes and tenants across reloads. An item keeps its position for the life of the process,
+//! because open requests refer to the item by position.
 
 use crate::SettingsError;
 
-/// Names of one kind that may get a position in one process, so that settings which bring new names at each reload do
-/// not use up its memory.
+/// Maximum number of names of one kind over the life of a process. Positions are never reused, so without a maximum
+/// settings that bring new names at each reload would exhaust the memory.
 pub(crate) const MAX_NAMES: usize = 1000;
 
-/// Named values in the order of their positions.
+/// Named values, indexed by position.
 pub(crate) struct Positions<T> {
-    /// The names.
+    /// The name at each position.
     pub(crate) names: Vec<String>,
-    /// The value of each name.
+    /// The value at each position.
     pub(crate) values: Vec<T>,
-    /// Positions whose names the newest settings left out.
+    /// Positions whose names are absent from the newest settings.
     pub(crate) retired: Vec<usize>,
 }
 
 impl<T: Clone> Positions<T> {
-    /// Merges new settings, listed under `key`, into the positions in force: known names keep their positions, names
-    /// that are left out are retired, and new names come after them.
+    /// Merges the items that new settings list under `key` into the current positions: known names keep their
+    /// positions, absent names are retired, and new names are appended.
     pub(crate) fn merge(
         key: &'static str,
         names: &[String],
@@ -38,7 +38,7 @@
         Ok(merged)
     }
 
-    /// Replaces the value of a known name or adds a new one.
+    /// Replaces the value of a known name, or appends a new name.
     fn set(&mut self, name: String, value: T) {
         if let Some(position) = self.names.iter().position(|known| *known == name) {
             self.values[position] = value;
--- a/settings/src/tests.rs
+++ b/settings/src/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-const SMALL: &str = r#"{"services": [{"slo": 100, "deadline": 400, "effect": "by_key",
+const SMALL_SETTINGS: &str = r#"{"services": [{"slo": 100, "deadline": 400, "effect": "by_key",
     "window": 900, "surprise": [1]}], "specifics": {"cores": 2, "memoryKb": 64.5,
     "dependsOn": "shared", "callsOut": 0.5, "signal": "level", "classCalls": [true]},
     "safety": {"answerSlack": 9, "drainGrace": 8, "fallMultiple": 3, "overloadFor": 7},
@@ -8,7 +8,7 @@
 
 #[test]
 fn reads_known_keys_and_ignores_unknown_ones() {
-    let settings = parse(SMALL).unwrap().settings;
+    let settings = parse(SMALL_SETTINGS).unwrap().settings;
     assert_eq!(settings.cores, 2);
     assert_eq!(settings.signal, Signal::MinRank);
     assert_eq!(settings.classes[0].effect, Effect::IdempotencyKey);
@@ -17,35 +17,35 @@
 }
 
 #[test]
-fn errors_name_the_missing_key_or_the_unknown_value() {
-    let missing = SMALL.replace(r#""cores": 2, "#, "");
+fn errors_name_the_missing_key_or_unknown_value() {
+    let missing = SMALL_SETTINGS.replace(r#""cores": 2, "#, "");
     assert!(parse(&missing).unwrap_err().to_string().contains("cores"));
-    let odd = SMALL.replace("by_key", "sometimes");
-    assert!(parse(&odd).unwrap_err().to_string().contains("sometimes"));
+    let unknown_effect = SMALL_SETTINGS.replace("by_key", "sometimes");
+    assert!(parse(&unknown_effect).unwrap_err().to_string().contains("sometimes"));
     assert!(parse("{").is_err());
 }
 
 #[test]
-fn known_names_keep_their_positions_and_left_out_names_are_retired() {
+fn a_reload_keeps_positions_of_known_names_and_retires_absent_names() {
     let named = |names: [&str; 2]| {
-        let mut parsed = parse(SMALL).unwrap();
+        let mut parsed = parse(SMALL_SETTINGS).unwrap();
         parsed.classes = names.map(String::from).to_vec();
         parsed.settings.classes = vec![parsed.settings.classes[0].clone(); 2];
         parsed.settings.classes[1].weight = 7.0;
         parsed
     };
-    let followed = named(["a", "b"]).reloaded_with(named(["c", "a"])).unwrap();
-    assert_eq!(followed.classes, ["a", "b", "c"]);
-    assert_eq!(followed.retired_classes, [1]);
-    let weights: Vec<f64> = followed.settings.classes.iter().map(|class| class.weight).collect();
+    let reloaded = named(["a", "b"]).reloaded_with(named(["c", "a"])).unwrap();
+    assert_eq!(reloaded.classes, ["a", "b", "c"]);
+    assert_eq!(reloaded.retired_classes, [1]);
+    let weights: Vec<f64> = reloaded.settings.classes.iter().map(|class| class.weight).collect();
     assert_eq!(weights, [7.0, 7.0, 1.0]);
-    let back = followed.reloaded_with(named(["b", "x"])).unwrap();
-    assert_eq!((back.classes.len(), back.retired_classes), (4, vec![0, 2]));
+    let restored = reloaded.reloaded_with(named(["b", "x"])).unwrap();
+    assert_eq!((restored.classes.len(), restored.retired_classes), (4, vec![0, 2]));
 }
 
 #[test]
 fn gauges_are_selected_by_name() {
     let names = ["mem_used", "runnable", "cpu_busy"].map(String::from);
-    let read = gauges(&names, &[0.5, 7.0, 0.25]);
-    assert_eq!((read.runnable, read.utilization), (Some(7.0), Some(0.25)));
+    let selected = gauges(&names, &[0.5, 7.0, 0.25]);
+    assert_eq!((selected.runnable, selected.utilization), (Some(7.0), Some(0.25)));
 }
--- a/simulator-adapter/src/error.rs
+++ b/simulator-adapter/src/error.rs
@@ -1,48 +1,48 @@
-//! Why the adapter ends with an error.
+//! The errors that end the adapter.
 
 use oakwind_settings::SettingsError;
 
-/// Input that cannot be decoded or applied, or a failure of the pipes. The texts of I/O errors stand for the errors
-/// themselves, so that values can be compared.
+/// An error in the input, or a failure to read the input or to write a reply. I/O errors are held as text, because
+/// `io::Error` cannot be compared.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum AdapterError {
-    /// The input ends within the four bytes that give the length of a frame.
-    #[error("input ends inside a frame's length")]
+    /// The input ends inside the four bytes that give the length of a frame.
+    #[error("input ends inside the length field of a frame")]
     TruncatedLength,
-    /// The input ends within the body of a frame.
-    #[error("input ends inside a frame")]
+    /// The input ends inside the body of a frame.
+    #[error("input ends inside the body of a frame")]
     TruncatedFrame,
-    /// A frame exceeds the maximum length; its length in bytes.
-    #[error("frame of {0} bytes is too long")]
+    /// The length of a frame, here in bytes, exceeds the maximum.
+    #[error("frame length of {0} bytes exceeds the maximum")]
     FrameTooLong(usize),
-    /// A frame ends within a record.
-    #[error("a record is cut short")]
+    /// The body of a frame ends inside a record.
+    #[error("body of a frame ends inside a record")]
     TruncatedRecord,
-    /// A frame continues after its last record; the number of these bytes.
-    #[error("{0} bytes follow a frame's last record")]
+    /// The body of a frame has this number of bytes after its last record.
+    #[error("body of a frame has {0} bytes after its last record")]
     TrailingBytes(usize),
-    /// A record has a code that is not known.
+    /// The code of a record is unknown.
     #[error("unknown record code {0}")]
     UnknownRecord(u8),
-    /// A run or a call has an outcome that is not known.
-    #[error("unknown outcome {0}")]
+    /// The outcome code of a run or a call is unknown.
+    #[error("unknown outcome code {0}")]
     UnknownOutcome(u16),
-    /// The settings of a backend are not UTF-8.
-    #[error("settings are not UTF-8")]
+    /// The settings of a backend are not valid UTF-8.
+    #[error("settings of a backend are not valid UTF-8")]
     SettingsNotUtf8,
-    /// The settings of a backend cannot be used.
+    /// The settings of a backend are rejected.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// A record needs a backend, and none is selected yet.
-    #[error("a record comes before any that names its backend")]
+    /// A record that applies to a backend precedes the first record that selects one.
+    #[error("record for a backend received before any backend was selected")]
     NoBackendSelected,
-    /// An event is for a backend that has not started.
-    #[error("event for backend {0}, which has not started")]
+    /// An event is addressed to a backend that is not running.
+    #[error("event received for backend {0}, which is not running")]
     UnknownBackend(u16),
     /// The input cannot be read.
-    #[error("reading input: {0}")]
+    #[error("cannot read the input: {0}")]
     Read(String),
     /// A reply cannot be written.
-    #[error("writing a reply: {0}")]
+    #[error("cannot write a reply: {0}")]
     Write(String),
 }
--- a/simulator-adapter/src/host.rs
+++ b/simulator-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! The backends that this process hosts, and how a batch of records is applied to them.
+//! The backends that this process hosts, and the application of batches of records to them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,39 +8,39 @@
 use crate::error::AdapterError;
 use crate::wire::{self, Record, Reply};
 
-/// A backend, with the events of the current batch.
+/// The admission module of one backend, with the events queued for it by the current batch.
 struct Backend {
     admission: Admission,
-    /// Names of the gauges, in the order in which timers report them.
+    /// Names of the gauges, in the order of the values in timer records.
     gauges: Vec<String>,
     events: Vec<Event>,
-    /// Whether the current batch started the backend or has an event for it.
-    has_news: bool,
+    /// Whether the current batch started the backend or queued an event for it.
+    is_pending: bool,
 }
 
 impl Backend {
-    /// Starts a backend with the settings in `text`.
+    /// Starts a backend with the JSON settings in `text`.
     fn start(seed: u64, text: &str, now: Duration) -> Result<Self, AdapterError> {
         let parsed = oakwind_settings::parse(text)?;
         Ok(Backend {
             admission: Admission::new(parsed.settings, seed, now),
             gauges: parsed.gauges,
             events: Vec::new(),
-            has_news: true,
+            is_pending: true,
         })
     }
 }
 
-/// All backends of the process, by their number on the wire.
+/// All backends of the process, keyed by their wire id.
 #[derive(Default)]
 pub(crate) struct Host {
     backends: BTreeMap<u16, Backend>,
-    /// Buffer for the actions of one backend.
+    /// Reused buffer for the actions of one backend.
     actions: Vec<Action>,
 }
 
 impl Host {
-    /// Applies the batch in a frame's body and returns the reply to it.
+    /// Applies the batch in the body of a frame and returns the reply.
     pub(crate) fn handle_frame(&mut self, body: &[u8]) -> Result<Reply, AdapterError> {
         let batch = wire::decode(body)?;
         let mut selected = None;
@@ -61,36 +61,36 @@
         Ok(self.reply(batch.now))
     }
 
-    /// Adds an event to the current batch of a backend.
+    /// Queues an event for a backend.
     fn queue_event(&mut self, id: u16, event: Event) -> Result<(), AdapterError> {
         let backend = self.backends.get_mut(&id).ok_or(AdapterError::UnknownBackend(id))?;
         backend.events.push(event);
-        backend.has_news = true;
+        backend.is_pending = true;
         Ok(())
     }
 
-    /// Adds a timer with the values of its gauges to the current batch of a backend.
+    /// Queues the expiry of a timer for a backend, with the gauge values that the record carries.
     fn queue_timer(&mut self, id: u16, timer: TimerId, values: &[f64]) -> Result<(), AdapterError> {
         let names = self.backends.get(&id).map_or(&[][..], |backend| &backend.gauges);
         let gauges = oakwind_settings::gauges(names, values);
         self.queue_event(id, Event::Timer(timer, gauges))
     }
 
-    /// Lets each backend of the current batch decide, and collects their actions.
+    /// Passes the queued events to the admission module of each pending backend and collects the actions.
     fn reply(&mut self, now: Duration) -> Reply {
         let mut reply = Reply::default();
-        for (&id, backend) in self.backends.iter_mut().filter(|(_, backend)| backend.has_news) {
+        for (&id, backend) in self.backends.iter_mut().filter(|(_, backend)| backend.is_pending) {
             self.actions.clear();
             backend.admission.handle(now, &backend.events, &mut self.actions);
             backend.events.clear();
-            backend.has_news = false;
+            backend.is_pending = false;
             reply.extend(id, &self.actions);
         }
         reply
     }
 }
 
-/// The backend that the records before have selected.
+/// Returns the selected backend, or an error if no record has selected one yet.
 fn require_selected(selected: Option<u16>) -> Result<u16, AdapterError> {
     selected.ok_or(AdapterError::NoBackendSelected)
 }
--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -11,7 +11,7 @@
 use error::AdapterError;
 use host::Host;
 
-/// Answers each frame of the input with one frame, until the input ends between two frames.
+/// Replies to each input frame with one output frame; returns when the input ends on a frame boundary.
 fn serve(input: &mut impl Read, output: &mut impl Write) -> Result<(), AdapterError> {
     let mut host = Host::default();
     while let Some(body) = wire::read_frame(input)? {
--- a/simulator-adapter/src/wire/codes.rs
+++ b/simulator-adapter/src/wire/codes.rs
@@ -1,12 +1,12 @@
 //! Codes, flags and limits of the simulator's wire protocol.
 
-/// Length of the field that gives the length of a frame's body.
+/// Size in bytes of a frame's length field.
 pub(crate) const LENGTH_BYTES: usize = 4;
-/// Longest frame that is accepted; the simulator's are some megabytes at most.
+/// Maximum accepted length of a frame's body in bytes; the simulator sends a few megabytes at most.
 pub(crate) const MAX_FRAME_BYTES: usize = 1 << 28;
-/// In the place of a request: none.
+/// Value of a request id field that refers to no request.
 pub(crate) const NO_REQUEST: u32 = 0;
-/// Flag of an arrival: its cost hint is valid.
+/// Flag of an arrival record whose cost hint field is valid.
 pub(crate) const FLAG_COST_HINT: u8 = 1;
 
 /// Codes of the records that the simulator sends.
@@ -23,7 +23,7 @@
     pub(crate) const SELECT_BACKEND: u8 = 9;
 }
 
-/// Codes of the outcomes of runs and calls.
+/// Outcome codes of runs and calls.
 pub(crate) mod outcome_code {
     pub(crate) const OK: u16 = 1;
     pub(crate) const ERROR: u16 = 2;
--- a/simulator-adapter/src/wire/decode.rs
+++ b/simulator-adapter/src/wire/decode.rs
@@ -11,13 +11,13 @@
 /// One record of a batch.
 #[derive(Debug, PartialEq)]
 pub(crate) enum Record {
-    /// The records after it are for this backend.
+    /// Selects the backend that the following records apply to.
     SelectBackend(u16),
     /// The selected backend starts.
     BackendStarted {
-        /// Seed of its random numbers.
+        /// Seed of the backend's random numbers.
         seed: u64,
-        /// Its settings, as JSON.
+        /// The backend's settings, as JSON.
         settings: String,
     },
     /// The selected backend has crashed.
@@ -28,7 +28,7 @@
     Timer {
         /// The timer.
         timer: TimerId,
-        /// The values of the gauges, in the order of the backend's settings.
+        /// The values of the gauges, in the order in which the backend's settings list their names.
         gauges: Vec<f64>,
     },
 }
@@ -38,11 +38,11 @@
 pub(crate) struct Batch {
     /// Time on the simulator's clock.
     pub(crate) now: Duration,
-    /// Its records, in order.
+    /// The records in wire order.
     pub(crate) records: Vec<Record>,
 }
 
-/// Reads the body of the next frame; `None` if the input ends between two frames.
+/// Reads the body of the next frame; `None` if the input ends on a frame boundary.
 pub(crate) fn read_frame(input: &mut impl Read) -> Result<Option<Vec<u8>>, AdapterError> {
     let mut head = [0u8; LENGTH_BYTES];
     match read_up_to(input, &mut head)? {
@@ -61,7 +61,7 @@
     Ok(Some(body))
 }
 
-/// Fills `buffer` as far as the input goes; returns the number of bytes read.
+/// Reads until `buffer` is full or the input ends; returns the number of bytes read.
 fn read_up_to(input: &mut impl Read, buffer: &mut [u8]) -> Result<usize, AdapterError> {
     let mut filled = 0;
     while filled < buffer.len() {
@@ -77,7 +77,7 @@
 
 /// Reads the fields of records from a frame's body.
 struct Cursor<'a> {
-    /// What has not been read yet.
+    /// The bytes not yet read.
     rest: &'a [u8],
 }
 
--- a/simulator-adapter/src/wire/encode.rs
+++ b/simulator-adapter/src/wire/encode.rs
@@ -1,4 +1,4 @@
-//! Encodes the replies to the simulator.
+//! Encodes replies to the simulator.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 
 use super::codes::action_code;
 
-/// Length of a reply's header: the number of records and the length of the body.
+/// Size in bytes of a reply's header: the number of records and the length of the body, four bytes each.
 const HEADER_BYTES: usize = 8;
 
 /// The reply to a batch.
@@ -18,21 +18,21 @@
 }
 
 impl Reply {
-    /// Starts a record with this code; the caller appends its fields.
+    /// Starts a record with this code; the caller appends the fields to the returned body.
     fn record(&mut self, code: u8) -> &mut Vec<u8> {
         self.count += 1;
         self.body.push(code);
         &mut self.body
     }
 
-    /// Starts a record with this code and the request.
+    /// Starts a record with this code, followed by the request id.
     fn request(&mut self, code: u8, id: RequestId) -> &mut Vec<u8> {
         let body = self.record(code);
         body.extend(id.0.to_le_bytes());
         body
     }
 
-    /// Adds the actions of a backend; nothing if there are none.
+    /// Appends a record that selects the backend and one record per action; appends nothing without actions.
     pub(crate) fn extend(&mut self, backend: u16, actions: &[Action]) {
         if actions.is_empty() {
             return;
@@ -75,7 +75,7 @@
         }
     }
 
-    /// The frame: the number of records, the length of the body in bytes, and the body.
+    /// Encodes the frame: the number of records, the length of the body in bytes, and the body.
     pub(crate) fn frame(&self) -> Vec<u8> {
         let mut frame = Vec::with_capacity(self.body.len() + HEADER_BYTES);
         frame.extend(self.count.to_le_bytes());
@@ -85,7 +85,7 @@
     }
 }
 
-/// Microseconds in 32 bits; longer times are cut to the maximum.
+/// Encodes a duration as 32-bit microseconds, saturating at the maximum.
 fn micros(time: Duration) -> [u8; 4] {
     u32::try_from(time.as_micros()).unwrap_or(u32::MAX).to_le_bytes()
 }
--- a/simulator-adapter/src/wire/tests.rs
+++ b/simulator-adapter/src/wire/tests.rs
@@ -4,18 +4,20 @@
 
 use super::*;
 
-/// The bytes that `text` gives in hexadecimal.
-fn hex(text: &str) -> Vec<u8> {
+/// Decodes hexadecimal text; white space is ignored.
+fn bytes_from_hex(text: &str) -> Vec<u8> {
     let digits: Vec<u8> = text.bytes().filter(u8::is_ascii_hexdigit).collect();
     digits.chunks(2).map(|pair| u8::from_str_radix(std::str::from_utf8(pair).unwrap(), 16).unwrap()).collect()
 }
 
-/// A batch with an arrival, a timer and a cancellation for two backends.
+/// Body of a frame with an arrival, a timer and a cancellation, addressed to two backends.
 fn sample_batch() -> Vec<u8> {
-    hex("05000000 5a5c800000000000 09 0300 \
+    bytes_from_hex(
+        "05000000 5a5c800000000000 09 0300 \
          01 c4913a5d 192b6f0e e02e0000 0000 0000 0000c441 01 640ad2557c3bf091 3a070000 \
          0000203f 11000000 80a90300 \
-         07 4d000000 04 52b81e3f0000404085ebd13e0000f042 09 0500 06 192b6f0e")
+         07 4d000000 04 52b81e3f0000404085ebd13e0000f042 09 0500 06 192b6f0e",
+    )
 }
 
 #[test]
@@ -24,7 +26,7 @@
     assert_eq!(batch.now, Duration::from_micros(0x0080_5c5a));
     assert_eq!(batch.records[0], Record::SelectBackend(3));
     let Record::Event(Event::Arrived(arrival)) = &batch.records[1] else {
-        panic!("not an arrival");
+        panic!("the second record is not an arrival: {:?}", batch.records[1]);
     };
     assert_eq!(arrival.id, RequestId(0x5d3a_91c4));
     assert_eq!(arrival.retry_of, Some(RequestId(0x0e6f_2b19)));
@@ -38,7 +40,7 @@
 }
 
 #[test]
-fn every_truncation_is_malformed() {
+fn truncated_or_extended_frames_are_rejected() {
     let whole = sample_batch();
     for len in 0..whole.len() {
         assert!(decode(&whole[..len]).is_err(), "truncated at {len}");
@@ -49,7 +51,7 @@
 }
 
 #[test]
-fn the_input_may_end_only_between_frames() {
+fn input_may_end_only_on_a_frame_boundary() {
     let mut frame = 12u32.to_le_bytes().to_vec();
     frame.extend([0; 12]);
     for len in 1..frame.len() {
@@ -61,9 +63,9 @@
 }
 
 #[test]
-fn unknown_codes_and_outcomes_are_malformed() {
-    assert!(decode(&hex("01000000 0000000000000000 2a")).is_err());
-    assert!(decode(&hex("01000000 0000000000000000 02 01000000 0900 00000000")).is_err());
+fn unknown_record_and_outcome_codes_are_rejected() {
+    assert!(decode(&bytes_from_hex("01000000 0000000000000000 2a")).is_err());
+    assert!(decode(&bytes_from_hex("01000000 0000000000000000 02 01000000 0900 00000000")).is_err());
 }
 
 #[test]
@@ -83,7 +85,9 @@
             },
         ],
     );
-    let expected = hex("06000000 23000000 46 0300 41 c4913a5d 46 0500 4b 20a10700 4d000000 \
-                        49 0000803e 48 192b6f0e 90d00300 01");
+    let expected = bytes_from_hex(
+        "06000000 23000000 46 0300 41 c4913a5d 46 0500 4b 20a10700 4d000000 \
+                        49 0000803e 48 192b6f0e 90d00300 01",
+    );
     assert_eq!(reply.frame(), expected);
 }
