--- a/fault-harness/src/charts.rs
+++ b/fault-harness/src/charts.rs
@@ -1,4 +1,4 @@
-//! Charts as SVG: of a play second by second, with its faults as bands, and of any table of numbers.
+//! SVG charts: the seconds of a play, with its faults as shaded bands, and arbitrary tables of numbers.
 
 mod drawing;
 mod table;
@@ -9,25 +9,25 @@
 use drawing::{Drawing, Point, Series, BLUE, GREY, ORANGE, RED};
 
 pub use drawing::DrawingError;
-pub use table::{of_table, TableError};
+pub use table::{draw_table, TableError};
 
-/// What an axis of shares ends at.
+/// Factor from a fraction to a percentage.
 const PERCENT: f64 = 100.0;
-/// A second is drawn at its middle.
+/// Offset of a second's point on the time axis, so that it is drawn in the middle of the second.
 const MIDDLE_OF_SECOND: f64 = 0.5;
 
-/// A chart: its name and its SVG.
+/// A rendered chart.
 #[derive(Debug, Clone, serde::Serialize)]
 pub struct Chart {
-    /// What it shows.
+    /// Title above the chart.
     pub title: &'static str,
-    /// A name for its file.
+    /// File name without its extension.
     pub name: &'static str,
-    /// The picture.
+    /// The chart as an SVG document.
     pub svg: String,
 }
 
-/// A figure of each second, as one line of a chart.
+/// One line of a chart: a figure computed for each second.
 struct Curve {
     name: &'static str,
     colour: RGBColor,
@@ -40,7 +40,8 @@
     }
 }
 
-/// The charts of a play: the share served, what became of requests, and the work that they caused.
+/// Draws the charts of a play: the percentage served, the requests by outcome, and the load on the nodes. A chart that
+/// cannot be drawn is omitted.
 pub fn charts(statistics: &Statistics) -> Vec<Chart> {
     let served = [Curve::new("served", BLUE, served_percent)];
     let requests = [
@@ -62,7 +63,7 @@
     drawn.into_iter().flatten().collect()
 }
 
-/// The share of a second's weight that was served; all of it where nothing was sent.
+/// The percentage of a second's requested weight that was served; 100 for a second without requests.
 fn served_percent(second: &Second) -> f64 {
     if second.requested_weight > 0.0 {
         second.served_weight / second.requested_weight * PERCENT
@@ -77,14 +78,13 @@
     statistics: &Statistics,
     curves: &[Curve],
 ) -> Option<Chart> {
-    let svg = draw(title, &statistics.seconds, &statistics.bands, curves)?;
+    let svg = draw_seconds(title, &statistics.seconds, &statistics.bands, curves)?;
     Some(Chart { title, name, svg })
 }
 
-fn draw(title: &str, seconds: &[Second], bands: &[Band], curves: &[Curve]) -> Option<String> {
+fn draw_seconds(title: &str, seconds: &[Second], bands: &[Band], curves: &[Curve]) -> Option<String> {
     let series: Vec<Series> = curves.iter().map(|curve| series(curve, seconds)).collect();
     let end = seconds.len() as f64;
-    // A chart that cannot be drawn is left out.
     Drawing { title, x_label: "seconds", end, bands, series: &series }.to_svg().ok()
 }
 
--- a/fault-harness/src/charts/drawing.rs
+++ b/fault-harness/src/charts/drawing.rs
@@ -1,11 +1,11 @@
-//! Drawing of series of points as SVG, with faults as bands behind them.
+//! Drawing of line charts as SVG, with faults as shaded bands behind the lines.
 
 use plotters::coord::types::RangedCoordf64;
 use plotters::prelude::*;
 
 use crate::statistics::Band;
 
-/// Colours that can be distinguished with colour blindness.
+/// Line colours that remain distinguishable with colour blindness.
 pub(super) const BLUE: RGBColor = RGBColor(31, 97, 160);
 pub(super) const ORANGE: RGBColor = RGBColor(204, 102, 0);
 pub(super) const GREY: RGBColor = RGBColor(120, 120, 120);
@@ -14,7 +14,7 @@
 const GRID_COLOUR: RGBColor = RGBColor(230, 230, 230);
 const LEGEND_BORDER_COLOUR: RGBColor = RGBColor(200, 200, 200);
 
-/// Width and height in pixels, as all sizes below.
+/// Width and height of a chart. All sizes are in pixels.
 const SIZE: (u32, u32) = (860, 230);
 const MARGIN: u32 = 8;
 const X_LABEL_HEIGHT: u32 = 26;
@@ -24,48 +24,48 @@
 const LABEL_FONT_SIZE: i32 = 12;
 const LINE_WIDTH: u32 = 2;
 const LEGEND_LINE_LENGTH: i32 = 16;
-/// The legend lets the lines behind it show through.
+/// The legend is translucent, so that it does not hide the lines behind it.
 const LEGEND_OPACITY: f64 = 0.85;
-/// Labels along each axis, at most.
+/// Maximum number of labels along each axis.
 const X_LABELS: usize = 12;
 const Y_LABELS: usize = 5;
-/// The highest point stays below the upper edge.
+/// Ratio of the end of the vertical axis to the highest point.
 const HEADROOM: f64 = 1.05;
-/// A band is at least this part of the width, so that a fault that lasts no time is seen.
-const LEAST_BAND_WIDTH: f64 = 1.0 / 400.0;
+/// Minimum width of a band as a fraction of the chart's width, so that an instantaneous fault is visible.
+const MIN_BAND_WIDTH: f64 = 1.0 / 400.0;
 
-/// Why something cannot be drawn.
+/// The error of a chart that cannot be drawn.
 pub type DrawingError = DrawingAreaErrorKind<<SVGBackend<'static> as DrawingBackend>::ErrorType>;
 
 type Chart<'area> = ChartContext<'area, SVGBackend<'area>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
 
-/// A point of a line.
+/// A data point of a line.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Point {
     pub(super) x: f64,
     pub(super) y: f64,
 }
 
-/// A named line.
+/// A line with its name in the legend.
 pub(super) struct Series {
     pub(super) name: String,
     pub(super) colour: RGBColor,
     pub(super) points: Vec<Point>,
 }
 
-/// What is to be drawn.
+/// The content of a chart.
 pub(super) struct Drawing<'a> {
     pub(super) title: &'a str,
-    /// What the horizontal axis shows.
+    /// Label of the horizontal axis.
     pub(super) x_label: &'a str,
-    /// Where the horizontal axis ends.
+    /// Upper end of the horizontal axis, which starts at 0.
     pub(super) end: f64,
     pub(super) bands: &'a [Band],
     pub(super) series: &'a [Series],
 }
 
 impl Drawing<'_> {
-    /// The drawing as SVG.
+    /// Renders the chart as SVG.
     pub(super) fn to_svg(&self) -> Result<String, DrawingError> {
         let mut svg = String::new();
         let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
@@ -90,7 +90,7 @@
         Ok(svg)
     }
 
-    /// Where the vertical axis ends.
+    /// Upper end of the vertical axis, which starts at 0.
     fn top(&self) -> f64 {
         let points = self.series.iter().flat_map(|series| &series.points);
         points.map(|point| point.y).fold(1.0, f64::max) * HEADROOM
@@ -98,7 +98,7 @@
 
     fn draw_bands(&self, chart: &mut Chart) -> Result<(), DrawingError> {
         for band in self.bands {
-            let until = band.until.max(band.from + self.end * LEAST_BAND_WIDTH).min(self.end);
+            let until = band.until.max(band.from + self.end * MIN_BAND_WIDTH).min(self.end);
             let corners = [(band.from, 0.0), (until, self.top())];
             chart.draw_series([Rectangle::new(corners, BAND_COLOUR.filled())])?;
         }
--- a/fault-harness/src/charts/table.rs
+++ b/fault-harness/src/charts/table.rs
@@ -1,4 +1,4 @@
-//! Charts of tables of numbers.
+//! Charts of comma-separated tables of numbers.
 
 use std::num::ParseFloatError;
 
@@ -7,42 +7,43 @@
 
 use super::drawing::{Drawing, DrawingError, Point, Series, BLUE, GREY, ORANGE, RED};
 
-/// The colours of the columns, in turn.
+/// Line colours of the columns, repeated when there are more columns.
 const COLUMN_COLOURS: [RGBColor; 4] = [BLUE, ORANGE, RED, GREY];
 
-/// Why a table cannot be drawn.
+/// The error of a table that cannot be drawn.
 #[derive(Debug, Error)]
 pub enum TableError {
-    /// The first line does not name at least two columns.
-    #[error("no line that names two columns")]
+    /// The first line names fewer than two columns, or there is none.
+    #[error("the first line does not name at least two columns")]
     NoColumns,
     /// A cell is not a number.
-    #[error("{cell:?}: {source}")]
+    #[error("cell {cell:?} is not a number: {source}")]
     NotANumber {
-        /// What is in the cell.
+        /// The content of the cell.
         cell: String,
-        /// Why it is not a number.
+        /// The error of parsing it.
         source: ParseFloatError,
     },
-    /// A line has more or fewer cells than there are columns.
-    #[error("a line of {cells} cells where {columns} are named")]
+    /// The number of cells in a line differs from the number of columns.
+    #[error("a line has {cells} cells, but the first line names {columns} columns")]
     WidthMismatch {
-        /// The line's cells.
+        /// Number of cells in the line.
         cells: usize,
-        /// The columns that the first line names.
+        /// Number of columns that the first line names.
         columns: usize,
     },
-    /// The chart cannot be drawn with these numbers.
-    #[error("it can't be drawn: {0}")]
+    /// The values cannot be drawn.
+    #[error("the chart cannot be drawn: {0}")]
     NotDrawable(#[from] DrawingError),
 }
 
-/// Draws a table of numbers: its first line names the columns, the first column is drawn along, the others are lines.
+/// Draws a comma-separated table of numbers. The first line names the columns. The first column is the horizontal
+/// axis, and each other column is a line.
 ///
 /// # Errors
 ///
 /// If the table is malformed or cannot be drawn.
-pub fn of_table(title: &str, table: &str) -> Result<String, TableError> {
+pub fn draw_table(title: &str, table: &str) -> Result<String, TableError> {
     let mut lines = table.lines().map(|line| line.split(',').map(str::trim).collect::<Vec<_>>());
     let columns = lines.next().filter(|columns| columns.len() > 1).ok_or(TableError::NoColumns)?;
     let mut rows = Vec::new();
@@ -63,7 +64,7 @@
     cell.parse().map_err(|source| TableError::NotANumber { cell: cell.into(), source })
 }
 
-/// A column over the first one.
+/// The line of a column, plotted against the first column.
 fn series(columns: &[&str], rows: &[Vec<f64>], column: usize) -> Series {
     Series {
         name: columns[column].into(),
--- a/fault-harness/src/commands.rs
+++ b/fault-harness/src/commands.rs
@@ -1,4 +1,4 @@
-//! The subcommands, a module each, and what they share: options, reading of scenarios, output and errors.
+//! The subcommands, one per module, and the modules that they share: options, reading of scenarios, output and errors.
 
 mod check;
 mod compare;
@@ -31,11 +31,11 @@
 }
 
 impl Command {
-    /// Runs the subcommand and returns the status to exit with, which is a failure where a rule was broken.
+    /// Runs the subcommand and returns the exit status, which is a failure if a play violated a rule.
     ///
     /// # Errors
     ///
-    /// If an option, a file or a play is at fault.
+    /// If an option is invalid, a file cannot be read or written, or a play cannot be completed.
     pub(crate) fn run(self) -> Result<ExitCode, CommandError> {
         match self {
             Command::Play(play) => play.run(),
--- a/fault-harness/src/commands/check.rs
+++ b/fault-harness/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `check`: checks a recorded history again.
+//! `check`: checks a recorded history against the rules.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -10,11 +10,11 @@
 use super::output::conclude;
 use super::CommandError;
 
-/// Check the history of a play again.
+/// Check the recorded history of a play against the rules.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 pub(crate) struct Check {
-    /// a history.jsonl
+    /// the history.jsonl of a play
     #[argh(positional)]
     history: PathBuf,
 }
--- a/fault-harness/src/commands/compare.rs
+++ b/fault-harness/src/commands/compare.rs
@@ -1,4 +1,4 @@
-//! `compare`: plays a scenario with two builds or two settings in turns.
+//! `compare`: plays a scenario alternately with two builds or two values of its keys.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -13,25 +13,25 @@
 use super::scenario_file::{parse_assignment, read_scenario};
 use super::CommandError;
 
-/// The key that names a side's build; every other key is one of the scenario.
+/// The key that selects the build of a side. Every other key is a key of the scenario.
 const PROGRAM_KEY: &str = "program";
 
 experiment_command! {
-    /// Play a scenario with two builds or two settings in turns.
+    /// Play a scenario alternately with two builds or two values of its keys.
     Compare, "compare", repeat = "3", jobs = "2" {
-        /// the file of a scenario
+        /// scenario file
         #[argh(positional)]
         scenario: PathBuf,
-        /// the first side: program=PATH or KEY=VALUE, several with a space between
+        /// the first side: program=PATH or KEY=VALUE, several separated by spaces
         #[argh(option)]
         a: String,
-        /// the second side
+        /// the second side, in the same form
         #[argh(option)]
         b: String,
     }
 }
 
-/// One of the two sides.
+/// One of the two sides of the comparison.
 struct Side {
     label: String,
     scenario: Scenario,
@@ -39,7 +39,7 @@
 }
 
 impl Side {
-    /// Reads a side's assignments, which have spaces between them.
+    /// Parses the space-separated assignments of a side and reads the scenario with them.
     fn read(path: &Path, assignments: &str) -> Result<Side, CommandError> {
         let mut changes = Vec::new();
         let mut program_options = Vec::new();
@@ -69,9 +69,9 @@
             }
         }
         let outcomes = options.run(jobs, true)?;
-        let (of_first, of_second): (Vec<Outcome>, Vec<Outcome>) =
+        let (first_outcomes, second_outcomes): (Vec<Outcome>, Vec<Outcome>) =
             outcomes.iter().cloned().partition(|outcome| outcome.label == first.label);
-        print!("{}", experiment::compared(&of_first, &of_second));
+        print!("{}", experiment::comparison_table(&first_outcomes, &second_outcomes));
         conclude(&outcomes, options.out.as_deref())
     }
 }
--- a/fault-harness/src/commands/error.rs
+++ b/fault-harness/src/commands/error.rs
@@ -1,4 +1,4 @@
-//! The errors of subcommands.
+//! The errors that end a subcommand.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -12,29 +12,29 @@
 use oakwind_fault_harness::scenario::{ScenarioError, ScenarioErrors};
 use thiserror::Error;
 
-/// Why a subcommand could not be run.
+/// The error of a subcommand that could not be completed.
 #[derive(Debug, Error)]
 pub(crate) enum CommandError {
-    /// `play` was given no file.
-    #[error("name at least one scenario")]
+    /// `play` was given no scenario file.
+    #[error("no scenario file given; name at least one")]
     NoScenario,
     /// An assignment has no equals sign.
     #[error("{0}: is not KEY=VALUE")]
     NotAnAssignment(String),
-    /// A scenario cannot be read, or has errors; a line for each.
+    /// A scenario cannot be read or is invalid. The message has one line per error.
     #[error("{}", errors_with_path(path, errors))]
     Scenario {
         /// The scenario's file.
         path: PathBuf,
-        /// Its errors.
+        /// All errors found.
         errors: ScenarioErrors,
     },
     /// A file cannot be read.
-    #[error("{}: {source}", path.display())]
+    #[error("{}: cannot be read: {source}", path.display())]
     File {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The I/O error.
         source: io::Error,
     },
     /// A history cannot be read.
@@ -42,7 +42,7 @@
     History {
         /// The history's file.
         path: PathBuf,
-        /// Why.
+        /// The error of reading it.
         source: HistoryError,
     },
     /// A table cannot be drawn.
@@ -50,27 +50,27 @@
     Table {
         /// The table's file.
         path: PathBuf,
-        /// Why.
+        /// The error of drawing it.
         source: TableError,
     },
     /// An option `--program` is malformed.
     #[error(transparent)]
     Program(#[from] ProgramOptionError),
-    /// The path of the harness itself, beside which the program is, is not known.
-    #[error("the path of this executable is not known: {0}")]
+    /// The path of the harness's executable, beside which the default program is expected, cannot be determined.
+    #[error("cannot determine the path of the harness's executable: {0}")]
     ExecutablePath(io::Error),
-    /// An experiment did not reach its end.
+    /// An experiment was not completed.
     #[error(transparent)]
     Experiment(#[from] ExperimentError),
     /// The results cannot be written.
     #[error(transparent)]
     Report(#[from] ReportError),
-    /// The mutant could not serve.
+    /// The mutant node could not start or serve.
     #[error(transparent)]
     Mutant(#[from] MutantError),
 }
 
-/// A line for each error, with the scenario's path before those that do not name it themselves.
+/// Formats one line per error, prefixed with the scenario's path unless the error's own text has the path.
 fn errors_with_path(path: &Path, errors: &ScenarioErrors) -> String {
     let lines: Vec<String> = errors
         .iter()
--- a/fault-harness/src/commands/experiment_options.rs
+++ b/fault-harness/src/commands/experiment_options.rs
@@ -1,4 +1,4 @@
-//! The options that all commands share which play scenarios with the real program.
+//! The options shared by all commands that play scenarios with the real program.
 
 use std::path::PathBuf;
 
@@ -9,48 +9,50 @@
 
 use super::CommandError;
 
-/// The name of the program's executable, which is beside that of the harness.
+/// File name of the program's executable, which is expected in the directory of the harness's executable.
 const PROGRAM_NAME: &str = "oakwind";
-/// What file names of plays may have besides letters and digits.
+/// Characters allowed in directory names of plays besides letters and digits.
 const FILE_NAME_PUNCTUATION: &str = ".-=";
 
-/// How often and how many at a time a command plays, and where it stores the results.
+/// The number of plays, their concurrency, and where results are stored.
 pub(crate) struct ExperimentOptions {
-    /// Plays of each scenario, value or side.
+    /// Number of plays of each scenario, value or side.
     pub(crate) repeat: u64,
-    /// Plays at a time.
+    /// Maximum number of concurrent plays.
     pub(crate) jobs: usize,
-    /// The directory for all files.
+    /// Directory for results and the files of each play; nothing is stored without it.
     pub(crate) out: Option<PathBuf>,
 }
 
 impl ExperimentOptions {
-    /// One play, whose files go to a directory named after it.
+    /// Returns the job of one play, whose files go to a subdirectory named after its label and seed.
     pub(crate) fn job(&self, label: &str, scenario: &Scenario, seed: u64, programs: &Programs) -> Job {
         let out = self.out.as_ref().map(|out| out.join(format!("{}-{seed}", file_name(label))));
         Job { label: label.into(), scenario: scenario.clone(), seed, programs: programs.clone(), out }
     }
 
-    /// Plays all, with progress on standard error if that is wanted.
+    /// Plays all jobs and returns their outcomes; reports progress on standard error if `progress` is set.
     pub(crate) fn run(&self, jobs: Vec<Job>, progress: bool) -> Result<Vec<Outcome>, CommandError> {
         Ok(experiment::run(jobs, self.jobs, progress)?)
     }
 }
 
-/// A label as part of a file name.
+/// Converts a label to part of a file name: every character that is not allowed becomes an underscore.
 fn file_name(label: &str) -> String {
     let is_allowed = |letter: char| letter.is_alphanumeric() || FILE_NAME_PUNCTUATION.contains(letter);
     label.chars().map(|letter| if is_allowed(letter) { letter } else { '_' }).collect()
 }
 
-/// The builds that options `--program` name. The default one is beside the harness unless they name another.
+/// Returns the builds that the `--program` options name. Unless an option names `default`, it is the executable beside
+/// the harness.
 pub(crate) fn programs(options: &[String]) -> Result<Programs, CommandError> {
     let own_path = std::env::current_exe().map_err(CommandError::ExecutablePath)?;
     Ok(Programs::from_options(own_path.with_file_name(PROGRAM_NAME), options)?)
 }
 
-/// Defines a command that plays scenarios: its own options, and after them those of [`ExperimentOptions`]. A macro, as
-/// argh has no options that several commands share. It has to see `Vec<String>` and the like as words, not as one type.
+/// Defines a command that plays scenarios, with its own options followed by those of [`ExperimentOptions`]. This is a
+/// macro because argh cannot share options among commands. Option types are matched as separate tokens instead of
+/// `ty` fragments because argh's derive has to recognize `Vec<...>` and `Option<...>`.
 macro_rules! experiment_command {
     (
         $(#[doc = $doc:literal])*
@@ -63,13 +65,13 @@
         #[argh(subcommand, name = $name)]
         pub(crate) struct $command {
             $($(#[$($attribute)*])* $option: $type $(<$parameter>)?,)*
-            /// plays of each scenario, value or side, with seeds that count up
+            /// number of plays of each scenario, value or side, with consecutive seeds
             #[argh(option, default = $repeat)]
             repeat: u64,
-            /// plays at a time
+            /// maximum number of concurrent plays
             #[argh(option, default = $jobs)]
             jobs: usize,
-            /// a folder for results, histories, logs, charts and the page
+            /// a folder for results, histories, logs, charts and the report page
             #[argh(option)]
             out: Option<std::path::PathBuf>,
         }
--- a/fault-harness/src/commands/output.rs
+++ b/fault-harness/src/commands/output.rs
@@ -1,4 +1,4 @@
-//! What commands print of plays, and the files of results.
+//! The final output of commands that play or check: violations, result files and the exit status.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -7,8 +7,8 @@
 
 use super::CommandError;
 
-/// Prints the rules broken in all plays and stores the results, if they have a directory. The status is a failure if a
-/// rule was broken.
+/// Stores the results in `out`, if given, and prints the violations of all plays. The returned status is a failure if
+/// there are any.
 pub(crate) fn conclude(outcomes: &[Outcome], out: Option<&Path>) -> Result<ExitCode, CommandError> {
     if let Some(out) = out {
         report::store_results(outcomes, out)?;
--- a/fault-harness/src/commands/play.rs
+++ b/fault-harness/src/commands/play.rs
@@ -13,20 +13,20 @@
 experiment_command! {
     /// Play scenarios with the real program and check the rules.
     Play, "play", repeat = "1", jobs = "1" {
-        /// files of scenarios
+        /// scenario files
         #[argh(positional)]
         scenarios: Vec<PathBuf>,
-        /// what random numbers begin with, in place of the scenario's own
+        /// seed of the first play, in place of the scenario's own
         #[argh(option)]
         seed: Option<u64>,
-        /// a build of the program as NAME=PATH, with further arguments behind it; nodes run `default` unless a scenario
+        /// a build of the program as NAME=PATH, followed by further arguments; nodes run `default` unless a scenario
         /// names another
         #[argh(option)]
         program: Vec<String>,
-        /// set a key of the scenarios, as KEY=VALUE
+        /// set a key of all scenarios, as KEY=VALUE
         #[argh(option)]
         set: Vec<String>,
-        /// say nothing while it runs
+        /// do not report progress
         #[argh(switch)]
         quiet: bool,
     }
@@ -49,7 +49,8 @@
             }
         }
         let outcomes = options.run(jobs, !self.quiet)?;
-        let table = if options.repeat > 1 { experiment::spread(&outcomes) } else { report::rows(&outcomes) };
+        let table =
+            if options.repeat > 1 { experiment::spread_table(&outcomes) } else { report::rows(&outcomes) };
         print!("{table}");
         conclude(&outcomes, options.out.as_deref())
     }
--- a/fault-harness/src/commands/predict.rs
+++ b/fault-harness/src/commands/predict.rs
@@ -1,4 +1,4 @@
-//! `predict`: plays scenarios in virtual time.
+//! `predict`: simulates scenarios in virtual time.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -13,17 +13,17 @@
 use super::scenario_file::{parse_assignments, read_scenario};
 use super::CommandError;
 
-/// Play scenarios without sockets and without the program, in virtual time.
+/// Simulate scenarios in virtual time, without sockets and without the program.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "predict")]
 pub(crate) struct Predict {
-    /// files of scenarios
+    /// scenario files
     #[argh(positional)]
     scenarios: Vec<PathBuf>,
-    /// what random numbers begin with, in place of the scenario's own
+    /// seed of the random numbers, in place of the scenario's own
     #[argh(option)]
     seed: Option<u64>,
-    /// set a key of the scenarios, as KEY=VALUE
+    /// set a key of all scenarios, as KEY=VALUE
     #[argh(option)]
     set: Vec<String>,
 }
--- a/fault-harness/src/commands/scenario_file.rs
+++ b/fault-harness/src/commands/scenario_file.rs
@@ -1,4 +1,4 @@
-//! Reading of scenarios, with keys set to other values by options of the form KEY=VALUE.
+//! Reading of scenario files, with values overridden by options of the form KEY=VALUE.
 
 use std::path::Path;
 
@@ -6,7 +6,7 @@
 
 use super::CommandError;
 
-/// A key and its value.
+/// A scenario key and the value that overrides the file's.
 pub(crate) type Assignment = (String, String);
 
 /// Splits KEY=VALUE at its first equals sign.
@@ -17,12 +17,12 @@
     }
 }
 
-/// Splits each of several options KEY=VALUE.
+/// Parses each option with [`parse_assignment`].
 pub(crate) fn parse_assignments(options: &[String]) -> Result<Vec<Assignment>, CommandError> {
     options.iter().map(|option| parse_assignment(option)).collect()
 }
 
-/// Reads and checks a scenario, with these keys set to other values.
+/// Reads and validates a scenario with the values in `changes` in place of the file's.
 pub(crate) fn read_scenario(path: &Path, changes: &[Assignment]) -> Result<Scenario, CommandError> {
     Scenario::read(path, changes)
         .map_err(|errors| CommandError::Scenario { path: path.to_path_buf(), errors })
--- a/fault-harness/src/commands/scenario_file/tests.rs
+++ b/fault-harness/src/commands/scenario_file/tests.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn each_mistake_of_a_scenario_is_a_line_with_the_path_of_its_file() {
+fn each_error_in_a_scenario_is_a_line_with_the_path_of_its_file() {
     let path =
         std::env::temp_dir().join(format!("oakwind-fault-harness-mistakes-{}.toml", std::process::id()));
     let scenario =
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_scenario_that_cannot_be_read_is_named_once() {
+fn the_error_of_an_unreadable_scenario_names_its_path_once() {
     let path = std::env::temp_dir().join("oakwind-fault-harness-no-such-scenario.toml");
     let text = read_scenario(&path, &[]).unwrap_err().to_string();
     assert_eq!(text.matches("no-such-scenario").count(), 1, "{text}");
--- a/fault-harness/src/commands/sweep.rs
+++ b/fault-harness/src/commands/sweep.rs
@@ -13,13 +13,13 @@
 experiment_command! {
     /// Play a scenario with several values of one key.
     Sweep, "sweep", repeat = "1", jobs = "1" {
-        /// the file of a scenario
+        /// scenario file
         #[argh(positional)]
         scenario: PathBuf,
-        /// the key and its values, as KEY=a,b,c
+        /// the key to vary and its values, as KEY=a,b,c
         #[argh(option)]
         vary: String,
-        /// a build of the program as NAME=PATH, with further arguments behind it
+        /// a build of the program as NAME=PATH, followed by further arguments
         #[argh(option)]
         program: Vec<String>,
     }
@@ -39,7 +39,7 @@
             }
         }
         let outcomes = options.run(jobs, true)?;
-        print!("{}", experiment::spread(&outcomes));
+        print!("{}", experiment::spread_table(&outcomes));
         conclude(&outcomes, options.out.as_deref())
     }
 }
--- a/fault-harness/src/experiment.rs
+++ b/fault-harness/src/experiment.rs
@@ -1,4 +1,5 @@
-//! Experiments: many plays side by side, one key varied or two builds compared in turns.
+//! Experiments: repeated plays, plays with several values of one key, and alternating plays of two builds, run
+//! concurrently.
 
 mod comparison;
 
@@ -16,12 +17,12 @@
 use crate::schedule::schedule;
 use crate::warm_up_bound::warm_up_bound;
 
-pub use comparison::{compared, spread};
+pub use comparison::{comparison_table, spread_table};
 
-/// Why an experiment ended before all of it was played.
+/// The error that ended an experiment before all its jobs were played.
 #[derive(Debug, Error)]
 pub enum ExperimentError {
-    /// A play did not reach its end.
+    /// A play was not completed.
     #[error(transparent)]
     Play(#[from] PlayError),
     /// The files of a play cannot be written.
@@ -32,31 +33,31 @@
 /// One play of an experiment.
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// What it is called in tables.
+    /// Name of the row in tables. Repeated plays share it.
     pub label: String,
-    /// What is played.
+    /// The scenario to play.
     pub scenario: Scenario,
-    /// Its seed.
+    /// Seed of the play's random numbers.
     pub seed: u64,
-    /// The builds of the program.
+    /// The builds of the program that nodes run.
     pub programs: Programs,
-    /// The directory for its files; none are kept without it.
+    /// Directory for the files of the play; nothing is stored without it.
     pub out: Option<PathBuf>,
 }
 
-/// A job that waits, with its position among all.
+/// A queued job, with its position in the experiment.
 struct QueuedJob {
     position: usize,
     job: Job,
 }
 
-/// What a worker reports of a job.
+/// The result of a job, with its position in the experiment.
 struct FinishedJob {
     position: usize,
     result: Result<Outcome, ExperimentError>,
 }
 
-/// The jobs that no worker has taken yet.
+/// The jobs that no worker has started yet.
 struct JobQueue(Mutex<VecDeque<QueuedJob>>);
 
 impl JobQueue {
@@ -66,7 +67,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, VecDeque<QueuedJob>> {
-        // A worker that panicked has left the queue as it was.
+        // Each operation under the lock is atomic, so a worker that panicked left the queue consistent.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -83,7 +84,7 @@
 ///
 /// # Errors
 ///
-/// The first error of any job; those that wait are not played then.
+/// The first error of any job. Queued jobs are cancelled then.
 pub fn run(jobs: Vec<Job>, max_parallel: usize, progress: bool) -> Result<Vec<Outcome>, ExperimentError> {
     let count = jobs.len();
     // A single play shows its own progress.
@@ -93,16 +94,16 @@
     std::thread::scope(|scope| {
         for _ in 0..max_parallel.clamp(1, count.max(1)) {
             let sender = sender.clone();
-            scope.spawn(|| work(&queue, sender, progress_of_play));
+            scope.spawn(|| run_worker(&queue, sender, progress_of_play));
         }
-        // The channel ends with the last worker.
+        // The channel closes when the last worker drops its sender.
         drop(sender);
-        collect(&finished, count, progress && count > 1)
+        collect_outcomes(&finished, count, progress && count > 1)
     })
 }
 
-/// Plays one job after the other until none is left, or one fails.
-fn work(queue: &JobQueue, finished: Sender<FinishedJob>, progress: bool) {
+/// Plays queued jobs until none is left. A failed job, or a receiver that is gone, cancels all queued jobs.
+fn run_worker(queue: &JobQueue, finished: Sender<FinishedJob>, progress: bool) {
     while let Some(QueuedJob { position, job }) = queue.take() {
         let result = play_job(&job, progress);
         let has_failed = result.is_err();
@@ -113,8 +114,9 @@
     }
 }
 
-/// Collects the outcomes of all jobs in their order, with a line of progress for each if that is wanted.
-fn collect(
+/// Receives the outcomes of all jobs and returns them in the order of the jobs; prints a line for each if `progress`
+/// is set.
+fn collect_outcomes(
     finished: &Receiver<FinishedJob>,
     count: usize,
     progress: bool,
@@ -132,7 +134,10 @@
 
 fn print_progress(done: usize, count: usize, outcome: &Outcome) {
     let Outcome { label, seed, verdict, .. } = outcome;
-    eprintln!("{done} of {count}: {label} with seed {seed}: {} broken", verdict.violations.len());
+    eprintln!(
+        "{done} of {count} plays finished: {label} with seed {seed}: {} violations",
+        verdict.violations.len()
+    );
 }
 
 fn play_job(job: &Job, progress: bool) -> Result<Outcome, ExperimentError> {
--- a/fault-harness/src/experiment/comparison.rs
+++ b/fault-harness/src/experiment/comparison.rs
@@ -1,12 +1,12 @@
-//! Tables of repeated plays: each figure's mean with its least and its greatest value, and the ratios of two sides.
+//! Tables of repeated plays: the mean, minimum and maximum of each figure, and the ratios between two sides.
 
 use crate::report::{format_value, headings, table, Column, Outcome, COLUMNS};
 
-/// Digits of ratios after the decimal point.
+/// Digits after the decimal point of ratios.
 const RATIO_DIGITS: usize = 3;
 
-/// The figures of repeated plays, a row for each label: the mean, and behind it the least and the greatest value.
-pub fn spread(outcomes: &[Outcome]) -> String {
+/// A table of repeated plays with a row for each label: the mean of each figure, followed by its minimum and maximum.
+pub fn spread_table(outcomes: &[Outcome]) -> String {
     let mut labels: Vec<&str> = Vec::new();
     for outcome in outcomes {
         if !labels.contains(&outcome.label.as_str()) {
@@ -17,23 +17,25 @@
     table(&headings(["play", "runs"]), &rows)
 }
 
-/// The row of the plays with this label.
+/// The row that summarizes the plays with this label.
 fn spread_row(label: &str, outcomes: &[Outcome]) -> Vec<String> {
     let plays: Vec<Outcome> = outcomes.iter().filter(|outcome| outcome.label == label).cloned().collect();
     let broken: usize = plays.iter().map(|outcome| outcome.verdict.violations.len()).sum();
     let mut cells = vec![label.to_string(), plays.len().to_string()];
-    cells.extend(COLUMNS.iter().map(|column| spread_of(values(column, &plays).into_iter(), column.digits)));
+    cells.extend(
+        COLUMNS.iter().map(|column| format_spread(values(column, &plays).into_iter(), column.digits)),
+    );
     cells.push(broken.to_string());
     cells
 }
 
-/// The values of a column.
+/// The values of a column in all plays; `None` for a play without a value.
 fn values(column: &Column, outcomes: &[Outcome]) -> Vec<Option<f64>> {
     outcomes.iter().map(column.value).collect()
 }
 
-/// A mean with the least and the greatest value; where some plays have none, how many.
-fn spread_of(values: impl Iterator<Item = Option<f64>>, digits: usize) -> String {
+/// Formats the mean with the minimum and maximum of the values, and the number of plays without a value as `never`.
+fn format_spread(values: impl Iterator<Item = Option<f64>>, digits: usize) -> String {
     let values: Vec<Option<f64>> = values.collect();
     let present: Vec<f64> = values.iter().flatten().copied().collect();
     if present.is_empty() {
@@ -41,9 +43,9 @@
     }
     let format = |value: f64| format_value(Some(value), digits);
     let mean = format(present.iter().sum::<f64>() / present.len() as f64);
-    let least = format(present.iter().copied().fold(f64::INFINITY, f64::min));
-    let greatest = format(present.iter().copied().fold(f64::NEG_INFINITY, f64::max));
-    let range = if least == greatest { mean } else { format!("{mean} ({least}-{greatest})") };
+    let minimum = format(present.iter().copied().fold(f64::INFINITY, f64::min));
+    let maximum = format(present.iter().copied().fold(f64::NEG_INFINITY, f64::max));
+    let range = if minimum == maximum { mean } else { format!("{mean} ({minimum}-{maximum})") };
     let missing = values.len() - present.len();
     if missing > 0 {
         format!("{range}, {missing} never")
@@ -52,9 +54,9 @@
     }
 }
 
-/// Two sides played in turns, with the same seeds: for each figure the ratio of the second to the first, with its
-/// spread over the pairs.
-pub fn compared(first: &[Outcome], second: &[Outcome]) -> String {
+/// A table that compares two sides played with the same seeds: each figure of both sides, and the ratio of the second
+/// to the first, with its spread over the pairs of plays with the same seed.
+pub fn comparison_table(first: &[Outcome], second: &[Outcome]) -> String {
     let label = |side: &[Outcome]| side.first().map_or(String::new(), |outcome| outcome.label.clone());
     let headings = ["figure".into(), label(first), label(second), "ratio".into()];
     let rows: Vec<Vec<String>> = COLUMNS.iter().map(|column| comparison_row(column, first, second)).collect();
@@ -62,22 +64,22 @@
 }
 
 fn comparison_row(column: &Column, first: &[Outcome], second: &[Outcome]) -> Vec<String> {
-    let of_first = values(column, first);
-    let of_second = values(column, second);
+    let first_values = values(column, first);
+    let second_values = values(column, second);
     let ratios: Vec<Option<f64>> =
-        of_first.iter().zip(&of_second).map(|(before, after)| ratio(*before, *after)).collect();
+        first_values.iter().zip(&second_values).map(|(first, second)| ratio(*first, *second)).collect();
     vec![
         column.heading.into(),
-        spread_of(of_first.into_iter(), column.digits),
-        spread_of(of_second.into_iter(), column.digits),
-        spread_of(ratios.into_iter(), RATIO_DIGITS),
+        format_spread(first_values.into_iter(), column.digits),
+        format_spread(second_values.into_iter(), column.digits),
+        format_spread(ratios.into_iter(), RATIO_DIGITS),
     ]
 }
 
-/// None where one is missing, or there is nothing to divide by.
-fn ratio(before: Option<f64>, after: Option<f64>) -> Option<f64> {
-    let before = before.filter(|before| *before != 0.0)?;
-    Some(after? / before)
+/// The ratio of the second value to the first; `None` if a value is missing or the first is zero.
+fn ratio(first: Option<f64>, second: Option<f64>) -> Option<f64> {
+    let first = first.filter(|first| *first != 0.0)?;
+    Some(second? / first)
 }
 
 #[cfg(test)]
