--- a/fault-harness/src/commands/check.rs
+++ b/fault-harness/src/commands/check.rs
@@ -24,7 +24,7 @@
         let history = History::read(&self.history)
             .map_err(|source| CommandError::History { path: self.history.clone(), source })?;
         let outcomes = [Outcome::from_history(&history.parameters.scenario, &history, None)];
-        print!("{}", report::rows(&outcomes));
+        print!("{}", report::plays_table(&outcomes));
         conclude(&outcomes, None)
     }
 }
--- a/fault-harness/src/commands/output.rs
+++ b/fault-harness/src/commands/output.rs
@@ -15,7 +15,7 @@
     }
     for outcome in outcomes.iter().filter(|outcome| !outcome.verdict.violations.is_empty()) {
         println!("{} with seed {}:", outcome.label, outcome.seed);
-        print!("{}", report::violations(&outcome.verdict));
+        print!("{}", report::format_violations(&outcome.verdict));
     }
     let broken: usize = outcomes.iter().map(|outcome| outcome.verdict.violations.len()).sum();
     println!("{broken} rules broken");
--- a/fault-harness/src/commands/play.rs
+++ b/fault-harness/src/commands/play.rs
@@ -49,8 +49,11 @@
             }
         }
         let outcomes = options.run(jobs, !self.quiet)?;
-        let table =
-            if options.repeat > 1 { experiment::spread_table(&outcomes) } else { report::rows(&outcomes) };
+        let table = if options.repeat > 1 {
+            experiment::spread_table(&outcomes)
+        } else {
+            report::plays_table(&outcomes)
+        };
         print!("{table}");
         conclude(&outcomes, options.out.as_deref())
     }
--- a/fault-harness/src/commands/predict.rs
+++ b/fault-harness/src/commands/predict.rs
@@ -39,7 +39,7 @@
             let bound = warm_up_bound(&scenario, &schedule(&scenario, seed));
             outcomes.push(Outcome::from_history(&scenario.name, &history, bound));
         }
-        print!("{}", report::rows(&outcomes));
+        print!("{}", report::plays_table(&outcomes));
         conclude(&outcomes, None)
     }
 }
--- a/fault-harness/src/experiment/comparison.rs
+++ b/fault-harness/src/experiment/comparison.rs
@@ -1,6 +1,6 @@
 //! Tables of repeated plays: the mean, minimum and maximum of each figure, and the ratios between two sides.
 
-use crate::report::{format_value, headings, table, Column, Outcome, COLUMNS};
+use crate::report::{format_table, format_value, headings, Column, Outcome, COLUMNS};
 
 /// Digits after the decimal point of ratios.
 const RATIO_DIGITS: usize = 3;
@@ -14,7 +14,7 @@
         }
     }
     let rows: Vec<Vec<String>> = labels.iter().map(|label| spread_row(label, outcomes)).collect();
-    table(&headings(["play", "runs"]), &rows)
+    format_table(&headings(["play", "runs"]), &rows)
 }
 
 /// The row that summarizes the plays with this label.
@@ -60,7 +60,7 @@
     let label = |side: &[Outcome]| side.first().map_or(String::new(), |outcome| outcome.label.clone());
     let headings = ["figure".into(), label(first), label(second), "ratio".into()];
     let rows: Vec<Vec<String>> = COLUMNS.iter().map(|column| comparison_row(column, first, second)).collect();
-    table(&headings, &rows)
+    format_table(&headings, &rows)
 }
 
 fn comparison_row(column: &Column, first: &[Outcome], second: &[Outcome]) -> Vec<String> {
--- a/fault-harness/src/lib.rs
+++ b/fault-harness/src/lib.rs
@@ -1,5 +1,6 @@
-//! A fault harness for fleets of the real program: it starts many processes, puts relays with faults between them, stands
-//! in for everything that they talk to, sends load, and reports which rule broke. `docs/fault-harness.md` is its page.
+//! A fault harness for fleets of the real program: it starts the nodes as processes, connects them through relays that
+//! inject faults, simulates the services that they talk to, sends load, and reports violations of the rules. See
+//! `docs/fault-harness.md`.
 
 pub mod charts;
 pub mod check;
--- a/fault-harness/src/main.rs
+++ b/fault-harness/src/main.rs
@@ -7,7 +7,7 @@
 use argh::FromArgs;
 use commands::Command;
 
-/// Starts fleets of the real program, puts faults between them, and says which rule broke.
+/// Starts fleets of the real program, injects faults, and reports violations of the rules.
 #[derive(FromArgs)]
 struct Arguments {
     #[argh(subcommand)]
--- a/fault-harness/src/report.rs
+++ b/fault-harness/src/report.rs
@@ -1,4 +1,4 @@
-//! Reports of plays: a table and the rules broken for the terminal, an HTML page with charts, and the files of one play.
+//! Reports of plays: the violations as text, result files, an HTML page with charts, and the files of one play.
 
 mod table;
 
@@ -15,48 +15,49 @@
 use crate::history::History;
 use crate::statistics::{statistics, Statistics};
 
-pub use table::{format_value, headings, rows, table, Column, COLUMNS};
+pub use table::{format_table, format_value, headings, plays_table, Column, COLUMNS};
 
-/// The template of the page.
-const PAGE: &str = include_str!("../templates/report.html");
-/// Violations that a terminal is shown.
+/// Template of the HTML page.
+const PAGE_TEMPLATE: &str = include_str!("../templates/report.html");
+/// Maximum number of violations printed for a play.
 const MAX_VIOLATIONS_PRINTED: usize = 12;
-/// Violations that the page lists for a play.
+/// Maximum number of violations that the page lists for a play.
 const MAX_VIOLATIONS_ON_PAGE: usize = 100;
 
-/// Why a report cannot be written.
+/// The error of a report that cannot be written.
 #[derive(Debug, Error)]
 pub enum ReportError {
     /// A file or a directory cannot be written.
-    #[error("{}: {source}", path.display())]
+    #[error("{}: cannot be written: {source}", path.display())]
     Write {
         /// The file or directory.
         path: PathBuf,
-        /// Why.
+        /// The I/O error.
         source: io::Error,
     },
-    /// Results cannot be written as JSON.
-    #[error("results cannot be written as JSON: {0}")]
+    /// Results cannot be serialized as JSON.
+    #[error("cannot serialize the results as JSON: {0}")]
     Json(#[from] serde_json::Error),
-    /// The page cannot be made from its template.
-    #[error("the page cannot be made from its template: {0}")]
+    /// The HTML page cannot be rendered from its template.
+    #[error("cannot render the HTML page from its template: {0}")]
     Template(#[from] minijinja::Error),
 }
 
-/// What a play resulted in.
+/// The result of a play.
 #[derive(Debug, Clone, Serialize)]
 pub struct Outcome {
-    /// What the play is called among several.
+    /// Name of the play in tables. Repeated plays share it.
     pub label: String,
-    /// The scenario's name.
+    /// Name of the scenario.
     pub scenario: String,
-    /// The seed.
+    /// Seed of the play's random numbers.
     pub seed: u64,
-    /// The rules broken.
+    /// The violations found by the checker.
     pub verdict: Verdict,
-    /// The statistics.
+    /// The statistics computed from the history.
     pub statistics: Statistics,
-    /// The seconds to full service that warming up alone would have needed; none without a fault.
+    /// Lower bound of the seconds to full service that results from warm-up alone (see
+    /// [`warm_up_bound`](crate::warm_up_bound::warm_up_bound)); `None` if there is no such bound.
     pub warm_up_bound_s: Option<f64>,
 }
 
@@ -74,11 +75,11 @@
     }
 }
 
-/// The rules broken in a play for the terminal: the first violations, a line each, and how often each rule was broken.
-pub fn violations(verdict: &Verdict) -> String {
+/// Formats the violations of a play: the first ones with a line each, and the number of violations of each rule.
+pub fn format_violations(verdict: &Verdict) -> String {
     let mut text = String::new();
     for violation in verdict.violations.iter().take(MAX_VIOLATIONS_PRINTED) {
-        // Writing to memory does not fail.
+        // Writing to a string cannot fail.
         let _ = writeln!(text, "{:>9.0} ms  {:?}: {}", violation.at, violation.rule, violation.text);
     }
     let not_printed = verdict.violations.len().saturating_sub(MAX_VIOLATIONS_PRINTED);
@@ -91,20 +92,20 @@
     text
 }
 
-/// Writes the HTML page of some plays.
+/// Writes the HTML page of these plays.
 ///
 /// # Errors
 ///
-/// If the page cannot be made or its file cannot be written.
-pub fn page(outcomes: &[Outcome], path: &Path) -> Result<(), ReportError> {
+/// If the page cannot be rendered or its file cannot be written.
+pub fn write_page(outcomes: &[Outcome], path: &Path) -> Result<(), ReportError> {
     let mut environment = Environment::new();
     environment.set_auto_escape_callback(|_| minijinja::AutoEscape::Html);
     let plays: Vec<Value> = outcomes.iter().map(play_on_page).collect();
-    let html = environment.render_str(PAGE, context! { plays => plays })?;
+    let html = environment.render_str(PAGE_TEMPLATE, context! { plays => plays })?;
     write(path, &html)
 }
 
-/// The values of a play for the template.
+/// The template's variables for a play.
 fn play_on_page(outcome: &Outcome) -> Value {
     let Outcome { label, scenario, seed, verdict, statistics, .. } = outcome;
     let cells: Vec<[String; 2]> =
@@ -121,21 +122,22 @@
     }
 }
 
-/// Writes the results of several plays into a directory: `results.jsonl`, a play a line, and the page.
+/// Writes the results of several plays into a directory: `results.jsonl`, with one play per line, and the HTML page.
 ///
 /// # Errors
 ///
 /// If a file cannot be written.
 pub fn store_results(outcomes: &[Outcome], directory: &Path) -> Result<(), ReportError> {
     write(&directory.join("results.jsonl"), &json_lines(outcomes)?)?;
-    page(outcomes, &directory.join("report.html"))
+    write_page(outcomes, &directory.join("report.html"))
 }
 
-/// Writes all files of one play into a directory: its history, its seconds, its charts and its page.
+/// Writes the files of one play into a directory: its history, the statistics of each second, its charts and its HTML
+/// page.
 ///
 /// # Errors
 ///
-/// If a file cannot be written.
+/// If the directory cannot be created or a file cannot be written.
 pub fn store_play(outcome: &Outcome, history: &History, directory: &Path) -> Result<(), ReportError> {
     std::fs::create_dir_all(directory).map_err(|source| write_error(directory, source))?;
     let history_file = directory.join("history.jsonl");
@@ -144,10 +146,10 @@
     for chart in charts(&outcome.statistics) {
         write(&directory.join(format!("{}.svg", chart.name)), &chart.svg)?;
     }
-    page(std::slice::from_ref(outcome), &directory.join("report.html"))
+    write_page(std::slice::from_ref(outcome), &directory.join("report.html"))
 }
 
-/// Each value as a line of JSON.
+/// Formats each value as a line of JSON.
 fn json_lines<T: Serialize>(values: &[T]) -> Result<String, serde_json::Error> {
     let lines = values.iter().map(serde_json::to_string).collect::<Result<Vec<_>, _>>()?;
     Ok(lines.join("\n") + "\n")
--- a/fault-harness/src/report/table.rs
+++ b/fault-harness/src/report/table.rs
@@ -1,17 +1,17 @@
-//! Tables of plays in Markdown, which can be read on a terminal as well.
+//! Markdown tables of plays, aligned so that they are readable on a terminal.
 
 use super::Outcome;
 
-/// Digits of shares after the decimal point.
-const SHARE_DIGITS: usize = 3;
+/// Digits after the decimal point of fractions.
+const FRACTION_DIGITS: usize = 3;
 
-/// A figure that tables show.
+/// A column of a table of plays.
 pub struct Column {
-    /// Its heading.
+    /// Heading of the column, with its unit.
     pub heading: &'static str,
-    /// Digits after the decimal point.
+    /// Digits after the decimal point of its values.
     pub digits: usize,
-    /// The figure of a play, if it has one.
+    /// Returns the value of a play; `None` if the play has none.
     pub value: fn(&Outcome) -> Option<f64>,
 }
 
@@ -20,21 +20,21 @@
         Column { heading, digits, value }
     }
 
-    /// The figure of a play as text.
+    /// Formats the value of a play.
     pub fn cell(&self, outcome: &Outcome) -> String {
         format_value((self.value)(outcome), self.digits)
     }
 }
 
-/// What tables show, in order.
+/// The columns of tables of plays, in order.
 pub const COLUMNS: [Column; 14] = [
     Column::new("requests/s", 0, |outcome| {
         Some(outcome.statistics.requests as f64 / outcome.statistics.seconds.len() as f64)
     }),
-    Column::new("served", SHARE_DIGITS, |outcome| Some(outcome.statistics.served)),
-    Column::new("worst 10 s", SHARE_DIGITS, |outcome| Some(outcome.statistics.lowest_served)),
-    Column::new("rejected", SHARE_DIGITS, |outcome| Some(outcome.statistics.outcomes.rejected)),
-    Column::new("failed", SHARE_DIGITS, |outcome| Some(outcome.statistics.outcomes.failed)),
+    Column::new("served", FRACTION_DIGITS, |outcome| Some(outcome.statistics.served)),
+    Column::new("worst 10 s", FRACTION_DIGITS, |outcome| Some(outcome.statistics.lowest_served)),
+    Column::new("rejected", FRACTION_DIGITS, |outcome| Some(outcome.statistics.outcomes.rejected)),
+    Column::new("failed", FRACTION_DIGITS, |outcome| Some(outcome.statistics.outcomes.failed)),
     Column::new("median ms", 0, |outcome| Some(outcome.statistics.median_ms)),
     Column::new("p99 ms", 0, |outcome| Some(outcome.statistics.p99_ms)),
     Column::new("attempts", 2, |outcome| Some(outcome.statistics.attempts_per_request)),
@@ -48,18 +48,18 @@
     Column::new("duplicate runs", 0, |outcome| Some(outcome.verdict.duplicate_runs_in_fleet as f64)),
 ];
 
-/// A value with this many digits after the decimal point, and a dash where there is none.
+/// Formats a value with this many digits after the decimal point, and a missing value as a dash.
 pub fn format_value(value: Option<f64>, digits: usize) -> String {
     value.map_or("-".into(), |value| format!("{value:.digits$}"))
 }
 
-/// A table, with its columns aligned.
-pub fn table(headings: &[String], rows: &[Vec<String>]) -> String {
+/// Formats a Markdown table with aligned columns.
+pub fn format_table(headings: &[String], rows: &[Vec<String>]) -> String {
     let widths: Vec<usize> = (0..headings.len()).map(|column| column_width(headings, rows, column)).collect();
-    let rule: Vec<String> = widths.iter().map(|width| "-".repeat(*width)).collect();
-    let mut text = line(headings, &widths) + &line(&rule, &widths);
+    let separator: Vec<String> = widths.iter().map(|width| "-".repeat(*width)).collect();
+    let mut text = format_line(headings, &widths) + &format_line(&separator, &widths);
     for row in rows {
-        text.push_str(&line(row, &widths));
+        text.push_str(&format_line(row, &widths));
     }
     text
 }
@@ -70,25 +70,25 @@
     cells.fold(headings[column].chars().count(), usize::max)
 }
 
-fn line(cells: &[String], widths: &[usize]) -> String {
+fn format_line(cells: &[String], widths: &[usize]) -> String {
     let padded: Vec<String> =
         cells.iter().zip(widths).map(|(cell, width)| format!("{cell:<width$}")).collect();
     format!("| {} |\n", padded.join(" | "))
 }
 
-/// The headings of a table of plays: two of its own, then all figures, then the rules broken.
+/// The headings of a table of plays: two given headings, those of [`COLUMNS`], and `broken`, the number of violations.
 pub fn headings(own: [&str; 2]) -> Vec<String> {
     let figures = COLUMNS.iter().map(|column| column.heading);
     own.into_iter().chain(figures).chain(["broken"]).map(String::from).collect()
 }
 
-/// A table of plays, a row each.
-pub fn rows(outcomes: &[Outcome]) -> String {
-    let rows: Vec<Vec<String>> = outcomes.iter().map(row).collect();
-    table(&headings(["play", "seed"]), &rows)
+/// Formats a table with a row for each play.
+pub fn plays_table(outcomes: &[Outcome]) -> String {
+    let rows: Vec<Vec<String>> = outcomes.iter().map(play_row).collect();
+    format_table(&headings(["play", "seed"]), &rows)
 }
 
-fn row(outcome: &Outcome) -> Vec<String> {
+fn play_row(outcome: &Outcome) -> Vec<String> {
     let mut cells = vec![outcome.label.clone(), outcome.seed.to_string()];
     cells.extend(COLUMNS.iter().map(|column| column.cell(outcome)));
     cells.push(outcome.verdict.violations.len().to_string());
--- a/fault-harness/src/report/tests.rs
+++ b/fault-harness/src/report/tests.rs
@@ -3,12 +3,12 @@
 use crate::scenario::Scenario;
 
 #[test]
-fn a_page_holds_the_figures_and_the_charts_and_escapes_what_is_named() {
+fn a_page_has_the_charts_and_the_faults_and_escapes_names() {
     let text = "name = 'a <b> fleet'\nseconds = 5\n[fleet]\nnodes = 2\n[[class]]\nname = 'quote'\nshare = 1\nwork_ms = 20\nlatency_objective_ms = 100\ndeadline_ms = 300\n[load]\nload = 0.5\n[[fault]]\nat_s = 2\nwhat = 'slow'\nnodes = ['n1']\nduration_s = 1.0\n";
     let history = predict(&Scenario::parse(text, &[]).unwrap(), None);
     let outcome = Outcome::from_history("calm", &history, None);
     let path = std::env::temp_dir().join(format!("oakwind-fault-harness-page-{}.html", std::process::id()));
-    page(&[outcome], &path).unwrap();
+    write_page(&[outcome], &path).unwrap();
     let html = std::fs::read_to_string(&path).unwrap();
     std::fs::remove_file(&path).unwrap();
     assert!(html.contains("a &lt;b&gt; fleet") && !html.contains("<b>"));
@@ -17,8 +17,8 @@
 }
 
 #[test]
-fn a_table_lines_up() {
-    let text = table(&["a".into(), "long".into()], &[vec!["wide cell".into(), "1".into()]]);
+fn all_lines_of_a_table_have_the_same_width() {
+    let text = format_table(&["a".into(), "long".into()], &[vec!["wide cell".into(), "1".into()]]);
     let widths: Vec<usize> = text.lines().map(|line| line.chars().count()).collect();
     assert!(widths.iter().all(|width| *width == widths[0]), "{text}");
 }
--- a/fault-harness/src/statistics.rs
+++ b/fault-harness/src/statistics.rs
@@ -1,5 +1,5 @@
-//! Statistics of a history: what was served in time, second by second and in total, how long answers took, and how long
-//! the fleet needed to recover full service after a fault.
+//! Statistics of a history: outcomes per second and in total, latencies, resource use, and the time that the fleet
+//! needed to recover after a fault. Weights are those of the requests' classes.
 
 mod accumulator;
 mod recovery;
@@ -11,24 +11,26 @@
 
 pub use recovery::Recovery;
 
-/// One second of a play, by when requests were sent.
+/// The counts of one second of a play. Outcomes are counted in the second in which their request was sent; repeats are
+/// not counted as requests.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Second {
-    /// Weight of the requests sent.
+    /// Total weight of the requests sent.
     pub requested_weight: f64,
-    /// Weight served: all of it within the latency objective, a fraction after it.
+    /// Total weight served: a request's full weight within its latency objective, a fraction after it or without its
+    /// call.
     pub served_weight: f64,
-    /// Requests sent.
+    /// Number of requests sent.
     pub requests: u64,
-    /// Served within their latency objective.
+    /// Requests served within their latency objective.
     pub in_time: u64,
-    /// Served after it.
+    /// Requests served after their latency objective.
     pub after_objective: u64,
-    /// Rejected by the last attempt.
+    /// Requests whose last attempt was rejected.
     pub rejected: u64,
-    /// Failed, or without an answer.
+    /// Requests that failed or timed out.
     pub failed: u64,
-    /// Attempts written in this second.
+    /// Attempts that frontends wrote in this second.
     pub attempts: u64,
     /// Connections opened by frontends in this second.
     pub connections: u64,
@@ -36,80 +38,80 @@
     pub runs: u64,
 }
 
-/// A fault as a stretch of time.
+/// The time range of a fault.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Band {
-    /// What it was, and for which nodes.
+    /// Description of the fault and its targets.
     pub text: String,
-    /// From when, in seconds.
+    /// Start, in seconds since the load started.
     pub from: f64,
-    /// Until when.
+    /// End, in seconds since the load started.
     pub until: f64,
 }
 
-/// The fractions of requests by their outcome.
+/// Fractions of the requests by outcome.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct OutcomeFractions {
-    /// Served within their latency objective.
+    /// Served within the latency objective.
     pub in_time: f64,
-    /// Served after it.
+    /// Served after the latency objective.
     pub after_objective: f64,
-    /// Rejected by the last attempt.
+    /// Rejected in the last attempt.
     pub rejected: f64,
-    /// Failed, or without an answer.
+    /// Failed or timed out.
     pub failed: f64,
 }
 
-/// Connections that frontends opened, a second.
+/// Rates of new connections from frontends, per second.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct ConnectionRates {
-    /// In the mean.
+    /// Mean over the play.
     pub mean: f64,
-    /// In the second with the most.
+    /// Maximum of any second.
     pub busiest_second: f64,
-    /// The same with one node.
+    /// Maximum of any second and any single node.
     pub busiest_node: f64,
 }
 
-/// The most that one program took.
+/// The peak resource use of any single program. The two peaks may be of different programs.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct PeakUse {
-    /// Memory.
+    /// Resident memory in KB.
     pub memory_kb: u64,
-    /// Open descriptors.
+    /// Number of open file descriptors.
     pub descriptors: u64,
 }
 
-/// All figures of a play.
+/// All statistics of a play.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Statistics {
-    /// By second.
+    /// The counts of each second.
     pub seconds: Vec<Second>,
-    /// The faults.
+    /// The time ranges of the faults injected.
     pub bands: Vec<Band>,
-    /// Requests sent, without repeats.
+    /// Number of requests sent, without repeats.
     pub requests: u64,
-    /// The fraction of the weight requested that was served.
+    /// Fraction of the requested weight that was served.
     pub served: f64,
-    /// The same in the ten seconds in which it was least.
+    /// Lowest fraction of the requested weight that was served in any ten consecutive seconds.
     pub lowest_served: f64,
-    /// The fractions of requests by their outcome.
+    /// Fractions of the requests by outcome.
     pub outcomes: OutcomeFractions,
-    /// Requests served, a second.
+    /// Requests served per second.
     pub throughput: f64,
-    /// Median latency of the requests served, in milliseconds from the sending of the request.
+    /// Median latency of the requests served, in milliseconds since the request was sent.
     pub median_ms: f64,
-    /// Their 99th percentile.
+    /// 99th percentile of the same latencies, in milliseconds.
     pub p99_ms: f64,
-    /// Attempts for each request.
+    /// Mean number of attempts per request.
     pub attempts_per_request: f64,
-    /// Connections that frontends opened.
+    /// Rates of new connections from frontends.
     pub connections: ConnectionRates,
-    /// The recovery, where there was a fault.
+    /// The recovery from the faults; `None` without a fault.
     pub recovery: Option<Recovery>,
-    /// The most that one program took.
+    /// Peak resource use of any single program.
     pub peak_use: PeakUse,
-    /// CPU time of the programs, in microseconds for each attempt.
+    /// CPU time of all programs per attempt, in microseconds.
     pub cpu_us_per_attempt: f64,
 }
 
--- a/fault-harness/src/statistics/accumulator.rs
+++ b/fault-harness/src/statistics/accumulator.rs
@@ -1,4 +1,4 @@
-//! Adds up a history event by event: a method for each kind of event, and the statistics at the end.
+//! Accumulates the events of a history, and computes the statistics from the sums.
 
 use std::collections::HashMap;
 
@@ -10,30 +10,29 @@
 use crate::model::frontend::RequestOutcome;
 use crate::model::{seconds_of_ms, Ms};
 
-/// The longest latency that is distinguished, in microseconds: ten minutes.
+/// Upper end of the latency histogram in microseconds (ten minutes). Longer latencies are recorded as this value.
 const MAX_LATENCY_US: u64 = 600_000_000;
-/// Significant digits of latencies.
+/// Significant decimal digits of recorded latencies.
 const LATENCY_DIGITS: u8 = 3;
-/// The length of the worst stretch, in seconds.
-const STRETCH_SECONDS: usize = 10;
-/// Microseconds in a millisecond.
+/// Length in seconds of the window of the lowest served fraction.
+const LOWEST_WINDOW_SECONDS: usize = 10;
 const US_PER_MS: f64 = 1000.0;
-/// The quantiles of latencies that are reported.
+/// Latency quantiles that are reported.
 const MEDIAN: f64 = 0.5;
 const P99: f64 = 0.99;
 
-/// A request that a client sent.
+/// The time at which a request was sent, and its class.
 #[derive(Debug, Clone, Copy)]
 struct RequestStart {
     at: Ms,
     class: usize,
 }
 
-/// What programs took of the machine.
+/// Resource use of the programs.
 #[derive(Debug, Default)]
 struct ResourceUse {
     peak: PeakUse,
-    /// The last reading of each node's CPU time.
+    /// The last CPU time read for each node.
     last_cpu_ms: HashMap<usize, u64>,
     total_cpu_ms: u64,
 }
@@ -63,17 +62,17 @@
             requests: 0,
             attempts: 0,
             bands: Vec::new(),
-            // These bounds are valid: there always is a histogram.
+            // Creation fails only with invalid bounds, and these are valid.
             latencies: Histogram::new_with_bounds(1, MAX_LATENCY_US, LATENCY_DIGITS).ok(),
             connections: HashMap::new(),
             resources: ResourceUse::default(),
         }
     }
 
-    /// Takes in an event.
+    /// Adds an event.
     pub(super) fn observe(&mut self, at: Ms, event: &Event) {
         match event {
-            // Repeats are there to be answered rightly; they have no weight.
+            // Repeats only test idempotency: they carry no weight and are not counted as requests.
             Event::RequestSent { request, class, repeats: None } => self.count_request(at, *request, *class),
             Event::RequestEnded { request, outcome, .. } => self.count_outcome(at, *request, *outcome),
             Event::AttemptWritten { .. } => self.count_attempt(at),
@@ -96,7 +95,7 @@
         }
     }
 
-    /// The position of the second that a time falls into, if load was sent in it.
+    /// The index of the second that a time falls into; `None` outside the seconds in which load was sent.
     fn second_of(&self, at: Ms) -> Option<usize> {
         let second = (at >= 0.0).then_some(seconds_of_ms(at) as usize);
         second.filter(|second| *second < self.seconds.len())
@@ -165,11 +164,11 @@
         by_second[second] += 1;
     }
 
-    fn sum(&self, of: fn(&Second) -> f64) -> f64 {
-        self.seconds.iter().map(of).sum()
+    fn sum(&self, value: fn(&Second) -> f64) -> f64 {
+        self.seconds.iter().map(value).sum()
     }
 
-    /// A latency in milliseconds that this fraction of the requests served does not exceed.
+    /// The latency in milliseconds at this quantile of the requests served.
     fn latency_ms(&self, quantile: f64) -> f64 {
         let latencies = self.latencies.as_ref();
         latencies.map_or(0.0, |latencies| latencies.value_at_quantile(quantile) as f64 / US_PER_MS)
@@ -195,7 +194,7 @@
         }
     }
 
-    /// The statistics of all that was seen.
+    /// Computes the statistics of the events added.
     pub(super) fn finish(self) -> Statistics {
         let served_count = self.sum(|second| (second.in_time + second.after_objective) as f64);
         let requested_weight = self.sum(|second| second.requested_weight);
@@ -203,7 +202,7 @@
         Statistics {
             requests: self.requests,
             served: ratio(self.sum(|second| second.served_weight), requested_weight),
-            lowest_served: lowest_served_fraction(&self.seconds, STRETCH_SECONDS),
+            lowest_served: lowest_served_fraction(&self.seconds, LOWEST_WINDOW_SECONDS),
             outcomes: self.outcome_fractions(),
             throughput: served_count / self.parameters.seconds,
             median_ms: self.latency_ms(MEDIAN),
@@ -223,16 +222,16 @@
     fn add_sample(&mut self, node: usize, sample: PeakUse, cpu_ms: u64) {
         self.peak.memory_kb = self.peak.memory_kb.max(sample.memory_kb);
         self.peak.descriptors = self.peak.descriptors.max(sample.descriptors);
-        let before = self.last_cpu_ms.insert(node, cpu_ms).unwrap_or(0);
-        // A program that was restarted counts from 0.
-        self.total_cpu_ms += if cpu_ms >= before { cpu_ms - before } else { cpu_ms };
+        let previous = self.last_cpu_ms.insert(node, cpu_ms).unwrap_or(0);
+        // The CPU time of a restarted program starts from 0 again.
+        self.total_cpu_ms += if cpu_ms >= previous { cpu_ms - previous } else { cpu_ms };
     }
 }
 
-/// The quotient, or 0 where there is nothing to divide by.
-fn ratio(value: f64, of: f64) -> f64 {
-    if of > 0.0 {
-        value / of
+/// The quotient, or 0 if the denominator is not positive.
+fn ratio(numerator: f64, denominator: f64) -> f64 {
+    if denominator > 0.0 {
+        numerator / denominator
     } else {
         0.0
     }
--- a/fault-harness/src/statistics/recovery.rs
+++ b/fault-harness/src/statistics/recovery.rs
@@ -1,4 +1,4 @@
-//! How much was served over stretches of a play, and when the fleet recovered after its faults.
+//! The fractions served in parts of a play, and the time at which the fleet recovered from its faults.
 
 use std::ops::Range;
 
@@ -6,33 +6,34 @@
 
 use super::{Band, Second};
 
-/// Service has recovered where this fraction of what was served before is served again.
+/// Service counts as recovered when it reaches this fraction of the service before the first fault.
 const RECOVERED_FRACTION: f64 = 0.9;
-/// Seconds to either side that the figure of a second is smoothed over.
+/// Number of seconds on either side over which the fraction served in a second is smoothed.
 const SMOOTHING_RADIUS: usize = 1;
-/// Seconds at the start that are left out of what was served before.
+/// Number of seconds at the start of a play that are excluded from the service before the first fault.
 const SETTLING_SECONDS: usize = 3;
 
-/// How long a fleet took to recover.
+/// The recovery of a fleet from all faults of a play.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Recovery {
-    /// The fraction of the weight requested that was served before the first fault.
+    /// Fraction of the requested weight that was served before the first fault.
     pub before: f64,
-    /// Seconds from the start of the first fault until service has recovered and stays so; none if it has not by the end.
+    /// Seconds from the start of the first fault until service recovered for the rest of the play; `None` if it never did
+    /// so.
     pub from_start: Option<f64>,
-    /// The same from the end of the last fault.
+    /// Seconds from the end of the last fault to the same time; 0 if service recovered before that end.
     pub from_end: Option<f64>,
-    /// The least that a second served meanwhile, as a fraction of `before`.
+    /// Lowest fraction served in any second since the first fault, divided by `before`.
     pub least: f64,
 }
 
-/// The fraction of the weight that is served in the stretch of so many seconds in which it is lowest.
+/// The lowest fraction of the requested weight that was served in any `length` consecutive seconds.
 pub(super) fn lowest_served_fraction(seconds: &[Second], length: usize) -> f64 {
     let fractions = seconds.windows(length.min(seconds.len())).map(served_fraction);
     fractions.fold(f64::INFINITY, f64::min).min(1.0)
 }
 
-/// The fraction of the weight requested that is served.
+/// The fraction of the requested weight that was served; 1 if nothing was requested.
 fn served_fraction(seconds: &[Second]) -> f64 {
     let requested: f64 = seconds.iter().map(|second| second.requested_weight).sum();
     if requested > 0.0 {
@@ -42,13 +43,14 @@
     }
 }
 
-/// The fraction served in a second and its neighbours.
+/// The fraction served in a second together with its neighbours.
 fn smoothed_fraction(seconds: &[Second], second: usize) -> f64 {
     let end = (second + SMOOTHING_RADIUS + 1).min(seconds.len());
     served_fraction(&seconds[second.saturating_sub(SMOOTHING_RADIUS)..end])
 }
 
-/// The recovery from all faults: from which second on each one, smoothed with its neighbours, serves enough.
+/// Computes the recovery from all faults. Service has recovered from the second on from which the smoothed fraction
+/// served stays sufficient until the end. `None` without a fault during the load.
 pub(super) fn recovery(seconds: &[Second], bands: &[Band]) -> Option<Recovery> {
     let from = bands.iter().map(|band| band.from).fold(f64::INFINITY, f64::min);
     let until = bands.iter().map(|band| band.until).fold(0.0, f64::max);
@@ -73,7 +75,7 @@
     })
 }
 
-/// The last second in which too little was served.
+/// The last second whose smoothed fraction is insufficient.
 fn last_insufficient(seconds: &[Second], mut affected: Range<usize>, before: f64) -> Option<usize> {
     affected.rfind(|second| smoothed_fraction(seconds, *second) < RECOVERED_FRACTION * before)
 }
--- a/fault-harness/src/warm_up_bound.rs
+++ b/fault-harness/src/warm_up_bound.rs
@@ -1,31 +1,32 @@
-//! How fast a fleet could recover if warming up were all that kept it: what its cores can do, moment by moment, by the
-//! schedule alone.
+//! A lower bound of the time to recover from faults, computed from the schedule alone: the time at which the capacity
+//! of the cores is sufficient again if only downtime, slowness and warm-up reduce it.
 
 use crate::model::interpreter::InterpreterSpec;
 use crate::model::{ms_of_seconds, seconds_of_ms, Ms, MS_PER_SECOND};
 use crate::scenario::{Fault, FaultKind, Scenario};
 use crate::schedule::{InjectionTime, Schedule};
 
-/// Capacity is computed this often.
+/// Time step at which the capacity is evaluated.
 const STEP: Ms = 50.0;
-/// Service has recovered where this fraction of what is requested, or of what warm cores can do, can be served again.
+/// Capacity is sufficient when it reaches this fraction of the requested work, or of the warm capacity if that is
+/// lower.
 const RECOVERED_FRACTION: f64 = 0.9;
 
-/// A stretch in which a node does less.
+/// A reduction of a node's capacity, from a time on.
 struct Slowdown {
     node: usize,
     from: Ms,
     effect: Effect,
 }
 
-/// What a fault does to a node's capacity.
+/// The effect of a fault on a node's capacity.
 #[derive(Clone, Copy)]
 struct Effect {
-    /// How long it lasts.
+    /// Duration of the reduction; infinite if the fault does not end.
     duration: Ms,
-    /// The fraction of the capacity that is left meanwhile.
+    /// Fraction of the capacity that remains during it.
     factor: f64,
-    /// Whether the node is cold when it is over.
+    /// Whether the node has to warm up afterwards.
     is_cold_after: bool,
 }
 
@@ -35,8 +36,8 @@
     }
 }
 
-/// Seconds from the first fault until the cores can do enough again and go on to; none without faults that take cores
-/// away, and none where they never can.
+/// Returns the seconds from the first fault until the capacity is sufficient for the rest of the play; `None` if no
+/// fault reduces the capacity, or if it does not become sufficient before the end.
 pub fn warm_up_bound(scenario: &Scenario, schedule: &Schedule) -> Option<f64> {
     let slowdowns = slowdowns(scenario, schedule);
     let first = slowdowns.iter().map(|slowdown| slowdown.from).fold(f64::INFINITY, f64::min);
@@ -65,7 +66,7 @@
 fn slowdowns(scenario: &Scenario, schedule: &Schedule) -> Vec<Slowdown> {
     let mut slowdowns = Vec::new();
     for injection in &schedule.injections {
-        // What waits for an event has no time in the schedule.
+        // A fault that is triggered by an event has no time in the schedule.
         let InjectionTime::Time(at) = injection.at else { continue };
         let Some(effect) = effect_of(&injection.fault) else { continue };
         let from = at + injection.delay;
@@ -79,18 +80,18 @@
     slowdowns
 }
 
-/// What a fault does to the capacity of its targets, if anything.
+/// The effect of a fault on the capacity of its targets; `None` if it has none.
 fn effect_of(fault: &Fault) -> Option<Effect> {
-    let lasts = fault.duration_s.map_or(f64::INFINITY, ms_of_seconds);
-    let is_down = fault.down_s.map_or(f64::INFINITY, ms_of_seconds);
+    let duration = fault.duration_s.map_or(f64::INFINITY, ms_of_seconds);
+    let downtime = fault.down_s.map_or(f64::INFINITY, ms_of_seconds);
     match fault.what {
         FaultKind::Kill | FaultKind::Shutdown => {
-            Some(Effect { duration: is_down, factor: 0.0, is_cold_after: true })
+            Some(Effect { duration: downtime, factor: 0.0, is_cold_after: true })
         }
         FaultKind::Pause | FaultKind::Partition => {
-            Some(Effect { duration: lasts, factor: 0.0, is_cold_after: false })
+            Some(Effect { duration, factor: 0.0, is_cold_after: false })
         }
-        FaultKind::Slow => Some(Effect { duration: lasts, factor: fault.factor, is_cold_after: false }),
+        FaultKind::Slow => Some(Effect { duration, factor: fault.factor, is_cold_after: false }),
         FaultKind::Link
         | FaultKind::Dependency
         | FaultKind::Registry
@@ -101,13 +102,13 @@
     }
 }
 
-/// What the cores of a node can do at a time.
+/// The capacity of a node's cores at a time, in milliseconds of work per millisecond.
 fn node_capacity(spec: &InterpreterSpec, node: usize, at: Ms, slowdowns: &[Slowdown]) -> f64 {
-    let begun = || slowdowns.iter().filter(|slowdown| slowdown.node == node && slowdown.from <= at);
-    let lasting = begun().filter(|slowdown| at < slowdown.until());
-    let factor = lasting.map(|slowdown| slowdown.effect.factor).fold(1.0, f64::min);
-    let restarted = begun().filter(|slowdown| slowdown.effect.is_cold_after && slowdown.until() <= at);
-    let cold_since = restarted.map(Slowdown::until).fold(f64::NEG_INFINITY, f64::max);
+    let started = || slowdowns.iter().filter(|slowdown| slowdown.node == node && slowdown.from <= at);
+    let active = started().filter(|slowdown| at < slowdown.until());
+    let factor = active.map(|slowdown| slowdown.effect.factor).fold(1.0, f64::min);
+    let ended_cold = started().filter(|slowdown| slowdown.effect.is_cold_after && slowdown.until() <= at);
+    let cold_since = ended_cold.map(Slowdown::until).fold(f64::NEG_INFINITY, f64::max);
     let warm_fraction = if cold_since.is_finite() { spec.warm_fraction(at - cold_since) } else { 1.0 };
     spec.cores * spec.speed * factor * warm_fraction
 }
--- a/fault-harness/src/wire.rs
+++ b/fault-harness/src/wire.rs
@@ -1,39 +1,40 @@
-//! The messages on the program's links, as text: shared by the harness's simulated services and the tests of the network code.
+//! The text messages that the program exchanges with frontends and interpreters. They are shared by the harness's
+//! simulated services and the tests of the program's network code.
 
 use std::fmt::{self, Display, Formatter};
 
 use serde::Deserialize;
 
-/// The notification that a connection is about to be closed.
+/// A node's notification that it is about to close a connection.
 pub const DRAINING: &str = r#"{"jsonrpc":"2.0","method":"draining"}"#;
 
-/// A health check.
+/// A frontend's health check, with its line end.
 pub const STATUS: &str = "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"status\"}\n";
 
-/// A request as a frontend writes it, one line with its end.
+/// A frontend's request. Its `Display` form is one line of JSON, with its line end.
 #[derive(Debug, Clone, Copy)]
 pub struct Request<'a> {
-    /// Its id on the connection.
+    /// JSON-RPC id, unique on the connection.
     pub id: u64,
-    /// Its transaction id, which no other request has.
+    /// Transaction id, unique among all requests.
     pub txn: &'a str,
-    /// Its class.
+    /// Name of the request's class.
     pub class: &'a str,
-    /// When the platform received it, in Unix milliseconds.
+    /// Time at which the platform received the request, in Unix milliseconds.
     pub received_at: u64,
-    /// The frontend's number.
+    /// Number of the frontend that sends the request.
     pub frontend: usize,
-    /// The tenant.
+    /// Name of the tenant.
     pub tenant: &'a str,
-    /// How long the frontend waits, in milliseconds.
+    /// Time that the frontend waits for the response, in milliseconds.
     pub time_limit_ms: u64,
-    /// The work to expect, in milliseconds.
+    /// Expected work of the request, in milliseconds.
     pub cost_hint_ms: f64,
-    /// The memory that it takes while held, in KB.
+    /// Memory that the request takes while it is held, in KB.
     pub memory_kb: f64,
-    /// The idempotency key, in classes that have one.
+    /// The idempotency key; `None` in classes without one.
     pub idempotency_key: Option<&'a str>,
-    /// The body in base64.
+    /// The request body in base64.
     pub content: &'a str,
 }
 
@@ -51,76 +52,77 @@
     }
 }
 
-/// The notification that a frontend no longer waits for a request.
+/// A frontend's notification that it no longer waits for the response to a request.
 pub fn withdraw(id: u64) -> String {
     format!("{{\"jsonrpc\":\"2.0\",\"method\":\"withdraw\",\"params\":{{\"id\":{id}}}}}\n")
 }
 
-/// An interpreter's notice that a run has ended.
+/// An interpreter's `VALUE` message: a run has ended.
 pub fn value(notice: u64, txn: &str, end: &str, ms: u64, result: &str) -> String {
     format!("VALUE {notice} {txn} {end} {ms} {}\r\n{result}\r\n", result.len())
 }
 
-/// An interpreter's notice that a run waits for a call to the dependency.
+/// An interpreter's `AWAIT` message: a run waits for a call to the dependency.
 pub fn await_call(notice: u64, txn: &str, body: &str) -> String {
     format!("AWAIT {notice} {txn} {}\r\n{body}\r\n", body.len())
 }
 
-/// An interpreter's answer to `CONNECT`.
+/// An interpreter's `BANNER` message, the reply to `CONNECT`.
 pub fn banner(cold: bool, up_for_ms: u64) -> String {
     format!("BANNER {} {up_for_ms}\r\n", if cold { "fresh" } else { "seasoned" })
 }
 
-/// An interpreter's gauges.
+/// An interpreter's `TOPS` message, the reply to `TOP` with the values of its gauges.
 pub fn tops(tag: &str, gauges: &[f64]) -> String {
     let values: Vec<String> = gauges.iter().map(|value| format!("{value:.4}")).collect();
     format!("TOPS {tag} {}\r\n", values.join(" "))
 }
 
-/// The length that ends a line of words, if its kind has a body.
+/// The body length in bytes, which is the last word of a line to an interpreter; `None` if messages of this kind have
+/// no body.
 pub fn body_length(words: &[&str]) -> Option<usize> {
-    let bodied = matches!(words.first(), Some(&("APPLY" | "RESOLVE" | "GET")));
-    words.last().filter(|_| bodied)?.parse().ok()
+    let has_body = matches!(words.first(), Some(&("APPLY" | "RESOLVE" | "GET")));
+    words.last().filter(|_| has_body)?.parse().ok()
 }
 
-/// A message of a node to a frontend.
+/// A message from a node to a frontend.
 #[derive(Debug, Clone, PartialEq)]
 pub enum NodeMessage {
-    /// The answer to a request that was served.
+    /// The response to a request that was served.
     Served {
         /// The request's id.
         id: u64,
-        /// The result in base64.
+        /// The run's result in base64.
         content: String,
     },
-    /// The answer to a request that was rejected.
+    /// The response to a request that was rejected.
     Rejected {
         /// The request's id.
         id: u64,
-        /// After how many milliseconds to retry (Retry-After).
+        /// Delay in milliseconds after which to retry (Retry-After), if the node gives one.
         retry_after: Option<f64>,
-        /// The node asks the frontend not to retry elsewhere.
+        /// Whether the node asks the frontend not to retry on another node.
         give_up: bool,
     },
-    /// Any other error.
+    /// Any other error response.
     Failed {
         /// The request's id.
         id: u64,
     },
-    /// The answer to a health check.
+    /// The response to a health check.
     Status {
-        /// The health check's id.
+        /// Id of the health check.
         id: u64,
         /// Whether the node is healthy.
         up: bool,
     },
-    /// Nothing new is to be sent on this connection.
+    /// No further requests are to be sent on this connection.
     Draining,
-    /// A line that is none of these.
+    /// A line that is none of the above.
     Unrecognized,
 }
 
-/// A line as it is on the wire.
+/// The JSON form of a line from a node.
 #[derive(Deserialize)]
 struct Message {
     #[serde(default)]
@@ -148,20 +150,20 @@
     data: RetryAdvice,
 }
 
-/// What a rejection says about retrying.
+/// The `data` member of a rejection's error: how to retry.
 #[derive(Deserialize, Default)]
 struct RetryAdvice {
     #[serde(default, rename = "later")]
     retry_after: Option<f64>,
-    /// 1 if the frontend is not to retry elsewhere.
+    /// 1 if the frontend is not to retry on another node.
     #[serde(default, rename = "giveup")]
     give_up: u8,
 }
 
-/// The error code of a rejection.
+/// JSON-RPC error code of a rejection.
 pub const REJECTED: i64 = -32011;
 
-/// Reads a line of a node's.
+/// Parses a line from a node to a frontend.
 pub fn parse_node_message(line: &str) -> NodeMessage {
     let Ok(message) = serde_json::from_str::<Message>(line) else { return NodeMessage::Unrecognized };
     if message.method.as_deref() == Some("draining") {
--- a/fault-harness/src/wire/tests.rs
+++ b/fault-harness/src/wire/tests.rs
@@ -24,13 +24,13 @@
         (r#"{"jsonrpc":"2.0","id":7}"#, NodeMessage::Unrecognized),
         ("HTTP/1.1 200 OK", NodeMessage::Unrecognized),
     ];
-    for (line, wanted) in cases {
-        assert_eq!(parse_node_message(line), wanted, "{line}");
+    for (line, expected) in cases {
+        assert_eq!(parse_node_message(line), expected, "{line}");
     }
 }
 
 #[test]
-fn a_request_is_one_line_of_json() {
+fn a_request_is_one_line_of_json_with_and_without_a_key() {
     let request = Request {
         id: 3,
         txn: "a1",
