--- a/examples/common/mod.rs
+++ b/examples/common/mod.rs
@@ -1,4 +1,4 @@
-//! Shared by the measuring examples: a JSON-RPC client and a stub interpreter.
+//! A JSON-RPC client and a stub interpreter, shared by the examples that measure.
 
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -6,35 +6,37 @@
 
 use oakwind_fault_harness::clock::unix_now;
 
-/// What a log line says once the node is healthy, in this release and in the ones before.
+/// Texts of the log line that reports a healthy node, in this and earlier releases.
 pub(crate) const HEALTHY: [&str; 2] = ["dispatcher: health changed: healthy=true", "health is good"];
 
-/// One answered request.
+/// The times of one request and its response.
 pub(crate) struct Sample {
-    /// When it was sent.
+    /// Time at which the request was sent.
     pub(crate) sent_at: Instant,
-    /// When its response came.
+    /// Time at which the response was received.
     answered_at: Instant,
 }
 
 impl Sample {
-    /// How long its response took.
+    /// Time from sending the request to receiving the response.
     pub(crate) fn latency(&self) -> Duration {
         self.answered_at - self.sent_at
     }
 }
 
-/// The answers to a number of requests.
+/// The responses to a series of requests.
 pub(crate) struct Answers {
-    /// A sample for each request.
+    /// One sample per request, in the order of the responses.
     pub(crate) samples: Vec<Sample>,
-    /// How many of the requests were served.
+    /// Number of requests that were served; the others got an error.
     pub(crate) served: usize,
 }
 
-/// Sends `count` requests of a class over one connection, at most `concurrency` of them outstanding at a time.
+/// Sends `count` requests of a class over one connection, with at most `concurrency` of them outstanding, and returns
+/// the responses.
 ///
-/// Ids and idempotency keys count up from `first_key + 1`; requests of the class `book` carry a key. Returns the answers.
+/// Transaction ids count up from `first_key + 1`. Requests of the class `book` carry an idempotency key, which is the
+/// same number.
 pub(crate) fn send_requests(
     address: SocketAddr,
     class: &str,
@@ -76,7 +78,7 @@
     Ok(Answers { samples, served })
 }
 
-/// Serves one connection as a stub interpreter that completes every run at once with the given result.
+/// Serves one connection as a stub interpreter that completes every run immediately with the given result.
 pub(crate) fn run_stub_interpreter(listener: &TcpListener, result: &str) -> io::Result<()> {
     let (stream, _) = listener.accept()?;
     stream.set_nodelay(true)?;
--- a/examples/measure.rs
+++ b/examples/measure.rs
@@ -1,10 +1,11 @@
-//! Measures the cost of the result store, or of the decision log: starts the built program with a stub interpreter and a
-//! client of its own, and prints a table. Not part of the tests;
+//! Measures the cost of the result store or of the decision log: starts the built program with a stub interpreter,
+//! sends requests to it, and prints a table. It is not part of the tests;
 //! [`docs/remembered.md`](../docs/remembered.md) and [`docs/audit.md`](../docs/audit.md) record results.
 //!
 //!     cargo build --release && cargo run --release --example measure -- FOLDER [records]
 //!
-//! FOLDER is created, on the disk to be measured, and removed at the end. `records` measures the decision log.
+//! FOLDER must be on the disk to be measured; it is created, and removed at the end. With `records`, the decision log
+//! is measured instead of the result store.
 
 #[path = "common/mod.rs"]
 mod common;
@@ -17,7 +18,7 @@
 
 use common::{Answers, Sample};
 
-/// The settings of the node: one keyed class, and limits that the load does not reach.
+/// Settings of the node: one class with idempotency keys, and limits that the load does not reach.
 const SETTINGS: &str = r#"{"services": [{"name": "book", "slo": 60000000, "deadline": 120000000, "effect": "by_key",
     "window": 600000000, "worth": 2.0, "lateWorth": 0.2}],
   "specifics": {"cores": 64, "memoryKb": 100000000.0, "runFactor": 8.0, "entryKb": 1.0, "dependsOn": "off",
@@ -26,18 +27,18 @@
   "safety": {"drainGrace": 200000, "fallMultiple": 8.0}, "limits": {"maxRetryAfter": 1000000, "retryAfter": true},
   "tenants": [], "servers": 1, "tick": 4000}"#;
 
-/// The concurrency of each measurement, and its number of requests.
+/// Concurrency and number of requests of each measurement.
 const LOADS: [(usize, usize); 2] = [(1, 2_000), (32, 20_000)];
-/// How many keys the store holds when a node starts with it.
+/// Numbers of stored keys for which the startup time is measured.
 const STORED_KEYS: [usize; 3] = [1_000, 10_000, 40_000];
-/// How often the comparison of the decision log is repeated.
+/// Number of repetitions of the comparison with and without the decision log.
 const ROUNDS: usize = 3;
-/// The size of the largest result that clients accept, in bytes.
+/// Maximum size of a result that clients accept, in bytes.
 const MAX_RESULT_BYTES: usize = 4 * 1024;
 
 fn main() -> io::Result<()> {
     let Some(folder) = std::env::args().nth(1).map(PathBuf::from) else {
-        eprintln!("measure FOLDER [records]");
+        eprintln!("usage: measure FOLDER [records]");
         std::process::exit(2)
     };
     std::fs::create_dir_all(&folder)?;
@@ -76,17 +77,17 @@
     std::fs::remove_dir(&folder)
 }
 
-/// What the program writes to the folder.
+/// The data that the program stores in the folder.
 #[derive(Clone, Copy)]
 enum Durability {
     None,
-    /// Keys and results; up to so many records share one flush to the disk.
+    /// Idempotency keys and results, with at most this number of records per flush to the disk.
     ResultStore(usize),
-    /// The decisions of the node.
+    /// Decision records.
     DecisionLog,
 }
 
-/// Prints the cost of a keyed request under each variant.
+/// Measures keyed requests with each variant at each load, and prints a table.
 fn measure_variants(component: &str, variants: &[(&str, Durability)], folder: &Path) -> io::Result<()> {
     println!("| {component} | concurrent requests | requests/s | median ms | p99 ms | CPU us per request |");
     println!("| --- | --- | --- | --- | --- | --- |");
@@ -115,7 +116,7 @@
     Ok(())
 }
 
-/// The size of all files in a folder, in bytes.
+/// Total size of the files in a folder, in bytes.
 fn folder_size(folder: &Path) -> io::Result<u64> {
     std::fs::read_dir(folder)?.map(|entry| Ok(entry?.metadata()?.len())).sum()
 }
@@ -124,7 +125,7 @@
 struct Node {
     child: Child,
     json_address: SocketAddr,
-    /// The time from its start until it listened.
+    /// Time from the start of the process until its JSON-RPC frontend listened.
     startup: Duration,
 }
 
@@ -173,26 +174,26 @@
         Ok(Node { child, json_address, startup })
     }
 
-    /// The CPU time that the program has used, in seconds.
+    /// CPU time used by the process so far, in seconds.
     fn cpu_seconds(&self) -> io::Result<f64> {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id()))?;
         let fields = stat.rsplit(") ").next().unwrap_or_default().split(' ').skip(11).take(2);
         Ok(fields.filter_map(|ticks| ticks.parse::<f64>().ok()).sum::<f64>() / 100.0)
     }
 
-    /// The peak of its resident memory, in KB.
+    /// Peak resident memory of the process, in KB.
     fn peak_memory_kb(&self) -> io::Result<u64> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))?;
         let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
         Ok(line.and_then(|line| line.split_whitespace().next()?.parse().ok()).unwrap_or_default())
     }
 
-    /// Sends `count` keyed requests, `concurrency` of them outstanding at a time.
+    /// Sends `count` requests with idempotency keys, with at most `concurrency` of them outstanding.
     fn send_keyed_requests(&mut self, concurrency: usize, count: usize) -> io::Result<Answers> {
         common::send_requests(self.json_address, "book", concurrency, count, 0)
     }
 
-    /// Kills the node and empties the folder.
+    /// Kills the node and deletes all files in the folder.
     fn stop(self, folder: &Path) -> io::Result<()> {
         drop(self);
         for entry in std::fs::read_dir(folder)? {
@@ -204,7 +205,7 @@
 
 impl Drop for Node {
     fn drop(&mut self) {
-        // The process may have exited already.
+        // Errors are ignored because the process may have exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
--- a/examples/replicated.rs
+++ b/examples/replicated.rs
@@ -1,10 +1,11 @@
-//! Measures the cost of replication: starts three nodes of the built program with stub interpreters that complete every run
-//! at once, and prints a table of measurements with replication off and on, in alternating rounds. Not part of the tests;
-//! [`docs/replication.md`](../docs/replication.md) records a result.
+//! Measures the cost of replication: starts three nodes of the built program with stub interpreters that complete
+//! every run immediately, and prints a table of measurements with replication off and on, in alternating rounds. It is
+//! not part of the tests; [`docs/replication.md`](../docs/replication.md) records a result.
 //!
 //!     cargo build --release && cargo run --release --example replicated -- [OTHER_BUILD]
 //!
-//! Given another build of the program, that one is measured as well, with replication off, in the same rounds.
+//! If the path of another build of the program is given, that build is measured in the same rounds, with
+//! replication off.
 
 #[path = "common/mod.rs"]
 mod common;
@@ -19,22 +20,23 @@
 use common::{run_stub_interpreter, send_requests, Answers, Sample, HEALTHY};
 use oakwind_fault_harness::process::Program;
 
-/// How often each measurement is repeated; the median is printed.
+/// Number of repetitions of each measurement; the median is printed.
 const ROUNDS: usize = 3;
-/// The requests of a measurement.
+
+/// Concurrency and number of requests of a measurement.
 #[derive(Clone, Copy)]
 struct Load {
     concurrency: usize,
     count: usize,
 }
 
-/// The higher concurrency comes first: the admitted rate follows recent throughput, so a burst after a trickle would be
-/// rejected in part.
+/// The loads measured. The higher concurrency comes first because the admitted rate follows recent throughput: after
+/// the low concurrency, part of the higher load would be rejected.
 const LOADS: [Load; 2] = [Load { concurrency: 32, count: 12_000 }, Load { concurrency: 1, count: 1_500 }];
-/// How many keys a node that lost its state has to be sent.
+/// Number of idempotency keys that the state transfer sends to a node that restarts without state.
 const TRANSFERRED_KEYS: usize = 40_000;
 
-/// The settings of a node: an idempotent and a keyed class, and limits that the load does not reach.
+/// Settings of a node: an idempotent class and one with idempotency keys, and limits that the load does not reach.
 fn settings(window_s: u64) -> String {
     let us = window_s * 1_000_000;
     format!(
@@ -66,7 +68,7 @@
 }
 
 impl Fleet {
-    /// Reserves ports and a folder for the nodes.
+    /// Chooses free ports for the nodes and creates their folder.
     fn new(program: &Path, window_s: u64, replicates: bool) -> io::Result<Fleet> {
         let folder = std::env::temp_dir().join(format!("oakwind-replicated-{}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
@@ -76,7 +78,7 @@
         Ok(Fleet { program: program.into(), folder, ports, window_s, replicates })
     }
 
-    /// Starts node `n`, counted from one, and waits until its interpreter is healthy.
+    /// Starts node `n`, counted from 1, and waits until it reports that it is healthy.
     fn start(&self, n: usize) -> io::Result<Node> {
         let interpreter = TcpListener::bind("127.0.0.1:0")?;
         let config = self.folder.join(format!("{n}.json"));
@@ -118,7 +120,7 @@
         Ok(node)
     }
 
-    /// Starts all nodes, and waits until they vote if they replicate.
+    /// Starts all nodes and, with replication, waits until their replica tables are complete.
     fn start_all(&self) -> io::Result<Vec<Node>> {
         let mut nodes = (1..=3).map(|n| self.start(n)).collect::<io::Result<Vec<_>>>()?;
         for node in nodes.iter_mut().filter(|_| self.replicates) {
@@ -129,7 +131,7 @@
 }
 
 impl Node {
-    /// Waits for a log line that contains one of these texts.
+    /// Waits for a log line that contains one of these texts, and returns it.
     fn wait_for_line(&mut self, texts: &[&str]) -> io::Result<String> {
         loop {
             let line = self.log.recv().map_err(|_| io::ErrorKind::UnexpectedEof)?;
@@ -148,7 +150,7 @@
             .ok_or(io::ErrorKind::InvalidData.into())
     }
 
-    /// A metric from the admin interface; zero if it is not reported.
+    /// Reads a metric from the admin interface; 0 if it is not reported.
     fn metric(&self, name: &str) -> io::Result<f64> {
         let mut stream = TcpStream::connect(self.admin_address)?;
         stream.write_all(b"GET /ops/stats HTTP/1.1\r\n\r\n")?;
@@ -159,7 +161,7 @@
     }
 }
 
-/// Fails unless every request was served.
+/// Returns the samples, or an error if a request was not served.
 fn require_all_served(answers: Answers) -> io::Result<Vec<Sample>> {
     let Answers { samples, served } = answers;
     match samples.len() - served {
@@ -170,7 +172,7 @@
     }
 }
 
-/// The value below which the given fraction of the values lies. Sorts them.
+/// The value below which the given fraction of the values lies. Sorts the values.
 fn percentile(values: &mut [f64], fraction: f64) -> f64 {
     values.sort_by(f64::total_cmp);
     values[((values.len() as f64 * fraction) as usize).min(values.len() - 1)]
@@ -180,7 +182,7 @@
     percentile(&mut values, 0.5)
 }
 
-/// A build and whether its nodes replicate.
+/// A build of the program, with replication on or off.
 struct Variant {
     name: &'static str,
     program: PathBuf,
@@ -191,11 +193,11 @@
 struct RunningVariant {
     name: &'static str,
     nodes: Vec<Node>,
-    /// Its ports and its folder.
+    /// Kept as long as the nodes run with its ports and folder.
     _fleet: Fleet,
 }
 
-/// What one round of a measurement gives.
+/// The figures of one round of a measurement.
 struct Measurement {
     requests_per_second: f64,
     median_ms: f64,
@@ -205,7 +207,7 @@
     bytes_per_request: f64,
 }
 
-/// What all nodes of a variant together have sent to each other.
+/// Totals of the messages that the nodes of a variant have sent to each other.
 struct Traffic {
     messages: f64,
     bytes: f64,
@@ -218,7 +220,7 @@
         Ok(RunningVariant { name: variant.name, nodes, _fleet: fleet })
     }
 
-    /// The CPU time that all nodes together have used, in milliseconds.
+    /// Total CPU time used by all nodes so far, in milliseconds.
     fn cpu_ms(&self) -> f64 {
         let usages = self.nodes.iter().filter_map(|node| node.program.usage());
         usages.map(|usage| usage.cpu_ms as f64).sum()
@@ -229,7 +231,7 @@
         Traffic { messages: sum("svc_fleet_frames_out"), bytes: sum("svc_fleet_bytes_out") }
     }
 
-    /// Sends requests of a class to the first node, with keys that count up from `first_key + 1`.
+    /// Measures requests of a class at the first node, with keys that count up from `first_key + 1`.
     fn measure(&self, class: &str, load: Load, first_key: usize) -> io::Result<Measurement> {
         let Load { concurrency, count } = load;
         let before = self.traffic();
@@ -239,7 +241,7 @@
         let samples = require_all_served(answers)?;
         let elapsed = started_at.elapsed().as_secs_f64();
         let cpu_ms = self.cpu_ms() - cpu_before_ms;
-        // Metrics are updated with each tick of a node; wait until they cover the requests.
+        // A node updates its metrics periodically; wait until they include all requests.
         std::thread::sleep(Duration::from_millis(120));
         let after = self.traffic();
         let mut latencies: Vec<f64> = samples.iter().map(latency_ms).collect();
@@ -281,7 +283,8 @@
     measure_state_transfer(&built)
 }
 
-/// Measures a load in alternating rounds and prints a row for each variant. Advances `first_key` past the keys used.
+/// Measures a load with all variants in alternating rounds and prints a row for each variant. Advances `first_key`
+/// past the keys used.
 fn measure_load(
     variants: &[RunningVariant],
     class: &str,
@@ -312,7 +315,7 @@
     Ok(())
 }
 
-/// Measures the state transfer to a node that restarts without state, while keyed requests run at one of its donors.
+/// Measures the state transfer to a node that restarts without state, while one of its donors serves keyed requests.
 fn measure_state_transfer(program: &Path) -> io::Result<()> {
     let fleet = Fleet::new(program, 40, true)?;
     let mut nodes = fleet.start_all()?;
--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -1,4 +1,4 @@
-//! A toy uwsgi server, and a toy client for both frontends, to try a node with:
+//! A minimal uwsgi server, and a minimal client for both frontends, to try out a node:
 //!
 //!     cargo run --example toy -- serve 127.0.0.1:3032
 //!     cargo run --example toy -- uwsgi 127.0.0.1:3031 book my-key
@@ -8,9 +8,9 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// The body of every request: all attempts with one idempotency key must carry the same.
+/// The body of every request. It is constant because all attempts with one idempotency key must carry the same body.
 const REQUEST_BODY: &str = "hello";
-/// How long the toy server works on each request.
+/// Time that the server takes for each request.
 const WORK_DURATION: Duration = Duration::from_millis(200);
 
 fn main() -> io::Result<()> {
@@ -27,7 +27,7 @@
     }
 }
 
-/// Accepts connections for ever, one request on each.
+/// Accepts connections until it is killed, and serves one request on each.
 fn serve(address: &str) -> io::Result<()> {
     let listener = TcpListener::bind(address)?;
     println!("toy server at {}", listener.local_addr()?);
@@ -35,14 +35,14 @@
         let stream = stream?;
         std::thread::spawn(move || {
             if let Err(error) = respond(stream, count) {
-                eprintln!("request {count}: {error}");
+                eprintln!("request {count} failed: {error}");
             }
         });
     }
     Ok(())
 }
 
-/// Reads one uwsgi request packet and responds with the class that it requested.
+/// Reads one uwsgi request and responds with its path and the number of the run.
 fn respond(mut stream: TcpStream, count: u32) -> io::Result<()> {
     let mut head = [0; 4];
     stream.read_exact(&mut head)?;
@@ -63,7 +63,7 @@
     write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{result}", result.len())
 }
 
-/// Decodes the variables of a packet: names and values in turn, each after its length in two bytes.
+/// Decodes the variables of a uwsgi packet: alternating names and values, each preceded by its length in two bytes.
 fn parse_variables(mut block: &[u8]) -> Vec<(String, String)> {
     let mut parts = Vec::new();
     while let [low, high, rest @ ..] = block {
