--- a/fault-harness/src/statistics/tests.rs
+++ b/fault-harness/src/statistics/tests.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn recovery_is_when_nine_tenths_of_the_previous_service_is_reached_for_good() {
+fn recovery_is_when_service_stays_at_nine_tenths_of_its_earlier_level() {
     let served = [10., 10., 10., 10., 10., 10., 2., 2., 4., 9., 3., 6., 9., 10., 10., 10.];
     let seconds: Vec<Second> = served.iter().map(|served| second(10.0, *served)).collect();
     let recovery = recovery(&seconds, &[band(6.0, 8.0)]).unwrap();
