--- a/fault-harness/src/commands/check.rs
+++ b/fault-harness/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `check`: checks a recorded history again.
+//! `check`: checks a recorded history against the rules.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -10,11 +10,11 @@
 use super::output::conclude;
 use super::CommandError;
 
-/// Check the history of a play again.
+/// Check the recorded history of a play against the rules.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 pub(crate) struct Check {
-    /// a history.jsonl
+    /// the history.jsonl of a play
     #[argh(positional)]
     history: PathBuf,
 }
@@ -24,7 +24,7 @@
         let history = History::read(&self.history)
             .map_err(|source| CommandError::History { path: self.history.clone(), source })?;
         let outcomes = [Outcome::from_history(&history.parameters.scenario, &history, None)];
-        print!("{}", report::rows(&outcomes));
+        print!("{}", report::plays_table(&outcomes));
         conclude(&outcomes, None)
     }
 }
