--- a/node/tests/fleet.rs
+++ b/node/tests/fleet.rs
@@ -11,7 +11,7 @@
     assert!(verdict.written > 50, "only {} requests were written", verdict.written);
 }
 
-/// The first fault strikes after two seconds.
+/// The first fault starts after two seconds.
 const EARLY_FAULT: (&str, &str) = ("fault.0.at_s", "2");
 /// The first fault lasts a second and a half.
 const SHORT_FAULT: (&str, &str) = ("fault.0.duration_s", "1.5");
--- a/node/tests/recovery.rs
+++ b/node/tests/recovery.rs
@@ -1,7 +1,7 @@
-//! Recovery of fleets of real processes that replicate: most nodes restart at once, lose their state, restore a stale store
-//! or see the clock set, and a second fault strikes meanwhile. No idempotency key runs twice, no request that ran is
-//! reported as rejected, no response is lost, and every recovery ends. The verdict depends on the checker's rules and on the
-//! order of events, never on speed.
+//! Recovery of fleets of real processes that replicate: most nodes restart at once, lose their state, restore
+//! a stale store or see the clock set, and a second fault occurs meanwhile. No idempotency key runs twice, no
+//! request that ran is reported as rejected, no response is lost, and every recovery completes. The verdict
+//! depends on the checker's rules and on the order of events, never on speed.
 
 mod plays;
 
@@ -71,7 +71,7 @@
         .observations
         .iter()
         .find(|seen| seen.at > after && matches!(seen.event, Event::NodeUp { .. }));
-    start.map(|seen| seen.at).expect("no node started again")
+    start.map(|seen| seen.at).expect("a node starts after this time")
 }
 
 /// The indices of the nodes with these numbers, which count from one.
@@ -106,9 +106,9 @@
     let first_run = keyed_runs(&history)
         .into_iter()
         .find(|(at, _)| *at > restarted_at)
-        .expect("no keyed request ran again")
+        .expect("a keyed request runs after the restart")
         .0;
-    // A claim granted just before the kill may be retried for one window, and be read late.
+    // A claim granted just before the kill may be retried for one window, and its retry may be read late.
     assert!(first_run - 2000.0 > WINDOW_MS, "{first_run}");
     assert_eq!(nodes_that_logged(&history, restarted_at, "replica state lost").len(), 5);
     assert_eq!(nodes_that_logged(&history, restarted_at, "replica table complete").len(), 5);
--- a/node/tests/sockets/helper/mod.rs
+++ b/node/tests/sockets/helper/mod.rs
@@ -1,5 +1,5 @@
-//! Starts the program as a process and stands in for its clients, backends and services. Everything waits for events; the
-//! only time limit turns a test that would hang into one that fails.
+//! Starts the program as a process and stands in for its clients, backends and services. Every wait is for an
+//! event; the time limit only makes a test fail that would otherwise hang.
 
 mod node;
 mod peer;
@@ -21,10 +21,11 @@
 
 pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// An address at which nobody listens; no test that asks for any port gets this one.
+/// An address on which nothing listens: port 1 is never assigned to a test that binds port 0.
 pub(crate) const UNREACHABLE: &str = "127.0.0.1:1";
 
-/// Two classes whose runs make calls; their times are too long to matter where a test does not change them.
+/// Settings with two classes whose runs make calls. Their times are too long to have an effect in a test that
+/// does not change them.
 const SETTINGS: &str = r#"{"services": [
     {"name": "quote", "slo": 60000000, "deadline": 120000000, "effect": "repeatable"},
     {"name": "book", "slo": 60000000, "deadline": 120000000, "effect": "by_key", "window": 120000000,
@@ -40,7 +41,7 @@
     oakwind_fault_harness::clock::unix_now().as_millis() as u64
 }
 
-/// Writes a file for one test, in cargo's own folder.
+/// Writes a file for one test to cargo's temporary folder and returns its path.
 pub(crate) fn file(name: &str, text: &str) -> PathBuf {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -50,7 +51,7 @@
     path
 }
 
-/// A configuration with further keys, each with a comma after it.
+/// The text of a configuration with the further keys `links`, each followed by a comma.
 pub(crate) fn config(links: &str) -> String {
     format!(
         r#"{{"name": "n1", "listen": "127.0.0.1:0", "seed": "8c1f", "stop_ms": 30000, {links} "settings": {SETTINGS}}}"#
@@ -67,7 +68,7 @@
     oakwind(arguments).output().unwrap()
 }
 
-/// A request of any class, as a client writes it.
+/// The JSON-RPC line of a request of any class.
 pub(crate) fn request(id: u32, txn: &str, class: &str, key: Option<&str>, limit_ms: u32) -> String {
     let request = wire::Request {
         id: id.into(),
@@ -85,17 +86,17 @@
     request.to_string()
 }
 
-/// A uwsgi file with nothing but the frontend.
+/// The text of a uwsgi file that configures only the frontend.
 pub(crate) const UWSGI: &str = "listen = '127.0.0.1:0'\n";
 
-/// As an operator: the complete response to a call.
+/// Makes a call to the admin interface on a connection of its own and returns the complete response.
 pub(crate) fn admin_call(ops: SocketAddr, call: &str) -> String {
     let mut peer = Peer::connect(ops);
     peer.send(format!("{call} HTTP/1.1\r\nHost: node\r\n\r\n"));
     peer.read_to_end()
 }
 
-/// A complete request, as a uwsgi client sends it.
+/// The bytes of a complete uwsgi request.
 pub(crate) fn packet(vars: &[(&str, &str)], body: &str) -> Vec<u8> {
     let length = body.len().to_string();
     let mut block = Vec::new();
@@ -114,7 +115,7 @@
 pub(crate) fn unique_host() -> Ipv4Addr {
     static NEXT_HOST: AtomicU8 = AtomicU8::new(1);
     let host = NEXT_HOST.fetch_add(1, Ordering::Relaxed);
-    assert_ne!(host, u8::MAX, "a block's network has no more hosts");
+    assert_ne!(host, u8::MAX, "all host addresses of this process are in use");
     loopback::process_block().unwrap().address(0, host)
 }
 
@@ -124,14 +125,14 @@
     socket
 }
 
-/// The next datagram.
+/// Receives the next datagram.
 pub(crate) fn next_datagram(socket: &UdpSocket) -> Vec<u8> {
     let mut bytes = [0; 2048];
     let length = uninterrupted(|| socket.recv(&mut bytes)).unwrap();
     bytes[..length].to_vec()
 }
 
-/// Repeats a read that was interrupted, as reads with a time limit are where the machine is suspended.
+/// Repeats a read that fails with `Interrupted`, as reads with a time limit do when the machine is suspended.
 fn uninterrupted<T>(mut read: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match read() {
--- a/node/tests/sockets/helper/node.rs
+++ b/node/tests/sockets/helper/node.rs
@@ -1,4 +1,4 @@
-//! The program as a running process.
+//! A handle on a process of the program: starts it, reads its log and sends it signals.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -28,12 +28,12 @@
         node
     }
 
-    /// Starts a node without waiting. `folder` is the folder that it shares with another process, if any.
+    /// Starts a node without waiting. `folder` is its `TMPDIR` if it shares one with another process.
     pub(crate) fn spawn(config: &str, uwsgi: Option<&str>, folder: Option<&Path>) -> Node {
         Node::spawn_with(config, uwsgi, folder, None)
     }
 
-    /// The same with the text of a result store file.
+    /// Like [`Node::spawn`], with the text of a result store file.
     pub(crate) fn spawn_with(
         config: &str,
         uwsgi: Option<&str>,
@@ -44,7 +44,7 @@
         Node::spawn_with_file(config, uwsgi, folder, remembered)
     }
 
-    /// Starts a node with both frontends and a decision log in a folder.
+    /// Starts a node with both frontends and a decision log in `folder`, and waits until it listens.
     pub(crate) fn with_records(config: &str, folder: &Path) -> Node {
         let text = format!("folder = '{}'\nfile_mb = 1\nfiles = 4\n", folder.display());
         let mut node = Node::spawn_with_file(
@@ -57,7 +57,7 @@
         node
     }
 
-    /// Starts a node with both frontends and the text of a fleet file.
+    /// Starts a node with both frontends and the text of a fleet file, without waiting.
     pub(crate) fn with_fleet(config: &str, fleet: &str, folder: Option<&Path>) -> Node {
         Node::spawn_with_file(config, Some(UWSGI), folder, Some(("--fleet", file("fleet.toml", fleet))))
     }
@@ -85,10 +85,10 @@
         Node { files, ..Node::from_command(command) }
     }
 
-    /// Starts the program by a command.
+    /// Starts the program with a prepared command.
     pub(crate) fn from_command(mut command: Command) -> Node {
         let (sender, log) = channel();
-        // A test that has ended does not receive any more.
+        // Sending fails once the test has ended; the line is dropped then.
         let program = Program::start(&mut command, move |line| drop(sender.send(line))).unwrap();
         Node { program, log, skipped_lines: Vec::new(), files: Vec::new(), json: ([127, 0, 0, 1], 0).into() }
     }
@@ -98,7 +98,7 @@
         self.json = self.address("frontend: listening: protocol=JSON-RPC address=");
     }
 
-    /// A node with a stand-in interpreter whose link is up.
+    /// Starts a node with a stand-in interpreter whose link is up.
     pub(crate) fn with_interpreter(links: &str, uwsgi: Option<&str>) -> (Node, Server, Peer) {
         let vm = Server::new();
         let node = Node::start(&config(&format!(r#""vm": "{}", {links}"#, vm.address)), uwsgi);
@@ -112,10 +112,9 @@
             return self.skipped_lines.remove(at);
         }
         loop {
-            let line = self
-                .log
-                .recv_timeout(TEST_TIMEOUT)
-                .unwrap_or_else(|_| panic!("{words:?} not in {:?}", self.skipped_lines));
+            let line = self.log.recv_timeout(TEST_TIMEOUT).unwrap_or_else(|_| {
+                panic!("no log line contains {words:?}; other lines: {:?}", self.skipped_lines)
+            });
             if line.contains(words) {
                 return line;
             }
@@ -161,17 +160,16 @@
         self.program.signal(Signal::TERM).unwrap();
     }
 
-    /// Pauses the process, so that whatever arrives meanwhile arrives in one moment for it.
+    /// Pauses the process, so that all data that arrives meanwhile is there at once when it resumes.
     pub(crate) fn pause(&self) {
         self.program.signal(Signal::STOP).unwrap();
     }
 
-    /// Resumes the process.
     pub(crate) fn resume(&self) {
         self.program.signal(Signal::CONT).unwrap();
     }
 
-    /// The memory, descriptors and time that it uses.
+    /// The memory, descriptors and CPU time that the process uses.
     pub(crate) fn usage(&self) -> Usage {
         self.program.usage().unwrap()
     }
@@ -199,7 +197,7 @@
         self.program.signal(Signal::HUP).unwrap();
     }
 
-    /// Waits until it has drained and ended with status 0.
+    /// Waits until the process has drained and exited with status 0.
     pub(crate) fn assert_clean_exit(mut self) {
         self.wait_for_log("server: drained");
         assert!(self.program.wait().unwrap().success());
--- a/node/tests/sockets/helper/peer.rs
+++ b/node/tests/sockets/helper/peer.rs
@@ -9,7 +9,7 @@
 
 use super::{request, uninterrupted, DRAINING, TEST_TIMEOUT};
 
-/// A stand-in that the program connects to.
+/// A listening stand-in for a backend or service to which the program connects.
 pub(crate) struct Server {
     listener: TcpListener,
     pub address: SocketAddr,
@@ -24,10 +24,11 @@
     pub(crate) fn accept(&self) -> Peer {
         let (listener, (sender, accepted)) = (self.listener.try_clone().unwrap(), channel());
         std::thread::spawn(move || sender.send(listener.accept().unwrap().0));
-        Peer::new(accepted.recv_timeout(TEST_TIMEOUT).expect("nobody connects"))
+        Peer::new(accepted.recv_timeout(TEST_TIMEOUT).expect("the program connects within the time limit"))
     }
 
-    /// As an interpreter that has been up for long: accepts the next link, which has read notices up to `notice`.
+    /// Accepts the next link as an interpreter that has been up for long, and asserts that the program has
+    /// read its notices up to `notice`.
     pub(crate) fn interpreter(&self, notice: &str) -> Peer {
         let mut link = self.accept();
         assert_eq!(link.read_line(), format!("CONNECT {notice}"));
@@ -35,7 +36,8 @@
         link
     }
 
-    /// As a uwsgi server: the next request, its variables, sorted and without those that vary, and its body.
+    /// Accepts the next request as a uwsgi server. Returns its connection, its variables (sorted, without
+    /// those that vary between runs) and its body.
     pub(crate) fn next_uwsgi_request(&self) -> (Peer, Vec<String>, Vec<u8>) {
         let mut peer = self.accept();
         let head = peer.read_bytes(4);
@@ -70,7 +72,7 @@
         Peer::new(TcpStream::connect(address).unwrap())
     }
 
-    /// A client for which the system buffers little that it has not read.
+    /// Connects a client with a small receive buffer, so that the system holds little unread data for it.
     pub(crate) fn with_small_receive_buffer(address: SocketAddr) -> Peer {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
         let stream = runtime.block_on(async {
@@ -82,7 +84,7 @@
         Peer::new(stream)
     }
 
-    /// Sends something; whether the program still accepts it on this connection.
+    /// Sends data and returns whether the connection still accepts it.
     pub(crate) fn accepts(&mut self, text: impl AsRef<[u8]>) -> bool {
         self.stream.get_mut().write_all(text.as_ref()).is_ok()
     }
@@ -91,8 +93,8 @@
         self.stream.get_mut().write_all(text.as_ref()).unwrap();
     }
 
-    /// The next line without its end; empty at the end of the stream. The notification `draining`, which a connection may get
-    /// at any time where a slow machine leaves it idle, is skipped.
+    /// Reads the next line without its line end; empty at the end of the stream. Skips the notification
+    /// `draining`, which a connection may get at any time when a slow machine leaves it idle.
     pub(crate) fn read_line(&mut self) -> String {
         loop {
             let line = self.read_any_line();
@@ -102,7 +104,7 @@
         }
     }
 
-    /// The next line, the notification `draining` included.
+    /// Reads the next line, including the notification `draining`.
     pub(crate) fn read_any_line(&mut self) -> String {
         let mut line = String::new();
         self.stream.read_line(&mut line).unwrap();
@@ -115,7 +117,7 @@
         bytes
     }
 
-    /// Everything up to the end of the stream.
+    /// Reads everything up to the end of the stream.
     pub(crate) fn read_to_end(&mut self) -> String {
         let mut rest = String::new();
         self.stream.read_to_string(&mut rest).unwrap();
@@ -127,11 +129,12 @@
         uninterrupted(|| self.stream.read(&mut [0])).is_ok_and(|n| n == 0)
     }
 
-    /// As an interpreter: the next command that does not ask for gauges, with its body. Questions for gauges get a response.
+    /// Reads the next command as an interpreter, with its body. Requests for gauges get a response and are
+    /// skipped.
     pub(crate) fn next_command(&mut self) -> (Vec<String>, String) {
-        // Gauges are asked for all the time, so the guard on each read is not enough.
-        let guard = Instant::now() + TEST_TIMEOUT;
-        while Instant::now() < guard {
+        // Gauges are requested all the time, so the time limit of each read does not bound this loop.
+        let give_up_at = Instant::now() + TEST_TIMEOUT;
+        while Instant::now() < give_up_at {
             let line = self.read_line();
             let words: Vec<String> = line.split(' ').map(String::from).collect();
             let named: Vec<&str> = words.iter().map(String::as_str).collect();
@@ -144,10 +147,11 @@
                 None => return (words, String::new()),
             }
         }
-        panic!("no command comes");
+        panic!("no command other than requests for gauges within {TEST_TIMEOUT:?}");
     }
 
-    /// As an interpreter: the next command, which is to start a run; returns the id, the class and the body.
+    /// Reads the next command as an interpreter, asserts that it starts a run, and returns the id, the class
+    /// and the body.
     pub(crate) fn next_run(&mut self) -> (String, String, String) {
         let (words, body) = self.next_command();
         assert_eq!(words[0], "APPLY", "{words:?}");
@@ -158,12 +162,13 @@
         self.send(wire::value(notice.into(), id, end, 5, result));
     }
 
-    /// As a client: sends a request with the body `body`; a key makes it one of class `book`.
+    /// Sends a request with the body `body` as a client: of class `book` with a key, of class `quote` without
+    /// one.
     pub(crate) fn request(&mut self, id: u32, txn: &str, key: Option<&str>, limit_ms: u32) {
         self.request_followed_by(id, txn, key, limit_ms, "");
     }
 
-    /// The same with more lines in the same write.
+    /// Like [`Peer::request`], with further lines in the same write.
     pub(crate) fn request_followed_by(
         &mut self,
         id: u32,
--- a/node/tests/sockets/helper/upgrade_fixture.rs
+++ b/node/tests/sockets/helper/upgrade_fixture.rs
@@ -18,8 +18,9 @@
 
 impl UpgradeFixture {
     pub(crate) fn new() -> UpgradeFixture {
-        // Bound with SO_REUSEPORT, without listening, for as long as the test lasts: the ports stay this test's, and a
-        // copy that another test's child process inherits for a moment does not keep the node from listening.
+        // The sockets stay bound with SO_REUSEPORT, without listening, for as long as the test lasts: no
+        // other test gets the ports, and a copy that another test's child process inherits briefly does not
+        // keep the node from listening.
         let host = unique_host();
         let reserved = [(); 2].map(|()| {
             let socket = TcpSocket::new_v4().unwrap();
@@ -39,7 +40,7 @@
         (node, link)
     }
 
-    /// The same, with the text of its configuration.
+    /// Like [`UpgradeFixture::start`], and returns the text of the configuration as well.
     pub(crate) fn start_with_config(&self) -> (Node, Peer, String) {
         let vm = Server::new();
         let config = config(&format!(r#""vm": "{}","#, vm.address)).replace("127.0.0.1:0", &self.json);
@@ -51,7 +52,7 @@
         (node, link, config)
     }
 
-    /// As a uwsgi client: sends a request with this idempotency key.
+    /// Sends a request with this idempotency key as a uwsgi client.
     pub(crate) fn uwsgi_request(&self, key: &str) -> Peer {
         let mut client = Peer::connect(self.uwsgi.parse().unwrap());
         client.send(packet(&[("PATH_INFO", "/book"), ("HTTP_IDEMPOTENCY_KEY", key)], "body"));
