--- a/node/tests/sockets/admin.rs
+++ b/node/tests/sockets/admin.rs
@@ -1,16 +1,19 @@
-//! The admin interface.
+//! Tests of the admin interface: readiness, metrics and maintenance mode.
 
 use crate::helper::*;
 
 #[test]
-fn readiness_and_metrics_follow_what_the_node_does() {
+fn readiness_and_metrics_reflect_the_state_of_the_node() {
     let vm = Server::new();
     let links = format!(r#""vm": "{}", "ops": "127.0.0.1:0","#, vm.address);
     let mut node = Node::start(&config(&links), None);
     let ops = node.admin_address();
-    assert!(admin_call(ops, "GET /ops/readiness").starts_with("HTTP/1.1 503 "), "nothing runs requests yet");
+    assert!(
+        admin_call(ops, "GET /ops/readiness").starts_with("HTTP/1.1 503 "),
+        "the interpreter link is not up yet"
+    );
     let mut link = vm.interpreter("0");
-    // Health is good from when the decisions have begun.
+    // Health checks pass once the dispatcher has started.
     while node.health() != "up" {}
     assert!(admin_call(ops, "GET /ops/readiness").starts_with("HTTP/1.1 200 "));
     let mut client = node.client();
@@ -27,7 +30,7 @@
         client.read_line();
     }
     link.next_run();
-    // A file that can't be applied is counted.
+    // A configuration file that cannot be applied is counted in svc_conf_invalid.
     node.reload("{");
     node.wait_for_log("reload: rejected");
     let stats = admin_call(ops, "GET /ops/stats");
@@ -44,7 +47,7 @@
     svc_conf_loaded 0
     svc_conf_invalid 1
     "#);
-    // The request of a client that disconnects is not open any more.
+    // The request of a client that disconnects no longer counts as open.
     drop(client);
     while !admin_call(ops, "GET /ops/stats").contains("svc_current 0") {}
 }
@@ -56,10 +59,10 @@
     while node.health() != "up" {}
     assert!(admin_call(ops, "PUT /ops/drain/start").starts_with("HTTP/1.1 200 "));
     assert_eq!(node.health(), "down");
-    let mut old = Peer::connect(uwsgi);
-    old.send(packet(&[("PATH_INFO", "/status")], ""));
-    assert!(old.read_line().contains("503"));
-    // What still arrives is served as usual.
+    let mut uwsgi_client = Peer::connect(uwsgi);
+    uwsgi_client.send(packet(&[("PATH_INFO", "/status")], ""));
+    assert!(uwsgi_client.read_line().contains("503"));
+    // Requests that still arrive are served.
     let mut client = node.client();
     client.request(1, "a1", None, LONG_LIMIT_MS);
     link.next_run();
@@ -70,7 +73,7 @@
 }
 
 #[test]
-fn an_invalid_call_gets_an_error_and_silent_clients_shut_nobody_out() {
+fn an_invalid_admin_call_gets_an_error_and_silent_clients_block_no_others() {
     let mut node = Node::start(&config(&format!(r#""vm": "{UNREACHABLE}", "ops": "127.0.0.1:0","#)), None);
     let ops = node.admin_address();
     let silent: Vec<Peer> = (0..40)
--- a/node/tests/sockets/floods.rs
+++ b/node/tests/sockets/floods.rs
@@ -1,10 +1,11 @@
-//! Clients that send or hold more than their share: memory and descriptors stay bounded, and others are served meanwhile.
+//! Clients that send too much or hold too many connections: memory and descriptors stay bounded, and other
+//! clients are served meanwhile.
 
 use crate::helper::*;
 use std::net::SocketAddr;
 use std::thread::spawn;
 
-/// One more client gets its request served.
+/// Asserts that a request on a new connection is served.
 fn assert_other_client_is_served(node: &Node, link: &mut Peer, notice: u32) {
     let (mut client, txn) = (node.client(), format!("f{notice}"));
     client.request(1, &txn, None, LONG_LIMIT_MS);
@@ -13,11 +14,12 @@
     assert!(client.read_line().contains("result"));
 }
 
-/// Memory that a flood may add to the program, in KB: less than any of the floods sends.
+/// Upper bound on the memory that a flood may add to the program, in KB; each flood sends more than this.
 const MAX_ADDED_KB: u64 = 24 * 1024;
 
-/// Floods the node from 16 threads at once; `flood` returns once the node accepts no more of it. Meanwhile and afterwards
-/// other clients are served, and the memory of the program stays bounded.
+/// Floods the node from 16 threads at once and asserts that other clients are served during and after the
+/// flood and that the memory of the program stays bounded. `flood` returns once the node accepts no more of
+/// its data.
 fn assert_flood_is_bounded(flood: impl Fn(SocketAddr) + Clone + Send + 'static) {
     let (node, _vm, mut link) = Node::with_interpreter("", None);
     let before = node.usage();
@@ -34,15 +36,15 @@
 }
 
 #[test]
-fn bytes_without_a_line_end_take_no_memory_and_delay_nobody() {
-    // Each connection is closed: what comes after the longest line is not read.
+fn data_without_a_line_end_uses_bounded_memory_and_delays_no_others() {
+    // The node closes each connection: it reads nothing beyond the longest permitted line.
     assert_flood_is_bounded(|address| while Peer::connect(address).accepts("x".repeat(4 << 20)) {});
 }
 
 #[test]
-fn pipelined_health_checks_whose_responses_nobody_reads_are_not_read_on() {
+fn pipelined_health_checks_with_unread_responses_use_bounded_memory() {
     let checks = "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"status\"}\n".repeat(20_000);
-    // Each connection is closed in the end, as its client reads nothing.
+    // The node closes each connection in the end, since its client reads nothing.
     assert_flood_is_bounded(move |address| {
         let mut client = Peer::with_small_receive_buffer(address);
         while client.accepts(&checks) {}
@@ -50,7 +52,7 @@
 }
 
 #[test]
-fn idle_clients_that_use_up_the_descriptors_block_nobody_while_the_membership_service_is_down() {
+fn idle_clients_that_use_up_the_descriptors_block_no_others_while_the_membership_service_is_down() {
     let (vm, index, members) = (Server::new(), Server::new(), bind_udp("127.0.0.1:0"));
     let service = members.local_addr().unwrap();
     let links = format!(
@@ -60,7 +62,7 @@
     let node = Node::start(&config(&links), None);
     let mut link = vm.interpreter("0");
     while node.health() != "up" {}
-    // Nobody receives its heartbeats.
+    // From here on the heartbeats go to an address on which nothing listens.
     drop(members);
     let idle: Vec<Peer> = (0..200)
         .map(|_| {
@@ -71,7 +73,7 @@
         })
         .collect();
     assert!(node.usage().descriptors <= 64);
-    // One more client gets a request served that needs a connection to a backend, and health checks pass.
+    // A request on a new connection that needs a connection to a backend is served, and health checks pass.
     let mut client = node.client();
     client.request(1, "a1", Some("k"), LONG_LIMIT_MS);
     link.next_run();
@@ -83,7 +85,7 @@
     link.send_run_result(2, "a1", "done", "x");
     assert!(client.read_line().contains("result"));
     assert_eq!(node.health(), "up");
-    // It still sends heartbeats.
+    // The node still sends heartbeats.
     assert_eq!(next_datagram(&bind_udp(&service.to_string())), b"HB n1 UP");
     drop(idle);
 }
@@ -94,7 +96,7 @@
     let links = format!(r#""vm": "{}", "limits": {{"sockets": 64}},"#, vm.address);
     let config_file = file("config.json", &config(&links));
     let program = oakwind(&["serve", "--config", config_file.to_str().unwrap()]);
-    // The system holds the process to its limit: with one descriptor more an accept fails, which is logged.
+    // The system enforces the descriptor limit: an accept above it fails and is logged.
     let mut limited = std::process::Command::new("/bin/sh");
     limited
         .args(["-c", r#"ulimit -n 64 && exec "$0" "$@""#])
@@ -105,7 +107,7 @@
     node.wait_until_listening();
     let _link = vm.interpreter("0");
     while node.health() != "up" {}
-    // While the process is stopped, connections queue up; it meets all of them at once.
+    // Connections queue up while the process is paused, so on resuming it has to accept all of them at once.
     node.pause();
     let clients: Vec<Peer> = (0..100)
         .map(|_| {
@@ -116,6 +118,6 @@
         .collect();
     node.resume();
     assert_eq!(node.health(), "up");
-    assert!(!node.has_logged("accept failed"), "a descriptor was missing");
+    assert!(!node.has_logged("accept failed"), "an accept failed for lack of a descriptor");
     drop(clients);
 }
--- a/node/tests/sockets/golden.rs
+++ b/node/tests/sockets/golden.rs
@@ -1,9 +1,9 @@
-//! What others read of the program, pinned byte by byte: the names of its metrics, and what it writes to the
-//! interpreter, the index, the membership service and operators.
+//! Pins byte by byte what other programs and operators read: the names of the metrics, and what the program
+//! writes to the interpreter, the index, the membership service and admin clients.
 
 use crate::helper::*;
 
-/// The names of all metrics in the order in which they are shown, with their classes and without their values.
+/// The names of all metrics in the order of the response, with their labels and without their values.
 fn metric_names(ops: std::net::SocketAddr) -> String {
     let stats = admin_call(ops, "GET /ops/stats");
     let text = stats.split("\r\n\r\n").nth(1).unwrap();
@@ -11,7 +11,8 @@
     names.join("\n")
 }
 
-/// The next command to the interpreter as it came, with its body; those that ask for gauges are answered.
+/// Reads the next command to the interpreter without parsing it, with its body. Requests for gauges get a
+/// response and are skipped.
 fn raw_command(link: &mut Peer) -> String {
     loop {
         let line = raw_line(link);
@@ -28,7 +29,7 @@
     }
 }
 
-/// The next line as it came, with its end.
+/// Reads the next line, including its line end.
 fn raw_line(peer: &mut Peer) -> String {
     let mut line = Vec::new();
     while line.last() != Some(&b'\n') {
@@ -37,15 +38,15 @@
     String::from_utf8(line).unwrap()
 }
 
-/// A file of a configuration and the option that names it.
+/// A configuration file and the command-line option that names it.
 struct ConfigurationFile {
     option: &'static str,
     extension: &'static str,
     text: String,
 }
 
-/// The files of a node with every optional part.
-fn files_of_all_parts() -> [ConfigurationFile; 5] {
+/// The configuration files of a node with every optional part.
+fn files_for_all_optional_parts() -> [ConfigurationFile; 5] {
     let folder = |name: &str| {
         let folder = file(name, "").with_extension("d");
         std::fs::create_dir(&folder).unwrap();
@@ -81,7 +82,7 @@
 }
 
 #[test]
-fn a_plain_node_shows_these_metrics() {
+fn metric_names_of_a_node_without_optional_parts() {
     let mut node = Node::start(&config(&format!(r#""vm": "{UNREACHABLE}", "ops": "127.0.0.1:0","#)), None);
     insta::assert_snapshot!(metric_names(node.admin_address()), @r#"
     svc_answered{group="quote"}
@@ -99,16 +100,16 @@
 }
 
 #[test]
-#[expect(clippy::too_many_lines, reason = "the list is as long as there are metrics")]
-fn a_node_with_every_optional_part_shows_these_metrics() {
-    let files = files_of_all_parts();
+#[expect(clippy::too_many_lines, reason = "the snapshot lists every metric")]
+fn metric_names_of_a_node_with_every_optional_part() {
+    let files = files_for_all_optional_parts();
     let mut command = oakwind(&["serve"]);
     for ConfigurationFile { option, extension, text } in files {
         command.arg(option).arg(file(&format!("golden.{extension}"), &text));
     }
     let mut node = Node::from_command(command);
     let ops = node.admin_address();
-    // These are shown once the fleet's part has run for the first time; the other names from the start.
+    // These metrics appear once the fleet part has run for the first time, all others from the start.
     while !metric_names(ops).contains("svc_fleet_bytes_out") {}
     insta::assert_snapshot!(metric_names(ops), @r#"
     svc_answered{group="quote"}
@@ -171,7 +172,7 @@
 }
 
 #[test]
-fn what_goes_to_the_interpreter_and_the_index_is_exactly_this() {
+fn bytes_sent_to_the_interpreter_and_the_index() {
     let (vm, index) = (Server::new(), Server::new());
     let links = format!(r#""vm": "{}", "index": "{}","#, vm.address, index.address);
     let node = Node::start(&config(&links), None);
@@ -198,7 +199,7 @@
     client.request(2, "a2", None, LONG_LIMIT_MS);
     assert_eq!(raw_command(&mut link), "APPLY a2 quote 4\r\nbody\r\n");
     link.send("AWAIT 3 a2 1\r\nc\r\n");
-    // Another call or none may come over the connection before: it is the connection that breaks.
+    // The call may or may not be sent over the open connection before it is closed: it fails either way.
     drop((call, index));
     assert_eq!(raw_command(&mut link), "STUB a2 3\r\n");
     client.send(oakwind_fault_harness::wire::withdraw(2));
@@ -209,7 +210,7 @@
 }
 
 #[test]
-fn what_the_membership_service_gets_is_exactly_this() {
+fn bytes_sent_to_the_membership_service() {
     let members = bind_udp("127.0.0.1:0");
     let links = format!(r#""members": "{}","#, members.local_addr().unwrap());
     let (node, _vm, _link) = Node::with_interpreter(&links, None);
@@ -224,7 +225,7 @@
 }
 
 #[test]
-fn what_operators_get_is_exactly_this() {
+fn admin_responses_byte_for_byte() {
     let mut node = Node::start(&config(&format!(r#""vm": "{UNREACHABLE}", "ops": "127.0.0.1:0","#)), None);
     let ops = node.admin_address();
     let calls = [
--- a/node/tests/sockets/jsonrpc.rs
+++ b/node/tests/sockets/jsonrpc.rs
@@ -1,4 +1,4 @@
-//! The JSON-RPC frontend.
+//! Tests of the JSON-RPC frontend.
 
 use crate::helper::*;
 
@@ -17,18 +17,18 @@
 }
 
 #[test]
-fn a_response_that_took_long_is_written_completely() {
+fn a_response_after_a_long_run_is_written_completely() {
     let (node, _vm, mut vm) = Node::with_interpreter("", None);
     let mut client = node.client();
     client.request(1, "a1", Some("k"), LONG_LIMIT_MS);
     vm.next_run();
-    // Longer than a client may leave a response unread: that time starts with the response.
+    // Longer than a response may stay unread: that time starts only when the response is written.
     std::thread::sleep(std::time::Duration::from_millis(5_200));
     vm.send_run_result(1, "a1", "done", "job 5");
     insta::assert_snapshot!(client.read_line(), @r#"{"jsonrpc":"2.0","id":1,"result":{"content":"am9iIDU="}}"#);
 }
 
-/// Lines that can't be served, and one health check among them.
+/// Invalid lines, with one valid health check among them.
 fn invalid_lines() -> Vec<String> {
     let method_call = |id: u32, method: &str, extra: &str| {
         format!(
@@ -91,12 +91,12 @@
     {"jsonrpc":"2.0","id":15,"error":{"code":-32602,"message":"a request of this class names its unique key"}}
     {"jsonrpc":"2.0","id":16,"error":{"code":-32602,"message":"content is 2 KiB at most"}}
     "#);
-    // A notification gets no response, however faulty; the next line shows it.
+    // An invalid notification gets no response: the next response is that of the health check after it.
     client.send("{\"jsonrpc\":\"2.0\",\"method\":\"withdraw\"}\n{\"jsonrpc\":\"2.0\",\"id\":9,\"method\":\"status\"}\n");
     assert!(client.read_line().contains("\"id\":9"));
     client.send("x".repeat(20_000));
     insta::assert_snapshot!(client.read_line(), @r#"{"jsonrpc":"2.0","id":null,"error":{"code":-32600,"message":"the line is too long"}}"#);
-    assert_eq!(client.read_line(), "", "it is closed");
+    assert_eq!(client.read_line(), "", "the connection is closed");
     node.wait_for_log("jsonrpc: message rejected");
 }
 
@@ -129,7 +129,7 @@
     let (ran, class, _) = vm.next_run();
     assert_eq!(class, "book");
     other.request(1, "a3", Some("k"), LONG_LIMIT_MS);
-    // Another key runs; that it is the next command shows that none of the others did.
+    // The next command runs another key, which shows that no second attempt of the first key runs.
     other.request(2, "b1", Some("l"), LONG_LIMIT_MS);
     assert_eq!(vm.next_run().0, "b1");
     vm.send_run_result(1, &ran, "done", "job 5");
@@ -149,7 +149,7 @@
 fn a_withdrawn_request_is_stopped_and_a_closed_connection_withdraws_all() {
     let (node, _vm, mut vm) = Node::with_interpreter("", None);
     let mut client = node.client();
-    // Clients name the id of the request on this connection; its txn is accepted, too.
+    // A withdrawal names the request by its id on this connection or by its txn.
     for (id, txn, named) in [(1, "a1", r#""id":1"#), (2, "a2", r#""txn":"a2""#)] {
         client.request(id, txn, None, LONG_LIMIT_MS);
         vm.next_run();
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn a_request_that_is_not_done_by_its_deadline_fails_then() {
+fn a_request_that_is_not_complete_by_its_deadline_fails() {
     let (node, _vm, mut vm) = Node::with_interpreter("", None);
     let mut client = node.client();
     client.request(1, "a1", None, 300);
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn a_drain_notifies_clients_responds_to_all_that_was_read_and_ends() {
+fn a_drain_notifies_clients_responds_to_all_requests_read_and_exits() {
     let (node, _vm, mut vm) = Node::with_interpreter("", None);
     let mut client = node.client();
     client.request(1, "a1", None, LONG_LIMIT_MS);
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn absurd_times_do_no_harm() {
+fn out_of_range_times_are_limited_or_rejected() {
     let (node, _vm, mut vm) = Node::with_interpreter("", None);
     let mut client = node.client();
     client.send(concat!(
@@ -244,7 +244,7 @@
         LONG_LIMIT_MS,
         "{\"jsonrpc\":\"2.0\",\"method\":\"withdraw\",\"params\":{\"txn\":\"a1\"}}\n",
     );
-    // That the copier's own request runs shows that all it sent before has been processed.
+    // The run of the copier's own request shows that its earlier messages have been processed.
     copier.request(2, "b1", None, LONG_LIMIT_MS);
     assert_eq!(vm.next_run().0, "b1");
     vm.send_run_result(1, "a1", "done", "x");
@@ -252,9 +252,9 @@
 }
 
 #[test]
-fn stored_keys_take_none_of_the_interpreters_memory() {
+fn retained_keys_do_not_count_against_the_interpreters_memory() {
     let vm = Server::new();
-    // By the settings there is no room for a second key.
+    // If keys counted against the interpreter's memory, these settings would leave no room for a second key.
     let text = config(&format!(r#""vm": "{}","#, vm.address));
     let node = Node::start(&text.replace("\"entryKb\": 1.0", "\"entryKb\": 60000.0"), None);
     let (mut link, mut client) = (vm.interpreter("0"), node.client());
@@ -265,12 +265,12 @@
 }
 
 #[test]
-fn a_proven_client_that_uses_an_unknown_method_gets_a_response_however_often() {
+fn a_client_with_a_valid_message_gets_a_response_to_every_unknown_method() {
     let (node, _vm, mut link) = Node::with_interpreter("", None);
     while node.health() != "up" {}
     let mut client = node.client();
-    let asked: String = (0..40).map(|id| request(id, "a1", "price", None, LONG_LIMIT_MS)).collect();
-    client.send("{\"jsonrpc\":\"2.0\",\"id\":\"s\",\"method\":\"status\"}\n".to_string() + &asked);
+    let unknown_methods: String = (0..40).map(|id| request(id, "a1", "price", None, LONG_LIMIT_MS)).collect();
+    client.send("{\"jsonrpc\":\"2.0\",\"id\":\"s\",\"method\":\"status\"}\n".to_string() + &unknown_methods);
     client.request(40, "a2", None, LONG_LIMIT_MS);
     assert!(client.read_line().contains("true"));
     assert!((0..40).all(|_| client.read_line().contains("-32601")));
--- a/node/tests/sockets/links.rs
+++ b/node/tests/sockets/links.rs
@@ -1,8 +1,9 @@
-//! The links to the interpreter and the index, and what is proved when they break.
+//! Tests of the links to the interpreter and the index, and of which runs and calls are retried when a link
+//! breaks.
 
 use crate::helper::*;
 
-/// A node whose runs make calls to an index, and what stands in for its peers.
+/// A node whose runs make calls to an index, with stand-ins for its backends and a client.
 struct NodeWithIndex {
     _node: Node,
     _interpreter: Server,
@@ -37,7 +38,7 @@
     let connect = vm.read_line();
     assert!(connect == "CONNECT 2" || connect == "CONNECT 0", "{connect}");
     vm.send("BANNER seasoned 10\r\n");
-    // Nothing but the fence may come now: the end of a1 is still on its way.
+    // Only the fence may be sent now: the result of a1 is still in transit.
     assert_eq!(vm.read_line(), "TOP fence");
     vm.send_run_result(3, "a1", "done", "x");
     assert!(client.read_line().contains("\"id\":1,\"result\""));
@@ -48,7 +49,7 @@
 }
 
 #[test]
-fn an_interpreter_that_restarted_runs_nothing_a_second_time() {
+fn a_restarted_interpreter_gets_no_run_a_second_time() {
     let server = Server::new();
     let node = Node::start(&config(&format!(r#""vm": "{}","#, server.address)), None);
     let mut vm = server.accept();
@@ -67,13 +68,13 @@
 }
 
 #[test]
-fn a_protocol_error_is_logged_and_the_link_is_made_again() {
+fn a_protocol_error_is_logged_and_the_link_is_reestablished() {
     let (mut node, server, mut vm) = Node::with_interpreter("", None);
-    // The last one is no nonsense but never ends.
-    for nonsense in
+    // The last notice is valid as far as it goes, but its body never arrives.
+    for invalid in
         ["HELLO\r\n", "VALUE x a done 1 0\r\n\r\n", "VALUE 1 a done 1 many\r\n", "VALUE 1 a done 1 9\r\n"]
     {
-        vm.send(nonsense);
+        vm.send(invalid);
         node.wait_for_log("interpreter: link lost");
         vm = server.interpreter("0");
     }
@@ -102,14 +103,14 @@
 }
 
 #[test]
-fn a_call_that_was_cut_off_is_not_repeated_for_a_write_and_skipped_for_a_read() {
+fn an_interrupted_call_is_not_retried_for_a_write_and_is_skipped_for_a_read() {
     let mut with_index = NodeWithIndex::start();
     let NodeWithIndex { link: vm, index, client, .. } = &mut with_index;
     client.request(1, "a1", Some("k"), LONG_LIMIT_MS);
     vm.next_run();
     vm.send("AWAIT 1 a1 1\r\nc\r\n");
     drop(index.accept());
-    assert!(client.read_line().contains("-32000"), "it may have had its effect");
+    assert!(client.read_line().contains("-32000"), "the call may have taken effect");
     vm.send_run_result(2, "a1", "aborted", "");
     client.request(2, "a2", None, LONG_LIMIT_MS);
     vm.next_run();
@@ -119,7 +120,7 @@
 }
 
 #[test]
-fn a_refused_connection_proves_that_no_call_ran_so_a_write_repeats_it() {
+fn a_call_whose_connection_was_refused_is_retried_even_for_a_write() {
     let (mut node, _vm, mut vm) = Node::with_interpreter(&format!(r#""index": "{UNREACHABLE}","#), None);
     let mut client = node.client();
     client.request(1, "a1", Some("k"), LONG_LIMIT_MS);
@@ -127,11 +128,11 @@
     vm.send("AWAIT 1 a1 1\r\nc\r\n");
     node.wait_for_log("index: connection failed");
     node.wait_for_log("index: connection failed");
-    assert!(client.read_line().contains("-32000"), "after a few tries it fails");
+    assert!(client.read_line().contains("-32000"), "the request fails after a few attempts to connect");
 }
 
 #[test]
-fn a_reload_moves_every_link_and_runs_carry_on() {
+fn a_reload_moves_every_link_and_runs_continue() {
     let links = |vm: &Server, index: &Server, members: &std::net::UdpSocket| {
         let members = members.local_addr().unwrap();
         config(&format!(r#""vm": "{}", "index": "{}", "members": "{members}","#, vm.address, index.address))
@@ -162,7 +163,7 @@
     node.reload(&good);
     let mut vm = new.0.interpreter("1");
     assert_eq!(next_datagram(&members), b"HB n1 UP");
-    // A run that the old link has not shown the end of is applied again, which does nothing to it.
+    // Runs whose result the old link did not deliver are applied again, which does not start them twice.
     assert_eq!((vm.next_run().0, vm.next_run().0), ("a1".into(), "a2".into()));
     // The call in progress ends on its old connection, and the next one goes to the new address.
     call.send("a1 HIT 1\r\nr\r\n");
@@ -175,7 +176,7 @@
 }
 
 #[test]
-fn a_malformed_reply_fails_no_call_but_its_own_and_stray_replies_fail_none() {
+fn a_malformed_reply_fails_only_its_own_call_and_stray_replies_fail_none() {
     let mut with_index = NodeWithIndex::start();
     let NodeWithIndex { link: vm, index, client, .. } = &mut with_index;
     let mut calls: Vec<Peer> = (1..=4)
@@ -189,11 +190,12 @@
             call
         })
         .collect();
-    // Three GB that will not come are known by their length alone.
+    // A reply of 3 GB is rejected by its stated length, before the body arrives.
     calls[0].send("a1 HIT 3000000000\r\nxxxx");
-    assert!(client.read_line().contains("\"id\":1,\"error\""), "it may have had its effect");
+    assert!(client.read_line().contains("\"id\":1,\"error\""), "the call may have taken effect");
     assert!(calls[0].is_closed());
-    // A reply that has begun does not end; what came to another call before that, in pieces, spoils nothing.
+    // The reply to a4 never completes and fails only a4; the stray reply that a2's connection gets in pieces
+    // fails no call.
     calls[1].send("b9 HIT 1\r\n");
     calls[3].send("a4 HIT 5\r\n");
     calls[1].send("x\r\n");
--- a/node/tests/sockets/uwsgi.rs
+++ b/node/tests/sockets/uwsgi.rs
@@ -1,16 +1,17 @@
-//! The uwsgi frontend, and uwsgi servers as backends.
+//! Tests of the uwsgi frontend and of uwsgi servers as backends.
 
 use crate::helper::*;
 
-fn quote() -> Vec<u8> {
+fn quote_request() -> Vec<u8> {
     packet(&[("REQUEST_METHOD", "POST"), ("PATH_INFO", "/quote"), ("HTTP_X_TENANT", "acme")], "body")
 }
 
-fn book(key: &str) -> Vec<u8> {
+fn keyed_request(key: &str) -> Vec<u8> {
     packet(&[("PATH_INFO", "/book"), ("HTTP_IDEMPOTENCY_KEY", key)], "body")
 }
 
-/// The status line, the fields that matter and the body of a response, on one line.
+/// The status line, the header fields except Content-Type and Connection, and the body of a response, on one
+/// line.
 fn summary(response: &str) -> String {
     let shown =
         response.lines().filter(|line| !line.starts_with("Content-Type") && !line.starts_with("Connection"));
@@ -24,22 +25,22 @@
     let mut answers = Vec::new();
     for (notice, end) in [(1, "done"), (2, "crashed")] {
         let mut client = Peer::connect(address);
-        client.send(quote());
+        client.send(quote_request());
         let (id, class, body) = vm.next_run();
         assert_eq!((&class[..], &body[..]), ("quote", "body"));
         vm.send_run_result(notice, &id, end, if end == "done" { "price" } else { "" });
         answers.push(summary(&client.read_to_end()));
     }
-    // Nobody ends this run, and its caller waits until a moment that it names itself.
+    // This run never completes, so the request fails at the deadline that its client sets.
     let mut client = Peer::connect(address);
     let soon = (now_ms() + 300).to_string();
     client.send(packet(&[("PATH_INFO", "/quote"), ("HTTP_X_DEADLINE", &soon)], ""));
     let (id, ..) = vm.next_run();
     answers.push(summary(&client.read_to_end()));
     assert_eq!(vm.next_command().0, ["BREAK", &id]);
-    // And one that never ran.
+    // A run that the interpreter rejects never began.
     let mut client = Peer::connect(address);
-    client.send(quote());
+    client.send(quote_request());
     let (id, ..) = vm.next_run();
     vm.send(format!("ERROR APPLY {id}\r\n"));
     answers.push(summary(&client.read_to_end()));
@@ -88,10 +89,10 @@
 }
 
 #[test]
-fn a_request_cut_off_anywhere_starts_nothing_and_a_client_that_disconnects_later_stops_its_run() {
+fn a_truncated_request_starts_no_run_and_a_client_that_disconnects_later_stops_its_run() {
     let (mut node, _vm, mut vm) = Node::with_interpreter("", Some(UWSGI));
     let address = node.uwsgi_address();
-    let whole = book("k");
+    let whole = keyed_request("k");
     for cut in [2, 4, 20, whole.len() - 5, whole.len() - 1] {
         let mut client = Peer::connect(address);
         client.send(&whole[..cut]);
@@ -99,8 +100,8 @@
         node.wait_for_log("uwsgi: connection lost");
     }
     let mut client = Peer::connect(address);
-    client.send(quote());
-    // The first that runs is the first that was complete.
+    client.send(quote_request());
+    // The first run belongs to the first complete request.
     let (id, class, _) = vm.next_run();
     assert_eq!(class, "quote");
     drop(client);
@@ -113,7 +114,7 @@
     let address = node.uwsgi_address();
     let (mut json, mut uwsgi) = (node.client(), Peer::connect(address));
     json.request(1, "a1", Some("one"), LONG_LIMIT_MS);
-    uwsgi.send(book("one"));
+    uwsgi.send(keyed_request("one"));
     let (ran, class, _) = vm.next_run();
     assert_eq!(class, "book");
     json.request(2, "b1", Some("two"), LONG_LIMIT_MS);
@@ -121,25 +122,25 @@
     vm.send_run_result(1, &ran, "done", "job 5");
     assert!(json.read_line().contains(r#""id":1,"result":{"content":"am9iIDU="}"#));
     assert_eq!(summary(&uwsgi.read_to_end()), "HTTP/1.1 200 OK | Content-Length: 5 | job 5");
-    // The other way round, once the run is over.
+    // A uwsgi retry of a request that came over JSON-RPC, after its run has completed.
     let mut late = Peer::connect(address);
-    late.send(book("one"));
+    late.send(keyed_request("one"));
     assert_eq!(summary(&late.read_to_end()), "HTTP/1.1 200 OK | Content-Length: 5 | job 5");
     vm.send_run_result(2, "b1", "crashed", "");
     let mut failed = Peer::connect(address);
     assert!(json.read_line().contains("-32000"));
-    failed.send(book("two"));
-    assert!(failed.read_to_end().starts_with("HTTP/1.1 500 "), "it may have had its effect");
+    failed.send(keyed_request("two"));
+    assert!(failed.read_to_end().starts_with("HTTP/1.1 500 "), "the run may have taken effect");
 }
 
 #[test]
-fn a_drain_responds_to_what_was_read_and_then_accepts_nothing() {
-    // Its own host, so that nobody else listens there afterwards.
+fn a_drain_responds_to_requests_already_read_and_accepts_no_new_connections() {
+    // A host of its own, so that no other test listens on the address after the drain.
     let uwsgi_file = format!("listen = '{}:0'", unique_host());
     let (mut node, _vm, mut vm) = Node::with_interpreter("", Some(&uwsgi_file));
     let address = node.uwsgi_address();
     let mut client = Peer::connect(address);
-    client.send(quote());
+    client.send(quote_request());
     let (id, ..) = vm.next_run();
     node.terminate();
     node.wait_for_log("frontend: stopped listening: protocol=uwsgi");
@@ -170,11 +171,12 @@
     ");
     server.send("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\njob 5");
     assert!(json.read_line().contains(r#""result":{"content":"am9iIDU="}"#));
-    // The next in turn is down: the one after it takes the request, as a refused connection ran nothing.
+    // The next server in turn is down. The request goes to the one after it, since a refused connection ran
+    // nothing.
     let address = node.uwsgi_address();
     let respond_with = |answer: &[u8]| {
         let mut client = Peer::connect(address);
-        client.send(quote());
+        client.send(quote_request());
         let (mut server, ..) = first.next_uwsgi_request();
         server.send(answer);
         drop(server);
@@ -182,7 +184,7 @@
     };
     let answers = [
         respond_with(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nto the end"),
-        // Nothing tells this from a result that was cut off.
+        // Without a Content-Length, a complete result cannot be told from a truncated one.
         respond_with(b"HTTP/1.0 200 OK\r\n\r\nto the end"),
         respond_with(b"HTTP/1.1 503 Busy\r\nRetry-After: 3\r\n\r\n"),
         respond_with(b"HTTP/1.1 503 Busy\r\n\r\n"),
@@ -200,8 +202,8 @@
     let mut node =
         Node::start(&config(""), Some(&format!("listen = '127.0.0.1:0'\nruns = ['{UNREACHABLE}']\n")));
     let mut client = Peer::connect(node.uwsgi_address());
-    client.send(quote());
-    assert!(client.read_to_end().starts_with("HTTP/1.1 503 "), "nothing ran anywhere");
+    client.send(quote_request());
+    assert!(client.read_to_end().starts_with("HTTP/1.1 503 "), "no server ran the request");
 }
 
 #[test]
@@ -210,10 +212,10 @@
     let uwsgi_file = format!("listen = '127.0.0.1:0'\ncalls = ['{}']\n", store.address);
     let (mut node, _vm, mut vm) = Node::with_interpreter("", Some(&uwsgi_file));
     let mut client = Peer::connect(node.uwsgi_address());
-    client.send(book("k"));
+    client.send(keyed_request("k"));
     let (id, ..) = vm.next_run();
     vm.send(format!("AWAIT 1 {id} 4\r\ncall\r\n"));
-    // Rejected, it never ran, so it may be made again though it is a write.
+    // A rejected call never ran, so it may be retried even for a write.
     let (mut server, ..) = store.next_uwsgi_request();
     server.send("HTTP/1.1 503 Busy\r\nRetry-After: 1\r\n\r\n");
     drop(server);
@@ -243,7 +245,7 @@
     assert!(json.read_line().contains("result"));
     let mut uwsgi = Peer::connect(address);
     uwsgi.send(&other);
-    assert!(uwsgi.read_to_end().starts_with("HTTP/1.1 400 "), "nor when the result is there");
+    assert!(uwsgi.read_to_end().starts_with("HTTP/1.1 400 "), "a stored result is not returned either");
     json.send(REQUEST_WITH_ANOTHER_BODY);
     insta::assert_snapshot!(json.read_line(), @r#"{"jsonrpc":"2.0","id":2,"error":{"code":-32602,"message":"unique is the key of another body"}}"#);
 }
@@ -255,25 +257,25 @@
 );
 
 #[test]
-fn clients_that_send_nothing_shut_nobody_out_of_either_frontend() {
+fn silent_clients_block_no_others_on_either_frontend() {
     let vm = Server::new();
-    let few = config(&format!(r#""limits": {{"sockets": 40}}, "vm": "{}","#, vm.address));
-    let mut node = Node::start(&few, Some(UWSGI));
+    let limited = config(&format!(r#""limits": {{"sockets": 40}}, "vm": "{}","#, vm.address));
+    let mut node = Node::start(&limited, Some(UWSGI));
     let mut link = vm.interpreter("0");
     let address = node.uwsgi_address();
-    // Both frontends together have 16 connections here.
+    // With this limit, both frontends together keep 16 connections.
     let mut idle: Vec<Peer> = (0..16).flat_map(|_| [node.client(), Peer::connect(address)]).collect();
     let (mut json, mut uwsgi) = (node.client(), Peer::connect(address));
     json.request(1, "a1", None, LONG_LIMIT_MS);
-    uwsgi.send(quote());
+    uwsgi.send(quote_request());
     for notice in [1, 2] {
         let (id, ..) = link.next_run();
         link.send_run_result(notice, &id, "done", "x");
     }
     assert!(json.read_line().contains("result"));
     assert!(uwsgi.read_to_end().starts_with("HTTP/1.1 200 "));
-    assert!(idle[0].is_closed() && idle[1].is_closed(), "the oldest went for the last");
-    // Half a request gets a response at its deadline.
+    assert!(idle[0].is_closed() && idle[1].is_closed(), "the oldest connections were evicted for the newest");
+    // An incomplete request gets an error once the time to read it is over.
     let mut slow = Peer::connect(address);
     slow.send([0, 9]);
     assert_eq!(
@@ -290,7 +292,7 @@
     let mut node = Node::start(&config(""), Some(&servers(&old, "")));
     let address = node.uwsgi_address();
     let mut before = Peer::connect(address);
-    before.send(quote());
+    before.send(quote_request());
     let (mut running, ..) = old.next_uwsgi_request();
     for bad in [servers(&new, "surprise = 1"), servers(&new, &format!("calls = ['{}']", store.address))] {
         node.reload_uwsgi_file(&bad);
@@ -300,11 +302,11 @@
     node.reload_uwsgi_file(&servers(&new, ""));
     node.wait_for_log("addresses=changed");
     let mut after = Peer::connect(address);
-    after.send(quote());
+    after.send(quote_request());
     let (mut server, ..) = new.next_uwsgi_request();
     server.send("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nnew");
     assert_eq!(summary(&after.read_to_end()), "HTTP/1.1 200 OK | Content-Length: 3 | new");
-    // What runs at the old address ends there.
+    // A run at the old address completes there.
     running.send("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold");
     assert_eq!(summary(&before.read_to_end()), "HTTP/1.1 200 OK | Content-Length: 3 | old");
 }
--- a/node/tests/sockets/vrrp.rs
+++ b/node/tests/sockets/vrrp.rs
@@ -1,10 +1,10 @@
-//! The virtual router that guards the uwsgi listener, as seen by a peer.
+//! Tests of the virtual router that opens and closes the uwsgi listener, as seen by a peer router.
 
 use std::net::UdpSocket;
 
 use crate::helper::*;
 
-/// An advertisement for router 9 at 127.0.1.1, every 100 ms, as RFC 9568 lays it out.
+/// An advertisement in the format of RFC 9568 for virtual router 9 at 127.0.1.1, with an interval of 100 ms.
 fn advertisement(priority: u8) -> Vec<u8> {
     let mut bytes = vec![0x31, 9, priority, 1, 0, 10, 0, 0, 127, 0, 1, 1];
     let sum: u32 = bytes.chunks(2).map(|pair| u32::from(pair[0]) << 8 | u32::from(pair[1])).sum();
@@ -13,12 +13,13 @@
     bytes
 }
 
-/// An address for advertisements that only the caller uses.
+/// An address for advertisements that only the calling test uses.
 fn vrrp_address() -> String {
     format!("{}:3112", unique_host())
 }
 
-/// A uwsgi file with an address of its own, so that no other test listens there afterwards.
+/// A uwsgi file whose frontend has a host of its own, so that no other test listens there after it has
+/// closed.
 fn uwsgi_file(priority: u8, listen: &str, peer: &str) -> String {
     let ip = listen.split(':').next().unwrap();
     format!(
@@ -27,13 +28,13 @@
     )
 }
 
-/// Waits until the peer gets an advertisement with this priority.
+/// Waits until the peer receives an advertisement with this priority.
 fn wait_for_advertisement(peer: &UdpSocket, priority: u8) {
     while next_datagram(peer)[..] != advertisement(priority)[..] {}
 }
 
 #[test]
-fn the_listener_is_open_while_active_and_what_was_read_gets_its_response_after_that() {
+fn the_listener_is_open_only_while_active_and_requests_already_read_are_served_after_that() {
     let (listen, peer_address) = (vrrp_address(), vrrp_address());
     let peer = bind_udp(&peer_address);
     let file = uwsgi_file(100, &listen, &peer_address);
@@ -44,7 +45,7 @@
     let mut client = Peer::connect(address);
     client.send(packet(&[("PATH_INFO", "/quote")], ""));
     let (id, ..) = vm.next_run();
-    // A higher priority takes the role over; a lower one and bad packets do not.
+    // A peer with a higher priority takes over the active role; a lower priority and invalid packets do not.
     for bad in [&advertisement(99)[..], &advertisement(200)[..11], b"\x21\x09", b""] {
         peer.send_to(bad, &listen).unwrap();
     }
@@ -55,7 +56,7 @@
     assert!(std::net::TcpStream::connect(address).is_err());
     vm.send_run_result(1, &id, "done", "still");
     assert!(client.read_to_end().ends_with("still"));
-    // It gives the role up again, so this node takes it and serves.
+    // The peer gives up the active role with priority 0, so this node takes it and serves.
     peer.send_to(&advertisement(0), &listen).unwrap();
     node.wait_for_log("vrrp: role changed: vrid=9 role=Active");
     let address = node.uwsgi_address();
@@ -73,7 +74,7 @@
     let (mut low, _vm, _link) = Node::with_interpreter("", Some(&uwsgi_file(100, &second, &first)));
     low.uwsgi_address();
     let (mut high, _vm, _link) = Node::with_interpreter("", Some(&uwsgi_file(200, &first, &second)));
-    // The higher priority preempts.
+    // The node with the higher priority preempts the other.
     high.uwsgi_address();
     low.wait_for_log("vrrp: role changed: vrid=9 role=Backup");
     low.wait_for_log("frontend: stopped listening: protocol=uwsgi");
