--- a/node/tests/sockets/cli.rs
+++ b/node/tests/sockets/cli.rs
@@ -1,4 +1,4 @@
-//! The command line and bad configurations.
+//! Tests of the command line and of invalid configurations.
 
 use crate::helper::*;
 
@@ -9,13 +9,13 @@
 }
 
 #[test]
-fn version_says_the_version() {
+fn the_version_command_prints_the_package_version() {
     let version = output(&["version"]).stdout;
     assert_eq!(String::from_utf8(version).unwrap(), format!("oakwind {}\n", env!("CARGO_PKG_VERSION")));
 }
 
 #[test]
-fn a_bad_configuration_ends_both_commands_with_one_line_that_names_the_key() {
+fn an_invalid_configuration_fails_serve_and_check_config_with_one_line_naming_the_key() {
     let good = config(r#""vm": "127.0.0.1:1","#);
     let uwsgi = file("bad.toml", "listen = 'here'\n");
     let paths: Vec<_> = [good.replace("30000,", "\"soon\","), good.replace("\"vm\"", "\"mv\"")]
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn the_files_that_come_with_the_project_can_be_served() {
+fn bundled_configuration_files_pass_check_config() {
     let root = concat!(env!("CARGO_MANIFEST_DIR"), "/..");
     let platform = file("platform.json", &config(r#""vm": "127.0.0.1:1","#));
     let example = format!("{root}/examples/config.json");
--- a/node/tests/sockets/endings.rs
+++ b/node/tests/sockets/endings.rs
@@ -1,11 +1,11 @@
-//! The moment in which something ends while something is still pending (docs/endings.md).
+//! Tests of shutdowns, closed connections and handovers while requests are still pending (docs/endings.md).
 
 use crate::helper::*;
 use std::io::Write;
 use std::os::unix::net::{UnixListener, UnixStream};
 
-/// A node with these changes to its configuration and a stand-in interpreter, whose link is up.
-fn node_with(change: impl Fn(String) -> String) -> (Node, Server, Peer) {
+/// Starts a node with a changed configuration and a stand-in interpreter whose link is up.
+fn start_node_with(change: impl Fn(String) -> String) -> (Node, Server, Peer) {
     let vm = Server::new();
     let node = Node::start(&change(config(&format!(r#""vm": "{}","#, vm.address))), None);
     let link = vm.interpreter("0");
@@ -19,29 +19,30 @@
 const STATUS: &str = "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"status\"}\n";
 
 #[test]
-fn what_arrives_after_an_idle_connection_is_closed_is_not_run_and_not_reset() {
-    let (node, _vm, mut link) = node_with(|text| text.replace("\"idle\": 30000000", "\"idle\": 100000"));
+fn data_received_after_an_idle_connection_is_closed_is_neither_run_nor_reset() {
+    let (node, _vm, mut link) =
+        start_node_with(|text| text.replace("\"idle\": 30000000", "\"idle\": 100000"));
     let mut idle = node.client();
     idle.request(1, "a1", None, LONG_LIMIT_MS);
     link.next_run();
     link.send_run_result(1, "a1", "done", "x");
     assert!(idle.read_line().contains("result"));
     assert_eq!(idle.read_any_line(), DRAINING);
-    assert_eq!(idle.read_to_end(), "", "it ends");
+    assert_eq!(idle.read_to_end(), "", "the node closes the connection");
     idle.request(2, "a2", None, LONG_LIMIT_MS);
-    assert!(idle.accepts("half a li"), "no reset answers what was on its way");
+    assert!(idle.accepts("half a li"), "data that was in transit causes no reset");
     let mut other = node.client();
     other.request(1, "b1", None, LONG_LIMIT_MS);
-    assert_eq!(link.next_run().0, "b1", "the request after the end was not sent on");
+    assert_eq!(link.next_run().0, "b1", "the request after the close was not run");
 }
 
 #[test]
-fn half_a_line_before_the_shutdown_notice_gets_its_response_once_it_is_complete() {
-    let (node, _vm, mut link) = node_with(with_drain_grace(30_000_000));
+fn a_line_begun_before_the_shutdown_notice_is_served_once_it_is_complete() {
+    let (node, _vm, mut link) = start_node_with(with_drain_grace(30_000_000));
     let mut client = node.client();
     let line = request(1, "a1", "quote", None, LONG_LIMIT_MS);
     client.send(&line[..40]);
-    // That a request on another connection was processed shows that this half was read, too.
+    // A response on another connection shows that the node has read this half as well.
     while node.health() != "up" {}
     node.terminate();
     assert_eq!(client.read_any_line(), DRAINING);
@@ -52,10 +53,10 @@
 }
 
 #[test]
-fn a_request_that_is_complete_only_after_the_grace_is_rejected_and_never_run() {
-    let (node, _vm, mut link) = node_with(with_drain_grace(0));
+fn a_request_completed_after_the_drain_grace_is_rejected_and_never_run() {
+    let (node, _vm, mut link) = start_node_with(with_drain_grace(0));
     let mut client = node.client();
-    // A time of receipt in the future counts as now.
+    // A receipt time in the future is treated as now.
     let line = request(1, "a1", "quote", None, LONG_LIMIT_MS).replace("\"door\":", "\"door\":1");
     client.send(&line[..40]);
     while node.health() != "up" {}
@@ -70,9 +71,9 @@
 
 #[test]
 fn connections_that_were_queued_before_the_listener_closed_are_served() {
-    let (node, _vm, _link) = node_with(with_drain_grace(0));
+    let (node, _vm, _link) = start_node_with(with_drain_grace(0));
     while node.health() != "up" {}
-    // More than the runtime does in one turn of a task.
+    // More connections than the runtime accepts in one poll of a task.
     node.pause();
     let mut clients: Vec<Peer> = (0..400).map(|_| node.client()).collect();
     clients.iter_mut().for_each(|client| client.send(STATUS));
@@ -86,7 +87,7 @@
 }
 
 #[test]
-fn a_client_that_hardly_reads_its_responses_is_disconnected_and_nobody_waits_for_it() {
+fn a_client_that_reads_too_slowly_is_disconnected_and_delays_no_others() {
     let (node, _vm, mut link) = Node::with_interpreter("", None);
     let mut slow = Peer::with_small_receive_buffer(node.json);
     let result = "r".repeat(250_000);
@@ -97,7 +98,7 @@
         let (txn, ..) = link.next_run();
         link.send_run_result(id, &txn, "done", &result);
     }
-    // A little is read all the time; that the connection takes nothing more shows its end.
+    // The client keeps reading slowly; a failed write shows that the node has closed the connection.
     while slow.accepts("\n") {
         slow.read_bytes(4096);
         std::thread::sleep(std::time::Duration::from_millis(10));
@@ -109,7 +110,9 @@
     assert!(other.read_line().contains("result"));
 }
 
-/// A process that takes over at this address from a predecessor that the test plays, which has sent nothing yet.
+/// Starts a successor that takes over at this address from a predecessor whose part the test plays. Returns
+/// the node, its interpreter, their link and the handover connection, over which the predecessor has sent
+/// nothing yet.
 fn start_successor(
     fixture: &UpgradeFixture,
     change: impl Fn(String) -> String,
@@ -119,7 +122,7 @@
     let vm = Server::new();
     let text = config(&format!(r#""vm": "{}","#, vm.address)).replace("127.0.0.1:0", &fixture.json);
     let mut node = Node::spawn(&change(text), None, Some(&fixture.folder));
-    // It checks first whether a process serves here, then takes over.
+    // The first connection only checks whether a predecessor serves here; the second one starts the handover.
     drop(predecessor.accept().unwrap());
     let link = vm.interpreter("0");
     node.wait_until_listening();
@@ -133,11 +136,11 @@
     let (mut node, _vm, mut link, mut predecessor) = start_successor(&fixture, |text| text);
     let mut client = node.client();
     client.request(1, "a1", Some("slow"), 300);
-    assert!(client.read_line().contains("-32011"), "it has not run, and its caller waits no longer");
+    assert!(client.read_line().contains("-32011"), "the request has not run and its time limit has passed");
     client.request(2, "a2", Some("known"), LONG_LIMIT_MS);
     predecessor.write_all(b"SEED 1\r\nKEY 1 99999999999999 done 5 8\r\nknownjob\r\nALL\r\n").unwrap();
     node.wait_for_log("handover: table received from the predecessor: keys=1");
-    // What was buffered is decided on now: this key came with another body.
+    // The buffered attempt is decided on now and rejected: the key was first used with another body.
     assert!(client.read_line().contains("-32602"));
     client.request(3, "a3", Some("fresh"), LONG_LIMIT_MS);
     assert_eq!(link.next_run().0, "a3");
@@ -146,27 +149,27 @@
 #[test]
 fn a_shutdown_notice_before_the_keys_are_handed_over_leaves_no_attempt_without_a_response() {
     let fixture = UpgradeFixture::new();
-    // It stops before it would give up waiting for the keys.
-    let (node, _vm, _link, _before) = start_successor(&fixture, |text| text.replace("30000", "1000"));
+    // The stop time is shorter than the time for which the successor waits for the keys.
+    let (node, _vm, _link, _predecessor) = start_successor(&fixture, |text| text.replace("30000", "1000"));
     let mut client = node.client();
     client.request(1, "a1", Some("k"), LONG_LIMIT_MS);
     client.send(STATUS.replace(":1,", ":2,"));
-    assert!(client.read_line().contains("\"id\":2"), "both were read");
+    assert!(client.read_line().contains("\"id\":2"), "the node has read both messages");
     node.terminate();
     assert!(client.read_line().contains("\"id\":1,\"error\":{\"code\":-32011"));
 }
 
 #[test]
-fn a_client_for_which_there_is_no_connection_sees_an_end_and_no_reset() {
+fn a_connection_above_the_limit_is_closed_without_a_reset() {
     let (mut node, _vm, _link) =
-        node_with(|text| text.replace("\"seed\"", "\"limits\": {\"sockets\": 40}, \"seed\""));
+        start_node_with(|text| text.replace("\"seed\"", "\"limits\": {\"sockets\": 40}, \"seed\""));
     let mut busy: Vec<Peer> = (0..10).map(|_| node.client()).collect();
-    for (place, client) in busy.iter_mut().enumerate() {
-        client.request(1, &format!("a{place}"), None, LONG_LIMIT_MS);
+    for (index, client) in busy.iter_mut().enumerate() {
+        client.request(1, &format!("a{index}"), None, LONG_LIMIT_MS);
         client.send(STATUS.replace(":1,", ":2,"));
         assert!(client.read_line().contains("\"id\":2"), "its request is open");
     }
-    // What it sends has arrived before the node accepts the connection.
+    // The client's data arrives before the node accepts the connection.
     node.pause();
     let mut late = node.client();
     late.send(STATUS);
@@ -176,7 +179,7 @@
 }
 
 #[test]
-fn half_a_uwsgi_request_before_the_shutdown_notice_gets_its_response_once_it_is_complete() {
+fn a_uwsgi_request_begun_before_the_shutdown_notice_is_served_once_it_is_complete() {
     let vm = Server::new();
     let text = with_drain_grace(30_000_000)(config(&format!(r#""vm": "{}","#, vm.address)));
     let mut node = Node::start(&text, Some(&format!("listen = '{}:0'", unique_host())));
@@ -195,7 +198,7 @@
 }
 
 #[test]
-fn a_node_whose_interpreter_is_late_responds_at_once_and_is_up_with_it() {
+fn a_node_rejects_requests_at_once_until_its_interpreter_is_ready() {
     let vm = Server::new();
     let node = Node::start(&config(&format!(r#""vm": "{}","#, vm.address)), None);
     let mut link = vm.accept();
@@ -203,14 +206,14 @@
     assert_eq!(node.health(), "down");
     let mut client = node.client();
     client.request(1, "a1", None, LONG_LIMIT_MS);
-    assert!(client.read_line().contains("-32011"), "nothing runs yet");
+    assert!(client.read_line().contains("-32011"), "the interpreter is not ready yet");
     link.send("BANNER fresh 0\r\n");
     while node.health() != "up" {}
 }
 
 #[test]
-fn a_node_that_is_to_stop_at_once_still_writes_all_responses_to_a_client_that_reads() {
-    let (node, _vm, mut link) = node_with(|text| text.replace("30000", "1"));
+fn a_node_with_a_minimal_stop_time_still_writes_all_responses_to_a_reading_client() {
+    let (node, _vm, mut link) = start_node_with(|text| text.replace("30000", "1"));
     let (mut slow, mut other) = (Peer::with_small_receive_buffer(node.json), node.client());
     let all: String =
         (1..=32).map(|id| request(id, &format!("a{id}"), "quote", None, LONG_LIMIT_MS)).collect();
@@ -220,7 +223,7 @@
         let (txn, ..) = link.next_run();
         link.send_run_result(notice, &txn, "done", &result);
     }
-    // The response to this shows that all results before it were processed.
+    // The response to this request shows that the node has processed all earlier results.
     other.request(1, "b1", None, LONG_LIMIT_MS);
     link.next_run();
     link.send_run_result(33, "b1", "done", "x");
@@ -233,33 +236,33 @@
 }
 
 #[test]
-fn an_interpreter_is_recognized_though_the_clock_was_set_ahead_meanwhile() {
+fn an_interpreter_is_recognized_after_the_clock_steps_ahead() {
     let vm = Server::new();
     let path = file("config.json", &config(&format!(r#""vm": "{}","#, vm.address)));
     let mut command = oakwind(&["serve", "--config", path.to_str().unwrap()]);
-    // An hour ahead, a second after its start.
+    // The clock steps an hour ahead one second after the start.
     command.env("OAKWIND_REHEARSED_CLOCK", "1000:3600000");
     let mut node = Node::from_command(command);
     node.wait_until_listening();
     let mut link = vm.interpreter("0");
     let mut client = node.client();
-    // A time of receipt in the future counts as now, whenever the clock is set.
+    // A receipt time in the future is treated as now, whether or not the clock has stepped yet.
     client.send(request(1, "a1", "book", Some("k"), LONG_LIMIT_MS).replace("\"door\":", "\"door\":1"));
     link.next_run();
     node.wait_for_log("dispatcher: clock stepped ahead");
     drop(link);
     let mut link = vm.accept();
     link.read_line();
-    // No later a start than the one reported before, however long this test takes.
+    // This uptime means a start no later than the one reported before, however long the test takes.
     link.send("BANNER seasoned 600000\r\n");
-    assert_eq!(link.next_run().0, "a1", "its run goes on");
+    assert_eq!(link.next_run().0, "a1", "its run continues");
 }
 
 #[test]
-fn processes_that_start_together_are_each_ready_with_their_interpreter_and_not_before() {
+fn processes_that_start_together_are_each_ready_only_once_their_interpreter_is() {
     let vms: Vec<Server> = (0..24).map(|_| Server::new()).collect();
     let start = |vm: &Server| {
-        // Nobody receives their heartbeats.
+        // The heartbeats go to an address on which nothing listens.
         let links = format!(r#""vm": "{}", "members": "{UNREACHABLE}", "ops": "127.0.0.1:0","#, vm.address);
         Node::spawn(&config(&links), None, None)
     };
--- a/node/tests/sockets/fleet.rs
+++ b/node/tests/sockets/fleet.rs
@@ -1,4 +1,4 @@
-//! Nodes of a fleet: replication between them, operators' files, and what a peer may send.
+//! Tests of nodes in a fleet: replication between them, fleet files, and valid and invalid data from peers.
 
 use crate::helper::*;
 use oakwind_fleet::ids::{ConfigVersion, Incarnation, NodeId};
@@ -16,7 +16,7 @@
     version: u64,
 }
 
-/// A configuration whose keys are remembered for a second.
+/// Shortens the idempotency window and the latency objectives to one second and the deadlines to two.
 fn with_short_windows(config: &str) -> String {
     config
         .replace("\"window\": 120000000", "\"window\": 1000000")
@@ -26,7 +26,7 @@
 
 impl Fleet {
     fn new() -> Fleet {
-        // Nobody else uses this host, so a port that is free now is still free when a node is to listen there.
+        // No other test uses this host, so a port that is free now is still free when a node listens on it.
         let host = unique_host();
         let listeners = [(); 4].map(|()| TcpListener::bind((host, 0)).unwrap());
         Fleet {
@@ -66,8 +66,8 @@
         (node, link)
     }
 
-    /// All three, once bookings run.
-    fn all(&self) -> Vec<(Node, Peer)> {
+    /// Starts all three nodes and waits until each can run keyed requests.
+    fn start_all(&self) -> Vec<(Node, Peer)> {
         let mut all: Vec<(Node, Peer)> = (1..=3).map(|n| self.start(n, &[1, 2, 3], "")).collect();
         for (node, _) in &mut all {
             node.wait_for_log("fleet: quorum reached");
@@ -78,9 +78,9 @@
 }
 
 #[test]
-fn a_booking_runs_at_one_node_and_repeats_at_others_by_both_protocols_get_its_result() {
+fn a_keyed_request_runs_at_one_node_and_retries_at_others_get_its_result_over_both_protocols() {
     let fleet = Fleet::new();
-    let mut all = fleet.all();
+    let mut all = fleet.start_all();
     let mut clients: Vec<Peer> = all.iter().map(|(node, _)| node.client()).collect();
     clients[0].request(1, "a1", Some("k"), 1900);
     assert_eq!(all[0].1.next_run().0, "a1");
@@ -88,25 +88,25 @@
     all[0].1.send_run_result(1, "a1", "done", "job 5");
     let result = clients[0].read_line();
     assert!(result.contains("\"result\""), "{result}");
-    assert_eq!(clients[1].read_line(), result, "it waited for that run");
+    assert_eq!(clients[1].read_line(), result, "the retry waited for the run");
     clients[2].request(1, "c1", Some("k"), 1900);
     assert_eq!(clients[2].read_line(), result);
-    let mut old = Peer::connect(all[2].0.uwsgi_address());
-    old.send(packet(&[("PATH_INFO", "/book"), ("HTTP_IDEMPOTENCY_KEY", "k")], "body"));
-    let answer = old.read_to_end();
+    let mut uwsgi_client = Peer::connect(all[2].0.uwsgi_address());
+    uwsgi_client.send(packet(&[("PATH_INFO", "/book"), ("HTTP_IDEMPOTENCY_KEY", "k")], "body"));
+    let answer = uwsgi_client.read_to_end();
     assert!(answer.ends_with("job 5"), "{answer}");
     clients[2].send(request(2, "c2", "book", Some("k"), 1900).replace("Ym9keQ==", "b3RoZXI="));
-    assert!(clients[2].read_line().contains("-32602"), "another body");
+    assert!(clients[2].read_line().contains("-32602"), "a key that is reused with another body is rejected");
     clients[1].request(2, "b2", None, 1900);
-    assert_eq!(all[1].1.next_run().0, "b2", "what is safe to repeat asks nobody");
+    assert_eq!(all[1].1.next_run().0, "b2", "a request without a key runs without a claim");
     let lines = ["svc_fleet_granted 1\n", "svc_fleet_held 1\n", "svc_fleet_alive 2\n", "svc_fleet_level 1\n"];
     wait_for_stats(&mut all[0].0, &lines);
 }
 
 #[test]
-fn without_a_quorum_bookings_are_rejected_and_other_requests_run() {
+fn without_a_quorum_keyed_requests_are_rejected_and_other_requests_run() {
     let fleet = Fleet::new();
-    let mut all = fleet.all();
+    let mut all = fleet.start_all();
     all.truncate(1);
     let (mut node, mut vm) = all.remove(0);
     let mut client = node.client();
@@ -118,35 +118,35 @@
     wait_for_stats(&mut node, &["svc_fleet_lost 2\n"]);
 }
 
-/// Waits until the figures have all these lines.
+/// Waits until the metrics contain all these lines.
 fn wait_for_stats(node: &mut Node, lines: &[&str]) {
     let ops = node.admin_address();
-    let guard = std::time::Instant::now() + TEST_TIMEOUT;
+    let give_up_at = std::time::Instant::now() + TEST_TIMEOUT;
     loop {
         let stats = admin_call(ops, "GET /ops/stats");
         if lines.iter().all(|line| stats.contains(line)) {
             return;
         }
-        assert!(std::time::Instant::now() < guard, "{stats}");
+        assert!(std::time::Instant::now() < give_up_at, "{stats}");
     }
 }
 
-/// A peer of the test's own.
+/// Connects to a node as a peer and sends these bytes.
 fn connect_peer(address: SocketAddr, bytes: &[u8]) -> TcpStream {
     let mut peer = TcpStream::connect(address).unwrap();
     peer.write_all(bytes).unwrap();
     peer
 }
 
-/// Waits until the other side ends the link.
+/// Waits until the node closes the link.
 fn assert_closed(mut peer: TcpStream) {
     let mut rest = Vec::new();
-    // It may be reset, as not all was read.
+    // The read may fail with a reset, since the node need not have read everything that was sent.
     let _ = peer.read_to_end(&mut rest);
 }
 
 #[test]
-fn invalid_data_closes_a_link_is_logged_and_the_fleet_goes_on() {
+fn invalid_data_closes_a_link_is_logged_and_leaves_the_node_serving() {
     let fleet = Fleet::new();
     let (mut node, _vm) = fleet.start(1, &[1], "");
     let at = fleet.address(1);
@@ -158,7 +158,7 @@
         assert_closed(connect_peer(at, invalid));
         node.wait_for_log("fleet: link closed, its peer sent invalid data");
     }
-    // Silence ends as well.
+    // A link whose peer goes silent before it has identified itself is closed as well.
     assert_closed(connect_peer(at, b"OAK"));
     node.wait_for_log("fleet: replica table complete: keys=0");
     let mut client = node.client();
@@ -166,16 +166,16 @@
     wait_for_stats(&mut node, &["svc_fleet_nonsense 3\n"]);
 }
 
-/// A message as it goes over a link, with more fields than this build knows.
-fn encoded(mut bytes: Vec<u8>, more: &[u8]) -> Vec<u8> {
-    bytes.extend_from_slice(more);
+/// The frame of an encoded message, with the bytes of fields that this build does not know appended.
+fn frame(mut bytes: Vec<u8>, unknown_fields: &[u8]) -> Vec<u8> {
+    bytes.extend_from_slice(unknown_fields);
     let mut hasher = SipHasher13::new_with_keys(1, 0);
     hasher.write(&bytes);
     let (length, check) = (bytes.len() as u32, hasher.finish() as u32);
     [&length.to_be_bytes()[..], &check.to_be_bytes(), &bytes].concat()
 }
 
-/// The next message from the program.
+/// Reads the next message from the node.
 fn read_message(peer: &mut TcpStream) -> Message {
     let mut head = [0; 8];
     peer.read_exact(&mut head).unwrap();
@@ -190,7 +190,7 @@
     let (mut node, _vm) = fleet.start(1, &[1], "");
     node.wait_for_log("fleet: replica table complete: keys=0");
     let (me, to) = (NodeId::of("n2"), NodeId::of("n1"));
-    let bytes = |frame: &Message| postcard::to_allocvec(frame).unwrap();
+    let bytes = |message: &Message| postcard::to_allocvec(message).unwrap();
     let name = "n2".into();
     let hello = Message::Hello(Hello {
         name,
@@ -203,7 +203,7 @@
         restored: None,
     });
     let claim = ClaimId { node: me, incarnation: Incarnation(5), number: 1 };
-    let asked = ClaimRequest {
+    let claim_request = ClaimRequest {
         claim,
         key: "k".into(),
         body: 1,
@@ -213,9 +213,9 @@
     let later = postcard::to_allocvec(&(MESSAGE_KINDS + 1, "of a later build")).unwrap();
     let all = [
         b"OAKPEER1".to_vec(),
-        encoded(bytes(&hello), b"a new field"),
-        encoded(later, b""),
-        encoded(bytes(&Message::Claim(asked)), b"another"),
+        frame(bytes(&hello), b"a new field"),
+        frame(later, b""),
+        frame(bytes(&Message::Claim(claim_request)), b"another"),
     ];
     let mut peer = connect_peer(fleet.address(1), &all.concat());
     peer.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
@@ -229,7 +229,7 @@
 #[test]
 fn a_reload_adopts_a_newer_membership_configuration_and_rejects_others() {
     let mut fleet = Fleet::new();
-    let mut all = fleet.all();
+    let mut all = fleet.start_all();
     fleet.version = 2;
     let next = fleet.file(1, &[1, 2, 3, 4], "");
     let node = &mut all[0].0;
@@ -249,11 +249,15 @@
     node.wait_for_log("fleet: membership configuration rejected: list.members: without n3, n4 (2 in all)");
     let mut client = all[2].0.client();
     client.request(1, "c1", Some("k"), 1900);
-    assert_eq!(all[2].1.next_run().0, "c1", "claims need both lists and get them");
+    assert_eq!(
+        all[2].1.next_run().0,
+        "c1",
+        "claims need votes under both membership configurations and get them"
+    );
 }
 
 #[test]
-fn a_wrong_fleet_file_ends_the_start_with_a_line_that_names_the_key() {
+fn an_invalid_fleet_file_fails_the_check_with_one_line_naming_the_key() {
     let fleet = Fleet::new();
     let config = file("config.json", &with_short_windows(&config(r#""vm": "127.0.0.1:1","#)));
     let check = |text: &str| {
@@ -303,28 +307,28 @@
         node.wait_until_listening();
         (node, link)
     };
-    let (mut old, mut old_vm) = start();
+    let (mut predecessor, mut predecessor_vm) = start();
     let mut others: Vec<(Node, Peer)> = [2, 3].map(|n| fleet.start(n, &[1, 2, 3], "")).into();
-    for node in [&mut old].into_iter().chain(others.iter_mut().map(|(node, _)| node)) {
+    for node in [&mut predecessor].into_iter().chain(others.iter_mut().map(|(node, _)| node)) {
         node.wait_for_log("fleet: replica table complete");
     }
-    let mut before = old.client();
+    let mut before = predecessor.client();
     before.request(1, "a1", Some("k"), 1900);
-    old_vm.next_run();
-    let (mut new, mut new_vm) = start();
-    new.wait_for_log("handover: completed");
-    new.wait_for_log("fleet: quorum reached");
-    old_vm.send_run_result(1, "a1", "done", "first");
+    predecessor_vm.next_run();
+    let (mut successor, mut successor_vm) = start();
+    successor.wait_for_log("handover: completed");
+    successor.wait_for_log("fleet: quorum reached");
+    predecessor_vm.send_run_result(1, "a1", "done", "first");
     assert_eq!(before.read_any_line(), DRAINING);
     let result = before.read_line();
-    assert!(result.contains("\"result\""), "its result is held by a majority: {result}");
+    assert!(result.contains("\"result\""), "a majority holds the result: {result}");
     let mut client = others[0].0.client();
     client.request(1, "b1", Some("k"), 1900);
     assert_eq!(client.read_line(), result);
-    let mut client = new.client();
+    let mut client = successor.client();
     client.request(1, "c1", Some("l"), 1900);
-    assert_eq!(new_vm.next_run().0, "c1");
-    old.terminate();
-    old.assert_clean_exit();
+    assert_eq!(successor_vm.next_run().0, "c1");
+    predecessor.terminate();
+    predecessor.assert_clean_exit();
     others[1].0.health();
 }
--- a/node/tests/sockets/reload.rs
+++ b/node/tests/sockets/reload.rs
@@ -1,14 +1,14 @@
-//! What SIGHUP changes and what it leaves alone.
+//! Tests of reloads on SIGHUP: what they change and what they leave unchanged.
 
 use crate::helper::*;
 
-/// `book` and `quote` go, others come in their places.
+/// Replaces the classes `book` and `quote` by `reserve` and `price`.
 fn with_other_classes(text: &str) -> String {
     text.replace("\"book\"", "\"reserve\"").replace("\"quote\"", "\"price\"")
 }
 
 #[test]
-fn classes_come_and_go_and_open_requests_keep_theirs_and_their_keys() {
+fn a_reload_replaces_classes_and_open_requests_keep_theirs_and_their_keys() {
     let vm = Server::new();
     let text = config(&format!(r#""vm": "{}", "ops": "127.0.0.1:0","#, vm.address));
     let mut node = Node::start(&text, Some(UWSGI));
@@ -19,37 +19,38 @@
     link.next_run();
     node.reload(&with_other_classes(&text));
     assert!(node.wait_for_log("reload: applied").contains("settings=changed"));
-    // Another attempt of the request, under the new name of its class: it joins the run, on both frontends.
+    // Further attempts of the request, under the new name of its class, join the run on both frontends.
     client.send(request(2, "b1", "reserve", Some("k"), LONG_LIMIT_MS));
-    let mut old = Peer::connect(uwsgi);
-    old.send(packet(&[("PATH_INFO", "/reserve"), ("HTTP_IDEMPOTENCY_KEY", "k")], "body"));
+    let mut uwsgi_client = Peer::connect(uwsgi);
+    uwsgi_client.send(packet(&[("PATH_INFO", "/reserve"), ("HTTP_IDEMPOTENCY_KEY", "k")], "body"));
     client.send(request(3, "c1", "price", None, LONG_LIMIT_MS));
     assert_eq!(link.next_run(), ("c1".into(), "price".into(), "body".into()));
-    // An open request keeps the class that it had, on a new link as well.
+    // Open requests keep their class when they are applied again on a new link.
     drop(link);
     let mut link = vm.interpreter("0");
     assert_eq!((link.next_run().1, link.next_run().1), ("book".into(), "price".into()));
     link.send_run_result(1, "a1", "done", "x");
     let results = [client.read_line(), client.read_line()];
     assert!(results.iter().all(|line| line.contains("\"result\"")), "{results:?}");
-    assert!(old.read_to_end().ends_with("\r\n\r\nx"));
+    assert!(uwsgi_client.read_to_end().ends_with("\r\n\r\nx"));
     let stats = admin_call(ops, "GET /ops/stats");
     for line in ["answered{group=\"book\"} 1", "answered{group=\"reserve\"} 2", "sends{group=\"price\"} 1"] {
-        assert!(stats.contains(line), "{line} in {stats}");
+        assert!(stats.contains(line), "{line} is missing in {stats}");
     }
 }
 
 #[test]
-fn an_incomplete_file_changes_nothing_and_is_counted() {
+fn a_reload_with_an_invalid_file_changes_nothing_and_is_counted() {
     let (mut node, vm, _link) = Node::with_interpreter(r#""ops": "127.0.0.1:0","#, None);
     let ops = node.admin_address();
     let text = config(&format!(r#""vm": "{}", "ops": "127.0.0.1:0","#, vm.address));
-    // No more than the log shows in a second.
+    // No more reloads than the log shows of one kind in a second.
     let bad = [
         (String::new(), "EOF"),
         (text[..text.len() / 2].into(), "EOF"),
         (text.replace("120000000, \"effect\": \"rep", "0, \"effect\": \"rep"), "services[0].deadline"),
-        // These have defaults at a start, but the file before had them.
+        // These keys have defaults at startup, but a reload may not omit a key that the previous file
+        // contained.
         (text.replace(r#""idle": 30000000, "#, ""), "settings.specifics.idle"),
         (text.replace(r#""name": "quote", "#, ""), "settings.services.0.name"),
     ];
@@ -57,7 +58,7 @@
         assert_ne!(*file, text);
         node.reload(&with_other_classes(file));
         let line = node.wait_for_log("reload: rejected");
-        assert!(line.contains(key), "{line} names {key}");
+        assert!(line.contains(key), "{line} does not name {key}");
     }
     let mut client = node.client();
     client.send(request(1, "a1", "price", None, LONG_LIMIT_MS));
--- a/node/tests/sockets/result_store.rs
+++ b/node/tests/sockets/result_store.rs
@@ -1,4 +1,4 @@
-//! The result store: idempotency keys and results that outlast the process.
+//! Tests of the result store, which keeps idempotency keys and results across restarts.
 
 use crate::helper::*;
 use base64::engine::general_purpose::STANDARD as BASE64;
@@ -9,10 +9,10 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::sync::{Arc, Mutex};
 
-/// The folder of a result store for one test, and the operators' file that names it.
+/// The folder of a result store for one test, and the result store file that names it.
 struct StoreFolder {
     folder: PathBuf,
-    /// The text of that file.
+    /// The text of the result store file.
     text: String,
 }
 
@@ -24,7 +24,7 @@
         StoreFolder { folder, text }
     }
 
-    /// A process of the node with a stand-in interpreter whose link is up.
+    /// Starts a process of the node with a stand-in interpreter whose link is up.
     fn start(&self) -> (Node, Peer) {
         let vm = Server::new();
         let node = self.spawn(&vm, None);
@@ -39,15 +39,15 @@
     }
 }
 
-/// Sends a booking by uwsgi.
-fn send_uwsgi_booking(node: &mut Node, key: &str) -> Peer {
+/// Sends a keyed request over uwsgi.
+fn send_keyed_uwsgi_request(node: &mut Node, key: &str) -> Peer {
     let mut client = Peer::connect(node.uwsgi_address());
     client.send(packet(&[("PATH_INFO", "/book"), ("HTTP_IDEMPOTENCY_KEY", key)], "body"));
     client
 }
 
 #[test]
-fn a_repeat_after_a_crash_gets_the_first_result_and_one_that_may_have_run_fails() {
+fn a_retry_after_a_crash_gets_the_first_result_or_fails_if_the_run_may_have_begun() {
     let folder = StoreFolder::new("");
     let (node, mut vm) = folder.start();
     let mut client = node.client();
@@ -61,7 +61,7 @@
     let result = client.read_line();
     assert!(result.contains("\"result\""));
     drop(node);
-    // Before anything can run here as well.
+    // A stored result is served even before the interpreter's link is up.
     let vm = Server::new();
     let mut node = folder.spawn(&vm, None);
     node.wait_for_log("result store: recovered: keys=3");
@@ -73,14 +73,14 @@
     client.request(1, "c1", Some("ended"), LONG_LIMIT_MS);
     assert_eq!(client.read_line(), result);
     client.send(request(2, "c2", "book", Some("ended"), LONG_LIMIT_MS).replace("Ym9keQ==", "b3RoZXI="));
-    assert!(client.read_line().contains("-32602"), "another body");
+    assert!(client.read_line().contains("-32602"), "the key was first used with another body");
     for (id, txn, key) in [(3, "c3", "began"), (4, "c4", "failed")] {
         client.request(id, txn, Some(key), LONG_LIMIT_MS);
         assert!(client.read_line().contains("-32000"));
     }
-    assert!(send_uwsgi_booking(&mut node, "ended").read_to_end().ends_with("job 5"));
+    assert!(send_keyed_uwsgi_request(&mut node, "ended").read_to_end().ends_with("job 5"));
     client.request(5, "c5", Some("fresh"), LONG_LIMIT_MS);
-    assert_eq!(link.next_run().0, "c5", "nothing else has run");
+    assert_eq!(link.next_run().0, "c5", "no earlier key has run again");
     let stats = admin_call(node.admin_address(), "GET /ops/stats");
     assert!(
         stats.contains("svc_remembered_keys 4\n") && stats.contains("svc_remembered_written 1\n"),
@@ -88,11 +88,11 @@
     );
 }
 
-/// How often each body was run.
+/// The number of runs of each body.
 type RunCounts = Arc<Mutex<HashMap<String, u32>>>;
 
-/// An interpreter that runs every command, but does not end runs while `holds_runs` is set; it reports each of those. Its
-/// results are longer by `padding` bytes.
+/// Starts a stand-in interpreter that completes every run at once. While `holds_runs` is set it leaves runs
+/// open and reports the start of each on the returned channel. Its results are longer by `padding` bytes.
 fn spawn_interpreter(
     vm: &Server,
     holds_runs: Arc<AtomicBool>,
@@ -123,8 +123,9 @@
     started
 }
 
-/// Sends a booking to either frontend. Its body is its key, so that a run shows which key it is of.
-fn send_booking(node: &Node, uwsgi: std::net::SocketAddr, key: &str, id: u32, json: bool) -> Peer {
+/// Sends a keyed request to either frontend. Its body is its key, so that the interpreter sees the key of
+/// each run.
+fn send_keyed_request(node: &Node, uwsgi: std::net::SocketAddr, key: &str, id: u32, json: bool) -> Peer {
     let mut client = if json { node.client() } else { Peer::connect(uwsgi) };
     if json {
         let text = request(id, &format!("{id:x}"), "book", Some(key), LONG_LIMIT_MS);
@@ -135,7 +136,7 @@
     client
 }
 
-/// A seeded generator of numbers below a bound.
+/// A seeded pseudo-random number generator.
 struct Random(u64);
 
 impl Random {
@@ -149,22 +150,23 @@
     }
 }
 
-/// Processes that are killed one after the other, and what their clients know.
+/// A sequence of processes that are killed one after the other, and the outcomes that their clients saw.
 struct Restarts {
     random: Random,
     runs: RunCounts,
-    /// Keys that were served.
+    /// Keys whose requests were served.
     served: Vec<u32>,
-    /// Keys that may have run.
+    /// Keys that may have run without a response.
     unknown: Vec<u32>,
     last_key: u32,
 }
 
 impl Restarts {
-    /// A key of an attempt: a repeat of one before, or a new one.
+    /// Draws the key of the next attempt: an earlier key for a retry, or a new one. The last attempt of a
+    /// process has a new key.
     fn draw_key(&mut self, is_last: bool) -> u32 {
-        let repeats = self.random.below(2) == 0 && !self.served.is_empty();
-        if repeats && !is_last {
+        let is_retry = self.random.below(2) == 0 && !self.served.is_empty();
+        if is_retry && !is_last {
             return self.random.pick(&self.served);
         }
         if self.random.below(3) == 0 && !self.unknown.is_empty() && !is_last {
@@ -174,11 +176,12 @@
         self.last_key
     }
 
-    /// A process that serves a few attempts and is killed in the last one, in its run or at some moment before.
+    /// Starts a process that serves a few attempts, and kills it during the last one, in its run or at some
+    /// moment before.
     fn run_process(&mut self, folder: &StoreFolder) {
         let (vm, holds_runs) = (Server::new(), Arc::new(AtomicBool::new(false)));
         let mut node = folder.spawn(&vm, None);
-        let front = node.uwsgi_address();
+        let uwsgi = node.uwsgi_address();
         let started = spawn_interpreter(&vm, holds_runs.clone(), self.runs.clone(), 0);
         node.wait_for_log("dispatcher: health changed: healthy=true");
         let attempts = 3 + self.random.below(8);
@@ -188,7 +191,7 @@
             holds_runs.store(is_last, Ordering::SeqCst);
             let id = u32::try_from(attempt).unwrap() + 1;
             let name = format!("k{key:02}");
-            let mut client = send_booking(&node, front, &name, id, json);
+            let mut client = send_keyed_request(&node, uwsgi, &name, id, json);
             if is_last {
                 if self.random.below(2) == 0 {
                     started.recv().unwrap();
@@ -197,15 +200,15 @@
                 return;
             }
             let response = if json { client.read_line() } else { client.read_to_end() };
-            self.check(key, &name, &response);
+            self.check_response(key, &name, &response);
         }
     }
 
-    fn check(&mut self, key: u32, name: &str, response: &str) {
+    fn check_response(&mut self, key: u32, name: &str, response: &str) {
         let job = format!("job of {name}");
         let is_served = response.contains(&job) || response.contains(&BASE64.encode(&job));
         if self.served.contains(&key) {
-            assert!(is_served, "a repeat of a booking that was served: {response}");
+            assert!(is_served, "a retry of a served key did not get the result: {response}");
         } else if is_served {
             self.unknown.retain(|unknown| *unknown != key);
             self.served.push(key);
@@ -217,7 +220,7 @@
 }
 
 #[test]
-fn restarts_at_any_moment_run_no_key_twice_and_reject_no_repeat_of_a_served_one() {
+fn restarts_at_any_moment_run_no_key_twice_and_reject_no_retry_of_a_served_key() {
     let folder = StoreFolder::new("file_mb = 4\n");
     let mut restarts = Restarts {
         random: Random(20_261_201),
@@ -234,7 +237,7 @@
 }
 
 #[test]
-fn a_folder_that_cannot_be_used_ends_the_start_with_a_line_that_names_the_key() {
+fn an_unusable_folder_stops_startup_with_a_line_naming_the_key() {
     let folder = StoreFolder::new("");
     let (_node, _vm) = folder.start();
     let config = file("config.json", &config(r#""vm": "127.0.0.1:1","#));
@@ -253,7 +256,7 @@
 }
 
 #[test]
-fn an_upgrade_hands_the_folder_over_and_keys_of_both_processes_are_known_after_a_crash() {
+fn an_upgrade_hands_over_the_folder_and_keys_of_both_processes_survive_a_crash() {
     let (folder, fixture) = (StoreFolder::new(""), UpgradeFixture::new());
     let start = || {
         let vm = Server::new();
@@ -263,27 +266,27 @@
         node.wait_until_listening();
         (node, link)
     };
-    let (old, mut old_vm) = start();
-    let mut before = old.client();
+    let (predecessor, mut predecessor_vm) = start();
+    let mut before = predecessor.client();
     for (id, txn, key) in [(1, "a1", "first"), (2, "a2", "second")] {
         before.request(id, txn, Some(key), LONG_LIMIT_MS);
-        old_vm.next_run();
+        predecessor_vm.next_run();
     }
-    old_vm.send_run_result(1, "a1", "done", "1");
+    predecessor_vm.send_run_result(1, "a1", "done", "1");
     let first = before.read_line().replace("\"id\":1,", "");
-    let (mut new, mut new_vm) = start();
-    new.wait_for_log("handover: completed");
-    let mut client = new.client();
+    let (mut successor, mut successor_vm) = start();
+    successor.wait_for_log("handover: completed");
+    let mut client = successor.client();
     client.request(1, "b1", Some("third"), LONG_LIMIT_MS);
-    assert_eq!(new_vm.next_run().0, "b1");
-    new_vm.send_run_result(1, "b1", "done", "3");
+    assert_eq!(successor_vm.next_run().0, "b1");
+    successor_vm.send_run_result(1, "b1", "done", "3");
     let third = client.read_line().replace("\"id\":1,", "");
     client.request(2, "b2", Some("second"), LONG_LIMIT_MS);
-    old_vm.send_run_result(2, "a2", "done", "2");
+    predecessor_vm.send_run_result(2, "a2", "done", "2");
     let second = client.read_line().replace("\"id\":2,", "");
     assert!(second.contains("result") && third.contains("result"));
-    drop(old);
-    drop(new);
+    drop(predecessor);
+    drop(successor);
     let (after, _vm) = start();
     let mut client = after.client();
     for (id, txn, key, result) in
@@ -295,27 +298,28 @@
 }
 
 #[test]
-fn in_a_full_folder_bookings_are_rejected_before_they_run_with_a_time_to_return() {
+fn with_a_full_folder_keyed_requests_are_rejected_before_they_run_with_a_retry_time() {
     let (folder, vm, runs) = (StoreFolder::new("file_mb = 4\n"), Server::new(), RunCounts::default());
     let node = folder.spawn(&vm, None);
     spawn_interpreter(&vm, Arc::default(), runs.clone(), 60_000);
     let mut client = node.client();
-    let mut ask = |id: u32, key: &str| {
+    let mut response_to = |id: u32, key: &str| {
         let text = request(id, &format!("{id:x}"), "book", Some(key), LONG_LIMIT_MS);
         client.send(text.replace("Ym9keQ==", &BASE64.encode(key)));
         client.read_line()
     };
-    assert!(ask(1, "k1").contains("\"result\""));
-    let refused =
-        (2..1000).map(|n| (n, ask(n, &format!("k{n}")))).find(|(_, answer)| !answer.contains("\"result\""));
-    let (n, answer) = refused.expect("the folder has an end");
+    assert!(response_to(1, "k1").contains("\"result\""));
+    let rejected = (2..1000)
+        .map(|n| (n, response_to(n, &format!("k{n}"))))
+        .find(|(_, answer)| !answer.contains("\"result\""));
+    let (n, answer) = rejected.expect("the folder is full before 1000 keys");
     assert!(n > 5 && answer.contains("\"code\":-32011") && answer.contains("\"later\""), "{answer}");
-    assert!(!runs.lock().unwrap().contains_key(&format!("k{n}")), "it did not run");
-    assert!(ask(1000, "k1").contains("\"result\""), "what is done is served all the same");
+    assert!(!runs.lock().unwrap().contains_key(&format!("k{n}")), "the rejected key did not run");
+    assert!(response_to(1000, "k1").contains("\"result\""), "a stored result is still served");
 }
 
 #[test]
-fn damaged_records_are_counted_their_key_does_not_run_and_other_keys_are_known() {
+fn damaged_records_are_counted_and_fail_only_retries_of_their_own_key() {
     let folder = StoreFolder::new("");
     let (node, mut vm) = folder.start();
     let mut client = node.client();
@@ -328,7 +332,7 @@
     drop(node);
     let segment = folder.folder.join(format!("keys-{:016x}.log", 1));
     let mut bytes = std::fs::read(&segment).unwrap();
-    // Both records of that key: nothing else tells of it.
+    // Damages both records of the key; no other record contains it.
     let hurt = |bytes: &[u8]| bytes.windows(4).position(|window| window == b"hurt");
     let first = hurt(&bytes).unwrap();
     bytes[first] ^= 1;
@@ -346,7 +350,7 @@
 }
 
 #[test]
-fn a_restart_after_a_drain_answers_repeats_that_still_come() {
+fn a_restart_after_a_drain_answers_later_retries() {
     let folder = StoreFolder::new("");
     let (node, mut vm) = folder.start();
     let mut client = node.client();
@@ -368,26 +372,29 @@
 }
 
 #[test]
-fn while_the_disk_fails_bookings_are_rejected_and_reads_are_served() {
+fn while_the_disk_fails_keyed_requests_are_rejected_and_reads_are_served() {
     let (folder, vm, runs) = (StoreFolder::new("file_mb = 4\n"), Server::new(), RunCounts::default());
     let mut node = folder.spawn(&vm, None);
     spawn_interpreter(&vm, Arc::default(), runs.clone(), 60_000);
     let mut client = node.client();
-    let mut ask = |id: u32, class: &str, key: Option<&str>| {
+    let mut response_to = |id: u32, class: &str, key: Option<&str>| {
         let text = request(id, &format!("{id:x}"), class, key, LONG_LIMIT_MS);
         client.send(text.replace("Ym9keQ==", &BASE64.encode(format!("body {id}"))));
         client.read_line()
     };
-    // The segment that is open goes on; no other can be begun.
+    // The open segment stays writable, but no new segment can be created.
     std::fs::remove_dir_all(&folder.folder).unwrap();
-    let first = (1..100).find(|id| !ask(*id, "book", Some(&format!("k{id}"))).contains("\"result\""));
-    let first = first.expect("a segment has an end");
-    assert!(ask(200, "book", Some("other")).contains("\"code\":-32011"));
-    assert!(!runs.lock().unwrap().contains_key("body 200"), "it did not run");
-    assert!(ask(201, "quote", None).contains("\"result\""));
-    assert!(ask(1, "book", Some("k1")).contains("\"result\""), "what is known is served");
+    let first = (1..100).find(|id| !response_to(*id, "book", Some(&format!("k{id}"))).contains("\"result\""));
+    let first = first.expect("the open segment is full before 100 keys");
+    assert!(response_to(200, "book", Some("other")).contains("\"code\":-32011"));
+    assert!(!runs.lock().unwrap().contains_key("body 200"), "the rejected key did not run");
+    assert!(response_to(201, "quote", None).contains("\"result\""));
+    assert!(
+        response_to(1, "book", Some("k1")).contains("\"result\""),
+        "a result that is already stored is served"
+    );
     node.wait_for_log("result store: maintenance failed");
     std::fs::create_dir(&folder.folder).unwrap();
-    assert!(ask(203, "book", Some("fresh")).contains("\"result\""));
+    assert!(response_to(203, "book", Some("fresh")).contains("\"result\""));
     assert!(first > 1);
 }
--- a/node/tests/sockets/windows.rs
+++ b/node/tests/sockets/windows.rs
@@ -1,9 +1,11 @@
-//! Repeats just inside and just outside of a short idempotency window, counted from when the attempt that ran was received.
+//! Retries just inside and just outside a short idempotency window, which starts when the attempt that ran
+//! was received.
 
 use crate::helper::*;
 
-/// A window of three seconds, and deadlines that are as short: long enough for a slow machine to begin a run.
-fn node_with_short_window() -> (Node, Server, Peer) {
+/// Starts a node whose idempotency window, deadlines and latency objectives are three seconds: long enough
+/// for a slow machine to begin a run.
+fn start_node_with_short_window() -> (Node, Server, Peer) {
     let vm = Server::new();
     let text = config(&format!(r#""vm": "{}","#, vm.address))
         .replace("\"by_key\", \"window\": 120000000", "\"by_key\", \"window\": 3000000")
@@ -16,7 +18,7 @@
 
 const WINDOW_MS: u32 = 3_000;
 
-/// Waits until no attempt that arrives is within the window of an earlier one, with the margin that the node adds.
+/// Waits until the windows of all earlier attempts have passed, including the margin that the node adds.
 fn wait_until_window_has_passed() {
     let passed_at = now_ms() + 4_000;
     while now_ms() < passed_at {
@@ -25,15 +27,16 @@
 }
 
 #[test]
-fn inside_the_idempotency_window_a_repeat_gets_the_first_result_and_outside_it_runs() {
-    let (node, _vm, mut link) = node_with_short_window();
+fn a_retry_inside_the_idempotency_window_gets_the_first_result_and_one_outside_it_runs() {
+    let (node, _vm, mut link) = start_node_with_short_window();
     let mut client = node.client();
     let first = request(1, "a1", "book", Some("k"), WINDOW_MS);
     client.send(&first);
     link.next_run();
     link.send_run_result(1, "a1", "done", "job 1");
     assert!(client.read_line().contains("am9iIDE="));
-    // The time of receipt counts, not when the attempt is read; this one was received with the first.
+    // The attempt's receipt time counts, not the time at which it is read; this attempt has the receipt time
+    // of the first.
     wait_until_window_has_passed();
     client.send(
         first
@@ -44,19 +47,22 @@
     let late = client.read_line();
     assert!(late.contains("\"id\":2,\"result\":{\"content\":\"am9iIDE=\"}"), "{late}");
     client.request(3, "a3", Some("k"), WINDOW_MS);
-    assert_eq!(link.next_run().0, "a3", "its window is over, so it is a new request");
+    assert_eq!(link.next_run().0, "a3", "the window has passed, so this is a new request");
 }
 
 #[test]
-fn while_the_first_attempt_runs_no_repeat_runs_however_late() {
-    let (node, _vm, mut link) = node_with_short_window();
+fn no_retry_runs_while_the_first_attempt_runs_however_late() {
+    let (node, _vm, mut link) = start_node_with_short_window();
     let mut client = node.client();
     client.request(1, "a1", Some("k"), WINDOW_MS);
     link.next_run();
-    assert!(client.read_line().contains("-32001"), "its time ran out, and it may still have its effect");
+    assert!(
+        client.read_line().contains("-32001"),
+        "the request timed out, but its run may still take effect"
+    );
     wait_until_window_has_passed();
     client.request(2, "a2", Some("k"), WINDOW_MS);
-    // The next that runs is another key.
+    // The next run is that of another key.
     client.request(3, "b1", Some("l"), WINDOW_MS);
     assert_eq!(link.next_run().0, "b1");
     link.send_run_result(1, "a1", "done", "job 1");
@@ -65,7 +71,7 @@
 }
 
 #[test]
-fn during_a_drain_a_repeat_gets_the_result_of_the_run_and_a_new_key_is_rejected() {
+fn during_a_drain_a_retry_gets_the_result_of_the_run_and_a_new_key_is_rejected() {
     let (node, _vm, mut link) = Node::with_interpreter("", None);
     let (mut client, mut other) = (node.client(), node.client());
     client.request(1, "a1", Some("k"), LONG_LIMIT_MS);
@@ -75,7 +81,7 @@
     node.terminate();
     assert_eq!(client.read_any_line(), DRAINING);
     assert_eq!(other.read_any_line(), DRAINING);
-    // Past the grace nothing new may run: the listener is closed then.
+    // The listener closes at the end of the drain grace, after which nothing new may run.
     while std::net::TcpStream::connect(node.json).is_ok() {}
     client.request(2, "a2", Some("k"), LONG_LIMIT_MS);
     client.request(3, "b1", Some("l"), LONG_LIMIT_MS);
