--- a/admission/src/admission.rs
+++ b/admission/src/admission.rs
@@ -211,7 +211,7 @@
     }
 
     fn shed_load(&mut self, actions: &mut Vec<Action>) {
-        let recent_answers = self.overload.has_recent_answers();
+        let recent_answers = self.overload.has_recent_successes();
         let concurrency = self.concurrency.run_limit();
         for id in shedding::requests_to_shed(&self.context(), concurrency, recent_answers) {
             self.overload.mark_shed(id);
--- a/admission/src/admission/call_start.rs
+++ b/admission/src/admission/call_start.rs
@@ -54,7 +54,7 @@
     let failed_calls = request.phase.run().map(|run: &Run| run.failed_calls).unwrap_or_default();
     let skippable = class.skip_weight > 0.0;
     // After the objective has passed, skipping the call cannot meet it any more and is no longer justified.
-    let unmeetable = now < request.objective_deadline && time_left_for_call < calls.typical_time();
+    let unmeetable = now < request.objective_deadline && time_left_for_call < calls.mean_duration();
     if skippable && (calls_at_limit || failed_calls.any() || unmeetable) {
         return CallDecision::Skip;
     }
--- a/admission/src/admission/call_start/tests.rs
+++ b/admission/src/admission/call_start/tests.rs
@@ -15,7 +15,7 @@
     let objective = seconds(1.0);
     calls.call_returned(
         at(0.0),
-        &EndedCall { outcome, duration: seconds(0.25), waited: seconds(0.25), objective },
+        &EndedCall { outcome, duration: seconds(0.25), time_blocked: seconds(0.25), objective },
     );
     decide_call(&request, &state.context(now), &calls, calls_at_limit)
 }
--- a/admission/src/admission/calls/limit.rs
+++ b/admission/src/admission/calls/limit.rs
@@ -17,7 +17,7 @@
 /// faster than the increase because an overloaded dependency serves no server.
 const DECREASE_FRACTION: f64 = 0.2;
 /// Minimum of the limit as a fraction of the share: all servers together can still use a little over a fifth
-/// of the dependency's capacity. The exact value is not derived.
+/// of the dependency's capacity.
 const MIN_SHARE_FRACTION: f64 = 0.22;
 /// Maximum fraction of the share that one call may use, so that it cannot use up all of it.
 const MAX_SHARE_OF_ONE_CALL: f64 = 0.5;
@@ -72,7 +72,7 @@
         limit
     }
 
-    /// Applies the settings of another dependency and sets the limit to the whole share.
+    /// Applies new settings of the dependency and sets the limit to the whole share.
     pub(crate) fn reconfigure(&mut self, dependency: &Dependency) {
         if let Dependency::Shared { share, averaging_time, linger } = *dependency {
             self.share = share.max(0.0);
--- a/admission/src/admission/calls/tests.rs
+++ b/admission/src/admission/calls/tests.rs
@@ -16,7 +16,7 @@
     let call = EndedCall {
         outcome: Outcome::Ok,
         duration: seconds(0.5),
-        waited: seconds(0.5),
+        time_blocked: seconds(0.5),
         objective: seconds(1.0),
     };
     (0..count).for_each(|_| calls.call_returned(at(0.0), &call));
--- a/admission/src/admission/class_estimates.rs
+++ b/admission/src/admission/class_estimates.rs
@@ -1,6 +1,6 @@
 //! Estimates of each class from its requests: the work of a run and the mean cost hint.
 //!
-//! Work is time on a core: time blocked on calls does not count, and only successful runs are measured.
+//! Work is time on a core: time blocked on calls does not count, and only successful runs are included.
 
 use std::time::Duration;
 
--- a/admission/src/admission/events.rs
+++ b/admission/src/admission/events.rs
@@ -1,4 +1,4 @@
-//! Handling of events: the decisions that each event affects, and the order in which they are updated.
+//! Handling of events: which parts of the admission state each event updates, and in which order.
 
 use super::{Admission, TIMER};
 use crate::admission::calls::EndedCall;
@@ -17,7 +17,7 @@
 use crate::interface::{Action, Arrival, Effect, Event, Gauges, Outcome, RequestId};
 
 impl Admission {
-    /// Applies one event to the decisions that it affects.
+    /// Updates the admission state for one event.
     pub(super) fn apply(&mut self, event: &Event, actions: &mut Vec<Action>) {
         match event {
             Event::Arrived(arrival) => self.handle_arrival(arrival, actions),
@@ -26,13 +26,14 @@
             Event::CallReturned { id, outcome, took } => {
                 self.call_returned(*id, *outcome, Span::from(*took));
             }
-            Event::Cancelled(id) => self.requests.settle_and_end(*id, &self.settings, actions),
+            Event::Cancelled(id) => self.requests.settle_answer(*id, &self.settings, actions),
             Event::Drain(left) => self.start_drain(Span::from(*left), actions),
             Event::Timer(_, gauges) => self.on_tick(gauges, actions),
         }
     }
 
-    /// Queues or rejects an arrival. A retry of a known attempt is resolved against that attempt instead.
+    /// Queues or rejects an arrival. An arrival whose id is already in the table is ignored. A retry of a
+    /// known attempt is handled by [`Self::resolve_retry`], depending on the state of that attempt.
     fn handle_arrival(&mut self, arrival: &Arrival, actions: &mut Vec<Action>) {
         let id = arrival.id;
         let class = usize::from(arrival.class.0);
@@ -40,7 +41,8 @@
             return;
         }
         if class >= self.settings.classes.len() {
-            let advice = self.advice(true);
+            let give_up = true;
+            let advice = self.advice(give_up);
             return push_rejection(id, advice, actions);
         }
         self.overload.count_arrival(arrival.tenant, self.now);
@@ -69,9 +71,10 @@
         }
     }
 
-    /// Whether an arrival, which is already in the table, stays queued: there must be time and memory for it,
-    /// calls must allow it, and the token bucket must admit it. Throttling of calls starts here if they are
-    /// at their limit.
+    /// Decides whether an arrival, which is already in the table, stays queued: the server must not be
+    /// stalled, there must be time and memory for the request, the limit on requests blocked on calls must
+    /// permit it, and the token bucket must admit it. If that limit has been reached, arrivals that may call
+    /// are throttled from now on.
     fn try_admit(&mut self, id: RequestId) -> bool {
         let max_blocked_on_calls = self.max_blocked_on_calls();
         let context = Context::new(self.now, &self.settings, self.requests.table(), &self.estimates);
@@ -87,8 +90,8 @@
         self.overload.admit(request.priority, &context, self.calls.are_throttled(self.now))
     }
 
-    /// Resolves a retry against the attempt that it retries, so that no effect occurs twice: the retry
-    /// replaces a queued attempt, or shares the outcome of one that has started.
+    /// Handles a retry of a known attempt so that no effect occurs twice: the retry replaces an attempt that
+    /// is still queued, and shares the outcome of one that has started.
     fn resolve_retry(&mut self, id: RequestId, original: RequestId, actions: &mut Vec<Action>) {
         let memory_fits = MemoryUse::of(&self.context(), self.requests.keys()).fits();
         let Some(request) = self.requests.table().get(id) else { return };
@@ -98,14 +101,16 @@
                 self.requests.prepare_replacement(id, original);
                 self.requests.retain_key(id, &self.settings, self.now, actions);
                 // The caller of the replaced attempt is told to give up: its retry is queued here, and
-                // another retry on a different server could run a second time.
-                let advice = self.advice(true);
+                // another retry on a different server could run the same request a second time.
+                let give_up = true;
+                let advice = self.advice(give_up);
                 self.requests.reject_replaced(original, id, advice, actions);
             }
             // Neither attempt has run. The original stays in the queue; the retry does not fit into memory or
             // arrived too late in a drain to run.
             (true, _) => self.reject(id, actions),
-            // The original has started or ended a run: the retry is answered with its outcome.
+            // The run of the original has started or ended: the retry is answered with the outcome of that
+            // run.
             (false, true) => self.requests.coalesce(id, actions),
             // There is no memory to hold the retry until the outcome is known. A rejection would claim that
             // nothing ran, although the original may have taken effect.
@@ -115,7 +120,8 @@
 
     fn run_finished(&mut self, id: RequestId, outcome: Outcome, took: Span) {
         if outcome == Outcome::Rejected {
-            // The run never started: its key is released, and it says nothing about the load of the cores.
+            // The run never started: its key is released. It counts neither as progress nor in the estimates,
+            // because it used no core.
             return self.requests.run_rejected(id);
         }
         self.stall.record_progress(self.now);
@@ -155,25 +161,25 @@
             request.fail_call(never_ran || class.effect == Effect::Idempotent);
         }
         let objective = Span::from(class.latency_objective);
-        let call = EndedCall { outcome, duration: took, waited: self.now - needed_at, objective };
+        let call = EndedCall { outcome, duration: took, time_blocked: self.now - needed_at, objective };
         self.calls.call_returned(self.now, &call);
     }
 
     fn start_drain(&mut self, left: Span, actions: &mut Vec<Action>) {
-        // The notice may have waited for this batch for up to the shortest time between two batches, but the
-        // grace period starts with the notice.
+        // The notice may have arrived up to `min_handle_interval` before this batch. The grace period starts
+        // with the notice, so that interval is subtracted.
         let grace = Span::from(self.settings.drain_grace.saturating_sub(self.settings.min_handle_interval));
         self.drain.start(self.now, left, grace, self.ticks.longest_delay());
         self.requests.limit_deadlines(self.drain.stop_at());
         actions.push(Action::SetHealth { healthy: false, static_answer: true });
     }
 
-    /// Updates every decision that depends on time or on the gauges.
+    /// Updates all state that depends on time or on the gauges.
     fn on_tick(&mut self, gauges: &Gauges, actions: &mut Vec<Action>) {
         if self.ticks.record_tick(self.now) {
             self.reset_load_estimates();
         }
-        self.detect_stall(actions);
+        self.update_stall(actions);
         self.requests.expire_keys(self.now);
         self.calls.drop_expired(self.now);
         let context = Context::new(self.now, &self.settings, self.requests.table(), &self.estimates);
@@ -182,7 +188,7 @@
         self.overload.on_tick(&context, self.calls.are_throttled(self.now));
         let load = ConnectionLoad {
             read_overload,
-            // Without the gauge of utilization, the cores are assumed to have no spare capacity.
+            // If the utilization gauge is missing, the cores are assumed to have no spare capacity.
             spare_capacity: gauges.utilization.is_some_and(has_spare_capacity),
         };
         if let Some(limit) = self.connections.adjust(&load, &context) {
@@ -198,17 +204,17 @@
         actions.push(Action::SetTimer(TIMER, TICK_PERIOD.to_duration()));
     }
 
-    /// Discards the load estimates after a long gap between ticks: nothing is known of the load, as at
-    /// startup.
+    /// Discards the load estimates after a long gap between ticks, because they no longer describe the
+    /// current load.
     fn reset_load_estimates(&mut self) {
         self.overload.reset(self.now);
         self.calls.reset();
         self.signal.reset();
     }
 
-    /// Reports bad health while the server is stalled, unless it is draining and therefore reports bad health
-    /// already.
-    fn detect_stall(&mut self, actions: &mut Vec<Action>) {
+    /// Updates whether the server is stalled. Reports each change as bad or good health, unless the server is
+    /// draining: it has then reported bad health already.
+    fn update_stall(&mut self, actions: &mut Vec<Action>) {
         if self.concurrency.is_idle(self.requests.table()) {
             self.stall.record_progress(self.now);
         }
--- a/admission/src/admission/overload.rs
+++ b/admission/src/admission/overload.rs
@@ -49,7 +49,8 @@
         self.arrival_rates.resize(tenants);
     }
 
-    /// Discards the load measurements, as at startup, except for the latencies of the last window.
+    /// Resets the permitted rate and the load measurements to their initial values. Only the latency samples
+    /// and the start time of the arrival rates are kept.
     pub(crate) fn reset(&mut self, now: Instant) {
         self.permitted_rate.reset(now);
         self.detector = OverloadDetector::new();
@@ -57,8 +58,8 @@
         self.recent_arrivals.clear();
     }
 
-    /// The requests per second that are permitted under overload; `None` until the first rate window has
-    /// initialized it.
+    /// The requests per second that are permitted under overload; `None` until the first rate window with
+    /// enough handled requests has ended.
     pub(crate) fn permitted_rate(&self) -> Option<RequestRate> {
         self.permitted_rate.get()
     }
@@ -68,32 +69,33 @@
         &self.arrival_rates
     }
 
-    /// The most recent arrivals, with whether each was admitted.
+    /// The most recent arrivals and, for each, whether it was admitted.
     pub(crate) fn recent_arrivals(&self) -> &RecentArrivals {
         &self.recent_arrivals
     }
 
-    /// Whether any request was answered successfully in the last rate window.
-    pub(crate) fn has_recent_answers(&self) -> bool {
+    /// Whether any request was answered successfully within the last
+    /// [`RATE_WINDOW`](crate::admission::constants::RATE_WINDOW).
+    pub(crate) fn has_recent_successes(&self) -> bool {
         !self.latencies.is_empty()
     }
 
-    /// Counts an arrival of this tenant.
+    /// Includes an arrival of this tenant in the arrival rates.
     pub(crate) fn count_arrival(&mut self, tenant: TenantId, now: Instant) {
         self.arrival_rates.count(tenant, now);
     }
 
-    /// Records an arrival and whether it was admitted.
+    /// Adds an arrival, and whether it was admitted, to the recent arrivals.
     pub(crate) fn record_arrival(&mut self, arrival: RecentArrival) {
         self.recent_arrivals.add(arrival);
     }
 
-    /// Marks an admitted request as shed.
+    /// Marks a request that was admitted and has been rejected since (shed) as not admitted.
     pub(crate) fn mark_shed(&mut self, id: RequestId) {
         self.recent_arrivals.mark_shed(id);
     }
 
-    /// Records that the dependency or the tier below has rejected a call.
+    /// Records that the dependency, which may be a further tier of servers, has rejected a call.
     pub(crate) fn record_downstream_rejection(&mut self, now: Instant) {
         self.detector.record_downstream_rejection(now);
     }
@@ -102,13 +104,13 @@
     pub(crate) fn request_answered(&mut self, request: &Request, context: &Context) {
         self.permitted_rate.count_handled();
         self.latencies.add(LatencySample {
-            at: context.now,
+            answered_at: context.now,
             latency_over_objective: context.latency_over_objective(request),
             may_call: request.may_call,
         });
     }
 
-    /// Takes a token for an arrival of this priority; returns whether it is admitted.
+    /// Decides whether an arrival of this priority is admitted, and takes a token for it if so.
     pub(crate) fn admit(&mut self, priority: Priority, context: &Context, calls_throttled: bool) -> bool {
         let priority_quantile = self.recent_arrivals.priority_quantile(priority);
         self.permitted_rate.admit(priority_quantile, context.now, || {
@@ -116,7 +118,8 @@
         })
     }
 
-    /// Handles a tick: at the end of a rate window, the permitted rate is updated.
+    /// Handles the periodic timer: drops old latency samples and, when a rate window has ended, updates the
+    /// usual arrival rate and the permitted rate.
     pub(crate) fn on_tick(&mut self, context: &Context, calls_throttled: bool) {
         let now = context.now;
         self.latencies.drop_expired(now);
--- a/admission/src/admission/overload/detector.rs
+++ b/admission/src/admission/overload/detector.rs
@@ -1,5 +1,6 @@
-//! Overload detection. The server is overloaded if requests are queued and their mean latency is over target,
-//! or if the dependency or the tier below has recently rejected a call (a downstream rejection).
+//! Overload detection. The server is overloaded if more than one request is queued and the mean latency is
+//! over target, or if the dependency, which may be a further tier of servers, has rejected a call (a
+//! downstream rejection) within the last [`RATE_WINDOW`].
 //!
 //! A call that times out does not count as rejected.
 
@@ -10,31 +11,31 @@
 use crate::admission::time::Instant;
 
 /// Maximum number of queued requests that is not a sign of overload: one queued request is merely the next to
-/// run, while any further ones wait for others.
+/// run, while any further ones also wait for the queued requests ahead of them.
 const MAX_QUEUED_WITHOUT_OVERLOAD: usize = 1;
 
-/// Detects overload and keeps the time of the last downstream rejection.
+/// Detects overload, and stores until when the last downstream rejection counts as overload.
 #[derive(Debug)]
 pub(crate) struct OverloadDetector {
-    /// The end of the rate window that began with the last downstream rejection.
-    rejection_ends_at: Instant,
+    /// Time of the last downstream rejection plus [`RATE_WINDOW`].
+    overloaded_until: Instant,
 }
 
 impl OverloadDetector {
     /// Creates a detector without a downstream rejection.
     pub(crate) fn new() -> Self {
-        OverloadDetector { rejection_ends_at: Instant::DISTANT_PAST }
+        OverloadDetector { overloaded_until: Instant::DISTANT_PAST }
     }
 
     /// Records a downstream rejection: the server counts as overloaded for one rate window from now.
     pub(crate) fn record_downstream_rejection(&mut self, now: Instant) {
-        self.rejection_ends_at = now + RATE_WINDOW;
+        self.overloaded_until = now + RATE_WINDOW;
     }
 
     /// Whether a downstream rejection occurred after `window_start`. Both sides of the comparison are shifted
-    /// by one rate window, because the detector stores the end of the window.
+    /// by one rate window, because `overloaded_until` is the time of the rejection plus one rate window.
     pub(crate) fn downstream_rejected_after(&self, window_start: Instant) -> bool {
-        self.rejection_ends_at > window_start + RATE_WINDOW
+        self.overloaded_until > window_start + RATE_WINDOW
     }
 
     /// Whether the server is overloaded. While calls are throttled, requests that may call are not counted,
@@ -45,7 +46,7 @@
         latencies: &LatencyTracker,
         calls_throttled: bool,
     ) -> bool {
-        if context.now < self.rejection_ends_at {
+        if context.now < self.overloaded_until {
             return true;
         }
         let waits_for_core =
--- a/admission/src/admission/overload/detector/tests.rs
+++ b/admission/src/admission/overload/detector/tests.rs
@@ -21,9 +21,9 @@
 
 #[test]
 fn requests_that_may_call_do_not_count_as_overload_while_calls_are_throttled() {
-    let caller = || Request { may_call: true, ..queued() };
-    assert!(is_overloaded(vec![caller(), caller()], 0.5, false));
-    assert!(!is_overloaded(vec![caller(), caller()], 0.5, true));
+    let queued_may_call = || Request { may_call: true, ..queued() };
+    assert!(is_overloaded(vec![queued_may_call(), queued_may_call()], 0.5, false));
+    assert!(!is_overloaded(vec![queued_may_call(), queued_may_call()], 0.5, true));
 }
 
 #[test]
--- a/admission/src/admission/overload/latency/tests.rs
+++ b/admission/src/admission/overload/latency/tests.rs
@@ -5,7 +5,11 @@
 use crate::interface::Settings;
 
 fn sample(seconds: f64, latency_over_objective: f64, may_call: bool) -> LatencySample {
-    LatencySample { at: at(seconds), latency_over_objective: Fraction::new(latency_over_objective), may_call }
+    LatencySample {
+        answered_at: at(seconds),
+        latency_over_objective: Fraction::new(latency_over_objective),
+        may_call,
+    }
 }
 
 fn tracker(samples: Vec<LatencySample>) -> LatencyTracker {
--- a/admission/src/admission/overload/permitted_rate.rs
+++ b/admission/src/admission/overload/permitted_rate.rs
@@ -3,30 +3,32 @@
 //!
 //! The rate is updated once per rate window of two seconds, by additive increase and multiplicative decrease
 //! (AIMD). The first window with enough requests initializes it. A downstream rejection or latency over
-//! target sets it slightly below the rate of handled requests. Otherwise it rises by one step, provided that
-//! at least half of it was used: in quiet periods it must not rise to a rate that the server cannot sustain.
+//! target sets it to 90 % of the rate of handled requests; for this, the handled rate counts as at least half
+//! of the previous rate and, after a rejection, as at most the previous rate. Otherwise it rises by one step,
+//! provided that at least half of it was used: in quiet periods it must not rise to a rate that the server
+//! cannot sustain.
 
 use crate::admission::constants::{MIN_SAMPLES, RATE_WINDOW};
 use crate::admission::overload::token_bucket::TokenBucket;
 use crate::admission::quantities::{Fraction, RequestRate};
 use crate::admission::time::Instant;
 
-/// A decrease sets the rate to this fraction of the measured rate, so that the queue shrinks instead of
-/// persisting.
+/// A decrease sets the rate to this fraction of the rate of handled requests, so that the queue shrinks
+/// instead of persisting.
 const DECREASE_FACTOR: f64 = 0.9;
-/// Minimum of the measured rate as a fraction of the previous rate. A single decrease therefore leaves at
-/// least 45 % of the rate, because one bad window says little about the next.
-const MIN_MEASURED_FRACTION: f64 = 0.5;
-/// An increase adds this fraction of the capacity of the cores: from half of the capacity to all of it in
-/// about twenty seconds.
+/// A decrease assumes a handled rate of at least this fraction of the previous rate, because one bad window
+/// does not predict the next. With [`DECREASE_FACTOR`], a single decrease leaves at least 45 % of the rate.
+const MIN_HANDLED_FRACTION: f64 = 0.5;
+/// An increase adds this fraction of the capacity of the cores, so that the rate rises from half of the
+/// capacity to all of it in ten windows, i.e. about twenty seconds.
 const ADDITIVE_INCREASE: f64 = 0.05;
-/// The rate rises only if this multiple of the handled requests reaches it, which means that half of it was
-/// used.
+/// The rate rises only if this multiple of the handled rate is at least the permitted rate, i.e. if at least
+/// half of the permitted rate was used.
 const HANDLED_FACTOR: f64 = 2.0;
 
-/// Load during a window, on which the update at its end depends.
+/// Load during a window, from which the rate is updated at the end of the window.
 pub(crate) struct WindowLoad {
-    /// Whether the dependency or the tier below rejected a call in this window.
+    /// Whether the dependency, which may be a further tier of servers, rejected a call in this window.
     pub(crate) downstream_rejected: bool,
     /// Whether the mean latency is over target.
     pub(crate) latency_exceeds_target: bool,
@@ -51,7 +53,7 @@
         PermittedRate { rate: None, bucket: TokenBucket::new(now), window_start: now, handled: 0.0 }
     }
 
-    /// The permitted rate; `None` until the first window has initialized it.
+    /// The permitted rate; `None` until the first window with enough requests has ended.
     pub(crate) fn get(&self) -> Option<RequestRate> {
         self.rate
     }
@@ -61,12 +63,14 @@
         self.window_start
     }
 
-    /// Counts a request that was answered successfully in time.
+    /// Counts a request whose run succeeded while its answer was still needed.
     pub(crate) fn count_handled(&mut self) {
         self.handled += 1.0;
     }
 
-    /// Takes a token for an arrival of this priority quantile; returns whether the arrival is admitted.
+    /// Decides whether an arrival whose priority has this quantile is admitted, and takes a token for it if
+    /// so. Until the rate is initialized, every arrival is admitted without a token. `overloaded` is called
+    /// only if too few tokens are left.
     pub(crate) fn admit(
         &mut self,
         priority_quantile: Fraction,
@@ -79,8 +83,8 @@
         }
     }
 
-    /// Whether the current window has ended. A window that is to initialize the rate must also contain enough
-    /// requests.
+    /// Whether the current window has ended. The window that initializes the rate lasts until at least
+    /// [`MIN_SAMPLES`] requests have been handled in it.
     pub(crate) fn window_has_ended(&self, now: Instant) -> bool {
         let long_enough = now - self.window_start >= RATE_WINDOW;
         long_enough && (self.rate.is_some() || self.handled >= MIN_SAMPLES)
@@ -93,13 +97,13 @@
         self.rate = Some(match self.rate {
             None => handled,
             Some(rate) if load.downstream_rejected => {
-                DECREASE_FACTOR * handled.min(rate).max(rate * MIN_MEASURED_FRACTION)
+                DECREASE_FACTOR * handled.min(rate).max(rate * MIN_HANDLED_FRACTION)
             }
             // Unlike after a rejection, the previous rate is not an upper bound: while the server was not
             // overloaded, arrivals were admitted without a token. If more requests were handled than the rate
-            // permits, the rate may rise to that level.
+            // permits, the new rate, 90 % of the handled rate, may be above the previous one.
             Some(rate) if load.latency_exceeds_target => {
-                DECREASE_FACTOR * handled.max(rate * MIN_MEASURED_FRACTION)
+                DECREASE_FACTOR * handled.max(rate * MIN_HANDLED_FRACTION)
             }
             Some(rate) if HANDLED_FACTOR * handled >= rate => rate + ADDITIVE_INCREASE * load.capacity,
             Some(rate) => rate,
@@ -108,14 +112,14 @@
         self.handled = 0.0;
     }
 
-    /// Requests handled per second in the window, plus one standard error, which prevents deep cuts on small
-    /// servers.
+    /// Requests handled per second in the window, plus one standard error of the count, so that random
+    /// variation of a small count does not decrease the rate of a small server too far.
     fn handled_rate(&self, now: Instant) -> RequestRate {
         let window = now - self.window_start;
         RequestRate::per_second((self.handled + self.handled.sqrt()) / window.seconds())
     }
 
-    /// Discards the rate and the window, as at startup.
+    /// Discards the rate and starts a new window, as [`Self::new`] does.
     pub(crate) fn reset(&mut self, now: Instant) {
         *self = PermittedRate::new(now);
     }
--- a/admission/src/admission/overload/permitted_rate/tests.rs
+++ b/admission/src/admission/overload/permitted_rate/tests.rs
@@ -44,18 +44,19 @@
 }
 
 #[test]
-fn the_rate_rises_by_a_step_only_if_half_of_it_was_handled() {
+fn the_rate_rises_by_a_step_only_if_at_least_half_of_it_was_used() {
     assert_eq!(after_window(9, &WITHIN_TARGET), 12.0);
     assert_eq!(after_window(4, &WITHIN_TARGET), 10.0);
 }
 
 #[test]
-fn latency_over_target_cuts_the_rate_to_the_handled_rate_but_not_below_45_percent() {
+fn latency_over_target_sets_the_rate_to_90_percent_of_the_handled_rate_but_not_below_45_percent_of_the_rate()
+{
     assert_eq!(after_window(9, &OVER_TARGET), 0.9 * 6.0);
     assert_eq!(after_window(0, &OVER_TARGET), 0.9 * 5.0);
 }
 
 #[test]
-fn a_downstream_rejection_cuts_the_rate_even_if_more_requests_were_handled() {
+fn a_downstream_rejection_decreases_the_rate_even_if_more_requests_were_handled_than_permitted() {
     assert_eq!(after_window(64, &DOWNSTREAM_REJECTED), 0.9 * 10.0);
 }
--- a/admission/src/admission/overload/token_bucket.rs
+++ b/admission/src/admission/overload/token_bucket.rs
@@ -1,24 +1,26 @@
 //! The token bucket that limits arrivals to the permitted rate under overload.
 //!
-//! The bucket holds at most the requests permitted in one second. Part of it is reserved for higher
-//! priorities, and the highest priorities may borrow a few tokens. Without overload no arrival is rejected,
-//! but each still takes a token.
+//! The bucket holds at most as many tokens as requests are permitted in one second, but at least one. Part of
+//! it is reserved for higher priorities, and the highest priorities may borrow a few tokens. Without overload
+//! no arrival is rejected, but each still takes a token.
 
 use crate::admission::constants::MIN_SAMPLES;
 use crate::admission::quantities::{Fraction, RequestRate};
 use crate::admission::time::{Instant, Span};
 
-/// Fraction of the bucket that is reserved from arrivals of the lowest priority: under overload, they get
-/// less than half of a burst.
+/// Fraction of the bucket that arrivals of the lowest priority cannot use: under overload, less than half of
+/// a full bucket is available to them.
 const RESERVE: f64 = 0.6;
-/// Depth of the bucket as a time at the permitted rate: a burst of one second is admitted at once.
+/// Time in which the permitted rate fills an empty bucket: the requests permitted in one second may arrive at
+/// once.
 const DEPTH: Span = Span::from_seconds(1.0);
 /// Minimum depth in tokens. With less, no request would ever find a token.
 const MIN_DEPTH: f64 = 1.0;
 /// Number of tokens that an admitted request takes.
 const TOKENS_FOR_A_REQUEST: f64 = 1.0;
 
-/// State of the token bucket. The number of tokens is negative if the highest priorities have borrowed some.
+/// State of the token bucket. The number of tokens is negative if high priorities have borrowed tokens, or if
+/// arrivals were admitted without a token while the server was not overloaded.
 #[derive(Debug)]
 pub(crate) struct TokenBucket {
     tokens: f64,
@@ -56,8 +58,8 @@
     }
 }
 
-/// Maximum number of tokens that the highest priority may borrow: the standard error of a count of
-/// `MIN_SAMPLES`.
+/// Limit of the debt in tokens, and number of tokens that the highest priority may borrow: the standard error
+/// of a count of [`MIN_SAMPLES`].
 fn max_debt() -> f64 {
     MIN_SAMPLES.sqrt()
 }
--- a/admission/src/admission/overload/token_bucket/tests.rs
+++ b/admission/src/admission/overload/token_bucket/tests.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn part_of_the_bucket_is_reserved_from_low_priorities_and_the_highest_may_borrow() {
+fn low_priorities_cannot_use_part_of_the_bucket_and_the_highest_may_borrow() {
     assert_eq!(admitted(1.0, 0.0, true), 4);
     assert_eq!(admitted(1.0, 1.0, true), 14);
     assert_eq!(admitted(0.0, 0.0, true), 0);
--- a/admission/src/admission/read_overload.rs
+++ b/admission/src/admission/read_overload.rs
@@ -7,7 +7,7 @@
 use crate::interface::Gauges;
 
 /// Fraction of the runnable tasks above which reads, health checks and new connections overload the cores:
-/// clearly more than the runs. The value above one half is not derived.
+/// clearly more than the runs.
 const MAX_FRACTION: f64 = 0.6;
 
 /// Mean fraction of the runnable tasks that are not runs.
--- a/admission/src/admission/requests.rs
+++ b/admission/src/admission/requests.rs
@@ -147,12 +147,12 @@
     /// Answers a started request with a failure. Its run is preempted if its effect may be repeated.
     pub(crate) fn fail(&mut self, id: RequestId, settings: &Settings, actions: &mut Vec<Action>) {
         actions.push(Action::Fail(id));
-        self.settle_and_end(id, settings, actions);
+        self.settle_answer(id, settings, actions);
     }
 
     /// Marks a request as needing no answer, because it has failed or was cancelled. A queued or coalesced
     /// request ends; a run continues unless it is idempotent and can be preempted.
-    pub(crate) fn settle_and_end(&mut self, id: RequestId, settings: &Settings, actions: &mut Vec<Action>) {
+    pub(crate) fn settle_answer(&mut self, id: RequestId, settings: &Settings, actions: &mut Vec<Action>) {
         let Some(request) = self.table.get_mut(id) else { return };
         request.answer_settled = true;
         let is_idempotent = settings.classes[request.class].effect == Effect::Idempotent;
--- a/admission/src/admission/requests/request.rs
+++ b/admission/src/admission/requests/request.rs
@@ -58,8 +58,8 @@
 /// A run that has started and not ended.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub(crate) struct Run {
-    /// When the run started. A run that the server reports without having been told to start it counts from
-    /// zero on the server's clock.
+    /// When the run started; zero on the server's clock if the server reports a run that this module did not
+    /// start.
     pub(crate) started_at: Instant,
     /// Total time blocked on calls that have ended.
     pub(crate) time_blocked_on_calls: Span,
--- a/admission/src/interface/class.rs
+++ b/admission/src/interface/class.rs
@@ -9,7 +9,7 @@
     Idempotent,
     /// Once within the idempotency window: a retry with the same key is coalesced with the first run.
     IdempotencyKey,
-    /// At most once, without a key: callers retry the request only if it is known not to have run.
+    /// At most once: the request has no key, and callers retry it only if it is known not to have run.
     AtMostOnce,
 }
 
--- a/admission/tests/model/main.rs
+++ b/admission/tests/model/main.rs
@@ -56,7 +56,7 @@
     now: u64,
     next_id: u32,
     attempts: BTreeMap<RequestId, Attempt>,
-    /// For each effect, the attempt that its retained key refers to, and when the key expires.
+    /// Attempt that the retained key of each effect refers to, and when the key expires.
     retained_keys: BTreeMap<u32, (RequestId, u64)>,
     /// Events for the next batch.
     events: Vec<Event>,
--- a/admission/tests/model/trace/perturbations.rs
+++ b/admission/tests/model/trace/perturbations.rs
@@ -38,8 +38,8 @@
         if self.random.chance(2) {
             arrival.cost_hint = Some(Duration::ZERO);
         }
-        // The model has already chosen the attempt that a retry with a key names, depending on its arrival
-        // time. Therefore neither the age nor the named attempt of such an arrival is varied.
+        // The model has already determined, from the arrival time, which attempt a retry with a key names.
+        // Therefore neither the age nor the named attempt of such an arrival is varied.
         let class = usize::from(arrival.class.0);
         if self.model.settings.classes[class].effect != Effect::IdempotencyKey {
             self.vary_age(&mut arrival);
--- a/admission/tests/model/trace/plan.rs
+++ b/admission/tests/model/trace/plan.rs
@@ -50,7 +50,7 @@
     pub(super) settings: Settings,
     pub(super) ends_at: u64,
     pub(super) gauge_mode: GaugeMode,
-    /// For each phase of the load, the probability of one more arrival in a step, in percent.
+    /// Probability of one more arrival in a step, in percent, for each phase of the load.
     arrival_percents: Vec<u64>,
     /// Number of callers that send arrivals.
     pub(super) callers: u64,
@@ -62,7 +62,7 @@
     pub(super) stalls: Vec<TimeRange>,
     /// Range in which no timer event is reported, although other events are.
     pub(super) timer_gap: TimeRange,
-    /// From this time, the clock does not advance, or steps back, for a number of batches.
+    /// Time from which the clock does not advance, or steps back, for a number of batches.
     pub(super) clock_stops_at: u64,
     /// When the process is suspended, in microseconds of virtual time.
     pub(super) suspended_at: u64,
@@ -173,7 +173,7 @@
     }
 }
 
-/// In some scenarios, a range of more than ten seconds without timer events; otherwise an empty range.
+/// Returns a range of more than ten seconds without timer events in some scenarios, otherwise an empty range.
 fn random_timer_gap(random: &mut SeededRandom, seed: u64) -> TimeRange {
     let from = START_MICROS + random.below(15_000_000);
     let length = if seed % 5 == 1 { 10_500_000 + random.below(3_000_000) } else { 0 };
