--- a/fleet/src/audit/decision_record.rs
+++ b/fleet/src/audit/decision_record.rs
@@ -56,7 +56,7 @@
     Attempt {
         /// Unix time in milliseconds.
         at: u64,
-        /// The decision.
+        /// What the node decided about the attempt.
         #[serde(rename = "did")]
         decision: Decision,
         /// The attempt's transaction id.
--- a/fleet/src/audit/report.rs
+++ b/fleet/src/audit/report.rs
@@ -137,7 +137,7 @@
 /// A key that ran more than once.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct DuplicateRun {
-    /// The key.
+    /// The idempotency key, as recorded.
     pub key: String,
     /// All recorded runs of the key in order of time.
     pub runs: Vec<RunRecord>,
@@ -194,7 +194,7 @@
 pub struct NodeRecord<'a> {
     /// Name of the node.
     pub node: &'a str,
-    /// The record.
+    /// The record from the decision log of the node.
     pub record: &'a Record,
 }
 
--- a/fleet/src/claims/coordinator.rs
+++ b/fleet/src/claims/coordinator.rs
@@ -3,8 +3,9 @@
 //!
 //! A run may start once a quorum of the key's replicas in each active configuration has granted its claim.
 //! Its result may be sent to the client once a quorum has stored it. A claim that can't get a quorum is
-//! released; its attempt waits for the result of the conflicting run, or is rejected. No attempt waits past
-//! its deadline.
+//! released. Its attempt then waits for the run of a conflicting claim (one that replicas have granted for
+//! the same key), is told that the key was used with another body, or is rejected. No attempt waits past its
+//! deadline.
 
 mod attempt;
 mod claim;
@@ -28,27 +29,29 @@
 /// How long the remaining replicas are still sent a result after a quorum has stored it.
 const FULL_REPLICATION_TIMEOUT: Duration = Duration::from_secs(10);
 /// Interval after which a request without a response is first retried. The interval doubles with each retry,
-/// up to [`MAX_RETRY_INTERVAL`]. For a claim the first two intervals are equal, because only a retry doubles
-/// it; for a result the first transmission doubles it too.
+/// up to [`MAX_RETRY_INTERVAL`]. A claim is retried after 50, 50, 100, ... ms, because its first transmission
+/// does not double the interval; a result after 50, 100, 200, ... ms, because its first transmission does.
 const INITIAL_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 /// Maximum interval between two retries of a request.
 const MAX_RETRY_INTERVAL: Duration = Duration::from_millis(800);
-/// Interval at which an attempt that waits for another attempt's run polls the replicas. They also notify it
-/// as soon as the run completes, so that it depends on polling only if a message is lost.
+/// Interval at which an attempt that waits for another attempt's run polls the replicas. The replicas also
+/// notify the attempt as soon as the run completes, so polling is needed only if that message is lost.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 /// How long before the client's deadline a claim is given up, so that the answer can reach the client in
-/// time. [`ANSWER_MARGIN_MAX_DIVISOR`] caps it for short deadlines.
+/// time. For short deadlines the margin is smaller, see [`MAX_ANSWER_MARGIN_DIVISOR`].
 const ANSWER_MARGIN: Duration = Duration::from_millis(250);
-/// The answer margin is at most the time until the deadline divided by this, i.e. a quarter of it.
-const ANSWER_MARGIN_MAX_DIVISOR: u32 = 4;
+/// The answer margin is at most the time from the claim to the deadline, divided by this.
+const MAX_ANSWER_MARGIN_DIVISOR: u32 = 4;
 
 /// Tracks all open claims of this node.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct ClaimCoordinator {
     this_node: NodeId,
     incarnation: Incarnation,
+    /// Number of the next claim of this node.
     next_number: u64,
     claims: BTreeMap<ClaimId, Claim>,
+    /// The open claim of each attempt.
     by_attempt: BTreeMap<AttemptId, ClaimId>,
 }
 
@@ -69,7 +72,7 @@
         self.claims.len()
     }
 
-    /// Sets the incarnation in which new claims are made. Open claims keep theirs.
+    /// Sets the incarnation of this node under which new claims are made. Open claims keep theirs.
     pub fn set_incarnation(&mut self, incarnation: Incarnation) {
         self.incarnation = incarnation;
     }
@@ -106,10 +109,10 @@
         self.claims.insert(id, claim);
     }
 
-    /// Releases the claims that are still collecting grants and makes them again in the configurations that
-    /// are active now. Claims that wait for a remote run keep polling their old replicas: they hold no
-    /// grants, and end by `give_up_at`. Claims that are granted or replicate a result keep the replicas
-    /// that granted them.
+    /// Releases the claims that are still collecting grants, and makes each again under a new id in the
+    /// configurations that are active now. Claims that wait for a remote run keep polling their old replicas:
+    /// they hold no grants, and are closed at `give_up_at` at the latest. Claims that are granted or
+    /// replicate a result keep the replicas with which they were made.
     pub fn reconfigure(&mut self, now: Time, configs: &ActiveConfigs, out: &mut Vec<ClaimAction>) {
         for id in self.claims_in_state(&ClaimState::Collecting) {
             let renewed = self.next_claim_id();
@@ -146,11 +149,11 @@
         claim.send_and_schedule_retry(now, |_| true, out);
     }
 
-    /// Closes the claim of an attempt; no run may be in progress under it. A claim without a run is released.
-    /// If its run has completed, the result is not sent to further replicas.
+    /// Closes the claim of an attempt. The caller must ensure that its run is not in progress. If the run
+    /// never started, the replicas are told so; if it has completed, its result is not sent any more.
     pub fn release(&mut self, attempt: AttemptId, out: &mut Vec<ClaimAction>) {
         let claim = self.by_attempt.remove(&attempt).and_then(|id| self.claims.remove(&id));
-        // A release tells the replicas that no run started, which is wrong for a claim with a result.
+        // A release message says that no run started, which is false for a claim with a result.
         if let Some(claim) = claim.filter(|claim| !claim.is_replicating()) {
             claim.release(out);
         }
@@ -172,8 +175,8 @@
             Message::Blocked { claim: claim_id, conflict } => {
                 (claim_id, ReplicaResponse::Blocked { conflict, responded_at: now }, Vec::new())
             }
-            // The replica also announces the configuration that this node lacks. `reconfigure` makes the
-            // claim again once that configuration is active here.
+            // In another message, the replica sends the configuration that this node lacks. `reconfigure`
+            // makes the claim again once that configuration is active here.
             Message::Uncertain { reason: RejectReason::ConfigMismatch, .. } => return,
             Message::Uncertain { claim: claim_id, reason } => {
                 (claim_id, ReplicaResponse::Uncertain(reason), Vec::new())
@@ -197,7 +200,7 @@
         self.act_on_responses(now, claim_id, out);
     }
 
-    /// Handles that a replica can't be reached: claims that are collecting grants stop waiting for its
+    /// Called when a replica can't be reached: claims that are collecting grants no longer wait for its
     /// response. In other states the response stays pending, since a result must still be stored and polls
     /// are repeated anyway.
     pub fn handle_unreachable(&mut self, now: Time, node: NodeId, out: &mut Vec<ClaimAction>) {
@@ -211,8 +214,8 @@
         }
     }
 
-    /// Handles that the link to a replica broke. Messages in transit are lost, so pending requests are sent
-    /// again.
+    /// Called when the link to a replica has broken. Messages in transit are lost, so pending requests are
+    /// sent again.
     pub fn handle_broken_link(&mut self, now: Time, node: NodeId, out: &mut Vec<ClaimAction>) {
         for claim in self.claims.values() {
             if claim.responses.get(&node) == Some(&ReplicaResponse::Pending) {
@@ -221,16 +224,17 @@
         }
     }
 
-    /// Retries and gives up claims that are due. `is_alive` tells whether a node answers probes.
+    /// Retries, gives up or closes the claims that are due. `is_alive` returns whether a node answers probes.
     pub fn tick(&mut self, now: Time, is_alive: impl Fn(NodeId) -> bool, out: &mut Vec<ClaimAction>) {
         let due: Vec<ClaimId> =
             self.claims.values().filter(|claim| claim.is_due(now)).map(|claim| claim.id).collect();
         for id in due {
-            self.advance(now, id, &is_alive, out);
+            self.handle_due_claim(now, id, &is_alive, out);
         }
     }
 
-    fn advance(
+    /// Closes a claim whose key has expired, gives up one past `give_up_at`, and sends a retry that is due.
+    fn handle_due_claim(
         &mut self,
         now: Time,
         id: ClaimId,
@@ -262,8 +266,9 @@
         self.act_on_responses(now, id, out);
     }
 
-    /// Notifies the attempt of a claim that has reached `give_up_at`, and closes the claim. A result is still
-    /// replicated.
+    /// Notifies the attempt of a claim that has reached `give_up_at`, and closes the claim. A granted claim
+    /// stays unchanged. If a result is being replicated, the attempt is told that no quorum has stored it,
+    /// and the replication continues.
     fn give_up(&mut self, id: ClaimId, out: &mut Vec<ClaimAction>) {
         let Some(claim) = self.claims.get_mut(&id) else { return };
         let outcome = match claim.state {
@@ -272,7 +277,8 @@
             ClaimState::Collecting => {
                 claim.release(out);
                 // A conflicting run may have started, and its outcome is unknown. Each retry resets the
-                // `Blocked` responses to pending, so only those since the last retry count.
+                // `Blocked` responses to pending, so only `Blocked` responses received since the last retry
+                // count.
                 if claim.is_blocked() {
                     ClaimOutcome::Unknown
                 } else {
@@ -293,9 +299,9 @@
         }
     }
 
-    /// Rejects the attempts whose claims are still collecting grants. Called when the node was suspended or
-    /// lost its state, so what it knows of its peers may be outdated. Claims that wait for a remote run stay
-    /// open, because they hold no grants.
+    /// Rejects the attempts whose claims are still collecting grants. Called after the node was suspended or
+    /// lost its state, because its knowledge of its peers may then be outdated. Claims that wait for a remote
+    /// run stay open, because they hold no grants.
     pub fn reject_collecting(&mut self, out: &mut Vec<ClaimAction>) {
         for id in self.claims_in_state(&ClaimState::Collecting) {
             if let Some(claim) = self.claims.get(&id) {
@@ -308,8 +314,8 @@
     }
 
     /// Returns the message that tells a replica the outcome of a claim of this node: the result, or that no
-    /// run started. Returns `None` while the outcome is open. `predecessor_alive` tells that the process of
-    /// an earlier incarnation may still complete its runs.
+    /// run started. Returns `None` while the outcome is not known. `predecessor_alive` is true while the
+    /// process of an earlier incarnation may still complete its runs.
     pub fn resolve(
         &self,
         now: Time,
@@ -326,13 +332,13 @@
             };
         }
         if claim_id.incarnation == self.incarnation {
-            // A claim with a completed run stays open until a quorum has stored the result or the key's
-            // window has ended, so a claim that is not open never ran.
+            // A closed claim is answered with a release, whether it was closed without a run, after its
+            // result was stored, when its key expired, or by `release` during replication.
             return Some(Message::Release { key: key.clone(), claim: claim_id });
         }
         // The claim was made in an earlier incarnation whose state is lost, so its run counts as abandoned.
-        // If the run's own result arrives later, it takes precedence in the merge. `retain_ms: 0` leaves the
-        // replica's expiry unchanged.
+        // If a replica receives the actual result later, that result replaces the abandoned one. `retain_ms:
+        // 0` leaves the replica's expiry unchanged.
         let run = CompletedRun::abandoned(claim_id, body_digest);
         let is_lost = claim_id.incarnation < self.incarnation && !predecessor_alive;
         is_lost.then(|| Message::Completed { key: key.clone(), retain_ms: 0, run })
@@ -362,13 +368,13 @@
 
     fn apply_decision(&mut self, now: Time, id: ClaimId, decision: Decision, out: &mut Vec<ClaimAction>) {
         let Some(claim) = self.claims.get_mut(&id) else { return };
-        let is_waiting = claim.state == ClaimState::AwaitingRemoteRun;
+        let is_awaiting_remote_run = claim.state == ClaimState::AwaitingRemoteRun;
         match decision {
             Decision::Granted => {
                 claim.state = ClaimState::Granted;
                 out.push(ClaimAction::Notify(claim.attempt, ClaimOutcome::Granted));
             }
-            Decision::AwaitingRemoteRun if is_waiting => {}
+            Decision::AwaitingRemoteRun if is_awaiting_remote_run => {}
             Decision::AwaitingRemoteRun => {
                 claim.release(out);
                 claim.state = ClaimState::AwaitingRemoteRun;
@@ -377,7 +383,7 @@
                 out.push(ClaimAction::Notify(claim.attempt, ClaimOutcome::AwaitingRemoteRun));
             }
             Decision::Final(outcome) => {
-                if !is_waiting {
+                if !is_awaiting_remote_run {
                     claim.release(out);
                 }
                 out.push(ClaimAction::Notify(claim.attempt, outcome));
--- a/fleet/src/claims/coordinator/attempt.rs
+++ b/fleet/src/claims/coordinator/attempt.rs
@@ -9,13 +9,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId(pub u64);
 
-/// Outcome of a claim, as its attempt is notified of it. [`ClaimOutcome::Granted`] and
+/// Notification to an attempt about its claim. [`ClaimOutcome::Granted`] and
 /// [`ClaimOutcome::AwaitingRemoteRun`] are interim and followed by another outcome; all others are final.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum ClaimOutcome {
     /// The attempt's run may start. [`ClaimOutcome::StoredByQuorum`] follows once the run has completed.
     Granted,
-    /// The attempt's run must not start, and none has. Another attempt's run may have started.
+    /// The attempt's run has not started and must not start. The run of another attempt may have started.
     Rejected(RejectReason),
     /// The attempt's run must not start, because a run of another attempt (the remote run) may have started.
     /// The final outcome follows: the result of the remote run, a rejection (the remote run never started, or
@@ -25,9 +25,10 @@
     RemoteResult(RunResult),
     /// The key was already used with another request body.
     BodyMismatch,
-    /// The outcome of the remote run was still unknown shortly before the deadline.
+    /// Shortly before the deadline it was still unknown whether a remote run started, or with which result.
     Unknown,
-    /// Whether a quorum has stored the result of the attempt's run before the deadline.
+    /// Whether a quorum has stored the result of the attempt's run. False if the claim was given up before
+    /// that, or if the attempt has no granted claim.
     StoredByQuorum(bool),
 }
 
@@ -42,9 +43,9 @@
     pub body_digest: BodyDigest,
     /// When the key's idempotency window ends.
     pub window_ends_at: Time,
-    /// When this node received the request.
+    /// When this node received the request, on the clock of [`Time`].
     pub received_at: Time,
-    /// When this node received the request, in Unix milliseconds.
+    /// The same time in Unix milliseconds.
     pub received_unix_ms: u64,
     /// When the client stops waiting.
     pub deadline: Time,
--- a/fleet/src/claims/coordinator/claim.rs
+++ b/fleet/src/claims/coordinator/claim.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use super::{
-    AttemptId, ClaimAction, ClaimOutcome, RunRequest, ANSWER_MARGIN, ANSWER_MARGIN_MAX_DIVISOR,
-    INITIAL_RETRY_INTERVAL, LATE_READ_GRACE, MAX_RETRY_INTERVAL,
+    AttemptId, ClaimAction, ClaimOutcome, RunRequest, ANSWER_MARGIN, INITIAL_RETRY_INTERVAL, LATE_READ_GRACE,
+    MAX_ANSWER_MARGIN_DIVISOR, MAX_RETRY_INTERVAL,
 };
 use crate::ids::{ConfigVersion, Incarnation, NodeId};
 use crate::membership::active_configs::ActiveConfigs;
@@ -13,7 +13,7 @@
 use crate::replication::key_state::{BodyDigest, ClaimId, CompletedRun, Key, RunResult};
 use crate::{millis_ceil, Time};
 
-/// Response of a replica to the request of the claim's current state.
+/// Latest response of a replica to the message that the claim sends in its current state.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) enum ReplicaResponse {
     /// No response yet.
@@ -28,7 +28,7 @@
     },
     /// The replica knows of no run of the key.
     KeyFree,
-    /// The replica could neither grant nor deny the claim. Also set locally when it is unreachable.
+    /// The replica could neither grant nor deny the claim, or this node could not reach it.
     Uncertain(RejectReason),
     /// The replica has stored the result.
     Stored,
@@ -94,10 +94,10 @@
     /// The key's replicas in each active configuration.
     groups: Vec<ReplicaGroup>,
     pub(super) responses: BTreeMap<NodeId, ReplicaResponse>,
-    /// Latest incarnation of each replica, as far as any replica has reported it.
+    /// Highest incarnation of each replica that any replica has reported.
     incarnations: BTreeMap<NodeId, Incarnation>,
     pub(super) state: ClaimState,
-    /// When a quorum had stored the result.
+    /// When this node learned that a quorum has stored the result; `None` until then.
     pub(super) quorum_stored_at: Option<Time>,
     pub(super) retry_interval: Duration,
     pub(super) retry_at: Time,
@@ -107,7 +107,7 @@
     pub(super) fn new(now: Time, id: ClaimId, request: RunRequest, configs: &ActiveConfigs) -> Claim {
         let RunRequest { attempt, key, body_digest, window_ends_at, received_at, received_unix_ms, deadline } =
             request;
-        let max_margin = deadline.saturating_sub(now) / ANSWER_MARGIN_MAX_DIVISOR;
+        let max_margin = deadline.saturating_sub(now) / MAX_ANSWER_MARGIN_DIVISOR;
         let node_index = configs.newest().index_of(id.node);
         let mut claim = Claim {
             attempt,
@@ -145,16 +145,16 @@
         self.responses = replicas.into_iter().map(|node| (node, ReplicaResponse::Pending)).collect();
     }
 
-    /// Resets all responses to pending, so that every replica is asked.
+    /// Resets all responses to pending, so that the next message goes to every replica.
     pub(super) fn reset_responses(&mut self) {
         for response in self.responses.values_mut() {
             *response = ReplicaResponse::Pending;
         }
     }
 
-    /// Updates the responses before a retry. A pending replica that does not answer probes counts as
-    /// unreachable. A replica that was blocked is asked again, since the conflicting claim may have been
-    /// released.
+    /// Updates the responses before a retry. A replica whose response is pending and that does not answer
+    /// probes counts as unreachable. A replica that responded `Blocked` is asked again, since the conflicting
+    /// claim may have been released.
     pub(super) fn reconsider_responses(&mut self, is_alive: impl Fn(NodeId) -> bool) {
         for (node, response) in &mut self.responses {
             match response {
@@ -167,8 +167,9 @@
         }
     }
 
-    /// Returns the request that is sent to replicas in the claim's state; `None` while its run is in progress.
+    /// Returns the message that the claim sends in its current state; `None` while its run is in progress.
     pub(super) fn outgoing_message(&self, now: Time) -> Option<Message> {
+        // Replicas keep the key until its idempotency window ends.
         let retain_ms = millis_ceil(self.window_ends_at.saturating_sub(now));
         let Claim { id: claim_id, body_digest, .. } = *self;
         let key = self.key.clone();
@@ -246,11 +247,12 @@
         matches!(self.state, ClaimState::Replicating { .. })
     }
 
+    /// Whether the key's idempotency window and the grace for late reads have ended.
     pub(super) fn has_expired(&self, now: Time) -> bool {
         now >= self.window_ends_at + LATE_READ_GRACE
     }
 
-    /// Whether a retry, the give-up time or the expiry of the claim is due.
+    /// Whether the claim must be retried, given up or closed because its key has expired.
     pub(super) fn is_due(&self, now: Time) -> bool {
         let is_running = self.state == ClaimState::Granted;
         let is_reported = matches!(self.state, ClaimState::Replicating { reported: true, .. });
@@ -299,8 +301,7 @@
         self.groups.iter().all(|group| group.has_quorum(&satisfies))
     }
 
-    /// Whether the replica has granted the claim in its latest incarnation that any replica knows of. Grants of
-    /// earlier incarnations do not count.
+    /// Whether the replica granted the claim in its latest known incarnation; earlier grants do not count.
     fn is_granted_by(&self, node: NodeId) -> bool {
         let Some(ReplicaResponse::Granted(incarnation)) = self.responses.get(&node) else { return false };
         self.incarnations.get(&node) == Some(incarnation)
@@ -314,14 +315,14 @@
         })
     }
 
-    /// Decides the claim from the responses received so far; `None` if further responses are needed. The
+    /// Makes the decision about the claim from the responses received so far; `None` if more are needed. The
     /// first rule that applies decides:
     ///
     /// 1. A conflict belongs to an earlier request whose window had ended: the attempt is rejected.
-    /// 2. Any replica reports a completed run of the key: that run's result is the outcome.
+    /// 2. Any replica reports a completed run of the key: its result or a body mismatch is the outcome.
     /// 3. The claim waits for a remote run: the attempt is rejected once a quorum reports the key as free.
     /// 4. A quorum has granted the claim: the run may start.
-    /// 5. Pending replicas could still complete a quorum: no decision yet.
+    /// 5. Replicas that have not responded could still complete a quorum: no decision yet.
     /// 6. Otherwise [`Claim::evaluate_without_quorum`] decides.
     pub(super) fn evaluate_responses(&self) -> Option<Decision> {
         if self
@@ -359,37 +360,38 @@
     }
 
     /// Whether a conflict belongs to an earlier request with the same key whose window had ended when this
-    /// request was received. `responded_at` is when the replica's response arrived here; because of the
-    /// transmission time, it gives the latest time at which the window can have ended.
+    /// request was received. `responded_at` is when the replica's response arrived here. The window ended
+    /// `expired_ms` before the replica responded, so the time computed here is at or after its actual end.
     fn belongs_to_earlier_request(&self, conflict: &ConflictingClaim, responded_at: Time) -> bool {
         let window_ended_at = responded_at.saturating_sub(Duration::from_millis(conflict.expired_ms));
         conflict.expired_ms > 0 && self.received_at > window_ended_at
     }
 
-    /// Decides a claim that can't get a quorum any more, given the responses received so far.
+    /// Makes the decision about a claim that can't get a quorum any more from the responses received so far.
     fn evaluate_without_quorum(&self) -> Option<Decision> {
-        let Some((lowest, _)) = self.conflicts().min_by_key(|(conflict, _)| conflict.claim) else {
+        let Some((lowest_conflict, _)) = self.conflicts().min_by_key(|(conflict, _)| conflict.claim) else {
             let reason = self.responses.values().find_map(|response| match response {
                 ReplicaResponse::Uncertain(reason) => Some(*reason),
                 _ => None,
             });
-            // No reason was given if the quorum is missing only because grants of earlier incarnations do
+            // If no replica gave a reason, the quorum is missing because grants of earlier incarnations do
             // not count.
             let reason = reason.unwrap_or(RejectReason::Recovering);
             return Some(Decision::Final(ClaimOutcome::Rejected(reason)));
         };
         // If several claims each hold the grants of some replicas, the claim with the lowest id keeps
-        // retrying and the others yield. It yields too if the lowest conflicting claim has a quorum in any
-        // configuration, since this claim can't get a quorum there.
-        let blocked_by_lowest = |node: NodeId| match self.responses.get(&node) {
-            Some(ReplicaResponse::Blocked { conflict, .. }) => conflict.claim == lowest.claim,
+        // retrying and the others yield. This claim also yields if a quorum of any configuration reported the
+        // lowest conflicting claim: it can't get a quorum there.
+        let blocked_by_lowest_conflict = |node: NodeId| match self.responses.get(&node) {
+            Some(ReplicaResponse::Blocked { conflict, .. }) => conflict.claim == lowest_conflict.claim,
             _ => false,
         };
-        let lowest_has_quorum = self.groups.iter().any(|group| group.has_quorum(blocked_by_lowest));
-        if self.id < lowest.claim && !lowest_has_quorum {
+        let lowest_conflict_has_quorum =
+            self.groups.iter().any(|group| group.has_quorum(blocked_by_lowest_conflict));
+        if self.id < lowest_conflict.claim && !lowest_conflict_has_quorum {
             return None;
         }
-        Some(if lowest.body == self.body_digest {
+        Some(if lowest_conflict.body == self.body_digest {
             Decision::AwaitingRemoteRun
         } else {
             Decision::Final(ClaimOutcome::BodyMismatch)
--- a/fleet/src/claims/coordinator/tests.rs
+++ b/fleet/src/claims/coordinator/tests.rs
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn a_completed_run_reported_by_one_replica_is_accepted_and_a_body_mismatch_is_reported() {
+fn the_result_of_a_completed_run_reported_by_one_replica_is_the_outcome_and_a_body_mismatch_is_reported() {
     let mut fixture = Fixture::new();
     fixture.grant(2, 1, vec![]);
     assert_eq!(
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn an_attempt_is_rejected_at_once_when_too_few_replicas_can_vote() {
+fn an_attempt_is_rejected_at_once_when_too_few_replicas_can_grant_its_claim() {
     let mut fixture = Fixture::new();
     assert_eq!(fixture.grant(1, 1, vec![]), []);
     let uncertain = Message::Uncertain { claim: fixture_claim(), reason: RejectReason::Recovering };
@@ -176,11 +176,11 @@
 }
 
 #[test]
-fn of_two_claims_that_each_hold_some_grants_the_lower_one_keeps_retrying() {
+fn of_two_claims_that_each_hold_some_grants_the_one_with_the_lower_id_keeps_retrying() {
     let mut fixture = Fixture::new();
     fixture.grant(1, 1, vec![]);
     fixture.claims.handle_unreachable(at(1), id(3), &mut fixture.out);
-    assert_eq!(fixture.block(2, conflicting_claim(1), None), [], "the fixture's claim is lower");
+    assert_eq!(fixture.block(2, conflicting_claim(1), None), [], "the fixture's claim has the lower id");
     fixture.tick(60, |_| true);
     assert!(
         matches!(fixture.out[..], [ClaimAction::Send(to, Message::Claim(_))] if to == id(2)),
--- a/fleet/src/message.rs
+++ b/fleet/src/message.rs
@@ -158,7 +158,7 @@
 /// State of one key at a replica, as it is transferred and stored.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ReplicaRecord {
-    /// The key.
+    /// Idempotency key that the state belongs to.
     pub key: Key,
     /// Remaining idempotency window of the key, in milliseconds.
     pub retain_ms: u64,
@@ -264,7 +264,7 @@
     Uncertain {
         /// The claim of the attempt that asked.
         claim: ClaimId,
-        /// The reason.
+        /// Why the replica gave no definite response.
         reason: RejectReason,
     },
     /// Requests that a replica stores a completed run.
--- a/fleet/src/recovery/state_transfer.rs
+++ b/fleet/src/recovery/state_transfer.rs
@@ -110,7 +110,7 @@
 pub(crate) struct StateTransfer {
     /// Number of times that the transfer was started; pages of earlier rounds are ignored.
     round: u32,
-    /// In the order in which pages are requested from them.
+    /// Donors in the order in which pages are requested from them.
     donors: Vec<DonorProgress>,
     /// Number of donors of whose tables a part has not been received.
     open_donors: usize,
--- a/fleet/src/replica_node/event.rs
+++ b/fleet/src/replica_node/event.rs
@@ -101,7 +101,7 @@
     Store {
         /// Sequence number of the change.
         sequence: StoreSequence,
-        /// The key.
+        /// Key whose record changes.
         key: Key,
         /// The record to store; `None` if the key is to be removed.
         record: Option<StoredRecord>,
--- a/fleet/src/replica_node/incarnation.rs
+++ b/fleet/src/replica_node/incarnation.rs
@@ -9,7 +9,7 @@
 use crate::Time;
 
 impl ReplicaNode {
-    /// Handles that a peer knows of a later incarnation of this node.
+    /// Called when a peer knows of a later incarnation of this node.
     pub(super) fn handle_superseded(&mut self, incarnation: Incarnation, out: &mut Vec<Action>) {
         if incarnation <= self.incarnation || self.participation != Participation::Active {
             return;
@@ -24,7 +24,7 @@
         self.set_incarnation(incarnation.next(), out);
     }
 
-    /// Handles that a peer knows a later position of this node's state than the restored one. The node then
+    /// Called when a peer knows a later position of this node's state than the restored one. The node then
     /// discards its state and begins another incarnation, so that its grants in this one no longer count.
     pub(super) fn handle_stale_state(&mut self, now: Time, latest: StatePosition, out: &mut Vec<Action>) {
         let Some(restored) = self.restored.filter(|restored| restored.is_stale(&latest)) else { return };
@@ -65,7 +65,7 @@
         out.push(Action::SendHello);
     }
 
-    /// Handles that the process was suspended. Liveness that was observed before the suspension is discarded.
+    /// Called after the process was suspended. Liveness that was observed before the suspension is discarded.
     pub(super) fn resume(&mut self, suspended_for: Duration, out: &mut Vec<Action>) {
         self.metrics.suspensions += 1;
         self.has_quorum = false;
--- a/fleet/src/replica_node/metrics.rs
+++ b/fleet/src/replica_node/metrics.rs
@@ -32,7 +32,7 @@
     pub suspensions: u64,
     /// Page requests that the node deferred as a donor.
     pub transfers_deferred: u64,
-    /// Restored states that turned out to be stale.
+    /// Restored states that were found to be stale.
     pub stale_states: u64,
 }
 
--- a/fleet/src/replica_node/notification.rs
+++ b/fleet/src/replica_node/notification.rs
@@ -55,7 +55,7 @@
     DuplicateRun(RunConflict),
     /// Records of a donor were dropped, because the replica table or an entry of it is full.
     CapacityExceeded {
-        /// The donor.
+        /// Node that sent the records.
         donor: NodeId,
     },
     /// The node's recovery has entered another stage.
