--- a/node/src/backend/interpreter.rs
+++ b/node/src/backend/interpreter.rs
@@ -211,7 +211,7 @@
         Ok(())
     }
 
-    /// Fails all runs after a restart of the interpreter. Each of them may have had its effect, so none is
+    /// Fails all runs after a restart of the interpreter. Each of them may have taken effect, so none is
     /// started again.
     async fn process_restart(&mut self) {
         log!("interpreter: restarted: lost_runs={}", self.runs.len());
--- a/node/src/config/error.rs
+++ b/node/src/config/error.rs
@@ -39,9 +39,9 @@
     /// A number is outside its range.
     #[error("{key}: {value} is out of range, must be from {} to {}", range.start(), range.end())]
     OutOfRange {
-        /// The key.
+        /// Configuration key that the error is about.
         key: String,
-        /// Its value.
+        /// Value of the configuration key.
         value: u64,
         /// The allowed values.
         range: RangeInclusive<u64>,
@@ -49,9 +49,9 @@
     /// A string does not have the expected form.
     #[error("{key}: {value:?} is not {expected}")]
     Invalid {
-        /// The key.
+        /// Configuration key that the error is about.
         key: String,
-        /// Its value.
+        /// Value of the configuration key.
         value: String,
         /// A description of the expected form.
         expected: &'static str,
@@ -59,7 +59,7 @@
     /// A key is missing, or its value contradicts another one.
     #[error("{key}: {problem}")]
     Inconsistent {
-        /// The key.
+        /// Configuration key that the error is about.
         key: String,
         /// A description of the problem.
         problem: String,
--- a/node/src/dispatcher.rs
+++ b/node/src/dispatcher.rs
@@ -1,15 +1,18 @@
-//! The dispatcher connects the exchange to the admission module, which makes every decision. It collects the events
-//! since its last wake-up into one batch, calls [`Admission::handle`] with it, and carries out the resulting actions.
-//! It owns the open attempts, the idempotency table and the timers, and knows no wire protocol.
+//! The dispatcher connects the exchange (the queues to the frontends and backends) to the admission module,
+//! which decides which attempts are run, queued or rejected. Some attempts are answered without it, see
+//! `submission`. The dispatcher collects the events since its last wake-up into one batch, calls
+//! [`Admission::handle`] with it, and carries out the resulting actions. It owns the open attempts, the
+//! idempotency table and the timers, and knows no wire protocol.
 //!
 //! An attempt passes through the modules in this order: `submission` matches its key against the idempotency
-//! table and passes it to the admission module; `actions` carries out the decisions; `runs` has the run gate
-//! authorize the run and sends it to the backend; `calls` makes the calls that the run needs; `runs`
-//! completes the run and answers its client and every attempt that waits for the same key. `handover`
-//! transfers the table to another process of this node.
+//! table and passes it to the admission module; `actions` carries out the decisions; `runs` asks the run
+//! gate, the interface to the stores of keys on disk and on other nodes, to authorize the run, and sends it
+//! to the backend; `calls` makes the calls that the run needs; `runs` completes the run and answers its
+//! client and every attempt that waits for the same key. `handover` transfers the table to another process of
+//! this node.
 //!
-//! The dispatcher guarantees that every submission is answered at most once, and that no key runs twice while
-//! it is in the idempotency table.
+//! The dispatcher guarantees that every submission is answered at most once, and that no request runs twice
+//! while its key is in the idempotency table.
 
 mod actions;
 mod attempts;
@@ -48,7 +51,7 @@
 const IDLE_WAKE_INTERVAL: Duration = Duration::from_secs(3600);
 
 /// Returns the settings for the admission module, with no memory charged per key: the module accounts for the
-/// interpreter's memory, whereas keys are kept in this process, in a table with a bound of its own.
+/// memory of the interpreter, whereas keys are kept in this process, in a table with a bound of its own.
 fn admission_settings(settings: &NamedSettings) -> Settings {
     Settings { key_memory_kb: 0.0, ..settings.settings.clone() }
 }
@@ -61,9 +64,9 @@
     seed: u64,
     /// `None` until a backend can run requests.
     admission: Option<Admission>,
-    /// Whether the admission module has been called with an empty batch. Right after the start that call makes it set
-    /// its timers; later empty batches are not passed on.
-    empty_batch_handed_over: bool,
+    /// Whether the admission module has been called with an empty batch. The first such call makes the module
+    /// set its timers; later empty batches are not passed to it.
+    empty_batch_passed: bool,
     /// The current batch: events for the next call of the admission module.
     admission_events: Vec<Event>,
     /// Events left for the next batch: an attempt whose key already has an attempt in the current batch, and every
@@ -79,14 +82,14 @@
     decision_log: Option<DecisionLog>,
     /// Number of rejections made without the admission module; varies the jitter of the waits that they advise.
     jitter_sequence: Cell<u64>,
-    /// Total of the forward steps of the system clock at the last check.
+    /// Sum of the forward steps of the system clock by which key expiries have been postponed so far.
     observed_clock_steps: Duration,
 }
 
 impl Dispatcher {
     /// Creates a dispatcher that applies `settings` once a backend can run requests. Results that are kept
-    /// for repeated attempts take `max_result_bytes` at most, and the entries of their keys about as much
-    /// again.
+    /// for repeated attempts take at most `max_result_bytes`; the entries of the keys take up to about the
+    /// same amount in addition.
     pub(crate) fn new(
         endpoints: DispatcherEndpoints,
         settings: NamedSettings,
@@ -98,7 +101,7 @@
             settings,
             seed,
             admission: None,
-            empty_batch_handed_over: false,
+            empty_batch_passed: false,
             admission_events: Vec::new(),
             deferred: VecDeque::new(),
             actions: Vec::new(),
@@ -113,8 +116,8 @@
         }
     }
 
-    /// Authorizes runs through `run_gate` from now on. `recovered` holds the records that its stores kept
-    /// from earlier processes; it is `None` while the predecessor still has the stores.
+    /// Authorizes runs through `run_gate` from now on. `recovered` holds the records of earlier processes
+    /// that the gate's stores contain; it is `None` while the predecessor process still uses the stores.
     pub(crate) fn set_run_gate(&mut self, run_gate: RunGate, recovered: Option<HandoverState>) {
         run_gate.register_metrics(&self.endpoints.metrics);
         self.run_gate = run_gate;
@@ -134,7 +137,7 @@
         self.decision_log = Some(decision_log);
     }
 
-    /// Handles events until every handle of the exchange is dropped.
+    /// Handles events until all senders of events have been dropped.
     pub(crate) async fn run(mut self) {
         loop {
             let wake = self.next_wake();
@@ -178,7 +181,7 @@
         self.reject_expired_buffered(now);
         self.fire_timers(now);
         loop {
-            self.run_admission(now);
+            self.call_admission(now);
             if self.deferred.is_empty() && self.admission_events.is_empty() {
                 break;
             }
@@ -191,14 +194,15 @@
         self.update_drain_status(now);
     }
 
-    /// Extends all keys by the forward steps of the system clock since the last check, so that none expires early.
+    /// Postpones the expiry of all keys by the forward steps of the system clock since the last call, so that
+    /// no key expires early.
     fn follow_clock_steps(&mut self) {
         let total = clock::stepped_ahead();
         let step = total.saturating_sub(self.observed_clock_steps);
         if !step.is_zero() {
             self.observed_clock_steps = total;
             log!("dispatcher: clock stepped ahead: step_ms={}", step.as_millis());
-            self.idempotency.extend_all(step);
+            self.idempotency.postpone_expiry(step);
         }
     }
 
@@ -226,7 +230,8 @@
         attempt.responder.is_some() || awaited_by_successor
     }
 
-    /// Handles an event, or defers it if an earlier one is deferred to the next batch, so that they stay in order.
+    /// Handles an event, or defers it if an earlier event has been deferred to the next batch, so that events
+    /// stay in order.
     fn handle(&mut self, event: DispatcherEvent) {
         if !self.deferred.is_empty() {
             return self.deferred.push_back(event);
@@ -259,8 +264,8 @@
         }
     }
 
-    /// Starts the admission module when a backend first reports that it can run requests. Whether the backend is cold
-    /// is known only then.
+    /// Starts the admission module when a backend first reports that it can run requests. Only then is it
+    /// known whether the backend is cold, i.e. needs `warm_up_time` before it runs at full speed.
     fn start_admission(&mut self, cold: bool) {
         if self.admission.is_some() {
             return;
@@ -276,9 +281,10 @@
         }
     }
 
-    /// Applies new settings. Events that came before are decided under the old ones first.
+    /// Applies new settings. Events that arrived earlier are first passed to the admission module under the
+    /// old settings.
     fn reconfigure(&mut self, settings: NamedSettings, digest: &str) {
-        self.run_admission(clock::now());
+        self.call_admission(clock::now());
         self.settings = settings;
         if let Some(decision_log) = &self.decision_log {
             decision_log.set_settings_digest(digest.to_owned());
@@ -291,8 +297,9 @@
     /// Handles the shutdown notice: the process is stopped at `stops_at`.
     fn drain(&mut self, stops_at: UnixTime) {
         let now = clock::now();
-        // An attempt that waits for another node's run, with a deadline at the stop or later, could still be waiting
-        // when this process is stopped, so it is answered now.
+        // An attempt that waits for another node's run, and has a deadline that is at most `TIMEOUT_MARGIN`
+        // before the stop or later, could still be waiting when this process is stopped, so it is answered
+        // now.
         let waits_past_stop = |attempt: &&Attempt| {
             attempt.phase == Phase::AwaitingRemoteRun && attempt.request.deadline + TIMEOUT_MARGIN >= stops_at
         };
--- a/node/src/dispatcher/actions.rs
+++ b/node/src/dispatcher/actions.rs
@@ -13,17 +13,17 @@
 
 impl Dispatcher {
     /// Ends the batch: calls the admission module once with the collected events, carries out its actions,
-    /// and removes the cancelled attempts of which no run is still to end.
-    pub(super) fn run_admission(&mut self, now: UnixTime) {
+    /// and removes the cancelled attempts that have no run in progress.
+    pub(super) fn call_admission(&mut self, now: UnixTime) {
         let events = std::mem::take(&mut self.admission_events);
         self.idempotency.end_batch();
         let Some(admission) = &mut self.admission else { return };
         if events.is_empty() {
-            // Only the first empty batch is passed on: right after the start it makes the module set its timers.
-            if self.empty_batch_handed_over {
+            // Only the first empty batch is passed to the module: it makes the module set its timers.
+            if self.empty_batch_passed {
                 return;
             }
-            self.empty_batch_handed_over = true;
+            self.empty_batch_passed = true;
         }
         let mut actions = std::mem::take(&mut self.actions);
         admission.handle(now, &events, &mut actions);
@@ -33,7 +33,7 @@
         self.actions = actions;
         for event in &events {
             if let Event::Cancelled(id) = event {
-                self.remove_if_answer_ends_it(*id);
+                self.remove_if_no_run_in_progress(*id);
             }
         }
     }
@@ -68,7 +68,7 @@
     }
 
     /// Rejects an attempt. A rejection promises that the attempt never ran, so an attempt that has started,
-    /// or waits for another run of its key, is answered with a failure instead.
+    /// or waits for the run of another attempt with the same key, is answered with a failure instead.
     fn reject(&mut self, id: RequestId, retry_after: Option<Duration>, give_up: bool) {
         let is_queued = self.attempts.get(id).is_some_and(|attempt| attempt.phase == Phase::Queued);
         let outcome = if is_queued {
@@ -77,17 +77,18 @@
             RequestOutcome::Failed { timed_out: false }
         };
         self.answer_attempt(id, outcome);
-        self.remove_if_answer_ends_it(id);
+        self.remove_if_no_run_in_progress(id);
     }
 
     fn fail(&mut self, id: RequestId, now: UnixTime) {
         let deadline = self.attempts.get(id).map_or(now, |attempt| attempt.request.deadline);
         let timed_out = now + TIMEOUT_MARGIN >= deadline;
         self.answer_attempt(id, RequestOutcome::Failed { timed_out });
-        self.remove_if_answer_ends_it(id);
+        self.remove_if_no_run_in_progress(id);
     }
 
-    /// Makes an attempt the holder of its key.
+    /// Records that the attempt holds its key until `expires_at`: later attempts with the key are matched
+    /// against it.
     fn assign_key(&mut self, id: RequestId, expires_at: UnixTime) {
         let Some(request) = self.attempts.get(id).map(|attempt| attempt.request.clone()) else { return };
         if let Some(key) = self.dedup_key(&request) {
@@ -102,9 +103,10 @@
         self.update_status(|status| status.health = Some(healthy));
     }
 
-    /// Removes an answered attempt, unless the end of its run, here or on another node, is still to be reported.
-    fn remove_if_answer_ends_it(&mut self, id: RequestId) {
-        if self.attempts.get(id).is_some_and(|attempt| attempt.phase.ends_with_answer()) {
+    /// Removes an answered attempt, unless a run of it, or the run on another node that it waits for, is in
+    /// progress.
+    fn remove_if_no_run_in_progress(&mut self, id: RequestId) {
+        if self.attempts.get(id).is_some_and(|attempt| attempt.phase.has_no_run_in_progress()) {
             self.attempts.remove(id);
         }
     }
--- a/node/src/dispatcher/attempts.rs
+++ b/node/src/dispatcher/attempts.rs
@@ -10,9 +10,9 @@
 use crate::clock::UnixTime;
 use crate::exchange::{Request, Responder, SubmissionId, TransactionId};
 
-/// Margin before a request's deadline from which a failure counts as a timeout, and at which a request that is
-/// still waiting is answered. It covers one period of the admission module's timer, which fails requests up to
-/// a period before their deadline, and a small reserve.
+/// A failure within this time before a request's deadline counts as a timeout, and a request that is still
+/// waiting is answered this time before its deadline. The margin covers one period of the admission module's
+/// timer, which fails requests up to a period before their deadline, and a small reserve.
 pub(super) const TIMEOUT_MARGIN: Duration = Duration::from_millis(60);
 
 /// One attempt of a request, kept from when it is read until it is answered and its run, if any, has ended.
@@ -30,9 +30,10 @@
 pub(super) enum Phase {
     /// The admission module has it in its queue.
     Queued,
-    /// It waits for the outcome of another attempt of its key.
+    /// It waits for the outcome of another attempt with the same key.
     WaitingForAttempt { since: UnixTime },
-    /// It waits for the outcome of another node's run of its key. The admission module counts it as finished.
+    /// It waits for the outcome of another node's run with the same key. The admission module has been told
+    /// that it was skipped.
     AwaitingRemoteRun,
     /// The admission module has started it: its run is under way, or waits for the run gate. The time since
     /// `started_at` includes that wait.
@@ -54,8 +55,9 @@
         }
     }
 
-    /// Whether the attempt can be removed once it is answered, because no run of it is still to end.
-    pub(super) fn ends_with_answer(&self) -> bool {
+    /// Whether neither a run of the attempt nor a run on another node that it waits for is in progress, so
+    /// that the attempt can be removed once it is answered.
+    pub(super) fn has_no_run_in_progress(&self) -> bool {
         matches!(self, Phase::Queued | Phase::WaitingForAttempt { .. })
     }
 }
@@ -74,8 +76,9 @@
 }
 
 impl AttemptTable {
-    /// Returns an id for an attempt, or for a key that another process ran. It is never 0. Ids are reused after
-    /// about four billion others, when the earlier attempt is no longer open.
+    /// Returns an id for an attempt, or for a key whose run belongs to another process. It is never 0. Ids
+    /// repeat after about four billion; the earlier attempt is assumed, without a check, to be no longer open
+    /// by then.
     pub(super) fn allocate_id(&mut self) -> RequestId {
         let id = RequestId(self.next_id);
         self.next_id = self.next_id.wrapping_add(1).max(1);
--- a/node/src/dispatcher/calls.rs
+++ b/node/src/dispatcher/calls.rs
@@ -1,4 +1,4 @@
-//! Calls that runs make to the tier below.
+//! Calls that runs make to the dependency or tier below this node.
 
 use bytes::Bytes;
 use oakwind_admission::{Event, Outcome as AdmissionOutcome, RequestId};
@@ -33,7 +33,7 @@
         self.send_call_command(CallCommand::Call { request, body, deadline: call_deadline });
     }
 
-    /// Lets a run go on without the call that it waits for.
+    /// Lets a run continue without the call that it waits for.
     pub(super) fn skip_call(&mut self, id: RequestId) {
         let Some(attempt) = self.attempts.get_mut(id) else { return };
         if let Phase::AwaitingCall { started_at, .. } = attempt.phase {
@@ -43,8 +43,8 @@
         }
     }
 
-    /// Handles the end of a call. A reply is passed to the run; after any other outcome the admission module decides
-    /// how the run goes on.
+    /// Handles the end of a call. A reply is passed to the run; after any other outcome the admission module
+    /// decides how the run continues.
     pub(super) fn call_ended(&mut self, txn: &TransactionId, call_outcome: CallOutcome) {
         let Some(id) = self.attempts.id_of(txn) else { return };
         let Some(attempt) = self.attempts.get_mut(id) else { return };
@@ -69,17 +69,21 @@
         self.admission_events.push(Event::CallReturned { id, outcome, took });
     }
 
-    /// Sends a command to the backend that makes calls. If the queue is full, a call ends as unreachable.
+    /// Sends a command to the backend that makes calls. If the queue is full or closed, the command is
+    /// dropped, and a call that it would have made ends as unreachable.
     pub(super) fn send_call_command(&mut self, command: CallCommand) {
-        let called_txn = match &command {
-            CallCommand::Call { request, .. } => Some(request.txn.clone()),
-            CallCommand::Abandon(_) => None,
+        let (txn, is_call) = match &command {
+            CallCommand::Call { request, .. } => (request.txn.clone(), true),
+            CallCommand::Abandon(txn) => (txn.clone(), false),
         };
-        if self.endpoints.calls.try_send(command).is_err() {
-            log!("dispatcher: call command dropped, queue is full; a call counts as unreachable");
-            if let Some(txn) = called_txn {
-                self.call_ended(&txn, CallOutcome::Unreachable);
-            }
+        if self.endpoints.calls.try_send(command).is_ok() {
+            return;
+        }
+        if is_call {
+            log!("dispatcher: call not made, queue of call commands is full or closed: txn={txn}");
+            self.call_ended(&txn, CallOutcome::Unreachable);
+        } else {
+            log!("dispatcher: abandon command dropped, queue of call commands is full or closed: txn={txn}");
         }
     }
 }
--- a/node/src/dispatcher/handover.rs
+++ b/node/src/dispatcher/handover.rs
@@ -1,8 +1,9 @@
 //! The dispatcher's part in an upgrade in place: the state that it receives from the predecessor process and
 //! the state that it transfers to its successor. `crate::handover` is the link between the two processes.
 //!
-//! No key runs twice while both processes run: once the predecessor has transferred its table, it rejects
-//! keys that are not in it; the successor buffers attempts with keys until it has received the table.
+//! No request with a key runs twice while both processes run: once the predecessor has transferred its table,
+//! it rejects keys that are not in it; the successor buffers attempts with keys until it has received the
+//! table.
 
 use std::time::Duration;
 
@@ -33,8 +34,8 @@
         self.update_status(|status| status.handed_over = true);
     }
 
-    /// Handles the end of the successor process: this process acquires the stores again and continues to
-    /// serve, unless it is draining.
+    /// Called when the successor process has ended: this process takes back the stores of keys and results
+    /// and continues to serve, unless it is draining.
     pub(super) fn successor_lost(&mut self) {
         self.handover.successor = None;
         self.run_gate.acquire_stores(KeySource::Store);
@@ -86,7 +87,7 @@
     fn send_to_successor(&mut self, state: HandoverState) {
         let Some(successor) = &self.handover.successor else { return };
         if successor.updates.try_send(state).is_err() {
-            log!("handover: update queue to the successor is full, no further updates are sent");
+            log!("handover: update queue to the successor is full or closed, no further updates are sent");
             self.handover.successor = None;
         }
     }
@@ -117,8 +118,9 @@
         self.submit_buffered();
     }
 
-    /// Starts storing the outcome of a predecessor's run, which must be stored before it is given to any client.
-    /// Returns the key's holder if a gate event follows, or `None` if there is nothing to wait for.
+    /// Starts storing the outcome of a predecessor's run, which must be stored before it is given to any
+    /// client. Returns the holder of the key if the run gate will report the end of storing as an event, or
+    /// `None` if there is nothing to wait for.
     fn start_storing(&mut self, record: &IdempotencyRecord) -> Option<RequestId> {
         if !self.run_gate.is_durable() {
             return None;
@@ -157,13 +159,15 @@
         self.complete_waiters(imported.waiters, &imported.outcome);
     }
 
-    /// Inserts a record into the idempotency table. The caller completes the attempts that waited for its outcome.
+    /// Inserts a record into the idempotency table. Returns the outcome and the attempts that waited for it,
+    /// if the record completes a run of an earlier process.
     fn insert_record(&mut self, record: IdempotencyRecord) -> Option<ImportedOutcome> {
         let id = self.attempts.allocate_id();
         self.idempotency.import(record, id)
     }
 
-    /// Imports the records that the stores kept from earlier processes. Runs without an outcome count as failed.
+    /// Imports the records that the stores kept from earlier processes. Runs without an outcome count as
+    /// failed. Attempts that waited for an outcome in these records are not completed here.
     pub(super) fn import_recovered(&mut self, records: Vec<IdempotencyRecord>) {
         for record in records {
             self.insert_record(record);
@@ -201,7 +205,8 @@
         self.handover.buffered.push(submission);
     }
 
-    /// Ends the wait for the predecessor's table and submits the buffered attempts.
+    /// Ends the wait for the predecessor's table and defers the buffered attempts to the next batch, which
+    /// submits them.
     fn submit_buffered(&mut self) {
         self.update_status(|status| status.awaiting_state = false);
         let buffered = std::mem::take(&mut self.handover.buffered);
--- a/node/src/dispatcher/handover_progress.rs
+++ b/node/src/dispatcher/handover_progress.rs
@@ -10,15 +10,16 @@
 use crate::exchange::{HandoverState, Submission};
 use crate::outcome::IdempotencyRecord;
 
-/// State of a handover in either direction: from the predecessor, to the successor.
+/// State of a handover, either from the predecessor or to the successor.
 #[derive(Default)]
 pub(super) struct HandoverProgress {
-    /// The process that takes over from this one, while it runs.
+    /// The process that takes over from this one; `None` if no such process runs.
     pub(super) successor: Option<Successor>,
-    /// Attempts with keys that came before the predecessor's table. Their number is bounded by what the connections
-    /// allow.
+    /// Attempts with keys that arrived before the predecessor's table. Their number is bounded by the number
+    /// of requests that clients may have open on their connections.
     pub(super) buffered: Vec<Submission>,
-    /// The predecessor's records whose outcome is being stored, by the attempt that holds the key here.
+    /// The predecessor's records whose outcomes are being stored, indexed by the id that holds the record's
+    /// key in this process.
     pub(super) storing: HashMap<RequestId, IdempotencyRecord>,
 }
 
@@ -35,7 +36,7 @@
 
 /// The process that takes over from this one.
 pub(super) struct Successor {
-    /// Queue of the table and its later changes.
+    /// Queue on which the idempotency table and later changes to it are sent to the successor.
     pub(super) updates: mpsc::Sender<HandoverState>,
     /// When the idempotency table is to be transferred.
     pub(super) transfer_at: UnixTime,
--- a/node/src/dispatcher/idempotency.rs
+++ b/node/src/dispatcher/idempotency.rs
@@ -1,7 +1,8 @@
 //! The idempotency table: which attempt holds a key, the outcome of its run, and the attempts that wait for it.
 //!
-//! At most one attempt of a key is allowed to run until the key expires. Results take a bounded amount of memory:
-//! without a durable store the oldest results are dropped first, while the fact that the key has run is kept.
+//! At most one of the attempts with the same key is allowed to run until the key expires. Results take a
+//! bounded amount of memory: without a durable store the oldest results are dropped first, while the fact
+//! that the key has run is kept.
 
 mod entry;
 
@@ -20,9 +21,9 @@
 };
 use entry::Entry;
 
-/// Estimated memory of one entry without its result, in bytes. The estimate is deliberately high.
+/// Upper estimate of the memory of one entry without its result, in bytes.
 const ENTRY_BYTES: usize = 512;
-/// Number of keys that a table can hold however low its memory bound is.
+/// Minimum capacity of a table in keys; it applies even if the memory bound allows fewer.
 const MIN_CAPACITY: usize = 1000;
 /// Shortest interval between two removals of expired entries.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
@@ -54,13 +55,14 @@
     pub(crate) outcome: StoredOutcome,
 }
 
-/// The entries of all keys that have not expired, and of those whose run has not ended.
+/// The entries of all keys until [`LATE_READ_GRACE`] after they expire, or until their run has ended if that
+/// is later.
 #[derive(Debug, Default)]
 pub(crate) struct IdempotencyTable {
     /// Seeds the digests of bodies. It is random, so that no client can construct a collision.
     digest_seed: u64,
     entries: HashMap<IdempotencyKey, Entry>,
-    /// The key that each holder holds.
+    /// The key that each attempt holds, for the attempts that hold one (see [`Entry::holder`]).
     key_by_holder: HashMap<RequestId, IdempotencyKey>,
     /// Keys of the attempts in the current batch.
     keys_in_batch: HashSet<IdempotencyKey>,
@@ -70,14 +72,16 @@
     /// Total length of the stored results.
     result_bytes: usize,
     max_result_bytes: usize,
-    /// Whether results are kept until their keys expire. Memory is then reserved for the results of pending runs.
+    /// Whether results must be kept until their keys expire, as a durable store requires. Memory is then
+    /// reserved for the results of pending runs.
     durable: bool,
     /// Number of keys without an outcome.
     pending_count: usize,
 }
 
 impl IdempotencyTable {
-    /// Creates an empty table whose results take `max_result_bytes` at most, and whose keys about as much again.
+    /// Creates an empty table whose results take at most `max_result_bytes`, and whose keys up to about the
+    /// same amount in addition.
     pub(crate) fn new(max_result_bytes: usize) -> Self {
         // The hasher is seeded at random, so its hash of a constant is a random number.
         let digest_seed = RandomState::new().hash_one(());
@@ -119,7 +123,8 @@
         }
         let entry = self.entries.get(&key)?;
         let outcome = StoredOutcome::from_run_state(state)?;
-        // The outcome is ignored if the key has one already, or if an attempt of this process runs the key.
+        // The outcome is ignored if the key has one already, or if the key's run belongs to an attempt of
+        // this process.
         if !entry.run_by_earlier_process || entry.outcome.is_some() {
             return None;
         }
@@ -136,18 +141,19 @@
         lost.into_iter().flat_map(|id| self.complete(id, StoredOutcome::Failed)).collect()
     }
 
-    /// Whether the current batch has an attempt of this key.
+    /// Whether the current batch has an attempt with this key.
     pub(crate) fn is_in_batch(&self, key: &IdempotencyKey) -> bool {
         self.keys_in_batch.contains(key)
     }
 
-    /// Ends the current batch, as the admission module decides about it now.
+    /// Empties the set of keys in the current batch. Called when the batch is passed to the admission module.
     pub(crate) fn end_batch(&mut self) {
         self.keys_in_batch.clear();
     }
 
-    /// Matches an attempt against the entry of its key and, unless the bodies differ, adds the key to the current
-    /// batch. `received_at` is when the machine received the attempt; an entry that had expired by then is released.
+    /// Matches an attempt against the entry of its key and, unless the bodies differ, adds the key to the
+    /// current batch. `received_at` is when this node received the attempt; an entry that had expired by then
+    /// is released.
     pub(crate) fn register_attempt(
         &mut self,
         key: IdempotencyKey,
@@ -209,7 +215,8 @@
     /// Whether the table has no capacity for another key. A key can't be dropped before it expires, so memory is
     /// bounded by refusing new keys.
     pub(crate) fn is_full(&self) -> bool {
-        // Counts the longest result for each pending key and the new one, so that no result has to be dropped.
+        // Assumes a result of the maximum length for each pending key and for the new key, so that no result
+        // has to be dropped.
         let worst_case_result_bytes =
             if self.durable { self.result_bytes + (self.pending_count + 1) * MAX_RESULT_BYTES } else { 0 };
         let capacity = (self.max_result_bytes / ENTRY_BYTES).max(MIN_CAPACITY);
@@ -251,9 +258,9 @@
         self.key_by_holder.contains_key(&id)
     }
 
-    /// Returns whether this attempt may run, which is so unless another attempt of its key has been started. If it
-    /// may, it is recorded as the one that runs. A key that is not in the table has been released: no attempt of it
-    /// is running or has run.
+    /// Returns whether this attempt may run: it may unless another attempt with the same key has been
+    /// started. If it may, it is recorded as the one that runs. If the key is not in the table, because it
+    /// was released or has expired, nothing is recorded and the attempt may run.
     pub(crate) fn try_start(&mut self, key: &IdempotencyKey, id: RequestId) -> bool {
         let Some(entry) = self.entries.get_mut(key) else { return true };
         *entry.run_by.get_or_insert(id) == id
@@ -261,8 +268,8 @@
 
     /// Makes an attempt wait for the outcome of its key's run. Returns the outcome if it is known already.
     pub(crate) fn wait_for_outcome(&mut self, key: &IdempotencyKey, id: RequestId) -> Option<StoredOutcome> {
-        // The entry that the attempt was matched against may have been released since, and its outcome is
-        // unknown then.
+        // The entry that the attempt was matched against may have been released since. In that case the
+        // outcome of the run is not known any more, so the attempt fails.
         let Some(entry) = self.entries.get_mut(key) else { return Some(StoredOutcome::Failed) };
         if entry.outcome.is_none() {
             entry.waiters.push(id);
@@ -270,8 +277,8 @@
         entry.outcome.clone()
     }
 
-    /// Stores the outcome of the run of a key, which attempt `id` holds, and returns the attempts that waited
-    /// for it. If the run never started, the key is released, so that another attempt may run.
+    /// Stores the outcome for the key that attempt `id` holds, and returns the attempts that waited for it.
+    /// If the run never started, the key is released, so that another attempt may run.
     pub(crate) fn complete(&mut self, id: RequestId, outcome: StoredOutcome) -> Vec<RequestId> {
         let Some(key) = self.key_by_holder.get(&id) else { return Vec::new() };
         let Some(entry) = self.entries.get_mut(key) else { return Vec::new() };
@@ -297,9 +304,9 @@
         waiters
     }
 
-    /// Keeps results within their memory bound: drops the oldest results and keeps only the fact that their
-    /// keys ran. In a durable table there is nothing to drop, as [`is_full`](Self::is_full) reserves memory
-    /// for all results to come.
+    /// Keeps results within their memory bound: drops the oldest results. The outcome of their keys becomes
+    /// `Failed`, so that repeated attempts fail instead of running again. In a durable table there is nothing
+    /// to drop, as [`is_full`](Self::is_full) reserves memory for all results to come.
     fn drop_oldest_results(&mut self) {
         while self.result_bytes > self.max_result_bytes {
             let Some(oldest) = self.keys_with_outcome.pop_front() else { break };
@@ -310,8 +317,8 @@
         }
     }
 
-    /// Releases the key that an attempt holds, because its outcome can't be known. Returns the attempts that
-    /// waited for that outcome.
+    /// Releases the key of an attempt that can't get the key's outcome (see `Dispatcher::abandon_key`).
+    /// Returns the attempts that waited for that outcome.
     pub(crate) fn abandon(&mut self, id: RequestId) -> Vec<RequestId> {
         let entry = self.key_by_holder.get(&id).and_then(|key| self.entries.get_mut(key));
         let waiters = entry.map(|entry| std::mem::take(&mut entry.waiters)).unwrap_or_default();
@@ -319,8 +326,9 @@
         waiters
     }
 
-    /// Extends all keys after the clock stepped ahead, so that none expires early and runs a second time.
-    pub(crate) fn extend_all(&mut self, by: Duration) {
+    /// Postpones the expiry of all keys after the clock stepped ahead, so that no key expires early and no
+    /// request runs a second time.
+    pub(crate) fn postpone_expiry(&mut self, by: Duration) {
         self.entries.values_mut().for_each(|entry| entry.expires_at += by);
     }
 
--- a/node/src/dispatcher/idempotency/entry.rs
+++ b/node/src/dispatcher/idempotency/entry.rs
@@ -11,10 +11,11 @@
     /// The latest attempt that the admission module assigned the key to. It differs from `run_by` if an earlier
     /// attempt ran and a later one took over its key.
     pub(super) holder: RequestId,
-    /// Digest of the body that all attempts of the key carry.
+    /// Digest of the body that all attempts with the key carry.
     pub(super) body_digest: BodyDigest,
     pub(super) expires_at: UnixTime,
-    /// The attempt that was started for the key; no other may be. `None` until one is started.
+    /// The attempt that was started for the key; no other attempt may be started. `None` until one is
+    /// started.
     pub(super) run_by: Option<RequestId>,
     /// Whether the run belongs to an earlier process: the predecessor in an upgrade, or one whose stores were
     /// recovered.
@@ -45,8 +46,8 @@
         Entry { run_by: Some(id), run_by_earlier_process: true, ..Entry::new(id, body_digest, expires_at) }
     }
 
-    /// Whether an attempt received at `received_at` is a new request: the key had expired by then and is not running.
-    /// While a run outlasts its key, no second run of the key may start.
+    /// Whether an attempt received at `received_at` is a new request: the key had expired by then and its run
+    /// is not in progress. While a run outlasts its key, no second run with the key may start.
     pub(super) fn has_expired(&self, received_at: UnixTime) -> bool {
         received_at > self.expires_at && !self.is_running()
     }
--- a/node/src/dispatcher/idempotency/tests.rs
+++ b/node/src/dispatcher/idempotency/tests.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn an_attempt_received_before_its_key_expired_is_a_repeat_if_read_within_the_grace() {
+fn an_attempt_received_before_its_key_expired_is_a_repeat_if_read_within_the_late_read_grace() {
     let mut table = table_with_first_attempt();
     table.sweep(at(120));
     assert_eq!(table.register_attempt(key(), b"x", at(117)), KeyMatch::RepeatOf(FIRST_ATTEMPT));
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_run_that_never_started_frees_its_key() {
+fn a_key_is_released_if_its_run_never_started() {
     let mut table = table_with_first_attempt();
     assert!(table.try_start(&key(), FIRST_ATTEMPT));
     assert_eq!(table.complete(FIRST_ATTEMPT, StoredOutcome::NeverStarted), []);
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_key_can_be_assigned_to_a_newer_attempt_and_is_in_its_batch() {
+fn a_repeated_key_joins_the_batch_and_can_be_assigned_to_the_newer_attempt() {
     let mut table = table_with_first_attempt();
     assert!(!table.is_in_batch(&key()));
     assert_eq!(table.register_attempt(key(), b"x", at(101)), KeyMatch::RepeatOf(FIRST_ATTEMPT));
@@ -117,7 +117,7 @@
 fn no_key_expires_early_when_the_clock_steps_ahead() {
     let mut table = IdempotencyTable::new(1000);
     table.assign(&key(), b"b", FIRST_ATTEMPT, at(117));
-    table.extend_all(Duration::from_secs(3600));
+    table.postpone_expiry(Duration::from_secs(3600));
     table.sweep(at(3716));
     assert_eq!(table.register_attempt(key(), b"b", at(3716)), KeyMatch::RepeatOf(FIRST_ATTEMPT));
     table.sweep(at(3717) + LATE_READ_GRACE);
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn the_oldest_results_are_dropped_at_the_memory_bound_but_their_keys_stay_run() {
+fn the_oldest_results_are_dropped_at_the_memory_bound_but_their_keys_cannot_run_again() {
     let mut table = table_with_first_attempt();
     let result = |bytes| StoredOutcome::Succeeded(Bytes::from_static(bytes));
     assert_eq!(table.complete(FIRST_ATTEMPT, result(b"seven b")), []);
@@ -155,7 +155,7 @@
     assert_eq!(
         table.register_attempt(key(), b"x", at(300)),
         KeyMatch::RepeatOf(FIRST_ATTEMPT),
-        "the run may still have its effect"
+        "the run is in progress and may still take effect"
     );
     assert_eq!(table.wait_for_outcome(&key(), SECOND_ATTEMPT), None);
     assert_eq!(table.complete(FIRST_ATTEMPT, StoredOutcome::Failed), [SECOND_ATTEMPT]);
--- a/node/src/dispatcher/runs.rs
+++ b/node/src/dispatcher/runs.rs
@@ -1,4 +1,4 @@
-//! Authorizes, starts and completes runs, and gives their outcomes to the other attempts of their keys.
+//! Authorizes, starts and completes runs, and gives their outcomes to the other attempts with the same keys.
 //!
 //! The end of a run is described by four types, each for one of its recipients:
 //!
@@ -33,7 +33,7 @@
             return;
         }
         let request = attempt.request.clone();
-        // No key runs a second time, whatever the admission module decides.
+        // A second run with the same key is refused even if the admission module asks for it.
         if self.dedup_key(&request).is_some_and(|key| !self.idempotency.try_start(&key, id)) {
             log!("dispatcher: attempt failed, another attempt of its key has run: txn={}", request.txn);
             self.answer_attempt(id, RequestOutcome::Failed { timed_out: false });
@@ -69,8 +69,8 @@
         }
     }
 
-    /// Handles the end of a run, or the fact that it will not start. The run gate stores the end before it is
-    /// reported to the client, the waiting attempts and the successor.
+    /// Handles a run that has ended or will not start. The run gate stores the outcome before it is reported
+    /// to the client, the waiting attempts and the successor.
     pub(super) fn run_ended(&mut self, txn: &TransactionId, completion: Completion) {
         let Some(id) = self.attempts.id_of(txn) else {
             return log!("dispatcher: completion ignored, attempt is not open: txn={txn}");
@@ -91,8 +91,8 @@
         }
     }
 
-    /// Completes a run whose end is stored, or need not be: reports it to the admission module, the client,
-    /// the waiting attempts and the successor.
+    /// Completes a run whose outcome has been stored or does not need to be stored: reports it to the
+    /// admission module, the client, the waiting attempts and the successor.
     pub(super) fn complete_run(&mut self, id: RequestId, completion: Completion) {
         let now = clock::now();
         let Some(attempt) = self.attempts.get(id) else { return };
@@ -123,7 +123,7 @@
     /// Returns the outcome to store for the key of a run that ended with `completion`.
     fn stored_outcome(&self, id: RequestId, completion: &Completion) -> StoredOutcome {
         match completion {
-            Completion::Succeeded(result) => StoredOutcome::Succeeded(self.owned_if_stored(id, result)),
+            Completion::Succeeded(result) => StoredOutcome::Succeeded(self.copy_if_stored(id, result)),
             Completion::NeverStarted => StoredOutcome::NeverStarted,
             Completion::Failed | Completion::Cancelled | Completion::Skipped => StoredOutcome::Failed,
         }
@@ -131,7 +131,7 @@
 
     /// Copies a result that is to be stored, as the stored result outlives the buffer that it was read into.
     /// Returns an empty result if the attempt holds no key, so that nothing is stored.
-    fn owned_if_stored(&self, id: RequestId, result: &Bytes) -> Bytes {
+    fn copy_if_stored(&self, id: RequestId, result: &Bytes) -> Bytes {
         if self.idempotency.is_holder(id) {
             Bytes::copy_from_slice(result)
         } else {
@@ -146,7 +146,7 @@
         self.complete_waiters(waiters, outcome);
     }
 
-    /// Makes a queued attempt wait for the outcome of another attempt of its key.
+    /// Makes a queued attempt wait for the outcome of another attempt with the same key.
     pub(super) fn wait_for_attempt(&mut self, id: RequestId, now: UnixTime) {
         let Some(attempt) = self.attempts.get_mut(id) else { return };
         attempt.phase = Phase::WaitingForAttempt { since: now };
@@ -181,7 +181,6 @@
         self.attempts.remove(id);
     }
 
-    /// Handles an event of the run gate.
     pub(super) fn on_gate_event(&mut self, event: GateEvent) {
         match event {
             GateEvent::Authorized { id, granted } => self.on_authorization(id, granted),
@@ -208,7 +207,8 @@
         self.run_ended(&request.txn, Completion::NeverStarted);
     }
 
-    /// Handles the stored end of a run: of a predecessor's run or of one of this process.
+    /// Called when the run gate has stored or refused the outcome of a run, either of the predecessor or of
+    /// this process.
     fn on_completion_stored(&mut self, id: RequestId, completion: Completion) {
         if !self.finish_storing(id, &completion) {
             self.complete_run(id, completion);
@@ -216,8 +216,8 @@
     }
 
     /// Reports an attempt to the admission module as skipped, because it does not run here: another node runs
-    /// its key, or may do so, or the key's outcome is unknown. Does nothing to the admission module if the
-    /// attempt has already been detached (`AwaitingRemoteRun`).
+    /// or may run a request with its key, or the key's outcome is unknown. Only an attempt in the phase
+    /// `Running` is reported, so nothing is sent for one that has already been detached.
     fn detach_from_admission(&mut self, id: RequestId) {
         let Some(attempt) = self.attempts.get_mut(id) else { return };
         let phase = std::mem::replace(&mut attempt.phase, Phase::AwaitingRemoteRun);
@@ -227,7 +227,7 @@
         }
     }
 
-    /// Completes an attempt with the outcome of another node's run of its key.
+    /// Completes an attempt with the outcome of another node's run with the same key.
     fn complete_remote_run(&mut self, id: RequestId, outcome: &StoredOutcome) {
         self.detach_from_admission(id);
         self.answer_attempt(id, self.outcome_for_repeat(outcome));
@@ -236,8 +236,9 @@
         self.attempts.remove(id);
     }
 
-    /// Ends an attempt whose key has an outcome that can't be known here. The key is released, so that the
-    /// next attempt asks the run gate again.
+    /// Ends an attempt that can't get the outcome of its key: the outcome is unknown, the key was used with
+    /// another body, or this process stops too early. The key is released, so that the next attempt asks the
+    /// run gate again.
     pub(super) fn abandon_key(&mut self, id: RequestId, answer: RequestOutcome) {
         self.detach_from_admission(id);
         self.answer_attempt(id, answer);
@@ -246,7 +247,7 @@
         self.attempts.remove(id);
     }
 
-    /// Describes the run of an attempt to the run gate; `None` if the attempt holds no key.
+    /// Returns the description of an attempt's run for the run gate; `None` if the attempt holds no key.
     pub(super) fn keyed_run(&self, id: RequestId) -> Option<KeyedRun> {
         let AssignedKey { key, body_digest, expires_at } = self.idempotency.assigned_key(id)?;
         let request = self.attempts.get(id).map(|attempt| attempt.request.clone());
--- a/node/src/dispatcher/submission.rs
+++ b/node/src/dispatcher/submission.rs
@@ -1,7 +1,7 @@
 //! Receives new attempts: passes them to the admission module, or answers them without its decision.
 //!
-//! While an earlier run of a key may be unknown to this process, no attempt of that key is passed to the admission
-//! module.
+//! No attempt is passed to the admission module while this process may not know of an earlier run with the
+//! same key.
 
 use std::rc::Rc;
 
@@ -18,7 +18,8 @@
 /// Mean wait that a rejection without the admission module advises, as a fraction of `max_retry_after`.
 const MEAN_RETRY_FRACTION: f64 = 0.25;
 
-/// Smallest jitter factor. The advised wait is its mean times a factor between this one and this one plus 1.
+/// Smallest jitter factor; the largest is 1 more. The advised wait is its mean times a factor that varies in
+/// this range.
 const MIN_JITTER_FACTOR: f64 = 0.5;
 
 /// Maps a number to a fraction from 0 to under 1, using as many of its upper bits as an `f64` holds exactly.
@@ -60,11 +61,11 @@
         if self.status().awaiting_state {
             return self.buffer_until_state_received(submission);
         }
-        if let Some(outcome) = self.outcome_without_decision(&key, request, now) {
+        if let Some(outcome) = self.outcome_without_admission(&key, request, now) {
             return self.answer_submission(submission, outcome);
         }
-        // If the batch already has an attempt of this key, the admission module decides about that one first.
-        // This one is then matched against the result.
+        // If the batch already has an attempt with this key, the admission module decides about the earlier
+        // attempt first. The new attempt is then matched against the table that results.
         if self.idempotency.is_in_batch(&key) {
             return self.deferred.push_back(DispatcherEvent::Submitted(submission));
         }
@@ -79,7 +80,7 @@
     }
 
     /// Returns the outcome of an attempt that must not be passed to the admission module, or `None` if it may be.
-    fn outcome_without_decision(
+    fn outcome_without_admission(
         &self,
         key: &IdempotencyKey,
         request: &Request,
@@ -87,7 +88,7 @@
     ) -> Option<RequestOutcome> {
         if self.may_have_run_unrecorded(key, now) {
             log!(
-                "dispatcher: request failed, its key may have run and the stored record is damaged: txn={}",
+                "dispatcher: request failed, its key may have run and its stored record may be damaged: txn={}",
                 request.txn
             );
             return Some(RequestOutcome::Failed { timed_out: false });
@@ -126,8 +127,8 @@
         self.attempts.insert(Attempt { id, request, submission_id, responder, phase: Phase::Queued });
     }
 
-    /// Returns the outcome of a request that comes before a backend can run requests. A request whose key has
-    /// run must not be rejected, because a rejection promises that it has not run.
+    /// Returns the outcome of a request that arrives before any backend can run requests. A request whose key
+    /// has run must not be rejected, because a rejection promises that it has not run.
     fn outcome_before_start(
         &self,
         key: Option<&IdempotencyKey>,
--- a/node/src/dispatcher/tests.rs
+++ b/node/src/dispatcher/tests.rs
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn a_run_that_never_started_is_rejected_and_frees_its_key() {
+fn an_attempt_whose_run_never_started_is_rejected_and_its_key_is_released() {
     run_test(async {
         let mut node = Node::start(false).await;
         node.submit_and_start(1, b"key", b"body").await;
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn a_successor_buffers_keyed_attempts_until_it_has_the_table_and_runs_no_key_in_it() {
+fn a_successor_buffers_keyed_attempts_until_it_has_the_table_and_does_not_run_keys_that_the_table_contains() {
     run_test(async {
         let mut node = Node::start(true).await;
         node.submit(1, b"known", b"body").await;
@@ -282,7 +282,7 @@
 }
 
 #[test]
-fn a_cancelled_submission_gets_no_answer_and_a_transaction_id_can_be_open_once() {
+fn a_cancelled_submission_gets_no_answer_and_a_second_open_attempt_with_the_same_transaction_id_fails() {
     run_test(async {
         let mut node = Node::start(false).await;
         node.submit_and_start(1, b"key", b"body").await;
--- a/node/src/dispatcher/timers.rs
+++ b/node/src/dispatcher/timers.rs
@@ -8,7 +8,8 @@
 
 use crate::clock::UnixTime;
 
-/// Time by which gauges are requested before the timer that reports them fires, to allow for the backend's answer.
+/// Gauges are requested this long before the timer that reports them fires, so that the backend can answer in
+/// time.
 const GAUGE_REQUEST_LEAD: Duration = Duration::from_millis(5);
 /// Age above which gauges are reported as unknown: ten periods of the admission module's timer.
 const MAX_GAUGE_AGE: Duration = Duration::from_millis(500);
--- a/node/src/exchange/event.rs
+++ b/node/src/exchange/event.rs
@@ -88,14 +88,14 @@
 pub(crate) enum CallOutcome {
     /// The call returned this reply.
     Ok(Bytes),
-    /// The call failed and may have had its effect.
+    /// The call failed and may have taken effect.
     Failed,
     /// The call was rejected: it never ran.
     Rejected,
-    /// The call timed out and may have had its effect.
+    /// The call timed out and may have taken effect.
     TimedOut,
     /// No server could be reached: the call never ran.
     Unreachable,
-    /// The connection of the call broke; the call may have had its effect.
+    /// The connection of the call broke; the call may have taken effect.
     CutOff,
 }
--- a/node/src/frontend/jsonrpc/connection.rs
+++ b/node/src/frontend/jsonrpc/connection.rs
@@ -77,7 +77,7 @@
     last_used: UnixTime,
     /// Whether the client has sent a message that could be served.
     is_proven: bool,
-    /// By when the first message, or the one that has begun, must be complete.
+    /// Time by which the first message, or the one that has begun, must be complete.
     message_deadline: Option<UnixTime>,
     consecutive_errors: u32,
     closing: Closing,
--- a/node/src/frontend/jsonrpc/response.rs
+++ b/node/src/frontend/jsonrpc/response.rs
@@ -22,7 +22,7 @@
     InvalidParams = -32602,
     /// The attempt was rejected and never ran.
     Rejected = -32011,
-    /// The attempt failed and may have had its effect.
+    /// The attempt failed and may have taken effect.
     Failed = -32000,
     /// The attempt did not complete by its deadline.
     TimedOut = -32001,
--- a/node/src/http.rs
+++ b/node/src/http.rs
@@ -50,7 +50,7 @@
 /// The request line of a call to the admin interface.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Call {
-    /// The method.
+    /// HTTP method.
     pub(crate) method: String,
     /// The path, without the query.
     pub(crate) path: String,
--- a/node/src/outcome.rs
+++ b/node/src/outcome.rs
@@ -32,7 +32,7 @@
         /// Whether the caller is asked not to try another node.
         give_up: bool,
     },
-    /// The request failed and may have had its effect.
+    /// The request failed and may have taken effect.
     Failed {
         /// Whether the request ran out of time.
         timed_out: bool,
@@ -46,7 +46,7 @@
 pub(crate) enum Completion {
     /// The run ended with this result.
     Succeeded(Bytes),
-    /// The run ended with an error and may have had its effect.
+    /// The run ended with an error and may have taken effect.
     Failed,
     /// The run was stopped, or ended at a call, because its request had already ended.
     Cancelled,
@@ -63,7 +63,7 @@
     Pending,
     /// The run ended with this result.
     Succeeded(Bytes),
-    /// The run failed and may have had its effect.
+    /// The run failed and may have taken effect.
     Failed,
     /// The run provably never started, so the key is free.
     NeverStarted,
@@ -95,7 +95,7 @@
 pub(crate) enum StoredOutcome {
     /// The run ended with this result.
     Succeeded(Bytes),
-    /// The run failed and may have had its effect.
+    /// The run failed and may have taken effect.
     Failed,
     /// The run provably never started.
     NeverStarted,
--- a/node/src/result_store.rs
+++ b/node/src/result_store.rs
@@ -37,7 +37,7 @@
 
 /// Delay between attempts to open a folder that the predecessor of this process still has open.
 const OPEN_RETRY_INTERVAL: Duration = Duration::from_millis(10);
-/// Time after which these attempts end and the process goes on without a store.
+/// Time after which the attempts to open the folder end and the process continues without a store.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Reason why a result store could not be opened.
@@ -109,7 +109,7 @@
     }
 
     /// Opens the folder in the background once the predecessor has closed it, and then sends
-    /// [`StoreEvent::Opened`]. If that fails, the process goes on without storing anything.
+    /// [`StoreEvent::Opened`]. If that fails, the process continues without storing anything.
     pub(crate) fn open_after_predecessor(&mut self, key_source: KeySource) {
         self.key_source = key_source;
         let config = self.config.clone();
--- a/node/src/result_store/record.rs
+++ b/node/src/result_store/record.rs
@@ -26,7 +26,7 @@
     Started = 1,
     /// The run ended with a result.
     Succeeded = 2,
-    /// The run failed and may have had its effect.
+    /// The run failed and may have taken effect.
     Failed = 3,
     /// The run certainly never started, so the key may be used again.
     NeverStarted = 4,
--- a/node/src/result_store/segment.rs
+++ b/node/src/result_store/segment.rs
@@ -42,7 +42,7 @@
     }
 }
 
-/// Header of a segment.
+/// Header at the start of the file of a segment.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct SegmentHeader {
     /// Seed of the store, repeated in every segment so that damage to one file does not lose it.
--- a/node/src/server.rs
+++ b/node/src/server.rs
@@ -42,7 +42,7 @@
     Bind {
         /// The configuration key of the address.
         key: &'static str,
-        /// The address.
+        /// Address that the key configures.
         address: SocketAddr,
         /// The error of the operating system.
         source: io::Error,
