--- a/fleet/src/replication/key_state.rs
+++ b/fleet/src/replication/key_state.rs
@@ -44,7 +44,7 @@
 pub enum RunResult {
     /// The run returned these bytes.
     Succeeded(Bytes),
-    /// The run failed, in which case it may still have had its effect, or its outcome is unknown.
+    /// The run failed, in which case it may still have taken effect, or its outcome is unknown.
     Failed,
 }
 
