--- a/admission/src/admission/load_signal.rs
+++ b/admission/src/admission/load_signal.rs
@@ -55,7 +55,7 @@
         self.shed_fraction
     }
 
-    /// Resets the shed fraction to none, as at startup.
+    /// Resets the shed fraction to none, its value at startup.
     pub(crate) fn reset(&mut self) {
         self.shed_fraction = Fraction::NONE;
     }
