--- a/node/tests/sockets/fleet.rs
+++ b/node/tests/sockets/fleet.rs
@@ -7,12 +7,15 @@
 use siphasher::sip::SipHasher13;
 use std::hash::Hasher;
 use std::io::{Read, Write};
-use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
+use std::net::{Ipv4Addr, SocketAddr, TcpStream};
+
+/// Port of the first node. No other test uses the host, and the system does not assign ports below 32768 by itself. A
+/// port that a listener had to find first could be held for a moment by a process that another test starts.
+const FIRST_PORT: u16 = 21_001;
 
 /// A fleet of three nodes on addresses that belong to one test, with a short idempotency window.
 struct Fleet {
     host: Ipv4Addr,
-    ports: Vec<u16>,
     version: u64,
 }
 
@@ -26,18 +29,11 @@
 
 impl Fleet {
     fn new() -> Fleet {
-        // No other test uses this host, so a port that is free now is still free when a node listens on it.
-        let host = unique_host();
-        let listeners = [(); 4].map(|()| TcpListener::bind((host, 0)).unwrap());
-        Fleet {
-            host,
-            ports: listeners.iter().map(|listener| listener.local_addr().unwrap().port()).collect(),
-            version: 1,
-        }
+        Fleet { host: unique_host(), version: 1 }
     }
 
     fn address(&self, n: usize) -> SocketAddr {
-        SocketAddr::from((self.host, self.ports[n - 1]))
+        SocketAddr::from((self.host, FIRST_PORT + n as u16 - 1))
     }
 
     fn membership(&self, nodes: &[usize]) -> String {
@@ -237,14 +233,14 @@
     node.wait_for_log("fleet: membership configuration adopted: version=2");
     all[1].0.wait_for_log("fleet: membership configuration received from a peer: version=2");
     let node = &mut all[0].0;
-    let old = Fleet { version: 1, ports: fleet.ports.clone(), ..fleet };
+    let old = Fleet { version: 1, ..fleet };
     node.reload_fleet_file(&old.file(1, &[1, 2, 3], ""));
     node.wait_for_log("fleet: membership configuration rejected: list.number: 1 is");
     node.reload_fleet_file(&fleet.file(1, &[1, 2, 3], ""));
     node.wait_for_log(
         "fleet: membership configuration rejected: list.number: 2 is the version of the active",
     );
-    let third = Fleet { version: 3, ports: fleet.ports.clone(), ..fleet };
+    let third = Fleet { version: 3, ..fleet };
     node.reload_fleet_file(&third.file(1, &[1, 2], ""));
     node.wait_for_log("fleet: membership configuration rejected: list.members: without n3, n4 (2 in all)");
     let mut client = all[2].0.client();
