--- a/admission/tests/model/trace/perturbations.rs
+++ b/admission/tests/model/trace/perturbations.rs
@@ -119,7 +119,7 @@
         self.model.gauges = match self.plan.gauge_mode {
             GaugeMode::Absent => Gauges::default(),
             GaugeMode::BusyOnly => Gauges { utilization, runnable: None },
-            GaugeMode::Measured => Gauges { utilization, runnable: Some(running + other_tasks) },
+            GaugeMode::Consistent => Gauges { utilization, runnable: Some(running + other_tasks) },
             GaugeMode::ReadOverload if in_read_overload => {
                 Gauges { utilization, runnable: Some(running * 4.0 + 12.0) }
             }
--- a/admission/tests/model/trace/plan.rs
+++ b/admission/tests/model/trace/plan.rs
@@ -20,11 +20,11 @@
     /// Only the utilization of the cores.
     BusyOnly,
     /// Utilization and runnable tasks that match the running requests.
-    Measured,
-    /// Like `Measured`, but part of the time with far more runnable tasks than runs: reads overload the
+    Consistent,
+    /// Like `Consistent`, but part of the time with far more runnable tasks than runs: reads overload the
     /// cores.
     ReadOverload,
-    /// Like `Measured`, but half of the runs wait for I/O.
+    /// Like `Consistent`, but half of the runs wait for I/O.
     WaitingForIo,
 }
 
@@ -81,7 +81,7 @@
         let gauge_modes = [
             GaugeMode::Absent,
             GaugeMode::BusyOnly,
-            GaugeMode::Measured,
+            GaugeMode::Consistent,
             GaugeMode::ReadOverload,
             GaugeMode::WaitingForIo,
         ];
