--- a/fleet/src/audit/versions.rs
+++ b/fleet/src/audit/versions.rs
@@ -68,7 +68,7 @@
 }
 
 /// Returns the replaced versions that a node used for longer than `options.spread_ms`. A deliberate rollback
-/// to an older version can't be told apart and is returned too.
+/// to an older version can't be distinguished from a missed update and is returned too.
 pub(super) fn find_stragglers(
     journal: &Journal,
     versions: &[VersionUse],
--- a/fleet/src/claims/coordinator.rs
+++ b/fleet/src/claims/coordinator.rs
@@ -150,7 +150,7 @@
     }
 
     /// Closes the claim of an attempt. The caller must ensure that its run is not in progress. If the run
-    /// never started, the replicas are told so; if it has completed, its result is not sent any more.
+    /// never started, the replicas are notified of this; if it has completed, its result is no longer sent.
     pub fn release(&mut self, attempt: AttemptId, out: &mut Vec<ClaimAction>) {
         let claim = self.by_attempt.remove(&attempt).and_then(|id| self.claims.remove(&id));
         // A release message says that no run started, which is false for a claim with a result.
@@ -267,8 +267,8 @@
     }
 
     /// Notifies the attempt of a claim that has reached `give_up_at`, and closes the claim. A granted claim
-    /// stays unchanged. If a result is being replicated, the attempt is told that no quorum has stored it,
-    /// and the replication continues.
+    /// stays unchanged. If a result is being replicated, the attempt is notified that no quorum has stored
+    /// it, and the replication continues.
     fn give_up(&mut self, id: ClaimId, out: &mut Vec<ClaimAction>) {
         let Some(claim) = self.claims.get_mut(&id) else { return };
         let outcome = match claim.state {
--- a/fleet/src/claims/coordinator/claim.rs
+++ b/fleet/src/claims/coordinator/claim.rs
@@ -34,7 +34,7 @@
     Stored,
 }
 
-/// State of a claim.
+/// Stage of a claim, from the first message to the replicas until it is closed.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) enum ClaimState {
     /// The replicas are asked to grant the claim.
--- a/fleet/src/message.rs
+++ b/fleet/src/message.rs
@@ -260,7 +260,7 @@
         conflict: ConflictingClaim,
     },
     /// Response to [`Message::Claim`] or [`Message::QueryKey`]: the replica can neither grant nor deny
-    /// the claim, or can't tell whether the key is free.
+    /// the claim, or does not know whether the key is free.
     Uncertain {
         /// The claim of the attempt that asked.
         claim: ClaimId,
--- a/fleet/src/replica_node.rs
+++ b/fleet/src/replica_node.rs
@@ -233,8 +233,8 @@
             self.resume(since_last_event, out);
         }
         if self.participation == Participation::Active {
-            // Once a successor process owns the store, peers must not be told a later position than the one
-            // that is stored.
+            // Once a successor process owns the store, peers must not receive a later position than the
+            // stored one.
             self.failure_detector.set_uptime(self.position().uptime_seconds);
         }
         self.handle_event(now, event, out);
--- a/fleet/src/replica_node/event.rs
+++ b/fleet/src/replica_node/event.rs
@@ -59,7 +59,7 @@
     RunCancelled(AttemptId),
     /// A peer has sent a message.
     MessageReceived(ReceivedMessage),
-    /// A peer is unreachable.
+    /// A peer cannot be reached: there is no link to it, and none could be opened.
     PeerUnreachable(NodeId),
     /// The link to a peer broke, and messages in transit are lost.
     LinkBroken(NodeId),
--- a/fleet/src/replication/replica_table/outcome.rs
+++ b/fleet/src/replication/replica_table/outcome.rs
@@ -38,7 +38,7 @@
     pub conflicts: Vec<RunConflict>,
 }
 
-/// The size of a table.
+/// Number of keys in a replica table and the memory they use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TableSize {
     /// The number of keys.
--- a/fleet/tests/sim/machine.rs
+++ b/fleet/tests/sim/machine.rs
@@ -67,7 +67,7 @@
     OldBackup,
 }
 
-/// The contents of a disk.
+/// The state that a simulated node has on its disk or in a backup of the disk.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct DiskContents {
     /// The stored records, each with the time at which it expires.
--- a/fleet/tests/sim/main.rs
+++ b/fleet/tests/sim/main.rs
@@ -184,7 +184,7 @@
     }
 }
 
-/// The recovery of a fleet in which 70 % of the nodes lost their state at the same time. Times are measured
+/// The recovery of a fleet in which 70 % of the nodes lost their state at the same time. Times count
 /// from the restart of these nodes.
 #[derive(Debug)]
 struct Recovery {
