--- a/settings/src/error.rs
+++ b/settings/src/error.rs
@@ -11,7 +11,7 @@
     /// The value of a key is not one of its keywords.
     #[error("settings: {key} has the unknown value {value:?}")]
     UnknownValue {
-        /// The key.
+        /// The key whose value is rejected.
         key: &'static str,
         /// The value as given.
         value: String,
--- a/settings/src/json.rs
+++ b/settings/src/json.rs
@@ -34,7 +34,7 @@
 pub(crate) struct ClassJson {
     #[serde(default)]
     pub(crate) name: String,
-    /// Latency objective.
+    /// Time from the first attempt of a request within which an answer earns the full weight.
     #[serde(rename = "slo")]
     pub(crate) latency_objective_us: u64,
     #[serde(rename = "deadline")]
