--- a/simulator-adapter/src/wire/decode.rs
+++ b/simulator-adapter/src/wire/decode.rs
@@ -26,7 +26,7 @@
     Event(Event),
     /// A timer of the selected backend has expired.
     Timer {
-        /// The timer.
+        /// Id under which the admission module set the timer.
         timer: TimerId,
         /// The values of the gauges, in the order in which the backend's settings list their names.
         gauges: Vec<f64>,
