--- a/fault-harness/src/check/exemptions.rs
+++ b/fault-harness/src/check/exemptions.rs
@@ -44,15 +44,15 @@
 /// The nodes, links and times at which attempts are exempt from an answer.
 #[derive(Debug, Default)]
 pub(super) struct Exemptions {
-    /// By node, when its process was down after the harness killed it.
+    /// Intervals in which the process of each node was down after the harness killed it.
     killed: HashMap<usize, Intervals>,
-    /// By node, when its process was paused.
+    /// Intervals in which the process of each node was paused.
     paused: HashMap<usize, Intervals>,
-    /// By link, when its traffic was disturbed.
+    /// Intervals in which the traffic of each link was disturbed.
     disturbed_links: HashMap<ClientLink, Intervals>,
-    /// By node, when its traffic with all frontends was disturbed.
+    /// Intervals in which the traffic of each node with all frontends was disturbed.
     disturbed_nodes: HashMap<usize, Intervals>,
-    /// When the harness itself ran late.
+    /// Intervals in which the harness itself ran late.
     harness_delayed: Intervals,
 }
 
--- a/fault-harness/src/check/processes.rs
+++ b/fault-harness/src/check/processes.rs
@@ -1,5 +1,5 @@
 //! The rules about processes: resource limits hold, the node process does not crash, and the interpreter
-//! receives what was sent.
+//! receives bodies, classes and replies unchanged.
 
 use std::collections::BTreeSet;
 
--- a/fault-harness/src/check/router.rs
+++ b/fault-harness/src/check/router.rs
@@ -7,7 +7,8 @@
 use crate::history::Event;
 use crate::model::Ms;
 
-/// Since when more than one node has been active although they can receive each other's advertisements.
+/// Whether more than one node is active although the nodes can receive each other's advertisements, and since
+/// when.
 #[derive(Debug, Clone, Copy, Default)]
 enum DualActiveState {
     #[default]
--- a/fault-harness/src/check/runs.rs
+++ b/fault-harness/src/check/runs.rs
@@ -37,9 +37,9 @@
     /// Results stay valid after a node lost its stored state: a truncated store, or an old backup that was
     /// restored, may still contain one.
     results: HashMap<usize, Vec<RunResult>>,
-    /// By node, the generation of its stored state; none for the first.
+    /// Generation of the stored state of each node; none for the first.
     generations: HashMap<usize, usize>,
-    /// By node, the time of its shutdown notice.
+    /// Time of the shutdown notice of each node.
     shutdown_notices: HashMap<usize, Ms>,
     /// Number of runs of a key that had already run within its window, at any node.
     pub(super) duplicate_runs_in_fleet: usize,
--- a/fault-harness/src/check/verdict.rs
+++ b/fault-harness/src/check/verdict.rs
@@ -25,7 +25,8 @@
     RunAfterShutdownNotice,
     /// An attempt was served with a result that no run of its key made.
     ForeignResult,
-    /// The interpreter received something that differs from what was sent.
+    /// The interpreter received a body, class or reply that differs from what was sent, or a command for a
+    /// request that was never sent to its node.
     Corrupted,
     /// A limit was exceeded: memory, descriptors, concurrency on the cores, or the time for a graceful
     /// shutdown.
--- a/fault-harness/src/history/event.rs
+++ b/fault-harness/src/history/event.rs
@@ -81,7 +81,7 @@
     /// Time of the event, in milliseconds since the load began.
     #[serde(rename = "at_ms", alias = "t")]
     pub at: Ms,
-    /// The event.
+    /// Kind and fields of the event, which are written into the same JSON object as the time.
     #[serde(flatten)]
     pub event: Event,
 }
@@ -180,7 +180,7 @@
         /// Position of the node.
         node: usize,
     },
-    /// A run ended.
+    /// The interpreter of a node completed or aborted a run.
     #[serde(alias = "ended")]
     RunEnded {
         /// Id of the attempt.
--- a/fault-harness/src/model/dependency.rs
+++ b/fault-harness/src/model/dependency.rs
@@ -5,7 +5,7 @@
 
 use super::Ms;
 
-/// Id of a call, chosen by the caller.
+/// Id of a call, assigned by the caller.
 pub type CallId = u64;
 
 /// How a call ended.
--- a/fault-harness/src/model/frontend.rs
+++ b/fault-harness/src/model/frontend.rs
@@ -29,9 +29,9 @@
     try_next_node: bool,
     client_retries: u32,
     next_node: usize,
-    /// By node, the time until which its Retry-After asks this frontend to avoid it.
+    /// Time until which the Retry-After of each node asks this frontend to avoid the node.
     avoid_until: Vec<Ms>,
-    /// By node, the number of open attempts of this frontend.
+    /// Number of open attempts of this frontend on each node.
     open_attempts: Vec<u32>,
     rng: ChaCha8Rng,
 }
@@ -66,14 +66,14 @@
         self.open_attempts.fill(0);
     }
 
-    /// The listed nodes to which an attempt may be sent, except those already tried.
+    /// The listed nodes to which an attempt may be sent, without those that had an earlier one (`tried`).
     fn eligible_nodes(&self, now: Ms, listed: &[bool], tried: &[usize]) -> Vec<usize> {
         let is_avoided = |node: usize| self.honours_rejection_hints && self.avoid_until[node] > now;
         let is_eligible = |node: &usize| listed[*node] && !is_avoided(*node) && !tried.contains(node);
         (0..listed.len()).filter(is_eligible).collect()
     }
 
-    /// Picks a node for an attempt, preferably one that was not tried.
+    /// Picks a node for an attempt, preferably one without an earlier attempt of the request.
     fn pick(&mut self, now: Ms, listed: &[bool], tried: &[usize]) -> Option<usize> {
         let mut candidates = self.eligible_nodes(now, listed, tried);
         if candidates.is_empty() {
--- a/fault-harness/src/model/interpreter/run.rs
+++ b/fault-harness/src/model/interpreter/run.rs
@@ -13,7 +13,7 @@
     pub calls_dependency: bool,
 }
 
-/// State of a run.
+/// Whether a run uses the cores, and if not, why.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum RunState {
     /// Runnable: the run shares the cores with the others.
--- a/fault-harness/src/model/interpreter/spec.rs
+++ b/fault-harness/src/model/interpreter/spec.rs
@@ -8,7 +8,7 @@
 pub struct InterpreterSpec {
     /// Number of cores.
     pub cores: f64,
-    /// Speed of each core when the interpreter is warm; 1 is the speed in which work is measured.
+    /// Speed of each core when the interpreter is warm; at speed 1, a run takes as long as its work says.
     pub speed: f64,
     /// Fraction of that speed that a cold interpreter starts with.
     pub warm_from: f64,
--- a/fault-harness/src/model/interpreter/tests.rs
+++ b/fault-harness/src/model/interpreter/tests.rs
@@ -72,8 +72,8 @@
     let mut interpreter = InterpreterModel::new(spec(), 0.0, true);
     interpreter.register_request(0.0, 1, 1.0);
     interpreter.start_run(0.0, work(1, 8000.0));
-    // In the 8 s of the warm-up, from a quarter of the speed to all of it, it does 5,000 ms of work; the rest
-    // takes 3,000 ms at full speed.
+    // In the 8 s of the warm-up, the speed rises from a quarter to 1 and the run completes 5,000 ms of work.
+    // The remaining 3,000 ms of work take 3,000 ms at full speed.
     let (at, _) = run_to_next_event(&mut interpreter);
     assert!((at - 11_000.0).abs() < 20.0, "{at}");
 }
--- a/fault-harness/src/predict/event_queue.rs
+++ b/fault-harness/src/predict/event_queue.rs
@@ -16,11 +16,11 @@
     BackoffElapsed(usize),
     /// The caller of an attempt stops waiting.
     AttemptTimeout(u64),
-    /// A fault begins.
+    /// The fault of an injection takes effect.
     FaultStart(usize),
-    /// A fault ends.
+    /// The effect of an injection is undone.
     FaultEnd(usize),
-    /// A node restarts.
+    /// A node that was killed or shut down starts again.
     NodeRestart(usize),
     /// All nodes send a heartbeat to the registry.
     Heartbeat,
--- a/fault-harness/src/relay.rs
+++ b/fault-harness/src/relay.rs
@@ -25,9 +25,9 @@
 /// A direction of traffic through a relay.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Direction {
-    /// To the node.
+    /// Traffic to the node.
     To,
-    /// From the node.
+    /// Traffic from the node.
     From,
 }
 
--- a/fault-harness/src/relay/tests.rs
+++ b/fault-harness/src/relay/tests.rs
@@ -29,7 +29,7 @@
     address
 }
 
-/// Whether `text` comes back through the relay.
+/// Whether the echo server behind the relay returns `text` unchanged.
 async fn is_echoed(end: &mut DuplexStream, text: &[u8]) -> bool {
     let mut received = vec![0; text.len()];
     end.write_all(text).await.is_ok() && end.read_exact(&mut received).await.is_ok() && received == text
--- a/fault-harness/src/scenario/error.rs
+++ b/fault-harness/src/scenario/error.rs
@@ -34,9 +34,9 @@
     /// The value of a key is out of its range.
     #[error("{key}: must be {requirement}, not {value}")]
     NotAllowed {
-        /// The key.
+        /// The key, with the tables that it is in.
         key: String,
-        /// Its value.
+        /// The rejected value.
         value: String,
         /// The allowed values, completing the sentence "must be ...".
         requirement: &'static str,
@@ -44,7 +44,7 @@
     /// A key is missing that another one requires, or is given together with one that excludes it.
     #[error("{key}: {requirement}")]
     Inconsistent {
-        /// The key.
+        /// The key that is inconsistent with the rest of the scenario.
         key: String,
         /// The text that follows the key in the message.
         requirement: &'static str,
@@ -68,15 +68,15 @@
     /// A clock shift does not have the form AT:BY.
     #[error("{key}: must be AT:BY in milliseconds, not {value:?}")]
     InvalidClock {
-        /// The key.
+        /// The key that holds the clock shift.
         key: String,
-        /// Its value.
+        /// The rejected clock shift, as written.
         value: String,
     },
     /// The load results in more requests than a history may hold.
     #[error("{key}: {count:.0} requests in total, more than the limit of {max:.0}")]
     TooManyRequests {
-        /// The key.
+        /// The key whose value results in too many requests.
         key: &'static str,
         /// The number of requests at the highest rate of the scenario.
         count: f64,
--- a/fault-harness/src/scenario/fault.rs
+++ b/fault-harness/src/scenario/fault.rs
@@ -34,37 +34,36 @@
     /// Interval between two waves, in seconds.
     #[serde(default = "defaults::wave_interval_s", alias = "every_s")]
     pub wave_interval_s: f64,
-    /// For `kill` and `shutdown`: time until the restart of the node, in seconds; if absent, the node stays
+    /// Time from a `kill` or `shutdown` to the restart of the node, in seconds; if absent, the node stays
     /// down.
     pub down_s: Option<f64>,
     /// The stored state that a restarted node finds.
     #[serde(default)]
     pub folder: StoredState,
-    /// For `slow`: remaining fraction of the speed. For `dependency`: remaining fraction of the slots.
+    /// Fraction of the speed that remains during `slow`, or of the slots that remain during `dependency`.
     #[serde(default = "defaults::fault_factor")]
     pub factor: f64,
-    /// For `pause`: whether only the program is paused and the interpreter keeps running.
+    /// Whether `pause` pauses only the program and the interpreter keeps running.
     #[serde(default)]
     pub program_only: bool,
-    /// For `link`: the kinds of links of the target nodes that are disturbed.
+    /// Kinds of links of the target nodes that `link` disturbs.
     #[serde(default)]
     pub between: Vec<Link>,
-    /// For `link` with `peers`: the peers whose links are disturbed; all if empty.
+    /// Peers whose links are disturbed by `link` with `peers`; all if empty.
     #[serde(default)]
     pub with: Vec<String>,
-    /// For `link`: the disturbed direction, as seen from the target nodes.
+    /// Direction that `link` disturbs, as seen from the target nodes.
     #[serde(default, alias = "way")]
     pub direction: Directions,
-    /// For `link`: the effect on the traffic.
+    /// Effect of `link` on the traffic.
     #[serde(default)]
     pub traffic: Traffic,
-    /// For `kill` and `shutdown`: the build that the node runs from its restart on, by its name in
-    /// `--program`.
+    /// Build that the node runs from its restart after `kill` or `shutdown` on, by its name in `--program`.
     pub program: Option<String>,
-    /// For `kill` and `shutdown`: the clock shift of the restarted program, as AT:BY in milliseconds: AT
-    /// after its start, it sees the system clock set by BY.
+    /// Clock shift of the program restarted after `kill` or `shutdown`, as AT:BY in milliseconds: AT after
+    /// its start, it sees the system clock set by BY.
     pub clock: Option<String>,
-    /// For `kill` and `shutdown`: whether the node restarts with the membership configuration before the last
+    /// Whether the node restarts after `kill` or `shutdown` with the membership configuration before the last
     /// one.
     #[serde(default, alias = "old_list")]
     pub previous_membership: bool,
@@ -103,7 +102,7 @@
     AttemptServed,
 }
 
-/// The kinds of faults.
+/// What a fault does: the value of `what` in a scenario.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
--- a/fault-harness/src/scenario/former_keys.rs
+++ b/fault-harness/src/scenario/former_keys.rs
@@ -56,7 +56,7 @@
     Renamed { former: "spread_ms", present: "jitter_ms" },
 ];
 
-/// Tables whose keys are names chosen by the author of the scenario, which are never renamed.
+/// Tables whose keys are names given by the author of the scenario, which are never renamed.
 const TABLES_OF_NAMES: [&str; 3] = ["tenants", "programs", "clocks"];
 
 /// The name, former or present, under which the table has this key; the present name if the table does not
--- a/fault-harness/src/scenario/load.rs
+++ b/fault-harness/src/scenario/load.rs
@@ -33,7 +33,7 @@
     /// Whether its requests have an idempotency key, which must not run twice within the idempotency window.
     #[serde(default, alias = "keyed")]
     pub idempotency_key: bool,
-    /// For classes with keys: the time within which a key may be repeated, in milliseconds.
+    /// Time within which an idempotency key may be repeated, in milliseconds; used only by classes with keys.
     #[serde(default, alias = "window_ms")]
     pub idempotency_window_ms: u64,
     /// Whether its runs call the dependency, after half of their work.
--- a/fault-harness/src/schedule/injections.rs
+++ b/fault-harness/src/schedule/injections.rs
@@ -10,9 +10,9 @@
 /// When a fault is injected.
 #[derive(Debug, Clone, PartialEq)]
 pub enum InjectionTime {
-    /// At this time after the start of the load.
+    /// Time since the start of the load.
     Time(Ms),
-    /// When an event has occurred this many times on a node.
+    /// The moment at which an event has occurred `count` times on a node.
     Event {
         /// Position of the node.
         node: usize,
--- a/fault-harness/src/schedule/requests.rs
+++ b/fault-harness/src/schedule/requests.rs
@@ -11,7 +11,7 @@
 /// The range of the memory that a held request takes, in KB.
 const REQUEST_MEMORY_KB: [f64; 2] = [14.0, 45.0];
 
-/// A request of a client.
+/// A request that a client sends to a frontend, drawn from the load of the scenario.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClientRequest {
     /// When the client sends it, in milliseconds after the start of the load.
--- a/fault-harness/src/simulated/frontends/attempt.rs
+++ b/fault-harness/src/simulated/frontends/attempt.rs
@@ -138,7 +138,7 @@
         self.context.note(Event::AttemptCancelled { attempt: attempt.id });
         self.shared.nodes[connection.node].interpreter.close_request(attempt.id);
         connection.detach_caller(id);
-        // The connection may have ended, in which case nobody needs the notification.
+        // The send fails if the connection has ended; the node then needs no notification.
         let _ = out.try_send(wire::withdraw(id));
     }
 }
