--- a/examples/measure.rs
+++ b/examples/measure.rs
@@ -4,8 +4,8 @@
 //!
 //!     cargo build --release && cargo run --release --example measure -- FOLDER [records]
 //!
-//! FOLDER must be on the disk to be measured; it is created, and removed at the end. With `records`, the decision log
-//! is measured instead of the result store.
+//! FOLDER must be on the disk to be benchmarked; it is created, and removed at the end. With `records`, the decision
+//! log is benchmarked instead of the result store.
 
 #[path = "common/mod.rs"]
 mod common;
@@ -29,7 +29,7 @@
 
 /// Concurrency and number of requests of each measurement.
 const LOADS: [(usize, usize); 2] = [(1, 2_000), (32, 20_000)];
-/// Numbers of stored keys for which the startup time is measured.
+/// Numbers of stored keys for which the startup time is printed.
 const STORED_KEYS: [usize; 3] = [1_000, 10_000, 40_000];
 /// Number of repetitions of the comparison with and without the decision log.
 const ROUNDS: usize = 3;
--- a/examples/replicated.rs
+++ b/examples/replicated.rs
@@ -4,7 +4,7 @@
 //!
 //!     cargo build --release && cargo run --release --example replicated -- [OTHER_BUILD]
 //!
-//! If the path of another build of the program is given, that build is measured in the same rounds, with
+//! If the path of another build of the program is given, that build is benchmarked in the same rounds, with
 //! replication off.
 
 #[path = "common/mod.rs"]
@@ -30,8 +30,8 @@
     count: usize,
 }
 
-/// The loads measured. The higher concurrency comes first because the admitted rate follows recent throughput: after
-/// the low concurrency, part of the higher load would be rejected.
+/// The loads of each round. The higher concurrency comes first because the admitted rate follows recent throughput:
+/// after the low concurrency, part of the higher load would be rejected.
 const LOADS: [Load; 2] = [Load { concurrency: 32, count: 12_000 }, Load { concurrency: 1, count: 1_500 }];
 /// Number of idempotency keys that the state transfer sends to a node that restarts without state.
 const TRANSFERRED_KEYS: usize = 40_000;
--- a/node/src/backend/uwsgi/response.rs
+++ b/node/src/backend/uwsgi/response.rs
@@ -44,8 +44,8 @@
     /// The value of Content-Length is over [`MAX_BODY_BYTES`].
     #[error("Content-Length {0} is over the limit of {MAX_BODY_BYTES} bytes")]
     BodyTooLong(usize),
-    /// A successful response has no Content-Length, so that a complete body can't be told from a truncated
-    /// one.
+    /// A successful response has no Content-Length, so that a complete body can't be distinguished from a
+    /// truncated one.
     #[error("successful response has no Content-Length")]
     LengthMissing,
 }
--- a/node/src/clock.rs
+++ b/node/src/clock.rs
@@ -85,7 +85,7 @@
     }
 }
 
-/// The clock of a thread.
+/// Clock state that each thread keeps for itself.
 struct ThreadClock {
     simulated_step: Option<SimulatedStep>,
     slewed: Option<SlewedClock>,
--- a/node/src/config/error.rs
+++ b/node/src/config/error.rs
@@ -24,7 +24,7 @@
     /// parser.
     #[error("{0}")]
     Malformed(String),
-    /// An operators' file is malformed.
+    /// An operators' file has a TOML syntax error, or a key that is unknown, missing or of the wrong type.
     #[error("{file} file, line {line}{key}: {message}")]
     MalformedOperatorsFile {
         /// The kind of file, such as `uwsgi`.
--- a/node/src/config/missing_keys.rs
+++ b/node/src/config/missing_keys.rs
@@ -29,7 +29,7 @@
     common.unwrap_or_default()
 }
 
-/// Prefixes paths with a key; an empty path stands for the key itself.
+/// Prefixes paths with a key; an empty path becomes the key itself.
 fn with_prefix(key: &str, paths: Vec<String>) -> Vec<String> {
     let join = |path: String| if path.is_empty() { key.to_string() } else { format!("{key}.{path}") };
     paths.into_iter().map(join).collect()
--- a/node/src/decision_log.rs
+++ b/node/src/decision_log.rs
@@ -4,7 +4,7 @@
 //! The log is a folder with a bounded number of files of bounded length. Its records form a hash chain, so
 //! that any later edit of a record is detected. A dedicated thread writes them, and no request waits for the
 //! disk: a record that finds the queue to this thread full is dropped. Drops are counted, and a record in the
-//! log tells how many there were.
+//! log holds their number.
 
 mod error;
 mod files;
--- a/node/src/dispatcher/idempotency/entry.rs
+++ b/node/src/dispatcher/idempotency/entry.rs
@@ -40,8 +40,8 @@
         }
     }
 
-    /// Creates the entry of a key whose run belongs to an earlier process. `id` stands for the attempt of
-    /// that process.
+    /// Creates the entry of a key whose run belongs to an earlier process. `id` is recorded in place of the
+    /// attempt of that process.
     pub(super) fn of_earlier_process(id: RequestId, body_digest: BodyDigest, expires_at: UnixTime) -> Self {
         Entry { run_by: Some(id), run_by_earlier_process: true, ..Entry::new(id, body_digest, expires_at) }
     }
--- a/node/src/dispatcher/runs.rs
+++ b/node/src/dispatcher/runs.rs
@@ -262,7 +262,7 @@
     }
 }
 
-/// Returns the outcome that the admission module is told for a run that ended with `completion`.
+/// Returns the outcome to report to the admission module for a run that ended with `completion`.
 fn admission_outcome(completion: &Completion) -> AdmissionOutcome {
     match completion {
         Completion::Succeeded(_) => AdmissionOutcome::Ok,
--- a/node/src/frontend/connection_limiter.rs
+++ b/node/src/frontend/connection_limiter.rs
@@ -36,7 +36,7 @@
     /// When the connection entered this state.
     since: UnixTime,
     eviction: Rc<Notify>,
-    /// Whether the connection was told to close. It then no longer counts towards the limit.
+    /// Whether the connection was notified to close. It then no longer counts towards the limit.
     is_evicted: bool,
 }
 
@@ -108,7 +108,7 @@
         self.slots.borrow().values().filter(|slot| !slot.is_evicted).count()
     }
 
-    /// Tells one connection to close. Returns false if all connections are busy.
+    /// Notifies one connection that it must close. Returns false if all connections are busy.
     fn evict_one(&self) -> bool {
         let mut slots = self.slots.borrow_mut();
         let candidates =
--- a/node/src/peers/driver.rs
+++ b/node/src/peers/driver.rs
@@ -38,7 +38,7 @@
     pub(super) events: mpsc::Receiver<Event>,
     /// Responses to the run gate's handle.
     pub(super) responses: mpsc::Sender<ClaimResponse>,
-    /// Provides the status of the backend, and is told whether this node is recovering.
+    /// Provides the status of the backend and receives the recovery state of this node.
     pub(super) exchange: Exchange,
 }
 
--- a/node/src/result_store/recovery.rs
+++ b/node/src/result_store/recovery.rs
@@ -175,11 +175,11 @@
             self.torn_end = false;
         } else {
             self.damage.unrecognized_bytes += header_len as u64;
-            // Without its header, the oldest segment does not tell the number of its first record. Only a
+            // Without its header, the number of the first record of the oldest segment is unknown. Only a
             // record directly behind the header shows that no earlier record of the segment was lost.
             let starts_with_record = !matches!(items.first(), None | Some(ScanItem::Unrecognized(_)));
             self.unknown_start |= self.expected_number.is_none() && !starts_with_record;
-            // A file that is shorter than a header was truncated, and nothing tells how many records it held.
+            // A file that is shorter than a header was truncated, and the number of its records is lost.
             self.torn_end = bytes.len() < SEGMENT_HEADER_BYTES;
         }
         for item in items {
@@ -245,7 +245,7 @@
         let state = RecoveredState {
             seed: self.seed,
             // Unreadable records add nothing to a known key: an earlier one is superseded, and a later one
-            // could at most tell how the run ended.
+            // could at most hold how the run ended.
             keys: known.filter_map(|record| idempotency_record(record, clock_setback)).collect(),
             uncertain_keys,
             damage: self.damage,
--- a/node/src/result_store/segment_index.rs
+++ b/node/src/result_store/segment_index.rs
@@ -88,8 +88,8 @@
     /// Bytes reserved for the completion records of runs that have started.
     reserved_bytes: u64,
     last_expiry_scan: UnixTime,
-    /// Time before which no segment is removed: its damaged records tell the next start, too, which keys are
-    /// uncertain.
+    /// Time before which no segment is removed, so that the next start also finds the damaged records and
+    /// treats the same keys as uncertain.
     retained_until: UnixTime,
 }
 
--- a/node/src/server/capacity.rs
+++ b/node/src/server/capacity.rs
@@ -12,8 +12,8 @@
 /// Minimum number of connections to divide, even if `limits.sockets` leaves fewer.
 const MIN_CONNECTIONS: usize = 8;
 
-/// With a uwsgi frontend, JSON-RPC clients get a half of the connections, uwsgi clients a quarter and each
-/// backend an eighth.
+/// Divisors of the connections with a uwsgi frontend: JSON-RPC clients get a half, uwsgi clients a quarter
+/// and each backend an eighth.
 const JSONRPC_DIVISOR: usize = 2;
 const UWSGI_DIVISOR: usize = 4;
 const BACKEND_DIVISOR: usize = 8;
--- a/node/src/server/startup.rs
+++ b/node/src/server/startup.rs
@@ -134,8 +134,8 @@
         Ok(())
     }
 
-    /// Starts the virtual router, if one is configured. The returned receiver tells whether it has the active
-    /// role.
+    /// Starts the virtual router, if one is configured. The returned receiver holds true while this
+    /// node has the active role.
     async fn start_vrrp(&self) -> Result<Option<watch::Receiver<bool>>, StartupError> {
         let Some(vrrp) = self.uwsgi.as_ref().and_then(|uwsgi| uwsgi.vrrp.as_ref()) else { return Ok(None) };
         let socket = vrrp::bind(vrrp).await.map_err(|source| StartupError::Bind {
--- a/node/src/vrrp/packet.rs
+++ b/node/src/vrrp/packet.rs
@@ -51,7 +51,7 @@
     #[error("unknown packet type {0}, expected {ADVERTISEMENT_TYPE}")]
     Kind(u8),
     /// The checksum does not match the packet.
-    #[error("checksum mismatch")]
+    #[error("packet checksum mismatch")]
     Checksum,
     /// The packet announces no address, or has bytes after the last announced address.
     #[error("packet has no addresses, or bytes after the last address")]
--- a/node/tests/sockets/uwsgi.rs
+++ b/node/tests/sockets/uwsgi.rs
@@ -275,7 +275,7 @@
     assert!(json.read_line().contains("result"));
     assert!(uwsgi.read_to_end().starts_with("HTTP/1.1 200 "));
     assert!(idle[0].is_closed() && idle[1].is_closed(), "the oldest connections were evicted for the newest");
-    // An incomplete request gets an error once the time to read it is over.
+    // An incomplete request gets an error response at the read timeout.
     let mut slow = Peer::connect(address);
     slow.send([0, 9]);
     assert_eq!(
